--- a/bench/checking.cpp
+++ b/bench/checking.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "setup/read.h"
+#include "app_config/read.h"
 
 namespace {
 
@@ -41,13 +41,13 @@
   }
   const int rounds = args["rounds"].as<int>();
   const double parsed = median_ms(rounds, [&] {
-    fernward::notation::Faults faults;
-    fernward::notation::Layers layers;
-    fernward::notation::parse_layers(text, "big.toml", "include", nullptr, faults, layers);
+    fernward::toml_document::Faults faults;
+    fernward::toml_document::Layers layers;
+    fernward::toml_document::parse_layers(text, "big.toml", "include", nullptr, faults, layers);
   });
   bool sound = false;
   const double checked =
-      median_ms(rounds, [&] { sound = fernward::setup::read(text, "big.toml", nullptr, nullptr).sound(); });
+      median_ms(rounds, [&] { sound = fernward::app_config::read(text, "big.toml", nullptr, nullptr).sound(); });
   std::printf(
       "| file | sound | parsed, ms | read and checked, ms | ratio |\n| --- | --- | --- | --- | --- |\n");
   std::printf("| %zu KB | %s | %.1f | %.1f | %.2f |\n", text.size() / 1000, sound ? "yes" : "no", parsed,
--- a/bench/choosing.cpp
+++ b/bench/choosing.cpp
@@ -6,7 +6,7 @@
 #include <exception>
 #include <vector>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 #include "timing.h"
 
 namespace {
@@ -16,13 +16,16 @@
 
 Settings settings(bool resize) {
   Settings s;
-  s.nodes = 4;
-  s.classes = {{.aim_ms = 500, .give_up_ms = 1000, .repeat = Repeat::Safe, .scope = Scope::All}};
+  s.router_count = 4;
+  s.classes = {{.latency_objective_ms = 500,
+                .client_timeout_ms = 1000,
+                .idempotency = Idempotency::Idempotent,
+                .idempotency_scope = IdempotencyScope::All}};
   s.origin_kind = 1;
   s.max_attempts = 4;
-  s.may_duplicate = s.may_cancel = true;
-  s.report_via = ReportVia::Answers;
-  s.report_fields = {ReportField::Queue, ReportField::LatencyMs};
+  s.may_hedge = s.may_cancel = true;
+  s.load_report_source = LoadReportSource::Responses;
+  s.load_report_fields = {LoadReportField::Queue, LoadReportField::LatencyMs};
   if (resize) s.resize = {30000, 2, 0};
   return s;
 }
@@ -38,10 +41,10 @@
   explicit Router(bool resize) : balancer_(settings(resize), 7) {}
 
   double list(std::uint32_t caches) { // CPU in us
-    const ServerList list{ListKind::Full, fleet(caches)};
+    const EndpointList list{EndpointListKind::Full, fleet(caches)};
     const double before = cpu_us();
     actions_.clear();
-    balancer_.on(now_, list, actions_);
+    balancer_.on_event(now_, list, actions_);
     return cpu_us() - before;
   }
   // Reads one after another, a few open at once, a tenth of them misses; CPU in us of each.
@@ -58,10 +61,14 @@
       for (int step = 0; step < 6 && server_ != 0; ++step) { // to its end
         const ServerId at = server_;
         const bool miss = at != 1000000 && draw % 10 == 0;
-        Outcome e{
-            r.id,  attempt_++, at, miss ? Result::Miss : Result::Ok, 10.0 + static_cast<double>(draw % 7),
-            !miss, {}};
-        e.report = {static_cast<float>(draw % 5), 10};
+        AttemptOutcome e{r.id,
+                         attempt_++,
+                         at,
+                         miss ? AttemptResult::CacheMiss : AttemptResult::Ok,
+                         10.0 + static_cast<double>(draw % 7),
+                         !miss,
+                         {}};
+        e.load_report = {static_cast<float>(draw % 5), 10};
         server_ = 0;
         on(e);
       }
@@ -75,7 +82,7 @@
  private:
   void on(const Event& event) {
     actions_.clear();
-    balancer_.on(now_, event, actions_);
+    balancer_.on_event(now_, event, actions_);
     for (const Action& a : actions_) {
       if (const auto* send = std::get_if<Send>(&a)) server_ = send->server;
     }
--- a/bench/discovery/server.cpp
+++ b/bench/discovery/server.cpp
@@ -34,7 +34,7 @@
 
 } // namespace
 
-Server::Server(event_base* base, loop::Deadlines& deadlines, Registry& registry, Propagation& propagation,
+Server::Server(event_base* base, loop::TimerQueue& deadlines, Registry& registry, Propagation& propagation,
                std::size_t routers)
     : base_(base), deadlines_(deadlines), registry_(registry), propagation_(propagation), ports_(routers) {
   for (std::size_t router = 0; router < routers; ++router) ports_[router] = make_port(router);
--- a/bench/discovery/server.h
+++ b/bench/discovery/server.h
@@ -15,8 +15,8 @@
 #include "discovery/propagation.h"
 #include "discovery/registry.h"
 #include "http/parser.h"
-#include "loop/deadlines.h"
 #include "loop/net.h"
+#include "loop/timer_queue.h"
 
 namespace fernward::bench::discovery {
 
@@ -42,7 +42,7 @@
 /// One service with a listening port for each router, so that it knows which router calls.
 class Server {
  public:
-  Server(event_base* base, loop::Deadlines& deadlines, Registry& registry, Propagation& propagation,
+  Server(event_base* base, loop::TimerQueue& deadlines, Registry& registry, Propagation& propagation,
          std::size_t routers);
 
   /// The address that this router is to be given for discovery.
@@ -93,7 +93,7 @@
   struct Call {
     ConnectionId connection = 0;
     std::optional<Index> since; // none: all endpoints are asked for
-    loop::Deadlines::Ticket timeout = 0;
+    loop::TimerQueue::TimerId timeout = 0;
   };
   struct QueuedCall {
     CallId call;
@@ -124,7 +124,7 @@
   RouterCounters& counters_of(const Connection& connection) { return ports_[connection.router].counters; }
 
   event_base* base_;
-  loop::Deadlines& deadlines_;
+  loop::TimerQueue& deadlines_;
   Registry& registry_;
   Propagation& propagation_;
   std::vector<Port> ports_;
@@ -136,7 +136,7 @@
   Capacity capacity_;
   bool outage_ = false;
   double free_at_ms_ = 0; // when the work on the call before was done
-  loop::Deadlines::Ticket work_done_ = 0;
+  loop::TimerQueue::TimerId work_done_ = 0;
   double longest_queueing_ms_ = 0;
   ConnectionId last_connection_ = 0;
   CallId last_call_ = 0;
--- a/bench/discovery_fleet.cpp
+++ b/bench/discovery_fleet.cpp
@@ -27,7 +27,7 @@
 #include "discovery/registry.h"
 #include "discovery/router_process.h"
 #include "discovery/server.h"
-#include "loop/deadlines.h"
+#include "loop/timer_queue.h"
 
 namespace {
 
@@ -358,7 +358,7 @@
 
   Options options_;
   std::unique_ptr<event_base, BaseFree> base_;
-  loop::Deadlines deadlines_;
+  loop::TimerQueue deadlines_;
   Registry registry_;
   Propagation propagation_;
   std::mt19937_64 random_;
--- a/bench/sharing.cpp
+++ b/bench/sharing.cpp
@@ -9,7 +9,7 @@
 #include <stdexcept>
 #include <vector>
 
-#include "shared/fleet.h"
+#include "gossip/fleet.h"
 #include "timing.h"
 
 namespace {
@@ -28,7 +28,7 @@
  public:
   explicit Tier(std::size_t routers) {
     for (std::size_t i = 0; i < routers; ++i)
-      all_.emplace_back(static_cast<shared::Id>(i), routers, 1000, members::Rules{kPeriodMs, 3}, i + 1);
+      all_.emplace_back(static_cast<gossip::Id>(i), routers, 1000, membership::Rules{kPeriodMs, 3}, i + 1);
     for (double until = now_ + kWarmMs; now_ < until;) period();
     ticks = takes = views = {};
   }
@@ -40,13 +40,13 @@
     for (std::size_t i = 0; i < all_.size(); ++i) {
       const double n = static_cast<double>(i % 7);
       all_[i].tick(now_, {n, 1 + n}, out_);
-      for (auto& o : out_) on_the_way_.push_back({static_cast<shared::Id>(i), std::move(o)});
+      for (auto& o : out_) on_the_way_.push_back({static_cast<gossip::Id>(i), std::move(o)});
       out_.clear();
     }
     const double ticked = cpu_us();
     for (; !on_the_way_.empty(); on_the_way_.pop_front(), ++takes.count) {
       const auto& [from, what] = on_the_way_.front();
-      const shared::Id to = what.to;
+      const gossip::Id to = what.to;
       all_[to].take(now_, from, what.bytes, out_);
       for (auto& o : out_) on_the_way_.push_back({to, std::move(o)});
       out_.clear();
@@ -64,11 +64,11 @@
 
  private:
   struct OnTheWay {
-    shared::Id from;
-    shared::Fleet::Out what;
+    gossip::Id from;
+    gossip::Fleet::Out what;
   };
-  std::vector<shared::Fleet> all_;
-  std::vector<shared::Fleet::Out> out_;
+  std::vector<gossip::Fleet> all_;
+  std::vector<gossip::Fleet::Out> out_;
   std::deque<OnTheWay> on_the_way_;
   double now_ = 1e9, heard_ = 0;
 };
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -3,15 +3,15 @@
 #include <variant>
 #include <vector>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 
 int main() {
   using namespace fernward;
   Settings settings;
   ClassSettings reads;
-  reads.aim_ms = 200;
-  reads.give_up_ms = 1000;
-  reads.repeat = Repeat::Safe;
+  reads.latency_objective_ms = 200;
+  reads.client_timeout_ms = 1000;
+  reads.idempotency = Idempotency::Idempotent;
   settings.classes = {reads};
   settings.max_attempts = 3;
 
@@ -19,31 +19,31 @@
   std::vector<Action> actions;
   double now = 1000; // the node's own clock, in milliseconds
 
-  ServerList list;
+  EndpointList list;
   for (ServerId id = 1; id <= 4; ++id) {
     Server cache;
     cache.id = id;
     list.servers.push_back(cache);
   }
-  balancer.on(now, list, actions);
+  balancer.on_event(now, list, actions);
 
   Request request;
   request.id = 1;
   request.key = 42;
   request.deadline = now + 900;
-  balancer.on(now, request, actions);
+  balancer.on_event(now, request, actions);
 
   for (const Action& action : actions) {
     const auto* send = std::get_if<Send>(&action);
     if (send == nullptr) continue;
     std::printf("request %llu goes to cache %u\n", static_cast<unsigned long long>(send->id), send->server);
-    Outcome answer; // what the node would report once the cache has answered
+    AttemptOutcome answer; // what the node would report once the cache has answered
     answer.id = send->id;
     answer.server = send->server;
     answer.elapsed_ms = 12;
-    answer.ended = true;
+    answer.request_ended = true;
     std::vector<Action> more;
-    balancer.on(now + 12, answer, more);
+    balancer.on_event(now + 12, answer, more);
     return 0;
   }
   return 1;
--- a/lab/check/checker.cpp
+++ b/lab/check/checker.cpp
@@ -248,9 +248,9 @@
 bool Checker::same_group(const ClassSpec& cls, MachineId a, MachineId b) const {
   const Machine &x = plan_.machines[a], &y = plan_.machines[b];
   switch (cls.scope) {
-    case Scope::All: return true;
-    case Scope::Zone: return x.zone == y.zone;
-    case Scope::Cell: return x.cell == y.cell;
+    case IdempotencyScope::All: return true;
+    case IdempotencyScope::Zone: return x.zone == y.zone;
+    case IdempotencyScope::Cell: return x.cell == y.cell;
   }
   return false;
 }
@@ -258,7 +258,9 @@
 // What a refusal promises: a further try does no harm.
 void Checker::check_refusal(double at, const Try& t) {
   const ClassSpec& cls = spec_.classes[t.cls];
-  if (cls.repeat == Repeat::Safe || (cls.repeat == Repeat::Keyed && cls.scope == Scope::All)) return;
+  if (cls.repeat == Idempotency::Idempotent ||
+      (cls.repeat == Idempotency::WithKey && cls.scope == IdempotencyScope::All))
+    return;
   for (const Attempt& attempt : t.attempts) {
     if (!attempt.counts()) continue;
     return breach(Rule::Repeats, at,
@@ -280,11 +282,11 @@
            what + ", which is attempt " + number(t.attempts.size() + 1) + " of " +
                number(spec_.routers.max_attempts) + " allowed");
   }
-  if (cls.repeat == Repeat::Safe) return;
+  if (cls.repeat == Idempotency::Idempotent) return;
   for (const Attempt& earlier : t.attempts) {
     if (!earlier.counts()) continue;
     const std::string but = " though it may have run on " + name(earlier.machine);
-    if (cls.repeat == Repeat::Unsafe) return breach(Rule::Repeats, a.at, what + but);
+    if (cls.repeat == Idempotency::NonIdempotent) return breach(Rule::Repeats, a.at, what + but);
     if (!same_group(cls, earlier.machine, a.machine)) {
       return breach(Rule::Repeats, a.at, what + but + ", which does not drop its repeats");
     }
--- a/lab/lies/liar.h
+++ b/lab/lies/liar.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "model/plan.h"
-#include "shared/facts.h"
+#include "gossip/facts.h"
 
 namespace fernward::lab::lies {
 
@@ -26,14 +26,14 @@
   std::string spoil(double now, std::string_view bytes);
 
  private:
-  std::string facts(double now, const members::Datagram& d, std::size_t room);
+  std::string facts(double now, const membership::Datagram& d, std::size_t room);
 
-  const shared::Id self_;
+  const gossip::Id self_;
   const std::uint64_t seed_;
   model::LyingRouter how_;
   std::uint32_t by_ = 0;
   bool lies_ = false;
-  std::vector<shared::Stamp> heard_; // by router: its latest known stamp; none: {}
+  std::vector<gossip::Stamp> heard_; // by router: its latest known stamp; none: {}
   std::size_t turn_ = 0;             // whom it accuses next
   std::uint64_t said_ = 0;
 };
--- a/lab/limiters/contender.h
+++ b/lab/limiters/contender.h
@@ -1,4 +1,4 @@
-// What a limiter looks like to the comparison: the interface of limits::Limiter, so that others can stand in for it.
+// What a limiter looks like to the comparison: the interface of concurrency::Limiter, so that others can stand in for it.
 #pragma once
 
 #include <cstdint>
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "limits/limiter.h"
+#include "concurrency/origin_concurrency_limiter.h"
 
 namespace fernward::limiters {
 
@@ -17,7 +17,7 @@
   virtual bool room(double now, std::uint32_t out, bool write) const = 0;
   virtual void wanted(double) {}
   virtual void sent(double now) = 0;
-  virtual void ended(double now, const limits::Sample& sample) = 0;
+  virtual void ended(double now, const concurrency::Sample& sample) = 0;
   virtual void reported(double, double /*queue*/) {}
   virtual double limit() const = 0;
   virtual double crowding(double now, double out) const = 0;
--- a/lab/limiters/rivals.cpp
+++ b/lab/limiters/rivals.cpp
@@ -7,8 +7,8 @@
 namespace fernward::limiters {
 namespace {
 
-using limits::Ending;
-using limits::Sample;
+using concurrency::Ending;
+using concurrency::Sample;
 
 // Below one a limit is a pace, as in the router: else the least limits of many routers bury a small server.
 bool paced(double limit, double now, double sent_at, double recent_ms, std::uint32_t out) {
@@ -62,7 +62,7 @@
 
 class Ours final : public Contender {
  public:
-  explicit Ours(double nodes) : limiter_(limits::Limiter::origin(nodes)) {}
+  explicit Ours(double nodes) : limiter_(concurrency::OriginConcurrencyLimiter::origin(nodes)) {}
   bool room(double now, std::uint32_t out, bool write) const override {
     return limiter_.room(now, out, write);
   }
@@ -72,7 +72,7 @@
   double crowding(double now, double out) const override { return limiter_.crowding(now, out); }
 
  private:
-  limits::Limiter limiter_;
+  concurrency::OriginConcurrencyLimiter limiter_;
 };
 
 // Those that keep a limit and the response time alone.
@@ -194,7 +194,7 @@
       {"vegas", "TCP Vegas", Waiting::Leave, false, false, make<Vegas>},
       {"gradient2", "Netflix Gradient2", Waiting::Leave, false, false, make<Gradient2>},
       {"aimd", "AIMD on refusals and late answers", Waiting::Leave, false, false, make<Aimd>},
-      {"fernward", "src/limits", Waiting::Leave, true, false, make<Ours>},
+      {"fernward", "src/concurrency", Waiting::Leave, true, false, make<Ours>},
       {"fernward+queue", "the same, where the server tells its queue", Waiting::Leave, true, true,
        make<Ours>},
   };
--- a/lab/limiters/world.cpp
+++ b/lab/limiters/world.cpp
@@ -12,13 +12,13 @@
 #include <pcg_random.hpp>
 #include <set>
 
-#include "limits/allowance.h"
-#include "limits/queue.h"
+#include "concurrency/origin_request_queue.h"
+#include "concurrency/retry_budget.h"
 
 namespace fernward::limiters {
 namespace {
 
-using limits::Ending;
+using concurrency::Ending;
 
 constexpr double kWayMs = 1;      // there and back
 constexpr double kTickMs = 100;   // a router looks at its queue at least this often
@@ -116,9 +116,9 @@
 
 struct Router {
   std::unique_ptr<Contender> limiter;
-  limits::Queue queue;
+  concurrency::OriginRequestQueue queue;
   CoDel codel;
-  limits::Allowance allowance;
+  concurrency::RetryBudget allowance;
   std::uint32_t out = 0, waits = 0;
   double recent_ms = 0, later = -1;
   bool ticking = false;
@@ -444,7 +444,7 @@
     if (t.out > 0 || t.queued) return;
     if (t.attempts >= kMostAttempts || ending == Ending::Silent) return conclude(id);
     if (ending == Ending::Fault) {
-      if (!r.allowance.spend(now_, limits::Allowance::Use::Retry, crowding(r))) return conclude(id);
+      if (!r.allowance.spend(now_, concurrency::RetryBudget::Use::Retry, crowding(r))) return conclude(id);
       return enqueue(id);
     }
     at(now_ + std::max(5.0, r.recent_ms) * (0.5 + Streams::unit(random_.client)), Kind::Requeue, id);
@@ -464,7 +464,7 @@
     if (leaves_out_stuck_) --r.out;
     const bool may = !t.over && t.out == 1 && t.attempts < kMostAttempts && !requests_[t.request].write;
     if (may && r.limiter->room(now_, r.out, false) &&
-        r.allowance.spend(now_, limits::Allowance::Use::Copy, crowding(r))) {
+        r.allowance.spend(now_, concurrency::RetryBudget::Use::Copy, crowding(r))) {
       send(a.id);
     }
     pump(t.router);
--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -19,7 +19,7 @@
 #include "lab/shared/loop.h"
 #include "lab/shared/stage.h"
 #include "lab/shared/stream.h"
-#include "loop/slots.h"
+#include "loop/slot_map.h"
 #include "model/arrivals.h"
 #include "model/clients.h"
 #include "model/network.h"
@@ -141,14 +141,14 @@
   model::Clients clients_;
   model::Front front_;
   std::vector<Side> sides_;
-  loop::Slots<Try> tries_;
-  loop::Slots<Connection> connections_;
+  loop::SlotMap<Try> tries_;
+  loop::SlotMap<Connection> connections_;
   std::unordered_map<model::TryId, Handle> by_try_; // those whose client still waits
   std::optional<model::Drawn> next_;
   model::ClientActs acts_;
   bool acting_ = false, finishing_ = false, done_ = false;
   double wakes_at_;
-  loop::Deadlines::Ticket wake_ = 0;
+  loop::TimerQueue::TimerId wake_ = 0;
   Lateness lateness_;
   LoadInfo info_;
   std::thread thread_;
--- a/lab/peers/agents.h
+++ b/lab/peers/agents.h
@@ -25,7 +25,7 @@
 #include "lab/shared/loop.h"
 #include "lab/shared/stage.h"
 #include "lab/shared/stream.h"
-#include "loop/slots.h"
+#include "loop/slot_map.h"
 #include "model/discovery.h"
 #include "model/network.h"
 #include "model/rng.h"
@@ -85,7 +85,7 @@
     http::Parser parser{http::Kind::Request};
     std::string behind;
     std::optional<Ask> ask;
-    loop::Deadlines::Ticket ticket = 0; // of a watch that waits
+    loop::TimerQueue::TimerId ticket = 0; // of a watch that waits
   };
   struct Known {
     ServerState state = ServerState::Gone;
@@ -147,9 +147,9 @@
   bool down_ = false;
   std::uint32_t moves_ = 0;        // addresses that it has left for another
   std::uint32_t oldest_moves_ = 0; // the oldest of them that still answers
-  loop::Deadlines::Ticket wake_ = 0;
+  loop::TimerQueue::TimerId wake_ = 0;
   std::vector<std::unique_ptr<Door>> doors_;
-  loop::Slots<Call> calls_;
+  loop::SlotMap<Call> calls_;
   std::vector<Side> sides_;
   AnswerQueue queue_;
 };
--- a/lab/peers/answer_queue.h
+++ b/lab/peers/answer_queue.h
@@ -10,7 +10,7 @@
 #include <string_view>
 
 #include "lab/shared/loop.h"
-#include "loop/slots.h"
+#include "loop/slot_map.h"
 #include "model/spec.h"
 
 namespace fernward::rig {
@@ -61,8 +61,8 @@
   std::deque<Answer> sending_;    // in turn
   std::optional<Answer> on_wire_; // whose next piece is being sent
   bool making_ = false;
-  double made_at_ = 0, sent_at_ = 0;  // when the present answer is made, the present piece sent
-  loop::Deadlines::Ticket pause_ = 0; // until the next piece is due
+  double made_at_ = 0, sent_at_ = 0;    // when the present answer is made, the present piece sent
+  loop::TimerQueue::TimerId pause_ = 0; // until the next piece is due
 };
 
 } // namespace fernward::rig
--- a/lab/peers/machines.h
+++ b/lab/peers/machines.h
@@ -17,7 +17,7 @@
 #include "lab/shared/loop.h"
 #include "lab/shared/stage.h"
 #include "lab/shared/stream.h"
-#include "loop/slots.h"
+#include "loop/slot_map.h"
 #include "model/aside.h"
 #include "model/discovery.h"
 #include "model/network.h"
@@ -92,7 +92,7 @@
     std::uint32_t life = 0;
     double started_at = -1;
     double wakes_at = 0;
-    loop::Deadlines::Ticket wake = 0;
+    loop::TimerQueue::TimerId wake = 0;
     double bad_share = 0;
     model::BadAnswer bad = model::BadAnswer::Error;
   };
@@ -165,8 +165,8 @@
   std::vector<Place> places_;
   std::vector<model::MachineId> owner_; // of an address, by the number of its first machine
   std::vector<Door> doors_;
-  loop::Slots<Connection> connections_;
-  loop::Slots<Arrival> arrivals_;
+  loop::SlotMap<Connection> connections_;
+  loop::SlotMap<Arrival> arrivals_;
   model::Acts acts_;
   bool acting_ = false;
   model::AttemptId arrived_ = 0;
--- a/lab/peers/replies.cpp
+++ b/lab/peers/replies.cpp
@@ -15,7 +15,7 @@
 constexpr int kSlowSteps = 5;
 constexpr std::size_t kTooLarge = http::kMaxBody * 16;
 
-std::string report_text(const std::vector<float>& values, const std::vector<ReportField>& fields) {
+std::string report_text(const std::vector<float>& values, const std::vector<LoadReportField>& fields) {
   std::string text;
   for (std::size_t i = 0; i < values.size() && i < fields.size(); ++i) {
     char number[32];
@@ -47,7 +47,7 @@
   }
 }
 
-std::string text_of(const Bodies& bodies, const Reply& what, const std::vector<ReportField>& fields,
+std::string text_of(const Bodies& bodies, const Reply& what, const std::vector<LoadReportField>& fields,
                     const BodyFacts& made_for) {
   const int status = status_of(what.ending);
   const std::string report = report_text(what.report, fields);
@@ -63,27 +63,27 @@
 
 } // namespace
 
-std::string_view field_name(ReportField field) {
+std::string_view field_name(LoadReportField field) {
   switch (field) {
-    case ReportField::Inflight: return "inflight";
-    case ReportField::Queue: return "queue";
-    case ReportField::Util: return "util";
-    case ReportField::LatencyMs: return "latency_ms";
-    case ReportField::Qps: return "qps";
-    case ReportField::Eps: return "eps";
-    case ReportField::Other: return "x1";
+    case LoadReportField::Inflight: return "inflight";
+    case LoadReportField::Queue: return "queue";
+    case LoadReportField::Util: return "util";
+    case LoadReportField::LatencyMs: return "latency_ms";
+    case LoadReportField::Qps: return "qps";
+    case LoadReportField::Eps: return "eps";
+    case LoadReportField::Other: return "x1";
   }
   return "x1";
 }
 
-Script reply(const Bodies& bodies, const Reply& what, const std::vector<ReportField>& fields) {
+Script reply(const Bodies& bodies, const Reply& what, const std::vector<LoadReportField>& fields) {
   Script script;
   if (what.ending == Ending::Dropped || what.ending == Ending::Lost) return script;
   script.pieces.push_back({0, text_of(bodies, what, fields, what.made_for)});
   return script;
 }
 
-Script bad_reply(const Bodies& bodies, const Reply& what, const std::vector<ReportField>& fields,
+Script bad_reply(const Bodies& bodies, const Reply& what, const std::vector<LoadReportField>& fields,
                  BadAnswer kind) {
   Script script;
   if (what.ending == Ending::Dropped || what.ending == Ending::Lost) return script;
--- a/lab/peers/replies.h
+++ b/lab/peers/replies.h
@@ -29,10 +29,10 @@
 };
 
 // Endings without an answer (Dropped, Lost) give an empty script.
-Script reply(const Bodies& bodies, const Reply& what, const std::vector<ReportField>& fields);
-Script bad_reply(const Bodies& bodies, const Reply& what, const std::vector<ReportField>& fields,
+Script reply(const Bodies& bodies, const Reply& what, const std::vector<LoadReportField>& fields);
+Script bad_reply(const Bodies& bodies, const Reply& what, const std::vector<LoadReportField>& fields,
                  model::BadAnswer kind);
 
-std::string_view field_name(ReportField field);
+std::string_view field_name(LoadReportField field);
 
 } // namespace fernward::rig
--- a/lab/relay/relay.cpp
+++ b/lab/relay/relay.cpp
@@ -16,8 +16,8 @@
 #include <unordered_set>
 
 #include "config/address.h"
-#include "loop/deadlines.h"
 #include "loop/net.h"
+#include "loop/timer_queue.h"
 
 namespace fernward::rig {
 namespace {
--- a/lab/rig/config.cpp
+++ b/lab/rig/config.cpp
@@ -2,9 +2,9 @@
 
 #include <cstdio>
 
+#include "app_config/keys.h"
 #include "lab/peers/replies.h"
-#include "notation/writer.h"
-#include "setup/keys.h"
+#include "toml_document/writer.h"
 
 namespace fernward::rig {
 
@@ -13,12 +13,16 @@
 
 namespace {
 
-const char* word(Repeat repeat) {
-  return repeat == Repeat::Safe ? "safe" : repeat == Repeat::Keyed ? "keyed" : "unsafe";
+const char* word(Idempotency repeat) {
+  return repeat == Idempotency::Idempotent ? "safe" : repeat == Idempotency::WithKey ? "keyed" : "unsafe";
 }
-const char* word(Scope scope) { return scope == Scope::All ? "all" : scope == Scope::Zone ? "zone" : "cell"; }
-const char* word(ReportVia via) {
-  return via == ReportVia::Answers ? "inline" : via == ReportVia::Probes ? "on_probe" : "off";
+const char* word(IdempotencyScope scope) {
+  return scope == IdempotencyScope::All ? "all" : scope == IdempotencyScope::Zone ? "zone" : "cell";
+}
+const char* word(LoadReportSource via) {
+  return via == LoadReportSource::Responses      ? "inline"
+         : via == LoadReportSource::HealthChecks ? "on_probe"
+                                                 : "off";
 }
 const char* word(WeightKind kind) {
   switch (kind) {
@@ -40,26 +44,26 @@
   for (std::size_t i = 0; i < s.classes.size(); ++i) {
     const ClassSettings& c = s.classes[i];
     classes.push_back({{"name", spec.classes[i].name},
-                       {"aim", c.aim_ms},
-                       {"give_up", c.give_up_ms},
-                       {"aim_stretch", c.aim_stretch},
-                       {"late_share", c.late_share},
-                       {"worth", c.worth},
-                       {"repeat", word(c.repeat)},
-                       {"dedup_scope", word(c.scope)},
-                       {"window", c.window_ms},
-                       {"stream", c.stream}});
+                       {"aim", c.latency_objective_ms},
+                       {"give_up", c.client_timeout_ms},
+                       {"aim_stretch", c.objective_per_work},
+                       {"late_share", c.late_value_share},
+                       {"worth", c.priority_weight},
+                       {"repeat", word(c.idempotency)},
+                       {"dedup_scope", word(c.idempotency_scope)},
+                       {"window", c.idempotency_window_ms},
+                       {"stream", c.streaming}});
   }
   for (std::size_t i = 0; i < s.tenants.size(); ++i) {
     parties.push_back({{"name", spec.tenants[i].name},
-                       {"share", s.tenants[i].share},
+                       {"share", s.tenants[i].service_share},
                        {"quota_per_s", s.tenants[i].quota_per_s}});
   }
   for (const auto& z : spec.zones) dcs.push_back(z.name);
   for (const auto& kind : spec.kinds) kinds.push_back(kind.name);
   kinds.push_back(model::kOriginKindName);
-  for (const ReportField field : s.report_fields) columns.push_back(field_name(field));
-  return {{"balancers", s.nodes},
+  for (const LoadReportField field : s.load_report_fields) columns.push_back(field_name(field));
+  return {{"balancers", s.router_count},
           {"me", router},
           {"my_zone", zone},
           {"dcs", dcs},
@@ -69,15 +73,15 @@
           {"clients", {{"marks_retry", spec.clients.marks_retry}}},
           {"counted_by", spec.counted_by == model::CountedBy::Work ? "work" : "request"},
           {"kind_of_service", "cache"},
-          {"over_share_worth", s.over_share_worth},
-          {"tick", s.tick_ms},
+          {"over_share_worth", s.over_quota_weight},
+          {"tick", s.event_interval_ms},
           {"extra",
            {{"mode", spec.origin.on ? "aside" : "through"},
             {"origin_kind", s.origin_kind},
             {"origin_fall", spec.origin.fall_ms},
             {"origin_fall_multiple", spec.origin.fall_multiple},
             {"report_x1", "fetches out"}}},
-          {"telemetry", {{"via", word(s.report_via)}, {"columns", columns}}},
+          {"telemetry", {{"via", word(s.load_report_source)}, {"columns", columns}}},
           {"registry_mode", "push"},
           {"weight_kind", word(s.weight_kind)},
           {"limits",
@@ -86,24 +90,24 @@
             {"open_cap", spec.routers.open_cap},
             {"max_attempts", s.max_attempts},
             {"may_cancel", s.may_cancel},
-            {"may_duplicate", s.may_duplicate},
+            {"may_duplicate", s.may_hedge},
             {"may_probe", false},
             {"may_tell", true},
-            {"retry_after", s.retry_advice},
+            {"retry_after", s.send_retry_after},
             {"max_retry_after", s.max_retry_after_ms},
             {"streams_per_conn", 1}}},
           {"resize",
-           {{"settle", s.resize.settle_ms},
-            {"ledger_multiple", s.resize.ledger_multiple},
-            {"second_holder", s.resize.second_holder}}},
+           {{"settle", s.resize.transition_ms},
+            {"ledger_multiple", s.resize.origin_load_multiple},
+            {"second_holder", s.resize.second_replica_share}}},
           {"obligations",
            {{"grace_to_answer", spec.routers.grace_to_answer_ms},
             {"drain_grace", spec.routers.drain_grace_ms},
             {"ask_every", spec.discovery.at_latest_ms},
-            {"warm_after", s.warm_after_ms},
-            {"start_capacity", s.start_capacity},
-            {"tip_after", s.tip_after_ms},
-            {"fall_multiple", s.fall_multiple}}}};
+            {"warm_after", s.slow_start_ms},
+            {"start_capacity", s.slow_start_min_capacity},
+            {"tip_after", s.overload_failure_ms},
+            {"fall_multiple", s.overload_multiple}}}};
 }
 
 json router_json(const Stage& stage, RouterId router, std::uint32_t moves, std::uint64_t seed, json known) {
@@ -140,7 +144,7 @@
   const model::Spec& spec = stage.spec;
   const std::uint32_t zone = stage.plan.routers[router].zone;
   const Settings s = model::router_settings(spec, zone);
-  setup::App app;
+  app_config::App app;
   app.name = stage.plan.routers[router].name;
   app.listen = text_of(stage.addresses.router(router));
   app.seed = seed >> 1; // TOML's whole numbers have a sign
@@ -153,48 +157,48 @@
     app.fleet.kinds.push_back({model::kOriginKindName});
   }
   app.fleet.discovery = text_of(stage.addresses.agent(router, moves));
-  app.fleet.warm_after_ms = s.warm_after_ms;
-  app.fleet.start_capacity = s.start_capacity;
-  app.fleet.tip_after_ms = s.tip_after_ms;
+  app.fleet.warm_after_ms = s.slow_start_ms;
+  app.fleet.start_capacity = s.slow_start_min_capacity;
+  app.fleet.tip_after_ms = s.overload_failure_ms;
   app.fleet.weights = static_cast<std::size_t>(s.weight_kind);
   for (std::size_t i = 0; i < s.classes.size(); ++i) {
     const ClassSettings& from = s.classes[i];
-    setup::ClassSetup& c = app.classes.emplace_back();
+    app_config::ClassSetup& c = app.classes.emplace_back();
     c.name = spec.classes[i].name;
-    c.aim_ms = from.aim_ms;
-    c.give_up_ms = from.give_up_ms;
-    c.aim_stretch = from.aim_stretch;
-    c.late_share = from.late_share;
-    c.worth = from.worth;
-    c.repeat = from.repeat;
-    c.scope = from.scope;
-    c.window_ms = from.repeat == Repeat::Keyed ? from.window_ms : 0;
+    c.aim_ms = from.latency_objective_ms;
+    c.give_up_ms = from.client_timeout_ms;
+    c.aim_stretch = from.objective_per_work;
+    c.late_share = from.late_value_share;
+    c.worth = from.priority_weight;
+    c.repeat = from.idempotency;
+    c.scope = from.idempotency_scope;
+    c.window_ms = from.idempotency == Idempotency::WithKey ? from.idempotency_window_ms : 0;
     c.write = spec.classes[i].write;
     c.traffic = spec.classes[i].share;
   }
   for (std::size_t i = 0; i < s.tenants.size(); ++i) {
-    app.tenants.push_back({spec.tenants[i].name, s.tenants[i].share, s.tenants[i].quota_per_s});
+    app.tenants.push_back({spec.tenants[i].name, s.tenants[i].service_share, s.tenants[i].quota_per_s});
   }
   app.attempts.most = s.max_attempts;
   app.attempts.cancel = s.may_cancel;
-  app.attempts.copies = s.may_duplicate;
-  app.attempts.retry_after_ms = s.retry_advice ? s.max_retry_after_ms : 0;
+  app.attempts.copies = s.may_hedge;
+  app.attempts.retry_after_ms = s.send_retry_after ? s.max_retry_after_ms : 0;
   app.attempts.connect_ms = spec.routers.connect_timeout_ms;
   app.attempts.idle_ms = spec.routers.conn_idle_ms;
   app.limits.sockets = spec.routers.sockets;
   app.limits.memory_mb = spec.routers.memory_mb;
   app.limits.open = spec.routers.open_cap;
   app.limits.grace_ms = spec.routers.grace_to_answer_ms;
-  for (const ReportField field : s.report_fields) {
+  for (const LoadReportField field : s.load_report_fields) {
     // What the router does not read has a place all the same.
     app.reports.fields.push_back(std::min(static_cast<std::size_t>(field), std::size_t{6}));
   }
-  app.tier.routers = s.nodes;
-  app.tier.over_share_worth = s.over_share_worth;
-  app.tier.tick_ms = s.tick_ms;
+  app.tier.routers = s.router_count;
+  app.tier.over_share_worth = s.over_quota_weight;
+  app.tier.tick_ms = s.event_interval_ms;
   app.application.runtime_folder = runtime_folder;
-  const setup::AppNames names(app);
-  return notation::written(names, [&](notation::Visitor& v) { describe(v, app); });
+  const app_config::AppNames names(app);
+  return toml_document::written(names, [&](toml_document::Visitor& v) { describe(v, app); });
 }
 
 } // namespace fernward::rig
--- a/lab/rig/trial.h
+++ b/lab/rig/trial.h
@@ -44,7 +44,7 @@
   book.name = "book";
   book.share = 0.04;
   book.worth = 8;
-  book.repeat = Repeat::Keyed;
+  book.repeat = Idempotency::WithKey;
   book.write = true;
   spec.classes = {read, book};
   spec.tenants = {{"port-a", 0.6, 1, 0}, {"port-b", 0.4, 1, 0}};
--- a/lab/scenario/names.cpp
+++ b/lab/scenario/names.cpp
@@ -5,7 +5,7 @@
 
 namespace fernward::lab {
 
-using notation::Table;
+using toml_document::Table;
 
 namespace {
 
--- a/lab/scenario/names.h
+++ b/lab/scenario/names.h
@@ -2,24 +2,24 @@
 #pragma once
 
 #include "model/spec.h"
-#include "notation/visitor.h"
+#include "toml_document/visitor.h"
 
 namespace fernward::lab {
 
 namespace tables {
-inline constexpr notation::Table Zones{0}, Kinds{1}, Groups{2}, Nodes{3}, Routers{4}, Classes{5}, Tenants{6};
+inline constexpr toml_document::Table Zones{0}, Kinds{1}, Groups{2}, Nodes{3}, Routers{4}, Classes{5}, Tenants{6};
 }
 
-class SpecNames : public notation::Names { // the Spec outlives it
+class SpecNames : public toml_document::Names { // the Spec outlives it
  public:
   explicit SpecNames(const model::Spec& spec) : spec_(spec) {}
-  std::optional<std::uint32_t> find(notation::Table table, const std::string& name) const override;
-  std::string name(notation::Table table, std::uint32_t index) const override;
-  std::vector<std::string> known(notation::Table table) const override;
-  const char* what(notation::Table table) const override;
-  const char* written(notation::Table table) const override;
-  const char* list(notation::Table table) const override;
-  const char* hint(notation::Table table) const override;
+  std::optional<std::uint32_t> find(toml_document::Table table, const std::string& name) const override;
+  std::string name(toml_document::Table table, std::uint32_t index) const override;
+  std::vector<std::string> known(toml_document::Table table) const override;
+  const char* what(toml_document::Table table) const override;
+  const char* written(toml_document::Table table) const override;
+  const char* list(toml_document::Table table) const override;
+  const char* hint(toml_document::Table table) const override;
 
  private:
   const model::Spec& spec_;
--- a/lab/scenario/read.cpp
+++ b/lab/scenario/read.cpp
@@ -2,7 +2,7 @@
 
 #include "lab/scenario/schema.h"
 #include "lab/scenario/sound.h"
-#include "notation/reader.h"
+#include "toml_document/reader.h"
 
 namespace fernward::lab {
 
@@ -12,13 +12,13 @@
 Scenario read_scenario(std::string_view text, const std::string& file, const Offer& offer,
                        const Loader& load) {
   Scenario scenario;
-  notation::Layers layers;
-  if (!notation::parse_layers(std::string(text), file, "base", load, scenario.faults, layers))
+  toml_document::Layers layers;
+  if (!toml_document::parse_layers(std::string(text), file, "base", load, scenario.faults, layers))
     return scenario;
-  std::vector<notation::Source> sources;
+  std::vector<toml_document::Source> sources;
   for (const auto& layer : layers) sources.push_back({&layer->table, layer.get()});
   const SpecNames names(scenario.spec);
-  notation::Reader reader(std::move(sources), names, scenario.faults, scenario.places, {"base"});
+  toml_document::Reader reader(std::move(sources), names, scenario.faults, scenario.places, {"base"});
   describe(reader, scenario.spec);
   const std::set<std::string> broken = reader.close();
   for (Fault& fault : scenario.faults) {
@@ -26,13 +26,13 @@
   }
   if (scenario.spec.name.empty()) scenario.spec.name = std::filesystem::path(file).stem().string();
   check_sound(scenario, file, offer, broken);
-  notation::tidy(scenario.faults);
+  toml_document::tidy(scenario.faults);
   return scenario;
 }
 
 Scenario read_scenario_file(const std::filesystem::path& path, const Offer& offer) {
-  const auto text = notation::load_file(path);
-  if (text) return read_scenario(*text, path.string(), offer, notation::load_file);
+  const auto text = toml_document::load_file(path);
+  if (text) return read_scenario(*text, path.string(), offer, toml_document::load_file);
   Scenario scenario;
   Fault& fault = scenario.faults.emplace_back();
   fault.at.file = path.string();
--- a/lab/scenario/read.h
+++ b/lab/scenario/read.h
@@ -11,13 +11,13 @@
 #include <vector>
 
 #include "model/spec.h"
-#include "notation/document.h"
+#include "toml_document/document.h"
 
 namespace fernward::lab {
 
-using notation::Fault;
-using notation::Loader;
-using notation::Position;
+using toml_document::Fault;
+using toml_document::Loader;
+using toml_document::Position;
 
 // What the machine can offer to a run; more is a fault.
 struct Offer {
@@ -31,8 +31,8 @@
 
 struct Scenario {
   model::Spec spec; // may be played where `faults` is empty
-  notation::Faults faults;
-  notation::Places places; // of what the file gives, by the Spec's member
+  toml_document::Faults faults;
+  toml_document::Places places; // of what the file gives, by the Spec's member
 
   bool sound() const { return faults.empty(); }
 };
--- a/lab/scenario/schema.cpp
+++ b/lab/scenario/schema.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 using namespace fernward::model;
-using notation::each;
-using notation::maybe;
-using notation::pick;
+using toml_document::each;
+using toml_document::maybe;
+using toml_document::pick;
 
 constexpr std::array kWarmBy{"time", "requests"};
 constexpr std::array kEvict{"lru", "fifo"};
@@ -78,10 +78,10 @@
   v.amount("delay_ms", r.delay_ms, Unit::Time, "and can be read this much later");
   v.amount("noise", r.noise, Unit::Share, "each figure is off by a normal draw of this share");
   std::vector<std::size_t> fields;
-  for (const ReportField f : r.fields) fields.push_back(static_cast<std::size_t>(f));
+  for (const LoadReportField f : r.fields) fields.push_back(static_cast<std::size_t>(f));
   v.choices("fields", fields, kFields, "what it holds, in this order; the same for all kinds");
   r.fields.clear();
-  for (const std::size_t f : fields) r.fields.push_back(static_cast<ReportField>(f));
+  for (const std::size_t f : fields) r.fields.push_back(static_cast<LoadReportField>(f));
   v.leave();
 }
 
@@ -208,10 +208,10 @@
   v.flag("findings", r.sharing.findings, "what several routers say together of a cache node");
   v.leave();
   v.enter("resize", "what routers do when the list changes");
-  v.amount("settle_ms", r.resize.settle_ms, Unit::Time, "former owners are read for this long; 0: off");
-  v.amount("ledger_multiple", r.resize.ledger_multiple, Unit::Number,
+  v.amount("settle_ms", r.resize.transition_ms, Unit::Time, "former owners are read for this long; 0: off");
+  v.amount("ledger_multiple", r.resize.origin_load_multiple, Unit::Number,
            "meanwhile fetches stay below this times their steady rate; 0: no bound");
-  v.amount("second_holder", r.resize.second_holder, Unit::Share,
+  v.amount("second_holder", r.resize.second_replica_share, Unit::Share,
            "of the reads, those of the most popular keys, that are kept at two caches");
   v.leave();
   v.leave();
--- a/lab/scenario/schema.h
+++ b/lab/scenario/schema.h
@@ -7,16 +7,16 @@
 
 #include "lab/scenario/names.h"
 #include "model/spec.h"
-#include "notation/visitor.h"
+#include "toml_document/visitor.h"
 
 namespace fernward::lab {
 
-using notation::key_of;
-using notation::Table;
-using notation::Unit;
-using notation::Visitor;
-using notation::Word;
-using notation::Words;
+using toml_document::key_of;
+using toml_document::Table;
+using toml_document::Unit;
+using toml_document::Visitor;
+using toml_document::Word;
+using toml_document::Words;
 
 // The whole of it. The variants of events are described through event(), one at a time, for those who need no Spec.
 void describe(Visitor& visitor, model::Spec& spec);
--- a/lab/scenario/set.cpp
+++ b/lab/scenario/set.cpp
@@ -4,12 +4,12 @@
 #include "lab/scenario/read.h"
 #include "lab/scenario/schema.h"
 #include "lab/scenario/sound.h"
-#include "notation/value.h"
+#include "toml_document/value.h"
 
 namespace fernward::lab {
 namespace {
 
-using namespace notation;
+using namespace toml_document;
 
 // "kinds[fast].cores" -> kinds, [fast], cores: an index is a step of its own.
 std::vector<std::string> steps_of(const std::string& path) {
@@ -32,7 +32,7 @@
       : names_(spec), steps_(steps_of(path)), value_(value) {}
 
   bool found = false;
-  notation::Why why; // it could not be set
+  toml_document::Why why; // it could not be set
 
   void amount(const char* member, double& value, Unit unit, const char*, Word word) override {
     leaf(member, value, [&](const toml::node& n) { return take_amount(n, unit, word, why); });
--- a/lab/scenario/sound.cpp
+++ b/lab/scenario/sound.cpp
@@ -142,9 +142,9 @@
   void load() {
     const double peak = peak_rate(spec_);
     if (peak > offer_.rate_per_s) {
-      add("load.rate_per_s", "comes to " + notation::quantity_text(Unit::Rate, std::ceil(peak)) +
+      add("load.rate_per_s", "comes to " + toml_document::quantity_text(Unit::Rate, std::ceil(peak)) +
                                  " at its highest, and this machine can offer " +
-                                 notation::quantity_text(Unit::Rate, offer_.rate_per_s));
+                                 toml_document::quantity_text(Unit::Rate, offer_.rate_per_s));
     }
     for (std::size_t i = 0; i < spec_.classes.size(); ++i) {
       if (!(spec_.classes[i].share > 0)) add(at("classes", i, "share"), "no client sends this class");
@@ -152,7 +152,7 @@
     double shares = 0;
     for (const TenantSpec& t : spec_.tenants) shares += t.share;
     if (shares > 1.001) {
-      add("tenants", "their shares come to " + notation::number_text(std::round(shares * 1000) / 10) + "%");
+      add("tenants", "their shares come to " + toml_document::number_text(std::round(shares * 1000) / 10) + "%");
     }
     if (spec_.clients.resting > spec_.routers.sockets) {
       add("clients.resting", "is more than a router's sockets");
--- a/lab/scenario/write.cpp
+++ b/lab/scenario/write.cpp
@@ -1,32 +1,32 @@
 // A Spec as a scenario file, and the reference of all keys: two more walks through the schema.
-#include "notation/writer.h"
+#include "toml_document/writer.h"
 
 #include "lab/scenario/read.h"
 #include "lab/scenario/schema.h"
 
 namespace fernward::lab {
 
-using notation::Row;
-using notation::section;
-using notation::sections;
+using toml_document::Row;
+using toml_document::section;
+using toml_document::sections;
 
 namespace {
 
-notation::Row rows_of(model::Happening what) {
+toml_document::Row rows_of(model::Happening what) {
   const model::Spec none;
-  return notation::reference(SpecNames(none), [&](Visitor& v) { describe_event(v, what); });
+  return toml_document::reference(SpecNames(none), [&](Visitor& v) { describe_event(v, what); });
 }
 
 } // namespace
 
 std::string scenario_text(const model::Spec& spec) {
   model::Spec copy = spec;
-  return notation::written(SpecNames(copy), [&](Visitor& v) { describe(v, copy); });
+  return toml_document::written(SpecNames(copy), [&](Visitor& v) { describe(v, copy); });
 }
 
 std::string key_reference() {
   model::Spec spec;
-  Row top = notation::reference(
+  Row top = toml_document::reference(
       SpecNames(spec), [&](Visitor& v) { describe(v, spec); }, event_words());
   const Row which_nodes = rows_of(model::KillNodes{}), which_routers = rows_of(model::ReloadRouters{});
   for (Row& row : top.children) {
@@ -36,7 +36,7 @@
   std::string out =
       "### Top of the file\n\n| key | written as | default | meaning |\n| --- | --- | --- | --- |\n";
   out += "| `base` | text |  | a file that supplies what this one leaves out |\n";
-  out += notation::leading(top);
+  out += toml_document::leading(top);
   sections(top, "", out);
   for (std::size_t i = 0; i < event_words().size(); ++i) {
     Row event = rows_of(event_of(i));
--- a/lab/shared/clock.h
+++ b/lab/shared/clock.h
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <atomic>
 
-#include "loop/deadlines.h"
+#include "loop/timer_queue.h"
 
 namespace fernward::rig {
 
--- a/lab/shared/loop.cpp
+++ b/lab/shared/loop.cpp
@@ -15,7 +15,7 @@
   event_config_free(config);
   wake_fd_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
   if (base_ == nullptr || wake_fd_ < 0) throw std::runtime_error("the lab: no event loop");
-  deadlines_ = std::make_unique<loop::Deadlines>(base_.get());
+  deadlines_ = std::make_unique<loop::TimerQueue>(base_.get());
   wake_.reset(event_new(base_.get(), wake_fd_, EV_READ | EV_PERSIST, &Loop::woken, this));
   event_add(wake_.get(), nullptr);
 }
--- a/lab/shared/loop.h
+++ b/lab/shared/loop.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "lab/shared/clock.h"
-#include "loop/deadlines.h"
+#include "loop/timer_queue.h"
 
 namespace fernward::rig {
 
@@ -29,11 +29,11 @@
 
   // From the loop's own thread.
   event_base* base() { return base_.get(); }
-  loop::Deadlines& deadlines() { return *deadlines_; }
-  loop::Deadlines::Ticket at(double run_time, std::function<void()> what) {
+  loop::TimerQueue& deadlines() { return *deadlines_; }
+  loop::TimerQueue::TimerId at(double run_time, std::function<void()> what) {
     return deadlines_->at(on_grid(clock_.wall(run_time)), std::move(what));
   }
-  loop::Deadlines::Ticket after(double ms, std::function<void()> what) {
+  loop::TimerQueue::TimerId after(double ms, std::function<void()> what) {
     return deadlines_->at(on_grid(loop::now_ms() + ms), std::move(what));
   }
   double now() const { return clock_.now(); }
@@ -51,7 +51,7 @@
 
   const Clock& clock_;
   std::unique_ptr<event_base, BaseFree> base_;
-  std::unique_ptr<loop::Deadlines> deadlines_;
+  std::unique_ptr<loop::TimerQueue> deadlines_;
   int wake_fd_ = -1;
   loop::EventPtr wake_;
   std::mutex mutex_;
--- a/lab/shared/stream.h
+++ b/lab/shared/stream.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <string_view>
 
-#include "loop/deadlines.h"
+#include "loop/timer_queue.h"
 
 namespace fernward::rig {
 
--- a/lab/storm/draw.cpp
+++ b/lab/storm/draw.cpp
@@ -140,8 +140,8 @@
     }
     spec_.load.rate_per_s = std::max(10.0, std::round(rate));
     const double aim = std::max(between(500, 1500), 8 * work);
-    const auto add = [&](const char* name, double share, Repeat repeat, Scope scope, bool write,
-                         double worth) {
+    const auto add = [&](const char* name, double share, Idempotency repeat, IdempotencyScope scope,
+                         bool write, double worth) {
       ClassSpec c;
       c.name = name;
       c.share = share;
@@ -156,12 +156,15 @@
       c.write = write;
       spec_.classes.push_back(c);
     };
-    add("read", 0.8, Repeat::Safe, Scope::All, false, 3);
-    if (chance(0.8)) add("write", between(0.02, 0.08), Repeat::Keyed, Scope::All, true, 8);
+    add("read", 0.8, Idempotency::Idempotent, IdempotencyScope::All, false, 3);
+    if (chance(0.8)) add("write", between(0.02, 0.08), Idempotency::WithKey, IdempotencyScope::All, true, 8);
     if (chance(0.4))
-      add("cell", between(0.05, 0.2), Repeat::Keyed, chance(0.5) ? Scope::Cell : Scope::Zone, false, 2);
-    if (chance(0.4)) add("once", between(0.02, 0.1), Repeat::Unsafe, Scope::All, chance(0.5), 4);
-    if (chance(0.3)) add("cheap", between(0.1, 0.3), Repeat::Safe, Scope::All, false, 1);
+      add("cell", between(0.05, 0.2), Idempotency::WithKey,
+          chance(0.5) ? IdempotencyScope::Cell : IdempotencyScope::Zone, false, 2);
+    if (chance(0.4))
+      add("once", between(0.02, 0.1), Idempotency::NonIdempotent, IdempotencyScope::All, chance(0.5), 4);
+    if (chance(0.3))
+      add("cheap", between(0.1, 0.3), Idempotency::Idempotent, IdempotencyScope::All, false, 1);
     const std::uint32_t tenants = chance(0.5) ? whole(2, 4) : 0;
     double left = 1;
     for (std::uint32_t t = 0; t < tenants; ++t) {
@@ -222,8 +225,8 @@
     r.sharing.period_ms = chance(0.7) ? 250 : std::round(between(150, 800));
     if (chance(0.3)) spec_.network.datagram_loss = between(0, 0.2);
     if (chance(0.5)) {
-      r.resize.settle_ms = between(2000, 10000);
-      r.resize.second_holder = chance(0.5) ? 0.3 : 0;
+      r.resize.transition_ms = between(2000, 10000);
+      r.resize.second_replica_share = chance(0.5) ? 0.3 : 0;
     }
     DiscoverySpec& d = spec_.discovery; // lists are late by a fifth to one and a half times the usual
     const double late = between(0.2, 1.5);
--- a/lab/storm/oracles.cpp
+++ b/lab/storm/oracles.cpp
@@ -292,8 +292,8 @@
   double spare = kOriginFullFrom * spec.origin.capacity_per_s - steady_per_s;
   // Where the routers are told to keep fetches below a multiple of the steady rate, no more is to be had of it.
   const ResizeSettings& resize = spec.routers.resize;
-  if (resize.settle_ms > 0 && resize.ledger_multiple > 0) {
-    spare = std::min(spare, (kPaceOf * resize.ledger_multiple - 1) * steady_per_s);
+  if (resize.transition_ms > 0 && resize.origin_load_multiple > 0) {
+    spare = std::min(spare, (kPaceOf * resize.origin_load_multiple - 1) * steady_per_s);
   }
   if (spare <= 0) return std::numeric_limits<double>::infinity();
   // Ranks in bands of like popularity: how many, and the rate of each.
--- a/lab/storm/shrink.cpp
+++ b/lab/storm/shrink.cpp
@@ -333,8 +333,8 @@
     back([](auto& s) -> auto& { return s.routers.may_cancel; });
     back([](auto& s) -> auto& { return s.routers.retry_advice; });
     back([](auto& s) -> auto& { return s.routers.drain_grace_ms; });
-    back([](auto& s) -> auto& { return s.routers.resize.settle_ms; });
-    back([](auto& s) -> auto& { return s.routers.resize.second_holder; });
+    back([](auto& s) -> auto& { return s.routers.resize.transition_ms; });
+    back([](auto& s) -> auto& { return s.routers.resize.second_replica_share; });
     back([](auto& s) -> auto& { return s.origin.fall_multiple; });
     back([](auto& s) -> auto& { return s.origin.crowded_loss; });
     back([](auto& s) -> auto& { return s.front.notice_ms; });
--- a/lab/virtual/planted.h
+++ b/lab/virtual/planted.h
@@ -8,7 +8,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 
 namespace fernward::lab {
 
--- a/lab/virtual/router.cpp
+++ b/lab/virtual/router.cpp
@@ -8,7 +8,7 @@
 
 namespace fernward::lab {
 
-using fernward::Result;
+using fernward::AttemptResult;
 using fernward::ServerState;
 
 namespace {
@@ -63,9 +63,9 @@
   const model::SharingSpec& sharing = spec_.routers.sharing;
   if (!sharing.on) return;
   heard_ = false;
-  fleet_ = std::make_unique<shared::Fleet>(
-      static_cast<shared::Id>(place_.id), routers_, shared::incarnation_at(kUnixMs + now()),
-      members::Rules{sharing.period_ms, sharing.asked}, seed, static_cast<std::uint8_t>(place_.zone));
+  fleet_ = std::make_unique<gossip::Fleet>(
+      static_cast<gossip::Id>(place_.id), routers_, gossip::incarnation_at(kUnixMs + now()),
+      membership::Rules{sharing.period_ms, sharing.asked}, seed, static_cast<std::uint8_t>(place_.zone));
   // Processes that start as the run begins did not start at one moment.
   const double first = life_ > 1 ? 0 : sharing.period_ms * static_cast<double>(seed % 1024) / 1024;
   world_.at(now() + first, Due::RouterRound, place_.id, 0, life_);
@@ -87,7 +87,7 @@
   stopping_ = stopped_ = drained_ = false;
   unanswered_ = open_ = 0;
   places_.clear();
-  rests_ = lifetimes::Rests(router_idle_ms(spec_));
+  rests_ = idle_connections::IdleLifetimeEstimator(router_idle_ms(spec_));
   for (auto& free : free_) free.clear();
   resting_.clear();
   list_index_ = 0;
@@ -99,11 +99,11 @@
 
 void Router::drain() { drained_ = true; }
 
-// ---- what happens: other routers (as src/peering/link.cpp) ----
+// ---- what happens: other routers (as src/gossip_transport/link.cpp) ----
 
 void Router::round() {
   if (fleet_ == nullptr) return;
-  fleet_->tick(clock(), shared::own_of(*balancer_, uses_), out_);
+  fleet_->tick(clock(), gossip::own_of(*balancer_, uses_), out_);
   speak();
   word();
   world_.at(fleet_->next() - kRouterEpoch, Due::RouterRound, place_.id, 0, life_);
@@ -111,7 +111,7 @@
 
 void Router::datagram(model::RouterId from, const std::string& bytes) {
   if (fleet_ == nullptr) return;
-  fleet_->take(clock(), static_cast<shared::Id>(from), bytes, out_);
+  fleet_->take(clock(), static_cast<gossip::Id>(from), bytes, out_);
   speak();
   if (heard_) return;
   heard_ = fleet_->view(clock()).heard > 0;
@@ -119,27 +119,27 @@
 }
 
 void Router::speak() {
-  for (shared::Fleet::Out& out : out_) world_.datagram(place_.id, out.to, std::move(out.bytes));
+  for (gossip::Fleet::Out& out : out_) world_.datagram(place_.id, out.to, std::move(out.bytes));
   out_.clear();
 }
 
 void Router::word() {
   std::vector<fernward::Event> events;
-  shared::advise(clock(), view(), *fleet_, uses_, events);
+  gossip::advise(clock(), view(), *fleet_, uses_, events);
   for (auto& event : events) enqueue(std::move(event));
   pump();
 }
 
 std::optional<model::Shared> Router::shared() {
   if (fleet_ == nullptr) return std::nullopt;
-  const shared::View said = view();
-  const fernward::Balancer::Ledger ledger = balancer_->ledger();
+  const gossip::View said = view();
+  const fernward::Balancer::OriginBudget ledger = balancer_->origin_budget();
   return model::Shared{now(),         place_.id,    said.living,     said.heard,
                        ledger.demand, ledger.limit, said.ledger_part};
 }
 
-shared::View Router::view() {
-  shared::View said = fleet_->view(clock());
+gossip::View Router::view() {
+  gossip::View said = fleet_->view(clock());
   if (defect_.is(Planted::DoublePart)) said.ledger_part *= 2;
   return said;
 }
@@ -148,13 +148,13 @@
 
 void Router::request(Handle client, const model::TryStart& start) {
   const Waiting waiting{client, start};
-  budget::Account::Place place = room(budget::Side::Clients);
+  descriptors::DescriptorBudget::Place place = room(descriptors::Side::Clients);
   if (!place) return door_.push_back(waiting);
   open(waiting, std::move(place));
   pump();
 }
 
-void Router::open(const Waiting& waiting, budget::Account::Place place) {
+void Router::open(const Waiting& waiting, descriptors::DescriptorBudget::Place place) {
   if (open_ >= spec_.routers.open_cap) return world_.answer(waiting.client, model::Heard::Refused, 0);
   const model::TryStart& start = waiting.start;
   const Handle id = world_.exchanges().add();
@@ -171,11 +171,11 @@
   world_.taken(waiting.client, id);
   fernward::Request request;
   request.id = id;
-  request.cls = start.drawn.cls;
+  request.class_index = start.drawn.cls;
   request.tenant = start.drawn.tenant;
   request.key = model::mix(start.drawn.key, 0) | 1; // as a hash of its name
   request.deadline = x.deadline + kRouterEpoch;
-  request.work_ms = start.drawn.hint_ms;
+  request.expected_work_ms = start.drawn.hint_ms;
   request.write = start.drawn.write;
   if (defect_.refuses(request, open_, settings_.classes.size())) {
     finish(id, model::Heard::Refused, 0);
@@ -188,7 +188,7 @@
   const Exchange* x = world_.exchanges().find(exchange);
   if (x == nullptr || x->over) return;
   finish(exchange, std::nullopt, 0);
-  enqueue(fernward::ClientGone{exchange});
+  enqueue(fernward::ClientDisconnected{exchange});
   drop_if_done(exchange);
   pump();
 }
@@ -199,7 +199,7 @@
   const Exchange* x = world_.exchanges().find(exchange);
   if (x == nullptr || x->over) return;
   finish(exchange, model::Heard::Failed, 0);
-  enqueue(fernward::ClientGone{exchange});
+  enqueue(fernward::ClientDisconnected{exchange});
   drop_if_done(exchange);
   pump();
 }
@@ -207,10 +207,10 @@
 // ---- what happens: discovery ----
 
 void Router::list(const model::Discovery::List& list, bool cached) {
-  fernward::ServerList told;
-  told.kind = cached       ? fernward::ListKind::Cached
-              : list.whole ? fernward::ListKind::Full
-                           : fernward::ListKind::Delta;
+  fernward::EndpointList told;
+  told.kind = cached       ? fernward::EndpointListKind::Cached
+              : list.whole ? fernward::EndpointListKind::Full
+                           : fernward::EndpointListKind::Delta;
   if (!cached) list_index_ = list.index;
   std::vector<Known> before;
   if (list.whole) {
@@ -226,7 +226,7 @@
     known_[entry.machine] = {entry.state, entry.started_at};
     fernward::Server server = machines_.entries[entry.machine];
     server.state = entry.state;
-    server.booted_at = entry.started_at >= 0 ? entry.started_at + kRouterEpoch : 0;
+    server.started_at = entry.started_at >= 0 ? entry.started_at + kRouterEpoch : 0;
     told.servers.push_back(server);
   }
   for (model::MachineId m = 0; m < known_.size(); ++m) {
@@ -236,7 +236,7 @@
     if (!free_[m].empty() && (!in_service(m) || again)) close_free(m);
     if (known_[m].state == ServerState::Gone || again) rests_.forget(m);
   }
-  if (told.kind == fernward::ListKind::Delta && told.servers.empty()) return;
+  if (told.kind == fernward::EndpointListKind::Delta && told.servers.empty()) return;
   enqueue(std::move(told));
   pump();
 }
@@ -254,7 +254,7 @@
     if (x == nullptr || x->over) { // its final answer may say that it never ran: it is not sent
       l->attempt = 0;
       rest(link, *l);
-      end_attempt(attempt, Result::Moot, {});
+      end_attempt(attempt, AttemptResult::Abandoned, {});
       return pump();
     }
     a.written = true;
@@ -274,7 +274,8 @@
   if (attempt != 0 && !unsent) learn(*l, true);
   const bool rested = l->rested_ms >= 0;
   close_link(link, *l);
-  if (attempt != 0) end_attempt(attempt, unsent ? Result::ConnectFailed : Result::Reset, {}, rested);
+  if (attempt != 0)
+    end_attempt(attempt, unsent ? AttemptResult::ConnectFailed : AttemptResult::Reset, {}, rested);
   pump();
 }
 
@@ -290,13 +291,13 @@
   close_link(link, *l);
 }
 
-void Router::answered(Handle attempt, Result result, std::vector<float> report, Ends how) {
+void Router::answered(Handle attempt, AttemptResult result, std::vector<float> report, Ends how) {
   const RouterAttempt* a = world_.attempts().find(attempt);
   if (a == nullptr) return;
   const Handle link = a->link;
   Link* l = world_.links().find(link);
   l->attempt = 0;
-  if (how == Ends::Unbegun || result != Result::Reset) learn(*l, how == Ends::Unbegun);
+  if (how == Ends::Unbegun || result != AttemptResult::Reset) learn(*l, how == Ends::Unbegun);
   if (how == Ends::KeepsLink && in_service(l->machine) && !defect_.is(Planted::NoReuse)) {
     rest(link, *l);
   } else {
@@ -346,7 +347,7 @@
 
 // The newest free one that is up and has not rested too long, else one that is coming up.
 Handle Router::reusable(model::MachineId machine) {
-  using Use = lifetimes::Rests::Use;
+  using Use = idle_connections::IdleLifetimeEstimator::Use;
   auto& free = free_[machine];
   for (const bool up : {true, false}) {
     for (std::size_t i = free.size(); i-- > 0;) {
@@ -367,12 +368,12 @@
 }
 
 // A place for a connection. Clients at rest give way at once and are not counted; links at rest are asked to.
-budget::Account::Place Router::room(budget::Side side) {
-  using Needs = budget::Account::Needs;
+descriptors::DescriptorBudget::Place Router::room(descriptors::Side side) {
+  using Needs = descriptors::DescriptorBudget::Needs;
   for (;;) {
     const Needs needs = account_.needs(now(), side);
     if (needs == Needs::Nothing) return account_.take(now(), side);
-    if (side == budget::Side::Clients && needs == Needs::Own) return {};
+    if (side == descriptors::Side::Clients && needs == Needs::Own) return {};
     if (!let_go()) return {};
   }
 }
@@ -404,9 +405,9 @@
 
 void Router::decide(const fernward::Event& event) {
   actions_.clear();
-  if (++decisions_ % kTimedShare != 0) return balancer_->on(now() + kRouterEpoch, event, actions_);
+  if (++decisions_ % kTimedShare != 0) return balancer_->on_event(now() + kRouterEpoch, event, actions_);
   const auto begin = std::chrono::steady_clock::now();
-  balancer_->on(now() + kRouterEpoch, event, actions_);
+  balancer_->on_event(now() + kRouterEpoch, event, actions_);
   const std::chrono::duration<double> took = std::chrono::steady_clock::now() - begin;
   cpu_s_ += took.count() * static_cast<double>(kTimedShare);
 }
@@ -422,8 +423,8 @@
 void Router::carry_out(const fernward::Action& action) {
   if (const auto* out = std::get_if<fernward::Send>(&action)) {
     send(*out);
-  } else if (const auto* refuse = std::get_if<fernward::Refuse>(&action)) {
-    if (defect_.is(Planted::SilentEnd) && refuse->why == fernward::Why::NoTarget) return;
+  } else if (const auto* refuse = std::get_if<fernward::Reject>(&action)) {
+    if (defect_.is(Planted::SilentEnd) && refuse->reason == fernward::GiveUpReason::NoEndpoint) return;
     finish(refuse->id, model::Heard::Refused, refuse->retry_after_ms);
     drop_if_done(refuse->id);
   } else if (const auto* fail = std::get_if<fernward::Fail>(&action)) {
@@ -432,16 +433,16 @@
   } else if (const auto* cancelled = std::get_if<fernward::Cancel>(&action)) {
     const Exchange* x = world_.exchanges().find(cancelled->id);
     if (x != nullptr && cancelled->attempt < x->attempts.size()) {
-      stop(x->attempts[cancelled->attempt], Result::Cancelled);
+      stop(x->attempts[cancelled->attempt], AttemptResult::Cancelled);
     }
   } else if (const auto* timer = std::get_if<fernward::SetTimer>(&action)) {
     world_.at(now() + timer->delay_ms, Due::RouterTimer, place_.id, timer->token, life_);
   } else if (const auto* said = std::get_if<fernward::Log>(&action)) {
     world_.log(place_.id, said->text.c_str());
-  } else if (std::get_if<fernward::Watch>(&action) != nullptr) {
-    enqueue(fernward::ServerList{fernward::ListKind::Delta, {}});
-  } else if (const auto* probe = std::get_if<fernward::Probe>(&action)) {
-    enqueue(fernward::ProbeResult{probe->server, 0, false, {}});
+  } else if (std::get_if<fernward::WatchEndpoints>(&action) != nullptr) {
+    enqueue(fernward::EndpointList{fernward::EndpointListKind::Delta, {}});
+  } else if (const auto* probe = std::get_if<fernward::SendHealthCheck>(&action)) {
+    enqueue(fernward::HealthCheckResult{probe->server, 0, false, {}});
   }
 }
 
@@ -454,9 +455,9 @@
   const double deadline = send.timeout_ms == 0 ? x->deadline : std::min(x->deadline, now() + send.timeout_ms);
   ++x->out;
   x->attempts.push_back(0);
-  Result result = Result::Moot;
+  AttemptResult result = AttemptResult::Abandoned;
   if (found == machines_.by_id.end()) {
-    result = Result::ConnectFailed;
+    result = AttemptResult::ConnectFailed;
   } else if (!x->over && number < spec_.routers.max_attempts && now() < deadline) {
     const Handle handle = world_.attempts().add();
     RouterAttempt& a = *world_.attempts().find(handle);
@@ -472,7 +473,7 @@
       world_.at(deadline, Due::AttemptTimeout, place_.id, handle, life_);
       return;
     }
-    if (start == Start::NoTarget) result = Result::ConnectFailed;
+    if (start == Start::NoTarget) result = AttemptResult::ConnectFailed;
     x->attempts.back() = 0;
     world_.attempts().remove(handle);
   }
@@ -485,7 +486,7 @@
   Handle link = reusable(machine);
   const bool opens = link == 0;
   if (opens) {
-    budget::Account::Place place = room(budget::Side::Targets);
+    descriptors::DescriptorBudget::Place place = room(descriptors::Side::Targets);
     if (!place) return Start::Full;
     link = world_.links().add();
     places_[link << 1 | 1] = std::move(place);
@@ -493,7 +494,7 @@
     l.router = place_.id;
     l.machine = machine;
     l.opened_at = now();
-    peak_links_ = std::max(peak_links_, account_.used(budget::Side::Targets));
+    peak_links_ = std::max(peak_links_, account_.used(descriptors::Side::Targets));
   }
   Link& l = *world_.links().find(link);
   l.attempt = attempt;
@@ -510,12 +511,12 @@
 }
 
 void Router::attempt_timeout(Handle attempt) {
-  stop(attempt, Result::TimedOut);
+  stop(attempt, AttemptResult::TimedOut);
   pump();
 }
 
 // Stops waiting for an attempt. Its link is closed, as an answer is due on it, unless nothing was sent yet.
-void Router::stop(Handle attempt, Result result) {
+void Router::stop(Handle attempt, AttemptResult result) {
   const RouterAttempt* a = world_.attempts().find(attempt);
   if (a == nullptr) return;
   const Handle link = a->link;
@@ -529,7 +530,7 @@
   end_attempt(attempt, result, {});
 }
 
-void Router::end_attempt(Handle attempt, Result result, std::vector<float> report, bool rested) {
+void Router::end_attempt(Handle attempt, AttemptResult result, std::vector<float> report, bool rested) {
   const RouterAttempt* found = world_.attempts().find(attempt);
   if (found == nullptr) return;
   const RouterAttempt a = *found;
@@ -539,7 +540,7 @@
   if (defect_.is(Planted::UncountedRetry) && send_again(a, result)) return;
   x->attempts[a.number] = 0;
   --x->out;
-  if (result == Result::Ok) finish(a.exchange, model::Heard::Served, 0);
+  if (result == AttemptResult::Ok) finish(a.exchange, model::Heard::Served, 0);
   const Link* l = world_.links().find(a.link);
   const bool first = l != nullptr && l->rested_ms < 0;
   outcome(a.exchange, a.number, a.machine, now() - a.sent_at, result, std::move(report), rested, first);
@@ -547,11 +548,12 @@
 }
 
 // Planted: the same again, past the module.
-bool Router::send_again(const RouterAttempt& a, Result result) {
+bool Router::send_again(const RouterAttempt& a, AttemptResult result) {
   constexpr std::uint32_t kMost = 4;
   Exchange* x = world_.exchanges().find(a.exchange);
-  const bool failed = result == Result::Error || result == Result::Reset || result == Result::Full ||
-                      result == Result::ConnectFailed || result == Result::TimedOut;
+  const bool failed = result == AttemptResult::Error || result == AttemptResult::Reset ||
+                      result == AttemptResult::Overloaded || result == AttemptResult::ConnectFailed ||
+                      result == AttemptResult::TimedOut;
   if (!failed || x->over || a.again >= kMost || now() >= x->deadline) return false;
   const Handle handle = world_.attempts().add();
   RouterAttempt& next = *world_.attempts().find(handle);
@@ -570,18 +572,18 @@
 }
 
 void Router::outcome(Handle exchange, std::uint32_t number, model::MachineId machine, double elapsed,
-                     Result result, std::vector<float> report, bool rested, bool first) {
+                     AttemptResult result, std::vector<float> report, bool rested, bool first) {
   const Exchange* x = world_.exchanges().find(exchange);
-  fernward::Outcome told;
+  fernward::AttemptOutcome told;
   told.id = exchange;
   told.attempt = number;
   told.server = machines_.entries[machine].id;
   told.result = result;
   told.elapsed_ms = elapsed;
-  told.ended = x == nullptr || x->over;
-  told.report = std::move(report);
-  told.rested = rested;
-  told.first = first;
+  told.request_ended = x == nullptr || x->over;
+  told.load_report = std::move(report);
+  told.on_reused_connection = rested;
+  told.first_on_connection = first;
   enqueue(std::move(told));
 }
 
@@ -593,7 +595,7 @@
   if (heard) world_.answer(x->client, *heard, retry_after_ms);
   places_.erase(exchange << 1);
   while (!door_.empty()) {
-    budget::Account::Place place = room(budget::Side::Clients);
+    descriptors::DescriptorBudget::Place place = room(descriptors::Side::Clients);
     if (!place) return;
     const Waiting next = door_.front();
     door_.pop_front();
--- a/lab/virtual/router.h
+++ b/lab/virtual/router.h
@@ -2,7 +2,7 @@
 // which outcome is told when, connections that are kept and close after a rest, tables that are full, the
 // last guard.
 //
-// It follows src/exchange/driver.cpp and src/egress/pool.cpp; where those change, this changes with them.
+// It follows src/proxy/request_dispatcher.cpp and src/upstream/connection_pool.cpp; where those change, this changes with them.
 #pragma once
 
 #include <boost/container/small_vector.hpp>
@@ -13,17 +13,17 @@
 #include <unordered_map>
 #include <vector>
 
-#include "budget/account.h"
-#include "fernward/choice.h"
+#include "descriptors/descriptor_budget.h"
+#include "fernward/balancer.h"
+#include "gossip/advice.h"
+#include "gossip/fleet.h"
+#include "idle_connections/idle_lifetime_estimator.h"
 #include "lab/virtual/agenda.h"
 #include "lab/virtual/planted.h"
-#include "lifetimes/rests.h"
 #include "model/clients.h"
 #include "model/discovery.h"
 #include "model/plan.h"
 #include "model/record.h"
-#include "shared/advice.h"
-#include "shared/fleet.h"
 
 namespace fernward::lab {
 
@@ -119,7 +119,7 @@
   void lost(Handle link, bool refused); // refused, timed out in its making, or reset
   void closed_by_machine(Handle link);
   enum class Ends { KeepsLink, ClosesLink, Unbegun }; // Unbegun: closed before any of the answer came
-  void answered(Handle attempt, fernward::Result result, std::vector<float> report, Ends how);
+  void answered(Handle attempt, fernward::AttemptResult result, std::vector<float> report, Ends how);
   void attempt_timeout(Handle attempt);
   void connect_timeout(Handle link);
   void guard(Handle exchange);
@@ -144,22 +144,23 @@
   void enqueue(fernward::Event event) { events_.push_back(std::move(event)); }
   void pump();
   void decide(const fernward::Event& event);
-  bool send_again(const RouterAttempt& a, fernward::Result result);
-  shared::View view();
+  bool send_again(const RouterAttempt& a, fernward::AttemptResult result);
+  gossip::View view();
   void carry_out(const fernward::Action& action);
   void send(const fernward::Send& send);
   enum class Start { Begun, NoTarget, Full };
   Start start_attempt(Handle attempt, model::MachineId machine);
-  void stop(Handle attempt, fernward::Result result);
-  void end_attempt(Handle attempt, fernward::Result result, std::vector<float> report, bool rested = false);
+  void stop(Handle attempt, fernward::AttemptResult result);
+  void end_attempt(Handle attempt, fernward::AttemptResult result, std::vector<float> report,
+                   bool rested = false);
   void outcome(Handle exchange, std::uint32_t number, model::MachineId machine, double elapsed,
-               fernward::Result result, std::vector<float> report = {}, bool rested = false,
+               fernward::AttemptResult result, std::vector<float> report = {}, bool rested = false,
                bool first = false);
   void finish(Handle exchange, std::optional<model::Heard> heard, double retry_after_ms);
   void drop_if_done(Handle exchange);
   bool in_service(model::MachineId machine) const { return known_[machine].state == ServerState::Ready; }
   Handle reusable(model::MachineId machine);
-  budget::Account::Place room(budget::Side side);
+  descriptors::DescriptorBudget::Place room(descriptors::Side side);
   bool let_go(); // of a link at rest
   void learn(const Link& l, bool reset);
   void rest(Handle link, Link& l);
@@ -184,16 +185,16 @@
   bool pumping_ = false;
   bool stopping_ = false, stopped_ = false, drained_ = false;
   const std::size_t routers_; // of the tier
-  shared::Uses uses_;
-  std::unique_ptr<shared::Fleet> fleet_;
-  std::vector<shared::Fleet::Out> out_;
+  gossip::Uses uses_;
+  std::unique_ptr<gossip::Fleet> fleet_;
+  std::vector<gossip::Fleet::Out> out_;
   bool heard_ = false;                    // anybody, since its start
   std::size_t unanswered_ = 0, open_ = 0; // exchanges: without an answer; in the table
   struct Waiting {
     Handle client;
     model::TryStart start;
   };
-  void open(const Waiting& waiting, budget::Account::Place place);
+  void open(const Waiting& waiting, descriptors::DescriptorBudget::Place place);
   std::deque<Waiting> door_; // connections that the full table leaves in the kernel's queue
 
   std::vector<Known> known_; // by machine; outlives the process as its last list
@@ -205,9 +206,10 @@
   };
   std::deque<Rest> resting_; // in order of time; entries of links that are in use again are void
   bool at_rest(const Rest& rest);
-  lifetimes::Rests rests_;
-  budget::Account account_;
-  std::unordered_map<Handle, budget::Account::Place> places_; // of links and exchanges that wait
+  idle_connections::IdleLifetimeEstimator rests_;
+  descriptors::DescriptorBudget account_;
+  std::unordered_map<Handle, descriptors::DescriptorBudget::Place>
+      places_; // of links and exchanges that wait
   std::size_t peak_links_ = 0;
   double cpu_s_ = 0;
   std::uint64_t decisions_ = 0;
--- a/lab/virtual/world.h
+++ b/lab/virtual/world.h
@@ -72,7 +72,7 @@
     model::TryId try_id = 0;
     std::uint64_t key = 0;
     bool write = false;
-    fernward::Result result = fernward::Result::Ok;
+    fernward::AttemptResult result = fernward::AttemptResult::Ok;
     Router::Ends ends = Router::Ends::KeepsLink;
     std::vector<float> report;
   };
--- a/lab/virtual/world_machines.cpp
+++ b/lab/virtual/world_machines.cpp
@@ -5,7 +5,7 @@
 
 namespace fernward::lab {
 
-using fernward::Result;
+using fernward::AttemptResult;
 using fernward::ServerState;
 using model::Act;
 using model::Ending;
@@ -360,13 +360,13 @@
     case Ending::Hit:
     case Ending::Fetched:
     case Ending::Written:
-    case Ending::Repeat: a.result = Result::Ok; break;
+    case Ending::Repeat: a.result = AttemptResult::Ok; break;
     case Ending::Miss:
-    case Ending::Pending: a.result = Result::Miss; break;
-    case Ending::Error: a.result = Result::Error; break;
+    case Ending::Pending: a.result = AttemptResult::CacheMiss; break;
+    case Ending::Error: a.result = AttemptResult::Error; break;
     case Ending::Full:
     case Ending::Draining:
-    case Ending::Overdue: a.result = Result::Full; break;
+    case Ending::Overdue: a.result = AttemptResult::Overloaded; break;
     case Ending::Dropped:
     case Ending::Lost: return arrived_.remove(act.id); // no answer: the link's end tells
   }
@@ -385,16 +385,16 @@
 // What a router makes of a bad answer.
 void World::spoil(Arrival& arrival, double& late) {
   switch (places_[arrival.machine].bad) {
-    case model::BadAnswer::Error: arrival.result = Result::Error; break;
+    case model::BadAnswer::Error: arrival.result = AttemptResult::Error; break;
     case model::BadAnswer::Garbage:
     case model::BadAnswer::TooLarge:
-      arrival.result = Result::Error;
+      arrival.result = AttemptResult::Error;
       arrival.ends = Router::Ends::ClosesLink;
       arrival.report.clear();
       break;
     case model::BadAnswer::CutOff:
     case model::BadAnswer::EarlyClose:
-      arrival.result = Result::Reset;
+      arrival.result = AttemptResult::Reset;
       arrival.ends = places_[arrival.machine].bad == model::BadAnswer::CutOff ? Router::Ends::ClosesLink
                                                                               : Router::Ends::Unbegun;
       arrival.report.clear();
@@ -410,7 +410,7 @@
   if (a == nullptr) return;
   const Handle attempt = a->attempt;
   const RouterId router = a->router;
-  const Result result = a->result;
+  const AttemptResult result = a->result;
   const Router::Ends ends = a->ends;
   const bool passes = network_.passes(router, a->machine);
   if (Link* l = links_.find(a->link); l != nullptr && !passes) l->stuck = true;
--- a/src/maintenance/bans.cpp
+++ b/src/admin_overrides/endpoint_overrides.cpp
@@ -1,44 +1,46 @@
-#include "maintenance/bans.h"
+#include "admin_overrides/endpoint_overrides.h"
 
 #include <algorithm>
 
-namespace fernward::maintenance {
+namespace fernward::admin_overrides {
 
-Bans::Name& Bans::meet(const std::string& name) { return names_.try_emplace(name).first->second; }
+EndpointOverrides::Name& EndpointOverrides::meet(const std::string& name) {
+  return names_.try_emplace(name).first->second;
+}
 
-void Bans::leave(const std::string& name, Name& of) {
+void EndpointOverrides::leave(const std::string& name, Name& of) {
   if (of.listed || of.out || of.has_gone) return;
   of.gone = gone_.insert(gone_.end(), name);
   of.has_gone = true;
 }
 
-void Bans::stay(Name& of) {
+void EndpointOverrides::stay(Name& of) {
   if (of.has_gone) gone_.erase(of.gone);
   of.has_gone = false;
 }
 
 // On days where names are always new the memory of old ones must not grow.
-void Bans::forget() {
+void EndpointOverrides::forget() {
   while (gone_.size() > options_.remembered) {
     names_.erase(gone_.front());
     gone_.pop_front();
   }
 }
 
-void Bans::list(const std::vector<std::string>& names) {
+void EndpointOverrides::list(const std::vector<std::string>& names) {
   for (auto& [name, of] : names_) of.listed = false;
   for (const std::string& name : names) listed(name);
   for (auto& [name, of] : names_) leave(name, of);
   forget();
 }
 
-void Bans::listed(const std::string& name) {
+void EndpointOverrides::listed(const std::string& name) {
   Name& of = meet(name);
   of.listed = true;
   stay(of);
 }
 
-void Bans::unlisted(const std::string& name) {
+void EndpointOverrides::unlisted(const std::string& name) {
   const auto found = names_.find(name);
   if (found == names_.end()) return;
   found->second.listed = false;
@@ -46,7 +48,7 @@
   forget();
 }
 
-Bans::Said Bans::take_out(const std::string& name) {
+EndpointOverrides::Said EndpointOverrides::take_out(const std::string& name) {
   const auto found = names_.find(name);
   if (found == names_.end()) return Said::NeverListed;
   if (found->second.out) return Said::Yes;
@@ -57,7 +59,7 @@
   return Said::Yes;
 }
 
-Bans::Said Bans::put_back(double now, const std::string& name) {
+EndpointOverrides::Said EndpointOverrides::put_back(double now, const std::string& name) {
   const auto found = names_.find(name);
   if (found == names_.end()) return Said::NeverListed;
   Name& of = found->second;
@@ -70,20 +72,20 @@
   return Said::Yes;
 }
 
-bool Bans::out(const std::string& name) const {
+bool EndpointOverrides::out(const std::string& name) const {
   const auto found = names_.find(name);
   return found != names_.end() && found->second.out;
 }
 
-Server Bans::over(const std::string& name, Server listed) const {
+Server EndpointOverrides::over(const std::string& name, Server listed) const {
   const auto found = names_.find(name);
   if (found == names_.end()) return listed;
   if (found->second.out && listed.state == ServerState::Ready) listed.state = ServerState::Draining;
-  listed.booted_at = std::max(listed.booted_at, found->second.fresh_at);
+  listed.started_at = std::max(listed.started_at, found->second.fresh_at);
   return listed;
 }
 
-std::vector<Bans::Known> Bans::all() const {
+std::vector<EndpointOverrides::Known> EndpointOverrides::all() const {
   std::vector<Known> all;
   for (const std::string& name : gone_)
     all.push_back({name, false, names_.at(name).fresh_at}); // in their order
@@ -93,13 +95,13 @@
   return all;
 }
 
-Bans::Known Bans::of(const std::string& name) const {
+EndpointOverrides::Known EndpointOverrides::of(const std::string& name) const {
   const auto found = names_.find(name);
   return found == names_.end() ? Known{name, false, 0}
                                : Known{name, found->second.out, found->second.fresh_at};
 }
 
-void Bans::adopt(const Known& one) {
+void EndpointOverrides::adopt(const Known& one) {
   Name& of = meet(one.name);
   if (one.out && !of.out && out_ >= options_.most_out) return leave(one.name, of);
   out_ += one.out;
@@ -110,8 +112,8 @@
   forget();
 }
 
-void Bans::adopt(const std::vector<Known>& all) {
+void EndpointOverrides::adopt(const std::vector<Known>& all) {
   for (const Known& one : all) adopt(one);
 }
 
-} // namespace fernward::maintenance
+} // namespace fernward::admin_overrides
--- a/src/maintenance/bans.h
+++ b/src/admin_overrides/endpoint_overrides.h
@@ -15,18 +15,18 @@
 #include <string>
 #include <vector>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 
-namespace fernward::maintenance {
+namespace fernward::admin_overrides {
 
-struct BansOptions {
+struct EndpointOverridesOptions {
   std::size_t remembered = 4096; // names that were listed once and are not now
   std::size_t most_out = 1024;   // names that are out at once
 };
 
-class Bans {
+class EndpointOverrides {
  public:
-  explicit Bans(const BansOptions& options = {}) : options_(options) {}
+  explicit EndpointOverrides(const EndpointOverridesOptions& options = {}) : options_(options) {}
 
   void list(const std::vector<std::string>& names); // the cache nodes that discovery lists now, all of them
 
@@ -68,10 +68,10 @@
   void stay(Name& of);
   void forget();
 
-  BansOptions options_;
+  EndpointOverridesOptions options_;
   std::map<std::string, Name> names_;
   std::list<std::string> gone_; // neither listed nor out, the longest gone in front
   std::size_t out_ = 0;
 };
 
-} // namespace fernward::maintenance
+} // namespace fernward::admin_overrides
--- a/src/setup/app.h
+++ b/src/app_config/app.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 
 struct KindSetup { // of nodes; what they can do serves the estimate of what reaches the ledger
   std::string name;
@@ -39,8 +39,8 @@
   std::string name;
   double aim_ms = 0, give_up_ms = 0; // aim 0: give_up
   double aim_stretch = 0, late_share = 0, worth = 1;
-  Repeat repeat = Repeat::Safe;
-  Scope scope = Scope::All;
+  Idempotency repeat = Idempotency::Idempotent;
+  IdempotencyScope scope = IdempotencyScope::All;
   double window_ms = 0;
   std::optional<std::uint32_t> retries; // none: as many as attempts.most allows
   std::optional<double> retry_for_ms;   // none: the window, where there is one
@@ -152,4 +152,4 @@
                                                                    : room_kb / kRequestKb);
 }
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/explain.cpp
+++ b/src/app_config/explain.cpp
@@ -1,26 +1,26 @@
-#include "setup/explain.h"
+#include "app_config/explain.h"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 #include <map>
 
-#include "notation/value.h"
-#include "notation/writer.h"
-#include "setup/keys.h"
-#include "setup/ledger.h"
+#include "app_config/keys.h"
+#include "app_config/ledger.h"
+#include "toml_document/value.h"
+#include "toml_document/writer.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 namespace {
 
-using notation::Unit;
+using toml_document::Unit;
 
-std::vector<notation::Leaf> leaves_of(App app) {
+std::vector<toml_document::Leaf> leaves_of(App app) {
   const AppNames names(app);
-  return notation::leaves(names, [&](notation::Visitor& v) { describe(v, app); });
+  return toml_document::leaves(names, [&](toml_document::Visitor& v) { describe(v, app); });
 }
 
-std::string time(double ms) { return notation::quantity_text(Unit::Time, ms); }
+std::string time(double ms) { return toml_document::quantity_text(Unit::Time, ms); }
 
 std::string attempts(const ClassSetup& c, const App& app) {
   const std::uint32_t most = std::min(app.attempts.most, c.retries ? *c.retries + 1 : app.attempts.most);
@@ -28,23 +28,26 @@
   if (most <= 1) return "One attempt is made, whatever becomes of it.";
   const std::string up_to = "Up to " + std::to_string(most) + " attempts are made";
   switch (c.repeat) {
-    case Repeat::Safe:
+    case Idempotency::Idempotent:
       return up_to +
              ", each at another node or at the ledger, as far as the allowance of retries has one left.";
-    case Repeat::Keyed:
+    case Idempotency::WithKey:
       if (window <= 0) return up_to + ", but none once an attempt may have run: there is no window.";
       return up_to + ". Once one may have run, further ones go out with the same key, within " +
              time(window) + " of it" +
-             (c.scope == Scope::All ? "." : std::string(" and only to its ") + scope_word(c.scope) + ".");
-    case Repeat::Unsafe: return up_to + ", but none once an attempt may have run.";
+             (c.scope == IdempotencyScope::All
+                  ? "."
+                  : std::string(" and only to its ") + scope_word(c.scope) + ".");
+    case Idempotency::NonIdempotent: return up_to + ", but none once an attempt may have run.";
   }
   return "";
 }
 
 std::string copies(const ClassSetup& c, const App& app) {
-  if (!app.attempts.copies || !c.copies || c.repeat == Repeat::Unsafe)
+  if (!app.attempts.copies || !c.copies || c.repeat == Idempotency::NonIdempotent)
+    return "No second copy is sent beside one that is out.";
+  if (c.repeat == Idempotency::WithKey && c.window_ms <= 0)
     return "No second copy is sent beside one that is out.";
-  if (c.repeat == Repeat::Keyed && c.window_ms <= 0) return "No second copy is sent beside one that is out.";
   return "An attempt slower than 95% of the answers may get a second copy at another node; the first answer "
          "counts.";
 }
@@ -58,7 +61,7 @@
 
 std::vector<Value> values(const Setup& setup) {
   std::vector<Value> all;
-  for (const notation::Leaf& leaf : leaves_of(setup.app)) {
+  for (const toml_document::Leaf& leaf : leaves_of(setup.app)) {
     Value& made = all.emplace_back();
     made.key = leaf.key;
     made.value = leaf.value;
@@ -79,9 +82,9 @@
   for (const ClassSetup& c : app.classes) {
     out += "class " + c.name + "\n";
     const double aim = c.aim_ms > 0 ? c.aim_ms : c.give_up_ms;
-    out += "  An answer within " + time(aim) + " is worth " + notation::number_text(c.worth);
+    out += "  An answer within " + time(aim) + " is worth " + toml_document::number_text(c.worth);
     if (c.late_share > 0)
-      out += ", a later one " + notation::quantity_text(Unit::Share, c.late_share) + " of it, until " +
+      out += ", a later one " + toml_document::quantity_text(Unit::Share, c.late_share) + " of it, until " +
              time(c.give_up_ms);
     out += c.late_share > 0 ? ".\n"
                             : ". The request ends there, refused or failed, and its client hears at once.\n";
@@ -94,7 +97,7 @@
           "a time.\n";
     }
     out += "  It may be refused: when the nodes have no room and it is worth the least (" +
-           notation::number_text(c.worth) + ")";
+           toml_document::number_text(c.worth) + ")";
     out += app.fleet.ledger ? ", or when its turn at the ledger would come too late.\n" : ".\n";
     out += "  " + refusals(app) + "\n";
     for (const MapSetup& m : app.map) {
@@ -106,11 +109,11 @@
   if (!app.tenants.empty()) {
     out += "tenants\n";
     for (const TenantSetup& t : app.tenants) {
-      out += "  " + t.name + " has " + notation::quantity_text(Unit::Share, t.share) + " of the service";
+      out += "  " + t.name + " has " + toml_document::quantity_text(Unit::Share, t.share) + " of the service";
       if (t.quota_per_s > 0) {
-        out += "; beyond " + notation::quantity_text(Unit::Rate, t.quota_per_s) +
+        out += "; beyond " + toml_document::quantity_text(Unit::Rate, t.quota_per_s) +
                " (or its share, if that is more) its requests are worth " +
-               notation::quantity_text(Unit::Share, app.tier.over_share_worth) + " of the others'";
+               toml_document::quantity_text(Unit::Share, app.tier.over_share_worth) + " of the others'";
       }
       out += ".\n";
     }
@@ -127,9 +130,9 @@
     out += text;
     if (app.resize.settle_ms > 0) {
       out += "  When nodes come, their keys are read from former owners too, for up to " +
-             notation::quantity_text(Unit::Time, app.resize.settle_ms);
+             toml_document::quantity_text(Unit::Time, app.resize.settle_ms);
       if (app.resize.ledger_multiple > 0) {
-        out += "; meanwhile fetches stay below " + notation::number_text(app.resize.ledger_multiple) +
+        out += "; meanwhile fetches stay below " + toml_document::number_text(app.resize.ledger_multiple) +
                " times their steady rate, and what is beyond waits or is refused with Retry-After";
       }
       out += ".\n";
@@ -140,8 +143,8 @@
 
 std::vector<Change> changes(const App& before, const App& after) {
   std::map<std::string, Change> all;
-  for (const notation::Leaf& leaf : leaves_of(before)) all[leaf.key].before = leaf.value;
-  for (const notation::Leaf& leaf : leaves_of(after)) all[leaf.key].after = leaf.value;
+  for (const toml_document::Leaf& leaf : leaves_of(before)) all[leaf.key].before = leaf.value;
+  for (const toml_document::Leaf& leaf : leaves_of(after)) all[leaf.key].after = leaf.value;
   std::vector<Change> made;
   for (auto& [key, change] : all) {
     if (change.before == change.after) continue;
@@ -152,4 +155,4 @@
   return made;
 }
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/explain.h
+++ b/src/app_config/explain.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "setup/read.h"
+#include "app_config/read.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 
 struct Value {
   std::string key, value, from; // "app.toml:12:8", "NODE_LISTEN", "default"
@@ -23,4 +23,4 @@
 };
 std::vector<Change> changes(const App& before, const App& after);
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/fleet.cpp
+++ b/src/app_config/fleet.cpp
@@ -1,15 +1,15 @@
-#include "setup/fleet.h"
+#include "app_config/fleet.h"
 
-#include "notation/reader.h"
-#include "setup/read.h"
+#include "toml_document/reader.h"
+#include "app_config/read.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 namespace {
 
-using notation::Table;
-using notation::Unit;
+using toml_document::Table;
+using toml_document::Unit;
 
-class NoNames : public notation::Names { // nothing in this file refers to another part of it
+class NoNames : public toml_document::Names { // nothing in this file refers to another part of it
  public:
   std::optional<std::uint32_t> find(Table, const std::string&) const override { return std::nullopt; }
   std::string name(Table, std::uint32_t) const override { return ""; }
@@ -19,7 +19,7 @@
   const char* list(Table) const override { return ""; }
 };
 
-void describe(notation::Visitor& v, config::Fleet& f) {
+void describe(toml_document::Visitor& v, config::Fleet& f) {
   v.enter("members", "who of the tier lives");
   v.amount("period_ms", f.period_ms, Unit::Time, "one other router is pinged in each");
   v.count("asked", f.asked, "others that are asked about one that does not answer", Unit::Number);
@@ -35,21 +35,21 @@
 
 FleetFile read_fleet(std::string_view text, const std::string& file) {
   FleetFile read;
-  notation::Layers layers;
-  if (notation::parse_layers(std::string(text), file, "include", notation::load_file, read.faults, layers)) {
-    std::vector<notation::Source> sources;
+  toml_document::Layers layers;
+  if (toml_document::parse_layers(std::string(text), file, "include", toml_document::load_file, read.faults, layers)) {
+    std::vector<toml_document::Source> sources;
     for (const auto& layer : layers) sources.push_back({&layer->table, layer.get()});
     const NoNames names;
-    notation::Places places;
-    notation::Reader reader(std::move(sources), names, read.faults, places, {"include"});
+    toml_document::Places places;
+    toml_document::Reader reader(std::move(sources), names, read.faults, places, {"include"});
     describe(reader, read.fleet);
     reader.close();
     const auto wrong = [&](const char* key, const char* why) {
       const auto found = places.find(key);
-      notation::Fault& fault = read.faults.emplace_back();
+      toml_document::Fault& fault = read.faults.emplace_back();
       fault.at.file = file;
       if (found != places.end()) fault.at = found->second;
-      fault.key = notation::key_of(key);
+      fault.key = toml_document::key_of(key);
       fault.why = why;
       fault.code = "value";
     };
@@ -57,15 +57,15 @@
       wrong("members.period_ms", "must be from 50 ms to 5 s");
     if (read.fleet.asked > 8) wrong("members.asked", "must be 8 at most");
   }
-  notation::tidy(read.faults);
+  toml_document::tidy(read.faults);
   return read;
 }
 
 FleetFile read_fleet_file(const std::string& path) {
-  if (const auto text = notation::load_file(path)) return read_fleet(*text, path);
+  if (const auto text = toml_document::load_file(path)) return read_fleet(*text, path);
   FleetFile read;
   read.faults.push_back(unreadable(path));
   return read;
 }
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/fleet.h
+++ b/src/app_config/fleet.h
@@ -5,16 +5,16 @@
 #include <string_view>
 
 #include "config/fleet.h"
-#include "notation/document.h"
+#include "toml_document/document.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 
 struct FleetFile {
   config::Fleet fleet; // counts where no fault is left; without what the platform's file says
-  notation::Faults faults;
+  toml_document::Faults faults;
 };
 
 FleetFile read_fleet(std::string_view text, const std::string& file);
 FleetFile read_fleet_file(const std::string& path);
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/fresh.cpp
+++ b/src/app_config/fresh.cpp
@@ -1,4 +1,4 @@
-#include "setup/fresh.h"
+#include "app_config/fresh.h"
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -9,15 +9,15 @@
 #include <set>
 #include <stdexcept>
 
-#include "notation/value.h"
-#include "notation/writer.h"
-#include "setup/keys.h"
+#include "toml_document/value.h"
+#include "toml_document/writer.h"
+#include "app_config/keys.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 namespace {
 
-using notation::in_quotes;
-using notation::Row;
+using toml_document::in_quotes;
+using toml_document::Row;
 
 // The keys of a table that are not given, as comments.
 void commented(const Row& table, const std::set<std::string>& given, std::string& out) {
@@ -50,7 +50,7 @@
 std::string fresh(const Wishes& w) {
   App app;
   const AppNames names(app);
-  const Row top = notation::reference(names, [&](notation::Visitor& v) { describe(v, app); });
+  const Row top = toml_document::reference(names, [&](toml_document::Visitor& v) { describe(v, app); });
   std::string out = "# " + w.name + ": its router. Check it with `fernward config check FILE`.\n\n";
   out += "name = " + in_quotes(w.name) + "\nlisten = " + in_quotes(w.listen) +
          "  # where the application asks\n";
@@ -138,4 +138,4 @@
   if (rename(beside.c_str(), path.c_str()) != 0) fail("cannot put in place");
 }
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/fresh.h
+++ b/src/app_config/fresh.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-namespace fernward::setup {
+namespace fernward::app_config {
 
 struct Wishes {
   std::string name = "app", listen = "127.0.0.1:7070";
@@ -21,4 +21,4 @@
 // Writes it beside `path` first and renames it: a fault leaves what was there. Throws std::runtime_error.
 void save(const std::string& path, const std::string& text);
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/host.cpp
+++ b/src/app_config/host.cpp
@@ -1,4 +1,4 @@
-#include "setup/host.h"
+#include "app_config/host.h"
 
 #include <sys/resource.h>
 #include <sys/socket.h>
@@ -12,9 +12,9 @@
 #include <cstring>
 
 #include "config/address.h"
-#include "notation/visitor.h"
+#include "toml_document/visitor.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 namespace {
 
 class Host {
@@ -29,8 +29,8 @@
   }
 
  private:
-  void add(notation::Faults& to, const std::string& member, const char* code, std::string why) {
-    to.push_back({place_of(setup_, member, file_), notation::key_of(member), std::move(why), code});
+  void add(toml_document::Faults& to, const std::string& member, const char* code, std::string why) {
+    to.push_back({place_of(setup_, member, file_), toml_document::key_of(member), std::move(why), code});
   }
   void fault(const std::string& member, const char* code, std::string why) {
     add(setup_.faults, member, code, std::move(why));
@@ -122,8 +122,8 @@
 
 void check_host(Setup& setup, const std::string& file) {
   Host(setup, file).run();
-  notation::tidy(setup.faults);
-  notation::tidy(setup.warnings);
+  toml_document::tidy(setup.faults);
+  toml_document::tidy(setup.warnings);
 }
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/host.h
+++ b/src/app_config/host.h
@@ -2,10 +2,10 @@
 // system grant what it asks for, can others read what should stay secret.
 #pragma once
 
-#include "setup/read.h"
+#include "app_config/read.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 
 void check_host(Setup& setup, const std::string& file); // adds to setup.faults and setup.warnings
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/keys.cpp
+++ b/src/app_config/keys.cpp
@@ -1,18 +1,18 @@
-#include "setup/keys.h"
+#include "app_config/keys.h"
 
 #include <algorithm>
 #include <array>
 
-namespace fernward::setup {
+namespace fernward::app_config {
 namespace {
 
-using notation::each;
-using notation::each_named;
-using notation::maybe;
-using notation::pick;
-using notation::Table;
-using notation::Unit;
-using notation::Visitor;
+using toml_document::each;
+using toml_document::each_named;
+using toml_document::maybe;
+using toml_document::pick;
+using toml_document::Table;
+using toml_document::Unit;
+using toml_document::Visitor;
 
 constexpr std::array kRepeats{"safe", "keyed", "unsafe"};
 constexpr std::array kScopes{"all", "zone", "cell"};
@@ -223,10 +223,10 @@
   return false;
 }
 
-const char* repeat_word(Repeat repeat) { return kRepeats.at(static_cast<std::size_t>(repeat)); }
-const char* scope_word(Scope scope) { return kScopes.at(static_cast<std::size_t>(scope)); }
+const char* repeat_word(Idempotency repeat) { return kRepeats.at(static_cast<std::size_t>(repeat)); }
+const char* scope_word(IdempotencyScope scope) { return kScopes.at(static_cast<std::size_t>(scope)); }
 const char* method_word(Method method) { return kMethods.at(static_cast<std::size_t>(method)); }
 const char* weight_word(std::size_t weights) { return kWeights.at(weights); }
 const char* field_word(std::size_t field) { return kFields.at(field); }
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- /dev/null
+++ b/src/app_config/keys.h
@@ -0,0 +1,39 @@
+// The keys of an application's file: one description of an App, from which the reader, the schema, the reference, the
+// explanation and the comparison are made. See notation/visitor.h.
+#pragma once
+
+#include "app_config/app.h"
+#include "toml_document/visitor.h"
+
+namespace fernward::app_config {
+
+namespace tables {
+inline constexpr toml_document::Table Zones{0}, Kinds{1}, Classes{2}, Tenants{3};
+}
+
+class AppNames : public toml_document::Names { // the App outlives it
+ public:
+  explicit AppNames(const App& app) : app_(app) {}
+  std::optional<std::uint32_t> find(toml_document::Table table, const std::string& name) const override;
+  std::string name(toml_document::Table table, std::uint32_t index) const override;
+  std::vector<std::string> known(toml_document::Table table) const override;
+  const char* what(toml_document::Table table) const override;
+  const char* written(toml_document::Table table) const override;
+  const char* list(toml_document::Table table) const override;
+
+ private:
+  const App& app_;
+};
+
+void describe(toml_document::Visitor& visitor, App& app);
+
+// Of a key's path: does a reload take it, or does it hold until the next start?
+bool reload_takes(const std::string& key);
+
+const char* repeat_word(Idempotency repeat);
+const char* scope_word(IdempotencyScope scope);
+const char* method_word(Method method);
+const char* weight_word(std::size_t weights);
+const char* field_word(std::size_t field);
+
+} // namespace fernward::app_config
--- a/src/setup/ledger.cpp
+++ b/src/app_config/ledger.cpp
@@ -1,10 +1,10 @@
-#include "setup/ledger.h"
+#include "app_config/ledger.h"
 
 #include <algorithm>
 #include <cmath>
 #include <vector>
 
-namespace fernward::setup {
+namespace fernward::app_config {
 namespace {
 
 struct Ranks { // neighbours that are asked for nearly alike
@@ -90,4 +90,4 @@
   return load;
 }
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/ledger.h
+++ b/src/app_config/ledger.h
@@ -7,9 +7,9 @@
 #include <cstdint>
 #include <string>
 
-#include "setup/app.h"
+#include "app_config/app.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 
 struct LedgerLoad {
   double share = 0;                                // of the requests; 0 to 1
@@ -24,4 +24,4 @@
 // Share of the requests that a cache of `held` values answers, of `keys` asked for by Zipf's law.
 double lru_hits(std::uint32_t keys, double zipf, double held);
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/read.cpp
+++ b/src/app_config/read.cpp
@@ -1,19 +1,19 @@
-#include "setup/read.h"
+#include "app_config/read.h"
 
 #include <algorithm>
 #include <set>
 
-#include "notation/reader.h"
-#include "notation/value.h"
-#include "setup/keys.h"
-#include "setup/sound.h"
+#include "toml_document/reader.h"
+#include "toml_document/value.h"
+#include "app_config/keys.h"
+#include "app_config/sound.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 namespace {
 
-using notation::Fault;
-using notation::Layer;
-using notation::Source;
+using toml_document::Fault;
+using toml_document::Layer;
+using toml_document::Source;
 
 const std::set<std::string> kApart{"include", "profile", "profiles"};
 
@@ -34,12 +34,12 @@
 };
 
 // All profiles of all files; what is none is a fault.
-std::vector<Profile> profiles(const notation::Layers& layers, notation::Faults& faults) {
+std::vector<Profile> profiles(const toml_document::Layers& layers, toml_document::Faults& faults) {
   std::vector<Profile> all;
   for (const auto& layer : layers) {
     const toml::node* node = layer->table.get("profiles");
     if (node != nullptr && !node->is_table()) {
-      faults.push_back({notation::position(node->source(), *layer), "profiles", "must be a table", "type"});
+      faults.push_back({toml_document::position(node->source(), *layer), "profiles", "must be a table", "type"});
     }
     const toml::table* table = profiles_of(*layer);
     if (table == nullptr) continue;
@@ -47,13 +47,13 @@
       const std::string name(key.str());
       if (!entry.is_table()) {
         faults.push_back(
-            {notation::position(entry.source(), *layer), "profiles." + name, "must be a table", "type"});
+            {toml_document::position(entry.source(), *layer), "profiles." + name, "must be a table", "type"});
         continue;
       }
       for (const std::string& apart : kApart) {
         const toml::node* stray = entry.as_table()->get(apart);
         if (stray == nullptr) continue;
-        faults.push_back({notation::position(stray->source(), *layer), "profiles." + name + "." + apart,
+        faults.push_back({toml_document::position(stray->source(), *layer), "profiles." + name + "." + apart,
                           "can't stand in a profile", "unknown-key"});
       }
       all.push_back({name, entry.as_table(), layer.get()});
@@ -63,21 +63,21 @@
 }
 
 // The profile that counts; empty: none.
-std::string chosen_profile(const notation::Layers& layers, const std::vector<Profile>& all,
+std::string chosen_profile(const toml_document::Layers& layers, const std::vector<Profile>& all,
                            Environment environment, Setup& setup) {
   std::string name = variable(environment, "FERNWARD_PROFILE");
-  notation::Position at{layers.front()->file};
+  toml_document::Position at{layers.front()->file};
   if (!name.empty()) setup.variables["profile"] = "FERNWARD_PROFILE";
   for (const auto& layer : layers) {
     const toml::node* node = layer->table.get("profile");
     if (node == nullptr) continue;
     const auto text = node->value_exact<std::string>();
     if (!text || text->empty()) {
-      setup.faults.push_back({notation::position(node->source(), *layer), "profile",
+      setup.faults.push_back({toml_document::position(node->source(), *layer), "profile",
                               "must be the name of a profile, in quotes", "type"});
     } else if (name.empty()) {
       name = *text;
-      at = notation::position(node->source(), *layer);
+      at = toml_document::position(node->source(), *layer);
     }
   }
   const auto is = [&](const Profile& p) { return p.name == name; };
@@ -85,24 +85,24 @@
   std::vector<std::string> names;
   names.reserve(all.size());
   for (const Profile& p : all) names.push_back(p.name);
-  const std::string near = notation::nearest(name, names);
+  const std::string near = toml_document::nearest(name, names);
   setup.faults.push_back(
       {std::move(at), "profile",
-       "there is no profile " + notation::shown(name) + (near.empty() ? "" : "; is \"" + near + "\" meant?"),
+       "there is no profile " + toml_document::shown(name) + (near.empty() ? "" : "; is \"" + near + "\" meant?"),
        "unknown-name"});
   return "";
 }
 
 // A profile that does not count today counts tomorrow: its form is checked, as far as it can be by itself.
 void check_others(const std::vector<Profile>& all, const std::string& chosen, const App& app,
-                  notation::Faults& faults) {
+                  toml_document::Faults& faults) {
   for (const Profile& p : all) {
     if (p.name == chosen) continue;
     App scratch = app;
-    notation::Faults found;
-    notation::Places places;
+    toml_document::Faults found;
+    toml_document::Places places;
     const AppNames names(scratch);
-    notation::Reader reader({{p.table, p.layer}}, names, found, places, kApart);
+    toml_document::Reader reader({{p.table, p.layer}}, names, found, places, kApart);
     describe(reader, scratch);
     reader.close();
     for (Fault& fault : found) {
@@ -115,7 +115,7 @@
 
 } // namespace
 
-notation::Position place_of(const Setup& setup, std::string member, const std::string& file) {
+toml_document::Position place_of(const Setup& setup, std::string member, const std::string& file) {
   while (!member.empty()) {
     if (const auto found = setup.places.find(member); found != setup.places.end()) return found->second;
     const std::size_t cut = member.find_last_of(".[");
@@ -125,13 +125,13 @@
 }
 
 Setup read(std::string_view text, const std::string& file, Environment environment,
-           const notation::Loader& load) {
+           const toml_document::Loader& load) {
   Setup setup;
-  notation::Layers layers;
-  const bool parsed = notation::parse_layers(std::string(text), file, "include", load, setup.faults, layers);
+  toml_document::Layers layers;
+  const bool parsed = toml_document::parse_layers(std::string(text), file, "include", load, setup.faults, layers);
   for (const auto& layer : layers) setup.files.push_back(layer->file);
   if (!parsed) {
-    notation::tidy(setup.faults);
+    toml_document::tidy(setup.faults);
     return setup;
   }
   const std::vector<Profile> all = profiles(layers, setup.faults);
@@ -157,7 +157,7 @@
   }
   const Layer from_environment{"(environment)", {}};
   sources.insert(sources.begin(), {&given, &from_environment});
-  notation::Reader reader(std::move(sources), names, setup.faults, setup.places, kApart);
+  toml_document::Reader reader(std::move(sources), names, setup.faults, setup.places, kApart);
   describe(reader, setup.app);
   const std::set<std::string> broken = reader.close();
   for (Fault& fault : setup.faults) {
@@ -167,12 +167,12 @@
   }
   check_others(all, setup.profile, setup.app, setup.faults);
   check_sound(setup, file, broken);
-  notation::tidy(setup.faults);
-  notation::tidy(setup.warnings);
+  toml_document::tidy(setup.faults);
+  toml_document::tidy(setup.warnings);
   return setup;
 }
 
-notation::Fault unreadable(const std::string& path) {
+toml_document::Fault unreadable(const std::string& path) {
   Fault fault;
   fault.at.file = path;
   fault.key = "(file)";
@@ -182,10 +182,10 @@
 }
 
 Setup read_file(const std::string& path, Environment environment) {
-  if (const auto text = notation::load_file(path)) return read(*text, path, environment);
+  if (const auto text = toml_document::load_file(path)) return read(*text, path, environment);
   Setup setup;
   setup.faults.push_back(unreadable(path));
   return setup;
 }
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/read.h
+++ b/src/app_config/read.h
@@ -12,18 +12,18 @@
 #include <string_view>
 #include <vector>
 
-#include "notation/document.h"
-#include "setup/app.h"
+#include "toml_document/document.h"
+#include "app_config/app.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 
 using Environment = const char* (*)(const char* name); // std::getenv, or a test's
 
 struct Setup {
   App app;                                      // counts where no fault is left
-  notation::Faults faults;                      // what is wrong
-  notation::Faults warnings;                    // and what is likely not meant
-  notation::Places places;                      // of what the files give, by the App's member
+  toml_document::Faults faults;                      // what is wrong
+  toml_document::Faults warnings;                    // and what is likely not meant
+  toml_document::Places places;                      // of what the files give, by the App's member
   std::map<std::string, std::string> variables; // what the environment gives: the variable, by member
   std::vector<std::string> files;               // all that were read
   std::string profile;                          // the one that counts
@@ -33,12 +33,12 @@
 
 // With the checks of form and of sense, but none of this machine (setup/host.h).
 Setup read(std::string_view text, const std::string& file, Environment environment,
-           const notation::Loader& load = notation::load_file);
+           const toml_document::Loader& load = toml_document::load_file);
 Setup read_file(const std::string& path, Environment environment);
 
-notation::Fault unreadable(const std::string& path); // the file can't be read
+toml_document::Fault unreadable(const std::string& path); // the file can't be read
 
 // Where a member stands, or the table that it would stand in; else the top of the file.
-notation::Position place_of(const Setup& setup, std::string member, const std::string& file);
+toml_document::Position place_of(const Setup& setup, std::string member, const std::string& file);
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/render.cpp
+++ b/src/app_config/render.cpp
@@ -1,10 +1,10 @@
-#include "setup/render.h"
+#include "app_config/render.h"
 
 #include <cstdio>
 
-#include "setup/keys.h"
+#include "app_config/keys.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 namespace {
 
 using nlohmann::json;
@@ -19,7 +19,7 @@
                {"late_share", c.late_share},
                {"worth", c.worth},
                {"repeat", repeat_word(c.repeat)}};
-  if (c.repeat == Repeat::Keyed) {
+  if (c.repeat == Idempotency::WithKey) {
     made["dedup_scope"] = scope_word(c.scope);
     made["window"] = window;
   }
@@ -131,4 +131,4 @@
   return made;
 }
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/render.h
+++ b/src/app_config/render.h
@@ -3,11 +3,11 @@
 
 #include <nlohmann/json.hpp>
 
-#include "setup/app.h"
+#include "app_config/app.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 
 // Keys that the platform does not know (map, nodes_file, ...) are there only where they say something.
 nlohmann::json render(const App& app);
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/schema.cpp
+++ b/src/app_config/schema.cpp
@@ -1,18 +1,18 @@
-#include "setup/schema.h"
+#include "app_config/schema.h"
 
 #include <vector>
 
-#include "notation/writer.h"
-#include "setup/keys.h"
+#include "toml_document/writer.h"
+#include "app_config/keys.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 namespace {
 
 using nlohmann::ordered_json;
-using notation::Table;
-using notation::Unit;
-using notation::Word;
-using notation::Words;
+using toml_document::Table;
+using toml_document::Unit;
+using toml_document::Word;
+using toml_document::Words;
 
 const char* pattern_of(Unit unit) {
   switch (unit) {
@@ -26,9 +26,9 @@
   }
 }
 
-class Schema : public notation::Visitor {
+class Schema : public toml_document::Visitor {
  public:
-  explicit Schema(const notation::Names& names) : names_(names) { open_.push_back(object()); }
+  explicit Schema(const toml_document::Names& names) : names_(names) { open_.push_back(object()); }
   ordered_json whole() const { return open_.front(); }
 
   void amount(const char* member, double& value, Unit unit, const char* doc, Word word) override {
@@ -45,7 +45,7 @@
     if (unit == Unit::Number) {
       made["default"] = value;
     } else {
-      made["default"] = notation::quantity_text(unit, value);
+      made["default"] = toml_document::quantity_text(unit, value);
     }
     put(member, std::move(made), doc);
   }
@@ -53,7 +53,7 @@
     if (unit != Unit::Number) {
       ordered_json made;
       made["anyOf"] = {{{"const", 0}}, {{"type", "string"}, {"pattern", pattern_of(unit)}}};
-      made["default"] = notation::quantity_text(unit, value);
+      made["default"] = toml_document::quantity_text(unit, value);
       return put(member, std::move(made), doc);
     }
     put(member, {{"type", "integer"}, {"minimum", 0}, {"maximum", 4294967295u}, {"default", value}}, doc);
@@ -130,12 +130,12 @@
   void put(const char* member, ordered_json made, const std::string& doc, bool needed = false) {
     if (std::exchange(without_default_, false)) made.erase("default");
     made["description"] = doc;
-    const std::string key = notation::key_of(member);
+    const std::string key = toml_document::key_of(member);
     open_.back()["properties"][key] = std::move(made);
     if (needed) open_.back()["required"].push_back(key);
   }
 
-  const notation::Names& names_;
+  const toml_document::Names& names_;
   std::vector<ordered_json> open_;
   std::vector<Frame> frames_;
   Frame next_;
@@ -175,7 +175,7 @@
 std::string reference() {
   App app;
   const AppNames names(app);
-  const notation::Row top = notation::reference(names, [&](notation::Visitor& v) { describe(v, app); });
+  const toml_document::Row top = toml_document::reference(names, [&](toml_document::Visitor& v) { describe(v, app); });
   std::string out =
       "### Top of the file\n\n| key | written as | default | meaning |\n| --- | --- | --- | --- |\n";
   out +=
@@ -184,8 +184,8 @@
   out +=
       "| `profile` | text |  | the profile that counts: `[profiles.NAME]`, of this file or of one it "
       "includes |\n";
-  out += notation::leading(top);
-  notation::sections(top, "", out);
+  out += toml_document::leading(top);
+  toml_document::sections(top, "", out);
   return out;
 }
 
@@ -249,4 +249,4 @@
   return out;
 }
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/schema.h
+++ b/src/app_config/schema.h
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace fernward::setup {
+namespace fernward::app_config {
 
 nlohmann::ordered_json schema();
 std::string reference();
@@ -18,4 +18,4 @@
 };
 const std::vector<Code>& codes();
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/sound.cpp
+++ b/src/app_config/sound.cpp
@@ -1,4 +1,4 @@
-#include "setup/sound.h"
+#include "app_config/sound.h"
 
 #include <netinet/in.h>
 
@@ -7,12 +7,12 @@
 #include <cstdio>
 #include <map>
 
+#include "app_config/keys.h"
+#include "app_config/ledger.h"
 #include "config/address.h"
 #include "config/config.h"
-#include "setup/keys.h"
-#include "setup/ledger.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 namespace {
 
 constexpr std::size_t kLongestPath = 107; // of a unix socket, as the kernel has it
@@ -26,7 +26,7 @@
 }
 
 std::string time(double ms) {
-  return notation::quantity_text(notation::Unit::Time, std::round(ms * 1000) / 1000);
+  return toml_document::quantity_text(toml_document::Unit::Time, std::round(ms * 1000) / 1000);
 }
 
 // What a header can carry as one word.
@@ -61,9 +61,9 @@
   void warn(const std::string& member, const char* code, std::string why) {
     add(setup_.warnings, member, code, std::move(why));
   }
-  void add(notation::Faults& to, const std::string& member, const char* code, std::string why) {
+  void add(toml_document::Faults& to, const std::string& member, const char* code, std::string why) {
     if (!good(member)) return; // told already
-    to.push_back({place_of(setup_, member, file_), notation::key_of(member), std::move(why), code});
+    to.push_back({place_of(setup_, member, file_), toml_document::key_of(member), std::move(why), code});
   }
   void at_most(const std::string& member, double value, double most, const char* shown) {
     if (value > most) fault(member, "value", std::string("must be ") + shown + " at most");
@@ -190,25 +190,25 @@
     const auto member = [&](const char* name) { return at + "." + name; };
     if (!good(member("repeat")) || !good(member("window_ms"))) return;
     const bool allowed = c.retries.value_or(0) > 0;
-    if (allowed && c.repeat == Repeat::Unsafe) {
+    if (allowed && c.repeat == Idempotency::NonIdempotent) {
       fault(member("retries"), "retry-unsafe",
             "an unsafe request is never sent again once it may have run: give 0, or `repeat = \"keyed\"` "
             "with a window");
     }
-    if (c.repeat == Repeat::Keyed && c.window_ms <= 0) {
+    if (c.repeat == Idempotency::WithKey && c.window_ms <= 0) {
       const std::string why =
           "a keyed request is sent again inside its window only, and there is none: give `window`";
       if (allowed) fault(member("retries"), "window-missing", why);
       if (!allowed && !c.retries) warn(at, "window-missing", why + ", or `retries = 0`");
     }
-    if (c.retry_for_ms && c.repeat != Repeat::Keyed) {
+    if (c.retry_for_ms && c.repeat != Idempotency::WithKey) {
       fault(member("retry_for_ms"), "retry-for-unkeyed", "counts for `repeat = \"keyed\"` alone");
     } else if (c.retry_for_ms && *c.retry_for_ms > c.window_ms && c.window_ms > 0) {
       fault(
           member("retry_for_ms"), "retry-past-window",
           "is longer than the window (" + time(c.window_ms) + "): such a repeat would be carried out twice");
     }
-    if (c.repeat != Repeat::Keyed && c.window_ms > 0) {
+    if (c.repeat != Idempotency::WithKey && c.window_ms > 0) {
       warn(member("window_ms"), "window-unused", "counts for `repeat = \"keyed\"` alone");
     }
     if (c.retries && good(member("retries")) && app_.attempts.most > 0 &&
@@ -404,4 +404,4 @@
   Checker(setup, file, broken).run();
 }
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/setup/sound.h
+++ b/src/app_config/sound.h
@@ -4,12 +4,12 @@
 #include <set>
 #include <string>
 
-#include "setup/read.h"
+#include "app_config/read.h"
 
-namespace fernward::setup {
+namespace fernward::app_config {
 
 // Adds to setup.faults and setup.warnings. `broken`: members whose values could not be read; nothing is concluded from
 // those.
 void check_sound(Setup& setup, const std::string& file, const std::set<std::string>& broken);
 
-} // namespace fernward::setup
+} // namespace fernward::app_config
--- a/src/bodies/account.h
+++ b/src/body_buffers/buffer_budget.h
@@ -17,9 +17,9 @@
 #include <optional>
 #include <utility>
 
-namespace fernward::bodies {
+namespace fernward::body_buffers {
 
-struct AccountOptions {
+struct BufferBudgetOptions {
   std::size_t total = 24 << 20;
   std::size_t holders =
       1024; // at most; half of the total, at most, is set aside for what each has of its own
@@ -28,17 +28,17 @@
   double share = 1.0 / 16;     // of what is free in common, for one holder
 };
 
-class Account {
+class BufferBudget {
  public:
-  explicit Account(const AccountOptions& options);
-  Account(const Account&) = delete;
-  Account& operator=(const Account&) = delete;
+  explicit BufferBudget(const BufferBudgetOptions& options);
+  BufferBudget(const BufferBudget&) = delete;
+  BufferBudget& operator=(const BufferBudget&) = delete;
 
   // What one holder has. It goes back when the holder ends: once, whatever becomes of it.
   class Hold {
    public:
     Hold() = default; // holds nothing, may take nothing
-    explicit Hold(Account& account) : account_(&account) {}
+    explicit Hold(BufferBudget& account) : account_(&account) {}
     Hold(Hold&& other) noexcept;
     Hold& operator=(Hold&& other) noexcept;
     ~Hold() { reset(); }
@@ -57,12 +57,12 @@
     void go_on();                 // waits no more
 
    private:
-    friend class Account;
+    friend class BufferBudget;
     std::size_t beyond() const {
       return account_ != nullptr && bytes_ > account_->options_.least ? bytes_ - account_->options_.least : 0;
     }
     void set(std::size_t bytes);
-    Account* account_ = nullptr;
+    BufferBudget* account_ = nullptr;
     std::size_t bytes_ = 0;
     std::optional<std::list<std::pair<std::uint64_t, Hold*>>::iterator> waits_;
   };
@@ -83,10 +83,10 @@
  private:
   std::size_t common_free() const { return common_ > beyond_ ? common_ - beyond_ : 0; }
 
-  AccountOptions options_;
+  BufferBudgetOptions options_;
   std::size_t common_ = 0;                            // of the total, what is nobody's own
   std::size_t held_ = 0, beyond_ = 0, most_held_ = 0; // beyond: what holders have that is not their own
   std::list<std::pair<std::uint64_t, Hold*>> waiting_;
 };
 
-} // namespace fernward::bodies
+} // namespace fernward::body_buffers
--- a/src/bodies/answer.cpp
+++ b/src/body_buffers/response_buffering.cpp
@@ -1,8 +1,8 @@
-#include "bodies/answer.h"
+#include "body_buffers/response_buffering.h"
 
 #include <algorithm>
 
-namespace fernward::bodies {
+namespace fernward::body_buffers {
 
 AnswerStep next_step(const AnswerRules& rules, const AnswerFacts& facts) {
   if (!within(rules, std::max(facts.come, facts.length.value_or(0)))) return AnswerStep::Spoilt;
@@ -17,4 +17,4 @@
                                                                             : AnswerStep::Wait;
 }
 
-} // namespace fernward::bodies
+} // namespace fernward::body_buffers
--- a/src/bodies/answer.h
+++ b/src/body_buffers/response_buffering.h
@@ -13,7 +13,7 @@
 #include <cstdint>
 #include <optional>
 
-namespace fernward::bodies {
+namespace fernward::body_buffers {
 
 struct AnswerRules {
   std::uint64_t ceiling = 16 << 20;   // a longer answer is spoilt, announced or come
@@ -45,4 +45,4 @@
 // later would have less time than this one took so far, and the client must still get all of the bytes.
 inline double wait_until(double sent_at, double wanted_by) { return sent_at + (wanted_by - sent_at) / 2; }
 
-} // namespace fernward::bodies
+} // namespace fernward::body_buffers
--- a/src/bodies/keeping.cpp
+++ b/src/body_buffers/retained_bodies.cpp
@@ -1,19 +1,21 @@
-#include "bodies/keeping.h"
+#include "body_buffers/retained_bodies.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace fernward::bodies {
+namespace fernward::body_buffers {
 
-bool may_send(const Allows& body, Repeat repeat, double window_ms, const Past& past) {
+bool may_send(const Allows& body, Idempotency repeat, double window_ms, const Past& past) {
   if (past.attempts == 0) return body.first;
   if (!past.out && !past.may_have_run) return body.not_run;
   if (past.out && !body.copy) return false;
   if (past.may_have_run && !body.again) return false;
-  return repeat == Repeat::Safe || (repeat == Repeat::Keyed && past.since_first_ms < window_ms);
+  return repeat == Idempotency::Idempotent ||
+         (repeat == Idempotency::WithKey && past.since_first_ms < window_ms);
 }
 
-Keeper::Body::Body(Keeper& keeper, std::optional<std::uint64_t> length) : keeper_(keeper), length_(length) {
+RetainedBodies::Body::Body(RetainedBodies& keeper, std::optional<std::uint64_t> length)
+    : keeper_(keeper), length_(length) {
   if (!length) return;
   if (*length > keeper_.rules_.ceiling) {
     too_long_ = true;
@@ -27,29 +29,29 @@
   }
 }
 
-Keeper::Body::~Body() {
+RetainedBodies::Body::~Body() {
   keeper_.memory_ -= memory_;
   keeper_.file_ -= file_;
   keeper_.files_ -= has_file_;
 }
 
-void Keeper::Body::to_file() {
+void RetainedBodies::Body::to_file() {
   level_ = Level::File;
   has_file_ = true;
   ++keeper_.files_;
 }
 
-bool Keeper::Body::fits_memory(std::uint64_t bytes) const {
+bool RetainedBodies::Body::fits_memory(std::uint64_t bytes) const {
   return in_memory_ + bytes <= keeper_.rules_.memory_most &&
          keeper_.memory_ + bytes <= keeper_.rules_.memory_all;
 }
 
-bool Keeper::Body::fits_file(std::uint64_t bytes) const {
+bool RetainedBodies::Body::fits_file(std::uint64_t bytes) const {
   if (!has_file_ && keeper_.files_ >= keeper_.rules_.files) return false;
   return in_file_ + bytes <= keeper_.rules_.file_most && keeper_.file_ + bytes <= keeper_.rules_.file_all;
 }
 
-Keeper::Put Keeper::Body::put(std::uint64_t bytes) {
+RetainedBodies::Put RetainedBodies::Body::put(std::uint64_t bytes) {
   if (too_long_ || come_ + bytes > length_.value_or(keeper_.rules_.ceiling)) return Put::TooLong;
   come_ += bytes;
   if (level_ == Level::Memory) {
@@ -73,7 +75,7 @@
   return Put::Passing;
 }
 
-void Keeper::Body::file_failed(std::uint64_t bytes) {
+void RetainedBodies::Body::file_failed(std::uint64_t bytes) {
   level_ = Level::Passing;
   in_file_ -= std::min(bytes, in_file_);
   // What was set aside for the rest is free again; what came before may still be read.
@@ -81,18 +83,18 @@
   file_ = in_file_;
 }
 
-bool Keeper::Body::may_flow(bool whole) const {
+bool RetainedBodies::Body::may_flow(bool whole) const {
   return whole || (level_ != Level::Memory && come_ >= keeper_.rules_.flow_after);
 }
 
-Allows Keeper::Body::allows() const {
+Allows RetainedBodies::Body::allows() const {
   if (level_ != Level::Passing) return {};
   // Of what is handed on as it comes there is one reader, and a second attempt only before it has begun to read.
   return {!dropped_, !dropped_, false, false};
 }
 
-double Keeper::Body::due_ms(double base_ms) const {
+double RetainedBodies::Body::due_ms(double base_ms) const {
   return base_ms + static_cast<double>(come_) / keeper_.rules_.least_rate;
 }
 
-} // namespace fernward::bodies
+} // namespace fernward::body_buffers
--- a/src/bodies/keeping.h
+++ b/src/body_buffers/retained_bodies.h
@@ -12,13 +12,13 @@
 #include <cstdint>
 #include <optional>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 
-namespace fernward::bodies {
+namespace fernward::body_buffers {
 
 enum class Level { Memory, File, Passing };
 
-struct KeepRules {
+struct RetentionLimits {
   std::uint64_t ceiling = 64 << 10;     // a longer body is refused
   std::uint64_t memory_most = 64 << 10; // of one body
   std::uint64_t memory_all = 8 << 20;   // of all bodies
@@ -45,20 +45,20 @@
 };
 
 // Both at once: what the body allows, and the class. A keyed request goes again only with its key's window open.
-bool may_send(const Allows& body, Repeat repeat, double window_ms, const Past& past);
+bool may_send(const Allows& body, Idempotency repeat, double window_ms, const Past& past);
 
-class Keeper {
+class RetainedBodies {
  public:
-  explicit Keeper(const KeepRules& rules) : rules_(rules) {}
-  Keeper(const Keeper&) = delete;
-  Keeper& operator=(const Keeper&) = delete;
+  explicit RetainedBodies(const RetentionLimits& rules) : rules_(rules) {}
+  RetainedBodies(const RetainedBodies&) = delete;
+  RetainedBodies& operator=(const RetainedBodies&) = delete;
 
   enum class Put { Memory, File, Passing, TooLong };
 
   class Body {
    public:
     // Of an announced length the room is set aside at once, so that only a fault of the file can end its keeping.
-    Body(Keeper& keeper, std::optional<std::uint64_t> length);
+    Body(RetainedBodies& keeper, std::optional<std::uint64_t> length);
     Body(const Body&) = delete;
     Body& operator=(const Body&) = delete;
     ~Body();
@@ -82,7 +82,7 @@
     bool fits_file(std::uint64_t bytes) const;
     void to_file();
 
-    Keeper& keeper_;
+    RetainedBodies& keeper_;
     std::optional<std::uint64_t> length_;
     Level level_ = Level::Memory;
     std::uint64_t come_ = 0, memory_ = 0, file_ = 0; // set aside at the two levels
@@ -93,12 +93,12 @@
   std::uint64_t memory() const { return memory_; }
   std::uint64_t file() const { return file_; }
   std::size_t files() const { return files_; }
-  const KeepRules& rules() const { return rules_; }
+  const RetentionLimits& rules() const { return rules_; }
 
  private:
-  KeepRules rules_;
+  RetentionLimits rules_;
   std::uint64_t memory_ = 0, file_ = 0;
   std::size_t files_ = 0;
 };
 
-} // namespace fernward::bodies
+} // namespace fernward::body_buffers
--- a/src/commands/config.cpp
+++ b/src/commands/config.cpp
@@ -9,11 +9,11 @@
 
 #include "commands/command.h"
 #include "commands/shared.h"
-#include "setup/explain.h"
-#include "setup/fresh.h"
-#include "setup/host.h"
-#include "setup/render.h"
-#include "setup/schema.h"
+#include "app_config/explain.h"
+#include "app_config/fresh.h"
+#include "app_config/host.h"
+#include "app_config/render.h"
+#include "app_config/schema.h"
 
 namespace fernward::commands {
 namespace {
@@ -34,7 +34,7 @@
   return names;
 }
 
-ordered_json json_of(const notation::Fault& f, const char* severity) {
+ordered_json json_of(const toml_document::Fault& f, const char* severity) {
   return {{"file", f.at.file}, {"line", f.at.line}, {"column", f.at.column}, {"severity", severity},
           {"code", f.code},    {"key", f.key},      {"message", f.why}};
 }
@@ -53,8 +53,8 @@
   bool good = true;
   ordered_json all = ordered_json::array();
   for (const std::string& name : names) {
-    setup::Setup setup = setup::read_file(name, &environment);
-    if (parsed.count("elsewhere") == 0 && setup.sound()) setup::check_host(setup, name);
+    app_config::Setup setup = app_config::read_file(name, &environment);
+    if (parsed.count("elsewhere") == 0 && setup.sound()) app_config::check_host(setup, name);
     good = good && setup.sound() && (parsed.count("strict") == 0 || setup.warnings.empty());
     if (format == "json") {
       for (const auto& fault : setup.faults) all.push_back(json_of(fault, "error"));
@@ -76,9 +76,9 @@
   options.add_options()("format", "text or json", cxxopts::value<std::string>()->default_value("text"));
   cxxopts::ParseResult parsed;
   const auto names = files(options, given, parsed, 1, 1, "FILE");
-  const setup::Setup setup = setup::read_file(names.front(), &environment);
+  const app_config::Setup setup = app_config::read_file(names.front(), &environment);
   if (!tell(setup)) return kBad;
-  const auto values = setup::values(setup);
+  const auto values = app_config::values(setup);
   if (parsed["format"].as<std::string>() == "json") {
     ordered_json all = ordered_json::array();
     for (const auto& v : values) all.push_back({{"key", v.key}, {"value", v.value}, {"from", v.from}});
@@ -95,7 +95,7 @@
     std::printf("%-*s  %-*s  %s\n", static_cast<int>(widest), v.key.c_str(), static_cast<int>(longest),
                 v.value.c_str(), v.from.c_str());
   }
-  std::printf("\n%s", setup::behaviour(setup.app).c_str());
+  std::printf("\n%s", app_config::behaviour(setup.app).c_str());
   return kWell;
 }
 
@@ -105,12 +105,12 @@
                            "where a file has a fault");
   cxxopts::ParseResult parsed;
   const auto names = files(options, given, parsed, 2, 2, "OLD NEW");
-  const setup::Setup before = setup::read_file(names[0], &environment),
-                     after = setup::read_file(names[1], &environment);
+  const app_config::Setup before = app_config::read_file(names[0], &environment),
+                     after = app_config::read_file(names[1], &environment);
   const bool before_sound = tell(before), after_sound = tell(after); // the faults of both are shown
   if (!before_sound || !after_sound) return kBad;
   bool by_reload = true;
-  const auto changes = setup::changes(before.app, after.app);
+  const auto changes = app_config::changes(before.app, after.app);
   for (const auto& c : changes) {
     by_reload = by_reload && c.by_reload;
     std::printf("%s: %s -> %s (%s)\n", c.key.c_str(), c.before.empty() ? "absent" : c.before.c_str(),
@@ -126,10 +126,10 @@
   cxxopts::Options options("fernward config render", "The file as the platform's JSON");
   cxxopts::ParseResult parsed;
   const auto names = files(options, given, parsed, 1, 1, "FILE");
-  const setup::Setup setup = setup::read_file(names.front(), &environment);
+  const app_config::Setup setup = app_config::read_file(names.front(), &environment);
   if (!tell(setup)) return kBad;
   std::printf("%s\n",
-              setup::render(setup.app).dump(1, ' ', false, nlohmann::json::error_handler_t::replace).c_str());
+              app_config::render(setup.app).dump(1, ' ', false, nlohmann::json::error_handler_t::replace).c_str());
   return kWell;
 }
 
@@ -158,7 +158,7 @@
   const auto text = [&](const char* option, std::string otherwise) {
     return parsed.count(option) > 0 ? parsed[option].as<std::string>() : otherwise;
   };
-  setup::Wishes wishes;
+  app_config::Wishes wishes;
   wishes.name = text("name", wishes.name);
   wishes.listen = text("listen", wishes.listen);
   wishes.discovery = text("discovery", "");
@@ -183,8 +183,8 @@
   }
   const int sources = !wishes.discovery.empty() + !wishes.file.empty() + !wishes.nodes.empty();
   if (sources != 1) throw UsageError("nodes come from one source: give --discovery, --nodes-file or --node");
-  const std::string made = setup::fresh(wishes);
-  const setup::Setup read = setup::read(made, out.empty() ? "(new)" : out, nullptr);
+  const std::string made = app_config::fresh(wishes);
+  const app_config::Setup read = app_config::read(made, out.empty() ? "(new)" : out, nullptr);
   if (!tell(read)) return kBad;
   if (out.empty()) {
     std::printf("%s", made.c_str());
@@ -192,7 +192,7 @@
   }
   if (parsed.count("force") == 0 && std::filesystem::exists(out))
     throw std::runtime_error(out + " is there already; --force writes over it");
-  setup::save(out, made);
+  app_config::save(out, made);
   std::printf("%s is written; next: fernward config check %s\n", out.c_str(), out.c_str());
   return kWell;
 }
@@ -200,14 +200,14 @@
 int schema(const Arguments& given) {
   cxxopts::Options options("fernward config schema", "The keys as a JSON schema, for editors");
   parse(options, given);
-  std::printf("%s\n", setup::schema().dump(1).c_str());
+  std::printf("%s\n", app_config::schema().dump(1).c_str());
   return kWell;
 }
 
 int reference(const Arguments& given) {
   cxxopts::Options options("fernward config reference", "Every key and every code, as Markdown");
   parse(options, given);
-  std::printf("## Keys\n\n%s\n## Codes\n\n%s", setup::reference().c_str(), setup::code_reference().c_str());
+  std::printf("## Keys\n\n%s\n## Codes\n\n%s", app_config::reference().c_str(), app_config::code_reference().c_str());
   return kWell;
 }
 
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -17,9 +17,9 @@
 #include "config/config.h"
 #include "log/log.h"
 #include "router/router.h"
-#include "setup/fleet.h"
-#include "setup/read.h"
-#include "setup/render.h"
+#include "app_config/fleet.h"
+#include "app_config/read.h"
+#include "app_config/render.h"
 
 namespace fernward::commands {
 namespace {
@@ -31,7 +31,7 @@
 
 // An application's file as the router takes it. Throws config::Error: the first fault, and how many there are.
 config::Config from_setup(const std::string& path, bool tell_all) {
-  setup::Setup setup = setup::read_file(path, &environment);
+  app_config::Setup setup = app_config::read_file(path, &environment);
   if (!setup.sound()) {
     if (tell_all) tell(setup);
     const std::size_t n = setup.faults.size();
@@ -40,12 +40,12 @@
                                        (n > 1 ? " (and " + std::to_string(n - 1) + " more)" : ""));
   }
   if (setup.app.seed == 0) setup.app.seed = std::random_device()() | 1ull << 32;
-  return config::parse(setup::render(setup.app).dump(), &nothing);
+  return config::parse(app_config::render(setup.app).dump(), &nothing);
 }
 
 // What the operators' file switches on. Throws config::Error: its faults, all of them told.
 config::Fleet fleet_from(const std::string& path, const config::Config& config) {
-  const setup::FleetFile read = setup::read_fleet_file(path);
+  const app_config::FleetFile read = app_config::read_fleet_file(path);
   for (const auto& fault : read.faults) std::fprintf(stderr, "%s\n", fault.coded().c_str());
   const std::size_t n = read.faults.size();
   if (n > 0) throw config::Error(path + ": " + std::to_string(n) + (n == 1 ? " fault" : " faults"));
--- a/src/commands/shared.h
+++ b/src/commands/shared.h
@@ -6,14 +6,14 @@
 #include <string>
 
 #include "arguments/arguments.h"
-#include "setup/read.h"
+#include "app_config/read.h"
 
 namespace fernward::commands {
 
 inline const char* environment(const char* name) { return std::getenv(name); }
 
 // Prints what is wrong, a line each; false: there is a fault.
-inline bool tell(const setup::Setup& setup) {
+inline bool tell(const app_config::Setup& setup) {
   for (const auto& fault : setup.faults) std::fprintf(stderr, "%s\n", fault.coded().c_str());
   return setup.sound();
 }
--- a/src/commands/sidecar.cpp
+++ b/src/commands/sidecar.cpp
@@ -9,8 +9,8 @@
 #include "commands/command.h"
 #include "commands/shared.h"
 #include "log/log.h"
-#include "setup/host.h"
-#include "setup/read.h"
+#include "app_config/host.h"
+#include "app_config/read.h"
 #include "sidecar/beside.h"
 #include "sidecar/claim.h"
 
@@ -21,7 +21,7 @@
 constexpr double kLookMs = 50;
 
 // By the router of a sidecar that crashed: it answers what it has taken, and ends.
-bool only_taken(const setup::Setup& setup) {
+bool only_taken(const app_config::Setup& setup) {
   return setup.faults.size() == 1 && setup.faults.front().code == "listen-taken";
 }
 
@@ -43,9 +43,9 @@
   const std::string path = parsed["config"].as<std::string>();
   std::string format = log_format(parsed);
 
-  setup::Setup setup = setup::read_file(path, &environment);
+  app_config::Setup setup = app_config::read_file(path, &environment);
   if (!tell(setup)) return arguments::kBad;
-  const setup::App& app = setup.app;
+  const app_config::App& app = setup.app;
   if (format.empty() && app.log.format == 1) format = "json";
   log::write_json(format == "json");
   // The claim first: who has it is told by name, where the bind could only say that somebody listens.
@@ -54,12 +54,12 @@
   const sidecar::Claim claim(folder, app.listen, app.name);
   double longest = 0;
   for (const auto& cls : app.classes) longest = std::max(longest, cls.give_up_ms);
-  setup::check_host(setup, path);
+  app_config::check_host(setup, path);
   for (double waited = 0; claim.left_behind() && only_taken(setup) && waited < longest + kWindDownMs;
        waited += kLookMs) {
     usleep(static_cast<useconds_t>(1000 * kLookMs));
     setup.faults.clear();
-    setup::check_host(setup, path);
+    app_config::check_host(setup, path);
   }
   if (!tell(setup)) return arguments::kBad;
 
--- a/src/limits/shedder.h
+++ b/src/concurrency/admission_controller.h
@@ -5,13 +5,13 @@
 #include <cstddef>
 #include <vector>
 
-namespace fernward::limits {
+namespace fernward::concurrency {
 
 constexpr double kTightShare = 0.2; // more choices than this find no cache with room: the node sheds
 constexpr double kEvidence = 5;     // choices to judge by where the last ticks hold fewer
 
 // Sheds the least worth first. Each priority is a class, inside or beyond its tenant's quota.
-struct Shedder {
+struct AdmissionController {
   std::vector<double> value, rate; // by priority
   double level = 0;                // share of the traffic to shed
   double seen = 0, tight = 0;      // choices lately, and those that found no cache with room
@@ -33,4 +33,4 @@
   }
 };
 
-} // namespace fernward::limits
+} // namespace fernward::concurrency
--- a/src/limits/gate.h
+++ b/src/concurrency/cache_concurrency_limiter.h
@@ -12,17 +12,17 @@
 #include <algorithm>
 #include <cstdint>
 
-#include "numbers/numbers.h"
+#include "statistics/numbers.h"
 
-namespace fernward::limits {
+namespace fernward::concurrency {
 
 constexpr double kTightAim = 0.5; // a cache whose response time is past this share of the aim is crowded
 
-class Gate {
+class CacheConcurrencyLimiter {
  public:
   // All nodes together start with a few attempts at once at a cache: a few from each of a hundred push it over before
   // any of them hears of it. What an answer adds is shared likewise, as all feel their way at once.
-  explicit Gate(double nodes)
+  explicit CacheConcurrencyLimiter(double nodes)
       : limit_(kStart / nodes), rest_(limit_ / 2), growth_(limit_ / 8), least_(limit_ / 256) {}
 
   double limit() const { return limit_; }
@@ -69,4 +69,4 @@
   double recent_ms_ = 0, cut_at_ = kNever, sent_at_ = kNever;
 };
 
-} // namespace fernward::limits
+} // namespace fernward::concurrency
--- a/src/limits/places.h
+++ b/src/concurrency/connection_capacity_estimator.h
@@ -15,11 +15,11 @@
 #include <limits>
 #include <utility>
 
-#include "numbers/numbers.h"
+#include "statistics/numbers.h"
 
-namespace fernward::limits {
+namespace fernward::concurrency {
 
-class Places {
+class ConnectionCapacityEstimator {
  public:
   // May one more go out, `out` being out already?
   bool room(double now, std::uint32_t out) const { return out < most_ || now >= again_at_; }
@@ -51,4 +51,4 @@
   bool trial_ = false; // out, on a connection beyond those that were had
 };
 
-} // namespace fernward::limits
+} // namespace fernward::concurrency
--- a/src/limits/floor.h
+++ b/src/concurrency/latency_baseline.h
@@ -8,11 +8,11 @@
 #include <algorithm>
 #include <cmath>
 
-#include "numbers/numbers.h"
+#include "statistics/numbers.h"
 
-namespace fernward::limits {
+namespace fernward::concurrency {
 
-class Floor {
+class LatencyBaseline {
  public:
   bool known() const { return mean_ms_ > 0; }
   double mean_ms() const { return mean_ms_; } // of an ordinary request; 0: not known
@@ -51,4 +51,4 @@
   double mean_ms_ = 0, write_ = 1, work_ = 0, spread_ = 0, along_ = 0;
 };
 
-} // namespace fernward::limits
+} // namespace fernward::concurrency
--- a/src/limits/limiter.cpp
+++ b/src/concurrency/origin_concurrency_limiter.cpp
@@ -1,10 +1,10 @@
-#include "limits/limiter.h"
+#include "concurrency/origin_concurrency_limiter.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-namespace fernward::limits {
+namespace fernward::concurrency {
 namespace {
 
 constexpr double kOriginStart = 32;  // attempts at once that all routers together let a new origin have
@@ -44,19 +44,19 @@
 
 } // namespace
 
-Limiter Limiter::origin(double nodes) {
-  return Limiter(std::max(nodes, 1.0), kOriginStart / std::max(nodes, 1.0));
+OriginConcurrencyLimiter OriginConcurrencyLimiter::origin(double nodes) {
+  return OriginConcurrencyLimiter(std::max(nodes, 1.0), kOriginStart / std::max(nodes, 1.0));
 }
 
-Limiter::Limiter(double nodes, double start)
+OriginConcurrencyLimiter::OriginConcurrencyLimiter(double nodes, double start)
     : limit_(start), start_(start), nodes_(nodes), used_(start), was_(start) {}
 
-double Limiter::tokens(double now, double pace) const {
+double OriginConcurrencyLimiter::tokens(double now, double pace) const {
   if (sent_at_ == kNever) return 1;
   return std::min(kBurst, tokens_ + (now - sent_at_) * kPaceSlack * pace / std::max(recent_ms_, 1.0));
 }
 
-bool Limiter::room(double now, std::uint32_t out, bool write) const {
+bool OriginConcurrencyLimiter::room(double now, std::uint32_t out, bool write) const {
   const double held = out;
   if (write && held < kWriteTurn) return true;
   // Before the first answer nothing tells how long a turn is, and so how quick a pace may be: one at a time.
@@ -67,7 +67,7 @@
   return held < whole || (held == whole && tokens(now, mine - whole) >= 1);
 }
 
-void Limiter::sent(double now) {
+void OriginConcurrencyLimiter::sent(double now) {
   if (sent_at_ != kNever) {
     if (gap_ms_ == 0) gap_ms_ = now - sent_at_;
     smooth(gap_ms_, now - sent_at_, 0.2);
@@ -76,12 +76,12 @@
   sent_at_ = now;
 }
 
-double Limiter::tolerance(double aim_ms) const {
+double OriginConcurrencyLimiter::tolerance(double aim_ms) const {
   const double room = aim_ms > 0 && floor_.known() ? aim_ms / floor_.mean_ms() : 8;
   return std::clamp(1 + kToleranceByAim * (room - 1), 1.2, kMostTolerance);
 }
 
-Sign Limiter::ended(double now, const Sample& sample) {
+Sign OriginConcurrencyLimiter::ended(double now, const Sample& sample) {
   Sample s = sample;
   if (!usable_number(s.elapsed_ms)) s.elapsed_ms = 0;
   if (!usable_number(s.work_ms)) s.work_ms = 0;
@@ -129,7 +129,7 @@
   return limit_ < before * 0.9 ? (s.ending == Ending::Silent ? Sign::Silent : Sign::Slow) : Sign::None;
 }
 
-void Limiter::learn(double now, const Sample& s, double slowdown) {
+void OriginConcurrencyLimiter::learn(double now, const Sample& s, double slowdown) {
   const double x = std::min(slowdown, kClip);
   if (now - s.elapsed_ms < settled_at_) return; // a crowd that the last cut has answered already
   seen_ = std::min(seen_ + 1, 1000.0);
@@ -205,7 +205,7 @@
   grow(s);
 }
 
-void Limiter::grow(const Sample& s) {
+void OriginConcurrencyLimiter::grow(const Sample& s) {
   if (s.ending != Ending::Answered) return;
   const bool used = limit_ < 1 ? gap_ms_ < 3 * recent_ms_ / (kPaceSlack * limit_) : s.out + 1 >= limit_ / 2;
   if (used) {
@@ -223,23 +223,25 @@
 }
 
 // What all hold, dealt out anew, stays what all hold: this adds nothing to the sum and learns nothing.
-void Limiter::lead(double part) {
+void OriginConcurrencyLimiter::lead(double part) {
   if (!usable_number(part) || part == 0) return;
   part = std::clamp(part, start_ * kLeast, kMost);
   limit_ += kLead * (part - limit_); // also of one at its beginning: what it took at once nobody would give
 }
 
-double Limiter::too_late(double aim_ms) const {
+double OriginConcurrencyLimiter::too_late(double aim_ms) const {
   return std::max(kLate, std::min(1.25 * floor_.mean_ms() / std::max(aim_ms, 1.0), 0.75));
 }
 
-bool Limiter::goes_by_pool(double now) const { return limit_ < 1 && now - pooled_at_ < kPoolGone; }
+bool OriginConcurrencyLimiter::goes_by_pool(double now) const {
+  return limit_ < 1 && now - pooled_at_ < kPoolGone;
+}
 
-double Limiter::lately_ms(double now) const {
+double OriginConcurrencyLimiter::lately_ms(double now) const {
   return lately_seen_ > 0 && now - lately_at_ < kLatelyGone ? lately_sum_ / lately_seen_ : 0;
 }
 
-void Limiter::pooled(double now, double answer_ms, double age_ms) {
+void OriginConcurrencyLimiter::pooled(double now, double answer_ms, double age_ms) {
   const double passed = std::clamp(now - led_at_, 0.0, 1000.0);
   led_at_ = now;
   if (!usable_number(answer_ms) || !usable_number(age_ms) || answer_ms == 0) return;
@@ -261,7 +263,7 @@
     limit_ *= 1 + (doubling_ ? kRegrow : kGrow) * std::min(1.0, passed / lag); // quicker until the first cut
 }
 
-void Limiter::cut(double now, double to) {
+void OriginConcurrencyLimiter::cut(double now, double to) {
   doubling_ = false;
   was_ = limit_;
   limit_ = std::clamp(to, start_ * kLeast, limit_);
@@ -273,6 +275,8 @@
   tokens_ = std::min(tokens_, 0.0);
 }
 
-double Limiter::crowding(double, double out) const { return std::max(out / limit_, (slow_ - 1) / 0.6); }
+double OriginConcurrencyLimiter::crowding(double, double out) const {
+  return std::max(out / limit_, (slow_ - 1) / 0.6);
+}
 
-} // namespace fernward::limits
+} // namespace fernward::concurrency
--- a/src/limits/limiter.h
+++ b/src/concurrency/origin_concurrency_limiter.h
@@ -9,9 +9,9 @@
 
 #include <cstdint>
 
-#include "limits/floor.h"
+#include "concurrency/latency_baseline.h"
 
-namespace fernward::limits {
+namespace fernward::concurrency {
 
 enum class Ending : std::uint8_t {
   Answered,   // by the server: a value, a miss, a refusal of the request itself
@@ -34,10 +34,10 @@
 // What a sample did to the limit, for the caller's log.
 enum class Sign : std::uint8_t { None, Slow, TurnedAway, Silent };
 
-class Limiter {
+class OriginConcurrencyLimiter {
  public:
   // Of the last resort of all, shared by `nodes` routers: it always leaves a write its turn.
-  static Limiter origin(double nodes);
+  static OriginConcurrencyLimiter origin(double nodes);
 
   // May one more go out, `out` being out already?
   bool room(double now, std::uint32_t out, bool write) const;
@@ -59,7 +59,7 @@
   double crowding(double now, double out) const;
 
  private:
-  Limiter(double nodes, double start);
+  OriginConcurrencyLimiter(double nodes, double start);
   double tokens(double now, double pace) const;
   double expected(const Sample& s) const { return floor_.expected_ms(s.work_ms, s.write); }
   double tolerance(double aim_ms) const;
@@ -71,7 +71,7 @@
 
   double limit_, start_, nodes_;
   bool doubling_ = true;
-  Floor floor_;
+  LatencyBaseline floor_;
   double recent_ms_ = 0;
   double slow_ = 1;   // time over floor, lately
   double strain_ = 0; // evidence of crowding, gathered over samples
@@ -92,4 +92,4 @@
   double silent_ = 0;                           // attempts in a row that ended without a word
 };
 
-} // namespace fernward::limits
+} // namespace fernward::concurrency
--- a/src/limits/queue.cpp
+++ b/src/concurrency/origin_request_queue.cpp
@@ -1,29 +1,29 @@
-#include "limits/queue.h"
+#include "concurrency/origin_request_queue.h"
 
 #include <algorithm>
 #include <iterator>
 
-namespace fernward::limits {
+namespace fernward::concurrency {
 namespace {
 
 constexpr double kSure = 0.5; // share of the expected time that even a lucky one needs
 
 } // namespace
 
-void Queue::serves(double turns_per_ms, double answer_ms) {
+void OriginRequestQueue::serves(double turns_per_ms, double answer_ms) {
   turns_per_ms_ = std::max(0.0, turns_per_ms);
   answer_ms_ = std::max(0.0, answer_ms);
 }
 
-double Queue::wait_ms(std::size_t ahead) const {
+double OriginRequestQueue::wait_ms(std::size_t ahead) const {
   return turns_per_ms_ > 0 ? static_cast<double>(ahead) / turns_per_ms_ : 0; // nothing known: hope
 }
 
-bool Queue::late(double now, const Waiting& w, std::size_t ahead) const {
+bool OriginRequestQueue::late(double now, const Waiting& w, std::size_t ahead) const {
   return !w.write && now + kSure * (wait_ms(ahead) + answer_ms_) > w.needed_by;
 }
 
-bool Queue::add(double now, Id id, double worth, double needed_by, bool write) {
+bool OriginRequestQueue::add(double now, Id id, double worth, double needed_by, bool write) {
   if (places_.count(id) != 0) return false;
   const Place place{-worth, ~turn_};
   const Waiting w{id, needed_by, now, write};
@@ -42,7 +42,7 @@
   return true;
 }
 
-std::optional<Queue::Id> Queue::take(double, bool read_room, bool write_room) {
+std::optional<OriginRequestQueue::Id> OriginRequestQueue::take(double, bool read_room, bool write_room) {
   for (auto it = waiting_.begin(); it != waiting_.end(); ++it) {
     if (!(it->second.write ? write_room : read_room)) continue;
     const Id id = it->second.id;
@@ -53,7 +53,7 @@
   return std::nullopt;
 }
 
-bool Queue::remove(Id id) {
+bool OriginRequestQueue::remove(Id id) {
   const auto it = places_.find(id);
   if (it == places_.end()) return false;
   waiting_.erase(it->second);
@@ -61,7 +61,7 @@
   return true;
 }
 
-void Queue::leave(double now, std::vector<Id>& ids) {
+void OriginRequestQueue::leave(double now, std::vector<Id>& ids) {
   ids.insert(ids.end(), put_out_.begin(), put_out_.end());
   put_out_.clear();
   std::size_t ahead = 0;
@@ -76,6 +76,6 @@
   }
 }
 
-double Queue::advice_ms() const { return wait_ms(waiting_.size()) + answer_ms_; }
+double OriginRequestQueue::advice_ms() const { return wait_ms(waiting_.size()) + answer_ms_; }
 
-} // namespace fernward::limits
+} // namespace fernward::concurrency
--- a/src/limits/queue.h
+++ b/src/concurrency/origin_request_queue.h
@@ -18,13 +18,13 @@
 #include <utility>
 #include <vector>
 
-namespace fernward::limits {
+namespace fernward::concurrency {
 
-class Queue {
+class OriginRequestQueue {
  public:
   using Id = std::uint64_t;
 
-  explicit Queue(std::size_t most = 4096) : most_(most) {}
+  explicit OriginRequestQueue(std::size_t most = 4096) : most_(most) {}
 
   // Told whenever it is known better: how many turns come up per ms at this router, and how long an answer takes
   // from its turn on.
@@ -62,4 +62,4 @@
   double turns_per_ms_ = 0, answer_ms_ = 0;
 };
 
-} // namespace fernward::limits
+} // namespace fernward::concurrency
--- a/src/limits/allowance.cpp
+++ b/src/concurrency/retry_budget.cpp
@@ -1,9 +1,9 @@
-#include "limits/allowance.h"
+#include "concurrency/retry_budget.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace fernward::limits {
+namespace fernward::concurrency {
 namespace {
 
 constexpr double kLeastShare = 0.1;   // earned by each request under crowding
@@ -24,13 +24,13 @@
 
 } // namespace
 
-double Allowance::share() const {
+double RetryBudget::share() const {
   // Where nearly all fail a further attempt fails too: asked twice as often, such a fleet does not come back.
   const double hope = std::clamp((kHopeless - failed_) / (kHopeless - kHopeful), 0.0, 1.0);
   return kLeastShare + (kMostShare - kLeastShare) * room_ * hope;
 }
 
-void Allowance::pass(double now) {
+void RetryBudget::pass(double now) {
   if (changed_at_ < -1e17) changed_at_ = now;
   const double ms = std::max(0.0, now - changed_at_);
   changed_at_ = std::max(changed_at_, now);
@@ -38,7 +38,7 @@
   if (crowded_ < kFewSigns) room_ += (1 - room_) * -std::expm1(-ms / kProveMs);
 }
 
-void Allowance::request(double now, double dead) {
+void RetryBudget::request(double now, double dead) {
   pass(now);
   const double most = kLeastSaved + (kMostSaved - kLeastSaved) * room_;
   saved_ = std::min(most, saved_ + share());
@@ -47,7 +47,7 @@
                      copies_ + std::min(kMostCopies, kLeastCopies + kDeadCopies * room_ * dead * dead));
 }
 
-void Allowance::ended(double now, bool crowded, bool failed) {
+void RetryBudget::ended(double now, bool crowded, bool failed) {
   pass(now);
   failed_ += kWeight * ((failed ? 1 : 0) - failed_);
   crowded_ += kWeight * ((crowded ? 1 : 0) - crowded_);
@@ -58,7 +58,7 @@
   copies_ = std::min(copies_, 1 + 9 * room_);
 }
 
-bool Allowance::spend(double now, Use use, double crowding) {
+bool RetryBudget::spend(double now, Use use, double crowding) {
   pass(now);
   const bool full = !(crowding < 1);
   if (use == Use::Copy) {
@@ -71,10 +71,10 @@
   return true;
 }
 
-void Allowance::unspent(Use use) {
+void RetryBudget::unspent(Use use) {
   if (use == Use::Copy) copies_ += 1;
   saved_ += 1;
   least_ += 1;
 }
 
-} // namespace fernward::limits
+} // namespace fernward::concurrency
--- a/src/limits/allowance.h
+++ b/src/concurrency/retry_budget.h
@@ -10,9 +10,9 @@
 //  - Ownership: plain values, no allocation; one for each router.
 #pragma once
 
-namespace fernward::limits {
+namespace fernward::concurrency {
 
-class Allowance {
+class RetryBudget {
  public:
   enum class Use { Retry, Copy };
 
@@ -45,4 +45,4 @@
   double changed_at_ = -1e18;
 };
 
-} // namespace fernward::limits
+} // namespace fernward::concurrency
--- a/src/limits/lateness.h
+++ b/src/concurrency/slow_attempt_tracker.h
@@ -8,11 +8,11 @@
 
 #include <cmath>
 
-#include "numbers/numbers.h"
+#include "statistics/numbers.h"
 
-namespace fernward::limits {
+namespace fernward::concurrency {
 
-struct Lateness {
+struct SlowAttemptTracker {
   double slow_ms = 0; // an attempt that is out for longer is late
   double dead = 0;    // share of the late ones that are never answered
 
@@ -28,4 +28,4 @@
   static constexpr double kSlowShare = 0.05, kSlowestShare = 0.2;
 };
 
-} // namespace fernward::limits
+} // namespace fernward::concurrency
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -9,7 +9,7 @@
 namespace fernward::config {
 namespace {
 
-using fernward::ReportField;
+using fernward::LoadReportField;
 using fernward::WeightKind;
 
 template <typename T>
@@ -21,38 +21,41 @@
 }
 
 fernward::ClassSettings parse_class(const Part& from) {
-  using fernward::Repeat;
-  using fernward::Scope;
+  using fernward::Idempotency;
+  using fernward::IdempotencyScope;
   fernward::ClassSettings cls;
-  from.need("give_up", cls.give_up_ms);
-  from.range("give_up", cls.give_up_ms);
-  cls.aim_ms = cls.give_up_ms;
-  from.range("aim", cls.aim_ms);
-  from.range("aim_stretch", cls.aim_stretch);
-  from.range("late_share", cls.late_share, 1);
-  from.range("worth", cls.worth);
-  from.range("window", cls.window_ms);
-  from.read("stream", cls.stream);
+  from.need("give_up", cls.client_timeout_ms);
+  from.range("give_up", cls.client_timeout_ms);
+  cls.latency_objective_ms = cls.client_timeout_ms;
+  from.range("aim", cls.latency_objective_ms);
+  from.range("aim_stretch", cls.objective_per_work);
+  from.range("late_share", cls.late_value_share, 1);
+  from.range("worth", cls.priority_weight);
+  from.range("window", cls.idempotency_window_ms);
+  from.read("stream", cls.streaming);
   if (from.json.contains("max_attempts")) from.count("max_attempts", cls.max_attempts, 1);
-  from.read("may_duplicate", cls.may_duplicate);
+  from.read("may_duplicate", cls.may_hedge);
   std::string repeat;
   from.need("repeat", repeat);
   // An unknown word gets the strictest meaning.
-  cls.repeat = one_of<Repeat>(repeat, {{"safe", Repeat::Safe}, {"keyed", Repeat::Keyed}}, Repeat::Unsafe);
-  cls.scope =
-      one_of<Scope>(from.word("dedup_scope"), {{"all", Scope::All}, {"zone", Scope::Zone}}, Scope::Cell);
+  cls.idempotency =
+      one_of<Idempotency>(repeat, {{"safe", Idempotency::Idempotent}, {"keyed", Idempotency::WithKey}},
+                          Idempotency::NonIdempotent);
+  cls.idempotency_scope = one_of<IdempotencyScope>(
+      from.word("dedup_scope"), {{"all", IdempotencyScope::All}, {"zone", IdempotencyScope::Zone}},
+      IdempotencyScope::Cell);
   return cls;
 }
 
-ReportField parse_field(const std::string& name) {
-  return one_of<ReportField>(name,
-                             {{"inflight", ReportField::Inflight},
-                              {"queue", ReportField::Queue},
-                              {"util", ReportField::Util},
-                              {"latency_ms", ReportField::LatencyMs},
-                              {"qps", ReportField::Qps},
-                              {"eps", ReportField::Eps}},
-                             ReportField::Other);
+LoadReportField parse_field(const std::string& name) {
+  return one_of<LoadReportField>(name,
+                                 {{"inflight", LoadReportField::Inflight},
+                                  {"queue", LoadReportField::Queue},
+                                  {"util", LoadReportField::Util},
+                                  {"latency_ms", LoadReportField::LatencyMs},
+                                  {"qps", LoadReportField::Qps},
+                                  {"eps", LoadReportField::Eps}},
+                                 LoadReportField::Other);
 }
 
 // Requests carry these names: without one, or with another's, an entry could not be asked for.
@@ -91,7 +94,7 @@
 fernward::Settings parse_settings(const nlohmann::json& json) {
   const Part from{json, ""};
   fernward::Settings s;
-  from.count("balancers", s.nodes, 1);
+  from.count("balancers", s.router_count, 1);
   if (const auto zone = json.find("my_zone"); zone != json.end() && !zone->is_null()) {
     from.count("my_zone", s.zone.emplace());
     check_place(from, "my_zone", *s.zone, from, "dcs");
@@ -101,12 +104,12 @@
   if (s.classes.empty()) throw Error("classes: there must be one at least");
   for (const Part& party : from.list("parties")) {
     fernward::TenantSettings tenant;
-    party.range("share", tenant.share, 1);
+    party.range("share", tenant.service_share, 1);
     party.range("quota_per_s", tenant.quota_per_s);
     s.tenants.push_back(tenant);
   }
-  from.range("over_share_worth", s.over_share_worth, 1);
-  from.range("tick", s.tick_ms);
+  from.range("over_share_worth", s.over_quota_weight, 1);
+  from.range("tick", s.event_interval_ms);
 
   const Part extra = from.part("extra");
   if (extra.word("mode") == "aside") {
@@ -119,40 +122,42 @@
   }
 
   const Part telemetry = from.part("telemetry");
-  s.report_via = one_of<fernward::ReportVia>(
-      telemetry.word("via"),
-      {{"inline", fernward::ReportVia::Answers}, {"on_probe", fernward::ReportVia::Probes}},
-      fernward::ReportVia::Never);
+  s.load_report_source =
+      one_of<fernward::LoadReportSource>(telemetry.word("via"),
+                                         {{"inline", fernward::LoadReportSource::Responses},
+                                          {"on_probe", fernward::LoadReportSource::HealthChecks}},
+                                         fernward::LoadReportSource::Never);
   std::vector<std::string> columns;
   telemetry.read("columns", columns);
-  for (const auto& name : columns) s.report_fields.push_back(parse_field(name));
+  for (const auto& name : columns) s.load_report_fields.push_back(parse_field(name));
 
-  s.discovery = from.word("registry_mode") == "ask" ? fernward::Discovery::Ask : fernward::Discovery::Push;
+  s.discovery =
+      from.word("registry_mode") == "ask" ? fernward::DiscoveryMode::Poll : fernward::DiscoveryMode::Push;
   s.weight_kind = one_of<WeightKind>(
       from.word("weight_kind"),
       {{"nominal", WeightKind::Nominal}, {"rough", WeightKind::Rough}, {"live", WeightKind::Live}},
       WeightKind::Off);
 
   const Part limits = from.needed_part("limits");
-  limits.read("may_probe", s.may_probe);
+  limits.read("may_probe", s.may_health_check);
   limits.read("may_cancel", s.may_cancel);
-  limits.read("may_duplicate", s.may_duplicate);
-  limits.read("retry_after", s.retry_advice);
+  limits.read("may_duplicate", s.may_hedge);
+  limits.read("retry_after", s.send_retry_after);
   limits.range("max_retry_after", s.max_retry_after_ms);
   limits.count("max_attempts", s.max_attempts, 1);
 
   const Part obligations = from.needed_part("obligations");
-  obligations.range("ask_every", s.ask_every_ms);
-  obligations.range("warm_after", s.warm_after_ms);
-  obligations.range("start_capacity", s.start_capacity, 1);
-  obligations.range("tip_after", s.tip_after_ms);
-  obligations.range("fall_multiple", s.fall_multiple);
+  obligations.range("ask_every", s.poll_interval_ms);
+  obligations.range("warm_after", s.slow_start_ms);
+  obligations.range("start_capacity", s.slow_start_min_capacity, 1);
+  obligations.range("tip_after", s.overload_failure_ms);
+  obligations.range("fall_multiple", s.overload_multiple);
 
   const Part resize = from.part("resize");
-  resize.range("settle", s.resize.settle_ms);
-  resize.range("ledger_multiple", s.resize.ledger_multiple);
-  resize.range("second_holder", s.resize.second_holder, 1);
-  if (s.resize.ledger_multiple > 0 && s.resize.ledger_multiple < 1) {
+  resize.range("settle", s.resize.transition_ms);
+  resize.range("ledger_multiple", s.resize.origin_load_multiple);
+  resize.range("second_holder", s.resize.second_replica_share, 1);
+  if (s.resize.origin_load_multiple > 0 && s.resize.origin_load_multiple < 1) {
     throw Error(resize.at("ledger_multiple") + ": must be 0 or 1 and more");
   }
   return s;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 
 namespace fernward::config {
 
--- a/src/control/port.cpp
+++ b/src/control/port.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-Port::Port(event_base* base, loop::Deadlines& deadlines, const PortOptions& options, Answer answer)
+Port::Port(event_base* base, loop::TimerQueue& deadlines, const PortOptions& options, Answer answer)
     : base_(base),
       deadlines_(deadlines),
       options_(options),
--- a/src/control/port.h
+++ b/src/control/port.h
@@ -12,9 +12,9 @@
 #include <string>
 
 #include "control/call.h"
-#include "loop/deadlines.h"
 #include "loop/net.h"
-#include "loop/slots.h"
+#include "loop/slot_map.h"
+#include "loop/timer_queue.h"
 
 namespace fernward::control {
 
@@ -31,7 +31,7 @@
   using Answer = std::function<std::string(const Call&)>; // all lines of the answer, with their ends
 
   // Throws std::runtime_error when the address can't be listened on.
-  Port(event_base* base, loop::Deadlines& deadlines, const PortOptions& options, Answer answer);
+  Port(event_base* base, loop::TimerQueue& deadlines, const PortOptions& options, Answer answer);
   ~Port();
   Port(const Port&) = delete;
   Port& operator=(const Port&) = delete;
@@ -46,7 +46,7 @@
     loop::BuffereventPtr io;
     std::uint64_t order = 0; // of coming
     bool answered = false;
-    loop::Deadlines::Ticket ticket = 0;
+    loop::TimerQueue::TimerId ticket = 0;
   };
   static void accepted(int listening, short, void* self);
   static void readable(bufferevent*, void* c);
@@ -61,14 +61,14 @@
   void close(Caller& c);
 
   event_base* base_;
-  loop::Deadlines& deadlines_;
+  loop::TimerQueue& deadlines_;
   PortOptions options_;
   Answer answer_;
-  loop::Slots<Caller> callers_;
+  loop::SlotMap<Caller> callers_;
   std::uint64_t came_ = 0;
   int fd_ = -1;
   loop::EventPtr listening_;
-  loop::Deadlines::Ticket resume_ = 0;
+  loop::TimerQueue::TimerId resume_ = 0;
   bool short_ = false; // the last accept failed
 };
 
--- a/src/budget/clients.cpp
+++ b/src/descriptors/client_admission.cpp
@@ -1,10 +1,10 @@
-#include "budget/clients.h"
+#include "descriptors/client_admission.h"
 
 #include <algorithm>
 #include <cmath>
 #include <limits>
 
-namespace fernward::budget {
+namespace fernward::descriptors {
 namespace {
 
 constexpr double kRateMs = 1000;
@@ -22,23 +22,23 @@
 
 // ---- what happens ----
 
-void Clients::came(double now, Id id) {
+void ClientAdmission::came(double now, Id id) {
   const auto [it, added] = clients_.try_emplace(id);
   if (!added) return;
   it->second.came_at = now;
   put(it->second, Rank::Silent, now, id);
 }
 
-void Clients::busy(double, Id id) {
+void ClientAdmission::busy(double, Id id) {
   if (const auto it = clients_.find(id); it != clients_.end()) take_out(it->second);
 }
 
-void Clients::begun(double now, Id id) {
+void ClientAdmission::begun(double now, Id id) {
   const auto it = clients_.find(id);
   if (it != clients_.end() && !it->second.lingers) put(it->second, Rank::Begun, now, id);
 }
 
-void Clients::asked(double now, Id id) {
+void ClientAdmission::asked(double now, Id id) {
   const auto it = clients_.find(id);
   if (it == clients_.end() || it->second.lingers) return;
   Client& c = it->second;
@@ -56,7 +56,7 @@
   c.asked_at = now;
 }
 
-void Clients::rests(double now, Id id) {
+void ClientAdmission::rests(double now, Id id) {
   const auto it = clients_.find(id);
   if (it == clients_.end() || it->second.lingers) return;
   Client& c = it->second;
@@ -66,7 +66,7 @@
   c.asked == 1 ? put(c, Rank::Once, now, id) : put(c, Rank::Often, c.asked_before, id);
 }
 
-void Clients::lingers(double now, Id id) {
+void ClientAdmission::lingers(double now, Id id) {
   const auto it = clients_.find(id);
   if (it == clients_.end() || it->second.lingers) return;
   it->second.lingers = true;
@@ -74,7 +74,7 @@
   put(it->second, Rank::Lingering, now, id);
 }
 
-void Clients::gone(double now, Id id, Gone how) {
+void ClientAdmission::gone(double now, Id id, Gone how) {
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
   Client& c = it->second;
@@ -89,32 +89,32 @@
   clients_.erase(it);
 }
 
-void Clients::Returns::came_back(double rest) {
+void ClientAdmission::Returns::came_back(double rest) {
   share += kShareStep * (1 - share);
   // A quantile followed in steps: they rise nine times as far as they fall, so that it stands where one in
   // ten is above it.
   ms = std::clamp(ms * std::exp(0.2 * (rest > ms ? kBackQuantile : kBackQuantile - 1)), 1.0, 3600e3);
 }
 
-void Clients::Returns::stayed_away() { share -= kShareStep * share; }
+void ClientAdmission::Returns::stayed_away() { share -= kShareStep * share; }
 
 // ---- what to do ----
 
 // How long the places last at the rate of new clients that stay.
-double Clients::full_in(double now, double places) const {
+double ClientAdmission::full_in(double now, double places) const {
   if (places <= 0) return 0;
   const double per_second = newcomers_.per_second(now) - leavers_.per_second(now);
   return per_second <= 0 ? std::numeric_limits<double>::infinity() : places / per_second * 1000;
 }
 
-bool Clients::ends(double now, Id id) {
+bool ClientAdmission::ends(double now, Id id) {
   const auto it = clients_.find(id);
   if (it == clients_.end() || it->second.asked == 0) return false;
   if (it->second.asked == 1) newcomers_.count(now);
   return it->second.told_to_end = may_end(now, it->second);
 }
 
-bool Clients::may_end(double now, const Client& c) const {
+bool ClientAdmission::may_end(double now, const Client& c) const {
   const double few = places() / 4;
   if (static_cast<double>(asking_) <= few) return false;
   if (c.asked == 1) {
@@ -128,7 +128,7 @@
   return often_.share < 0.5 || c.log_rest > log_usual_rest_;
 }
 
-std::optional<Clients::Id> Clients::overdue(double now) const {
+std::optional<ClientAdmission::Id> ClientAdmission::overdue(double now) const {
   const auto first = index_.lower_bound(Key{Rank::Once, -1, 0});
   if (first == index_.end()) return std::nullopt;
   const auto rested = [&](const Key& key) { return now - clients_.at(key.id).rested_at >= options_.rest_ms; };
@@ -145,7 +145,7 @@
 
 // ---- the index ----
 
-void Clients::put(Client& c, Rank rank, double time, Id id) {
+void ClientAdmission::put(Client& c, Rank rank, double time, Id id) {
   take_out(c);
   c.key = {rank, time, id};
   if (c.node.empty()) {
@@ -158,11 +158,11 @@
   ++waiting_[static_cast<std::size_t>(rank)];
 }
 
-void Clients::take_out(Client& c) {
+void ClientAdmission::take_out(Client& c) {
   if (!c.indexed) return;
   c.indexed = false;
   --waiting_[static_cast<std::size_t>(c.key.rank)];
   c.node = index_.extract(c.key);
 }
 
-} // namespace fernward::budget
+} // namespace fernward::descriptors
--- a/src/budget/clients.h
+++ b/src/descriptors/client_admission.h
@@ -24,7 +24,7 @@
 #include <set>
 #include <unordered_map>
 
-namespace fernward::budget {
+namespace fernward::descriptors {
 
 // Events per second, of about the last second.
 class Rate {
@@ -36,19 +36,19 @@
   double rate_ = 0, at_ = 0;
 };
 
-struct ClientsOptions {
+struct ClientAdmissionOptions {
   std::size_t places = 128; // that clients hold for requests at most, all connections together
   double fresh_ms = 100;    // the first request of a new connection may be on its way this long
   double stuck_ms = 700;    // a request that is not whole may wait so long for its next byte
   double rest_ms = 2000;    // one that has rested so long may be closed
 };
 
-class Clients {
+class ClientAdmission {
  public:
   using Id = std::uint64_t;
-  using Options = ClientsOptions;
+  using Options = ClientAdmissionOptions;
   enum class Gone { Left, Closed }; // by its client, or for its client's sake; by this router
-  explicit Clients(const Options& options) : options_(options) {}
+  explicit ClientAdmission(const Options& options) : options_(options) {}
 
   // What happens to a connection.
   void came(double now, Id id);  // accepted; it has said nothing yet
@@ -129,7 +129,7 @@
 };
 
 template <typename May>
-std::optional<Clients::Id> Clients::spare(double now, May may) const {
+std::optional<ClientAdmission::Id> ClientAdmission::spare(double now, May may) const {
   int tries = kMostTries;
   for (auto it = index_.begin(); it != index_.end() && tries > 0; --tries) {
     // A crowd that has said nothing yet must not push out those that rest: soon it asks or can be spared
@@ -153,4 +153,4 @@
   return std::nullopt;
 }
 
-} // namespace fernward::budget
+} // namespace fernward::descriptors
--- a/src/budget/account.h
+++ b/src/descriptors/descriptor_budget.h
@@ -13,15 +13,15 @@
 #include <cstddef>
 #include <utility>
 
-namespace fernward::budget {
+namespace fernward::descriptors {
 
 enum class Side { Clients, Targets };
 
-class Account {
+class DescriptorBudget {
  public:
-  explicit Account(std::size_t total) : total_(total), believed_(total) {}
-  Account(const Account&) = delete;
-  Account& operator=(const Account&) = delete;
+  explicit DescriptorBudget(std::size_t total) : total_(total), believed_(total) {}
+  DescriptorBudget(const DescriptorBudget&) = delete;
+  DescriptorBudget& operator=(const DescriptorBudget&) = delete;
 
   // A granted place. It goes back when it ends: once, whatever becomes of its holder.
   class Place {
@@ -39,9 +39,9 @@
     explicit operator bool() const { return account_ != nullptr; }
 
    private:
-    friend class Account;
-    Place(Account* account, Side side) : account_(account), side_(side) {}
-    Account* account_ = nullptr;
+    friend class DescriptorBudget;
+    Place(DescriptorBudget* account, Side side) : account_(account), side_(side) {}
+    DescriptorBudget* account_ = nullptr;
     Side side_ = Side::Clients;
   };
 
@@ -79,16 +79,16 @@
 };
 
 // The bytes of requests that have not come whole. Those of answers have an account of their own, see bodies/.
-class Buffers {
+class RequestBufferBudget {
  public:
-  explicit Buffers(std::size_t total) : total_(total) {}
-  Buffers(const Buffers&) = delete;
-  Buffers& operator=(const Buffers&) = delete;
+  explicit RequestBufferBudget(std::size_t total) : total_(total) {}
+  RequestBufferBudget(const RequestBufferBudget&) = delete;
+  RequestBufferBudget& operator=(const RequestBufferBudget&) = delete;
 
   // What one connection holds. It goes back when its holder ends.
   class Held {
    public:
-    explicit Held(Buffers& buffers) : buffers_(&buffers) {}
+    explicit Held(RequestBufferBudget& buffers) : buffers_(&buffers) {}
     Held(const Held&) = delete;
     Held& operator=(const Held&) = delete;
     ~Held() { set(0); }
@@ -96,7 +96,7 @@
     std::size_t bytes() const { return bytes_; }
 
    private:
-    Buffers* buffers_;
+    RequestBufferBudget* buffers_;
     std::size_t bytes_ = 0;
   };
 
@@ -108,4 +108,4 @@
   std::size_t total_, held_ = 0;
 };
 
-} // namespace fernward::budget
+} // namespace fernward::descriptors
--- a/src/ingress/answers.cpp
+++ b/src/downstream/answers.cpp
@@ -3,10 +3,10 @@
 #include <string>
 #include <utility>
 
-#include "ingress/codec.h"
-#include "ingress/listener.h"
+#include "downstream/codec.h"
+#include "downstream/listener.h"
 
-namespace fernward::ingress {
+namespace fernward::downstream {
 
 using loop::Handle;
 using loop::now_ms;
@@ -35,16 +35,16 @@
   return c != nullptr && !c->peer_closed && !loop::peer_ended(bufferevent_getfd(c->io.get()));
 }
 
-void Listener::answer(Handle client, exchange::Answer answer) {
+void Listener::answer(Handle client, proxy::ClientResponse answer) {
   Connection* c = connections_.find(client);
   if (c == nullptr || c->state != Connection::State::Waiting) return;
   c->exchange = 0;
   drop_body(*c);
   const char* code = "";
   const bool keep = connection_stays(*c, code);
-  c->taken_request.end(answer.kind == exchange::Answer::Kind::Served    ? figures::Outcome::Answered
-                       : answer.kind == exchange::Answer::Kind::Refused ? figures::Outcome::Deferred
-                                                                        : figures::Outcome::Errored);
+  c->taken_request.end(answer.kind == proxy::ClientResponse::Kind::Served    ? figures::Outcome::Answered
+                       : answer.kind == proxy::ClientResponse::Kind::Refused ? figures::Outcome::Deferred
+                                                                             : figures::Outcome::Errored);
   c->out.absorb(std::move(answer.body.hold));
   const std::string head = encode(answer, keep);
   const std::size_t waits = loop::write_or_wait(c->io.get(), head, std::move(answer.body.buffer));
@@ -82,7 +82,7 @@
 
 // ---- answers that pass through ----
 
-bool Listener::begin(Handle client, exchange::Opening opening) {
+bool Listener::begin(Handle client, proxy::ResponseHead opening) {
   Connection* c = connections_.find(client);
   if (c == nullptr || c->state != Connection::State::Waiting) return false;
   c->state = Connection::State::Passing;
@@ -110,7 +110,8 @@
 
 std::size_t Listener::room(Handle client) {
   Connection* c = connections_.find(client);
-  if (c == nullptr || c->state != Connection::State::Passing) return loop::Block::size(); // it goes nowhere
+  if (c == nullptr || c->state != Connection::State::Passing)
+    return loop::IoBuffer::size(); // it goes nowhere
   settle_output(*c);
   const std::size_t room = c->out.room();
   if (room == 0) { // it is told once half of the window is free, or another has given back
@@ -120,7 +121,7 @@
   return room;
 }
 
-void Listener::pass(Handle client, std::string_view bytes, loop::Block& block) {
+void Listener::pass(Handle client, std::string_view bytes, loop::IoBuffer& block) {
   Connection* c = connections_.find(client);
   if (c == nullptr || c->state != Connection::State::Passing || bytes.empty()) return;
   c->passed += bytes.size();
@@ -129,7 +130,7 @@
   c->out.take(loop::write_or_wait(c->io.get(), line, bytes, chunk ? http::kChunkEnd : "", block));
 }
 
-bool Listener::pass_from(Handle client, int socket, std::size_t most, loop::Block& block,
+bool Listener::pass_from(Handle client, int socket, std::size_t most, loop::IoBuffer& block,
                          loop::Received& received, std::size_t& bytes) {
   Connection* c = connections_.find(client);
   if (c == nullptr || c->state != Connection::State::Passing || c->framing == http::Framing::Chunks)
@@ -217,4 +218,4 @@
   linger(c, c.code);
 }
 
-} // namespace fernward::ingress
+} // namespace fernward::downstream
--- a/src/ingress/closing.cpp
+++ b/src/downstream/closing.cpp
@@ -4,11 +4,11 @@
 #include <algorithm>
 #include <utility>
 
-#include "ingress/codec.h"
-#include "ingress/listener.h"
+#include "downstream/codec.h"
+#include "downstream/listener.h"
 #include "log/log.h"
 
-namespace fernward::ingress {
+namespace fernward::downstream {
 
 using loop::Handle;
 using loop::now_ms;
@@ -136,7 +136,8 @@
   deadlines_.cancel(c.end_check);
   // A client that leaves, or asked for the end, makes room of itself.
   const bool left = c.peer_closed || !c.keep_alive;
-  clients_.gone(now_ms(), c.self, left ? budget::Clients::Gone::Left : budget::Clients::Gone::Closed);
+  clients_.gone(now_ms(), c.self,
+                left ? descriptors::ClientAdmission::Gone::Left : descriptors::ClientAdmission::Gone::Closed);
   connections_.remove(c.self);
   resume();
   if (stopped_ && connections_.size() == 0) calls_.emptied();
@@ -163,4 +164,4 @@
   return true;
 }
 
-} // namespace fernward::ingress
+} // namespace fernward::downstream
--- a/src/ingress/codec.cpp
+++ b/src/downstream/codec.cpp
@@ -1,14 +1,14 @@
-#include "ingress/codec.h"
+#include "downstream/codec.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <cstdio>
 
+#include "endpoints/endpoint_table.h"
 #include "http/parser.h"
-#include "routes/table.h"
 
-namespace fernward::ingress {
+namespace fernward::downstream {
 namespace {
 
 constexpr std::size_t kMaxId = 128;
@@ -29,7 +29,7 @@
 std::uint64_t key_of(std::string_view target) {
   const std::string_view path = target.substr(0, target.find('?'));
   const std::string_view last = path.substr(path.rfind('/') + 1);
-  return last.empty() ? 0 : std::max<std::uint64_t>(1, routes::hash_of(std::string(last)));
+  return last.empty() ? 0 : std::max<std::uint64_t>(1, endpoints::hash_of(std::string(last)));
 }
 
 const config::Mapping kNothing;
@@ -62,7 +62,7 @@
        {"x-request-id", "x-priority-class", "x-timeout-ms", "x-tenant-id", "idempotency-key"}) {
     if (request.count(name) > 1) return fault(400, "a header twice");
   }
-  exchange::Call& call = out.call;
+  proxy::ClientRequest& call = out.call;
   call.write = request.method == "PUT";
   call.id = request.header("x-request-id");
   if (call.id.empty() && !rules.make_ids) return fault(400, "no X-Request-ID");
@@ -75,18 +75,19 @@
   call.category = static_cast<std::uint32_t>(cls - names.classes.begin());
   const fernward::ClassSettings& class_settings = rules.settings.classes[call.category];
   call.repeat_key = request.header("idempotency-key");
-  if (call.write && class_settings.repeat == fernward::Repeat::Keyed && call.repeat_key.empty()) {
+  if (call.write && class_settings.idempotency == fernward::Idempotency::WithKey && call.repeat_key.empty()) {
     return fault(400, "no Idempotency-Key");
   }
   // A tenant that the settings do not name has no share.
   call.tenant = static_cast<std::uint32_t>(std::find(names.tenants.begin(), names.tenants.end(),
                                                      or_else(request.header("x-tenant-id"), unsaid.tenant)) -
                                            names.tenants.begin());
-  call.timeout_ms = unsaid.timeout_ms > 0 ? unsaid.timeout_ms : class_settings.give_up_ms;
+  call.timeout_ms = unsaid.timeout_ms > 0 ? unsaid.timeout_ms : class_settings.client_timeout_ms;
   const bool has_wait = request.has("x-timeout-ms");
   const std::string_view wait = request.header("x-timeout-ms");
   if (has_wait && !whole_ms(wait, call.timeout_ms)) return fault(400, "X-Timeout-Ms");
-  if (class_settings.give_up_ms > 0) call.timeout_ms = std::min(call.timeout_ms, class_settings.give_up_ms);
+  if (class_settings.client_timeout_ms > 0)
+    call.timeout_ms = std::min(call.timeout_ms, class_settings.client_timeout_ms);
   call.timeout_ms = std::min(call.timeout_ms, 3600e3);
   double cost_us = 0;
   if (number(request.header("x-cost"), cost_us)) call.work_ms = cost_us / 1000; // a hint: a bad one is none
@@ -107,16 +108,16 @@
 
 } // namespace
 
-std::string encode(const exchange::Answer& answer, bool keep_alive) {
+std::string encode(const proxy::ClientResponse& answer, bool keep_alive) {
   switch (answer.kind) {
-    case exchange::Answer::Kind::Served:
+    case proxy::ClientResponse::Kind::Served:
       return served_head(answer.content_type, http::Framing::Length, answer.body.buffer.size(), keep_alive);
-    case exchange::Answer::Kind::Refused: return encode_shed(answer.retry_after_ms, keep_alive);
+    case proxy::ClientResponse::Kind::Refused: return encode_shed(answer.retry_after_ms, keep_alive);
     default: return http::write_response(502, {}, "failed\n", keep_alive);
   }
 }
 
-std::string encode(const exchange::Opening& opening, http::Framing framing, bool keep_alive) {
+std::string encode(const proxy::ResponseHead& opening, http::Framing framing, bool keep_alive) {
   return served_head(opening.content_type, framing, opening.length.value_or(0), keep_alive);
 }
 
@@ -136,4 +137,4 @@
   return http::write_response(status, headers, std::string(why) + "\n", false);
 }
 
-} // namespace fernward::ingress
+} // namespace fernward::downstream
--- a/src/ingress/codec.h
+++ b/src/downstream/codec.h
@@ -4,10 +4,10 @@
 #include <string>
 
 #include "config/config.h"
-#include "exchange/call.h"
 #include "http/message.h"
+#include "proxy/call.h"
 
-namespace fernward::ingress {
+namespace fernward::downstream {
 
 struct Rules { // what a request is held against
   config::Names names;
@@ -19,14 +19,14 @@
 struct Decoded {
   int status = 0; // 0: `call` is sound; else what to answer, and why
   const char* why = "";
-  exchange::Call call;
+  proxy::ClientRequest call;
 };
 Decoded decode(http::Message request, const Rules& rules);
 
 // Of a served answer the head: its body follows. Of any other all of it.
-std::string encode(const exchange::Answer& answer, bool keep_alive);
-std::string encode(const exchange::Opening& opening, http::Framing framing, bool keep_alive);
+std::string encode(const proxy::ClientResponse& answer, bool keep_alive);
+std::string encode(const proxy::ResponseHead& opening, http::Framing framing, bool keep_alive);
 std::string encode_shed(double retry_after_ms, bool keep_alive);
 std::string encode_fault(int status, const char* why);
 
-} // namespace fernward::ingress
+} // namespace fernward::downstream
--- a/src/ingress/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -1,6 +1,6 @@
 // The listening socket: connections as they come, places for them, and their passing to the process that
 // replaces this one.
-#include "ingress/listener.h"
+#include "downstream/listener.h"
 
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -13,10 +13,10 @@
 #include <stdexcept>
 
 #include "config/address.h"
-#include "ingress/codec.h"
+#include "downstream/codec.h"
 #include "log/log.h"
 
-namespace fernward::ingress {
+namespace fernward::downstream {
 
 using loop::Handle;
 using loop::now_ms;
@@ -29,10 +29,10 @@
 
 } // namespace
 
-Listener::Listener(event_base* base, loop::Deadlines& deadlines, budget::Account& account,
-                   budget::Buffers& buffers, bodies::Account& bytes, exchange::BodyStores& bodies,
-                   figures::Figures& figures, const ListenerOptions& options, Rules rules,
-                   ListenerCalls calls)
+Listener::Listener(event_base* base, loop::TimerQueue& deadlines, descriptors::DescriptorBudget& account,
+                   descriptors::RequestBufferBudget& buffers, body_buffers::BufferBudget& bytes,
+                   proxy::BodyStores& bodies, figures::Figures& figures, const ListenerOptions& options,
+                   Rules rules, ListenerCalls calls)
     : base_(base),
       deadlines_(deadlines),
       account_(account),
@@ -152,19 +152,19 @@
 }
 
 // A place for a new connection: a free one, one that the egress side has beyond its share, or one of our own.
-budget::Account::Place Listener::place_for_connection() {
-  using Needs = budget::Account::Needs;
+descriptors::DescriptorBudget::Place Listener::place_for_connection() {
+  using Needs = descriptors::DescriptorBudget::Needs;
   const double now = now_ms();
   for (;;) { // each round lets one connection go
-    const Needs needs = account_.needs(now, budget::Side::Clients);
-    if (needs == Needs::Nothing) return account_.take(now, budget::Side::Clients);
+    const Needs needs = account_.needs(now, descriptors::Side::Clients);
+    if (needs == Needs::Nothing) return account_.take(now, descriptors::Side::Clients);
     if (needs == Needs::Recall && calls_.recall()) continue;
     if (!let_go("table-full")) return {};
   }
 }
 
 void Listener::accept(int fd) {
-  budget::Account::Place place = place_for_connection();
+  descriptors::DescriptorBudget::Place place = place_for_connection();
   if (!place) { // the listener is paused in time: only at the end it is not
     const std::string text = encode_shed(options_.shed_retry_ms, false);
     [[maybe_unused]] const auto sent = ::send(fd, text.data(), text.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
@@ -177,7 +177,7 @@
   if (!may_accept()) pause(kAcceptPauseMs); // who comes next waits before the door
 }
 
-Listener::Connection& Listener::join(int fd, budget::Account::Place place) {
+Listener::Connection& Listener::join(int fd, descriptors::DescriptorBudget::Place place) {
   const double now = now_ms();
   const Handle handle = connections_.add(buffers_, bytes_, bodies_.keeper.rules().ceiling);
   Connection& c = *connections_.find(handle);
@@ -199,7 +199,7 @@
 
 bool Listener::may_accept() {
   const double now = now_ms();
-  return account_.needs(now, budget::Side::Clients) != budget::Account::Needs::Own ||
+  return account_.needs(now, descriptors::Side::Clients) != descriptors::DescriptorBudget::Needs::Own ||
          clients_.spare(now, [this](Handle handle) { return spareable(handle); });
 }
 
@@ -229,7 +229,7 @@
 }
 
 bool Listener::adopt(int fd, unsigned requests) {
-  budget::Account::Place place = place_for_connection();
+  descriptors::DescriptorBudget::Place place = place_for_connection();
   if (!place) {
     ::close(fd);
     log::routine("ingress-ended", {{"code", "table-full"}, {"requests", requests}, {"ms", 0}});
@@ -283,4 +283,4 @@
   if (connections_.size() == 0) calls_.emptied();
 }
 
-} // namespace fernward::ingress
+} // namespace fernward::downstream
