--- a/src/ingress/listener.h
+++ b/src/downstream/listener.h
@@ -8,25 +8,25 @@
 #include <memory>
 #include <optional>
 
-#include "bodies/account.h"
-#include "budget/account.h"
-#include "budget/clients.h"
+#include "body_buffers/buffer_budget.h"
 #include "config/config.h"
-#include "exchange/call.h"
+#include "descriptors/client_admission.h"
+#include "descriptors/descriptor_budget.h"
+#include "downstream/codec.h"
 #include "figures/figures.h"
 #include "http/parser.h"
-#include "ingress/codec.h"
-#include "loop/deadlines.h"
 #include "loop/net.h"
-#include "loop/slots.h"
+#include "loop/slot_map.h"
+#include "loop/timer_queue.h"
+#include "proxy/call.h"
 
-namespace fernward::ingress {
+namespace fernward::downstream {
 
 struct ListenerOptions {
   std::string address;     // IPv4, or "unix:PATH"
   int listening = -1;      // a descriptor that listens there already, taken over; below 0: none
   bool share_port = false; // another process of this router may listen there too
-  budget::ClientsOptions clients;
+  descriptors::ClientAdmissionOptions clients;
   std::size_t short_body =
       64 * 1024; // up to here it waits until it is whole, see exchange/inflow.h for others
   int unsent_bytes =
@@ -41,9 +41,9 @@
 };
 
 struct ListenerCalls {
-  std::function<loop::Handle(loop::Handle client, exchange::Call)> open; // 0: no room, or no list yet
-  std::function<bool(const std::string& id)> is_open;                    // some client waits under this id
-  std::function<void(loop::Handle exchange)> whole; // the last byte of a call has come, after open
+  std::function<loop::Handle(loop::Handle client, proxy::ClientRequest)> open; // 0: no room, or no list yet
+  std::function<bool(const std::string& id)> is_open; // some client waits under this id
+  std::function<void(loop::Handle exchange)> whole;   // the last byte of a call has come, after open
   std::function<void(loop::Handle exchange)> gone;
   std::function<bool()> ready;
   std::function<void()> emptied; // the last connection has ended after stop()
@@ -51,22 +51,23 @@
   std::function<void(loop::Handle exchange)> drained; // there is room again for an answer that passes through
 };
 
-class Listener : public exchange::ClientSide {
+class Listener : public proxy::DownstreamConnections {
  public:
   // Throws std::runtime_error when the address can't be listened on. The accounts outlive it.
-  Listener(event_base* base, loop::Deadlines& deadlines, budget::Account& account, budget::Buffers& buffers,
-           bodies::Account& bytes, exchange::BodyStores& bodies, figures::Figures& figures,
-           const ListenerOptions& options, Rules rules, ListenerCalls calls);
+  Listener(event_base* base, loop::TimerQueue& deadlines, descriptors::DescriptorBudget& account,
+           descriptors::RequestBufferBudget& buffers, body_buffers::BufferBudget& bytes,
+           proxy::BodyStores& bodies, figures::Figures& figures, const ListenerOptions& options, Rules rules,
+           ListenerCalls calls);
   ~Listener() override;
 
   void change(Rules rules); // what comes from now on is held against these; no class has gone
 
-  void answer(loop::Handle client, exchange::Answer answer) override;
+  void answer(loop::Handle client, proxy::ClientResponse answer) override;
   bool present(loop::Handle client) override;
-  bool begin(loop::Handle client, exchange::Opening opening) override;
+  bool begin(loop::Handle client, proxy::ResponseHead opening) override;
   std::size_t room(loop::Handle client) override;
-  void pass(loop::Handle client, std::string_view bytes, loop::Block& block) override;
-  bool pass_from(loop::Handle client, int socket, std::size_t most, loop::Block& block,
+  void pass(loop::Handle client, std::string_view bytes, loop::IoBuffer& block) override;
+  bool pass_from(loop::Handle client, int socket, std::size_t most, loop::IoBuffer& block,
                  loop::Received& received, std::size_t& bytes) override;
   void end(loop::Handle client, bool whole) override;
   bool let_go(const char* code); // closes the connection that can best be spared; false: none can
@@ -94,19 +95,20 @@
   static constexpr std::size_t kMostInput = 16 * 1024; // read ahead of the request that is worked on
 
   struct Connection {
-    Connection(budget::Buffers& buffers, bodies::Account& bytes, std::uint64_t most_body)
+    Connection(descriptors::RequestBufferBudget& buffers, body_buffers::BufferBudget& bytes,
+               std::uint64_t most_body)
         : request(buffers), out(bytes), parser(http::Kind::Request, most_body) {}
     Listener* listener = nullptr;
     loop::Handle self = 0;
-    budget::Account::Place place;
-    budget::Buffers::Held request; // one that has not come whole
-    bodies::Account::Hold out;     // of answers: what the client has not taken
+    descriptors::DescriptorBudget::Place place;
+    descriptors::RequestBufferBudget::Held request; // one that has not come whole
+    body_buffers::BufferBudget::Hold out;           // of answers: what the client has not taken
     loop::BuffereventPtr io;
     http::Parser parser;
-    std::shared_ptr<exchange::Inflow> inflow; // a long body that is coming
-    std::optional<exchange::Call> call;       // its call, until it is whole or flows
-    figures::Figures::Taken taken_request;    // until its final answer
-    double begun_at = 0;                      // when that body began to come
+    std::shared_ptr<proxy::RequestBody> inflow; // a long body that is coming
+    std::optional<proxy::ClientRequest> call;   // its call, until it is whole or flows
+    figures::Figures::Taken taken_request;      // until its final answer
+    double begun_at = 0;                        // when that body began to come
     enum class State { Reading, Waiting, Passing, Closing, Lingering } state = State::Reading;
     loop::Handle exchange = 0;                     // while waiting, and while its answer passes through
     http::Framing framing = http::Framing::Length; // of that answer
@@ -120,8 +122,8 @@
     unsigned requests = 0, pipelined = 0; // pipelined: in a row
     std::size_t drained = 0;              // bytes thrown away since the last answer
     double opened_at = 0, answered_at = 0;
-    loop::Deadlines::Ticket ticket = 0;
-    loop::Deadlines::Ticket end_check = 0; // for the client's end, while nothing is read
+    loop::TimerQueue::TimerId ticket = 0;
+    loop::TimerQueue::TimerId end_check = 0; // for the client's end, while nothing is read
     const char* code = "";
   };
   struct ListenerFree {
@@ -134,10 +136,11 @@
   static void accept_failed(evconnlistener*, void* self);
   void pause(double ms); // accepts nothing for so long
   void resume();
-  budget::Account::Place place_for_connection(); // none: all are taken, and no connection can be spared
+  descriptors::DescriptorBudget::Place
+  place_for_connection(); // none: all are taken, and no connection can be spared
   void accept(int fd);
-  Connection& join(int fd, budget::Account::Place place); // a connection from its descriptor
-  bool may_accept();                                      // there is a place for one more
+  Connection& join(int fd, descriptors::DescriptorBudget::Place place); // a connection from its descriptor
+  bool may_accept();                                                    // there is a place for one more
 
   // ---- requests.cpp: what is read ----
   static void readable(bufferevent*, void* c);
@@ -151,7 +154,7 @@
   void handle(Connection& c, http::Message request); // one that has come whole
   Decoded decode(http::Message request);
   bool admit(Connection& c, Decoded& decoded, bool whole); // false: it has been turned away
-  void open(Connection& c, exchange::Call call);           // passes the call on to the router
+  void open(Connection& c, proxy::ClientRequest call);     // passes the call on to the router
   void turn_away(Connection& c, int status, const char* text, const char* code);
   void begin_body(Connection& c);
   void read_body(Connection& c);
@@ -181,27 +184,27 @@
   bool pass_on(Connection& c); // to the process that replaces this one; false: it stays
 
   event_base* base_;
-  loop::Deadlines& deadlines_;
-  budget::Account& account_;
-  budget::Buffers& buffers_;
-  bodies::Account& bytes_;
-  exchange::BodyStores& bodies_;
+  loop::TimerQueue& deadlines_;
+  descriptors::DescriptorBudget& account_;
+  descriptors::RequestBufferBudget& buffers_;
+  body_buffers::BufferBudget& bytes_;
+  proxy::BodyStores& bodies_;
   figures::Figures& figures_;
-  loop::Block block_;
-  budget::Clients clients_;
+  loop::IoBuffer block_;
+  descriptors::ClientAdmission clients_;
   ListenerOptions options_;
   Rules rules_;
   ListenerCalls calls_;
   std::uint64_t ids_made_ = 0;
   std::string id_prefix_;
-  loop::Slots<Connection> connections_;
+  loop::SlotMap<Connection> connections_;
   loop::Pipe pipe_;
   std::unique_ptr<evconnlistener, ListenerFree> listener_;
   std::string unix_path_; // ours, to be removed at the end; empty: none
   bool draining_ = false, paused_ = false, stopped_ = false, held_ = false;
   double ends_by_ = 0; // 0: no end is known
   Pass pass_;          // null: connections stay here
-  loop::Deadlines::Ticket resume_ = 0, watch_ = 0;
+  loop::TimerQueue::TimerId resume_ = 0, watch_ = 0;
 };
 
-} // namespace fernward::ingress
+} // namespace fernward::downstream
--- a/src/ingress/requests.cpp
+++ b/src/downstream/requests.cpp
@@ -3,10 +3,10 @@
 #include <string>
 #include <utility>
 
-#include "ingress/codec.h"
-#include "ingress/listener.h"
+#include "downstream/codec.h"
+#include "downstream/listener.h"
 
-namespace fernward::ingress {
+namespace fernward::downstream {
 
 using loop::Handle;
 using loop::now_ms;
@@ -126,7 +126,7 @@
 }
 
 Decoded Listener::decode(http::Message request) {
-  Decoded decoded = ingress::decode(std::move(request), rules_);
+  Decoded decoded = downstream::decode(std::move(request), rules_);
   if (decoded.status == 0 && decoded.call.id.empty())
     decoded.call.id = id_prefix_ + std::to_string(++ids_made_);
   return decoded;
@@ -150,7 +150,7 @@
   return false;
 }
 
-void Listener::open(Connection& c, exchange::Call call) {
+void Listener::open(Connection& c, proxy::ClientRequest call) {
   clients_.asked(now_ms(), c.self);
   c.state = Connection::State::Waiting;
   // The module gives it up in time by itself.
@@ -194,7 +194,7 @@
   c.head_at = 0;
   clients_.busy(now_ms(), c.self);
   c.begun_at = now_ms();
-  c.inflow = std::make_shared<exchange::Inflow>(bodies_, c.parser.body().length());
+  c.inflow = std::make_shared<proxy::RequestBody>(bodies_, c.parser.body().length());
   c.inflow->on_room([this, handle = c.self] {
     Connection* again = connections_.find(handle);
     if (again == nullptr || again->inflow == nullptr) return;
@@ -247,7 +247,7 @@
   const auto inflow = c.inflow;
   if (whole) c.inflow.reset();
   if (c.call && inflow->may_flow()) {
-    exchange::Call call = std::move(*c.call);
+    proxy::ClientRequest call = std::move(*c.call);
     c.call.reset();
     c.request.set(0);
     if (!whole) {
@@ -270,4 +270,4 @@
   });
 }
 
-} // namespace fernward::ingress
+} // namespace fernward::downstream
--- a/src/routes/endpoint.cpp
+++ b/src/endpoints/endpoint.cpp
@@ -1,4 +1,4 @@
-#include "routes/endpoint.h"
+#include "endpoints/endpoint.h"
 
 #include <algorithm>
 #include <cmath>
@@ -8,7 +8,7 @@
 
 #include "config/address.h"
 
-namespace fernward::routes {
+namespace fernward::endpoints {
 namespace {
 
 using fernward::ServerState;
@@ -87,14 +87,14 @@
     read_optional("group", &Server::cell, read_group);
     read_optional("weight", &Server::weight,
                   [this](const json& value) { return read_amount(value, defaults_.weight); });
-    read_optional("since_ms", &Server::booted_at,
-                  [this](const json& value) { return read_amount(value, defaults_.booted_at); });
+    read_optional("since_ms", &Server::started_at,
+                  [this](const json& value) { return read_amount(value, defaults_.started_at); });
   }
 
   void read_state_and_address() {
     const std::string* status = find_text(entry_, "status");
     if (status == nullptr) return keep_from_service("status");
-    Target& target = result_.target;
+    Endpoint& target = result_.target;
     target.entry.state = state_of(*status);
     if (read_address() || target.entry.state == ServerState::Gone) return;
     if (target.entry.state == ServerState::Ready) return keep_from_service("address");
@@ -125,7 +125,7 @@
   }
 
   void keep_last_address() {
-    const Target* known = last();
+    const Endpoint* known = last();
     result_.target.address = known == nullptr ? "" : known->address;
     result_.target.where = known == nullptr ? sockaddr_in{} : known->where;
   }
@@ -142,7 +142,7 @@
     result_.outcome = std::max(result_.outcome, outcome);
   }
 
-  const Target* last() {
+  const Endpoint* last() {
     if (!last_) last_ = find_last_(result_.target.name);
     return *last_;
   }
@@ -150,7 +150,7 @@
   const json& entry_;
   const fernward::Server& defaults_;
   const EndpointReader::FindLast& find_last_;
-  std::optional<const Target*> last_; // none: not asked for yet
+  std::optional<const Endpoint*> last_; // none: not asked for yet
   EndpointReading result_;
 };
 
@@ -190,12 +190,12 @@
   return reading.take();
 }
 
-json repaired_entry(const json& entry, const Target& target, const json& last_entry) {
+json repaired_entry(const json& entry, const Endpoint& target, const json& last_entry) {
   json repaired = entry;
   repaired["address"] = target.address;
   repaired["status"] = status_of(target.entry.state);
   repaired["weight"] = target.entry.weight;
-  repaired["since_ms"] = target.entry.booted_at;
+  repaired["since_ms"] = target.entry.started_at;
   for (const char* key : {"zone", "type", "group"}) {
     const json* value = find_field(entry, key);
     if (value == nullptr || value->is_string() || (key == std::string("group") && is_group(*value))) continue;
@@ -209,4 +209,4 @@
   return repaired;
 }
 
-} // namespace fernward::routes
+} // namespace fernward::endpoints
--- a/src/routes/endpoint.h
+++ b/src/endpoints/endpoint.h
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 
-namespace fernward::routes {
+namespace fernward::endpoints {
 
-struct Target {
+struct Endpoint {
   std::string name, address;
   sockaddr_in where{};
   fernward::Server entry;
@@ -35,14 +35,14 @@
   };
 
   Outcome outcome = Outcome::Sound;
-  Target target;
+  Endpoint target;
   const char* fault = ""; // the first thing that could not be read
 };
 
 class EndpointReader {
  public:
   // The target of this name as it is known now; null: it is not. Asked only where an entry is damaged.
-  using FindLast = std::function<const Target*(const std::string& name)>;
+  using FindLast = std::function<const Endpoint*(const std::string& name)>;
 
   EndpointReader(std::vector<std::string> zones, std::vector<std::string> kinds);
 
@@ -56,7 +56,7 @@
 
 // A damaged entry as another process should read it: it gives the same target there. `last_entry` is what was written of
 // the server before, or null.
-nlohmann::json repaired_entry(const nlohmann::json& entry, const Target& target,
+nlohmann::json repaired_entry(const nlohmann::json& entry, const Endpoint& target,
                               const nlohmann::json& last_entry);
 
-} // namespace fernward::routes
+} // namespace fernward::endpoints
--- a/src/routes/file.cpp
+++ b/src/endpoints/endpoint_file_watch.cpp
@@ -1,4 +1,4 @@
-#include "routes/file.h"
+#include "endpoints/endpoint_file_watch.h"
 
 #include <cerrno>
 #include <cstring>
@@ -7,11 +7,11 @@
 #include <sstream>
 
 #include "config/json.h"
+#include "endpoints/endpoint_table.h"
 #include "log/log.h"
-#include "loop/deadlines.h"
-#include "routes/table.h"
+#include "loop/timer_queue.h"
 
-namespace fernward::routes {
+namespace fernward::endpoints {
 namespace {
 
 constexpr double kLookMs = 250;
@@ -24,14 +24,14 @@
 
 } // namespace
 
-FileWatch::FileWatch(loop::Deadlines& deadlines, const std::string& path, Take take)
+EndpointFileWatch::EndpointFileWatch(loop::TimerQueue& deadlines, const std::string& path, Take take)
     : deadlines_(deadlines), path_(path), take_(std::move(take)) {
   look();
 }
 
-FileWatch::~FileWatch() { deadlines_.cancel(ticket_); }
+EndpointFileWatch::~EndpointFileWatch() { deadlines_.cancel(ticket_); }
 
-void FileWatch::look() {
+void EndpointFileWatch::look() {
   ticket_ = deadlines_.at(loop::now_ms() + kLookMs, [this] { look(); });
   struct stat now {};
   if (stat(path_.c_str(), &now) != 0) return fault(std::strerror(errno));
@@ -42,7 +42,7 @@
   read(); // half written it is no JSON, and is read again when the rest is there
 }
 
-void FileWatch::read() {
+void EndpointFileWatch::read() {
   std::ifstream in(path_, std::ios::binary);
   std::ostringstream text;
   text << in.rdbuf();
@@ -65,10 +65,10 @@
   told_ = true;
 }
 
-void FileWatch::fault(const std::string& why) {
+void EndpointFileWatch::fault(const std::string& why) {
   if (why == fault_) return;
   fault_ = why;
   log::line("list-file-damaged", {{"path", path_}, {"why", why}});
 }
 
-} // namespace fernward::routes
+} // namespace fernward::endpoints
--- a/src/routes/file.h
+++ b/src/endpoints/endpoint_file_watch.h
@@ -8,19 +8,19 @@
 #include <functional>
 #include <string>
 
-#include "loop/deadlines.h"
+#include "loop/timer_queue.h"
 
-namespace fernward::routes {
+namespace fernward::endpoints {
 
-class FileWatch {
+class EndpointFileWatch {
  public:
   // Takes a whole list; throws Damaged. It is called first from within the constructor, where the file can be read.
   using Take = std::function<std::uint64_t(const std::string& text)>;
 
-  FileWatch(loop::Deadlines& deadlines, const std::string& path, Take take);
-  ~FileWatch();
-  FileWatch(const FileWatch&) = delete;
-  FileWatch& operator=(const FileWatch&) = delete;
+  EndpointFileWatch(loop::TimerQueue& deadlines, const std::string& path, Take take);
+  ~EndpointFileWatch();
+  EndpointFileWatch(const EndpointFileWatch&) = delete;
+  EndpointFileWatch& operator=(const EndpointFileWatch&) = delete;
 
   const std::string& path() const { return path_; }
   bool told() const { return told_; } // a list has been taken
@@ -30,14 +30,14 @@
   void read();
   void fault(const std::string& why);
 
-  loop::Deadlines& deadlines_;
+  loop::TimerQueue& deadlines_;
   std::string path_;
   Take take_;
   std::uint64_t versions_ = 0;
   struct stat seen_ {};
   bool told_ = false;
   std::string fault_; // told last: it is not told again and again
-  loop::Deadlines::Ticket ticket_ = 0;
+  loop::TimerQueue::TimerId ticket_ = 0;
 };
 
-} // namespace fernward::routes
+} // namespace fernward::endpoints
--- a/src/routes/table.cpp
+++ b/src/endpoints/endpoint_table.cpp
@@ -1,4 +1,4 @@
-#include "routes/table.h"
+#include "endpoints/endpoint_table.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
@@ -8,10 +8,10 @@
 #include "config/json.h"
 #include "log/log.h"
 
-namespace fernward::routes {
+namespace fernward::endpoints {
 namespace {
 
-using fernward::ListKind;
+using fernward::EndpointListKind;
 using fernward::ServerState;
 using nlohmann::json;
 using Outcome = EndpointReading::Outcome;
@@ -53,7 +53,7 @@
 
   std::vector<fernward::Server> take(const TargetSet& targets) {
     for (fernward::Server& server : servers_) {
-      const Target* holder = targets.holder(server.id);
+      const Endpoint* holder = targets.holder(server.id);
       if (holder != nullptr) {
         server = holder->entry;
       } else {
@@ -70,7 +70,7 @@
 
 } // namespace
 
-void Table::Damage::add(const EndpointReading& reading) {
+void EndpointTable::Damage::add(const EndpointReading& reading) {
   if (reading.outcome == Outcome::Sound) return;
   if (!any()) {
     first = reading.target.name;
@@ -81,13 +81,13 @@
   repaired += reading.outcome == Outcome::Repaired;
 }
 
-fernward::ServerList Table::apply(const std::string& text, std::uint64_t at_least) {
+fernward::EndpointList EndpointTable::apply(const std::string& text, std::uint64_t at_least) {
   const json message = config::parse_json(text);
   if (message.is_discarded()) throw Damaged("not JSON, or nested too deeply");
   return apply(message, at_least);
 }
 
-fernward::ServerList Table::apply(const json& message, std::uint64_t at_least) {
+fernward::EndpointList EndpointTable::apply(const json& message, std::uint64_t at_least) {
   const Envelope envelope = read_envelope(message);
   if (envelope.index < at_least) {
     throw Stale("stale: index " + std::to_string(envelope.index) + " after " + std::to_string(at_least));
@@ -98,12 +98,12 @@
 }
 
 // What the table knows of a server stands in for what is damaged of its entry, so it stays until the new one is whole.
-fernward::ServerList Table::replace(const json& endpoints) {
+fernward::EndpointList EndpointTable::replace(const json& endpoints) {
   Contents next;
   Damage damage;
   std::set<std::string> ended; // by this message: what was known of them counts no more
   const auto find_last = [this, &next, &ended](const std::string& name) {
-    const Target* in_message = next.targets.find(name);
+    const Endpoint* in_message = next.targets.find(name);
     if (in_message != nullptr || ended.contains(name)) return in_message;
     return contents_.targets.find(name);
   };
@@ -120,13 +120,13 @@
   }
   contents_ = std::move(next);
   report(damage);
-  fernward::ServerList list;
-  list.kind = ListKind::Full;
+  fernward::EndpointList list;
+  list.kind = EndpointListKind::Full;
   for (const auto& [id, target] : targets()) list.servers.push_back(target.entry);
   return list;
 }
 
-fernward::ServerList Table::change(const json& endpoints) {
+fernward::EndpointList EndpointTable::change(const json& endpoints) {
   Damage damage;
   ChangedServers changed;
   const auto find_last = [this](const std::string& name) { return contents_.targets.find(name); };
@@ -138,14 +138,14 @@
     changed.add(reading.target.entry);
   }
   report(damage);
-  fernward::ServerList list;
-  list.kind = ListKind::Delta;
+  fernward::EndpointList list;
+  list.kind = EndpointListKind::Delta;
   list.servers = changed.take(contents_.targets);
   return list;
 }
 
-void Table::put(const EndpointReading& reading, const json& entry, Contents& into) const {
-  const Target& target = reading.target;
+void EndpointTable::put(const EndpointReading& reading, const json& entry, Contents& into) const {
+  const Endpoint& target = reading.target;
   into.targets.put(target);
   if (!keeps_) return;
   if (target.entry.state == ServerState::Gone) {
@@ -155,13 +155,13 @@
   }
 }
 
-const std::string* Table::find_text(const Contents& contents, const std::string& name) {
+const std::string* EndpointTable::find_text(const Contents& contents, const std::string& name) {
   const auto found = contents.texts.find(name);
   return found == contents.texts.end() ? nullptr : &found->second;
 }
 
-std::string Table::text_of(const EndpointReading& reading, const json& entry,
-                           const Contents& contents) const {
+std::string EndpointTable::text_of(const EndpointReading& reading, const json& entry,
+                                   const Contents& contents) const {
   const auto write = [](const json& value) {
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
   };
@@ -171,7 +171,7 @@
   return write(repaired_entry(entry, reading.target, last == nullptr ? json() : config::parse_json(*last)));
 }
 
-void Table::report(const Damage& damage) {
+void EndpointTable::report(const Damage& damage) {
   if (!damage.any()) return;
   dropped_entries_ += damage.dropped;
   log::line("list-entries-damaged", {{"dropped", damage.dropped},
@@ -181,7 +181,7 @@
                                      {"why", damage.why}});
 }
 
-std::string Table::told() const {
+std::string EndpointTable::told() const {
   std::string out = "{\"index\":" + std::to_string(index_) + ",\"snapshot\":true,\"endpoints\":[";
   bool first = true;
   for (const auto& [name, text] : contents_.texts) {
@@ -191,4 +191,4 @@
   return out + "]}";
 }
 
-} // namespace fernward::routes
+} // namespace fernward::endpoints
--- a/src/routes/watch.cpp
+++ b/src/endpoints/endpoint_watch.cpp
@@ -1,4 +1,4 @@
-#include "routes/watch.h"
+#include "endpoints/endpoint_watch.h"
 
 #include <event2/event.h>
 
@@ -8,11 +8,11 @@
 #include <vector>
 
 #include "config/address.h"
+#include "endpoints/endpoint_table.h"
 #include "log/log.h"
 #include "loop/buffer.h"
-#include "routes/table.h"
 
-namespace fernward::routes {
+namespace fernward::endpoints {
 namespace {
 
 using discovery::Actions;
@@ -41,10 +41,10 @@
 
 } // namespace
 
-Watch::Connection::Connection() : parser(http::Kind::Response, kMostList) {}
+EndpointWatch::Connection::Connection() : parser(http::Kind::Response, kMostList) {}
 
-Watch::Watch(event_base* base, loop::Deadlines& deadlines, const std::string& address,
-             discovery::Subscription subscription, Take take)
+EndpointWatch::EndpointWatch(event_base* base, loop::TimerQueue& deadlines, const std::string& address,
+                             discovery::Subscription subscription, Take take)
     : base_(base),
       deadlines_(deadlines),
       address_(address),
@@ -53,15 +53,15 @@
   decide([this](Actions& actions) { subscription_.start(loop::now_ms(), actions); });
 }
 
-Watch::~Watch() { deadlines_.cancel(wake_); }
+EndpointWatch::~EndpointWatch() { deadlines_.cancel(wake_); }
 
-void Watch::refresh() {
+void EndpointWatch::refresh() {
   decide([this](Actions& actions) { subscription_.refresh(loop::now_ms(), actions); });
 }
 
 // ---- what is decided ----
 
-void Watch::decide(const std::function<void(Actions&)>& what_happened) {
+void EndpointWatch::decide(const std::function<void(Actions&)>& what_happened) {
   Actions actions;
   what_happened(actions);
   for (std::size_t i = 0; i < actions.size(); ++i) { // by index: what fails at once adds to them
@@ -81,7 +81,7 @@
   });
 }
 
-void Watch::open(CallId call, Actions& actions) {
+void EndpointWatch::open(CallId call, Actions& actions) {
   if (!connections_.empty()) log::line("discovery-in-doubt", {{"from", address_}, {"answers", answers_}});
   auto connection = std::make_unique<Connection>();
   connection->watch = this;
@@ -89,7 +89,7 @@
   connection->io = loop::make_bufferevent(base_, -1);
   bufferevent* const io = connection->io.get();
   go_first(base_, io);
-  bufferevent_setcb(io, &Watch::readable, nullptr, &Watch::changed, connection.get());
+  bufferevent_setcb(io, &EndpointWatch::readable, nullptr, &EndpointWatch::changed, connection.get());
   connections_[call] = std::move(connection);
   sockaddr_in where{};
   config::parse_address(address_, where); // checked when the configuration was read
@@ -99,7 +99,7 @@
   subscription_.failed(loop::now_ms(), call, Failure::Disconnected, actions);
 }
 
-void Watch::ask(const discovery::Ask& ask) {
+void EndpointWatch::ask(const discovery::Ask& ask) {
   Connection& connection = *connections_.at(ask.call);
   connection.asked = true;
   const std::string text = http::write_request("GET", target_of(ask), address_, {}, "");
@@ -109,17 +109,17 @@
 
 // ---- what the sockets tell ----
 
-void Watch::readable(bufferevent*, void* connection) {
+void EndpointWatch::readable(bufferevent*, void* connection) {
   auto* const found = static_cast<Connection*>(connection);
   found->watch->read(*found);
 }
 
-void Watch::changed(bufferevent*, short what, void* connection) {
+void EndpointWatch::changed(bufferevent*, short what, void* connection) {
   auto* const found = static_cast<Connection*>(connection);
   found->watch->event(*found, what);
 }
 
-void Watch::event(Connection& connection, short what) {
+void EndpointWatch::event(Connection& connection, short what) {
   if ((what & BEV_EVENT_CONNECTED) != 0) {
     connection.up = true;
     loop::set_nodelay(bufferevent_getfd(connection.io.get()));
@@ -135,7 +135,7 @@
        begun ? Failure::Useless : Failure::Disconnected);
 }
 
-void Watch::read(Connection& connection) {
+void EndpointWatch::read(Connection& connection) {
   const std::string_view input = loop::pending_input(connection.io.get());
   if (input.empty()) return;
   if (!connection.asked) return fail(connection, "unasked-bytes", Failure::Useless);
@@ -146,7 +146,7 @@
 }
 
 // Some of an answer has been read. `all`: nothing came behind it. With bytes behind it the next one could not be told apart.
-void Watch::parsed(Connection& connection, bool all) {
+void EndpointWatch::parsed(Connection& connection, bool all) {
   if (connection.parser.fault() != http::Fault::None) {
     return fail(connection, "malformed", Failure::Useless);
   }
@@ -154,7 +154,7 @@
   decide([&](Actions&) { subscription_.progressed(loop::now_ms(), connection.call); });
 }
 
-void Watch::answered(Connection& connection, bool reusable) {
+void EndpointWatch::answered(Connection& connection, bool reusable) {
   const http::Message message = connection.parser.take();
   connection.asked = false;
   if (message.status == kTooManyRequests || message.status == kUnavailable) {
@@ -174,7 +174,7 @@
   });
 }
 
-discovery::Answer Watch::take(CallId call, const std::string& text) {
+discovery::Answer EndpointWatch::take(CallId call, const std::string& text) {
   const bool believed = stale_in_a_row_ >= kStaleRefused;
   try {
     const discovery::Answer answer = take_(text, believed ? 0 : subscription_.at_least(call));
@@ -187,21 +187,21 @@
 }
 
 // The connection is gone on return.
-void Watch::fail(Connection& connection, const char* code, Failure failure) {
+void EndpointWatch::fail(Connection& connection, const char* code, Failure failure) {
   note_failure(code);
   const CallId call = connection.call;
   connections_.erase(call);
   decide([&](Actions& actions) { subscription_.failed(loop::now_ms(), call, failure, actions); });
 }
 
-void Watch::look() {
+void EndpointWatch::look() {
   std::vector<CallId> calls;
   for (const auto& [call, connection] : connections_) calls.push_back(call);
   for (const CallId call : calls) look(call); // what comes on one may close the others
 }
 
 // Past libevent's buffer, which takes bytes from the event loop alone. An end is found again from there.
-void Watch::look(CallId call) {
+void EndpointWatch::look(CallId call) {
   Connection* connection = asked(call);
   if (connection != nullptr && !loop::pending_input(connection->io.get()).empty()) read(*connection);
   std::array<char, kLookBytes> block;
@@ -216,25 +216,25 @@
 }
 
 // The connection of a call that an answer is due to; null: there is none.
-Watch::Connection* Watch::asked(CallId call) {
+EndpointWatch::Connection* EndpointWatch::asked(CallId call) {
   const auto found = connections_.find(call);
   return found == connections_.end() || !found->second->asked ? nullptr : found->second.get();
 }
 
 // ---- the log: the first failure, each other code, and the end of it ----
 
-void Watch::note_failure(const char* code) {
+void EndpointWatch::note_failure(const char* code) {
   ++failures_;
   if (failed_with_ == code) return;
   failed_with_ = code;
   log::line("discovery-ended", {{"code", code}, {"answers", answers_}});
 }
 
-void Watch::note_answer() {
+void EndpointWatch::note_answer() {
   ++answers_;
   if (failures_ > 0) log::line("discovery-answers", {{"from", address_}, {"failures", failures_}});
   failures_ = 0;
   failed_with_.clear();
 }
 
-} // namespace fernward::routes
+} // namespace fernward::endpoints
--- a/src/routes/watch.h
+++ b/src/endpoints/endpoint_watch.h
@@ -10,22 +10,22 @@
 
 #include "discovery/subscription.h"
 #include "http/parser.h"
-#include "loop/deadlines.h"
 #include "loop/net.h"
+#include "loop/timer_queue.h"
 
-namespace fernward::routes {
+namespace fernward::endpoints {
 
-class Watch {
+class EndpointWatch {
  public:
   // Takes an answer's text whose version is `at_least` or later. Throws Damaged, or Stale where the version is an earlier
   // one; nothing is changed then.
   using Take = std::function<discovery::Answer(const std::string& text, std::uint64_t at_least)>;
 
-  Watch(event_base* base, loop::Deadlines& deadlines, const std::string& address,
-        discovery::Subscription subscription, Take take);
-  ~Watch();
-  Watch(const Watch&) = delete;
-  Watch& operator=(const Watch&) = delete;
+  EndpointWatch(event_base* base, loop::TimerQueue& deadlines, const std::string& address,
+                discovery::Subscription subscription, Take take);
+  ~EndpointWatch();
+  EndpointWatch(const EndpointWatch&) = delete;
+  EndpointWatch& operator=(const EndpointWatch&) = delete;
 
   const std::string& address() const { return address_; }
   void look();    // takes what discovery has written already, without waiting for the event loop
@@ -34,7 +34,7 @@
  private:
   struct Connection {
     Connection();
-    Watch* watch = nullptr;
+    EndpointWatch* watch = nullptr;
     discovery::CallId call = 0;
     loop::BuffereventPtr io;
     http::Parser parser;
@@ -59,7 +59,7 @@
   void note_answer();
 
   event_base* base_;
-  loop::Deadlines& deadlines_;
+  loop::TimerQueue& deadlines_;
   std::string address_;
   Take take_;
   discovery::Subscription subscription_;
@@ -68,7 +68,7 @@
   std::uint32_t stale_in_a_row_ = 0;
   std::uint64_t failures_ = 0; // since the last sound answer
   std::string failed_with_;    // the code that was logged last, for the log only
-  loop::Deadlines::Ticket wake_ = 0;
+  loop::TimerQueue::TimerId wake_ = 0;
 };
 
-} // namespace fernward::routes
+} // namespace fernward::endpoints
--- a/src/routes/target_set.cpp
+++ b/src/endpoints/target_set.cpp
@@ -1,4 +1,4 @@
-#include "routes/target_set.h"
+#include "endpoints/target_set.h"
 
 #include <algorithm>
 #include <utility>
@@ -6,14 +6,14 @@
 
 #include "log/log.h"
 
-namespace fernward::routes {
+namespace fernward::endpoints {
 namespace {
 
 using fernward::ServerState;
 
 // Of two with one number, which one has it? The same at every router: the drain of one must not take the other from
 // service, and of two in service the lesser name has it.
-bool goes_before(const Target& a, const Target& b) {
+bool goes_before(const Endpoint& a, const Endpoint& b) {
   const bool a_serves = a.entry.state == ServerState::Ready;
   const bool b_serves = b.entry.state == ServerState::Ready;
   return a_serves != b_serves ? a_serves : a.name < b.name;
@@ -21,14 +21,14 @@
 
 } // namespace
 
-const Target* TargetSet::holder(fernward::ServerId id) const {
+const Endpoint* TargetSet::holder(fernward::ServerId id) const {
   const auto found = holders_.find(id);
   return found == holders_.end() ? nullptr : &found->second;
 }
 
-const Target* TargetSet::find(const std::string& name) const {
+const Endpoint* TargetSet::find(const std::string& name) const {
   const fernward::ServerId id = id_of(name);
-  const Target* held = holder(id);
+  const Endpoint* held = holder(id);
   if (held != nullptr && held->name == name) return held;
   const auto [first, last] = waiting_.equal_range(id);
   const auto found =
@@ -37,17 +37,17 @@
 }
 
 bool TargetSet::serves(fernward::ServerId id) const {
-  const Target* held = holder(id);
+  const Endpoint* held = holder(id);
   return held != nullptr && held->entry.state == ServerState::Ready;
 }
 
-void TargetSet::put(const Target& target) {
+void TargetSet::put(const Endpoint& target) {
   in_service_ -= serves(target.entry.id);
   replace(target);
   in_service_ += serves(target.entry.id);
 }
 
-void TargetSet::replace(const Target& target) {
+void TargetSet::replace(const Endpoint& target) {
   const fernward::ServerId id = target.entry.id;
   const auto [it, added] = holders_.try_emplace(id, target);
   if (it->second.name != target.name || waiting_.contains(id)) return contend(target);
@@ -59,12 +59,12 @@
 }
 
 // Takes all with this number out, and puts them back with the new one in its order.
-void TargetSet::contend(const Target& target) {
+void TargetSet::contend(const Endpoint& target) {
   const fernward::ServerId id = target.entry.id;
-  std::vector<Target> contenders;
+  std::vector<Endpoint> contenders;
   contenders.push_back(std::move(holders_.extract(id).mapped()));
   while (auto waiting = waiting_.extract(id)) contenders.push_back(std::move(waiting.mapped()));
-  std::erase_if(contenders, [&target](const Target& other) { return other.name == target.name; });
+  std::erase_if(contenders, [&target](const Endpoint& other) { return other.name == target.name; });
   if (target.entry.state != ServerState::Gone) contenders.push_back(target);
   if (contenders.empty()) return;
   std::sort(contenders.begin(), contenders.end(), goes_before);
@@ -75,4 +75,4 @@
   holders_.emplace(id, std::move(contenders[0]));
 }
 
-} // namespace fernward::routes
+} // namespace fernward::endpoints
--- a/src/routes/target_set.h
+++ b/src/endpoints/target_set.h
@@ -6,31 +6,31 @@
 #include <map>
 #include <string>
 
-#include "fernward/choice.h"
-#include "routes/endpoint.h"
+#include "endpoints/endpoint.h"
+#include "fernward/balancer.h"
 
-namespace fernward::routes {
+namespace fernward::endpoints {
 
 class TargetSet {
  public:
   // Adds the target or takes the place of the one of its name; a target that is Gone only ends that one.
-  void put(const Target& target);
+  void put(const Endpoint& target);
 
-  const Target* find(const std::string& name) const;     // also one that waits; null: none
-  const Target* holder(fernward::ServerId id) const;     // null: none
+  const Endpoint* find(const std::string& name) const;   // also one that waits; null: none
+  const Endpoint* holder(fernward::ServerId id) const;   // null: none
   std::size_t in_service() const { return in_service_; } // of the holders
-  const std::map<fernward::ServerId, Target>& holders() const {
+  const std::map<fernward::ServerId, Endpoint>& holders() const {
     return holders_;
   } // of each number its holder
 
  private:
-  void replace(const Target& target);
-  void contend(const Target& target);
+  void replace(const Endpoint& target);
+  void contend(const Endpoint& target);
   bool serves(fernward::ServerId id) const;
 
-  std::map<fernward::ServerId, Target> holders_;
-  std::multimap<fernward::ServerId, Target> waiting_; // for their number; its holder has another name
+  std::map<fernward::ServerId, Endpoint> holders_;
+  std::multimap<fernward::ServerId, Endpoint> waiting_; // for their number; its holder has another name
   std::size_t in_service_ = 0;
 };
 
-} // namespace fernward::routes
+} // namespace fernward::endpoints
--- a/src/shared/advice.h
+++ b/src/gossip/advice.h
@@ -5,35 +5,36 @@
 #include <utility>
 #include <vector>
 
-#include "fernward/choice.h"
-#include "shared/fleet.h"
+#include "fernward/balancer.h"
+#include "gossip/fleet.h"
 
-namespace fernward::shared {
+namespace fernward::gossip {
 
 struct Uses { // each part by itself
   bool ledger = true, count = true, findings = true;
 };
 
 inline Own own_of(const Balancer& balancer, const Uses& uses) {
-  const Balancer::Ledger ledger = balancer.ledger();
-  Own own{ledger.demand, ledger.limit, {}, ledger.answer_ms};
+  const Balancer::OriginBudget ledger = balancer.origin_budget();
+  Own own{ledger.demand, ledger.limit, {}, ledger.response_ms};
   if (!uses.findings) return own;
-  std::vector<Balancer::Finding> seen;
-  balancer.findings(seen);
-  for (const auto& f : seen) own.findings.push_back({f.server, f.lost, f.seen_at});
+  std::vector<Balancer::OutlierObservation> seen;
+  balancer.outlier_observations(seen);
+  for (const auto& f : seen) own.findings.push_back({f.server, f.consecutive_failures, f.observed_at});
   return own;
 }
 
 // The events for the policy after a round, appended.
 inline void advise(double now, const View& v, Fleet& fleet, const Uses& uses, std::vector<Event>& to) {
-  FleetWord word{uses.count ? v.living : 0};
+  FleetState word{uses.count ? v.living : 0};
   if (uses.ledger)
-    word.ledger_part = v.ledger_part, word.answer_ms = v.answer_ms, word.answer_age_ms = v.answer_age_ms;
+    word.origin_limit_share = v.ledger_part, word.origin_response_ms = v.answer_ms,
+    word.origin_response_age_ms = v.answer_age_ms;
   to.push_back(word);
   if (!uses.findings) return;
   std::vector<Verdict> verdicts;
   fleet.verdicts(now, verdicts);
-  for (const Verdict& f : verdicts) to.push_back(FleetFinding{f.server, f.bad, f.seen_at});
+  for (const Verdict& f : verdicts) to.push_back(OutlierReport{f.server, f.bad, f.seen_at});
 }
 
-} // namespace fernward::shared
+} // namespace fernward::gossip
--- a/src/shared/entries.h
+++ b/src/gossip/entries.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <string_view>
 
-#include "members/wire.h"
+#include "membership/wire.h"
 
-namespace fernward::shared {
+namespace fernward::gossip {
 
 enum class Kind : std::uint8_t { Quantities = 1, Finding = 2 };
 constexpr std::size_t kEntryHead = 2;
@@ -22,16 +22,16 @@
 // The next of `bytes`, which is shortened by it; none: at the end, or where the rest is damaged and `bytes` stays as it is.
 inline std::optional<Entry> next_entry(std::string_view& bytes) {
   if (bytes.size() < kEntryHead) return std::nullopt;
-  const std::size_t length = members::get<std::uint8_t>(bytes, 1);
+  const std::size_t length = membership::get<std::uint8_t>(bytes, 1);
   if (bytes.size() < kEntryHead + length) return std::nullopt;
-  const Entry entry{members::get<std::uint8_t>(bytes, 0), bytes.substr(kEntryHead, length)};
+  const Entry entry{membership::get<std::uint8_t>(bytes, 0), bytes.substr(kEntryHead, length)};
   bytes.remove_prefix(kEntryHead + length);
   return entry;
 }
 
 inline void put_entry_head(std::string& to, Kind kind, std::size_t length) {
-  members::put(to, static_cast<std::uint8_t>(kind));
-  members::put(to, static_cast<std::uint8_t>(length));
+  membership::put(to, static_cast<std::uint8_t>(kind));
+  membership::put(to, static_cast<std::uint8_t>(length));
 }
 
-} // namespace fernward::shared
+} // namespace fernward::gossip
--- a/src/shared/facts.cpp
+++ b/src/gossip/facts.cpp
@@ -1,13 +1,13 @@
-#include "shared/facts.h"
+#include "gossip/facts.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace fernward::shared {
+namespace fernward::gossip {
 namespace {
 
-using members::get;
-using members::put;
+using membership::get;
+using membership::put;
 
 // An entry: u16 owner, u32 incarnation, u16 sequence, u16 age in 10 ms, then u16 a quantity. A longer one has quantities
 // that this version does not know; a shorter one is of an older version, and what it lacks is 0: nothing to say.
@@ -200,4 +200,4 @@
   return {sum / weights, ages / weights};
 }
 
-} // namespace fernward::shared
+} // namespace fernward::gossip
--- a/src/shared/facts.h
+++ b/src/gossip/facts.h
@@ -20,14 +20,14 @@
 #include <string_view>
 #include <vector>
 
-#include "members/wire.h"
-#include "numbers/numbers.h"
-#include "shared/entries.h"
+#include "membership/wire.h"
+#include "statistics/numbers.h"
+#include "gossip/entries.h"
 
-namespace fernward::shared {
+namespace fernward::gossip {
 
-using members::Id;
-using members::Stamp;
+using membership::Id;
+using membership::Stamp;
 
 enum class What : std::uint8_t {
   Demand, // attempts that this router wants at the ledger at once, waiting ones included
@@ -120,4 +120,4 @@
   std::uint64_t passed_over_ = 0;
 };
 
-} // namespace fernward::shared
+} // namespace fernward::gossip
--- a/src/shared/findings.cpp
+++ b/src/gossip/findings.cpp
@@ -1,14 +1,14 @@
-#include "shared/findings.h"
+#include "gossip/findings.h"
 
 #include <algorithm>
 #include <array>
 #include <cmath>
 
-namespace fernward::shared {
+namespace fernward::gossip {
 namespace {
 
-using members::get;
-using members::put;
+using membership::get;
+using membership::put;
 
 // u16 owner, u32 incarnation, u16 sequence, u8 zone, u8 lost, u32 server, u16 age in 10 ms.
 constexpr std::size_t kLength = 16;
@@ -199,4 +199,4 @@
   }
 }
 
-} // namespace fernward::shared
+} // namespace fernward::gossip
--- a/src/shared/findings.h
+++ b/src/gossip/findings.h
@@ -24,16 +24,16 @@
 #include <string_view>
 #include <vector>
 
-#include "members/wire.h"
-#include "numbers/numbers.h"
-#include "shared/entries.h"
+#include "membership/wire.h"
+#include "statistics/numbers.h"
+#include "gossip/entries.h"
 
-namespace fernward::shared {
+namespace fernward::gossip {
 
-using members::Id;
-using members::Stamp;
+using membership::Id;
+using membership::Stamp;
 
-using ServerId = std::uint32_t; // as fernward/choice.h has it
+using ServerId = std::uint32_t; // as fernward/balancer.h has it
 
 struct Finding {
   ServerId server = 0;
@@ -96,4 +96,4 @@
   std::uint64_t passed_over_ = 0;
 };
 
-} // namespace fernward::shared
+} // namespace fernward::gossip
--- a/src/shared/fleet.cpp
+++ b/src/gossip/fleet.cpp
@@ -1,8 +1,8 @@
-#include "shared/fleet.h"
+#include "gossip/fleet.h"
 
 #include <algorithm>
 
-namespace fernward::shared {
+namespace fernward::gossip {
 namespace {
 
 constexpr double kEpochMs = 1577836800000; // 2020
@@ -16,7 +16,7 @@
   return static_cast<std::uint32_t>(std::clamp((unix_ms - kEpochMs) / 100, 1.0, 4e9));
 }
 
-Fleet::Fleet(Id self, std::size_t count, std::uint32_t incarnation, const members::Rules& rules,
+Fleet::Fleet(Id self, std::size_t count, std::uint32_t incarnation, const membership::Rules& rules,
              std::uint64_t seed, std::uint8_t zone)
     : members_(self, count, incarnation, rules, seed),
       facts_(self, count, seed),
@@ -32,7 +32,7 @@
 }
 
 bool Fleet::take(double now, Id from, std::string_view bytes, std::vector<Out>& out) {
-  const auto d = members::decode(bytes);
+  const auto d = membership::decode(bytes);
   if (!d) {
     ++counts_.damaged;
     return false;
@@ -53,11 +53,11 @@
 }
 
 void Fleet::send(double now, std::vector<Out>& out) {
-  for (members::Packet& p : packets_) {
-    const std::size_t room = members::room_for_facts(p.what);
+  for (membership::Packet& p : packets_) {
+    const std::size_t room = membership::room_for_facts(p.what);
     p.what.facts = facts_.write(now, std::min(kFactsRoom, room));
     p.what.facts += findings_.write(now, std::min(Findings::kRoom, room - p.what.facts.size()));
-    out.push_back({p.to, members::encode(p.what)});
+    out.push_back({p.to, membership::encode(p.what)});
     ++counts_.sent;
     counts_.sent_bytes += out.back().bytes.size();
   }
@@ -82,4 +82,4 @@
   return c;
 }
 
-} // namespace fernward::shared
+} // namespace fernward::gossip
--- a/src/shared/fleet.h
+++ b/src/gossip/fleet.h
@@ -14,11 +14,11 @@
 #include <string_view>
 #include <vector>
 
-#include "members/members.h"
-#include "shared/facts.h"
-#include "shared/findings.h"
+#include "gossip/facts.h"
+#include "gossip/findings.h"
+#include "membership/membership.h"
 
-namespace fernward::shared {
+namespace fernward::gossip {
 
 struct Own {          // what this router has to say of the ledger, and of the cache nodes
   double demand = -1; // below 0: not known yet
@@ -41,7 +41,7 @@
 
 class Fleet {
  public:
-  Fleet(Id self, std::size_t count, std::uint32_t incarnation, const members::Rules& rules,
+  Fleet(Id self, std::size_t count, std::uint32_t incarnation, const membership::Rules& rules,
         std::uint64_t seed, std::uint8_t zone = kNoZone);
 
   struct Out {
@@ -58,22 +58,22 @@
   // What several routers say together of cache nodes, where it differs from the last time; appended.
   void verdicts(double now, std::vector<Verdict>& to) { findings_.changes(now, to); }
   std::size_t doubted() const { return findings_.standing(); } // cache nodes, by the last verdicts
-  const members::Members& members() const { return members_; }
+  const membership::Membership& members() const { return members_; }
   Counts counts() const;
 
  private:
   void send(double now, std::vector<Out>& out);
 
-  members::Members members_;
+  membership::Membership members_;
   Facts facts_;
   Findings findings_;
   Own own_;
   Counts counts_;
-  std::vector<members::Packet> packets_;
+  std::vector<membership::Packet> packets_;
   std::vector<Facts::Told> told_;
 };
 
 // The incarnation of a process that starts at this time of the wall's clock, in Unix milliseconds.
 std::uint32_t incarnation_at(double unix_ms);
 
-} // namespace fernward::shared
+} // namespace fernward::gossip
--- a/src/peering/link.cpp
+++ b/src/gossip_transport/link.cpp
@@ -1,4 +1,4 @@
-#include "peering/link.h"
+#include "gossip_transport/link.h"
 
 #include <sys/socket.h>
 #include <unistd.h>
@@ -13,7 +13,7 @@
 #include "config/settings.h"
 #include "log/log.h"
 
-namespace fernward::peering {
+namespace fernward::gossip_transport {
 namespace {
 
 constexpr unsigned kAtOnce = 8; // datagrams of one call, and read before others have their turn
@@ -27,11 +27,11 @@
 
 } // namespace
 
-Link::Link(loop::Deadlines& deadlines, const Options& options, Calls calls)
+Link::Link(loop::TimerQueue& deadlines, const Options& options, Calls calls)
     : deadlines_(deadlines),
       calls_(std::move(calls)),
       look_ms_(std::min(kLookMs, kLookTurns * options.rules.period_ms)),
-      fleet_(options.self, options.peers.size(), shared::incarnation_at(loop::now_ms()), options.rules,
+      fleet_(options.self, options.peers.size(), gossip::incarnation_at(loop::now_ms()), options.rules,
              options.seed, options.zone) {
   if (!config::parse_address(options.listen, listen_))
     throw config::Error("peer_listen: \"" + options.listen + "\" is no address of the form 10.0.0.4:7946");
@@ -40,7 +40,7 @@
     if (!config::parse_address(options.peers[i], where))
       throw config::Error("peers[" + std::to_string(i) + "]: \"" + options.peers[i] + "\" is no address");
     peers_.push_back(where);
-    if (i != options.self) by_address_.emplace(key_of(where), static_cast<shared::Id>(i));
+    if (i != options.self) by_address_.emplace(key_of(where), static_cast<gossip::Id>(i));
   }
   open();
 }
@@ -87,7 +87,7 @@
 
 // True: there may be more.
 bool Link::read() {
-  std::array<char, members::kMostBytes + 1> bytes;
+  std::array<char, membership::kMostBytes + 1> bytes;
   const double now = loop::now_ms();
   unsigned got = 0;
   for (; got < kAtOnce; ++got) {
@@ -100,7 +100,7 @@
       break;
     }
     const auto peer = by_address_.find(key_of(from));
-    if (peer == by_address_.end() || length > static_cast<ssize_t>(members::kMostBytes)) {
+    if (peer == by_address_.end() || length > static_cast<ssize_t>(membership::kMostBytes)) {
       ++strangers_;
       continue;
     }
@@ -132,4 +132,4 @@
   close(std::exchange(socket_, -1));
 }
 
-} // namespace fernward::peering
+} // namespace fernward::gossip_transport
--- a/src/peering/link.h
+++ b/src/gossip_transport/link.h
@@ -1,4 +1,4 @@
-// The socket between routers: carries shared::Fleet's datagrams, and decides nothing.
+// The socket between routers: carries gossip::Fleet's datagrams, and decides nothing.
 //
 // It listens at `peer_listen` and sends from there to the addresses of `peers`; only what comes from one of these counts.
 // No request waits for a datagram, so none wakes the process: what has come is read, and a round that is due is begun, at
@@ -14,36 +14,36 @@
 #include <unordered_map>
 #include <vector>
 
-#include "loop/deadlines.h"
-#include "shared/fleet.h"
+#include "gossip/fleet.h"
+#include "loop/timer_queue.h"
 
-namespace fernward::peering {
+namespace fernward::gossip_transport {
 
 struct Options {
-  shared::Id self = 0;
+  gossip::Id self = 0;
   std::string listen;             // "10.0.0.4:7946"
   std::vector<std::string> peers; // by number, this router's own included
-  members::Rules rules;
+  membership::Rules rules;
   std::uint64_t seed = 1;
-  std::uint8_t zone = shared::kNoZone;
+  std::uint8_t zone = gossip::kNoZone;
 };
 
 struct Calls {
-  std::function<shared::Own()> own; // what is to be said
-  std::function<void(shared::Fleet&, double now)>
+  std::function<gossip::Own()> own; // what is to be said
+  std::function<void(gossip::Fleet&, double now)>
       heard; // after each round, and as soon as the first others are heard
 };
 
 class Link {
  public:
-  Link(loop::Deadlines& deadlines, const Options& options,
+  Link(loop::TimerQueue& deadlines, const Options& options,
        Calls calls); // throws config::Error
   ~Link();
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
   void leave(); // tells some, closes its socket; nothing comes of it any more
-  shared::Fleet& fleet() { return fleet_; }
+  gossip::Fleet& fleet() { return fleet_; }
   std::uint64_t strangers() const { return strangers_; } // datagrams from no address of `peers`, or too long
 
  private:
@@ -54,18 +54,18 @@
   void round(double now);
   void send();
 
-  loop::Deadlines& deadlines_;
+  loop::TimerQueue& deadlines_;
   Calls calls_;
   sockaddr_in listen_{};
   std::vector<sockaddr_in> peers_;
-  std::unordered_map<std::uint64_t, shared::Id> by_address_;
+  std::unordered_map<std::uint64_t, gossip::Id> by_address_;
   double look_ms_; // at the latest
-  shared::Fleet fleet_;
-  std::vector<shared::Fleet::Out> out_;
-  loop::Deadlines::Ticket ticket_ = 0;
+  gossip::Fleet fleet_;
+  std::vector<gossip::Fleet::Out> out_;
+  loop::TimerQueue::TimerId ticket_ = 0;
   int socket_ = -1;
   std::uint64_t strangers_ = 0;
   bool heard_ = false, told_ = false;
 };
 
-} // namespace fernward::peering
+} // namespace fernward::gossip_transport
--- a/src/health/health.h
+++ b/src/health/health.h
@@ -11,7 +11,7 @@
 
 #include <cstdint>
 
-#include "numbers/numbers.h"
+#include "statistics/numbers.h"
 
 namespace fernward::health {
 
--- a/src/handover/link.cpp
+++ b/src/hot_restart/link.cpp
@@ -1,4 +1,4 @@
-#include "handover/link.h"
+#include "hot_restart/link.h"
 
 #include <fcntl.h>
 #include <poll.h>
@@ -16,7 +16,7 @@
 
 #include "log/log.h"
 
-namespace fernward::handover {
+namespace fernward::hot_restart {
 namespace {
 
 constexpr timeval kAcceptPause{0, 50000};
@@ -279,4 +279,4 @@
   }
 }
 
-} // namespace fernward::handover
+} // namespace fernward::hot_restart
--- a/src/handover/link.h
+++ b/src/hot_restart/link.h
@@ -11,10 +11,10 @@
 #include <optional>
 #include <string>
 
-#include "handover/state.h"
-#include "loop/deadlines.h"
+#include "hot_restart/state.h"
+#include "loop/timer_queue.h"
 
-namespace fernward::handover {
+namespace fernward::hot_restart {
 
 class Descriptor { // closed at its end
  public:
@@ -115,4 +115,4 @@
 std::optional<Inherited> ask(const std::string& path, const Hello& hello, double patience_ms,
                              std::string& why);
 
-} // namespace fernward::handover
+} // namespace fernward::hot_restart
--- a/src/handover/state.cpp
+++ b/src/hot_restart/state.cpp
@@ -1,9 +1,9 @@
-#include "handover/state.h"
+#include "hot_restart/state.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-namespace fernward::handover {
+namespace fernward::hot_restart {
 
 using nlohmann::json;
 
@@ -30,11 +30,11 @@
   return value;
 }
 
-json of(const maintenance::Bans::Known& known) {
+json of(const admin_overrides::EndpointOverrides::Known& known) {
   return json::array({known.name, known.out, known.fresh_at});
 }
 
-maintenance::Bans::Known known_of(const json& from) {
+admin_overrides::EndpointOverrides::Known known_of(const json& from) {
   return {from.at(0).get<std::string>(), from.at(1).get<bool>(), from.at(2).get<double>()};
 }
 
@@ -126,4 +126,4 @@
   return out;
 }
 
-} // namespace fernward::handover
+} // namespace fernward::hot_restart
--- a/src/handover/state.h
+++ b/src/hot_restart/state.h
@@ -12,9 +12,9 @@
 #include <variant>
 #include <vector>
 
-#include "maintenance/bans.h"
+#include "admin_overrides/endpoint_overrides.h"
 
-namespace fernward::handover {
+namespace fernward::hot_restart {
 
 constexpr std::uint32_t kVersion = 1;
 constexpr std::size_t kHeader = 24;
@@ -46,7 +46,7 @@
 };
 struct Welcome {    // the old one's answer, with the listening descriptor beside it
   std::string list; // as last told, in discovery's form; empty: none was told
-  std::vector<maintenance::Bans::Known> known;
+  std::vector<admin_overrides::EndpointOverrides::Known> known;
   Share share;
   bool operator==(const Welcome&) const = default;
 };
@@ -54,7 +54,7 @@
   bool operator==(const Serving&) const = default;
 };
 struct Asked { // a ban or a call back, of either while both live
-  maintenance::Bans::Known what;
+  admin_overrides::EndpointOverrides::Known what;
   bool operator==(const Asked&) const = default;
 };
 struct Client { // of the old one, with a connection at rest beside it, and its place
@@ -78,4 +78,4 @@
 };
 Decoded decode(std::string_view bytes);
 
-} // namespace fernward::handover
+} // namespace fernward::hot_restart
--- a/src/lifetimes/rests.cpp
+++ b/src/idle_connections/idle_lifetime_estimator.cpp
@@ -1,9 +1,9 @@
-#include "lifetimes/rests.h"
+#include "idle_connections/idle_lifetime_estimator.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace fernward::lifetimes {
+namespace fernward::idle_connections {
 namespace {
 
 constexpr double kShortestMs = 8; // where the second class begins
@@ -37,22 +37,22 @@
 
 } // namespace
 
-Rests::Rests(double longest_ms) : longest_ms_(longest_ms) {
+IdleLifetimeEstimator::IdleLifetimeEstimator(double longest_ms) : longest_ms_(longest_ms) {
   while (classes_ < kClasses && begin_of(classes_) < longest_ms_) ++classes_;
   common_.likely.fill(kLife / static_cast<double>(classes_));
 }
 
-std::size_t Rests::class_of(double rested_ms) {
+std::size_t IdleLifetimeEstimator::class_of(double rested_ms) {
   if (!(rested_ms >= kShortestMs)) return 0;
   const double cls = 1 + std::floor(4 * std::log2(rested_ms / kShortestMs));
   return static_cast<std::size_t>(std::min(cls, static_cast<double>(kClasses - 1)));
 }
 
-double Rests::begin_of(std::size_t cls) {
+double IdleLifetimeEstimator::begin_of(std::size_t cls) {
   return cls == 0 ? 0 : kShortestMs * std::exp2(0.25 * static_cast<double>(cls - 1));
 }
 
-void Rests::History::fade(double now) {
+void IdleLifetimeEstimator::History::fade(double now) {
   if (now - at < 1000) return;
   const auto keep = static_cast<float>(std::exp2(-(now - at) / kHalfLifeMs));
   at = now;
@@ -60,7 +60,7 @@
   for (Tally& tally : rested) tally.answered *= keep, tally.reset *= keep;
 }
 
-Rests::Known& Rests::known(double now, Target target) {
+IdleLifetimeEstimator::Known& IdleLifetimeEstimator::known(double now, Target target) {
   common_.seen.fade(now);
   const auto [it, added] = targets_.try_emplace(target);
   if (added) it->second.seen.at = now;
@@ -68,7 +68,7 @@
   return it->second;
 }
 
-void Rests::forget(Target target) {
+void IdleLifetimeEstimator::forget(Target target) {
   const auto it = targets_.find(target);
   if (it == targets_.end()) return;
   for (std::size_t i = 0; i < kClasses; ++i) {
@@ -81,7 +81,7 @@
 
 // ---- what came of it ----
 
-void Rests::first_use(double now, Target target, bool reset) {
+void IdleLifetimeEstimator::first_use(double now, Target target, bool reset) {
   Known& k = known(now, target);
   for (auto [tally, memory] : {std::pair(&k.seen.fresh, kOwnMemory), {&common_.seen.fresh, kCommonMemory}}) {
     reset ? count(tally->reset, tally->answered, memory) : count(tally->answered, tally->reset, memory);
@@ -89,13 +89,13 @@
 }
 
 // One break of a target, such as the end of its process, resets all its connections: it counts once.
-bool Rests::same_break(double now, Known& k) {
+bool IdleLifetimeEstimator::same_break(double now, Known& k) {
   const bool same = now - k.reset_at < kOneBreakMs;
   k.reset_at = now;
   return same;
 }
 
-void Rests::used_again(double now, Target target, double rested_ms, bool trial, bool reset) {
+void IdleLifetimeEstimator::used_again(double now, Target target, double rested_ms, bool trial, bool reset) {
   Known& k = known(now, target);
   if (trial) {
     trial_wait_ms_ = std::clamp(trial_wait_ms_ * (reset ? 2 : 0.5), kMinTrialMs, kMaxTrialMs);
@@ -116,7 +116,7 @@
 
 // ---- what follows ----
 
-Rests::Known& Rests::estimated(double now, Target target) {
+IdleLifetimeEstimator::Known& IdleLifetimeEstimator::estimated(double now, Target target) {
   Known& k = known(now, target);
   const double age = now - k.estimated_at;
   if ((k.version != version_ && age >= kHearMs) || (k.safe_ms < longest_ms_ && age >= kReestimateMs)) {
@@ -134,7 +134,7 @@
 
 // How likely each class is the one from which on connections die of their rest, and how much likelier a reset
 // is from there on than before.
-void Rests::weigh(Weighed& w, double usual, const Weighed* others) const {
+void IdleLifetimeEstimator::weigh(Weighed& w, double usual, const Weighed* others) const {
   const History& h = w.seen;
   Tally before, after;
   for (std::size_t i = 0; i < classes_; ++i)
@@ -163,7 +163,7 @@
   for (std::size_t i = 0; i < classes_; ++i) w.likely[i] /= sum;
 }
 
-void Rests::estimate(Known& k) {
+void IdleLifetimeEstimator::estimate(Known& k) {
   Weighed w;
   w.seen = k.seen;
   const Tally &all_fresh = common_.seen.fresh, &own_fresh = k.seen.fresh;
@@ -178,10 +178,10 @@
   k.hold_ms = i + 2 < classes_ ? begin_of(i + 2) : longest_ms_;
 }
 
-double Rests::safe_ms(double now, Target target) { return estimated(now, target).safe_ms; }
-double Rests::hold_ms(double now, Target target) { return estimated(now, target).hold_ms; }
+double IdleLifetimeEstimator::safe_ms(double now, Target target) { return estimated(now, target).safe_ms; }
+double IdleLifetimeEstimator::hold_ms(double now, Target target) { return estimated(now, target).hold_ms; }
 
-Rests::Use Rests::use(double now, Target target, double rested_ms) {
+IdleLifetimeEstimator::Use IdleLifetimeEstimator::use(double now, Target target, double rested_ms) {
   const Known& k = estimated(now, target);
   if (rested_ms < k.safe_ms) return Use::Yes;
   // A target that had no reset there itself goes first.
@@ -191,4 +191,4 @@
   return Use::Trial;
 }
 
-} // namespace fernward::lifetimes
+} // namespace fernward::idle_connections
--- a/src/lifetimes/rests.h
+++ b/src/idle_connections/idle_lifetime_estimator.h
@@ -31,13 +31,13 @@
 #include <cstdint>
 #include <unordered_map>
 
-namespace fernward::lifetimes {
+namespace fernward::idle_connections {
 
-class Rests {
+class IdleLifetimeEstimator {
  public:
   using Target = std::uint32_t;
 
-  explicit Rests(double longest_ms); // no rest is ever safe beyond it: what the settings say
+  explicit IdleLifetimeEstimator(double longest_ms); // no rest is ever safe beyond it: what the settings say
 
   enum class Use { Yes, Trial, No };
   // May a request be written to a connection that has rested so long? A Trial is given once for each call.
@@ -94,4 +94,4 @@
   double trial_at_ = 0, trial_wait_ms_ = 1000;
 };
 
-} // namespace fernward::lifetimes
+} // namespace fernward::idle_connections
--- a/src/loop/buffer.cpp
+++ b/src/loop/buffer.cpp
@@ -14,7 +14,7 @@
 
 namespace fernward::loop {
 
-struct Block::Memory {
+struct IoBuffer::Memory {
   unsigned users = 1; // the block itself, and each piece that a buffer refers to
   std::shared_ptr<Spare> spare;
   char bytes[kBlock];
@@ -26,12 +26,12 @@
 };
 
 // A few are kept for the next body: given back to the system each time, their pages would be cleared each time.
-struct Block::Spare {
+struct IoBuffer::Spare {
   static constexpr std::size_t kMost = 16;
   std::vector<std::unique_ptr<Memory>> list;
 };
 
-Block::Memory* Block::Memory::take(const std::shared_ptr<Spare>& spare) {
+IoBuffer::Memory* IoBuffer::Memory::take(const std::shared_ptr<Spare>& spare) {
   std::unique_ptr<Memory> memory;
   if (spare->list.empty()) {
     memory.reset(new Memory);
@@ -44,17 +44,17 @@
   return memory.release();
 }
 
-void Block::Memory::let_go(Memory* memory) {
+void IoBuffer::Memory::let_go(Memory* memory) {
   if (--memory->users > 0) return;
   std::unique_ptr<Memory> free(memory);
   const std::shared_ptr<Spare> spare = std::move(memory->spare);
   if (spare->list.size() < Spare::kMost) spare->list.push_back(std::move(free));
 }
 
-Block::Block() : spare_(std::make_shared<Spare>()), memory_(Memory::take(spare_)) {}
-Block::~Block() { Memory::let_go(memory_); }
+IoBuffer::IoBuffer() : spare_(std::make_shared<Spare>()), memory_(Memory::take(spare_)) {}
+IoBuffer::~IoBuffer() { Memory::let_go(memory_); }
 
-char* Block::data() { // others may still read the last one
+char* IoBuffer::data() { // others may still read the last one
   if (memory_->users > 1) Memory::let_go(std::exchange(memory_, Memory::take(spare_)));
   return memory_->bytes;
 }
@@ -69,11 +69,11 @@
   if (!bytes.empty() && evbuffer_add(raw(), bytes.data(), bytes.size()) != 0) throw std::bad_alloc();
 }
 
-void Buffer::add(std::string_view bytes, Block& block) {
+void Buffer::add(std::string_view bytes, IoBuffer& block) {
   if (bytes.empty()) return;
   if (bytes.size() < kBlock / 2 || !block.memory_->holds(bytes)) return copy(bytes);
-  if (evbuffer_add_reference(raw(), bytes.data(), bytes.size(), &Block::Memory::let_go_of, block.memory_) !=
-      0) {
+  if (evbuffer_add_reference(raw(), bytes.data(), bytes.size(), &IoBuffer::Memory::let_go_of,
+                             block.memory_) != 0) {
     throw std::bad_alloc();
   }
   ++block.memory_->users;
@@ -119,7 +119,7 @@
   for (int& end : ends_) ::close(std::exchange(end, -1));
 }
 
-bool Pipe::move(int from, bufferevent* to, std::size_t most, Block& block, Received& received,
+bool Pipe::move(int from, bufferevent* to, std::size_t most, IoBuffer& block, Received& received,
                 std::size_t& bytes, std::string_view& rest) {
   const auto n =
       splice(from, nullptr, ends_[1], nullptr, std::min(most, kBlock), SPLICE_F_MOVE | SPLICE_F_NONBLOCK);
@@ -206,7 +206,7 @@
 }
 
 std::size_t write_or_wait(bufferevent* b, std::string_view before, std::string_view body,
-                          std::string_view after, Block& block) {
+                          std::string_view after, IoBuffer& block) {
   const iovec parts[3] = {part(before), part(body), part(after)};
   std::size_t out = write_now(b, parts, 3);
   wait(b, rest_of(before, out));
--- a/src/loop/buffer.h
+++ b/src/loop/buffer.h
@@ -18,12 +18,12 @@
 // The memory that a socket is read into, one for all of a loop: it is used from one callback to the next only. What
 // has to wait goes into a Buffer: by reference where it fills half of the block or more, so that nothing that waits
 // holds more than twice its size; else as a copy.
-class Block {
+class IoBuffer {
  public:
-  Block();
-  ~Block();
-  Block(const Block&) = delete;
-  Block& operator=(const Block&) = delete;
+  IoBuffer();
+  ~IoBuffer();
+  IoBuffer(const IoBuffer&) = delete;
+  IoBuffer& operator=(const IoBuffer&) = delete;
 
   char* data();
   static constexpr std::size_t size() { return kBlock; }
@@ -44,8 +44,8 @@
 
   std::size_t size() const { return raw_ == nullptr ? 0 : evbuffer_get_length(raw_.get()); }
   void copy(std::string_view bytes);
-  void add(std::string_view bytes, Block& block); // by reference where they fill half of it, see Block
-  void move_to(evbuffer* to);                     // its chains; empty afterwards
+  void add(std::string_view bytes, IoBuffer& block); // by reference where they fill half of it, see Block
+  void move_to(evbuffer* to);                        // its chains; empty afterwards
   void drain(std::size_t bytes);
   std::size_t take(char* into, std::size_t most); // from its front; returns how many
   std::string text() const;                       // a copy of all of it: for what is small
@@ -78,8 +78,8 @@
   // Moves up to `most` bytes, a block's size at most, to a bufferevent's socket; `rest` is what that does not take,
   // read into the block; it and what went out make up `bytes`. False: the system refuses to, by a filter on calls or
   // for a kind of socket; nothing was read, and the pipe is not usable from then on.
-  bool move(int from, bufferevent* to, std::size_t most, Block& block, Received& received, std::size_t& bytes,
-            std::string_view& rest);
+  bool move(int from, bufferevent* to, std::size_t most, IoBuffer& block, Received& received,
+            std::size_t& bytes, std::string_view& rest);
 
  private:
   void close();
@@ -91,6 +91,6 @@
 std::size_t write_or_wait(bufferevent* b, std::string_view text); // of the text
 std::size_t write_or_wait(bufferevent* b, std::string_view head, Buffer&& body);
 std::size_t write_or_wait(bufferevent* b, std::string_view before, std::string_view body,
-                          std::string_view after, Block& block);
+                          std::string_view after, IoBuffer& block);
 
 } // namespace fernward::loop
--- a/src/loop/slots.h
+++ b/src/loop/slot_map.h
@@ -12,9 +12,9 @@
 using Handle = std::uint64_t; // generation << 20 | slot: below 2^52, never 0
 
 template <typename T>
-class Slots {
+class SlotMap {
  public:
-  explicit Slots(std::size_t limit = kMost) : limit_(limit < kMost ? limit : kMost) {}
+  explicit SlotMap(std::size_t limit = kMost) : limit_(limit < kMost ? limit : kMost) {}
 
   bool full() const { return used_ >= limit_; }
   std::size_t size() const { return used_; }
--- a/src/loop/deadlines.cpp
+++ b/src/loop/timer_queue.cpp
@@ -1,4 +1,4 @@
-#include "loop/deadlines.h"
+#include "loop/timer_queue.h"
 
 #include <algorithm>
 #include <chrono>
@@ -23,11 +23,11 @@
   return offset + steady_ms();
 }
 
-Deadlines::Deadlines(event_base* base) : timer_(event_new(base, -1, 0, &Deadlines::fired, this)) {
+TimerQueue::TimerQueue(event_base* base) : timer_(event_new(base, -1, 0, &TimerQueue::fired, this)) {
   if (timer_ == nullptr) throw std::bad_alloc();
 }
 
-Deadlines::Ticket Deadlines::at(double when, std::function<void()> what) {
+TimerQueue::TimerId TimerQueue::at(double when, std::function<void()> what) {
   std::uint32_t slot = 0;
   if (free_.empty()) {
     slot = static_cast<std::uint32_t>(slots_.size());
@@ -40,26 +40,26 @@
   heap_.push_back({});
   up(heap_.size() - 1, {when, ++last_, slot});
   arm();
-  return Ticket{slots_[slot].generation} << 32 | slot;
+  return TimerId{slots_[slot].generation} << 32 | slot;
 }
 
-Deadlines::Ticket Deadlines::within(double from, double until, std::function<void()> what) {
-  const Ticket ticket = at(until, std::move(what));
+TimerQueue::TimerId TimerQueue::within(double from, double until, std::function<void()> what) {
+  const TimerId ticket = at(until, std::move(what));
   early_.push_back({from, ticket});
   return ticket;
 }
 
-bool Deadlines::waits(Ticket ticket) const {
+bool TimerQueue::waits(TimerId ticket) const {
   const auto slot = static_cast<std::uint32_t>(ticket);
   return ticket >> 32 != 0 && slot < slots_.size() && slots_[slot].generation == ticket >> 32;
 }
 
-void Deadlines::cancel(Ticket& ticket) {
-  const Ticket which = std::exchange(ticket, 0); // an armed timer that finds nothing due arms itself anew
+void TimerQueue::cancel(TimerId& ticket) {
+  const TimerId which = std::exchange(ticket, 0); // an armed timer that finds nothing due arms itself anew
   if (waits(which)) remove(slots_[static_cast<std::uint32_t>(which)].place);
 }
 
-void Deadlines::run() {
+void TimerQueue::run() {
   armed_for_ = 0;
   const double now = now_ms();
   const std::uint64_t newest =
@@ -76,12 +76,12 @@
   arm();
 }
 
-void Deadlines::put(std::size_t place, Entry entry) {
+void TimerQueue::put(std::size_t place, Entry entry) {
   heap_[place] = entry;
   slots_[entry.slot].place = static_cast<std::uint32_t>(place);
 }
 
-void Deadlines::up(std::size_t place, Entry entry) {
+void TimerQueue::up(std::size_t place, Entry entry) {
   while (place > 0) {
     const std::size_t parent = (place - 1) / kBranches;
     if (!(entry < heap_[parent])) break;
@@ -91,7 +91,7 @@
   put(place, entry);
 }
 
-void Deadlines::down(std::size_t place, Entry entry) {
+void TimerQueue::down(std::size_t place, Entry entry) {
   for (;;) {
     const std::size_t first = kBranches * place + 1, end = std::min(first + kBranches, heap_.size());
     std::size_t least = first;
@@ -105,7 +105,7 @@
   put(place, entry);
 }
 
-std::function<void()> Deadlines::remove(std::size_t place) {
+std::function<void()> TimerQueue::remove(std::size_t place) {
   Slot& slot = slots_[heap_[place].slot];
   std::function<void()> what = std::move(slot.what);
   slot.what = nullptr;
@@ -124,7 +124,7 @@
   return what;
 }
 
-void Deadlines::arm() {
+void TimerQueue::arm() {
   if (heap_.empty()) return;
   const double when = heap_.front().when;
   if (armed_for_ != 0 && armed_for_ <= when) return;
--- a/src/loop/deadlines.h
+++ b/src/loop/timer_queue.h
@@ -18,19 +18,19 @@
 };
 using EventPtr = std::unique_ptr<event, EventFree>;
 
-class Deadlines {
+class TimerQueue {
  public:
-  using Ticket = std::uint64_t; // 0: none
+  using TimerId = std::uint64_t; // 0: none
 
-  explicit Deadlines(event_base* base);
-  Deadlines(const Deadlines&) = delete;
-  Deadlines& operator=(const Deadlines&) = delete;
+  explicit TimerQueue(event_base* base);
+  TimerQueue(const TimerQueue&) = delete;
+  TimerQueue& operator=(const TimerQueue&) = delete;
 
-  Ticket at(double when, std::function<void()> what);
+  TimerId at(double when, std::function<void()> what);
   // For what nothing waits for: with the first other deadline from `from` on, so that it needs no wake of its own, and at
   // `until` without one.
-  Ticket within(double from, double until, std::function<void()> what);
-  void cancel(Ticket& ticket); // sets it to 0; harmless for one that has passed
+  TimerId within(double from, double until, std::function<void()> what);
+  void cancel(TimerId& ticket); // sets it to 0; harmless for one that has passed
   std::size_t size() const { return heap_.size(); }
 
  private:
@@ -52,12 +52,12 @@
 
   struct Early {
     double from;
-    Ticket ticket;
+    TimerId ticket;
   };
 
-  static void fired(int, short, void* self) { static_cast<Deadlines*>(self)->run(); }
+  static void fired(int, short, void* self) { static_cast<TimerQueue*>(self)->run(); }
   void run();
-  bool waits(Ticket ticket) const;
+  bool waits(TimerId ticket) const;
   void arm();
   void put(std::size_t place, Entry entry);
   void up(std::size_t place, Entry entry);
--- a/src/members/members.cpp
+++ b/src/membership/membership.cpp
@@ -1,9 +1,9 @@
-#include "members/members.h"
+#include "membership/membership.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace fernward::members {
+namespace fernward::membership {
 namespace {
 
 constexpr double kMostDoubt = 8;        // Lifeguard's
@@ -21,8 +21,8 @@
 
 } // namespace
 
-Members::Members(Id self, std::size_t count, std::uint32_t incarnation, const Rules& rules,
-                 std::uint64_t seed)
+Membership::Membership(Id self, std::size_t count, std::uint32_t incarnation, const Rules& rules,
+                       std::uint64_t seed)
     : self_(self),
       rules_(rules),
       random_{mix(seed ^ 0x6d656d62)},
@@ -38,19 +38,21 @@
 
 // What false suspicions there are in a second grows with the tier, and what is said of them has no more room: so a larger one
 // asks once more.
-double Members::tries() const { return all_.size() > kFew ? 4 : 3; }
+double Membership::tries() const { return all_.size() > kFew ? 4 : 3; }
 
-double Members::most_told() const { return 3 * std::ceil(std::log2(static_cast<double>(all_.size()) + 1)); }
+double Membership::most_told() const {
+  return 3 * std::ceil(std::log2(static_cast<double>(all_.size()) + 1));
+}
 
 // ---- what is said ----
 
-void Members::say(const Word& word) {
+void Membership::say(const Word& word) {
   std::erase_if(sayings_, [&](const Saying& s) { return s.word.who == word.who; });
   sayings_.push_front({word, 0});
   if (sayings_.size() > kMostSayings) sayings_.pop_back();
 }
 
-Packet Members::packet(Id to, Kind kind, std::uint16_t round, Id about) {
+Packet Membership::packet(Id to, Kind kind, std::uint16_t round, Id about) {
   Packet p{to, {}};
   p.what.kind = kind;
   p.what.from = self_;
@@ -74,7 +76,7 @@
   return p;
 }
 
-void Members::ping(double now, Id target, std::vector<Packet>& out) {
+void Membership::ping(double now, Id target, std::vector<Packet>& out) {
   if (rounds_.size() >= kMostRounds) rounds_.erase(rounds_.begin());
   Round r;
   r.target = target;
@@ -84,7 +86,7 @@
   out.push_back(packet(target, Kind::Ping, r.number, target));
 }
 
-Id Members::next_target() {
+Id Membership::next_target() {
   const bool dead_too = ++periods_ % kDeadTurn == 0;
   for (std::size_t tries = 0; tries < 2 * order_.size(); ++tries) {
     if (at_ >= order_.size()) {
@@ -100,7 +102,7 @@
   return order_[static_cast<std::size_t>(random_.unit() * static_cast<double>(order_.size()))];
 }
 
-Id Members::any_living(Id but) {
+Id Membership::any_living(Id but) {
   for (int tries = 0; tries < 8; ++tries) {
     const Id one = order_[static_cast<std::size_t>(random_.unit() * static_cast<double>(order_.size()))];
     if (one != but && all_[one].standing == State::Alive) return one;
@@ -108,7 +110,7 @@
   return self_;
 }
 
-void Members::tick(double now, std::vector<Packet>& out) {
+void Membership::tick(double now, std::vector<Packet>& out) {
   next_ = now + rules_.period_ms * (0.9 + 0.2 * random_.unit());
   if (left_ || order_.empty()) return;
   if (++word_.sequence == 0) stamp_ = {++word_.incarnation, 0};
@@ -157,7 +159,7 @@
   ping(now, next_target(), out);
 }
 
-void Members::leave(std::vector<Packet>& out) {
+void Membership::leave(std::vector<Packet>& out) {
   if (left_ || order_.empty()) return;
   left_ = true;
   pass(stamp_);
@@ -174,25 +176,25 @@
 // ---- what is heard ----
 
 // This router's next stamp, later than `said` and than all of its own.
-void Members::pass(Stamp said) {
+void Membership::pass(Stamp said) {
   stamp_ = std::max(stamp_, said);
   if (++stamp_.sequence == 0) ++stamp_.incarnation;
   if (stamp_.incarnation > word_.incarnation) word_ = {stamp_.incarnation, 0};
 }
 
-void Members::set(Id who, State state) {
+void Membership::set(Id who, State state) {
   Member& m = all_[who];
   living_ += state <= State::Suspect;
   living_ -= m.standing <= State::Suspect;
   m.standing = state;
 }
 
-double Members::least_suspicion() const {
+double Membership::least_suspicion() const {
   return kSuspectTurns * std::max(1.0, std::log10(static_cast<double>(all_.size()))) * patience();
 }
 
 // `dead`: by that word it has been suspected elsewhere for long enough; its own next word still clears it.
-void Members::suspect(double now, Id who, Id by, bool dead) {
+void Membership::suspect(double now, Id who, Id by, bool dead) {
   Member& m = all_[who];
   if (m.standing >= State::Dead) return;
   const double least = least_suspicion(), most = kSuspectMost * least;
@@ -213,11 +215,11 @@
   say({who, Standing::Suspect, m.stamp, by});
 }
 
-void Members::heard(Id who, std::uint32_t incarnation) {
+void Membership::heard(Id who, std::uint32_t incarnation) {
   if (who < all_.size() && incarnation > all_[who].stamp.incarnation) heard(who, Stamp{incarnation, 0});
 }
 
-void Members::heard(Id who, Stamp stamp) {
+void Membership::heard(Id who, Stamp stamp) {
   if (who >= all_.size() || who == self_) return;
   Member& m = all_[who];
   if (stamp <= m.stamp) return;
@@ -227,7 +229,7 @@
   if (news) say({who, Standing::Alive, stamp, self_});
 }
 
-void Members::take(double now, const Word& word) {
+void Membership::take(double now, const Word& word) {
   if (word.who >= all_.size() || word.by >= all_.size()) {
     ++passed_over_;
     return;
@@ -269,12 +271,12 @@
   }
 }
 
-void Members::remind(Id who) {
+void Membership::remind(Id who) {
   const auto of = [&](const Saying& s) { return s.word.who == who; };
   if (std::none_of(sayings_.begin(), sayings_.end(), of)) say({who, Standing::Alive, all_[who].stamp, self_});
 }
 
-bool Members::take(double now, Id from, const Datagram& d, std::vector<Packet>& out) {
+bool Membership::take(double now, Id from, const Datagram& d, std::vector<Packet>& out) {
   if (from >= all_.size() || from == self_ || d.from != from || d.about >= all_.size() ||
       d.stamp.incarnation < all_[from].direct) {
     ++passed_over_; // of another, or of the process before
@@ -335,4 +337,4 @@
   return true;
 }
 
-} // namespace fernward::members
+} // namespace fernward::membership
--- a/src/members/members.h
+++ b/src/membership/membership.h
@@ -23,10 +23,10 @@
 #include <string>
 #include <vector>
 
-#include "members/wire.h"
-#include "numbers/numbers.h"
+#include "membership/wire.h"
+#include "statistics/numbers.h"
 
-namespace fernward::members {
+namespace fernward::membership {
 
 struct Rules {
   double period_ms = 400;
@@ -38,10 +38,10 @@
   Datagram what;
 };
 
-class Members {
+class Membership {
  public:
   // `count` routers in the tier, this one is `self`. `incarnation`: later than any before.
-  Members(Id self, std::size_t count, std::uint32_t incarnation, const Rules& rules, std::uint64_t seed);
+  Membership(Id self, std::size_t count, std::uint32_t incarnation, const Rules& rules, std::uint64_t seed);
 
   // To be called at next() or later. Appends what is to be said.
   void tick(double now, std::vector<Packet>& out);
@@ -119,4 +119,4 @@
   std::uint64_t passed_over_ = 0;
 };
 
-} // namespace fernward::members
+} // namespace fernward::membership
--- a/src/members/wire.cpp
+++ b/src/membership/wire.cpp
@@ -1,11 +1,11 @@
-#include "members/wire.h"
+#include "membership/wire.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
 #include <algorithm>
 
-namespace fernward::members {
+namespace fernward::membership {
 namespace {
 
 constexpr std::uint8_t kVersion = 1;
@@ -72,4 +72,4 @@
   return d;
 }
 
-} // namespace fernward::members
+} // namespace fernward::membership
--- a/src/members/wire.h
+++ b/src/membership/wire.h
@@ -23,7 +23,7 @@
 #include <string_view>
 #include <vector>
 
-namespace fernward::members {
+namespace fernward::membership {
 
 constexpr std::size_t kMostBytes = 256; // of a datagram, by the protocol
 
@@ -75,4 +75,4 @@
   return static_cast<T>(value);
 }
 
-} // namespace fernward::members
+} // namespace fernward::membership
--- a/src/memcache/meaning.cpp
+++ b/src/memcache/meaning.cpp
@@ -2,30 +2,31 @@
 
 namespace fernward::memcache {
 
-fernward::Result meaning(std::uint8_t opcode, std::uint16_t status) {
-  using fernward::Result;
+fernward::AttemptResult meaning(std::uint8_t opcode, std::uint16_t status) {
+  using fernward::AttemptResult;
   const Does does = command(opcode).does;
   switch (static_cast<Status>(status)) {
-    case Status::Ok: return Result::Ok;
+    case Status::Ok: return AttemptResult::Ok;
     case Status::NotFound:
-      return does == Does::Read || does == Does::ReadTime ? Result::Miss
-                                                          : Result::Ok; // a write ran, and found nothing
+      return does == Does::Read || does == Does::ReadTime
+                 ? AttemptResult::CacheMiss
+                 : AttemptResult::Ok; // a write ran, and found nothing
     case Status::Exists:
     case Status::NotStored:
-    case Status::NotANumber: return Result::Ok; // it ran: the condition did not hold
+    case Status::NotANumber: return AttemptResult::Ok; // it ran: the condition did not hold
     case Status::OutOfMemory:
     case Status::Busy:
-    case Status::Temporary: return Result::Full; // turned away, nothing was changed
+    case Status::Temporary: return AttemptResult::Overloaded; // turned away, nothing was changed
     case Status::TooLarge:
     case Status::Invalid:
     case Status::WrongServer:
     case Status::AuthError:
     case Status::AuthGoOn:
     case Status::UnknownCommand:
-    case Status::NotSupported: return Result::Rejected; // no other node would take it
+    case Status::NotSupported: return AttemptResult::InvalidRequest; // no other node would take it
     case Status::Internal: break;
   }
-  return Result::Error; // one that nobody knows may have run, too
+  return AttemptResult::Error; // one that nobody knows may have run, too
 }
 
 bool silent(std::uint8_t opcode, std::uint16_t status) {
--- a/src/memcache/meaning.h
+++ b/src/memcache/meaning.h
@@ -4,14 +4,14 @@
 
 #include <cstdint>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 #include "memcache/frame.h"
 
 namespace fernward::memcache {
 
 // An answer to a request. `Ok` is an answer made for this request, to be passed on as it is, whatever its status says: a
 // key that is not there is a miss for a read, and the result of a delete.
-fernward::Result meaning(std::uint8_t opcode, std::uint16_t status);
+fernward::AttemptResult meaning(std::uint8_t opcode, std::uint16_t status);
 
 // Is this answer one that the protocol lets a quiet request go without?
 bool silent(std::uint8_t opcode, std::uint16_t status);
--- a/src/model/clients.cpp
+++ b/src/model/clients.cpp
@@ -92,7 +92,7 @@
   const double patience =
       draw_uniform(habits.try_share_min, habits.try_share_max, habits_) * drawn.give_up_ms;
   start.deadline = std::min(start.due + patience, drawn.at + drawn.give_up_ms);
-  if (spec_.classes[drawn.cls].repeat == Repeat::Keyed) start.repeat_key = drawn.request;
+  if (spec_.classes[drawn.cls].repeat == Idempotency::WithKey) start.repeat_key = drawn.request;
   open.waiting = true;
   // A final answer within the grace is still one, though it earns nothing: the client hears it.
   open.deadline = start.deadline + spec_.routers.grace_to_answer_ms + kSlackMs;
@@ -131,8 +131,10 @@
   if (heard == Heard::Served || heard == Heard::Left || open.tries >= open.most) return false;
   if (at >= open.drawn.at + open.drawn.give_up_ms) return false;
   const ClassSpec& cls = spec_.classes[open.drawn.cls];
-  if (heard == Heard::Refused || heard == Heard::Unreachable || cls.repeat == Repeat::Safe) return true;
-  return cls.repeat == Repeat::Keyed && cls.scope == Scope::All && at < open.first_try_at + cls.window_ms;
+  if (heard == Heard::Refused || heard == Heard::Unreachable || cls.repeat == Idempotency::Idempotent)
+    return true;
+  return cls.repeat == Idempotency::WithKey && cls.scope == IdempotencyScope::All &&
+         at < open.first_try_at + cls.window_ms;
 }
 
 void Clients::close(double now, RequestNumber request, const Open& open, Heard end, ClientActs& acts) {
--- a/src/model/node.cpp
+++ b/src/model/node.cpp
@@ -151,7 +151,7 @@
 bool Node::repeated(double now, const Attempt& a) {
   if (!a.write || a.repeat_key == 0 || a.cls >= world_.spec.classes.size()) return false;
   const ClassSpec& cls = world_.spec.classes[a.cls];
-  if (cls.repeat != Repeat::Keyed) return false;
+  if (cls.repeat != Idempotency::WithKey) return false;
   const double window = kind_.repeat_window_ms >= 0 ? kind_.repeat_window_ms : cls.window_ms;
   return world_.repeats.seen(now, repeat_group(cls.scope, place_), a.repeat_key, window);
 }
--- a/src/model/origin.cpp
+++ b/src/model/origin.cpp
@@ -72,7 +72,7 @@
 bool Origin::repeated(double now, const Attempt& a) {
   if (!a.write || a.repeat_key == 0 || a.cls >= spec_.classes.size()) return false;
   const ClassSpec& cls = spec_.classes[a.cls];
-  return cls.repeat == Repeat::Keyed &&
+  return cls.repeat == Idempotency::WithKey &&
          repeats_.seen(now, repeat_group(cls.scope, place_), a.repeat_key, cls.window_ms);
 }
 
--- a/src/model/repeats.cpp
+++ b/src/model/repeats.cpp
@@ -20,11 +20,11 @@
   return false;
 }
 
-std::uint64_t repeat_group(Scope scope, const Machine& machine) {
+std::uint64_t repeat_group(IdempotencyScope scope, const Machine& machine) {
   switch (scope) {
-    case Scope::All: return 0;
-    case Scope::Zone: return 1ull << 32 | machine.zone;
-    case Scope::Cell: return 2ull << 32 | machine.cell;
+    case IdempotencyScope::All: return 0;
+    case IdempotencyScope::Zone: return 1ull << 32 | machine.zone;
+    case IdempotencyScope::Cell: return 2ull << 32 | machine.cell;
   }
   return 0;
 }
--- a/src/model/repeats.h
+++ b/src/model/repeats.h
@@ -30,6 +30,6 @@
 };
 
 // The machines that discard a class's repeats together, as a number.
-std::uint64_t repeat_group(Scope scope, const Machine& machine);
+std::uint64_t repeat_group(IdempotencyScope scope, const Machine& machine);
 
 } // namespace fernward::model
--- a/src/model/spec.cpp
+++ b/src/model/spec.cpp
@@ -230,7 +230,7 @@
       amount(path("aim_stretch"), c.aim_stretch);
       share(path("late_share"), c.late_share);
       amount(path("worth"), c.worth);
-      if (c.repeat == Repeat::Keyed) positive(path("window_ms"), c.window_ms);
+      if (c.repeat == Idempotency::WithKey) positive(path("window_ms"), c.window_ms);
     }
     if (!spec_.classes.empty() && !(sum > 0)) fault("classes", "no class has a share of the requests");
     double usage = 0;
--- a/src/model/spec.h
+++ b/src/model/spec.h
@@ -17,7 +17,7 @@
 #include <variant>
 #include <vector>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 
 namespace fernward::model {
 
@@ -59,7 +59,8 @@
   double period_ms = 100; // the figures are taken this often
   double delay_ms = 50;   // and can be read this much later
   double noise = 0.05;    // each figure is off by a normal draw of this share
-  std::vector<ReportField> fields = {ReportField::Eps, ReportField::LatencyMs, ReportField::Queue};
+  std::vector<LoadReportField> fields = {LoadReportField::Eps, LoadReportField::LatencyMs,
+                                         LoadReportField::Queue};
 };
 
 struct NodeKind {
@@ -217,8 +218,8 @@
       0.1; // the hint is off from the request's work by this (log-normal cv); below 0: no hint
   double aim_ms = 750, give_up_ms = 1500;
   double aim_stretch = 0, late_share = 0, worth = 1;
-  Repeat repeat = Repeat::Safe;
-  Scope scope = Scope::All;
+  Idempotency repeat = Idempotency::Idempotent;
+  IdempotencyScope scope = IdempotencyScope::All;
   double window_ms = 1000;
   bool write = false;
 };
--- a/src/model/station.cpp
+++ b/src/model/station.cpp
@@ -266,16 +266,16 @@
     readings_.pop_front();
   }
   boost::random::normal_distribution<double> normal(1, report.noise);
-  for (const ReportField field : report.fields) {
+  for (const LoadReportField field : report.fields) {
     double value = 0;
     switch (field) {
-      case ReportField::Inflight: value = static_cast<double>(in_work_ + queue_.size()); break;
-      case ReportField::Queue: value = static_cast<double>(queue_.size()); break;
-      case ReportField::Util: value = used; break;
-      case ReportField::LatencyMs: value = latency_; break;
-      case ReportField::Qps: value = qps_; break;
-      case ReportField::Eps: value = eps_; break;
-      case ReportField::Other: value = other_report(at); break;
+      case LoadReportField::Inflight: value = static_cast<double>(in_work_ + queue_.size()); break;
+      case LoadReportField::Queue: value = static_cast<double>(queue_.size()); break;
+      case LoadReportField::Util: value = used; break;
+      case LoadReportField::LatencyMs: value = latency_; break;
+      case LoadReportField::Qps: value = qps_; break;
+      case LoadReportField::Eps: value = eps_; break;
+      case LoadReportField::Other: value = other_report(at); break;
     }
     if (report.noise > 0) value *= std::max(0.0, normal(engine_));
     reading.fields.push_back(static_cast<float>(value));
--- a/src/placement/pace.cpp
+++ b/src/placement/fill_rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "placement/pace.h"
+#include "placement/fill_rate_limiter.h"
 
 #include <algorithm>
 #include <cmath>
@@ -42,19 +42,19 @@
   return r.watched_ > 0 ? r.count_ / r.watched_ : 0;
 }
 
-void Pace::Bucket::refill(double now, double per_ms, double most) {
+void FillRateLimiter::Bucket::refill(double now, double per_ms, double most) {
   count = std::min(most, at == kNever ? 1 : count + (now - at) * per_ms);
   at = now;
 }
 
-bool Pace::known() const { return calm_ms_ >= kKnownMs; }
+bool FillRateLimiter::known() const { return calm_ms_ >= kKnownMs; }
 
 // What fetches a move brings is not steady; but where one follows upon the other for ever, there is nothing else.
-bool Pace::learns(double now) const {
-  return !open(now) || !known() || now - opened_at_ > kUnrest * set_.settle_ms;
+bool FillRateLimiter::learns(double now) const {
+  return !open(now) || !known() || now - opened_at_ > kUnrest * set_.transition_ms;
 }
 
-void Pace::read(double now) {
+void FillRateLimiter::read(double now) {
   if (read_at_ != kNever && !open(now)) calm_ms_ += std::min(now - read_at_, kTrafficMs);
   read_at_ = now;
   reads_.add(now, kTrafficMs);
@@ -66,7 +66,7 @@
   steady_fetches_.skip(now);
 }
 
-void Pace::fetched(double now) {
+void FillRateLimiter::fetched(double now) {
   learns(now) ? steady_fetches_.add(now, kSteadyMs) : steady_fetches_.skip(now);
   recent_.add(now, kRecentMs);
   calming_.add(now, kCalmingMs);
@@ -78,9 +78,9 @@
   }
 }
 
-double Pace::steady_per_ms(double now) const { return steady_fetches_.per_ms(now, kSteadyMs); }
+double FillRateLimiter::steady_per_ms(double now) const { return steady_fetches_.per_ms(now, kSteadyMs); }
 
-double Pace::base_per_ms(double now) const {
+double FillRateLimiter::base_per_ms(double now) const {
   const double traffic = reads_.per_ms(now, kTrafficMs);
   // Seen in a move alone it may be what the pace itself let through: it counts for less, else it would raise itself.
   if (!known()) return std::max(kAssumed * traffic, kUnsure * steady_per_ms(now));
@@ -88,26 +88,26 @@
   return before > 0 ? steady_per_ms(now) * std::max(1.0, traffic / before / kByChance) : 0;
 }
 
-double Pace::per_ms(double now) const {
-  if (!open(now) || set_.ledger_multiple <= 0) return 0;
-  return base_per_ms(now) * std::max(1.0, kOfMultiple * set_.ledger_multiple);
+double FillRateLimiter::per_ms(double now) const {
+  if (!open(now) || set_.origin_load_multiple <= 0) return 0;
+  return base_per_ms(now) * std::max(1.0, kOfMultiple * set_.origin_load_multiple);
 }
 
-double Pace::crowding(double now, double waiting) const {
+double FillRateLimiter::crowding(double now, double waiting) const {
   const double most = per_ms(now);
   return most > 0 ? (recent_.per_ms(now, kRecentMs) + waiting / kRecentMs) / most : 0;
 }
 
-bool Pace::may_fetch(double now) {
+bool FillRateLimiter::may_fetch(double now) {
   const double rate = per_ms(now);
   if (rate <= 0) return true;
   fetches_.refill(now, rate, kBurst);
   return fetches_.count >= 0.5;
 }
 
-bool Pace::may_fill(double now, Fill what, double& saved) {
+bool FillRateLimiter::may_fill(double now, Fill what, double& saved) {
   const double base = base_per_ms(now);
-  const double over = set_.ledger_multiple > 0 ? kOfMultiple * set_.ledger_multiple - 1 : 1;
+  const double over = set_.origin_load_multiple > 0 ? kOfMultiple * set_.origin_load_multiple - 1 : 1;
   const double rate = what == Fill::Second ? kSecondShare * base : kFillShare * std::max(0.1, over) * base;
   Bucket& bucket = tokens(what);
   bucket.refill(now, rate, kMostSaved);
--- a/src/placement/pace.h
+++ b/src/placement/fill_rate_limiter.h
@@ -12,8 +12,8 @@
 
 #include <algorithm>
 
-#include "fernward/choice.h"
-#include "numbers/numbers.h"
+#include "fernward/balancer.h"
+#include "statistics/numbers.h"
 
 namespace fernward::placement {
 
@@ -32,9 +32,9 @@
   double count_ = 0, watched_ = 0, at_ = kNever;
 };
 
-class Pace {
+class FillRateLimiter {
  public:
-  explicit Pace(const ResizeSettings& set) : set_(set) {}
+  explicit FillRateLimiter(const ResizeSettings& set) : set_(set) {}
 
   void read(double now);
   void fetched(double now);
@@ -42,10 +42,10 @@
   // The fleet has changed: the pace holds from now until `settle_ms` later, and on until fetches are nearly steady again,
   // for four times as long at most.
   void disturb(double now) {
-    if (set_.settle_ms <= 0) return;
+    if (set_.transition_ms <= 0) return;
     if (!open(now)) opened_at_ = now;
-    until_ = std::max(until_, now + set_.settle_ms);
-    at_latest_ = now + 4 * set_.settle_ms;
+    until_ = std::max(until_, now + set_.transition_ms);
+    at_latest_ = now + 4 * set_.transition_ms;
   }
   bool open(double now) const { return now < until_; }
 
--- a/src/placement/frequency_sketch.h
+++ b/src/placement/frequency_sketch.h
@@ -11,7 +11,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "numbers/numbers.h"
+#include "statistics/numbers.h"
 
 namespace fernward::placement {
 
--- a/src/placement/popularity.cpp
+++ b/src/placement/hot_key_tracker.cpp
@@ -1,4 +1,4 @@
-#include "placement/popularity.h"
+#include "placement/hot_key_tracker.h"
 
 #include <algorithm>
 #include <cmath>
@@ -12,7 +12,7 @@
 constexpr double kNoKey = 1 << 20; // above any count
 } // namespace
 
-void Popularity::seen(std::uint64_t key) {
+void HotKeyTracker::seen(std::uint64_t key) {
   const std::uint32_t before = sketch_.add(key);
   for (Level& bar : bars_) {
     if (bar.share <= 0) {
--- a/src/placement/popularity.h
+++ b/src/placement/hot_key_tracker.h
@@ -16,7 +16,7 @@
 
 namespace fernward::placement {
 
-class Popularity {
+class HotKeyTracker {
  public:
   void seen(std::uint64_t key);
   std::uint32_t count(std::uint64_t key) const { return sketch_.count(key); }
--- a/src/placement/key_demand.h
+++ b/src/placement/key_demand.h
@@ -20,7 +20,7 @@
 #include <algorithm>
 #include <cstdint>
 
-#include "numbers/numbers.h"
+#include "statistics/numbers.h"
 #include "placement/frequency_sketch.h"
 
 namespace fernward::placement {
--- a/src/placement/key_memory.h
+++ b/src/placement/key_location_cache.h
@@ -8,12 +8,12 @@
 #include <cstdint>
 #include <vector>
 
-#include "fernward/choice.h"
-#include "numbers/numbers.h"
+#include "fernward/balancer.h"
+#include "statistics/numbers.h"
 
 namespace fernward::placement {
 
-class KeyMemory {
+class KeyLocationCache {
   struct Slot {
     std::uint64_t key = 0;
     std::array<ServerId, 2> holders{};
@@ -22,7 +22,7 @@
   };
 
  public:
-  explicit KeyMemory(std::size_t size) : slots_(size) {}
+  explicit KeyLocationCache(std::size_t size) : slots_(size) {}
 
   bool holds(std::uint64_t key, ServerId id) const {
     const Slot& s = at(key);
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -22,12 +22,12 @@
 #include <utility>
 #include <vector>
 
-#include "fernward/choice.h"
-#include "numbers/numbers.h"
-#include "placement/key_memory.h"
-#include "placement/pace.h"
-#include "placement/popularity.h"
+#include "fernward/balancer.h"
+#include "placement/fill_rate_limiter.h"
+#include "placement/hot_key_tracker.h"
+#include "placement/key_location_cache.h"
 #include "placement/ring.h"
+#include "statistics/numbers.h"
 
 namespace fernward::placement {
 
@@ -37,7 +37,7 @@
 class Placement {
  public:
   explicit Placement(const ResizeSettings& set) : set_(set), pace_(set) {
-    popularity_.choose(set.second_holder);
+    popularity_.choose(set.second_replica_share);
   }
 
   // ---- the list ----
@@ -117,19 +117,22 @@
   // candidate of a popular one. Null: nobody, for now. Popular keys go first: the less is saved up, the higher the bar.
   struct Filling {
     Member* whom = nullptr;
-    Pace::Fill what{}; // what it is to be paid from, once it is sent
+    FillRateLimiter::Fill what{}; // what it is to be paid from, once it is sent
   };
   Filling fill(double now, std::uint64_t key, const Choice& c) {
     if (!on() || key == 0 || c.size == 0) return {};
     double saved = 0;
     if (c.moving) {
-      if (c.former == nullptr || !pace_.may_fill(now, Pace::Fill::Move, saved)) return {};
-      const auto bar = saved < 2 ? Popularity::Fifth : saved < 3 ? Popularity::Half : Popularity::MostPart;
-      return {popularity_.above(bar, key) ? c.at[0] : nullptr, Pace::Fill::Move};
+      if (c.former == nullptr || !pace_.may_fill(now, FillRateLimiter::Fill::Move, saved)) return {};
+      const auto bar = saved < 2   ? HotKeyTracker::Fifth
+                       : saved < 3 ? HotKeyTracker::Half
+                                   : HotKeyTracker::MostPart;
+      return {popularity_.above(bar, key) ? c.at[0] : nullptr, FillRateLimiter::Fill::Move};
     }
-    if (c.size < 2 || pace_.open(now) || !popularity_.above(Popularity::Chosen, key)) return {};
+    if (c.size < 2 || pace_.open(now) || !popularity_.above(HotKeyTracker::Chosen, key)) return {};
     if (!memory_.holds(key, c.at[0]->entry.id) || memory_.holds(key, c.at[1]->entry.id)) return {};
-    return {pace_.may_fill(now, Pace::Fill::Second, saved) ? c.at[1] : nullptr, Pace::Fill::Second};
+    return {pace_.may_fill(now, FillRateLimiter::Fill::Second, saved) ? c.at[1] : nullptr,
+            FillRateLimiter::Fill::Second};
   }
 
   // A read has missed and is about to be fetched: who else should hold the key, and would store it if asked first? It
@@ -142,7 +145,7 @@
     ring_.walk(key, [&](Member& m) {
       if (m.entry.state != ServerState::Ready) return true;
       const bool owner = place == 0 && came_lately(now, key, m);
-      const bool second = place <= 1 && popularity_.above(Popularity::Chosen, key);
+      const bool second = place <= 1 && popularity_.above(HotKeyTracker::Chosen, key);
       if ((owner || second) && usable(m)) found = &m;
       return found == nullptr && ++place < 2;
     });
@@ -161,8 +164,8 @@
   void wrote(std::uint64_t key, double now) { // it has run, or may have
     if (on() && key != 0) memory_.voided(key, now);
   }
-  Pace& pace() { return pace_; }
-  const Pace& pace() const { return pace_; }
+  FillRateLimiter& pace() { return pace_; }
+  const FillRateLimiter& pace() const { return pace_; }
 
  private:
   static constexpr double kPoints = 64;        // ring points of a cache of typical weight
@@ -171,12 +174,12 @@
   static constexpr std::size_t kStored = 2;    // of those that missed so many store what is fetched
   static constexpr std::size_t kMostLeft = 4096;
 
-  bool on() const { return set_.settle_ms > 0; }
+  bool on() const { return set_.transition_ms > 0; }
 
   // Keys end their move one by one over the second half of the time: all at once they would fall on the ledger.
   bool came_lately(double now, std::uint64_t key, const Member& m) const {
     const double part = 0.5 + 0.5 * Random{key ^ 0x6d6f7665}.unit();
-    return now < m.seat.joined_at + part * set_.settle_ms;
+    return now < m.seat.joined_at + part * set_.transition_ms;
   }
 
   // Counts the member's weight in the mean. True: it was the greater part of the sum, which is not exact without it.
@@ -201,37 +204,37 @@
     std::vector<ServerId> anew;
     for (const ServerId id : listed) {
       Member& m = members.at(id);
-      Seat& seat = m.seat;
+      RingWeight& seat = m.seat;
       const bool serves = on_ring(m) && m.entry.state == ServerState::Ready;
-      const bool restarted = seat.known && m.entry.booted_at > seat.booted_at;
+      const bool restarted = seat.known && m.entry.started_at > seat.booted_at;
       if (restarted || (serves && !seat.known && !back(id, m))) {
         seat.joined_at = first ? started(m) : now;
         if (!first) anew.push_back(id);
       }
-      if (first && serves && now - seat.joined_at < set_.settle_ms) pace_.disturb(seat.joined_at);
+      if (first && serves && now - seat.joined_at < set_.transition_ms) pace_.disturb(seat.joined_at);
       if (seat.serves && !serves && left_.size() < kMostLeft)
         left_[id] = {seat.booted_at, seat.joined_at, now};
       changed |= serves != seat.serves || restarted;
       seat.serves = serves;
       seat.known |= serves;
-      if (seat.known) seat.booted_at = m.entry.booted_at;
+      if (seat.known) seat.booted_at = m.entry.started_at;
     }
     std::sort(anew.begin(), anew.end());
     if (!anew.empty()) {
       memory_.forget([&](ServerId id) { return std::binary_search(anew.begin(), anew.end(), id); });
     }
-    std::erase_if(left_, [&](const auto& l) { return now - l.second.at > set_.settle_ms; });
+    std::erase_if(left_, [&](const auto& l) { return now - l.second.at > set_.transition_ms; });
     if (changed && !first) pace_.disturb(now);
     told_ |= changed;
   }
   // It left a while ago and is the same process: it has what it had.
   bool back(ServerId id, Member& m) {
     const auto was = left_.find(id);
-    if (was == left_.end() || was->second.booted_at != m.entry.booted_at) return false;
+    if (was == left_.end() || was->second.booted_at != m.entry.started_at) return false;
     m.seat.joined_at = was->second.joined_at;
     return true;
   }
-  static double started(const Member& m) { return m.entry.booted_at > 0 ? m.entry.booted_at : kNever; }
+  static double started(const Member& m) { return m.entry.started_at > 0 ? m.entry.started_at : kNever; }
 
   struct Left {
     double booted_at, joined_at, at;
@@ -240,9 +243,9 @@
   Ring<Member> ring_;
   double weight_sum_ = 0, unit_ = 1; // of the members that have a place; what counts as a typical weight
   int weighed_ = 0;                  // members
-  KeyMemory memory_{kSlots};
-  Popularity popularity_;
-  Pace pace_;
+  KeyLocationCache memory_{kSlots};
+  HotKeyTracker popularity_;
+  FillRateLimiter pace_;
   std::map<ServerId, Left> left_;
   bool told_ = false; // a list with a node in service has come
 };
--- a/src/placement/ring.h
+++ b/src/placement/ring.h
@@ -15,12 +15,12 @@
 #include <utility>
 #include <vector>
 
-#include "fernward/choice.h"
-#include "numbers/numbers.h"
+#include "fernward/balancer.h"
+#include "statistics/numbers.h"
 
 namespace fernward::placement {
 
-struct Seat { // what is kept at a member
+struct RingWeight { // what is kept at a member
   std::int64_t points = 0;
   double weight = 0;    // as it counts in the mean; 0: it has no place
   bool counted = false; // scratch
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -1,4 +1,4 @@
-// The decision module: events, the server list, timers. Interface: include/fernward/choice.h
+// The decision module: events, the server list, timers. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 Balancer::Impl::Impl(const Settings& s, std::uint64_t seed)
     : set(s), random{mix(seed)}, places(s.origin_kind >= 0 ? s.resize : ResizeSettings{}) {
   take_classes();
-  living = s.nodes;
+  living = s.router_count;
   cache_late.slow_ms = origin_late.slow_ms = aim_ms / 3; // until answers tell
   fleet_ms = cache_late.slow_ms / 3;
 }
@@ -37,18 +37,18 @@
 
 // ---- server list ----
 
-void Balancer::Impl::take(const ServerList& list) {
-  if (list.kind == ListKind::Failed) {
+void Balancer::Impl::take(const EndpointList& list) {
+  if (list.kind == EndpointListKind::Failed) {
     subscribed = asked = false;
     ask_wait = std::clamp(2 * ask_wait, kMaxAskMs / 16, kMaxAskMs);
     ask_at = now + ask_wait * (0.5 + random.unit());
     log("server list: call failed, next try in ms:", ask_at - now);
     return;
   }
-  if (list.kind != ListKind::Cached && asked) subscribed = true, asked = false, ask_wait = 0;
+  if (list.kind != EndpointListKind::Cached && asked) subscribed = true, asked = false, ask_wait = 0;
   std::vector<ServerId> changed;
   for (const Server& server : list.servers) changed.push_back(server.id);
-  if (list.kind != ListKind::Delta) {
+  if (list.kind != EndpointListKind::Delta) {
     std::vector<ServerId> named = changed;
     std::sort(named.begin(), named.end());
     for (auto& [id, r] : replicas) {
@@ -67,18 +67,18 @@
 void Balancer::Impl::update(const Server& server) {
   Server s = server;
   if (!usable_number(s.weight) || s.weight == 0) s.weight = 1;
-  if (!usable_number(s.booted_at)) s.booted_at = 0;
+  if (!usable_number(s.started_at)) s.started_at = 0;
   const auto [it, added] = replicas.try_emplace(s.id);
   Replica& r = it->second;
   const bool was_gone = !added && r.entry.state == ServerState::Gone;
   if (!added) tally(r, -1);
-  const bool restarted = !added && s.booted_at > r.entry.booted_at;
+  const bool restarted = !added && s.started_at > r.entry.started_at;
   r.entry = s;
   if (restarted) r.forget();
-  if (added || restarted) r.gate = limits::Gate(set.nodes);
+  if (added || restarted) r.gate = concurrency::CacheConcurrencyLimiter(set.router_count);
   if (is_origin(r) && (added || restarted))
-    origin_limit = limits::Limiter::origin(set.nodes), origin_places = {};
-  if (s.booted_at > 0) r.cold_since = std::max(r.cold_since, s.booted_at);
+    origin_limit = concurrency::OriginConcurrencyLimiter::origin(set.router_count), origin_places = {};
+  if (s.started_at > 0) r.cold_since = std::max(r.cold_since, s.started_at);
   tally(r, 1);
   if (is_origin(r)) {
     origins.insert(s.id);
@@ -120,11 +120,11 @@
 }
 
 // The configured number is a ceiling: to think oneself alone in a cut must not count for much.
-void Balancer::Impl::take(const FleetWord& e) {
-  living =
-      std::clamp(usable_number(e.living) && e.living > 0 ? e.living : 1e9, 0.25 * set.nodes, 1.0 * set.nodes);
-  origin_limit.pooled(now, e.answer_ms, e.answer_age_ms);
-  origin_limit.lead(e.ledger_part);
+void Balancer::Impl::take(const FleetState& e) {
+  living = std::clamp(usable_number(e.live_routers) && e.live_routers > 0 ? e.live_routers : 1e9,
+                      0.25 * set.router_count, 1.0 * set.router_count);
+  origin_limit.pooled(now, e.origin_response_ms, e.origin_response_age_ms);
+  origin_limit.lead(e.origin_limit_share);
 }
 
 // ---- timers ----
@@ -132,10 +132,12 @@
 void Balancer::Impl::take(const TimerFired& e) {
   const auto kind = static_cast<Timer>(e.token >> 60);
   if (kind == Timer::Tick) return tick();
-  Open* o = live(e.token & ((1ull << 52) - 1));
+  RequestState* o = live(e.token & ((1ull << 52) - 1));
   if (o == nullptr || o->streaming) return;
   if (kind == Timer::End)
-    conclude(*o, o->out > 0 ? Why::Unanswered : o->queued ? Why::QueuedLate : Why::Unsent);
+    conclude(*o, o->out > 0  ? GiveUpReason::ResponseTimeout
+                 : o->queued ? GiveUpReason::QueueTimeout
+                             : GiveUpReason::NotSent);
   if (kind == Timer::Again && o->out == 0) o->queued ? pump_origin() : to_origin(*o);
   if (kind == Timer::Overdue) overdue(*o, (e.token >> 52) & 0xff);
 }
@@ -143,7 +145,7 @@
 void Balancer::Impl::probe(Replica& r) {
   r.health.sent();
   r.probed_at = now;
-  act(Probe{r.entry.id});
+  act(SendHealthCheck{r.entry.id});
 }
 
 void Balancer::Impl::tick() {
@@ -155,14 +157,16 @@
   requests_now = 0;
   for (double& rate : tenant_rate) rate *= 0.95;
   shedder.tick();
-  if (set.discovery == Discovery::Ask && !subscribed && now >= ask_at) {
-    act(Watch{});
+  if (set.discovery == DiscoveryMode::Poll && !subscribed && now >= ask_at) {
+    act(WatchEndpoints{});
     asked = true;
-    ask_at = now + (set.ask_every_ms > 0 ? set.ask_every_ms : kMaxAskMs); // no answer at all: ask again
+    ask_at =
+        now + (set.poll_interval_ms > 0 ? set.poll_interval_ms : kMaxAskMs); // no answer at all: ask again
   }
   pump_origin();
   drop_leaving();
-  if (set.may_probe && (ejected > 0 || set.report_via == ReportVia::Probes)) probe_due();
+  if (set.may_health_check && (ejected > 0 || set.load_report_source == LoadReportSource::HealthChecks))
+    probe_due();
 }
 
 // Walks all servers: only where the settings allow probes.
@@ -174,7 +178,8 @@
     if (!r.health.out() && !is_origin(r) && (oldest == nullptr || r.probed_at < oldest->probed_at))
       oldest = &r;
   }
-  if (set.report_via == ReportVia::Probes && oldest != nullptr && probes >= 1) --probes, probe(*oldest);
+  if (set.load_report_source == LoadReportSource::HealthChecks && oldest != nullptr && probes >= 1)
+    --probes, probe(*oldest);
 }
 
 Balancer::Balancer(const Settings& settings, std::uint64_t seed) {
@@ -185,18 +190,18 @@
 Balancer::Balancer(Balancer&&) noexcept = default;
 Balancer& Balancer::operator=(Balancer&&) noexcept = default;
 
-bool Balancer::avoids(ServerId server) const {
+bool Balancer::is_ejected(ServerId server) const {
   const Replica* r = impl_->find(server);
   return r != nullptr && r->health.out();
 }
 
-Balancer::Ledger Balancer::ledger() const {
+Balancer::OriginBudget Balancer::origin_budget() const {
   return {impl_->ledger_demand, impl_->origin_limit.limit(), impl_->origin_limit.lately_ms(impl_->now)};
 }
 
-Balancer::SlowStart Balancer::slow_start() const { return impl_->slow_start; }
+Balancer::SlowStartCounts Balancer::slow_start_counts() const { return impl_->slow_start; }
 
-void Balancer::on(double now, const Event& event, std::vector<Action>& actions) {
+void Balancer::on_event(double now, const Event& event, std::vector<Action>& actions) {
   impl_->now = now;
   impl_->actions = &actions;
   impl_->start();
--- a/src/policy/balancer.h
+++ b/src/policy/balancer.h
@@ -1,4 +1,4 @@
-// What a node decides from, and the decisions by concern. Interface: include/fernward/choice.h
+// What a node decides from, and the decisions by concern. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <map>
@@ -7,17 +7,17 @@
 #include <utility>
 #include <vector>
 
-#include "fernward/choice.h"
-#include "limits/allowance.h"
-#include "limits/lateness.h"
-#include "limits/limiter.h"
-#include "limits/places.h"
-#include "limits/queue.h"
-#include "limits/shedder.h"
+#include "concurrency/admission_controller.h"
+#include "concurrency/connection_capacity_estimator.h"
+#include "concurrency/origin_concurrency_limiter.h"
+#include "concurrency/origin_request_queue.h"
+#include "concurrency/retry_budget.h"
+#include "concurrency/slow_attempt_tracker.h"
+#include "fernward/balancer.h"
 #include "placement/key_demand.h"
 #include "placement/placement.h"
 #include "policy/replica.h"
-#include "requests/request.h"
+#include "requests/request_state.h"
 
 namespace fernward {
 
@@ -32,19 +32,19 @@
   placement::Placement<Replica> places;
   placement::KeyDemand demand;
   Replica* origin = nullptr;
-  limits::Limiter origin_limit = limits::Limiter::origin(1);
-  limits::Places origin_places;
-  limits::Queue origin_queue;
+  concurrency::OriginConcurrencyLimiter origin_limit = concurrency::OriginConcurrencyLimiter::origin(1);
+  concurrency::ConnectionCapacityEstimator origin_places;
+  concurrency::OriginRequestQueue origin_queue;
   std::vector<RequestId> leaving_queue; // scratch
-  limits::Allowance allowance;
+  concurrency::RetryBudget allowance;
   bool pumping = false;
-  std::unordered_map<RequestId, Open> open;
+  std::unordered_map<RequestId, RequestState> open;
   std::vector<RequestId> done; // concluded with nothing out: dropped once the event is handled
   std::unordered_map<std::uint64_t, std::vector<RequestId>> fetches; // by key: who waits for the leader
-  limits::Shedder shedder;
+  concurrency::AdmissionController shedder;
   std::vector<double> tenant_rate;    // requests a second here
   double aim_ms = 3000, fleet_ms = 0; // the shortest aim; mean of the caches' response times
-  limits::Lateness cache_late, origin_late;
+  concurrency::SlowAttemptTracker cache_late, origin_late;
   double failing = 0;     // share of the caches' attempts that fail
   double fleet_queue = 0; // mean of the caches' reported queues
   double request_rate = 0, requests_now = 0;
@@ -55,7 +55,7 @@
   double living = 0, ledger_demand = -1; // nodes in service, attempts wanted at the origin; as far as known
   bool ticking = false, subscribed = false, asked = false;
   double ask_at = 0, ask_wait = 0, logged_at = kNever;
-  SlowStart slow_start; // what it has decided
+  SlowStartCounts slow_start; // what it has decided
 
   Impl(const Settings& s, std::uint64_t seed);
   void take_classes(); // settings.cpp
@@ -67,10 +67,10 @@
     actions->emplace_back(std::in_place_type<Kind>, std::move(action));
   }
   void log(const char* what, double figure);
-  void take(const ServerList& list);
+  void take(const EndpointList& list);
   void take(const TimerFired& e);
-  void take(const FleetWord& e);
-  void take(const FleetFinding& e);
+  void take(const FleetState& e);
+  void take(const OutlierReport& e);
   void update(const Server& server);
   void tally(const Replica& r, int sign);
   void arrange(const std::vector<ServerId>& changed);
@@ -82,29 +82,31 @@
     const auto it = replicas.find(id);
     return it == replicas.end() ? nullptr : &it->second;
   }
-  Open* live(RequestId id) {
+  RequestState* live(RequestId id) {
     const auto it = open.find(id);
     return it == open.end() || it->second.over ? nullptr : &it->second;
   }
-  limits::Lateness& lateness(const Replica& r) { return is_origin(r) ? origin_late : cache_late; }
+  concurrency::SlowAttemptTracker& lateness(const Replica& r) {
+    return is_origin(r) ? origin_late : cache_late;
+  }
   bool is_origin(const Replica& r) const {
     return static_cast<std::int64_t>(r.entry.kind) == set.origin_kind;
   }
 
   // choose.cpp: a request arrives, and the choice among the caches
   void take(const Request& in);
-  bool cold(const Replica& r) const { return now - r.cold_since < set.warm_after_ms; }
+  bool cold(const Replica& r) const { return now - r.cold_since < set.slow_start_ms; }
   double warmth(const Replica& r) const;
-  bool start_allows(const Replica& r, const Open& o, bool first);
+  bool start_allows(const Replica& r, const RequestState& o, bool first);
   bool usable(const Replica& r) const;
-  bool repeatable(const Open& o, const Replica& r) const {
-    return (o.out == 0 || set.may_duplicate) && may_repeat(set, o, r.entry, now);
+  bool repeatable(const RequestState& o, const Replica& r) const {
+    return (o.out == 0 || set.may_hedge) && may_repeat(set, o, r.entry, now);
   }
-  double aim_of(const Open& o) const;
+  double aim_of(const RequestState& o) const;
   bool over_quota(std::uint32_t tenant);
-  bool choose(Open& o);
+  bool choose(RequestState& o);
   double origin_turn_ms() const;
-  bool send(Open& o, Replica& r);
+  bool send(RequestState& o, Replica& r);
 
   // health.cpp: which caches are left out
   bool answers_others(const Replica& r);
@@ -114,29 +116,29 @@
   void heard(Replica& r);
 
   // outcome.cpp: an attempt ends or is overdue
-  void take(const Outcome& e);
-  void take(const StreamOpened& e);
-  void take(const ProbeResult& e);
-  void learn(Open& o, Attempt& a, Replica& r, const Outcome& e);
-  void learn_cache(Open& o, const Attempt& a, Replica& r, const Outcome& e, double elapsed);
-  void learn_origin(Replica& r, const Outcome& e, double elapsed);
-  bool limit(const Open& o, Replica& r, const Outcome& e, double elapsed);
-  void note_hit(Open& o, const Attempt& a, bool hit);
-  void next_step(Open& o, const Outcome& e);
-  void overdue(Open& o, std::size_t attempt);
+  void take(const AttemptOutcome& e);
+  void take(const ResponseStarted& e);
+  void take(const HealthCheckResult& e);
+  void learn(RequestState& o, Attempt& a, Replica& r, const AttemptOutcome& e);
+  void learn_cache(RequestState& o, const Attempt& a, Replica& r, const AttemptOutcome& e, double elapsed);
+  void learn_origin(Replica& r, const AttemptOutcome& e, double elapsed);
+  bool limit(const RequestState& o, Replica& r, const AttemptOutcome& e, double elapsed);
+  void note_hit(RequestState& o, const Attempt& a, bool hit);
+  void next_step(RequestState& o, const AttemptOutcome& e);
+  void overdue(RequestState& o, std::size_t attempt);
 
   // origin.cpp: misses, writes and the origin
-  void after_miss(Open& o);
-  void to_origin(Open& o);
+  void after_miss(RequestState& o);
+  void to_origin(RequestState& o);
   void pump_origin();
-  void end_fetch(Open& leader, bool stored);
+  void end_fetch(RequestState& leader, bool stored);
 
   // answer.cpp: the final answer
-  void take(const ClientGone& e);
-  void finish(Open& o, bool served);
-  void cancel_out(const Open& o, std::size_t but);
-  void conclude(Open& o, Why why);
-  Why blocked(const Open& o, const Replica& r) const;
+  void take(const ClientDisconnected& e);
+  void finish(RequestState& o, bool served);
+  void cancel_out(const RequestState& o, std::size_t but);
+  void conclude(RequestState& o, GiveUpReason why);
+  GiveUpReason blocked(const RequestState& o, const Replica& r) const;
 };
 
 } // namespace fernward
--- a/src/policy/choose.cpp
+++ b/src/policy/choose.cpp
@@ -1,4 +1,4 @@
-// A request arrives: which caches can be used, and the choice. Interface: include/fernward/choice.h
+// A request arrives: which caches can be used, and the choice. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -16,18 +16,18 @@
 // The share of its capacity that a started cache surely has: from the stated start evenly up to all of it.
 double Balancer::Impl::warmth(const Replica& r) const {
   if (!cold(r)) return 1;
-  const double age = std::max(0.0, now - r.cold_since) / set.warm_after_ms;
-  return set.start_capacity + (1 - set.start_capacity) * age;
+  const double age = std::max(0.0, now - r.cold_since) / set.slow_start_ms;
+  return set.slow_start_min_capacity + (1 - set.slow_start_min_capacity) * age;
 }
 
 // Guards a cache in slow start against being overloaded: its own keys, cut to the capacity that it surely
 // has, and popular ones to what one cache of this fleet can take of them. A draw for each request: the sum
 // over all routers is the same for three of them and a thousand.
-bool Balancer::Impl::start_allows(const Replica& r, const Open& o, bool first) {
+bool Balancer::Impl::start_allows(const Replica& r, const RequestState& o, bool first) {
   if (!cold(r)) return true;
   const double draw = Random{o.in.id ^ mix(r.entry.id)}.unit();
   const bool allowed = draw < (first ? 1 : 0.5) * o.slow_start_share * warmth(r);
-  slow_start.held_back += !allowed;
+  slow_start.denied += !allowed;
   return allowed;
 }
 
@@ -36,50 +36,52 @@
   // When most look bad the judgement itself is distrusted. Else half-open: without probes, one real request
   // at a time is the trial.
   const bool panic = static_cast<double>(ejected) > kPanicShare * static_cast<double>(caches);
-  return !r.health.out() || panic || (!set.may_probe && r.health.trial_due(now));
+  return !r.health.out() || panic || (!set.may_health_check && r.health.trial_due(now));
 }
 
 // ---- a request arrives ----
 
 void Balancer::Impl::take(const Request& in) {
-  if (in.cls >= set.classes.size() || open.count(in.id) != 0) return;
-  const ClassSettings& c = set.classes[in.cls];
-  Open& o = open[in.id];
-  o.in = cleaned(in, now + c.give_up_ms);
+  if (in.class_index >= set.classes.size() || open.count(in.id) != 0) return;
+  const ClassSettings& c = set.classes[in.class_index];
+  RequestState& o = open[in.id];
+  o.in = cleaned(in, now + c.client_timeout_ms);
   // Past the aim an answer may earn nothing more: then the request ends there.
-  const double aim_at = std::max(now, o.in.whole_at) + aim_of(o);
-  o.end_at = std::min(o.in.deadline, c.late_share > 0 ? 1e15 : aim_at) - set.tick_ms;
-  const std::size_t priority = 2 * in.cls + (over_quota(in.tenant) ? 1 : 0);
+  const double aim_at = std::max(now, o.in.body_complete_at) + aim_of(o);
+  o.end_at = std::min(o.in.deadline, c.late_value_share > 0 ? 1e15 : aim_at) - set.event_interval_ms;
+  const std::size_t priority = 2 * in.class_index + (over_quota(in.tenant) ? 1 : 0);
   o.value = shedder.value[priority];
   shedder.rate[priority] += 1;
   ++requests_now;
   allowance.request(now, std::max(cache_late.dead, origin_late.dead));
   if (o.end_at <= now || !shedder.admit(priority, random.unit())) {
     allowance.ended(now, true);
-    return conclude(o, Why::Shed);
+    return conclude(o, GiveUpReason::Shed);
   }
   act(SetTimer{o.end_at - now, token(Timer::End, in.id)});
-  o.slow_start_share = demand.request(now, in.key, caches, set.fall_multiple);
+  o.slow_start_share = demand.request(now, in.key, caches, set.overload_multiple);
   if (in.write && set.origin_kind >= 0) return to_origin(o);
   places.read(now, in.key);
   if (!choose(o)) to_origin(o); // which concludes where there is none
 }
 
-double Balancer::Impl::aim_of(const Open& o) const {
-  const ClassSettings& c = set.classes[o.in.cls];
-  return c.aim_ms > 0 ? c.aim_ms + c.aim_stretch * o.in.work_ms : c.give_up_ms > 0 ? c.give_up_ms : 1e12;
+double Balancer::Impl::aim_of(const RequestState& o) const {
+  const ClassSettings& c = set.classes[o.in.class_index];
+  return c.latency_objective_ms > 0 ? c.latency_objective_ms + c.objective_per_work * o.in.expected_work_ms
+         : c.client_timeout_ms > 0  ? c.client_timeout_ms
+                                    : 1e12;
 }
 
 bool Balancer::Impl::over_quota(std::uint32_t tenant) {
   if (tenant >= set.tenants.size()) return false;
   tenant_rate[tenant] += 1 / 2000.0; // a mean over two seconds, see tick()
   const TenantSettings& t = set.tenants[tenant];
-  return t.quota_per_s > 0 &&
-         tenant_rate[tenant] * 1000 > std::max(t.quota_per_s / set.nodes, t.share * request_rate * 1000);
+  return t.quota_per_s > 0 && tenant_rate[tenant] * 1000 > std::max(t.quota_per_s / set.router_count,
+                                                                    t.service_share * request_rate * 1000);
 }
 
 // The paper's choice among the key's candidates; false when there is none to send to.
-bool Balancer::Impl::choose(Open& o) {
+bool Balancer::Impl::choose(RequestState& o) {
   const std::uint64_t key = o.in.key != 0 ? o.in.key : mix(o.in.id);
   const auto may_be_asked = [&](const Replica& r) {
     return (now < r.full_until || o.missed_at(r.entry.id) || !o.tried(r.entry.id)) && repeatable(o, r) &&
@@ -126,12 +128,13 @@
   return origin->response(now, origin_limit.recent_ms()) * (1 + use * use * use);
 }
 
-bool Balancer::Impl::send(Open& o, Replica& r) {
-  if (o.over || o.streaming || o.attempts.size() >= set.attempts_of(o.in.cls) || !repeatable(o, r))
+bool Balancer::Impl::send(RequestState& o, Replica& r) {
+  if (o.over || o.streaming || o.attempts.size() >= set.max_attempts_of(o.in.class_index) ||
+      !repeatable(o, r))
     return false;
   if (r.entry.state != ServerState::Ready || now >= o.end_at) return false;
   r.health.sent();
-  act(SetTimer{std::max(lateness(r).slow_ms, 2 * set.tick_ms),
+  act(SetTimer{std::max(lateness(r).slow_ms, 2 * set.event_interval_ms),
                token(Timer::Overdue, o.in.id, o.attempts.size() & 0xff)});
   if (!o.maybe_ran && o.out == 0) { // the group that a keyed request is bound to from now on
     o.ran_at = now;
@@ -139,7 +142,7 @@
     o.ran_cell = r.entry.cell;
   }
   o.attempts.push_back({r.entry.id, now});
-  slow_start.sent += !is_origin(r) && cold(r);
+  slow_start.attempts += !is_origin(r) && cold(r);
   ++o.out;
   ++r.open;
   if (is_origin(r)) origin_places.sent(now, r.working() - 1);
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -1,4 +1,4 @@
-// Which caches are left out, and how they come back. Interface: include/fernward/choice.h
+// Which caches are left out, and how they come back. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -30,14 +30,14 @@
 
 // ---- what routers tell one another ----
 
-void Balancer::Impl::take(const FleetFinding& e) {
+void Balancer::Impl::take(const OutlierReport& e) {
   Replica* r = find(e.server);
   if (r == nullptr || is_origin(*r)) return;
-  if (!e.bad) return r->health.told_well(now, e.seen_at);
-  if (r->health.told_bad(e.seen_at)) leave_out(*r);
+  if (!e.is_outlier) return r->health.told_well(now, e.observed_at);
+  if (r->health.told_bad(e.observed_at)) leave_out(*r);
 }
 
-void Balancer::findings(std::vector<Finding>& to) const {
+void Balancer::outlier_observations(std::vector<OutlierObservation>& to) const {
   for (const auto& [id, r] : impl_->replicas) {
     if (impl_->is_origin(r) || r.entry.state != ServerState::Ready) continue;
     const auto lost = static_cast<std::uint32_t>(r.health.strikes());
--- a/src/policy/origin.cpp
+++ b/src/policy/origin.cpp
@@ -1,4 +1,4 @@
-// Misses, writes and the origin. Interface: include/fernward/choice.h
+// Misses, writes and the origin. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -8,9 +8,9 @@
 
 // ---- misses and the origin ----
 
-void Balancer::Impl::after_miss(Open& o) {
+void Balancer::Impl::after_miss(RequestState& o) {
   // Another candidate may hold it, at a lower price than the origin's; one attempt is kept for that.
-  if (o.attempts.size() + 1 < set.attempts_of(o.in.cls) && !o.filling) {
+  if (o.attempts.size() + 1 < set.max_attempts_of(o.in.class_index) && !o.filling) {
     if (choose(o)) return;
     Replica* const too = places.store_too(now, o.in.key, o.missed.size(), [&](const Replica& r) {
       return !o.tried(r.entry.id) && usable(r) && start_allows(r, o, true) && r.gate.room(now, r.working());
@@ -24,12 +24,12 @@
   to_origin(o);
 }
 
-void Balancer::Impl::to_origin(Open& o) {
-  if (origin == nullptr) return conclude(o, Why::NoTarget);
-  if (o.attempts.size() >= set.attempts_of(o.in.cls) || !repeatable(o, *origin))
+void Balancer::Impl::to_origin(RequestState& o) {
+  if (origin == nullptr) return conclude(o, GiveUpReason::NoEndpoint);
+  if (o.attempts.size() >= set.max_attempts_of(o.in.class_index) || !repeatable(o, *origin))
     return conclude(o, blocked(o, *origin));
   o.queued = origin_queue.add(now, o.in.id, o.value, o.end_at, o.in.write);
-  if (!o.queued) return conclude(o, Why::QueuedLate);
+  if (!o.queued) return conclude(o, GiveUpReason::QueueTimeout);
   if (!o.in.write && o.in.key != 0) o.leads = fetches.try_emplace(o.in.key).second || o.leads;
   pump_origin();
 }
@@ -44,9 +44,9 @@
   origin_queue.serves(most > 0 && turns > 0 ? std::min(most, turns) : turns, answer_ms);
   origin_queue.leave(now, leaving_queue);
   for (std::size_t i = 0; i < leaving_queue.size(); ++i) {
-    Open* o = live(leaving_queue[i]);
+    RequestState* o = live(leaving_queue[i]);
     if (o != nullptr) o->queued = false;
-    if (o != nullptr && o->out == 0) conclude(*o, Why::QueuedLate);
+    if (o != nullptr && o->out == 0) conclude(*o, GiveUpReason::QueueTimeout);
   }
   leaving_queue.clear();
   while (true) {
@@ -55,7 +55,7 @@
     const bool read_room = place && origin_limit.room(now, out, false) && places.pace().may_fetch(now);
     const auto next = origin_queue.take(now, read_room, place && origin_limit.room(now, out, true));
     if (!next) break;
-    Open* o = live(*next);
+    RequestState* o = live(*next);
     if (o == nullptr) continue;
     o->queued = false;
     if (!send(*o, *origin)) conclude(*o, blocked(*o, *origin));
@@ -64,7 +64,7 @@
 }
 
 // The fetch that others waited for is over: they read what it stored, or the next of them fetches.
-void Balancer::Impl::end_fetch(Open& leader, bool stored) {
+void Balancer::Impl::end_fetch(RequestState& leader, bool stored) {
   leader.leads = false;
   const auto it = fetches.find(leader.in.key);
   if (it == fetches.end()) return;
@@ -75,7 +75,7 @@
   }
   Replica* holder = leader.missed.empty() ? nullptr : find(leader.missed.front());
   for (const RequestId id : followers) {
-    Open* o = live(id);
+    RequestState* o = live(id);
     if (o == nullptr) continue;
     if (stored && holder != nullptr && start_allows(*holder, *o, true) && send(*o, *holder)) continue;
     if (const auto next = fetches.find(o->in.key); next != fetches.end()) {
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -1,16 +1,16 @@
-// What a node knows of a cache or of the origin. Interface: include/fernward/choice.h
+// What a node knows of a cache or of the origin. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <algorithm>
 #include <cmath>
 #include <vector>
 
-#include "fernward/choice.h"
+#include "concurrency/cache_concurrency_limiter.h"
+#include "fernward/balancer.h"
 #include "health/health.h"
-#include "limits/gate.h"
 #include "placement/ring.h"
 #include "policy/trend.h"
-#include "requests/report.h"
+#include "requests/load_report.h"
 
 namespace fernward {
 
@@ -32,10 +32,10 @@
   double failing = 0;           // share of its attempts that fail
   double overtaken_at = kNever; // the latest send that was answered
   double probed_at = kNever;
-  limits::Gate gate{1}; // of a cache
+  concurrency::CacheConcurrencyLimiter gate{1}; // of a cache
   // slow start
   double cold_since = kNever;
-  placement::Seat seat; // on the ring
+  placement::RingWeight seat; // on the ring
 
   void forget() { // a restarted process shares nothing with the one before but its name and what is still out
     Replica fresh;
@@ -78,7 +78,7 @@
   }
 
   // A report with the very values of the last one is a repeat on another answer: it makes nothing fresher.
-  bool report(double now, const std::vector<ReportField>& fields, const std::vector<float>& values) {
+  bool report(double now, const std::vector<LoadReportField>& fields, const std::vector<float>& values) {
     if (values.empty() || values == last_report) return false;
     last_report = values;
     const auto [waiting, latency] = reported(fields, values);
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -4,7 +4,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 #include "policy/balancer.h"
 
 namespace fernward {
@@ -23,62 +23,66 @@
 } // namespace
 
 void validate(const Settings& s) {
-  check(s.nodes >= 1 && s.nodes <= kMostNodes, "nodes");
+  check(s.router_count >= 1 && s.router_count <= kMostNodes, "nodes");
   check(!s.classes.empty(), "classes (there are none)");
   for (std::size_t i = 0; i < s.classes.size(); ++i) {
     const ClassSettings& c = s.classes[i];
     const std::string at = "classes[" + std::to_string(i) + "].";
-    check(natural(c.aim_ms), at + "aim_ms");
-    check(natural(c.give_up_ms), at + "give_up_ms");
-    check(natural(c.aim_stretch), at + "aim_stretch");
-    check(share(c.late_share), at + "late_share");
-    check(natural(c.worth), at + "worth");
-    check(natural(c.window_ms), at + "window_ms");
+    check(natural(c.latency_objective_ms), at + "aim_ms");
+    check(natural(c.client_timeout_ms), at + "give_up_ms");
+    check(natural(c.objective_per_work), at + "aim_stretch");
+    check(share(c.late_value_share), at + "late_share");
+    check(natural(c.priority_weight), at + "worth");
+    check(natural(c.idempotency_window_ms), at + "window_ms");
   }
   for (std::size_t i = 0; i < s.tenants.size(); ++i) {
     const std::string at = "tenants[" + std::to_string(i) + "].";
-    check(share(s.tenants[i].share), at + "share");
+    check(share(s.tenants[i].service_share), at + "share");
     check(natural(s.tenants[i].quota_per_s), at + "quota_per_s");
   }
-  check(share(s.over_share_worth), "over_share_worth");
+  check(share(s.over_quota_weight), "over_share_worth");
   check(s.max_attempts >= 1, "max_attempts");
-  check(share(s.start_capacity), "start_capacity");
+  check(share(s.slow_start_min_capacity), "start_capacity");
   check(natural(s.max_retry_after_ms), "max_retry_after_ms");
-  check(natural(s.tick_ms), "tick_ms");
-  check(natural(s.ask_every_ms), "ask_every_ms");
-  check(natural(s.warm_after_ms), "warm_after_ms");
-  check(natural(s.tip_after_ms), "tip_after_ms");
-  check(natural(s.fall_multiple), "fall_multiple");
-  check(natural(s.resize.settle_ms), "resize.settle_ms");
-  check(s.resize.ledger_multiple == 0 || (natural(s.resize.ledger_multiple) && s.resize.ledger_multiple >= 1),
+  check(natural(s.event_interval_ms), "tick_ms");
+  check(natural(s.poll_interval_ms), "ask_every_ms");
+  check(natural(s.slow_start_ms), "warm_after_ms");
+  check(natural(s.overload_failure_ms), "tip_after_ms");
+  check(natural(s.overload_multiple), "fall_multiple");
+  check(natural(s.resize.transition_ms), "resize.settle_ms");
+  check(s.resize.origin_load_multiple == 0 ||
+            (natural(s.resize.origin_load_multiple) && s.resize.origin_load_multiple >= 1),
         "resize.ledger_multiple");
-  check(share(s.resize.second_holder), "resize.second_holder");
+  check(share(s.resize.second_replica_share), "resize.second_holder");
 }
 
 void Balancer::Impl::take_classes() {
   shedder.value.clear();
   aim_ms = 3000;
   for (const ClassSettings& c : set.classes) {
-    for (const double share : {1.0, set.over_share_worth}) shedder.value.push_back(c.worth * share);
-    const double aim = c.aim_ms > 0 ? c.aim_ms : c.give_up_ms; // as Settings has it
+    for (const double share : {1.0, set.over_quota_weight})
+      shedder.value.push_back(c.priority_weight * share);
+    const double aim =
+        c.latency_objective_ms > 0 ? c.latency_objective_ms : c.client_timeout_ms; // as Settings has it
     if (aim > 0) aim_ms = std::min(aim_ms, aim);
   }
   shedder.rate.resize(shedder.value.size());
   tenant_rate.resize(set.tenants.size());
 }
 
-void Balancer::change(const Settings& s) {
+void Balancer::update_settings(const Settings& s) {
   validate(s);
   const Settings& was = impl_->set;
   const auto stays = [](bool same, const char* what) {
     if (!same) throw std::invalid_argument(std::string("settings: ") + what + " can't change while it runs");
   };
-  stays(s.nodes == was.nodes, "nodes");
+  stays(s.router_count == was.router_count, "nodes");
   stays(s.zone == was.zone, "zone");
   stays(s.classes.size() >= was.classes.size(), "the number of classes");
   stays(s.tenants.size() >= was.tenants.size(), "the number of tenants");
   stays(s.origin_kind == was.origin_kind, "origin_kind");
-  stays(s.report_via == was.report_via && s.report_fields == was.report_fields, "reports");
+  stays(s.load_report_source == was.load_report_source && s.load_report_fields == was.load_report_fields,
+        "reports");
   stays(s.discovery == was.discovery && s.weight_kind == was.weight_kind, "the form of lists");
   impl_->set = s;
   impl_->take_classes();
--- a/src/policy/trend.h
+++ b/src/policy/trend.h
@@ -1,9 +1,9 @@
-// Where a cache's queue is heading. Interface: include/fernward/choice.h
+// Where a cache's queue is heading. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <algorithm>
 
-#include "numbers/numbers.h"
+#include "statistics/numbers.h"
 
 namespace fernward {
 
--- a/src/exchange/inflow.cpp
+++ b/src/proxy/request_body.cpp
@@ -1,31 +1,31 @@
-#include "exchange/inflow.h"
+#include "proxy/request_body.h"
 
 #include <algorithm>
 
-namespace fernward::exchange {
+namespace fernward::proxy {
 
-using bodies::Keeper;
+using body_buffers::RetainedBodies;
 
-Inflow::Inflow(BodyStores& stores, std::optional<std::uint64_t> length)
+RequestBody::RequestBody(BodyStores& stores, std::optional<std::uint64_t> length)
     : stores_(stores), length_(length), body_(stores.keeper, length), hold_(stores.bytes) {}
 
-Inflow::~Inflow() = default;
+RequestBody::~RequestBody() = default;
 
-std::size_t Inflow::room() const { return std::min(hold_.room(), loop::Block::size()); }
+std::size_t RequestBody::room() const { return std::min(hold_.room(), loop::IoBuffer::size()); }
 
-bool Inflow::put(std::string_view bytes, loop::Block& block) {
+bool RequestBody::put(std::string_view bytes, loop::IoBuffer& block) {
   if (bytes.empty()) return true;
-  Keeper::Put where = body_.put(bytes.size());
-  if (where == Keeper::Put::TooLong) return false;
-  if (where == Keeper::Put::File) {
+  RetainedBodies::Put where = body_.put(bytes.size());
+  if (where == RetainedBodies::Put::TooLong) return false;
+  if (where == RetainedBodies::Put::File) {
     if (file_ == nullptr && stores_.folder != nullptr) file_ = stores_.folder->create();
     if (file_ == nullptr || !file_->append(bytes)) {
       body_.file_failed(bytes.size());
-      where = Keeper::Put::Passing;
+      where = RetainedBodies::Put::Passing;
     }
   }
-  if (where == Keeper::Put::Memory) memory_.append(bytes);
-  if (where == Keeper::Put::Passing) {
+  if (where == RetainedBodies::Put::Memory) memory_.append(bytes);
+  if (where == RetainedBodies::Put::Passing) {
     hold_.take(bytes.size());
     passing_.add(bytes, block);
   }
@@ -33,30 +33,30 @@
   return true;
 }
 
-void Inflow::end() {
+void RequestBody::end() {
   whole_ = true;
   tell();
 }
 
-void Inflow::cut() {
+void RequestBody::cut() {
   cut_ = !whole_;
   if (cut_) tell();
 }
 
-void Inflow::tell() {
+void RequestBody::tell() {
   for (auto it = readers_.begin(); it != readers_.end();) (*it++)->more_();
 }
 
-std::unique_ptr<Inflow::Reader> Inflow::read(std::function<void()> more) {
+std::unique_ptr<RequestBody::Reader> RequestBody::read(std::function<void()> more) {
   std::unique_ptr<Reader> reader(new Reader(*this, std::move(more)));
   readers_.push_back(reader.get());
   return reader;
 }
 
-Inflow::Reader::~Reader() { from_.readers_.remove(this); }
+RequestBody::Reader::~Reader() { from_.readers_.remove(this); }
 
-Inflow::Reader::Got Inflow::Reader::read(char* into, std::size_t most, std::size_t& bytes) {
-  Inflow& f = from_;
+RequestBody::Reader::Got RequestBody::Reader::read(char* into, std::size_t most, std::size_t& bytes) {
+  RequestBody& f = from_;
   bytes = 0;
   if (f.cut_) return Got::Lost;
   if (at_ == f.come()) return f.whole_ ? Got::End : Got::Later;
@@ -76,4 +76,4 @@
   return bytes > 0 ? Got::Bytes : Got::Lost;
 }
 
-} // namespace fernward::exchange
+} // namespace fernward::proxy
--- a/src/exchange/inflow.h
+++ b/src/proxy/request_body.h
@@ -13,34 +13,35 @@
 #include <string>
 #include <string_view>
 
-#include "bodies/account.h"
-#include "bodies/keeping.h"
+#include "body_buffers/buffer_budget.h"
+#include "body_buffers/retained_bodies.h"
 #include "loop/buffer.h"
-#include "spool/file.h"
+#include "spill/file.h"
 
-namespace fernward::exchange {
+namespace fernward::proxy {
 
 struct BodyStores { // of all requests
-  BodyStores(const bodies::KeepRules& rules, bodies::Account& account, const std::string& path)
-      : keeper(rules), bytes(account), folder(path.empty() ? nullptr : new spool::Folder(path)) {}
-  bodies::Keeper keeper;
-  bodies::Account& bytes;                // for what is passed on without being kept
-  std::unique_ptr<spool::Folder> folder; // null: there is none
+  BodyStores(const body_buffers::RetentionLimits& rules, body_buffers::BufferBudget& account,
+             const std::string& path)
+      : keeper(rules), bytes(account), folder(path.empty() ? nullptr : new spill::Folder(path)) {}
+  body_buffers::RetainedBodies keeper;
+  body_buffers::BufferBudget& bytes;     // for what is passed on without being kept
+  std::unique_ptr<spill::Folder> folder; // null: there is none
 };
 
-class Inflow {
+class RequestBody {
  public:
-  Inflow(BodyStores& stores, std::optional<std::uint64_t> length);
-  ~Inflow();
-  Inflow(const Inflow&) = delete;
-  Inflow& operator=(const Inflow&) = delete;
+  RequestBody(BodyStores& stores, std::optional<std::uint64_t> length);
+  ~RequestBody();
+  RequestBody(const RequestBody&) = delete;
+  RequestBody& operator=(const RequestBody&) = delete;
 
   // ---- the client's side ----
   void on_room(std::function<void()> call) { room_again_ = std::move(call); }
   std::size_t room() const; // bytes it takes now; 0: on_room's call comes when there is room again
-  bool put(std::string_view bytes, loop::Block& block); // no more than that; false: longer than it may be
-  void end();                                           // it has come whole
-  void cut();                                           // the rest will never come
+  bool put(std::string_view bytes, loop::IoBuffer& block); // no more than that; false: longer than it may be
+  void end();                                              // it has come whole
+  void cut();                                              // the rest will never come
   bool may_flow() const { return body_.may_flow(whole_) || room() == 0; } // else it could never come whole
   double due_ms(double base_ms) const { return body_.due_ms(base_ms); }
 
@@ -48,8 +49,8 @@
   std::optional<std::uint64_t> length() const { return length_; }
   std::uint64_t come() const { return body_.come(); }
   bool whole() const { return whole_; }
-  bodies::Allows allows() const { return body_.allows(); }
-  bodies::Level level() const { return body_.level(); }
+  body_buffers::Allows allows() const { return body_.allows(); }
+  body_buffers::Level level() const { return body_.level(); }
 
   class Reader { // of one attempt; the Inflow outlives it
    public:
@@ -62,9 +63,9 @@
     std::uint64_t at() const { return at_; }
 
    private:
-    friend class Inflow;
-    Reader(Inflow& from, std::function<void()> more) : from_(from), more_(std::move(more)) {}
-    Inflow& from_;
+    friend class RequestBody;
+    Reader(RequestBody& from, std::function<void()> more) : from_(from), more_(std::move(more)) {}
+    RequestBody& from_;
     std::function<void()> more_;
     std::uint64_t at_ = 0;
   };
@@ -75,15 +76,15 @@
 
   BodyStores& stores_;
   std::optional<std::uint64_t> length_;
-  bodies::Keeper::Body body_;
+  body_buffers::RetainedBodies::Body body_;
   std::string memory_;                // the first part
-  std::unique_ptr<spool::File> file_; // what follows
+  std::unique_ptr<spill::File> file_; // what follows
   loop::Buffer passing_;              // and what is not kept: it goes as it is read
-  bodies::Account::Hold hold_;
+  body_buffers::BufferBudget::Hold hold_;
   std::uint64_t gone_ = 0; // of what is not kept, read and gone
   bool whole_ = false, cut_ = false;
   std::function<void()> room_again_;
   std::list<Reader*> readers_;
 };
 
-} // namespace fernward::exchange
+} // namespace fernward::proxy
--- a/src/exchange/driver.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -1,13 +1,13 @@
-#include "exchange/driver.h"
+#include "proxy/request_dispatcher.h"
 
 #include <algorithm>
 
-#include "bodies/answer.h"
+#include "body_buffers/response_buffering.h"
 #include "log/log.h"
 
-namespace fernward::exchange {
+namespace fernward::proxy {
 
-using fernward::Result;
+using fernward::AttemptResult;
 
 namespace {
 
@@ -15,33 +15,36 @@
 
 } // namespace
 
-Driver::Driver(event_base* base, loop::Deadlines& deadlines, fernward::Balancer balancer,
-               const fernward::Settings& settings, bodies::Account& bytes, const DriverOptions& options)
+RequestDispatcher::RequestDispatcher(event_base* base, loop::TimerQueue& deadlines,
+                                     fernward::Balancer balancer, const fernward::Settings& settings,
+                                     body_buffers::BufferBudget& bytes,
+                                     const RequestDispatcherOptions& options)
     : deadlines_(deadlines),
       balancer_(std::move(balancer)),
       settings_(settings),
       bytes_(bytes),
       options_(options),
       exchanges_(options.open_cap),
-      pump_(event_new(base, -1, 0, &Driver::pumped, this)) {
+      pump_(event_new(base, -1, 0, &RequestDispatcher::pumped, this)) {
   if (pump_ == nullptr) throw std::bad_alloc();
 }
 
 // ---- what happens ----
 
-Handle Driver::open(Handle client, Call call) {
+Handle RequestDispatcher::open(Handle client, ClientRequest call) {
   const Handle id = exchanges_.add();
   if (id == 0) return 0;
-  Exchange& x = *exchanges_.find(id);
+  ActiveRequest& x = *exchanges_.find(id);
   x.client = client;
-  x.call = std::make_shared<const Call>(std::move(call));
+  x.call = std::make_shared<const ClientRequest>(std::move(call));
   const double now = loop::now_ms() + x.call->body_ms; // the client's time counts from its last byte on
   x.deadline = now + x.call->timeout_ms;
   x.aim_at = x.deadline;
   if (x.call->category < settings_.classes.size()) {
     const fernward::ClassSettings& rules = settings_.classes[x.call->category];
-    if (rules.aim_ms > 0)
-      x.aim_at = std::min(x.deadline, now + rules.aim_ms + rules.aim_stretch * x.call->work_ms);
+    if (rules.latency_objective_ms > 0)
+      x.aim_at =
+          std::min(x.deadline, now + rules.latency_objective_ms + rules.objective_per_work * x.call->work_ms);
   }
   // The last guard: the module answers earlier. Half the grace is left for the way back.
   x.guard = deadlines_.at(x.deadline + options_.grace_ms / 2, [this, id] { overdue(id); });
@@ -49,19 +52,19 @@
   open_ids_.insert(x.call->id);
   fernward::Request request;
   request.id = id;
-  request.cls = x.call->category;
+  request.class_index = x.call->category;
   request.tenant = x.call->tenant;
   request.key = x.call->key;
   request.deadline = x.deadline;
-  request.work_ms = x.call->work_ms;
+  request.expected_work_ms = x.call->work_ms;
   request.write = x.call->write;
-  if (x.call->body_ms > 0) request.whole_at = now;
+  if (x.call->body_ms > 0) request.body_complete_at = now;
   enqueue(request);
   return id;
 }
 
-void Driver::body_whole(Handle exchange) {
-  Exchange* x = exchanges_.find(exchange);
+void RequestDispatcher::body_whole(Handle exchange) {
+  ActiveRequest* x = exchanges_.find(exchange);
   if (x == nullptr || x->over || x->passing != 0) return;
   const double late = loop::now_ms() + x->call->timeout_ms - x->deadline; // than it looked when it began
   x->deadline += late;
@@ -75,40 +78,42 @@
   }
 }
 
-void Driver::wait_for(Attempt& a, Handle attempt, double deadline) {
+void RequestDispatcher::wait_for(Attempt& a, Handle attempt, double deadline) {
   deadlines_.cancel(a.timeout);
   a.deadline = deadline;
-  a.timeout = deadlines_.at(deadline, [this, attempt] { stop(attempt, Result::TimedOut); });
+  a.timeout = deadlines_.at(deadline, [this, attempt] { stop(attempt, AttemptResult::TimedOut); });
 }
 
-void Driver::client_gone(Handle exchange) {
-  const Exchange* x = exchanges_.find(exchange);
+void RequestDispatcher::client_gone(Handle exchange) {
+  const ActiveRequest* x = exchanges_.find(exchange);
   if (x == nullptr || x->over) return;
   finish(exchange, nullptr);
-  enqueue(fernward::ClientGone{exchange});
+  enqueue(fernward::ClientDisconnected{exchange});
   drop_if_done(exchange);
 }
 
-void Driver::ended(Handle attempt, Ending ending) { end_attempt(attempt, std::move(ending)); }
+void RequestDispatcher::ended(Handle attempt, AttemptCompletion ending) {
+  end_attempt(attempt, std::move(ending));
+}
 
 // ---- an answer that passes through ----
 
-double Driver::wait_until(Handle attempt) {
+double RequestDispatcher::wait_until(Handle attempt) {
   const Attempt* a = attempts_.find(attempt);
-  const Exchange* x = a == nullptr ? nullptr : exchanges_.find(a->exchange);
-  return x == nullptr ? 0 : bodies::wait_until(a->sent_at, x->aim_at);
+  const ActiveRequest* x = a == nullptr ? nullptr : exchanges_.find(a->exchange);
+  return x == nullptr ? 0 : body_buffers::wait_until(a->sent_at, x->aim_at);
 }
 
-bool Driver::may_write(Handle attempt) {
+bool RequestDispatcher::may_write(Handle attempt) {
   const Attempt* a = attempts_.find(attempt);
-  const Exchange* x = a == nullptr ? nullptr : exchanges_.find(a->exchange);
+  const ActiveRequest* x = a == nullptr ? nullptr : exchanges_.find(a->exchange);
   const double now = loop::now_ms();
   return x != nullptr && now < a->deadline && clients_->present(x->client) && may_send(*x, now, true);
 }
 
-bool Driver::begin(Handle attempt, Opening opening) {
+bool RequestDispatcher::begin(Handle attempt, ResponseHead opening) {
   const Attempt* a = attempts_.find(attempt);
-  Exchange* x = a == nullptr ? nullptr : exchanges_.find(a->exchange);
+  ActiveRequest* x = a == nullptr ? nullptr : exchanges_.find(a->exchange);
   // Of two copies the first to begin is the answer: the module cuts off the other.
   if (x == nullptr || x->over || x->passing != 0) return false;
   if (!clients_->begin(x->client, std::move(opening))) return false;
@@ -116,156 +121,156 @@
   // Its first bytes were in time. From here on the node's and the client's pace counts, which both sides watch.
   deadlines_.cancel(x->guard);
   deadlines_.cancel(attempts_.find(attempt)->timeout);
-  enqueue(fernward::StreamOpened{a->exchange, a->number, a->target, loop::now_ms() - a->sent_at});
+  enqueue(fernward::ResponseStarted{a->exchange, a->number, a->target, loop::now_ms() - a->sent_at});
   return true;
 }
 
-Handle Driver::client_of(Handle attempt) {
+Handle RequestDispatcher::client_of(Handle attempt) {
   const Attempt* a = attempts_.find(attempt);
-  const Exchange* x = a == nullptr ? nullptr : exchanges_.find(a->exchange);
+  const ActiveRequest* x = a == nullptr ? nullptr : exchanges_.find(a->exchange);
   return x == nullptr || x->over || x->passing != attempt ? 0 : x->client;
 }
 
-std::size_t Driver::room(Handle attempt) { return clients_->room(client_of(attempt)); }
+std::size_t RequestDispatcher::room(Handle attempt) { return clients_->room(client_of(attempt)); }
 
-void Driver::pass(Handle attempt, std::string_view bytes, loop::Block& block) {
+void RequestDispatcher::pass(Handle attempt, std::string_view bytes, loop::IoBuffer& block) {
   clients_->pass(client_of(attempt), bytes, block);
 }
 
-bool Driver::pass_from(Handle attempt, int socket, std::size_t most, loop::Block& block,
-                       loop::Received& received, std::size_t& bytes) {
+bool RequestDispatcher::pass_from(Handle attempt, int socket, std::size_t most, loop::IoBuffer& block,
+                                  loop::Received& received, std::size_t& bytes) {
   return clients_->pass_from(client_of(attempt), socket, most, block, received, bytes);
 }
 
-void Driver::drained(Handle exchange) {
+void RequestDispatcher::drained(Handle exchange) {
   go_on(exchange);
   wake();
 }
 
-void Driver::go_on(Handle exchange) {
-  if (const Exchange* x = exchanges_.find(exchange); x != nullptr && x->passing != 0)
+void RequestDispatcher::go_on(Handle exchange) {
+  if (const ActiveRequest* x = exchanges_.find(exchange); x != nullptr && x->passing != 0)
     egress_->go_on(x->passing);
 }
 
 // Those that found no room at all, and have nothing of their own that could drain.
-void Driver::wake() {
+void RequestDispatcher::wake() {
   while (const auto exchange = bytes_.next()) go_on(*exchange);
 }
 
 // Its first byte is out: what the module decided in the same moment comes too late.
-bool Driver::is_passing(const Exchange& x, std::size_t number) const {
+bool RequestDispatcher::is_passing(const ActiveRequest& x, std::size_t number) const {
   return !x.over && x.passing != 0 && x.attempts[number] == x.passing;
 }
 
-void Driver::ends_by(double by) {
+void RequestDispatcher::ends_by(double by) {
   ends_by_ = by;
-  exchanges_.each([&](Handle id, Exchange& x) {
+  exchanges_.each([&](Handle id, ActiveRequest& x) {
     if (x.over || x.passing != 0 || x.deadline + options_.grace_ms / 2 <= by) return;
     deadlines_.cancel(x.guard);
     x.guard = deadlines_.at(by, [this, id] { overdue(id); });
   });
 }
 
-void Driver::fleet(std::vector<fernward::Event> events) {
+void RequestDispatcher::fleet(std::vector<fernward::Event> events) {
   for (auto& event : events) enqueue(std::move(event));
 }
 
-void Driver::list(fernward::ServerList list) { enqueue(std::move(list)); }
+void RequestDispatcher::list(fernward::EndpointList list) { enqueue(std::move(list)); }
 
-void Driver::change(const fernward::Settings& settings) {
-  balancer_.change(settings);
+void RequestDispatcher::change(const fernward::Settings& settings) {
+  balancer_.update_settings(settings);
   settings_ = settings;
 }
 
-void Driver::overdue(Handle exchange) {
-  Exchange* x = exchanges_.find(exchange);
+void RequestDispatcher::overdue(Handle exchange) {
+  ActiveRequest* x = exchanges_.find(exchange);
   if (x == nullptr || x->over) return;
   x->guard = 0;
   // Of a body that came sooner than it might have, the module does not know.
   if (x->call->body_ms == 0 && loop::now_ms() >= x->deadline)
     log::line("exchange-overdue", {{"id", x->call->id}, {"attempts", x->attempts.size()}});
-  Answer answer; // failed
+  ClientResponse answer; // failed
   finish(exchange, &answer);
-  enqueue(fernward::ClientGone{exchange});
+  enqueue(fernward::ClientDisconnected{exchange});
   drop_if_done(exchange);
 }
 
 // ---- the module ----
 
-void Driver::enqueue(fernward::Event event) {
+void RequestDispatcher::enqueue(fernward::Event event) {
   events_.push_back(std::move(event));
   event_active(pump_.get(), EV_TIMEOUT, 0);
 }
 
-void Driver::pump() {
+void RequestDispatcher::pump() {
   look(events_.size() >= kBurst);
   while (!events_.empty()) {
     const fernward::Event event = std::move(events_.front());
     events_.pop_front();
     actions_.clear();
-    balancer_.on(loop::now_ms(), event, actions_);
+    balancer_.on_event(loop::now_ms(), event, actions_);
     for (const fernward::Action& action : actions_) carry_out(action);
     look(false);
   }
 }
 
-void Driver::look(bool burst) {
+void RequestDispatcher::look(bool burst) {
   const double now = loop::now_ms();
   if (!look_ || (!burst && now - looked_at_ < options_.look_every_ms)) return;
   look_();
   looked_at_ = loop::now_ms();
 }
 
-void Driver::carry_out(const fernward::Action& action) {
+void RequestDispatcher::carry_out(const fernward::Action& action) {
   if (const auto* a = std::get_if<fernward::Send>(&action)) {
     send(*a);
-  } else if (const auto* refuse = std::get_if<fernward::Refuse>(&action)) {
-    Answer answer;
-    answer.kind = Answer::Kind::Refused;
+  } else if (const auto* refuse = std::get_if<fernward::Reject>(&action)) {
+    ClientResponse answer;
+    answer.kind = ClientResponse::Kind::Refused;
     answer.retry_after_ms = refuse->retry_after_ms;
-    give_up(refuse->id, refuse->why, std::move(answer));
+    give_up(refuse->id, refuse->reason, std::move(answer));
   } else if (const auto* fail = std::get_if<fernward::Fail>(&action)) {
-    give_up(fail->id, fail->why, Answer());
+    give_up(fail->id, fail->reason, ClientResponse());
   } else if (const auto* cancel = std::get_if<fernward::Cancel>(&action)) {
-    const Exchange* x = exchanges_.find(cancel->id);
+    const ActiveRequest* x = exchanges_.find(cancel->id);
     if (x != nullptr && cancel->attempt < x->attempts.size() && !is_passing(*x, cancel->attempt)) {
-      stop(x->attempts[cancel->attempt], Result::Cancelled);
+      stop(x->attempts[cancel->attempt], AttemptResult::Cancelled);
     }
   } else if (const auto* timer = std::get_if<fernward::SetTimer>(&action)) {
     const std::uint64_t token = timer->token;
     deadlines_.at(loop::now_ms() + timer->delay_ms, [this, token] { enqueue(fernward::TimerFired{token}); });
   } else if (const auto* said = std::get_if<fernward::Log>(&action)) {
     log::line("module", {{"says", said->text}});
-  } else if (std::get_if<fernward::Watch>(&action) != nullptr) {
+  } else if (std::get_if<fernward::WatchEndpoints>(&action) != nullptr) {
     // The route table is always watched: the call is answered at once, with no changes.
-    enqueue(fernward::ServerList{fernward::ListKind::Delta, {}});
-  } else if (const auto* probe = std::get_if<fernward::Probe>(&action)) {
-    enqueue(fernward::ProbeResult{probe->server, 0, false, {}}); // the program sends none
+    enqueue(fernward::EndpointList{fernward::EndpointListKind::Delta, {}});
+  } else if (const auto* probe = std::get_if<fernward::SendHealthCheck>(&action)) {
+    enqueue(fernward::HealthCheckResult{probe->server, 0, false, {}}); // the program sends none
   }
 }
 
-void Driver::give_up(Handle exchange, fernward::Why why, Answer answer) {
-  const Exchange* x = exchanges_.find(exchange);
+void RequestDispatcher::give_up(Handle exchange, fernward::GiveUpReason why, ClientResponse answer) {
+  const ActiveRequest* x = exchanges_.find(exchange);
   if (x == nullptr || x->passing != 0) return;
   ++given_up_[static_cast<std::size_t>(why)];
   finish(exchange, &answer);
   drop_if_done(exchange);
 }
 
-void Driver::send(const fernward::Send& send) {
-  Exchange* x = exchanges_.find(send.id);
+void RequestDispatcher::send(const fernward::Send& send) {
+  ActiveRequest* x = exchanges_.find(send.id);
   if (x == nullptr) return;
   const double now = loop::now_ms();
   const auto number = static_cast<std::uint32_t>(x->attempts.size());
   const double deadline = send.timeout_ms == 0 ? x->deadline : std::min(x->deadline, now + send.timeout_ms);
   Handle handle = 0;
-  Result result = Result::Moot;
+  AttemptResult result = AttemptResult::Abandoned;
   if (!x->over && !clients_->present(x->client)) { // told here before its connection's end is read
     x->attempts.push_back(0);
     client_gone(send.id);
     return outcome(send.id, number, send.server, 0, result);
   }
-  const bool open = number < settings_.attempts_of(x->call->category) && now < deadline;
+  const bool open = number < settings_.max_attempts_of(x->call->category) && now < deadline;
   if (open && may_send(*x, now, false)) handle = attempts_.add();
   ++x->out;
   x->attempts.push_back(handle);
@@ -276,13 +281,13 @@
     a.target = send.server;
     a.sent_at = now;
     const auto start = egress_->start(handle, send.server, x->call, deadline);
-    if (start == EgressSide::Start::Begun) {
+    if (start == UpstreamConnections::Start::Begun) {
       if (x->out == 1 && !x->may_have_run) x->first_at = now;
       ++x->tried;
       return wait_for(a, handle, deadline);
     }
-    if (start == EgressSide::Start::NoTarget) result = Result::ConnectFailed;
-    if (start == EgressSide::Start::Full) log::line("egress-table-full");
+    if (start == UpstreamConnections::Start::NoTarget) result = AttemptResult::ConnectFailed;
+    if (start == UpstreamConnections::Start::Full) log::line("egress-table-full");
     x->attempts.back() = 0;
     attempts_.remove(handle);
   }
@@ -292,45 +297,48 @@
 
 // The last word on an attempt, as it is decided and again as its first byte is written: its request waits, and the class
 // and what is left of the body allow it. The module knows the class and asks for none past it.
-bool Driver::may_send(const Exchange& x, double now, bool begun) const {
+bool RequestDispatcher::may_send(const ActiveRequest& x, double now, bool begun) const {
   if (x.over || x.passing != 0 || x.call->category >= settings_.classes.size()) return false;
   const fernward::ClassSettings& rules = settings_.classes[x.call->category];
-  const bodies::Allows body = x.call->inflow == nullptr ? bodies::Allows() : x.call->inflow->allows();
-  const bodies::Past past{x.tried - begun, x.out > std::size_t{begun}, x.may_have_run, now - x.first_at};
-  const bool may = bodies::may_send(body, rules.repeat, rules.window_ms, past);
+  const body_buffers::Allows body =
+      x.call->inflow == nullptr ? body_buffers::Allows() : x.call->inflow->allows();
+  const body_buffers::Past past{x.tried - begun, x.out > std::size_t{begun}, x.may_have_run,
+                                now - x.first_at};
+  const bool may = body_buffers::may_send(body, rules.idempotency, rules.idempotency_window_ms, past);
   if (!may && body.again) log::line("resend-held-back", {{"id", x.call->id}, {"attempts", x.tried}});
   return may;
 }
 
 // Stops waiting for an attempt; its connection is closed, as an answer is still due on it.
-void Driver::stop(Handle attempt, Result result) {
+void RequestDispatcher::stop(Handle attempt, AttemptResult result) {
   if (attempts_.find(attempt) == nullptr) return;
-  const EgressSide::Pause pause = egress_->cancel(attempt);
-  Ending ending;
+  const UpstreamConnections::Pause pause = egress_->cancel(attempt);
+  AttemptCompletion ending;
   // Where the time ran out on a client that takes nothing, its target is not at fault.
-  ending.result = result == Result::TimedOut && pause.lasts ? Result::Cancelled : result;
+  ending.result = result == AttemptResult::TimedOut && pause.lasts ? AttemptResult::Cancelled : result;
   ending.paused_ms = pause.ms;
   end_attempt(attempt, std::move(ending));
 }
 
-void Driver::end_attempt(Handle attempt, Ending ending) {
+void RequestDispatcher::end_attempt(Handle attempt, AttemptCompletion ending) {
   Attempt* found = attempts_.find(attempt);
   if (found == nullptr) return;
   Attempt a = *found;
   deadlines_.cancel(a.timeout);
   attempts_.remove(attempt);
-  Exchange* x = exchanges_.find(a.exchange);
+  ActiveRequest* x = exchanges_.find(a.exchange);
   if (x == nullptr) return;
   x->attempts[a.number] = 0;
   --x->out;
-  const bool never_ran = ending.result == Result::Full || ending.result == Result::ConnectFailed ||
-                         ending.result == Result::Moot || ending.result == Result::Miss;
+  const bool never_ran =
+      ending.result == AttemptResult::Overloaded || ending.result == AttemptResult::ConnectFailed ||
+      ending.result == AttemptResult::Abandoned || ending.result == AttemptResult::CacheMiss;
   x->may_have_run |= !never_ran;
   if (x->passing == attempt) {
-    finish(a.exchange, nullptr, ending.result == Result::Ok);
-  } else if (ending.result == Result::Ok && x->passing == 0 && !x->over) {
-    Answer answer;
-    answer.kind = Answer::Kind::Served;
+    finish(a.exchange, nullptr, ending.result == AttemptResult::Ok);
+  } else if (ending.result == AttemptResult::Ok && x->passing == 0 && !x->over) {
+    ClientResponse answer;
+    answer.kind = ClientResponse::Kind::Served;
     answer.body = std::move(ending.body);
     answer.content_type = std::move(ending.content_type);
     finish(a.exchange, &answer);
@@ -342,30 +350,31 @@
   drop_if_done(a.exchange);
 }
 
-void Driver::outcome(Handle exchange, std::uint32_t number, fernward::ServerId target, double elapsed,
-                     Result result, std::vector<float> report, bool rested, bool first) {
-  const Exchange* x = exchanges_.find(exchange);
-  fernward::Outcome told;
+void RequestDispatcher::outcome(Handle exchange, std::uint32_t number, fernward::ServerId target,
+                                double elapsed, AttemptResult result, std::vector<float> report, bool rested,
+                                bool first) {
+  const ActiveRequest* x = exchanges_.find(exchange);
+  fernward::AttemptOutcome told;
   told.id = exchange;
   told.attempt = number;
   told.server = target;
   told.result = result;
   told.elapsed_ms = elapsed;
-  told.ended = x == nullptr || x->over;
+  told.request_ended = x == nullptr || x->over;
   if (x != nullptr && x->call->inflow != nullptr) {
-    const bodies::Allows body = x->call->inflow->allows();
-    told.spent = x->may_have_run ? !body.again : !body.not_run;
+    const body_buffers::Allows body = x->call->inflow->allows();
+    told.body_consumed = x->may_have_run ? !body.again : !body.not_run;
   }
-  told.report = std::move(report);
-  told.rested = rested;
-  told.first = first;
+  told.load_report = std::move(report);
+  told.on_reused_connection = rested;
+  told.first_on_connection = first;
   enqueue(std::move(told));
 }
 
 // The exchange has its final answer: this one, or one that passed through and has come to its end, whole or not; or
 // nobody waits for one. Attempts may go on.
-void Driver::finish(Handle exchange, Answer* answer, bool whole) {
-  Exchange* x = exchanges_.find(exchange);
+void RequestDispatcher::finish(Handle exchange, ClientResponse* answer, bool whole) {
+  ActiveRequest* x = exchanges_.find(exchange);
   if (x == nullptr || x->over) return;
   x->over = true;
   --unanswered_;
@@ -379,9 +388,9 @@
   wake();
 }
 
-void Driver::drop_if_done(Handle exchange) {
-  const Exchange* x = exchanges_.find(exchange);
+void RequestDispatcher::drop_if_done(Handle exchange) {
+  const ActiveRequest* x = exchanges_.find(exchange);
   if (x != nullptr && x->over && x->out == 0) exchanges_.remove(exchange);
 }
 
-} // namespace fernward::exchange
+} // namespace fernward::proxy
--- a/src/exchange/driver.h
+++ b/src/proxy/request_dispatcher.h
@@ -11,29 +11,32 @@
 #include <string>
 #include <unordered_set>
 
-#include "exchange/call.h"
-#include "loop/deadlines.h"
+#include "loop/timer_queue.h"
+#include "proxy/call.h"
 
-namespace fernward::exchange {
+namespace fernward::proxy {
 
-struct DriverOptions {
+struct RequestDispatcherOptions {
   double grace_ms = 20;        // an answer may come this much after the client's deadline
   std::size_t open_cap = 4096; // exchanges at once
   double look_every_ms = 25; // nothing is decided by what discovery had said so long ago, see before_bursts()
 };
 
-class Driver : public AttemptSide {
+class RequestDispatcher : public AttemptCallbacks {
  public:
   // The account outlives it.
-  Driver(event_base* base, loop::Deadlines& deadlines, fernward::Balancer balancer,
-         const fernward::Settings& settings, bodies::Account& bytes, const DriverOptions& options);
+  RequestDispatcher(event_base* base, loop::TimerQueue& deadlines, fernward::Balancer balancer,
+                    const fernward::Settings& settings, body_buffers::BufferBudget& bytes,
+                    const RequestDispatcherOptions& options);
 
-  void attach(ClientSide& clients, EgressSide& egress) { clients_ = &clients, egress_ = &egress; }
+  void attach(DownstreamConnections& clients, UpstreamConnections& egress) {
+    clients_ = &clients, egress_ = &egress;
+  }
   // Called before a burst of events is decided on, and between events once `look_every_ms` have passed, as after a list
   // that took long: what has come of discovery by then counts for all that follow.
   void before_bursts(std::function<void()> look) { look_ = std::move(look); }
 
-  Handle open(Handle client, Call call); // 0: the table is full; `call`'s last byte has just come
+  Handle open(Handle client, ClientRequest call); // 0: the table is full; `call`'s last byte has just come
   bool is_open(const std::string& id) const {
     return open_ids_.count(id) > 0;
   }                                 // a client waits under this id
@@ -42,32 +45,32 @@
   void drained(Handle exchange); // its client has taken some of the answer that passes through
   // The process ends soon: what has no final answer by then gets one, the last guard's.
   void ends_by(double by);
-  void list(fernward::ServerList list);
+  void list(fernward::EndpointList list);
   void fleet(std::vector<fernward::Event> events); // what the tier's word comes to, see shared/advice.h
   const fernward::Balancer& balancer() const { return balancer_; }
-  fernward::Balancer::Ledger ledger() const { return balancer_.ledger(); }
+  fernward::Balancer::OriginBudget ledger() const { return balancer_.origin_budget(); }
   void change(const fernward::Settings& settings); // as of Balancer::change; throws std::invalid_argument
 
-  void ended(Handle attempt, Ending ending) override;
+  void ended(Handle attempt, AttemptCompletion ending) override;
   double wait_until(Handle attempt) override;
   bool may_write(Handle attempt) override;
-  bool begin(Handle attempt, Opening opening) override;
+  bool begin(Handle attempt, ResponseHead opening) override;
   std::size_t room(Handle attempt) override;
-  void pass(Handle attempt, std::string_view bytes, loop::Block& block) override;
-  bool pass_from(Handle attempt, int socket, std::size_t most, loop::Block& block, loop::Received& received,
-                 std::size_t& bytes) override;
+  void pass(Handle attempt, std::string_view bytes, loop::IoBuffer& block) override;
+  bool pass_from(Handle attempt, int socket, std::size_t most, loop::IoBuffer& block,
+                 loop::Received& received, std::size_t& bytes) override;
 
   // Exchanges given up so far, by why the module gave them up.
-  using Figures = std::array<std::uint64_t, static_cast<std::size_t>(fernward::Why::Count)>;
+  using Figures = std::array<std::uint64_t, static_cast<std::size_t>(fernward::GiveUpReason::Count)>;
   const Figures& given_up() const { return given_up_; }
-  bool avoids(fernward::ServerId target) const { return balancer_.avoids(target); }
+  bool avoids(fernward::ServerId target) const { return balancer_.is_ejected(target); }
   std::size_t unanswered() const { return unanswered_; }
   std::size_t open_attempts() const { return attempts_.size(); }
 
  private:
-  struct Exchange {
+  struct ActiveRequest {
     Handle client = 0;
-    CallPtr call;
+    ClientRequestPtr call;
     double deadline = 0, aim_at = 0;
     std::vector<Handle> attempts; // by number
     Handle passing = 0;           // the attempt whose answer has begun to be passed on
@@ -76,48 +79,48 @@
     double first_at = 0;          // when the first was sent that may have run, or is out
     std::size_t out = 0;
     bool over = false;
-    loop::Deadlines::Ticket guard = 0;
+    loop::TimerQueue::TimerId guard = 0;
   };
   struct Attempt {
     Handle exchange = 0;
     std::uint32_t number = 0;
     fernward::ServerId target = 0;
     double sent_at = 0, deadline = 0;
-    loop::Deadlines::Ticket timeout = 0;
+    loop::TimerQueue::TimerId timeout = 0;
   };
 
-  static void pumped(int, short, void* self) { static_cast<Driver*>(self)->pump(); }
+  static void pumped(int, short, void* self) { static_cast<RequestDispatcher*>(self)->pump(); }
   void enqueue(fernward::Event event);
   void pump();
   void look(bool burst);
   void carry_out(const fernward::Action& action);
   void send(const fernward::Send& send);
-  void stop(Handle attempt, fernward::Result result);
-  void end_attempt(Handle attempt, Ending ending);
-  bool is_passing(const Exchange& x, std::size_t number) const;
+  void stop(Handle attempt, fernward::AttemptResult result);
+  void end_attempt(Handle attempt, AttemptCompletion ending);
+  bool is_passing(const ActiveRequest& x, std::size_t number) const;
   // begun: this attempt is one of those tried and out already.
-  bool may_send(const Exchange& x, double now, bool begun) const;
+  bool may_send(const ActiveRequest& x, double now, bool begun) const;
   void wait_for(Attempt& a, Handle attempt, double deadline);
   Handle client_of(Handle attempt);
   void go_on(Handle exchange);
   void wake();
   void outcome(Handle exchange, std::uint32_t number, fernward::ServerId target, double elapsed,
-               fernward::Result result, std::vector<float> report = {}, bool rested = false,
+               fernward::AttemptResult result, std::vector<float> report = {}, bool rested = false,
                bool first = false);
-  void give_up(Handle exchange, fernward::Why why, Answer answer);
-  void finish(Handle exchange, Answer* answer, bool whole = false);
+  void give_up(Handle exchange, fernward::GiveUpReason why, ClientResponse answer);
+  void finish(Handle exchange, ClientResponse* answer, bool whole = false);
   void overdue(Handle exchange);
   void drop_if_done(Handle exchange);
 
-  loop::Deadlines& deadlines_;
+  loop::TimerQueue& deadlines_;
   fernward::Balancer balancer_;
   fernward::Settings settings_;
-  bodies::Account& bytes_;
-  DriverOptions options_;
-  ClientSide* clients_ = nullptr;
-  EgressSide* egress_ = nullptr;
-  loop::Slots<Exchange> exchanges_;
-  loop::Slots<Attempt> attempts_;
+  body_buffers::BufferBudget& bytes_;
+  RequestDispatcherOptions options_;
+  DownstreamConnections* clients_ = nullptr;
+  UpstreamConnections* egress_ = nullptr;
+  loop::SlotMap<ActiveRequest> exchanges_;
+  loop::SlotMap<Attempt> attempts_;
   std::deque<fernward::Event> events_;
   std::vector<fernward::Action> actions_;
   std::unordered_set<std::string> open_ids_; // of exchanges that are not over
@@ -129,4 +132,4 @@
   loop::EventPtr pump_;
 };
 
-} // namespace fernward::exchange
+} // namespace fernward::proxy
--- a/src/requests/request.h
+++ b/src/requests/request_state.h
@@ -7,9 +7,9 @@
 #include <optional>
 #include <vector>
 
-#include "fernward/choice.h"
-#include "numbers/numbers.h"
-#include "placement/pace.h"
+#include "fernward/balancer.h"
+#include "placement/fill_rate_limiter.h"
+#include "statistics/numbers.h"
 
 namespace fernward {
 
@@ -25,14 +25,14 @@
 
 // What can't be is taken for absent.
 inline Request cleaned(Request in, double give_up_at) {
-  if (!usable_number(in.work_ms)) in.work_ms = 0;
-  if (!usable_number(in.whole_at)) in.whole_at = 0;
+  if (!usable_number(in.expected_work_ms)) in.expected_work_ms = 0;
+  if (!usable_number(in.body_complete_at)) in.body_complete_at = 0;
   if (!std::isfinite(in.deadline)) in.deadline = give_up_at;
   return in;
 }
 
 // A request from its arrival until its last attempt has ended.
-struct Open {
+struct RequestState {
   Request in;
   double end_at = 0; // its final answer goes out by then
   double value = 0;
@@ -41,7 +41,7 @@
   std::vector<Attempt> attempts;
   std::vector<ServerId> missed;
   std::uint32_t out = 0;
-  std::optional<placement::Pace::Fill>
+  std::optional<placement::FillRateLimiter::Fill>
       filling; // its first attempt goes where the key is not held, to be stored there
   bool over = false, streaming = false, maybe_ran = false, leads = false, queued = false;
   double ran_at = 0; // send of the first attempt that may have run, and its server's group
@@ -57,30 +57,33 @@
 };
 
 // Repeating `o` at `at` carries out no effect twice.
-inline bool may_repeat(const Settings& set, const Open& o, const Server& at, double now) {
-  const ClassSettings& c = set.classes[o.in.cls];
-  if (c.repeat == Repeat::Safe || (!o.maybe_ran && o.out == 0)) return true;
-  if (c.repeat == Repeat::Unsafe || now - o.ran_at >= c.window_ms - 2 * set.tick_ms) return false;
-  return c.scope == Scope::All || (c.scope == Scope::Zone && at.zone == o.ran_zone) ||
-         (c.scope == Scope::Cell && at.cell == o.ran_cell);
+inline bool may_repeat(const Settings& set, const RequestState& o, const Server& at, double now) {
+  const ClassSettings& c = set.classes[o.in.class_index];
+  if (c.idempotency == Idempotency::Idempotent || (!o.maybe_ran && o.out == 0)) return true;
+  if (c.idempotency == Idempotency::NonIdempotent ||
+      now - o.ran_at >= c.idempotency_window_ms - 2 * set.event_interval_ms)
+    return false;
+  return c.idempotency_scope == IdempotencyScope::All ||
+         (c.idempotency_scope == IdempotencyScope::Zone && at.zone == o.ran_zone) ||
+         (c.idempotency_scope == IdempotencyScope::Cell && at.cell == o.ran_cell);
 }
 
-inline bool failed(Result result) {
-  return result == Result::Error || result == Result::Reset || result == Result::ConnectFailed ||
-         result == Result::TimedOut;
+inline bool failed(AttemptResult result) {
+  return result == AttemptResult::Error || result == AttemptResult::Reset ||
+         result == AttemptResult::ConnectFailed || result == AttemptResult::TimedOut;
 }
-inline bool may_have_run(Result result) {
-  return result != Result::Full && result != Result::ConnectFailed && result != Result::Moot &&
-         result != Result::Miss;
+inline bool may_have_run(AttemptResult result) {
+  return result != AttemptResult::Overloaded && result != AttemptResult::ConnectFailed &&
+         result != AttemptResult::Abandoned && result != AttemptResult::CacheMiss;
 }
 
 // What has happened as far as the server goes, when its answer begins to be passed on.
-inline Outcome answered(const StreamOpened& e) {
-  Outcome made;
+inline AttemptOutcome answered(const ResponseStarted& e) {
+  AttemptOutcome made;
   made.id = e.id;
   made.attempt = e.attempt;
   made.server = e.server;
-  made.result = Result::Ok;
+  made.result = AttemptResult::Ok;
   made.elapsed_ms = e.elapsed_ms;
   return made;
 }
--- a/src/router/succession.h
+++ b/src/router/hot_restart_coordinator.h
@@ -12,76 +12,76 @@
 #include <optional>
 #include <string>
 
-#include "bodies/account.h"
-#include "budget/account.h"
-#include "egress/pool.h"
-#include "handover/link.h"
-#include "ingress/listener.h"
-#include "maintenance/bans.h"
-#include "routes/table.h"
+#include "admin_overrides/endpoint_overrides.h"
+#include "body_buffers/buffer_budget.h"
+#include "descriptors/descriptor_budget.h"
+#include "downstream/listener.h"
+#include "endpoints/endpoint_table.h"
+#include "hot_restart/link.h"
+#include "upstream/connection_pool.h"
 
 namespace fernward::router {
 
-struct SuccessionOptions {
+struct HotRestartOptions {
   std::string path;                       // of the door; empty: nobody can replace this process
   std::string name, listen;               // whom the new one must be
   std::uint64_t places = 0, reserved = 0; // descriptors: for connections, and for all else
   std::uint64_t memory_mb = 0;
 };
 
-struct SuccessionParts { // of the router; they outlive it
+struct HotRestartParts { // of the router; they outlive it
   event_base* base;
-  loop::Deadlines& deadlines;
-  budget::Account& account;
-  budget::Buffers& buffers;
-  bodies::Account& bytes;
-  ingress::Listener& listener;
-  egress::Pool& pool;
-  maintenance::Bans& bans;
-  routes::Table& table;
+  loop::TimerQueue& deadlines;
+  descriptors::DescriptorBudget& account;
+  descriptors::RequestBufferBudget& buffers;
+  body_buffers::BufferBudget& bytes;
+  downstream::Listener& listener;
+  upstream::ConnectionPool& pool;
+  admin_overrides::EndpointOverrides& bans;
+  endpoints::EndpointTable& table;
   std::function<void(const std::string& name)> relist; // a ban has changed
   std::function<bool()> serves;
 };
 
-class Succession {
+class HotRestartCoordinator {
  public:
   // `from`: what the process before this one gave; it still lives.
-  Succession(SuccessionParts parts, SuccessionOptions options, handover::Inherited* from);
-  ~Succession();
-  Succession(const Succession&) = delete;
-  Succession& operator=(const Succession&) = delete;
+  HotRestartCoordinator(HotRestartParts parts, HotRestartOptions options, hot_restart::Inherited* from);
+  ~HotRestartCoordinator();
+  HotRestartCoordinator(const HotRestartCoordinator&) = delete;
+  HotRestartCoordinator& operator=(const HotRestartCoordinator&) = delete;
 
-  void began();                                     // this process may serve by now: the old one is told
-  void asked(const maintenance::Bans::Known& what); // of this process: the other is told
-  bool wind_down();                                 // true: a new process takes the connections
-  bool idle() const;                                // all that was passed on has left
+  void began(); // this process may serve by now: the old one is told
+  void asked(const admin_overrides::EndpointOverrides::Known& what); // of this process: the other is told
+  bool wind_down();  // true: a new process takes the connections
+  bool idle() const; // all that was passed on has left
 
   bool replaces() const { return before_ != nullptr && !before_->ended(); }
   bool replaced() const { return next_ != nullptr && !next_->ended() && serving_; }
 
  private:
   void open_door();
-  void came(handover::Descriptor socket);
-  void from_next(handover::Message message, handover::Descriptor beside);
-  void from_before(handover::Message message, handover::Descriptor beside);
-  void welcome(const handover::Hello& hello);
+  void came(hot_restart::Descriptor socket);
+  void from_next(hot_restart::Message message, hot_restart::Descriptor beside);
+  void from_before(hot_restart::Message message, hot_restart::Descriptor beside);
+  void welcome(const hot_restart::Hello& hello);
   void next_ended(const std::string& why);
   void before_ended(const std::string& why);
   void drop_next();
-  void adopt(const maintenance::Bans::Known& what);
+  void adopt(const admin_overrides::EndpointOverrides::Known& what);
   void take(std::uint64_t places, std::uint64_t memory_mb);
   void give_spare();
   std::uint64_t used() const;
 
-  SuccessionParts parts_;
-  SuccessionOptions options_;
+  HotRestartParts parts_;
+  HotRestartOptions options_;
   std::uint64_t memory_mb_;                              // this process's
   std::uint64_t had_places_, had_memory_mb_;             // of the whole, what this process was given
   std::uint64_t given_places_ = 0, given_memory_mb_ = 0; // to the next
-  std::unique_ptr<handover::Door> door_;
-  std::unique_ptr<handover::Channel> before_, next_;
+  std::unique_ptr<hot_restart::Door> door_;
+  std::unique_ptr<hot_restart::Channel> before_, next_;
   bool told_ = false, welcomed_ = false, serving_ = false, winding_down_ = false;
-  loop::Deadlines::Ticket patience_ = 0, spare_ = 0, clear_ = 0;
+  loop::TimerQueue::TimerId patience_ = 0, spare_ = 0, clear_ = 0;
 };
 
 } // namespace fernward::router
