--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -4,8 +4,8 @@
 #include <stdexcept>
 
 #include "config/json.h"
+#include "gossip/advice.h"
 #include "log/log.h"
-#include "shared/advice.h"
 
 namespace fernward::router {
 
@@ -44,16 +44,16 @@
   return (static_cast<std::size_t>(config.memory_mb) << 20) / 4;
 }
 
-exchange::DriverOptions driver_options(const config::Config& config) {
-  exchange::DriverOptions options;
+proxy::RequestDispatcherOptions driver_options(const config::Config& config) {
+  proxy::RequestDispatcherOptions options;
   options.grace_ms = config.limits.grace_to_answer_ms;
   options.open_cap = static_cast<std::size_t>(config.limits.open_cap);
   options.look_every_ms = config.limits.drain_grace_ms / 10; // the rest of the grace is for reading the list
   return options;
 }
 
-egress::PoolOptions pool_options(const config::Config& config) {
-  egress::PoolOptions options;
+upstream::ConnectionPoolOptions pool_options(const config::Config& config) {
+  upstream::ConnectionPoolOptions options;
   options.connect_timeout_ms = config.limits.connect_timeout_ms;
   options.idle_ms = 0.7 * config.limits.conn_idle_ms; // well before the target closes it
   options.scarce_kind = config.settings.origin_kind;
@@ -64,17 +64,17 @@
   return options;
 }
 
-bodies::AccountOptions account_options(const config::Config& config) {
-  bodies::AccountOptions options;
+body_buffers::BufferBudgetOptions account_options(const config::Config& config) {
+  body_buffers::BufferBudgetOptions options;
   options.total = config::body_bytes(config.memory_mb);
   options.holders = places(config); // of answers; and of bodies that are passed on, where these may be long
   if (config.request_bytes > kShortBody) options.holders *= 2;
   return options;
 }
 
-bodies::KeepRules keep_rules(const config::Config& config) {
+body_buffers::RetentionLimits keep_rules(const config::Config& config) {
   const std::uint64_t memory = static_cast<std::uint64_t>(config.memory_mb) << 20;
-  bodies::KeepRules rules;
+  body_buffers::RetentionLimits rules;
   rules.ceiling = config.request_bytes;
   rules.memory_most = std::min<std::uint64_t>(memory / 64, 512 << 10);
   rules.memory_all = memory / 8;
@@ -84,8 +84,8 @@
   return rules;
 }
 
-ingress::ListenerOptions listener_options(const config::Config& config, handover::Inherited* from) {
-  ingress::ListenerOptions options;
+downstream::ListenerOptions listener_options(const config::Config& config, hot_restart::Inherited* from) {
+  downstream::ListenerOptions options;
   options.listening = from == nullptr ? -1 : from->listening.release();
   options.share_port = !config.control.empty(); // what is left where the channel fails
   options.address = config.listen;
@@ -102,7 +102,7 @@
 // it; a sidecar, whose router is `movable`, for the longest of its own classes.
 double longest_give_up(const config::Config& config) {
   double longest = 0;
-  for (const auto& cls : config.settings.classes) longest = std::max(longest, cls.give_up_ms);
+  for (const auto& cls : config.settings.classes) longest = std::max(longest, cls.client_timeout_ms);
   if (!config.movable) longest = std::min(longest, kLongestWaitedMs);
   return longest > 0 ? longest : kLongestWaitedMs;
 }
@@ -111,14 +111,14 @@
 // are asked for it counts later, and discovery is one service that all routers load.
 discovery::SubscriptionRules subscription_rules(const config::Config& config) {
   discovery::SubscriptionRules rules;
-  const bool pushed = config.settings.discovery == fernward::Discovery::Push;
+  const bool pushed = config.settings.discovery == fernward::DiscoveryMode::Push;
   rules.max_pause_ms = pushed ? std::min(config.limits.drain_grace_ms / 2, rules.max_useless_pause_ms)
                               : rules.max_useless_pause_ms;
   rules.first_pause_ms = std::min(rules.first_pause_ms, rules.max_pause_ms);
   return rules;
 }
 
-ingress::Rules ingress_rules(const config::Config& config) {
+downstream::Rules ingress_rules(const config::Config& config) {
   return {config.names, config.settings, config.map, config.make_ids};
 }
 
@@ -141,7 +141,7 @@
   return base;
 }
 
-Router::Router(const config::Config& config, event_base* base, handover::Inherited* from,
+Router::Router(const config::Config& config, event_base* base, hot_restart::Inherited* from,
                const config::Fleet* fleet)
     : config_(config),
       base_(base),
@@ -168,10 +168,10 @@
   if (from != nullptr) bans_.adopt(from->welcome.known);
   take_first_list(from);
   if (!config_.handover.empty()) {
-    SuccessionOptions options{config_.handover, config_.name,      config_.listen,
+    HotRestartOptions options{config_.handover, config_.name,      config_.listen,
                               places(config_),  reserved(config_), config_.memory_mb};
-    succession_ = std::make_unique<Succession>(
-        SuccessionParts{base_, deadlines_, account_, buffers_, bytes_, listener_, pool_, bans_, table_,
+    succession_ = std::make_unique<HotRestartCoordinator>(
+        HotRestartParts{base_, deadlines_, account_, buffers_, bytes_, listener_, pool_, bans_, table_,
                         [this](const std::string& name) { relist(name); }, [this] { return serves(); }},
         std::move(options), from);
     succession_->began();
@@ -194,21 +194,21 @@
 }
 
 void Router::join(const config::Fleet& fleet) {
-  peering::Options options;
-  options.self = static_cast<shared::Id>(fleet.self);
+  gossip_transport::Options options;
+  options.self = static_cast<gossip::Id>(fleet.self);
   options.listen = fleet.listen;
   options.peers = fleet.peers;
   options.rules = {fleet.period_ms, fleet.asked};
   options.seed = config_.seed;
   if (const auto zone = config_.settings.zone) options.zone = static_cast<std::uint8_t>(*zone);
-  const shared::Uses uses{fleet.ledger, fleet.count, fleet.findings};
-  const auto own = [this, uses] { return shared::own_of(driver_.balancer(), uses); };
-  const auto heard = [this, uses](shared::Fleet& told, double now) {
+  const gossip::Uses uses{fleet.ledger, fleet.count, fleet.findings};
+  const auto own = [this, uses] { return gossip::own_of(driver_.balancer(), uses); };
+  const auto heard = [this, uses](gossip::Fleet& told, double now) {
     std::vector<fernward::Event> events;
-    shared::advise(now, told.view(now), told, uses, events);
+    gossip::advise(now, told.view(now), told, uses, events);
     driver_.fleet(std::move(events));
   };
-  peers_ = std::make_unique<peering::Link>(deadlines_, options, peering::Calls{own, heard});
+  peers_ = std::make_unique<gossip_transport::Link>(deadlines_, options, gossip_transport::Calls{own, heard});
   figures_.gauge("fleet_living", [this] { return static_cast<double>(peers_->fleet().members().living()); });
   figures_.gauge("fleet_limit", [this] { return 1000 * driver_.ledger().limit; });
   figures_.gauge("fleet_doubted", [this] { return static_cast<double>(peers_->fleet().doubted()); });
@@ -235,7 +235,7 @@
 void Router::tell_figures() {
   constexpr const char* kNames[] = {"shed",     "queued-late", "unanswered", "unsent",  "allowance",
                                     "attempts", "class",       "no-target",  "rejected"};
-  static_assert(std::size(kNames) == static_cast<std::size_t>(fernward::Why::Count));
+  static_assert(std::size(kNames) == static_cast<std::size_t>(fernward::GiveUpReason::Count));
   std::vector<log::Field> fields;
   const auto& given_up = driver_.given_up();
   for (std::size_t i = 0; i < given_up.size(); ++i) {
@@ -255,7 +255,7 @@
   }
   tell_slow_start();
   if (peers_ != nullptr) {
-    const shared::Counts c = peers_->fleet().counts();
+    const gossip::Counts c = peers_->fleet().counts();
     log::line("fleet", {{"living", peers_->fleet().members().living()},
                         {"sent", c.sent},
                         {"bytes", c.sent_bytes},
@@ -268,15 +268,15 @@
 }
 
 void Router::tell_slow_start() {
-  const fernward::Balancer::SlowStart now = driver_.balancer().slow_start();
-  const fernward::Balancer::SlowStart before = std::exchange(slow_start_told_, now);
-  if (now.sent == before.sent && now.held_back == before.held_back) return;
+  const fernward::Balancer::SlowStartCounts now = driver_.balancer().slow_start_counts();
+  const fernward::Balancer::SlowStartCounts before = std::exchange(slow_start_told_, now);
+  if (now.attempts == before.attempts && now.denied == before.denied) return;
   log::line("slow-start",
-            {{"sent", now.sent - before.sent}, {"held_back", now.held_back - before.held_back}});
+            {{"sent", now.attempts - before.attempts}, {"held_back", now.denied - before.denied}});
 }
 
-ingress::ListenerCalls Router::listener_calls() {
-  return {[this](loop::Handle client, exchange::Call call) {
+downstream::ListenerCalls Router::listener_calls() {
+  return {[this](loop::Handle client, proxy::ClientRequest call) {
             if (known_waits_ != 0) return loop::Handle{0}; // the list that the module has may be old
             return driver_.open(client, std::move(call));
           },
@@ -293,11 +293,11 @@
 // old: nothing is sent by it while discovery's own may still come, but changes are laid over it. The module has it all the
 // same, so that discovery's list costs it what has changed: a process that has just started must not be held up between
 // that list and the changes behind it.
-void Router::take_first_list(const handover::Inherited* from) {
+void Router::take_first_list(const hot_restart::Inherited* from) {
   const bool inherited = from != nullptr && !from->welcome.list.empty();
   if (inherited) config_.known = config::parse_json(from->welcome.list);
   if (inherited || config_.nodes_fixed || config_.discovery.empty()) return take_known();
-  if (read_known()) spread(all_targets(fernward::ListKind::Cached));
+  if (read_known()) spread(all_targets(fernward::EndpointListKind::Cached));
   known_waits_ = deadlines_.at(loop::now_ms() + kFirstListMs, [this] {
     known_waits_ = 0;
     log::line("known-list-used", {{"name", config_.name}, {"waited_ms", kFirstListMs}});
@@ -309,7 +309,7 @@
   try {
     table_.apply(config_.known);
     return true;
-  } catch (const routes::Damaged& damage) {
+  } catch (const endpoints::Damaged& damage) {
     log::line("known-damaged", {{"why", damage.what()}});
     return false;
   }
@@ -317,11 +317,12 @@
 
 void Router::take_known() {
   if (!read_known()) return;
-  spread(all_targets(config_.nodes_fixed ? fernward::ListKind::Full : fernward::ListKind::Cached));
+  spread(all_targets(config_.nodes_fixed ? fernward::EndpointListKind::Full
+                                         : fernward::EndpointListKind::Cached));
 }
 
-fernward::ServerList Router::all_targets(fernward::ListKind kind) const {
-  fernward::ServerList list;
+fernward::EndpointList Router::all_targets(fernward::EndpointListKind kind) const {
+  fernward::EndpointList list;
   list.kind = kind;
   for (const auto& [id, target] : table_.targets()) list.servers.push_back(target.entry);
   return list;
@@ -351,15 +352,15 @@
   }
 }
 
-std::unique_ptr<routes::FileWatch> Router::watch_file(const std::string& path) {
-  return std::make_unique<routes::FileWatch>(deadlines_, path, [this](const std::string& text) {
+std::unique_ptr<endpoints::EndpointFileWatch> Router::watch_file(const std::string& path) {
+  return std::make_unique<endpoints::EndpointFileWatch>(deadlines_, path, [this](const std::string& text) {
     spread(table_.apply(text));
     return table_.index();
   });
 }
 
-std::unique_ptr<routes::Watch> Router::watch(const std::string& address) {
-  return std::make_unique<routes::Watch>(
+std::unique_ptr<endpoints::EndpointWatch> Router::watch(const std::string& address) {
+  return std::make_unique<endpoints::EndpointWatch>(
       base_, deadlines_, address,
       discovery::Subscription(subscription_rules(config_), config_.seed, known_version()),
       [this, address](const std::string& text, std::uint64_t at_least) {
@@ -375,8 +376,8 @@
 
 discovery::Answer Router::take(const std::string& text, const std::string& from, std::uint64_t at_least) {
   const double begun = loop::now_ms();
-  fernward::ServerList list = table_.apply(text, at_least);
-  const bool whole = list.kind == fernward::ListKind::Full;
+  fernward::EndpointList list = table_.apply(text, at_least);
+  const bool whole = list.kind == fernward::EndpointListKind::Full;
   const std::size_t entries = list.servers.size();
   deadlines_.cancel(known_waits_);
   spread(std::move(list));
@@ -393,17 +394,17 @@
 }
 
 // What discovery tells, with what the operators have said laid over it.
-void Router::spread(fernward::ServerList list) {
-  if (list.kind == fernward::ListKind::Delta) {
+void Router::spread(fernward::EndpointList list) {
+  if (list.kind == fernward::EndpointListKind::Delta) {
     for (fernward::Server& server : list.servers) spread_change(server);
   } else {
     spread_whole(list);
   }
-  if (list.kind != fernward::ListKind::Delta || !list.servers.empty()) driver_.list(std::move(list));
+  if (list.kind != fernward::EndpointListKind::Delta || !list.servers.empty()) driver_.list(std::move(list));
   if (succession_ != nullptr) succession_->began();
 }
 
-void Router::spread_whole(fernward::ServerList& list) {
+void Router::spread_whole(fernward::EndpointList& list) {
   auto targets = table_.targets();
   std::vector<std::string> caches;
   for (const auto& [id, target] : targets) {
@@ -420,7 +421,7 @@
 // At a cost that does not grow with the number of targets: a process with a small share of a core must not be held up
 // past the grace of a drain by the changes of others.
 void Router::spread_change(fernward::Server& server) {
-  const routes::Target* const before = pool_.target(server.id);
+  const endpoints::Endpoint* const before = pool_.target(server.id);
   const auto found = table_.targets().find(server.id);
   const bool listed = found != table_.targets().end();
   const bool cache = listed && !is_origin(found->second.entry);
@@ -429,7 +430,7 @@
   }
   if (cache) bans_.listed(found->second.name);
   if (!listed) return pool_.update(server.id, nullptr);
-  routes::Target target = found->second;
+  endpoints::Endpoint target = found->second;
   target.entry = bans_.over(target.name, target.entry);
   server = target.entry;
   pool_.update(server.id, &target);
@@ -472,7 +473,7 @@
 }
 
 std::string Router::maintain(const control::Call& call) {
-  using Said = maintenance::Bans::Said;
+  using Said = admin_overrides::EndpointOverrides::Said;
   const bool out = call.word == control::Word::DisableServer;
   const bool was_out = bans_.out(call.id);
   const Said said = out ? bans_.take_out(call.id) : bans_.put_back(loop::now_ms(), call.id);
@@ -488,9 +489,9 @@
 
 // Tells pool and module of one node again, as it reads now.
 void Router::relist(const std::string& name) {
-  fernward::ServerList list;
-  list.kind = fernward::ListKind::Delta;
-  const auto target = table_.targets().find(routes::id_of(name));
+  fernward::EndpointList list;
+  list.kind = fernward::EndpointListKind::Delta;
+  const auto target = table_.targets().find(endpoints::id_of(name));
   if (target == table_.targets().end() || target->second.name != name) return;
   list.servers.push_back(target->second.entry);
   spread(std::move(list));
@@ -554,10 +555,10 @@
   deadlines_.at(now + last, [this] { event_base_loopbreak(base_); });
 }
 
-std::optional<handover::Inherited> inherit(const config::Config& config) {
+std::optional<hot_restart::Inherited> inherit(const config::Config& config) {
   if (config.handover.empty()) return std::nullopt;
   std::string why;
-  auto from = handover::ask(config.handover, {config.name, config.listen, reserved(config)}, kAskMs, why);
+  auto from = hot_restart::ask(config.handover, {config.name, config.listen, reserved(config)}, kAskMs, why);
   if (!why.empty()) log::line("handover-fails", {{"why", why}}); // it listens beside the other then
   return from;
 }
--- a/src/sidecar/beside.cpp
+++ b/src/sidecar/beside.cpp
@@ -20,8 +20,8 @@
 #include "config/address.h"
 #include "log/log.h"
 #include "loop/blocked_signals.h"
-#include "loop/deadlines.h"
 #include "loop/net.h"
+#include "loop/timer_queue.h"
 
 namespace fernward::sidecar {
 namespace {
@@ -215,13 +215,13 @@
 
   const Programs& programs_;
   event_base* base_;
-  loop::Deadlines deadlines_;
+  loop::TimerQueue deadlines_;
   Supervisor supervisor_;
   bool terminal_;
   std::vector<loop::EventPtr> signals_;
   std::unique_ptr<Look> look_;
   pid_t router_ = 0, application_ = 0;
-  loop::Deadlines::Ticket ticket_ = 0;
+  loop::TimerQueue::TimerId ticket_ = 0;
 };
 
 } // namespace
--- a/src/drill/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,9 +1,9 @@
-// fernward_drill: the decision module on the bench's wire.
+// fernward_simulator_adapter: the decision module on the bench's wire.
 #include <cstdio>
 #include <exception>
 #include <string>
 
-#include "drill/drill.h"
+#include "simulator_adapter/simulator_adapter.h"
 
 namespace {
 
@@ -11,16 +11,16 @@
 bool read_exactly(char* into, std::size_t count) {
   const std::size_t got = std::fread(into, 1, count, stdin);
   if (got == 0) return false;
-  if (got != count) throw fernward::drill::BadInput("input ended within a frame");
+  if (got != count) throw fernward::simulator_adapter::BadInput("input ended within a frame");
   return true;
 }
 
 } // namespace
 
 int main() {
-  using namespace fernward::drill;
+  using namespace fernward::simulator_adapter;
   try {
-    Drill drill;
+    SimulatorAdapter drill;
     std::string frame(kBatchHeader, '\0');
     while (read_exactly(frame.data(), kBatchHeader)) {
       const std::size_t length = read_header(frame).length;
@@ -36,7 +36,7 @@
     }
     return 0;
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "fernward_drill: %s\n", error.what());
+    std::fprintf(stderr, "fernward_simulator_adapter: %s\n", error.what());
     return 1;
   }
 }
--- a/src/drill/settings.cpp
+++ b/src/simulator_adapter/settings.cpp
@@ -1,11 +1,11 @@
-#include "drill/settings.h"
+#include "simulator_adapter/settings.h"
 
 #include <nlohmann/json.hpp>
 
 #include "config/settings.h"
-#include "drill/wire.h"
+#include "simulator_adapter/wire.h"
 
-namespace fernward::drill {
+namespace fernward::simulator_adapter {
 
 Settings parse_settings(std::string_view text) {
   try {
@@ -17,4 +17,4 @@
   }
 }
 
-} // namespace fernward::drill
+} // namespace fernward::simulator_adapter
--- a/src/drill/settings.h
+++ b/src/simulator_adapter/settings.h
@@ -3,12 +3,12 @@
 
 #include <string_view>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 
-namespace fernward::drill {
+namespace fernward::simulator_adapter {
 
 // Unknown keys are passed over. Throws BadInput when the text is not JSON or a needed key is missing or of
 // the wrong type.
 Settings parse_settings(std::string_view text);
 
-} // namespace fernward::drill
+} // namespace fernward::simulator_adapter
--- a/src/drill/drill.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -1,10 +1,10 @@
-#include "drill/drill.h"
+#include "simulator_adapter/simulator_adapter.h"
 
-#include "drill/settings.h"
+#include "simulator_adapter/settings.h"
 
-namespace fernward::drill {
+namespace fernward::simulator_adapter {
 
-const std::string& Drill::answer(std::string_view frame) {
+const std::string& SimulatorAdapter::answer(std::string_view frame) {
   const BatchHeader header = read_header(frame);
   if (header.length != frame.size()) throw BadInput("wrong frame length " + std::to_string(header.length));
   Reader in(frame.substr(kBatchHeader));
@@ -14,14 +14,14 @@
   return reply_.finish();
 }
 
-Balancer& Drill::balancer(std::uint16_t instance) {
+Balancer& SimulatorAdapter::balancer(std::uint16_t instance) {
   const auto found = balancers_.find(instance);
   if (found == balancers_.end())
     throw BadInput("event for instance " + std::to_string(instance) + " before Boot");
   return found->second;
 }
 
-void Drill::take(const Record& record, double now) {
+void SimulatorAdapter::take(const Record& record, double now) {
   if (const auto* roster = std::get_if<Roster>(&record.body)) {
     lists_[roster->slot] = roster->servers;
   } else if (const auto* boot = std::get_if<Boot>(&record.body)) {
@@ -32,19 +32,19 @@
     Balancer& target = balancer(record.instance);
     actions_.clear();
     if (const auto* announce = std::get_if<Announce>(&record.body)) {
-      ServerList list{announce->kind, {}};
-      if (announce->kind != ListKind::Failed) {
+      EndpointList list{announce->kind, {}};
+      if (announce->kind != EndpointListKind::Failed) {
         if (announce->slot >= lists_.size() || !lists_[announce->slot]) {
           throw BadInput("list number " + std::to_string(announce->slot) + " was never sent");
         }
         list.servers = *lists_[announce->slot];
       }
-      target.on(now, list, actions_);
+      target.on_event(now, list, actions_);
     } else {
-      target.on(now, std::get<Event>(record.body), actions_);
+      target.on_event(now, std::get<Event>(record.body), actions_);
     }
     for (const Action& action : actions_) reply_.add(record.instance, action);
   }
 }
 
-} // namespace fernward::drill
+} // namespace fernward::simulator_adapter
--- a/src/drill/drill.h
+++ b/src/simulator_adapter/simulator_adapter.h
@@ -9,11 +9,11 @@
 #include <string_view>
 #include <vector>
 
-#include "drill/wire.h"
+#include "simulator_adapter/wire.h"
 
-namespace fernward::drill {
+namespace fernward::simulator_adapter {
 
-class Drill {
+class SimulatorAdapter {
  public:
   // Answers one whole frame, header included. Throws BadInput or std::invalid_argument; no reply then.
   const std::string& answer(std::string_view frame);
@@ -28,4 +28,4 @@
   Reply reply_;
 };
 
-} // namespace fernward::drill
+} // namespace fernward::simulator_adapter
--- a/src/drill/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -1,9 +1,9 @@
-#include "drill/wire.h"
+#include "simulator_adapter/wire.h"
 
 #include <bit>
 #include <utility>
 
-namespace fernward::drill {
+namespace fernward::simulator_adapter {
 
 static_assert(std::endian::native == std::endian::little, "the codec copies little-endian fields");
 
@@ -23,14 +23,14 @@
   return values;
 }
 
-Result read_result(Reader& in) { return pick<Result>(in.get<std::uint8_t>(), 1, 9, "outcome"); }
+AttemptResult read_result(Reader& in) { return pick<AttemptResult>(in.get<std::uint8_t>(), 1, 9, "outcome"); }
 
 Server read_server(Reader& in) {
   Server server;
   server.kind = in.get<std::uint16_t>();
   server.cell = in.get<std::uint16_t>();
   server.weight = in.get<float>();
-  server.booted_at = in.get<double>();
+  server.started_at = in.get<double>();
   server.zone = in.get<std::uint8_t>();
   server.id = in.get<std::uint32_t>();
   server.state = pick<ServerState>(in.get<std::uint8_t>(), 0, 2, "availability");
@@ -52,20 +52,20 @@
 Event read_call(Reader& in) {
   Request request;
   request.id = in.get<std::uint64_t>();
-  request.cls = in.get<std::uint8_t>();
+  request.class_index = in.get<std::uint8_t>();
   request.tenant = in.get<std::uint32_t>();
   request.key = in.get<std::uint64_t>();
   request.deadline = in.get<double>();
   const auto hint = in.get<double>();
   in.get<float>(); // the value's size
   const auto bits = in.get<std::uint8_t>();
-  request.work_ms = (bits & 1u) != 0 ? hint : 0;
+  request.expected_work_ms = (bits & 1u) != 0 ? hint : 0;
   request.write = (bits & 4u) != 0;
   return request;
 }
 
 Event read_opened(Reader& in) {
-  StreamOpened opened;
+  ResponseStarted opened;
   opened.id = in.get<std::uint64_t>();
   opened.server = in.get<std::uint32_t>();
   opened.elapsed_ms = in.get<double>();
@@ -74,24 +74,24 @@
 }
 
 Event read_completed(Reader& in) {
-  Outcome outcome;
+  AttemptOutcome outcome;
   outcome.id = in.get<std::uint64_t>();
   outcome.attempt = in.get<std::uint16_t>();
   outcome.server = in.get<std::uint32_t>();
   outcome.result = read_result(in);
   outcome.elapsed_ms = in.get<double>();
-  outcome.ended = in.get<std::uint8_t>() != 0;
+  outcome.request_ended = in.get<std::uint8_t>() != 0;
   in.get<std::uint32_t>(); // the server's own note, not used
-  outcome.report = read_report(in);
+  outcome.load_report = read_report(in);
   return outcome;
 }
 
 Event read_health(Reader& in) {
-  ProbeResult result;
+  HealthCheckResult result;
   result.server = in.get<std::uint32_t>();
   result.elapsed_ms = in.get<double>();
-  result.ok = read_result(in) == Result::Ok;
-  result.report = read_report(in);
+  result.ok = read_result(in) == AttemptResult::Ok;
+  result.load_report = read_report(in);
   return result;
 }
 
@@ -125,7 +125,7 @@
     }
     case 20: {
       Announce announce;
-      announce.kind = pick<ListKind>(in.get<std::uint8_t>(), 0, 3, "list mode");
+      announce.kind = pick<EndpointListKind>(in.get<std::uint8_t>(), 0, 3, "list mode");
       in.get<std::uint64_t>(); // the list's version; changes come in order and without gaps
       announce.slot = in.get<std::uint8_t>();
       record.body = announce;
@@ -134,7 +134,7 @@
     case 30: record.body = read_call(in); break;
     case 40: record.body = read_opened(in); break;
     case 50: record.body = read_completed(in); break;
-    case 60: record.body = Event(ClientGone{in.get<std::uint64_t>()}); break;
+    case 60: record.body = Event(ClientDisconnected{in.get<std::uint64_t>()}); break;
     case 70: record.body = Event(TimerFired{in.get<std::uint64_t>()}); break;
     case 80: record.body = read_health(in); break;
     case 90: // a neighbour's words: nodes decide alone
@@ -176,7 +176,7 @@
   put<double>(a.timeout_ms);
 }
 
-void Reply::put(std::uint16_t instance, const Refuse& a) {
+void Reply::put(std::uint16_t instance, const Reject& a) {
   head(20, instance);
   put<std::uint64_t>(a.id);
   put<double>(a.retry_after_ms);
@@ -199,12 +199,12 @@
   put<std::uint64_t>(a.token);
 }
 
-void Reply::put(std::uint16_t instance, const Probe& a) {
+void Reply::put(std::uint16_t instance, const SendHealthCheck& a) {
   head(60, instance);
   put<std::uint32_t>(a.server);
 }
 
-void Reply::put(std::uint16_t instance, const Watch&) {
+void Reply::put(std::uint16_t instance, const WatchEndpoints&) {
   head(110, instance);
   put<std::uint8_t>(1);
 }
@@ -216,4 +216,4 @@
   bytes_.append(text);
 }
 
-} // namespace fernward::drill
+} // namespace fernward::simulator_adapter
--- a/src/drill/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 
-namespace fernward::drill {
+namespace fernward::simulator_adapter {
 
 // What is wrong with the input, in words for standard error.
 struct BadInput : std::runtime_error {
@@ -64,7 +64,7 @@
   std::vector<Server> servers;
 };
 struct Announce {
-  ListKind kind = ListKind::Full;
+  EndpointListKind kind = EndpointListKind::Full;
   std::uint8_t slot = 0;
 };
 struct Ignored {}; // legal, of no use to the module
@@ -90,15 +90,15 @@
   }
   void head(std::uint8_t code, std::uint16_t instance);
   void put(std::uint16_t instance, const Send& a);
-  void put(std::uint16_t instance, const Refuse& a);
+  void put(std::uint16_t instance, const Reject& a);
   void put(std::uint16_t instance, const Fail& a);
   void put(std::uint16_t instance, const Cancel& a);
   void put(std::uint16_t instance, const SetTimer& a);
-  void put(std::uint16_t instance, const Probe& a);
-  void put(std::uint16_t instance, const Watch& a);
+  void put(std::uint16_t instance, const SendHealthCheck& a);
+  void put(std::uint16_t instance, const WatchEndpoints& a);
   void put(std::uint16_t instance, const Log& a);
 
   std::string bytes_;
 };
 
-} // namespace fernward::drill
+} // namespace fernward::simulator_adapter
--- a/src/spool/file.cpp
+++ b/src/spill/file.cpp
@@ -1,4 +1,4 @@
-#include "spool/file.h"
+#include "spill/file.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
@@ -11,7 +11,7 @@
 
 #include "log/log.h"
 
-namespace fernward::spool {
+namespace fernward::spill {
 
 std::unique_ptr<File> Folder::create() {
   int fd = open(path_.c_str(), O_TMPFILE | O_RDWR | O_CLOEXEC, 0600);
@@ -66,4 +66,4 @@
   }
 }
 
-} // namespace fernward::spool
+} // namespace fernward::spill
--- a/src/spool/file.h
+++ b/src/spill/file.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <string_view>
 
-namespace fernward::spool {
+namespace fernward::spill {
 
 class Folder;
 
@@ -52,4 +52,4 @@
   bool fails_ = false;
 };
 
-} // namespace fernward::spool
+} // namespace fernward::spill
--- a/src/notation/document.cpp
+++ b/src/toml_document/document.cpp
@@ -1,11 +1,11 @@
-#include "notation/document.h"
+#include "toml_document/document.h"
 
 #include <algorithm>
 #include <fstream>
 #include <sstream>
 #include <tuple>
 
-namespace fernward::notation {
+namespace fernward::toml_document {
 namespace {
 
 constexpr std::size_t kMostFaults = 200;
@@ -154,4 +154,4 @@
   return parse_with(std::move(text), file, key, load, faults, layers, {});
 }
 
-} // namespace fernward::notation
+} // namespace fernward::toml_document
--- a/src/notation/document.h
+++ b/src/toml_document/document.h
@@ -13,9 +13,9 @@
 #include <string_view>
 #include <vector>
 
-#include "notation/toml.h"
+#include "toml_document/toml.h"
 
-namespace fernward::notation {
+namespace fernward::toml_document {
 
 struct Position {
   std::string file;
@@ -59,4 +59,4 @@
 bool parse_layers(std::string text, const std::string& file, const char* key, const Loader& load,
                   Faults& faults, Layers& layers);
 
-} // namespace fernward::notation
+} // namespace fernward::toml_document
--- a/src/notation/reader.cpp
+++ b/src/toml_document/reader.cpp
@@ -1,10 +1,10 @@
-#include "notation/reader.h"
+#include "toml_document/reader.h"
 
 #include <algorithm>
 
-#include "notation/value.h"
+#include "toml_document/value.h"
 
-namespace fernward::notation {
+namespace fernward::toml_document {
 namespace {
 
 constexpr std::size_t kMostItems = 10000; // of one list
@@ -232,4 +232,4 @@
   }
 }
 
-} // namespace fernward::notation
+} // namespace fernward::toml_document
--- a/src/notation/reader.h
+++ b/src/toml_document/reader.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "notation/document.h"
-#include "notation/visitor.h"
+#include "toml_document/document.h"
+#include "toml_document/visitor.h"
 
-namespace fernward::notation {
+namespace fernward::toml_document {
 
 class Reader : public Visitor {
  public:
@@ -70,4 +70,4 @@
   std::set<std::string> tables_; // members that are tables of tables
 };
 
-} // namespace fernward::notation
+} // namespace fernward::toml_document
--- a/src/notation/units.cpp
+++ b/src/toml_document/units.cpp
@@ -1,11 +1,11 @@
-#include "notation/units.h"
+#include "toml_document/units.h"
 
 #include <array>
 #include <charconv>
 #include <cmath>
 #include <span>
 
-namespace fernward::notation {
+namespace fernward::toml_document {
 namespace {
 
 struct Suffix {
@@ -119,4 +119,4 @@
   return number_text(value); // Number, and shares that no percentage hits
 }
 
-} // namespace fernward::notation
+} // namespace fernward::toml_document
--- a/src/notation/units.h
+++ b/src/toml_document/units.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-namespace fernward::notation {
+namespace fernward::toml_document {
 
 enum class Unit {
   Number,    // bare
@@ -36,4 +36,4 @@
 // The shortest decimal that reads back as exactly `value`.
 std::string number_text(double value);
 
-} // namespace fernward::notation
+} // namespace fernward::toml_document
--- a/src/notation/value.cpp
+++ b/src/toml_document/value.cpp
@@ -1,11 +1,11 @@
-#include "notation/value.h"
+#include "toml_document/value.h"
 
 #include <algorithm>
 #include <limits>
 #include <numeric>
 #include <sstream>
 
-namespace fernward::notation {
+namespace fernward::toml_document {
 namespace {
 
 std::size_t distance(const std::string& a, const std::string& b) {
@@ -137,4 +137,4 @@
   return std::nullopt;
 }
 
-} // namespace fernward::notation
+} // namespace fernward::toml_document
--- a/src/notation/value.h
+++ b/src/toml_document/value.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "notation/toml.h"
-#include "notation/visitor.h"
+#include "toml_document/toml.h"
+#include "toml_document/visitor.h"
 
-namespace fernward::notation {
+namespace fernward::toml_document {
 
 // Each gives the value, or none with `why` it can't be had.
 std::optional<double> take_amount(const toml::node& node, Unit unit, Word word, Why& why);
@@ -32,4 +32,4 @@
 // As TOML would have it, or else as text: 820/s needs no quotes on a command line. The value stands under "value".
 toml::table value_of(const std::string& text);
 
-} // namespace fernward::notation
+} // namespace fernward::toml_document
--- a/src/notation/visitor.cpp
+++ b/src/toml_document/visitor.cpp
@@ -1,8 +1,8 @@
-#include "notation/visitor.h"
+#include "toml_document/visitor.h"
 
 #include <algorithm>
 
-namespace fernward::notation {
+namespace fernward::toml_document {
 
 std::string key_of(std::string_view path) {
   std::string out;
@@ -29,4 +29,4 @@
   return out;
 }
 
-} // namespace fernward::notation
+} // namespace fernward::toml_document
--- a/src/notation/visitor.h
+++ b/src/toml_document/visitor.h
@@ -12,9 +12,9 @@
 #include <string_view>
 #include <vector>
 
-#include "notation/units.h"
+#include "toml_document/units.h"
 
-namespace fernward::notation {
+namespace fernward::toml_document {
 
 // What a name in the file refers to. The numbers are the description's own.
 enum class Table : int {};
@@ -123,4 +123,4 @@
   }
 }
 
-} // namespace fernward::notation
+} // namespace fernward::toml_document
--- a/src/notation/writer.cpp
+++ b/src/toml_document/writer.cpp
@@ -1,13 +1,13 @@
-#include "notation/writer.h"
+#include "toml_document/writer.h"
 
 #include <algorithm>
 #include <map>
 #include <set>
 #include <utility>
 
-#include "notation/value.h"
+#include "toml_document/value.h"
 
-namespace fernward::notation {
+namespace fernward::toml_document {
 namespace {
 
 struct Node {
@@ -337,4 +337,4 @@
   return out;
 }
 
-} // namespace fernward::notation
+} // namespace fernward::toml_document
--- a/src/notation/writer.h
+++ b/src/toml_document/writer.h
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "notation/visitor.h"
+#include "toml_document/visitor.h"
 
-namespace fernward::notation {
+namespace fernward::toml_document {
 
 using Walk = std::function<void(Visitor&)>; // through the description of some data
 
@@ -35,4 +35,4 @@
 void sections(const Row& table, const std::string& path, std::string& out); // of all tables within
 std::string leading(const Row& table);                                      // the keys of the top
 
-} // namespace fernward::notation
+} // namespace fernward::toml_document
--- a/src/egress/codec.cpp
+++ b/src/upstream/codec.cpp
@@ -1,4 +1,4 @@
-#include "egress/codec.h"
+#include "upstream/codec.h"
 
 #include <algorithm>
 #include <charconv>
@@ -6,11 +6,11 @@
 
 #include "http/parser.h"
 
-namespace fernward::egress {
+namespace fernward::upstream {
 
-using fernward::Result;
+using fernward::AttemptResult;
 
-std::string encode(const exchange::Call& call, const std::string& host, double remaining_ms) {
+std::string encode(const proxy::ClientRequest& call, const std::string& host, double remaining_ms) {
   const std::string wait = std::to_string(std::max(1L, std::lround(std::floor(remaining_ms))));
   std::vector<http::Header> headers = {{"X-Request-ID", call.id}, {"X-Timeout-Ms", wait}};
   if (!call.repeat_key.empty()) headers.push_back({"Idempotency-Key", call.repeat_key});
@@ -23,22 +23,22 @@
   return http::write_request(call.write ? "PUT" : "GET", call.target, host, headers, call.body);
 }
 
-exchange::Ending decode(const http::Message& answer, const std::vector<std::string>& report_fields) {
-  exchange::Ending ending;
+proxy::AttemptCompletion decode(const http::Message& answer, const std::vector<std::string>& report_fields) {
+  proxy::AttemptCompletion ending;
   ending.report = parse_report(answer.header("x-server-load"), report_fields);
   const bool never_ran = answer.header("x-not-processed") == "1";
   if (answer.status == 200) {
-    ending.result = Result::Ok;
+    ending.result = AttemptResult::Ok;
     ending.content_type = answer.header("content-type");
   } else if (answer.status == 404) {
-    ending.result = Result::Miss;
+    ending.result = AttemptResult::CacheMiss;
   } else if ((answer.status == 503 || answer.status == 504) && never_ran) {
-    ending.result = Result::Full;
+    ending.result = AttemptResult::Overloaded;
   } else if (answer.status == 400 || answer.status == 405 || answer.status == 413 || answer.status == 414 ||
              answer.status == 422 || answer.status == 431) {
-    ending.result = Result::Rejected;
+    ending.result = AttemptResult::InvalidRequest;
   } else {
-    ending.result = Result::Error; // it may have run
+    ending.result = AttemptResult::Error; // it may have run
   }
   return ending;
 }
@@ -68,4 +68,4 @@
   return values;
 }
 
-} // namespace fernward::egress
+} // namespace fernward::upstream
--- a/src/egress/pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -1,16 +1,16 @@
-#include "egress/pool.h"
+#include "upstream/connection_pool.h"
 
 #include <sys/socket.h>
 
 #include <algorithm>
 #include <cerrno>
 
-#include "egress/codec.h"
 #include "log/log.h"
+#include "upstream/codec.h"
 
-namespace fernward::egress {
+namespace fernward::upstream {
 
-using fernward::Result;
+using fernward::AttemptResult;
 using fernward::ServerState;
 using loop::Handle;
 using loop::now_ms;
@@ -27,9 +27,10 @@
 
 } // namespace
 
-Pool::Pool(event_base* base, loop::Deadlines& deadlines, budget::Account& account, bodies::Account& bytes,
-           figures::Figures& figures, const PoolOptions& options, exchange::AttemptSide& attempts,
-           Recall recall)
+ConnectionPool::ConnectionPool(event_base* base, loop::TimerQueue& deadlines,
+                               descriptors::DescriptorBudget& account, body_buffers::BufferBudget& bytes,
+                               figures::Figures& figures, const ConnectionPoolOptions& options,
+                               proxy::AttemptCallbacks& attempts, Recall recall)
     : base_(base),
       deadlines_(deadlines),
       account_(account),
@@ -41,17 +42,17 @@
       connections_(account.total()),
       rests_(options.idle_ms) {}
 
-bool Pool::in_service(fernward::ServerId target) const {
+bool ConnectionPool::in_service(fernward::ServerId target) const {
   const auto it = targets_.find(target);
   return it != targets_.end() && it->second.entry.state == ServerState::Ready;
 }
 
 // Does it lead to where the target is now?
-bool Pool::leads_there(const Connection& c) const {
+bool ConnectionPool::leads_there(const UpstreamConnection& c) const {
   return in_service(c.target) && targets_.at(c.target).address == c.address;
 }
 
-void Pool::update(const std::map<fernward::ServerId, routes::Target>& targets) {
+void ConnectionPool::update(const std::map<fernward::ServerId, endpoints::Endpoint>& targets) {
   std::vector<fernward::ServerId> gone;
   for (const auto& [id, target] : targets_) {
     if (!targets.contains(id)) gone.push_back(id);
@@ -60,7 +61,7 @@
   for (const auto& [id, target] : targets) update(id, &target);
 }
 
-void Pool::update(fernward::ServerId id, const routes::Target* now) {
+void ConnectionPool::update(fernward::ServerId id, const endpoints::Endpoint* now) {
   const auto found = targets_.find(id);
   if (found == targets_.end()) {
     if (now != nullptr) targets_.emplace(id, *now);
@@ -72,28 +73,29 @@
     rests_.forget(id);
     return;
   }
-  const routes::Target was = std::exchange(found->second, *now);
+  const endpoints::Endpoint was = std::exchange(found->second, *now);
   if (now->entry.state != ServerState::Ready) {
     close_free(id, "not-in-service");
-  } else if (now->address != was.address || now->entry.booted_at != was.entry.booted_at) {
+  } else if (now->address != was.address || now->entry.started_at != was.entry.started_at) {
     close_free(id, "restarted"); // these lead to the process before
     rests_.forget(id);
   }
 }
 
-const routes::Target* Pool::target(fernward::ServerId id) const {
+const endpoints::Endpoint* ConnectionPool::target(fernward::ServerId id) const {
   const auto found = targets_.find(id);
   return found == targets_.end() ? nullptr : &found->second;
 }
 
 // ---- an attempt ----
 
-exchange::EgressSide::Start Pool::start(Handle attempt, fernward::ServerId target,
-                                        const exchange::CallPtr& call, double deadline) {
+proxy::UpstreamConnections::Start ConnectionPool::start(Handle attempt, fernward::ServerId target,
+                                                        const proxy::ClientRequestPtr& call,
+                                                        double deadline) {
   if (!in_service(target)) return Start::NoTarget;
-  Connection* c = reusable(target);
+  UpstreamConnection* c = reusable(target);
   if (c == nullptr) {
-    budget::Account::Place place = room();
+    descriptors::DescriptorBudget::Place place = room();
     const int fd = place ? open_socket() : -1;
     if (fd < 0) return Start::Full; // this process's own want: no fault of the target's
     Start why = Start::NoTarget;
@@ -105,19 +107,19 @@
 }
 
 // A place for a new connection: a free one, one that the clients have beyond their share, or one of our own.
-budget::Account::Place Pool::room() {
-  using Needs = budget::Account::Needs;
+descriptors::DescriptorBudget::Place ConnectionPool::room() {
+  using Needs = descriptors::DescriptorBudget::Needs;
   const double now = now_ms();
   for (;;) { // each round lets one connection go
-    const Needs needs = account_.needs(now, budget::Side::Targets);
-    if (needs == Needs::Nothing) return account_.take(now, budget::Side::Targets);
+    const Needs needs = account_.needs(now, descriptors::Side::Targets);
+    if (needs == Needs::Nothing) return account_.take(now, descriptors::Side::Targets);
     if (needs == Needs::Recall && recall_()) continue;
     if (!let_go("table-full")) return {};
   }
 }
 
 // -1: the system grants none, even after something was let go for it.
-int Pool::open_socket() {
+int ConnectionPool::open_socket() {
   for (int tries = 0;; ++tries) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd >= 0 || tries == 2) return fd;
@@ -129,7 +131,8 @@
   }
 }
 
-void Pool::assign(Connection& c, Handle attempt, const exchange::CallPtr& call, double deadline) {
+void ConnectionPool::assign(UpstreamConnection& c, Handle attempt, const proxy::ClientRequestPtr& call,
+                            double deadline) {
   make_busy(c);
   c.attempt = attempt;
   c.call = call;
@@ -143,13 +146,13 @@
 }
 
 // The newest free connection that is not stale: the oldest are left to run out.
-Pool::Connection* Pool::reusable(fernward::ServerId target) {
+ConnectionPool::UpstreamConnection* ConnectionPool::reusable(fernward::ServerId target) {
   const double now = now_ms();
   drop_rested(target, now);
   auto& free = free_[target];
   for (const bool up : {true, false}) {
     for (std::size_t i = free.size(); i-- > 0;) {
-      Connection* c = connections_.find(free[i]);
+      UpstreamConnection* c = connections_.find(free[i]);
       if (c == nullptr || c->up != up) continue;
       if (up && loop::peek(bufferevent_getfd(c->io.get())) != loop::Peek::Quiet) {
         close(*c, "stale"); // takes it out of `free`
@@ -157,7 +160,7 @@
         continue;
       }
       if (up) {
-        using Use = lifetimes::Rests::Use;
+        using Use = idle_connections::IdleLifetimeEstimator::Use;
         const Use use = rests_.use(now, target, now - c->rested_at);
         if (use == Use::No) break; // those before it have rested longer
         c->rested_ms = now - c->rested_at;
@@ -173,13 +176,13 @@
 
 // What has rested too long to be written to; of free connections, those that came up stand in the order of
 // rest.
-void Pool::drop_rested(fernward::ServerId target, double now) {
+void ConnectionPool::drop_rested(fernward::ServerId target, double now) {
   const auto it = free_.find(target);
   if (it == free_.end() || it->second.empty()) return;
   const double hold = rests_.hold_ms(now, target);
   std::vector<Handle> late;
   for (const Handle handle : it->second) {
-    const Connection* c = connections_.find(handle);
+    const UpstreamConnection* c = connections_.find(handle);
     if (c == nullptr || !c->up) continue;
     if (now - c->rested_at < hold) break;
     late.push_back(handle);
@@ -188,7 +191,7 @@
 }
 
 // What its request came to, for the next ones that find a connection at rest.
-void Pool::learn(const Connection& c, bool reset) {
+void ConnectionPool::learn(const UpstreamConnection& c, bool reset) {
   if (targets_.count(c.target) == 0) return; // nothing stays of one that is gone
   if (c.rested_ms < 0) return rests_.first_use(now_ms(), c.target, reset);
   reset_after_rest_ += reset;
@@ -196,9 +199,11 @@
 }
 
 // `fd` is the connection's from here on.
-Pool::Connection* Pool::open(const routes::Target& target, budget::Account::Place place, int fd, Start& why) {
+ConnectionPool::UpstreamConnection* ConnectionPool::open(const endpoints::Endpoint& target,
+                                                         descriptors::DescriptorBudget::Place place, int fd,
+                                                         Start& why) {
   const Handle handle = connections_.add(options_.answers.ceiling);
-  Connection& c = *connections_.find(handle);
+  UpstreamConnection& c = *connections_.find(handle);
   c.pool = this;
   c.self = handle;
   c.place = std::move(place);
@@ -206,12 +211,13 @@
   c.target = target.entry.id;
   c.name = target.name;
   c.address = target.address;
-  c.booted_at = target.entry.booted_at;
+  c.booted_at = target.entry.started_at;
   c.opened_at = now_ms();
   c.io = loop::make_bufferevent(base_, fd);
   loop::set_nodelay(fd);
   if (options_.receive_bytes > 0) loop::limit_received(fd, options_.receive_bytes);
-  bufferevent_setcb(c.io.get(), &Pool::readable, &Pool::written, &Pool::changed, &c);
+  bufferevent_setcb(c.io.get(), &ConnectionPool::readable, &ConnectionPool::written, &ConnectionPool::changed,
+                    &c);
   if (bufferevent_socket_connect(c.io.get(), reinterpret_cast<const sockaddr*>(&target.where),
                                  sizeof target.where) != 0) {
     // No port or no memory for it on this machine: as little the target's fault as a want of descriptors.
@@ -222,31 +228,31 @@
   }
   ++opened_;
   c.ticket = deadlines_.at(c.opened_at + options_.connect_timeout_ms, [this, handle] {
-    if (Connection* late = connections_.find(handle)) {
+    if (UpstreamConnection* late = connections_.find(handle)) {
       late->ticket = 0;
-      lose(*late, Result::ConnectFailed, "connect-timeout");
+      lose(*late, AttemptResult::ConnectFailed, "connect-timeout");
     }
   });
   return &c;
 }
 
-bool Pool::let_go(const char* code) {
+bool ConnectionPool::let_go(const char* code) {
   if (resting_.empty()) return false;
   close(*connections_.find(resting_.front()), code);
   return true;
 }
 
-void Pool::make_free(Connection& c) {
+void ConnectionPool::make_free(UpstreamConnection& c) {
   free_[c.target].push_back(c.self);
   resting_.splice(resting_.end(), c.seat);
 }
 
-void Pool::make_busy(Connection& c) {
+void ConnectionPool::make_busy(UpstreamConnection& c) {
   if (c.seat.empty()) c.seat.splice(c.seat.begin(), resting_, c.entry);
 }
 
 // Head and body go out in one go; of a long body as much as has come.
-void Pool::write(Connection& c) {
+void ConnectionPool::write(UpstreamConnection& c) {
   loop::write_or_wait(c.io.get(), encode(*c.call, targets_.at(c.target).address, c.deadline - now_ms()));
   c.counted = false;
   if (c.call->inflow == nullptr) return count_sent(c);
@@ -256,24 +262,24 @@
   limit_taking(c);
   bufferevent_setwatermark(c.io.get(), EV_WRITE, kMostAhead / 2, 0);
   c.upload = c.call->inflow->read([this, handle = c.self] {
-    if (Connection* more = connections_.find(handle)) send_body(*more);
+    if (UpstreamConnection* more = connections_.find(handle)) send_body(*more);
   });
   send_body(c);
 }
 
 // Never ends the connection: it is called from within the client's.
-void Pool::send_body(Connection& c) {
-  using Got = exchange::Inflow::Reader::Got;
+void ConnectionPool::send_body(UpstreamConnection& c) {
+  using Got = proxy::RequestBody::Reader::Got;
   const bool chunks = !c.call->inflow->length();
   while (!c.sent && loop::pending_output(c.io.get()) < kMostAhead) {
     std::size_t bytes = 0;
     char* const into = block_.data();
-    const Got got = c.upload->read(into, loop::Block::size(), bytes);
+    const Got got = c.upload->read(into, loop::IoBuffer::size(), bytes);
     if (got == Got::Later) return;
     if (got == Got::Lost) {
       deadlines_.at(now_ms(), [this, handle = c.self] { // a request that is not whole has not run
-        Connection* cut = connections_.find(handle);
-        if (cut != nullptr && !cut->sent) lose(*cut, Result::ConnectFailed, "body-lost");
+        UpstreamConnection* cut = connections_.find(handle);
+        if (cut != nullptr && !cut->sent) lose(*cut, AttemptResult::ConnectFailed, "body-lost");
       });
       return;
     }
@@ -289,18 +295,20 @@
 }
 
 // What waits in this process's buffers has not been sent: its connection may still break.
-void Pool::count_sent(Connection& c) {
+void ConnectionPool::count_sent(UpstreamConnection& c) {
   if (c.counted || unsent(c)) return;
   c.counted = true;
   figures_.sent();
 }
 
-bool Pool::unsent(const Connection& c) { return !c.sent || loop::pending_output(c.io.get()) > 0; }
+bool ConnectionPool::unsent(const UpstreamConnection& c) {
+  return !c.sent || loop::pending_output(c.io.get()) > 0;
+}
 
-exchange::EgressSide::Pause Pool::cancel(Handle attempt) {
+proxy::UpstreamConnections::Pause ConnectionPool::cancel(Handle attempt) {
   const auto it = by_attempt_.find(attempt);
   if (it == by_attempt_.end()) return {};
-  Connection* c = connections_.find(it->second);
+  UpstreamConnection* c = connections_.find(it->second);
   by_attempt_.erase(it);
   if (c == nullptr) return {};
   c->attempt = 0;
@@ -317,54 +325,54 @@
 
 // ---- what the socket tells ----
 
-void Pool::readable(bufferevent*, void* c) {
-  auto* connection = static_cast<Connection*>(c);
+void ConnectionPool::readable(bufferevent*, void* c) {
+  auto* connection = static_cast<UpstreamConnection*>(c);
   connection->pool->read(*connection);
 }
 
-void Pool::written(bufferevent*, void* c) {
-  auto* connection = static_cast<Connection*>(c);
+void ConnectionPool::written(bufferevent*, void* c) {
+  auto* connection = static_cast<UpstreamConnection*>(c);
   if (!connection->sent) connection->pool->send_body(*connection);
   connection->pool->count_sent(*connection);
 }
 
-void Pool::changed(bufferevent*, short what, void* c) {
-  auto* connection = static_cast<Connection*>(c);
+void ConnectionPool::changed(bufferevent*, short what, void* c) {
+  auto* connection = static_cast<UpstreamConnection*>(c);
   connection->pool->event(*connection, what);
 }
 
-void Pool::event(Connection& c, short what) {
+void ConnectionPool::event(UpstreamConnection& c, short what) {
   if ((what & BEV_EVENT_CONNECTED) != 0) return came_up(c);
-  if (!c.up) return lose(c, Result::ConnectFailed, "connect-failed");
+  if (!c.up) return lose(c, AttemptResult::ConnectFailed, "connect-failed");
   if (c.attempt == 0) return close(c, "peer-closed"); // seen in time: it costs no request
   const bool eof = (what & BEV_EVENT_EOF) != 0;
   if (eof && c.stopped) return; // what came before it has not been taken yet; it is found again
   if (eof && c.parser.end_of_input()) return answered(c, "peer-said-close");
   if (!c.parser.begun()) learn(c, true); // else it was alive after its rest
   // While its last byte waits here, the request can't have run.
-  if (unsent(c)) return lose(c, Result::ConnectFailed, "broke-unsent");
-  lose(c, Result::Reset, eof ? "cut-off" : "reset");
+  if (unsent(c)) return lose(c, AttemptResult::ConnectFailed, "broke-unsent");
+  lose(c, AttemptResult::Reset, eof ? "cut-off" : "reset");
 }
 
-void Pool::came_up(Connection& c) {
+void ConnectionPool::came_up(UpstreamConnection& c) {
   if (const Handle late = c.attempt; late != 0 && !attempts_.may_write(late)) {
     cancel(late); // while it was not up: nothing of it goes out, and the connection rests
-    exchange::Ending ending;
-    ending.result = Result::Moot;
+    proxy::AttemptCompletion ending;
+    ending.result = AttemptResult::Abandoned;
     attempts_.ended(late, std::move(ending));
   }
   c.up = true;
   deadlines_.cancel(c.ticket);
   bufferevent_enable(c.io.get(), EV_READ | EV_WRITE);
   // Its target may have been withdrawn meanwhile, or have moved: nothing new goes there.
-  if (!leads_there(c)) return lose(c, Result::ConnectFailed, "not-in-service");
+  if (!leads_there(c)) return lose(c, AttemptResult::ConnectFailed, "not-in-service");
   if (c.attempt != 0) return write(c);
   unpool(c);
   make_busy(c);
   rest(c);
 }
 
-void Pool::read(Connection& c) {
+void ConnectionPool::read(UpstreamConnection& c) {
   std::string_view input = loop::pending_input(c.io.get());
   if (c.attempt == 0) return close(c, input.empty() ? "peer-closed" : "unasked-bytes");
   if (c.stopped) return;
@@ -389,14 +397,14 @@
 }
 
 // Straight from the socket, block by block: libevent would take 4 KB at a time.
-void Pool::read_on(Connection& c) {
+void ConnectionPool::read_on(UpstreamConnection& c) {
   for (int turn = 0; turn < kTurns; ++turn) { // then others have theirs
-    const std::size_t most = std::min(loop::Block::size(), room(c));
+    const std::size_t most = std::min(loop::IoBuffer::size(), room(c));
     if (c.stopped) return;
     const int socket = bufferevent_getfd(c.io.get());
     std::size_t bytes = 0;
     loop::Received received = loop::Received::Nothing;
-    const bool moved = c.way == Connection::Way::Pass && c.parser.body().straight() >= most &&
+    const bool moved = c.way == UpstreamConnection::Way::Pass && c.parser.body().straight() >= most &&
                        attempts_.pass_from(c.attempt, socket, most, block_, received, bytes);
     if (!moved) received = loop::receive(socket, block_.data(), most, bytes);
     if (received == loop::Received::Broken) return event(c, BEV_EVENT_ERROR | BEV_EVENT_READING);
@@ -419,12 +427,12 @@
 }
 
 // Past libevent's buffer while a long stretch of body is due, by it else.
-void Pool::read_directly(Connection& c, bool directly) {
+void ConnectionPool::read_directly(UpstreamConnection& c, bool directly) {
   if (directly == (c.direct != nullptr)) return;
   if (directly) {
     bufferevent_disable(c.io.get(), EV_READ);
     c.direct.reset(
-        event_new(base_, bufferevent_getfd(c.io.get()), EV_READ | EV_PERSIST, &Pool::directly, &c));
+        event_new(base_, bufferevent_getfd(c.io.get()), EV_READ | EV_PERSIST, &ConnectionPool::directly, &c));
     if (c.direct == nullptr || event_add(c.direct.get(), nullptr) != 0) throw std::bad_alloc();
   } else {
     c.direct.reset();
@@ -432,46 +440,47 @@
   }
 }
 
-void Pool::directly(int, short, void* c) {
-  auto* connection = static_cast<Connection*>(c);
+void ConnectionPool::directly(int, short, void* c) {
+  auto* connection = static_cast<UpstreamConnection*>(c);
   connection->pool->read_on(*connection);
 }
 
 // Its head says what it means and what becomes of its body.
-bool Pool::head_came(Connection& c) {
+bool ConnectionPool::head_came(UpstreamConnection& c) {
   count_sent(c);
   const http::Message& head = c.parser.message();
   // Before the request is out nothing can have been made for it: these are the leavings of the one before.
   if (head.status == 200 && unsent(c)) {
-    lose(c, Result::ConnectFailed, "early-answer");
+    lose(c, AttemptResult::ConnectFailed, "early-answer");
     return false;
   }
   learn(c, false);
   c.ending = decode(head, options_.report_fields);
-  c.waiting = {{}, bodies::Account::Hold(bytes_)};
-  c.way = c.ending.result == Result::Ok ? Connection::Way::Wait : Connection::Way::Skip;
-  if (c.way == Connection::Way::Wait) c.wait_until = attempts_.wait_until(c.attempt);
+  c.waiting = {{}, body_buffers::BufferBudget::Hold(bytes_)};
+  c.way =
+      c.ending.result == AttemptResult::Ok ? UpstreamConnection::Way::Wait : UpstreamConnection::Way::Skip;
+  if (c.way == UpstreamConnection::Way::Wait) c.wait_until = attempts_.wait_until(c.attempt);
   const auto length = c.parser.body().length();
-  if (c.way == Connection::Way::Wait && (!length || *length > options_.answers.begin_after)) {
+  if (c.way == UpstreamConnection::Way::Wait && (!length || *length > options_.answers.begin_after)) {
     // Whoever gives nothing more for a while is found here, not by what comes next.
     deadlines_.cancel(c.ticket);
     c.ticket = deadlines_.at(c.wait_until, [this, handle = c.self] {
-      Connection* late = connections_.find(handle);
+      UpstreamConnection* late = connections_.find(handle);
       if (late == nullptr) return;
       late->ticket = 0;
-      if (late->way == Connection::Way::Wait) step(*late);
+      if (late->way == UpstreamConnection::Way::Wait) step(*late);
     });
   }
   return step(c);
 }
 
 // How many bytes may be read now. None: reading stops until the client has taken some.
-std::size_t Pool::room(Connection& c) {
-  if (c.way == Connection::Way::Wait) {
+std::size_t ConnectionPool::room(UpstreamConnection& c) {
+  if (c.way == UpstreamConnection::Way::Wait) {
     if (const std::size_t room = c.waiting.hold.room(); room > 0) return room;
     begin(c);
   }
-  if (c.way == Connection::Way::Skip) return loop::Block::size();
+  if (c.way == UpstreamConnection::Way::Skip) return loop::IoBuffer::size();
   const std::size_t room = attempts_.room(c.attempt);
   if (room == 0) {
     bufferevent_disable(c.io.get(), EV_READ);
@@ -482,9 +491,9 @@
   return room;
 }
 
-void Pool::go_on(Handle attempt) {
+void ConnectionPool::go_on(Handle attempt) {
   const auto it = by_attempt_.find(attempt);
-  Connection* c = it == by_attempt_.end() ? nullptr : connections_.find(it->second);
+  UpstreamConnection* c = it == by_attempt_.end() ? nullptr : connections_.find(it->second);
   if (c == nullptr || !c->stopped) return;
   c->stopped = false;
   c->paused_ms += now_ms() - c->stopped_at;
@@ -499,16 +508,16 @@
 }
 
 // Takes from `bytes`, no more than there is room for, up to the end of the answer.
-Pool::Taken Pool::take(Connection& c, std::string_view& bytes) {
+ConnectionPool::Taken ConnectionPool::take(UpstreamConnection& c, std::string_view& bytes) {
   http::Framer& body = c.parser.body();
   c.given_at = now_ms();
   while (!bytes.empty() && !body.done()) {
     const http::Framer::Piece piece = body.next(bytes);
     bytes.remove_prefix(piece.used);
-    if (c.way == Connection::Way::Wait && !c.waiting.hold.take(piece.body.size())) begin(c);
-    if (c.way == Connection::Way::Wait) {
+    if (c.way == UpstreamConnection::Way::Wait && !c.waiting.hold.take(piece.body.size())) begin(c);
+    if (c.way == UpstreamConnection::Way::Wait) {
       c.waiting.buffer.add(piece.body, block_);
-    } else if (c.way == Connection::Way::Pass) {
+    } else if (c.way == UpstreamConnection::Way::Pass) {
       attempts_.pass(c.attempt, piece.body, block_);
     }
     if (body.fault() != http::Fault::None) {
@@ -521,60 +530,61 @@
 }
 
 // Does the answer that waits begin? False: the attempt has ended.
-bool Pool::step(Connection& c) {
+bool ConnectionPool::step(UpstreamConnection& c) {
   const http::Framer& body = c.parser.body();
-  if (c.way == Connection::Way::Skip) {
+  if (c.way == UpstreamConnection::Way::Skip) {
     if (std::max(body.come(), body.length().value_or(0)) <= kMostSkipped) return true;
     answered(c, "long-remains"); // a new connection is cheaper than reading that
     return false;
   }
-  if (c.way == Connection::Way::Pass) return true;
-  bodies::AnswerFacts facts;
+  if (c.way == UpstreamConnection::Way::Pass) return true;
+  body_buffers::AnswerFacts facts;
   facts.length = body.length();
   facts.come = body.come();
   facts.whole = body.done();
   facts.early = now_ms() < c.wait_until;
   facts.window = c.waiting.hold.window();
   facts.room = c.waiting.hold.room();
-  switch (bodies::next_step(options_.answers, facts)) {
-    case bodies::AnswerStep::Wait: break;
-    case bodies::AnswerStep::Begin:
+  switch (body_buffers::next_step(options_.answers, facts)) {
+    case body_buffers::AnswerStep::Wait: break;
+    case body_buffers::AnswerStep::Begin:
       if (!facts.whole) begin(c);
       break;
-    case bodies::AnswerStep::Spoilt: lose(c, Result::Error, "too-large"); return false;
+    case body_buffers::AnswerStep::Spoilt: lose(c, AttemptResult::Error, "too-large"); return false;
   }
   return true;
 }
 
-void Pool::begin(Connection& c) {
-  exchange::Opening opening;
+void ConnectionPool::begin(UpstreamConnection& c) {
+  proxy::ResponseHead opening;
   opening.content_type = c.ending.content_type;
   opening.length = c.parser.body().length();
   opening.body = std::move(c.waiting);
-  c.way = attempts_.begin(c.attempt, std::move(opening)) ? Connection::Way::Pass : Connection::Way::Skip;
+  c.way = attempts_.begin(c.attempt, std::move(opening)) ? UpstreamConnection::Way::Pass
+                                                         : UpstreamConnection::Way::Skip;
   c.given_at = now_ms();
   limit_silence(c);
 }
 
 // An answer on its way has no deadline but this: its node must go on giving, while its client goes on taking.
-void Pool::limit_silence(Connection& c) {
+void ConnectionPool::limit_silence(UpstreamConnection& c) {
   deadlines_.cancel(c.ticket);
   c.ticket = deadlines_.at(now_ms() + options_.silent_ms / 4, [this, handle = c.self] {
-    Connection* late = connections_.find(handle);
+    UpstreamConnection* late = connections_.find(handle);
     if (late == nullptr) return;
     late->ticket = 0;
     if (late->stopped) late->given_at = now_ms();
     if (now_ms() - late->given_at < options_.silent_ms) return limit_silence(*late);
-    lose(*late, Result::TimedOut, "fell-silent");
+    lose(*late, AttemptResult::TimedOut, "fell-silent");
   });
 }
 
 // A body on its way has no deadline but its client's pace: its target must go on taking what has come. One that has not
 // had the last byte has not run it.
-void Pool::limit_taking(Connection& c) {
+void ConnectionPool::limit_taking(UpstreamConnection& c) {
   deadlines_.cancel(c.ticket);
   c.ticket = deadlines_.at(now_ms() + options_.silent_ms / 4, [this, handle = c.self] {
-    Connection* late = connections_.find(handle);
+    UpstreamConnection* late = connections_.find(handle);
     if (late == nullptr) return;
     late->ticket = 0;
     if (late->upload == nullptr || !unsent(*late) || late->parser.head_done()) return;
@@ -582,17 +592,17 @@
     const std::uint64_t taken = late->upload->at() - std::min<std::uint64_t>(late->upload->at(), waits);
     if (waits == 0 || std::exchange(late->taken, taken) < taken) late->taken_at = now_ms();
     if (now_ms() - late->taken_at < options_.silent_ms) return limit_taking(*late);
-    lose(*late, Result::ConnectFailed, "takes-nothing");
+    lose(*late, AttemptResult::ConnectFailed, "takes-nothing");
   });
 }
 
 // The target is up and has answered, as by a 500: what it did is not known, its connection is of no use.
-void Pool::spoilt(Connection& c) {
+void ConnectionPool::spoilt(UpstreamConnection& c) {
   if (!c.parser.head_done()) learn(c, false);
-  lose(c, Result::Error, c.parser.fault() == http::Fault::Malformed ? "malformed" : "too-large");
+  lose(c, AttemptResult::Error, c.parser.fault() == http::Fault::Malformed ? "malformed" : "too-large");
 }
 
-void Pool::answered(Connection& c, const char* end) {
+void ConnectionPool::answered(UpstreamConnection& c, const char* end) {
   const http::Message head = c.parser.take();
   if (end == nullptr && !head.keep_alive) end = "peer-said-close";
   if (end == nullptr && unsent(c)) end = "early-answer";
@@ -600,19 +610,19 @@
   deadlines_.cancel(c.ticket);
   ++c.served;
   by_attempt_.erase(c.attempt);
-  exchange::Ending ending = std::move(c.ending);
-  if (c.way == Connection::Way::Wait) ending.body = std::move(c.waiting);
+  proxy::AttemptCompletion ending = std::move(c.ending);
+  if (c.way == UpstreamConnection::Way::Wait) ending.body = std::move(c.waiting);
   tell(c, std::move(ending));
   c.call.reset();
   if (end != nullptr) return close(c, end);
   if (!in_service(c.target)) return close(c, "not-in-service");
   // The process that answered may have gone, or live on under another name.
-  if (!leads_there(c) || targets_.at(c.target).entry.booted_at != c.booted_at) return close(c, "restarted");
+  if (!leads_there(c) || targets_.at(c.target).entry.started_at != c.booted_at) return close(c, "restarted");
   read_directly(c, false);
   rest(c);
 }
 
-void Pool::tell(Connection& c, exchange::Ending ending) {
+void ConnectionPool::tell(UpstreamConnection& c, proxy::AttemptCompletion ending) {
   ending.paused_ms = c.paused_ms;
   ending.rested = c.rested_ms >= 0;
   ending.rested_ms = std::max(0.0, c.rested_ms);
@@ -620,7 +630,7 @@
   attempts_.ended(std::exchange(c.attempt, 0), std::move(ending));
 }
 
-void Pool::rest(Connection& c) {
+void ConnectionPool::rest(UpstreamConnection& c) {
   make_free(c);
   c.rested_at = now_ms();
   const double hold = rests_.hold_ms(c.rested_at, c.target);
@@ -629,17 +639,17 @@
   const double used = c.rested_at - c.assigned_at;
   const bool spare = scarce && free_[c.target].size() > 1 && used < hold;
   c.ticket = deadlines_.at(c.rested_at + (spare ? used : hold), [this, handle = c.self, hold, spare] {
-    Connection* idle = connections_.find(handle);
+    UpstreamConnection* idle = connections_.find(handle);
     if (idle == nullptr) return;
     idle->ticket = 0;
     close(*idle, spare ? "spare" : hold < options_.idle_ms ? "rested" : "idle");
   });
 }
 
-void Pool::lose(Connection& c, Result result, const char* code) {
+void ConnectionPool::lose(UpstreamConnection& c, AttemptResult result, const char* code) {
   if (c.attempt != 0) {
     by_attempt_.erase(c.attempt);
-    exchange::Ending ending;
+    proxy::AttemptCompletion ending;
     ending.result = result;
     tell(c, std::move(ending));
   }
@@ -647,7 +657,7 @@
 }
 
 // The connection is gone on return.
-void Pool::close(Connection& c, const char* code) {
+void ConnectionPool::close(UpstreamConnection& c, const char* code) {
   log::routine("egress-ended",
                {{"target", c.name}, {"code", code}, {"answers", c.served}, {"ms", now_ms() - c.opened_at}});
   deadlines_.cancel(c.ticket);
@@ -656,7 +666,7 @@
   connections_.remove(c.self);
 }
 
-void Pool::unpool(const Connection& c) {
+void ConnectionPool::unpool(const UpstreamConnection& c) {
   const auto it = free_.find(c.target);
   if (it == free_.end()) return;
   std::erase(it->second, c.self);
@@ -664,14 +674,14 @@
     free_.erase(it); // nothing stays of one that is gone
 }
 
-void Pool::close_free(fernward::ServerId target, const char* code) {
+void ConnectionPool::close_free(fernward::ServerId target, const char* code) {
   const auto free = free_.find(target);
   if (free == free_.end()) return;
   const auto handles = free->second;
   for (const Handle handle : handles) {
-    if (Connection* c = connections_.find(handle)) close(*c, code);
+    if (UpstreamConnection* c = connections_.find(handle)) close(*c, code);
   }
   free_.erase(target);
 }
 
-} // namespace fernward::egress
+} // namespace fernward::upstream
--- a/src/egress/pool.h
+++ b/src/upstream/connection_pool.h
@@ -7,21 +7,21 @@
 #include <unordered_map>
 #include <vector>
 
-#include "bodies/account.h"
-#include "bodies/answer.h"
-#include "budget/account.h"
-#include "exchange/call.h"
+#include "body_buffers/buffer_budget.h"
+#include "body_buffers/response_buffering.h"
+#include "descriptors/descriptor_budget.h"
+#include "endpoints/endpoint_table.h"
 #include "figures/figures.h"
 #include "http/parser.h"
-#include "lifetimes/rests.h"
-#include "loop/deadlines.h"
+#include "idle_connections/idle_lifetime_estimator.h"
 #include "loop/net.h"
-#include "loop/slots.h"
-#include "routes/table.h"
+#include "loop/slot_map.h"
+#include "loop/timer_queue.h"
+#include "proxy/call.h"
 
-namespace fernward::egress {
+namespace fernward::upstream {
 
-struct PoolOptions {
+struct ConnectionPoolOptions {
   double connect_timeout_ms = 250;
   double idle_ms =
       10000; // an idle connection is closed after this, or sooner where its target is seen to do so
@@ -29,27 +29,28 @@
   // as its last request took. -1: none.
   std::int64_t scarce_kind = -1;
   std::vector<std::string> report_fields;
-  bodies::AnswerRules answers;
+  body_buffers::AnswerRules answers;
   double silent_ms =
       5000; // a node that gives nothing more of an answer, or takes nothing more of a body, is given up
   int receive_bytes = 0; // that the kernel keeps of each connection; 0: as much as it likes
 };
 
-class Pool : public exchange::EgressSide {
+class ConnectionPool : public proxy::UpstreamConnections {
  public:
   using Recall = std::function<bool()>; // the clients' side lets a connection go; false: it can spare none
 
   // The accounts outlive the pool.
-  Pool(event_base* base, loop::Deadlines& deadlines, budget::Account& account, bodies::Account& bytes,
-       figures::Figures& figures, const PoolOptions& options, exchange::AttemptSide& attempts, Recall recall);
+  ConnectionPool(event_base* base, loop::TimerQueue& deadlines, descriptors::DescriptorBudget& account,
+                 body_buffers::BufferBudget& bytes, figures::Figures& figures,
+                 const ConnectionPoolOptions& options, proxy::AttemptCallbacks& attempts, Recall recall);
 
   // What the route table holds now; targets that are missing are gone.
-  void update(const std::map<fernward::ServerId, routes::Target>& targets);
+  void update(const std::map<fernward::ServerId, endpoints::Endpoint>& targets);
   // One target as it is now, at a cost that does not grow with their number; null: it is gone.
-  void update(fernward::ServerId id, const routes::Target* now);
-  const routes::Target* target(fernward::ServerId id) const; // as it was told last; null: there is none
+  void update(fernward::ServerId id, const endpoints::Endpoint* now);
+  const endpoints::Endpoint* target(fernward::ServerId id) const; // as it was told last; null: there is none
 
-  Start start(loop::Handle attempt, fernward::ServerId target, const exchange::CallPtr& call,
+  Start start(loop::Handle attempt, fernward::ServerId target, const proxy::ClientRequestPtr& call,
               double deadline) override;
   Pause cancel(loop::Handle attempt) override;
   void go_on(loop::Handle attempt) override;
@@ -59,14 +60,14 @@
   std::size_t pooled_targets() const { return free_.size(); }
   std::uint64_t opened() const { return opened_; }
   std::uint64_t reset_after_rest() const { return reset_after_rest_; } // requests on kept connections
-  const lifetimes::Rests& rests() const { return rests_; }
+  const idle_connections::IdleLifetimeEstimator& rests() const { return rests_; }
 
  private:
-  struct Connection {
-    explicit Connection(std::uint64_t ceiling) : parser(http::Kind::Response, ceiling) {}
-    Pool* pool = nullptr;
+  struct UpstreamConnection {
+    explicit UpstreamConnection(std::uint64_t ceiling) : parser(http::Kind::Response, ceiling) {}
+    ConnectionPool* pool = nullptr;
     loop::Handle self = 0;
-    budget::Account::Place place;
+    descriptors::DescriptorBudget::Place place;
     std::list<loop::Handle> seat; // its entry of `resting_`, while it is not free
     std::list<loop::Handle>::iterator entry;
     fernward::ServerId target = 0;
@@ -76,8 +77,8 @@
     http::Parser parser;
     bool up = false;
     loop::Handle attempt = 0; // 0: none, the connection is idle or nobody waits for its coming up
-    exchange::CallPtr call;
-    std::unique_ptr<exchange::Inflow::Reader> upload; // of the call's body, where that is long
+    proxy::ClientRequestPtr call;
+    std::unique_ptr<proxy::RequestBody::Reader> upload; // of the call's body, where that is long
     bool sent = true;        // all of the call has been written, or waits in the output
     bool counted = true;     // its last byte has left
     double written_at = 0;   // its head
@@ -90,75 +91,78 @@
     // What becomes of the body that comes: it waits here until it is whole or begins, it is passed on, or it is
     // of no use to anybody.
     enum class Way { Wait, Pass, Skip } way = Way::Wait;
-    exchange::Bytes waiting;
-    exchange::Ending ending; // as the head tells it
-    double wait_until = 0;   // no longer than that
-    bool stopped = false;    // nothing is read: the client takes nothing
-    loop::EventPtr direct;   // reads past libevent's buffer, while long stretches of body come; else null
+    proxy::BufferedBytes waiting;
+    proxy::AttemptCompletion ending; // as the head tells it
+    double wait_until = 0;           // no longer than that
+    bool stopped = false;            // nothing is read: the client takes nothing
+    loop::EventPtr direct; // reads past libevent's buffer, while long stretches of body come; else null
     double stopped_at = 0, paused_ms = 0;
     double given_at = 0; // when some of its body came last, or could be read again
     unsigned served = 0;
-    loop::Deadlines::Ticket ticket = 0; // connect time-out, silence in the middle of an answer, or idle time
+    loop::TimerQueue::TimerId ticket =
+        0; // connect time-out, silence in the middle of an answer, or idle time
   };
 
   static void readable(bufferevent*, void* c);
   static void written(bufferevent*, void* c);
   static void changed(bufferevent*, short what, void* c);
-  void read(Connection& c);
-  void event(Connection& c, short what);
-  void came_up(Connection& c);
-  void write(Connection& c);
-  void send_body(Connection& c);
-  void count_sent(Connection& c);
-  static bool unsent(const Connection& c); // its last byte is still in this process
-  bool head_came(Connection& c);           // these two: false, the connection is gone
+  void read(UpstreamConnection& c);
+  void event(UpstreamConnection& c, short what);
+  void came_up(UpstreamConnection& c);
+  void write(UpstreamConnection& c);
+  void send_body(UpstreamConnection& c);
+  void count_sent(UpstreamConnection& c);
+  static bool unsent(const UpstreamConnection& c); // its last byte is still in this process
+  bool head_came(UpstreamConnection& c);           // these two: false, the connection is gone
   enum class Taken { More, Whole, Gone };
-  Taken take(Connection& c, std::string_view& bytes);
-  bool step(Connection& c);
-  void begin(Connection& c);
-  void limit_silence(Connection& c);
-  void limit_taking(Connection& c);
-  void spoilt(Connection& c);
-  void tell(Connection& c, exchange::Ending ending);
-  std::size_t room(Connection& c);
-  void read_on(Connection& c);
-  void read_directly(Connection& c, bool directly);
+  Taken take(UpstreamConnection& c, std::string_view& bytes);
+  bool step(UpstreamConnection& c);
+  void begin(UpstreamConnection& c);
+  void limit_silence(UpstreamConnection& c);
+  void limit_taking(UpstreamConnection& c);
+  void spoilt(UpstreamConnection& c);
+  void tell(UpstreamConnection& c, proxy::AttemptCompletion ending);
+  std::size_t room(UpstreamConnection& c);
+  void read_on(UpstreamConnection& c);
+  void read_directly(UpstreamConnection& c, bool directly);
   static void directly(int, short, void* c);
-  void answered(Connection& c, const char* end); // end: why its connection ends, or null
-  void rest(Connection& c);                      // into the pool
-  void unpool(const Connection& c);
-  Connection* reusable(fernward::ServerId target);
+  void answered(UpstreamConnection& c, const char* end); // end: why its connection ends, or null
+  void rest(UpstreamConnection& c);                      // into the pool
+  void unpool(const UpstreamConnection& c);
+  UpstreamConnection* reusable(fernward::ServerId target);
   // Null: `why` it can't be.
-  Connection* open(const routes::Target& target, budget::Account::Place place, int fd, Start& why);
-  budget::Account::Place room();
+  UpstreamConnection* open(const endpoints::Endpoint& target, descriptors::DescriptorBudget::Place place,
+                           int fd, Start& why);
+  descriptors::DescriptorBudget::Place room();
   int open_socket();
-  void learn(const Connection& c, bool reset);
+  void learn(const UpstreamConnection& c, bool reset);
   void drop_rested(fernward::ServerId target, double now);
-  void make_free(Connection& c);
-  void make_busy(Connection& c);
-  void assign(Connection& c, loop::Handle attempt, const exchange::CallPtr& call, double deadline);
-  bool leads_there(const Connection& c) const;
+  void make_free(UpstreamConnection& c);
+  void make_busy(UpstreamConnection& c);
+  void assign(UpstreamConnection& c, loop::Handle attempt, const proxy::ClientRequestPtr& call,
+              double deadline);
+  bool leads_there(const UpstreamConnection& c) const;
   bool in_service(fernward::ServerId target) const;
-  void lose(Connection& c, fernward::Result result, const char* code); // ends its attempt too
-  void close(Connection& c, const char* code);
+  void lose(UpstreamConnection& c, fernward::AttemptResult result, const char* code); // ends its attempt too
+  void close(UpstreamConnection& c, const char* code);
   void close_free(fernward::ServerId target, const char* code);
 
   event_base* base_;
-  loop::Deadlines& deadlines_;
-  budget::Account& account_;
-  bodies::Account& bytes_;
+  loop::TimerQueue& deadlines_;
+  descriptors::DescriptorBudget& account_;
+  body_buffers::BufferBudget& bytes_;
   figures::Figures& figures_;
-  PoolOptions options_;
-  exchange::AttemptSide& attempts_;
+  ConnectionPoolOptions options_;
+  proxy::AttemptCallbacks& attempts_;
   Recall recall_;
-  std::map<fernward::ServerId, routes::Target> targets_;
-  loop::Slots<Connection> connections_;
+  std::map<fernward::ServerId, endpoints::Endpoint> targets_;
+  loop::SlotMap<UpstreamConnection> connections_;
   std::map<fernward::ServerId, std::vector<loop::Handle>> free_; // no attempt: up or coming up, newest last
   std::list<loop::Handle> resting_;                              // all that are free, the longest in front
   std::unordered_map<loop::Handle, loop::Handle> by_attempt_;
-  lifetimes::Rests rests_;
+  idle_connections::IdleLifetimeEstimator rests_;
   std::uint64_t opened_ = 0, reset_after_rest_ = 0;
-  loop::Block block_;
+  loop::IoBuffer block_;
 };
 
-} // namespace fernward::egress
+} // namespace fernward::upstream
--- a/tests/maintenance/bans_test.cpp
+++ b/tests/admin_overrides/endpoint_overrides_test.cpp
@@ -8,18 +8,18 @@
 #include <string>
 #include <vector>
 
-#include "maintenance/bans.h"
+#include "admin_overrides/endpoint_overrides.h"
 
 using namespace fernward;
-using maintenance::Bans;
-using Said = Bans::Said;
+using admin_overrides::EndpointOverrides;
+using Said = EndpointOverrides::Said;
 
 namespace {
 
 Server server(double booted_at = 0, ServerState state = ServerState::Ready) {
   Server s;
   s.id = 1;
-  s.booted_at = booted_at;
+  s.started_at = booted_at;
   s.state = state;
   return s;
 }
@@ -27,7 +27,7 @@
 } // namespace
 
 TEST_CASE("a node that is out reads as one that drains, and as one just started once it is back") {
-  Bans bans;
+  EndpointOverrides bans;
   bans.list({"a", "b"});
   CHECK(bans.take_out("a") == Said::Yes);
   CHECK(bans.take_out("a") == Said::Yes);
@@ -35,16 +35,16 @@
   CHECK(bans.over("b", server()).state == ServerState::Ready);
   CHECK(bans.put_back(500, "a") == Said::Yes); // one call ends it, however often it was taken out
   CHECK(bans.over("a", server()).state == ServerState::Ready);
-  CHECK(bans.over("a", server(100)).booted_at == 500);
-  CHECK(bans.over("a", server(900)).booted_at == 900); // the list knows of a later start
+  CHECK(bans.over("a", server(100)).started_at == 500);
+  CHECK(bans.over("a", server(900)).started_at == 900); // the list knows of a later start
   CHECK(bans.put_back(800, "a") == Said::Yes);
-  CHECK(bans.over("a", server()).booted_at == 500); // it was not out: nothing is new about it
+  CHECK(bans.over("a", server()).started_at == 500); // it was not out: nothing is new about it
   CHECK(bans.put_back(800, "b") == Said::Yes);
-  CHECK(bans.over("b", server()).booted_at == 0);
+  CHECK(bans.over("b", server()).started_at == 0);
 }
 
 TEST_CASE("a ban lasts while the id leaves the list and comes back, and hides no drain of the list's own") {
-  Bans bans;
+  EndpointOverrides bans;
   bans.list({"a"});
   bans.take_out("a");
   bans.list({});
@@ -56,7 +56,7 @@
 }
 
 TEST_CASE("a drain that is told while a node is out by hand counts then and when it is put back") {
-  Bans bans;
+  EndpointOverrides bans;
   bans.list({"a", "b"});
   bans.take_out("a");
   for (const ServerState told : {ServerState::Draining, ServerState::Gone}) {
@@ -72,7 +72,7 @@
 }
 
 TEST_CASE("an id that was never listed gets a no, one that has gone is remembered, and not without bound") {
-  Bans bans({3, 2});
+  EndpointOverrides bans({3, 2});
   CHECK(bans.take_out("x") == Said::NeverListed);
   CHECK(bans.put_back(1, "x") == Said::NeverListed);
   bans.list({"kept"});
@@ -88,20 +88,20 @@
 }
 
 TEST_CASE("another process goes on with all of it") {
-  Bans old;
+  EndpointOverrides old;
   old.list({"a", "b", "c"});
   old.take_out("a");
   old.take_out("b");
   old.put_back(70, "b");
   old.list({"b"});
-  Bans next;
+  EndpointOverrides next;
   next.list({"b", "d"});
   next.adopt(old.all());
   CHECK(next.out("a"));
-  CHECK(next.over("b", server()).booted_at == 70);
+  CHECK(next.over("b", server()).started_at == 70);
   CHECK(next.take_out("c") == Said::Yes);
   CHECK(next.take_out("d") == Said::Yes);
-  next.adopt(Bans::Known{"d", false, 90}); // asked of the other process
+  next.adopt(EndpointOverrides::Known{"d", false, 90}); // asked of the other process
   CHECK_FALSE(next.out("d"));
 }
 
@@ -112,15 +112,15 @@
     const auto names = std::vector<std::string>{"a", "b", "c", "d", "e"};
     Settings settings;
     settings.classes.resize(1);
-    settings.classes[0].give_up_ms = 1000;
-    settings.classes[0].repeat = Repeat::Safe;
+    settings.classes[0].client_timeout_ms = 1000;
+    settings.classes[0].idempotency = Idempotency::Idempotent;
     settings.max_attempts = 1;
-    settings.report_via = ReportVia::Answers;
-    settings.report_fields = {ReportField::Queue, ReportField::LatencyMs};
-    settings.warm_after_ms = 3000;
-    settings.start_capacity = 0.3;
+    settings.load_report_source = LoadReportSource::Responses;
+    settings.load_report_fields = {LoadReportField::Queue, LoadReportField::LatencyMs};
+    settings.slow_start_ms = 3000;
+    settings.slow_start_min_capacity = 0.3;
     Balancer module(settings, 1 + *rc::gen::arbitrary<std::uint32_t>());
-    Bans bans;
+    EndpointOverrides bans;
     double now = 1e9;
     std::map<std::string, Server> listed;
     std::uint64_t ids = 0;
@@ -140,20 +140,20 @@
           request.id = ++ids;
           request.key = ids * 0x9e3779b97f4a7c15ull;
           request.deadline = now + 1000;
-          module.on(now, request, actions);
+          module.on_event(now, request, actions);
           next = now + 4;
         }
         while (!out.empty() && out.front().at + 30 <= now) {
           const Out ended = out.front();
           out.pop_front();
-          Outcome told;
+          AttemptOutcome told;
           told.id = ended.id;
           told.attempt = ended.attempt;
           told.server = ended.server;
           told.elapsed_ms = now - ended.at;
-          told.ended = true;
-          told.report = {static_cast<float>(ids % 3), 30};
-          module.on(now, told, actions);
+          told.request_ended = true;
+          told.load_report = {static_cast<float>(ids % 3), 30};
+          module.on_event(now, told, actions);
         }
         for (const Action& action : actions) {
           const auto* send = std::get_if<Send>(&action);
@@ -165,12 +165,12 @@
     };
     const auto tell = [&] {
       std::vector<std::string> now_listed;
-      ServerList list;
+      EndpointList list;
       for (const auto& [name, entry] : listed) now_listed.push_back(name);
       bans.list(now_listed);
       for (const auto& [name, entry] : listed) list.servers.push_back(bans.over(name, entry));
       std::vector<Action> actions;
-      module.on(now, list, actions);
+      module.on_event(now, list, actions);
     };
     for (const auto& name : names) {
       Server s;
@@ -187,7 +187,7 @@
         case 3: {
           Server s;
           s.id = id_of(name);
-          s.booted_at = *rc::gen::inRange(0, 2) == 0 ? 0 : now;
+          s.started_at = *rc::gen::inRange(0, 2) == 0 ? 0 : now;
           listed[name] = s;
           break;
         }
--- a/tests/setup/setup_test.cpp
+++ b/tests/app_config/app_config_test.cpp
@@ -10,17 +10,17 @@
 #include <sstream>
 #include <unordered_map>
 
+#include "app_config/explain.h"
+#include "app_config/host.h"
+#include "app_config/keys.h"
+#include "app_config/ledger.h"
+#include "app_config/read.h"
+#include "app_config/render.h"
+#include "app_config/schema.h"
 #include "config/config.h"
 #include "corpus.h"
-#include "notation/writer.h"
 #include "program.h"
-#include "setup/explain.h"
-#include "setup/host.h"
-#include "setup/keys.h"
-#include "setup/ledger.h"
-#include "setup/read.h"
-#include "setup/render.h"
-#include "setup/schema.h"
+#include "toml_document/writer.h"
 
 using namespace fernward;
 using namespace fernward::tests;
@@ -29,19 +29,19 @@
 
 const char* nothing(const char*) { return nullptr; }
 
-std::string shown(const notation::Faults& faults) {
+std::string shown(const toml_document::Faults& faults) {
   std::string all;
   for (const auto& fault : faults) all += fault.coded() + "\n";
   return all;
 }
 
-std::string as_file(setup::App app) {
-  const setup::AppNames names(app);
-  return notation::written(names, [&](notation::Visitor& v) { describe(v, app); });
+std::string as_file(app_config::App app) {
+  const app_config::AppNames names(app);
+  return toml_document::written(names, [&](toml_document::Visitor& v) { describe(v, app); });
 }
 
-setup::App app_of(const std::string& text) {
-  const auto made = setup::read(text, "app.toml", &nothing, nullptr);
+app_config::App app_of(const std::string& text) {
+  const auto made = app_config::read(text, "app.toml", &nothing, nullptr);
   INFO(shown(made.faults));
   REQUIRE(made.sound());
   return made.app;
@@ -67,7 +67,7 @@
       if (std::regex_match(line, m, mark)) expected.insert(m[1]);
     }
     REQUIRE_FALSE(expected.empty());
-    const auto made = setup::read_file(file, &nothing);
+    const auto made = app_config::read_file(file, &nothing);
     for (const auto& f : made.faults) {
       const std::string base = std::filesystem::path(f.at.file).filename().string();
       found.insert(f.code + " " + std::to_string(f.at.line) + ":" + std::to_string(f.at.column) +
@@ -80,7 +80,7 @@
   CHECK(files.size() >= 120);
   MESSAGE(files.size() << " broken files, " << seen.size() << " codes");
   // Every code of a fault that needs no look at the machine is met by some file.
-  for (const auto& code : setup::codes()) {
+  for (const auto& code : app_config::codes()) {
     const std::string means = code.means;
     const bool warning = means.starts_with("warning"), host = means.ends_with("(not with `--elsewhere`)");
     const bool other = std::string(code.code) == "unreadable" || std::string(code.code) == "more";
@@ -93,16 +93,16 @@
   CHECK(files.size() >= 30);
   for (const std::string& file : files) {
     CAPTURE(file);
-    const auto made = setup::read_file(file, &nothing);
+    const auto made = app_config::read_file(file, &nothing);
     INFO(shown(made.faults));
     REQUIRE(made.sound());
     const std::string written = as_file(made.app);
-    const auto again = setup::read(written, "again.toml", &nothing, nullptr);
+    const auto again = app_config::read(written, "again.toml", &nothing, nullptr);
     INFO(shown(again.faults) << written);
     REQUIRE(again.sound());
     CHECK(as_file(again.app) == written);
-    CHECK(setup::changes(made.app, again.app).empty());
-    const config::Config config = config::parse(setup::render(made.app).dump(), &nothing);
+    CHECK(app_config::changes(made.app, again.app).empty());
+    const config::Config config = config::parse(app_config::render(made.app).dump(), &nothing);
     CHECK(config.name == made.app.name);
     CHECK(config.names.classes.size() == made.app.classes.size());
   }
@@ -112,9 +112,9 @@
   for (const std::string& text :
        {text_of(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"), kLeast}) {
     for (std::size_t cut = 0; cut < text.size(); ++cut) {
-      const auto made = setup::read(text.substr(0, cut), "cut.toml", &nothing, nullptr);
+      const auto made = app_config::read(text.substr(0, cut), "cut.toml", &nothing, nullptr);
       // What is sound when cut is a whole file of its own.
-      if (made.sound()) CHECK(setup::read(as_file(made.app), "again.toml", &nothing, nullptr).sound());
+      if (made.sound()) CHECK(app_config::read(as_file(made.app), "again.toml", &nothing, nullptr).sound());
     }
   }
 }
@@ -123,13 +123,13 @@
   const Folder folder;
   std::string nested;
   while (nested.size() < 10u << 20) nested += "[a.b.c.d.e.f.g.h]\nx = [[[[[[[[1]]]]]]]]\n";
-  const auto large = setup::read_file(folder.write("large.toml", nested), &nothing);
+  const auto large = app_config::read_file(folder.write("large.toml", nested), &nothing);
   REQUIRE(large.faults.size() == 1);
   CHECK(large.faults[0].code == "unreadable");
   for (const char* open : {"[", "{a=", "a."}) {
     std::string deep = "x = ";
     for (int i = 0; i < 200000; ++i) deep += open;
-    CHECK_FALSE(setup::read(deep, "deep.toml", &nothing, nullptr).sound());
+    CHECK_FALSE(app_config::read(deep, "deep.toml", &nothing, nullptr).sound());
   }
 }
 
@@ -141,8 +141,8 @@
       "[limits]\nsockets = 101\nopen = 11\n[attempts]\nmost = 11\n[profiles.busy.limits]\nsockets = 301\n");
   folder.write("second.toml", "[limits]\nsockets = 102\nopen = 12\n");
   const std::string own = "include = [\"first.toml\", \"second.toml\"]\n" + kLeast;
-  const auto read = [&](const std::string& text, setup::Environment environment = &nothing) {
-    auto made = setup::read_file(folder.write("app.toml", text), environment);
+  const auto read = [&](const std::string& text, app_config::Environment environment = &nothing) {
+    auto made = app_config::read_file(folder.write("app.toml", text), environment);
     INFO(shown(made.faults));
     CHECK(made.sound());
     return made;
@@ -164,7 +164,7 @@
   CHECK(with.app.listen == "127.0.0.1:1");
   CHECK(with.app.name == "a"); // set and empty is not set
   std::map<std::string, std::string> from;
-  for (const auto& v : setup::values(with)) from[v.key] = v.from;
+  for (const auto& v : app_config::values(with)) from[v.key] = v.from;
   CHECK(from["listen"] == "NODE_LISTEN");
   CHECK(from["limits.sockets"].find("first.toml:7:11") != std::string::npos);
   CHECK(from["limits.open"].find("second.toml:3:8") != std::string::npos);
@@ -172,12 +172,12 @@
 }
 
 TEST_CASE("schema, reference and reader know the same keys") {
-  const auto schema = setup::schema();
+  const auto schema = app_config::schema();
   std::size_t keys = 0;
-  const std::string reference = setup::reference();
-  setup::App app = app_of(text_of(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"));
-  for (const auto& leaf :
-       notation::leaves(setup::AppNames(app), [&](notation::Visitor& v) { describe(v, app); })) {
+  const std::string reference = app_config::reference();
+  app_config::App app = app_of(text_of(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"));
+  for (const auto& leaf : toml_document::leaves(app_config::AppNames(app),
+                                                [&](toml_document::Visitor& v) { describe(v, app); })) {
     const nlohmann::ordered_json* at = &schema;
     std::istringstream steps(leaf.key);
     std::string last;
@@ -201,8 +201,8 @@
   CHECK(keys > 60);
   // The page for operators is what the program prints.
   const std::string page = text_of(FERNWARD_SOURCE_DIR "/docs/operators/config-reference.md");
-  CHECK(page.find(setup::reference()) != std::string::npos);
-  CHECK(page.find(setup::code_reference()) != std::string::npos);
+  CHECK(page.find(app_config::reference()) != std::string::npos);
+  CHECK(page.find(app_config::code_reference()) != std::string::npos);
 }
 
 TEST_CASE("the share of requests at the ledger: a cache that is simulated, writes, and what has no room") {
@@ -227,18 +227,18 @@
       at[key] = order.begin();
       if (order.size() > held) at.erase(order.back()), order.pop_back();
     }
-    CHECK(std::fabs(setup::lru_hits(keys, zipf, held) - static_cast<double>(hits) / counted) < 0.02);
+    CHECK(std::fabs(app_config::lru_hits(keys, zipf, held) - static_cast<double>(hits) / counted) < 0.02);
   }
-  setup::App app = app_of(text_of(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"));
-  const auto load = setup::ledger_load(app); // 5% writes; 128 MB hold all 20,000 keys of 4 kB
+  app_config::App app = app_of(text_of(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"));
+  const auto load = app_config::ledger_load(app); // 5% writes; 128 MB hold all 20,000 keys of 4 kB
   CHECK(load.share == doctest::Approx(0.05));
   app.expect.rate_per_s = 16000; // x 2 ms: 32 cores' work, of which reads want 30.4, and there are 8
-  CHECK(setup::ledger_load(app).no_room == doctest::Approx(0.95 * (1 - 8 / 30.4)));
+  CHECK(app_config::ledger_load(app).no_room == doctest::Approx(0.95 * (1 - 8 / 30.4)));
 }
 
 TEST_CASE("what a reload takes: whole or not at all, and classes keep their numbers") {
   const auto config = [](const std::string& more, const std::string& base = kLeast) {
-    return config::parse(setup::render(app_of(base + more)).dump(), &nothing);
+    return config::parse(app_config::render(app_of(base + more)).dump(), &nothing);
   };
   const auto now =
       config("[classes.book]\ngive_up = \"1s\"\nrepeat = \"unsafe\"\n[tenants.t]\nshare = 0.5\n");
@@ -249,8 +249,8 @@
       "\"safe\"\n[attempts]\nmost = 2\n");
   const auto moved = config::moved(now, next);
   CHECK(moved.names.classes == std::vector<std::string>{"any", "\nbook", "aaa", "booking"});
-  CHECK(moved.settings.classes[1].give_up_ms == 1000);
-  CHECK(moved.settings.classes[2].give_up_ms == 3000);
+  CHECK(moved.settings.classes[1].client_timeout_ms == 1000);
+  CHECK(moved.settings.classes[2].client_timeout_ms == 3000);
   CHECK(moved.settings.max_attempts == 2);
   CHECK(moved.names.tenants == std::vector<std::string>{"\nt"});
   const auto back = config::moved(moved, now); // and it is back under its old number
@@ -274,9 +274,9 @@
     text.replace(text.find("127.0.0.1:7070"), 14, listen);
     const std::string path = folder.write("app.toml", text + more);
     chmod(path.c_str(), mode);
-    auto made = setup::read_file(path, &nothing);
+    auto made = app_config::read_file(path, &nothing);
     REQUIRE(made.sound());
-    setup::check_host(made, path);
+    app_config::check_host(made, path);
     std::string all;
     for (const auto& f : made.faults) all += (all.empty() ? "" : " ") + f.code;
     return all;
--- a/tests/setup/mutants_test.cpp
+++ b/tests/app_config/mutants_test.cpp
@@ -9,8 +9,8 @@
 
 #include "corpus.h"
 #include "program.h"
-#include "setup/explain.h"
-#include "setup/read.h"
+#include "app_config/explain.h"
+#include "app_config/read.h"
 
 using namespace fernward;
 using namespace fernward::tests;
@@ -48,7 +48,7 @@
     std::vector<std::string> lines;
     std::istringstream in(text_of(file));
     for (std::string line; std::getline(in, line);) lines.push_back(line);
-    const auto original = setup::read_file(file, &nothing);
+    const auto original = app_config::read_file(file, &nothing);
     REQUIRE(original.sound());
     for (std::size_t at = 0; at < lines.size(); ++at) {
       std::string plain = lines[at];
@@ -63,7 +63,7 @@
         if (how == "retype") mutant[at] = line.key + " = " + retyped(line.value);
         std::string text;
         for (const auto& l : mutant) text += l + "\n";
-        const auto made = setup::read(text, file, &nothing);
+        const auto made = app_config::read(text, file, &nothing);
         Count& count = counts[how];
         ++count.made;
         INFO(file << ":" << at + 1 << " " << how << " " << lines[at]);
@@ -80,7 +80,7 @@
         // Harmless: only what the line itself gives may have changed, to what counts without it.
         CHECK(how == "drop");
         ++count.harmless;
-        for (const auto& change : setup::changes(original.app, made.app)) {
+        for (const auto& change : app_config::changes(original.app, made.app)) {
           const std::string key = change.key.substr(change.key.rfind('.') + 1);
           const bool own = line.key.ends_with(key) || line.key == "include" || line.key == "profile" ||
                            change.key.find(line.key) != std::string::npos;
--- a/tests/bodies/bodies_test.cpp
+++ b/tests/body_buffers/body_buffers_test.cpp
@@ -6,12 +6,12 @@
 #include <memory>
 #include <vector>
 
-#include "bodies/account.h"
-#include "bodies/answer.h"
-#include "bodies/keeping.h"
+#include "body_buffers/buffer_budget.h"
+#include "body_buffers/response_buffering.h"
+#include "body_buffers/retained_bodies.h"
 
 using namespace fernward;
-using namespace fernward::bodies;
+using namespace fernward::body_buffers;
 
 namespace {
 
@@ -26,12 +26,12 @@
 } // namespace
 
 TEST_CASE("windows: large for few holders, small for many, and each has something of its own") {
-  Account account({8 << 20, 256, 4 << 10, 1 << 20, 1.0 / 16});
-  Account::Hold first(account);
+  BufferBudget account({8 << 20, 256, 4 << 10, 1 << 20, 1.0 / 16});
+  BufferBudget::Hold first(account);
   CHECK(first.window() > 400 << 10);
-  std::vector<std::unique_ptr<Account::Hold>> crowd;
+  std::vector<std::unique_ptr<BufferBudget::Hold>> crowd;
   for (int i = 0; i < 255; ++i) { // they take what they may, and never give
-    crowd.push_back(std::make_unique<Account::Hold>(account));
+    crowd.push_back(std::make_unique<BufferBudget::Hold>(account));
     for (std::size_t room; (room = std::min<std::size_t>(crowd.back()->room(), 4096)) > 0;) {
       REQUIRE(crowd.back()->take(room));
     }
@@ -44,8 +44,8 @@
 }
 
 TEST_CASE("reading goes on once half of the window is empty, and who waits longest goes on first") {
-  Account account({1000, 1, 0, 400, 1.0});
-  Account::Hold a(account), b(account);
+  BufferBudget account({1000, 1, 0, 400, 1.0});
+  BufferBudget::Hold a(account), b(account);
   REQUIRE(a.take(400));
   CHECK(a.room() == 0);
   CHECK_FALSE(a.may_go_on());
@@ -55,14 +55,14 @@
   a.give(100);
   CHECK(a.may_go_on());
 
-  Account::Hold all(account);
+  BufferBudget::Hold all(account);
   REQUIRE(all.take(800));
   CHECK_FALSE(b.take(1));
   CHECK(b.room() == 0);
   b.wait(7);
   a.wait(8);
   CHECK(account.next() == std::nullopt);
-  Account::Hold moved(std::move(b)); // a holder that moves keeps its place in the row
+  BufferBudget::Hold moved(std::move(b)); // a holder that moves keeps its place in the row
   all.reset();
   CHECK(account.next() == 7u);
   a.give(200);
@@ -77,17 +77,17 @@
     "bytes held never pass the bound, each goes back once, and what is a holder's own nobody else takes") {
   CHECK(holds("account", [] {
     const std::size_t most_holders = below(20) + 1;
-    Account account({below(50000) + 100, most_holders, below(500), below(20000) + 1,
-                     0.01 + 0.01 * static_cast<double>(below(200))});
-    std::vector<std::unique_ptr<Account::Hold>> holders;
+    BufferBudget account({below(50000) + 100, most_holders, below(500), below(20000) + 1,
+                          0.01 + 0.01 * static_cast<double>(below(200))});
+    std::vector<std::unique_ptr<BufferBudget::Hold>> holders;
     const auto steps = below(300);
     bool merged = false; // what was the own of two is one's now
     for (std::size_t step = 0; step < steps; ++step) {
       if (holders.empty() || (holders.size() < most_holders && below(6) == 0)) {
-        holders.push_back(std::make_unique<Account::Hold>(account));
+        holders.push_back(std::make_unique<BufferBudget::Hold>(account));
       }
       const std::size_t at = below(holders.size()), other = below(holders.size());
-      Account::Hold& h = *holders[at];
+      BufferBudget::Hold& h = *holders[at];
       const auto drop = [&](std::size_t i) {
         holders.erase(holders.begin() + static_cast<std::ptrdiff_t>(i));
       };
@@ -95,7 +95,7 @@
         case 0: h.give(below(3000)); break; // more than it has gives what it has
         case 1: drop(at); break;
         case 2: {
-          Account::Hold moved(std::move(h));
+          BufferBudget::Hold moved(std::move(h));
           h = std::move(moved);
           break;
         }
@@ -160,26 +160,26 @@
 }
 
 TEST_CASE("where a body is kept") {
-  const KeepRules rules{1000, 100, 250, 400, 500, 2, 50, 256};
-  Keeper keeper(rules);
-  using Put = Keeper::Put;
+  const RetentionLimits rules{1000, 100, 250, 400, 500, 2, 50, 256};
+  RetainedBodies keeper(rules);
+  using Put = RetainedBodies::Put;
   {
-    Keeper::Body small(keeper, 100), larger(keeper, 101), second(keeper, 100), third(keeper, 100),
+    RetainedBodies::Body small(keeper, 100), larger(keeper, 101), second(keeper, 100), third(keeper, 100),
         fourth(keeper, 100);
     CHECK(small.level() == Level::Memory);
     CHECK(larger.level() == Level::File);
     CHECK(second.level() == Level::Memory);
     CHECK(third.level() == Level::File); // the memory for all is set aside
     CHECK(keeper.memory() == 200);
-    CHECK(Keeper::Body(keeper, 400).level() == Level::Passing); // and so are the files
-    CHECK(Keeper::Body(keeper, 1001).too_long());
+    CHECK(RetainedBodies::Body(keeper, 400).level() == Level::Passing); // and so are the files
+    CHECK(RetainedBodies::Body(keeper, 1001).too_long());
     CHECK(small.put(100) == Put::Memory);
     CHECK(small.put(1) == Put::TooLong); // beyond what was announced
     CHECK(small.come() == 100);
   }
   CHECK(keeper.memory() + keeper.file() == 0);
 
-  Keeper::Body grows(keeper, std::nullopt); // chunked
+  RetainedBodies::Body grows(keeper, std::nullopt); // chunked
   CHECK(grows.put(100) == Put::Memory);
   CHECK_FALSE(grows.may_flow(false)); // it may still end here
   CHECK(grows.put(1) == Put::File);
@@ -198,16 +198,16 @@
 }
 
 TEST_CASE("a file that fails ends the keeping, and what it had set aside is free again") {
-  Keeper keeper({1000, 0, 0, 400, 400, 1, 50, 256});
-  Keeper::Body body(keeper, 400);
-  CHECK(body.put(100) == Keeper::Put::File);
-  CHECK(body.put(50) == Keeper::Put::File);
+  RetainedBodies keeper({1000, 0, 0, 400, 400, 1, 50, 256});
+  RetainedBodies::Body body(keeper, 400);
+  CHECK(body.put(100) == RetainedBodies::Put::File);
+  CHECK(body.put(50) == RetainedBodies::Put::File);
   CHECK(keeper.file() == 400);
   body.file_failed(50);
   CHECK(keeper.file() == 100); // those before can still be read
   CHECK(body.level() == Level::Passing);
   CHECK(body.allows().first);
-  CHECK(body.put(10) == Keeper::Put::Passing);
+  CHECK(body.put(10) == RetainedBodies::Put::Passing);
 }
 
 TEST_CASE("what may be sent: body and class both allow it") {
@@ -215,23 +215,23 @@
   const Past none{}, not_run{1, false, false, 0}, ran{1, false, true, 100}, out{1, true, false, 100},
       ran_long_ago{1, false, true, 1000}, out_and_ran{2, true, true, 100};
   struct Row {
-    Repeat repeat;
+    Idempotency repeat;
     const Past* past;
     bool kept, passing, gone;
   };
   for (const Row& row : std::initializer_list<Row>{
-           {Repeat::Unsafe, &none, true, true, false},
-           {Repeat::Unsafe, &not_run, true, true, false},
-           {Repeat::Unsafe, &ran, false, false, false},
-           {Repeat::Unsafe, &out, false, false, false},
-           {Repeat::Keyed, &none, true, true, false},
-           {Repeat::Keyed, &not_run, true, true, false},
-           {Repeat::Keyed, &ran, true, false, false},
-           {Repeat::Keyed, &ran_long_ago, false, false, false},
-           {Repeat::Keyed, &out, true, false, false},
-           {Repeat::Safe, &ran, true, false, false},
-           {Repeat::Safe, &ran_long_ago, true, false, false},
-           {Repeat::Safe, &out_and_ran, true, false, false},
+           {Idempotency::NonIdempotent, &none, true, true, false},
+           {Idempotency::NonIdempotent, &not_run, true, true, false},
+           {Idempotency::NonIdempotent, &ran, false, false, false},
+           {Idempotency::NonIdempotent, &out, false, false, false},
+           {Idempotency::WithKey, &none, true, true, false},
+           {Idempotency::WithKey, &not_run, true, true, false},
+           {Idempotency::WithKey, &ran, true, false, false},
+           {Idempotency::WithKey, &ran_long_ago, false, false, false},
+           {Idempotency::WithKey, &out, true, false, false},
+           {Idempotency::Idempotent, &ran, true, false, false},
+           {Idempotency::Idempotent, &ran_long_ago, true, false, false},
+           {Idempotency::Idempotent, &out_and_ran, true, false, false},
        }) {
     CAPTURE(static_cast<int>(row.repeat));
     CAPTURE(row.past->attempts);
@@ -245,14 +245,14 @@
 TEST_CASE(
     "no schedule of bytes, faults and attempts leads to a resend past the class, or of a body that is gone") {
   CHECK(holds("resends", [] {
-    const KeepRules rules{below(400) + 1, below(200), below(400), below(2) * below(300),
-                          below(500),     below(100), 1};
-    Keeper keeper(rules);
+    const RetentionLimits rules{below(400) + 1, below(200), below(400), below(2) * below(300),
+                                below(500),     below(100), 1};
+    RetainedBodies keeper(rules);
     struct Request {
-      Request(Keeper& k, std::optional<std::uint64_t> length) : body(k, length) {}
-      Keeper::Body body;
+      Request(RetainedBodies& k, std::optional<std::uint64_t> length) : body(k, length) {}
+      RetainedBodies::Body body;
       std::uint64_t come = 0, kept = 0, lost = 0; // kept: can be read from the start again; lost: handed on
-      Repeat repeat = Repeat::Safe;
+      Idempotency repeat = Idempotency::Idempotent;
       std::vector<double> out; // when sent
       std::uint32_t attempts = 0;
       bool may_have_run = false, flowed = false;
@@ -264,7 +264,8 @@
         const bool told = below(2) == 0;
         requests.push_back(std::make_unique<Request>(
             keeper, told ? std::optional<std::uint64_t>(below(500)) : std::nullopt));
-        requests.back()->repeat = *rc::gen::element(Repeat::Safe, Repeat::Keyed, Repeat::Unsafe);
+        requests.back()->repeat =
+            *rc::gen::element(Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NonIdempotent);
       }
       const std::size_t at = below(requests.size());
       Request& r = *requests[at];
@@ -274,10 +275,10 @@
         case 1: {
           const std::uint64_t n = below(120) + 1;
           const auto put = r.body.put(n);
-          if (put == Keeper::Put::TooLong) break;
+          if (put == RetainedBodies::Put::TooLong) break;
           r.come += n;
-          if (put != Keeper::Put::Passing) r.kept += n;
-          if (put == Keeper::Put::File && below(4) == 0) {
+          if (put != RetainedBodies::Put::Passing) r.kept += n;
+          if (put == RetainedBodies::Put::File && below(4) == 0) {
             r.body.file_failed(n);
             r.kept -= n;
           }
@@ -291,8 +292,8 @@
           RC_ASSERT(r.lost == 0u);                  // its body is here from the first byte on
           if (running) RC_ASSERT(r.kept == r.come); // and stays for two readers
           if (running || r.may_have_run) {
-            RC_ASSERT(r.repeat != Repeat::Unsafe);
-            RC_ASSERT(r.repeat == Repeat::Safe || r.now - r.first_at < 100);
+            RC_ASSERT(r.repeat != Idempotency::NonIdempotent);
+            RC_ASSERT(r.repeat == Idempotency::Idempotent || r.now - r.first_at < 100);
           }
           if (r.attempts == 0 || (!running && !r.may_have_run)) r.first_at = r.now;
           ++r.attempts;
--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -50,7 +50,7 @@
   const auto before = distinct(candidates_of(whole, 42, 12));
   Node node(plain_settings());
   node.caches(10);
-  node.list({{.id = before[0], .state = ServerState::Draining}}, ListKind::Delta);
+  node.list({{.id = before[0], .state = ServerState::Draining}}, EndpointListKind::Delta);
   const auto after = distinct(candidates_of(node, 42, 12));
   EXPECT_EQ(after.size(), 3u);
   EXPECT_EQ(std::count(after.begin(), after.end(), before[0]), 0);
@@ -77,7 +77,7 @@
   node.caches(10);
   for (int i = 0; i < 60; ++i) {
     node.request(kFirst + i, 0);
-    node.outcome(kFirst + i, Result::Ok);
+    node.outcome(kFirst + i, AttemptResult::Ok);
   }
   std::vector<ServerId> met;
   for (const Send& s : node.sends) met.push_back(s.server);
@@ -96,7 +96,7 @@
   node.caches(3);
   node.request(1, 42);
   const ServerId crowded = node.last_server(1);
-  node.outcome(1, Result::Ok, 20, {25, 20});
+  node.outcome(1, AttemptResult::Ok, 20, {25, 20});
   node.request(2, 42);
   EXPECT_NE(node.last_server(2), crowded);
 }
@@ -106,7 +106,7 @@
   node.caches(3);
   node.request(1, 42);
   const ServerId crowded = node.last_server(1);
-  node.outcome(1, Result::Ok, 20, {25, 20});
+  node.outcome(1, AttemptResult::Ok, 20, {25, 20});
   node.wait(150);
   node.request(2, 42); // os and f are zero and the report is old: its queue counts as none
   EXPECT_EQ(node.last_server(2), crowded);
@@ -120,7 +120,7 @@
   Node node(plain_settings());
   node.caches(3);
   const auto report = [&](ServerId server, float queue) {
-    node.on(ProbeResult{server, 1, true, {queue, 10 * (1 + queue)}});
+    node.on(HealthCheckResult{server, 1, true, {queue, 10 * (1 + queue)}});
   };
   const auto steps = std::max(one.size(), two.size());
   for (std::size_t i = 0; i < steps; ++i) {
@@ -131,7 +131,7 @@
   report(3, 0);
   node.request(1, 42);
   EXPECT_EQ(node.last_server(1), 3u);
-  node.list({{.id = 3, .state = ServerState::Draining}}, ListKind::Delta);
+  node.list({{.id = 3, .state = ServerState::Draining}}, EndpointListKind::Delta);
   node.wait(150);
   node.request(2, 42);
   return node.last_server(2);
@@ -176,16 +176,17 @@
 // ---- request life ----
 
 TEST(RequestLife, AnswersBeforeTheDeadlineWhenTheServerNeverDoes) {
-  for (const Repeat repeat : {Repeat::Safe, Repeat::Keyed, Repeat::Unsafe}) {
+  for (const Idempotency repeat :
+       {Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NonIdempotent}) {
     Settings s = plain_settings();
-    s.classes[0].repeat = repeat;
-    s.classes[0].late_share = 0.5;
+    s.classes[0].idempotency = repeat;
+    s.classes[0].late_value_share = 0.5;
     Node node(s);
     node.caches(3);
     node.request(1, 42, {.deadline = node.now + 800});
     node.until(node.now + 799);
     EXPECT_TRUE(node.final_answer(1));
-    EXPECT_EQ(node.failed.size(), repeat == Repeat::Unsafe ? 1u : 0u);
+    EXPECT_EQ(node.failed.size(), repeat == Idempotency::NonIdempotent ? 1u : 0u);
   }
 }
 
@@ -202,8 +203,8 @@
 // Found by reading: a constant of three seconds stood in for the aim.
 TEST(RequestLife, WithoutAnAimTheGiveUpTimeSaysWhatIsSlow) {
   Settings s = plain_settings();
-  s.classes[0].aim_ms = 0;
-  s.classes[0].give_up_ms = 300;
+  s.classes[0].latency_objective_ms = 0;
+  s.classes[0].client_timeout_ms = 300;
   Node node(s);
   node.caches(3);
   node.request(1, 42, {.deadline = node.now + 300});
@@ -218,7 +219,7 @@
   node.request(1, 42);
   node.wait(600);
   const auto sent = node.sends.size();
-  node.outcome(1, Result::Reset);
+  node.outcome(1, AttemptResult::Reset);
   node.wait(2000);
   EXPECT_EQ(node.sends.size(), sent);
   EXPECT_EQ(node.refused.size() + node.failed.size(), 1u);
@@ -226,30 +227,30 @@
 
 TEST(RequestLife, AnUnsafeRequestIsSentAgainOnlyIfItNeverRan) {
   Settings s = plain_settings();
-  s.classes[0].repeat = Repeat::Unsafe;
+  s.classes[0].idempotency = Idempotency::NonIdempotent;
   Node node(s);
   node.caches(3);
   node.request(1, 42);
-  node.outcome(1, Result::Full);
+  node.outcome(1, AttemptResult::Overloaded);
   EXPECT_EQ(node.sends_of(1).size(), 2u);
-  node.outcome(1, Result::Error);
+  node.outcome(1, AttemptResult::Error);
   EXPECT_EQ(node.sends_of(1).size(), 2u);
   EXPECT_EQ(node.failed, std::vector<RequestId>{1}); // no promise that a further try is harmless
 }
 
 TEST(RequestLife, AKeyedRequestStaysInItsGroupAndWindow) {
   Settings s = plain_settings();
-  s.classes[0].repeat = Repeat::Keyed;
-  s.classes[0].scope = Scope::Zone;
-  s.classes[0].window_ms = 200;
-  s.may_duplicate = false;
+  s.classes[0].idempotency = Idempotency::WithKey;
+  s.classes[0].idempotency_scope = IdempotencyScope::Zone;
+  s.classes[0].idempotency_window_ms = 200;
+  s.may_hedge = false;
   for (const bool in_time : {true, false}) {
     Node node(s);
     node.list({{.id = 1, .zone = 0}, {.id = 2, .zone = 0}, {.id = 3, .zone = 1}, {.id = 4, .zone = 1}});
     node.request(1, 42);
     const ServerId first = node.last_server(1);
     node.wait(in_time ? 20 : 195);
-    node.outcome(1, Result::Reset);
+    node.outcome(1, AttemptResult::Reset);
     ASSERT_EQ(node.sends_of(1).size(), in_time ? 2u : 1u);
     EXPECT_EQ(node.last_server(1) <= 2, first <= 2);
     EXPECT_EQ(node.failed.size(), in_time ? 0u : 1u);
@@ -263,7 +264,7 @@
   node.wait(300);
   ASSERT_EQ(node.sends_of(1).size(), 2u);
   EXPECT_NE(node.sends_of(1)[0].server, node.sends_of(1)[1].server);
-  node.outcome(1, Result::Ok);
+  node.outcome(1, AttemptResult::Ok);
   ASSERT_EQ(node.cancels.size(), 1u); // the loser is called off
   EXPECT_EQ(node.cancels[0].attempt, 0u);
 }
@@ -275,12 +276,12 @@
   node.request(1, 42);
   node.wait(300);
   ASSERT_EQ(node.sends_of(1).size(), 2u);
-  node.on(StreamOpened{1, 1, node.last_server(1), 30});
+  node.on(ResponseStarted{1, 1, node.last_server(1), 30});
   ASSERT_EQ(node.cancels.size(), 1u);
   EXPECT_EQ(node.cancels[0].attempt, 0u);
-  node.outcome(1, Result::Cancelled, 300, {}, 0);
+  node.outcome(1, AttemptResult::Cancelled, 300, {}, 0);
   EXPECT_EQ(node.sends_of(1).size(), 2u); // its end brings no further attempt
-  node.outcome(1, Result::Ok, 400);
+  node.outcome(1, AttemptResult::Ok, 400);
   EXPECT_FALSE(node.final_answer(1));
 }
 
@@ -291,15 +292,16 @@
   for (RequestId id = kFirst; id < kFirst + 200; ++id) {
     node.request(id, id);
     ASSERT_EQ(node.sends_of(id).size(), 1u) << id;
-    node.on(StreamOpened{id, 0, node.last_server(id), 20});
+    node.on(ResponseStarted{id, 0, node.last_server(id), 20});
     node.now += 1;
   }
   // How its time was is known; its end tells only whether it broke off.
-  for (RequestId id = kFirst; id < kFirst + 100; ++id) node.outcome(id, Result::Ok, 100000);
+  for (RequestId id = kFirst; id < kFirst + 100; ++id) node.outcome(id, AttemptResult::Ok, 100000);
   EXPECT_TRUE(node.logs.empty());
   node.now += 10000; // nothing is heard of them but this
   for (RequestId id = kFirst + 100; id < kFirst + 106; ++id) {
-    node.on(Outcome{.id = id, .server = node.last_server(id), .result = Result::Reset, .ended = true});
+    node.on(AttemptOutcome{
+        .id = id, .server = node.last_server(id), .result = AttemptResult::Reset, .request_ended = true});
   }
   EXPECT_GE(node.logs.size(), 1u); // ejected
   EXPECT_FALSE(node.final_answer(kFirst + 100));
@@ -316,24 +318,24 @@
 
 TEST(RequestLife, NoSecondCopyWhereNoneIsAllowed) {
   Settings s = plain_settings();
-  s.may_duplicate = false;
+  s.may_hedge = false;
   Node node(s);
   node.caches(3);
   node.request(1, 42);
   node.wait(300);
   EXPECT_EQ(node.sends_of(1).size(), 1u);
   ASSERT_EQ(node.cancels.size(), 1u); // called off instead, and sent on once that is known
-  node.outcome(1, Result::Cancelled, 170);
+  node.outcome(1, AttemptResult::Cancelled, 170);
   EXPECT_EQ(node.sends_of(1).size(), 2u);
 }
 
 TEST(RequestLife, AStreamThatHasBegunHasNoDeadline) {
   Settings s = plain_settings();
-  s.classes[0].stream = true;
+  s.classes[0].streaming = true;
   Node node(s);
   node.caches(3);
   node.request(1, 42);
-  node.on(StreamOpened{1, 0, node.last_server(1), 30});
+  node.on(ResponseStarted{1, 0, node.last_server(1), 30});
   node.wait(5000);
   EXPECT_FALSE(node.final_answer(1));
   EXPECT_EQ(node.sends_of(1).size(), 1u);
@@ -348,7 +350,7 @@
     node.request(kFirst + i, 42);
     while (!node.final_answer(kFirst + i)) {
       met.push_back(node.last_server(kFirst + i));
-      node.outcome(kFirst + i, Result::Full, 1);
+      node.outcome(kFirst + i, AttemptResult::Overloaded, 1);
     }
     if (i == 0) {
       EXPECT_EQ(met.size(), 3u);
@@ -379,20 +381,20 @@
 
 TEST(ServerListing, AsksWithBackoffWhereItMust) {
   Settings s = plain_settings();
-  s.discovery = Discovery::Ask;
+  s.discovery = DiscoveryMode::Poll;
   Node node(s);
-  node.list({{.id = 1}}, ListKind::Cached);
+  node.list({{.id = 1}}, EndpointListKind::Cached);
   EXPECT_EQ(node.watches, 0); // spread, not at once
   node.wait(1200);
   EXPECT_EQ(node.watches, 1);
   for (int i = 0; i < 6; ++i) {
-    node.list({}, ListKind::Failed);
+    node.list({}, EndpointListKind::Failed);
     node.wait(2000);
   }
   EXPECT_GE(node.watches, 3);
   EXPECT_LE(node.watches, 6);
   node.wait(20000);
-  node.list({}, ListKind::Delta);
+  node.list({}, EndpointListKind::Delta);
   const int asked = node.watches;
   node.wait(60000);
   EXPECT_EQ(node.watches, asked); // subscribed: changes come by themselves
@@ -409,25 +411,25 @@
 
 TEST(Memory, ASlowSpellThatNobodyRenewsFades) {
   Settings s = plain_settings();
-  s.nodes = 1;
-  s.report_via = ReportVia::Never;
+  s.router_count = 1;
+  s.load_report_source = LoadReportSource::Never;
   Node node(s);
   node.caches(2);
   RequestId id = kFirst;
   const auto two_at_once = [&] { // the second looks for a less busy cache
     std::set<ServerId> met;
     for (int i = 0; i < 2; ++i) node.request(++id, 42), met.insert(node.last_server(id));
-    node.outcome(id - 1, Result::Ok, 20);
-    node.outcome(id, Result::Ok, 20);
+    node.outcome(id - 1, AttemptResult::Ok, 20);
+    node.outcome(id, AttemptResult::Ok, 20);
     return met.size();
   };
   node.request(++id, 42);
   const ServerId slow = node.last_server(id);
-  node.outcome(id, Result::Ok, 450);
+  node.outcome(id, AttemptResult::Ok, 450);
   for (int i = 0; i < 20; ++i) {
     node.request(++id, 42);
     ASSERT_NE(node.last_server(id), slow);
-    node.outcome(id, Result::Ok, 20);
+    node.outcome(id, AttemptResult::Ok, 20);
   }
   EXPECT_EQ(two_at_once(), 1u);
   node.wait(30000);
@@ -436,7 +438,7 @@
 
 TEST(Memory, ARestartedCacheStartsAnew) {
   Settings s = plain_settings();
-  s.warm_after_ms = 0;
+  s.slow_start_ms = 0;
   Node node(s);
   node.list({{.id = 1}, {.id = 2}, {.id = 3}});
   RequestId id = kFirst;
@@ -444,16 +446,16 @@
     id += 1;
     node.request(id, id);
     if (!node.sends_of(id).empty())
-      node.outcome(id, node.last_server(id) == 1 ? Result::ConnectFailed : Result::Ok, 5);
+      node.outcome(id, node.last_server(id) == 1 ? AttemptResult::ConnectFailed : AttemptResult::Ok, 5);
   }
   ASSERT_FALSE(node.logs.empty()); // 1 is ejected
-  node.list({{.id = 1, .booted_at = node.now}, {.id = 2}, {.id = 3}});
+  node.list({{.id = 1, .started_at = node.now}, {.id = 2}, {.id = 3}});
   int met = 0;
   for (int i = 0; i < 30; ++i) {
     id += 1;
     node.request(id, id);
     met += node.last_server(id) == 1;
-    node.outcome(id, Result::Ok, 5);
+    node.outcome(id, AttemptResult::Ok, 5);
   }
   EXPECT_GT(met, 2);
 }
@@ -470,7 +472,7 @@
     for (int i = 0; i < 60; ++i) {
       node.request(kFirst + i, i + 1);
       home += node.last_server(kFirst + i) == 1;
-      node.outcome(kFirst + i, Result::Ok, 20, {0, 20});
+      node.outcome(kFirst + i, AttemptResult::Ok, 20, {0, 20});
       node.wait(50);
     }
     EXPECT_EQ(home == 60, known) << home;
@@ -504,14 +506,15 @@
   }
   return met;
 }
-Result all_well(ServerId) { return Result::Ok; }
+AttemptResult all_well(ServerId) { return AttemptResult::Ok; }
 
 // Found at 984 nodes: sorting the whole ring at each list message took more CPU than all decisions.
 TEST(Ring, ChangesOneByOneLeaveTheRingOfTheWholeList) {
   Node changed(plain_settings()), fresh(plain_settings());
   changed.caches(6);
-  changed.list({{.id = 3, .state = ServerState::Gone}, {.id = 7}, {.id = 2, .weight = 4}}, ListKind::Delta);
-  changed.list({{.id = 2}}, ListKind::Delta);
+  changed.list({{.id = 3, .state = ServerState::Gone}, {.id = 7}, {.id = 2, .weight = 4}},
+               EndpointListKind::Delta);
+  changed.list({{.id = 2}}, EndpointListKind::Delta);
   fresh.list({{.id = 1}, {.id = 2}, {.id = 4}, {.id = 5}, {.id = 6}, {.id = 7}});
   for (RequestId id = kFirst; id < kFirst + 12; ++id) {
     changed.request(id, 31 * id);
@@ -525,7 +528,7 @@
   node.caches(4);
   RequestId id = kFirst;
   const auto before = busy(node, id, 800, all_well);
-  node.list({{.id = 4, .booted_at = node.now}}, ListKind::Delta);
+  node.list({{.id = 4, .started_at = node.now}}, EndpointListKind::Delta);
   const auto after = busy(node, id, 300, all_well); // 1.5 s of 10: warmth from 0.2 to 0.32
   EXPECT_GT(before.at(4), 100);
   EXPECT_GT(after.at(4), 0);
@@ -538,10 +541,10 @@
   int sent = 0;
   for (int n = 0; n < kNodes; ++n) {
     Settings s = plain_settings();
-    s.nodes = kNodes;
+    s.router_count = kNodes;
     Node node(s, static_cast<std::uint64_t>(n + 1));
     node.caches(kCaches);
-    node.list({{.id = kCaches + 1, .booted_at = node.now}}, ListKind::Delta);
+    node.list({{.id = kCaches + 1, .started_at = node.now}}, EndpointListKind::Delta);
     for (int i = 0; i < kRequests; ++i) {
       const auto id = static_cast<RequestId>(kFirst + kRequests * n + i);
       node.request(id, id);
@@ -557,8 +560,8 @@
 TEST(SlowStart, AColdNeighbourhoodIsNotGivenEachOthersKeys) {
   Node node(plain_settings());
   std::vector<Server> cold;
-  for (std::uint32_t i = 1; i <= 30; ++i) cold.push_back({.id = i, .booted_at = node.now});
-  node.list(cold, ListKind::Cached);
+  for (std::uint32_t i = 1; i <= 30; ++i) cold.push_back({.id = i, .started_at = node.now});
+  node.list(cold, EndpointListKind::Cached);
   int sent = 0;
   for (RequestId id = kFirst; id < kFirst + 100; ++id) {
     node.request(id, id);
@@ -570,7 +573,9 @@
 
 // ---- health ----
 
-Result one_is_down(ServerId server) { return server == 1 ? Result::ConnectFailed : Result::Ok; }
+AttemptResult one_is_down(ServerId server) {
+  return server == 1 ? AttemptResult::ConnectFailed : AttemptResult::Ok;
+}
 
 TEST(Health, RefusedConnectionsEjectAndATrialBringsBack) {
   Node node(plain_settings());
@@ -587,7 +592,7 @@
 
 TEST(Health, TrialsUseProbesWhereAllowed) {
   Settings s = plain_settings();
-  s.may_probe = true;
+  s.may_health_check = true;
   Node node(s);
   node.caches(6);
   RequestId id = kFirst;
@@ -603,7 +608,7 @@
   for (int i = 0; i < 200; ++i) {
     id += 1;
     node.request(id, id);
-    while (!node.final_answer(id)) node.outcome(id, Result::ConnectFailed, 5);
+    while (!node.final_answer(id)) node.outcome(id, AttemptResult::ConnectFailed, 5);
     node.wait(2);
   }
   const auto sent = node.sends.size();
@@ -614,8 +619,8 @@
 
 TEST(Health, ProbesBringReportsWhereNothingElseDoes) {
   Settings s = plain_settings();
-  s.report_via = ReportVia::Probes;
-  s.may_probe = true;
+  s.load_report_source = LoadReportSource::HealthChecks;
+  s.may_health_check = true;
   Node node(s);
   node.caches(4);
   RequestId id = kFirst;
@@ -628,7 +633,7 @@
 // ---- origin ----
 
 // Every cache that is asked for the request answers so, until it goes to the origin or waits.
-void caches_say(Node& node, RequestId id, Result result) {
+void caches_say(Node& node, RequestId id, AttemptResult result) {
   for (auto tried = 0u; tried != node.sends_of(id).size() && node.last_server(id) != kOrigin;) {
     tried = static_cast<unsigned>(node.sends_of(id).size());
     node.outcome(id, result, 2);
@@ -648,14 +653,14 @@
   node.request(1, 42);
   node.request(2, 42);
   for (const RequestId id : {1, 2}) {
-    caches_say(node, id, Result::Miss);
+    caches_say(node, id, AttemptResult::CacheMiss);
   }
   const auto fetches =
       std::count_if(node.sends.begin(), node.sends.end(), [](const Send& s) { return s.server == kOrigin; });
   EXPECT_EQ(fetches, 1);
-  node.outcome(1, Result::Ok, 80);
+  node.outcome(1, AttemptResult::Ok, 80);
   EXPECT_NE(node.last_server(2), kOrigin); // reads what the fetch stored
-  node.outcome(2, Result::Ok, 5);
+  node.outcome(2, AttemptResult::Ok, 5);
   EXPECT_FALSE(node.final_answer(2));
 }
 
@@ -665,10 +670,10 @@
   node.caches(4, true);
   node.request(1, 42);
   node.request(2, 42);
-  for (const RequestId id : {1, 2}) caches_say(node, id, Result::Miss);
+  for (const RequestId id : {1, 2}) caches_say(node, id, AttemptResult::CacheMiss);
   const auto attempt = static_cast<std::uint32_t>(node.sends_of(1).size() - 1);
   const auto before = node.sends_of(2).size();
-  node.on(StreamOpened{1, attempt, kOrigin, 80});
+  node.on(ResponseStarted{1, attempt, kOrigin, 80});
   ASSERT_EQ(node.sends_of(2).size(), before + 1);
   EXPECT_NE(node.last_server(2), kOrigin);
 }
@@ -677,9 +682,9 @@
   Node node(aside_settings());
   node.caches(4, true);
   node.request(1, 42, {.deadline = node.now + 60});
-  while (node.last_server(1) != kOrigin) node.outcome(1, Result::Miss, 2);
+  while (node.last_server(1) != kOrigin) node.outcome(1, AttemptResult::CacheMiss, 2);
   node.request(2, 42);
-  caches_say(node, 2, Result::Miss);
+  caches_say(node, 2, AttemptResult::CacheMiss);
   node.wait(60);
   EXPECT_TRUE(node.final_answer(1));
   EXPECT_EQ(node.last_server(2), kOrigin);
@@ -691,7 +696,7 @@
   for (int i = 0; i < 40; ++i) {
     const RequestId id = kFirst + i;
     node.request(id, i + 1);
-    caches_say(node, id, Result::Miss);
+    caches_say(node, id, AttemptResult::CacheMiss);
   }
   const auto at_origin = [&] {
     return std::count_if(node.sends.begin(), node.sends.end(),
@@ -712,7 +717,7 @@
   for (int i = 0; i < 20; ++i) node.request(100 + i, 9000 + i, {.write = true});
   const std::size_t started = node.sends.size();
   ASSERT_LT(started, 20u);
-  node.outcome(100, Result::Ok, 20);
+  node.outcome(100, AttemptResult::Ok, 20);
   ASSERT_GT(node.sends.size(), started);
   EXPECT_EQ(node.sends[started].id, 119u);
 }
@@ -720,15 +725,15 @@
 TEST(Origin, TheDearestIsServedBeforeTheNewest) {
   Settings s = aside_settings();
   s.classes.push_back(s.classes[0]);
-  s.classes[1].worth = 10;
+  s.classes[1].priority_weight = 10;
   Node node(s);
   node.caches(3, true);
   for (int i = 0; i < 40; ++i) {
-    node.request(100 + i, 9000 + i, {.cls = i == 30 ? 1u : 0u, .write = true});
+    node.request(100 + i, 9000 + i, {.class_index = i == 30 ? 1u : 0u, .write = true});
   }
   const std::size_t started = node.sends.size();
   ASSERT_LT(started, 20u);
-  node.outcome(100, Result::Ok, 20);
+  node.outcome(100, AttemptResult::Ok, 20);
   ASSERT_GT(node.sends.size(), started);
   EXPECT_EQ(node.sends[started].id, 130u);
 }
@@ -736,14 +741,14 @@
 TEST(Origin, AFetchThatWouldComeTooLateIsNotSent) {
   for (const double origin_ms : {20.0, 700.0}) { // a lucky one takes half
     Settings s = aside_settings();
-    s.may_cancel = s.may_duplicate = false;
+    s.may_cancel = s.may_hedge = false;
     Node node(s);
     node.caches(3, true);
     node.request(1, 7, {.write = true});
-    node.outcome(1, Result::Ok, origin_ms);
+    node.outcome(1, AttemptResult::Ok, origin_ms);
     node.request(2, 42);
     node.wait(200); // of an aim of 500
-    node.outcome(2, Result::Miss, 200);
+    node.outcome(2, AttemptResult::CacheMiss, 200);
     EXPECT_EQ(node.final_answer(2), origin_ms > 300);
     EXPECT_EQ(node.sends_of(2).size(), origin_ms > 300 ? 1u : 2u);
   }
@@ -753,7 +758,7 @@
   Node node(aside_settings());
   node.caches(10, true);
   node.request(1, 42);
-  node.outcome(1, Result::Miss, 2);
+  node.outcome(1, AttemptResult::CacheMiss, 2);
   EXPECT_EQ(node.last_server(1), kOrigin);
   EXPECT_EQ(node.sends_of(1).size(), 2u);
 }
@@ -761,16 +766,19 @@
 // Found on bsp's busy days: a node left with writes alone took their weight for crowding.
 TEST(Origin, HeavyWritesWithinTheirAimAreNotTakenForCrowding) {
   Settings s = aside_settings();
-  s.classes.push_back({.aim_ms = 3000, .give_up_ms = 6000, .repeat = Repeat::Safe, .scope = Scope::All});
+  s.classes.push_back({.latency_objective_ms = 3000,
+                       .client_timeout_ms = 6000,
+                       .idempotency = Idempotency::Idempotent,
+                       .idempotency_scope = IdempotencyScope::All});
   Node node(s);
   node.caches(4, true);
   for (int i = 0; i < 200; ++i) {
-    node.request(kFirst + i, i + 1, {.cls = 1, .deadline = node.now + 6000, .write = true});
-    node.outcome(kFirst + i, Result::Ok, 600);
+    node.request(kFirst + i, i + 1, {.class_index = 1, .deadline = node.now + 6000, .write = true});
+    node.outcome(kFirst + i, AttemptResult::Ok, 600);
     node.wait(20);
   }
   for (int i = 0; i < 7; ++i)
-    node.request(5000 + i, 9000 + i, {.cls = 1, .deadline = node.now + 6000, .write = true});
+    node.request(5000 + i, 9000 + i, {.class_index = 1, .deadline = node.now + 6000, .write = true});
   EXPECT_EQ(node.sends.size(), 207u);
 }
 
@@ -783,7 +791,7 @@
     node.request(id + 1, id + 1), ++id;
     while (node.last_server(id) != kOrigin && node.sends_of(id).size() < 4 && !node.final_answer(id)) {
       const auto sent = node.sends_of(id).size();
-      node.outcome(id, Result::Miss, 2);
+      node.outcome(id, AttemptResult::CacheMiss, 2);
       if (node.sends_of(id).size() == sent) return false; // waits for the origin
     }
     return true;
@@ -791,13 +799,13 @@
   for (int i = 0; i < 13; ++i) { // one at a time: it is slow, but not crowded
     ASSERT_TRUE(read());
     node.wait(450);
-    node.outcome(id, Result::Ok, 450);
+    node.outcome(id, AttemptResult::Ok, 450);
     node.wait(10000);
   }
   for (int i = 0; i < 40; ++i) { // now it is: what takes 450 ms alone takes all the client's patience
     if (!read()) continue;
     node.wait(100);
-    node.outcome(id, Result::Ok, 1900);
+    node.outcome(id, AttemptResult::Ok, 1900);
   }
   EXPECT_FALSE(read()); // though nothing is out
   node.request(id + 1, id + 1, {.write = true}), ++id;
@@ -806,7 +814,7 @@
 }
 
 // How many of forty writes the origin is given at once, after twenty that ended as told.
-std::size_t let_to_origin(const std::function<std::pair<Result, double>(int)>& ending) {
+std::size_t let_to_origin(const std::function<std::pair<AttemptResult, double>(int)>& ending) {
   Settings s = aside_settings();
   s.max_attempts = 1;
   Node node(s);
@@ -823,18 +831,18 @@
 }
 
 TEST(Origin, RefusalsCutTheLimit) {
-  EXPECT_LE(let_to_origin([](int) { return std::pair(Result::Full, 5.0); }), 2u);
-  EXPECT_LE(let_to_origin([](int) { return std::pair(Result::ConnectFailed, 5.0); }), 2u);
+  EXPECT_LE(let_to_origin([](int) { return std::pair(AttemptResult::Overloaded, 5.0); }), 2u);
+  EXPECT_LE(let_to_origin([](int) { return std::pair(AttemptResult::ConnectFailed, 5.0); }), 2u);
 }
 
 // A slow answer now and then, or a connection that breaks, is no crowding.
 TEST(Origin, FaultsAreNoCrowding) {
-  for (const Result fault : {Result::Error, Result::Reset, Result::TimedOut}) {
+  for (const AttemptResult fault : {AttemptResult::Error, AttemptResult::Reset, AttemptResult::TimedOut}) {
     EXPECT_GE(let_to_origin([fault](int i) {
-                return i % 10 == 9 ? std::pair(fault, 450.0) : std::pair(Result::Ok, 20.0);
+                return i % 10 == 9 ? std::pair(fault, 450.0) : std::pair(AttemptResult::Ok, 20.0);
               }),
               7u);
-    if (fault == Result::TimedOut) continue; // silence all over is another matter
+    if (fault == AttemptResult::TimedOut) continue; // silence all over is another matter
     EXPECT_GE(let_to_origin([fault](int) { return std::pair(fault, 5.0); }), 7u);
   }
 }
@@ -842,7 +850,8 @@
 // Found on a day of connections that fall silent, at an origin that takes a third of the aim when all is well.
 TEST(Origin, OneSilentConnectionDoesNotOutweighTenAnswers) {
   EXPECT_GE(let_to_origin([](int i) {
-              return i % 10 == 9 ? std::pair(Result::TimedOut, 2000.0) : std::pair(Result::Ok, 170.0);
+              return i % 10 == 9 ? std::pair(AttemptResult::TimedOut, 2000.0)
+                                 : std::pair(AttemptResult::Ok, 170.0);
             }),
             7u);
 }
@@ -854,7 +863,7 @@
   node.caches(4, true);
   for (RequestId id = kFirst; id < kFirst + 60; ++id) {
     node.request(id, id);
-    caches_say(node, id, Result::Miss);
+    caches_say(node, id, AttemptResult::CacheMiss);
   }
   std::size_t answered = 0;
   const auto out = [&] {
@@ -866,7 +875,7 @@
   EXPECT_GE(before, 6u);
   for (std::size_t i = 0; i < node.sends.size() && answered < 24; ++i) {
     if (node.sends[i].server != kOrigin) continue;
-    node.outcome(node.sends[i].id, Result::Ok, 400);
+    node.outcome(node.sends[i].id, AttemptResult::Ok, 400);
     ++answered;
   }
   EXPECT_EQ(answered, 24u);
@@ -880,14 +889,14 @@
     node.caches(4, true);
     if (crowded) {
       node.request(1, 1, {.write = true});
-      node.outcome(1, Result::Full);
+      node.outcome(1, AttemptResult::Overloaded);
     }
     const auto before = static_cast<std::ptrdiff_t>(node.sends.size());
     for (RequestId id = kFirst; id < kFirst + 60; ++id) node.request(id, id, {.write = true});
     const std::vector<Send> first(node.sends.begin() + before, node.sends.end());
     EXPECT_GE(first.size(), crowded ? 1u : 5u);
     const auto sent = node.sends.size();
-    for (const Send& s : first) node.outcome(s.id, Result::Ok);
+    for (const Send& s : first) node.outcome(s.id, AttemptResult::Ok);
     const auto brought = node.sends.size() - sent;
     EXPECT_EQ(brought >= 2 * first.size(), !crowded) << brought;
     EXPECT_EQ(brought <= first.size() + 1, crowded) << brought;
@@ -902,9 +911,9 @@
   for (int i = 0; i < 10; ++i) { // as many retries as are saved up
     node.request(kFirst + i, i + 1, {.write = true});
     node.wait(20);
-    node.outcome(kFirst + i, i % 2 == 0 ? Result::Error : Result::Reset, 20);
+    node.outcome(kFirst + i, i % 2 == 0 ? AttemptResult::Error : AttemptResult::Reset, 20);
     EXPECT_EQ(node.sends_of(kFirst + i).size(), 2u); // asked again at once: there is nothing to wait for
-    node.outcome(kFirst + i, Result::Ok, 20);
+    node.outcome(kFirst + i, AttemptResult::Ok, 20);
   }
   std::size_t started = 0;
   for (int i = 0; i < 20; ++i) node.request(5000 + i, 9000 + i, {.write = true});
@@ -931,7 +940,7 @@
     id += 1;
     node.request(id, id);
     node.wait(450);
-    if (!node.sends_of(id).empty() && !node.final_answer(id)) node.outcome(id, Result::Ok, 450);
+    if (!node.sends_of(id).empty() && !node.final_answer(id)) node.outcome(id, AttemptResult::Ok, 450);
     node.wait(2000);
   }
   const std::size_t out = let_out(node);
@@ -945,11 +954,11 @@
     Node node(plain_settings());
     node.caches(1);
     for (int i = 0; i < 4; ++i) node.request(1 + i, i + 1);
-    node.outcome(1, Result::TimedOut, 900);
-    node.outcome(2, Result::TimedOut, 900);
-    if (alive) node.outcome(4, Result::Full, 1);
+    node.outcome(1, AttemptResult::TimedOut, 900);
+    node.outcome(2, AttemptResult::TimedOut, 900);
+    if (alive) node.outcome(4, AttemptResult::Overloaded, 1);
     node.wait(1900);
-    node.outcome(3, Result::TimedOut, 900);
+    node.outcome(3, AttemptResult::TimedOut, 900);
     EXPECT_EQ(node.logs.empty(), alive);
   }
 }
@@ -960,8 +969,8 @@
     node.caches(1);
     for (int i = 0; i < 4; ++i) node.request(1 + i, i + 1);
     node.wait(100);
-    if (answers) node.outcome(4, Result::Ok, 100);
-    for (int i = 0; i < 3; ++i) node.outcome(1 + i, Result::TimedOut, 100);
+    if (answers) node.outcome(4, AttemptResult::Ok, 100);
+    for (int i = 0; i < 3; ++i) node.outcome(1 + i, AttemptResult::TimedOut, 100);
     EXPECT_EQ(node.logs.empty(), answers);
   }
 }
@@ -973,9 +982,9 @@
   node.caches(30);
   for (RequestId id = kFirst; id < kFirst + 40; ++id) {
     node.request(id, id);
-    node.outcome(id, Result::ConnectFailed, 20);
+    node.outcome(id, AttemptResult::ConnectFailed, 20);
     ASSERT_EQ(node.sends_of(id).size(), 2u) << id - kFirst;
-    node.outcome(id, Result::Ok, 20);
+    node.outcome(id, AttemptResult::Ok, 20);
   }
 }
 
@@ -986,7 +995,7 @@
   for (RequestId id = kFirst; id < kFirst + 200; ++id) {
     node.request(id, id);
     requests += !node.sends_of(id).empty();
-    for (std::size_t n = 0; n < node.sends_of(id).size(); ++n) node.outcome(id, Result::Error, 5);
+    for (std::size_t n = 0; n < node.sends_of(id).size(); ++n) node.outcome(id, AttemptResult::Error, 5);
     node.wait(20);
   }
   EXPECT_GT(node.sends.size(), requests + 10);
@@ -1005,7 +1014,7 @@
       node.request(id, id);
       unsent += node.sends_of(id).empty();
       for (int tries = 0; i < full_ones && tries < times && !node.final_answer(id); ++tries) {
-        if (!node.sends_of(id).empty()) node.outcome(id, Result::Full, 1);
+        if (!node.sends_of(id).empty()) node.outcome(id, AttemptResult::Overloaded, 1);
       }
       node.wait(700);
     }
@@ -1023,12 +1032,12 @@
   for (int i = 0; i < 40; ++i) { // late each time
     node.request(id + 1, id + 1), ++id;
     node.wait(400);
-    if (!node.sends_of(id).empty() && !node.final_answer(id)) node.outcome(id, Result::Ok, 400);
+    if (!node.sends_of(id).empty() && !node.final_answer(id)) node.outcome(id, AttemptResult::Ok, 400);
   }
   node.wait(60000);
   node.request(id + 1, id + 1), ++id;
   ASSERT_EQ(node.sends_of(id).size(), 1u); // its turn
-  node.outcome(id, Result::Ok, 400);
+  node.outcome(id, AttemptResult::Ok, 400);
   node.wait(100);
   node.request(id + 1, id + 1), ++id;
   EXPECT_TRUE(node.sends_of(id).empty()); // though nothing is out
@@ -1039,7 +1048,7 @@
 TEST(Overload, TheFirstLimitOfACacheIsSharedByAllNodes) {
   const auto attempts_in_two_seconds = [](int nodes) {
     Settings s = plain_settings();
-    s.nodes = nodes;
+    s.router_count = nodes;
     Node node(s);
     node.caches(1);
     RequestId id = kFirst;
@@ -1048,7 +1057,7 @@
       node.wait(20);
       if (const RequestId due = id - 9;
           due > kFirst && !node.sends_of(due).empty() && !node.final_answer(due))
-        node.outcome(due, Result::Ok, 200, {}, 0);
+        node.outcome(due, AttemptResult::Ok, 200, {}, 0);
     }
     return node.sends.size();
   };
@@ -1064,12 +1073,12 @@
 TEST(Overload, APaceIsQuickerThanTheLimitAsRequestsComeUnevenly) {
   for (const double after_ms : {500.0, 700.0}) {
     Settings s = plain_settings();
-    s.nodes = 120; // a tenth of an attempt at once, and little more after an answer
+    s.router_count = 120; // a tenth of an attempt at once, and little more after an answer
     Node node(s);
     node.caches(1);
     node.request(1, 1);
     node.wait(100);
-    node.outcome(1, Result::Ok, 100);
+    node.outcome(1, AttemptResult::Ok, 100);
     node.wait(after_ms - 100);
     node.request(2, 2);
     EXPECT_EQ(node.sends_of(2).size(), after_ms > 600 ? 1u : 0u); // to the letter: 889 ms
@@ -1080,9 +1089,9 @@
   Node node(plain_settings());
   node.caches(1);
   node.request(1, 1);
-  node.outcome(1, Result::Ok, 20); // limit a little under 4
+  node.outcome(1, AttemptResult::Ok, 20); // limit a little under 4
   for (int i = 0; i < 3; ++i) node.request(10 + i, i + 2);
-  for (int i = 0; i < 3; ++i) node.outcome(10 + i, Result::Full, 1);
+  for (int i = 0; i < 3; ++i) node.outcome(10 + i, AttemptResult::Overloaded, 1);
   node.wait(300);
   EXPECT_EQ(let_out(node), 3u);
 }
@@ -1091,7 +1100,7 @@
   std::set<std::string> lines;
   for (const std::uint64_t seed : {1, 2, 3}) {
     Node node(plain_settings(), seed);
-    node.list({}, ListKind::Failed);
+    node.list({}, EndpointListKind::Failed);
     lines.insert(node.logs.at(0));
   }
   EXPECT_EQ(lines.size(), 3u);
@@ -1107,7 +1116,7 @@
     node.request(id, id);
     if (node.sends_of(id).empty()) continue;
     node.wait(500); // past the aim: it is refused and cancelled
-    node.outcome(id, Result::Cancelled, 500);
+    node.outcome(id, AttemptResult::Cancelled, 500);
     node.wait(600);
   }
   EXPECT_LE(let_out(node), 2u);
@@ -1121,7 +1130,7 @@
   for (int i = 0; i < 400; ++i) {
     id += 1;
     node.request(id, id);
-    node.outcome(id, Result::Ok, 20);
+    node.outcome(id, AttemptResult::Ok, 20);
     node.wait(10);
   }
   const std::size_t out = let_out(node);
@@ -1154,15 +1163,15 @@
     if (node.now < end) {
       id += 1;
       const auto half = static_cast<std::uint32_t>(id % 2);
-      node.request(id, id, {.cls = static_cast<std::uint32_t>(id % classes), .tenant = half});
+      node.request(id, id, {.class_index = static_cast<std::uint32_t>(id % classes), .tenant = half});
       const double lasts = out.size() >= 4 ? 460 : 100;
       if (!node.sends_of(id).empty()) out.push_back({node.now + lasts, lasts, id});
     }
     for (; !out.empty() && out.front().at <= node.now; out.pop_front()) {
       const RequestId due = out.front().id;
-      const Result first = node.final_answer(due) ? Result::Cancelled : Result::Ok;
+      const AttemptResult first = node.final_answer(due) ? AttemptResult::Cancelled : AttemptResult::Ok;
       for (int i = 0; i < static_cast<int>(node.sends_of(due).size()); ++i) {
-        node.outcome(due, i == 0 ? first : Result::Cancelled, out.front().lasts, {}, i);
+        node.outcome(due, i == 0 ? first : AttemptResult::Cancelled, out.front().lasts, {}, i);
       }
     }
   }
@@ -1189,7 +1198,7 @@
   for (int i = 0; i < 20; ++i) {
     id += 1;
     node.request(id, id);
-    node.outcome(id, Result::Ok, 10);
+    node.outcome(id, AttemptResult::Ok, 10);
   }
   EXPECT_EQ(node.sends.size(), sent + 20);
 }
@@ -1197,7 +1206,7 @@
 TEST(Shedding, TheLeastWorthGoesFirst) {
   Settings s = plain_settings();
   s.classes.push_back(s.classes[0]);
-  s.classes[1].worth = 10;
+  s.classes[1].priority_weight = 10;
   Node node(s);
   node.caches(3);
   RequestId id = kFirst;
@@ -1207,8 +1216,8 @@
 
 TEST(Shedding, ATenantBeyondItsQuotaGoesFirst) {
   Settings s = plain_settings();
-  s.over_share_worth = 0.1;
-  s.tenants = {{.share = 0, .quota_per_s = 1}, {.share = 1, .quota_per_s = 1000}};
+  s.over_quota_weight = 0.1;
+  s.tenants = {{.service_share = 0, .quota_per_s = 1}, {.service_share = 1, .quota_per_s = 1000}};
   Node node(s);
   node.caches(3);
   RequestId id = kFirst;
@@ -1227,8 +1236,8 @@
       node.request(id, id);
       if (node.sends_of(id).empty()) continue;
       const bool errs = node.last_server(id) == 1 && (always || id % 10 == 0);
-      node.outcome(id, errs ? Result::Error : Result::Ok, 20);
-      if (errs && node.sends_of(id).size() > 1) node.outcome(id, Result::Ok, 20);
+      node.outcome(id, errs ? AttemptResult::Error : AttemptResult::Ok, 20);
+      if (errs && node.sends_of(id).size() > 1) node.outcome(id, AttemptResult::Ok, 20);
       node.wait(20);
     }
     const auto sent =
@@ -1247,9 +1256,9 @@
   Node origin(aside_settings());
   origin.caches(3, true);
   origin.request(1, 42, {.write = true});
-  origin.outcome(1, Result::Full, 100);
+  origin.outcome(1, AttemptResult::Overloaded, 100);
   Node list(plain_settings());
-  list.list({}, ListKind::Failed);
+  list.list({}, EndpointListKind::Failed);
 
   std::set<std::string> kinds;
   for (const Node* node : {&caches, &origin, &list}) {
@@ -1264,68 +1273,77 @@
 // An origin of 400 ms that is full of dearer requests which have time.
 void crowded_settings(Settings& s) {
   s.origin_kind = kOriginKind;
-  s.classes.push_back(
-      {.aim_ms = 60000, .give_up_ms = 60000, .worth = 9, .repeat = Repeat::Safe, .scope = Scope::All});
+  s.classes.push_back({.latency_objective_ms = 60000,
+                       .client_timeout_ms = 60000,
+                       .priority_weight = 9,
+                       .idempotency = Idempotency::Idempotent,
+                       .idempotency_scope = IdempotencyScope::All});
 }
 void crowd(Node& node) {
   node.caches(3, true);
   for (RequestId id = 2000; id < 2020; ++id) {
-    node.request(id, id, {.cls = 1, .deadline = node.now + 60000, .write = true});
+    node.request(id, id, {.class_index = 1, .deadline = node.now + 60000, .write = true});
     node.wait(400);
-    node.outcome(id, Result::Ok, 400);
+    node.outcome(id, AttemptResult::Ok, 400);
   }
   for (RequestId id = 3000; id < 3200; ++id)
-    node.request(id, id, {.cls = 1, .deadline = node.now + 60000, .write = true});
+    node.request(id, id, {.class_index = 1, .deadline = node.now + 60000, .write = true});
 }
 
 // No way of giving a request up holds its answer back: it goes out in the same moment as what decided it.
 TEST(GivingUp, EachWayAnswersAtOnce) {
   struct Way {
     const char* what;
-    Why why;
+    GiveUpReason why;
     std::function<void(Settings&)> with;
     std::function<void(Node&)> play; // request 1
   };
   const auto asked = [](Node& node) { node.caches(3), node.request(1, 42), node.wait(20); };
   const std::vector<Way> ways = {
       {"its time is over",
-       Why::Shed,
+       GiveUpReason::Shed,
        {},
        [](Node& n) { n.caches(3), n.request(1, 42, {.deadline = n.now - 1}); }},
-      {"nobody is there", Why::NoTarget, {}, [](Node& n) { n.request(1, 42); }},
-      {"one attempt allowed", Why::Attempts,
+      {"nobody is there", GiveUpReason::NoEndpoint, {}, [](Node& n) { n.request(1, 42); }},
+      {"one attempt allowed", GiveUpReason::AttemptLimit,
        [](Settings& with) { with.max_attempts = 1, with.origin_kind = kOriginKind; },
-       [](Node& n) { n.caches(3, true), n.request(1, 42), n.wait(20), n.outcome(1, Result::Error); }},
-      {"its class allows no repeat", Why::Class, [](Settings& s) { s.classes[0].repeat = Repeat::Unsafe; },
-       [&](Node& n) { asked(n), n.outcome(1, Result::Reset); }},
+       [](Node& n) { n.caches(3, true), n.request(1, 42), n.wait(20), n.outcome(1, AttemptResult::Error); }},
+      {"its class allows no repeat", GiveUpReason::NotIdempotent,
+       [](Settings& s) { s.classes[0].idempotency = Idempotency::NonIdempotent; },
+       [&](Node& n) { asked(n), n.outcome(1, AttemptResult::Reset); }},
       {"it is at fault itself",
-       Why::Rejected,
+       GiveUpReason::InvalidRequest,
+       {},
+       [&](Node& n) { asked(n), n.outcome(1, AttemptResult::InvalidRequest); }},
+      {"no place for an attempt",
+       GiveUpReason::NoEndpoint,
        {},
-       [&](Node& n) { asked(n), n.outcome(1, Result::Rejected); }},
-      {"no place for an attempt", Why::NoTarget, {}, [&](Node& n) { asked(n), n.outcome(1, Result::Moot); }},
+       [&](Node& n) { asked(n), n.outcome(1, AttemptResult::Abandoned); }},
       {"its body is gone",
-       Why::Class,
+       GiveUpReason::NotIdempotent,
        {},
        [&](Node& n) {
-         asked(n), n.on(Outcome{.id = 1, .server = n.last_server(1), .result = Result::Reset, .spent = true});
+         asked(n),
+             n.on(AttemptOutcome{
+                 .id = 1, .server = n.last_server(1), .result = AttemptResult::Reset, .body_consumed = true});
        }},
       {"no further attempt saved up",
-       Why::Allowance,
+       GiveUpReason::RetryBudgetEmpty,
        {},
        [&](Node& n) {
          n.caches(3);
          for (RequestId id = 100; id < 400; ++id) { // nearly all fail: nothing is earned
            n.request(id, id);
-           for (int i = 0; i < 5 && !n.final_answer(id); ++i) n.outcome(id, Result::Error);
+           for (int i = 0; i < 5 && !n.final_answer(id); ++i) n.outcome(id, AttemptResult::Error);
          }
          n.request(1, 42);
-         for (int i = 0; i < 5 && !n.final_answer(1); ++i) n.outcome(1, Result::Error);
+         for (int i = 0; i < 5 && !n.final_answer(1); ++i) n.outcome(1, AttemptResult::Error);
        }},
-      {"too late for a turn at the origin", Why::QueuedLate, crowded_settings,
+      {"too late for a turn at the origin", GiveUpReason::QueueTimeout, crowded_settings,
        [](Node& n) {
          crowd(n);
          n.request(1, 42);
-         for (int i = 0; i < 3 && !n.final_answer(1); ++i) n.outcome(1, Result::Miss, 5);
+         for (int i = 0; i < 3 && !n.final_answer(1); ++i) n.outcome(1, AttemptResult::CacheMiss, 5);
        }},
   };
   for (const Way& way : ways) {
@@ -1335,9 +1353,9 @@
     Node node(s);
     way.play(node);
     ASSERT_TRUE(node.final_answer(1));
-    for (const Refuse& r : node.refused) {
+    for (const Reject& r : node.refused) {
       if (r.id != 1) continue;
-      EXPECT_EQ(static_cast<int>(r.why), static_cast<int>(way.why));
+      EXPECT_EQ(static_cast<int>(r.reason), static_cast<int>(way.why));
     }
   }
 }
@@ -1352,7 +1370,7 @@
   for (int i = 0; i < 20; ++i) {
     node.request(kFirst + i, i + 1, {.write = true});
     node.wait(400);
-    node.outcome(kFirst + i, Result::Ok, 400);
+    node.outcome(kFirst + i, AttemptResult::Ok, 400);
   }
   int given_up = 0, asked_again = 0;
   for (int i = 0; i < 40; ++i) {
@@ -1360,7 +1378,8 @@
     node.request(id, id, {.write = true});
     ASSERT_EQ(node.sends_of(id).size(), 1u);
     node.wait(200);
-    node.outcome(id, Result::Full, 200); // 300 ms of its aim are left, and a turn takes 200 to 600
+    node.outcome(id, AttemptResult::Overloaded,
+                 200); // 300 ms of its aim are left, and a turn takes 200 to 600
     if (node.final_answer(id)) {
       ++given_up;
       continue;
@@ -1368,7 +1387,7 @@
     node.wait(295);
     asked_again += node.sends_of(id).size() == 2;
     EXPECT_EQ(node.sends_of(id).size(), 2u) << "held to its end for nothing";
-    if (node.sends_of(id).size() == 2) node.outcome(id, Result::Ok, 5);
+    if (node.sends_of(id).size() == 2) node.outcome(id, AttemptResult::Ok, 5);
     node.wait(100);
   }
   EXPECT_GT(given_up, 0);
@@ -1381,7 +1400,7 @@
   for (int i = 0; i < 20; ++i) {
     node.request(kFirst + i, i + 1, {.write = true});
     node.wait(100);
-    node.outcome(kFirst + i, Result::Ok, 100);
+    node.outcome(kFirst + i, AttemptResult::Ok, 100);
   }
   int served = 0;
   for (int i = 0; i < 20; ++i) {
@@ -1393,7 +1412,7 @@
       node.wait(5);
       if (node.sends_of(id).size() == ended) continue;
       ++ended;
-      node.outcome(id, node.now < full_until ? Result::Full : Result::Ok, 5);
+      node.outcome(id, node.now < full_until ? AttemptResult::Overloaded : AttemptResult::Ok, 5);
       if (node.now >= full_until) {
         ++served;
         break;
@@ -1416,9 +1435,9 @@
   ASSERT_EQ(node.sends_of(1).size(), 1u);
   node.wait(300); // late: a copy goes to another cache, and misses; the first attempt stays out
   ASSERT_EQ(node.sends_of(1).size(), 2u);
-  node.outcome(1, Result::Miss, 5, {}, 1);
+  node.outcome(1, AttemptResult::CacheMiss, 5, {}, 1);
   node.request(2, 42);
-  for (int i = 0; i < 3 && !node.final_answer(2); ++i) node.outcome(2, Result::Miss, 5);
+  for (int i = 0; i < 3 && !node.final_answer(2); ++i) node.outcome(2, AttemptResult::CacheMiss, 5);
   EXPECT_TRUE(node.final_answer(2)); // refused at once, as the first one's fetch was
 }
 
@@ -1427,12 +1446,12 @@
 TEST(BadInput, UnknownThingsArePassedOver) {
   Node node(aside_settings());
   node.caches(3, true);
-  EXPECT_TRUE(node.on(Outcome{.id = 77, .attempt = 3, .server = 5}).empty());
-  EXPECT_TRUE(node.on(ClientGone{77}).empty());
-  EXPECT_TRUE(node.on(StreamOpened{77, 0, 1, 5}).empty());
-  EXPECT_TRUE(node.on(ProbeResult{.server = 77, .ok = true}).empty());
+  EXPECT_TRUE(node.on(AttemptOutcome{.id = 77, .attempt = 3, .server = 5}).empty());
+  EXPECT_TRUE(node.on(ClientDisconnected{77}).empty());
+  EXPECT_TRUE(node.on(ResponseStarted{77, 0, 1, 5}).empty());
+  EXPECT_TRUE(node.on(HealthCheckResult{.server = 77, .ok = true}).empty());
   EXPECT_TRUE(node.on(TimerFired{~0ull}).empty());
-  EXPECT_TRUE(node.on(Request{.id = 5, .cls = 9, .deadline = node.now + 100}).empty());
+  EXPECT_TRUE(node.on(Request{.id = 5, .class_index = 9, .deadline = node.now + 100}).empty());
   EXPECT_TRUE(node.sends.empty());
 }
 
@@ -1451,7 +1470,7 @@
                                        {1, 2, 3, 4, 5}}) {
     node.request(++id, 42);
     ASSERT_EQ(node.sends_of(id).size(), 1u);
-    node.outcome(id, Result::Ok, nan, report);
+    node.outcome(id, AttemptResult::Ok, nan, report);
     node.wait(50);
   }
   node.request(++id, 42);
@@ -1465,7 +1484,7 @@
   EXPECT_TRUE(node.final_answer(1));
   node.request(2, 42);
   node.list({});
-  node.outcome(2, Result::Reset);
+  node.outcome(2, AttemptResult::Reset);
   EXPECT_TRUE(node.final_answer(2));
   node.wait(1000);
   node.request(3, 42);
--- a/tests/limits/places_test.cpp
+++ b/tests/concurrency/connection_capacity_estimator_test.cpp
@@ -1,12 +1,12 @@
-#include "limits/places.h"
+#include "concurrency/connection_capacity_estimator.h"
 
 #include <doctest/doctest.h>
 
-using fernward::limits::Places;
+using fernward::concurrency::ConnectionCapacityEstimator;
 
 TEST_CASE(
     "what was never refused has no bound, what was keeps to what was had, and tries one more after a wait") {
-  Places p;
+  ConnectionCapacityEstimator p;
   CHECK(p.room(0, 1000));
   p.refused(1000, 2, 100, 0.5);
   CHECK(p.room(1000, 1));
@@ -19,7 +19,7 @@
 }
 
 TEST_CASE("a trial goes alone") {
-  Places p;
+  ConnectionCapacityEstimator p;
   p.refused(1000, 1, 100, 0.5);
   REQUIRE(p.room(1100, 1));
   p.sent(1100, 1);
@@ -30,7 +30,7 @@
 }
 
 TEST_CASE("several that were refused together are one sign, a further one that was had ends the wait") {
-  Places p;
+  ConnectionCapacityEstimator p;
   p.refused(1000, 3, 100, 0.5);
   p.refused(1001, 2, 100, 0.5);
   CHECK_FALSE(p.room(1050, 2));
--- a/tests/limits/limiter_test.cpp
+++ b/tests/concurrency/origin_concurrency_limiter_test.cpp
@@ -1,9 +1,9 @@
 // What may be out at once: the cases that a limit exists for.
-#include "limits/limiter.h"
+#include "concurrency/origin_concurrency_limiter.h"
 
 #include <doctest/doctest.h>
 
-using namespace fernward::limits;
+using namespace fernward::concurrency;
 
 namespace {
 
@@ -14,7 +14,7 @@
 } // namespace
 
 TEST_CASE("a write gets its turn however low the limit") {
-  Limiter l = Limiter::origin(4);
+  OriginConcurrencyLimiter l = OriginConcurrencyLimiter::origin(4);
   double now = 0;
   for (int i = 0; i < 400; ++i) {
     now += 500;
@@ -28,7 +28,7 @@
 
 // Found on full-size days: a part of the tier could not reach the ledger for 7 s and was left with a 2400th of an attempt.
 TEST_CASE("a server that was out of reach for a while costs one cut once it is back") {
-  Limiter l = Limiter::origin(300);
+  OriginConcurrencyLimiter l = OriginConcurrencyLimiter::origin(300);
   double now = 0;
   for (int i = 0; i < 200; ++i) {
     now += 60;
@@ -51,7 +51,7 @@
 }
 
 TEST_CASE("a limit that is used grows, one that is turned away falls") {
-  Limiter l = Limiter::origin(1);
+  OriginConcurrencyLimiter l = OriginConcurrencyLimiter::origin(1);
   const double before = l.limit();
   double now = 0;
   for (int i = 0; i < 50; ++i) {
@@ -68,7 +68,7 @@
 // Found in the lab at 256 routers: half of them came back to a ledger that answered nobody in time, and each kept one
 // attempt out for ever, whatever its limit.
 TEST_CASE("one that had no answer yet goes by the response time that the others saw") {
-  Limiter l = Limiter::origin(256);
+  OriginConcurrencyLimiter l = OriginConcurrencyLimiter::origin(256);
   CHECK(l.room(0, 0, false));
   l.sent(0);
   CHECK(l.room(500, 0, false)); // alone it knows no pace
@@ -78,7 +78,7 @@
 }
 
 TEST_CASE("a limit below one falls by the others' response time, once for what was seen since") {
-  Limiter l = Limiter::origin(256);
+  OriginConcurrencyLimiter l = OriginConcurrencyLimiter::origin(256);
   l.sent(0);
   l.ended(200, answered(200, 750, 0));
   const double before = l.limit();
@@ -90,7 +90,8 @@
   CHECK(l.limit() == cut); // what they say was sent before the cut
   l.pooled(2250, 700, 500);
   CHECK(l.limit() < cut);
-  Limiter whole = Limiter::origin(4); // an attempt and more learn by their own answers
+  OriginConcurrencyLimiter whole =
+      OriginConcurrencyLimiter::origin(4); // an attempt and more learn by their own answers
   whole.sent(0);
   whole.ended(200, answered(200, 750, 0));
   const double held = whole.limit(), recent = whole.recent_ms();
@@ -100,7 +101,7 @@
 }
 
 TEST_CASE("a pace is given up as soon as the others wait longer, and taken back slowly") {
-  Limiter l = Limiter::origin(256);
+  OriginConcurrencyLimiter l = OriginConcurrencyLimiter::origin(256);
   double now = 0;
   l.pooled(now, 200, 300);
   const auto rounds = [&](int n, double ms) {
--- a/tests/limits/queue_test.cpp
+++ b/tests/concurrency/origin_request_queue_test.cpp
@@ -1,14 +1,14 @@
 // Who waits for a turn at the origin, and who leaves.
-#include "limits/queue.h"
+#include "concurrency/origin_request_queue.h"
 
 #include <doctest/doctest.h>
 
 #include <vector>
 
-using fernward::limits::Queue;
+using fernward::concurrency::OriginRequestQueue;
 
 TEST_CASE("the dearest goes first, then the newest, a write where reads have no room") {
-  Queue q;
+  OriginRequestQueue q;
   CHECK(q.add(0, 1, 3, 1000, false));
   CHECK(q.add(1, 2, 8, 1000, true));
   CHECK(q.add(2, 3, 3, 1000, false));
@@ -24,13 +24,13 @@
 }
 
 TEST_CASE("a read that will surely be late is not taken, and leaves once that is clear, a write stays") {
-  Queue q;
+  OriginRequestQueue q;
   q.serves(0.02, 50); // a turn each 50 ms
-  for (Queue::Id id = 1; id <= 20; ++id) CHECK(q.add(0, id, 5, 10000, false));
+  for (OriginRequestQueue::Id id = 1; id <= 20; ++id) CHECK(q.add(0, id, 5, 10000, false));
   CHECK_FALSE(q.add(0, 21, 1, 200, false)); // 20 turns ahead: a second
   CHECK(q.add(0, 22, 1, 200, true));
   CHECK(q.add(0, 23, 1, 700, false));
-  std::vector<Queue::Id> left;
+  std::vector<OriginRequestQueue::Id> left;
   q.leave(0, left);
   CHECK(left.empty());
   q.serves(0.004, 50); // the origin slows down: the last of the dear ones is late too
@@ -41,13 +41,13 @@
 }
 
 TEST_CASE("where all places are taken, a dearer one puts out the last") {
-  Queue q(2);
+  OriginRequestQueue q(2);
   CHECK(q.add(0, 1, 1, 1000, false));
   CHECK(q.add(0, 2, 2, 1000, false));
   CHECK_FALSE(q.add(0, 3, 1, 1000, false));
   CHECK(q.add(0, 4, 3, 1000, false));
   CHECK(q.size() == 2);
-  std::vector<Queue::Id> left;
+  std::vector<OriginRequestQueue::Id> left;
   q.leave(0, left);
-  CHECK(left == std::vector<Queue::Id>{1});
+  CHECK(left == std::vector<OriginRequestQueue::Id>{1});
 }
--- a/tests/limits/allowance_test.cpp
+++ b/tests/concurrency/retry_budget_test.cpp
@@ -1,16 +1,17 @@
 // Retries and second copies from one budget.
-#include "limits/allowance.h"
+#include "concurrency/retry_budget.h"
 
 #include <doctest/doctest.h>
 
-using fernward::limits::Allowance;
-using Use = Allowance::Use;
+using fernward::concurrency::RetryBudget;
+using Use = RetryBudget::Use;
 
 namespace {
 
 // A day of requests, a share of whose attempts fail without a sign of crowding, or each with one. Returns the
 // share of the failed attempts that could be tried again.
-double tried_again(Allowance& a, double& now, int requests, int fails_of_ten, bool crowded, double crowding) {
+double tried_again(RetryBudget& a, double& now, int requests, int fails_of_ten, bool crowded,
+                   double crowding) {
   int failed = 0, again = 0;
   for (int i = 0; i < requests; ++i) {
     now += 10;
@@ -29,14 +30,14 @@
 } // namespace
 
 TEST_CASE("with proven room nearly all failed attempts are tried again") {
-  Allowance a;
+  RetryBudget a;
   double now = 0;
   tried_again(a, now, 2000, 0, false, 0.2);
   CHECK(tried_again(a, now, 3000, 3, false, 0.2) > 0.95);
 }
 
 TEST_CASE("under crowding no more than a tenth of the requests is tried again, however much was saved up") {
-  Allowance a;
+  RetryBudget a;
   double now = 0;
   tried_again(a, now, 2000, 0, false, 0.2);
   int again = 0;
@@ -53,7 +54,7 @@
 }
 
 TEST_CASE("a crowded server gets no second copy while the fleet has room") {
-  Allowance a;
+  RetryBudget a;
   double now = 0;
   tried_again(a, now, 2000, 0, false, 0.2);
   CHECK(a.room() > 0.9);
--- a/tests/control/port_test.cpp
+++ b/tests/control/port_test.cpp
@@ -153,7 +153,7 @@
     "a caller that can't be accepted for want of descriptors holds up nothing, and gets its answer once it "
     "can") {
   const router::BasePtr base = router::make_base();
-  loop::Deadlines deadlines(base.get());
+  loop::TimerQueue deadlines(base.get());
   control::PortOptions options;
   options.address = "127.0.0.1:0";
   control::Port port(base.get(), deadlines, options,
--- a/tests/budget/budget_test.cpp
+++ b/tests/descriptors/descriptors_test.cpp
@@ -7,16 +7,16 @@
 #include <string>
 #include <vector>
 
-#include "budget/account.h"
-#include "budget/clients.h"
+#include "descriptors/client_admission.h"
+#include "descriptors/descriptor_budget.h"
 
-using namespace fernward::budget;
-using Needs = Account::Needs;
+using namespace fernward::descriptors;
+using Needs = DescriptorBudget::Needs;
 
 namespace {
 
-std::vector<Account::Place> take(Account& account, Side side, int places, double now = 0) {
-  std::vector<Account::Place> taken;
+std::vector<DescriptorBudget::Place> take(DescriptorBudget& account, Side side, int places, double now = 0) {
+  std::vector<DescriptorBudget::Place> taken;
   for (int i = 0; i < places; ++i) {
     taken.push_back(account.take(now, side));
     REQUIRE(taken.back());
@@ -27,7 +27,7 @@
 } // namespace
 
 TEST_CASE("a side holds up to three quarters while the other rests, and gives them back") {
-  Account account(40);
+  DescriptorBudget account(40);
   auto clients = take(account, Side::Clients, 30);
   CHECK(account.needs(0, Side::Clients) == Needs::Own); // the rest is the targets' floor
   auto targets = take(account, Side::Targets, 10);
@@ -44,7 +44,7 @@
 }
 
 TEST_CASE("what the system refuses is taken off, and tried again by and by") { // guards: spinning on EMFILE
-  Account account(200);
+  DescriptorBudget account(200);
   auto clients = take(account, Side::Clients, 50);
   CHECK(account.refused(1000));
   CHECK(account.usable(1000) == 50);
@@ -61,9 +61,9 @@
 }
 
 TEST_CASE("requests that have not come whole are over once they hold more than all") {
-  Buffers buffers(1000);
+  RequestBufferBudget buffers(1000);
   {
-    Buffers::Held one(buffers), two(buffers);
+    RequestBufferBudget::Held one(buffers), two(buffers);
     one.set(600);
     two.set(400);
     CHECK_FALSE(buffers.over());
@@ -80,8 +80,8 @@
     const auto total = *rc::gen::inRange<std::size_t>(0, 300);
     const auto events = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 40), rc::gen::inRange(0, 1000)));
-    Account account(total);
-    std::array<std::deque<Account::Place>, 2> held;
+    DescriptorBudget account(total);
+    std::array<std::deque<DescriptorBudget::Place>, 2> held;
     double now = 0;
     for (const auto& [what, number] : events) {
       now += number % 7 * 100;
@@ -91,23 +91,25 @@
       if (what == 0) {
         account.refused(now);
       } else if (what < 12 && !mine.empty()) {
-        Account::Place moved = std::move(mine.front()); // a moved place is given back once all the same
+        DescriptorBudget::Place moved =
+            std::move(mine.front()); // a moved place is given back once all the same
         mine.pop_front();
       } else {
         for (int i = 0; i < number % 40; ++i) {
           const std::size_t usable = account.usable(now), before = mine.size();
           const Needs needs = account.needs(now, side);
-          Account::Place place = account.take(now, side);
+          DescriptorBudget::Place place = account.take(now, side);
           RC_ASSERT(static_cast<bool>(place) == (needs == Needs::Nothing));
           if (place) {
-            RC_ASSERT(mine.size() + 1 + std::max(others.size(), Account::floor_of(usable)) <= usable);
+            RC_ASSERT(mine.size() + 1 + std::max(others.size(), DescriptorBudget::floor_of(usable)) <=
+                      usable);
             mine.push_back(std::move(place));
           } else if (usable == total) {
-            RC_ASSERT(before >= Account::floor_of(usable));
+            RC_ASSERT(before >= DescriptorBudget::floor_of(usable));
           }
           if (needs == Needs::Recall) {
-            RC_ASSERT(others.size() >
-                      Account::share_of(usable, side == Side::Clients ? Side::Targets : Side::Clients));
+            RC_ASSERT(others.size() > DescriptorBudget::share_of(
+                                          usable, side == Side::Clients ? Side::Targets : Side::Clients));
             others.pop_back(); // the other side lets one go: the place is free for the owner
             if (usable == total) RC_ASSERT(account.needs(now, side) == Needs::Nothing);
           }
@@ -126,10 +128,10 @@
 
 namespace {
 
-bool any(Clients::Id) { return true; }
+bool any(ClientAdmission::Id) { return true; }
 
 // A connection asks; true: it stays.
-bool ask(Clients& clients, Clients::Id id, double now, double took = 1) {
+bool ask(ClientAdmission& clients, ClientAdmission::Id id, double now, double took = 1) {
   clients.busy(now, id);
   clients.asked(now, id);
   const bool ends = clients.ends(now + took, id);
@@ -137,7 +139,7 @@
   return !ends;
 }
 
-bool first_ask(Clients& clients, Clients::Id id, double now) {
+bool first_ask(ClientAdmission& clients, ClientAdmission::Id id, double now) {
   clients.came(now, id);
   return ask(clients, id, now);
 }
@@ -145,7 +147,7 @@
 } // namespace
 
 TEST_CASE("who goes first: lingering, silent, came once, then those that asked twice longest ago") {
-  Clients clients({.places = 100, .fresh_ms = 100, .rest_ms = 2000});
+  ClientAdmission clients({.places = 100, .fresh_ms = 100, .rest_ms = 2000});
   first_ask(clients, 1, 0); // often: its last request but one is the oldest
   ask(clients, 1, 5000);
   first_ask(clients, 2, 4000); // often, and quick
@@ -159,26 +161,26 @@
   clients.came(5990, 7); // its request may be on the way
   clients.came(5000, 8);
   clients.busy(5950, 8); // has begun one
-  std::vector<Clients::Id> order;
+  std::vector<ClientAdmission::Id> order;
   while (const auto id = clients.spare(6000, any)) {
     order.push_back(*id);
-    clients.gone(6000, *id, Clients::Gone::Closed);
+    clients.gone(6000, *id, ClientAdmission::Gone::Closed);
   }
-  CHECK(order == std::vector<Clients::Id>{6, 5, 4, 3, 1, 2});
+  CHECK(order == std::vector<ClientAdmission::Id>{6, 5, 4, 3, 1, 2});
   CHECK(clients.spare(6100, any) == 7u);
-  CHECK_FALSE(clients.spare(6100, [](Clients::Id) { return false; }));
+  CHECK_FALSE(clients.spare(6100, [](ClientAdmission::Id) { return false; }));
   first_ask(clients, 20, 6200);
-  for (Clients::Id id = 21; id < 25; ++id) clients.came(6200, id);
-  clients.gone(6200, 7, Clients::Gone::Left);
+  for (ClientAdmission::Id id = 21; id < 25; ++id) clients.came(6200, id);
+  clients.gone(6200, 7, ClientAdmission::Gone::Left);
   CHECK_FALSE(clients.spare(6250, any)); // a crowd that may yet ask does not push out who rests
   CHECK(clients.spare(6300, any) == 21u);
 }
 
 TEST_CASE("where few ask, nobody is told to go") { // guards: connections ended for nothing
-  Clients clients({.places = 85});
+  ClientAdmission clients({.places = 85});
   double now = 0;
   for (int round = 0; round < 100; ++round, now += 50) {
-    for (Clients::Id id = 1; id <= 20; ++id)
+    for (ClientAdmission::Id id = 1; id <= 20; ++id)
       CHECK((round == 0 ? first_ask(clients, id, now) : ask(clients, id, now)));
   }
   CHECK_FALSE(clients.overdue(now));
@@ -200,10 +202,10 @@
 // Plays crowds against a table in which clients hold `places` connections at most and wait where there is
 // none. Requests take `took` ms.
 std::vector<Result> play(const std::vector<Crowd>& crowds, std::size_t places, double seconds, double took,
-                         Clients& clients) {
+                         ClientAdmission& clients) {
   struct One {
     std::size_t crowd;
-    Clients::Id id = 0;
+    ClientAdmission::Id id = 0;
     int requests = 0;
   };
   std::vector<Result> results(crowds.size());
@@ -214,15 +216,15 @@
     std::size_t crowd, who;
     bool forgotten = false; // its client will never use it again
   };
-  std::map<Clients::Id, Open> open;
-  Clients::Id last = 0;
+  std::map<ClientAdmission::Id, Open> open;
+  ClientAdmission::Id last = 0;
   for (std::size_t k = 0; k < crowds.size(); ++k) {
     for (int i = 0; i < crowds[k].clients; ++i) {
       next.emplace(crowds[k].every_ms * i / crowds[k].clients, all.size());
       all.push_back({k});
     }
   }
-  const auto close = [&](Clients::Id id, double now, Clients::Gone how) {
+  const auto close = [&](ClientAdmission::Id id, double now, ClientAdmission::Gone how) {
     const auto it = open.find(id);
     if (!it->second.forgotten) all[it->second.who].id = 0;
     open.erase(it);
@@ -242,17 +244,17 @@
       relieved = now;
       for (auto id = clients.overdue(now); id; id = clients.overdue(now)) {
         ++results[open.at(*id).crowd].cut;
-        close(*id, now, Clients::Gone::Closed);
+        close(*id, now, ClientAdmission::Gone::Closed);
       }
     }
     if (ends_first) {
       if (clients.ends(now, one.id)) {
         ++result.told;
         clients.lingers(now, one.id);
-        close(one.id, now, Clients::Gone::Left);
+        close(one.id, now, ClientAdmission::Gone::Left);
       } else if (clients.rests(now, one.id); ++one.requests == crowd.requests) {
         if (crowd.leaves) {
-          close(one.id, now, Clients::Gone::Left);
+          close(one.id, now, ClientAdmission::Gone::Left);
         } else { // the client forgets it: the next request comes on a new one
           open.at(one.id).forgotten = true;
           one.id = 0;
@@ -319,7 +321,7 @@
   };
   for (const auto& row : table) {
     CAPTURE(row.name);
-    Clients clients({.places = row.places});
+    ClientAdmission clients({.places = row.places});
     const auto results = play(row.crowds, row.places, 60, row.took, clients);
     const double asked = results[0].asked;
     MESSAGE(row.name << ": asked " << results[0].asked << ", turned away " << results[0].turned_away
@@ -334,13 +336,13 @@
 TEST_CASE("properties of the table of clients over random events") {
   CHECK(rc::check("counts kept, nothing due is spared, an unknown one changes nothing", [] {
     const auto places = *rc::gen::inRange<std::size_t>(0, 40);
-    const auto events = *rc::gen::container<std::vector<std::pair<int, Clients::Id>>>(
-        rc::gen::pair(rc::gen::inRange(0, 9), rc::gen::inRange<Clients::Id>(1, 40)));
-    Clients clients({.places = places});
+    const auto events = *rc::gen::container<std::vector<std::pair<int, ClientAdmission::Id>>>(
+        rc::gen::pair(rc::gen::inRange(0, 9), rc::gen::inRange<ClientAdmission::Id>(1, 40)));
+    ClientAdmission clients({.places = places});
     struct State {
       bool asked = false, spare = false, lingers = false;
     };
-    std::map<Clients::Id, State> known;
+    std::map<ClientAdmission::Id, State> known;
     double now = 0;
     for (const auto& [what, id] : events) {
       now += static_cast<double>(id) * 40;
@@ -373,7 +375,7 @@
           if (it != known.end()) it->second.lingers = it->second.spare = true;
           break;
         default:
-          clients.gone(now, id, what % 2 == 0 ? Clients::Gone::Left : Clients::Gone::Closed);
+          clients.gone(now, id, what % 2 == 0 ? ClientAdmission::Gone::Left : ClientAdmission::Gone::Closed);
           known.erase(id);
       }
       RC_ASSERT(clients.size() == known.size());
@@ -391,24 +393,24 @@
 
 TEST_CASE(
     "a request that has begun and does not come on is let go before those that rest, after the silent ones") {
-  Clients clients({100, 100, 700, 2000});
-  const auto any = [](Clients::Id) { return true; };
+  ClientAdmission clients({100, 100, 700, 2000});
+  const auto any = [](ClientAdmission::Id) { return true; };
   clients.came(0, 1);
   clients.asked(1, 1);
   clients.rests(2, 1); // 1: was answered
   clients.came(0, 2);
   clients.begun(10, 2); // 2: half a request, and no more
   clients.came(0, 3);
-  clients.begun(10, 3);                                                  // 3: goes on writing, slowly
-  CHECK_FALSE(clients.spare(300, any) == std::optional<Clients::Id>(2)); // it may be slow
+  clients.begun(10, 3);                                                          // 3: goes on writing, slowly
+  CHECK_FALSE(clients.spare(300, any) == std::optional<ClientAdmission::Id>(2)); // it may be slow
   clients.begun(600, 3);
-  CHECK(clients.spare(800, any) == std::optional<Clients::Id>(2));
+  CHECK(clients.spare(800, any) == std::optional<ClientAdmission::Id>(2));
   clients.came(800, 4);
-  CHECK(clients.spare(1000, any) == std::optional<Clients::Id>(4)); // has said nothing at all
-  clients.gone(1000, 4, Clients::Gone::Closed);
-  clients.gone(1000, 2, Clients::Gone::Closed);
+  CHECK(clients.spare(1000, any) == std::optional<ClientAdmission::Id>(4)); // has said nothing at all
+  clients.gone(1000, 4, ClientAdmission::Gone::Closed);
+  clients.gone(1000, 2, ClientAdmission::Gone::Closed);
   clients.asked(1001, 3); // whole: it is worked on, and can't be spared
-  CHECK(clients.spare(2000, any) == std::optional<Clients::Id>(1));
-  clients.gone(2000, 1, Clients::Gone::Closed);
+  CHECK(clients.spare(2000, any) == std::optional<ClientAdmission::Id>(1));
+  clients.gone(2000, 1, ClientAdmission::Gone::Closed);
   CHECK_FALSE(clients.spare(2000, any).has_value());
 }
--- a/tests/faults/witness.h
+++ b/tests/faults/witness.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "lab/check/checker.h"
-#include "loop/deadlines.h"
+#include "loop/timer_queue.h"
 
 namespace fernward::tests {
 
@@ -30,8 +30,9 @@
   s.nodes = {caches};
   s.routers.groups = {{0, 1}};
   s.routers.max_attempts = 4;
-  for (const auto& [name, repeat] :
-       {std::pair("read", Repeat::Safe), {"book", Repeat::Keyed}, {"once", Repeat::Unsafe}}) {
+  for (const auto& [name, repeat] : {std::pair("read", Idempotency::Idempotent),
+                                     {"book", Idempotency::WithKey},
+                                     {"once", Idempotency::NonIdempotent}}) {
     model::ClassSpec c;
     c.name = name;
     c.repeat = repeat;
--- a/tests/fuzz/config.cpp
+++ b/tests/fuzz/config.cpp
@@ -6,11 +6,11 @@
 #include <string_view>
 
 #include "config/config.h"
-#include "notation/writer.h"
-#include "setup/explain.h"
-#include "setup/keys.h"
-#include "setup/read.h"
-#include "setup/render.h"
+#include "toml_document/writer.h"
+#include "app_config/explain.h"
+#include "app_config/keys.h"
+#include "app_config/read.h"
+#include "app_config/render.h"
 
 namespace {
 
@@ -20,9 +20,9 @@
   std::abort();
 }
 
-std::string as_file(fernward::setup::App app) {
-  const fernward::setup::AppNames names(app);
-  return fernward::notation::written(names, [&](fernward::notation::Visitor& v) { describe(v, app); });
+std::string as_file(fernward::app_config::App app) {
+  const fernward::app_config::AppNames names(app);
+  return fernward::toml_document::written(names, [&](fernward::toml_document::Visitor& v) { describe(v, app); });
 }
 
 constexpr const char* kShared = R"(
@@ -38,7 +38,7 @@
   using namespace fernward;
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   const auto nothing = [](const char*) -> const char* { return nullptr; };
-  const setup::Setup made = setup::read(text, "fuzz.toml", nothing, [](const auto& path) {
+  const app_config::Setup made = app_config::read(text, "fuzz.toml", nothing, [](const auto& path) {
     return path == "shared.toml" ? std::optional<std::string>(kShared) : std::nullopt;
   });
   for (const auto* faults : {&made.faults, &made.warnings}) {
@@ -50,11 +50,11 @@
   }
   if (!made.sound()) return 0;
   const std::string written = as_file(made.app);
-  const setup::Setup again = setup::read(written, "again.toml", nothing, nullptr);
+  const app_config::Setup again = app_config::read(written, "again.toml", nothing, nullptr);
   if (!again.sound()) std::fprintf(stderr, "%s\n%s", again.faults.front().coded().c_str(), written.c_str());
   must(again.sound(), "what was taken is refused when it is written and read again");
-  must(setup::changes(made.app, again.app).empty(), "written and read again, it says something else");
-  config::parse(setup::render(made.app).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace),
+  must(app_config::changes(made.app, again.app).empty(), "written and read again, it says something else");
+  config::parse(app_config::render(made.app).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace),
                 nothing);
   return 0;
 }
--- a/tests/fuzz/handover.cpp
+++ b/tests/fuzz/handover.cpp
@@ -3,10 +3,10 @@
 #include <cstdlib>
 #include <string_view>
 
-#include "handover/state.h"
+#include "hot_restart/state.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  using namespace fernward::handover;
+  using namespace fernward::hot_restart;
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   const Decoded decoded = decode(text);
   if (!decoded.message) return 0;
--- a/tests/fuzz/peers.cpp
+++ b/tests/fuzz/peers.cpp
@@ -10,7 +10,7 @@
 #include <cstdlib>
 #include <string>
 
-#include "shared/fleet.h"
+#include "gossip/fleet.h"
 
 namespace {
 
@@ -27,24 +27,24 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string raw(reinterpret_cast<const char*>(data), size);
   std::string whole = raw;
-  members::put(whole, static_cast<std::uint32_t>(XXH32(raw.data(), raw.size(), 0)));
-  shared::Fleet fleet(0, 8, 1000, {}, 1);
-  std::vector<shared::Fleet::Out> out;
+  membership::put(whole, static_cast<std::uint32_t>(XXH32(raw.data(), raw.size(), 0)));
+  gossip::Fleet fleet(0, 8, 1000, {}, 1);
+  std::vector<gossip::Fleet::Out> out;
   fleet.tick(1000, {1, 2}, out);
   for (const std::string& bytes : {raw, whole}) {
-    for (shared::Id from = 0; from < 9; ++from) {
+    for (gossip::Id from = 0; from < 9; ++from) {
       fleet.take(1001, from, bytes, out);
-      const shared::View view = fleet.view(1002);
+      const gossip::View view = fleet.view(1002);
       must(view.living >= 1 && view.living <= 8, "as many live as there are, at most");
       must(std::isfinite(view.ledger_part) && view.ledger_part >= 0 && view.ledger_part <= 4096 * 8,
            "a part is a number");
     }
-    if (const auto read = members::decode(bytes)) {
-      const auto again = members::decode(members::encode(*read));
-      must(again && members::encode(*again) == members::encode(*read), "what was read is read again");
+    if (const auto read = membership::decode(bytes)) {
+      const auto again = membership::decode(membership::encode(*read));
+      must(again && membership::encode(*again) == membership::encode(*read), "what was read is read again");
     }
   }
   fleet.tick(2000, {1, 2}, out);
-  for (const auto& o : out) must(o.to < 8 && o.bytes.size() <= members::kMostBytes, "what is said fits");
+  for (const auto& o : out) must(o.to < 8 && o.bytes.size() <= membership::kMostBytes, "what is said fits");
   return 0;
 }
--- a/tests/shared/findings_test.cpp
+++ b/tests/gossip/findings_test.cpp
@@ -8,13 +8,13 @@
 
 using namespace fernward;
 using namespace fernward::tests;
-using shared::Finding;
-using shared::Findings;
-using shared::Verdict;
+using gossip::Finding;
+using gossip::Findings;
+using gossip::Verdict;
 
 namespace {
 
-constexpr shared::ServerId kNode = 7;
+constexpr gossip::ServerId kNode = 7;
 
 std::vector<Verdict> verdicts(Findings& f, double now) {
   std::vector<Verdict> all;
@@ -33,7 +33,7 @@
 struct Zoned : Tier {
   Zoned() : Tier(12, 3, {250, 3}) {
     for (std::size_t i = 0; i < 12; ++i) {
-      routers[i] = std::make_unique<shared::Fleet>(static_cast<shared::Id>(i), 12, 1, rules, i,
+      routers[i] = std::make_unique<gossip::Fleet>(static_cast<gossip::Id>(i), 12, 1, rules, i,
                                                    static_cast<std::uint8_t>(i / 4));
     }
     before_tick = [this](std::size_t i) {
@@ -68,7 +68,7 @@
   CHECK(bad(f, 1000));
   CHECK(verdicts(f, 1000).empty()); // told once
   // It fades, and that is told, too.
-  const auto later = verdicts(f, 950 + shared::kFreshMs);
+  const auto later = verdicts(f, 950 + gossip::kFreshMs);
   REQUIRE(later.size() == 1);
   CHECK_FALSE(later[0].bad);
   CHECK(f.standing() == 0);
@@ -76,7 +76,7 @@
 
 TEST_CASE("of many that are hardly asked, one lost attempt each is enough: four of them") {
   Findings f(0, 1, 1);
-  for (shared::Id who = 1; who <= 4; ++who) {
+  for (gossip::Id who = 1; who <= 4; ++who) {
     CHECK_FALSE(bad(f, 1000));
     f.merge(1000, who, who, {1, 1}, 1, finding(1, 900));
   }
@@ -89,7 +89,7 @@
 
 TEST_CASE("who says well outweighs two, other zones count only together, and only where nobody says well") {
   Findings f(0, 1, 1);
-  const auto says = [&](shared::Id who, std::uint8_t zone, std::uint32_t lost) {
+  const auto says = [&](gossip::Id who, std::uint8_t zone, std::uint32_t lost) {
     f.merge(1000, who, who, {1, 1}, zone, finding(lost, lost > 0 ? 900 : 950));
   };
   says(2, 1, kBad), says(3, 1, kBad), says(4, 1, kWell);
@@ -98,11 +98,11 @@
   CHECK(bad(f, 1000));      // three to one
   Findings before(0, 1, 1); // an answer from before they lost theirs tells nothing against them
   before.merge(2000, 4, 4, {1, 1}, 1, finding(kWell, 800));
-  for (const shared::Id who : {shared::Id{2}, shared::Id{3}})
+  for (const gossip::Id who : {gossip::Id{2}, gossip::Id{3}})
     before.merge(2000, who, who, {1, 1}, 1, finding(kBad, 1900));
   CHECK(bad(before, 2000));
   Findings g(0, 1, 1);
-  const auto abroad = [&](shared::Id who, std::uint8_t zone, std::uint32_t lost) {
+  const auto abroad = [&](gossip::Id who, std::uint8_t zone, std::uint32_t lost) {
     g.merge(1000, who, who, {1, 1}, zone, finding(lost, lost > 0 ? 900 : 950));
   };
   abroad(2, 2, kBad), abroad(3, 2, kBad), abroad(4, 2, kBad);
@@ -116,13 +116,13 @@
 TEST_CASE("of any words in any order, with any repeats, the same verdict, none on one owner or one address") {
   CHECK(rc::check([] {
     struct Told {
-      shared::Id via, owner;
+      gossip::Id via, owner;
       std::uint16_t sequence;
       std::uint32_t lost;
     };
     std::vector<Told> words;
     for (int n = *rc::gen::inRange(1, 14); n > 0; --n) {
-      const auto owner = *rc::gen::inRange<shared::Id>(1, 5), via = *rc::gen::inRange<shared::Id>(1, 5);
+      const auto owner = *rc::gen::inRange<gossip::Id>(1, 5), via = *rc::gen::inRange<gossip::Id>(1, 5);
       const auto sequence = *rc::gen::inRange<std::uint16_t>(1, 4);
       words.push_back({via, owner, sequence, (owner + sequence) % 3u});
     }
@@ -134,7 +134,7 @@
       f.changes(1000, v);
       return std::pair(!v.empty() && v[0].bad, f.write(1000, 0));
     };
-    std::set<shared::Id> owners, ways;
+    std::set<gossip::Id> owners, ways;
     for (const Told& t : words) owners.insert(t.owner), ways.insert(t.via);
     const bool verdict = play(words).first;
     if (owners.size() < 2 || ways.size() < 2) RC_ASSERT(!verdict);
@@ -161,7 +161,7 @@
       if ((sent >> message & 1u) != 0) continue;
       const unsigned from = message / 2, to = (from + 1 + message % 2) % 3;
       auto next = all;
-      next[to].read(0, static_cast<shared::Id>(from), next[from].write(0, Findings::kRoom));
+      next[to].read(0, static_cast<gossip::Id>(from), next[from].write(0, Findings::kRoom));
       play(std::move(next), sent | 1u << message);
     }
   }
@@ -176,7 +176,7 @@
   for (int seen = 0; seen < 27; ++seen) {
     Small small(seen);
     std::vector<Findings> all;
-    for (shared::Id i = 0; i < 3; ++i) {
+    for (gossip::Id i = 0; i < 3; ++i) {
       all.emplace_back(i, 1, i);
       std::vector<Finding> own;
       if (small.saw[i] != 1) own.push_back(finding(small.saw[i] == 2 ? kBad : kWell, 0));
@@ -207,7 +207,7 @@
   MESSAGE("out for all after ms: " << t.now - dies);
   CHECK(t.now - dies <= 2000);
   t.sees = [](std::size_t) { return std::vector<Finding>(); };
-  t.run(shared::kFreshMs + 1000);
+  t.run(gossip::kFreshMs + 1000);
   CHECK(t.leave_out(0, 12) == 0);
   // Cut off from the first zone: its routers find it dead, all others have their answers.
   t.sees = [&](std::size_t i) { return std::vector<Finding>{finding(i < 4 ? kBad : kWell, t.now)}; };
@@ -226,16 +226,16 @@
     t.run(250);
     // The liar's datagrams: words of all others, with stamps beyond theirs.
     Findings lies(3, 0, 1);
-    for (shared::Id who = 0; who < 12; ++who) {
+    for (gossip::Id who = 0; who < 12; ++who) {
       if (who != 3) lies.merge(t.now, who, who, {9, 9}, 0, finding(kBad, t.now));
     }
-    members::Datagram d;
+    membership::Datagram d;
     d.from = 3;
     d.stamp = {1, static_cast<std::uint16_t>(1000 + k)};
     d.facts = lies.write(t.now, Findings::kRoom);
-    std::vector<shared::Fleet::Out> answers;
+    std::vector<gossip::Fleet::Out> answers;
     for (std::size_t to = 0; to < 12; ++to) {
-      if (to != 3) CHECK(t.routers[to]->take(t.now, 3, members::encode(d), answers));
+      if (to != 3) CHECK(t.routers[to]->take(t.now, 3, membership::encode(d), answers));
     }
     CHECK(t.leave_out(0, 2) + t.leave_out(3, 12) == 0); // 2 goes by what it has seen itself
   }
@@ -243,10 +243,10 @@
 
 TEST_CASE("tables are bounded: further servers are passed over, the oldest voters give way") {
   Findings f(0, 1, 1);
-  for (shared::ServerId s = 0; s < 2 * Findings::kServers; ++s) {
+  for (gossip::ServerId s = 0; s < 2 * Findings::kServers; ++s) {
     CHECK(f.merge(1000, 2, 2, {1, 1}, 1, {s, kBad, 900}) == (s < Findings::kServers));
   }
-  for (shared::Id who = 1; who <= 2 * Findings::kVoters; ++who) {
+  for (gossip::Id who = 1; who <= 2 * Findings::kVoters; ++who) {
     f.merge(1000, who, who, {2, 1}, 1, {0, kBad, 900.0 + who});
   }
   CHECK_FALSE(f.merge(1000, 1, 1, {2, 1}, 1, {0, kBad, 901})); // it gave way, and is the oldest still
--- a/tests/shared/shared_test.cpp
+++ b/tests/gossip/gossip_test.cpp
@@ -9,15 +9,15 @@
 
 using namespace fernward;
 using namespace fernward::tests;
-using shared::Facts;
+using gossip::Facts;
 
 namespace {
 
 struct Heard {
-  shared::Id owner;
-  shared::Stamp stamp;
+  gossip::Id owner;
+  gossip::Stamp stamp;
   double age;
-  shared::Values values;
+  gossip::Values values;
 };
 
 double part(Tier& t, std::size_t i) { return t.routers[i]->view(t.now).ledger_part; }
@@ -75,7 +75,7 @@
     for (int lost = 0; lost < 64; ++lost) {
       for (int crash = 0; crash <= 6; ++crash) {
         std::vector<Facts> all;
-        for (shared::Id i = 0; i < 3; ++i) {
+        for (gossip::Id i = 0; i < 3; ++i) {
           all.emplace_back(i, 3, i);
           all[i].own(0, {10, 1}, {demand[i], limit[i]});
         }
@@ -89,7 +89,7 @@
           const int from = message / 2, to = (from + 1 + message % 2) % 3;
           if ((lost >> message & 1) != 0) continue;
           std::vector<Facts::Told> told;
-          all[static_cast<std::size_t>(to)].read(0, static_cast<shared::Id>(from),
+          all[static_cast<std::size_t>(to)].read(0, static_cast<gossip::Id>(from),
                                                  all[static_cast<std::size_t>(from)].write(0, 60), told);
         }
         std::vector<double> state;
@@ -188,7 +188,7 @@
     "a router that lies about its demand and its limit moves nothing beyond what honest ones have, for long "
     "either") {
   for (const std::size_t n : {4u, 40u}) {
-    for (const shared::Own& lie : {shared::Own{4000, 0}, shared::Own{0, 4000}, shared::Own{4000, 4000}}) {
+    for (const gossip::Own& lie : {gossip::Own{4000, 0}, gossip::Own{0, 4000}, gossip::Own{4000, 4000}}) {
       CAPTURE(n);
       Tier t(n, 11);
       for (std::size_t i = 0; i < n; ++i) t.own[i] = {i % 2 == 0 ? 1.0 : 0.5, 1};
--- a/tests/peering/processes_test.cpp
+++ b/tests/gossip_transport/processes_test.cpp
@@ -508,7 +508,7 @@
 }
 
 // What sharing costs, for docs/notes/fleet.md:
-//   COST="400ms 15 3" fernward_peering_tests --no-skip -tc="cost*"     period, requests a second and router, pairs, and
+//   COST="400ms 15 3" fernward_gossip_transport_tests --no-skip -tc="cost*"     period, requests a second and router, pairs, and
 // what else is to stand under [share]. The two tiers of a pair run at the same time, as others use the machine too.
 TEST_CASE("cost of sharing: off and on at the same time" * doctest::skip()) {
   const char* wanted = std::getenv("COST");
--- a/tests/handover/replace_test.cpp
+++ b/tests/hot_restart/replace_test.cpp
@@ -8,7 +8,7 @@
 #include <thread>
 
 #include "caller.h"
-#include "handover/link.h"
+#include "hot_restart/link.h"
 #include "program.h"
 
 using namespace fernward;
@@ -307,9 +307,9 @@
   SUBCASE("silence") { why = "no answer in time"; }
   SUBCASE("its end") { ends = true, why = "it "; } // ended, or did not take the question: as it comes
   SUBCASE("noise") { word = "HTTP/1.1 400 Bad Request\r\n\r\n", why = "no frame"; }
-  SUBCASE("another message") { word = handover::encode(handover::Serving{}), why = "not a welcome"; }
+  SUBCASE("another message") { word = hot_restart::encode(hot_restart::Serving{}), why = "not a welcome"; }
   SUBCASE("a welcome without its descriptor") {
-    word = handover::encode(handover::Welcome{}), why = "no descriptor";
+    word = hot_restart::encode(hot_restart::Welcome{}), why = "no descriptor";
   }
   const Impostor impostor(line.base.get(), line.door, word, ends);
   Program& program = line.start();
@@ -334,12 +334,12 @@
     CHECK(recv(fd, bytes, sizeof bytes, MSG_DONTWAIT) == 0); // ended, without a word
     close(fd);
   };
-  std::string other = handover::encode(handover::Hello{"n1", "127.0.0.1:" + std::to_string(line.port), 28});
+  std::string other = hot_restart::encode(hot_restart::Hello{"n1", "127.0.0.1:" + std::to_string(line.port), 28});
   other[4] = 9; // a version to come
   knock(other);
   knock("GET / HTTP/1.1\r\n\r\n");
-  knock(handover::encode(handover::Hello{"n1", "127.0.0.1:1", 28}));
-  knock(handover::encode(handover::Serving{}));
+  knock(hot_restart::encode(hot_restart::Hello{"n1", "127.0.0.1:1", 28}));
+  knock(hot_restart::encode(hot_restart::Serving{}));
   CHECK(program.says("handover-refused why=\"another address"));
   Client client(line.base.get(), line.port);
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
--- a/tests/handover/state_test.cpp
+++ b/tests/hot_restart/state_test.cpp
@@ -5,9 +5,9 @@
 #include <string>
 #include <vector>
 
-#include "handover/state.h"
+#include "hot_restart/state.h"
 
-using namespace fernward::handover;
+using namespace fernward::hot_restart;
 
 namespace {
 
--- a/tests/lifetimes/rests_test.cpp
+++ b/tests/idle_connections/idle_lifetime_estimator_test.cpp
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-#include "lifetimes/rests.h"
+#include "idle_connections/idle_lifetime_estimator.h"
 
-using fernward::lifetimes::Rests;
-using Use = Rests::Use;
+using fernward::idle_connections::IdleLifetimeEstimator;
+using Use = IdleLifetimeEstimator::Use;
 
 namespace {
 
@@ -36,7 +36,8 @@
 
 // Requests come at random and take 5 to 40 ms; the connection that rested last is used first. Without
 // `rests`: every rest up to the longest is taken for safe.
-std::vector<Outcome> play(const std::vector<Node>& nodes, double seconds, Rests* rests, unsigned seed = 1) {
+std::vector<Outcome> play(const std::vector<Node>& nodes, double seconds, IdleLifetimeEstimator* rests,
+                          unsigned seed = 1) {
   struct Connection {
     double rested_at;
     bool dead = false;
@@ -64,7 +65,7 @@
     next.erase(next.begin());
     const Node& node = nodes[n];
     next.emplace(now - std::log(unit()) / node.rate * 1000, n);
-    const auto target = static_cast<Rests::Target>(n + 1);
+    const auto target = static_cast<IdleLifetimeEstimator::Target>(n + 1);
     const double life = now < node.changes_at ? node.dies_after : node.then;
     Outcome& o = outcomes[n];
     const bool late = now > seconds * 500;
@@ -151,7 +152,7 @@
   };
   for (const auto& row : table) {
     CAPTURE(row.name);
-    Rests rests(kLongest);
+    IdleLifetimeEstimator rests(kLongest);
     const Outcome without = sum(play(row.nodes, 60, nullptr)), with = sum(play(row.nodes, 60, &rests));
     MESSAGE(row.name << ": of " << with.requests << " requests to dead connections " << with.dead
                      << ", before " << without.dead << "; opened " << with.opened << ", before "
@@ -163,7 +164,7 @@
 }
 
 TEST_CASE("one node closes after 300 ms, its neighbour after 15 s: each is believed by itself") {
-  Rests rests(kLongest);
+  IdleLifetimeEstimator rests(kLongest);
   std::vector<Node> nodes = {{300}, {15000}};
   const auto outcomes = play(nodes, 60, &rests);
   CHECK(rests.safe_ms(60000, 1) <= 300);
@@ -174,7 +175,7 @@
 }
 
 TEST_CASE("what the class says by single events") {
-  Rests rests(kLongest);
+  IdleLifetimeEstimator rests(kLongest);
   CHECK(rests.use(0, 1, 10000) == Use::Yes);
   CHECK(rests.use(0, 1, kLongest) == Use::No);
   CHECK(rests.hold_ms(0, 1) == kLongest);
@@ -198,12 +199,12 @@
   rests.forget(1);
   CHECK(rests.size() == 1);
   // Many connections that break together are one event.
-  Rests other(kLongest);
+  IdleLifetimeEstimator other(kLongest);
   for (int i = 0; i < 30; ++i) other.used_again(1000 + i, 1, 50 + i, false, false);
   for (int i = 0; i < 10; ++i) other.used_again(2000, 1, 100, false, true);
   CHECK(other.safe_ms(3000, 1) >= 64);
   // Nothing is kept only where even the shortest rests are deadly, which takes several resets.
-  Rests third(kLongest);
+  IdleLifetimeEstimator third(kLongest);
   third.used_again(0, 1, 2, false, true);
   CHECK(third.safe_ms(300, 1) > 0);
   for (int i = 1; i < 8; ++i) third.used_again(300 * i, 1, 2, false, true);
@@ -214,9 +215,10 @@
 
 TEST_CASE("properties over random events") {
   CHECK(rc::check("rests are ordered and bounded, nothing is kept of what is forgotten", [] {
-    const auto events = *rc::gen::container<std::vector<std::tuple<int, Rests::Target, int>>>(rc::gen::tuple(
-        rc::gen::inRange(0, 12), rc::gen::inRange<Rests::Target>(1, 6), rc::gen::inRange(0, 20000)));
-    Rests rests(kLongest);
+    const auto events = *rc::gen::container<std::vector<std::tuple<int, IdleLifetimeEstimator::Target, int>>>(
+        rc::gen::tuple(rc::gen::inRange(0, 12), rc::gen::inRange<IdleLifetimeEstimator::Target>(1, 6),
+                       rc::gen::inRange(0, 20000)));
+    IdleLifetimeEstimator rests(kLongest);
     double now = 0;
     for (const auto& [what, target, number] : events) {
       const double rest = number;
@@ -239,7 +241,7 @@
       if (doubtful == Use::Trial) RC_ASSERT(rests.use(now, target, safe) == Use::No);
       RC_ASSERT(rests.size() <= 5u);
     }
-    for (Rests::Target target = 0; target < 8; ++target) rests.forget(target);
+    for (IdleLifetimeEstimator::Target target = 0; target < 8; ++target) rests.forget(target);
     RC_ASSERT(rests.size() == 0u);
   }));
 }
--- a/tests/lab/caught/caught_test.cpp
+++ b/tests/lab/caught/caught_test.cpp
@@ -31,7 +31,7 @@
 }
 
 void unsafe_writes(model::Spec& spec) {
-  spec.classes[1].repeat = Repeat::Unsafe;
+  spec.classes[1].repeat = Idempotency::NonIdempotent;
   spec.classes[1].share = 1;
 }
 void drain_half(model::Spec& spec) {
--- a/tests/lab/check/support.h
+++ b/tests/lab/check/support.h
@@ -25,11 +25,12 @@
   west.zone = 1;
   s.nodes = {east, west};
   s.routers.groups = {{0, 1}, {1, 1}};
-  for (const auto& [name, repeat, scope] : {std::tuple("safe", Repeat::Safe, Scope::All),
-                                            {"all", Repeat::Keyed, Scope::All},
-                                            {"zone", Repeat::Keyed, Scope::Zone},
-                                            {"cell", Repeat::Keyed, Scope::Cell},
-                                            {"unsafe", Repeat::Unsafe, Scope::All}}) {
+  for (const auto& [name, repeat, scope] :
+       {std::tuple("safe", Idempotency::Idempotent, IdempotencyScope::All),
+        {"all", Idempotency::WithKey, IdempotencyScope::All},
+        {"zone", Idempotency::WithKey, IdempotencyScope::Zone},
+        {"cell", Idempotency::WithKey, IdempotencyScope::Cell},
+        {"unsafe", Idempotency::NonIdempotent, IdempotencyScope::All}}) {
     ClassSpec c;
     c.name = name;
     c.repeat = repeat;
