--- a/tests/lab/peers/datagrams_test.cpp
+++ b/tests/lab/peers/datagrams_test.cpp
@@ -1,7 +1,7 @@
 // The net between routers.
 #include <doctest/doctest.h>
 
-#include "shared/fleet.h"
+#include "gossip/fleet.h"
 #include "stand.h"
 
 using namespace fernward;
@@ -81,9 +81,9 @@
     spec.routers.groups[0].count = 2;
   });
   const Port zero(stand.addresses->peer_listen(0)), one(stand.addresses->peer_listen(1));
-  shared::Fleet liar(0, 3, 5, {}, 1), third(2, 3, 5, {}, 2);
-  const shared::Own own{2, 3};
-  std::vector<shared::Fleet::Out> out;
+  gossip::Fleet liar(0, 3, 5, {}, 1), third(2, 3, 5, {}, 2);
+  const gossip::Own own{2, 3};
+  std::vector<gossip::Fleet::Out> out;
   // What router 1 makes of a datagram of router 0 that has heard of router 2.
   const auto heard = [&](double now) {
     out.clear();
@@ -95,18 +95,18 @@
     zero.send(stand.addresses->peer(0, 1), out.back().bytes);
     const auto came = one.receive(1, 2000);
     REQUIRE(came.size() == 1);
-    return members::decode(came[0].substr(came[0].find(' ') + 1)).value();
+    return membership::decode(came[0].substr(came[0].find(' ') + 1)).value();
   };
   const auto demand =
-      [](const members::Datagram& d) { // of its sender, as a router that knows nobody else has it
-        shared::Facts facts(1, 3, 1);
-        std::vector<shared::Facts::Told> told;
+      [](const membership::Datagram& d) { // of its sender, as a router that knows nobody else has it
+        gossip::Facts facts(1, 3, 1);
+        std::vector<gossip::Facts::Told> told;
         facts.read(0, 0, d.facts.substr(0, 2 + static_cast<std::size_t>(d.facts[1])), told);
         return facts.demand(0);
       };
-  const auto accused = [](const members::Datagram& d) {
-    return std::any_of(d.words.begin(), d.words.end(), [](const members::Word& w) {
-      return w.who == 2 && w.by == 0 && w.standing == members::Standing::Dead;
+  const auto accused = [](const membership::Datagram& d) {
+    return std::any_of(d.words.begin(), d.words.end(), [](const membership::Word& w) {
+      return w.who == 2 && w.by == 0 && w.standing == membership::Standing::Dead;
     });
   };
   model::LieStep step{0, true, {}, {0}};
@@ -115,7 +115,7 @@
     CAPTURE(lies);
     step.on = lies;
     stand.happen(step);
-    const members::Datagram d = heard(now += 300);
+    const membership::Datagram d = heard(now += 300);
     CHECK(d.from == 0);
     CHECK(demand(d) == doctest::Approx(lies ? 4096 : 2).epsilon(0.01));
     CHECK(accused(d) == lies);
--- a/tests/lab/scenario/scenario_test.cpp
+++ b/tests/lab/scenario/scenario_test.cpp
@@ -8,10 +8,10 @@
 #include <sstream>
 
 #include "lab/scenario/read.h"
-#include "notation/units.h"
+#include "toml_document/units.h"
 
 using namespace fernward::lab;
-using namespace fernward::notation;
+using namespace fernward::toml_document;
 namespace model = fernward::model;
 
 namespace {
@@ -118,7 +118,7 @@
   };
   for (const auto& c : cases) {
     CAPTURE(c.text);
-    fernward::notation::Why why;
+    fernward::toml_document::Why why;
     const auto value = parse_quantity(c.unit, c.text, why);
     CHECK(value.value_or(-1) == c.value);
     CHECK(why.text.empty() == value.has_value());
@@ -126,7 +126,7 @@
   // What is written reads back as the very same number.
   for (const Unit unit : {Unit::Time, Unit::Bytes, Unit::Rate, Unit::Share, Unit::ShareRate}) {
     for (const double value : {0.0, 0.07, 0.1, 1.0 / 3, 0.8, 750.0, 1500.0, 86400e3, 64e6, 65536.0, 1e-9}) {
-      fernward::notation::Why why;
+      fernward::toml_document::Why why;
       CHECK(parse_quantity(unit, quantity_text(unit, value), why) == value);
     }
   }
--- a/tests/lab/storm/oracles_test.cpp
+++ b/tests/lab/storm/oracles_test.cpp
@@ -170,7 +170,7 @@
   CHECK(some < all);
   CHECK(all < storm::refill_ms(s, 1, 40));
   CHECK(std::isinf(storm::refill_ms(s, 1, 80)));
-  s.routers.resize.settle_ms = 5000; // fetches below twice the steady rate: that is what there is
+  s.routers.resize.transition_ms = 5000; // fetches below twice the steady rate: that is what there is
   CHECK(storm::refill_ms(s, 1, 10) > all);
 }
 
--- a/tests/lab/support.h
+++ b/tests/lab/support.h
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "http/parser.h"
-#include "loop/deadlines.h"
+#include "loop/timer_queue.h"
 
 namespace fernward::tests {
 
--- a/tests/members/measure.cpp
+++ b/tests/membership/measure.cpp
@@ -34,7 +34,7 @@
   if (argc < 6) return std::fprintf(stderr, "usage: %s PERIOD_MS ROUTERS LOSS SECONDS SEED...\n", argv[0]), 2;
   const auto n = static_cast<std::size_t>(std::atoi(argv[2]));
   const double loss = std::atof(argv[3]), seconds = std::atof(argv[4]);
-  fernward::members::Rules rules;
+  fernward::membership::Rules rules;
   rules.period_ms = std::atof(argv[1]);
   std::vector<double> first, last, back;
   double alarms = 0, bytes = 0, datagrams = 0, of = 0;
--- a/tests/members/members_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -7,26 +7,26 @@
 
 using namespace fernward;
 using namespace fernward::tests;
-using members::Datagram;
+using membership::Datagram;
 
 namespace {
 
 Datagram some() {
   Datagram d;
   d.kind =
-      *rc::gen::element(members::Kind::Ping, members::Kind::Ack, members::Kind::Ask, members::Kind::Nack);
-  d.from = *rc::gen::arbitrary<members::Id>();
-  d.about = *rc::gen::arbitrary<members::Id>();
+      *rc::gen::element(membership::Kind::Ping, membership::Kind::Ack, membership::Kind::Ask, membership::Kind::Nack);
+  d.from = *rc::gen::arbitrary<membership::Id>();
+  d.about = *rc::gen::arbitrary<membership::Id>();
   d.stamp = {*rc::gen::arbitrary<std::uint32_t>(), *rc::gen::arbitrary<std::uint16_t>()};
   d.round = *rc::gen::arbitrary<std::uint16_t>();
   for (int n = *rc::gen::inRange(0, 6); n > 0; --n) {
-    d.words.push_back({*rc::gen::arbitrary<members::Id>(),
-                       members::Standing::Suspect,
+    d.words.push_back({*rc::gen::arbitrary<membership::Id>(),
+                       membership::Standing::Suspect,
                        {*rc::gen::arbitrary<std::uint32_t>(), 7},
                        3});
   }
   d.facts = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
-  d.facts.resize(std::min(d.facts.size(), members::room_for_facts(d)));
+  d.facts.resize(std::min(d.facts.size(), membership::room_for_facts(d)));
   return d;
 }
 
@@ -35,16 +35,16 @@
 TEST_CASE("a datagram is read as it was written, and not at all where a bit differs or a byte is missing") {
   CHECK(rc::check([] {
     const Datagram d = some();
-    const std::string bytes = members::encode(d);
-    RC_ASSERT(bytes.size() <= members::kMostBytes);
-    const auto read = members::decode(bytes);
+    const std::string bytes = membership::encode(d);
+    RC_ASSERT(bytes.size() <= membership::kMostBytes);
+    const auto read = membership::decode(bytes);
     RC_ASSERT(read.has_value());
-    RC_ASSERT(members::encode(*read) == bytes);
+    RC_ASSERT(membership::encode(*read) == bytes);
     std::string spoilt = bytes;
     const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size() * 8);
     spoilt[at / 8] = static_cast<char>(spoilt[at / 8] ^ (1 << at % 8));
-    RC_ASSERT(!members::decode(spoilt).has_value());
-    RC_ASSERT(!members::decode(bytes.substr(0, *rc::gen::inRange<std::size_t>(0, bytes.size()))).has_value());
+    RC_ASSERT(!membership::decode(spoilt).has_value());
+    RC_ASSERT(!membership::decode(bytes.substr(0, *rc::gen::inRange<std::size_t>(0, bytes.size()))).has_value());
   }));
 }
 
@@ -157,13 +157,13 @@
     d.stamp = {t.routers[7]->members().stamp().incarnation, 60000};
     for (const std::uint32_t ahead : {0u, 5000u}) {
       d.words.push_back(
-          {1, members::Standing::Dead, {t.routers[1]->members().stamp().incarnation + ahead, 65000}, 7});
+          {1, membership::Standing::Dead, {t.routers[1]->members().stamp().incarnation + ahead, 65000}, 7});
     }
-    std::vector<shared::Fleet::Out> out;
+    std::vector<gossip::Fleet::Out> out;
     for (std::size_t to = 0; to < 7; ++to) {
-      t.routers[to]->take(t.now, 7, members::encode(d), out);
+      t.routers[to]->take(t.now, 7, membership::encode(d), out);
       d.from = 1; // from 7's address
-      CHECK_FALSE(t.routers[to]->take(t.now, 7, members::encode(d), out));
+      CHECK_FALSE(t.routers[to]->take(t.now, 7, membership::encode(d), out));
       d.from = 7;
       CHECK_FALSE(t.routers[to]->take(t.now, 7, "not a datagram at all, but long enough", out));
     }
--- a/tests/members/model_test.cpp
+++ b/tests/membership/model_test.cpp
@@ -5,13 +5,13 @@
 #include <string_view>
 #include <unordered_set>
 
-#include "members/members.h"
+#include "membership/membership.h"
 
-namespace fernward::members {
+namespace fernward::membership {
 
 // What a router knows, as bytes: two that are alike go on alike, but for what they draw.
 struct Inside {
-  static void append(const Members& m, std::string& to) {
+  static void append(const Membership& m, std::string& to) {
     const auto add = [&](auto value) { to.append(reinterpret_cast<const char*>(&value), sizeof value); };
     const auto word = [&](const Word& w) { add(w.who), add(w.standing), add(w.by), stamp(w.stamp, to); };
     stamp(m.stamp_, to), add(m.doubt_), add(m.at_), add(m.round_);
@@ -38,8 +38,8 @@
     to.append(reinterpret_cast<const char*>(&s.incarnation), sizeof s.incarnation);
     to.append(reinterpret_cast<const char*>(&s.sequence), sizeof s.sequence);
   }
-  static Stamp known(const Members& m, Id of) { return m.all_[of].stamp; }
-  static double direct_at(const Members& m, Id of) { return m.all_[of].direct_at; }
+  static Stamp known(const Membership& m, Id of) { return m.all_[of].stamp; }
+  static double direct_at(const Membership& m, Id of) { return m.all_[of].direct_at; }
 };
 
 namespace {
@@ -47,7 +47,7 @@
 constexpr Id kThree = 3, kCrashes = 2;
 
 struct World {
-  std::vector<Members> all;
+  std::vector<Membership> all;
   std::vector<Packet> under_way;
   bool crashed = false;
   int losses = 0, rounds = 0; // that are left
@@ -78,7 +78,7 @@
     if (!(w.crashed && p.to == kCrashes)) w.all[p.to].take(w.now, p.what.from, p.what, w.under_way);
     check(before, w);
     for (Id j = 0; j < kThree; ++j) {
-      const Members &then = before.all[p.to], &now = w.all[p.to];
+      const Membership &then = before.all[p.to], &now = w.all[p.to];
       if (j == p.to || !then.alive(j) || now.alive(j)) continue;
       // Counted out by this datagram: not by words older than what is known, nor right after it spoke itself.
       by_older += std::none_of(p.what.words.begin(), p.what.words.end(), [&](const Word& word) {
@@ -94,7 +94,7 @@
     std::sort(told.begin(), told.end());
     std::string state(1, static_cast<char>(2 * w.losses + w.crashed));
     state += static_cast<char>(w.rounds);
-    for (const Members& m : w.all) Inside::append(m, state);
+    for (const Membership& m : w.all) Inside::append(m, state);
     for (const std::string& t : told) state += t;
     if (!seen.insert(std::hash<std::string>{}(state)).second) return;
     if (!w.crashed) {
@@ -128,12 +128,12 @@
 };
 
 } // namespace
-} // namespace fernward::members
+} // namespace fernward::membership
 
 TEST_CASE(
     "three routers, all orders of what they say, losses, a false word and a crash: no state that must not "
     "be") {
-  using namespace fernward::members;
+  using namespace fernward::membership;
   Model model;
   const auto play = [&](int lies, std::uint16_t lie, bool crashed, int rounds, int losses) {
     World w;
--- a/tests/members/tier.h
+++ b/tests/membership/tier.h
@@ -9,19 +9,19 @@
 #include <string>
 #include <vector>
 
-#include "numbers/numbers.h"
-#include "shared/fleet.h"
+#include "statistics/numbers.h"
+#include "gossip/fleet.h"
 
 namespace fernward::tests {
 
 struct Tier {
-  explicit Tier(std::size_t n, std::uint64_t seed = 1, members::Rules r = {})
+  explicit Tier(std::size_t n, std::uint64_t seed = 1, membership::Rules r = {})
       : rules(r), random{mix(seed)}, own(n), paused_until(n), routers(n), looks_at(n) {
     for (std::size_t i = 0; i < n; ++i) start(i);
   }
   void start(std::size_t i) { // a new process, which knows nothing
-    routers[i] = std::make_unique<shared::Fleet>(static_cast<shared::Id>(i), routers.size(),
-                                                 shared::incarnation_at(kStart + now), rules, mix(i + 77));
+    routers[i] = std::make_unique<gossip::Fleet>(static_cast<gossip::Id>(i), routers.size(),
+                                                 gossip::incarnation_at(kStart + now), rules, mix(i + 77));
     const std::uint64_t life = ++lives[i];
     looks_at[i] = now + random.unit() * look_ms();
     at(now + random.unit() * rules.period_ms, [this, i, life] { tick(i, life); });
@@ -48,18 +48,18 @@
   }
 
   static constexpr double kStart = 1.7e12;
-  // How often a router looks what has come and whether a round is due, about as peering::Link does.
+  // How often a router looks what has come and whether a round is due, about as gossip_transport::Link does.
   double look_ms() const { return std::min(100.0, 0.4 * rules.period_ms); }
-  members::Rules rules;
+  membership::Rules rules;
   Random random;
   double now = 0, loss = 0, twice = 0;
   std::function<bool(std::size_t from, std::size_t to)> passes = [](std::size_t, std::size_t) {
     return true;
   };
   std::function<void(std::size_t i)> before_tick = [](std::size_t) {};
-  std::vector<shared::Own> own;
+  std::vector<gossip::Own> own;
   std::vector<double> paused_until;
-  std::vector<std::unique_ptr<shared::Fleet>> routers;
+  std::vector<std::unique_ptr<gossip::Fleet>> routers;
   std::vector<double> looks_at; // once, and a look apart ever after
   std::map<std::size_t, std::uint64_t> lives;
   std::uint64_t datagrams = 0, bytes = 0;
@@ -69,7 +69,7 @@
     if (lives[i] != life) return;
     if (now < paused_until[i]) return at(paused_until[i], [this, i, life] { tick(i, life); });
     before_tick(i);
-    std::vector<shared::Fleet::Out> out;
+    std::vector<gossip::Fleet::Out> out;
     routers[i]->tick(now, own[i], out);
     send(i, out);
     at(look(i, routers[i]->next() - look_ms() / 2), [this, i, life] { tick(i, life); });
@@ -78,7 +78,7 @@
     const double apart = look_ms();
     return looks_at[i] + apart * std::ceil((from - looks_at[i]) / apart);
   }
-  void send(std::size_t from, const std::vector<shared::Fleet::Out>& out) {
+  void send(std::size_t from, const std::vector<gossip::Fleet::Out>& out) {
     for (const auto& o : out) {
       ++datagrams, bytes += o.bytes.size();
       for (int copies = random.unit() < twice ? 2 : 1; copies > 0; --copies) {
@@ -91,8 +91,8 @@
     if (!passes(from, to) || routers[to] == nullptr) return;
     if (now < paused_until[to])
       return at(paused_until[to], [this, from, to, what] { deliver(from, to, what); });
-    std::vector<shared::Fleet::Out> out;
-    routers[to]->take(now, static_cast<shared::Id>(from), what, out);
+    std::vector<gossip::Fleet::Out> out;
+    routers[to]->take(now, static_cast<gossip::Id>(from), what, out);
     send(to, out);
   }
   std::multimap<double, std::function<void()>> agenda;
--- a/tests/memcache/codec_test.cpp
+++ b/tests/memcache/codec_test.cpp
@@ -167,16 +167,16 @@
   const auto means = [](Opcode op, Status s) {
     return meaning(static_cast<std::uint8_t>(op), static_cast<std::uint16_t>(s));
   };
-  CHECK(means(Opcode::GetQ, Status::Ok) == Result::Ok);
-  CHECK(means(Opcode::GetQ, Status::NotFound) == Result::Miss);
-  CHECK(means(Opcode::Delete, Status::NotFound) == Result::Ok); // it ran
-  CHECK(means(Opcode::Set, Status::Exists) == Result::Ok);
-  CHECK(means(Opcode::Add, Status::NotStored) == Result::Ok);
-  CHECK(means(Opcode::Set, Status::OutOfMemory) == Result::Full);
-  CHECK(means(Opcode::Set, Status::Temporary) == Result::Full);
-  CHECK(means(Opcode::Set, Status::TooLarge) == Result::Rejected);
-  CHECK(means(Opcode::Set, Status::Internal) == Result::Error);
-  CHECK(meaning(1, 0x7777) == Result::Error);
+  CHECK(means(Opcode::GetQ, Status::Ok) == AttemptResult::Ok);
+  CHECK(means(Opcode::GetQ, Status::NotFound) == AttemptResult::CacheMiss);
+  CHECK(means(Opcode::Delete, Status::NotFound) == AttemptResult::Ok); // it ran
+  CHECK(means(Opcode::Set, Status::Exists) == AttemptResult::Ok);
+  CHECK(means(Opcode::Add, Status::NotStored) == AttemptResult::Ok);
+  CHECK(means(Opcode::Set, Status::OutOfMemory) == AttemptResult::Overloaded);
+  CHECK(means(Opcode::Set, Status::Temporary) == AttemptResult::Overloaded);
+  CHECK(means(Opcode::Set, Status::TooLarge) == AttemptResult::InvalidRequest);
+  CHECK(means(Opcode::Set, Status::Internal) == AttemptResult::Error);
+  CHECK(meaning(1, 0x7777) == AttemptResult::Error);
   const auto quiet = [](Opcode op, Status s) {
     return silent(static_cast<std::uint8_t>(op), static_cast<std::uint16_t>(s));
   };
@@ -191,7 +191,7 @@
        {End::Refused, End::Failed, End::Malformed, End::TooLarge, End::Unknown, End::NotSupported}) {
     CHECK(told.insert(status_of(end)).second);
     CHECK(text_of(end)[0] != '\0');
-    CHECK(meaning(0, static_cast<std::uint16_t>(status_of(end))) != Result::Ok);
+    CHECK(meaning(0, static_cast<std::uint16_t>(status_of(end))) != AttemptResult::Ok);
   }
 }
 
--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -38,7 +38,7 @@
       if (i % 50 == 0) renew_caches();
       const RequestId id = ++id_;
       feed(Request{.id = id, .key = id, .deadline = now_ + 400, .write = i % 9 == 0});
-      if (i % 7 == 0) feed(ClientGone{id});
+      if (i % 7 == 0) feed(ClientDisconnected{id});
       now_ += 10;
       while (!timers_.empty() && timers_.begin()->first <= now_) {
         const auto token = timers_.begin()->second;
@@ -53,42 +53,44 @@
  private:
   static Settings settings() {
     Settings s = aside_settings();
-    s.may_probe = true;
+    s.may_health_check = true;
     return s;
   }
 
   void renew_caches() {
-    ServerList list{ListKind::Full, {{.id = kOrigin, .kind = kOriginKind}}};
-    for (int i = 0; i < 5; ++i) list.servers.push_back({.id = ++server_, .booted_at = i == 0 ? now_ : 0});
+    EndpointList list{EndpointListKind::Full, {{.id = kOrigin, .kind = kOriginKind}}};
+    for (int i = 0; i < 5; ++i) list.servers.push_back({.id = ++server_, .started_at = i == 0 ? now_ : 0});
     feed(list);
   }
 
   void feed(const Event& event) {
     std::vector<Action> actions;
-    balancer_.on(now_, event, actions);
+    balancer_.on_event(now_, event, actions);
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<SetTimer>(&action))
         timers_.emplace(now_ + timer->delay_ms, timer->token);
       if (const auto* send = std::get_if<Send>(&action)) end(*send);
-      if (const auto* probe = std::get_if<Probe>(&action)) feed(ProbeResult{.server = probe->server});
+      if (const auto* probe = std::get_if<SendHealthCheck>(&action))
+        feed(HealthCheckResult{.server = probe->server});
     }
   }
 
   void end(const Send& send) {
-    constexpr std::array kEnds = {Result::Ok, Result::Miss,     Result::Ok, Result::Full,
-                                  Result::Ok, Result::TimedOut, Result::Ok, Result::ConnectFailed};
+    constexpr std::array kEnds = {
+        AttemptResult::Ok, AttemptResult::CacheMiss, AttemptResult::Ok, AttemptResult::Overloaded,
+        AttemptResult::Ok, AttemptResult::TimedOut,  AttemptResult::Ok, AttemptResult::ConnectFailed};
     const bool at_origin = send.server == kOrigin;
-    const Result result = at_origin ? Result::Ok : kEnds[send.id % kEnds.size()];
+    const AttemptResult result = at_origin ? AttemptResult::Ok : kEnds[send.id % kEnds.size()];
     std::erase_if(attempts_, [this](const auto& old) { return old.first + 200 < id_; });
     const std::uint32_t attempt = attempts_[send.id]++;
     ++sent;
-    feed(Outcome{.id = send.id,
-                 .attempt = attempt,
-                 .server = send.server,
-                 .result = result,
-                 .elapsed_ms = 5,
-                 .ended = result == Result::Ok,
-                 .report = {1, 5}});
+    feed(AttemptOutcome{.id = send.id,
+                        .attempt = attempt,
+                        .server = send.server,
+                        .result = result,
+                        .elapsed_ms = 5,
+                        .request_ended = result == AttemptResult::Ok,
+                        .load_report = {1, 5}});
   }
 
   Balancer balancer_;
@@ -112,7 +114,7 @@
 class FleetWork {
  public:
   explicit FleetWork(std::uint32_t caches) : balancer_(aside_settings(), 3) {
-    ServerList list{ListKind::Full, {{.id = kOrigin, .kind = kOriginKind}}};
+    EndpointList list{EndpointListKind::Full, {{.id = kOrigin, .kind = kOriginKind}}};
     for (std::uint32_t id = 1000; id < 1000 + caches; ++id) list.servers.push_back({.id = id});
     feed(list);
     for (int round = 0; round < kWarmUps; ++round) change(), tick(), request();
@@ -120,14 +122,14 @@
 
   long change() { // a drain and a return
     const long before = made_blocks;
-    feed(ServerList{ListKind::Delta, {{.id = 1007, .state = ServerState::Draining}}});
-    feed(ServerList{ListKind::Delta, {{.id = 1007}}});
+    feed(EndpointList{EndpointListKind::Delta, {{.id = 1007, .state = ServerState::Draining}}});
+    feed(EndpointList{EndpointListKind::Delta, {{.id = 1007}}});
     return made_blocks - before;
   }
   long replace() { // one goes, and is dropped; another comes
-    feed(ServerList{ListKind::Delta, {{.id = newest_, .state = ServerState::Gone}}});
+    feed(EndpointList{EndpointListKind::Delta, {{.id = newest_, .state = ServerState::Gone}}});
     const long before = made_blocks;
-    feed(ServerList{ListKind::Delta, {{.id = ++newest_}}});
+    feed(EndpointList{EndpointListKind::Delta, {{.id = ++newest_}}});
     tick();
     return made_blocks - before;
   }
@@ -141,10 +143,10 @@
     const long before = made_blocks;
     const RequestId id = ++id_;
     const ServerId server = feed(Request{.id = id, .key = 77, .deadline = now_ + 400});
-    Outcome answer;
+    AttemptOutcome answer;
     answer.id = id;
     answer.server = server;
-    answer.ended = true;
+    answer.request_ended = true;
     feed(answer);
     return made_blocks - before;
   }
@@ -155,7 +157,7 @@
 
   ServerId feed(const Event& event) { // whom it sends to; 0: nobody
     actions_.clear();
-    balancer_.on(now_, event, actions_);
+    balancer_.on_event(now_, event, actions_);
     ServerId sent_to = 0;
     for (const Action& action : actions_) {
       if (const auto* send = std::get_if<Send>(&action)) sent_to = send->server;
--- a/tests/model/load_test.cpp
+++ b/tests/model/load_test.cpp
@@ -66,22 +66,23 @@
 
 TEST_CASE("clients come again as their class, their habits and Retry-After allow") {
   const struct {
-    fernward::Repeat repeat;
+    fernward::Idempotency repeat;
     Heard heard;
     double after, retry_after, heed;
     double least, most; // when the next try starts after the first one's end; 0: there is none
   } cases[] = {
-      {fernward::Repeat::Safe, Heard::Failed, 100, 0, 1, 50, 150},
-      {fernward::Repeat::Safe, Heard::Refused, 100, 400, 1, 400, 400},
-      {fernward::Repeat::Safe, Heard::Refused, 100, 400, 0, 50, 150},
-      {fernward::Repeat::Safe, Heard::Refused, 100, 4000, 1, 700, 700}, // as long as clients ever heed it
-      {fernward::Repeat::Safe, Heard::Served, 100, 0, 1, 0, 0},
-      {fernward::Repeat::Safe, Heard::Refused, 1460, 0, 1, 0, 0}, // it would come too late
-      {fernward::Repeat::Keyed, Heard::Broken, 100, 0, 1, 50, 150},
-      {fernward::Repeat::Keyed, Heard::Broken, 860, 0, 1, 0, 0}, // the window is over
-      {fernward::Repeat::Keyed, Heard::Refused, 800, 0, 1, 50, 150},
-      {fernward::Repeat::Unsafe, Heard::Broken, 100, 0, 1, 0, 0},
-      {fernward::Repeat::Unsafe, Heard::Unreachable, 100, 0, 1, 50, 150},
+      {fernward::Idempotency::Idempotent, Heard::Failed, 100, 0, 1, 50, 150},
+      {fernward::Idempotency::Idempotent, Heard::Refused, 100, 400, 1, 400, 400},
+      {fernward::Idempotency::Idempotent, Heard::Refused, 100, 400, 0, 50, 150},
+      {fernward::Idempotency::Idempotent, Heard::Refused, 100, 4000, 1, 700,
+       700}, // as long as clients ever heed it
+      {fernward::Idempotency::Idempotent, Heard::Served, 100, 0, 1, 0, 0},
+      {fernward::Idempotency::Idempotent, Heard::Refused, 1460, 0, 1, 0, 0}, // it would come too late
+      {fernward::Idempotency::WithKey, Heard::Broken, 100, 0, 1, 50, 150},
+      {fernward::Idempotency::WithKey, Heard::Broken, 860, 0, 1, 0, 0}, // the window is over
+      {fernward::Idempotency::WithKey, Heard::Refused, 800, 0, 1, 50, 150},
+      {fernward::Idempotency::NonIdempotent, Heard::Broken, 100, 0, 1, 0, 0},
+      {fernward::Idempotency::NonIdempotent, Heard::Unreachable, 100, 0, 1, 50, 150},
   };
   for (const auto& c : cases) {
     Spec spec = plain_spec({Shape::Fixed, 10, 0});
--- a/tests/model/property_test.cpp
+++ b/tests/model/property_test.cpp
@@ -16,7 +16,7 @@
 
 using namespace fernward::model;
 using namespace fernward::model::test;
-using fernward::ReportField;
+using fernward::LoadReportField;
 
 namespace {
 
@@ -138,10 +138,11 @@
   kind.pause_ms = 20;
   kind.report.on = true;
   kind.report.noise = 0;
-  kind.report.fields = {ReportField::Inflight, ReportField::Queue, ReportField::Util, ReportField::Other};
+  kind.report.fields = {LoadReportField::Inflight, LoadReportField::Queue, LoadReportField::Util,
+                        LoadReportField::Other};
   ClassSpec book = spec.classes[0];
   book.write = true;
-  book.repeat = fernward::Repeat::Keyed;
+  book.repeat = fernward::Idempotency::WithKey;
   spec.classes.push_back(book);
   spec.origin.on = with_origin;
   spec.origin.capacity_per_s = 90;
@@ -299,7 +300,8 @@
     spec.clients.leave_share = *rc::gen::element(0.0, 0.2);
     spec.classes[0].give_up_ms = 200;
     spec.classes[0].repeat =
-        *rc::gen::element(fernward::Repeat::Safe, fernward::Repeat::Keyed, fernward::Repeat::Unsafe);
+        *rc::gen::element(fernward::Idempotency::Idempotent, fernward::Idempotency::WithKey,
+                          fernward::Idempotency::NonIdempotent);
     Clients clients(spec);
     struct Seen {
       int tries = 0, closed = 0;
@@ -319,7 +321,7 @@
           RC_ASSERT(start->deadline <= start->drawn.at + 200);
           RC_ASSERT(Clients::request_of(start->try_id) == start->drawn.request);
           // One that may have run comes again only where its class allows it.
-          if (s.may_have_run) RC_ASSERT(spec.classes[0].repeat != fernward::Repeat::Unsafe);
+          if (s.may_have_run) RC_ASSERT(spec.classes[0].repeat != fernward::Idempotency::NonIdempotent);
           s.out = start->try_id;
         } else if (const auto* over = std::get_if<TryOver>(&act.what)) {
           RC_ASSERT(seen[over->request].out == over->try_id);
--- a/tests/model/station_test.cpp
+++ b/tests/model/station_test.cpp
@@ -12,7 +12,7 @@
 
 using namespace fernward::model;
 using namespace fernward::model::test;
-using fernward::ReportField;
+using fernward::LoadReportField;
 
 namespace {
 
@@ -178,7 +178,7 @@
 TEST_CASE("reports are as old as said, hold the said fields and are off by the said noise") {
   Spec spec = spec_of();
   spec.kinds[0].report = {
-      true, 100, 250, 0, {ReportField::Queue, ReportField::LatencyMs, ReportField::Inflight}};
+      true, 100, 250, 0, {LoadReportField::Queue, LoadReportField::LatencyMs, LoadReportField::Inflight}};
   Rig rig(spec);
   Node& node = *rig.nodes[0];
   for (int i = 0; i < 5; ++i) node.arrive(1000, rig.attempt(1000), rig.acts);
@@ -236,18 +236,18 @@
 
 TEST_CASE("a repeat of a keyed write is dropped within the window and by those that drop together") {
   const struct {
-    fernward::Scope scope;
+    fernward::IdempotencyScope scope;
     double window, kind_window, after;
     std::size_t node; // that gets the repeat; the first write goes to node 0
     Ending ending;
-  } cases[] = {
-      {fernward::Scope::All, 1000, -1, 500, 3, Ending::Repeat},
-      {fernward::Scope::All, 1000, -1, 1500, 0, Ending::Written},
-      {fernward::Scope::All, 1000, 200, 500, 0, Ending::Written}, // the nodes forget sooner than said
-      {fernward::Scope::Zone, 1000, -1, 500, 1, Ending::Repeat},
-      {fernward::Scope::Zone, 1000, -1, 500, 3, Ending::Written},
-      {fernward::Scope::Cell, 1000, -1, 500, 1, Ending::Written},
-      {fernward::Scope::Cell, 1000, -1, 500, 0, Ending::Repeat}};
+  } cases[] = {{fernward::IdempotencyScope::All, 1000, -1, 500, 3, Ending::Repeat},
+               {fernward::IdempotencyScope::All, 1000, -1, 1500, 0, Ending::Written},
+               {fernward::IdempotencyScope::All, 1000, 200, 500, 0,
+                Ending::Written}, // the nodes forget sooner than said
+               {fernward::IdempotencyScope::Zone, 1000, -1, 500, 1, Ending::Repeat},
+               {fernward::IdempotencyScope::Zone, 1000, -1, 500, 3, Ending::Written},
+               {fernward::IdempotencyScope::Cell, 1000, -1, 500, 1, Ending::Written},
+               {fernward::IdempotencyScope::Cell, 1000, -1, 500, 0, Ending::Repeat}};
   for (const auto& c : cases) {
     Spec spec = spec_of();
     spec.zones.push_back({"there", 1});
@@ -256,7 +256,7 @@
     spec.nodes.push_back({"m", 0, 1, 2});
     spec.kinds[0].repeat_window_ms = c.kind_window;
     spec.classes[0].write = true;
-    spec.classes[0].repeat = fernward::Repeat::Keyed;
+    spec.classes[0].repeat = fernward::Idempotency::WithKey;
     spec.classes[0].scope = c.scope;
     spec.classes[0].window_ms = c.window;
     Rig rig(spec);
@@ -268,7 +268,7 @@
   }
   // What was turned away has not run: it may come again.
   Spec spec = spec_of(1, 1, 0);
-  spec.classes[0].repeat = fernward::Repeat::Keyed;
+  spec.classes[0].repeat = fernward::Idempotency::WithKey;
   Rig rig(spec);
   const Attempt busy = rig.attempt(10), refused = rig.write(9), again = rig.write(9);
   rig.nodes[0]->arrive(0, busy, rig.acts);
--- a/tests/net/bodies_stories_test.cpp
+++ b/tests/net/bodies_stories_test.cpp
@@ -191,7 +191,7 @@
   // The rest waits with the node, as no socket's buffer takes 16 MB.
   REQUIRE(w.until([&] { return w.router->bytes().held() > 300000; }));
   run_for(w.base.get(), 50);
-  CHECK(w.router->bytes().held() <= 512 * 1024 + loop::Block::size());
+  CHECK(w.router->bytes().held() <= 512 * 1024 + loop::IoBuffer::size());
   w.caches([](const http::Message&) { return ok("quick"); });
   Client other = w.client();
   for (int i = 0; i < 20; ++i) CHECK(other.ask(get("/k/2", "q" + std::to_string(i))).body == "quick");
@@ -337,7 +337,7 @@
 
 TEST_CASE(
     "what waits takes no more memory than twice its size, however it came") { // guards: blocks for crumbs
-  loop::Block block;
+  loop::IoBuffer block;
   const char* const first = block.data();
   std::vector<loop::Buffer> waiting(50);
   for (auto& buffer : waiting) {
@@ -348,8 +348,8 @@
   std::string sent;
   for (int i = 0; i < 5; ++i) {
     char* const at = block.data();
-    std::fill(at, at + loop::Block::size(), static_cast<char>('a' + i));
-    const std::size_t size = loop::Block::size() / 2 + static_cast<std::size_t>(i) * 1000;
+    std::fill(at, at + loop::IoBuffer::size(), static_cast<char>('a' + i));
+    const std::size_t size = loop::IoBuffer::size() / 2 + static_cast<std::size_t>(i) * 1000;
     large.add({at, size}, block);
     sent.append(at, size);
     CHECK(block.data() != at); // what was taken by reference is left alone
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -524,14 +524,14 @@
 
 // The client's side alone, with times of its own.
 struct Door {
-  explicit Door(const std::function<void(ingress::ListenerOptions&)>& change) {
+  explicit Door(const std::function<void(downstream::ListenerOptions&)>& change) {
     config = config::parse(config_json("127.0.0.1:1", nullptr).dump(), &no_environment);
-    ingress::ListenerOptions options;
+    downstream::ListenerOptions options;
     options.address = "127.0.0.1:0";
     options.clients.places = 20;
     change(options);
-    ingress::ListenerCalls calls;
-    calls.open = [this](loop::Handle client, exchange::Call call) {
+    downstream::ListenerCalls calls;
+    calls.open = [this](loop::Handle client, proxy::ClientRequest call) {
       asked.push_back(call.id);
       last = client;
       return static_cast<loop::Handle>(asked.size());
@@ -541,34 +541,35 @@
     calls.ready = [] { return true; };
     calls.emptied = [] {};
     calls.recall = [] { return false; };
-    listener = std::make_unique<ingress::Listener>(
+    listener = std::make_unique<downstream::Listener>(
         base.get(), deadlines, account, buffers, bytes, bodies, figures, options,
-        ingress::Rules{config.names, config.settings, {}, false}, std::move(calls));
+        downstream::Rules{config.names, config.settings, {}, false}, std::move(calls));
   }
   bool until(const std::function<bool()>& done) { return run_until(base.get(), done); }
   void refuse() { // whatever is a whole answer
-    exchange::Answer answer{exchange::Answer::Kind::Refused, {{}, bodies::Account::Hold(bytes)}, "", 1000};
+    proxy::ClientResponse answer{
+        proxy::ClientResponse::Kind::Refused, {{}, body_buffers::BufferBudget::Hold(bytes)}, "", 1000};
     listener->answer(last, std::move(answer));
   }
 
   router::BasePtr base = router::make_base();
-  loop::Deadlines deadlines{base.get()};
-  budget::Account account{40};
-  budget::Buffers buffers{1 << 20};
-  bodies::Account bytes{{}};
-  exchange::BodyStores bodies{{}, bytes, ""};
+  loop::TimerQueue deadlines{base.get()};
+  descriptors::DescriptorBudget account{40};
+  descriptors::RequestBufferBudget buffers{1 << 20};
+  body_buffers::BufferBudget bytes{{}};
+  proxy::BodyStores bodies{{}, bytes, ""};
   figures::Figures figures{{"read", "book"}};
   config::Config config;
   std::vector<std::string> asked;
   loop::Handle last = 0;
-  std::unique_ptr<ingress::Listener> listener;
+  std::unique_ptr<downstream::Listener> listener;
 };
 
 } // namespace
 
 // guards: a request that was read and lost, as the connection's time was over in the same moment
 TEST_CASE("a request that comes as its connection has rested for long enough: it is answered") {
-  Door d([](ingress::ListenerOptions& o) { o.idle_ms = 60, o.write_ms = 40; });
+  Door d([](downstream::ListenerOptions& o) { o.idle_ms = 60, o.write_ms = 40; });
   Raw client(d.listener->port(), get("/k/1", "r1"));
   REQUIRE(d.until([&] { return d.asked.size() == 1; }));
   d.refuse();
@@ -584,7 +585,7 @@
 
 // guards: the same with the first request of a connection
 TEST_CASE("a first request that comes as its connection has been silent for long enough: it is answered") {
-  Door d([](ingress::ListenerOptions& o) { o.request_ms = 60; });
+  Door d([](downstream::ListenerOptions& o) { o.request_ms = 60; });
   Raw client(d.listener->port()), silent(d.listener->port());
   REQUIRE(d.until([&] { return d.listener->connections() == 2; }));
   pass_ms(80);
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -235,7 +235,7 @@
 
   Fleet& fleet_;
   double late_ms_;
-  loop::Deadlines deadlines_{fleet_.base.get()};
+  loop::TimerQueue deadlines_{fleet_.base.get()};
   int index_ = kFirstIndex;
   const Peer* in_service_ = &fleet_.first;
 };
--- a/tests/net/route_table_test.cpp
+++ b/tests/net/endpoint_table_test.cpp
@@ -11,8 +11,8 @@
 #include <utility>
 #include <vector>
 
+#include "endpoints/endpoint_table.h"
 #include "peers.h"
-#include "routes/table.h"
 
 using namespace fernward;
 using namespace fernward::tests;
@@ -33,30 +33,30 @@
   return entry;
 }
 
-const routes::Target* find(const routes::Table& table, const std::string& name) {
+const endpoints::Endpoint* find(const endpoints::EndpointTable& table, const std::string& name) {
   for (const auto& [id, target] : table.targets()) {
     if (target.name == name) return &target;
   }
   return nullptr;
 }
 
-const routes::Target& target(const routes::Table& table, const std::string& name) {
-  const routes::Target* found = find(table, name);
+const endpoints::Endpoint& target(const endpoints::EndpointTable& table, const std::string& name) {
+  const endpoints::Endpoint* found = find(table, name);
   if (found == nullptr) throw std::logic_error("the table has no " + name);
   return *found;
 }
 
-std::optional<ServerState> state_of(const routes::Table& table, const std::string& name) {
-  const routes::Target* found = find(table, name);
+std::optional<ServerState> state_of(const endpoints::EndpointTable& table, const std::string& name) {
+  const endpoints::Endpoint* found = find(table, name);
   if (found == nullptr) return std::nullopt;
   return found->entry.state;
 }
 
 // What the decision module is told of a server: the last entry with its number.
-std::optional<ServerState> told_of(const ServerList& list, const std::string& name) {
+std::optional<ServerState> told_of(const EndpointList& list, const std::string& name) {
   std::optional<ServerState> state;
   for (const Server& server : list.servers) {
-    if (server.id == routes::id_of(name)) state = server.state;
+    if (server.id == endpoints::id_of(name)) state = server.state;
   }
   return state;
 }
@@ -64,14 +64,14 @@
 // A server as a follower of the whole protocol would know it: fed with each list, as router and module are.
 class Follower {
  public:
-  void take(const ServerList& list) {
-    if (list.kind == ListKind::Full) servers_.clear();
+  void take(const EndpointList& list) {
+    if (list.kind == EndpointListKind::Full) servers_.clear();
     for (const Server& server : list.servers) {
       servers_[server.id] = server.state;
       if (server.state == ServerState::Gone) servers_.erase(server.id);
     }
   }
-  bool agrees(const routes::Table& table) const {
+  bool agrees(const endpoints::EndpointTable& table) const {
     std::map<ServerId, ServerState> states;
     for (const auto& [id, target] : table.targets()) states[id] = target.entry.state;
     return states == servers_;
@@ -81,13 +81,13 @@
   std::map<ServerId, ServerState> servers_;
 };
 
-routes::Table table_of(const std::vector<Json>& endpoints) {
-  routes::Table table({"a", "b"}, {"cache", "origin"}, true);
+endpoints::EndpointTable table_of(const std::vector<Json>& endpoints) {
+  endpoints::EndpointTable table({"a", "b"}, {"cache", "origin"}, true);
   table.apply(node_list(3, kWhole, endpoints).dump()); // as discovery sends it: numbers without a sign
   return table;
 }
 
-routes::Table table_of_two() {
+endpoints::EndpointTable table_of_two() {
   return table_of({endpoint("x", "127.0.0.1:1"), endpoint("y", "127.0.0.1:2")});
 }
 
@@ -97,7 +97,7 @@
     std::map<ServerId, std::string> taken;
     for (int i = 0;; ++i) {
       const std::string name = "s-" + std::to_string(i);
-      const auto [it, added] = taken.emplace(routes::id_of(name), name);
+      const auto [it, added] = taken.emplace(endpoints::id_of(name), name);
       if (!added) return std::pair(std::min(it->second, name), std::max(it->second, name));
     }
   }();
@@ -132,16 +132,16 @@
 } // namespace
 
 TEST_CASE("the route table takes whole lists and changes") {
-  routes::Table table({"a", "b"}, {"cache", "origin"});
+  endpoints::EndpointTable table({"a", "b"}, {"cache", "origin"});
   CHECK_FALSE(table.usable());
   auto list = table.apply(node_list(3, true, {endpoint("x", "127.0.0.1:1"), endpoint("y", "127.0.0.1:2")}));
-  CHECK(list.kind == fernward::ListKind::Full);
+  CHECK(list.kind == fernward::EndpointListKind::Full);
   CHECK(list.servers.size() == 2);
   list = table.apply(node_list(4, false, {endpoint("x", "127.0.0.1:1", "terminating")}));
-  CHECK(list.kind == fernward::ListKind::Delta);
+  CHECK(list.kind == fernward::EndpointListKind::Delta);
   REQUIRE(list.servers.size() == 1);
   CHECK(list.servers[0].state == ServerState::Draining);
-  CHECK(list.servers[0].id == routes::id_of("x"));
+  CHECK(list.servers[0].id == endpoints::id_of("x"));
   list = table.apply(
       node_list(5, false, {endpoint("x", "", "terminated"), endpoint("y", "127.0.0.1:2", "odd")}));
   REQUIRE(list.servers.size() == 2);
@@ -152,7 +152,7 @@
 }
 
 TEST_CASE("a message with a damaged envelope changes nothing") { // guards: half-applied lists
-  routes::Table table = table_of({endpoint("x", "127.0.0.1:1")});
+  endpoints::EndpointTable table = table_of({endpoint("x", "127.0.0.1:1")});
   const Json sound = node_list(4, kWhole, {endpoint("z", "127.0.0.1:1")});
   for (const std::string& text : {std::string("<html>"),
                                   std::string(),
@@ -175,7 +175,7 @@
                                   with(sound, "endpoints", Json{{"z", endpoint("z", "127.0.0.1:1")}}).dump(),
                                   node_list(-4, true, {}).dump() + "x"}) {
     CAPTURE(text);
-    CHECK_THROWS_AS(table.apply(text), routes::Damaged);
+    CHECK_THROWS_AS(table.apply(text), endpoints::Damaged);
     CHECK(table.index() == 3);
     CHECK(table.targets().size() == 1);
     CHECK(state_of(table, "x") == ServerState::Ready);
@@ -187,17 +187,17 @@
   for (const auto& entries :
        {std::vector<Json>{endpoint("z", "nowhere")}, std::vector<Json>{Json{{"name", "x"}}},
         std::vector<Json>{endpoint("x", "nowhere"), Json(nullptr)}, unreadable_entries()}) {
-    routes::Table table = table_of({endpoint("x", "127.0.0.1:1")});
+    endpoints::EndpointTable table = table_of({endpoint("x", "127.0.0.1:1")});
     const std::string told = table.told();
     const std::string text = node_list(4, kWhole, entries).dump();
     CAPTURE(text);
-    CHECK_THROWS_AS(table.apply(text), routes::Damaged);
+    CHECK_THROWS_AS(table.apply(text), endpoints::Damaged);
     CHECK(table.index() == 3);
     CHECK(state_of(table, "x") == ServerState::Ready);
     CHECK(table.told() == told);
     CHECK(table.dropped_entries() == 0); // the message is refused whole, none of its entries by itself
   }
-  routes::Table table = table_of({endpoint("x", "127.0.0.1:1")});
+  endpoints::EndpointTable table = table_of({endpoint("x", "127.0.0.1:1")});
   table.apply(node_list(4, kWhole, {})); // a list that has none says so
   CHECK(table.targets().empty());
 }
@@ -205,7 +205,7 @@
 // These two were refused whole before: the sound entry counts now, and the damaged one is told by the counter.
 TEST_CASE("the sound entries beside a damaged one count") {
   for (const Json& damaged : {endpoint("y", "nowhere"), Json{{"name", "y"}}}) {
-    routes::Table table = table_of({endpoint("x", "127.0.0.1:1")});
+    endpoints::EndpointTable table = table_of({endpoint("x", "127.0.0.1:1")});
     const auto list = table.apply(node_list(4, kWhole, {endpoint("z", "127.0.0.1:1"), damaged}));
     CHECK(table.index() == 4);
     CHECK(list.servers.size() == 1);
@@ -224,13 +224,13 @@
     for (const bool damage_first : {false, true}) {
       for (const char* status : {"terminating", "terminated"}) {
         for (const Json& entry : damaged) {
-          routes::Table table = table_of_two();
+          endpoints::EndpointTable table = table_of_two();
           const Json drain = endpoint("x", "127.0.0.1:1", status);
           const std::string text =
               node_list(4, whole, damage_first ? std::vector{entry, drain} : std::vector{drain, entry})
                   .dump();
           CAPTURE(text);
-          ServerList list;
+          EndpointList list;
           REQUIRE_NOTHROW(list = table.apply(text));
           CHECK(table.index() == 4);
           CHECK(find(table, "unknown") == nullptr);
@@ -249,7 +249,7 @@
 
 TEST_CASE("entries that can't be read are dropped and counted") {
   for (const bool whole : {kWhole, kChanges}) {
-    routes::Table table = table_of_two();
+    endpoints::EndpointTable table = table_of_two();
     std::vector<Json> entries = unreadable_entries();
     entries.push_back(endpoint("x", "127.0.0.1:7"));
     const auto list = table.apply(node_list(4, whole, entries));
@@ -276,7 +276,7 @@
   for (const bool whole : {kWhole, kChanges}) {
     for (const Json& entry : damaged) {
       CAPTURE(entry.dump());
-      routes::Table table = table_of_two();
+      endpoints::EndpointTable table = table_of_two();
       REQUIRE_NOTHROW(table.apply(node_list(4, whole, {entry, endpoint("y", "127.0.0.1:2")})));
       REQUIRE(find(table, "x") != nullptr);
       CHECK(state_of(table, "x") == ServerState::Draining);
@@ -292,7 +292,7 @@
 
 // guards: drains unheard where discovery writes one field of every entry wrongly
 TEST_CASE("drains count in a whole list every entry of which has a damaged field") {
-  routes::Table table = table_of_two();
+  endpoints::EndpointTable table = table_of_two();
   REQUIRE_NOTHROW(table.apply(node_list(4, kWhole,
                                         {with(endpoint("x", "127.0.0.1:1", "terminating"), "weight", nullptr),
                                          with(endpoint("y", "127.0.0.1:2"), "weight", nullptr)})));
@@ -304,8 +304,8 @@
   for (const bool whole : {kWhole, kChanges}) {
     for (const Json& entry : doubtful_entries("x")) {
       CAPTURE(entry.dump());
-      routes::Table table = table_of_two();
-      ServerList list;
+      endpoints::EndpointTable table = table_of_two();
+      EndpointList list;
       REQUIRE_NOTHROW(list = table.apply(node_list(4, whole, {entry, endpoint("y", "127.0.0.1:2")})));
       REQUIRE(find(table, "x") != nullptr);
       CHECK(state_of(table, "x") == ServerState::Draining);
@@ -323,7 +323,7 @@
   for (const bool whole : {kWhole, kChanges}) {
     for (const Json& entry : doubtful_entries("z")) {
       CAPTURE(entry.dump());
-      routes::Table table = table_of_two();
+      endpoints::EndpointTable table = table_of_two();
       REQUIRE_NOTHROW(table.apply(node_list(4, whole, {entry, endpoint("y", "127.0.0.1:2")})));
       CHECK(find(table, "z") == nullptr);
       CHECK(table.dropped_entries() == 1);
@@ -349,7 +349,7 @@
   for (const bool whole : {kWhole, kChanges}) {
     for (const Json& entry : damaged) {
       CAPTURE(entry.dump());
-      routes::Table known = table_of({last});
+      endpoints::EndpointTable known = table_of({last});
       REQUIRE_NOTHROW(known.apply(node_list(4, whole, {entry}).dump()));
       const Server& server = target(known, "x").entry;
       CHECK(server.state == ServerState::Ready);
@@ -357,14 +357,14 @@
       CHECK(server.kind == 1);
       CHECK(server.cell == 5);
       CHECK(server.weight == 2.5);
-      CHECK(server.booted_at == 1000);
+      CHECK(server.started_at == 1000);
       CHECK(known.dropped_entries() == 0);
     }
-    routes::Table unknown = table_of({endpoint("y", "127.0.0.1:2")});
+    endpoints::EndpointTable unknown = table_of({endpoint("y", "127.0.0.1:2")});
     Json entry = endpoint("x", "127.0.0.1:1");
     for (const char* field : {"zone", "type", "group", "weight", "since_ms"}) entry[field] = nullptr;
     REQUIRE_NOTHROW(unknown.apply(node_list(4, whole, {entry}).dump()));
-    routes::Table plain =
+    endpoints::EndpointTable plain =
         table_of({Json{{"name", "x"}, {"address", "127.0.0.1:1"}, {"status", "in_service"}}});
     const Server& server = target(unknown, "x").entry;
     const Server& defaults = target(plain, "x").entry;
@@ -372,7 +372,7 @@
     CHECK(server.kind == defaults.kind);
     CHECK(server.cell == defaults.cell);
     CHECK(server.weight == 1);
-    CHECK(server.booted_at == 0);
+    CHECK(server.started_at == 0);
   }
 }
 
@@ -380,7 +380,7 @@
   for (const double weight : {-1.0, std::nan(""), std::numeric_limits<double>::infinity(),
                               -std::numeric_limits<double>::infinity()}) {
     CAPTURE(weight);
-    routes::Table table = table_of({with(endpoint("x", "127.0.0.1:1"), "weight", 3)});
+    endpoints::EndpointTable table = table_of({with(endpoint("x", "127.0.0.1:1"), "weight", 3)});
     table.apply(node_list(4, kChanges, {with(endpoint("x", "127.0.0.1:1"), "weight", weight)}));
     CHECK(target(table, "x").entry.weight == 1);
   }
@@ -392,7 +392,7 @@
   const Json gone = endpoint("x", "127.0.0.1:1", "terminated");
   for (const bool whole : {kWhole, kChanges}) {
     CAPTURE(whole);
-    routes::Table table = table_of_two();
+    endpoints::EndpointTable table = table_of_two();
     Follower follower;
     const auto play = [&](std::uint64_t index, const std::vector<Json>& entries) {
       Json message = node_list(static_cast<int>(index), whole, entries);
@@ -420,7 +420,7 @@
 }
 
 TEST_CASE("a server that a whole list names as terminated is not there") {
-  routes::Table table = table_of_two();
+  endpoints::EndpointTable table = table_of_two();
   const auto list = table.apply(
       node_list(4, kWhole, {endpoint("x", "127.0.0.1:1", "terminated"), endpoint("y", "127.0.0.1:2")}));
   CHECK(find(table, "x") == nullptr);
@@ -430,7 +430,7 @@
 }
 
 TEST_CASE("an unknown server that is terminated or draining is never in service") {
-  routes::Table table = table_of_two();
+  endpoints::EndpointTable table = table_of_two();
   const auto list = table.apply(
       node_list(4, kChanges, {endpoint("z", "127.0.0.1:3", "terminated"), endpoint("w", "", "terminating")}));
   CHECK(find(table, "z") == nullptr);
@@ -442,7 +442,7 @@
 }
 
 TEST_CASE("a draining server may move") {
-  routes::Table table = table_of_two();
+  endpoints::EndpointTable table = table_of_two();
   for (const bool whole : {kChanges, kWhole}) {
     table.apply(node_list(4, kChanges, {endpoint("x", "127.0.0.1:1", "terminating")}));
     const auto list = table.apply(node_list(5, whole, {endpoint("x", "127.0.0.1:8", "terminating")}));
@@ -466,7 +466,7 @@
           CAPTURE(drained);
           CAPTURE(status);
           const Json stays_entry = endpoint(stays, "127.0.0.1:1");
-          routes::Table table = table_of({endpoint(drained, "127.0.0.1:2"), stays_entry});
+          endpoints::EndpointTable table = table_of({endpoint(drained, "127.0.0.1:2"), stays_entry});
           Follower follower;
           follower.take(table.apply(node_list(4, kWhole, {stays_entry, endpoint(drained, "127.0.0.1:2")})));
           const Json drain = endpoint(drained, "127.0.0.1:2", status);
@@ -478,7 +478,7 @@
           CHECK(state_of(table, stays) == ServerState::Ready); // it has the number now
           CHECK(state_of(table, drained) == std::nullopt);
           // And what is told to another process makes the same table there.
-          routes::Table next({"a", "b"}, {"cache", "origin"});
+          endpoints::EndpointTable next({"a", "b"}, {"cache", "origin"});
           next.apply(table.told());
           CHECK(state_of(next, stays) == ServerState::Ready);
           // The one that stays drains too: nobody with this number is in service.
@@ -502,7 +502,7 @@
     for (const char* status : {"terminating", "terminated"}) {
       CAPTURE(unknown);
       CAPTURE(status);
-      routes::Table table = table_of({endpoint(known, "127.0.0.1:1")});
+      endpoints::EndpointTable table = table_of({endpoint(known, "127.0.0.1:1")});
       const auto list = table.apply(node_list(4, kChanges, {endpoint(unknown, "127.0.0.1:2", status)}));
       CHECK(state_of(table, known) == ServerState::Ready);
       CHECK(target(table, known).address == "127.0.0.1:1");
@@ -513,7 +513,7 @@
 
 TEST_CASE("the lesser of two names in service has the number, and the other once it is gone") {
   const auto& [lesser, greater] = names_with_one_number();
-  routes::Table table = table_of({endpoint(greater, "127.0.0.1:2")});
+  endpoints::EndpointTable table = table_of({endpoint(greater, "127.0.0.1:2")});
   table.apply(node_list(4, kChanges, {endpoint(lesser, "127.0.0.1:1")}));
   CHECK(table.targets().size() == 1);
   CHECK(state_of(table, lesser) == ServerState::Ready);
@@ -532,11 +532,11 @@
 // ---- what is told to another process ----
 
 TEST_CASE("what is told on is what counts here, damaged entries as they were understood") {
-  routes::Table table = table_of_two();
+  endpoints::EndpointTable table = table_of_two();
   table.apply(node_list(4, kChanges,
                         {without(endpoint("x", "127.0.0.1:1"), "status"),
                          with(with(endpoint("y", "127.0.0.1:7"), "weight", nullptr), "extra", "kept")}));
-  routes::Table next({"a", "b"}, {"cache", "origin"});
+  endpoints::EndpointTable next({"a", "b"}, {"cache", "origin"});
   REQUIRE_NOTHROW(next.apply(table.told()));
   CHECK(next.dropped_entries() == 0);
   CHECK(next.index() == 4);
@@ -552,11 +552,11 @@
 TEST_CASE(
     "an answer from before what is known is stale and changes nothing") { // guards: a drain that is undone
   for (const bool whole : {kWhole, kChanges}) {
-    routes::Table table = table_of({endpoint("x", "127.0.0.1:1", "terminating")});
+    endpoints::EndpointTable table = table_of({endpoint("x", "127.0.0.1:1", "terminating")});
     const Json old = node_list(2, whole, {endpoint("x", "127.0.0.1:1")});
-    CHECK_THROWS_WITH_AS(table.apply(old, 3), doctest::Contains("stale: index 2 after 3"), routes::Stale);
-    CHECK_THROWS_AS(table.apply(old.dump(), 3), routes::Stale);
-    CHECK_THROWS_AS(table.apply(old.dump(), 3), routes::Damaged);
+    CHECK_THROWS_WITH_AS(table.apply(old, 3), doctest::Contains("stale: index 2 after 3"), endpoints::Stale);
+    CHECK_THROWS_AS(table.apply(old.dump(), 3), endpoints::Stale);
+    CHECK_THROWS_AS(table.apply(old.dump(), 3), endpoints::Damaged);
     CHECK(table.index() == 3);
     CHECK(state_of(table, "x") == ServerState::Draining);
     CHECK_NOTHROW(table.apply(old, 2));
--- a/tests/net/fleet_size_test.cpp
+++ b/tests/net/fleet_size_test.cpp
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
+#include "endpoints/endpoint.h"
 #include "peers.h"
 #include "placement/ring.h"
 #include "program.h"
 #include "raw_client.h"
-#include "routes/endpoint.h"
 #include "scripted_discovery.h"
 
 using namespace fernward;
@@ -187,17 +187,17 @@
   // A key whose first candidate is the server that stands apart, by the ring that all routers have.
   void find_popular_key() {
     struct Member {
-      placement::Seat seat;
+      placement::RingWeight seat;
     };
     std::map<ServerId, Member> members;
-    for (std::size_t i = 1; i < kServers; ++i) members[routes::id_of(name_of(i))];
-    members[routes::id_of(kApart)];
+    for (std::size_t i = 1; i < kServers; ++i) members[endpoints::id_of(name_of(i))];
+    members[endpoints::id_of(kApart)];
     placement::Ring<Member> ring;
     for (auto& [id, member] : members) ring.place(id, member, kPoints);
-    const Member* const wanted = &members.at(routes::id_of(kApart));
+    const Member* const wanted = &members.at(endpoints::id_of(kApart));
     for (std::array<Member*, 1> first{}; first[0] != wanted;) {
       popular_ += 'p';
-      ring.walk(routes::hash_of(popular_), first, [](const Member&) { return true; });
+      ring.walk(endpoints::hash_of(popular_), first, [](const Member&) { return true; });
     }
   }
   bool until(const std::function<bool()>& done) { return run_until(base_.get(), done); }
--- a/tests/net/parts_test.cpp
+++ b/tests/net/parts_test.cpp
@@ -10,15 +10,15 @@
 #include <map>
 #include <random>
 
-#include "egress/codec.h"
-#include "ingress/codec.h"
+#include "downstream/codec.h"
+#include "endpoints/endpoint_file_watch.h"
+#include "endpoints/endpoint_table.h"
 #include "peers.h"
-#include "routes/file.h"
-#include "routes/table.h"
+#include "upstream/codec.h"
 
 using namespace fernward;
 using namespace fernward::tests;
-using fernward::Result;
+using fernward::AttemptResult;
 using fernward::ServerState;
 
 TEST_CASE("a faulty configuration is told by its key") { // guards: one line naming the key
@@ -107,20 +107,21 @@
 }
 
 TEST_CASE("numbers depend on the name alone, and two names never share a target") { // guards: id collisions
-  CHECK(routes::id_of("s-5be2a07c") == 1166140301u); // the same at every router and version
-  CHECK(routes::index_of("b", {"a", "b"}) == 1);
-  CHECK(routes::index_of("c", {"a", "b"}) >= 2);
-  CHECK(routes::index_of("c", {"a", "b"}) == routes::index_of("c", {"a", "b"}));
+  CHECK(endpoints::id_of("s-5be2a07c") == 1166140301u); // the same at every router and version
+  CHECK(endpoints::index_of("b", {"a", "b"}) == 1);
+  CHECK(endpoints::index_of("c", {"a", "b"}) >= 2);
+  CHECK(endpoints::index_of("c", {"a", "b"}) == endpoints::index_of("c", {"a", "b"}));
   // Two names that share a number, found by search: a birthday among 2^17 names.
   std::map<fernward::ServerId, std::string> taken;
   std::string first, second;
   for (int i = 0; second.empty(); ++i) {
-    const auto [it, added] = taken.emplace(routes::id_of("s-" + std::to_string(i)), "s-" + std::to_string(i));
+    const auto [it, added] =
+        taken.emplace(endpoints::id_of("s-" + std::to_string(i)), "s-" + std::to_string(i));
     if (!added) first = it->second, second = "s-" + std::to_string(i);
   }
   const std::string lesser = std::min(first, second);
   for (const bool swapped : {false, true}) {
-    routes::Table table({}, {});
+    endpoints::EndpointTable table({}, {});
     table.apply(node_list(1, true,
                           {endpoint(swapped ? second : first, "127.0.0.1:1"),
                            endpoint(swapped ? first : second, "127.0.0.1:2")}));
@@ -130,7 +131,7 @@
 }
 
 TEST_CASE("a handle that was kept too long finds nothing") { // guards: answers on reused slots
-  loop::Slots<int> slots(2);
+  loop::SlotMap<int> slots(2);
   const auto first = slots.add(1);
   const auto second = slots.add(2);
   CHECK(slots.add(3) == 0); // full
@@ -147,7 +148,7 @@
 
 TEST_CASE("deadlines fire in order, and not once cancelled") {
   const auto base = router::make_base();
-  loop::Deadlines deadlines(base.get());
+  loop::TimerQueue deadlines(base.get());
   std::string order;
   const double now = loop::now_ms();
   deadlines.at(now + 20, [&] { order += 'c'; });
@@ -168,7 +169,7 @@
     "what nothing waits for goes with the first deadline of its span, at its end without one, or not at "
     "all") {
   const auto base = router::make_base();
-  loop::Deadlines deadlines(base.get());
+  loop::TimerQueue deadlines(base.get());
   const double now = loop::now_ms();
   double first = 0, inner = 0, alone = 0;
   bool cancelled_ran = false;
@@ -193,11 +194,11 @@
 // guards: a heap that loses its order, or a ticket that cancels what another was given for
 TEST_CASE("thousands of deadlines, most of them cancelled: the rest fire in order, each once") {
   const auto base = router::make_base();
-  loop::Deadlines deadlines(base.get());
+  loop::TimerQueue deadlines(base.get());
   std::mt19937 draw(11);
   std::vector<std::pair<double, int>> fired; // when it was due, and its number
   std::map<int, double> due;
-  std::vector<std::pair<loop::Deadlines::Ticket, int>> tickets;
+  std::vector<std::pair<loop::TimerQueue::TimerId, int>> tickets;
   const double now = loop::now_ms();
   for (int i = 0; i < 20000; ++i) {
     const double when = now + static_cast<int>(draw() % 50); // many at the same time
@@ -221,30 +222,30 @@
     http::Message answer;
     answer.status = code;
     if (*not_processed != '\0') answer.headers.emplace_back("x-not-processed", not_processed);
-    return egress::decode(answer, {}).result;
+    return upstream::decode(answer, {}).result;
   };
-  CHECK(result(200, "") == Result::Ok);
-  CHECK(result(404, "") == Result::Miss);
-  CHECK(result(503, "1") == Result::Full);
-  CHECK(result(504, "1") == Result::Full);
-  CHECK(result(503, "") == Result::Error); // without the word it may have run
-  CHECK(result(500, "1") == Result::Error);
-  CHECK(result(301, "") == Result::Error);
-  CHECK(result(429, "") == Result::Error);
-  CHECK(result(400, "") == Result::Rejected); // the request's fault: no other would take it
+  CHECK(result(200, "") == AttemptResult::Ok);
+  CHECK(result(404, "") == AttemptResult::CacheMiss);
+  CHECK(result(503, "1") == AttemptResult::Overloaded);
+  CHECK(result(504, "1") == AttemptResult::Overloaded);
+  CHECK(result(503, "") == AttemptResult::Error); // without the word it may have run
+  CHECK(result(500, "1") == AttemptResult::Error);
+  CHECK(result(301, "") == AttemptResult::Error);
+  CHECK(result(429, "") == AttemptResult::Error);
+  CHECK(result(400, "") == AttemptResult::InvalidRequest); // the request's fault: no other would take it
 }
 
 TEST_CASE("load reports stand in the order of the settings") {
   const std::vector<std::string> fields = {"eps", "latency_ms", "queue"};
-  CHECK(egress::parse_report("queue=3, latency_ms=12.5,x9=1", fields) == std::vector<float>{-1, 12.5, 3});
-  CHECK(egress::parse_report("", fields).empty());
+  CHECK(upstream::parse_report("queue=3, latency_ms=12.5,x9=1", fields) == std::vector<float>{-1, 12.5, 3});
+  CHECK(upstream::parse_report("", fields).empty());
   // guards: a damaged report that steers requests by the part of it that can be read
   for (const char* bad :
        {"queue=3,latency_ms=x", "queue=3,noise", "queue=3,queue=4", "queue=1e30", "queue=-1"}) {
     CAPTURE(bad);
-    CHECK(egress::parse_report(bad, fields).empty());
+    CHECK(upstream::parse_report(bad, fields).empty());
   }
-  CHECK(egress::parse_report("queue=nan,eps=-1,latency_ms=1e,=,,", fields).empty());
+  CHECK(upstream::parse_report("queue=nan,eps=-1,latency_ms=1e,=,,", fields).empty());
 }
 
 TEST_CASE("what a client's headers become") {
@@ -252,7 +253,7 @@
   const auto decode = [&](const std::string& text) {
     http::Parser parser(http::Kind::Request);
     parser.feed(text);
-    return ingress::decode(parser.take(), {config.names, config.settings, {}, false});
+    return downstream::decode(parser.take(), {config.names, config.settings, {}, false});
   };
   const auto read = decode(get("/api/7f?q=a/b", "r1", "X-Cost: 12500\r\nX-Attrs: a=b\r\n"));
   CHECK(read.status == 0);
@@ -280,13 +281,13 @@
 // guards: a process that any list, any file can end
 TEST_CASE("what is nested a million deep is refused like other noise") {
   const std::string deep = std::string(2000000, '[') + std::string(2000000, ']');
-  routes::Table table({}, {}, true);
+  endpoints::EndpointTable table({}, {}, true);
   table.apply(node_list(1, true, {endpoint("s-1", "127.0.0.1:1")}));
   Json entry = endpoint("s-2", "127.0.0.1:2");
   entry["group"] = "DEEP";
   std::string text = node_list(2, true, {entry}).dump();
   text.replace(text.find("\"DEEP\""), 6, deep);
-  CHECK_THROWS_AS(table.apply(text), routes::Damaged);
+  CHECK_THROWS_AS(table.apply(text), endpoints::Damaged);
   CHECK(table.targets().size() == 1);
   std::string file = config_json("127.0.0.1:1", "DEEP").dump();
   file.replace(file.find("\"DEEP\""), 6, "{\"endpoints\":" + deep + "}");
@@ -308,7 +309,7 @@
 // guards: a list that is never read, as its one look met a moment without descriptors; a pipe that is waited for
 TEST_CASE("a node file that could not be read is read once it can be, what is no file is told") {
   const router::BasePtr base = router::make_base();
-  loop::Deadlines deadlines(base.get());
+  loop::TimerQueue deadlines(base.get());
   char folder[] = "/tmp/fernward-test-XXXXXX";
   REQUIRE(mkdtemp(folder) != nullptr);
   const std::string path = std::string(folder) + "/nodes.json";
@@ -320,7 +321,7 @@
     REQUIRE(getrlimit(RLIMIT_NOFILE, &usual) == 0);
     const rlimit none{0, usual.rlim_max};
     REQUIRE(setrlimit(RLIMIT_NOFILE, &none) == 0);
-    const routes::FileWatch watch(deadlines, path, take);
+    const endpoints::EndpointFileWatch watch(deadlines, path, take);
     const int at_first = taken;
     REQUIRE(setrlimit(RLIMIT_NOFILE, &usual) == 0);
     CHECK(at_first == 0);
@@ -329,7 +330,7 @@
   SUBCASE("a pipe") {
     REQUIRE(mkfifo(path.c_str(), 0600) == 0);
     alarm(20); // it would be waited for without end
-    const routes::FileWatch watch(deadlines, path, take);
+    const endpoints::EndpointFileWatch watch(deadlines, path, take);
     alarm(0);
     CHECK(taken == 0);
     unlink(path.c_str());
--- a/tests/net/peers.h
+++ b/tests/net/peers.h
@@ -13,8 +13,8 @@
 #include <vector>
 
 #include "http/parser.h"
-#include "loop/deadlines.h"
 #include "loop/net.h"
+#include "loop/timer_queue.h"
 #include "router/router.h"
 
 namespace fernward::tests {
--- a/tests/net/scripted_discovery.h
+++ b/tests/net/scripted_discovery.h
@@ -15,8 +15,8 @@
 #include <vector>
 
 #include "http/parser.h"
-#include "loop/deadlines.h"
 #include "loop/net.h"
+#include "loop/timer_queue.h"
 
 namespace fernward::tests {
 
--- a/tests/net/stories_test.cpp
+++ b/tests/net/stories_test.cpp
@@ -20,7 +20,7 @@
 
 using namespace fernward;
 using namespace fernward::tests;
-using fernward::Result;
+using fernward::AttemptResult;
 
 TEST_CASE("a hit: what was asked is passed on unchanged, and so is what was answered") {
   World w;
@@ -444,11 +444,11 @@
 
 namespace {
 
-struct PoolWorld : exchange::AttemptSide {
-  explicit PoolWorld(std::size_t most = 10, const egress::PoolOptions& options = {}) {
-    account = std::make_unique<budget::Account>(most);
-    pool = std::make_unique<egress::Pool>(base.get(), deadlines, *account, bytes, figures, options, *this,
-                                          [] { return false; });
+struct PoolWorld : proxy::AttemptCallbacks {
+  explicit PoolWorld(std::size_t most = 10, const upstream::ConnectionPoolOptions& options = {}) {
+    account = std::make_unique<descriptors::DescriptorBudget>(most);
+    pool = std::make_unique<upstream::ConnectionPool>(base.get(), deadlines, *account, bytes, figures,
+                                                      options, *this, [] { return false; });
     list("in_service");
   }
   void list(const std::string& state, double since_ms = 0, const std::string& address = "") {
@@ -458,39 +458,39 @@
     pool->update(table.targets());
   }
   auto start(loop::Handle attempt, const char* target = "s-1") {
-    auto call = std::make_shared<exchange::Call>();
+    auto call = std::make_shared<proxy::ClientRequest>();
     call->target = "/k/" + std::to_string(attempt);
     call->id = "r";
-    return pool->start(attempt, routes::id_of(target), call, loop::now_ms() + 5000);
+    return pool->start(attempt, endpoints::id_of(target), call, loop::now_ms() + 5000);
   }
-  void ended(loop::Handle, exchange::Ending e) override {
+  void ended(loop::Handle, proxy::AttemptCompletion e) override {
     endings.push_back(e.result);
     last = std::move(e);
   }
   double wait_until(loop::Handle) override { return 1e15; }
   bool may_write(loop::Handle) override { return waits; }
-  bool begin(loop::Handle, exchange::Opening) override { return false; }
+  bool begin(loop::Handle, proxy::ResponseHead) override { return false; }
   std::size_t room(loop::Handle) override { return 0; }
-  void pass(loop::Handle, std::string_view, loop::Block&) override {}
-  bool pass_from(loop::Handle, int, std::size_t, loop::Block&, loop::Received&, std::size_t&) override {
+  void pass(loop::Handle, std::string_view, loop::IoBuffer&) override {}
+  bool pass_from(loop::Handle, int, std::size_t, loop::IoBuffer&, loop::Received&, std::size_t&) override {
     return false;
   }
 
   router::BasePtr base = router::make_base();
-  loop::Deadlines deadlines{base.get()};
-  routes::Table table{{}, {}};
-  std::unique_ptr<budget::Account> account;
-  bodies::Account bytes{{}};
+  loop::TimerQueue deadlines{base.get()};
+  endpoints::EndpointTable table{{}, {}};
+  std::unique_ptr<descriptors::DescriptorBudget> account;
+  body_buffers::BufferBudget bytes{{}};
   figures::Figures figures{{"read"}};
-  std::vector<Result> endings;
-  exchange::Ending last;
+  std::vector<AttemptResult> endings;
+  proxy::AttemptCompletion last;
   bool waits = true; // the request of every attempt
   int connections_seen = 0;
   Peer peer{base.get(), [](const http::Message&) { return ok("v"); }};
-  std::unique_ptr<egress::Pool> pool;
+  std::unique_ptr<upstream::ConnectionPool> pool;
 };
 
-using Start = exchange::EgressSide::Start;
+using Start = proxy::UpstreamConnections::Start;
 
 } // namespace
 
@@ -499,7 +499,7 @@
   REQUIRE(w.start(1) == Start::Begun);
   w.list("terminating"); // before the loop has seen the connection come up
   CHECK(run_until(w.base.get(), [&] { return !w.endings.empty(); }));
-  CHECK(w.endings.at(0) == Result::ConnectFailed);
+  CHECK(w.endings.at(0) == AttemptResult::ConnectFailed);
   CHECK(w.start(2) == Start::NoTarget);
   run_for(w.base.get(), 30);
   CHECK(w.peer.seen.empty());
@@ -512,7 +512,7 @@
   REQUIRE(w.start(1) == Start::Begun);
   w.waits = false;
   CHECK(run_until(w.base.get(), [&] { return !w.endings.empty(); }));
-  CHECK(w.endings.at(0) == Result::Moot);
+  CHECK(w.endings.at(0) == AttemptResult::Abandoned);
   w.waits = true;
   REQUIRE(w.start(2) == Start::Begun);
   CHECK(run_until(w.base.get(), [&] { return w.endings.size() == 2; }));
@@ -553,7 +553,7 @@
   w.peer.hang_up();
   REQUIRE(w.start(2) == Start::Begun); // before the loop has seen the end
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 2; }));
-  CHECK(w.endings[1] == Result::Ok);
+  CHECK(w.endings[1] == AttemptResult::Ok);
   CHECK(w.peer.connections == 2);
 }
 
@@ -581,20 +581,20 @@
     return w.endings.back();
   };
   for (int i = 0; i < 5; ++i) {
-    CHECK(ask("s-1") == Result::Ok);
-    CHECK(ask("s-2") == Result::Ok);
+    CHECK(ask("s-1") == AttemptResult::Ok);
+    CHECK(ask("s-2") == AttemptResult::Ok);
     run_for(w.base.get(), 50);
   }
   for (int i = 0; i < 3; ++i) {
     run_for(w.base.get(), 350);
-    CHECK(ask("s-2") == Result::Ok);
+    CHECK(ask("s-2") == AttemptResult::Ok);
   }
-  CHECK(ask("s-1") != Result::Ok); // the first after a rest of a second
+  CHECK(ask("s-1") != AttemptResult::Ok); // the first after a rest of a second
   int resets = 0;
   for (int i = 0; i < 6; ++i) {
     run_for(w.base.get(), 320);
-    resets += ask("s-1") == Result::Reset;
-    CHECK(ask("s-2") == Result::Ok);
+    resets += ask("s-1") == AttemptResult::Reset;
+    CHECK(ask("s-2") == AttemptResult::Ok);
   }
   MESSAGE("of 6 requests after a rest of 320 ms " << resets
                                                   << " were written to a connection closed in silence");
@@ -605,15 +605,15 @@
   for (int i = 0; i < 3; ++i) { // after short rests the first one's connection is used on
     const int before = w.peer.connections;
     run_for(w.base.get(), 50);
-    CHECK(ask("s-1") == Result::Ok);
+    CHECK(ask("s-1") == AttemptResult::Ok);
     CHECK(w.peer.connections == before);
   }
   w.list("in_service", 5); // a new start: nothing is held against it
   w.peer.script = [](const http::Message&) { return ok("v"); };
-  CHECK(ask("s-1") == Result::Ok);
+  CHECK(ask("s-1") == AttemptResult::Ok);
   const int before = w.peer.connections;
   run_for(w.base.get(), 400);
-  CHECK(ask("s-1") == Result::Ok);
+  CHECK(ask("s-1") == AttemptResult::Ok);
   CHECK(w.peer.connections == before);
 }
 
@@ -627,7 +627,7 @@
   run_for(w.base.get(), 40);
   REQUIRE(w.start(2) == Start::Begun);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 2; }));
-  CHECK(w.last.result == Result::Reset);
+  CHECK(w.last.result == AttemptResult::Reset);
   CHECK(w.last.rested);
   CHECK(w.last.rested_ms >= 35);
   CHECK(w.last.rested_ms < 5000);
@@ -644,18 +644,18 @@
     w.list("in_service", 0, moved.address);
     w.peer.say(ok("v"));
     REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
-    CHECK(w.endings[0] == Result::Ok);
+    CHECK(w.endings[0] == AttemptResult::Ok);
   }
   SUBCASE("while a connection there is coming up") {
     REQUIRE(w.start(1) == Start::Begun);
     w.list("in_service", 0, moved.address);
     REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
-    CHECK(w.endings[0] == Result::ConnectFailed);
+    CHECK(w.endings[0] == AttemptResult::ConnectFailed);
   }
   const std::size_t before = w.peer.seen.size();
   REQUIRE(w.start(2) == Start::Begun);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 2; }));
-  CHECK(w.endings[1] == Result::Ok);
+  CHECK(w.endings[1] == AttemptResult::Ok);
   CHECK(w.peer.seen.size() == before);
   CHECK(moved.seen.size() == 1);
 }
@@ -676,7 +676,7 @@
 
 // Its machine takes the first packet and says nothing: a queue of connections that is full looks the same.
 TEST_CASE("a connection that never comes up is given up in its time, and its place comes back") {
-  egress::PoolOptions options;
+  upstream::ConnectionPoolOptions options;
   options.connect_timeout_ms = 80;
   PoolWorld w(10, options);
   const int deaf = socket(AF_INET, SOCK_STREAM, 0);
@@ -696,10 +696,10 @@
   const double begun = loop::now_ms();
   REQUIRE(w.start(1) == Start::Begun);
   REQUIRE(run_until(w.base.get(), [&] { return !w.endings.empty(); }));
-  CHECK(w.endings[0] == Result::ConnectFailed);
+  CHECK(w.endings[0] == AttemptResult::ConnectFailed);
   CHECK(loop::now_ms() - begun >= 75);
   CHECK(w.pool->connections() == 0);
-  CHECK(w.account->used(budget::Side::Targets) == 0);
+  CHECK(w.account->used(descriptors::Side::Targets) == 0);
   for (const int fd : fills) close(fd);
   close(deaf);
 }
@@ -713,7 +713,7 @@
   CHECK(w.pool->connections() == 1);
   REQUIRE(w.start(2) == Start::Begun);
   REQUIRE(run_until(w.base.get(), [&] { return !w.endings.empty(); }));
-  CHECK(w.endings[0] == Result::Ok);
+  CHECK(w.endings[0] == AttemptResult::Ok);
   CHECK(w.peer.connections == 1);
 }
 
@@ -728,26 +728,26 @@
   CHECK(no_port == Start::Full);
   CHECK(no_way == Start::NoTarget);
   CHECK(w.pool->connections() == 0);
-  CHECK(w.account->used(budget::Side::Targets) == 0);
+  CHECK(w.account->used(descriptors::Side::Targets) == 0);
 }
 
 // guards: a booking that waits a minute for a node that is not there any more
 TEST_CASE("a target that takes nothing more of a body is given up, and never ran it") {
-  egress::PoolOptions options;
+  upstream::ConnectionPoolOptions options;
   options.silent_ms = 100;
   PoolWorld w(10, options);
   w.peer.stopped = true;
-  bodies::Account bytes{{}};
-  bodies::KeepRules rules;
+  body_buffers::BufferBudget bytes{{}};
+  body_buffers::RetentionLimits rules;
   rules.ceiling = 16 << 20;
   rules.memory_most = rules.memory_all = 16 << 20;
-  exchange::BodyStores stores(rules, bytes, "");
-  loop::Block block;
-  auto call = std::make_shared<exchange::Call>();
+  proxy::BodyStores stores(rules, bytes, "");
+  loop::IoBuffer block;
+  auto call = std::make_shared<proxy::ClientRequest>();
   call->write = true;
   call->target = "/k";
   call->id = "r";
-  call->inflow = std::make_shared<exchange::Inflow>(stores, std::uint64_t{8 << 20});
+  call->inflow = std::make_shared<proxy::RequestBody>(stores, std::uint64_t{8 << 20});
   const std::string part(60000, 'b');
   while (call->inflow->come() < (8u << 20)) {
     const std::size_t most = std::min<std::size_t>(part.size(), (8u << 20) - call->inflow->come());
@@ -755,9 +755,9 @@
   }
   call->inflow->end();
   const double begun = loop::now_ms();
-  REQUIRE(w.pool->start(1, routes::id_of("s-1"), call, loop::now_ms() + 60000) == Start::Begun);
+  REQUIRE(w.pool->start(1, endpoints::id_of("s-1"), call, loop::now_ms() + 60000) == Start::Begun);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
-  CHECK(w.endings[0] == Result::ConnectFailed); // its last byte never left
+  CHECK(w.endings[0] == AttemptResult::ConnectFailed); // its last byte never left
   CHECK(loop::now_ms() - begun >= 100);
   CHECK(w.pool->connections() == 0);
   CHECK(w.peer.seen.empty());
@@ -850,11 +850,11 @@
   w.peer.script = [](const http::Message&) { return std::string("!"); };
   REQUIRE(w.start(1) == Start::Begun);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
-  CHECK(w.endings[0] == Result::Reset);
+  CHECK(w.endings[0] == AttemptResult::Reset);
   w.peer.script = [](const http::Message&) { return ok("v") + "more"; };
   REQUIRE(w.start(2) == Start::Begun);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 2; }));
-  CHECK(w.endings[1] == Result::Ok);
+  CHECK(w.endings[1] == AttemptResult::Ok);
   CHECK(w.pool->connections() == 0); // bytes behind the answer: not pooled
 }
 
@@ -873,7 +873,7 @@
   w.peer.script = [&](const http::Message&) { return spoilt; };
   REQUIRE(w.start(1) == Start::Begun);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
-  CHECK(w.endings[0] == Result::Error);
+  CHECK(w.endings[0] == AttemptResult::Error);
   CHECK(w.pool->connections() == 0);
 }
 
@@ -914,30 +914,30 @@
 
 TEST_CASE(
     "a request that the module passes over is answered as failed at its deadline") { // guards: the first rule
-  struct Clients : exchange::ClientSide {
-    void answer(loop::Handle, exchange::Answer answer) override { kinds.push_back(answer.kind); }
+  struct Clients : proxy::DownstreamConnections {
+    void answer(loop::Handle, proxy::ClientResponse answer) override { kinds.push_back(answer.kind); }
     bool present(loop::Handle) override { return true; }
-    bool begin(loop::Handle, exchange::Opening) override { return false; }
+    bool begin(loop::Handle, proxy::ResponseHead) override { return false; }
     std::size_t room(loop::Handle) override { return 0; }
-    void pass(loop::Handle, std::string_view, loop::Block&) override {}
-    bool pass_from(loop::Handle, int, std::size_t, loop::Block&, loop::Received&, std::size_t&) override {
+    void pass(loop::Handle, std::string_view, loop::IoBuffer&) override {}
+    bool pass_from(loop::Handle, int, std::size_t, loop::IoBuffer&, loop::Received&, std::size_t&) override {
       return false;
     }
     void end(loop::Handle, bool) override {}
-    std::vector<exchange::Answer::Kind> kinds;
+    std::vector<proxy::ClientResponse::Kind> kinds;
   } clients;
   PoolWorld w;
   const auto config = config::parse(config_json("127.0.0.1:1", nullptr).dump(), &no_environment);
-  exchange::Driver driver(w.base.get(), w.deadlines, fernward::Balancer(config.settings, 1), config.settings,
-                          w.bytes, {});
+  proxy::RequestDispatcher driver(w.base.get(), w.deadlines, fernward::Balancer(config.settings, 1),
+                                  config.settings, w.bytes, {});
   driver.attach(clients, *w.pool);
-  exchange::Call call;
+  proxy::ClientRequest call;
   call.category = 99; // the module knows no such class, and says nothing
   call.timeout_ms = 50;
   REQUIRE(driver.open(1, call) != 0);
   CHECK(run_until(w.base.get(), [&] { return driver.unanswered() == 0; }));
   REQUIRE(clients.kinds.size() == 1);
-  CHECK(clients.kinds[0] == exchange::Answer::Kind::Failed);
+  CHECK(clients.kinds[0] == proxy::ClientResponse::Kind::Failed);
 }
 
 TEST_CASE(
--- a/tests/placement/pace_test.cpp
+++ b/tests/placement/fill_rate_limiter_test.cpp
@@ -1,5 +1,5 @@
 // The pace of fetches while keys move, and the sketch of popular keys.
-#include "placement/pace.h"
+#include "placement/fill_rate_limiter.h"
 
 #include <doctest/doctest.h>
 
@@ -8,11 +8,11 @@
 #include <map>
 #include <set>
 
-#include "placement/popularity.h"
+#include "placement/hot_key_tracker.h"
 
 using namespace fernward;
-using placement::Pace;
-using placement::Popularity;
+using placement::FillRateLimiter;
+using placement::HotKeyTracker;
 
 namespace {
 
@@ -23,7 +23,7 @@
 };
 
 // Steady traffic: `per_ms` reads, a tenth of them fetched.
-void steady(Pace& pace, Load& load, double ms, double per_ms) {
+void steady(FillRateLimiter& pace, Load& load, double ms, double per_ms) {
   for (const double end = load.now + ms; load.next(per_ms) < end;) {
     pace.read(load.now);
     if (load.random.unit() < 0.1) pace.fetched(load.now);
@@ -31,7 +31,7 @@
 }
 
 // The most fetches in any second, where every read wants one.
-std::size_t worst_second(Pace& pace, Load& load, double ms, double per_ms) {
+std::size_t worst_second(FillRateLimiter& pace, Load& load, double ms, double per_ms) {
   std::deque<double> window;
   std::size_t worst = 0;
   for (const double end = load.now + ms; load.next(per_ms) < end;) {
@@ -50,7 +50,7 @@
 TEST_CASE(
     "while a move is open fetches stay below twice the steady rate in any second, however many are wanted") {
   for (const double per_ms : {0.1, 0.4, 2.0}) {
-    Pace pace({30000, 2, 0});
+    FillRateLimiter pace({30000, 2, 0});
     Load load;
     steady(pace, load, 40000, per_ms);
     const double before = 1000 * 0.1 * per_ms;
@@ -63,7 +63,7 @@
 TEST_CASE("four routers that see unequal parts of the traffic keep to the whole without a word") {
   std::size_t all = 0;
   for (const double share : {0.4, 0.3, 0.2, 0.1}) {
-    Pace pace({30000, 2, 0});
+    FillRateLimiter pace({30000, 2, 0});
     Load load;
     steady(pace, load, 40000, share);
     pace.disturb(load.now);
@@ -73,7 +73,7 @@
 }
 
 TEST_CASE("the pace follows the traffic, as a growing fleet goes with growing traffic") {
-  Pace pace({30000, 2, 0});
+  FillRateLimiter pace({30000, 2, 0});
   Load load;
   steady(pace, load, 40000, 0.4);
   pace.disturb(load.now);
@@ -84,7 +84,7 @@
 }
 
 TEST_CASE("it holds on until what it kept back is through, and not for ever") {
-  Pace pace({10000, 2, 0});
+  FillRateLimiter pace({10000, 2, 0});
   Load load;
   steady(pace, load, 40000, 0.4);
   const double at = load.now;
@@ -94,7 +94,7 @@
   worst_second(pace, load, 30000, 0.4);
   CHECK_FALSE(pace.open(load.now));
   CHECK(load.now - at >= 40000);
-  Pace calm({10000, 2, 0});
+  FillRateLimiter calm({10000, 2, 0});
   Load quiet;
   steady(calm, quiet, 40000, 0.4);
   calm.disturb(quiet.now);
@@ -103,11 +103,11 @@
 }
 
 TEST_CASE("a router that has seen too little sets no bound, and without one set there is none") {
-  Pace fresh({30000, 2, 0});
+  FillRateLimiter fresh({30000, 2, 0});
   fresh.disturb(1e6);
   CHECK(fresh.may_fetch(1e6));
   CHECK(fresh.per_ms(1e6) == 0);
-  Pace unbound({30000, 0, 0});
+  FillRateLimiter unbound({30000, 0, 0});
   Load load;
   steady(unbound, load, 40000, 0.4);
   unbound.disturb(load.now);
@@ -115,7 +115,7 @@
 }
 
 TEST_CASE("the most popular keys of a skewed load are told from the rest, in a table that does not grow") {
-  Popularity p;
+  HotKeyTracker p;
   p.choose(0.3);
   Random random{3};
   constexpr int kKeys = 20000;
@@ -123,27 +123,28 @@
     return static_cast<std::uint64_t>(std::exp(random.unit() * std::log(static_cast<double>(kKeys))));
   };
   for (int i = 0; i < 200000; ++i) p.seen(draw());
-  std::map<Popularity::Bar, int> above;
+  std::map<HotKeyTracker::Bar, int> above;
   constexpr int kDrawn = 20000;
   for (int i = 0; i < kDrawn; ++i) {
     const std::uint64_t key = draw();
-    for (const auto bar : {Popularity::Fifth, Popularity::Half, Popularity::MostPart, Popularity::Chosen}) {
+    for (const auto bar :
+         {HotKeyTracker::Fifth, HotKeyTracker::Half, HotKeyTracker::MostPart, HotKeyTracker::Chosen}) {
       above[bar] += p.above(bar, key);
     }
   }
-  CHECK(above[Popularity::Fifth] / double{kDrawn} == doctest::Approx(0.2).epsilon(0.4));
-  CHECK(above[Popularity::Chosen] / double{kDrawn} == doctest::Approx(0.3).epsilon(0.4));
-  CHECK(above[Popularity::Half] / double{kDrawn} == doctest::Approx(0.5).epsilon(0.3));
-  CHECK(above[Popularity::MostPart] / double{kDrawn} > 0.65);
-  CHECK(p.above(Popularity::Fifth, 1));
-  CHECK_FALSE(p.above(Popularity::Half, 15000));
+  CHECK(above[HotKeyTracker::Fifth] / double{kDrawn} == doctest::Approx(0.2).epsilon(0.4));
+  CHECK(above[HotKeyTracker::Chosen] / double{kDrawn} == doctest::Approx(0.3).epsilon(0.4));
+  CHECK(above[HotKeyTracker::Half] / double{kDrawn} == doctest::Approx(0.5).epsilon(0.3));
+  CHECK(above[HotKeyTracker::MostPart] / double{kDrawn} > 0.65);
+  CHECK(p.above(HotKeyTracker::Fifth, 1));
+  CHECK_FALSE(p.above(HotKeyTracker::Half, 15000));
   SUBCASE("what was popular is forgotten once others are") {
     for (int i = 0; i < 300000; ++i) p.seen(kKeys + draw());
-    CHECK_FALSE(p.above(Popularity::Half, 1));
+    CHECK_FALSE(p.above(HotKeyTracker::Half, 1));
   }
   SUBCASE("no share chosen, no key chosen") {
     p.choose(0);
     p.seen(1);
-    CHECK_FALSE(p.above(Popularity::Chosen, 1));
+    CHECK_FALSE(p.above(HotKeyTracker::Chosen, 1));
   }
 }
--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -10,13 +10,13 @@
 #include <vector>
 
 using namespace fernward;
-using placement::Pace;
+using placement::FillRateLimiter;
 
 namespace {
 
 struct Node {
   Server entry;
-  placement::Seat seat;
+  placement::RingWeight seat;
 };
 using Placement = placement::Placement<Node>;
 
@@ -201,7 +201,7 @@
 TEST_CASE("a node that comes back as it was has its keys, one that was started anew has none") {
   Router r;
   std::vector<Server> all = servers(1, 8);
-  for (Server& s : all) s.booted_at = 1000;
+  for (Server& s : all) s.started_at = 1000;
   r.list(all);
   r.now += 60000;
   std::vector<std::uint64_t> keys;
@@ -214,16 +214,16 @@
     all.pop_back();
     r.list(all);
     r.now += 1000;
-    all.push_back({.id = 8, .booted_at = 1000});
+    all.push_back({.id = 8, .started_at = 1000});
     r.list(all);
     r.now += 1000;
   }
   for (const std::uint64_t key : keys) CHECK_FALSE(r.ask(key).moving);
-  SUBCASE("under the same id, seen to restart") { all.back().booted_at = r.now; }
+  SUBCASE("under the same id, seen to restart") { all.back().started_at = r.now; }
   SUBCASE("away and back with another start") {
     all.pop_back();
     r.list(all);
-    all.push_back({.id = 8, .booted_at = r.now});
+    all.push_back({.id = 8, .started_at = r.now});
   }
   r.list(all);
   for (const std::uint64_t key : keys) CHECK(r.ask(key).moving);
@@ -235,7 +235,7 @@
   r.list(all);
   const ServerId owner = r.owner(77);
   r.now += 60000;
-  all[owner - 1].booted_at = r.now;
+  all[owner - 1].started_at = r.now;
   r.list(all);
   const auto c = r.ask(77);
   CHECK(c.moving);
@@ -249,7 +249,7 @@
   old.list(servers(1, 8));
   old.now = fresh.now = old.now + 60000;
   std::vector<Server> grown = servers(1, 12);
-  for (std::uint32_t id = 9; id <= 12; ++id) grown[id - 1].booted_at = old.now;
+  for (std::uint32_t id = 9; id <= 12; ++id) grown[id - 1].started_at = old.now;
   old.list(grown);
   old.now += 5000, fresh.now += 5000;
   fresh.list(grown);
@@ -261,7 +261,7 @@
   CHECK(fresh.places.pace().open(fresh.now));
   Router calm; // and takes a fleet that has long been up for settled
   std::vector<Server> settled = servers(1, 8);
-  for (Server& s : settled) s.booted_at = calm.now - 10 * kSettle;
+  for (Server& s : settled) s.started_at = calm.now - 10 * kSettle;
   calm.list(settled);
   CHECK_FALSE(calm.places.pace().open(calm.now));
   for (std::uint64_t key = 1; key < 100; ++key) CHECK_FALSE(calm.ask(key).moving);
@@ -302,7 +302,7 @@
   const auto [owner, what] = r.places.fill(r.now, 7, r.ask(7));
   REQUIRE(owner != nullptr);
   CHECK(owner->entry.id == r.owner(7));
-  CHECK(what == Pace::Fill::Move);
+  CHECK(what == FillRateLimiter::Fill::Move);
   r.places.pace().filled(what);
   CHECK(r.places.fill(r.now, 7, r.ask(7)).whom == nullptr); // nothing saved up
   r.places.pace().unfilled(what);
@@ -352,13 +352,13 @@
       for (int c = 0; c < changes; ++c) {
         const int what = *rc::gen::inRange(0, 6);
         if (what <= 1 || fleet.empty()) {
-          fleet[++last] = {.id = last, .booted_at = *rc::gen::arbitrary<bool>() ? r.now : 0};
+          fleet[++last] = {.id = last, .started_at = *rc::gen::arbitrary<bool>() ? r.now : 0};
           continue;
         }
         auto it = std::next(fleet.begin(), *rc::gen::inRange<int>(0, static_cast<int>(fleet.size())));
         if (what == 2) it->second.state = ServerState::Draining;
         if (what == 3) it->second.state = ServerState::Ready;
-        if (what == 4) it->second.booted_at = r.now;
+        if (what == 4) it->second.started_at = r.now;
         if (what == 5) fleet.erase(it);
       }
       std::vector<Server> list;
--- a/tests/policy/day.h
+++ b/tests/policy/day.h
@@ -8,13 +8,13 @@
 #include <unordered_map>
 #include <vector>
 
-#include "fernward/choice.h"
-#include "numbers/numbers.h"
+#include "fernward/balancer.h"
+#include "statistics/numbers.h"
 
 namespace fernward::testing {
 
 struct Reply {
-  Result result = Result::Ok;
+  AttemptResult result = AttemptResult::Ok;
   double after_ms = 20; // never: the connection fell silent
   bool first = false;   // on its connection
 };
@@ -26,12 +26,12 @@
 
   Day(const Settings& settings, std::vector<Server> servers, Script script, std::uint64_t seed = 1)
       : settings_(settings), random_{seed * 7919}, script_(std::move(script)), balancer_(settings, seed) {
-    on(ServerList{ListKind::Full, std::move(servers)});
+    on(EndpointList{EndpointListKind::Full, std::move(servers)});
   }
 
   double now = 1e6;
   std::size_t served = 0, late = 0, failed = 0, refused = 0, sends = 0;
-  std::array<std::size_t, static_cast<std::size_t>(Why::Count)> why{};
+  std::array<std::size_t, static_cast<std::size_t>(GiveUpReason::Count)> why{};
   std::map<ServerId, std::size_t> sent_to;
   std::map<ServerId, std::size_t> most_out;
   double refused_wait_ms = 0; // how long the refused ones waited, all together
@@ -40,7 +40,7 @@
   double share_served() const {
     return asked() == 0 ? 0 : static_cast<double>(served) / static_cast<double>(asked());
   }
-  std::size_t refusals(Why reason) const { return why[static_cast<std::size_t>(reason)]; }
+  std::size_t refusals(GiveUpReason reason) const { return why[static_cast<std::size_t>(reason)]; }
   void forget_figures() {
     served = late = failed = refused = sends = 0, refused_wait_ms = 0, why = {}, sent_to.clear();
   }
@@ -57,8 +57,8 @@
       r.id = ++last_id_;
       r.key = 1 + static_cast<std::uint64_t>(random_.unit() * static_cast<double>(keys));
       r.write = random_.unit() < writes;
-      r.deadline = now + settings_.classes[0].give_up_ms;
-      open_[r.id] = {now, now + settings_.classes[0].aim_ms, {}, false};
+      r.deadline = now + settings_.classes[0].client_timeout_ms;
+      open_[r.id] = {now, now + settings_.classes[0].latency_objective_ms, {}, false};
       on(r);
     }
   }
@@ -81,7 +81,7 @@
 
   void on(const Event& event) {
     std::vector<Action> actions;
-    balancer_.on(now, event, actions);
+    balancer_.on_event(now, event, actions);
     for (const Action& a : actions) carry_out(a);
   }
   void carry_out(const Action& action) {
@@ -89,15 +89,15 @@
       start(*send);
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       queue_.emplace(now + timer->delay_ms, [this, token = timer->token] { on(TimerFired{token}); });
-    } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
-      ++refused, ++why[static_cast<std::size_t>(refuse->why)];
+    } else if (const auto* refuse = std::get_if<Reject>(&action)) {
+      ++refused, ++why[static_cast<std::size_t>(refuse->reason)];
       refused_wait_ms += now - open_.at(refuse->id).at;
       open_.at(refuse->id).over = true;
     } else if (const auto* fail = std::get_if<Fail>(&action)) {
-      ++failed, ++why[static_cast<std::size_t>(fail->why)];
+      ++failed, ++why[static_cast<std::size_t>(fail->reason)];
       open_.at(fail->id).over = true;
     } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
-      queue_.emplace(now, [this, c = *cancel] { end(c.id, c.attempt, Result::Cancelled); });
+      queue_.emplace(now, [this, c = *cancel] { end(c.id, c.attempt, AttemptResult::Cancelled); });
     }
   }
   void start(const Send& send) {
@@ -108,22 +108,22 @@
     ++sends, ++sent_to[send.server];
     most_out[send.server] = std::max(most_out[send.server], ++out_[send.server]);
     const Reply reply = script_(send.server, now, random_);
-    const double limit = asked.at + settings_.classes[0].give_up_ms - now;
+    const double limit = asked.at + settings_.classes[0].client_timeout_ms - now;
     queue_.emplace(now + std::min(reply.after_ms, limit), [this, id = send.id, attempt, reply, limit] {
-      end(id, attempt, reply.after_ms <= limit ? reply.result : Result::TimedOut, reply.first);
+      end(id, attempt, reply.after_ms <= limit ? reply.result : AttemptResult::TimedOut, reply.first);
     });
   }
-  void end(RequestId id, std::uint32_t attempt, Result result, bool first = false) {
+  void end(RequestId id, std::uint32_t attempt, AttemptResult result, bool first = false) {
     Asked& asked = open_.at(id);
     if (!asked.out[attempt]) return;
     asked.out[attempt] = false;
     const auto [server, sent_at] = servers_.at({id, attempt});
     servers_.erase({id, attempt});
     --out_[server];
-    Outcome e{id, attempt, server, result, now - sent_at, asked.over, {}, false};
-    e.first = first;
-    if (result == Result::Ok && !asked.over) {
-      asked.over = e.ended = true;
+    AttemptOutcome e{id, attempt, server, result, now - sent_at, asked.over, {}, false};
+    e.first_on_connection = first;
+    if (result == AttemptResult::Ok && !asked.over) {
+      asked.over = e.request_ended = true;
       ++(now <= asked.aim ? served : late);
     }
     on(e);
--- a/tests/policy/departures_use_test.cpp
+++ b/tests/policy/departures_use_test.cpp
@@ -34,11 +34,11 @@
     changes.push_back({.id = id, .state = state});
   }
   const bool is_whole = told == Told::WholeWithout || told == Told::WholeDraining;
-  is_whole ? node.list(whole) : node.list(changes, ListKind::Delta);
+  is_whole ? node.list(whole) : node.list(changes, EndpointListKind::Delta);
 }
 
 // Ends every attempt that is out by this result, round after round, and lets time pass.
-void play_on(Node& node, Result result) {
+void play_on(Node& node, AttemptResult result) {
   for (int round = 0; round < 8; ++round) {
     for (RequestId id = kFirst; id < kFirst + kRequests; ++id) {
       if (!node.sends_of(id).empty()) node.outcome(id, result, 30);
@@ -51,13 +51,14 @@
 
 // Requests that wait: for an answer, for a second copy, for a turn at the origin, for another's fetch.
 TEST_P(Departures, NothingIsSentThereByRequestsThatWait) {
-  for (const Result result :
-       {Result::Miss, Result::Reset, Result::ConnectFailed, Result::Full, Result::TimedOut}) {
+  for (const AttemptResult result :
+       {AttemptResult::CacheMiss, AttemptResult::Reset, AttemptResult::ConnectFailed,
+        AttemptResult::Overloaded, AttemptResult::TimedOut}) {
     Node node(aside_settings());
     node.caches(kCaches, true);
     for (int i = 0; i < kRequests; ++i) node.request(kFirst + i, 1 + i % 150, {.write = i % 7 == 0});
     for (RequestId id = kFirst; id < kFirst + kRequests / 2; ++id) {
-      if (!node.sends_of(id).empty()) node.outcome(id, Result::Miss, 3); // these want the origin
+      if (!node.sends_of(id).empty()) node.outcome(id, AttemptResult::CacheMiss, 3); // these want the origin
     }
     const std::size_t before = node.sends.size();
     std::set<ServerId> after;
@@ -93,9 +94,9 @@
     const std::size_t sent = node.sends.size();
     const ServerState state = gone ? ServerState::Gone : ServerState::Draining;
     node.list({{.id = kOrigin, .kind = kOriginKind}, {.id = kOrigin, .kind = kOriginKind, .state = state}},
-              ListKind::Delta);
+              EndpointListKind::Delta);
     for (RequestId id = kFirst; id < kFirst + kRequests; ++id) {
-      if (!node.sends_of(id).empty()) node.outcome(id, Result::Ok, 30);
+      if (!node.sends_of(id).empty()) node.outcome(id, AttemptResult::Ok, 30);
     }
     node.wait(3000);
     EXPECT_EQ(node.sends.size(), sent);
@@ -106,12 +107,12 @@
 TEST(DeparturesUse, OfAServerThatIsThereTwiceTheLastWordCounts) {
   Node node(plain_settings());
   node.caches(2);
-  node.list({{.id = 1, .state = ServerState::Draining}, {.id = 1}}, ListKind::Delta);
-  node.list({{.id = 2}, {.id = 2, .state = ServerState::Draining}}, ListKind::Delta);
+  node.list({{.id = 1, .state = ServerState::Draining}, {.id = 1}}, EndpointListKind::Delta);
+  node.list({{.id = 2}, {.id = 2, .state = ServerState::Draining}}, EndpointListKind::Delta);
   for (int i = 0; i < 20; ++i) {
     node.request(kFirst + i, i + 1);
     if (!node.sends_of(kFirst + i).empty())
-      node.outcome(kFirst + i, Result::Ok); // leaves its place to the next
+      node.outcome(kFirst + i, AttemptResult::Ok); // leaves its place to the next
   }
   EXPECT_EQ(node.sends.size(), 20u);
   for (const Send& send : node.sends) EXPECT_EQ(send.server, 1u);
--- a/tests/policy/findings_use_test.cpp
+++ b/tests/policy/findings_use_test.cpp
@@ -16,7 +16,7 @@
     const bool met = node.last_server(id) == server;
     there += met;
     node.wait(20);
-    node.outcome(id, Result::Ok);
+    node.outcome(id, AttemptResult::Ok);
   }
   return there;
 }
@@ -25,12 +25,12 @@
   Node node(plain_settings());
   node.caches(6);
   RequestId id = 0;
-  node.on(FleetFinding{1, true, node.now});
-  EXPECT_TRUE(node.balancer().avoids(1));
+  node.on(OutlierReport{1, true, node.now});
+  EXPECT_TRUE(node.balancer().is_ejected(1));
   EXPECT_EQ(first_at(node, 1, 5, id), 0);
   node.wait(3000);
   EXPECT_GE(first_at(node, 1, 40, id), 1); // its trial was answered well
-  EXPECT_FALSE(node.balancer().avoids(1));
+  EXPECT_FALSE(node.balancer().is_ejected(1));
 }
 
 TEST(FindingsUse, AnOwnGoodAnswerThatIsYoungerOutweighsWhatOthersSay) {
@@ -39,10 +39,10 @@
   RequestId id = 0;
   const double seen = node.now;
   while (first_at(node, 1, 1, id) == 0) {}
-  node.on(FleetFinding{1, true, seen});
-  EXPECT_FALSE(node.balancer().avoids(1));
-  node.on(FleetFinding{1, true, node.now + 1}); // younger than that answer
-  EXPECT_TRUE(node.balancer().avoids(1));
+  node.on(OutlierReport{1, true, seen});
+  EXPECT_FALSE(node.balancer().is_ejected(1));
+  node.on(OutlierReport{1, true, node.now + 1}); // younger than that answer
+  EXPECT_TRUE(node.balancer().is_ejected(1));
 }
 
 TEST(FindingsUse, ThatOthersHadAnswersBringsTheTrialForwardUnlessTheOwnEvidenceIsYounger) {
@@ -68,12 +68,12 @@
   node.caches(6);
   RequestId id = 0;
   first_at(node, 0, 60, id);
-  node.on(FleetFinding{1, true, node.now + 1});
+  node.on(OutlierReport{1, true, node.now + 1});
   const auto lost_at = [&](ServerId server) {
-    std::vector<Balancer::Finding> all;
-    node.balancer().findings(all);
+    std::vector<Balancer::OutlierObservation> all;
+    node.balancer().outlier_observations(all);
     for (const auto& f : all) {
-      if (f.server == server) return static_cast<int>(f.lost);
+      if (f.server == server) return static_cast<int>(f.consecutive_failures);
     }
     return -1;
   };
@@ -84,7 +84,7 @@
     node.request(id, 0x9e3779b97f4a7c15ull * id);
     const bool met = node.last_server(id) == 2;
     node.wait(20);
-    node.outcome(id, met ? Result::ConnectFailed : Result::Ok);
+    node.outcome(id, met ? AttemptResult::ConnectFailed : AttemptResult::Ok);
     lost += met;
   }
   EXPECT_EQ(lost_at(2), 2);
@@ -93,9 +93,9 @@
 TEST(FindingsUse, WordsOnUnknownServersAndTheOriginArePassedOver) {
   Node node(aside_settings());
   node.caches(3, true);
-  node.on(FleetFinding{77, true, node.now});
-  node.on(FleetFinding{kOrigin, true, node.now});
-  for (const ServerId server : {77u, kOrigin}) EXPECT_FALSE(node.balancer().avoids(server));
+  node.on(OutlierReport{77, true, node.now});
+  node.on(OutlierReport{kOrigin, true, node.now});
+  for (const ServerId server : {77u, kOrigin}) EXPECT_FALSE(node.balancer().is_ejected(server));
 }
 
 } // namespace
--- a/tests/policy/limits_use_test.cpp
+++ b/tests/policy/limits_use_test.cpp
@@ -18,9 +18,9 @@
 
 Settings tight_settings(double aim_ms) {
   Settings s = aside_settings();
-  s.nodes = 2;
-  s.classes[0].aim_ms = aim_ms;
-  s.classes[0].give_up_ms = 2 * aim_ms;
+  s.router_count = 2;
+  s.classes[0].latency_objective_ms = aim_ms;
+  s.classes[0].client_timeout_ms = 2 * aim_ms;
   return s;
 }
 
@@ -32,14 +32,14 @@
         tight_settings(190), fleet(12),
         [](ServerId server, double, Random& random) {
           if (server == kOrigin)
-            return Reply{Result::Ok, 30 + spread(random, 40)}; // no time of it in a queue
-          return random.unit() < 0.5 ? Reply{Result::Miss, 5} : Reply{Result::Ok, 15};
+            return Reply{AttemptResult::Ok, 30 + spread(random, 40)}; // no time of it in a queue
+          return random.unit() < 0.5 ? Reply{AttemptResult::CacheMiss, 5} : Reply{AttemptResult::Ok, 15};
         },
         seed);
     day.run(3000, 250, 0, 100000);
     day.forget_figures();
     day.run(10000, 250, 0, 100000);
-    EXPECT_LE(day.refusals(Why::QueuedLate), day.asked() / 100) << seed;
+    EXPECT_LE(day.refusals(GiveUpReason::QueueTimeout), day.asked() / 100) << seed;
     EXPECT_GE(day.share_served(), 0.96) << seed;
   }
 }
@@ -47,13 +47,13 @@
 // Found on days of broken connections: the retry budget was empty while the fleet had room everywhere.
 TEST(LimitsUse, ThirdOfTheAttemptsResetAndAFleetWithRoomLosesNone) {
   Day day(tight_settings(400), fleet(12), [](ServerId server, double, Random& random) {
-    if (random.unit() < 0.3) return Reply{Result::Reset, 5};
-    return Reply{Result::Ok, server == kOrigin ? 60.0 : 20.0};
+    if (random.unit() < 0.3) return Reply{AttemptResult::Reset, 5};
+    return Reply{AttemptResult::Ok, server == kOrigin ? 60.0 : 20.0};
   });
   day.run(4000, 200);
   day.forget_figures();
   day.run(8000, 200);
-  EXPECT_LE(day.refusals(Why::Allowance), day.asked() / 200);
+  EXPECT_LE(day.refusals(GiveUpReason::RetryBudgetEmpty), day.asked() / 200);
   EXPECT_GE(day.share_served(), 0.98);
 }
 
@@ -61,12 +61,12 @@
 // request, and routers that came back cut their limit again and again while the ledger was at ease.
 TEST(LimitsUse, ARouterWithoutAPlaceAtTheOriginServesAsSoonAsItHasOne) {
   Settings many = tight_settings(750);
-  many.nodes = 300;
+  many.router_count = 300;
   std::size_t turned_away = 0;
   bool full = false; // its table of connections; beside that it is at ease
   Day day(many, fleet(12), [&](ServerId server, double, Random&) {
-    if (server != kOrigin) return Reply{Result::Miss, 5};
-    return full ? ++turned_away, Reply{Result::Full, 1, true} : Reply{Result::Ok, 60};
+    if (server != kOrigin) return Reply{AttemptResult::CacheMiss, 5};
+    return full ? ++turned_away, Reply{AttemptResult::Overloaded, 1, true} : Reply{AttemptResult::Ok, 60};
   });
   day.run(3000, 12, 0.1, 100000);
   full = true;
@@ -80,7 +80,9 @@
 
 // A fleet that fails everything gains nothing by being asked twice as often.
 TEST(LimitsUse, AFleetThatFailsEverythingIsNotAskedTwiceAsOften) {
-  Day day(tight_settings(400), fleet(12), [](ServerId, double, Random&) { return Reply{Result::Error, 5}; });
+  Day day(tight_settings(400), fleet(12), [](ServerId, double, Random&) {
+    return Reply{AttemptResult::Error, 5};
+  });
   day.run(4000, 200);
   day.forget_figures();
   day.run(8000, 200);
@@ -92,14 +94,16 @@
 TEST(LimitsUse, AttemptsThatFallSilentAreAskedAgainInTime) {
   for (const bool at_origin : {false, true}) {
     Day day(tight_settings(400), fleet(12), [&](ServerId server, double, Random& random) {
-      if ((server == kOrigin) == at_origin && random.unit() < 0.1) return Reply{Result::Ok, kSilent};
-      if (server == kOrigin) return Reply{Result::Ok, 40 + spread(random, 20)};
-      return random.unit() < (at_origin ? 0.5 : 0.05) ? Reply{Result::Miss, 5} : Reply{Result::Ok, 20};
+      if ((server == kOrigin) == at_origin && random.unit() < 0.1) return Reply{AttemptResult::Ok, kSilent};
+      if (server == kOrigin) return Reply{AttemptResult::Ok, 40 + spread(random, 20)};
+      return random.unit() < (at_origin ? 0.5 : 0.05) ? Reply{AttemptResult::CacheMiss, 5}
+                                                      : Reply{AttemptResult::Ok, 20};
     });
     day.run(4000, 200, 0, 100000);
     day.forget_figures();
     day.run(10000, 200, 0, 100000);
-    EXPECT_LE(day.refusals(Why::Unanswered), day.asked() / 50) << at_origin; // one in ten falls silent
+    EXPECT_LE(day.refusals(GiveUpReason::ResponseTimeout), day.asked() / 50)
+        << at_origin; // one in ten falls silent
     EXPECT_GE(day.share_served(), 0.97) << at_origin;
   }
 }
@@ -108,9 +112,9 @@
 TEST(LimitsUse, WhoWillBeLateAtTheOriginLeavesEarly) {
   double free_at = 0;
   Day day(tight_settings(400), fleet(12), [&](ServerId server, double now, Random&) {
-    if (server != kOrigin) return Reply{Result::Miss, 3};
+    if (server != kOrigin) return Reply{AttemptResult::CacheMiss, 3};
     free_at = std::max(free_at, now) + 20; // 50 a second, one after the other
-    return Reply{Result::Ok, free_at - now};
+    return Reply{AttemptResult::Ok, free_at - now};
   });
   day.run(4000, 150, 0.04, 100000);
   day.forget_figures();
--- a/tests/policy/resize_use_test.cpp
+++ b/tests/policy/resize_use_test.cpp
@@ -14,9 +14,9 @@
 
 Settings resizing(double settle_ms = kSettle, double second_holder = 0) {
   Settings s = aside_settings();
-  s.nodes = 1;
-  s.classes[0].aim_ms = 500;
-  s.classes[0].give_up_ms = 1000;
+  s.router_count = 1;
+  s.classes[0].latency_objective_ms = 500;
+  s.classes[0].client_timeout_ms = 1000;
   s.max_attempts = 5;
   s.resize = {settle_ms, 2, second_holder};
   return s;
@@ -60,7 +60,7 @@
       node_.wait(origin ? fleet.origin_ms : fleet.cache_ms);
       if (!origin && fleet.held[at].count(key) == 0) {
         missed.push_back(at);
-        node_.outcome(id, Result::Miss, fleet.cache_ms);
+        node_.outcome(id, AttemptResult::CacheMiss, fleet.cache_ms);
         continue;
       }
       if (origin) {
@@ -68,7 +68,7 @@
         for (std::size_t i = 0; i < std::min<std::size_t>(2, missed.size()); ++i)
           fleet.held[missed[i]].insert(key);
       }
-      node_.outcome(id, Result::Ok, origin ? fleet.origin_ms : fleet.cache_ms);
+      node_.outcome(id, AttemptResult::Ok, origin ? fleet.origin_ms : fleet.cache_ms);
       return true;
     }
     return false;
@@ -138,11 +138,11 @@
   for (Node* n : {&on, &off}) n->caches(6);
   for (RequestId id = kFirst; id < kFirst + 200; ++id) {
     if (id == kFirst + 50) {
-      for (Node* n : {&on, &off}) n->list({{.id = 7}, {.id = 8}}, ListKind::Delta);
+      for (Node* n : {&on, &off}) n->list({{.id = 7}, {.id = 8}}, EndpointListKind::Delta);
     }
     for (Node* n : {&on, &off}) {
       n->request(id, id % 20 + 1);
-      n->outcome(id, Result::Ok, 20);
+      n->outcome(id, AttemptResult::Ok, 20);
     }
     ASSERT_EQ(on.last_server(id), off.last_server(id));
   }
--- a/tests/policy/slow_start_use_test.cpp
+++ b/tests/policy/slow_start_use_test.cpp
@@ -9,7 +9,7 @@
 #include <memory>
 #include <vector>
 
-#include "numbers/numbers.h"
+#include "statistics/numbers.h"
 #include "support.h"
 
 namespace fernward::testing {
@@ -38,7 +38,7 @@
     for (std::uint32_t i = 0; i < size.routers; ++i) routers_.push_back(router(i));
     for (std::uint32_t i = 1; i <= size.caches; ++i) caches_.push_back({.id = i});
     caches_.push_back({.id = kOrigin, .kind = kOriginKind});
-    for (auto& r : routers_) on(*r, ServerList{ListKind::Full, caches_});
+    for (auto& r : routers_) on(*r, EndpointList{EndpointListKind::Full, caches_});
     double sum = 0;
     for (std::uint32_t rank = 0; rank < kKeys; ++rank) below_.push_back(sum += 1.0 / (rank + 4));
   }
@@ -49,16 +49,16 @@
     for (Server& cache : caches_) {
       const bool popular = std::find(owners_.begin(), owners_.end(), cache.id) != owners_.end();
       if (cache.kind == kOriginKind || (!popular && random_.unit() >= 0.3)) continue;
-      cache.booted_at = now_;
+      cache.started_at = now_;
       cold_[cache.id];
     }
-    for (auto& r : routers_) on(*r, ServerList{ListKind::Full, caches_});
+    for (auto& r : routers_) on(*r, EndpointList{EndpointListKind::Full, caches_});
   }
   void restart_routers(double share) {
     for (std::uint32_t i = 0; i < size_.routers; ++i) {
       if (random_.unit() >= share) continue;
       routers_[i] = router(1000 + i);
-      on(*routers_[i], ServerList{ListKind::Full, caches_});
+      on(*routers_[i], EndpointList{EndpointListKind::Full, caches_});
     }
   }
   void run(double ms) {
@@ -89,7 +89,7 @@
       std::deque<double> window;
       for (const double at : times) {
         window.push_back(at);
-        while (window.front() < at - set_.tip_after_ms) window.pop_front();
+        while (window.front() < at - set_.overload_failure_ms) window.pop_front();
         worst = std::max(worst, static_cast<double>(window.size()) / allowed(at));
       }
     }
@@ -100,7 +100,7 @@
     double sent = 0, due = 0;
     for (const auto& [id, times] : cold_) {
       sent += static_cast<double>(times.size());
-      due += mean_load_per_ms() * (0.5 + 0.5 * set_.start_capacity) * (now_ - started_at_);
+      due += mean_load_per_ms() * (0.5 + 0.5 * set_.slow_start_min_capacity) * (now_ - started_at_);
     }
     return sent / due;
   }
@@ -114,18 +114,20 @@
 
   Settings settings() const {
     Settings s = aside_settings();
-    s.nodes = size_.routers;
-    s.warm_after_ms = kSlowStartMs;
-    s.start_capacity = 0.32;
-    s.fall_multiple = 4;
-    s.tip_after_ms = 2000;
+    s.router_count = size_.routers;
+    s.slow_start_ms = kSlowStartMs;
+    s.slow_start_min_capacity = 0.32;
+    s.overload_multiple = 4;
+    s.overload_failure_ms = 2000;
     return s;
   }
   std::unique_ptr<Router> router(std::uint64_t seed) const { return std::make_unique<Router>(set_, seed); }
   double mean_load_per_ms() const { return size_.requests_per_s * size_.routers / 1000 / size_.caches; }
   double allowed(double at) const {
-    const double warmth = set_.start_capacity + (1 - set_.start_capacity) * (at - started_at_) / kSlowStartMs;
-    const double n = set_.fall_multiple * warmth * mean_load_per_ms() / kUtilization * set_.tip_after_ms;
+    const double warmth =
+        set_.slow_start_min_capacity + (1 - set_.slow_start_min_capacity) * (at - started_at_) / kSlowStartMs;
+    const double n =
+        set_.overload_multiple * warmth * mean_load_per_ms() / kUtilization * set_.overload_failure_ms;
     return n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
   }
 
@@ -147,19 +149,19 @@
     std::map<RequestId, std::uint32_t> attempts;
     while (!events.empty()) {
       std::vector<Action> actions;
-      router.balancer.on(now_, events.front(), actions);
+      router.balancer.on_event(now_, events.front(), actions);
       events.pop_front();
       for (const Action& action : actions) {
         const auto* send = std::get_if<Send>(&action);
         if (send == nullptr) continue;
         if (first_sent_ == 0) first_sent_ = send->server;
-        Outcome answer;
-        answer.result = take(send->server) ? Result::Ok : Result::Full;
+        AttemptOutcome answer;
+        answer.result = take(send->server) ? AttemptResult::Ok : AttemptResult::Overloaded;
         answer.id = send->id;
         answer.attempt = attempts[send->id]++;
         answer.server = send->server;
         answer.elapsed_ms = kAnswerMs;
-        answer.ended = answer.result == Result::Ok;
+        answer.request_ended = answer.result == AttemptResult::Ok;
         events.push_back(answer);
       }
     }
@@ -171,8 +173,8 @@
     if (cold != cold_.end()) cold->second.push_back(now_);
     if (cold != cold_.end() || cache == kOrigin) return true;
     std::deque<double>& calls = warm_[cache];
-    while (!calls.empty() && calls.front() < now_ - set_.tip_after_ms) calls.pop_front();
-    if (static_cast<double>(calls.size()) >= mean_load_per_ms() / kUtilization * set_.tip_after_ms)
+    while (!calls.empty() && calls.front() < now_ - set_.overload_failure_ms) calls.pop_front();
+    if (static_cast<double>(calls.size()) >= mean_load_per_ms() / kUtilization * set_.overload_failure_ms)
       return false;
     calls.push_back(now_);
     return true;
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -24,31 +24,31 @@
     settings_.classes.clear();
     for (int i = 0; i < 3; ++i) {
       ClassSettings c;
-      c.aim_ms = pick(100, 800);
-      c.give_up_ms = 2000;
-      c.late_share = pick(0, 1) * 0.3;
-      c.worth = pick(1, 9);
-      c.repeat = static_cast<Repeat>(pick(0, 2));
-      c.scope = static_cast<Scope>(pick(0, 2));
-      c.window_ms = pick(50, 1500);
+      c.latency_objective_ms = pick(100, 800);
+      c.client_timeout_ms = 2000;
+      c.late_value_share = pick(0, 1) * 0.3;
+      c.priority_weight = pick(1, 9);
+      c.idempotency = static_cast<Idempotency>(pick(0, 2));
+      c.idempotency_scope = static_cast<IdempotencyScope>(pick(0, 2));
+      c.idempotency_window_ms = pick(50, 1500);
       settings_.classes.push_back(c);
     }
-    settings_.nodes = static_cast<std::uint32_t>(pick(1, 8));
+    settings_.router_count = static_cast<std::uint32_t>(pick(1, 8));
     settings_.origin_kind = pick(0, 2) == 0 ? -1 : 1;
-    settings_.may_duplicate = pick(0, 1) != 0;
+    settings_.may_hedge = pick(0, 1) != 0;
     settings_.may_cancel = pick(0, 1) != 0;
-    settings_.may_probe = pick(0, 1) != 0;
-    settings_.retry_advice = pick(0, 1) != 0;
+    settings_.may_health_check = pick(0, 1) != 0;
+    settings_.send_retry_after = pick(0, 1) != 0;
     settings_.max_attempts = static_cast<std::uint32_t>(pick(1, 6));
-    settings_.discovery = static_cast<Discovery>(pick(0, 1));
+    settings_.discovery = static_cast<DiscoveryMode>(pick(0, 1));
     settings_.weight_kind = static_cast<WeightKind>(pick(0, 3));
-    if (pick(0, 3) == 0) settings_.report_via = ReportVia::Never;
-    if (pick(0, 3) == 0) settings_.report_fields = {ReportField::Inflight};
+    if (pick(0, 3) == 0) settings_.load_report_source = LoadReportSource::Never;
+    if (pick(0, 3) == 0) settings_.load_report_fields = {LoadReportField::Inflight};
     balancer_ = std::make_unique<Balancer>(settings_, seed);
     for (ServerId id = 1; id <= 9; ++id) {
       servers_[id] = {.id = id, .kind = id == 9 ? 1u : 0u, .cell = id % 4, .zone = id % 3};
     }
-    announce(ListKind::Cached);
+    announce(EndpointListKind::Cached);
   }
 
   void run(int steps) {
@@ -65,17 +65,17 @@
   }
   void fault(const std::string& what) { broken.push_back(what); }
 
-  void announce(ListKind kind) {
+  void announce(EndpointListKind kind) {
     std::vector<Server> listed;
     for (const auto& [id, server] : servers_) {
-      if (kind == ListKind::Delta || server.state != ServerState::Gone) listed.push_back(server);
+      if (kind == EndpointListKind::Delta || server.state != ServerState::Gone) listed.push_back(server);
     }
-    feed(ServerList{kind, listed});
+    feed(EndpointList{kind, listed});
   }
 
   void feed(const Event& event) {
     std::vector<Action> actions;
-    balancer_->on(now_, event, actions);
+    balancer_->on_event(now_, event, actions);
     for (const Action& action : actions) std::visit([this](const auto& a) { take(a); }, action);
   }
 
@@ -103,15 +103,17 @@
   }
 
   void check_repeat(const Tracked& r, const Server& to) {
-    const ClassSettings& c = settings_.classes[r.in.cls];
+    const ClassSettings& c = settings_.classes[r.in.class_index];
     for (std::size_t i = 0; i < r.sends.size(); ++i) {
-      if (r.out[i] && !settings_.may_duplicate) fault("two attempts out at once");
-      if (!r.may_have_run[i] || c.repeat == Repeat::Safe) continue;
-      if (c.repeat == Repeat::Unsafe) fault("unsafe request repeated");
+      if (r.out[i] && !settings_.may_hedge) fault("two attempts out at once");
+      if (!r.may_have_run[i] || c.idempotency == Idempotency::Idempotent) continue;
+      if (c.idempotency == Idempotency::NonIdempotent) fault("unsafe request repeated");
       const Server& ran = servers_.at(r.sends[i].server);
-      if (now_ - r.sent_at[i] > c.window_ms) fault("keyed request repeated after its window");
-      if (c.scope == Scope::Zone && ran.zone != to.zone) fault("keyed request left its zone");
-      if (c.scope == Scope::Cell && ran.cell != to.cell) fault("keyed request left its cell");
+      if (now_ - r.sent_at[i] > c.idempotency_window_ms) fault("keyed request repeated after its window");
+      if (c.idempotency_scope == IdempotencyScope::Zone && ran.zone != to.zone)
+        fault("keyed request left its zone");
+      if (c.idempotency_scope == IdempotencyScope::Cell && ran.cell != to.cell)
+        fault("keyed request left its cell");
     }
   }
 
@@ -121,13 +123,15 @@
     if (r->ended) fault("two final answers");
     r->ended = true;
     if (now_ > r->in.deadline + 20) fault("final answer after the deadline");
-    const ClassSettings& c = settings_.classes[r->in.cls];
+    const ClassSettings& c = settings_.classes[r->in.class_index];
     const bool may_have_run = std::count(r->may_have_run.begin(), r->may_have_run.end(), true) != 0;
-    const bool repeatable = c.repeat == Repeat::Safe || (c.repeat == Repeat::Keyed && c.scope == Scope::All);
+    const bool repeatable =
+        c.idempotency == Idempotency::Idempotent ||
+        (c.idempotency == Idempotency::WithKey && c.idempotency_scope == IdempotencyScope::All);
     if (refusal && may_have_run && !repeatable) fault("refusal with a promise that does not hold");
   }
 
-  void take(const Refuse& a) { transcript += "r" + std::to_string(a.id), end(a.id, true); }
+  void take(const Reject& a) { transcript += "r" + std::to_string(a.id), end(a.id, true); }
   void take(const Fail& a) { transcript += "f" + std::to_string(a.id), end(a.id, false); }
   void take(const Cancel& a) {
     transcript += "c" + std::to_string(a.id);
@@ -139,11 +143,11 @@
     if (!(a.delay_ms >= 0)) fault("timer in the past");
     timers_.emplace(now_ + a.delay_ms, a.token);
   }
-  void take(const Probe& a) {
-    if (!settings_.may_probe) fault("Probe is not allowed");
+  void take(const SendHealthCheck& a) {
+    if (!settings_.may_health_check) fault("Probe is not allowed");
     probes_.push_back(a.server);
   }
-  void take(const Watch&) { watching_ = true; }
+  void take(const WatchEndpoints&) { watching_ = true; }
   void take(const Log&) {}
 
   void step() {
@@ -152,7 +156,7 @@
   }
 
   void tick() { // timers are due within one tick
-    now_ += settings_.tick_ms;
+    now_ += settings_.event_interval_ms;
     while (!timers_.empty() && timers_.begin()->first <= now_) {
       const auto token = timers_.begin()->second;
       timers_.erase(timers_.begin());
@@ -166,16 +170,17 @@
   void act_up() {
     switch (pick(0, 20)) {
       case 0: change_servers(); break;
-      case 1: feed(ClientGone{kept(pick(0, 5))}); break;
+      case 1: feed(ClientDisconnected{kept(pick(0, 5))}); break;
       case 2:
         if (!probes_.empty()) {
-          feed(ProbeResult{probes_.back(), 5, pick(0, 1) != 0, report()});
+          feed(HealthCheckResult{probes_.back(), 5, pick(0, 1) != 0, report()});
           probes_.pop_back();
         }
         break;
-      case 3: feed(Outcome{.id = next_ + 5, .attempt = 0, .server = 3}); break;
+      case 3: feed(AttemptOutcome{.id = next_ + 5, .attempt = 0, .server = 3}); break;
       case 4:
-        if (watching_) watching_ = false, announce(pick(0, 1) != 0 ? ListKind::Delta : ListKind::Failed);
+        if (watching_)
+          watching_ = false, announce(pick(0, 1) != 0 ? EndpointListKind::Delta : EndpointListKind::Failed);
         break;
       case 5:
       case 6:
@@ -196,21 +201,21 @@
     Server& s = servers_[static_cast<ServerId>(pick(1, 9))];
     s.state = static_cast<ServerState>(pick(0, 2));
     if (pick(0, 1) != 0) s.state = ServerState::Ready;
-    if (pick(0, 3) == 0) s.booted_at = now_;
-    announce(pick(0, 2) == 0 ? ListKind::Full : ListKind::Delta);
+    if (pick(0, 3) == 0) s.started_at = now_;
+    announce(pick(0, 2) == 0 ? EndpointListKind::Full : EndpointListKind::Delta);
   }
 
   void arrive() {
     Request in;
     in.id = ++next_;
-    in.cls = static_cast<std::uint32_t>(pick(0, 2));
+    in.class_index = static_cast<std::uint32_t>(pick(0, 2));
     in.key = static_cast<std::uint64_t>(pick(0, 30));
     in.deadline = now_ + pick(5, 900);
     in.write = pick(0, 5) == 0;
     requests_[in.id].in = in;
     feed(in);
     if (break_a_rule_ && next_ % 50 == 0) { // what a broken module would do
-      take(Refuse{in.id, 0});
+      take(Reject{in.id, 0});
       take(Send{in.id, 1, 0});
     }
   }
@@ -222,28 +227,28 @@
 
   void time_out(RequestId id, Tracked& r) {
     for (std::size_t i = 0; i < r.out.size(); ++i) {
-      if (r.out[i]) end_attempt(id, r, i, Result::TimedOut);
+      if (r.out[i]) end_attempt(id, r, i, AttemptResult::TimedOut);
     }
   }
 
-  void end_attempt(RequestId id, Tracked& r, std::size_t i, Result result) {
+  void end_attempt(RequestId id, Tracked& r, std::size_t i, AttemptResult result) {
     r.out[i] = false;
-    r.may_have_run[i] = result != Result::Full && result != Result::ConnectFailed && result != Result::Moot &&
-                        result != Result::Miss;
-    const bool over = r.ended || result == Result::Ok;
+    r.may_have_run[i] = result != AttemptResult::Overloaded && result != AttemptResult::ConnectFailed &&
+                        result != AttemptResult::Abandoned && result != AttemptResult::CacheMiss;
+    const bool over = r.ended || result == AttemptResult::Ok;
     r.ended = over;
     const ServerId server = r.sends[i].server;
-    feed(Outcome{id, static_cast<std::uint32_t>(i), server, result, now_ - r.sent_at[i], over, report(),
-                 false});
+    feed(AttemptOutcome{id, static_cast<std::uint32_t>(i), server, result, now_ - r.sent_at[i], over,
+                        report(), false});
   }
 
   void finish_some() {
     for (auto& [id, r] : requests_) {
       for (std::size_t i = 0; i < r.out.size(); ++i) {
         if (!r.out[i] || pick(0, 5) != 0) continue;
-        const Result result = static_cast<Result>(pick(0, 8));
-        if (result == Result::TimedOut) continue; // only at the deadline
-        end_attempt(id, r, i, pick(0, 2) == 0 ? Result::Ok : result);
+        const AttemptResult result = static_cast<AttemptResult>(pick(0, 8));
+        if (result == AttemptResult::TimedOut) continue; // only at the deadline
+        end_attempt(id, r, i, pick(0, 2) == 0 ? AttemptResult::Ok : result);
         break;
       }
     }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,11 +1,11 @@
 // Settings: what the wire's JSON becomes, and what is rejected.
-#include "drill/settings.h"
+#include "simulator_adapter/settings.h"
 
 #include <gtest/gtest.h>
 
 #include <cmath>
 
-#include "drill/wire.h"
+#include "simulator_adapter/wire.h"
 #include "support.h"
 
 namespace fernward {
@@ -23,25 +23,26 @@
   "telemetry": {"via": "on_probe", "columns": ["qps", "latency_ms", "queue", "x9"]}})";
 
 TEST(SettingsJson, ReadsWhatThePageNames) {
-  const Settings s = drill::parse_settings(kFull);
-  EXPECT_EQ(s.nodes, 4u);
+  const Settings s = simulator_adapter::parse_settings(kFull);
+  EXPECT_EQ(s.router_count, 4u);
   EXPECT_EQ(s.zone, 1u);
   EXPECT_EQ(s.origin_kind, 2);
   EXPECT_EQ(s.max_attempts, 6u);
-  EXPECT_DOUBLE_EQ(s.tick_ms, 2.5);
-  EXPECT_DOUBLE_EQ(s.over_share_worth, 0.2);
-  EXPECT_DOUBLE_EQ(s.warm_after_ms, 8100);
+  EXPECT_DOUBLE_EQ(s.event_interval_ms, 2.5);
+  EXPECT_DOUBLE_EQ(s.over_quota_weight, 0.2);
+  EXPECT_DOUBLE_EQ(s.slow_start_ms, 8100);
   EXPECT_DOUBLE_EQ(s.max_retry_after_ms, 900);
-  EXPECT_EQ(s.discovery, Discovery::Ask);
+  EXPECT_EQ(s.discovery, DiscoveryMode::Poll);
   EXPECT_EQ(s.weight_kind, WeightKind::Live);
-  EXPECT_EQ(s.report_via, ReportVia::Probes);
-  EXPECT_EQ(s.report_fields, (std::vector<ReportField>{ReportField::Qps, ReportField::LatencyMs,
-                                                       ReportField::Queue, ReportField::Other}));
+  EXPECT_EQ(s.load_report_source, LoadReportSource::HealthChecks);
+  EXPECT_EQ(s.load_report_fields,
+            (std::vector<LoadReportField>{LoadReportField::Qps, LoadReportField::LatencyMs,
+                                          LoadReportField::Queue, LoadReportField::Other}));
   ASSERT_EQ(s.classes.size(), 1u);
-  EXPECT_EQ(s.classes[0].repeat, Repeat::Keyed);
-  EXPECT_EQ(s.classes[0].scope, Scope::Zone);
-  EXPECT_TRUE(s.classes[0].stream);
-  EXPECT_DOUBLE_EQ(s.classes[0].late_share, 0.25);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::WithKey);
+  EXPECT_EQ(s.classes[0].idempotency_scope, IdempotencyScope::Zone);
+  EXPECT_TRUE(s.classes[0].streaming);
+  EXPECT_DOUBLE_EQ(s.classes[0].late_value_share, 0.25);
   ASSERT_EQ(s.tenants.size(), 1u);
   EXPECT_DOUBLE_EQ(s.tenants[0].quota_per_s, 45);
 }
@@ -49,15 +50,15 @@
 TEST(SettingsJson, ThroughModeHasNoOriginOnTheList) {
   std::string text = kFull;
   text.replace(text.find("aside"), 5, "thru!");
-  EXPECT_EQ(drill::parse_settings(text).origin_kind, -1);
+  EXPECT_EQ(simulator_adapter::parse_settings(text).origin_kind, -1);
 }
 
 TEST(SettingsJson, RejectsWrongTypesAndMissingKeys) {
-  EXPECT_THROW(drill::parse_settings("[1, 2]"), drill::BadInput);
-  EXPECT_THROW(drill::parse_settings(R"({"balancers": "three"})"), drill::BadInput);
+  EXPECT_THROW(simulator_adapter::parse_settings("[1, 2]"), simulator_adapter::BadInput);
+  EXPECT_THROW(simulator_adapter::parse_settings(R"({"balancers": "three"})"), simulator_adapter::BadInput);
   std::string text = kFull;
   text.replace(text.find("max_attempts"), 12, "min_attempts");
-  EXPECT_THROW(drill::parse_settings(text), drill::BadInput);
+  EXPECT_THROW(simulator_adapter::parse_settings(text), simulator_adapter::BadInput);
 }
 
 TEST(Validate, NamesTheImpossibleField) {
@@ -73,14 +74,15 @@
   };
   EXPECT_EQ(message([](Settings&) {}), "");
   EXPECT_NE(message([](Settings& s) { s.classes.clear(); }).find("classes"), std::string::npos);
-  EXPECT_NE(message([](Settings& s) { s.nodes = 0; }).find("nodes"), std::string::npos);
-  EXPECT_NE(message([](Settings& s) { s.nodes = 65537; }).find("nodes"), std::string::npos);
-  EXPECT_NE(message([](Settings& s) { s.classes[0].aim_ms = -1; }).find("classes[0].aim_ms"),
+  EXPECT_NE(message([](Settings& s) { s.router_count = 0; }).find("nodes"), std::string::npos);
+  EXPECT_NE(message([](Settings& s) { s.router_count = 65537; }).find("nodes"), std::string::npos);
+  EXPECT_NE(message([](Settings& s) { s.classes[0].latency_objective_ms = -1; }).find("classes[0].aim_ms"),
             std::string::npos);
-  EXPECT_NE(message([](Settings& s) { s.classes[0].late_share = 1.5; }).find("late_share"),
+  EXPECT_NE(message([](Settings& s) { s.classes[0].late_value_share = 1.5; }).find("late_share"),
             std::string::npos);
-  EXPECT_NE(message([](Settings& s) { s.start_capacity = -0.1; }).find("start_capacity"), std::string::npos);
-  EXPECT_NE(message([](Settings& s) { s.warm_after_ms = std::nan(""); }).find("warm_after_ms"),
+  EXPECT_NE(message([](Settings& s) { s.slow_start_min_capacity = -0.1; }).find("start_capacity"),
+            std::string::npos);
+  EXPECT_NE(message([](Settings& s) { s.slow_start_ms = std::nan(""); }).find("warm_after_ms"),
             std::string::npos);
   EXPECT_NE(message([](Settings& s) { s.max_attempts = 0; }).find("max_attempts"), std::string::npos);
 }
--- a/tests/support.h
+++ b/tests/support.h
@@ -8,22 +8,25 @@
 #include <string>
 #include <vector>
 
-#include "fernward/choice.h"
+#include "fernward/balancer.h"
 
 namespace fernward::testing {
 
 inline Settings plain_settings() {
   Settings s;
-  s.nodes = 3;
-  s.classes = {{.aim_ms = 500, .give_up_ms = 2000, .repeat = Repeat::Safe, .scope = Scope::All}};
-  s.report_via = ReportVia::Answers;
-  s.report_fields = {ReportField::Queue, ReportField::LatencyMs};
-  s.may_cancel = s.may_duplicate = true;
+  s.router_count = 3;
+  s.classes = {{.latency_objective_ms = 500,
+                .client_timeout_ms = 2000,
+                .idempotency = Idempotency::Idempotent,
+                .idempotency_scope = IdempotencyScope::All}};
+  s.load_report_source = LoadReportSource::Responses;
+  s.load_report_fields = {LoadReportField::Queue, LoadReportField::LatencyMs};
+  s.may_cancel = s.may_hedge = true;
   s.max_attempts = 5;
-  s.tick_ms = 5;
-  s.warm_after_ms = 10000;
-  s.start_capacity = 0.2;
-  s.tip_after_ms = 2000;
+  s.event_interval_ms = 5;
+  s.slow_start_ms = 10000;
+  s.slow_start_min_capacity = 0.2;
+  s.overload_failure_ms = 2000;
   return s;
 }
 
@@ -44,24 +47,24 @@
 
   std::vector<Action> on(const Event& event) {
     std::vector<Action> actions;
-    balancer_.on(now, event, actions);
+    balancer_.on_event(now, event, actions);
     for (const Action& a : actions) {
       if (const auto* send = std::get_if<Send>(&a)) {
         sends.push_back(*send);
       }
       if (const auto* timer = std::get_if<SetTimer>(&a)) timers_.emplace(now + timer->delay_ms, timer->token);
-      if (const auto* refuse = std::get_if<Refuse>(&a)) refused.push_back(*refuse);
+      if (const auto* refuse = std::get_if<Reject>(&a)) refused.push_back(*refuse);
       if (const auto* fail = std::get_if<Fail>(&a)) failed.push_back(fail->id);
       if (const auto* cancel = std::get_if<Cancel>(&a)) cancels.push_back(*cancel);
-      if (const auto* probe = std::get_if<Probe>(&a)) probes.push_back(probe->server);
+      if (const auto* probe = std::get_if<SendHealthCheck>(&a)) probes.push_back(probe->server);
       if (const auto* log = std::get_if<Log>(&a)) logs.push_back(log->text);
-      watches += std::holds_alternative<Watch>(a);
+      watches += std::holds_alternative<WatchEndpoints>(a);
     }
     return actions;
   }
 
-  void list(std::vector<Server> servers, ListKind kind = ListKind::Full) {
-    on(ServerList{kind, std::move(servers)});
+  void list(std::vector<Server> servers, EndpointListKind kind = EndpointListKind::Full) {
+    on(EndpointList{kind, std::move(servers)});
   }
 
   // Caches 1..count of one kind, and the origin where wanted.
@@ -80,9 +83,9 @@
   }
 
   // How the newest attempt of a request, or a given one, ended.
-  void outcome(RequestId id, Result result, double elapsed_ms = 20, std::vector<float> report = {},
+  void outcome(RequestId id, AttemptResult result, double elapsed_ms = 20, std::vector<float> report = {},
                int attempt = -1) {
-    Outcome e;
+    AttemptOutcome e;
     e.id = id;
     const auto sent = sends_of(id);
     const auto index = attempt < 0 ? sent.size() - 1 : static_cast<std::size_t>(attempt);
@@ -90,14 +93,14 @@
     e.server = sent.at(index).server;
     e.result = result;
     e.elapsed_ms = elapsed_ms;
-    e.ended = result == Result::Ok;
-    e.report = std::move(report);
+    e.request_ended = result == AttemptResult::Ok;
+    e.load_report = std::move(report);
     on(e);
   }
 
   void settle(RequestId id) { // as the driver does: what was withdrawn ends
     const auto sent = sends_of(id).size();
-    for (std::size_t i = 0; i < sent; ++i) outcome(id, Result::Cancelled, 1, {}, static_cast<int>(i));
+    for (std::size_t i = 0; i < sent; ++i) outcome(id, AttemptResult::Cancelled, 1, {}, static_cast<int>(i));
   }
 
   // Fires what is due on the way.
@@ -121,13 +124,13 @@
   ServerId last_server(RequestId id) const { return sends_of(id).back().server; }
   bool final_answer(RequestId id) const {
     return std::count(failed.begin(), failed.end(), id) != 0 ||
-           std::any_of(refused.begin(), refused.end(), [id](const Refuse& r) { return r.id == id; });
+           std::any_of(refused.begin(), refused.end(), [id](const Reject& r) { return r.id == id; });
   }
 
   const Balancer& balancer() const { return balancer_; }
 
   std::vector<Send> sends;
-  std::vector<Refuse> refused;
+  std::vector<Reject> refused;
   std::vector<RequestId> failed;
   std::vector<Cancel> cancels;
   std::vector<ServerId> probes;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -3,9 +3,9 @@
 
 #include <random>
 
-#include "drill/drill.h"
+#include "simulator_adapter/simulator_adapter.h"
 
-namespace fernward::drill {
+namespace fernward::simulator_adapter {
 namespace {
 
 std::string bytes(std::string_view hex) {
@@ -58,7 +58,7 @@
 }
 
 TEST(Wire, AnswersAnEmptyBatchAsPublished) {
-  Drill drill;
+  SimulatorAdapter drill;
   EXPECT_EQ(drill.answer(bytes("00000000 14000000 00000000206ec040 01000000")), bytes("08000000 01000000"));
 }
 
@@ -71,7 +71,7 @@
   EXPECT_EQ(request.id, 0x39ec95d3a91c4u);
   EXPECT_EQ(request.key, 0x91f03b7c55d20a64u);
   EXPECT_DOUBLE_EQ(request.deadline, 8652.25);
-  EXPECT_DOUBLE_EQ(request.work_ms, 12);
+  EXPECT_DOUBLE_EQ(request.expected_work_ms, 12);
   EXPECT_FALSE(request.write);
   EXPECT_EQ(in.left(), 0u);
 }
@@ -81,13 +81,13 @@
       "32 0300 c4913a5dc99e0300 0000 074a1203 01 0000000000803240 01 00000000 03 00000c430000684100004040");
   Reader in(text);
   const Record record = read_record(in);
-  const auto& outcome = std::get<Outcome>(std::get<Event>(record.body));
+  const auto& outcome = std::get<AttemptOutcome>(std::get<Event>(record.body));
   EXPECT_EQ(outcome.id, 0x39ec95d3a91c4u);
   EXPECT_EQ(outcome.server, 0x03124a07u);
-  EXPECT_EQ(outcome.result, Result::Ok);
+  EXPECT_EQ(outcome.result, AttemptResult::Ok);
   EXPECT_DOUBLE_EQ(outcome.elapsed_ms, 18.5);
-  EXPECT_TRUE(outcome.ended);
-  EXPECT_EQ(outcome.report, (std::vector<float>{140, 14.5, 3}));
+  EXPECT_TRUE(outcome.request_ended);
+  EXPECT_EQ(outcome.load_report, (std::vector<float>{140, 14.5, 3}));
 }
 
 TEST(Wire, ReadsThePublishedRosterAndAnnounce) {
@@ -98,10 +98,10 @@
   ASSERT_EQ(roster.servers.size(), 2u);
   EXPECT_EQ(roster.servers[0].id, 0x03124a07u);
   EXPECT_DOUBLE_EQ(roster.servers[1].weight, 1.5);
-  EXPECT_DOUBLE_EQ(roster.servers[1].booted_at, 6100);
+  EXPECT_DOUBLE_EQ(roster.servers[1].started_at, 6100);
   EXPECT_EQ(roster.servers[1].zone, 1u);
   const Record announce = read_record(in);
-  EXPECT_EQ(std::get<Announce>(announce.body).kind, ListKind::Cached);
+  EXPECT_EQ(std::get<Announce>(announce.body).kind, EndpointListKind::Cached);
 }
 
 TEST(Wire, WritesThePublishedActions) {
@@ -116,7 +116,7 @@
 }
 
 TEST(Wire, SendsAPublishedCallToAListedServer) {
-  Drill drill;
+  SimulatorAdapter drill;
   const std::string reply = drill.answer(settled_frame({bytes(kCall)}));
   const std::string send = bytes("0a 0300 c4913a5dc99e0300");
   const auto at = reply.find(send);
@@ -126,15 +126,15 @@
 }
 
 TEST(Wire, PassesOverANeighboursWords) {
-  Drill drill;
+  SimulatorAdapter drill;
   const std::string quiet = drill.answer(settled_frame());
-  Drill other;
+  SimulatorAdapter other;
   EXPECT_EQ(other.answer(settled_frame({bytes("5a 0300 0100 0400 68692037")})), quiet);
 }
 
 TEST(Wire, RejectsWhatIsMalformed) {
   const auto rejects = [](const std::string& input) {
-    EXPECT_THROW(Drill().answer(input), std::runtime_error);
+    EXPECT_THROW(SimulatorAdapter().answer(input), std::runtime_error);
   };
   rejects(frame({}).substr(0, 12));
   rejects(frame({}) + "x");
@@ -163,7 +163,7 @@
       std::memcpy(damaged.data() + 4, &length, sizeof length);
     }
     try {
-      EXPECT_GE(Drill().answer(damaged).size(), 8u);
+      EXPECT_GE(SimulatorAdapter().answer(damaged).size(), 8u);
     } catch (const BadInput&) {
       ++rejected;
     } catch (const std::invalid_argument&) {
@@ -174,4 +174,4 @@
 }
 
 } // namespace
-} // namespace fernward::drill
+} // namespace fernward::simulator_adapter
