--- a/bench/checking.cpp
+++ b/bench/checking.cpp
@@ -46,8 +46,8 @@
     fernward::toml_document::parse_layers(text, "big.toml", "include", nullptr, faults, layers);
   });
   bool sound = false;
-  const double checked =
-      median_ms(rounds, [&] { sound = fernward::app_config::read(text, "big.toml", nullptr, nullptr).sound(); });
+  const double checked = median_ms(
+      rounds, [&] { sound = fernward::app_config::read(text, "big.toml", nullptr, nullptr).sound(); });
   std::printf(
       "| file | sound | parsed, ms | read and checked, ms | ratio |\n| --- | --- | --- | --- | --- |\n");
   std::printf("| %zu KB | %s | %.1f | %.1f | %.2f |\n", text.size() / 1000, sound ? "yes" : "no", parsed,
--- a/lab/lies/liar.h
+++ b/lab/lies/liar.h
@@ -10,8 +10,8 @@
 #include <string_view>
 #include <vector>
 
-#include "model/plan.h"
 #include "gossip/facts.h"
+#include "model/plan.h"
 
 namespace fernward::lab::lies {
 
--- a/lab/scenario/names.cpp
+++ b/lab/scenario/names.cpp
@@ -74,24 +74,24 @@
 
 std::optional<std::uint32_t> SpecNames::find(Table table, const std::string& name) const {
   switch (table) {
-    case tables::Zones: return find_name(spec_.zones, name);
-    case tables::Kinds: return find_name(spec_.kinds, name);
-    case tables::Groups: return find_name(spec_.nodes, name);
-    case tables::Classes: return find_name(spec_.classes, name);
-    case tables::Tenants: return find_name(spec_.tenants, name);
-    case tables::Nodes: return find_node(name, spec_);
-    case tables::Routers: return find_router(name, spec_);
+    case tables::kZones: return find_name(spec_.zones, name);
+    case tables::kKinds: return find_name(spec_.kinds, name);
+    case tables::kGroups: return find_name(spec_.nodes, name);
+    case tables::kClasses: return find_name(spec_.classes, name);
+    case tables::kTenants: return find_name(spec_.tenants, name);
+    case tables::kNodes: return find_node(name, spec_);
+    case tables::kRouters: return find_router(name, spec_);
   }
   return std::nullopt;
 }
 
 std::vector<std::string> SpecNames::known(Table table) const {
   switch (table) {
-    case tables::Zones: return names(spec_.zones);
-    case tables::Kinds: return names(spec_.kinds);
-    case tables::Groups: return names(spec_.nodes);
-    case tables::Classes: return names(spec_.classes);
-    case tables::Tenants: return names(spec_.tenants);
+    case tables::kZones: return names(spec_.zones);
+    case tables::kKinds: return names(spec_.kinds);
+    case tables::kGroups: return names(spec_.nodes);
+    case tables::kClasses: return names(spec_.classes);
+    case tables::kTenants: return names(spec_.tenants);
     default: return {};
   }
 }
@@ -99,13 +99,13 @@
 std::string SpecNames::name(Table table, std::uint32_t index) const {
   const auto at = [&](const auto& items) { return index < items.size() ? items[index].name : std::string(); };
   switch (table) {
-    case tables::Zones: return at(spec_.zones);
-    case tables::Kinds: return at(spec_.kinds);
-    case tables::Groups: return at(spec_.nodes);
-    case tables::Classes: return at(spec_.classes);
-    case tables::Tenants: return at(spec_.tenants);
-    case tables::Routers: return std::string("r").append(std::to_string(index));
-    case tables::Nodes:
+    case tables::kZones: return at(spec_.zones);
+    case tables::kKinds: return at(spec_.kinds);
+    case tables::kGroups: return at(spec_.nodes);
+    case tables::kClasses: return at(spec_.classes);
+    case tables::kTenants: return at(spec_.tenants);
+    case tables::kRouters: return std::string("r").append(std::to_string(index));
+    case tables::kNodes:
       for (const model::NodeGroup& g : spec_.nodes) {
         if (index < g.count + g.standby) return g.name + "-" + std::to_string(index);
         index -= g.count + g.standby;
--- a/lab/scenario/names.h
+++ b/lab/scenario/names.h
@@ -7,8 +7,14 @@
 namespace fernward::lab {
 
 namespace tables {
-inline constexpr toml_document::Table Zones{0}, Kinds{1}, Groups{2}, Nodes{3}, Routers{4}, Classes{5}, Tenants{6};
-}
+inline constexpr toml_document::Table kZones{0};
+inline constexpr toml_document::Table kKinds{1};
+inline constexpr toml_document::Table kGroups{2};
+inline constexpr toml_document::Table kNodes{3};
+inline constexpr toml_document::Table kRouters{4};
+inline constexpr toml_document::Table kClasses{5};
+inline constexpr toml_document::Table kTenants{6};
+} // namespace tables
 
 class SpecNames : public toml_document::Names { // the Spec outlives it
  public:
--- a/lab/scenario/schema.cpp
+++ b/lab/scenario/schema.cpp
@@ -97,8 +97,8 @@
   v.amount("datagram_loss", n.datagram_loss, Unit::Share, "of the datagrams that are lost");
   v.amount("datagram_twice", n.datagram_twice, Unit::Share, "that come twice");
   each(v, "links", n.links, "pairs of zones with a delay of their own, both ways", [&](ZoneLink& l) {
-    v.ref("from", l.from, tables::Zones, true, "one zone");
-    v.ref("to", l.to, tables::Zones, true, "the other");
+    v.ref("from", l.from, tables::kZones, true, "one zone");
+    v.ref("to", l.to, tables::kZones, true, "the other");
     v.amount("delay_ms", l.delay_ms, Unit::Time, "one way, instead of `cross`");
   });
   v.leave();
@@ -149,7 +149,7 @@
 void origin(Visitor& v, OriginSpec& o) {
   v.enter("origin", "the slow store behind the caches");
   v.flag("on", o.on, "without it the nodes keep nothing and serve whatever comes");
-  v.ref("zone", o.zone, tables::Zones, false, "where it stands");
+  v.ref("zone", o.zone, tables::kZones, false, "where it stands");
   v.amount("capacity_per_s", o.capacity_per_s, Unit::Rate, "fetches of mean cost");
   v.amount("time_ms", o.time_ms, Unit::Time, "mean time of a fetch");
   v.amount("time_cv", o.time_cv, Unit::Number, "spread of it (log-normal); 0: always the mean");
@@ -177,7 +177,7 @@
   v.enter("routers", "the routers, and the settings they are given");
   each(v, "groups", r.groups, "routers of one zone; they are called r0, r1, ... in order",
        [&](RouterGroup& g) {
-         v.ref("zone", g.zone, tables::Zones, true, "where they stand");
+         v.ref("zone", g.zone, tables::kZones, true, "where they stand");
          v.count("count", g.count, "how many");
        });
   v.count("sockets", r.sockets, "descriptors that a router may hold");
@@ -324,10 +324,10 @@
 
 void who(Visitor& v, const char* member, NodePick& p, const char* doc) {
   v.enter(member, doc);
-  v.refs("nodes", p.nodes, tables::Nodes, "these alone, as GROUP-0, GROUP-1, ...; none: all");
-  maybe(v, "group", p.group, [&](auto& g) { v.ref("group", g, tables::Groups, false, "of this group"); });
-  maybe(v, "zone", p.zone, [&](auto& z) { v.ref("zone", z, tables::Zones, false, "of this zone"); });
-  maybe(v, "kind", p.kind, [&](auto& k) { v.ref("kind", k, tables::Kinds, false, "of this kind"); });
+  v.refs("nodes", p.nodes, tables::kNodes, "these alone, as GROUP-0, GROUP-1, ...; none: all");
+  maybe(v, "group", p.group, [&](auto& g) { v.ref("group", g, tables::kGroups, false, "of this group"); });
+  maybe(v, "zone", p.zone, [&](auto& z) { v.ref("zone", z, tables::kZones, false, "of this zone"); });
+  maybe(v, "kind", p.kind, [&](auto& k) { v.ref("kind", k, tables::kKinds, false, "of this kind"); });
   maybe(v, "count", p.count, [&](auto& c) { v.count("count", c, "so many of those; goes before share"); });
   v.amount("share", p.share, Unit::Share, "of those, one at least");
   v.flag("random", p.random, "drawn from the seed; false: the first in order");
@@ -336,8 +336,8 @@
 
 void who(Visitor& v, const char* member, RouterPick& p, const char* doc) {
   v.enter(member, doc);
-  v.refs("routers", p.routers, tables::Routers, "these alone, as r0, r1, ...; none: all");
-  maybe(v, "zone", p.zone, [&](auto& z) { v.ref("zone", z, tables::Zones, false, "of this zone"); });
+  v.refs("routers", p.routers, tables::kRouters, "these alone, as r0, r1, ...; none: all");
+  maybe(v, "zone", p.zone, [&](auto& z) { v.ref("zone", z, tables::kZones, false, "of this zone"); });
   maybe(v, "count", p.count, [&](auto& c) { v.count("count", c, "so many of those; goes before share"); });
   v.amount("share", p.share, Unit::Share, "of those, one at least");
   v.flag("random", p.random, "drawn from the seed; false: the first in order");
@@ -376,8 +376,8 @@
   until(v, e.until_ms);
 }
 void fields(Visitor& v, CutZones& e) {
-  v.refs("a", e.a, tables::Zones, "nothing passes between these zones");
-  v.refs("b", e.b, tables::Zones, "and these");
+  v.refs("a", e.a, tables::kZones, "nothing passes between these zones");
+  v.refs("b", e.b, tables::kZones, "and these");
   until(v, e.until_ms);
 }
 void fields(Visitor& v, CutNodes& e) {
@@ -448,13 +448,13 @@
   pick(v, "kind", e.kind, kBad, "what is wrong with them");
 }
 void fields(Visitor& v, LostZone& e) {
-  v.ref("zone", e.zone, tables::Zones, true, "all its machines and routers fall silent");
+  v.ref("zone", e.zone, tables::kZones, true, "all its machines and routers fall silent");
   until(v, e.until_ms);
   v.flag("clients_move", e.clients_move, "its clients go to the other zones; false: they are lost with it");
 }
 void fields(Visitor& v, SlowLink& e) {
-  v.ref("from", e.from, tables::Zones, true, "between this zone");
-  v.ref("to", e.to, tables::Zones, true, "and this one");
+  v.ref("from", e.from, tables::kZones, true, "between this zone");
+  v.ref("to", e.to, tables::kZones, true, "and this one");
   v.amount("factor", e.factor, Unit::Number, "the delay times this");
   until(v, e.until_ms);
 }
@@ -485,9 +485,9 @@
         [&](double& x) { v.amount("at_least", x, unit, "the least that holds, in the metric's unit"); });
   maybe(v, "at_most", b.at_most,
         [&](double& x) { v.amount("at_most", x, unit, "the most that holds, in the metric's unit"); });
-  maybe(v, "cls", b.cls, [&](auto& c) { v.ref("cls", c, tables::Classes, false, "of this class alone"); });
+  maybe(v, "cls", b.cls, [&](auto& c) { v.ref("cls", c, tables::kClasses, false, "of this class alone"); });
   maybe(v, "tenant", b.tenant,
-        [&](auto& t) { v.ref("tenant", t, tables::Tenants, false, "of this tenant alone"); });
+        [&](auto& t) { v.ref("tenant", t, tables::kTenants, false, "of this tenant alone"); });
   v.amount("from_ms", b.from_ms, Unit::Time, "of what was drawn from this time on");
   v.amount("to_ms", b.to_ms, Unit::Time, "until this; 0: to the end");
   v.amount("window_ms", b.window_ms, Unit::Time, "worst-window, recovery: how long a window is");
@@ -541,8 +541,8 @@
   each(v, "kinds", s.kinds, "kinds of cache node", [&](NodeKind& k) { kind(v, k); });
   each(v, "nodes", s.nodes, "groups of cache nodes", [&](NodeGroup& g) {
     v.text("name", g.name, true, "its machines are called NAME-0, NAME-1, ...");
-    v.ref("kind", g.kind, tables::Kinds, true, "what they are");
-    v.ref("zone", g.zone, tables::Zones, true, "where they stand");
+    v.ref("kind", g.kind, tables::kKinds, true, "what they are");
+    v.ref("zone", g.zone, tables::kZones, true, "where they stand");
     v.count("count", g.count, "in service from the start, warm, with what they were asked for lately");
     v.count("standby", g.standby, "further ones that an event may start");
     v.count("cell_size", g.cell_size, "nodes that share a cell");
--- a/lab/scenario/sound.cpp
+++ b/lab/scenario/sound.cpp
@@ -152,7 +152,8 @@
     double shares = 0;
     for (const TenantSpec& t : spec_.tenants) shares += t.share;
     if (shares > 1.001) {
-      add("tenants", "their shares come to " + toml_document::number_text(std::round(shares * 1000) / 10) + "%");
+      add("tenants",
+          "their shares come to " + toml_document::number_text(std::round(shares * 1000) / 10) + "%");
     }
     if (spec_.clients.resting > spec_.routers.sockets) {
       add("clients.resting", "is more than a router's sockets");
--- a/src/app_config/fleet.cpp
+++ b/src/app_config/fleet.cpp
@@ -1,7 +1,7 @@
 #include "app_config/fleet.h"
 
-#include "toml_document/reader.h"
 #include "app_config/read.h"
+#include "toml_document/reader.h"
 
 namespace fernward::app_config {
 namespace {
@@ -36,7 +36,8 @@
 FleetFile read_fleet(std::string_view text, const std::string& file) {
   FleetFile read;
   toml_document::Layers layers;
-  if (toml_document::parse_layers(std::string(text), file, "include", toml_document::load_file, read.faults, layers)) {
+  if (toml_document::parse_layers(std::string(text), file, "include", toml_document::load_file, read.faults,
+                                  layers)) {
     std::vector<toml_document::Source> sources;
     for (const auto& layer : layers) sources.push_back({&layer->table, layer.get()});
     const NoNames names;
--- a/src/app_config/fresh.cpp
+++ b/src/app_config/fresh.cpp
@@ -9,9 +9,9 @@
 #include <set>
 #include <stdexcept>
 
+#include "app_config/keys.h"
 #include "toml_document/value.h"
 #include "toml_document/writer.h"
-#include "app_config/keys.h"
 
 namespace fernward::app_config {
 namespace {
--- a/src/app_config/keys.cpp
+++ b/src/app_config/keys.cpp
@@ -39,9 +39,9 @@
     v.amount("memory_bytes", k.memory_bytes, Unit::Bytes, "for values; 0: unknown");
   });
   maybe(v, "zone", f.zone,
-        [&](auto& z) { v.ref("zone", z, tables::Zones, false, "the router's own; its nodes go first"); });
+        [&](auto& z) { v.ref("zone", z, tables::kZones, false, "the router's own; its nodes go first"); });
   maybe(v, "ledger", f.ledger, [&](auto& k) {
-    v.ref("ledger", k, tables::Kinds, false,
+    v.ref("ledger", k, tables::kKinds, false,
           "the kind that is asked where the others miss; without it nodes answer all");
   });
   v.text("discovery", f.discovery, false,
@@ -50,9 +50,9 @@
   each_named(v, "nodes", f.nodes, "a node, where neither of the two is given", [&](NodeSetup& n) {
     v.text("address", n.address, true, "`10.1.0.18:7070`");
     maybe(v, "zone", n.zone,
-          [&](auto& z) { v.ref("zone", z, tables::Zones, false, "where it stands; without it the first"); });
+          [&](auto& z) { v.ref("zone", z, tables::kZones, false, "where it stands; without it the first"); });
     maybe(v, "kind", n.kind, [&](auto& k) {
-      v.ref("kind", k, tables::Kinds, false, "what it is; without it the first but the ledger's");
+      v.ref("kind", k, tables::kKinds, false, "what it is; without it the first but the ledger's");
     });
     v.amount("weight", n.weight, Unit::Number, "how much it can do beside the others");
   });
@@ -106,9 +106,9 @@
     return all;
   };
   switch (table) {
-    case tables::Zones: return app_.fleet.zones;
-    case tables::Kinds: return names(app_.fleet.kinds);
-    case tables::Classes: return names(app_.classes);
+    case tables::kZones: return app_.fleet.zones;
+    case tables::kKinds: return names(app_.fleet.kinds);
+    case tables::kClasses: return names(app_.classes);
     default: return names(app_.tenants);
   }
 }
@@ -139,9 +139,9 @@
        [&](MapSetup& m) {
          v.text("path", m.path, true, "that its path begins with");
          pick(v, "method", m.method, kMethods, "its method");
-         v.ref("cls", m.cls, tables::Classes, true, "its class");
+         v.ref("cls", m.cls, tables::kClasses, true, "its class");
          maybe(v, "tenant", m.tenant,
-               [&](auto& t) { v.ref("tenant", t, tables::Tenants, false, "its tenant"); });
+               [&](auto& t) { v.ref("tenant", t, tables::kTenants, false, "its tenant"); });
          maybe(v, "timeout_ms", m.timeout_ms, [&](auto& t) {
            v.amount("timeout_ms", t, Unit::Time, "how long its client waits; without it the class's give_up");
          });
--- a/src/app_config/keys.h
+++ b/src/app_config/keys.h
@@ -1,5 +1,5 @@
 // The keys of an application's file: one description of an App, from which the reader, the schema, the reference, the
-// explanation and the comparison are made. See notation/visitor.h.
+// explanation and the comparison are made. See toml_document/visitor.h.
 #pragma once
 
 #include "app_config/app.h"
@@ -8,8 +8,11 @@
 namespace fernward::app_config {
 
 namespace tables {
-inline constexpr toml_document::Table Zones{0}, Kinds{1}, Classes{2}, Tenants{3};
-}
+inline constexpr toml_document::Table kZones{0};
+inline constexpr toml_document::Table kKinds{1};
+inline constexpr toml_document::Table kClasses{2};
+inline constexpr toml_document::Table kTenants{3};
+} // namespace tables
 
 class AppNames : public toml_document::Names { // the App outlives it
  public:
--- a/src/app_config/read.cpp
+++ b/src/app_config/read.cpp
@@ -3,10 +3,10 @@
 #include <algorithm>
 #include <set>
 
-#include "toml_document/reader.h"
-#include "toml_document/value.h"
 #include "app_config/keys.h"
 #include "app_config/sound.h"
+#include "toml_document/reader.h"
+#include "toml_document/value.h"
 
 namespace fernward::app_config {
 namespace {
@@ -39,7 +39,8 @@
   for (const auto& layer : layers) {
     const toml::node* node = layer->table.get("profiles");
     if (node != nullptr && !node->is_table()) {
-      faults.push_back({toml_document::position(node->source(), *layer), "profiles", "must be a table", "type"});
+      faults.push_back(
+          {toml_document::position(node->source(), *layer), "profiles", "must be a table", "type"});
     }
     const toml::table* table = profiles_of(*layer);
     if (table == nullptr) continue;
@@ -86,10 +87,10 @@
   names.reserve(all.size());
   for (const Profile& p : all) names.push_back(p.name);
   const std::string near = toml_document::nearest(name, names);
-  setup.faults.push_back(
-      {std::move(at), "profile",
-       "there is no profile " + toml_document::shown(name) + (near.empty() ? "" : "; is \"" + near + "\" meant?"),
-       "unknown-name"});
+  setup.faults.push_back({std::move(at), "profile",
+                          "there is no profile " + toml_document::shown(name) +
+                              (near.empty() ? "" : "; is \"" + near + "\" meant?"),
+                          "unknown-name"});
   return "";
 }
 
@@ -128,7 +129,8 @@
            const toml_document::Loader& load) {
   Setup setup;
   toml_document::Layers layers;
-  const bool parsed = toml_document::parse_layers(std::string(text), file, "include", load, setup.faults, layers);
+  const bool parsed =
+      toml_document::parse_layers(std::string(text), file, "include", load, setup.faults, layers);
   for (const auto& layer : layers) setup.files.push_back(layer->file);
   if (!parsed) {
     toml_document::tidy(setup.faults);
--- a/src/app_config/read.h
+++ b/src/app_config/read.h
@@ -12,8 +12,8 @@
 #include <string_view>
 #include <vector>
 
-#include "toml_document/document.h"
 #include "app_config/app.h"
+#include "toml_document/document.h"
 
 namespace fernward::app_config {
 
@@ -21,9 +21,9 @@
 
 struct Setup {
   App app;                                      // counts where no fault is left
-  toml_document::Faults faults;                      // what is wrong
-  toml_document::Faults warnings;                    // and what is likely not meant
-  toml_document::Places places;                      // of what the files give, by the App's member
+  toml_document::Faults faults;                 // what is wrong
+  toml_document::Faults warnings;               // and what is likely not meant
+  toml_document::Places places;                 // of what the files give, by the App's member
   std::map<std::string, std::string> variables; // what the environment gives: the variable, by member
   std::vector<std::string> files;               // all that were read
   std::string profile;                          // the one that counts
@@ -31,7 +31,7 @@
   bool sound() const { return faults.empty(); }
 };
 
-// With the checks of form and of sense, but none of this machine (setup/host.h).
+// With the checks of form and of sense, but none of this machine (app_config/host.h).
 Setup read(std::string_view text, const std::string& file, Environment environment,
            const toml_document::Loader& load = toml_document::load_file);
 Setup read_file(const std::string& path, Environment environment);
--- a/src/app_config/schema.cpp
+++ b/src/app_config/schema.cpp
@@ -2,8 +2,8 @@
 
 #include <vector>
 
-#include "toml_document/writer.h"
 #include "app_config/keys.h"
+#include "toml_document/writer.h"
 
 namespace fernward::app_config {
 namespace {
@@ -175,7 +175,8 @@
 std::string reference() {
   App app;
   const AppNames names(app);
-  const toml_document::Row top = toml_document::reference(names, [&](toml_document::Visitor& v) { describe(v, app); });
+  const toml_document::Row top =
+      toml_document::reference(names, [&](toml_document::Visitor& v) { describe(v, app); });
   std::string out =
       "### Top of the file\n\n| key | written as | default | meaning |\n| --- | --- | --- | --- |\n";
   out +=
--- a/src/app_config/sound.cpp
+++ b/src/app_config/sound.cpp
@@ -86,9 +86,9 @@
       fault("name", "name", "must be of letters, digits, \"-\", \"_\" and \".\", 64 at most");
     }
     if (!good("listen") || app_.listen.empty()) return;
-    constexpr std::string_view unix_prefix = "unix:";
-    if (app_.listen.starts_with(unix_prefix)) {
-      const std::string path = app_.listen.substr(unix_prefix.size());
+    constexpr std::string_view kUnixPrefix = "unix:";
+    if (app_.listen.starts_with(kUnixPrefix)) {
+      const std::string path = app_.listen.substr(kUnixPrefix.size());
       if (path.empty() || path.front() != '/') {
         fault("listen", "listen-path", "the path of a unix socket must begin with \"/\"");
       } else if (path.size() > kLongestPath) {
--- a/src/app_config/sound.h
+++ b/src/app_config/sound.h
@@ -1,4 +1,4 @@
-// Checks of sense: what reads well and still would not do. No look at this machine, see setup/host.h.
+// Checks of sense: what reads well and still would not do. No look at this machine, see app_config/host.h.
 #pragma once
 
 #include <set>
--- a/src/commands/config.cpp
+++ b/src/commands/config.cpp
@@ -7,13 +7,13 @@
 #include <iostream>
 #include <nlohmann/json.hpp>
 
-#include "commands/command.h"
-#include "commands/shared.h"
 #include "app_config/explain.h"
 #include "app_config/fresh.h"
 #include "app_config/host.h"
 #include "app_config/render.h"
 #include "app_config/schema.h"
+#include "commands/command.h"
+#include "commands/shared.h"
 
 namespace fernward::commands {
 namespace {
@@ -106,7 +106,7 @@
   cxxopts::ParseResult parsed;
   const auto names = files(options, given, parsed, 2, 2, "OLD NEW");
   const app_config::Setup before = app_config::read_file(names[0], &environment),
-                     after = app_config::read_file(names[1], &environment);
+                          after = app_config::read_file(names[1], &environment);
   const bool before_sound = tell(before), after_sound = tell(after); // the faults of both are shown
   if (!before_sound || !after_sound) return kBad;
   bool by_reload = true;
@@ -128,8 +128,9 @@
   const auto names = files(options, given, parsed, 1, 1, "FILE");
   const app_config::Setup setup = app_config::read_file(names.front(), &environment);
   if (!tell(setup)) return kBad;
-  std::printf("%s\n",
-              app_config::render(setup.app).dump(1, ' ', false, nlohmann::json::error_handler_t::replace).c_str());
+  std::printf(
+      "%s\n",
+      app_config::render(setup.app).dump(1, ' ', false, nlohmann::json::error_handler_t::replace).c_str());
   return kWell;
 }
 
@@ -207,7 +208,8 @@
 int reference(const Arguments& given) {
   cxxopts::Options options("fernward config reference", "Every key and every code, as Markdown");
   parse(options, given);
-  std::printf("## Keys\n\n%s\n## Codes\n\n%s", app_config::reference().c_str(), app_config::code_reference().c_str());
+  std::printf("## Keys\n\n%s\n## Codes\n\n%s", app_config::reference().c_str(),
+              app_config::code_reference().c_str());
   return kWell;
 }
 
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -12,14 +12,14 @@
 #include <optional>
 #include <random>
 
+#include "app_config/fleet.h"
+#include "app_config/read.h"
+#include "app_config/render.h"
 #include "commands/command.h"
 #include "commands/shared.h"
 #include "config/config.h"
 #include "log/log.h"
 #include "router/router.h"
-#include "app_config/fleet.h"
-#include "app_config/read.h"
-#include "app_config/render.h"
 
 namespace fernward::commands {
 namespace {
--- a/src/commands/shared.h
+++ b/src/commands/shared.h
@@ -5,8 +5,8 @@
 #include <cstdlib>
 #include <string>
 
-#include "arguments/arguments.h"
 #include "app_config/read.h"
+#include "arguments/arguments.h"
 
 namespace fernward::commands {
 
--- a/src/commands/sidecar.cpp
+++ b/src/commands/sidecar.cpp
@@ -6,11 +6,11 @@
 #include <cstdio>
 #include <cstdlib>
 
+#include "app_config/host.h"
+#include "app_config/read.h"
 #include "commands/command.h"
 #include "commands/shared.h"
 #include "log/log.h"
-#include "app_config/host.h"
-#include "app_config/read.h"
 #include "sidecar/beside.h"
 #include "sidecar/claim.h"
 
--- a/src/config/address.cpp
+++ b/src/config/address.cpp
@@ -22,10 +22,10 @@
 }
 
 std::optional<std::string> unix_path(const std::string& text) {
-  constexpr std::string_view prefix = "unix:/";
-  if (!text.starts_with(prefix) || text.size() - prefix.size() + 1 >= sizeof(sockaddr_un::sun_path))
+  constexpr std::string_view kPrefix = "unix:/";
+  if (!text.starts_with(kPrefix) || text.size() - kPrefix.size() + 1 >= sizeof(sockaddr_un::sun_path))
     return std::nullopt;
-  return text.substr(prefix.size() - 1);
+  return text.substr(kPrefix.size() - 1);
 }
 
 } // namespace fernward::config
--- a/src/downstream/listener.h
+++ b/src/downstream/listener.h
@@ -28,7 +28,7 @@
   bool share_port = false; // another process of this router may listen there too
   descriptors::ClientAdmissionOptions clients;
   std::size_t short_body =
-      64 * 1024; // up to here it waits until it is whole, see exchange/inflow.h for others
+      64 * 1024; // up to here it waits until it is whole, see proxy/request_body.h for others
   int unsent_bytes =
       64 * 1024;               // of answers, that the kernel takes of each connection beyond what it has sent
   double idle_ms = 120000;     // between requests
--- a/src/gossip/findings.h
+++ b/src/gossip/findings.h
@@ -24,9 +24,9 @@
 #include <string_view>
 #include <vector>
 
+#include "gossip/entries.h"
 #include "membership/wire.h"
 #include "statistics/numbers.h"
-#include "gossip/entries.h"
 
 namespace fernward::gossip {
 
--- a/src/gossip/fleet.h
+++ b/src/gossip/fleet.h
@@ -1,5 +1,5 @@
 // One router of many: who of them lives, what they say of the ledger, and what follows for this one. Decides; no I/O, no
-// clock. peering/ carries its datagrams; the lab plays it in virtual time.
+// clock. gossip_transport/ carries its datagrams; the lab plays it in virtual time.
 //
 //  - Units: milliseconds on the caller's clock; attempts at once.
 //  - Ownership: datagrams are appended to the caller's vector.
--- a/src/membership/wire.h
+++ b/src/membership/wire.h
@@ -8,7 +8,7 @@
 //   8  u32 incarnation, u16 sequence: the sender's stamp
 //  14  u16 round                  an ack or nack bears its ping's
 //  16  words, 13 bytes each: u16 who, u8 standing, u32 incarnation, u16 sequence, u16 by, u16 reserved (0)
-//  ..  facts, as shared/entries.h has them, up to
+//  ..  facts, as gossip/entries.h has them, up to
 //  -4  u32 xxHash32 of all before it
 //
 //  - Ownership: encode() and decode() copy; a Datagram holds no reference into the bytes.
--- a/src/proxy/call.h
+++ b/src/proxy/call.h
@@ -112,7 +112,7 @@
  public:
   virtual ~AttemptCallbacks() = default;
   virtual void ended(Handle attempt, AttemptCompletion ending) = 0;
-  // An answer waits until it is whole, but not beyond this time; see bodies/answer.h.
+  // An answer waits until it is whole, but not beyond this time; see body_buffers/response_buffering.h.
   virtual double wait_until(Handle attempt) = 0;
   // May its first byte be written now? Its connection may have come up long after the attempt was decided: the request
   // may have had its final answer, its client have left, its time or its key's window be over.
--- a/src/proxy/request_body.h
+++ b/src/proxy/request_body.h
@@ -1,4 +1,4 @@
-// The body of a request while it comes from the client: kept as far as it serves a further attempt (bodies/keeping.h
+// The body of a request while it comes from the client: kept as far as it serves a further attempt (body_buffers/retained_bodies.h
 // decides), and read by attempts, each from its own place. Only long bodies come this way; a short one is in its
 // Call, whole.
 //
--- a/src/proxy/request_dispatcher.h
+++ b/src/proxy/request_dispatcher.h
@@ -46,7 +46,7 @@
   // The process ends soon: what has no final answer by then gets one, the last guard's.
   void ends_by(double by);
   void list(fernward::EndpointList list);
-  void fleet(std::vector<fernward::Event> events); // what the tier's word comes to, see shared/advice.h
+  void fleet(std::vector<fernward::Event> events); // what the tier's word comes to, see gossip/advice.h
   const fernward::Balancer& balancer() const { return balancer_; }
   fernward::Balancer::OriginBudget ledger() const { return balancer_.origin_budget(); }
   void change(const fernward::Settings& settings); // as of Balancer::change; throws std::invalid_argument
--- a/src/sidecar/beside.cpp
+++ b/src/sidecar/beside.cpp
@@ -50,8 +50,8 @@
     if (begun != 0) failed_ = true;
     const timeval most{1, 0};
     bufferevent_set_timeouts(io_.get(), &most, &most);
-    constexpr char ask[] = "GET /ready HTTP/1.1\r\nHost: router\r\nConnection: close\r\n\r\n";
-    bufferevent_write(io_.get(), ask, sizeof ask - 1);
+    constexpr char kReadyRequest[] = "GET /ready HTTP/1.1\r\nHost: router\r\nConnection: close\r\n\r\n";
+    bufferevent_write(io_.get(), kReadyRequest, sizeof kReadyRequest - 1);
     bufferevent_enable(io_.get(), EV_READ | EV_WRITE);
   }
   bool failed() const { return failed_; } // nothing will be told
--- a/src/toml_document/value.cpp
+++ b/src/toml_document/value.cpp
@@ -78,18 +78,19 @@
 }
 
 std::optional<std::uint32_t> take_count(const toml::node& node, Unit unit, Why& why) {
-  constexpr double most = std::numeric_limits<std::uint32_t>::max();
+  constexpr double kMaxCount = std::numeric_limits<std::uint32_t>::max();
   if (unit != Unit::Number) {
     const auto value = take_amount(node, unit, {}, why);
     if (!value) return std::nullopt;
-    if (*value <= most && *value == static_cast<double>(static_cast<std::uint32_t>(*value))) {
+    if (*value <= kMaxCount && *value == static_cast<double>(static_cast<std::uint32_t>(*value))) {
       return static_cast<std::uint32_t>(*value);
     }
     why = {"value", std::string("must be ") + example_of(unit)};
     return std::nullopt;
   }
   const auto value = node.value_exact<std::int64_t>();
-  if (value && *value >= 0 && static_cast<double>(*value) <= most) return static_cast<std::uint32_t>(*value);
+  if (value && *value >= 0 && static_cast<double>(*value) <= kMaxCount)
+    return static_cast<std::uint32_t>(*value);
   why = {value ? "value" : "type", "must be a whole number from 0 on"};
   return std::nullopt;
 }
--- a/tests/app_config/mutants_test.cpp
+++ b/tests/app_config/mutants_test.cpp
@@ -7,10 +7,10 @@
 #include <map>
 #include <sstream>
 
-#include "corpus.h"
-#include "program.h"
 #include "app_config/explain.h"
 #include "app_config/read.h"
+#include "corpus.h"
+#include "program.h"
 
 using namespace fernward;
 using namespace fernward::tests;
--- a/tests/fuzz/config.cpp
+++ b/tests/fuzz/config.cpp
@@ -5,12 +5,12 @@
 #include <cstdlib>
 #include <string_view>
 
-#include "config/config.h"
-#include "toml_document/writer.h"
 #include "app_config/explain.h"
 #include "app_config/keys.h"
 #include "app_config/read.h"
 #include "app_config/render.h"
+#include "config/config.h"
+#include "toml_document/writer.h"
 
 namespace {
 
@@ -22,7 +22,8 @@
 
 std::string as_file(fernward::app_config::App app) {
   const fernward::app_config::AppNames names(app);
-  return fernward::toml_document::written(names, [&](fernward::toml_document::Visitor& v) { describe(v, app); });
+  return fernward::toml_document::written(names,
+                                          [&](fernward::toml_document::Visitor& v) { describe(v, app); });
 }
 
 constexpr const char* kShared = R"(
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -13,8 +13,8 @@
 
 Datagram some() {
   Datagram d;
-  d.kind =
-      *rc::gen::element(membership::Kind::Ping, membership::Kind::Ack, membership::Kind::Ask, membership::Kind::Nack);
+  d.kind = *rc::gen::element(membership::Kind::Ping, membership::Kind::Ack, membership::Kind::Ask,
+                             membership::Kind::Nack);
   d.from = *rc::gen::arbitrary<membership::Id>();
   d.about = *rc::gen::arbitrary<membership::Id>();
   d.stamp = {*rc::gen::arbitrary<std::uint32_t>(), *rc::gen::arbitrary<std::uint16_t>()};
@@ -44,7 +44,8 @@
     const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size() * 8);
     spoilt[at / 8] = static_cast<char>(spoilt[at / 8] ^ (1 << at % 8));
     RC_ASSERT(!membership::decode(spoilt).has_value());
-    RC_ASSERT(!membership::decode(bytes.substr(0, *rc::gen::inRange<std::size_t>(0, bytes.size()))).has_value());
+    RC_ASSERT(
+        !membership::decode(bytes.substr(0, *rc::gen::inRange<std::size_t>(0, bytes.size()))).has_value());
   }));
 }
 
--- a/tests/membership/tier.h
+++ b/tests/membership/tier.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "statistics/numbers.h"
 #include "gossip/fleet.h"
+#include "statistics/numbers.h"
 
 namespace fernward::tests {
 
