--- a/src/policy/answer.cpp
+++ b/src/policy/answer.cpp
@@ -6,54 +6,57 @@
 // ---- the final answer ----
 
 // The client has its answer, or has gone.
-void Balancer::Impl::finish(RequestState& o, bool served) {
-  o.over = true;
-  if (o.queued) origin_queue.remove(o.in.id);
-  o.queued = false;
-  cancel_out(o, o.attempts.size());
-  if (o.leads) end_fetch(o, served);
-  if (o.out == 0) done.push_back(o.in.id);
+void Balancer::Impl::finish_request(RequestState& request, bool served) {
+  request.finished = true;
+  if (request.queued_for_origin) origin_queue.remove(request.params.id);
+  request.queued_for_origin = false;
+  cancel_attempts(request, request.attempts.size());
+  if (request.leads_fetch) complete_fetch(request, served);
+  if (request.in_flight == 0) finished.push_back(request.params.id);
 }
 
-void Balancer::Impl::cancel_out(const RequestState& o, std::size_t but) {
-  for (std::size_t i = 0; i < o.attempts.size(); ++i) {
-    const Attempt& a = o.attempts[i];
+void Balancer::Impl::cancel_attempts(const RequestState& request, std::size_t except) {
+  for (std::size_t i = 0; i < request.attempts.size(); ++i) {
+    const Attempt& attempt = request.attempts[i];
     // What the origin has begun it goes on with: its answer is waited for, so that its limit counts it.
-    const bool waited_for = a.watched || (origin != nullptr && a.server == origin->entry.id);
-    if (i != but && a.out && set.may_cancel && !waited_for) {
-      act(Cancel{o.in.id, static_cast<std::uint32_t>(i)});
+    const bool waited_for = attempt.runs_to_end || (origin != nullptr && attempt.server == origin->entry.id);
+    if (i != except && attempt.in_flight && settings.may_cancel && !waited_for) {
+      emit(Cancel{request.params.id, static_cast<std::uint32_t>(i)});
     }
   }
 }
 
 // Refuses where the promise that a further try is harmless holds, else fails. Where it is crowded clients are
 // to stay away; else this request had bad luck, and a slow answer's time is enough for what it met to pass.
-void Balancer::Impl::conclude(RequestState& o, GiveUpReason why) {
-  if (o.out > 0 && now < o.end_at) return; // what is out, late as it is, may yet be answered
-  const ClassSettings& c = set.classes[o.in.class_index];
-  const bool clean = o.out == 0 && !o.maybe_ran;
-  if (clean || c.idempotency == Idempotency::Idempotent ||
-      (c.idempotency == Idempotency::WithKey && c.idempotency_scope == IdempotencyScope::All)) {
+void Balancer::Impl::give_up(RequestState& request, GiveUpReason why) {
+  if (request.in_flight > 0 && now < request.answer_by)
+    return; // what is out, late as it is, may yet be answered
+  const ClassSettings& class_settings = settings.classes[request.params.class_index];
+  const bool clean = request.in_flight == 0 && !request.may_have_executed;
+  if (clean || class_settings.idempotency == Idempotency::Idempotent ||
+      (class_settings.idempotency == Idempotency::WithKey &&
+       class_settings.idempotency_scope == IdempotencyScope::All)) {
     const bool stay_away = why == GiveUpReason::Shed || why == GiveUpReason::QueueTimeout ||
                            why == GiveUpReason::ResponseTimeout || why == GiveUpReason::NotSent;
-    const double wait =
-        stay_away ? set.max_retry_after_ms : std::min(set.max_retry_after_ms, cache_late.slow_ms);
-    act(Reject{o.in.id, set.send_retry_after ? wait : 0, why});
+    const double wait = stay_away ? settings.max_retry_after_ms
+                                  : std::min(settings.max_retry_after_ms, cache_slow_attempts.slow_ms);
+    emit(Reject{request.params.id, settings.send_retry_after ? wait : 0, why});
   } else {
-    act(Fail{o.in.id, why});
+    emit(Fail{request.params.id, why});
   }
-  finish(o, false);
+  finish_request(request, false);
 }
 
 // What keeps a request from being sent to `r`, in service or not.
-GiveUpReason Balancer::Impl::blocked(const RequestState& o, const Replica& r) const {
-  if (o.attempts.size() >= set.max_attempts_of(o.in.class_index)) return GiveUpReason::AttemptLimit;
-  if (!repeatable(o, r)) return GiveUpReason::NotIdempotent;
-  return now >= o.end_at ? GiveUpReason::NotSent : GiveUpReason::NoEndpoint;
+GiveUpReason Balancer::Impl::give_up_reason(const RequestState& request, const Replica& replica) const {
+  if (request.attempts.size() >= settings.max_attempts_of(request.params.class_index))
+    return GiveUpReason::AttemptLimit;
+  if (!may_attempt_at(request, replica)) return GiveUpReason::NotIdempotent;
+  return now >= request.answer_by ? GiveUpReason::NotSent : GiveUpReason::NoEndpoint;
 }
 
-void Balancer::Impl::take(const ClientDisconnected& e) {
-  if (RequestState* o = live(e.id)) finish(*o, false);
+void Balancer::Impl::on_client_disconnected(const ClientDisconnected& event) {
+  if (RequestState* request = find_request(event.id)) finish_request(*request, false);
 }
 
 } // namespace fernward
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -8,23 +8,32 @@
 
 namespace fernward {
 
-constexpr double kMaxAskMs = 8000;  // the longest wait between calls to discovery that failed
-constexpr double kProbeShare = 0.1; // probes for each request where only probes bring reports
+constexpr double kMaxWatchBackoffMs = 8000;     // the longest wait between calls to discovery that failed
+constexpr double kHealthChecksPerRequest = 0.1; // probes for each request where only probes bring reports
+
+// Joins one handler for each type of event into the visitor that std::visit takes.
+template <typename... Handlers>
+struct Overloaded : Handlers... {
+  using Handlers::operator()...;
+};
+template <typename... Handlers>
+Overloaded(Handlers...) -> Overloaded<Handlers...>;
 
 Balancer::Impl::Impl(const Settings& s, std::uint64_t seed)
-    : set(s), random{mix(seed)}, places(s.origin_kind >= 0 ? s.resize : ResizeSettings{}) {
-  take_classes();
-  living = s.router_count;
-  cache_late.slow_ms = origin_late.slow_ms = aim_ms / 3; // until answers tell
-  fleet_ms = cache_late.slow_ms / 3;
+    : settings(s), random{mix(seed)}, placement(s.origin_kind >= 0 ? s.resize : ResizeSettings{}) {
+  apply_classes();
+  live_routers = s.router_count;
+  cache_slow_attempts.slow_ms = origin_slow_attempts.slow_ms =
+      shortest_objective_ms / 3; // until answers tell
+  cache_response_ms = cache_slow_attempts.slow_ms / 3;
 }
 
 void Balancer::Impl::start() {
   if (ticking) return;
   ticking = true;
-  act(SetTimer{kTickMs, token(Timer::Tick)});
+  emit(SetTimer{kTickMs, timer_token(Timer::Tick)});
   // Restarted nodes come in crowds: the first call is spread, so that discovery is not flooded.
-  ask_at = now + 1000 * random.unit();
+  watch_at = now + 1000 * random.unit();
 }
 
 void Balancer::Impl::log(const char* what, double figure) {
@@ -32,154 +41,163 @@
   logged_at = now;
   char text[120];
   std::snprintf(text, sizeof text, "%s %.0f", what, figure);
-  act(Log{text});
+  emit(Log{text});
 }
 
 // ---- server list ----
 
-void Balancer::Impl::take(const EndpointList& list) {
+void Balancer::Impl::on_endpoint_list(const EndpointList& list) {
   if (list.kind == EndpointListKind::Failed) {
-    subscribed = asked = false;
-    ask_wait = std::clamp(2 * ask_wait, kMaxAskMs / 16, kMaxAskMs);
-    ask_at = now + ask_wait * (0.5 + random.unit());
-    log("server list: call failed, next try in ms:", ask_at - now);
+    subscribed = watch_pending = false;
+    watch_backoff_ms = std::clamp(2 * watch_backoff_ms, kMaxWatchBackoffMs / 16, kMaxWatchBackoffMs);
+    watch_at = now + watch_backoff_ms * (0.5 + random.unit());
+    log("server list: call failed, next try in ms:", watch_at - now);
     return;
   }
-  if (list.kind != EndpointListKind::Cached && asked) subscribed = true, asked = false, ask_wait = 0;
+  if (list.kind != EndpointListKind::Cached && watch_pending)
+    subscribed = true, watch_pending = false, watch_backoff_ms = 0;
   std::vector<ServerId> changed;
   for (const Server& server : list.servers) changed.push_back(server.id);
   if (list.kind != EndpointListKind::Delta) {
     std::vector<ServerId> named = changed;
     std::sort(named.begin(), named.end());
-    for (auto& [id, r] : replicas) {
-      if (r.entry.state == ServerState::Gone || std::binary_search(named.begin(), named.end(), id)) continue;
-      Server gone = r.entry;
+    for (auto& [id, replica] : replicas) {
+      if (replica.entry.state == ServerState::Gone || std::binary_search(named.begin(), named.end(), id))
+        continue;
+      Server gone = replica.entry;
       gone.state = ServerState::Gone;
-      update(gone);
+      update_server(gone);
       changed.push_back(id);
     }
   }
-  for (const Server& server : list.servers) update(server);
-  arrange(changed);
+  for (const Server& server : list.servers) update_server(server);
+  place_servers(changed);
 }
 
 // Costs the same however many servers there are.
-void Balancer::Impl::update(const Server& server) {
-  Server s = server;
-  if (!usable_number(s.weight) || s.weight == 0) s.weight = 1;
-  if (!usable_number(s.started_at)) s.started_at = 0;
-  const auto [it, added] = replicas.try_emplace(s.id);
-  Replica& r = it->second;
-  const bool was_gone = !added && r.entry.state == ServerState::Gone;
-  if (!added) tally(r, -1);
-  const bool restarted = !added && s.started_at > r.entry.started_at;
-  r.entry = s;
-  if (restarted) r.forget();
-  if (added || restarted) r.gate = concurrency::CacheConcurrencyLimiter(set.router_count);
-  if (is_origin(r) && (added || restarted))
-    origin_limit = concurrency::OriginConcurrencyLimiter::origin(set.router_count), origin_places = {};
-  if (s.started_at > 0) r.cold_since = std::max(r.cold_since, s.started_at);
-  tally(r, 1);
-  if (is_origin(r)) {
-    origins.insert(s.id);
+void Balancer::Impl::update_server(const Server& listed) {
+  Server entry = listed;
+  if (!usable_number(entry.weight) || entry.weight == 0) entry.weight = 1;
+  if (!usable_number(entry.started_at)) entry.started_at = 0;
+  const auto [it, added] = replicas.try_emplace(entry.id);
+  Replica& replica = it->second;
+  const bool was_gone = !added && replica.entry.state == ServerState::Gone;
+  if (!added) count_server(replica, -1);
+  const bool restarted = !added && entry.started_at > replica.entry.started_at;
+  replica.entry = entry;
+  if (restarted) replica.reset_for_restart();
+  if (added || restarted) replica.limiter = concurrency::CacheConcurrencyLimiter(settings.router_count);
+  if (is_origin(replica) && (added || restarted))
+    origin_limit = concurrency::OriginConcurrencyLimiter::origin(settings.router_count),
+    origin_connections = {};
+  if (entry.started_at > 0)
+    replica.slow_start_began_at = std::max(replica.slow_start_began_at, entry.started_at);
+  count_server(replica, 1);
+  if (is_origin(replica)) {
+    listed_origins.insert(entry.id);
   } else {
-    origins.erase(s.id);
+    listed_origins.erase(entry.id);
   }
-  if (s.state == ServerState::Gone && !was_gone) leaving.push_back(s.id);
+  if (entry.state == ServerState::Gone && !was_gone) leaving.push_back(entry.id);
 }
 
-void Balancer::Impl::tally(const Replica& r, int sign) {
-  if (r.entry.state != ServerState::Ready) return;
-  caches += is_origin(r) ? 0 : sign;
-  ejected += r.health.out() ? sign : 0;
+void Balancer::Impl::count_server(const Replica& replica, int sign) {
+  if (replica.entry.state != ServerState::Ready) return;
+  ready_caches += is_origin(replica) ? 0 : sign;
+  ejected_servers += replica.outlier.is_ejected() ? sign : 0;
 }
 
-void Balancer::Impl::arrange(const std::vector<ServerId>& changed) {
-  const bool settled = !places.pace().open(now);
-  places.arrange(now, replicas, changed, set.weight_kind != WeightKind::Live,
-                 [this](const Replica& r) { return !is_origin(r) && r.entry.state != ServerState::Gone; });
-  if (const double most = places.pace().per_ms(now); settled && most > 0)
+void Balancer::Impl::place_servers(const std::vector<ServerId>& changed) {
+  const bool settled = !placement.pace().open(now);
+  placement.arrange(now, replicas, changed, settings.weight_kind != WeightKind::Live,
+                    [this](const Replica& r) { return !is_origin(r) && r.entry.state != ServerState::Gone; });
+  if (const double most = placement.pace().per_ms(now); settled && most > 0)
     log("fleet changed, origin reads a second at most", 1000 * most);
   origin = nullptr;
-  for (const ServerId id : origins) {
-    Replica& r = replicas.at(id);
-    if (origin == nullptr || r.entry.state == ServerState::Ready) origin = &r;
+  for (const ServerId id : listed_origins) {
+    Replica& replica = replicas.at(id);
+    if (origin == nullptr || replica.entry.state == ServerState::Ready) origin = &replica;
   }
 }
 
 // Of those that are gone, what nothing is out at any more.
-void Balancer::Impl::drop_leaving() {
+void Balancer::Impl::drop_departed() {
   std::erase_if(leaving, [this](ServerId id) {
-    const Replica* r = find(id);
+    const Replica* r = find_server(id);
     if (r == nullptr || r->entry.state != ServerState::Gone) return true; // it is back
-    if (r->open > 0 || r == origin) return false;
-    origins.erase(id);
+    if (r->in_flight > 0 || r == origin) return false;
+    listed_origins.erase(id);
     replicas.erase(id);
     return true;
   });
 }
 
 // The configured number is a ceiling: to think oneself alone in a cut must not count for much.
-void Balancer::Impl::take(const FleetState& e) {
-  living = std::clamp(usable_number(e.live_routers) && e.live_routers > 0 ? e.live_routers : 1e9,
-                      0.25 * set.router_count, 1.0 * set.router_count);
-  origin_limit.pooled(now, e.origin_response_ms, e.origin_response_age_ms);
-  origin_limit.lead(e.origin_limit_share);
+void Balancer::Impl::on_fleet_state(const FleetState& fleet) {
+  live_routers =
+      std::clamp(usable_number(fleet.live_routers) && fleet.live_routers > 0 ? fleet.live_routers : 1e9,
+                 0.25 * settings.router_count, 1.0 * settings.router_count);
+  origin_limit.pooled(now, fleet.origin_response_ms, fleet.origin_response_age_ms);
+  origin_limit.lead(fleet.origin_limit_share);
 }
 
 // ---- timers ----
 
-void Balancer::Impl::take(const TimerFired& e) {
-  const auto kind = static_cast<Timer>(e.token >> 60);
+void Balancer::Impl::on_timer(const TimerFired& timer) {
+  const auto kind = static_cast<Timer>(timer.token >> 60);
   if (kind == Timer::Tick) return tick();
-  RequestState* o = live(e.token & ((1ull << 52) - 1));
-  if (o == nullptr || o->streaming) return;
-  if (kind == Timer::End)
-    conclude(*o, o->out > 0  ? GiveUpReason::ResponseTimeout
-                 : o->queued ? GiveUpReason::QueueTimeout
-                             : GiveUpReason::NotSent);
-  if (kind == Timer::Again && o->out == 0) o->queued ? pump_origin() : to_origin(*o);
-  if (kind == Timer::Overdue) overdue(*o, (e.token >> 52) & 0xff);
+  RequestState* request = find_request(timer.token & ((1ull << 52) - 1));
+  if (request == nullptr || request->streaming) return;
+  if (kind == Timer::GiveUp)
+    give_up(*request, request->in_flight > 0       ? GiveUpReason::ResponseTimeout
+                      : request->queued_for_origin ? GiveUpReason::QueueTimeout
+                                                   : GiveUpReason::NotSent);
+  if (kind == Timer::RetryOrigin && request->in_flight == 0)
+    request->queued_for_origin ? dispatch_to_origin() : queue_for_origin(*request);
+  if (kind == Timer::SlowAttempt) on_slow_attempt(*request, (timer.token >> 52) & 0xff);
 }
 
-void Balancer::Impl::probe(Replica& r) {
-  r.health.sent();
-  r.probed_at = now;
-  act(SendHealthCheck{r.entry.id});
+void Balancer::Impl::send_health_check(Replica& replica) {
+  replica.outlier.record_sent();
+  replica.health_checked_at = now;
+  emit(SendHealthCheck{replica.entry.id});
 }
 
 void Balancer::Impl::tick() {
-  act(SetTimer{kTickMs, token(Timer::Tick)});
-  const double wanted = origin == nullptr ? 0 : origin->working() + static_cast<double>(origin_queue.size());
-  smooth(ledger_demand, wanted, 0.05); // below 0 at first: not known yet
-  smooth(request_rate, requests_now / kTickMs, 0.05);
-  probes = std::min(1.0, probes + kProbeShare * requests_now);
-  requests_now = 0;
+  emit(SetTimer{kTickMs, timer_token(Timer::Tick)});
+  const double wanted = origin == nullptr ? 0 : origin->active() + static_cast<double>(origin_queue.size());
+  smooth(origin_demand, wanted, 0.05); // below 0 at first: not known yet
+  smooth(request_rate, requests_this_tick / kTickMs, 0.05);
+  health_check_credit = std::min(1.0, health_check_credit + kHealthChecksPerRequest * requests_this_tick);
+  requests_this_tick = 0;
   for (double& rate : tenant_rate) rate *= 0.95;
-  shedder.tick();
-  if (set.discovery == DiscoveryMode::Poll && !subscribed && now >= ask_at) {
-    act(WatchEndpoints{});
-    asked = true;
-    ask_at =
-        now + (set.poll_interval_ms > 0 ? set.poll_interval_ms : kMaxAskMs); // no answer at all: ask again
+  admission.tick();
+  if (settings.discovery == DiscoveryMode::Poll && !subscribed && now >= watch_at) {
+    emit(WatchEndpoints{});
+    watch_pending = true;
+    watch_at = now + (settings.poll_interval_ms > 0 ? settings.poll_interval_ms
+                                                    : kMaxWatchBackoffMs); // no answer at all: ask again
   }
-  pump_origin();
-  drop_leaving();
-  if (set.may_health_check && (ejected > 0 || set.load_report_source == LoadReportSource::HealthChecks))
-    probe_due();
+  dispatch_to_origin();
+  drop_departed();
+  if (settings.may_health_check &&
+      (ejected_servers > 0 || settings.load_report_source == LoadReportSource::HealthChecks))
+    send_due_health_checks();
 }
 
 // Walks all servers: only where the settings allow probes.
-void Balancer::Impl::probe_due() {
+void Balancer::Impl::send_due_health_checks() {
   Replica* oldest = nullptr; // report
-  for (auto& [id, r] : replicas) {
-    if (r.entry.state != ServerState::Ready) continue;
-    if (r.health.out() && r.health.trial_due(now)) probe(r);
-    if (!r.health.out() && !is_origin(r) && (oldest == nullptr || r.probed_at < oldest->probed_at))
-      oldest = &r;
+  for (auto& [id, replica] : replicas) {
+    if (replica.entry.state != ServerState::Ready) continue;
+    if (replica.outlier.is_ejected() && replica.outlier.trial_due(now)) send_health_check(replica);
+    if (!replica.outlier.is_ejected() && !is_origin(replica) &&
+        (oldest == nullptr || replica.health_checked_at < oldest->health_checked_at))
+      oldest = &replica;
   }
-  if (set.load_report_source == LoadReportSource::HealthChecks && oldest != nullptr && probes >= 1)
-    --probes, probe(*oldest);
+  if (settings.load_report_source == LoadReportSource::HealthChecks && oldest != nullptr &&
+      health_check_credit >= 1)
+    --health_check_credit, send_health_check(*oldest);
 }
 
 Balancer::Balancer(const Settings& settings, std::uint64_t seed) {
@@ -191,23 +209,38 @@
 Balancer& Balancer::operator=(Balancer&&) noexcept = default;
 
 bool Balancer::is_ejected(ServerId server) const {
-  const Replica* r = impl_->find(server);
-  return r != nullptr && r->health.out();
+  const Replica* replica = impl_->find_server(server);
+  return replica != nullptr && replica->outlier.is_ejected();
 }
 
 Balancer::OriginBudget Balancer::origin_budget() const {
-  return {impl_->ledger_demand, impl_->origin_limit.limit(), impl_->origin_limit.lately_ms(impl_->now)};
+  return {impl_->origin_demand, impl_->origin_limit.limit(), impl_->origin_limit.lately_ms(impl_->now)};
 }
 
-Balancer::SlowStartCounts Balancer::slow_start_counts() const { return impl_->slow_start; }
+Balancer::SlowStartCounts Balancer::slow_start_counts() const { return impl_->slow_start_counts; }
+
+void Balancer::Impl::dispatch(const Event& event) {
+  std::visit(Overloaded{
+                 [this](const EndpointList& list) { on_endpoint_list(list); },
+                 [this](const Request& received) { on_request(received); },
+                 [this](const AttemptOutcome& outcome) { on_attempt_outcome(outcome); },
+                 [this](const ResponseStarted& started) { on_response_started(started); },
+                 [this](const ClientDisconnected& disconnected) { on_client_disconnected(disconnected); },
+                 [this](const TimerFired& timer) { on_timer(timer); },
+                 [this](const HealthCheckResult& result) { on_health_check_result(result); },
+                 [this](const FleetState& fleet) { on_fleet_state(fleet); },
+                 [this](const OutlierReport& report) { on_outlier_report(report); },
+             },
+             event);
+}
 
 void Balancer::on_event(double now, const Event& event, std::vector<Action>& actions) {
   impl_->now = now;
   impl_->actions = &actions;
   impl_->start();
-  std::visit([this](const auto& e) { impl_->take(e); }, event);
-  for (const RequestId id : impl_->done) impl_->open.erase(id);
-  impl_->done.clear();
+  impl_->dispatch(event);
+  for (const RequestId id : impl_->finished) impl_->requests.erase(id);
+  impl_->finished.clear();
 }
 
 } // namespace fernward
--- a/src/policy/balancer.h
+++ b/src/policy/balancer.h
@@ -24,121 +24,131 @@
 constexpr double kTickMs = 100; // housekeeping
 
 struct Balancer::Impl {
-  Settings set;
+  Settings settings;
   Random random;
   double now = 0;
   std::vector<Action>* actions = nullptr;
   std::map<ServerId, Replica> replicas;
-  placement::Placement<Replica> places;
+  placement::Placement<Replica> placement;
   placement::KeyDemand demand;
   Replica* origin = nullptr;
   concurrency::OriginConcurrencyLimiter origin_limit = concurrency::OriginConcurrencyLimiter::origin(1);
-  concurrency::ConnectionCapacityEstimator origin_places;
+  concurrency::ConnectionCapacityEstimator origin_connections;
   concurrency::OriginRequestQueue origin_queue;
-  std::vector<RequestId> leaving_queue; // scratch
-  concurrency::RetryBudget allowance;
-  bool pumping = false;
-  std::unordered_map<RequestId, RequestState> open;
-  std::vector<RequestId> done; // concluded with nothing out: dropped once the event is handled
-  std::unordered_map<std::uint64_t, std::vector<RequestId>> fetches; // by key: who waits for the leader
-  concurrency::AdmissionController shedder;
-  std::vector<double> tenant_rate;    // requests a second here
-  double aim_ms = 3000, fleet_ms = 0; // the shortest aim; mean of the caches' response times
-  concurrency::SlowAttemptTracker cache_late, origin_late;
-  double failing = 0;     // share of the caches' attempts that fail
-  double fleet_queue = 0; // mean of the caches' reported queues
-  double request_rate = 0, requests_now = 0;
-  std::size_t caches = 0, ejected = 0;   // in service; and of those, left out
-  std::vector<ServerId> leaving;         // gone from the list, dropped once nothing is out there
-  std::set<ServerId> origins;            // that are listed
-  double probes = 0;                     // saved up
-  double living = 0, ledger_demand = -1; // nodes in service, attempts wanted at the origin; as far as known
-  bool ticking = false, subscribed = false, asked = false;
-  double ask_at = 0, ask_wait = 0, logged_at = kNever;
-  SlowStartCounts slow_start; // what it has decided
+  std::vector<RequestId> expired; // scratch
+  concurrency::RetryBudget retry_budget;
+  bool dispatching_origin = false;
+  std::unordered_map<RequestId, RequestState> requests;
+  std::vector<RequestId> finished; // concluded with nothing out: dropped once the event is handled
+  std::unordered_map<std::uint64_t, std::vector<RequestId>>
+      fetch_followers; // by key: who waits for the leader
+  concurrency::AdmissionController admission;
+  std::vector<double> tenant_rate; // requests a second here
+  double shortest_objective_ms = 3000,
+         cache_response_ms = 0; // the shortest aim; mean of the caches' response times
+  concurrency::SlowAttemptTracker cache_slow_attempts, origin_slow_attempts;
+  double cache_failure_rate = 0; // share of the caches' attempts that fail
+  double cache_queue_length = 0; // mean of the caches' reported queues
+  double request_rate = 0, requests_this_tick = 0;
+  std::size_t ready_caches = 0, ejected_servers = 0; // in service; and of those, left out
+  std::vector<ServerId> leaving;                     // gone from the list, dropped once nothing is out there
+  std::set<ServerId> listed_origins;                 // that are listed
+  double health_check_credit = 0;                    // saved up
+  double live_routers = 0,
+         origin_demand = -1; // nodes in service, attempts wanted at the origin; as far as known
+  bool ticking = false, subscribed = false, watch_pending = false;
+  double watch_at = 0, watch_backoff_ms = 0, logged_at = kNever;
+  SlowStartCounts slow_start_counts; // what it has decided
 
   Impl(const Settings& s, std::uint64_t seed);
-  void take_classes(); // settings.cpp
+  void apply_classes(); // settings.cpp
 
   // balancer.cpp: events, the server list, timers
   void start();
+  void dispatch(const Event& event);
   template <typename Kind>
-  void act(Kind action) {
+  void emit(Kind action) {
     actions->emplace_back(std::in_place_type<Kind>, std::move(action));
   }
   void log(const char* what, double figure);
-  void take(const EndpointList& list);
-  void take(const TimerFired& e);
-  void take(const FleetState& e);
-  void take(const OutlierReport& e);
-  void update(const Server& server);
-  void tally(const Replica& r, int sign);
-  void arrange(const std::vector<ServerId>& changed);
-  void drop_leaving();
-  void probe(Replica& r);
-  void probe_due();
+  void on_endpoint_list(const EndpointList& list);
+  void on_timer(const TimerFired& timer);
+  void on_fleet_state(const FleetState& fleet);
+  void on_outlier_report(const OutlierReport& report);
+  void update_server(const Server& listed);
+  void count_server(const Replica& replica, int sign);
+  void place_servers(const std::vector<ServerId>& changed);
+  void drop_departed();
+  void send_health_check(Replica& replica);
+  void send_due_health_checks();
   void tick();
-  Replica* find(ServerId id) {
+  Replica* find_server(ServerId id) {
     const auto it = replicas.find(id);
     return it == replicas.end() ? nullptr : &it->second;
   }
-  RequestState* live(RequestId id) {
-    const auto it = open.find(id);
-    return it == open.end() || it->second.over ? nullptr : &it->second;
+  RequestState* find_request(RequestId id) {
+    const auto it = requests.find(id);
+    return it == requests.end() || it->second.finished ? nullptr : &it->second;
   }
-  concurrency::SlowAttemptTracker& lateness(const Replica& r) {
-    return is_origin(r) ? origin_late : cache_late;
+  concurrency::SlowAttemptTracker& slow_attempts(const Replica& replica) {
+    return is_origin(replica) ? origin_slow_attempts : cache_slow_attempts;
   }
-  bool is_origin(const Replica& r) const {
-    return static_cast<std::int64_t>(r.entry.kind) == set.origin_kind;
+  bool is_origin(const Replica& replica) const {
+    return static_cast<std::int64_t>(replica.entry.kind) == settings.origin_kind;
   }
 
   // choose.cpp: a request arrives, and the choice among the caches
-  void take(const Request& in);
-  bool cold(const Replica& r) const { return now - r.cold_since < set.slow_start_ms; }
-  double warmth(const Replica& r) const;
-  bool start_allows(const Replica& r, const RequestState& o, bool first);
-  bool usable(const Replica& r) const;
-  bool repeatable(const RequestState& o, const Replica& r) const {
-    return (o.out == 0 || set.may_hedge) && may_repeat(set, o, r.entry, now);
+  void on_request(const Request& received);
+  bool in_slow_start(const Replica& replica) const {
+    return now - replica.slow_start_began_at < settings.slow_start_ms;
   }
-  double aim_of(const RequestState& o) const;
+  double slow_start_factor(const Replica& replica) const;
+  bool slow_start_admits(const Replica& replica, const RequestState& request, bool first);
+  bool is_usable(const Replica& replica) const;
+  bool may_attempt_at(const RequestState& request, const Replica& replica) const {
+    return (request.in_flight == 0 || settings.may_hedge) &&
+           idempotency_allows(settings, request, replica.entry, now);
+  }
+  double latency_objective_ms(const RequestState& request) const;
   bool over_quota(std::uint32_t tenant);
-  bool choose(RequestState& o);
-  double origin_turn_ms() const;
-  bool send(RequestState& o, Replica& r);
+  bool send_to_best_cache(RequestState& request);
+  double origin_cost_ms() const;
+  bool send_attempt(RequestState& request, Replica& replica);
 
   // health.cpp: which caches are left out
-  bool answers_others(const Replica& r);
-  void strike(Replica& r, int weight);
-  void leave_out(Replica& r);
-  void postpone_trial(Replica& r);
-  void heard(Replica& r);
+  bool responded_lately(const Replica& replica);
+  void record_failure(Replica& replica, int weight);
+  void eject(Replica& replica);
+  void schedule_trial(Replica& replica);
+  void record_success(Replica& replica);
 
   // outcome.cpp: an attempt ends or is overdue
-  void take(const AttemptOutcome& e);
-  void take(const ResponseStarted& e);
-  void take(const HealthCheckResult& e);
-  void learn(RequestState& o, Attempt& a, Replica& r, const AttemptOutcome& e);
-  void learn_cache(RequestState& o, const Attempt& a, Replica& r, const AttemptOutcome& e, double elapsed);
-  void learn_origin(Replica& r, const AttemptOutcome& e, double elapsed);
-  bool limit(const RequestState& o, Replica& r, const AttemptOutcome& e, double elapsed);
-  void note_hit(RequestState& o, const Attempt& a, bool hit);
-  void next_step(RequestState& o, const AttemptOutcome& e);
-  void overdue(RequestState& o, std::size_t attempt);
+  void on_attempt_outcome(const AttemptOutcome& outcome);
+  void on_response_started(const ResponseStarted& started);
+  void on_health_check_result(const HealthCheckResult& result);
+  void learn_from_outcome(RequestState& request, Attempt& attempt, Replica& replica,
+                          const AttemptOutcome& outcome);
+  void learn_cache_outcome(RequestState& request, const Attempt& attempt, Replica& replica,
+                           const AttemptOutcome& outcome, double elapsed);
+  void learn_origin_outcome(Replica& replica, const AttemptOutcome& outcome, double elapsed);
+  bool update_limits(const RequestState& request, Replica& replica, const AttemptOutcome& outcome,
+                     double elapsed);
+  void record_lookup(RequestState& request, const Attempt& attempt, bool hit);
+  void continue_request(RequestState& request, const AttemptOutcome& outcome);
+  void on_slow_attempt(RequestState& request, std::size_t index);
 
   // origin.cpp: misses, writes and the origin
-  void after_miss(RequestState& o);
-  void to_origin(RequestState& o);
-  void pump_origin();
-  void end_fetch(RequestState& leader, bool stored);
+  void continue_after_miss(RequestState& request);
+  void queue_for_origin(RequestState& request);
+  void dispatch_to_origin();
+  void complete_fetch(RequestState& leader, bool stored);
 
   // answer.cpp: the final answer
-  void take(const ClientDisconnected& e);
-  void finish(RequestState& o, bool served);
-  void cancel_out(const RequestState& o, std::size_t but);
-  void conclude(RequestState& o, GiveUpReason why);
-  GiveUpReason blocked(const RequestState& o, const Replica& r) const;
+  void on_client_disconnected(const ClientDisconnected& event);
+  void finish_request(RequestState& request, bool served);
+  void cancel_attempts(const RequestState& request, std::size_t except);
+  void give_up(RequestState& request, GiveUpReason why);
+  GiveUpReason give_up_reason(const RequestState& request, const Replica& replica) const;
 };
 
 } // namespace fernward
--- a/src/policy/choose.cpp
+++ b/src/policy/choose.cpp
@@ -7,148 +7,159 @@
 
 namespace fernward {
 
-constexpr double kOtherZone = 3;    // by which a cache in another zone than the node's scores worse
-constexpr double kUnheld = 1e9;     // score of a cache that came lately and would have to fetch
-constexpr double kPanicShare = 0.5; // more ejected than this: the judgement is distrusted
+constexpr double kOtherZoneScoreFactor = 3; // by which a cache in another zone than the node's scores worse
+constexpr double kUnheldKeyScorePenalty = 1e9; // score of a cache that came lately and would have to fetch
+constexpr double kPanicThreshold = 0.5;        // more ejected than this: the judgement is distrusted
 
 // ---- which caches can be used now ----
 
 // The share of its capacity that a started cache surely has: from the stated start evenly up to all of it.
-double Balancer::Impl::warmth(const Replica& r) const {
-  if (!cold(r)) return 1;
-  const double age = std::max(0.0, now - r.cold_since) / set.slow_start_ms;
-  return set.slow_start_min_capacity + (1 - set.slow_start_min_capacity) * age;
+double Balancer::Impl::slow_start_factor(const Replica& replica) const {
+  if (!in_slow_start(replica)) return 1;
+  const double age = std::max(0.0, now - replica.slow_start_began_at) / settings.slow_start_ms;
+  return settings.slow_start_min_capacity + (1 - settings.slow_start_min_capacity) * age;
 }
 
 // Guards a cache in slow start against being overloaded: its own keys, cut to the capacity that it surely
 // has, and popular ones to what one cache of this fleet can take of them. A draw for each request: the sum
 // over all routers is the same for three of them and a thousand.
-bool Balancer::Impl::start_allows(const Replica& r, const RequestState& o, bool first) {
-  if (!cold(r)) return true;
-  const double draw = Random{o.in.id ^ mix(r.entry.id)}.unit();
-  const bool allowed = draw < (first ? 1 : 0.5) * o.slow_start_share * warmth(r);
-  slow_start.denied += !allowed;
+bool Balancer::Impl::slow_start_admits(const Replica& replica, const RequestState& request, bool first) {
+  if (!in_slow_start(replica)) return true;
+  const double draw = Random{request.params.id ^ mix(replica.entry.id)}.unit();
+  const bool allowed = draw < (first ? 1 : 0.5) * request.slow_start_share * slow_start_factor(replica);
+  slow_start_counts.denied += !allowed;
   return allowed;
 }
 
-bool Balancer::Impl::usable(const Replica& r) const {
-  if (r.entry.state != ServerState::Ready) return false;
+bool Balancer::Impl::is_usable(const Replica& replica) const {
+  if (replica.entry.state != ServerState::Ready) return false;
   // When most look bad the judgement itself is distrusted. Else half-open: without probes, one real request
   // at a time is the trial.
-  const bool panic = static_cast<double>(ejected) > kPanicShare * static_cast<double>(caches);
-  return !r.health.out() || panic || (!set.may_health_check && r.health.trial_due(now));
+  const bool panic =
+      static_cast<double>(ejected_servers) > kPanicThreshold * static_cast<double>(ready_caches);
+  return !replica.outlier.is_ejected() || panic ||
+         (!settings.may_health_check && replica.outlier.trial_due(now));
 }
 
 // ---- a request arrives ----
 
-void Balancer::Impl::take(const Request& in) {
-  if (in.class_index >= set.classes.size() || open.count(in.id) != 0) return;
-  const ClassSettings& c = set.classes[in.class_index];
-  RequestState& o = open[in.id];
-  o.in = cleaned(in, now + c.client_timeout_ms);
+void Balancer::Impl::on_request(const Request& received) {
+  if (received.class_index >= settings.classes.size() || requests.count(received.id) != 0) return;
+  const ClassSettings& class_settings = settings.classes[received.class_index];
+  RequestState& request = requests[received.id];
+  request.params = sanitized(received, now + class_settings.client_timeout_ms);
   // Past the aim an answer may earn nothing more: then the request ends there.
-  const double aim_at = std::max(now, o.in.body_complete_at) + aim_of(o);
-  o.end_at = std::min(o.in.deadline, c.late_value_share > 0 ? 1e15 : aim_at) - set.event_interval_ms;
-  const std::size_t priority = 2 * in.class_index + (over_quota(in.tenant) ? 1 : 0);
-  o.value = shedder.value[priority];
-  shedder.rate[priority] += 1;
-  ++requests_now;
-  allowance.request(now, std::max(cache_late.dead, origin_late.dead));
-  if (o.end_at <= now || !shedder.admit(priority, random.unit())) {
-    allowance.ended(now, true);
-    return conclude(o, GiveUpReason::Shed);
+  const double aim_at = std::max(now, request.params.body_complete_at) + latency_objective_ms(request);
+  request.answer_by = std::min(request.params.deadline, class_settings.late_value_share > 0 ? 1e15 : aim_at) -
+                      settings.event_interval_ms;
+  const std::size_t priority = 2 * received.class_index + (over_quota(received.tenant) ? 1 : 0);
+  request.value = admission.value[priority];
+  admission.rate[priority] += 1;
+  ++requests_this_tick;
+  retry_budget.request(now, std::max(cache_slow_attempts.dead, origin_slow_attempts.dead));
+  if (request.answer_by <= now || !admission.admit(priority, random.unit())) {
+    retry_budget.ended(now, true);
+    return give_up(request, GiveUpReason::Shed);
   }
-  act(SetTimer{o.end_at - now, token(Timer::End, in.id)});
-  o.slow_start_share = demand.request(now, in.key, caches, set.overload_multiple);
-  if (in.write && set.origin_kind >= 0) return to_origin(o);
-  places.read(now, in.key);
-  if (!choose(o)) to_origin(o); // which concludes where there is none
+  emit(SetTimer{request.answer_by - now, timer_token(Timer::GiveUp, received.id)});
+  request.slow_start_share = demand.request(now, received.key, ready_caches, settings.overload_multiple);
+  if (received.write && settings.origin_kind >= 0) return queue_for_origin(request);
+  placement.read(now, received.key);
+  if (!send_to_best_cache(request)) queue_for_origin(request); // which concludes where there is none
 }
 
-double Balancer::Impl::aim_of(const RequestState& o) const {
-  const ClassSettings& c = set.classes[o.in.class_index];
-  return c.latency_objective_ms > 0 ? c.latency_objective_ms + c.objective_per_work * o.in.expected_work_ms
-         : c.client_timeout_ms > 0  ? c.client_timeout_ms
-                                    : 1e12;
+double Balancer::Impl::latency_objective_ms(const RequestState& request) const {
+  const ClassSettings& class_settings = settings.classes[request.params.class_index];
+  return class_settings.latency_objective_ms > 0
+             ? class_settings.latency_objective_ms +
+                   class_settings.objective_per_work * request.params.expected_work_ms
+         : class_settings.client_timeout_ms > 0 ? class_settings.client_timeout_ms
+                                                : 1e12;
 }
 
 bool Balancer::Impl::over_quota(std::uint32_t tenant) {
-  if (tenant >= set.tenants.size()) return false;
+  if (tenant >= settings.tenants.size()) return false;
   tenant_rate[tenant] += 1 / 2000.0; // a mean over two seconds, see tick()
-  const TenantSettings& t = set.tenants[tenant];
-  return t.quota_per_s > 0 && tenant_rate[tenant] * 1000 > std::max(t.quota_per_s / set.router_count,
-                                                                    t.service_share * request_rate * 1000);
+  const TenantSettings& tenant_settings = settings.tenants[tenant];
+  return tenant_settings.quota_per_s > 0 &&
+         tenant_rate[tenant] * 1000 > std::max(tenant_settings.quota_per_s / settings.router_count,
+                                               tenant_settings.service_share * request_rate * 1000);
 }
 
 // The paper's choice among the key's candidates; false when there is none to send to.
-bool Balancer::Impl::choose(RequestState& o) {
-  const std::uint64_t key = o.in.key != 0 ? o.in.key : mix(o.in.id);
+bool Balancer::Impl::send_to_best_cache(RequestState& request) {
+  const std::uint64_t key = request.params.key != 0 ? request.params.key : mix(request.params.id);
   const auto may_be_asked = [&](const Replica& r) {
-    return (now < r.full_until || o.missed_at(r.entry.id) || !o.tried(r.entry.id)) && repeatable(o, r) &&
-           usable(r);
+    return (now < r.overloaded_until || request.has_missed(r.entry.id) || !request.has_tried(r.entry.id)) &&
+           may_attempt_at(request, r) && is_usable(r);
   };
-  using Choice = decltype(places)::Choice;
-  const Choice c = caches == 0 ? Choice{} : places.candidates(now, key, may_be_asked); // all are walked past
-  std::size_t best = c.size;
+  using Choice = decltype(placement)::Choice;
+  const Choice candidates =
+      ready_caches == 0 ? Choice{} : placement.candidates(now, key, may_be_asked); // all are walked past
+  std::size_t best = candidates.size;
   double best_score = std::numeric_limits<double>::infinity();
-  const double turn = origin_turn_ms();
-  if (!o.missed.empty()) best_score = turn; // or straight to the origin
-  const auto fill = o.attempts.empty() ? places.fill(now, o.in.key, c) : decltype(places)::Filling{};
-  for (std::size_t i = 0; i < c.size; ++i) {
-    Replica& r = *c.at[i];
+  const double turn = origin_cost_ms();
+  if (!request.cache_misses.empty()) best_score = turn; // or straight to the origin
+  const auto fill = request.attempts.empty() ? placement.fill(now, request.params.key, candidates)
+                                             : decltype(placement)::Filling{};
+  for (std::size_t i = 0; i < candidates.size; ++i) {
+    Replica& replica = *candidates.at[i];
     // Keeps its place all the same: the next is not the key's first cache.
-    if (o.missed_at(r.entry.id) || now < r.full_until || !start_allows(r, o, i == 0) ||
-        !r.gate.room(now, r.working()))
+    if (request.has_missed(replica.entry.id) || now < replica.overloaded_until ||
+        !slow_start_admits(replica, request, i == 0) || !replica.limiter.room(now, replica.active()))
       continue;
-    const bool likely = places.likely(c, i, o.in.key);
-    double score = r.score(now, living, fleet_ms, fleet_queue, likely ? (1 - warmth(r)) * turn : turn);
+    const bool likely = placement.likely(candidates, i, request.params.key);
+    double score = replica.score(now, live_routers, cache_response_ms, cache_queue_length,
+                                 likely ? (1 - slow_start_factor(replica)) * turn : turn);
     // A crossing is paid for and zones fail apart. In the cube 3 is a queue 1.44 times as long.
-    if (set.zone && r.entry.zone != *set.zone) score *= kOtherZone;
-    if (!likely && places.lately(now, key, r)) score += kUnheld;
-    if (&r == fill.whom) score = -1, o.filling = fill.what;
+    if (settings.zone && replica.entry.zone != *settings.zone) score *= kOtherZoneScoreFactor;
+    if (!likely && placement.lately(now, key, replica)) score += kUnheldKeyScorePenalty;
+    if (&replica == fill.whom) score = -1, request.pending_fill = fill.what;
     if (score < best_score) best_score = score, best = i;
   }
-  shedder.seen += o.attempts.empty();
-  shedder.tight += o.attempts.empty() && best == c.size;
-  if (best == c.size && o.missed.empty()) allowance.ended(now, true);
-  if (best == c.size) return false;
-  for (std::size_t i = 0; i < c.size; ++i) c.at[i]->passed_over += i != best;
-  if (c.at[best] == fill.whom) places.pace().filled(fill.what);
-  return send(o, *c.at[best]);
+  admission.seen += request.attempts.empty();
+  admission.tight += request.attempts.empty() && best == candidates.size;
+  if (best == candidates.size && request.cache_misses.empty()) retry_budget.ended(now, true);
+  if (best == candidates.size) return false;
+  for (std::size_t i = 0; i < candidates.size; ++i) candidates.at[i]->passed_over += i != best;
+  if (candidates.at[best] == fill.whom) placement.pace().filled(fill.what);
+  return send_attempt(request, *candidates.at[best]);
 }
 
 // A miss costs a turn at the origin, a price that the paper has not: its response time, cubed up like a
 // cache's by how much of what this node lets it have at once is taken or waited for, and by how near its
 // answers come to being late, which shows what the other nodes send it.
-double Balancer::Impl::origin_turn_ms() const {
+double Balancer::Impl::origin_cost_ms() const {
   if (origin == nullptr) return 0;
-  const double wanted = origin->working() + static_cast<double>(origin_queue.size());
-  const double pace = places.pace().crowding(now, static_cast<double>(origin_queue.size()));
+  const double wanted = origin->active() + static_cast<double>(origin_queue.size());
+  const double pace = placement.pace().crowding(now, static_cast<double>(origin_queue.size()));
   const double use = 2 * std::max(origin_limit.crowding(now, wanted), pace);
-  return origin->response(now, origin_limit.recent_ms()) * (1 + use * use * use);
+  return origin->expected_response_ms(now, origin_limit.recent_ms()) * (1 + use * use * use);
 }
 
-bool Balancer::Impl::send(RequestState& o, Replica& r) {
-  if (o.over || o.streaming || o.attempts.size() >= set.max_attempts_of(o.in.class_index) ||
-      !repeatable(o, r))
+bool Balancer::Impl::send_attempt(RequestState& request, Replica& replica) {
+  if (request.finished || request.streaming ||
+      request.attempts.size() >= settings.max_attempts_of(request.params.class_index) ||
+      !may_attempt_at(request, replica))
     return false;
-  if (r.entry.state != ServerState::Ready || now >= o.end_at) return false;
-  r.health.sent();
-  act(SetTimer{std::max(lateness(r).slow_ms, 2 * set.event_interval_ms),
-               token(Timer::Overdue, o.in.id, o.attempts.size() & 0xff)});
-  if (!o.maybe_ran && o.out == 0) { // the group that a keyed request is bound to from now on
-    o.ran_at = now;
-    o.ran_zone = r.entry.zone;
-    o.ran_cell = r.entry.cell;
+  if (replica.entry.state != ServerState::Ready || now >= request.answer_by) return false;
+  replica.outlier.record_sent();
+  emit(SetTimer{std::max(slow_attempts(replica).slow_ms, 2 * settings.event_interval_ms),
+                timer_token(Timer::SlowAttempt, request.params.id, request.attempts.size() & 0xff)});
+  if (!request.may_have_executed &&
+      request.in_flight == 0) { // the group that a keyed request is bound to from now on
+    request.bound_at = now;
+    request.bound_zone = replica.entry.zone;
+    request.bound_cell = replica.entry.cell;
   }
-  o.attempts.push_back({r.entry.id, now});
-  slow_start.attempts += !is_origin(r) && cold(r);
-  ++o.out;
-  ++r.open;
-  if (is_origin(r)) origin_places.sent(now, r.working() - 1);
-  is_origin(r) ? origin_limit.sent(now) : r.gate.sent(now);
-  if (is_origin(r) && !o.in.write) places.pace().fetched(now);
-  act(Send{o.in.id, r.entry.id, 0});
+  request.attempts.push_back({replica.entry.id, now});
+  slow_start_counts.attempts += !is_origin(replica) && in_slow_start(replica);
+  ++request.in_flight;
+  ++replica.in_flight;
+  if (is_origin(replica)) origin_connections.sent(now, replica.active() - 1);
+  is_origin(replica) ? origin_limit.sent(now) : replica.limiter.sent(now);
+  if (is_origin(replica) && !request.params.write) placement.pace().fetched(now);
+  emit(Send{request.params.id, replica.entry.id, 0});
   return true;
 }
 
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -5,43 +5,47 @@
 
 namespace fernward {
 
-bool Balancer::Impl::answers_others(const Replica& r) {
-  return now - r.health.heard_at() < 2 * std::max(lateness(r).slow_ms, r.response(now, fleet_ms));
+bool Balancer::Impl::responded_lately(const Replica& replica) {
+  return now - replica.outlier.last_response_at() <
+         2 * std::max(slow_attempts(replica).slow_ms, replica.expected_response_ms(now, cache_response_ms));
 }
 
-void Balancer::Impl::strike(Replica& r, int weight) {
+void Balancer::Impl::record_failure(Replica& replica, int weight) {
   // It is slow, or its connections break, but it is not gone. Unless it fails far more than most.
-  const bool stays = answers_others(r) && r.failing < 0.5 + failing / 2;
-  if (!is_origin(r) && r.health.struck(now, weight, stays)) leave_out(r);
+  const bool stays = responded_lately(replica) && replica.failure_rate < 0.5 + cache_failure_rate / 2;
+  if (!is_origin(replica) && replica.outlier.record_failure(now, weight, stays)) eject(replica);
 }
 
-void Balancer::Impl::leave_out(Replica& r) {
-  ejected += r.entry.state == ServerState::Ready;
-  places.pace().disturb(now); // its keys fall to others now, long before the list tells
-  postpone_trial(r);
-  log("cache ejected, trial in ms:", r.health.trial_at() - now);
+void Balancer::Impl::eject(Replica& replica) {
+  ejected_servers += replica.entry.state == ServerState::Ready;
+  placement.pace().disturb(now); // its keys fall to others now, long before the list tells
+  schedule_trial(replica);
+  log("cache ejected, trial in ms:", replica.outlier.next_trial_at() - now);
 }
 
-void Balancer::Impl::postpone_trial(Replica& r) { r.health.wait(now, cache_late.slow_ms, random.unit()); }
+void Balancer::Impl::schedule_trial(Replica& replica) {
+  replica.outlier.schedule_trial(now, cache_slow_attempts.slow_ms, random.unit());
+}
 
-void Balancer::Impl::heard(Replica& r) {
-  if (r.health.heard(now)) ejected -= r.entry.state == ServerState::Ready;
+void Balancer::Impl::record_success(Replica& replica) {
+  if (replica.outlier.record_success(now)) ejected_servers -= replica.entry.state == ServerState::Ready;
 }
 
 // ---- what routers tell one another ----
 
-void Balancer::Impl::take(const OutlierReport& e) {
-  Replica* r = find(e.server);
-  if (r == nullptr || is_origin(*r)) return;
-  if (!e.is_outlier) return r->health.told_well(now, e.observed_at);
-  if (r->health.told_bad(e.observed_at)) leave_out(*r);
+void Balancer::Impl::on_outlier_report(const OutlierReport& report) {
+  Replica* replica = find_server(report.server);
+  if (replica == nullptr || is_origin(*replica)) return;
+  if (!report.is_outlier) return replica->outlier.on_reported_healthy(now, report.observed_at);
+  if (replica->outlier.on_reported_outlier(report.observed_at)) eject(*replica);
 }
 
 void Balancer::outlier_observations(std::vector<OutlierObservation>& to) const {
-  for (const auto& [id, r] : impl_->replicas) {
-    if (impl_->is_origin(r) || r.entry.state != ServerState::Ready) continue;
-    const auto lost = static_cast<std::uint32_t>(r.health.strikes());
-    to.push_back({id, lost, lost > 0 ? r.health.struck_at() : r.health.heard_at()});
+  for (const auto& [id, replica] : impl_->replicas) {
+    if (impl_->is_origin(replica) || replica.entry.state != ServerState::Ready) continue;
+    const auto failures = static_cast<std::uint32_t>(replica.outlier.consecutive_failures());
+    to.push_back({id, failures,
+                  failures > 0 ? replica.outlier.last_failure_at() : replica.outlier.last_response_at()});
   }
 }
 
--- a/src/policy/outcome.cpp
+++ b/src/policy/outcome.cpp
@@ -6,214 +6,243 @@
 
 namespace fernward {
 
-constexpr std::uint64_t kWatched = 4; // one in so many late attempts is never withdrawn
+constexpr std::uint64_t kRunToEndOneIn = 4; // one in so many late attempts is never withdrawn
 
 // ---- an attempt ends ----
 
-void Balancer::Impl::take(const AttemptOutcome& e) {
-  const auto it = open.find(e.id);
-  if (it == open.end() || e.attempt >= it->second.attempts.size()) return;
-  RequestState& o = it->second;
-  Attempt& a = o.attempts[e.attempt];
-  if (!a.out) return;
-  a.out = false;
-  --o.out;
-  if (Replica* r = find(a.server)) learn(o, a, *r, e);
-  const bool ran = may_have_run(e.result);
-  o.maybe_ran |= ran;
-  if (ran && o.in.write) places.wrote(o.in.key, now);
-  if (!o.over && e.request_ended) finish(o, e.result == AttemptResult::Ok);
-  if (!o.over) next_step(o, e);
-  if (o.over && o.out == 0) open.erase(e.id);
-  pump_origin();
+void Balancer::Impl::on_attempt_outcome(const AttemptOutcome& outcome) {
+  const auto it = requests.find(outcome.id);
+  if (it == requests.end() || outcome.attempt >= it->second.attempts.size()) return;
+  RequestState& request = it->second;
+  Attempt& attempt = request.attempts[outcome.attempt];
+  if (!attempt.in_flight) return;
+  attempt.in_flight = false;
+  --request.in_flight;
+  if (Replica* replica = find_server(attempt.server)) learn_from_outcome(request, attempt, *replica, outcome);
+  const bool ran = may_have_executed(outcome.result);
+  request.may_have_executed |= ran;
+  if (ran && request.params.write) placement.wrote(request.params.key, now);
+  if (!request.finished && outcome.request_ended)
+    finish_request(request, outcome.result == AttemptResult::Ok);
+  if (!request.finished) continue_request(request, outcome);
+  if (request.finished && request.in_flight == 0) requests.erase(outcome.id);
+  dispatch_to_origin();
 }
 
 // From an attempt's end; of an answer that is passed on from its beginning, as its end is its client's.
-void Balancer::Impl::learn(RequestState& o, Attempt& a, Replica& r, const AttemptOutcome& e) {
-  if (r.report(now, set.load_report_fields, e.load_report) && !is_origin(r))
-    smooth(fleet_queue, r.queue, 0.02);
-  if (a.opened && e.result == AttemptResult::Ok) return;
-  r.open -= !a.opened && r.open > 0;
-  r.hung -= std::exchange(a.hung, false) && r.hung > 0;
-  const double elapsed = usable_number(e.elapsed_ms) ? e.elapsed_ms : now - a.sent_at;
-  if (e.result == AttemptResult::Ok || e.result == AttemptResult::CacheMiss)
-    r.overtaken_at = std::max(r.overtaken_at, a.sent_at);
-  allowance.ended(now, limit(o, r, e, elapsed), failed(e.result));
-  if (std::exchange(a.watched, false)) lateness(r).ended(e.result != AttemptResult::TimedOut);
-  is_origin(r) ? learn_origin(r, e, elapsed) : learn_cache(o, a, r, e, elapsed);
+void Balancer::Impl::learn_from_outcome(RequestState& request, Attempt& attempt, Replica& replica,
+                                        const AttemptOutcome& outcome) {
+  if (replica.record_report(now, settings.load_report_fields, outcome.load_report) && !is_origin(replica))
+    smooth(cache_queue_length, replica.queue_length, 0.02);
+  if (attempt.response_started && outcome.result == AttemptResult::Ok) return;
+  replica.in_flight -= !attempt.response_started && replica.in_flight > 0;
+  replica.stalled -= std::exchange(attempt.stalled, false) && replica.stalled > 0;
+  const double elapsed = usable_number(outcome.elapsed_ms) ? outcome.elapsed_ms : now - attempt.sent_at;
+  if (outcome.result == AttemptResult::Ok || outcome.result == AttemptResult::CacheMiss)
+    replica.latest_answered_send_at = std::max(replica.latest_answered_send_at, attempt.sent_at);
+  retry_budget.ended(now, update_limits(request, replica, outcome, elapsed), is_failure(outcome.result));
+  if (std::exchange(attempt.runs_to_end, false))
+    slow_attempts(replica).ended(outcome.result != AttemptResult::TimedOut);
+  is_origin(replica) ? learn_origin_outcome(replica, outcome, elapsed)
+                     : learn_cache_outcome(request, attempt, replica, outcome, elapsed);
 }
 
 // What the end tells of the server's crowding; true: a sign of it.
-bool Balancer::Impl::limit(const RequestState& o, Replica& r, const AttemptOutcome& e, double elapsed) {
-  if (!is_origin(r)) {
-    if (e.result == AttemptResult::Overloaded) r.gate.cut(now, 0.7);
-    const bool silent = e.result == AttemptResult::Cancelled || e.result == AttemptResult::TimedOut;
+bool Balancer::Impl::update_limits(const RequestState& request, Replica& replica,
+                                   const AttemptOutcome& outcome, double elapsed) {
+  if (!is_origin(replica)) {
+    if (outcome.result == AttemptResult::Overloaded) replica.limiter.cut(now, 0.7);
+    const bool silent =
+        outcome.result == AttemptResult::Cancelled || outcome.result == AttemptResult::TimedOut;
     // Else the limit would stand still just when nothing comes back in time any more.
-    if (e.result == AttemptResult::Ok || (silent && elapsed > concurrency::kTightAim * aim_of(o)))
-      return r.gate.answered(now, elapsed, aim_of(o), r.working());
-    return e.result == AttemptResult::Overloaded;
+    if (outcome.result == AttemptResult::Ok ||
+        (silent && elapsed > concurrency::kTightAim * latency_objective_ms(request)))
+      return replica.limiter.answered(now, elapsed, latency_objective_ms(request), replica.active());
+    return outcome.result == AttemptResult::Overloaded;
   }
   // A connection refused by one that works: it wants places for connections, not room for work.
-  const bool connects = e.result == AttemptResult::ConnectFailed && answers_others(r);
-  if (connects || (e.result == AttemptResult::Overloaded && e.first_on_connection)) {
-    origin_places.refused(now, r.working(), origin_limit.recent_ms(), random.unit());
-    log("origin refuses further connections, in use:", r.working());
+  const bool connects = outcome.result == AttemptResult::ConnectFailed && responded_lately(replica);
+  if (connects || (outcome.result == AttemptResult::Overloaded && outcome.first_on_connection)) {
+    origin_connections.refused(now, replica.active(), origin_limit.recent_ms(), random.unit());
+    log("origin refuses further connections, in use:", replica.active());
     return false;
   }
-  concurrency::Sample s{
-      concurrency::Ending::Answered, elapsed, o.in.expected_work_ms, aim_of(o), o.in.write, r.working()};
-  switch (e.result) {
+  concurrency::Sample sample{concurrency::Ending::Answered,
+                             elapsed,
+                             request.params.expected_work_ms,
+                             latency_objective_ms(request),
+                             request.params.write,
+                             replica.active()};
+  switch (outcome.result) {
     case AttemptResult::CacheMiss: // quick, whatever the server is about
     case AttemptResult::InvalidRequest:
     case AttemptResult::Abandoned: return false;
-    case AttemptResult::Ok: origin_places.had(r.working() + 1); break;
-    case AttemptResult::Overloaded: s.ending = concurrency::Ending::TurnedAway; break;
-    case AttemptResult::ConnectFailed: s.ending = concurrency::Ending::Unreached; break;
+    case AttemptResult::Ok: origin_connections.had(replica.active() + 1); break;
+    case AttemptResult::Overloaded: sample.ending = concurrency::Ending::TurnedAway; break;
+    case AttemptResult::ConnectFailed: sample.ending = concurrency::Ending::Unreached; break;
     case AttemptResult::Error:
-    case AttemptResult::Reset: s.ending = concurrency::Ending::Fault; break;
-    case AttemptResult::TimedOut: s.ending = concurrency::Ending::Silent; break;
+    case AttemptResult::Reset: sample.ending = concurrency::Ending::Fault; break;
+    case AttemptResult::TimedOut: sample.ending = concurrency::Ending::Silent; break;
     case AttemptResult::Cancelled: // as its time had run out, or as another copy was quicker
-      s.ending = now >= o.end_at ? concurrency::Ending::Silent : concurrency::Ending::Withdrawn;
+      sample.ending = now >= request.answer_by ? concurrency::Ending::Silent : concurrency::Ending::Withdrawn;
   }
-  const concurrency::Sign sign = origin_limit.ended(now, s);
+  const concurrency::Sign sign = origin_limit.ended(now, sample);
   if (sign == concurrency::Sign::TurnedAway)
     log("origin crowded, attempts at once cut to", origin_limit.limit());
   return sign == concurrency::Sign::TurnedAway || sign == concurrency::Sign::Slow;
 }
 
-void Balancer::Impl::learn_cache(RequestState& o, const Attempt& a, Replica& r, const AttemptOutcome& e,
-                                 double elapsed) {
-  const bool well = e.result == AttemptResult::Ok || e.result == AttemptResult::CacheMiss ||
-                    e.result == AttemptResult::Overloaded;
+void Balancer::Impl::learn_cache_outcome(RequestState& request, const Attempt& attempt, Replica& replica,
+                                         const AttemptOutcome& outcome, double elapsed) {
+  const bool well = outcome.result == AttemptResult::Ok || outcome.result == AttemptResult::CacheMiss ||
+                    outcome.result == AttemptResult::Overloaded;
   // A connection that its cache had closed while it rested: the cache is well, the next connection will do.
-  const bool stale = e.result == AttemptResult::Reset && e.on_reused_connection;
-  if (e.result != AttemptResult::Cancelled && e.result != AttemptResult::Abandoned && !stale) {
-    smooth(r.failing, !well, 0.1);
-    smooth(failing, !well, 0.01);
+  const bool stale = outcome.result == AttemptResult::Reset && outcome.on_reused_connection;
+  if (outcome.result != AttemptResult::Cancelled && outcome.result != AttemptResult::Abandoned && !stale) {
+    smooth(replica.failure_rate, !well, 0.1);
+    smooth(cache_failure_rate, !well, 0.01);
   }
-  switch (e.result) {
+  switch (outcome.result) {
     case AttemptResult::Ok:
-      heard(r);
-      smooth(fleet_ms, elapsed, 0.02);
-      cache_late.answered(elapsed);
-      r.answered(now, elapsed);
-      note_hit(o, a, true);
+      record_success(replica);
+      smooth(cache_response_ms, elapsed, 0.02);
+      cache_slow_attempts.answered(elapsed);
+      replica.record_response(now, elapsed);
+      record_lookup(request, attempt, true);
       break;
     case AttemptResult::CacheMiss:
-      heard(r);
-      note_hit(o, a, false);
-      o.missed.push_back(r.entry.id);
+      record_success(replica);
+      record_lookup(request, attempt, false);
+      request.cache_misses.push_back(replica.entry.id);
       break;
     case AttemptResult::
         Overloaded: // for about as long as one request takes, another would be turned away too
-      r.health.lives(now);
-      shedder.tight += e.attempt > 0; // not its first: the caches are full, not just one
-      r.full_until = now + (r.service_ms > 0 ? r.service_ms : r.response(now, fleet_ms));
+      replica.outlier.record_response(now);
+      admission.tight += outcome.attempt > 0; // not its first: the caches are full, not just one
+      replica.overloaded_until =
+          now + (replica.service_time_ms > 0 ? replica.service_time_ms
+                                             : replica.expected_response_ms(now, cache_response_ms));
       break;
     case AttemptResult::ConnectFailed:
-    case AttemptResult::Reset: strike(r, stale ? 0 : 2); break;
+    case AttemptResult::Reset: record_failure(replica, stale ? 0 : 2); break;
     case AttemptResult::Error:
-      strike(r, 1);
+      record_failure(replica, 1);
       break; // one that only errs is ejected, one that errs now and then not
     case AttemptResult::Cancelled:
     case AttemptResult::TimedOut:
-      if (elapsed > r.response(now, fleet_ms)) r.answered(now, elapsed); // it took at least this long
-      if (elapsed > fleet_ms) smooth(fleet_ms, elapsed, 0.02);
-      if (e.result == AttemptResult::TimedOut) strike(r, 1);
+      if (elapsed > replica.expected_response_ms(now, cache_response_ms))
+        replica.record_response(now, elapsed); // it took at least this long
+      if (elapsed > cache_response_ms) smooth(cache_response_ms, elapsed, 0.02);
+      if (outcome.result == AttemptResult::TimedOut) record_failure(replica, 1);
       break;
     default: break;
   }
-  if (r.health.out() && e.result != AttemptResult::Overloaded) postpone_trial(r);
+  if (replica.outlier.is_ejected() && outcome.result != AttemptResult::Overloaded) schedule_trial(replica);
 }
 
-void Balancer::Impl::note_hit(RequestState& o, const Attempt& a, bool hit) {
-  if (hit && o.filling)
-    places.pace().unfilled(*std::exchange(o.filling, {})); // another router's fetch filled it
-  if (set.origin_kind < 0 || o.in.key == 0) return;
-  hit ? places.hit(o.in.key, a.server, a.sent_at) : places.missed(o.in.key, a.server);
+void Balancer::Impl::record_lookup(RequestState& request, const Attempt& attempt, bool hit) {
+  if (hit && request.pending_fill)
+    placement.pace().unfilled(*std::exchange(request.pending_fill, {})); // another router's fetch filled it
+  if (settings.origin_kind < 0 || request.params.key == 0) return;
+  hit ? placement.hit(request.params.key, attempt.server, attempt.sent_at)
+      : placement.missed(request.params.key, attempt.server);
 }
 
-void Balancer::Impl::learn_origin(Replica& r, const AttemptOutcome& e, double elapsed) {
-  if (e.result != AttemptResult::Ok) return;
-  r.health.lives(now);
-  r.answered(now, elapsed);
-  origin_late.answered(elapsed);
+void Balancer::Impl::learn_origin_outcome(Replica& replica, const AttemptOutcome& outcome, double elapsed) {
+  if (outcome.result != AttemptResult::Ok) return;
+  replica.outlier.record_response(now);
+  replica.record_response(now, elapsed);
+  origin_slow_attempts.answered(elapsed);
 }
 
-void Balancer::Impl::next_step(RequestState& o, const AttemptOutcome& e) {
+void Balancer::Impl::continue_request(RequestState& request, const AttemptOutcome& outcome) {
   // A copy that is late may be on a connection that fell silent: it is not waited for, as far as copies go.
-  if (o.queued || o.waits_well() || (o.out > 0 && (o.streaming || !set.may_hedge))) return;
-  if (o.out > 0 && !allowance.spend(now, concurrency::RetryBudget::Use::Copy, 0)) return;
-  if (e.result == AttemptResult::CacheMiss) return after_miss(o);
-  if (o.leads) end_fetch(o, false);
-  if (e.result == AttemptResult::InvalidRequest) { // asked again it would use up what others may need
-    act(Fail{o.in.id, GiveUpReason::InvalidRequest});
-    return finish(o, false);
+  if (request.queued_for_origin || request.has_attempt_on_time() ||
+      (request.in_flight > 0 && (request.streaming || !settings.may_hedge)))
+    return;
+  if (request.in_flight > 0 && !retry_budget.spend(now, concurrency::RetryBudget::Use::Copy, 0)) return;
+  if (outcome.result == AttemptResult::CacheMiss) return continue_after_miss(request);
+  if (request.leads_fetch) complete_fetch(request, false);
+  if (outcome.result == AttemptResult::InvalidRequest) { // asked again it would use up what others may need
+    emit(Fail{request.params.id, GiveUpReason::InvalidRequest});
+    return finish_request(request, false);
   }
-  if (e.result == AttemptResult::Abandoned || e.body_consumed)
-    return conclude(o, e.body_consumed ? GiveUpReason::NotIdempotent : GiveUpReason::NoEndpoint);
+  if (outcome.result == AttemptResult::Abandoned || outcome.body_consumed)
+    return give_up(request, outcome.body_consumed ? GiveUpReason::NotIdempotent : GiveUpReason::NoEndpoint);
   // Turned away unseen or never connected costs a server next to nothing; the attempt limit bounds it.
-  if (e.result != AttemptResult::Overloaded && e.result != AttemptResult::ConnectFailed) {
-    const bool at_origin = origin != nullptr && e.server == origin->entry.id;
-    const double crowding = at_origin ? origin_limit.crowding(now, origin->working()) : 0;
-    if (!allowance.spend(now, concurrency::RetryBudget::Use::Retry, crowding))
-      return conclude(o, GiveUpReason::RetryBudgetEmpty);
+  if (outcome.result != AttemptResult::Overloaded && outcome.result != AttemptResult::ConnectFailed) {
+    const bool at_origin = origin != nullptr && outcome.server == origin->entry.id;
+    const double crowding = at_origin ? origin_limit.crowding(now, origin->active()) : 0;
+    if (!retry_budget.spend(now, concurrency::RetryBudget::Use::Retry, crowding))
+      return give_up(request, GiveUpReason::RetryBudgetEmpty);
   }
-  if (origin != nullptr && e.server == origin->entry.id) {
+  if (origin != nullptr && outcome.server == origin->entry.id) {
     // A fault, not crowding: there is nothing to wait for. Or a place, which the queue waits for.
-    const double place_ms = origin_places.wait_ms(now, origin->working());
-    if (place_ms > 0) act(SetTimer{place_ms, token(Timer::Again, o.in.id)});
-    if (e.result == AttemptResult::Error || e.result == AttemptResult::Reset || place_ms > 0)
-      return to_origin(o);
-    if (!repeatable(o, *origin)) return conclude(o, GiveUpReason::NotIdempotent);
-    const double wait = std::max(origin_limit.recent_ms(), set.event_interval_ms) * (0.5 + random.unit());
-    if (now + wait >= o.end_at) return conclude(o, GiveUpReason::QueueTimeout); // to give up is to answer now
-    return act(SetTimer{wait, token(Timer::Again, o.in.id)});
+    const double place_ms = origin_connections.wait_ms(now, origin->active());
+    if (place_ms > 0) emit(SetTimer{place_ms, timer_token(Timer::RetryOrigin, request.params.id)});
+    if (outcome.result == AttemptResult::Error || outcome.result == AttemptResult::Reset || place_ms > 0)
+      return queue_for_origin(request);
+    if (!may_attempt_at(request, *origin)) return give_up(request, GiveUpReason::NotIdempotent);
+    const double wait =
+        std::max(origin_limit.recent_ms(), settings.event_interval_ms) * (0.5 + random.unit());
+    if (now + wait >= request.answer_by)
+      return give_up(request, GiveUpReason::QueueTimeout); // to give up is to answer now
+    return emit(SetTimer{wait, timer_token(Timer::RetryOrigin, request.params.id)});
   }
-  if (!choose(o)) to_origin(o); // which concludes where there is none
+  if (!send_to_best_cache(request)) queue_for_origin(request); // which concludes where there is none
 }
 
-void Balancer::Impl::take(const ResponseStarted& e) {
-  RequestState* o = live(e.id);
-  if (o == nullptr || e.attempt >= o->attempts.size() || !o->attempts[e.attempt].out) return;
-  if (Replica* r = find(e.server)) learn(*o, o->attempts[e.attempt], *r, answered(e));
-  o->attempts[e.attempt].opened = o->streaming = true;
-  cancel_out(*o, e.attempt); // the slower copy
+void Balancer::Impl::on_response_started(const ResponseStarted& started) {
+  RequestState* request = find_request(started.id);
+  if (request == nullptr || started.attempt >= request->attempts.size() ||
+      !request->attempts[started.attempt].in_flight)
+    return;
+  if (Replica* replica = find_server(started.server))
+    learn_from_outcome(*request, request->attempts[started.attempt], *replica, outcome_of(started));
+  request->attempts[started.attempt].response_started = request->streaming = true;
+  cancel_attempts(*request, started.attempt); // the slower copy
   // The origin has made its answer: who waits for that need not wait for this one's client to read it.
-  if (o->leads) end_fetch(*o, origin != nullptr && e.server == origin->entry.id);
+  if (request->leads_fetch) complete_fetch(*request, origin != nullptr && started.server == origin->entry.id);
 }
 
-void Balancer::Impl::take(const HealthCheckResult& e) {
-  Replica* r = find(e.server);
-  if (r == nullptr) return;
-  r->report(now, set.load_report_fields, e.load_report);
-  if (e.ok) heard(*r);
-  if (r->health.out()) postpone_trial(*r);
+void Balancer::Impl::on_health_check_result(const HealthCheckResult& result) {
+  Replica* replica = find_server(result.server);
+  if (replica == nullptr) return;
+  replica->record_report(now, settings.load_report_fields, result.load_report);
+  if (result.ok) record_success(*replica);
+  if (replica->outlier.is_ejected()) schedule_trial(*replica);
 }
 
 // Slower than nearly all: the server may be stuck, or the connection; a second copy may be quicker.
-void Balancer::Impl::overdue(RequestState& o, std::size_t attempt) {
-  if (attempt >= o.attempts.size() || !o.attempts[attempt].out) return;
-  Attempt& a = o.attempts[attempt];
-  Replica* r = find(a.server);
-  if (r == nullptr || a.late) return;
-  a.late = true;
-  a.watched = is_origin(*r) || mix(o.in.id) % kWatched == 0;
-  a.hung = r->overtaken_at > a.sent_at && lateness(*r).some_dead();
-  r->hung += a.hung;
-  strike(*r, 1);
-  const bool safe = set.classes[o.in.class_index].idempotency == Idempotency::Idempotent;
-  if (!set.may_hedge_class(o.in.class_index) && set.may_cancel && safe && allowance.saved() >= 1 &&
-      o.attempts.size() < set.max_attempts_of(o.in.class_index)) {
-    act(Cancel{o.in.id, static_cast<std::uint32_t>(attempt)}); // its outcome brings the next attempt
+void Balancer::Impl::on_slow_attempt(RequestState& request, std::size_t index) {
+  if (index >= request.attempts.size() || !request.attempts[index].in_flight) return;
+  Attempt& attempt = request.attempts[index];
+  Replica* replica = find_server(attempt.server);
+  if (replica == nullptr || attempt.slow) return;
+  attempt.slow = true;
+  attempt.runs_to_end = is_origin(*replica) || mix(request.params.id) % kRunToEndOneIn == 0;
+  attempt.stalled = replica->latest_answered_send_at > attempt.sent_at && slow_attempts(*replica).some_dead();
+  replica->stalled += attempt.stalled;
+  record_failure(*replica, 1);
+  const bool safe = settings.classes[request.params.class_index].idempotency == Idempotency::Idempotent;
+  if (!settings.may_hedge_class(request.params.class_index) && settings.may_cancel && safe &&
+      retry_budget.saved() >= 1 &&
+      request.attempts.size() < settings.max_attempts_of(request.params.class_index)) {
+    emit(Cancel{request.params.id, static_cast<std::uint32_t>(index)}); // its outcome brings the next attempt
   }
-  if (!set.may_hedge_class(o.in.class_index) || o.queued || o.waits_well()) return;
+  if (!settings.may_hedge_class(request.params.class_index) || request.queued_for_origin ||
+      request.has_attempt_on_time())
+    return;
   // At the origin a copy costs as much as a fetch, so one is sent only where the connection is at fault.
-  const bool at_origin = is_origin(*r);
-  const double crowding = at_origin ? origin_limit.crowding(now, r->working()) : 0;
-  if ((at_origin && !a.hung) || !allowance.spend(now, concurrency::RetryBudget::Use::Copy, crowding)) return;
-  const bool sent = !at_origin ? choose(o) : origin_limit.room(now, r->working(), o.in.write) && send(o, *r);
-  if (!sent) allowance.unspent(concurrency::RetryBudget::Use::Copy);
+  const bool at_origin = is_origin(*replica);
+  const double crowding = at_origin ? origin_limit.crowding(now, replica->active()) : 0;
+  if ((at_origin && !attempt.stalled) ||
+      !retry_budget.spend(now, concurrency::RetryBudget::Use::Copy, crowding))
+    return;
+  const bool sent = !at_origin ? send_to_best_cache(request)
+                               : origin_limit.room(now, replica->active(), request.params.write) &&
+                                     send_attempt(request, *replica);
+  if (!sent) retry_budget.unspent(concurrency::RetryBudget::Use::Copy);
 }
 
 } // namespace fernward
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -11,81 +11,83 @@
 namespace {
 
 // Each node gets its part of what all may do at a cache: a count that no fleet has would leave it next to nothing.
-constexpr std::uint32_t kMostNodes = 65536;
+constexpr std::uint32_t kMaxRouters = 65536;
 
-bool natural(double v) { return std::isfinite(v) && v >= 0; }
-bool share(double v) { return v >= 0 && v <= 1; }
+bool natural(double value) { return std::isfinite(value) && value >= 0; }
+bool share(double value) { return value >= 0 && value <= 1; }
 
-void check(bool good, const std::string& field) {
-  if (!good) throw std::invalid_argument("settings: impossible value of " + field);
+void check(bool valid, const std::string& field) {
+  if (!valid) throw std::invalid_argument("settings: impossible value of " + field);
 }
 
 } // namespace
 
-void validate(const Settings& s) {
-  check(s.router_count >= 1 && s.router_count <= kMostNodes, "nodes");
-  check(!s.classes.empty(), "classes (there are none)");
-  for (std::size_t i = 0; i < s.classes.size(); ++i) {
-    const ClassSettings& c = s.classes[i];
+void validate(const Settings& settings) {
+  check(settings.router_count >= 1 && settings.router_count <= kMaxRouters, "nodes");
+  check(!settings.classes.empty(), "classes (there are none)");
+  for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+    const ClassSettings& class_settings = settings.classes[i];
     const std::string at = "classes[" + std::to_string(i) + "].";
-    check(natural(c.latency_objective_ms), at + "aim_ms");
-    check(natural(c.client_timeout_ms), at + "give_up_ms");
-    check(natural(c.objective_per_work), at + "aim_stretch");
-    check(share(c.late_value_share), at + "late_share");
-    check(natural(c.priority_weight), at + "worth");
-    check(natural(c.idempotency_window_ms), at + "window_ms");
+    check(natural(class_settings.latency_objective_ms), at + "aim_ms");
+    check(natural(class_settings.client_timeout_ms), at + "give_up_ms");
+    check(natural(class_settings.objective_per_work), at + "aim_stretch");
+    check(share(class_settings.late_value_share), at + "late_share");
+    check(natural(class_settings.priority_weight), at + "worth");
+    check(natural(class_settings.idempotency_window_ms), at + "window_ms");
   }
-  for (std::size_t i = 0; i < s.tenants.size(); ++i) {
+  for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
     const std::string at = "tenants[" + std::to_string(i) + "].";
-    check(share(s.tenants[i].service_share), at + "share");
-    check(natural(s.tenants[i].quota_per_s), at + "quota_per_s");
+    check(share(settings.tenants[i].service_share), at + "share");
+    check(natural(settings.tenants[i].quota_per_s), at + "quota_per_s");
   }
-  check(share(s.over_quota_weight), "over_share_worth");
-  check(s.max_attempts >= 1, "max_attempts");
-  check(share(s.slow_start_min_capacity), "start_capacity");
-  check(natural(s.max_retry_after_ms), "max_retry_after_ms");
-  check(natural(s.event_interval_ms), "tick_ms");
-  check(natural(s.poll_interval_ms), "ask_every_ms");
-  check(natural(s.slow_start_ms), "warm_after_ms");
-  check(natural(s.overload_failure_ms), "tip_after_ms");
-  check(natural(s.overload_multiple), "fall_multiple");
-  check(natural(s.resize.transition_ms), "resize.settle_ms");
-  check(s.resize.origin_load_multiple == 0 ||
-            (natural(s.resize.origin_load_multiple) && s.resize.origin_load_multiple >= 1),
+  check(share(settings.over_quota_weight), "over_share_worth");
+  check(settings.max_attempts >= 1, "max_attempts");
+  check(share(settings.slow_start_min_capacity), "start_capacity");
+  check(natural(settings.max_retry_after_ms), "max_retry_after_ms");
+  check(natural(settings.event_interval_ms), "tick_ms");
+  check(natural(settings.poll_interval_ms), "ask_every_ms");
+  check(natural(settings.slow_start_ms), "warm_after_ms");
+  check(natural(settings.overload_failure_ms), "tip_after_ms");
+  check(natural(settings.overload_multiple), "fall_multiple");
+  check(natural(settings.resize.transition_ms), "resize.settle_ms");
+  check(settings.resize.origin_load_multiple == 0 ||
+            (natural(settings.resize.origin_load_multiple) && settings.resize.origin_load_multiple >= 1),
         "resize.ledger_multiple");
-  check(share(s.resize.second_replica_share), "resize.second_holder");
+  check(share(settings.resize.second_replica_share), "resize.second_holder");
 }
 
-void Balancer::Impl::take_classes() {
-  shedder.value.clear();
-  aim_ms = 3000;
-  for (const ClassSettings& c : set.classes) {
-    for (const double share : {1.0, set.over_quota_weight})
-      shedder.value.push_back(c.priority_weight * share);
+void Balancer::Impl::apply_classes() {
+  admission.value.clear();
+  shortest_objective_ms = 3000;
+  for (const ClassSettings& c : settings.classes) {
+    for (const double share : {1.0, settings.over_quota_weight})
+      admission.value.push_back(c.priority_weight * share);
     const double aim =
         c.latency_objective_ms > 0 ? c.latency_objective_ms : c.client_timeout_ms; // as Settings has it
-    if (aim > 0) aim_ms = std::min(aim_ms, aim);
+    if (aim > 0) shortest_objective_ms = std::min(shortest_objective_ms, aim);
   }
-  shedder.rate.resize(shedder.value.size());
-  tenant_rate.resize(set.tenants.size());
+  admission.rate.resize(admission.value.size());
+  tenant_rate.resize(settings.tenants.size());
 }
 
-void Balancer::update_settings(const Settings& s) {
-  validate(s);
-  const Settings& was = impl_->set;
+void Balancer::update_settings(const Settings& settings) {
+  validate(settings);
+  const Settings& current = impl_->settings;
   const auto stays = [](bool same, const char* what) {
     if (!same) throw std::invalid_argument(std::string("settings: ") + what + " can't change while it runs");
   };
-  stays(s.router_count == was.router_count, "nodes");
-  stays(s.zone == was.zone, "zone");
-  stays(s.classes.size() >= was.classes.size(), "the number of classes");
-  stays(s.tenants.size() >= was.tenants.size(), "the number of tenants");
-  stays(s.origin_kind == was.origin_kind, "origin_kind");
-  stays(s.load_report_source == was.load_report_source && s.load_report_fields == was.load_report_fields,
+  stays(settings.router_count == current.router_count, "nodes");
+  stays(settings.zone == current.zone, "zone");
+  stays(settings.classes.size() >= current.classes.size(), "the number of classes");
+  stays(settings.tenants.size() >= current.tenants.size(), "the number of tenants");
+  stays(settings.origin_kind == current.origin_kind, "origin_kind");
+  stays(settings.load_report_source == current.load_report_source &&
+            settings.load_report_fields == current.load_report_fields,
         "reports");
-  stays(s.discovery == was.discovery && s.weight_kind == was.weight_kind, "the form of lists");
-  impl_->set = s;
-  impl_->take_classes();
+  stays(settings.discovery == current.discovery && settings.weight_kind == current.weight_kind,
+        "the form of lists");
+  impl_->settings = settings;
+  impl_->apply_classes();
 }
 
 } // namespace fernward
--- a/src/requests/load_report.h
+++ b/src/requests/load_report.h
@@ -9,22 +9,23 @@
 
 namespace fernward {
 
-struct LoadReport {    // below 0: not told
-  double waiting = -1; // requests, or those in work where no others are told
+struct LoadReport {         // below 0: not told
+  double queue_length = -1; // requests, or those in work where no others are told
   double latency_ms = -1;
 };
 
-inline LoadReport reported(const std::vector<LoadReportField>& fields, const std::vector<float>& values) {
-  LoadReport told;
+inline LoadReport parse_load_report(const std::vector<LoadReportField>& fields,
+                                    const std::vector<float>& values) {
+  LoadReport report;
   double inflight = -1;
   for (std::size_t i = 0; i < std::min(values.size(), fields.size()); ++i) {
     if (!usable_number(values[i])) continue;
-    if (fields[i] == LoadReportField::Queue) told.waiting = values[i];
+    if (fields[i] == LoadReportField::Queue) report.queue_length = values[i];
     if (fields[i] == LoadReportField::Inflight) inflight = values[i];
-    if (fields[i] == LoadReportField::LatencyMs) told.latency_ms = values[i];
+    if (fields[i] == LoadReportField::LatencyMs) report.latency_ms = values[i];
   }
-  if (told.waiting < 0) told.waiting = inflight;
-  return told;
+  if (report.queue_length < 0) report.queue_length = inflight;
+  return report;
 }
 
 } // namespace fernward
--- a/src/requests/request_state.h
+++ b/src/requests/request_state.h
@@ -16,80 +16,87 @@
 struct Attempt {
   ServerId server = 0;
   double sent_at = 0;
-  bool out = true;
-  bool watched = false; // left to end by itself, to tell whether late ones are slow or dead
-  bool late = false;    // slower than nearly all
-  bool hung = false;    // and requests sent after it were answered: no place at the server is taken
-  bool opened = false;  // its answer is being passed on: the server's work for it is done
+  bool in_flight = true;
+  bool runs_to_end = false;      // left to end by itself, to tell whether late ones are slow or dead
+  bool slow = false;             // slower than nearly all
+  bool stalled = false;          // and requests sent after it were answered: no place at the server is taken
+  bool response_started = false; // its answer is being passed on: the server's work for it is done
 };
 
 // What can't be is taken for absent.
-inline Request cleaned(Request in, double give_up_at) {
-  if (!usable_number(in.expected_work_ms)) in.expected_work_ms = 0;
-  if (!usable_number(in.body_complete_at)) in.body_complete_at = 0;
-  if (!std::isfinite(in.deadline)) in.deadline = give_up_at;
-  return in;
+inline Request sanitized(Request request, double give_up_at) {
+  if (!usable_number(request.expected_work_ms)) request.expected_work_ms = 0;
+  if (!usable_number(request.body_complete_at)) request.body_complete_at = 0;
+  if (!std::isfinite(request.deadline)) request.deadline = give_up_at;
+  return request;
 }
 
 // A request from its arrival until its last attempt has ended.
 struct RequestState {
-  Request in;
-  double end_at = 0; // its final answer goes out by then
+  Request params;
+  double answer_by = 0; // its final answer goes out by then
   double value = 0;
   double slow_start_share =
       1; // of such requests, what a cache in slow start may be sent; see placement::KeyDemand
   std::vector<Attempt> attempts;
-  std::vector<ServerId> missed;
-  std::uint32_t out = 0;
+  std::vector<ServerId> cache_misses;
+  std::uint32_t in_flight = 0;
   std::optional<placement::FillRateLimiter::Fill>
-      filling; // its first attempt goes where the key is not held, to be stored there
-  bool over = false, streaming = false, maybe_ran = false, leads = false, queued = false;
-  double ran_at = 0; // send of the first attempt that may have run, and its server's group
-  std::uint32_t ran_zone = 0, ran_cell = 0;
+      pending_fill; // its first attempt goes where the key is not held, to be stored there
+  bool finished = false, streaming = false, may_have_executed = false, leads_fetch = false,
+       queued_for_origin = false;
+  double bound_at = 0; // send of the first attempt that may have run, and its server's group
+  std::uint32_t bound_zone = 0, bound_cell = 0;
 
-  bool waits_well() const { // for an attempt that is not late yet
-    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.out && !a.late; });
+  bool has_attempt_on_time() const { // for an attempt that is not late yet
+    return std::any_of(attempts.begin(), attempts.end(),
+                       [](const Attempt& a) { return a.in_flight && !a.slow; });
   }
-  bool missed_at(ServerId id) const { return std::find(missed.begin(), missed.end(), id) != missed.end(); }
-  bool tried(ServerId id) const {
+  bool has_missed(ServerId id) const {
+    return std::find(cache_misses.begin(), cache_misses.end(), id) != cache_misses.end();
+  }
+  bool has_tried(ServerId id) const {
     return std::any_of(attempts.begin(), attempts.end(), [id](const Attempt& a) { return a.server == id; });
   }
 };
 
 // Repeating `o` at `at` carries out no effect twice.
-inline bool may_repeat(const Settings& set, const RequestState& o, const Server& at, double now) {
-  const ClassSettings& c = set.classes[o.in.class_index];
-  if (c.idempotency == Idempotency::Idempotent || (!o.maybe_ran && o.out == 0)) return true;
-  if (c.idempotency == Idempotency::NonIdempotent ||
-      now - o.ran_at >= c.idempotency_window_ms - 2 * set.event_interval_ms)
+inline bool idempotency_allows(const Settings& settings, const RequestState& request, const Server& server,
+                               double now) {
+  const ClassSettings& class_settings = settings.classes[request.params.class_index];
+  if (class_settings.idempotency == Idempotency::Idempotent ||
+      (!request.may_have_executed && request.in_flight == 0))
+    return true;
+  if (class_settings.idempotency == Idempotency::NonIdempotent ||
+      now - request.bound_at >= class_settings.idempotency_window_ms - 2 * settings.event_interval_ms)
     return false;
-  return c.idempotency_scope == IdempotencyScope::All ||
-         (c.idempotency_scope == IdempotencyScope::Zone && at.zone == o.ran_zone) ||
-         (c.idempotency_scope == IdempotencyScope::Cell && at.cell == o.ran_cell);
+  return class_settings.idempotency_scope == IdempotencyScope::All ||
+         (class_settings.idempotency_scope == IdempotencyScope::Zone && server.zone == request.bound_zone) ||
+         (class_settings.idempotency_scope == IdempotencyScope::Cell && server.cell == request.bound_cell);
 }
 
-inline bool failed(AttemptResult result) {
+inline bool is_failure(AttemptResult result) {
   return result == AttemptResult::Error || result == AttemptResult::Reset ||
          result == AttemptResult::ConnectFailed || result == AttemptResult::TimedOut;
 }
-inline bool may_have_run(AttemptResult result) {
+inline bool may_have_executed(AttemptResult result) {
   return result != AttemptResult::Overloaded && result != AttemptResult::ConnectFailed &&
          result != AttemptResult::Abandoned && result != AttemptResult::CacheMiss;
 }
 
 // What has happened as far as the server goes, when its answer begins to be passed on.
-inline AttemptOutcome answered(const ResponseStarted& e) {
-  AttemptOutcome made;
-  made.id = e.id;
-  made.attempt = e.attempt;
-  made.server = e.server;
-  made.result = AttemptResult::Ok;
-  made.elapsed_ms = e.elapsed_ms;
-  return made;
+inline AttemptOutcome outcome_of(const ResponseStarted& event) {
+  AttemptOutcome outcome;
+  outcome.id = event.id;
+  outcome.attempt = event.attempt;
+  outcome.server = event.server;
+  outcome.result = AttemptResult::Ok;
+  outcome.elapsed_ms = event.elapsed_ms;
+  return outcome;
 }
 
-enum class Timer : std::uint64_t { Tick, End, Overdue, Again };
-inline std::uint64_t token(Timer kind, RequestId id = 0, std::uint64_t attempt = 0) {
+enum class Timer : std::uint64_t { Tick, GiveUp, SlowAttempt, RetryOrigin };
+inline std::uint64_t timer_token(Timer kind, RequestId id = 0, std::uint64_t attempt = 0) {
   return static_cast<std::uint64_t>(kind) << 60 | attempt << 52 | id;
 }
 
--- a/tests/policy/findings_use_test.cpp
+++ b/tests/policy/findings_use_test.cpp
@@ -1,7 +1,7 @@
 // What the policy makes of what several routers say together of a cache, and what it has to tell them.
 #include <gtest/gtest.h>
 
-#include "health/health.h"
+#include "health/outlier_state.h"
 #include "support.h"
 
 namespace fernward::testing {
@@ -46,20 +46,20 @@
 }
 
 TEST(FindingsUse, ThatOthersHadAnswersBringsTheTrialForwardUnlessTheOwnEvidenceIsYounger) {
-  health::Health told;
-  EXPECT_TRUE(told.told_bad(900));
-  EXPECT_FALSE(told.told_bad(950)); // it is out already
-  told.wait(1000, 300, 0.5);
+  health::OutlierState told;
+  EXPECT_TRUE(told.on_reported_outlier(900));
+  EXPECT_FALSE(told.on_reported_outlier(950)); // it is out already
+  told.schedule_trial(1000, 300, 0.5);
   EXPECT_FALSE(told.trial_due(1000));
-  told.told_well(1000, 990);
+  told.on_reported_healthy(1000, 990);
   EXPECT_TRUE(told.trial_due(1000));
-  told.sent();
-  told.told_well(1000, 995);
+  told.record_sent();
+  told.on_reported_healthy(1000, 995);
   EXPECT_FALSE(told.trial_due(1000)); // one at a time
-  health::Health seen;
-  for (int i = 0; i < 3; ++i) seen.struck(1000, 1, false);
-  seen.wait(1000, 300, 0.5);
-  seen.told_well(1010, 990);
+  health::OutlierState seen;
+  for (int i = 0; i < 3; ++i) seen.record_failure(1000, 1, false);
+  seen.schedule_trial(1000, 300, 0.5);
+  seen.on_reported_healthy(1010, 990);
   EXPECT_FALSE(seen.trial_due(1010));
 }
 
