--- a/src/policy/answer.cpp
+++ b/src/policy/answer.cpp
@@ -1,14 +1,14 @@
 // The final answer. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
-namespace fernward {
+#include <algorithm>
 
-// ---- the final answer ----
+namespace fernward {
 
 // The client has its answer, or has gone.
 void Balancer::Impl::finish_request(RequestState& request, bool served) {
   request.finished = true;
-  if (request.queued_for_origin) origin_queue.remove(request.params.id);
+  if (request.queued_for_origin) origin_dispatch.queue.remove(request.params.id);
   request.queued_for_origin = false;
   cancel_attempts(request, request.attempts.size());
   if (request.leads_fetch) complete_fetch(request, served);
@@ -26,16 +26,12 @@
   }
 }
 
-// Refuses where the promise that a further try is harmless holds, else fails. Where it is crowded clients are
-// to stay away; else this request had bad luck, and a slow answer's time is enough for what it met to pass.
+// Rejects where the promise that a retry does no harm holds, else fails. Under overload clients are told the
+// longest Retry-After; else the time of a slow attempt is enough for what the request met to pass.
 void Balancer::Impl::give_up(RequestState& request, GiveUpReason why) {
   if (request.in_flight > 0 && now < request.answer_by)
     return; // what is out, late as it is, may yet be answered
-  const ClassSettings& class_settings = settings.classes[request.params.class_index];
-  const bool clean = request.in_flight == 0 && !request.may_have_executed;
-  if (clean || class_settings.idempotency == Idempotency::Idempotent ||
-      (class_settings.idempotency == Idempotency::WithKey &&
-       class_settings.idempotency_scope == IdempotencyScope::All)) {
+  if (retry_policy.client_may_retry(request)) {
     const bool stay_away = why == GiveUpReason::Shed || why == GiveUpReason::QueueTimeout ||
                            why == GiveUpReason::ResponseTimeout || why == GiveUpReason::NotSent;
     const double wait = stay_away ? settings.max_retry_after_ms
@@ -47,14 +43,6 @@
   finish_request(request, false);
 }
 
-// What keeps a request from being sent to `r`, in service or not.
-GiveUpReason Balancer::Impl::give_up_reason(const RequestState& request, const Replica& replica) const {
-  if (request.attempts.size() >= settings.max_attempts_of(request.params.class_index))
-    return GiveUpReason::AttemptLimit;
-  if (!may_attempt_at(request, replica)) return GiveUpReason::NotIdempotent;
-  return now >= request.answer_by ? GiveUpReason::NotSent : GiveUpReason::NoEndpoint;
-}
-
 void Balancer::Impl::on_client_disconnected(const ClientDisconnected& event) {
   if (RequestState* request = find_request(event.id)) finish_request(*request, false);
 }
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -8,8 +8,10 @@
 
 namespace fernward {
 
-constexpr double kMaxWatchBackoffMs = 8000;     // the longest wait between calls to discovery that failed
-constexpr double kHealthChecksPerRequest = 0.1; // probes for each request where only probes bring reports
+constexpr double kHealthChecksPerRequest = 0.1; // where nothing else brings load reports
+constexpr double kOriginDemandWeight = 0.05;    // of a tick in the mean
+constexpr double kMinLiveShare = 0.25;          // of the configured routers
+constexpr double kLogIntervalMs = 1000;
 
 // Joins one handler for each type of event into the visitor that std::visit takes.
 template <typename... Handlers>
@@ -23,8 +25,8 @@
     : settings(s), random{mix(seed)}, placement(s.origin_kind >= 0 ? s.resize : ResizeSettings{}) {
   apply_classes();
   live_routers = s.router_count;
-  cache_slow_attempts.slow_ms = origin_slow_attempts.slow_ms =
-      shortest_objective_ms / 3; // until answers tell
+  cache_slow_attempts.slow_ms = shortest_objective_ms / 3; // until answers tell
+  origin_slow_attempts.slow_ms = cache_slow_attempts.slow_ms;
   cache_response_ms = cache_slow_attempts.slow_ms / 3;
 }
 
@@ -32,12 +34,11 @@
   if (ticking) return;
   ticking = true;
   emit(SetTimer{kTickMs, timer_token(Timer::Tick)});
-  // Restarted nodes come in crowds: the first call is spread, so that discovery is not flooded.
-  watch_at = now + 1000 * random.unit();
+  watch.start(now, random.unit());
 }
 
 void Balancer::Impl::log(const char* what, double figure) {
-  if (now - logged_at < 1000) return; // few lines: the first of a second tells
+  if (now - logged_at < kLogIntervalMs) return; // few lines: the first of a second tells
   logged_at = now;
   char text[120];
   std::snprintf(text, sizeof text, "%s %.0f", what, figure);
@@ -48,14 +49,11 @@
 
 void Balancer::Impl::on_endpoint_list(const EndpointList& list) {
   if (list.kind == EndpointListKind::Failed) {
-    subscribed = watch_pending = false;
-    watch_backoff_ms = std::clamp(2 * watch_backoff_ms, kMaxWatchBackoffMs / 16, kMaxWatchBackoffMs);
-    watch_at = now + watch_backoff_ms * (0.5 + random.unit());
-    log("server list: call failed, next try in ms:", watch_at - now);
+    watch.on_failure(now, random.unit());
+    log("server list: call failed, next try in ms:", watch.next_at() - now);
     return;
   }
-  if (list.kind != EndpointListKind::Cached && watch_pending)
-    subscribed = true, watch_pending = false, watch_backoff_ms = 0;
+  watch.on_list(list.kind);
   std::vector<ServerId> changed;
   for (const Server& server : list.servers) changed.push_back(server.id);
   if (list.kind != EndpointListKind::Delta) {
@@ -82,17 +80,15 @@
   const auto [it, added] = replicas.try_emplace(entry.id);
   Replica& replica = it->second;
   const bool was_gone = !added && replica.entry.state == ServerState::Gone;
-  if (!added) count_server(replica, -1);
+  if (!added) ejection.count(replica, is_origin(replica), -1);
   const bool restarted = !added && entry.started_at > replica.entry.started_at;
   replica.entry = entry;
   if (restarted) replica.reset_for_restart();
   if (added || restarted) replica.limiter = concurrency::CacheConcurrencyLimiter(settings.router_count);
-  if (is_origin(replica) && (added || restarted))
-    origin_limit = concurrency::OriginConcurrencyLimiter::origin(settings.router_count),
-    origin_connections = {};
+  if (is_origin(replica) && (added || restarted)) origin_dispatch.reset(settings.router_count);
   if (entry.started_at > 0)
     replica.slow_start_began_at = std::max(replica.slow_start_began_at, entry.started_at);
-  count_server(replica, 1);
+  ejection.count(replica, is_origin(replica), 1);
   if (is_origin(replica)) {
     listed_origins.insert(entry.id);
   } else {
@@ -101,12 +97,6 @@
   if (entry.state == ServerState::Gone && !was_gone) leaving.push_back(entry.id);
 }
 
-void Balancer::Impl::count_server(const Replica& replica, int sign) {
-  if (replica.entry.state != ServerState::Ready) return;
-  ready_caches += is_origin(replica) ? 0 : sign;
-  ejected_servers += replica.outlier.is_ejected() ? sign : 0;
-}
-
 void Balancer::Impl::place_servers(const std::vector<ServerId>& changed) {
   const bool settled = !placement.pace().open(now);
   placement.arrange(now, replicas, changed, settings.weight_kind != WeightKind::Live,
@@ -136,9 +126,9 @@
 void Balancer::Impl::on_fleet_state(const FleetState& fleet) {
   live_routers =
       std::clamp(usable_number(fleet.live_routers) && fleet.live_routers > 0 ? fleet.live_routers : 1e9,
-                 0.25 * settings.router_count, 1.0 * settings.router_count);
-  origin_limit.pooled(now, fleet.origin_response_ms, fleet.origin_response_age_ms);
-  origin_limit.lead(fleet.origin_limit_share);
+                 kMinLiveShare * settings.router_count, 1.0 * settings.router_count);
+  origin_dispatch.limiter.pooled(now, fleet.origin_response_ms, fleet.origin_response_age_ms);
+  origin_dispatch.limiter.lead(fleet.origin_limit_share);
 }
 
 // ---- timers ----
@@ -152,8 +142,13 @@
     give_up(*request, request->in_flight > 0       ? GiveUpReason::ResponseTimeout
                       : request->queued_for_origin ? GiveUpReason::QueueTimeout
                                                    : GiveUpReason::NotSent);
-  if (kind == Timer::RetryOrigin && request->in_flight == 0)
-    request->queued_for_origin ? dispatch_to_origin() : queue_for_origin(*request);
+  if (kind == Timer::RetryOrigin && request->in_flight == 0) {
+    if (request->queued_for_origin) {
+      dispatch_to_origin();
+    } else {
+      queue_for_origin(*request);
+    }
+  }
   if (kind == Timer::SlowAttempt) on_slow_attempt(*request, (timer.token >> 52) & 0xff);
 }
 
@@ -165,23 +160,20 @@
 
 void Balancer::Impl::tick() {
   emit(SetTimer{kTickMs, timer_token(Timer::Tick)});
-  const double wanted = origin == nullptr ? 0 : origin->active() + static_cast<double>(origin_queue.size());
-  smooth(origin_demand, wanted, 0.05); // below 0 at first: not known yet
-  smooth(request_rate, requests_this_tick / kTickMs, 0.05);
-  health_check_credit = std::min(1.0, health_check_credit + kHealthChecksPerRequest * requests_this_tick);
-  requests_this_tick = 0;
-  for (double& rate : tenant_rate) rate *= 0.95;
+  const double wanted = origin == nullptr ? 0 : origin_dispatch.demand(origin->active());
+  smooth(origin_demand, wanted, kOriginDemandWeight);
+  health_check_credit =
+      std::min(1.0, health_check_credit + kHealthChecksPerRequest * quotas.requests_this_tick());
+  quotas.tick();
   admission.tick();
-  if (settings.discovery == DiscoveryMode::Poll && !subscribed && now >= watch_at) {
+  if (settings.discovery == DiscoveryMode::Poll && watch.is_due(now)) {
     emit(WatchEndpoints{});
-    watch_pending = true;
-    watch_at = now + (settings.poll_interval_ms > 0 ? settings.poll_interval_ms
-                                                    : kMaxWatchBackoffMs); // no answer at all: ask again
+    watch.record_sent(now, settings.poll_interval_ms);
   }
   dispatch_to_origin();
   drop_departed();
   if (settings.may_health_check &&
-      (ejected_servers > 0 || settings.load_report_source == LoadReportSource::HealthChecks))
+      (ejection.ejected() > 0 || settings.load_report_source == LoadReportSource::HealthChecks))
     send_due_health_checks();
 }
 
@@ -196,8 +188,10 @@
       oldest = &replica;
   }
   if (settings.load_report_source == LoadReportSource::HealthChecks && oldest != nullptr &&
-      health_check_credit >= 1)
-    --health_check_credit, send_health_check(*oldest);
+      health_check_credit >= 1) {
+    --health_check_credit;
+    send_health_check(*oldest);
+  }
 }
 
 Balancer::Balancer(const Settings& settings, std::uint64_t seed) {
@@ -214,10 +208,11 @@
 }
 
 Balancer::OriginBudget Balancer::origin_budget() const {
-  return {impl_->origin_demand, impl_->origin_limit.limit(), impl_->origin_limit.lately_ms(impl_->now)};
+  return {impl_->origin_demand, impl_->origin_dispatch.limiter.limit(),
+          impl_->origin_dispatch.limiter.lately_ms(impl_->now)};
 }
 
-Balancer::SlowStartCounts Balancer::slow_start_counts() const { return impl_->slow_start_counts; }
+Balancer::SlowStartCounts Balancer::slow_start_counts() const { return impl_->slow_start.counts(); }
 
 void Balancer::Impl::dispatch(const Event& event) {
   std::visit(Overloaded{
--- a/src/policy/balancer.h
+++ b/src/policy/balancer.h
@@ -8,21 +8,25 @@
 #include <vector>
 
 #include "concurrency/admission_controller.h"
-#include "concurrency/connection_capacity_estimator.h"
-#include "concurrency/origin_concurrency_limiter.h"
-#include "concurrency/origin_request_queue.h"
 #include "concurrency/retry_budget.h"
 #include "concurrency/slow_attempt_tracker.h"
 #include "fernward/balancer.h"
 #include "placement/key_demand.h"
 #include "placement/placement.h"
+#include "policy/endpoint_watch.h"
+#include "policy/fetch_coalescer.h"
+#include "policy/origin_dispatch.h"
+#include "policy/outlier_ejection.h"
 #include "policy/replica.h"
+#include "policy/retry_policy.h"
+#include "policy/slow_start.h"
+#include "policy/tenant_quotas.h"
 #include "requests/request_state.h"
 
 namespace fernward {
 
-constexpr double kTickMs = 100; // housekeeping
-
+/// The Balancer's parts, and the events that it passes to them. The functions lie in files by concern, named
+/// below.
 struct Balancer::Impl {
   Settings settings;
   Random random;
@@ -32,33 +36,30 @@
   placement::Placement<Replica> placement;
   placement::KeyDemand demand;
   Replica* origin = nullptr;
-  concurrency::OriginConcurrencyLimiter origin_limit = concurrency::OriginConcurrencyLimiter::origin(1);
-  concurrency::ConnectionCapacityEstimator origin_connections;
-  concurrency::OriginRequestQueue origin_queue;
-  std::vector<RequestId> expired; // scratch
+  OriginDispatch origin_dispatch;
+  std::vector<RequestId> expired; // scratch of dispatch_to_origin()
   concurrency::RetryBudget retry_budget;
   bool dispatching_origin = false;
   std::unordered_map<RequestId, RequestState> requests;
   std::vector<RequestId> finished; // concluded with nothing out: dropped once the event is handled
-  std::unordered_map<std::uint64_t, std::vector<RequestId>>
-      fetch_followers; // by key: who waits for the leader
+  FetchCoalescer fetches;
   concurrency::AdmissionController admission;
-  std::vector<double> tenant_rate; // requests a second here
-  double shortest_objective_ms = 3000,
-         cache_response_ms = 0; // the shortest aim; mean of the caches' response times
+  double shortest_objective_ms = 3000;
+  double cache_response_ms = 0;  // mean of all caches' response times
+  double cache_queue_length = 0; // mean of all caches' reported queues
   concurrency::SlowAttemptTracker cache_slow_attempts, origin_slow_attempts;
-  double cache_failure_rate = 0; // share of the caches' attempts that fail
-  double cache_queue_length = 0; // mean of the caches' reported queues
-  double request_rate = 0, requests_this_tick = 0;
-  std::size_t ready_caches = 0, ejected_servers = 0; // in service; and of those, left out
-  std::vector<ServerId> leaving;                     // gone from the list, dropped once nothing is out there
-  std::set<ServerId> listed_origins;                 // that are listed
-  double health_check_credit = 0;                    // saved up
-  double live_routers = 0,
-         origin_demand = -1; // nodes in service, attempts wanted at the origin; as far as known
-  bool ticking = false, subscribed = false, watch_pending = false;
-  double watch_at = 0, watch_backoff_ms = 0, logged_at = kNever;
-  SlowStartCounts slow_start_counts; // what it has decided
+  TenantQuotas quotas{settings};
+  OutlierEjection ejection{settings};
+  SlowStart slow_start{settings};
+  RetryPolicy retry_policy{settings};
+  EndpointWatch watch;
+  std::vector<ServerId> leaving; // gone from the list, dropped once no attempt is in flight there
+  std::set<ServerId> listed_origins;
+  double health_check_credit = 0; // health checks that may be sent for load reports
+  double live_routers = 0;        // in service, as far as known
+  double origin_demand = -1;      // mean of attempts in flight or waiting; below 0: not known
+  bool ticking = false;
+  double logged_at = kNever;
 
   Impl(const Settings& s, std::uint64_t seed);
   void apply_classes(); // settings.cpp
@@ -76,7 +77,6 @@
   void on_fleet_state(const FleetState& fleet);
   void on_outlier_report(const OutlierReport& report);
   void update_server(const Server& listed);
-  void count_server(const Replica& replica, int sign);
   void place_servers(const std::vector<ServerId>& changed);
   void drop_departed();
   void send_health_check(Replica& replica);
@@ -99,21 +99,15 @@
 
   // choose.cpp: a request arrives, and the choice among the caches
   void on_request(const Request& received);
-  bool in_slow_start(const Replica& replica) const {
-    return now - replica.slow_start_began_at < settings.slow_start_ms;
-  }
-  double slow_start_factor(const Replica& replica) const;
-  bool slow_start_admits(const Replica& replica, const RequestState& request, bool first);
-  bool is_usable(const Replica& replica) const;
-  bool may_attempt_at(const RequestState& request, const Replica& replica) const {
-    return (request.in_flight == 0 || settings.may_hedge) &&
-           idempotency_allows(settings, request, replica.entry, now);
-  }
   double latency_objective_ms(const RequestState& request) const;
-  bool over_quota(std::uint32_t tenant);
+  using Choice = placement::Placement<Replica>::Choice;
+  Choice cache_candidates(const RequestState& request, std::uint64_t key);
+  bool has_room(Replica& replica, const RequestState& request, bool first_candidate);
+  double cache_score(const Replica& replica, std::uint64_t key, bool likely_holder, double origin_ms) const;
   bool send_to_best_cache(RequestState& request);
   double origin_cost_ms() const;
   bool send_attempt(RequestState& request, Replica& replica);
+  void record_attempt(RequestState& request, Replica& replica);
 
   // health.cpp: which caches are left out
   bool responded_lately(const Replica& replica);
@@ -131,10 +125,14 @@
   void learn_cache_outcome(RequestState& request, const Attempt& attempt, Replica& replica,
                            const AttemptOutcome& outcome, double elapsed);
   void learn_origin_outcome(Replica& replica, const AttemptOutcome& outcome, double elapsed);
-  bool update_limits(const RequestState& request, Replica& replica, const AttemptOutcome& outcome,
-                     double elapsed);
+  bool update_cache_limit(const RequestState& request, Replica& replica, const AttemptOutcome& outcome,
+                          double elapsed);
+  bool update_origin_limit(const RequestState& request, const Replica& replica, const AttemptOutcome& outcome,
+                           double elapsed);
   void record_lookup(RequestState& request, const Attempt& attempt, bool hit);
   void continue_request(RequestState& request, const AttemptOutcome& outcome);
+  void retry(RequestState& request, const AttemptOutcome& outcome);
+  void retry_at_origin(RequestState& request, const AttemptOutcome& outcome);
   void on_slow_attempt(RequestState& request, std::size_t index);
 
   // origin.cpp: misses, writes and the origin
@@ -148,7 +146,6 @@
   void finish_request(RequestState& request, bool served);
   void cancel_attempts(const RequestState& request, std::size_t except);
   void give_up(RequestState& request, GiveUpReason why);
-  GiveUpReason give_up_reason(const RequestState& request, const Replica& replica) const;
 };
 
 } // namespace fernward
--- /dev/null
+++ b/src/policy/endpoint_watch.h
@@ -0,0 +1,49 @@
+// When to call discovery for the endpoint list. Interface: include/fernward/balancer.h
+#pragma once
+
+#include <algorithm>
+
+#include "fernward/balancer.h"
+
+namespace fernward {
+
+/// The watch of the endpoint list, where it must be asked for (DiscoveryMode::Poll). States: idle; pending,
+/// from record_sent() on; subscribed, from the first list after that. A failed call leads back to idle, with
+/// a wait that doubles. Times: milliseconds; draws are even from 0 to 1.
+class EndpointWatch {
+ public:
+  /// Restarted routers come in crowds: the first calls are spread, so that discovery is not flooded.
+  void start(double now, double draw) { next_at_ = now + kFirstCallSpreadMs * draw; }
+  bool is_due(double now) const { return !subscribed_ && now >= next_at_; }
+  /// `poll_interval_ms`: no answer for this long is an answer; 0: never, and the call is repeated after a
+  /// while.
+  void record_sent(double now, double poll_interval_ms) {
+    pending_ = true;
+    next_at_ = now + (poll_interval_ms > 0 ? poll_interval_ms : kMaxBackoffMs);
+  }
+  void on_list(EndpointListKind kind) {
+    if (kind == EndpointListKind::Cached || !pending_) return;
+    subscribed_ = true;
+    pending_ = false;
+    backoff_ms_ = 0;
+  }
+  void on_failure(double now, double draw) {
+    subscribed_ = false;
+    pending_ = false;
+    backoff_ms_ = std::clamp(2 * backoff_ms_, kMinBackoffMs, kMaxBackoffMs);
+    next_at_ = now + backoff_ms_ * (0.5 + draw);
+  }
+  double next_at() const { return next_at_; }
+
+ private:
+  static constexpr double kFirstCallSpreadMs = 1000;
+  static constexpr double kMaxBackoffMs = 8000;
+  static constexpr double kMinBackoffMs = kMaxBackoffMs / 16;
+
+  bool subscribed_ = false;
+  bool pending_ = false;
+  double next_at_ = 0;
+  double backoff_ms_ = 0;
+};
+
+} // namespace fernward
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -11,13 +11,11 @@
 }
 
 void Balancer::Impl::record_failure(Replica& replica, int weight) {
-  // It is slow, or its connections break, but it is not gone. Unless it fails far more than most.
-  const bool stays = responded_lately(replica) && replica.failure_rate < 0.5 + cache_failure_rate / 2;
-  if (!is_origin(replica) && replica.outlier.record_failure(now, weight, stays)) eject(replica);
+  if (is_origin(replica)) return;
+  if (ejection.record_failure(replica, now, weight, responded_lately(replica))) eject(replica);
 }
 
 void Balancer::Impl::eject(Replica& replica) {
-  ejected_servers += replica.entry.state == ServerState::Ready;
   placement.pace().disturb(now); // its keys fall to others now, long before the list tells
   schedule_trial(replica);
   log("cache ejected, trial in ms:", replica.outlier.next_trial_at() - now);
@@ -27,17 +25,14 @@
   replica.outlier.schedule_trial(now, cache_slow_attempts.slow_ms, random.unit());
 }
 
-void Balancer::Impl::record_success(Replica& replica) {
-  if (replica.outlier.record_success(now)) ejected_servers -= replica.entry.state == ServerState::Ready;
-}
+void Balancer::Impl::record_success(Replica& replica) { ejection.record_success(replica, now); }
 
 // ---- what routers tell one another ----
 
 void Balancer::Impl::on_outlier_report(const OutlierReport& report) {
   Replica* replica = find_server(report.server);
   if (replica == nullptr || is_origin(*replica)) return;
-  if (!report.is_outlier) return replica->outlier.on_reported_healthy(now, report.observed_at);
-  if (replica->outlier.on_reported_outlier(report.observed_at)) eject(*replica);
+  if (ejection.on_report(*replica, report, now)) eject(*replica);
 }
 
 void Balancer::outlier_observations(std::vector<OutlierObservation>& to) const {
--- /dev/null
+++ b/src/policy/origin_dispatch.h
@@ -0,0 +1,49 @@
+// Origin dispatch: who may be sent to the origin, and when. Interface: include/fernward/balancer.h
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+#include <optional>
+
+#include "concurrency/connection_capacity_estimator.h"
+#include "concurrency/origin_concurrency_limiter.h"
+#include "concurrency/origin_request_queue.h"
+#include "fernward/balancer.h"
+#include "placement/fill_rate_limiter.h"
+
+namespace fernward {
+
+/// Joins what bounds the attempts at the origin: its concurrency limit, its connections, the rate of fetches
+/// while keys move, and the queue before them. Times: milliseconds; `active`: this router's attempts in work
+/// there.
+struct OriginDispatch {
+  concurrency::OriginConcurrencyLimiter limiter = concurrency::OriginConcurrencyLimiter::origin(1);
+  concurrency::ConnectionCapacityEstimator connections;
+  concurrency::OriginRequestQueue queue;
+
+  /// The origin came, or started anew: nothing that was measured holds.
+  void reset(std::uint32_t router_count) {
+    limiter = concurrency::OriginConcurrencyLimiter::origin(router_count);
+    connections = {};
+  }
+  /// Attempts that are in work or wait for their turn.
+  double demand(std::uint32_t active) const { return active + static_cast<double>(queue.size()); }
+  /// Tells the queue how many turns come up: a closed loop of the attempts allowed at once, each for a
+  /// response time. `fetch_limit_per_ms`: of the fill rate limiter; 0: none.
+  void update_service_rate(double fetch_limit_per_ms) {
+    const double response_ms = limiter.recent_ms();
+    const double most_active = std::min(limiter.limit(), connections.most());
+    const double turns_per_ms = response_ms > 0 ? most_active / response_ms : 0;
+    const bool fetches_limited = fetch_limit_per_ms > 0 && turns_per_ms > 0;
+    queue.serves(fetches_limited ? std::min(fetch_limit_per_ms, turns_per_ms) : turns_per_ms, response_ms);
+  }
+  /// The next request whose turn it is; it has left the queue.
+  std::optional<RequestId> next(double now, std::uint32_t active, placement::FillRateLimiter& fill_rate) {
+    const bool connection = connections.room(now, active);
+    const bool read_room = connection && limiter.room(now, active, false) && fill_rate.may_fetch(now);
+    const bool write_room = connection && limiter.room(now, active, true);
+    return queue.take(now, read_room, write_room);
+  }
+};
+
+} // namespace fernward
--- a/src/policy/outcome.cpp
+++ b/src/policy/outcome.cpp
@@ -6,7 +6,10 @@
 
 namespace fernward {
 
-constexpr std::uint64_t kRunToEndOneIn = 4; // one in so many late attempts is never withdrawn
+constexpr std::uint64_t kRunToEndOneIn = 4;    // one in so many slow attempts is never cancelled
+constexpr double kFleetMeanWeight = 0.02;      // of one answer in the means over all caches
+constexpr double kOverloadedLimitFactor = 0.7; // cuts the limit of a cache that rejects as overloaded
+constexpr int kConnectionFailureWeight = 2;    // a refused or broken connection, beside an error or a silence
 
 // ---- an attempt ends ----
 
@@ -33,37 +36,46 @@
 void Balancer::Impl::learn_from_outcome(RequestState& request, Attempt& attempt, Replica& replica,
                                         const AttemptOutcome& outcome) {
   if (replica.record_report(now, settings.load_report_fields, outcome.load_report) && !is_origin(replica))
-    smooth(cache_queue_length, replica.queue_length, 0.02);
+    smooth(cache_queue_length, replica.queue_length, kFleetMeanWeight);
   if (attempt.response_started && outcome.result == AttemptResult::Ok) return;
   replica.in_flight -= !attempt.response_started && replica.in_flight > 0;
   replica.stalled -= std::exchange(attempt.stalled, false) && replica.stalled > 0;
   const double elapsed = usable_number(outcome.elapsed_ms) ? outcome.elapsed_ms : now - attempt.sent_at;
   if (outcome.result == AttemptResult::Ok || outcome.result == AttemptResult::CacheMiss)
     replica.latest_answered_send_at = std::max(replica.latest_answered_send_at, attempt.sent_at);
-  retry_budget.ended(now, update_limits(request, replica, outcome, elapsed), is_failure(outcome.result));
+  const bool overloaded = is_origin(replica) ? update_origin_limit(request, replica, outcome, elapsed)
+                                             : update_cache_limit(request, replica, outcome, elapsed);
+  retry_budget.ended(now, overloaded, is_failure(outcome.result));
   if (std::exchange(attempt.runs_to_end, false))
     slow_attempts(replica).ended(outcome.result != AttemptResult::TimedOut);
-  is_origin(replica) ? learn_origin_outcome(replica, outcome, elapsed)
-                     : learn_cache_outcome(request, attempt, replica, outcome, elapsed);
+  if (is_origin(replica)) {
+    learn_origin_outcome(replica, outcome, elapsed);
+  } else {
+    learn_cache_outcome(request, attempt, replica, outcome, elapsed);
+  }
 }
 
-// What the end tells of the server's crowding; true: a sign of it.
-bool Balancer::Impl::update_limits(const RequestState& request, Replica& replica,
-                                   const AttemptOutcome& outcome, double elapsed) {
-  if (!is_origin(replica)) {
-    if (outcome.result == AttemptResult::Overloaded) replica.limiter.cut(now, 0.7);
-    const bool silent =
-        outcome.result == AttemptResult::Cancelled || outcome.result == AttemptResult::TimedOut;
-    // Else the limit would stand still just when nothing comes back in time any more.
-    if (outcome.result == AttemptResult::Ok ||
-        (silent && elapsed > concurrency::kTightAim * latency_objective_ms(request)))
-      return replica.limiter.answered(now, elapsed, latency_objective_ms(request), replica.active());
-    return outcome.result == AttemptResult::Overloaded;
-  }
+// Tells the cache's limiter how the attempt ended; true: a sign of overload.
+bool Balancer::Impl::update_cache_limit(const RequestState& request, Replica& replica,
+                                        const AttemptOutcome& outcome, double elapsed) {
+  if (outcome.result == AttemptResult::Overloaded) replica.limiter.cut(now, kOverloadedLimitFactor);
+  const double objective_ms = latency_objective_ms(request);
+  const bool silent = outcome.result == AttemptResult::Cancelled || outcome.result == AttemptResult::TimedOut;
+  // Late silent ones count, else the limit would stand still just when nothing comes back in time any more.
+  const bool late_silent = silent && elapsed > concurrency::kTightAim * objective_ms;
+  if (outcome.result == AttemptResult::Ok || late_silent)
+    return replica.limiter.answered(now, elapsed, objective_ms, replica.active());
+  return outcome.result == AttemptResult::Overloaded;
+}
+
+// The same for the origin, by its limiter and the estimate of its connections.
+bool Balancer::Impl::update_origin_limit(const RequestState& request, const Replica& replica,
+                                         const AttemptOutcome& outcome, double elapsed) {
   // A connection refused by one that works: it wants places for connections, not room for work.
   const bool connects = outcome.result == AttemptResult::ConnectFailed && responded_lately(replica);
   if (connects || (outcome.result == AttemptResult::Overloaded && outcome.first_on_connection)) {
-    origin_connections.refused(now, replica.active(), origin_limit.recent_ms(), random.unit());
+    origin_dispatch.connections.refused(now, replica.active(), origin_dispatch.limiter.recent_ms(),
+                                        random.unit());
     log("origin refuses further connections, in use:", replica.active());
     return false;
   }
@@ -77,7 +89,7 @@
     case AttemptResult::CacheMiss: // quick, whatever the server is about
     case AttemptResult::InvalidRequest:
     case AttemptResult::Abandoned: return false;
-    case AttemptResult::Ok: origin_connections.had(replica.active() + 1); break;
+    case AttemptResult::Ok: origin_dispatch.connections.had(replica.active() + 1); break;
     case AttemptResult::Overloaded: sample.ending = concurrency::Ending::TurnedAway; break;
     case AttemptResult::ConnectFailed: sample.ending = concurrency::Ending::Unreached; break;
     case AttemptResult::Error:
@@ -86,9 +98,9 @@
     case AttemptResult::Cancelled: // as its time had run out, or as another copy was quicker
       sample.ending = now >= request.answer_by ? concurrency::Ending::Silent : concurrency::Ending::Withdrawn;
   }
-  const concurrency::Sign sign = origin_limit.ended(now, sample);
+  const concurrency::Sign sign = origin_dispatch.limiter.ended(now, sample);
   if (sign == concurrency::Sign::TurnedAway)
-    log("origin crowded, attempts at once cut to", origin_limit.limit());
+    log("origin crowded, attempts at once cut to", origin_dispatch.limiter.limit());
   return sign == concurrency::Sign::TurnedAway || sign == concurrency::Sign::Slow;
 }
 
@@ -99,13 +111,12 @@
   // A connection that its cache had closed while it rested: the cache is well, the next connection will do.
   const bool stale = outcome.result == AttemptResult::Reset && outcome.on_reused_connection;
   if (outcome.result != AttemptResult::Cancelled && outcome.result != AttemptResult::Abandoned && !stale) {
-    smooth(replica.failure_rate, !well, 0.1);
-    smooth(cache_failure_rate, !well, 0.01);
+    ejection.record_attempt(replica, well);
   }
   switch (outcome.result) {
     case AttemptResult::Ok:
       record_success(replica);
-      smooth(cache_response_ms, elapsed, 0.02);
+      smooth(cache_response_ms, elapsed, kFleetMeanWeight);
       cache_slow_attempts.answered(elapsed);
       replica.record_response(now, elapsed);
       record_lookup(request, attempt, true);
@@ -124,7 +135,7 @@
                                              : replica.expected_response_ms(now, cache_response_ms));
       break;
     case AttemptResult::ConnectFailed:
-    case AttemptResult::Reset: record_failure(replica, stale ? 0 : 2); break;
+    case AttemptResult::Reset: record_failure(replica, stale ? 0 : kConnectionFailureWeight); break;
     case AttemptResult::Error:
       record_failure(replica, 1);
       break; // one that only errs is ejected, one that errs now and then not
@@ -132,7 +143,7 @@
     case AttemptResult::TimedOut:
       if (elapsed > replica.expected_response_ms(now, cache_response_ms))
         replica.record_response(now, elapsed); // it took at least this long
-      if (elapsed > cache_response_ms) smooth(cache_response_ms, elapsed, 0.02);
+      if (elapsed > cache_response_ms) smooth(cache_response_ms, elapsed, kFleetMeanWeight);
       if (outcome.result == AttemptResult::TimedOut) record_failure(replica, 1);
       break;
     default: break;
@@ -169,27 +180,35 @@
   }
   if (outcome.result == AttemptResult::Abandoned || outcome.body_consumed)
     return give_up(request, outcome.body_consumed ? GiveUpReason::NotIdempotent : GiveUpReason::NoEndpoint);
-  // Turned away unseen or never connected costs a server next to nothing; the attempt limit bounds it.
+  retry(request, outcome);
+}
+
+void Balancer::Impl::retry(RequestState& request, const AttemptOutcome& outcome) {
+  const bool at_origin = origin != nullptr && outcome.server == origin->entry.id;
+  // Rejected unseen or never connected costs a server next to nothing; the attempt limit bounds it.
   if (outcome.result != AttemptResult::Overloaded && outcome.result != AttemptResult::ConnectFailed) {
-    const bool at_origin = origin != nullptr && outcome.server == origin->entry.id;
-    const double crowding = at_origin ? origin_limit.crowding(now, origin->active()) : 0;
+    const double crowding = at_origin ? origin_dispatch.limiter.crowding(now, origin->active()) : 0;
     if (!retry_budget.spend(now, concurrency::RetryBudget::Use::Retry, crowding))
       return give_up(request, GiveUpReason::RetryBudgetEmpty);
   }
-  if (origin != nullptr && outcome.server == origin->entry.id) {
-    // A fault, not crowding: there is nothing to wait for. Or a place, which the queue waits for.
-    const double place_ms = origin_connections.wait_ms(now, origin->active());
-    if (place_ms > 0) emit(SetTimer{place_ms, timer_token(Timer::RetryOrigin, request.params.id)});
-    if (outcome.result == AttemptResult::Error || outcome.result == AttemptResult::Reset || place_ms > 0)
-      return queue_for_origin(request);
-    if (!may_attempt_at(request, *origin)) return give_up(request, GiveUpReason::NotIdempotent);
-    const double wait =
-        std::max(origin_limit.recent_ms(), settings.event_interval_ms) * (0.5 + random.unit());
-    if (now + wait >= request.answer_by)
-      return give_up(request, GiveUpReason::QueueTimeout); // to give up is to answer now
-    return emit(SetTimer{wait, timer_token(Timer::RetryOrigin, request.params.id)});
-  }
-  if (!send_to_best_cache(request)) queue_for_origin(request); // which concludes where there is none
+  if (at_origin) return retry_at_origin(request, outcome);
+  if (!send_to_best_cache(request)) queue_for_origin(request); // which gives up where there is none
+}
+
+void Balancer::Impl::retry_at_origin(RequestState& request, const AttemptOutcome& outcome) {
+  const double connection_wait_ms = origin_dispatch.connections.wait_ms(now, origin->active());
+  if (connection_wait_ms > 0)
+    emit(SetTimer{connection_wait_ms, timer_token(Timer::RetryOrigin, request.params.id)});
+  // After a fault there is nothing to wait for; for a connection the queue waits.
+  if (outcome.result == AttemptResult::Error || outcome.result == AttemptResult::Reset ||
+      connection_wait_ms > 0)
+    return queue_for_origin(request);
+  if (!retry_policy.allows_server(request, origin->entry, now))
+    return give_up(request, GiveUpReason::NotIdempotent);
+  const double wait_ms =
+      std::max(origin_dispatch.limiter.recent_ms(), settings.event_interval_ms) * (0.5 + random.unit());
+  if (now + wait_ms >= request.answer_by) return give_up(request, GiveUpReason::QueueTimeout);
+  emit(SetTimer{wait_ms, timer_token(Timer::RetryOrigin, request.params.id)});
 }
 
 void Balancer::Impl::on_response_started(const ResponseStarted& started) {
@@ -226,8 +245,7 @@
   record_failure(*replica, 1);
   const bool safe = settings.classes[request.params.class_index].idempotency == Idempotency::Idempotent;
   if (!settings.may_hedge_class(request.params.class_index) && settings.may_cancel && safe &&
-      retry_budget.saved() >= 1 &&
-      request.attempts.size() < settings.max_attempts_of(request.params.class_index)) {
+      retry_budget.saved() >= 1 && retry_policy.has_attempts_left(request)) {
     emit(Cancel{request.params.id, static_cast<std::uint32_t>(index)}); // its outcome brings the next attempt
   }
   if (!settings.may_hedge_class(request.params.class_index) || request.queued_for_origin ||
@@ -235,12 +253,12 @@
     return;
   // At the origin a copy costs as much as a fetch, so one is sent only where the connection is at fault.
   const bool at_origin = is_origin(*replica);
-  const double crowding = at_origin ? origin_limit.crowding(now, replica->active()) : 0;
+  const double crowding = at_origin ? origin_dispatch.limiter.crowding(now, replica->active()) : 0;
   if ((at_origin && !attempt.stalled) ||
       !retry_budget.spend(now, concurrency::RetryBudget::Use::Copy, crowding))
     return;
   const bool sent = !at_origin ? send_to_best_cache(request)
-                               : origin_limit.room(now, replica->active(), request.params.write) &&
+                               : origin_dispatch.limiter.room(now, replica->active(), request.params.write) &&
                                      send_attempt(request, *replica);
   if (!sent) retry_budget.unspent(concurrency::RetryBudget::Use::Copy);
 }
--- /dev/null
+++ b/src/policy/outlier_ejection.cpp
@@ -0,0 +1,61 @@
+// Outlier ejection: which caches are left out, over all of them. Interface: include/fernward/balancer.h
+#include "policy/outlier_ejection.h"
+
+#include "statistics/numbers.h"
+
+namespace fernward {
+namespace {
+
+constexpr double kPanicThreshold = 0.5; // share of the caches; with more ejected, none counts as ejected
+constexpr double kCacheFailureRateWeight = 0.1; // of one attempt in the cache's own rate
+constexpr double kFleetFailureRateWeight = 0.01;
+constexpr double kToleratedFailureRate = 0.5; // of a cache that answers, where the others do not fail
+
+} // namespace
+
+void OutlierEjection::count(const Replica& replica, bool is_origin, int sign) {
+  if (replica.entry.state != ServerState::Ready) return;
+  ready_caches_ += is_origin ? 0 : sign;
+  ejected_ += replica.outlier.is_ejected() ? sign : 0;
+}
+
+bool OutlierEjection::is_panic() const {
+  return static_cast<double>(ejected_) > kPanicThreshold * static_cast<double>(ready_caches_);
+}
+
+bool OutlierEjection::is_usable(const Replica& replica, double now) const {
+  if (replica.entry.state != ServerState::Ready) return false;
+  if (!replica.outlier.is_ejected() || is_panic()) return true;
+  // Without health checks a request of a client is the half-open trial, one at a time.
+  return !settings_.may_health_check && replica.outlier.trial_due(now);
+}
+
+void OutlierEjection::record_attempt(Replica& replica, bool ok) {
+  smooth(replica.failure_rate, !ok, kCacheFailureRateWeight);
+  smooth(failure_rate_, !ok, kFleetFailureRateWeight);
+}
+
+bool OutlierEjection::record_failure(Replica& replica, double now, int weight, bool responded_lately) {
+  // A cache that answers others is slow, or its connections break; it stays unless it fails far more than
+  // most.
+  const bool stays = responded_lately && replica.failure_rate < kToleratedFailureRate + failure_rate_ / 2;
+  if (!replica.outlier.record_failure(now, weight, stays)) return false;
+  ejected_ += replica.entry.state == ServerState::Ready;
+  return true;
+}
+
+void OutlierEjection::record_success(Replica& replica, double now) {
+  if (replica.outlier.record_success(now)) ejected_ -= replica.entry.state == ServerState::Ready;
+}
+
+bool OutlierEjection::on_report(Replica& replica, const OutlierReport& report, double now) {
+  if (!report.is_outlier) {
+    replica.outlier.on_reported_healthy(now, report.observed_at);
+    return false;
+  }
+  if (!replica.outlier.on_reported_outlier(report.observed_at)) return false;
+  ejected_ += replica.entry.state == ServerState::Ready;
+  return true;
+}
+
+} // namespace fernward
--- /dev/null
+++ b/src/policy/retry_policy.cpp
@@ -0,0 +1,46 @@
+// Retry policy: what a request's attempts are bound to. Interface: include/fernward/balancer.h
+#include "policy/retry_policy.h"
+
+namespace fernward {
+
+// With an idempotency key the servers of its scope discard a repeat, within the window. The margin is for the
+// times at which two events are seen.
+bool RetryPolicy::idempotency_allows(const RequestState& request, const Server& server, double now) const {
+  const ClassSettings& class_settings = settings_.classes[request.params.class_index];
+  if (class_settings.idempotency == Idempotency::Idempotent) return true;
+  if (!request.may_have_executed && request.in_flight == 0) return true;
+  if (class_settings.idempotency == Idempotency::NonIdempotent) return false;
+  const double window_ms = class_settings.idempotency_window_ms - 2 * settings_.event_interval_ms;
+  if (now - request.bound_at >= window_ms) return false;
+  switch (class_settings.idempotency_scope) {
+    case IdempotencyScope::All: return true;
+    case IdempotencyScope::Zone: return server.zone == request.bound_zone;
+    case IdempotencyScope::Cell: return server.cell == request.bound_cell;
+  }
+  return false;
+}
+
+std::optional<GiveUpReason> RetryPolicy::retry_denied(const RequestState& request, const Server& server,
+                                                      double now) const {
+  if (!has_attempts_left(request)) return GiveUpReason::AttemptLimit;
+  if (!allows_server(request, server, now)) return GiveUpReason::NotIdempotent;
+  return std::nullopt;
+}
+
+std::optional<GiveUpReason> RetryPolicy::attempt_denied(const RequestState& request, const Server& server,
+                                                        double now) const {
+  if (const auto reason = retry_denied(request, server, now)) return reason;
+  if (now >= request.answer_by) return GiveUpReason::NotSent;
+  if (server.state != ServerState::Ready) return GiveUpReason::NoEndpoint;
+  return std::nullopt;
+}
+
+bool RetryPolicy::client_may_retry(const RequestState& request) const {
+  if (request.in_flight == 0 && !request.may_have_executed) return true;
+  const ClassSettings& class_settings = settings_.classes[request.params.class_index];
+  return class_settings.idempotency == Idempotency::Idempotent ||
+         (class_settings.idempotency == Idempotency::WithKey &&
+          class_settings.idempotency_scope == IdempotencyScope::All);
+}
+
+} // namespace fernward
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -10,7 +10,8 @@
 namespace fernward {
 namespace {
 
-// Each node gets its part of what all may do at a cache: a count that no fleet has would leave it next to nothing.
+// Each node gets its part of what all may do at a cache: a count that no fleet has would leave it next to
+// nothing.
 constexpr std::uint32_t kMaxRouters = 65536;
 
 bool natural(double value) { return std::isfinite(value) && value >= 0; }
@@ -67,7 +68,7 @@
     if (aim > 0) shortest_objective_ms = std::min(shortest_objective_ms, aim);
   }
   admission.rate.resize(admission.value.size());
-  tenant_rate.resize(settings.tenants.size());
+  quotas.resize();
 }
 
 void Balancer::update_settings(const Settings& settings) {
--- a/src/requests/request_state.h
+++ b/src/requests/request_state.h
@@ -60,21 +60,6 @@
   }
 };
 
-// Repeating `o` at `at` carries out no effect twice.
-inline bool idempotency_allows(const Settings& settings, const RequestState& request, const Server& server,
-                               double now) {
-  const ClassSettings& class_settings = settings.classes[request.params.class_index];
-  if (class_settings.idempotency == Idempotency::Idempotent ||
-      (!request.may_have_executed && request.in_flight == 0))
-    return true;
-  if (class_settings.idempotency == Idempotency::NonIdempotent ||
-      now - request.bound_at >= class_settings.idempotency_window_ms - 2 * settings.event_interval_ms)
-    return false;
-  return class_settings.idempotency_scope == IdempotencyScope::All ||
-         (class_settings.idempotency_scope == IdempotencyScope::Zone && server.zone == request.bound_zone) ||
-         (class_settings.idempotency_scope == IdempotencyScope::Cell && server.cell == request.bound_cell);
-}
-
 inline bool is_failure(AttemptResult result) {
   return result == AttemptResult::Error || result == AttemptResult::Reset ||
          result == AttemptResult::ConnectFailed || result == AttemptResult::TimedOut;
