--- a/src/health/outlier_state.cpp
+++ b/src/health/outlier_state.cpp
@@ -5,7 +5,8 @@
 namespace fernward::health {
 namespace {
 
-constexpr int kEjectAfterFailures = 3; // silent attempts in a row; a refused one counts twice
+constexpr int kEjectAfterFailures = 3; // in a row; a refused connection counts for two
+constexpr double kMinTrialBackoff = 2; // times what makes an attempt slow
 
 } // namespace
 
@@ -15,7 +16,8 @@
     if (trial_backoff_ms_ > 0 && now - next_trial_at_ > kMaxTrialBackoffMs) trial_backoff_ms_ = 0;
     return false;
   }
-  ejected_ = half_open_trial_ = false;
+  ejected_ = false;
+  half_open_trial_ = false;
   next_trial_at_ = now;
   return true;
 }
@@ -24,24 +26,27 @@
   consecutive_failures_ += weight;
   if (weight > 0) last_failure_at_ = now;
   if (ejected_ || consecutive_failures_ < kEjectAfterFailures || stays) return false;
-  return ejected_ = true;
+  ejected_ = true;
+  return true;
 }
 
-bool OutlierState::on_reported_outlier(double seen_at) {
-  if (ejected_ || last_response_at_ >= seen_at) return false;
-  return ejected_ = true;
+bool OutlierState::on_reported_outlier(double observed_at) {
+  if (ejected_ || last_response_at_ >= observed_at) return false;
+  ejected_ = true;
+  return true;
 }
 
-void OutlierState::on_reported_healthy(double now, double seen_at) {
-  if (ejected_ && !half_open_trial_ && seen_at > last_failure_at_)
+void OutlierState::on_reported_healthy(double now, double observed_at) {
+  if (ejected_ && !half_open_trial_ && observed_at > last_failure_at_)
     next_trial_at_ = std::min(next_trial_at_, now);
 }
 
 void OutlierState::schedule_trial(double now, double slow_ms, double draw) {
   half_open_trial_ = false;
-  trial_backoff_ms_ =
-      std::clamp(2 * trial_backoff_ms_, std::min(2 * slow_ms, kMaxTrialBackoffMs), kMaxTrialBackoffMs);
-  next_trial_at_ = now + trial_backoff_ms_ * (0.75 + 0.5 * draw);
+  trial_backoff_ms_ = std::clamp(
+      2 * trial_backoff_ms_, std::min(kMinTrialBackoff * slow_ms, kMaxTrialBackoffMs), kMaxTrialBackoffMs);
+  next_trial_at_ =
+      now + trial_backoff_ms_ * (0.75 + 0.5 * draw); // spread, so that routers do not try at once
 }
 
 } // namespace fernward::health
--- a/src/policy/answer.cpp
+++ b/src/policy/answer.cpp
@@ -1,4 +1,4 @@
-// The final answer. Interface: include/fernward/balancer.h
+// Final answers and cancellation. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 void Balancer::Impl::cancel_attempts(const RequestState& request, std::size_t except) {
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
     const Attempt& attempt = request.attempts[i];
-    // What the origin has begun it goes on with: its answer is waited for, so that its limit counts it.
+    // The origin finishes what it has begun: its response is waited for, so that the limit counts it.
     const bool waited_for = attempt.runs_to_end || (origin != nullptr && attempt.server == origin->entry.id);
     if (i != except && attempt.in_flight && settings.may_cancel && !waited_for) {
       emit(Cancel{request.params.id, static_cast<std::uint32_t>(i)});
@@ -29,8 +29,7 @@
 // Rejects where the promise that a retry does no harm holds, else fails. Under overload clients are told the
 // longest Retry-After; else the time of a slow attempt is enough for what the request met to pass.
 void Balancer::Impl::give_up(RequestState& request, GiveUpReason why) {
-  if (request.in_flight > 0 && now < request.answer_by)
-    return; // what is out, late as it is, may yet be answered
+  if (request.in_flight > 0 && now < request.answer_by) return; // an attempt in flight may yet be answered
   if (retry_policy.client_may_retry(request)) {
     const bool stay_away = why == GiveUpReason::Shed || why == GiveUpReason::QueueTimeout ||
                            why == GiveUpReason::ResponseTimeout || why == GiveUpReason::NotSent;
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -1,4 +1,4 @@
-// The decision module: events, the server list, timers. Interface: include/fernward/balancer.h
+// The Balancer: events, the endpoint list, timers. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -38,14 +38,14 @@
 }
 
 void Balancer::Impl::log(const char* what, double figure) {
-  if (now - logged_at < kLogIntervalMs) return; // few lines: the first of a second tells
+  if (now - logged_at < kLogIntervalMs) return; // the first line of a second tells enough
   logged_at = now;
   char text[120];
   std::snprintf(text, sizeof text, "%s %.0f", what, figure);
   emit(Log{text});
 }
 
-// ---- server list ----
+// ---- endpoint list ----
 
 void Balancer::Impl::on_endpoint_list(const EndpointList& list) {
   if (list.kind == EndpointListKind::Failed) {
@@ -72,7 +72,7 @@
   place_servers(changed);
 }
 
-// Costs the same however many servers there are.
+// Its cost does not grow with the number of servers.
 void Balancer::Impl::update_server(const Server& listed) {
   Server entry = listed;
   if (!usable_number(entry.weight) || entry.weight == 0) entry.weight = 1;
@@ -110,7 +110,7 @@
   }
 }
 
-// Of those that are gone, what nothing is out at any more.
+// Forgets those that are gone, once no attempt is in flight there.
 void Balancer::Impl::drop_departed() {
   std::erase_if(leaving, [this](ServerId id) {
     const Replica* r = find_server(id);
@@ -122,7 +122,7 @@
   });
 }
 
-// The configured number is a ceiling: to think oneself alone in a cut must not count for much.
+// Bounded by the configured number on both sides: a router that is cut off must not take itself for alone.
 void Balancer::Impl::on_fleet_state(const FleetState& fleet) {
   live_routers =
       std::clamp(usable_number(fleet.live_routers) && fleet.live_routers > 0 ? fleet.live_routers : 1e9,
@@ -177,9 +177,9 @@
     send_due_health_checks();
 }
 
-// Walks all servers: only where the settings allow probes.
+// Walks all servers: only where the settings allow health checks.
 void Balancer::Impl::send_due_health_checks() {
-  Replica* oldest = nullptr; // report
+  Replica* oldest = nullptr; // checked the longest ago
   for (auto& [id, replica] : replicas) {
     if (replica.entry.state != ServerState::Ready) continue;
     if (replica.outlier.is_ejected() && replica.outlier.trial_due(now)) send_health_check(replica);
--- a/src/policy/balancer.h
+++ b/src/policy/balancer.h
@@ -1,4 +1,4 @@
-// What a node decides from, and the decisions by concern. Interface: include/fernward/balancer.h
+// The Balancer's parts, joined. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <map>
@@ -41,7 +41,7 @@
   concurrency::RetryBudget retry_budget;
   bool dispatching_origin = false;
   std::unordered_map<RequestId, RequestState> requests;
-  std::vector<RequestId> finished; // concluded with nothing out: dropped once the event is handled
+  std::vector<RequestId> finished; // with no attempt in flight: dropped once the event is handled
   FetchCoalescer fetches;
   concurrency::AdmissionController admission;
   double shortest_objective_ms = 3000;
@@ -64,7 +64,7 @@
   Impl(const Settings& s, std::uint64_t seed);
   void apply_classes(); // settings.cpp
 
-  // balancer.cpp: events, the server list, timers
+  // balancer.cpp: events, the endpoint list, timers
   void start();
   void dispatch(const Event& event);
   template <typename Kind>
@@ -109,14 +109,14 @@
   bool send_attempt(RequestState& request, Replica& replica);
   void record_attempt(RequestState& request, Replica& replica);
 
-  // health.cpp: which caches are left out
+  // health.cpp: which caches are ejected
   bool responded_lately(const Replica& replica);
   void record_failure(Replica& replica, int weight);
   void eject(Replica& replica);
   void schedule_trial(Replica& replica);
   void record_success(Replica& replica);
 
-  // outcome.cpp: an attempt ends or is overdue
+  // outcome.cpp: an attempt ends or is slow
   void on_attempt_outcome(const AttemptOutcome& outcome);
   void on_response_started(const ResponseStarted& started);
   void on_health_check_result(const HealthCheckResult& result);
@@ -124,6 +124,8 @@
                           const AttemptOutcome& outcome);
   void learn_cache_outcome(RequestState& request, const Attempt& attempt, Replica& replica,
                            const AttemptOutcome& outcome, double elapsed);
+  void learn_overloaded(Replica& replica, bool retried);
+  void learn_unanswered(Replica& replica, double elapsed);
   void learn_origin_outcome(Replica& replica, const AttemptOutcome& outcome, double elapsed);
   bool update_cache_limit(const RequestState& request, Replica& replica, const AttemptOutcome& outcome,
                           double elapsed);
@@ -134,6 +136,8 @@
   void retry(RequestState& request, const AttemptOutcome& outcome);
   void retry_at_origin(RequestState& request, const AttemptOutcome& outcome);
   void on_slow_attempt(RequestState& request, std::size_t index);
+  void cancel_for_retry(const RequestState& request, std::size_t index);
+  void hedge(RequestState& request, const Attempt& slow, Replica& replica);
 
   // origin.cpp: misses, writes and the origin
   void continue_after_miss(RequestState& request);
--- a/src/policy/choose.cpp
+++ b/src/policy/choose.cpp
@@ -1,4 +1,4 @@
-// A request arrives: which caches can be used, and the choice. Interface: include/fernward/balancer.h
+// A request arrives: the choice among the caches, and sending. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -8,9 +8,10 @@
 namespace fernward {
 
 constexpr double kNoObjectiveMs = 1e12;
-constexpr double kNoDeadline = 1e15;        // clock time
-constexpr double kOtherZoneScoreFactor = 3; // by which a cache in another zone than the node's scores worse
-constexpr double kUnheldKeyScorePenalty = 1e9; // score of a cache that came lately and would have to fetch
+constexpr double kNoDeadline = 1e15;           // clock time
+constexpr double kOtherZoneScoreFactor = 3;    // crossing costs, and zones fail apart
+constexpr double kUnheldKeyScorePenalty = 1e9; // a cache that came lately and would have to fetch
+
 // ---- a request arrives ----
 
 void Balancer::Impl::on_request(const Request& received) {
@@ -18,10 +19,10 @@
   const ClassSettings& class_settings = settings.classes[received.class_index];
   RequestState& request = requests[received.id];
   request.params = sanitized(received, now + class_settings.client_timeout_ms);
-  // Past the aim an answer may earn nothing more: then the request ends there.
-  const double aim_at = std::max(now, request.params.body_complete_at) + latency_objective_ms(request);
+  // Past the objective an answer may be worth nothing: then the request ends there.
+  const double objective_at = std::max(now, request.params.body_complete_at) + latency_objective_ms(request);
   request.answer_by =
-      std::min(request.params.deadline, class_settings.late_value_share > 0 ? kNoDeadline : aim_at) -
+      std::min(request.params.deadline, class_settings.late_value_share > 0 ? kNoDeadline : objective_at) -
       settings.event_interval_ms;
   const std::size_t priority = 2 * received.class_index + (quotas.over_quota(received.tenant) ? 1 : 0);
   request.value = admission.value[priority];
@@ -37,7 +38,7 @@
       demand.request(now, received.key, ejection.ready_caches(), settings.overload_multiple);
   if (received.write && settings.origin_kind >= 0) return queue_for_origin(request);
   placement.read(now, received.key);
-  if (!send_to_best_cache(request)) queue_for_origin(request); // which concludes where there is none
+  if (!send_to_best_cache(request)) queue_for_origin(request); // which gives up where there is none
 }
 
 double Balancer::Impl::latency_objective_ms(const RequestState& request) const {
@@ -115,8 +116,7 @@
 }
 
 // What a miss costs, which the paper has not: the origin's response time, grown with the cube of its use as a
-// cache's score is. Use: of the limit, by attempts in flight and waiting, or of the fetch rate while keys
-// move.
+// cache's score is. Use: of the concurrency limit or, while keys move, of the fetch rate.
 double Balancer::Impl::origin_cost_ms() const {
   if (origin == nullptr) return 0;
   const double limit_use = origin_dispatch.limiter.crowding(now, origin_dispatch.demand(origin->active()));
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -1,4 +1,4 @@
-// Which caches are left out, and how they come back. Interface: include/fernward/balancer.h
+// Ejection of caches and their half-open trials. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 }
 
 void Balancer::Impl::eject(Replica& replica) {
-  placement.pace().disturb(now); // its keys fall to others now, long before the list tells
+  placement.pace().disturb(now); // its keys move to others now, long before the list tells
   schedule_trial(replica);
   log("cache ejected, trial in ms:", replica.outlier.next_trial_at() - now);
 }
--- a/src/policy/origin.cpp
+++ b/src/policy/origin.cpp
@@ -1,4 +1,4 @@
-// Misses, writes and the origin. Interface: include/fernward/balancer.h
+// Cache misses, writes and the origin. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -37,7 +37,7 @@
 }
 
 void Balancer::Impl::dispatch_to_origin() {
-  if (dispatching_origin || origin == nullptr) return; // concluding one below may bring in another
+  if (dispatching_origin || origin == nullptr) return; // giving up one below may come back here
   dispatching_origin = true;
   origin_dispatch.update_service_rate(placement.pace().per_ms(now));
   origin_dispatch.queue.leave(now, expired);
--- a/src/policy/outcome.cpp
+++ b/src/policy/outcome.cpp
@@ -2,6 +2,7 @@
 #include "policy/balancer.h"
 
 #include <algorithm>
+#include <optional>
 #include <utility>
 
 namespace fernward {
@@ -11,6 +12,28 @@
 constexpr double kOverloadedLimitFactor = 0.7; // cuts the limit of a cache that rejects as overloaded
 constexpr int kConnectionFailureWeight = 2;    // a refused or broken connection, beside an error or a silence
 
+namespace {
+
+// What an outcome at the origin is for its concurrency limiter; nothing where it tells nothing of its load.
+std::optional<concurrency::Ending> ending_of(AttemptResult result, bool out_of_time) {
+  using concurrency::Ending;
+  switch (result) {
+    case AttemptResult::CacheMiss: // quick, whatever the load
+    case AttemptResult::InvalidRequest:
+    case AttemptResult::Abandoned: return std::nullopt;
+    case AttemptResult::Ok: return Ending::Answered;
+    case AttemptResult::Overloaded: return Ending::TurnedAway;
+    case AttemptResult::ConnectFailed: return Ending::Unreached;
+    case AttemptResult::Error:
+    case AttemptResult::Reset: return Ending::Fault;
+    case AttemptResult::TimedOut: return Ending::Silent;
+    case AttemptResult::Cancelled: return out_of_time ? Ending::Silent : Ending::Withdrawn;
+  }
+  return Ending::Answered;
+}
+
+} // namespace
+
 // ---- an attempt ends ----
 
 void Balancer::Impl::on_attempt_outcome(const AttemptOutcome& outcome) {
@@ -32,7 +55,7 @@
   dispatch_to_origin();
 }
 
-// From an attempt's end; of an answer that is passed on from its beginning, as its end is its client's.
+// Of a response that is passed on, the start is what counts: its end depends on the client.
 void Balancer::Impl::learn_from_outcome(RequestState& request, Attempt& attempt, Replica& replica,
                                         const AttemptOutcome& outcome) {
   if (replica.record_report(now, settings.load_report_fields, outcome.load_report) && !is_origin(replica))
@@ -71,7 +94,7 @@
 // The same for the origin, by its limiter and the estimate of its connections.
 bool Balancer::Impl::update_origin_limit(const RequestState& request, const Replica& replica,
                                          const AttemptOutcome& outcome, double elapsed) {
-  // A connection refused by one that works: it wants places for connections, not room for work.
+  // A connection refused by an origin that works: it lacks connections, not capacity.
   const bool connects = outcome.result == AttemptResult::ConnectFailed && responded_lately(replica);
   if (connects || (outcome.result == AttemptResult::Overloaded && outcome.first_on_connection)) {
     origin_dispatch.connections.refused(now, replica.active(), origin_dispatch.limiter.recent_ms(),
@@ -79,25 +102,15 @@
     log("origin refuses further connections, in use:", replica.active());
     return false;
   }
-  concurrency::Sample sample{concurrency::Ending::Answered,
-                             elapsed,
-                             request.params.expected_work_ms,
-                             latency_objective_ms(request),
-                             request.params.write,
-                             replica.active()};
-  switch (outcome.result) {
-    case AttemptResult::CacheMiss: // quick, whatever the server is about
-    case AttemptResult::InvalidRequest:
-    case AttemptResult::Abandoned: return false;
-    case AttemptResult::Ok: origin_dispatch.connections.had(replica.active() + 1); break;
-    case AttemptResult::Overloaded: sample.ending = concurrency::Ending::TurnedAway; break;
-    case AttemptResult::ConnectFailed: sample.ending = concurrency::Ending::Unreached; break;
-    case AttemptResult::Error:
-    case AttemptResult::Reset: sample.ending = concurrency::Ending::Fault; break;
-    case AttemptResult::TimedOut: sample.ending = concurrency::Ending::Silent; break;
-    case AttemptResult::Cancelled: // as its time had run out, or as another copy was quicker
-      sample.ending = now >= request.answer_by ? concurrency::Ending::Silent : concurrency::Ending::Withdrawn;
-  }
+  const auto ending = ending_of(outcome.result, now >= request.answer_by);
+  if (!ending) return false;
+  if (outcome.result == AttemptResult::Ok) origin_dispatch.connections.had(replica.active() + 1);
+  const concurrency::Sample sample{*ending,
+                                   elapsed,
+                                   request.params.expected_work_ms,
+                                   latency_objective_ms(request),
+                                   request.params.write,
+                                   replica.active()};
   const concurrency::Sign sign = origin_dispatch.limiter.ended(now, sample);
   if (sign == concurrency::Sign::TurnedAway)
     log("origin crowded, attempts at once cut to", origin_dispatch.limiter.limit());
@@ -106,13 +119,12 @@
 
 void Balancer::Impl::learn_cache_outcome(RequestState& request, const Attempt& attempt, Replica& replica,
                                          const AttemptOutcome& outcome, double elapsed) {
+  // The cache had closed an idle connection: it is well, and the next connection will do.
+  const bool stale = outcome.result == AttemptResult::Reset && outcome.on_reused_connection;
   const bool well = outcome.result == AttemptResult::Ok || outcome.result == AttemptResult::CacheMiss ||
                     outcome.result == AttemptResult::Overloaded;
-  // A connection that its cache had closed while it rested: the cache is well, the next connection will do.
-  const bool stale = outcome.result == AttemptResult::Reset && outcome.on_reused_connection;
-  if (outcome.result != AttemptResult::Cancelled && outcome.result != AttemptResult::Abandoned && !stale) {
+  if (outcome.result != AttemptResult::Cancelled && outcome.result != AttemptResult::Abandoned && !stale)
     ejection.record_attempt(replica, well);
-  }
   switch (outcome.result) {
     case AttemptResult::Ok:
       record_success(replica);
@@ -126,37 +138,46 @@
       record_lookup(request, attempt, false);
       request.cache_misses.push_back(replica.entry.id);
       break;
-    case AttemptResult::
-        Overloaded: // for about as long as one request takes, another would be turned away too
-      replica.outlier.record_response(now);
-      admission.tight += outcome.attempt > 0; // not its first: the caches are full, not just one
-      replica.overloaded_until =
-          now + (replica.service_time_ms > 0 ? replica.service_time_ms
-                                             : replica.expected_response_ms(now, cache_response_ms));
-      break;
+    case AttemptResult::Overloaded: learn_overloaded(replica, outcome.attempt > 0); break;
     case AttemptResult::ConnectFailed:
     case AttemptResult::Reset: record_failure(replica, stale ? 0 : kConnectionFailureWeight); break;
-    case AttemptResult::Error:
-      record_failure(replica, 1);
-      break; // one that only errs is ejected, one that errs now and then not
-    case AttemptResult::Cancelled:
+    case AttemptResult::Error: record_failure(replica, 1); break;
+    case AttemptResult::Cancelled: learn_unanswered(replica, elapsed); break;
     case AttemptResult::TimedOut:
-      if (elapsed > replica.expected_response_ms(now, cache_response_ms))
-        replica.record_response(now, elapsed); // it took at least this long
-      if (elapsed > cache_response_ms) smooth(cache_response_ms, elapsed, kFleetMeanWeight);
-      if (outcome.result == AttemptResult::TimedOut) record_failure(replica, 1);
+      learn_unanswered(replica, elapsed);
+      record_failure(replica, 1);
       break;
-    default: break;
+    case AttemptResult::Abandoned:
+    case AttemptResult::InvalidRequest: break;
   }
   if (replica.outlier.is_ejected() && outcome.result != AttemptResult::Overloaded) schedule_trial(replica);
 }
 
+// For about as long as one request takes, another would be rejected too. `retried`: it was not the request's
+// first attempt, so that not just one cache is overloaded.
+void Balancer::Impl::learn_overloaded(Replica& replica, bool retried) {
+  replica.outlier.record_response(now);
+  admission.tight += retried;
+  const double pause_ms = replica.service_time_ms > 0 ? replica.service_time_ms
+                                                      : replica.expected_response_ms(now, cache_response_ms);
+  replica.overloaded_until = now + pause_ms;
+}
+
+// The response would have taken at least this long.
+void Balancer::Impl::learn_unanswered(Replica& replica, double elapsed) {
+  if (elapsed > replica.expected_response_ms(now, cache_response_ms)) replica.record_response(now, elapsed);
+  if (elapsed > cache_response_ms) smooth(cache_response_ms, elapsed, kFleetMeanWeight);
+}
+
 void Balancer::Impl::record_lookup(RequestState& request, const Attempt& attempt, bool hit) {
   if (hit && request.pending_fill)
     placement.pace().unfilled(*std::exchange(request.pending_fill, {})); // another router's fetch filled it
   if (settings.origin_kind < 0 || request.params.key == 0) return;
-  hit ? placement.hit(request.params.key, attempt.server, attempt.sent_at)
-      : placement.missed(request.params.key, attempt.server);
+  if (hit) {
+    placement.hit(request.params.key, attempt.server, attempt.sent_at);
+  } else {
+    placement.missed(request.params.key, attempt.server);
+  }
 }
 
 void Balancer::Impl::learn_origin_outcome(Replica& replica, const AttemptOutcome& outcome, double elapsed) {
@@ -167,7 +188,7 @@
 }
 
 void Balancer::Impl::continue_request(RequestState& request, const AttemptOutcome& outcome) {
-  // A copy that is late may be on a connection that fell silent: it is not waited for, as far as copies go.
+  // A slow attempt may be on a connection that fell silent: a hedged request need not wait for it.
   if (request.queued_for_origin || request.has_attempt_on_time() ||
       (request.in_flight > 0 && (request.streaming || !settings.may_hedge)))
     return;
@@ -218,9 +239,10 @@
     return;
   if (Replica* replica = find_server(started.server))
     learn_from_outcome(*request, request->attempts[started.attempt], *replica, outcome_of(started));
-  request->attempts[started.attempt].response_started = request->streaming = true;
-  cancel_attempts(*request, started.attempt); // the slower copy
-  // The origin has made its answer: who waits for that need not wait for this one's client to read it.
+  request->attempts[started.attempt].response_started = true;
+  request->streaming = true;
+  cancel_attempts(*request, started.attempt); // the slower attempts
+  // The origin has responded: the followers need not wait until this client has read it.
   if (request->leads_fetch) complete_fetch(*request, origin != nullptr && started.server == origin->entry.id);
 }
 
@@ -232,7 +254,7 @@
   if (replica->outlier.is_ejected()) schedule_trial(*replica);
 }
 
-// Slower than nearly all: the server may be stuck, or the connection; a second copy may be quicker.
+// Slower than nearly all: the server may be stuck, or the connection; a hedged request may be quicker.
 void Balancer::Impl::on_slow_attempt(RequestState& request, std::size_t index) {
   if (index >= request.attempts.size() || !request.attempts[index].in_flight) return;
   Attempt& attempt = request.attempts[index];
@@ -243,23 +265,31 @@
   attempt.stalled = replica->latest_answered_send_at > attempt.sent_at && slow_attempts(*replica).some_dead();
   replica->stalled += attempt.stalled;
   record_failure(*replica, 1);
-  const bool safe = settings.classes[request.params.class_index].idempotency == Idempotency::Idempotent;
-  if (!settings.may_hedge_class(request.params.class_index) && settings.may_cancel && safe &&
-      retry_budget.saved() >= 1 && retry_policy.has_attempts_left(request)) {
-    emit(Cancel{request.params.id, static_cast<std::uint32_t>(index)}); // its outcome brings the next attempt
+  if (settings.may_hedge_class(request.params.class_index)) {
+    hedge(request, attempt, *replica);
+  } else {
+    cancel_for_retry(request, index);
   }
-  if (!settings.may_hedge_class(request.params.class_index) || request.queued_for_origin ||
-      request.has_attempt_on_time())
-    return;
-  // At the origin a copy costs as much as a fetch, so one is sent only where the connection is at fault.
-  const bool at_origin = is_origin(*replica);
-  const double crowding = at_origin ? origin_dispatch.limiter.crowding(now, replica->active()) : 0;
-  if ((at_origin && !attempt.stalled) ||
-      !retry_budget.spend(now, concurrency::RetryBudget::Use::Copy, crowding))
-    return;
-  const bool sent = !at_origin ? send_to_best_cache(request)
-                               : origin_dispatch.limiter.room(now, replica->active(), request.params.write) &&
-                                     send_attempt(request, *replica);
+}
+
+// Where no second attempt may be in flight, the slow one is cancelled; its outcome brings the retry.
+void Balancer::Impl::cancel_for_retry(const RequestState& request, std::size_t index) {
+  const bool idempotent = settings.classes[request.params.class_index].idempotency == Idempotency::Idempotent;
+  if (settings.may_cancel && idempotent && retry_budget.saved() >= 1 &&
+      retry_policy.has_attempts_left(request))
+    emit(Cancel{request.params.id, static_cast<std::uint32_t>(index)});
+}
+
+// At the origin a hedged request costs a fetch, so one is sent only where the connection is at fault.
+void Balancer::Impl::hedge(RequestState& request, const Attempt& slow, Replica& replica) {
+  if (request.queued_for_origin || request.has_attempt_on_time()) return;
+  const bool at_origin = is_origin(replica);
+  const double crowding = at_origin ? origin_dispatch.limiter.crowding(now, replica.active()) : 0;
+  if (at_origin && !slow.stalled) return;
+  if (!retry_budget.spend(now, concurrency::RetryBudget::Use::Copy, crowding)) return;
+  const bool sent = at_origin ? origin_dispatch.limiter.room(now, replica.active(), request.params.write) &&
+                                    send_attempt(request, replica)
+                              : send_to_best_cache(request);
   if (!sent) retry_budget.unspent(concurrency::RetryBudget::Use::Copy);
 }
 
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -9,36 +9,41 @@
 #include "fernward/balancer.h"
 #include "health/outlier_state.h"
 #include "placement/ring.h"
-#include "policy/trend.h"
+#include "policy/queue_trend.h"
 #include "requests/load_report.h"
 
 namespace fernward {
 
-constexpr double kFreshReportMs = 100;          // a younger report is used as it is (paper, section 4.1)
-constexpr double kObservationHalfLifeMs = 3000; // half-life of what was seen of a cache and nobody renews
+constexpr double kFreshReportMs = 100; // a younger report is used as it is (paper, section 4.1)
+constexpr double kObservationHalfLifeMs = 3000;
 
-// What this node knows of a cache (or of the origin, which stays off the ring).
+/// What this router knows of a cache, or of the origin, which stays off the ring. Times: milliseconds on the
+/// clock of Balancer::on_event; letters in comments: the paper's symbols.
 struct Replica {
   Server entry;
-  // TAP's inputs
-  double queue_length = 0, service_time_ms = 0, response_time_ms = 0; // q, 1/mu, R
-  double reported_at = kNever, responded_at = kNever, overloaded_until = kNever;
-  std::uint32_t in_flight = 0, passed_over = 0; // os, f
-  std::uint32_t stalled = 0;                    // of those open, on connections that fell silent
+  // inputs of the score
+  double queue_length = 0;     // q, as last reported
+  double service_time_ms = 0;  // 1/mu, mean of reports; 0: none
+  double response_time_ms = 0; // R, mean as seen here
+  double reported_at = kNever;
+  double responded_at = kNever;
+  double overloaded_until = kNever;
+  std::uint32_t in_flight = 0;   // os, this router's attempts
+  std::uint32_t passed_over = 0; // f, times a candidate and not chosen since the last report
+  std::uint32_t stalled = 0;     // of those in flight, on connections that fell silent
   QueueTrend queue_trend;
   std::vector<float> last_report;
-  // health
+  // outlier ejection
   health::OutlierState outlier;
-  double failure_rate = 0;                 // share of its attempts that fail
-  double latest_answered_send_at = kNever; // the latest send that was answered
+  double failure_rate = 0;                 // mean share of its attempts that fail
+  double latest_answered_send_at = kNever; // the latest time of sending of an attempt that was answered
   double health_checked_at = kNever;
-  concurrency::CacheConcurrencyLimiter limiter{1}; // of a cache
-  // slow start
+  concurrency::CacheConcurrencyLimiter limiter{1}; // unused for the origin
   double slow_start_began_at = kNever;
-  placement::RingWeight seat; // on the ring
+  placement::RingWeight seat;
 
-  void
-  reset_for_restart() { // a restarted process shares nothing with the one before but its name and what is still out
+  /// The process was restarted: only its name and what is still in flight hold.
+  void reset_for_restart() {
     Replica fresh;
     fresh.entry = entry;
     fresh.in_flight = in_flight;
@@ -47,30 +52,32 @@
     *this = std::move(fresh);
   }
 
-  // What was seen long ago fades into what the fleet shows: a node may meet a cache once a minute.
+  /// What was seen `age` ms ago, faded to the mean over all caches: a router may meet a cache once a minute.
   static double decay(double age, double seen, double fleet) {
     return fleet + (seen - fleet) * std::exp2(-age / kObservationHalfLifeMs);
   }
-  double expected_response_ms(double now, double fleet_ms) const { // R
+  double expected_response_ms(double now, double fleet_ms) const {
     return responded_at == kNever ? fleet_ms : decay(now - responded_at, response_time_ms, fleet_ms);
   }
 
+  /// Attempts in flight that take a place at the server.
   std::uint32_t active() const { return in_flight - std::min(in_flight, stalled); }
 
-  // `extra_ms`: what the request is expected to cost elsewhere if this cache gets it; adds to R and to 1/mu.
-  double score(double now, double nodes, double fleet_ms, double fleet_queue, double extra_ms) const {
-    const double r = expected_response_ms(now, fleet_ms) + extra_ms;
-    const double per_request =
-        service_time_ms > 0 ? service_time_ms + extra_ms : r; // no report: what this node saw
-    double q = 1 + active() * nodes;
+  /// The paper's score R + q^3 / mu, in ms; the lower the better. `routers`: of the fleet, each taken to have
+  /// as many attempts in flight as this one; `fleet_*`: means over all caches; `extra_ms`: what the request
+  /// is expected to cost elsewhere if this cache gets it, added to R and to 1/mu.
+  double score(double now, double routers, double fleet_ms, double fleet_queue, double extra_ms) const {
+    const double response_ms = expected_response_ms(now, fleet_ms) + extra_ms;
+    const double per_request_ms = service_time_ms > 0 ? service_time_ms + extra_ms : response_ms;
+    double queue = 1 + active() * routers;
     if (now - reported_at < kFreshReportMs) {
-      q += queue_length;
+      queue += queue_length;
     } else if (in_flight == 0 && passed_over == 0) {
-      q = 0; // nobody asked it for long: invite a refresh
+      queue = 0; // nobody asked it for long: invite a report
     } else {
-      q += decay(now - reported_at, queue_trend.predict(now), fleet_queue);
+      queue += decay(now - reported_at, queue_trend.predict(now), fleet_queue);
     }
-    return r + q * q * q * per_request;
+    return response_ms + queue * queue * queue * per_request_ms;
   }
 
   void record_response(double now, double elapsed_ms) {
@@ -79,7 +86,8 @@
     responded_at = now;
   }
 
-  // A report with the very values of the last one is a repeat on another answer: it makes nothing fresher.
+  /// True: the report tells a queue and is news. One with the very values of the last is a repeat and tells
+  /// nothing.
   bool record_report(double now, const std::vector<LoadReportField>& fields,
                      const std::vector<float>& values) {
     if (values.empty() || values == last_report) return false;
@@ -90,7 +98,7 @@
       if (service_time_ms == 0) service_time_ms = sample;
       smooth(service_time_ms, sample, kSampleWeight);
     }
-    if (waiting < 0) return false; // no queue told: q stays 0 and the report's age never counts as fresh
+    if (waiting < 0) return false; // then queue_length stays 0 and is never fresh
     queue_length = waiting;
     queue_trend.add(now, waiting);
     reported_at = now;
--- a/src/requests/load_report.h
+++ b/src/requests/load_report.h
@@ -9,8 +9,9 @@
 
 namespace fernward {
 
-struct LoadReport {         // below 0: not told
-  double queue_length = -1; // requests, or those in work where no others are told
+/// Values below 0 are unknown.
+struct LoadReport {
+  double queue_length = -1; // waiting requests; of servers that report none, requests in work
   double latency_ms = -1;
 };
 
--- a/src/requests/request_state.h
+++ b/src/requests/request_state.h
@@ -1,4 +1,4 @@
-// What is kept of a request while it is open, and how a timer names it. No decisions here.
+// What is kept of a request while it is open, and the tokens of timers. No decisions here.
 #pragma once
 
 #include <algorithm>
@@ -13,17 +13,18 @@
 
 namespace fernward {
 
+/// One sending of a request to one server.
 struct Attempt {
   ServerId server = 0;
-  double sent_at = 0;
+  double sent_at = 0; // ms, clock time
   bool in_flight = true;
-  bool runs_to_end = false;      // left to end by itself, to tell whether late ones are slow or dead
+  bool runs_to_end = false;      // never cancelled, to learn whether slow attempts are ever answered
   bool slow = false;             // slower than nearly all
-  bool stalled = false;          // and requests sent after it were answered: no place at the server is taken
-  bool response_started = false; // its answer is being passed on: the server's work for it is done
+  bool stalled = false;          // slow, and later ones were answered: it takes no place at the server
+  bool response_started = false; // its response is being passed on: the server's work for it is done
 };
 
-// What can't be is taken for absent.
+/// The request with impossible values taken for absent.
 inline Request sanitized(Request request, double give_up_at) {
   if (!usable_number(request.expected_work_ms)) request.expected_work_ms = 0;
   if (!usable_number(request.body_complete_at)) request.body_complete_at = 0;
@@ -31,24 +32,28 @@
   return request;
 }
 
-// A request from its arrival until its last attempt has ended.
+/// A request from its arrival until its last attempt has ended. Times: milliseconds, clock time.
 struct RequestState {
   Request params;
-  double answer_by = 0; // its final answer goes out by then
-  double value = 0;
-  double slow_start_share =
-      1; // of such requests, what a cache in slow start may be sent; see placement::KeyDemand
+  double answer_by = 0;        // the final answer goes out by then
+  double value = 0;            // of an answer in time, by priority
+  double slow_start_share = 1; // that a cache in slow start may be sent; see placement::KeyDemand
   std::vector<Attempt> attempts;
   std::vector<ServerId> cache_misses;
   std::uint32_t in_flight = 0;
-  std::optional<placement::FillRateLimiter::Fill>
-      pending_fill; // its first attempt goes where the key is not held, to be stored there
-  bool finished = false, streaming = false, may_have_executed = false, leads_fetch = false,
-       queued_for_origin = false;
-  double bound_at = 0; // send of the first attempt that may have run, and its server's group
-  std::uint32_t bound_zone = 0, bound_cell = 0;
+  // Set where the first attempt goes to a cache without the key, so that it is stored there.
+  std::optional<placement::FillRateLimiter::Fill> pending_fill;
+  bool finished = false;          // the final answer is given
+  bool streaming = false;         // a response is being passed on
+  bool may_have_executed = false; // by one of its attempts
+  bool leads_fetch = false;       // others may wait for its fetch, see FetchCoalescer
+  bool queued_for_origin = false;
+  // Of the first attempt that may have executed: the servers that know its idempotency key.
+  double bound_at = 0;
+  std::uint32_t bound_zone = 0;
+  std::uint32_t bound_cell = 0;
 
-  bool has_attempt_on_time() const { // for an attempt that is not late yet
+  bool has_attempt_on_time() const {
     return std::any_of(attempts.begin(), attempts.end(),
                        [](const Attempt& a) { return a.in_flight && !a.slow; });
   }
@@ -69,7 +74,7 @@
          result != AttemptResult::Abandoned && result != AttemptResult::CacheMiss;
 }
 
-// What has happened as far as the server goes, when its answer begins to be passed on.
+/// The outcome as far as the server goes, once its response begins to be passed on.
 inline AttemptOutcome outcome_of(const ResponseStarted& event) {
   AttemptOutcome outcome;
   outcome.id = event.id;
