--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -25,7 +25,8 @@
     : settings(s), random{mix(seed)}, placement(s.origin_kind >= 0 ? s.resize : ResizeSettings{}) {
   apply_classes();
   live_routers = s.router_count;
-  cache_slow_attempts.slow_ms = shortest_objective_ms / 3; // until answers tell
+  // First guesses, until answers tell.
+  cache_slow_attempts.slow_ms = shortest_objective_ms / 3;
   origin_slow_attempts.slow_ms = cache_slow_attempts.slow_ms;
   cache_response_ms = cache_slow_attempts.slow_ms / 3;
 }
--- a/src/policy/balancer.h
+++ b/src/policy/balancer.h
@@ -44,9 +44,9 @@
   std::vector<RequestId> finished; // with no attempt in flight: dropped once the event is handled
   FetchCoalescer fetches;
   concurrency::AdmissionController admission;
-  double shortest_objective_ms = 3000;
-  double cache_response_ms = 0;  // mean of all caches' response times
-  double cache_queue_length = 0; // mean of all caches' reported queues
+  double shortest_objective_ms = 0; // over the classes
+  double cache_response_ms = 0;     // mean of all caches' response times
+  double cache_queue_length = 0;    // mean of all caches' reported queues
   concurrency::SlowAttemptTracker cache_slow_attempts, origin_slow_attempts;
   TenantQuotas quotas{settings};
   OutlierEjection ejection{settings};
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -1,4 +1,4 @@
-// What a node knows of a cache or of the origin. Interface: include/fernward/balancer.h
+// What a router knows of a cache or of the origin. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <algorithm>
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -10,10 +10,11 @@
 namespace fernward {
 namespace {
 
-// Each node gets its part of what all may do at a cache: a count that no fleet has would leave it next to
-// nothing.
+// Each router gets its part of what all may do at a cache: a count that no fleet has would leave it nothing.
 constexpr std::uint32_t kMaxRouters = 65536;
 
+constexpr double kMaxShortestObjectiveMs = 3000; // where no class has a shorter one
+
 bool natural(double value) { return std::isfinite(value) && value >= 0; }
 bool share(double value) { return value >= 0 && value <= 1; }
 
@@ -59,13 +60,14 @@
 
 void Balancer::Impl::apply_classes() {
   admission.value.clear();
-  shortest_objective_ms = 3000;
-  for (const ClassSettings& c : settings.classes) {
-    for (const double share : {1.0, settings.over_quota_weight})
-      admission.value.push_back(c.priority_weight * share);
-    const double aim =
-        c.latency_objective_ms > 0 ? c.latency_objective_ms : c.client_timeout_ms; // as Settings has it
-    if (aim > 0) shortest_objective_ms = std::min(shortest_objective_ms, aim);
+  shortest_objective_ms = kMaxShortestObjectiveMs;
+  for (const ClassSettings& class_settings : settings.classes) {
+    // Two priorities for each class: within and over the tenant's quota.
+    admission.value.push_back(class_settings.priority_weight);
+    admission.value.push_back(class_settings.priority_weight * settings.over_quota_weight);
+    const double objective_ms = class_settings.latency_objective_ms > 0 ? class_settings.latency_objective_ms
+                                                                        : class_settings.client_timeout_ms;
+    if (objective_ms > 0) shortest_objective_ms = std::min(shortest_objective_ms, objective_ms);
   }
   admission.rate.resize(admission.value.size());
   quotas.resize();
--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -1,4 +1,4 @@
-// The module by hand-written events: the paper's choice, and each failure found.
+// The module by hand-written events: the paper's choice, and each failure guarded against.
 #include <array>
 #include <cmath>
 #include <deque>
@@ -34,7 +34,7 @@
 
 // ---- the ring and the score ----
 
-TEST(Choice, AKeyHasThreeCandidatesAlikeAtEveryNode) {
+TEST(Choice, AKeyHasThreeCandidatesAlikeAtEveryRouter) {
   Node one(plain_settings(), 1);
   Node two(plain_settings(), 2);
   one.caches(10);
@@ -84,7 +84,7 @@
   EXPECT_GE(distinct(met).size(), 8u);
 }
 
-TEST(Choice, OpenRequestsCountTimesTheNodes) {
+TEST(Choice, RequestsInFlightCountTimesTheRouters) {
   Node node(plain_settings());
   node.caches(3);
   const auto met = candidates_of(node, 42, 3);
@@ -115,7 +115,8 @@
 // ---- prediction ----
 
 // Caches 1 and 2 get their readings 20 ms apart, the last at the same moment; both are passed over once by a
-// request that goes to cache 3, which then drains. 150 ms later the predicted queues decide. Speeds are alike.
+// request that goes to cache 3, which then drains. 150 ms later the predicted queues decide. Speeds are
+// alike.
 ServerId chosen_by_prediction(const std::vector<float>& one, const std::vector<float>& two) {
   Node node(plain_settings());
   node.caches(3);
@@ -190,7 +191,7 @@
   }
 }
 
-TEST(RequestLife, EndsAtTheAimWhenLaterEarnsNothing) {
+TEST(RequestLife, EndsAtTheLatencyObjectiveWhenLaterEarnsNothing) {
   Node node(plain_settings());
   node.caches(3);
   node.request(1, 42);
@@ -200,8 +201,8 @@
   EXPECT_TRUE(node.final_answer(1));
 }
 
-// Found by reading: a constant of three seconds stood in for the aim.
-TEST(RequestLife, WithoutAnAimTheGiveUpTimeSaysWhatIsSlow) {
+// Fault: a constant of three seconds in place of the latency objective.
+TEST(RequestLife, WithoutALatencyObjectiveTheClientTimeoutSaysWhatIsSlow) {
   Settings s = plain_settings();
   s.classes[0].latency_objective_ms = 0;
   s.classes[0].client_timeout_ms = 300;
@@ -209,7 +210,7 @@
   node.caches(3);
   node.request(1, 42, {.deadline = node.now + 300});
   ASSERT_EQ(node.sends_of(1).size(), 1u);
-  node.wait(110); // a third of it is over, and nothing has come: a copy goes out
+  node.wait(110); // a third of it is over without a response: a hedged request goes out
   EXPECT_EQ(node.sends_of(1).size(), 2u);
 }
 
@@ -225,7 +226,7 @@
   EXPECT_EQ(node.refused.size() + node.failed.size(), 1u);
 }
 
-TEST(RequestLife, AnUnsafeRequestIsSentAgainOnlyIfItNeverRan) {
+TEST(RequestLife, ANonIdempotentRequestIsRetriedOnlyIfItNeverRan) {
   Settings s = plain_settings();
   s.classes[0].idempotency = Idempotency::NonIdempotent;
   Node node(s);
@@ -235,10 +236,10 @@
   EXPECT_EQ(node.sends_of(1).size(), 2u);
   node.outcome(1, AttemptResult::Error);
   EXPECT_EQ(node.sends_of(1).size(), 2u);
-  EXPECT_EQ(node.failed, std::vector<RequestId>{1}); // no promise that a further try is harmless
+  EXPECT_EQ(node.failed, std::vector<RequestId>{1}); // no promise that a retry is harmless
 }
 
-TEST(RequestLife, AKeyedRequestStaysInItsGroupAndWindow) {
+TEST(RequestLife, ARequestWithAnIdempotencyKeyStaysInItsScopeAndWindow) {
   Settings s = plain_settings();
   s.classes[0].idempotency = Idempotency::WithKey;
   s.classes[0].idempotency_scope = IdempotencyScope::Zone;
@@ -257,7 +258,7 @@
   }
 }
 
-TEST(RequestLife, ASecondCopyGoesOutWhenTheFirstIsOverdue) {
+TEST(RequestLife, AHedgedRequestGoesOutWhenTheFirstAttemptIsSlow) {
   Node node(plain_settings());
   node.caches(3);
   node.request(1, 42);
@@ -265,12 +266,12 @@
   ASSERT_EQ(node.sends_of(1).size(), 2u);
   EXPECT_NE(node.sends_of(1)[0].server, node.sends_of(1)[1].server);
   node.outcome(1, AttemptResult::Ok);
-  ASSERT_EQ(node.cancels.size(), 1u); // the loser is called off
+  ASSERT_EQ(node.cancels.size(), 1u); // the slower one is cancelled
   EXPECT_EQ(node.cancels[0].attempt, 0u);
 }
 
-// guards: two answers read to the end for one client
-TEST(RequestLife, TheSlowerCopyIsCalledOffOnceTheOtherHasBegun) {
+// Fault: two answers read to the end for one client
+TEST(RequestLife, TheSlowerAttemptIsCancelledOnceTheOtherResponseHasStarted) {
   Node node(plain_settings());
   node.caches(3);
   node.request(1, 42);
@@ -285,8 +286,8 @@
   EXPECT_FALSE(node.final_answer(1));
 }
 
-// guards: caches that seem to have no room as a few clients read slowly
-TEST(RequestLife, AnAnswerThatPassesTakesNoRoomAtItsCache) {
+// Fault: caches that seem to have no room as a few clients read slowly
+TEST(RequestLife, AStreamedResponseTakesNoRoomAtItsCache) {
   Node node(plain_settings());
   node.caches(2);
   for (RequestId id = kFirst; id < kFirst + 200; ++id) {
@@ -307,7 +308,7 @@
   EXPECT_FALSE(node.final_answer(kFirst + 100));
 }
 
-TEST(RequestLife, SecondCopiesHaveABudget) {
+TEST(RequestLife, HedgedRequestsHaveABudget) {
   Node node(plain_settings());
   node.caches(30);
   for (int i = 0; i < 100; ++i) node.request(kFirst + i, i + 1);
@@ -316,7 +317,7 @@
   EXPECT_LE(node.sends.size(), 100u + 10 + 10);
 }
 
-TEST(RequestLife, NoSecondCopyWhereNoneIsAllowed) {
+TEST(RequestLife, NoHedgedRequestWhereNoneIsAllowed) {
   Settings s = plain_settings();
   s.may_hedge = false;
   Node node(s);
@@ -324,7 +325,7 @@
   node.request(1, 42);
   node.wait(300);
   EXPECT_EQ(node.sends_of(1).size(), 1u);
-  ASSERT_EQ(node.cancels.size(), 1u); // called off instead, and sent on once that is known
+  ASSERT_EQ(node.cancels.size(), 1u); // cancelled instead, and retried once that is known
   node.outcome(1, AttemptResult::Cancelled, 170);
   EXPECT_EQ(node.sends_of(1).size(), 2u);
 }
@@ -341,8 +342,8 @@
   EXPECT_EQ(node.sends_of(1).size(), 1u);
 }
 
-// Found on days with short waiting rooms: refusals by full caches ate the retry budget.
-TEST(RequestLife, TryingOnAfterAFullCacheIsFreeAndStaysAmongTheCandidates) {
+// Fault: rejections by overloaded caches that ate the retry budget.
+TEST(RequestLife, ARetryAfterAnOverloadedCacheIsFreeAndStaysAmongTheCandidates) {
   Node node(plain_settings());
   node.caches(8);
   std::vector<ServerId> met;
@@ -361,9 +362,9 @@
   EXPECT_EQ(distinct(met).size(), 3u);
 }
 
-// ---- server list ----
+// ---- endpoint list ----
 
-TEST(ServerListing, NothingGoesToAServerMissingFromAFullList) {
+TEST(EndpointListing, NothingGoesToAServerMissingFromAFullList) {
   Node node(plain_settings());
   node.caches(3);
   node.list({{.id = 2}});
@@ -371,7 +372,7 @@
   for (const Send& s : node.sends) EXPECT_EQ(s.server, 2u);
 }
 
-TEST(ServerListing, AnEmptyListIsSurvived) {
+TEST(EndpointListing, AnEmptyListIsSurvived) {
   Node node(plain_settings());
   node.list({});
   node.request(1, 42);
@@ -379,7 +380,7 @@
   EXPECT_TRUE(node.sends.empty());
 }
 
-TEST(ServerListing, AsksWithBackoffWhereItMust) {
+TEST(EndpointListing, CallsDiscoveryWithBackoffWhereItMust) {
   Settings s = plain_settings();
   s.discovery = DiscoveryMode::Poll;
   Node node(s);
@@ -400,7 +401,7 @@
   EXPECT_EQ(node.watches, asked); // subscribed: changes come by themselves
 }
 
-TEST(ServerListing, PushModeNeverAsks) {
+TEST(EndpointListing, PushModeNeverCallsDiscovery) {
   Node node(plain_settings());
   node.caches(2);
   node.wait(20000);
@@ -486,7 +487,7 @@
   }
 }
 
-// ---- cold caches ----
+// ---- slow start ----
 
 // Keeps a few requests open all the time; `answer` says how one that went to a server ends.
 template <typename Answer>
@@ -508,7 +509,7 @@
 }
 AttemptResult all_well(ServerId) { return AttemptResult::Ok; }
 
-// Found at 984 nodes: sorting the whole ring at each list message took more CPU than all decisions.
+// Fault: sorting the whole ring at each list message took more CPU than all decisions.
 TEST(Ring, ChangesOneByOneLeaveTheRingOfTheWholeList) {
   Node changed(plain_settings()), fresh(plain_settings());
   changed.caches(6);
@@ -523,20 +524,20 @@
   }
 }
 
-TEST(SlowStart, AStartedCacheGetsItsWarmPartOfTheTrafficOnly) {
+TEST(SlowStart, AStartedCacheGetsItsShareOfTheTrafficOnly) {
   Node node(plain_settings());
   node.caches(4);
   RequestId id = kFirst;
   const auto before = busy(node, id, 800, all_well);
   node.list({{.id = 4, .started_at = node.now}}, EndpointListKind::Delta);
-  const auto after = busy(node, id, 300, all_well); // 1.5 s of 10: warmth from 0.2 to 0.32
+  const auto after = busy(node, id, 300, all_well); // 1.5 s of 10: capacity from 0.2 to 0.32
   EXPECT_GT(before.at(4), 100);
   EXPECT_GT(after.at(4), 0);
   EXPECT_LE(after.at(4), 300 * (1 + 2 * 0.5) / 4 * 0.32); // one request in four its own, two at half
 }
 
-// Found at 984 nodes: a budget for each node began with one whole request, a thousand in all at once.
-TEST(SlowStart, HundredsOfNodesTogetherKeepToTheWarmPart) {
+// Fault: a budget for each node began with one whole request, a thousand in all at once.
+TEST(SlowStart, HundredsOfRoutersTogetherKeepToTheShare) {
   constexpr int kNodes = 400, kRequests = 5, kCaches = 20;
   int sent = 0;
   for (int n = 0; n < kNodes; ++n) {
@@ -556,8 +557,8 @@
   EXPECT_LE(sent, 2 * 1.5 * kShare * kNodes * kRequests); // own keys and half of two others', ring uneven
 }
 
-// Found in a deploy: walked past, a cold cache that was not drawn left its keys to the next cold one.
-TEST(SlowStart, AColdNeighbourhoodIsNotGivenEachOthersKeys) {
+// Fault: a cache in slow start that was not drawn, and left its keys to the next one in slow start.
+TEST(SlowStart, CachesInSlowStartAreNotGivenEachOthersKeys) {
   Node node(plain_settings());
   std::vector<Server> cold;
   for (std::uint32_t i = 1; i <= 30; ++i) cold.push_back({.id = i, .started_at = node.now});
@@ -571,13 +572,13 @@
   EXPECT_LE(sent, 55); // 0.2, 0.1 and 0.1 of the three candidates; walking on would find one for nearly all
 }
 
-// ---- health ----
+// ---- outlier ejection ----
 
 AttemptResult one_is_down(ServerId server) {
   return server == 1 ? AttemptResult::ConnectFailed : AttemptResult::Ok;
 }
 
-TEST(Health, RefusedConnectionsEjectAndATrialBringsBack) {
+TEST(OutlierEjection, RefusedConnectionsEjectAndATrialBringsBack) {
   Node node(plain_settings());
   node.caches(6);
   RequestId id = kFirst;
@@ -590,7 +591,7 @@
   EXPECT_GT(busy(node, id, 600, all_well)[1], 50);
 }
 
-TEST(Health, TrialsUseProbesWhereAllowed) {
+TEST(OutlierEjection, TrialsAreHealthChecksWhereAllowed) {
   Settings s = plain_settings();
   s.may_health_check = true;
   Node node(s);
@@ -601,7 +602,7 @@
   EXPECT_EQ(distinct(node.probes), std::vector<ServerId>{1});
 }
 
-TEST(Health, WhenMostLookBadTheJudgementIsDistrusted) {
+TEST(OutlierEjection, AboveThePanicThresholdEjectionIsIgnored) {
   Node node(plain_settings());
   node.caches(4);
   RequestId id = kFirst;
@@ -617,7 +618,7 @@
   EXPECT_GT(node.sends.size(), sent); // still tries
 }
 
-TEST(Health, ProbesBringReportsWhereNothingElseDoes) {
+TEST(OutlierEjection, HealthChecksBringLoadReportsWhereNothingElseDoes) {
   Settings s = plain_settings();
   s.load_report_source = LoadReportSource::HealthChecks;
   s.may_health_check = true;
@@ -664,7 +665,7 @@
   EXPECT_FALSE(node.final_answer(2));
 }
 
-// guards: readers of a key kept waiting by one client that reads slowly
+// Fault: readers of a key kept waiting by one client that reads slowly
 TEST(Origin, FollowersReadWhatIsStoredWhileTheLeadersAnswerPasses) {
   Node node(aside_settings());
   node.caches(4, true);
@@ -708,10 +709,10 @@
   EXPECT_EQ(node.last_server(1), kOrigin); // room is kept for writes
 }
 
-// Found by debug counters: the caches asked already were left out of the walk, so each next one passed for
+// Fault: the caches asked already were left out of the walk, so each next one passed for
 // the key's first cache and was asked as well.
-// Found by bsp ie85023: served oldest first, everything in a long queue was late.
-TEST(Origin, OfEqualWorthTheNewestIsServedFirst) {
+// Fault: served oldest first, everything in a long queue was late.
+TEST(Origin, OfEqualValueTheNewestIsServedFirst) {
   Node node(aside_settings());
   node.caches(3, true);
   for (int i = 0; i < 20; ++i) node.request(100 + i, 9000 + i, {.write = true});
@@ -722,7 +723,7 @@
   EXPECT_EQ(node.sends[started].id, 119u);
 }
 
-TEST(Origin, TheDearestIsServedBeforeTheNewest) {
+TEST(Origin, TheHighestValueIsServedBeforeTheNewest) {
   Settings s = aside_settings();
   s.classes.push_back(s.classes[0]);
   s.classes[1].priority_weight = 10;
@@ -747,7 +748,7 @@
     node.request(1, 7, {.write = true});
     node.outcome(1, AttemptResult::Ok, origin_ms);
     node.request(2, 42);
-    node.wait(200); // of an aim of 500
+    node.wait(200); // of an objective of 500
     node.outcome(2, AttemptResult::CacheMiss, 200);
     EXPECT_EQ(node.final_answer(2), origin_ms > 300);
     EXPECT_EQ(node.sends_of(2).size(), origin_ms > 300 ? 1u : 2u);
@@ -763,8 +764,8 @@
   EXPECT_EQ(node.sends_of(1).size(), 2u);
 }
 
-// Found on bsp's busy days: a node left with writes alone took their weight for crowding.
-TEST(Origin, HeavyWritesWithinTheirAimAreNotTakenForCrowding) {
+// Fault: a node left with writes alone took their weight for crowding.
+TEST(Origin, HeavyWritesWithinTheirObjectiveAreNotTakenForCrowding) {
   Settings s = aside_settings();
   s.classes.push_back({.latency_objective_ms = 3000,
                        .client_timeout_ms = 6000,
@@ -782,7 +783,7 @@
   EXPECT_EQ(node.sends.size(), 207u);
 }
 
-// Found at 886 nodes: each kept a read out at an origin that took 1.3 s, and all they fetched came too late.
+// Fault: each kept a read out at an origin that took 1.3 s, and all they fetched came too late.
 TEST(Origin, AtASlowOriginReadsKeepToAPaceAndAWriteHasItsTurn) {
   Node node(aside_settings());
   node.caches(4, true);
@@ -847,7 +848,8 @@
   }
 }
 
-// Found on a day of connections that fall silent, at an origin that takes a third of the aim when all is well.
+// Found on a day of connections that fall silent, at an origin that takes a third of the objective when all
+// is well.
 TEST(Origin, OneSilentConnectionDoesNotOutweighTenAnswers) {
   EXPECT_GE(let_to_origin([](int i) {
               return i % 10 == 9 ? std::pair(AttemptResult::TimedOut, 2000.0)
@@ -856,7 +858,7 @@
             7u);
 }
 
-// Found on that day too: each late answer pulled the limit down to what was out, which is less than the limit where
+// Fault: each late answer pulled the limit down to what was out, which is less than the limit where
 // reads may not fill it, so that a few answers in a row took it from 26 to 3.
 TEST(Origin, TheLimitFallsOnceForEachResponseTime) {
   Node node(aside_settings());
@@ -882,7 +884,7 @@
   EXPECT_GE(out(), before / 3); // each answer by itself would take it to nothing
 }
 
-// Found after a planned restart: eighty reads waited until they were late while the limit crept up from 8.
+// Fault: eighty reads waited until they were late while the limit crept up from 8.
 TEST(Origin, TheLimitDoublesUntilTheFirstCrowding) {
   for (const bool crowded : {false, true}) {
     Node node(aside_settings());
@@ -903,7 +905,7 @@
   }
 }
 
-// Found on days of spoilt answers and of connections that break: each cut the origin's limit, and reads waited for
+// Fault: each cut the origin's limit, and reads waited for
 // it until they were late.
 TEST(Origin, AFaultInItsUsualTimeCutsNothing) {
   Node node(aside_settings());
@@ -931,7 +933,7 @@
   return node.sends.size() - before;
 }
 
-// Found by a staging incident: the score alone filled every candidate's waiting room until all were late.
+// Fault: the score alone filled every candidate's waiting room until all were late.
 TEST(Overload, ACacheThatAnswersLateGetsFewAttemptsAtOnce) {
   Node node(plain_settings());
   node.caches(1);
@@ -948,8 +950,8 @@
   EXPECT_LE(out, 4u);
 }
 
-// Found by koond iabdf35: overdue attempts ejected crowded caches that turned others away as full meanwhile.
-TEST(Health, AFullAnswerIsASignOfLife) {
+// Fault: slow attempts that ejected crowded caches which rejected others as overloaded meanwhile.
+TEST(OutlierEjection, AnOverloadedResponseIsASignOfLife) {
   for (const bool alive : {false, true}) {
     Node node(plain_settings());
     node.caches(1);
@@ -963,7 +965,7 @@
   }
 }
 
-TEST(Health, ACacheThatAnswersOthersIsSlowNotSilent) {
+TEST(OutlierEjection, ACacheThatAnswersOthersIsSlowNotSilent) {
   for (const bool answers : {false, true}) {
     Node node(plain_settings());
     node.caches(1);
@@ -975,9 +977,9 @@
   }
 }
 
-// Found at 142 nodes: small caches hold fewer connections than there are nodes, and those that got none used up
+// Fault: small caches hold fewer connections than there are nodes, and those that got none used up
 // the retry budget, so that requests were refused which the next cache had served.
-TEST(RequestLife, TryingOnAfterAFailedConnectionIsFree) {
+TEST(RequestLife, ARetryAfterAFailedConnectionIsFree) {
   Node node(plain_settings());
   node.caches(30);
   for (RequestId id = kFirst; id < kFirst + 40; ++id) {
@@ -988,7 +990,7 @@
   }
 }
 
-TEST(RequestLife, FurtherAttemptsKeepToTheirBudget) {
+TEST(RequestLife, RetriesKeepToTheirBudget) {
   Node node(plain_settings());
   node.caches(6);
   std::size_t requests = 0;
@@ -1002,8 +1004,8 @@
   EXPECT_LE(node.sends.size(), requests + 10 + 30);
 }
 
-// Found at 1,825 nodes: with a request a second the signs had faded before the next came, and nothing was shed.
-TEST(Shedding, ANodeThatSeesLittleShedsTooButNotForOneBadChoice) {
+// Fault: with a request a second the signs had faded before the next came, and nothing was shed.
+TEST(Shedding, ARouterThatSeesLittleShedsTooButNotForOneBadChoice) {
   const auto refused_unsent = [](int full_ones, int times) {
     Node node(plain_settings());
     node.caches(3);
@@ -1024,7 +1026,7 @@
   EXPECT_GT(refused_unsent(40, 5), 3);
 }
 
-// Found at 80 nodes: one attempt at once from each is more than a cache carries.
+// Fault: one attempt at once from each is more than a cache carries.
 TEST(Overload, BelowOneAttemptTheLimitIsAPace) {
   Node node(plain_settings());
   node.caches(1);
@@ -1043,9 +1045,9 @@
   EXPECT_TRUE(node.sends_of(id).empty()); // though nothing is out
 }
 
-// Found at 95 nodes (issue 13): with four attempts at once from each node at every cache a fleet is over before
+// Fault: with four attempts at once from each node at every cache a fleet is over before
 // any of them hears of it. What all together start with is shared.
-TEST(Overload, TheFirstLimitOfACacheIsSharedByAllNodes) {
+TEST(Overload, TheFirstLimitOfACacheIsSharedByAllRouters) {
   const auto attempts_in_two_seconds = [](int nodes) {
     Settings s = plain_settings();
     s.router_count = nodes;
@@ -1068,8 +1070,8 @@
   EXPECT_GE(3 * attempts_in_two_seconds(3), kTwelveAtOnce / 2);
 }
 
-// Requests come unevenly, so a pace kept to the letter leaves a part of the limit unused: at 142 nodes that was
-// seen as refusals beside idle caches.
+// Requests come unevenly, so a pace kept to the letter leaves a part of the limit unused: at 142 nodes that
+// was seen as refusals beside idle caches.
 TEST(Overload, APaceIsQuickerThanTheLimitAsRequestsComeUnevenly) {
   for (const double after_ms : {500.0, 700.0}) {
     Settings s = plain_settings();
@@ -1096,7 +1098,7 @@
   EXPECT_EQ(let_out(node), 3u);
 }
 
-TEST(ServerListing, NodesDoNotAskAgainInStep) {
+TEST(EndpointListing, RoutersDoNotCallDiscoveryAgainInStep) {
   std::set<std::string> lines;
   for (const std::uint64_t seed : {1, 2, 3}) {
     Node node(plain_settings(), seed);
@@ -1106,7 +1108,7 @@
   EXPECT_EQ(lines.size(), 3u);
 }
 
-// Found by bsp ieb7644: everything ended cancelled, so that no answer moved the limit any more.
+// Fault: everything ended cancelled, so that no answer moved the limit any more.
 TEST(Overload, AttemptsThatNeverCameBackInTimeCountInTheLimit) {
   Node node(plain_settings());
   node.caches(1);
@@ -1115,14 +1117,14 @@
     id += 1;
     node.request(id, id);
     if (node.sends_of(id).empty()) continue;
-    node.wait(500); // past the aim: it is refused and cancelled
+    node.wait(500); // past the objective: it is rejected and cancelled
     node.outcome(id, AttemptResult::Cancelled, 500);
     node.wait(600);
   }
   EXPECT_LE(let_out(node), 2u);
 }
 
-// Found by koond i2f4d03: a limit from quiet times let a flood through, unused as it was.
+// Fault: a limit from quiet times let a flood through, unused as it was.
 TEST(Overload, AnUnusedLimitIsTakenBack) {
   Node node(plain_settings());
   node.caches(1);
@@ -1138,8 +1140,8 @@
   EXPECT_LE(out, 3u);
 }
 
-// Found by bsp ieb7644: copies paid from the retry budget kept a fleet pushed over after a crash.
-TEST(Hedging, CopiesAreFewerThanRetries) {
+// Fault: hedged requests paid from the retry budget kept a fleet pushed over after a crash.
+TEST(Hedging, HedgedRequestsAreFewerThanRetries) {
   Node node(plain_settings());
   node.caches(6);
   RequestId id = kFirst;
@@ -1185,7 +1187,7 @@
   EXPECT_LT(3 * unsent[1], 2 * unsent[0]);
 }
 
-// Found by a staging incident: shedding never ended once nothing was admitted.
+// Fault: shedding never ended once nothing was admitted.
 TEST(Shedding, EndsByItselfAfterTheCrowding) {
   Node node(plain_settings());
   node.caches(3);
@@ -1203,7 +1205,7 @@
   EXPECT_EQ(node.sends.size(), sent + 20);
 }
 
-TEST(Shedding, TheLeastWorthGoesFirst) {
+TEST(Shedding, TheLeastValueIsShedFirst) {
   Settings s = plain_settings();
   s.classes.push_back(s.classes[0]);
   s.classes[1].priority_weight = 10;
@@ -1214,7 +1216,7 @@
   expect_even_shed_first(node, id);
 }
 
-TEST(Shedding, ATenantBeyondItsQuotaGoesFirst) {
+TEST(Shedding, ATenantOverItsQuotaIsShedFirst) {
   Settings s = plain_settings();
   s.over_quota_weight = 0.1;
   s.tenants = {{.service_share = 0, .quota_per_s = 1}, {.service_share = 1, .quota_per_s = 1000}};
@@ -1228,7 +1230,7 @@
 // ---- log lines ----
 
 // A cache whose answers are all of no use gets no more of them; errors among good answers are no reason.
-TEST(Health, OnlyErrorsEjectACache) {
+TEST(OutlierEjection, OnlyErrorsEjectACache) {
   for (const bool always : {true, false}) {
     Node node(plain_settings());
     node.caches(6);
@@ -1360,8 +1362,8 @@
   }
 }
 
-// Found by reading: it waited about one of the origin's response times before it was asked again. Where that was more than
-// the time left, the request was held to its end though nothing could come of it any more.
+// Fault: it waited about one of the origin's response times before it was asked again. Where that
+// was more than the time left, the request was held to its end though nothing could come of it any more.
 TEST(GivingUp, NobodyWaitsForATurnThatComesTooLate) {
   Settings s = aside_settings();
   s.max_retry_after_ms = 1000;
@@ -1379,7 +1381,7 @@
     ASSERT_EQ(node.sends_of(id).size(), 1u);
     node.wait(200);
     node.outcome(id, AttemptResult::Overloaded,
-                 200); // 300 ms of its aim are left, and a turn takes 200 to 600
+                 200); // 300 ms of its objective are left, and a turn takes 200 to 600
     if (node.final_answer(id)) {
       ++given_up;
       continue;
@@ -1393,7 +1395,8 @@
   EXPECT_GT(given_up, 0);
 }
 
-// Why it waits at all: asked again at once, all attempts would be gone before an origin that is full for a moment is not.
+// Why it waits at all: asked again at once, all attempts would be gone before an origin that is full for a
+// moment is not.
 TEST(Origin, AWriteOutlastsAMomentInWhichTheOriginIsFull) {
   Node node(aside_settings());
   node.caches(3, true);
@@ -1423,8 +1426,8 @@
   EXPECT_GE(served, 18);
 }
 
-// Found by reading: a request whose fetch was refused a place, while its second copy was out, passed for the one that
-// fetches; others waited for it.
+// Fault: a request whose fetch was refused a place, while its hedged request was in flight, passed
+// for the one that fetches; others waited for it.
 TEST(GivingUp, NobodyWaitsForAFetchThatIsNotUnderWay) {
   Settings s = aside_settings();
   crowded_settings(s);
@@ -1433,7 +1436,7 @@
   crowd(node);
   node.request(1, 42);
   ASSERT_EQ(node.sends_of(1).size(), 1u);
-  node.wait(300); // late: a copy goes to another cache, and misses; the first attempt stays out
+  node.wait(300); // slow: a hedged request goes to another cache, and misses; the first attempt stays out
   ASSERT_EQ(node.sends_of(1).size(), 2u);
   node.outcome(1, AttemptResult::CacheMiss, 5, {}, 1);
   node.request(2, 42);
@@ -1443,7 +1446,7 @@
 
 // ---- bad input ----
 
-TEST(BadInput, UnknownThingsArePassedOver) {
+TEST(BadInput, UnknownIdsAreIgnored) {
   Node node(aside_settings());
   node.caches(3, true);
   EXPECT_TRUE(node.on(AttemptOutcome{.id = 77, .attempt = 3, .server = 5}).empty());
--- a/tests/policy/day.h
+++ b/tests/policy/day.h
@@ -1,4 +1,5 @@
-// A short day in virtual time: requests at random, servers that answer as a script says, one Balancer between.
+// A short day in virtual time: requests at random, servers that answer as a script says, one Balancer
+// between.
 #pragma once
 
 #include <array>
--- a/tests/policy/departures_use_test.cpp
+++ b/tests/policy/departures_use_test.cpp
@@ -1,4 +1,5 @@
-// What the policy sends once a list has told that servers drain or are gone: nothing to these, whatever waits.
+// What the policy sends once a list has told that servers drain or are gone: nothing to these, whatever
+// waits.
 #include <gtest/gtest.h>
 
 #include <set>
--- a/tests/policy/limits_use_test.cpp
+++ b/tests/policy/limits_use_test.cpp
@@ -24,8 +24,8 @@
   return s;
 }
 
-// Found on days whose ledger needs a third of the aim: it passed for crowded, and reads waited for a turn until
-// they were late.
+// Found on days whose ledger needs a third of the aim: it passed for crowded, and reads waited for a turn
+// until they were late.
 TEST(LimitsUse, AnOriginThatIsSlowButNotCrowdedIsNotStrangled) {
   for (const std::uint64_t seed : {1, 2, 3}) {
     Day day(
@@ -57,8 +57,9 @@
   EXPECT_GE(day.share_served(), 0.98);
 }
 
-// Found on days of 300 routers: the ledger's table of connections was full, each further one was turned away at its first
-// request, and routers that came back cut their limit again and again while the ledger was at ease.
+// Found on days of 300 routers: the ledger's table of connections was full, each further one was turned away
+// at its first request, and routers that came back cut their limit again and again while the ledger was at
+// ease.
 TEST(LimitsUse, ARouterWithoutAPlaceAtTheOriginServesAsSoonAsItHasOne) {
   Settings many = tight_settings(750);
   many.router_count = 300;
@@ -89,8 +90,8 @@
   EXPECT_LE(day.sends, day.asked() * 5 / 4);
 }
 
-// Found on days of silent connections: nothing watched for an overdue attempt at the ledger, and copies were earned
-// by one request in fifty however much room there was.
+// Found on days of silent connections: nothing watched for an overdue attempt at the ledger, and copies were
+// earned by one request in fifty however much room there was.
 TEST(LimitsUse, AttemptsThatFallSilentAreAskedAgainInTime) {
   for (const bool at_origin : {false, true}) {
     Day day(tight_settings(400), fleet(12), [&](ServerId server, double, Random& random) {
--- a/tests/policy/slow_start_use_test.cpp
+++ b/tests/policy/slow_start_use_test.cpp
@@ -1,5 +1,6 @@
-// What all routers of a tier together send to servers in slow start: at most the budget that the settings allow, in fleets
-// of any size, with popular keys, uneven load and routers that know nothing yet; and still their part of the work.
+// What all routers of a tier together send to servers in slow start: at most the budget that the settings
+// allow, in fleets of any size, with popular keys, uneven load and routers that know nothing yet; and still
+// their part of the work.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -31,7 +32,8 @@
   const char* name;
 };
 
-// Routers that share nothing, before caches that answer every request. Popularity is Zipf's, as 1 / (rank + 4).
+// Routers that share nothing, before caches that answer every request. Popularity is Zipf's, as 1 / (rank +
+// 4).
 class Tier {
  public:
   Tier(const FleetSize& size, std::uint64_t seed) : size_(size), random_{seed} {
