--- a/src/policy/balancer.h
+++ b/src/policy/balancer.h
@@ -1,4 +1,4 @@
-// What a node decides from, and the decisions by concern. Interface: include/fernward/balancer.h
+// The Balancer's parts, joined. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <map>
@@ -8,137 +8,148 @@
 #include <vector>
 
 #include "concurrency/admission_controller.h"
-#include "concurrency/connection_capacity_estimator.h"
-#include "concurrency/origin_concurrency_limiter.h"
-#include "concurrency/origin_request_queue.h"
 #include "concurrency/retry_budget.h"
 #include "concurrency/slow_attempt_tracker.h"
 #include "fernward/balancer.h"
 #include "placement/key_demand.h"
 #include "placement/placement.h"
+#include "policy/endpoint_watch.h"
+#include "policy/fetch_coalescer.h"
+#include "policy/origin_dispatch.h"
+#include "policy/outlier_ejection.h"
 #include "policy/replica.h"
+#include "policy/retry_policy.h"
+#include "policy/slow_start.h"
+#include "policy/tenant_quotas.h"
 #include "requests/request_state.h"
 
 namespace fernward {
 
-constexpr double kTickMs = 100; // housekeeping
-
+/// The Balancer's parts, and the events that it passes to them. The functions lie in files by concern, named
+/// below.
 struct Balancer::Impl {
-  Settings set;
+  Settings settings;
   Random random;
   double now = 0;
   std::vector<Action>* actions = nullptr;
   std::map<ServerId, Replica> replicas;
-  placement::Placement<Replica> places;
+  placement::Placement<Replica> placement;
   placement::KeyDemand demand;
   Replica* origin = nullptr;
-  concurrency::OriginConcurrencyLimiter origin_limit = concurrency::OriginConcurrencyLimiter::origin(1);
-  concurrency::ConnectionCapacityEstimator origin_places;
-  concurrency::OriginRequestQueue origin_queue;
-  std::vector<RequestId> leaving_queue; // scratch
-  concurrency::RetryBudget allowance;
-  bool pumping = false;
-  std::unordered_map<RequestId, RequestState> open;
-  std::vector<RequestId> done; // concluded with nothing out: dropped once the event is handled
-  std::unordered_map<std::uint64_t, std::vector<RequestId>> fetches; // by key: who waits for the leader
-  concurrency::AdmissionController shedder;
-  std::vector<double> tenant_rate;    // requests a second here
-  double aim_ms = 3000, fleet_ms = 0; // the shortest aim; mean of the caches' response times
-  concurrency::SlowAttemptTracker cache_late, origin_late;
-  double failing = 0;     // share of the caches' attempts that fail
-  double fleet_queue = 0; // mean of the caches' reported queues
-  double request_rate = 0, requests_now = 0;
-  std::size_t caches = 0, ejected = 0;   // in service; and of those, left out
-  std::vector<ServerId> leaving;         // gone from the list, dropped once nothing is out there
-  std::set<ServerId> origins;            // that are listed
-  double probes = 0;                     // saved up
-  double living = 0, ledger_demand = -1; // nodes in service, attempts wanted at the origin; as far as known
-  bool ticking = false, subscribed = false, asked = false;
-  double ask_at = 0, ask_wait = 0, logged_at = kNever;
-  SlowStartCounts slow_start; // what it has decided
+  OriginDispatch origin_dispatch;
+  std::vector<RequestId> expired; // scratch of dispatch_to_origin()
+  concurrency::RetryBudget retry_budget;
+  bool dispatching_origin = false;
+  std::unordered_map<RequestId, RequestState> requests;
+  std::vector<RequestId> finished; // with no attempt in flight: dropped once the event is handled
+  FetchCoalescer fetches;
+  concurrency::AdmissionController admission;
+  double shortest_objective_ms = 0; // over the classes
+  double cache_response_ms = 0;     // mean of all caches' response times
+  double cache_queue_length = 0;    // mean of all caches' reported queues
+  concurrency::SlowAttemptTracker cache_slow_attempts, origin_slow_attempts;
+  TenantQuotas quotas{settings};
+  OutlierEjection ejection{settings};
+  SlowStart slow_start{settings};
+  RetryPolicy retry_policy{settings};
+  EndpointWatch watch;
+  std::vector<ServerId> leaving; // gone from the list, dropped once no attempt is in flight there
+  std::set<ServerId> listed_origins;
+  double health_check_credit = 0; // health checks that may be sent for load reports
+  double live_routers = 0;        // in service, as far as known
+  double origin_demand = -1;      // mean of attempts in flight or waiting; below 0: not known
+  bool ticking = false;
+  double logged_at = kNever;
 
   Impl(const Settings& s, std::uint64_t seed);
-  void take_classes(); // settings.cpp
+  void apply_classes(); // settings.cpp
 
-  // balancer.cpp: events, the server list, timers
+  // balancer.cpp: events, the endpoint list, timers
   void start();
+  void dispatch(const Event& event);
   template <typename Kind>
-  void act(Kind action) {
+  void emit(Kind action) {
     actions->emplace_back(std::in_place_type<Kind>, std::move(action));
   }
   void log(const char* what, double figure);
-  void take(const EndpointList& list);
-  void take(const TimerFired& e);
-  void take(const FleetState& e);
-  void take(const OutlierReport& e);
-  void update(const Server& server);
-  void tally(const Replica& r, int sign);
-  void arrange(const std::vector<ServerId>& changed);
-  void drop_leaving();
-  void probe(Replica& r);
-  void probe_due();
+  void on_endpoint_list(const EndpointList& list);
+  void on_timer(const TimerFired& timer);
+  void on_fleet_state(const FleetState& fleet);
+  void on_outlier_report(const OutlierReport& report);
+  void update_server(const Server& listed);
+  void place_servers(const std::vector<ServerId>& changed);
+  void drop_departed();
+  void send_health_check(Replica& replica);
+  void send_due_health_checks();
   void tick();
-  Replica* find(ServerId id) {
+  Replica* find_server(ServerId id) {
     const auto it = replicas.find(id);
     return it == replicas.end() ? nullptr : &it->second;
   }
-  RequestState* live(RequestId id) {
-    const auto it = open.find(id);
-    return it == open.end() || it->second.over ? nullptr : &it->second;
+  RequestState* find_request(RequestId id) {
+    const auto it = requests.find(id);
+    return it == requests.end() || it->second.finished ? nullptr : &it->second;
   }
-  concurrency::SlowAttemptTracker& lateness(const Replica& r) {
-    return is_origin(r) ? origin_late : cache_late;
+  concurrency::SlowAttemptTracker& slow_attempts(const Replica& replica) {
+    return is_origin(replica) ? origin_slow_attempts : cache_slow_attempts;
   }
-  bool is_origin(const Replica& r) const {
-    return static_cast<std::int64_t>(r.entry.kind) == set.origin_kind;
+  bool is_origin(const Replica& replica) const {
+    return static_cast<std::int64_t>(replica.entry.kind) == settings.origin_kind;
   }
 
   // choose.cpp: a request arrives, and the choice among the caches
-  void take(const Request& in);
-  bool cold(const Replica& r) const { return now - r.cold_since < set.slow_start_ms; }
-  double warmth(const Replica& r) const;
-  bool start_allows(const Replica& r, const RequestState& o, bool first);
-  bool usable(const Replica& r) const;
-  bool repeatable(const RequestState& o, const Replica& r) const {
-    return (o.out == 0 || set.may_hedge) && may_repeat(set, o, r.entry, now);
-  }
-  double aim_of(const RequestState& o) const;
-  bool over_quota(std::uint32_t tenant);
-  bool choose(RequestState& o);
-  double origin_turn_ms() const;
-  bool send(RequestState& o, Replica& r);
+  void on_request(const Request& received);
+  double latency_objective_ms(const RequestState& request) const;
+  using Choice = placement::Placement<Replica>::Choice;
+  Choice cache_candidates(const RequestState& request, std::uint64_t key);
+  bool has_room(Replica& replica, const RequestState& request, bool first_candidate);
+  double cache_score(const Replica& replica, std::uint64_t key, bool likely_holder, double origin_ms) const;
+  bool send_to_best_cache(RequestState& request);
+  double origin_cost_ms() const;
+  bool send_attempt(RequestState& request, Replica& replica);
+  void record_attempt(RequestState& request, Replica& replica);
 
-  // health.cpp: which caches are left out
-  bool answers_others(const Replica& r);
-  void strike(Replica& r, int weight);
-  void leave_out(Replica& r);
-  void postpone_trial(Replica& r);
-  void heard(Replica& r);
+  // health.cpp: which caches are ejected
+  bool responded_lately(const Replica& replica);
+  void record_failure(Replica& replica, int weight);
+  void eject(Replica& replica);
+  void schedule_trial(Replica& replica);
+  void record_success(Replica& replica);
 
-  // outcome.cpp: an attempt ends or is overdue
-  void take(const AttemptOutcome& e);
-  void take(const ResponseStarted& e);
-  void take(const HealthCheckResult& e);
-  void learn(RequestState& o, Attempt& a, Replica& r, const AttemptOutcome& e);
-  void learn_cache(RequestState& o, const Attempt& a, Replica& r, const AttemptOutcome& e, double elapsed);
-  void learn_origin(Replica& r, const AttemptOutcome& e, double elapsed);
-  bool limit(const RequestState& o, Replica& r, const AttemptOutcome& e, double elapsed);
-  void note_hit(RequestState& o, const Attempt& a, bool hit);
-  void next_step(RequestState& o, const AttemptOutcome& e);
-  void overdue(RequestState& o, std::size_t attempt);
+  // outcome.cpp: an attempt ends or is slow
+  void on_attempt_outcome(const AttemptOutcome& outcome);
+  void on_response_started(const ResponseStarted& started);
+  void on_health_check_result(const HealthCheckResult& result);
+  void learn_from_outcome(RequestState& request, Attempt& attempt, Replica& replica,
+                          const AttemptOutcome& outcome);
+  void learn_cache_outcome(RequestState& request, const Attempt& attempt, Replica& replica,
+                           const AttemptOutcome& outcome, double elapsed);
+  void learn_overloaded(Replica& replica, bool retried);
+  void learn_unanswered(Replica& replica, double elapsed);
+  void learn_origin_outcome(Replica& replica, const AttemptOutcome& outcome, double elapsed);
+  bool update_cache_limit(const RequestState& request, Replica& replica, const AttemptOutcome& outcome,
+                          double elapsed);
+  bool update_origin_limit(const RequestState& request, const Replica& replica, const AttemptOutcome& outcome,
+                           double elapsed);
+  void record_lookup(RequestState& request, const Attempt& attempt, bool hit);
+  void continue_request(RequestState& request, const AttemptOutcome& outcome);
+  void retry(RequestState& request, const AttemptOutcome& outcome);
+  void retry_at_origin(RequestState& request, const AttemptOutcome& outcome);
+  void on_slow_attempt(RequestState& request, std::size_t index);
+  void cancel_for_retry(const RequestState& request, std::size_t index);
+  void hedge(RequestState& request, const Attempt& slow, Replica& replica);
 
   // origin.cpp: misses, writes and the origin
-  void after_miss(RequestState& o);
-  void to_origin(RequestState& o);
-  void pump_origin();
-  void end_fetch(RequestState& leader, bool stored);
+  void continue_after_miss(RequestState& request);
+  void queue_for_origin(RequestState& request);
+  void dispatch_to_origin();
+  void complete_fetch(RequestState& leader, bool stored);
 
   // answer.cpp: the final answer
-  void take(const ClientDisconnected& e);
-  void finish(RequestState& o, bool served);
-  void cancel_out(const RequestState& o, std::size_t but);
-  void conclude(RequestState& o, GiveUpReason why);
-  GiveUpReason blocked(const RequestState& o, const Replica& r) const;
+  void on_client_disconnected(const ClientDisconnected& event);
+  void finish_request(RequestState& request, bool served);
+  void cancel_attempts(const RequestState& request, std::size_t except);
+  void give_up(RequestState& request, GiveUpReason why);
 };
 
 } // namespace fernward
--- a/src/policy/choose.cpp
+++ b/src/policy/choose.cpp
@@ -1,4 +1,4 @@
-// A request arrives: which caches can be used, and the choice. Interface: include/fernward/balancer.h
+// A request arrives: the choice among the caches, and sending. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -7,149 +7,155 @@
 
 namespace fernward {
 
-constexpr double kOtherZone = 3;    // by which a cache in another zone than the node's scores worse
-constexpr double kUnheld = 1e9;     // score of a cache that came lately and would have to fetch
-constexpr double kPanicShare = 0.5; // more ejected than this: the judgement is distrusted
+constexpr double kNoObjectiveMs = 1e12;
+constexpr double kNoDeadline = 1e15;           // clock time
+constexpr double kOtherZoneScoreFactor = 3;    // crossing costs, and zones fail apart
+constexpr double kUnheldKeyScorePenalty = 1e9; // a cache that came lately and would have to fetch
 
-// ---- which caches can be used now ----
-
-// The share of its capacity that a started cache surely has: from the stated start evenly up to all of it.
-double Balancer::Impl::warmth(const Replica& r) const {
-  if (!cold(r)) return 1;
-  const double age = std::max(0.0, now - r.cold_since) / set.slow_start_ms;
-  return set.slow_start_min_capacity + (1 - set.slow_start_min_capacity) * age;
-}
+// ---- a request arrives ----
 
-// Guards a cache in slow start against being overloaded: its own keys, cut to the capacity that it surely
-// has, and popular ones to what one cache of this fleet can take of them. A draw for each request: the sum
-// over all routers is the same for three of them and a thousand.
-bool Balancer::Impl::start_allows(const Replica& r, const RequestState& o, bool first) {
-  if (!cold(r)) return true;
-  const double draw = Random{o.in.id ^ mix(r.entry.id)}.unit();
-  const bool allowed = draw < (first ? 1 : 0.5) * o.slow_start_share * warmth(r);
-  slow_start.denied += !allowed;
-  return allowed;
+void Balancer::Impl::on_request(const Request& received) {
+  if (received.class_index >= settings.classes.size() || requests.count(received.id) != 0) return;
+  const ClassSettings& class_settings = settings.classes[received.class_index];
+  RequestState& request = requests[received.id];
+  request.params = sanitized(received, now + class_settings.client_timeout_ms);
+  // Past the objective an answer may be worth nothing: then the request ends there.
+  const double objective_at = std::max(now, request.params.body_complete_at) + latency_objective_ms(request);
+  request.answer_by =
+      std::min(request.params.deadline, class_settings.late_value_share > 0 ? kNoDeadline : objective_at) -
+      settings.event_interval_ms;
+  const std::size_t priority = 2 * received.class_index + (quotas.over_quota(received.tenant) ? 1 : 0);
+  request.value = admission.value[priority];
+  admission.rate[priority] += 1;
+  quotas.record_request();
+  retry_budget.request(now, std::max(cache_slow_attempts.dead, origin_slow_attempts.dead));
+  if (request.answer_by <= now || !admission.admit(priority, random.unit())) {
+    retry_budget.ended(now, true);
+    return give_up(request, GiveUpReason::Shed);
+  }
+  emit(SetTimer{request.answer_by - now, timer_token(Timer::GiveUp, received.id)});
+  request.slow_start_share =
+      demand.request(now, received.key, ejection.ready_caches(), settings.overload_multiple);
+  if (received.write && settings.origin_kind >= 0) return queue_for_origin(request);
+  placement.read(now, received.key);
+  if (!send_to_best_cache(request)) queue_for_origin(request); // which gives up where there is none
 }
 
-bool Balancer::Impl::usable(const Replica& r) const {
-  if (r.entry.state != ServerState::Ready) return false;
-  // When most look bad the judgement itself is distrusted. Else half-open: without probes, one real request
-  // at a time is the trial.
-  const bool panic = static_cast<double>(ejected) > kPanicShare * static_cast<double>(caches);
-  return !r.health.out() || panic || (!set.may_health_check && r.health.trial_due(now));
+double Balancer::Impl::latency_objective_ms(const RequestState& request) const {
+  const ClassSettings& class_settings = settings.classes[request.params.class_index];
+  if (class_settings.latency_objective_ms > 0)
+    return class_settings.latency_objective_ms +
+           class_settings.objective_per_work * request.params.expected_work_ms;
+  return class_settings.client_timeout_ms > 0 ? class_settings.client_timeout_ms : kNoObjectiveMs;
 }
 
-// ---- a request arrives ----
+// ---- the choice among the caches ----
 
-void Balancer::Impl::take(const Request& in) {
-  if (in.class_index >= set.classes.size() || open.count(in.id) != 0) return;
-  const ClassSettings& c = set.classes[in.class_index];
-  RequestState& o = open[in.id];
-  o.in = cleaned(in, now + c.client_timeout_ms);
-  // Past the aim an answer may earn nothing more: then the request ends there.
-  const double aim_at = std::max(now, o.in.body_complete_at) + aim_of(o);
-  o.end_at = std::min(o.in.deadline, c.late_value_share > 0 ? 1e15 : aim_at) - set.event_interval_ms;
-  const std::size_t priority = 2 * in.class_index + (over_quota(in.tenant) ? 1 : 0);
-  o.value = shedder.value[priority];
-  shedder.rate[priority] += 1;
-  ++requests_now;
-  allowance.request(now, std::max(cache_late.dead, origin_late.dead));
-  if (o.end_at <= now || !shedder.admit(priority, random.unit())) {
-    allowance.ended(now, true);
-    return conclude(o, GiveUpReason::Shed);
-  }
-  act(SetTimer{o.end_at - now, token(Timer::End, in.id)});
-  o.slow_start_share = demand.request(now, in.key, caches, set.overload_multiple);
-  if (in.write && set.origin_kind >= 0) return to_origin(o);
-  places.read(now, in.key);
-  if (!choose(o)) to_origin(o); // which concludes where there is none
+// Those that may be asked now. A cache that is overloaded or has missed keeps its place among them: the next
+// one is not the key's first cache.
+Balancer::Impl::Choice Balancer::Impl::cache_candidates(const RequestState& request, std::uint64_t key) {
+  if (ejection.ready_caches() == 0) return {}; // else the whole ring is walked
+  return placement.candidates(now, key, [&](const Replica& replica) {
+    const bool worth_listing = now < replica.overloaded_until || request.has_missed(replica.entry.id) ||
+                               !request.has_tried(replica.entry.id);
+    return worth_listing && retry_policy.allows_server(request, replica.entry, now) &&
+           ejection.is_usable(replica, now);
+  });
 }
 
-double Balancer::Impl::aim_of(const RequestState& o) const {
-  const ClassSettings& c = set.classes[o.in.class_index];
-  return c.latency_objective_ms > 0 ? c.latency_objective_ms + c.objective_per_work * o.in.expected_work_ms
-         : c.client_timeout_ms > 0  ? c.client_timeout_ms
-                                    : 1e12;
+bool Balancer::Impl::has_room(Replica& replica, const RequestState& request, bool first_candidate) {
+  return !request.has_missed(replica.entry.id) && now >= replica.overloaded_until &&
+         slow_start.admits(replica, request, first_candidate, now) &&
+         replica.limiter.room(now, replica.active());
 }
 
-bool Balancer::Impl::over_quota(std::uint32_t tenant) {
-  if (tenant >= set.tenants.size()) return false;
-  tenant_rate[tenant] += 1 / 2000.0; // a mean over two seconds, see tick()
-  const TenantSettings& t = set.tenants[tenant];
-  return t.quota_per_s > 0 && tenant_rate[tenant] * 1000 > std::max(t.quota_per_s / set.router_count,
-                                                                    t.service_share * request_rate * 1000);
+// The paper's score; the lower the better. `origin_ms`: what a fetch at the origin costs.
+double Balancer::Impl::cache_score(const Replica& replica, std::uint64_t key, bool likely_holder,
+                                   double origin_ms) const {
+  const double extra_ms =
+      likely_holder ? (1 - slow_start.capacity_factor(replica, now)) * origin_ms : origin_ms;
+  double score = replica.score(now, live_routers, cache_response_ms, cache_queue_length, extra_ms);
+  if (settings.zone && replica.entry.zone != *settings.zone) score *= kOtherZoneScoreFactor;
+  if (!likely_holder && placement.lately(now, key, replica)) score += kUnheldKeyScorePenalty;
+  return score;
 }
 
-// The paper's choice among the key's candidates; false when there is none to send to.
-bool Balancer::Impl::choose(RequestState& o) {
-  const std::uint64_t key = o.in.key != 0 ? o.in.key : mix(o.in.id);
-  const auto may_be_asked = [&](const Replica& r) {
-    return (now < r.full_until || o.missed_at(r.entry.id) || !o.tried(r.entry.id)) && repeatable(o, r) &&
-           usable(r);
-  };
-  using Choice = decltype(places)::Choice;
-  const Choice c = caches == 0 ? Choice{} : places.candidates(now, key, may_be_asked); // all are walked past
-  std::size_t best = c.size;
+// False: there is no cache to send to, or the origin is quicker than a further one.
+bool Balancer::Impl::send_to_best_cache(RequestState& request) {
+  const std::uint64_t key = request.params.key != 0 ? request.params.key : mix(request.params.id);
+  const bool first_attempt = request.attempts.empty();
+  const Choice candidates = cache_candidates(request, key);
+  const double origin_ms = origin_cost_ms();
+  std::size_t best = candidates.size;
   double best_score = std::numeric_limits<double>::infinity();
-  const double turn = origin_turn_ms();
-  if (!o.missed.empty()) best_score = turn; // or straight to the origin
-  const auto fill = o.attempts.empty() ? places.fill(now, o.in.key, c) : decltype(places)::Filling{};
-  for (std::size_t i = 0; i < c.size; ++i) {
-    Replica& r = *c.at[i];
-    // Keeps its place all the same: the next is not the key's first cache.
-    if (o.missed_at(r.entry.id) || now < r.full_until || !start_allows(r, o, i == 0) ||
-        !r.gate.room(now, r.working()))
-      continue;
-    const bool likely = places.likely(c, i, o.in.key);
-    double score = r.score(now, living, fleet_ms, fleet_queue, likely ? (1 - warmth(r)) * turn : turn);
-    // A crossing is paid for and zones fail apart. In the cube 3 is a queue 1.44 times as long.
-    if (set.zone && r.entry.zone != *set.zone) score *= kOtherZone;
-    if (!likely && places.lately(now, key, r)) score += kUnheld;
-    if (&r == fill.whom) score = -1, o.filling = fill.what;
-    if (score < best_score) best_score = score, best = i;
+  if (!request.cache_misses.empty()) best_score = origin_ms;
+  placement::Placement<Replica>::Filling fill;
+  if (first_attempt) fill = placement.fill(now, request.params.key, candidates);
+  for (std::size_t i = 0; i < candidates.size; ++i) {
+    Replica& replica = *candidates.at[i];
+    if (!has_room(replica, request, i == 0)) continue;
+    const bool likely_holder = placement.likely(candidates, i, request.params.key);
+    double score = cache_score(replica, key, likely_holder, origin_ms);
+    if (&replica == fill.whom) {
+      score = -1; // before all others
+      request.pending_fill = fill.what;
+    }
+    if (score < best_score) {
+      best_score = score;
+      best = i;
+    }
   }
-  shedder.seen += o.attempts.empty();
-  shedder.tight += o.attempts.empty() && best == c.size;
-  if (best == c.size && o.missed.empty()) allowance.ended(now, true);
-  if (best == c.size) return false;
-  for (std::size_t i = 0; i < c.size; ++i) c.at[i]->passed_over += i != best;
-  if (c.at[best] == fill.whom) places.pace().filled(fill.what);
-  return send(o, *c.at[best]);
+  const bool found = best < candidates.size;
+  admission.seen += first_attempt;
+  admission.tight += first_attempt && !found;
+  if (!found && request.cache_misses.empty()) retry_budget.ended(now, true);
+  if (!found) return false;
+  for (std::size_t i = 0; i < candidates.size; ++i) candidates.at[i]->passed_over += i != best;
+  if (candidates.at[best] == fill.whom) placement.pace().filled(fill.what);
+  return send_attempt(request, *candidates.at[best]);
 }
 
-// A miss costs a turn at the origin, a price that the paper has not: its response time, cubed up like a
-// cache's by how much of what this node lets it have at once is taken or waited for, and by how near its
-// answers come to being late, which shows what the other nodes send it.
-double Balancer::Impl::origin_turn_ms() const {
+// What a miss costs, which the paper has not: the origin's response time, grown with the cube of its use as a
+// cache's score is. Use: of the concurrency limit or, while keys move, of the fetch rate.
+double Balancer::Impl::origin_cost_ms() const {
   if (origin == nullptr) return 0;
-  const double wanted = origin->working() + static_cast<double>(origin_queue.size());
-  const double pace = places.pace().crowding(now, static_cast<double>(origin_queue.size()));
-  const double use = 2 * std::max(origin_limit.crowding(now, wanted), pace);
-  return origin->response(now, origin_limit.recent_ms()) * (1 + use * use * use);
+  const double limit_use = origin_dispatch.limiter.crowding(now, origin_dispatch.demand(origin->active()));
+  const double fill_use = placement.pace().crowding(now, static_cast<double>(origin_dispatch.queue.size()));
+  const double use = 2 * std::max(limit_use, fill_use);
+  return origin->expected_response_ms(now, origin_dispatch.limiter.recent_ms()) * (1 + use * use * use);
 }
 
-bool Balancer::Impl::send(RequestState& o, Replica& r) {
-  if (o.over || o.streaming || o.attempts.size() >= set.max_attempts_of(o.in.class_index) ||
-      !repeatable(o, r))
+// ---- an attempt is sent ----
+
+bool Balancer::Impl::send_attempt(RequestState& request, Replica& replica) {
+  if (request.finished || request.streaming || retry_policy.attempt_denied(request, replica.entry, now))
     return false;
-  if (r.entry.state != ServerState::Ready || now >= o.end_at) return false;
-  r.health.sent();
-  act(SetTimer{std::max(lateness(r).slow_ms, 2 * set.event_interval_ms),
-               token(Timer::Overdue, o.in.id, o.attempts.size() & 0xff)});
-  if (!o.maybe_ran && o.out == 0) { // the group that a keyed request is bound to from now on
-    o.ran_at = now;
-    o.ran_zone = r.entry.zone;
-    o.ran_cell = r.entry.cell;
+  replica.outlier.record_sent();
+  emit(SetTimer{std::max(slow_attempts(replica).slow_ms, 2 * settings.event_interval_ms),
+                timer_token(Timer::SlowAttempt, request.params.id, request.attempts.size() & 0xff)});
+  if (!request.may_have_executed && request.in_flight == 0) {
+    // A request with an idempotency key is bound to this group of servers from now on.
+    request.bound_at = now;
+    request.bound_zone = replica.entry.zone;
+    request.bound_cell = replica.entry.cell;
   }
-  o.attempts.push_back({r.entry.id, now});
-  slow_start.attempts += !is_origin(r) && cold(r);
-  ++o.out;
-  ++r.open;
-  if (is_origin(r)) origin_places.sent(now, r.working() - 1);
-  is_origin(r) ? origin_limit.sent(now) : r.gate.sent(now);
-  if (is_origin(r) && !o.in.write) places.pace().fetched(now);
-  act(Send{o.in.id, r.entry.id, 0});
+  record_attempt(request, replica);
+  emit(Send{request.params.id, replica.entry.id, 0});
   return true;
 }
 
+void Balancer::Impl::record_attempt(RequestState& request, Replica& replica) {
+  request.attempts.push_back({replica.entry.id, now});
+  ++request.in_flight;
+  ++replica.in_flight;
+  if (!is_origin(replica)) {
+    slow_start.record_attempt(replica, now);
+    replica.limiter.sent(now);
+    return;
+  }
+  origin_dispatch.connections.sent(now, replica.active() - 1);
+  origin_dispatch.limiter.sent(now);
+  if (!request.params.write) placement.pace().fetched(now);
+}
+
 } // namespace fernward
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -1,47 +1,46 @@
-// Which caches are left out, and how they come back. Interface: include/fernward/balancer.h
+// Ejection of caches and their half-open trials. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
 
 namespace fernward {
 
-bool Balancer::Impl::answers_others(const Replica& r) {
-  return now - r.health.heard_at() < 2 * std::max(lateness(r).slow_ms, r.response(now, fleet_ms));
+bool Balancer::Impl::responded_lately(const Replica& replica) {
+  return now - replica.outlier.last_response_at() <
+         2 * std::max(slow_attempts(replica).slow_ms, replica.expected_response_ms(now, cache_response_ms));
 }
 
-void Balancer::Impl::strike(Replica& r, int weight) {
-  // It is slow, or its connections break, but it is not gone. Unless it fails far more than most.
-  const bool stays = answers_others(r) && r.failing < 0.5 + failing / 2;
-  if (!is_origin(r) && r.health.struck(now, weight, stays)) leave_out(r);
+void Balancer::Impl::record_failure(Replica& replica, int weight) {
+  if (is_origin(replica)) return;
+  if (ejection.record_failure(replica, now, weight, responded_lately(replica))) eject(replica);
 }
 
-void Balancer::Impl::leave_out(Replica& r) {
-  ejected += r.entry.state == ServerState::Ready;
-  places.pace().disturb(now); // its keys fall to others now, long before the list tells
-  postpone_trial(r);
-  log("cache ejected, trial in ms:", r.health.trial_at() - now);
+void Balancer::Impl::eject(Replica& replica) {
+  placement.pace().disturb(now); // its keys move to others now, long before the list tells
+  schedule_trial(replica);
+  log("cache ejected, trial in ms:", replica.outlier.next_trial_at() - now);
 }
 
-void Balancer::Impl::postpone_trial(Replica& r) { r.health.wait(now, cache_late.slow_ms, random.unit()); }
-
-void Balancer::Impl::heard(Replica& r) {
-  if (r.health.heard(now)) ejected -= r.entry.state == ServerState::Ready;
+void Balancer::Impl::schedule_trial(Replica& replica) {
+  replica.outlier.schedule_trial(now, cache_slow_attempts.slow_ms, random.unit());
 }
 
+void Balancer::Impl::record_success(Replica& replica) { ejection.record_success(replica, now); }
+
 // ---- what routers tell one another ----
 
-void Balancer::Impl::take(const OutlierReport& e) {
-  Replica* r = find(e.server);
-  if (r == nullptr || is_origin(*r)) return;
-  if (!e.is_outlier) return r->health.told_well(now, e.observed_at);
-  if (r->health.told_bad(e.observed_at)) leave_out(*r);
+void Balancer::Impl::on_outlier_report(const OutlierReport& report) {
+  Replica* replica = find_server(report.server);
+  if (replica == nullptr || is_origin(*replica)) return;
+  if (ejection.on_report(*replica, report, now)) eject(*replica);
 }
 
 void Balancer::outlier_observations(std::vector<OutlierObservation>& to) const {
-  for (const auto& [id, r] : impl_->replicas) {
-    if (impl_->is_origin(r) || r.entry.state != ServerState::Ready) continue;
-    const auto lost = static_cast<std::uint32_t>(r.health.strikes());
-    to.push_back({id, lost, lost > 0 ? r.health.struck_at() : r.health.heard_at()});
+  for (const auto& [id, replica] : impl_->replicas) {
+    if (impl_->is_origin(replica) || replica.entry.state != ServerState::Ready) continue;
+    const auto failures = static_cast<std::uint32_t>(replica.outlier.consecutive_failures());
+    to.push_back({id, failures,
+                  failures > 0 ? replica.outlier.last_failure_at() : replica.outlier.last_response_at()});
   }
 }
 
