--- a/src/router/hot_restart_coordinator.cpp
+++ b/src/router/hot_restart_coordinator.cpp
@@ -138,7 +138,7 @@
   parts_.account.limit(shares.old.places);
   memory_mb_ = 0;
   take(0, shares.old.memory_mb);
-  while (used() > shares.old.places && parts_.pool.let_go("handover")) {}
+  while (used() > shares.old.places && parts_.pool.evict_oldest_idle(upstream::CloseReason::Handover)) {}
   welcomed_ = true;
   const std::string list = parts_.table.index() == 0 ? "" : parts_.table.told();
   next_->send(hot_restart::Welcome{list, parts_.bans.all(), shares.next}, std::move(beside));
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -220,7 +220,7 @@
   log::line("ends", {{"name", config_.name},
                      {"unanswered", driver_.unanswered()},
                      {"egress_opened", pool_.opened()},
-                     {"resets_after_rest", pool_.reset_after_rest()},
+                     {"resets_after_rest", pool_.resets_after_idle()},
                      {"dropped", log::dropped()}});
 }
 
@@ -285,7 +285,7 @@
           [this](loop::Handle exchange) { driver_.client_gone(exchange); },
           [this] { return known_waits_ == 0 && table_.usable(); },
           [this] { emptied(); },
-          [this] { return pool_.let_go("recalled"); },
+          [this] { return pool_.evict_oldest_idle(upstream::CloseReason::Recalled); },
           [this](loop::Handle exchange) { driver_.drained(exchange); }};
 }
 
@@ -415,13 +415,13 @@
   for (fernward::Server& server : list.servers) {
     if (const auto target = targets.find(server.id); target != targets.end()) server = target->second.entry;
   }
-  pool_.update(targets);
+  pool_.update_endpoints(targets);
 }
 
 // At a cost that does not grow with the number of targets: a process with a small share of a core must not be held up
 // past the grace of a drain by the changes of others.
 void Router::spread_change(fernward::Server& server) {
-  const endpoints::Endpoint* const before = pool_.target(server.id);
+  const endpoints::Endpoint* const before = pool_.endpoint(server.id);
   const auto found = table_.targets().find(server.id);
   const bool listed = found != table_.targets().end();
   const bool cache = listed && !is_origin(found->second.entry);
@@ -429,11 +429,11 @@
     bans_.unlisted(before->name);
   }
   if (cache) bans_.listed(found->second.name);
-  if (!listed) return pool_.update(server.id, nullptr);
+  if (!listed) return pool_.update_endpoint(server.id, nullptr);
   endpoints::Endpoint target = found->second;
   target.entry = bans_.over(target.name, target.entry);
   server = target.entry;
-  pool_.update(server.id, &target);
+  pool_.update_endpoint(server.id, &target);
 }
 
 bool Router::is_origin(const fernward::Server& entry) const {
--- a/src/upstream/codec.cpp
+++ b/src/upstream/codec.cpp
@@ -10,41 +10,51 @@
 
 using fernward::AttemptResult;
 
-std::string encode(const proxy::ClientRequest& call, const std::string& host, double remaining_ms) {
-  const std::string wait = std::to_string(std::max(1L, std::lround(std::floor(remaining_ms))));
-  std::vector<http::Header> headers = {{"X-Request-ID", call.id}, {"X-Timeout-Ms", wait}};
-  if (!call.repeat_key.empty()) headers.push_back({"Idempotency-Key", call.repeat_key});
-  if (call.inflow != nullptr) {
-    const auto length = call.inflow->length();
-    return http::write_request_head(call.write ? "PUT" : "GET", call.target, host, headers,
+namespace {
+
+constexpr float kMaxReportValue = 1e6f; // no queue and no latency of an endpoint that answers
+
+// Responses of endpoints that refuse the request itself: no other endpoint would take it.
+bool is_invalid_request(int status) {
+  return status == 400 || status == 405 || status == 413 || status == 414 || status == 422 || status == 431;
+}
+
+} // namespace
+
+std::string encode(const proxy::ClientRequest& request, const std::string& host, double remaining_ms) {
+  const std::string timeout_ms = std::to_string(std::max(1L, std::lround(std::floor(remaining_ms))));
+  std::vector<http::Header> headers = {{"X-Request-ID", request.id}, {"X-Timeout-Ms", timeout_ms}};
+  if (!request.repeat_key.empty()) headers.push_back({"Idempotency-Key", request.repeat_key});
+  if (request.inflow != nullptr) {
+    const auto length = request.inflow->length();
+    return http::write_request_head(request.write ? "PUT" : "GET", request.target, host, headers,
                                     length ? http::Framing::Length : http::Framing::Chunks,
                                     length.value_or(0));
   }
-  return http::write_request(call.write ? "PUT" : "GET", call.target, host, headers, call.body);
+  return http::write_request(request.write ? "PUT" : "GET", request.target, host, headers, request.body);
 }
 
-proxy::AttemptCompletion decode(const http::Message& answer, const std::vector<std::string>& report_fields) {
-  proxy::AttemptCompletion ending;
-  ending.report = parse_report(answer.header("x-server-load"), report_fields);
-  const bool never_ran = answer.header("x-not-processed") == "1";
-  if (answer.status == 200) {
-    ending.result = AttemptResult::Ok;
-    ending.content_type = answer.header("content-type");
-  } else if (answer.status == 404) {
-    ending.result = AttemptResult::CacheMiss;
-  } else if ((answer.status == 503 || answer.status == 504) && never_ran) {
-    ending.result = AttemptResult::Overloaded;
-  } else if (answer.status == 400 || answer.status == 405 || answer.status == 413 || answer.status == 414 ||
-             answer.status == 422 || answer.status == 431) {
-    ending.result = AttemptResult::InvalidRequest;
+proxy::AttemptCompletion decode(const http::Message& response,
+                                const std::vector<std::string>& report_fields) {
+  proxy::AttemptCompletion completion;
+  completion.report = parse_report(response.header("x-server-load"), report_fields);
+  const bool never_ran = response.header("x-not-processed") == "1";
+  if (response.status == 200) {
+    completion.result = AttemptResult::Ok;
+    completion.content_type = response.header("content-type");
+  } else if (response.status == 404) {
+    completion.result = AttemptResult::CacheMiss;
+  } else if ((response.status == 503 || response.status == 504) && never_ran) {
+    completion.result = AttemptResult::Overloaded;
+  } else if (is_invalid_request(response.status)) {
+    completion.result = AttemptResult::InvalidRequest;
   } else {
-    ending.result = AttemptResult::Error; // it may have run
+    completion.result = AttemptResult::Error; // it may have run
   }
-  return ending;
+  return completion;
 }
 
 std::vector<float> parse_report(std::string_view text, const std::vector<std::string>& fields) {
-  constexpr float kMost = 1e6f; // no queue and no latency of a target that answers
   std::vector<float> values(fields.size(), -1);
   bool any = false;
   while (!text.empty()) {
@@ -52,16 +62,16 @@
     const std::string_view item = http::trim(text.substr(0, comma));
     text = comma == std::string_view::npos ? std::string_view() : text.substr(comma + 1);
     const auto equals = item.find('=');
-    if (equals == std::string_view::npos) return {}; // of a report that is damaged nothing is believed
+    if (equals == std::string_view::npos) return {}; // damaged: nothing of it is used
     const auto field = std::find(fields.begin(), fields.end(), http::trim(item.substr(0, equals)));
     if (field == fields.end()) continue;
     const std::string_view number = http::trim(item.substr(equals + 1));
     float value = 0;
     const auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), value);
-    float& kept = values[static_cast<std::size_t>(field - fields.begin())];
+    float& known = values[static_cast<std::size_t>(field - fields.begin())];
     if (error != std::errc() || end != number.data() + number.size()) return {};
-    if (!(value >= 0 && value <= kMost) || kept >= 0) return {};
-    kept = value;
+    if (!(value >= 0 && value <= kMaxReportValue) || known >= 0) return {};
+    known = value;
     any = true;
   }
   if (!any) values.clear();
--- a/src/upstream/codec.h
+++ b/src/upstream/codec.h
@@ -1,7 +1,8 @@
-// What goes to an egress target and what its answer means. No sockets.
+// Requests and responses of upstream endpoints as HTTP. No sockets.
 #pragma once
 
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "http/message.h"
@@ -9,12 +10,14 @@
 
 namespace fernward::upstream {
 
-// All of a call whose body is short; of a long one the head, in chunks where its length is not known.
-std::string encode(const proxy::ClientRequest& call, const std::string& host, double remaining_ms);
-// From an answer's head alone.
-proxy::AttemptCompletion decode(const http::Message& answer, const std::vector<std::string>& report_fields);
+/// All of a request whose body is short; the head of one whose body is long, in chunks where its length is
+/// unknown. `remaining_ms`: until the attempt's deadline.
+std::string encode(const proxy::ClientRequest& request, const std::string& host, double remaining_ms);
+/// What a response's head says of its attempt: the result, the content type, the load report.
+proxy::AttemptCompletion decode(const http::Message& response, const std::vector<std::string>& report_fields);
 
-// "queue=2,util=0.61" in the order of `fields`; what is not told is -1, and nothing known gives no report.
+/// A load report, as "queue=2,util=0.61", in the order of `fields`; a value that is missing is -1. Empty:
+/// damaged, or with no value that is known.
 std::vector<float> parse_report(std::string_view text, const std::vector<std::string>& fields);
 
 } // namespace fernward::upstream
--- /dev/null
+++ b/src/upstream/response_receiver.cpp
@@ -0,0 +1,296 @@
+#include "upstream/response_receiver.h"
+
+#include <algorithm>
+#include <new>
+#include <optional>
+#include <utility>
+
+#include "upstream/codec.h"
+
+namespace fernward::upstream {
+
+using fernward::AttemptResult;
+using loop::now_ms;
+using State = UpstreamConnection::State;
+
+namespace {
+
+constexpr int kMaxBlocksPerTurn = 8; // read from one connection before others have their turn
+// The rest of a body from which on it is read past libevent, which takes 4 KB at a time.
+constexpr std::uint64_t kDirectReadBytes = 128 * 1024;
+constexpr std::size_t kMaxDiscardedBytes = 64 * 1024; // a new connection is cheaper than reading more
+constexpr double kSilenceChecks = 4;                  // in each period of silence that ends a connection
+
+// With bytes behind a response the next one could not be told apart.
+std::optional<CloseReason> reason_of_trailing(std::size_t bytes) {
+  if (bytes > 0) return CloseReason::BytesBehind;
+  return std::nullopt;
+}
+
+} // namespace
+
+void ResponseReceiver::on_readable(UpstreamConnection& connection) {
+  if (connection.is(State::Paused)) return;
+  if (!connection.parser.head_done() && !read_head(connection)) return;
+  bufferevent* const socket = connection.socket.get();
+  std::string_view input = loop::pending_input(socket);
+  while (!input.empty() || connection.parser.done()) {
+    const std::size_t allowed = std::min(input.size(), read_allowance(connection));
+    if (connection.is(State::Paused)) return;
+    std::string_view part = input.substr(0, allowed);
+    const BodyStatus status = receive_body(connection, part);
+    if (status == BodyStatus::Closed) return;
+    loop::consume_input(socket, allowed);
+    if (status == BodyStatus::Complete) {
+      const std::size_t trailing = part.size() + input.size() - allowed;
+      return context_.owner.response_complete(connection, reason_of_trailing(trailing));
+    }
+    input = loop::pending_input(socket);
+  }
+  read_socket(connection);
+}
+
+// False: the head is incomplete, or the connection is gone.
+bool ResponseReceiver::read_head(UpstreamConnection& connection) {
+  bufferevent* const socket = connection.socket.get();
+  loop::consume_input(socket, connection.parser.feed_head(loop::pending_input(socket)));
+  if (connection.parser.fault() != http::Fault::None) {
+    malformed_response(connection);
+    return false;
+  }
+  return connection.parser.head_done() && on_head(connection);
+}
+
+// False: the connection is gone.
+bool ResponseReceiver::on_head(UpstreamConnection& connection) {
+  context_.writer.count_sent(connection);
+  const http::Message& head = connection.parser.message();
+  // Before the request is out nothing can have been made for it: this belongs to the request before.
+  if (head.status == 200 && connection.request_unsent()) {
+    context_.owner.fail(connection, AttemptResult::ConnectFailed, CloseReason::EarlyAnswer);
+    return false;
+  }
+  context_.owner.response_started(connection);
+  ResponseProgress& response = connection.response;
+  response.completion = decode(head, context_.options.report_fields);
+  response.buffered = {{}, body_buffers::BufferBudget::Hold(context_.buffer_budget)};
+  connection.head_received(response.completion.result == AttemptResult::Ok);
+  if (connection.is(State::Buffering)) limit_buffering(connection);
+  return apply_buffering_rules(connection);
+}
+
+// Straight from the socket, block by block.
+void ResponseReceiver::read_socket(UpstreamConnection& connection) {
+  for (int block = 0; block < kMaxBlocksPerTurn; ++block) {
+    const std::size_t allowed = std::min(loop::IoBuffer::size(), read_allowance(connection));
+    if (connection.is(State::Paused)) return;
+    std::size_t bytes = 0;
+    loop::Received received = loop::Received::Nothing;
+    const bool streamed = stream_block(connection, allowed, received, bytes);
+    if (!streamed) {
+      const int socket = bufferevent_getfd(connection.socket.get());
+      received = loop::receive(socket, context_.block.data(), allowed, bytes);
+    }
+    if (handle_read_end(connection, received)) return;
+    if (received != loop::Received::Bytes) break;
+    if (streamed) {
+      connection.parser.body().skipped(bytes);
+      connection.response.last_bytes_at_ms = now_ms();
+      if (connection.parser.done()) return context_.owner.response_complete(connection, std::nullopt);
+    } else {
+      std::string_view part(context_.block.data(), bytes);
+      const BodyStatus status = receive_body(connection, part);
+      if (status == BodyStatus::Closed) return;
+      if (status == BodyStatus::Complete) {
+        return context_.owner.response_complete(connection, reason_of_trailing(part.size()));
+      }
+    }
+    if (bytes < allowed) break;
+  }
+  set_direct_read(connection, connection.parser.body().straight() > kDirectReadBytes);
+}
+
+// From socket to socket. False: not this way, or not now; nothing was read.
+bool ResponseReceiver::stream_block(UpstreamConnection& connection, std::size_t max_bytes,
+                                    loop::Received& received, std::size_t& bytes) {
+  if (!connection.is(State::Streaming) || connection.parser.body().straight() < max_bytes) return false;
+  const int socket = bufferevent_getfd(connection.socket.get());
+  return context_.attempts.pass_from(connection.attempt, socket, max_bytes, context_.block, received, bytes);
+}
+
+// True: the connection is broken or at its end, and may be gone.
+bool ResponseReceiver::handle_read_end(UpstreamConnection& connection, loop::Received received) {
+  if (received == loop::Received::Broken) {
+    context_.owner.disconnected(connection, false);
+    return true;
+  }
+  // Without a direct read libevent finds the end again.
+  if (received == loop::Received::Ended && connection.response.direct_read != nullptr) {
+    context_.owner.disconnected(connection, true);
+    return true;
+  }
+  return false;
+}
+
+void ResponseReceiver::set_direct_read(UpstreamConnection& connection, bool direct) {
+  loop::EventPtr& direct_read = connection.response.direct_read;
+  if (direct == (direct_read != nullptr)) return;
+  bufferevent* const socket = connection.socket.get();
+  if (!direct) {
+    direct_read.reset();
+    bufferevent_enable(socket, EV_READ);
+    return;
+  }
+  bufferevent_disable(socket, EV_READ);
+  direct_read.reset(event_new(context_.base, bufferevent_getfd(socket), EV_READ | EV_PERSIST,
+                              &ResponseReceiver::on_direct_readable, &connection));
+  if (direct_read == nullptr || event_add(direct_read.get(), nullptr) != 0) throw std::bad_alloc();
+}
+
+void ResponseReceiver::on_direct_readable(int, short, void* connection) {
+  auto* const readable = static_cast<UpstreamConnection*>(connection);
+  readable->receiver->read_socket(*readable);
+}
+
+// How many bytes may be read now. 0: the connection is paused until the client has taken some.
+std::size_t ResponseReceiver::read_allowance(UpstreamConnection& connection) {
+  ResponseProgress& response = connection.response;
+  if (connection.is(State::Buffering)) {
+    if (const std::size_t room = response.buffered.hold.room(); room > 0) return room;
+    stop_buffering(connection);
+  }
+  if (connection.is(State::Discarding)) return loop::IoBuffer::size();
+  const std::size_t room = context_.attempts.room(connection.attempt);
+  if (room == 0) {
+    bufferevent_disable(connection.socket.get(), EV_READ);
+    if (response.direct_read != nullptr) event_del(response.direct_read.get());
+    connection.pause(now_ms());
+  }
+  return room;
+}
+
+// From the loop: the client's connection that has room now is still in use by the caller.
+void ResponseReceiver::resume(UpstreamConnection& connection) {
+  connection.resume(now_ms());
+  event* const direct_read = connection.response.direct_read.get();
+  if (direct_read != nullptr) {
+    event_add(direct_read, nullptr);
+    event_active(direct_read, EV_READ, 0);
+    return;
+  }
+  bufferevent* const socket = connection.socket.get();
+  bufferevent_enable(socket, EV_READ);
+  bufferevent_trigger(socket, EV_READ, BEV_TRIG_DEFER_CALLBACKS | BEV_TRIG_IGNORE_WATERMARKS);
+}
+
+// Takes from `bytes`, no more than read_allowance(), up to the end of the response.
+ResponseReceiver::BodyStatus ResponseReceiver::receive_body(UpstreamConnection& connection,
+                                                            std::string_view& bytes) {
+  http::Framer& body = connection.parser.body();
+  connection.response.last_bytes_at_ms = now_ms();
+  while (!bytes.empty() && !body.done()) {
+    const http::Framer::Piece piece = body.next(bytes);
+    bytes.remove_prefix(piece.used);
+    deliver(connection, piece.body);
+    if (body.fault() != http::Fault::None) {
+      malformed_response(connection);
+      return BodyStatus::Closed;
+    }
+    if (!apply_buffering_rules(connection)) return BodyStatus::Closed;
+  }
+  return body.done() ? BodyStatus::Complete : BodyStatus::Incomplete;
+}
+
+void ResponseReceiver::deliver(UpstreamConnection& connection, std::string_view body) {
+  proxy::BufferedBytes& buffered = connection.response.buffered;
+  if (connection.is(State::Buffering) && !buffered.hold.take(body.size())) stop_buffering(connection);
+  if (connection.is(State::Buffering)) {
+    buffered.buffer.add(body, context_.block);
+  } else if (connection.is(State::Streaming)) {
+    context_.attempts.pass(connection.attempt, body, context_.block);
+  }
+}
+
+// Ends buffering where it is time to, and a response that is too long. False: the connection is gone.
+bool ResponseReceiver::apply_buffering_rules(UpstreamConnection& connection) {
+  const http::Framer& body = connection.parser.body();
+  if (connection.is(State::Discarding)) {
+    if (std::max(body.come(), body.length().value_or(0)) <= kMaxDiscardedBytes) return true;
+    context_.owner.response_complete(connection, CloseReason::LongRemains);
+    return false;
+  }
+  if (!connection.is(State::Buffering)) return true;
+  const body_buffers::BufferBudget::Hold& hold = connection.response.buffered.hold;
+  body_buffers::AnswerFacts facts;
+  facts.length = body.length();
+  facts.come = body.come();
+  facts.whole = body.done();
+  facts.early = now_ms() < connection.response.buffer_until_ms;
+  facts.window = hold.window();
+  facts.room = hold.room();
+  switch (body_buffers::next_step(context_.options.answers, facts)) {
+    case body_buffers::AnswerStep::Wait: break;
+    case body_buffers::AnswerStep::Begin:
+      if (!facts.whole) stop_buffering(connection);
+      break;
+    case body_buffers::AnswerStep::Spoilt:
+      context_.owner.fail(connection, AttemptResult::Error, CloseReason::TooLarge);
+      return false;
+  }
+  return true;
+}
+
+void ResponseReceiver::stop_buffering(UpstreamConnection& connection) {
+  ResponseProgress& response = connection.response;
+  proxy::ResponseHead head;
+  head.content_type = response.completion.content_type;
+  head.length = connection.parser.body().length();
+  head.body = std::move(response.buffered);
+  connection.buffering_ended(context_.attempts.begin(connection.attempt, std::move(head)));
+  response.last_bytes_at_ms = now_ms();
+  limit_silence(connection);
+}
+
+// Buffering ends in time also where nothing more comes.
+void ResponseReceiver::limit_buffering(UpstreamConnection& connection) {
+  ResponseProgress& response = connection.response;
+  response.buffer_until_ms = context_.attempts.wait_until(connection.attempt);
+  const std::optional<std::uint64_t> length = connection.parser.body().length();
+  if (length && *length <= context_.options.answers.begin_after) return;
+  context_.timers.cancel(connection.timer);
+  connection.timer = context_.timers.at(response.buffer_until_ms, [this, handle = connection.handle] {
+    UpstreamConnection* late = context_.connections.find(handle);
+    if (late == nullptr) return;
+    late->timer = 0;
+    if (late->is(State::Buffering)) apply_buffering_rules(*late);
+  });
+}
+
+// A streamed response has no other deadline: its endpoint must go on sending while the client goes on taking.
+void ResponseReceiver::limit_silence(UpstreamConnection& connection) {
+  context_.timers.cancel(connection.timer);
+  const double next_check_ms = now_ms() + context_.options.silent_ms / kSilenceChecks;
+  connection.timer = context_.timers.at(next_check_ms, [this, handle = connection.handle] {
+    UpstreamConnection* late = context_.connections.find(handle);
+    if (late == nullptr) return;
+    late->timer = 0;
+    check_silence(*late);
+  });
+}
+
+void ResponseReceiver::check_silence(UpstreamConnection& connection) {
+  double& last_bytes_at_ms = connection.response.last_bytes_at_ms;
+  if (connection.is(State::Paused)) last_bytes_at_ms = now_ms();
+  if (now_ms() - last_bytes_at_ms < context_.options.silent_ms) return limit_silence(connection);
+  context_.owner.fail(connection, AttemptResult::TimedOut, CloseReason::FellSilent);
+}
+
+// The endpoint is up and has answered, as by a 500: what it did is not known, the connection is of no use.
+void ResponseReceiver::malformed_response(UpstreamConnection& connection) {
+  if (!connection.parser.head_done()) context_.owner.response_started(connection);
+  const bool malformed = connection.parser.fault() == http::Fault::Malformed;
+  context_.owner.fail(connection, AttemptResult::Error,
+                      malformed ? CloseReason::Malformed : CloseReason::TooLarge);
+}
+
+} // namespace fernward::upstream
--- /dev/null
+++ b/src/upstream/response_receiver.h
@@ -0,0 +1,64 @@
+// Reads responses of upstream endpoints.
+#pragma once
+
+#include <string_view>
+
+#include "body_buffers/buffer_budget.h"
+#include "loop/buffer.h"
+#include "loop/slot_map.h"
+#include "loop/timer_queue.h"
+#include "upstream/connection_pool_options.h"
+#include "upstream/request_writer.h"
+#include "upstream/upstream_connection.h"
+
+namespace fernward::upstream {
+
+/// Reads the head, then buffers the body until it is whole or must be passed on, streams it to the client, or
+/// discards it. Ends a connection whose endpoint falls silent in the middle of a response.
+class ResponseReceiver {
+ public:
+  /// What the receiver works with; all of it outlives the receiver.
+  struct Context {
+    event_base* base;
+    loop::TimerQueue& timers;
+    loop::SlotMap<UpstreamConnection>& connections;
+    body_buffers::BufferBudget& buffer_budget;
+    loop::IoBuffer& block;
+    proxy::AttemptCallbacks& attempts;
+    ConnectionOwner& owner;
+    RequestWriter& writer;
+    const ConnectionPoolOptions& options;
+  };
+  explicit ResponseReceiver(const Context& context) : context_(context) {}
+
+  /// For a connection with a request. The connection may be gone afterwards.
+  void on_readable(UpstreamConnection& connection);
+  /// Reads on where the client had no room; nothing is read before the next turn of the loop.
+  void resume(UpstreamConnection& connection);
+  /// Reads past libevent's buffer while a long stretch of body is due, through it otherwise.
+  void set_direct_read(UpstreamConnection& connection, bool direct);
+
+ private:
+  enum class BodyStatus { Incomplete, Complete, Closed };
+
+  static void on_direct_readable(int, short, void* connection);
+  bool read_head(UpstreamConnection& connection);
+  bool on_head(UpstreamConnection& connection);
+  void read_socket(UpstreamConnection& connection);
+  bool handle_read_end(UpstreamConnection& connection, loop::Received received);
+  bool stream_block(UpstreamConnection& connection, std::size_t max_bytes, loop::Received& received,
+                    std::size_t& bytes);
+  BodyStatus receive_body(UpstreamConnection& connection, std::string_view& bytes);
+  void deliver(UpstreamConnection& connection, std::string_view body);
+  bool apply_buffering_rules(UpstreamConnection& connection);
+  std::size_t read_allowance(UpstreamConnection& connection);
+  void stop_buffering(UpstreamConnection& connection);
+  void limit_buffering(UpstreamConnection& connection);
+  void limit_silence(UpstreamConnection& connection);
+  void check_silence(UpstreamConnection& connection);
+  void malformed_response(UpstreamConnection& connection);
+
+  const Context context_;
+};
+
+} // namespace fernward::upstream
--- /dev/null
+++ b/src/upstream/upstream_connection.h
@@ -0,0 +1,138 @@
+// One connection to an upstream endpoint and the request on it.
+#pragma once
+
+#include <cstdint>
+#include <list>
+#include <memory>
+#include <optional>
+#include <string>
+
+#include "descriptors/descriptor_budget.h"
+#include "http/parser.h"
+#include "loop/net.h"
+#include "loop/slot_map.h"
+#include "loop/timer_queue.h"
+#include "proxy/call.h"
+#include "upstream/close_reason.h"
+
+namespace fernward::upstream {
+
+class ConnectionPool;
+class ResponseReceiver;
+
+/// The endpoint as it was when the connection was opened.
+struct EndpointIdentity {
+  fernward::ServerId id = 0;
+  std::string name; // for the log
+  std::string address;
+  double started_at = 0; // of its process
+};
+
+/// The request's way out.
+struct UploadProgress {
+  // Uploading: a long body is not yet written whole. Flushing: the last byte waits in the output buffer.
+  // Sent: the last byte has left this process; also before the first request.
+  enum class Stage { Uploading, Flushing, Sent };
+  Stage stage = Stage::Sent;
+  std::unique_ptr<proxy::RequestBody::Reader> reader; // of a long body; else null
+  double head_written_at_ms = 0;
+  std::uint64_t bytes_taken = 0; // of a long body: what had left this process when last looked at
+  double last_taken_at_ms = 0;
+};
+
+/// How long the connection was idle before its present request.
+struct IdleUse {
+  double since_ms = 0;               // when it became idle
+  double before_request_ms = -1;     // below 0: the present request is its first
+  bool beyond_safe_lifetime = false; // reused although it was idle for longer than is believed safe
+};
+
+struct ResponseProgress {
+  proxy::BufferedBytes buffered;
+  proxy::AttemptCompletion completion; // as the head tells it
+  double buffer_until_ms = 0;
+  // Reads past libevent's buffer while a long stretch of body is due; else null.
+  loop::EventPtr direct_read;
+  double paused_at_ms = 0;
+  double last_bytes_at_ms = 0; // or when reading could go on
+};
+
+/// A connection carries one request at a time. States and transitions:
+///
+///   Connecting       --connected, a request is assigned-->  AwaitingResponse
+///   Connecting       --connected, none is assigned-->       Idle
+///   Idle             --request assigned-->                  AwaitingResponse
+///   AwaitingResponse --head of a 200-->                     Buffering
+///   AwaitingResponse --any other head-->                    Discarding
+///   Buffering        --client takes the response-->         Streaming
+///   Buffering        --client does not want it-->           Discarding
+///   Streaming        --client has no room-->                Paused
+///   Paused           --client has room-->                   Streaming
+///   Buffering, Streaming, Discarding --response complete--> Idle
+///
+/// Any state ends with the close of the connection, which destroys the object. The upload of the request has
+/// a state of its own (UploadProgress): a response may begin before the request is out.
+class UpstreamConnection {
+ public:
+  enum class State { Connecting, Idle, AwaitingResponse, Buffering, Streaming, Paused, Discarding };
+
+  explicit UpstreamConnection(std::uint64_t max_body_bytes) : parser(http::Kind::Response, max_body_bytes) {}
+
+  bool is(State state) const { return state_ == state; }
+
+  // The transitions.
+  void start_request() { state_ = State::AwaitingResponse; }
+  void head_received(bool wanted) { state_ = wanted ? State::Buffering : State::Discarding; }
+  void buffering_ended(bool wanted) { state_ = wanted ? State::Streaming : State::Discarding; }
+  void pause(double now_ms);
+  void resume(double now_ms); // adds the pause to paused_ms
+  void become_idle(double now_ms);
+
+  /// The request's last byte is still in this process: the endpoint cannot have run it.
+  bool request_unsent() const;
+
+  // Declared in the order of their dependence: the descriptor goes back after the socket is closed, the
+  // body's reader ends before the request, and the direct read before the socket.
+  ConnectionPool* pool = nullptr;
+  ResponseReceiver* receiver = nullptr;
+  loop::Handle handle = 0;
+  descriptors::DescriptorBudget::Place descriptor;
+  std::list<loop::Handle> eviction_node; // holds its entry of the eviction list while it is not free
+  std::list<loop::Handle>::iterator eviction_entry;
+  EndpointIdentity endpoint;
+  loop::BuffereventPtr socket;
+  http::Parser parser;
+  loop::Handle attempt = 0; // 0: none
+  proxy::ClientRequestPtr request;
+  UploadProgress upload;
+  IdleUse idle;
+  ResponseProgress response;
+  double deadline_ms = 0; // of the attempt
+  double opened_at_ms = 0;
+  double assigned_at_ms = 0;
+  double paused_ms = 0; // of the attempt: the client took nothing, or was still sending
+  bool first_request = true;
+  unsigned requests_served = 0;
+  // Connect time-out, silence limit of the upload or of the response, or idle time.
+  loop::TimerQueue::TimerId timer = 0;
+
+ private:
+  State state_ = State::Connecting;
+};
+
+/// What the writer and the receiver tell the pool. After each call but response_started() the connection may
+/// be gone.
+class ConnectionOwner {
+ public:
+  virtual ~ConnectionOwner() = default;
+  /// The endpoint is alive: it has sent a response's head, or bytes in place of one.
+  virtual void response_started(const UpstreamConnection& connection) = 0;
+  /// `reason`: why the connection cannot be reused; none: it may be.
+  virtual void response_complete(UpstreamConnection& connection, std::optional<CloseReason> reason) = 0;
+  /// The socket broke, or the peer ended its sending.
+  virtual void disconnected(UpstreamConnection& connection, bool end_of_input) = 0;
+  /// Ends the attempt, if there is one, and closes the connection.
+  virtual void fail(UpstreamConnection& connection, fernward::AttemptResult result, CloseReason reason) = 0;
+};
+
+} // namespace fernward::upstream
--- a/tests/net/stories_test.cpp
+++ b/tests/net/stories_test.cpp
@@ -440,7 +440,7 @@
   CHECK(busy.answers[0].body == "late");
 }
 
-// ---- the pool of egress connections on its own ----
+// ---- the pool of upstream connections on its own ----
 
 namespace {
 
@@ -455,7 +455,7 @@
     Json entry = endpoint("s-1", address.empty() ? peer.address : address, state);
     entry["since_ms"] = since_ms;
     table.apply(node_list(1, true, {entry}));
-    pool->update(table.targets());
+    pool->update_endpoints(table.targets());
   }
   auto start(loop::Handle attempt, const char* target = "s-1") {
     auto call = std::make_shared<proxy::ClientRequest>();
@@ -565,7 +565,7 @@
   PoolWorld w;
   Peer neighbour(w.base.get(), [](const http::Message&) { return ok("v"); });
   w.table.apply(node_list(2, true, {endpoint("s-1", w.peer.address), endpoint("s-2", neighbour.address)}));
-  w.pool->update(w.table.targets());
+  w.pool->update_endpoints(w.table.targets());
   double answered_at =
       0; // the peer closes at the next request, as if it had closed before: nothing is seen till then
   w.peer.script = [&](const http::Message&) {
@@ -599,7 +599,7 @@
   MESSAGE("of 6 requests after a rest of 320 ms " << resets
                                                   << " were written to a connection closed in silence");
   CHECK(resets <= 2);
-  CHECK(w.pool->reset_after_rest() == static_cast<std::uint64_t>(resets) + 1);
+  CHECK(w.pool->resets_after_idle() == static_cast<std::uint64_t>(resets) + 1);
   CHECK(w.peer.connections <= 7);
   CHECK(neighbour.connections == 1);
   for (int i = 0; i < 3; ++i) { // after short rests the first one's connection is used on
@@ -892,10 +892,10 @@
   REQUIRE(w.start(1) == Start::Begun);
   REQUIRE(run_until(w.base.get(), [&] { return w.peer.seen.size() == 1; }));
   w.table.apply(node_list(2, true, {}));
-  w.pool->update(w.table.targets());
+  w.pool->update_endpoints(w.table.targets());
   w.pool->cancel(1);
   CHECK(w.pool->connections() == 0);
-  CHECK(w.pool->pooled_targets() == 0);
+  CHECK(w.pool->pooled_endpoints() == 0);
 }
 
 TEST_CASE("a spoilt answer of the origin is asked for again, and the client served") { // guards: lost worth
