--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,7 +1,7 @@
 // Log lines: an event's name and its fields. One function writes them all; a flood is cut and what was cut is counted.
 //
-//   egress-ended target=s-1 code=rested answers=12 ms=4031
-//   {"event":"egress-ended","target":"s-1","code":"rested","answers":12,"ms":4031}
+//   upstream-ended target=s-1 code=rested answers=12 ms=4031
+//   {"event":"upstream-ended","target":"s-1","code":"rested","answers":12,"ms":4031}
 //
 // Names of events and fields are stable: docs/on-call.md lists them. A value with anything but letters, digits and plain
 // signs stands in quotes.
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -419,10 +419,10 @@
 
 // The connection is gone on return.
 void ConnectionPool::close(UpstreamConnection& connection, CloseReason reason) {
-  log::routine("egress-ended", {{"target", connection.endpoint.name},
-                                {"code", log_word(reason)},
-                                {"answers", connection.requests_served},
-                                {"ms", now_ms() - connection.opened_at_ms}});
+  log::routine("upstream-ended", {{"target", connection.endpoint.name},
+                                  {"code", log_word(reason)},
+                                  {"answers", connection.requests_served},
+                                  {"ms", now_ms() - connection.opened_at_ms}});
   timers_.cancel(connection.timer);
   remove_from_free(connection);
   remove_from_eviction(connection);
