--- a/lab/shared/stream.cpp
+++ b/lab/shared/stream.cpp
@@ -74,7 +74,7 @@
 void Stream::resume() {
   if (up_) event_add(reads_.get(), nullptr);
 }
-bool Stream::quiet() const { return loop::peek(fd_) == loop::Peek::Quiet; }
+bool Stream::quiet() const { return loop::peek(fd_) == loop::Peek::NoData; }
 void Stream::finish() { shutdown(fd_, SHUT_WR); }
 void Stream::reset_on_close() {
   const linger now{1, 0};
--- a/src/loop/blocked_signals.h
+++ b/src/loop/blocked_signals.h
@@ -1,8 +1,7 @@
-// A scope in which no signal is delivered to the calling thread.
+// A scope in which no signal is delivered to the calling thread, for fork() and exec().
 //
-// For fork() and exec(): a signal that is sent to the new process before it has put its handlers back would run a handler
-// that it inherited, or be ignored as its parent ignores it, and be lost. Blocked, it stays pending until
-// deliver_by_default() has put the handlers back.
+// A signal that reaches the new process before it has reset its handlers would run an inherited handler, or
+// be ignored as its parent ignores it, and be lost. Blocked, it stays pending until deliver_by_default().
 #pragma once
 
 #include <signal.h>
@@ -22,8 +21,8 @@
   BlockedSignals(const BlockedSignals&) = delete;
   BlockedSignals& operator=(const BlockedSignals&) = delete;
 
-  /// In a new process, before exec(): these get their default actions, and what came meanwhile is delivered. Safe between
-  /// fork() and exec().
+  /// In a new process, before exec(): `signals` get their default actions, and pending signals are delivered.
+  /// Safe between fork() and exec().
   static void deliver_by_default(std::initializer_list<int> signals) {
     for (const int number : signals) ::signal(number, SIG_DFL);
     sigset_t none;
--- a/src/loop/buffer.cpp
+++ b/src/loop/buffer.cpp
@@ -14,100 +14,121 @@
 
 namespace fernward::loop {
 
+// ---- IoBuffer ----
+
 struct IoBuffer::Memory {
-  unsigned users = 1; // the block itself, and each piece that a buffer refers to
-  std::shared_ptr<Spare> spare;
-  char bytes[kBlock];
-
-  static Memory* take(const std::shared_ptr<Spare>& spare);
-  static void let_go(Memory* memory);
-  static void let_go_of(const void*, std::size_t, void* memory) { let_go(static_cast<Memory*>(memory)); }
-  bool holds(std::string_view piece) const { return piece.data() >= bytes && piece.data() < bytes + kBlock; }
+  unsigned references = 1; // by its IoBuffer, and by each piece of a Buffer
+  std::shared_ptr<FreeList> free_list;
+  char bytes[kIoBufferBytes];
+
+  static Memory* acquire(const std::shared_ptr<FreeList>& free_list);
+  static void release(Memory* memory);
+  static void release_piece(const void*, std::size_t, void* memory) { release(static_cast<Memory*>(memory)); }
+  bool contains(std::string_view piece) const {
+    return piece.data() >= bytes && piece.data() < bytes + kIoBufferBytes;
+  }
 };
 
-// A few are kept for the next body: given back to the system each time, their pages would be cleared each time.
-struct IoBuffer::Spare {
-  static constexpr std::size_t kMost = 16;
-  std::vector<std::unique_ptr<Memory>> list;
+// The system would clear the pages of new memory each time.
+struct IoBuffer::FreeList {
+  static constexpr std::size_t kMaxKept = 16;
+  std::vector<std::unique_ptr<Memory>> kept;
 };
 
-IoBuffer::Memory* IoBuffer::Memory::take(const std::shared_ptr<Spare>& spare) {
+IoBuffer::Memory* IoBuffer::Memory::acquire(const std::shared_ptr<FreeList>& free_list) {
   std::unique_ptr<Memory> memory;
-  if (spare->list.empty()) {
+  if (free_list->kept.empty()) {
     memory.reset(new Memory);
   } else {
-    memory = std::move(spare->list.back());
-    spare->list.pop_back();
+    memory = std::move(free_list->kept.back());
+    free_list->kept.pop_back();
   }
-  memory->users = 1;
-  memory->spare = spare;
+  memory->references = 1;
+  memory->free_list = free_list;
   return memory.release();
 }
 
-void IoBuffer::Memory::let_go(Memory* memory) {
-  if (--memory->users > 0) return;
-  std::unique_ptr<Memory> free(memory);
-  const std::shared_ptr<Spare> spare = std::move(memory->spare);
-  if (spare->list.size() < Spare::kMost) spare->list.push_back(std::move(free));
+void IoBuffer::Memory::release(Memory* memory) {
+  if (--memory->references > 0) return;
+  std::unique_ptr<Memory> unused(memory);
+  const std::shared_ptr<FreeList> free_list = std::move(memory->free_list);
+  if (free_list->kept.size() < FreeList::kMaxKept) free_list->kept.push_back(std::move(unused));
 }
 
-IoBuffer::IoBuffer() : spare_(std::make_shared<Spare>()), memory_(Memory::take(spare_)) {}
-IoBuffer::~IoBuffer() { Memory::let_go(memory_); }
+IoBuffer::IoBuffer() : free_list_(std::make_shared<FreeList>()), memory_(Memory::acquire(free_list_)) {}
+IoBuffer::~IoBuffer() { Memory::release(memory_); }
 
-char* IoBuffer::data() { // others may still read the last one
-  if (memory_->users > 1) Memory::let_go(std::exchange(memory_, Memory::take(spare_)));
+char* IoBuffer::data() {
+  if (memory_->references > 1) Memory::release(std::exchange(memory_, Memory::acquire(free_list_)));
   return memory_->bytes;
 }
 
-evbuffer* Buffer::raw() {
-  if (raw_ == nullptr) raw_.reset(evbuffer_new());
-  if (raw_ == nullptr) throw std::bad_alloc();
-  return raw_.get();
+// ---- Buffer ----
+
+evbuffer* Buffer::chain() {
+  if (chain_ == nullptr) chain_.reset(evbuffer_new());
+  if (chain_ == nullptr) throw std::bad_alloc();
+  return chain_.get();
 }
 
 void Buffer::copy(std::string_view bytes) {
-  if (!bytes.empty() && evbuffer_add(raw(), bytes.data(), bytes.size()) != 0) throw std::bad_alloc();
+  if (!bytes.empty() && evbuffer_add(chain(), bytes.data(), bytes.size()) != 0) throw std::bad_alloc();
 }
 
 void Buffer::add(std::string_view bytes, IoBuffer& block) {
   if (bytes.empty()) return;
-  if (bytes.size() < kBlock / 2 || !block.memory_->holds(bytes)) return copy(bytes);
-  if (evbuffer_add_reference(raw(), bytes.data(), bytes.size(), &IoBuffer::Memory::let_go_of,
-                             block.memory_) != 0) {
+  IoBuffer::Memory* const memory = block.memory_;
+  if (bytes.size() < kIoBufferBytes / 2 || !memory->contains(bytes)) return copy(bytes);
+  if (evbuffer_add_reference(chain(), bytes.data(), bytes.size(), &IoBuffer::Memory::release_piece, memory) !=
+      0) {
     throw std::bad_alloc();
   }
-  ++block.memory_->users;
+  ++memory->references;
 }
 
 void Buffer::move_to(evbuffer* to) {
-  if (raw_ != nullptr && evbuffer_add_buffer(to, raw_.get()) != 0) throw std::bad_alloc();
+  if (chain_ != nullptr && evbuffer_add_buffer(to, chain_.get()) != 0) throw std::bad_alloc();
 }
 
 void Buffer::drain(std::size_t bytes) {
-  if (raw_ != nullptr) evbuffer_drain(raw_.get(), bytes);
+  if (chain_ != nullptr) evbuffer_drain(chain_.get(), bytes);
 }
 
-std::size_t Buffer::take(char* into, std::size_t most) {
-  const int n = raw_ == nullptr ? 0 : evbuffer_remove(raw_.get(), into, most);
-  return n > 0 ? static_cast<std::size_t>(n) : 0;
+std::size_t Buffer::take(char* into, std::size_t max_bytes) {
+  const int taken = chain_ == nullptr ? 0 : evbuffer_remove(chain_.get(), into, max_bytes);
+  return taken > 0 ? static_cast<std::size_t>(taken) : 0;
 }
 
 std::string Buffer::text() const {
-  std::string out(size(), '\0');
-  if (!out.empty()) evbuffer_copyout(raw_.get(), out.data(), out.size());
-  return out;
+  std::string copy(size(), '\0');
+  if (!copy.empty()) evbuffer_copyout(chain_.get(), copy.data(), copy.size());
+  return copy;
 }
 
-Received receive(int fd, char* into, std::size_t most, std::size_t& bytes) {
-  const auto n = recv(fd, into, most, MSG_DONTWAIT);
-  if (n > 0) {
-    bytes = static_cast<std::size_t>(n);
-    return Received::Bytes;
-  }
-  if (n == 0) return Received::Ended;
-  return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR ? Received::Nothing : Received::Broken;
+// ---- reading ----
+
+namespace {
+
+// Of the return value of recv() or splice(), right after the call.
+Received received_of(ssize_t result) {
+  if (result > 0) return Received::Bytes;
+  if (result == 0) return Received::EndOfStream;
+  const bool later = errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR;
+  return later ? Received::WouldBlock : Received::Error;
 }
 
+std::size_t bytes_of(ssize_t result) { return result > 0 ? static_cast<std::size_t>(result) : 0; }
+
+} // namespace
+
+Received receive(int fd, char* into, std::size_t max_bytes, std::size_t& bytes) {
+  const ssize_t result = recv(fd, into, max_bytes, MSG_DONTWAIT);
+  if (result > 0) bytes = static_cast<std::size_t>(result);
+  return received_of(result);
+}
+
+// ---- Pipe ----
+
 Pipe::Pipe() {
   if (pipe2(ends_, O_NONBLOCK | O_CLOEXEC) != 0) ends_[0] = ends_[1] = -1;
 }
@@ -119,102 +140,106 @@
   for (int& end : ends_) ::close(std::exchange(end, -1));
 }
 
-bool Pipe::move(int from, bufferevent* to, std::size_t most, IoBuffer& block, Received& received,
+bool Pipe::move(int from, bufferevent* to, std::size_t max_bytes, IoBuffer& block, Received& received,
                 std::size_t& bytes, std::string_view& rest) {
-  const auto n =
-      splice(from, nullptr, ends_[1], nullptr, std::min(most, kBlock), SPLICE_F_MOVE | SPLICE_F_NONBLOCK);
-  if (n < 0 && (errno == EINVAL || errno == ENOSYS || errno == EPERM)) {
-    // That says nothing of the connection: taken for its end, it would cut off an answer that is still coming.
+  const ssize_t spliced = splice(from, nullptr, ends_[1], nullptr, std::min(max_bytes, kIoBufferBytes),
+                                 SPLICE_F_MOVE | SPLICE_F_NONBLOCK);
+  if (spliced < 0 && (errno == EINVAL || errno == ENOSYS || errno == EPERM)) {
+    // Says nothing of the connection: taken for its end, it would cut off a response that is still coming.
     close();
     return false;
   }
-  received = n > 0                               ? Received::Bytes
-             : n == 0                            ? Received::Ended
-             : errno == EAGAIN || errno == EINTR ? Received::Nothing
-                                                 : Received::Broken;
-  if (n <= 0) return true;
-  bytes = static_cast<std::size_t>(n);
-  std::size_t out = 0;
-  if (evbuffer_get_length(bufferevent_get_output(to)) == 0) {
-    const auto sent =
-        splice(ends_[0], nullptr, bufferevent_getfd(to), nullptr, bytes, SPLICE_F_MOVE | SPLICE_F_NONBLOCK);
-    out = sent > 0 ? static_cast<std::size_t>(sent) : 0; // an error shows when the rest is written
-  }
+  received = received_of(spliced);
+  if (received != Received::Bytes) return true;
+  bytes = static_cast<std::size_t>(spliced);
+  const std::size_t sent = send_now(to, bytes);
   rest = {};
-  if (out == bytes) return true;
+  if (sent < bytes) rest = read_rest(block, bytes - sent);
+  return true;
+}
+
+// Returns how many bytes went out. An error shows when the rest is written.
+std::size_t Pipe::send_now(bufferevent* to, std::size_t bytes) {
+  if (evbuffer_get_length(bufferevent_get_output(to)) > 0) return 0;
+  return bytes_of(
+      splice(ends_[0], nullptr, bufferevent_getfd(to), nullptr, bytes, SPLICE_F_MOVE | SPLICE_F_NONBLOCK));
+}
+
+std::string_view Pipe::read_rest(IoBuffer& block, std::size_t bytes) {
   char* const into = block.data();
-  std::size_t got = 0;
-  while (got < bytes - out) {
-    const auto part = read(ends_[0], into + got, bytes - out - got);
-    if (part <= 0) break; // not to be: what was put in is there
-    got += static_cast<std::size_t>(part);
+  std::size_t filled = 0;
+  while (filled < bytes) {
+    const ssize_t part = read(ends_[0], into + filled, bytes - filled);
+    if (part <= 0) break; // does not happen: the bytes are in the pipe
+    filled += static_cast<std::size_t>(part);
   }
-  rest = {into, got};
-  return true;
+  return {into, filled};
 }
 
+// ---- writing ----
+
 namespace {
 
-constexpr int kMostParts = 16;
+constexpr int kMaxParts = 16; // of one write
 
-std::size_t write_now(bufferevent* b, const iovec* parts, int count) {
-  if (evbuffer_get_length(bufferevent_get_output(b)) > 0) return 0;
+std::size_t write_now(bufferevent* to, const iovec* parts, int count) {
+  if (evbuffer_get_length(bufferevent_get_output(to)) > 0) return 0;
   msghdr message{};
   message.msg_iov = const_cast<iovec*>(parts);
   message.msg_iovlen = static_cast<std::size_t>(count);
-  const auto n = sendmsg(bufferevent_getfd(b), &message, MSG_DONTWAIT | MSG_NOSIGNAL);
-  return n > 0 ? static_cast<std::size_t>(n) : 0;
+  return bytes_of(sendmsg(bufferevent_getfd(to), &message, MSG_DONTWAIT | MSG_NOSIGNAL));
 }
 
-iovec part(std::string_view text) { return {const_cast<char*>(text.data()), text.size()}; }
+iovec part_of(std::string_view text) { return {const_cast<char*>(text.data()), text.size()}; }
 
-// Cuts from the front of `text` what of `out` falls on it.
-std::string_view rest_of(std::string_view text, std::size_t& out) {
-  const std::size_t gone = std::min(out, text.size());
-  out -= gone;
+// What of `text` is left after the first `written` bytes; reduces `written` by what falls on `text`.
+std::string_view unwritten(std::string_view text, std::size_t& written) {
+  const std::size_t gone = std::min(written, text.size());
+  written -= gone;
   return text.substr(gone);
 }
 
-void wait(bufferevent* b, std::string_view text) {
-  if (!text.empty()) bufferevent_write(b, text.data(), text.size());
+void enqueue(bufferevent* to, std::string_view text) {
+  if (!text.empty()) bufferevent_write(to, text.data(), text.size());
 }
 
 } // namespace
 
-std::size_t write_or_wait(bufferevent* b, std::string_view text) {
-  const iovec only = part(text);
-  std::size_t out = text.empty() ? 0 : write_now(b, &only, 1);
-  const std::string_view rest = rest_of(text, out);
-  wait(b, rest);
+std::size_t write_or_wait(bufferevent* to, std::string_view text) {
+  const iovec only = part_of(text);
+  std::size_t written = text.empty() ? 0 : write_now(to, &only, 1);
+  const std::string_view rest = unwritten(text, written);
+  enqueue(to, rest);
   return rest.size();
 }
 
-std::size_t write_or_wait(bufferevent* b, std::string_view head, Buffer&& body) {
+std::size_t write_or_wait(bufferevent* to, std::string_view head, Buffer&& body) {
   const std::size_t size = body.size();
-  iovec parts[kMostParts] = {part(head)};
-  int count = 0;
+  iovec parts[kMaxParts] = {part_of(head)};
+  int pieces_in = 0;
   if (size > 0) {
-    evbuffer_iovec pieces[kMostParts - 1];
-    count = std::min(kMostParts - 1, evbuffer_peek(body.raw_.get(), -1, nullptr, pieces, kMostParts - 1));
-    for (int i = 0; i < count; ++i) parts[i + 1] = {pieces[i].iov_base, pieces[i].iov_len};
+    evbuffer_iovec pieces[kMaxParts - 1];
+    const int all = evbuffer_peek(body.chain_.get(), -1, nullptr, pieces, kMaxParts - 1);
+    pieces_in = std::min(kMaxParts - 1, all);
+    for (int i = 0; i < pieces_in; ++i) parts[i + 1] = {pieces[i].iov_base, pieces[i].iov_len};
   }
-  std::size_t out = write_now(b, parts, count + 1);
-  wait(b, rest_of(head, out));
-  body.drain(out);
-  body.move_to(bufferevent_get_output(b));
-  return size - out;
+  std::size_t written = write_now(to, parts, pieces_in + 1);
+  enqueue(to, unwritten(head, written));
+  body.drain(written);
+  body.move_to(bufferevent_get_output(to));
+  return size - written;
 }
 
-std::size_t write_or_wait(bufferevent* b, std::string_view before, std::string_view body,
+std::size_t write_or_wait(bufferevent* to, std::string_view before, std::string_view body,
                           std::string_view after, IoBuffer& block) {
-  const iovec parts[3] = {part(before), part(body), part(after)};
-  std::size_t out = write_now(b, parts, 3);
-  wait(b, rest_of(before, out));
-  const std::string_view rest = rest_of(body, out);
-  Buffer waits;
-  waits.add(rest, block);
-  waits.move_to(bufferevent_get_output(b));
-  wait(b, rest_of(after, out));
+  const iovec parts[3] = {part_of(before), part_of(body), part_of(after)};
+  std::size_t written = write_now(to, parts, 3);
+  enqueue(to, unwritten(before, written));
+  const std::string_view rest = unwritten(body, written);
+  Buffer waiting;
+  waiting.add(rest, block);
+  waiting.move_to(bufferevent_get_output(to));
+  enqueue(to, unwritten(after, written));
   return rest.size();
 }
 
--- a/src/loop/buffer.h
+++ b/src/loop/buffer.h
@@ -1,6 +1,7 @@
-// Bytes that wait, in chains that are moved and not copied; the block of memory that bodies are read through; and
-// writing straight to a socket. libevent reads 4 KB at a time and arms an event for each write: for a body of some
-// size that is most of its cost (docs/notes/bodies.md has the figures).
+// Buffers for bodies, and reads and writes that go straight to a socket.
+//
+// libevent reads 4 KB at a time and arms an event for each write, which is most of the cost of a long body
+// (docs/notes/bodies.md has the figures).
 #pragma once
 
 #include <event2/buffer.h>
@@ -13,11 +14,10 @@
 
 namespace fernward::loop {
 
-constexpr std::size_t kBlock = 64 * 1024;
+constexpr std::size_t kIoBufferBytes = 64 * 1024;
 
-// The memory that a socket is read into, one for all of a loop: it is used from one callback to the next only. What
-// has to wait goes into a Buffer: by reference where it fills half of the block or more, so that nothing that waits
-// holds more than twice its size; else as a copy.
+/// The memory that sockets are read into, one for all of a loop: its bytes are valid until the next callback.
+/// What must be kept goes into a Buffer.
 class IoBuffer {
  public:
   IoBuffer();
@@ -25,72 +25,83 @@
   IoBuffer(const IoBuffer&) = delete;
   IoBuffer& operator=(const IoBuffer&) = delete;
 
+  /// Memory that no Buffer refers to: other than before, where one still refers to that.
   char* data();
-  static constexpr std::size_t size() { return kBlock; }
+  static constexpr std::size_t size() { return kIoBufferBytes; }
 
  private:
   friend class Buffer;
   struct Memory;
-  struct Spare;
-  std::shared_ptr<Spare> spare_;
+  struct FreeList;
+  std::shared_ptr<FreeList> free_list_;
   Memory* memory_; // shared with the buffers that refer to it; never null
 };
 
+/// A chain of bytes that is moved and not copied. Where memory is missing its methods throw std::bad_alloc.
 class Buffer {
  public:
   Buffer() = default;
   Buffer(Buffer&&) noexcept = default;
   Buffer& operator=(Buffer&&) noexcept = default;
 
-  std::size_t size() const { return raw_ == nullptr ? 0 : evbuffer_get_length(raw_.get()); }
+  std::size_t size() const { return chain_ == nullptr ? 0 : evbuffer_get_length(chain_.get()); }
   void copy(std::string_view bytes);
-  void add(std::string_view bytes, IoBuffer& block); // by reference where they fill half of it, see Block
-  void move_to(evbuffer* to);                        // its chains; empty afterwards
+  /// By reference where they fill half of `block` or more, else as a copy: no Buffer holds more memory than
+  /// twice its size.
+  void add(std::string_view bytes, IoBuffer& block);
+  /// Empty afterwards.
+  void move_to(evbuffer* to);
   void drain(std::size_t bytes);
-  std::size_t take(char* into, std::size_t most); // from its front; returns how many
-  std::string text() const;                       // a copy of all of it: for what is small
-  void clear() { raw_.reset(); }
+  /// Moves up to `max_bytes` from the front; returns how many.
+  std::size_t take(char* into, std::size_t max_bytes);
+  /// A copy of all, for what is small.
+  std::string text() const;
+  void clear() { chain_.reset(); }
 
  private:
-  friend std::size_t write_or_wait(bufferevent* b, std::string_view head, Buffer&& body);
+  friend std::size_t write_or_wait(bufferevent* to, std::string_view head, Buffer&& body);
   struct Free {
-    void operator()(evbuffer* b) const { evbuffer_free(b); }
+    void operator()(evbuffer* chain) const { evbuffer_free(chain); }
   };
-  evbuffer* raw();
-  std::unique_ptr<evbuffer, Free> raw_; // null: empty
+  evbuffer* chain();
+  std::unique_ptr<evbuffer, Free> chain_; // null: empty
 };
 
-// Reads what is there, at most `most` bytes.
-enum class Received { Bytes, Nothing, Ended, Broken };
-Received receive(int fd, char* into, std::size_t most, std::size_t& bytes);
+/// What a read from a socket came to. WouldBlock: nothing is there yet.
+enum class Received { Bytes, WouldBlock, EndOfStream, Error };
+/// Reads up to `max_bytes`; sets `bytes` where it returns Bytes.
+Received receive(int fd, char* into, std::size_t max_bytes, std::size_t& bytes);
 
-// A pipe through which bytes go from one socket to another without a copy in this process. It is empty between two
-// calls, so one serves all of a loop, for two descriptors.
+/// Moves bytes from socket to socket without a copy in this process. It is empty between two calls: one
+/// serves all of a loop, for two descriptors.
 class Pipe {
  public:
   Pipe();
   ~Pipe();
   Pipe(const Pipe&) = delete;
   Pipe& operator=(const Pipe&) = delete;
-  // No: the system had no descriptors for it, or moves no bytes this way.
+  /// False: the system had no descriptors for it, or does not move bytes this way.
   bool usable() const { return ends_[0] >= 0; }
 
-  // Moves up to `most` bytes, a block's size at most, to a bufferevent's socket; `rest` is what that does not take,
-  // read into the block; it and what went out make up `bytes`. False: the system refuses to, by a filter on calls or
-  // for a kind of socket; nothing was read, and the pipe is not usable from then on.
-  bool move(int from, bufferevent* to, std::size_t most, IoBuffer& block, Received& received,
+  /// Moves up to `max_bytes`, and kIoBufferBytes at most. `bytes`: how many were read; `rest`: those that the
+  /// socket of `to` did not take, read into `block`. False: the system refuses, by a filter on system calls
+  /// or for a kind of socket; nothing was read, and the pipe is not usable from then on.
+  bool move(int from, bufferevent* to, std::size_t max_bytes, IoBuffer& block, Received& received,
             std::size_t& bytes, std::string_view& rest);
 
  private:
+  std::size_t send_now(bufferevent* to, std::size_t bytes);
+  std::string_view read_rest(IoBuffer& block, std::size_t bytes);
   void close();
-  int ends_[2] = {-1, -1};
+  int ends_[2] = {-1, -1}; // to read from, to write to
 };
 
-// These write to a bufferevent's socket at once, where nothing waits to be written before it; what does not go out
-// waits in its output. An error shows when that is written. They return how many bytes of `body` wait.
-std::size_t write_or_wait(bufferevent* b, std::string_view text); // of the text
-std::size_t write_or_wait(bufferevent* b, std::string_view head, Buffer&& body);
-std::size_t write_or_wait(bufferevent* b, std::string_view before, std::string_view body,
+/// These write to the socket of `to` at once where its output buffer is empty; what does not go out waits
+/// there. An error shows when that is written. They return how many bytes of the body wait: of all, where
+/// there is no other.
+std::size_t write_or_wait(bufferevent* to, std::string_view text);
+std::size_t write_or_wait(bufferevent* to, std::string_view head, Buffer&& body);
+std::size_t write_or_wait(bufferevent* to, std::string_view before, std::string_view body,
                           std::string_view after, IoBuffer& block);
 
 } // namespace fernward::loop
--- a/src/loop/net.cpp
+++ b/src/loop/net.cpp
@@ -11,8 +11,8 @@
 
 namespace fernward::loop {
 
-// Left to itself libevent closes the socket from the loop, later: whoever lets a connection go to use its
-// descriptor would not get it.
+// libevent would close the socket later, from the loop: a connection that is closed for its descriptor must
+// free it at once.
 void BuffereventFree::operator()(bufferevent* b) const {
   const int fd = bufferevent_getfd(b);
   bufferevent_setfd(b, -1);
@@ -30,22 +30,22 @@
 void limit_received(int fd, int bytes) { setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes); }
 
 void reset_on_close(int fd) {
-  const linger at_once{1, 0};
-  setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+  const linger no_wait{1, 0};
+  setsockopt(fd, SOL_SOCKET, SO_LINGER, &no_wait, sizeof no_wait);
 }
 
 Peek peek(int fd) {
   char byte = 0;
   const auto n = recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   if (n > 0) return Peek::Data;
-  return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR) ? Peek::Quiet : Peek::Closed;
+  return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR) ? Peek::NoData : Peek::Closed;
 }
 
 bool peer_ended(int fd) {
   const Peek next = peek(fd);
   if (next != Peek::Data) return next == Peek::Closed;
-  pollfd behind{fd, POLLRDHUP, 0};
-  return poll(&behind, 1, 0) > 0 && (behind.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  pollfd ended{fd, POLLRDHUP, 0};
+  return poll(&ended, 1, 0) > 0 && (ended.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 BuffereventPtr make_bufferevent(event_base* base, int fd) {
--- a/src/loop/net.h
+++ b/src/loop/net.h
@@ -1,4 +1,4 @@
-// RAII for bufferevents, and small helpers on sockets that ingress, egress and the watch share.
+// Bufferevents with an owner, and small helpers on sockets.
 #pragma once
 
 #include <event2/bufferevent.h>
@@ -14,23 +14,27 @@
 using BuffereventPtr = std::unique_ptr<bufferevent, BuffereventFree>;
 
 void set_nodelay(int fd);
-// What the kernel takes beyond what it has sent. Left alone it takes 4 MB for a peer that does not read, out of
-// sight of every account.
+/// Bytes that the kernel takes beyond what it has sent. By default it takes 4 MB for a peer that does not
+/// read, which no budget counts.
 void limit_unsent(int fd, int bytes);
-void limit_received(int fd, int bytes); // what it keeps of what was received, before the connection is made
-void reset_on_close(int fd);            // the peer sees a reset, not an end
-
-enum class Peek { Quiet, Data, Closed };
-Peek peek(int fd); // what a read of the socket would find
-// The peer has ended its sending or broken off, also where bytes that came before that are still unread.
+/// The kernel's receive buffer. To be set before the connection is made.
+void limit_received(int fd, int bytes);
+/// The peer sees a reset, not an end.
+void reset_on_close(int fd);
+
+/// What a read of the socket would find. Closed: an end or an error.
+enum class Peek { NoData, Data, Closed };
+Peek peek(int fd);
+/// The peer has ended its sending or broken off, also where bytes from before are still unread.
 bool peer_ended(int fd);
 
-// A bufferevent whose callbacks come from the event loop only. Never null: throws std::bad_alloc.
+/// A bufferevent whose callbacks come from the event loop only. Never null: throws std::bad_alloc.
 BuffereventPtr make_bufferevent(event_base* base, int fd);
 
-// A view of all that waits in the input, and how to take some of it out.
+/// A view of all that is unread in the input buffer; valid until that changes.
 std::string_view pending_input(bufferevent* b);
 void consume_input(bufferevent* b, std::size_t bytes);
+/// Bytes in the output buffer.
 std::size_t pending_output(bufferevent* b);
 
 } // namespace fernward::loop
--- a/src/loop/slot_map.h
+++ b/src/loop/slot_map.h
@@ -1,4 +1,4 @@
-// A table of numbered slots. A handle names a slot and its generation: one that was kept too long finds nothing.
+// A table of numbered slots with generations.
 #pragma once
 
 #include <cstddef>
@@ -11,61 +11,76 @@
 
 using Handle = std::uint64_t; // generation << 20 | slot: below 2^52, never 0
 
+/// A handle names a slot and its generation: one that was kept for too long finds nothing.
 template <typename T>
 class SlotMap {
  public:
-  explicit SlotMap(std::size_t limit = kMost) : limit_(limit < kMost ? limit : kMost) {}
+  /// `limit`: values at the same time, 2^20 at most.
+  explicit SlotMap(std::size_t limit = kMaxSlots) : limit_(limit < kMaxSlots ? limit : kMaxSlots) {}
 
-  bool full() const { return used_ >= limit_; }
-  std::size_t size() const { return used_; }
+  bool full() const { return size_ >= limit_; }
+  std::size_t size() const { return size_; }
 
+  /// 0: the table is full.
   template <typename... Args>
-  Handle add(Args&&... args) { // 0: the table is full
+  Handle add(Args&&... args) {
     if (full()) return 0;
-    std::size_t at;
-    if (free_.empty()) {
-      at = entries_.size();
-      entries_.emplace_back();
-    } else {
-      at = free_.back();
-      free_.pop_back();
-    }
-    Entry& entry = entries_[at];
-    ++entry.generation;
-    entry.value = std::make_unique<T>(std::forward<Args>(args)...);
-    ++used_;
-    return static_cast<Handle>(entry.generation) << kBits | at;
+    const std::size_t index = take_free_slot();
+    Slot& slot = slots_[index];
+    ++slot.generation;
+    slot.value = std::make_unique<T>(std::forward<Args>(args)...);
+    ++size_;
+    return handle_of(index);
   }
+  /// Null: the value has been removed.
   T* find(Handle handle) {
-    const std::size_t at = handle & (kMost - 1);
-    if (at >= entries_.size() || entries_[at].generation != handle >> kBits) return nullptr;
-    return entries_[at].value.get();
+    const std::size_t index = index_of(handle);
+    if (index >= slots_.size() || slots_[index].generation != handle >> kSlotBits) return nullptr;
+    return slots_[index].value.get();
   }
+  /// Harmless for a value that has been removed.
   void remove(Handle handle) {
     if (find(handle) == nullptr) return;
-    const std::size_t at = handle & (kMost - 1);
-    const std::unique_ptr<T> gone = std::move(entries_[at].value); // its end may come back to this table
-    free_.push_back(at);
-    --used_;
+    const std::size_t index = index_of(handle);
+    const std::unique_ptr<T> removed = std::move(slots_[index].value); // its destructor may use this table
+    free_.push_back(index);
+    --size_;
   }
+  /// Calls visit(handle, value) in the order of the slots. It may remove any value.
   template <typename Visit>
-  void each(Visit visit) { // visit(handle, value); it may remove any slot
-    for (std::size_t at = 0; at < entries_.size(); ++at) {
-      if (entries_[at].value == nullptr) continue;
-      visit(static_cast<Handle>(entries_[at].generation) << kBits | at, *entries_[at].value);
+  void each(Visit visit) {
+    for (std::size_t index = 0; index < slots_.size(); ++index) {
+      if (slots_[index].value == nullptr) continue;
+      visit(handle_of(index), *slots_[index].value);
     }
   }
 
  private:
-  static constexpr unsigned kBits = 20;
-  static constexpr std::size_t kMost = std::size_t{1} << kBits;
-  struct Entry {
+  static constexpr unsigned kSlotBits = 20;
+  static constexpr std::size_t kMaxSlots = std::size_t{1} << kSlotBits;
+  struct Slot {
     std::uint32_t generation = 0;
-    std::unique_ptr<T> value;
+    std::unique_ptr<T> value; // null: free
   };
-  std::vector<Entry> entries_;
+
+  static std::size_t index_of(Handle handle) { return handle & (kMaxSlots - 1); }
+  Handle handle_of(std::size_t index) const {
+    return static_cast<Handle>(slots_[index].generation) << kSlotBits | index;
+  }
+  std::size_t take_free_slot() {
+    if (free_.empty()) {
+      slots_.emplace_back();
+      return slots_.size() - 1;
+    }
+    const std::size_t index = free_.back();
+    free_.pop_back();
+    return index;
+  }
+
+  std::vector<Slot> slots_;
   std::vector<std::size_t> free_;
-  std::size_t limit_, used_ = 0;
+  std::size_t limit_;
+  std::size_t size_ = 0;
 };
 
 } // namespace fernward::loop
--- a/src/loop/timer_queue.cpp
+++ b/src/loop/timer_queue.cpp
@@ -7,7 +7,8 @@
 namespace fernward::loop {
 namespace {
 
-constexpr std::size_t kBranches = 4;
+constexpr std::size_t kChildren = 4;       // of a node of the heap
+constexpr double kLongestWaitMs = 60000.0; // of the libevent timer; it is armed again
 
 double steady_ms() {
   return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
@@ -23,117 +24,125 @@
   return offset + steady_ms();
 }
 
-TimerQueue::TimerQueue(event_base* base) : timer_(event_new(base, -1, 0, &TimerQueue::fired, this)) {
-  if (timer_ == nullptr) throw std::bad_alloc();
+TimerQueue::TimerQueue(event_base* base) : event_(event_new(base, -1, 0, &TimerQueue::on_timer, this)) {
+  if (event_ == nullptr) throw std::bad_alloc();
 }
 
-TimerQueue::TimerId TimerQueue::at(double when, std::function<void()> what) {
+TimerQueue::TimerId TimerQueue::at(double due_ms, std::function<void()> callback) {
   std::uint32_t slot = 0;
-  if (free_.empty()) {
+  if (free_slots_.empty()) {
     slot = static_cast<std::uint32_t>(slots_.size());
     slots_.emplace_back();
   } else {
-    slot = free_.back();
-    free_.pop_back();
+    slot = free_slots_.back();
+    free_slots_.pop_back();
   }
-  slots_[slot].what = std::move(what);
+  slots_[slot].callback = std::move(callback);
   heap_.push_back({});
-  up(heap_.size() - 1, {when, ++last_, slot});
+  sift_up(heap_.size() - 1, {due_ms, ++last_sequence_, slot});
   arm();
   return TimerId{slots_[slot].generation} << 32 | slot;
 }
 
-TimerQueue::TimerId TimerQueue::within(double from, double until, std::function<void()> what) {
-  const TimerId ticket = at(until, std::move(what));
-  early_.push_back({from, ticket});
-  return ticket;
+TimerQueue::TimerId TimerQueue::within(double earliest_ms, double latest_ms, std::function<void()> callback) {
+  const TimerId timer = at(latest_ms, std::move(callback));
+  flexible_.push_back({earliest_ms, timer});
+  return timer;
 }
 
-bool TimerQueue::waits(TimerId ticket) const {
-  const auto slot = static_cast<std::uint32_t>(ticket);
-  return ticket >> 32 != 0 && slot < slots_.size() && slots_[slot].generation == ticket >> 32;
+bool TimerQueue::is_pending(TimerId timer) const {
+  const std::uint32_t slot = slot_of(timer);
+  return timer >> 32 != 0 && slot < slots_.size() && slots_[slot].generation == timer >> 32;
 }
 
-void TimerQueue::cancel(TimerId& ticket) {
-  const TimerId which = std::exchange(ticket, 0); // an armed timer that finds nothing due arms itself anew
-  if (waits(which)) remove(slots_[static_cast<std::uint32_t>(which)].place);
+void TimerQueue::cancel(TimerId& timer) {
+  const TimerId cancelled = std::exchange(timer, 0);
+  if (!is_pending(cancelled)) return;
+  remove(
+      slots_[slot_of(cancelled)].heap_index); // the event stays armed: it finds nothing due and is armed anew
 }
 
-void TimerQueue::run() {
-  armed_for_ = 0;
+void TimerQueue::run_due() {
+  armed_for_ms_ = 0;
   const double now = now_ms();
-  const std::uint64_t newest =
-      last_; // what is added meanwhile waits for the next turn, lest the loop starves
-  while (!heap_.empty() && heap_.front().when <= now && heap_.front().order <= newest) {
-    remove(0)(); // out first: the call may change the heap
-  }
-  for (std::size_t i = early_.size(); i > 0; --i) { // from the end: what is added meanwhile waits, too
-    const Early one = early_[i - 1];
-    if (waits(one.ticket) && one.from > now) continue;
-    early_.erase(early_.begin() + static_cast<std::ptrdiff_t>(i - 1));
-    if (waits(one.ticket)) remove(slots_[static_cast<std::uint32_t>(one.ticket)].place)();
+  const std::uint64_t newest = last_sequence_; // what is added meanwhile waits: the loop must not starve
+  while (!heap_.empty() && heap_.front().due_ms <= now && heap_.front().sequence <= newest) {
+    remove(0)(); // removed first: the callback may change the heap
   }
+  run_flexible(now);
   arm();
 }
 
-void TimerQueue::put(std::size_t place, Entry entry) {
-  heap_[place] = entry;
-  slots_[entry.slot].place = static_cast<std::uint32_t>(place);
+// From the end: what is added meanwhile waits, too.
+void TimerQueue::run_flexible(double now) {
+  for (std::size_t i = flexible_.size(); i > 0; --i) {
+    const FlexibleTimer flexible = flexible_[i - 1];
+    if (is_pending(flexible.timer) && flexible.earliest_ms > now) continue;
+    flexible_.erase(flexible_.begin() + static_cast<std::ptrdiff_t>(i - 1));
+    if (is_pending(flexible.timer)) remove(slots_[slot_of(flexible.timer)].heap_index)();
+  }
+}
+
+void TimerQueue::place(std::size_t index, HeapEntry entry) {
+  heap_[index] = entry;
+  slots_[entry.slot].heap_index = static_cast<std::uint32_t>(index);
 }
 
-void TimerQueue::up(std::size_t place, Entry entry) {
-  while (place > 0) {
-    const std::size_t parent = (place - 1) / kBranches;
+void TimerQueue::sift_up(std::size_t index, HeapEntry entry) {
+  while (index > 0) {
+    const std::size_t parent = (index - 1) / kChildren;
     if (!(entry < heap_[parent])) break;
-    put(place, heap_[parent]);
-    place = parent;
+    place(index, heap_[parent]);
+    index = parent;
   }
-  put(place, entry);
+  place(index, entry);
 }
 
-void TimerQueue::down(std::size_t place, Entry entry) {
+void TimerQueue::sift_down(std::size_t index, HeapEntry entry) {
   for (;;) {
-    const std::size_t first = kBranches * place + 1, end = std::min(first + kBranches, heap_.size());
+    const std::size_t first = kChildren * index + 1;
+    const std::size_t end = std::min(first + kChildren, heap_.size());
     std::size_t least = first;
     for (std::size_t child = first + 1; child < end; ++child) {
       if (heap_[child] < heap_[least]) least = child;
     }
     if (first >= heap_.size() || !(heap_[least] < entry)) break;
-    put(place, heap_[least]);
-    place = least;
+    place(index, heap_[least]);
+    index = least;
   }
-  put(place, entry);
+  place(index, entry);
 }
 
-std::function<void()> TimerQueue::remove(std::size_t place) {
-  Slot& slot = slots_[heap_[place].slot];
-  std::function<void()> what = std::move(slot.what);
-  slot.what = nullptr;
-  if (++slot.generation == 0) slot.generation = 1; // 0 is no ticket's
-  free_.push_back(heap_[place].slot);
-  const Entry last = heap_.back();
+// Returns the callback that was due there.
+std::function<void()> TimerQueue::remove(std::size_t index) {
+  const std::uint32_t slot_number = heap_[index].slot;
+  Slot& slot = slots_[slot_number];
+  std::function<void()> callback = std::move(slot.callback);
+  slot.callback = nullptr;
+  if (++slot.generation == 0) slot.generation = 1;
+  free_slots_.push_back(slot_number);
+  const HeapEntry last = heap_.back();
   heap_.pop_back();
-  if (place < heap_.size()) {
-    // The last one takes its place, and finds its own from there.
-    if (place > 0 && last < heap_[(place - 1) / kBranches]) {
-      up(place, last);
-    } else {
-      down(place, last);
-    }
+  if (index == heap_.size()) return callback;
+  // The last entry fills the gap, and moves to its place from there.
+  if (index > 0 && last < heap_[(index - 1) / kChildren]) {
+    sift_up(index, last);
+  } else {
+    sift_down(index, last);
   }
-  return what;
+  return callback;
 }
 
 void TimerQueue::arm() {
   if (heap_.empty()) return;
-  const double when = heap_.front().when;
-  if (armed_for_ != 0 && armed_for_ <= when) return;
-  armed_for_ = when;
-  const double wait = std::clamp(when - now_ms(), 0.0, 60000.0) * 1000;
+  const double due_ms = heap_.front().due_ms;
+  if (armed_for_ms_ != 0 && armed_for_ms_ <= due_ms) return;
+  armed_for_ms_ = due_ms;
+  const double wait_us = std::clamp(due_ms - now_ms(), 0.0, kLongestWaitMs) * 1000;
   timeval delay{};
-  delay.tv_sec = static_cast<time_t>(wait / 1e6);
-  delay.tv_usec = static_cast<suseconds_t>(wait - static_cast<double>(delay.tv_sec) * 1e6);
-  event_add(timer_.get(), &delay);
+  delay.tv_sec = static_cast<time_t>(wait_us / 1e6);
+  delay.tv_usec = static_cast<suseconds_t>(wait_us - static_cast<double>(delay.tv_sec) * 1e6);
+  event_add(event_.get(), &delay);
 }
 
 } // namespace fernward::loop
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -173,7 +173,7 @@
   for (std::size_t i = free.size(); i-- > 0;) {
     UpstreamConnection* const connection = connections_.find(free[i]);
     if (connection == nullptr || !connection->is(State::Idle)) continue;
-    if (loop::peek(bufferevent_getfd(connection->socket.get())) != loop::Peek::Quiet) {
+    if (loop::peek(bufferevent_getfd(connection->socket.get())) != loop::Peek::NoData) {
       close(*connection, CloseReason::Stale); // takes it out of `free`
       i = std::min(i, free.size());
       continue;
--- a/src/upstream/response_receiver.cpp
+++ b/src/upstream/response_receiver.cpp
@@ -85,7 +85,7 @@
     const std::size_t allowed = std::min(loop::IoBuffer::size(), read_allowance(connection));
     if (connection.is(State::Paused)) return;
     std::size_t bytes = 0;
-    loop::Received received = loop::Received::Nothing;
+    loop::Received received = loop::Received::WouldBlock;
     const bool streamed = stream_block(connection, allowed, received, bytes);
     if (!streamed) {
       const int socket = bufferevent_getfd(connection.socket.get());
@@ -120,12 +120,12 @@
 
 // True: the connection is broken or at its end, and may be gone.
 bool ResponseReceiver::handle_read_end(UpstreamConnection& connection, loop::Received received) {
-  if (received == loop::Received::Broken) {
+  if (received == loop::Received::Error) {
     context_.owner.disconnected(connection, false);
     return true;
   }
   // Without a direct read libevent finds the end again.
-  if (received == loop::Received::Ended && connection.response.direct_read != nullptr) {
+  if (received == loop::Received::EndOfStream && connection.response.direct_read != nullptr) {
     context_.owner.disconnected(connection, true);
     return true;
   }
--- a/tests/net/parts_test.cpp
+++ b/tests/net/parts_test.cpp
@@ -1,4 +1,4 @@
-// The parts that need no sockets: configuration, route table, slots, deadlines, codecs.
+// The parts that need no sockets: configuration, endpoint table, slots, timers, codecs.
 #include <doctest/doctest.h>
 #include <sys/resource.h>
 #include <sys/stat.h>
@@ -146,78 +146,76 @@
   CHECK(slots.size() == 2);
 }
 
-TEST_CASE("deadlines fire in order, and not once cancelled") {
+TEST_CASE("timers fire in order, and not once cancelled") {
   const auto base = router::make_base();
-  loop::TimerQueue deadlines(base.get());
+  loop::TimerQueue timers(base.get());
   std::string order;
   const double now = loop::now_ms();
-  deadlines.at(now + 20, [&] { order += 'c'; });
-  auto cancelled = deadlines.at(now + 5, [&] { order += 'x'; });
-  auto inner = deadlines.at(now + 15, [&] { order += 'y'; });
-  deadlines.at(now + 10, [&] {
+  timers.at(now + 20, [&] { order += 'c'; });
+  auto cancelled = timers.at(now + 5, [&] { order += 'x'; });
+  auto inner = timers.at(now + 15, [&] { order += 'y'; });
+  timers.at(now + 10, [&] {
     order += 'a';
-    deadlines.cancel(inner); // from within another
-    deadlines.at(now + 10, [&] { order += 'b'; });
+    timers.cancel(inner); // from within another
+    timers.at(now + 10, [&] { order += 'b'; });
   });
-  deadlines.cancel(cancelled);
+  timers.cancel(cancelled);
   CHECK(cancelled == 0);
-  CHECK(run_until(base.get(), [&] { return deadlines.size() == 0; }));
+  CHECK(run_until(base.get(), [&] { return timers.size() == 0; }));
   CHECK(order == "abc");
 }
 
-TEST_CASE(
-    "what nothing waits for goes with the first deadline of its span, at its end without one, or not at "
-    "all") {
+TEST_CASE("what is not urgent runs with the first timer of its span, at its end without one, or not at all") {
   const auto base = router::make_base();
-  loop::TimerQueue deadlines(base.get());
+  loop::TimerQueue timers(base.get());
   const double now = loop::now_ms();
   double first = 0, inner = 0, alone = 0;
   bool cancelled_ran = false;
-  deadlines.within(now + 100, now + 9000, [&] {
+  timers.within(now + 100, now + 9000, [&] {
     first = loop::now_ms();
-    deadlines.within(now, now + 9000, [&] { inner = loop::now_ms(); });
+    timers.within(now, now + 9000, [&] { inner = loop::now_ms(); });
   });
-  auto cancelled = deadlines.within(now, now + 400, [&] { cancelled_ran = true; });
-  for (const double ms : {10, 200, 300}) deadlines.at(now + ms, [] {});
-  deadlines.cancel(cancelled);
-  CHECK(run_until(base.get(), [&] { return deadlines.size() == 0; }));
+  auto cancelled = timers.within(now, now + 400, [&] { cancelled_ran = true; });
+  for (const double ms : {10, 200, 300}) timers.at(now + ms, [] {});
+  timers.cancel(cancelled);
+  CHECK(run_until(base.get(), [&] { return timers.size() == 0; }));
   CHECK(first >= now + 100);
   CHECK(first < now + 5000);
   CHECK(inner > first); // with a later wake, and it need not wait for its own end
   CHECK(inner < now + 5000);
   CHECK_FALSE(cancelled_ran);
-  deadlines.within(now, now + 500, [&] { alone = loop::now_ms(); });
+  timers.within(now, now + 500, [&] { alone = loop::now_ms(); });
   CHECK(run_until(base.get(), [&] { return alone > 0; }));
   CHECK(alone >= now + 500);
 }
 
-// guards: a heap that loses its order, or a ticket that cancels what another was given for
-TEST_CASE("thousands of deadlines, most of them cancelled: the rest fire in order, each once") {
+// guards: a heap that loses its order, or an id that cancels the timer of another
+TEST_CASE("thousands of timers, most of them cancelled: the rest fire in order, each once") {
   const auto base = router::make_base();
-  loop::TimerQueue deadlines(base.get());
+  loop::TimerQueue timers(base.get());
   std::mt19937 draw(11);
   std::vector<std::pair<double, int>> fired; // when it was due, and its number
   std::map<int, double> due;
-  std::vector<std::pair<loop::TimerQueue::TimerId, int>> tickets;
+  std::vector<std::pair<loop::TimerQueue::TimerId, int>> ids;
   const double now = loop::now_ms();
   for (int i = 0; i < 20000; ++i) {
     const double when = now + static_cast<int>(draw() % 50); // many at the same time
-    tickets.emplace_back(deadlines.at(when, [&fired, when, i] { fired.emplace_back(when, i); }), i);
+    ids.emplace_back(timers.at(when, [&fired, when, i] { fired.emplace_back(when, i); }), i);
     due[i] = when;
     if (draw() % 8 == 0) continue;
-    const std::size_t one = draw() % tickets.size(); // perhaps one that is cancelled already
-    auto ticket = tickets[one].first;
-    deadlines.cancel(ticket);
-    due.erase(tickets[one].second);
+    const std::size_t one = draw() % ids.size(); // perhaps one that is cancelled already
+    auto timer = ids[one].first;
+    timers.cancel(timer);
+    due.erase(ids[one].second);
   }
-  CHECK(deadlines.size() == due.size());
-  CHECK(run_until(base.get(), [&] { return deadlines.size() == 0; }));
+  CHECK(timers.size() == due.size());
+  CHECK(run_until(base.get(), [&] { return timers.size() == 0; }));
   CHECK(fired.size() == due.size());
   for (const auto& [when, number] : fired) CHECK(due.count(number) == 1);
   CHECK(std::is_sorted(fired.begin(), fired.end()));
 }
 
-TEST_CASE("what an answer of a target means") {
+TEST_CASE("what the response of an endpoint means") {
   const auto result = [](int code, const char* not_processed) {
     http::Message answer;
     answer.status = code;
