--- a/lab/limiters/contender.h
+++ b/lab/limiters/contender.h
@@ -17,7 +17,7 @@
   virtual bool room(double now, std::uint32_t out, bool write) const = 0;
   virtual void wanted(double) {}
   virtual void sent(double now) = 0;
-  virtual void ended(double now, const concurrency::Sample& sample) = 0;
+  virtual void ended(double now, const concurrency::AttemptSample& sample) = 0;
   virtual void reported(double, double /*queue*/) {}
   virtual double limit() const = 0;
   virtual double crowding(double now, double out) const = 0;
--- a/lab/limiters/rivals.cpp
+++ b/lab/limiters/rivals.cpp
@@ -7,8 +7,8 @@
 namespace fernward::limiters {
 namespace {
 
-using concurrency::Ending;
-using concurrency::Sample;
+using concurrency::AttemptOutcome;
+using concurrency::AttemptSample;
 
 // Below one a limit is a pace, as in the router: else the least limits of many routers bury a small server.
 bool paced(double limit, double now, double sent_at, double recent_ms, std::uint32_t out) {
@@ -16,9 +16,9 @@
   return out < limit;
 }
 
-bool dropped(const Sample& s) {
-  return s.ending == Ending::TurnedAway || s.ending == Ending::Unreached || s.ending == Ending::Silent ||
-         s.elapsed_ms > s.aim_ms;
+bool dropped(const AttemptSample& s) {
+  return s.outcome == AttemptOutcome::Rejected || s.outcome == AttemptOutcome::ConnectFailed ||
+         s.outcome == AttemptOutcome::TimedOut || s.elapsed_ms > s.latency_objective_ms;
 }
 
 // What the router had before: cut where answers pass half of the class's aim.
@@ -30,18 +30,19 @@
     return paced(mine, now, sent_at_, recent_ms_, out);
   }
   void sent(double now) override { sent_at_ = now; }
-  void ended(double now, const Sample& s) override {
-    if (s.ending == Ending::TurnedAway || s.ending == Ending::Unreached) return cut(now, 0.7);
-    const bool fault = s.ending == Ending::Fault || s.ending == Ending::Silent;
-    if (s.ending != Ending::Answered && !(fault && s.elapsed_ms >= recent_ms_)) return;
-    const double elapsed = std::min(s.elapsed_ms, s.aim_ms);
+  void ended(double now, const AttemptSample& s) override {
+    if (s.outcome == AttemptOutcome::Rejected || s.outcome == AttemptOutcome::ConnectFailed)
+      return cut(now, 0.7);
+    const bool fault = s.outcome == AttemptOutcome::Fault || s.outcome == AttemptOutcome::TimedOut;
+    if (s.outcome != AttemptOutcome::Answered && !(fault && s.elapsed_ms >= recent_ms_)) return;
+    const double elapsed = std::min(s.elapsed_ms, s.latency_objective_ms);
     if (recent_ms_ == 0) recent_ms_ = elapsed;
     smooth(recent_ms_, elapsed, 0.1);
-    smooth(lateness_, elapsed / s.aim_ms, limit_ < 1 ? 0.5 : 0.1);
+    smooth(lateness_, elapsed / s.latency_objective_ms, limit_ < 1 ? 0.5 : 0.1);
     if (lateness_ > 0.5) {
-      if (now - cut_at_ >= recent_ms_) limit_ = std::min(limit_, s.out + 1.0);
+      if (now - cut_at_ >= recent_ms_) limit_ = std::min(limit_, s.in_flight + 1.0);
       cut(now, 0.8);
-    } else if (s.out + 1 >= limit_ / 2) {
+    } else if (s.in_flight + 1 >= limit_ / 2) {
       limit_ += cut_at_ == kNever ? 1 : std::min(1.0, 1 / limit_);
     } else if (limit_ > kRest) {
       limit_ *= 0.98;
@@ -62,14 +63,14 @@
 
 class Ours final : public Contender {
  public:
-  explicit Ours(double nodes) : limiter_(concurrency::OriginConcurrencyLimiter::origin(nodes)) {}
+  explicit Ours(double nodes) : limiter_(concurrency::OriginConcurrencyLimiter::for_router_count(nodes)) {}
   bool room(double now, std::uint32_t out, bool write) const override {
-    return limiter_.room(now, out, write);
+    return limiter_.has_capacity(now, out, write);
   }
-  void sent(double now) override { limiter_.sent(now); }
-  void ended(double now, const Sample& s) override { limiter_.ended(now, s); }
+  void sent(double now) override { limiter_.on_attempt_sent(now); }
+  void ended(double now, const AttemptSample& s) override { limiter_.on_attempt_ended(now, s); }
   double limit() const override { return limiter_.limit(); }
-  double crowding(double now, double out) const override { return limiter_.crowding(now, out); }
+  double crowding(double now, double out) const override { return limiter_.utilization(now, out); }
 
  private:
   concurrency::OriginConcurrencyLimiter limiter_;
@@ -83,8 +84,8 @@
     return write && out == 0 ? true : paced(limit_, now, sent_at_, recent_ms_, out);
   }
   void sent(double now) override { sent_at_ = now; }
-  void ended(double now, const Sample& s) override {
-    if (s.ending == Ending::Answered) {
+  void ended(double now, const AttemptSample& s) override {
+    if (s.outcome == AttemptOutcome::Answered) {
       if (recent_ms_ == 0) recent_ms_ = s.elapsed_ms;
       smooth(recent_ms_, s.elapsed_ms, 0.1);
     }
@@ -95,7 +96,7 @@
   double crowding(double, double out) const override { return out / limit_; }
 
  protected:
-  virtual void learn(double now, const Sample& s) = 0;
+  virtual void learn(double now, const AttemptSample& s) = 0;
   double limit_, recent_ms_ = 0, sent_at_ = kNever, least_ = 1;
 };
 
@@ -107,19 +108,19 @@
   explicit Vegas(double nodes) : Plain(std::max(1.0, 20 / nodes)) {}
 
  private:
-  void learn(double, const Sample& s) override {
+  void learn(double, const AttemptSample& s) override {
     const double step = std::max(1.0, std::log10(limit_));
     if (dropped(s)) {
       limit_ -= step;
       return;
     }
-    if (s.ending != Ending::Answered) return;
+    if (s.outcome != AttemptOutcome::Answered) return;
     if (++seen_ > 30 * limit_) seen_ = 0, least_ms_ = 0;
     if (least_ms_ == 0 || s.elapsed_ms < least_ms_) {
       least_ms_ = s.elapsed_ms;
       return;
     }
-    if (2 * (s.out + 1) < limit_) return;
+    if (2 * (s.in_flight + 1) < limit_) return;
     const double queue = std::ceil(limit_ * (1 - least_ms_ / s.elapsed_ms));
     if (queue <= step) {
       limit_ += 6 * step;
@@ -139,12 +140,12 @@
   explicit Gradient2(double nodes) : Plain(std::max(1.0, 20 / nodes)) {}
 
  private:
-  void learn(double, const Sample& s) override {
-    if (s.ending != Ending::Answered) return;
+  void learn(double, const AttemptSample& s) override {
+    if (s.outcome != AttemptOutcome::Answered) return;
     seen_ = std::min(seen_ + 1, 600.0);
     smooth(long_ms_, s.elapsed_ms, seen_ < 10 ? 1 / seen_ : 2 / (600 + 1.0));
     if (long_ms_ / s.elapsed_ms > 2) long_ms_ *= 0.95;
-    if (2 * (s.out + 1) < limit_) return;
+    if (2 * (s.in_flight + 1) < limit_) return;
     const double gradient = std::clamp(1.5 * long_ms_ / s.elapsed_ms, 0.5, 1.0);
     smooth(limit_, limit_ * gradient + 4, 0.2);
   }
@@ -157,10 +158,10 @@
   explicit Aimd(double nodes) : Plain(std::max(1.0, 20 / nodes)) {}
 
  private:
-  void learn(double, const Sample& s) override {
+  void learn(double, const AttemptSample& s) override {
     if (dropped(s)) {
       limit_ *= 0.9;
-    } else if (s.ending == Ending::Answered && 2 * (s.out + 1) >= limit_) {
+    } else if (s.outcome == AttemptOutcome::Answered && 2 * (s.in_flight + 1) >= limit_) {
       limit_ += 1;
     }
   }
@@ -171,7 +172,7 @@
   explicit Fixed(double limit) : limit_(limit) {}
   bool room(double, std::uint32_t out, bool) const override { return out < limit_; }
   void sent(double) override {}
-  void ended(double, const Sample&) override {}
+  void ended(double, const AttemptSample&) override {}
   double limit() const override { return limit_; }
   double crowding(double, double out) const override { return out / limit_; }
 
--- a/lab/limiters/world.cpp
+++ b/lab/limiters/world.cpp
@@ -18,7 +18,7 @@
 namespace fernward::limiters {
 namespace {
 
-using concurrency::Ending;
+using concurrency::AttemptOutcome;
 
 constexpr double kWayMs = 1;      // there and back
 constexpr double kTickMs = 100;   // a router looks at its queue at least this often
@@ -192,13 +192,13 @@
         if (!tries_[e.a].over && tries_[e.a].out == 0 && !tries_[e.a].queued) enqueue(e.a);
         break;
       case Kind::GivenUp:
-        if (attempts_[e.a].out) ended(e.a, Ending::Silent);
+        if (attempts_[e.a].out) ended(e.a, AttemptOutcome::TimedOut);
         break;
       case Kind::Server:
         if (e.a == server_version_) serve();
         break;
       case Kind::Back:
-        if (attempts_[e.a].out) ended(e.a, static_cast<Ending>(e.b));
+        if (attempts_[e.a].out) ended(e.a, static_cast<AttemptOutcome>(e.b));
         break;
       case Kind::Tick: tick(e.a); break;
       case Kind::Restart:
@@ -248,7 +248,7 @@
     t.end_at = std::min(t.gone_at, now_ + aim_ms_);
     const auto id = static_cast<std::uint32_t>(tries_.size());
     tries_.push_back(t);
-    routers_[t.router].allowance.request(now_, 1);
+    routers_[t.router].allowance.on_request(now_, 1);
     routers_[t.router].limiter->wanted(now_);
     at(t.end_at, Kind::End, id);
     enqueue(id);
@@ -263,7 +263,7 @@
     Request& q = requests_[t.request];
     double wait = draw_.backoff_ms * (draw_.doubling ? std::exp2(q.done - 1) : 1);
     if (Streams::unit(random_.client) < draw_.heed) {
-      wait = std::max(wait, std::min(kMostAdviceMs, r.queue.advice_ms()));
+      wait = std::max(wait, std::min(kMostAdviceMs, r.queue.retry_after_ms()));
     }
     if (q.done < q.tries && now_ + wait < q.first_at + 2 * aim_ms_) {
       at(now_ + wait, Kind::Again, t.request);
@@ -283,7 +283,7 @@
     Try& t = tries_[id];
     Router& r = routers_[t.router];
     const Request& q = requests_[t.request];
-    r.queue.serves(turns_per_ms(r), r.recent_ms);
+    r.queue.set_service_rate(turns_per_ms(r), r.recent_ms);
     if (waiting_ == Waiting::Leave) {
       if (!r.queue.add(now_, id, q.worth, t.end_at, q.write)) return conclude(id);
     } else if (waiting_ == Waiting::CoDel) {
@@ -345,8 +345,8 @@
     }
     std::vector<std::uint64_t> late;
     if (waiting_ == Waiting::Leave) {
-      r.queue.serves(turns_per_ms(r), r.recent_ms);
-      r.queue.leave(now_, late);
+      r.queue.set_service_rate(turns_per_ms(r), r.recent_ms);
+      r.queue.take_expired(now_, late);
     } else if (waiting_ == Waiting::CoDel) {
       r.codel.leave(now_, aim_ms_, late);
     }
@@ -389,21 +389,21 @@
     account();
     const auto taken = server_.arrives(now_, n, requests_[t.request].work_ms, t.gone_at);
     if (taken == Server::Taken::TurnedAway)
-      at(now_ + kWayMs, Kind::Back, n, static_cast<std::uint32_t>(Ending::TurnedAway));
+      at(now_ + kWayMs, Kind::Back, n, static_cast<std::uint32_t>(AttemptOutcome::Rejected));
     if (taken == Server::Taken::Down)
-      at(now_ + kWayMs, Kind::Back, n, static_cast<std::uint32_t>(Ending::Unreached));
+      at(now_ + kWayMs, Kind::Back, n, static_cast<std::uint32_t>(AttemptOutcome::ConnectFailed));
     result_.peak = std::max(result_.peak, server_.held_per_core());
     std::vector<Server::Job> lost;
     if (server_.falls(now_, lost)) {
       ++result_.falls;
       for (const auto job : lost)
         at(now_ + kWayMs, Kind::Back, static_cast<std::uint32_t>(job),
-           static_cast<std::uint32_t>(Ending::Fault));
+           static_cast<std::uint32_t>(AttemptOutcome::Fault));
     }
     schedule();
   }
 
-  void ended(std::uint32_t n, Ending ending) {
+  void ended(std::uint32_t n, AttemptOutcome ending) {
     Attempt& a = attempts_[n];
     a.out = false;
     Try& t = tries_[a.id];
@@ -412,25 +412,26 @@
     if (!a.stuck || !leaves_out_stuck_) --r.out;
     Request& q = requests_[t.request];
     const double elapsed = now_ - a.sent_at;
-    if (ending == Ending::Answered) {
+    if (ending == AttemptOutcome::Answered) {
       if (hears_queue_) r.limiter->reported(now_, told_queue_);
       if (r.recent_ms == 0) r.recent_ms = elapsed;
       r.later = std::max(r.later, a.sent_at);
       smooth(r.recent_ms, elapsed, 0.1);
     }
     r.limiter->ended(now_, {ending, elapsed, q.hint_ms, aim_ms_, q.write, r.out});
-    r.allowance.ended(now_, ending == Ending::TurnedAway || ending == Ending::Unreached ||
-                                (ending == Ending::Answered && elapsed > aim_ms_));
-    if (ending == Ending::Answered && now_ > q.first_at + aim_ms_) ++result_.late;
+    r.allowance.on_attempt_ended(now_, ending == AttemptOutcome::Rejected ||
+                                           ending == AttemptOutcome::ConnectFailed ||
+                                           (ending == AttemptOutcome::Answered && elapsed > aim_ms_));
+    if (ending == AttemptOutcome::Answered && now_ > q.first_at + aim_ms_) ++result_.late;
     if (!t.over) next(a.id, ending);
     pump(t.router);
   }
 
-  void next(std::uint32_t id, Ending ending) {
+  void next(std::uint32_t id, AttemptOutcome ending) {
     Try& t = tries_[id];
     Router& r = routers_[t.router];
     Request& q = requests_[t.request];
-    if (ending == Ending::Answered) {
+    if (ending == AttemptOutcome::Answered) {
       t.over = true;
       if (!q.good && now_ <= q.first_at + aim_ms_) {
         q.good = true;
@@ -442,9 +443,10 @@
       return;
     }
     if (t.out > 0 || t.queued) return;
-    if (t.attempts >= kMostAttempts || ending == Ending::Silent) return conclude(id);
-    if (ending == Ending::Fault) {
-      if (!r.allowance.spend(now_, concurrency::RetryBudget::Use::Retry, crowding(r))) return conclude(id);
+    if (t.attempts >= kMostAttempts || ending == AttemptOutcome::TimedOut) return conclude(id);
+    if (ending == AttemptOutcome::Fault) {
+      if (!r.allowance.try_consume(now_, concurrency::RetryBudget::Use::Retry, crowding(r)))
+        return conclude(id);
       return enqueue(id);
     }
     at(now_ + std::max(5.0, r.recent_ms) * (0.5 + Streams::unit(random_.client)), Kind::Requeue, id);
@@ -464,7 +466,7 @@
     if (leaves_out_stuck_) --r.out;
     const bool may = !t.over && t.out == 1 && t.attempts < kMostAttempts && !requests_[t.request].write;
     if (may && r.limiter->room(now_, r.out, false) &&
-        r.allowance.spend(now_, concurrency::RetryBudget::Use::Copy, crowding(r))) {
+        r.allowance.try_consume(now_, concurrency::RetryBudget::Use::Hedge, crowding(r))) {
       send(a.id);
     }
     pump(t.router);
@@ -490,11 +492,11 @@
     for (const auto job : done) {
       const auto n = static_cast<std::uint32_t>(job);
       at(now_ + kWayMs, Kind::Back, n,
-         static_cast<std::uint32_t>(attempts_[n].reset ? Ending::Fault : Ending::Answered));
+         static_cast<std::uint32_t>(attempts_[n].reset ? AttemptOutcome::Fault : AttemptOutcome::Answered));
     }
     for (const auto job : dropped)
       at(now_ + kWayMs, Kind::Back, static_cast<std::uint32_t>(job),
-         static_cast<std::uint32_t>(Ending::TurnedAway));
+         static_cast<std::uint32_t>(AttemptOutcome::Rejected));
     schedule();
   }
 
--- a/lab/virtual/router.cpp
+++ b/lab/virtual/router.cpp
@@ -148,13 +148,13 @@
 
 void Router::request(Handle client, const model::TryStart& start) {
   const Waiting waiting{client, start};
-  descriptors::DescriptorBudget::Place place = room(descriptors::Side::Clients);
+  descriptors::DescriptorBudget::Lease place = room(descriptors::Side::Downstream);
   if (!place) return door_.push_back(waiting);
   open(waiting, std::move(place));
   pump();
 }
 
-void Router::open(const Waiting& waiting, descriptors::DescriptorBudget::Place place) {
+void Router::open(const Waiting& waiting, descriptors::DescriptorBudget::Lease place) {
   if (open_ >= spec_.routers.open_cap) return world_.answer(waiting.client, model::Heard::Refused, 0);
   const model::TryStart& start = waiting.start;
   const Handle id = world_.exchanges().add();
@@ -313,7 +313,7 @@
   free_[l.machine].push_back(link);
   while (!resting_.empty() && !at_rest(resting_.front())) resting_.pop_front();
   resting_.push_back({l.rests_since, link});
-  world_.at(now() + rests_.hold_ms(now(), l.machine), Due::LinkRested, place_.id, link, l.rest);
+  world_.at(now() + rests_.keep_ms(now(), l.machine), Due::LinkRested, place_.id, link, l.rest);
 }
 
 bool Router::at_rest(const Rest& rest) {
@@ -329,8 +329,8 @@
 // What its request came to, for the next ones that find a link at rest.
 void Router::learn(const Link& l, bool reset) {
   if (known_[l.machine].state == ServerState::Gone) return;
-  if (l.rested_ms < 0) return rests_.first_use(now(), l.machine, reset);
-  rests_.used_again(now(), l.machine, l.rested_ms, l.trial, reset);
+  if (l.rested_ms < 0) return rests_.on_first_use(now(), l.machine, reset);
+  rests_.on_reuse(now(), l.machine, l.rested_ms, l.trial, reset);
 }
 
 void Router::close_link(Handle link, Link& l) {
@@ -347,15 +347,15 @@
 
 // The newest free one that is up and has not rested too long, else one that is coming up.
 Handle Router::reusable(model::MachineId machine) {
-  using Use = idle_connections::IdleLifetimeEstimator::Use;
+  using Use = idle_connections::IdleLifetimeEstimator::Reuse;
   auto& free = free_[machine];
   for (const bool up : {true, false}) {
     for (std::size_t i = free.size(); i-- > 0;) {
       Link& l = *world_.links().find(free[i]);
       if (l.up != up) continue;
       if (up) {
-        const Use use = rests_.use(now(), machine, now() - l.rests_since);
-        if (use == Use::No) break; // those before it have rested longer
+        const Use use = rests_.decide_reuse(now(), machine, now() - l.rests_since);
+        if (use == Use::Refused) break; // those before it have rested longer
         l.rested_ms = now() - l.rests_since;
         l.trial = use == Use::Trial;
       }
@@ -368,12 +368,12 @@
 }
 
 // A place for a connection. Clients at rest give way at once and are not counted; links at rest are asked to.
-descriptors::DescriptorBudget::Place Router::room(descriptors::Side side) {
-  using Needs = descriptors::DescriptorBudget::Needs;
+descriptors::DescriptorBudget::Lease Router::room(descriptors::Side side) {
+  using Needs = descriptors::DescriptorBudget::Eviction;
   for (;;) {
-    const Needs needs = account_.needs(now(), side);
-    if (needs == Needs::Nothing) return account_.take(now(), side);
-    if (side == descriptors::Side::Clients && needs == Needs::Own) return {};
+    const Needs needs = account_.required_eviction(now(), side);
+    if (needs == Needs::None) return account_.acquire(now(), side);
+    if (side == descriptors::Side::Downstream && needs == Needs::OwnSide) return {};
     if (!let_go()) return {};
   }
 }
@@ -486,7 +486,7 @@
   Handle link = reusable(machine);
   const bool opens = link == 0;
   if (opens) {
-    descriptors::DescriptorBudget::Place place = room(descriptors::Side::Targets);
+    descriptors::DescriptorBudget::Lease place = room(descriptors::Side::Upstream);
     if (!place) return Start::Full;
     link = world_.links().add();
     places_[link << 1 | 1] = std::move(place);
@@ -494,7 +494,7 @@
     l.router = place_.id;
     l.machine = machine;
     l.opened_at = now();
-    peak_links_ = std::max(peak_links_, account_.used(descriptors::Side::Targets));
+    peak_links_ = std::max(peak_links_, account_.used(descriptors::Side::Upstream));
   }
   Link& l = *world_.links().find(link);
   l.attempt = attempt;
@@ -595,7 +595,7 @@
   if (heard) world_.answer(x->client, *heard, retry_after_ms);
   places_.erase(exchange << 1);
   while (!door_.empty()) {
-    descriptors::DescriptorBudget::Place place = room(descriptors::Side::Clients);
+    descriptors::DescriptorBudget::Lease place = room(descriptors::Side::Downstream);
     if (!place) return;
     const Waiting next = door_.front();
     door_.pop_front();
--- a/lab/virtual/router.h
+++ b/lab/virtual/router.h
@@ -160,7 +160,7 @@
   void drop_if_done(Handle exchange);
   bool in_service(model::MachineId machine) const { return known_[machine].state == ServerState::Ready; }
   Handle reusable(model::MachineId machine);
-  descriptors::DescriptorBudget::Place room(descriptors::Side side);
+  descriptors::DescriptorBudget::Lease room(descriptors::Side side);
   bool let_go(); // of a link at rest
   void learn(const Link& l, bool reset);
   void rest(Handle link, Link& l);
@@ -194,7 +194,7 @@
     Handle client;
     model::TryStart start;
   };
-  void open(const Waiting& waiting, descriptors::DescriptorBudget::Place place);
+  void open(const Waiting& waiting, descriptors::DescriptorBudget::Lease place);
   std::deque<Waiting> door_; // connections that the full table leaves in the kernel's queue
 
   std::vector<Known> known_; // by machine; outlives the process as its last list
@@ -208,7 +208,7 @@
   bool at_rest(const Rest& rest);
   idle_connections::IdleLifetimeEstimator rests_;
   descriptors::DescriptorBudget account_;
-  std::unordered_map<Handle, descriptors::DescriptorBudget::Place>
+  std::unordered_map<Handle, descriptors::DescriptorBudget::Lease>
       places_; // of links and exchanges that wait
   std::size_t peak_links_ = 0;
   double cpu_s_ = 0;
--- a/src/concurrency/cache_concurrency_limiter.h
+++ b/src/concurrency/cache_concurrency_limiter.h
@@ -16,7 +16,8 @@
 
 namespace fernward::concurrency {
 
-constexpr double kTightAim = 0.5; // a cache whose response time is past this share of the aim is crowded
+constexpr double kCrowdedShareOfObjective =
+    0.5; // a cache whose response time is past this share of the aim is crowded
 
 class CacheConcurrencyLimiter {
  public:
@@ -27,22 +28,22 @@
 
   double limit() const { return limit_; }
 
-  bool room(double now, std::uint32_t out) const {
+  bool has_capacity(double now, std::uint32_t out) const {
     if (limit_ < 1) return out == 0 && (now - sent_at_) * kPaceSlack * limit_ >= recent_ms_;
     return out < limit_;
   }
-  void sent(double now) { sent_at_ = now; }
+  void on_attempt_sent(double now) { sent_at_ = now; }
 
   // An answer came, or did not in `elapsed_ms`; `out` others are still out. True: a sign of crowding.
-  bool answered(double now, double elapsed_ms, double aim_ms, std::uint32_t out) {
+  bool on_response(double now, double elapsed_ms, double aim_ms, std::uint32_t out) {
     // A connection that fell silent ends as late as its client waits: one must not outweigh many answers.
     elapsed_ms = std::min(elapsed_ms, aim_ms);
     if (recent_ms_ == 0) recent_ms_ = elapsed_ms;
     smooth(recent_ms_, elapsed_ms, 0.1);
     smooth(lateness_, elapsed_ms / aim_ms, limit_ < 1 ? 0.5 : 0.1); // a slow pace brings few answers
-    if (lateness_ > kTightAim) {
+    if (lateness_ > kCrowdedShareOfObjective) {
       limit_ = std::min(limit_, out + 1.0); // room that is not used takes no part in the crowding
-      cut(now, 0.8);
+      decrease(now, 0.8);
       return true;
     }
     if (out + 1 >= limit_ / 2) {
@@ -53,7 +54,7 @@
     return false;
   }
   // At most once for each response time: one crowding shows in many answers.
-  void cut(double now, double factor) {
+  void decrease(double now, double factor) {
     if (now - cut_at_ < recent_ms_) return;
     cut_at_ = now;
     limit_ = std::max(least_, limit_ * factor);
--- a/src/concurrency/connection_capacity_estimator.h
+++ b/src/concurrency/connection_capacity_estimator.h
@@ -22,24 +22,24 @@
 class ConnectionCapacityEstimator {
  public:
   // May one more go out, `out` being out already?
-  bool room(double now, std::uint32_t out) const { return out < most_ || now >= again_at_; }
-  double wait_ms(double now, std::uint32_t out) const { return room(now, out) ? 0 : again_at_ - now; }
-  double most() const { return most_; } // that were had at once; infinity: none was ever refused
+  bool has_capacity(double now, std::uint32_t out) const { return out < most_ || now >= again_at_; }
+  double wait_ms(double now, std::uint32_t out) const { return has_capacity(now, out) ? 0 : again_at_ - now; }
+  double capacity() const { return most_; } // that were had at once; infinity: none was ever refused
 
   // One goes out beside `out` others: where it needs a further connection it is a trial, and nothing else goes with it.
-  void sent(double now, std::uint32_t out) {
+  void on_attempt_sent(double now, std::uint32_t out) {
     trial_ = out >= most_;
     if (trial_) again_at_ = now + turn_ms_;
   }
   // A further connection was refused while `out` others were in use; `draw`: evenly from 0 to 1, as all try again.
-  void refused(double now, std::uint32_t out, double response_ms, double draw) {
+  void on_connection_refused(double now, std::uint32_t out, double response_ms, double draw) {
     most_ = out;
     if (!std::exchange(trial_, false) && now < again_at_) return; // one of several that went out together
     turn_ms_ = std::max(response_ms, kLeastMs);
     again_at_ = now + turn_ms_ * (0.5 + draw);
   }
   // An answer came on one of `out` connections in use.
-  void had(std::uint32_t out) {
+  void on_connection_used(std::uint32_t out) {
     if (out <= most_) return;
     trial_ = false;
     most_ = out;
--- a/src/concurrency/latency_baseline.h
+++ b/src/concurrency/latency_baseline.h
@@ -24,7 +24,7 @@
   }
 
   // Every answer teaches how work, and being a write, shows in the time: crowding slows all alike.
-  void compare(double slowdown, double mean_slowdown, double work_ms, bool write) {
+  void learn_work_factors(double slowdown, double mean_slowdown, double work_ms, bool write) {
     const double share = std::min(slowdown / std::max(mean_slowdown, 0.1), kMostShare);
     if (write) smooth(write_, std::clamp(write_ * share, 0.2, 10.0), kWeight);
     if (write || work_ms <= 0) return;
--- a/src/concurrency/origin_concurrency_limiter.cpp
+++ b/src/concurrency/origin_concurrency_limiter.cpp
@@ -44,7 +44,7 @@
 
 } // namespace
 
-OriginConcurrencyLimiter OriginConcurrencyLimiter::origin(double nodes) {
+OriginConcurrencyLimiter OriginConcurrencyLimiter::for_router_count(double nodes) {
   return OriginConcurrencyLimiter(std::max(nodes, 1.0), kOriginStart / std::max(nodes, 1.0));
 }
 
@@ -56,7 +56,7 @@
   return std::min(kBurst, tokens_ + (now - sent_at_) * kPaceSlack * pace / std::max(recent_ms_, 1.0));
 }
 
-bool OriginConcurrencyLimiter::room(double now, std::uint32_t out, bool write) const {
+bool OriginConcurrencyLimiter::has_capacity(double now, std::uint32_t out, bool write) const {
   const double held = out;
   if (write && held < kWriteTurn) return true;
   // Before the first answer nothing tells how long a turn is, and so how quick a pace may be: one at a time.
@@ -67,7 +67,7 @@
   return held < whole || (held == whole && tokens(now, mine - whole) >= 1);
 }
 
-void OriginConcurrencyLimiter::sent(double now) {
+void OriginConcurrencyLimiter::on_attempt_sent(double now) {
   if (sent_at_ != kNever) {
     if (gap_ms_ == 0) gap_ms_ = now - sent_at_;
     smooth(gap_ms_, now - sent_at_, 0.2);
@@ -81,55 +81,59 @@
   return std::clamp(1 + kToleranceByAim * (room - 1), 1.2, kMostTolerance);
 }
 
-Sign OriginConcurrencyLimiter::ended(double now, const Sample& sample) {
-  Sample s = sample;
+DecreaseReason OriginConcurrencyLimiter::on_attempt_ended(double now, const AttemptSample& sample) {
+  AttemptSample s = sample;
   if (!usable_number(s.elapsed_ms)) s.elapsed_ms = 0;
   if (!usable_number(s.work_ms)) s.work_ms = 0;
-  if (!usable_number(s.aim_ms)) s.aim_ms = 0;
+  if (!usable_number(s.latency_objective_ms)) s.latency_objective_ms = 0;
   const double sent = now - s.elapsed_ms;
-  smooth(used_, std::min<double>(s.out + 1.0, limit_), 0.1);
-  switch (s.ending) {
-    case Ending::TurnedAway:
-    case Ending::Unreached:
-      if (now - cut_at_ < recent_ms_) return Sign::None;
-      if (s.ending == Ending::Unreached && reached_ == 0) reached_ = limit_;
-      cut(now, 0.7 * std::min(limit_, s.out + 1.0));
-      return Sign::TurnedAway;
-    case Ending::Answered:
+  smooth(used_, std::min<double>(s.in_flight + 1.0, limit_), 0.1);
+  switch (s.outcome) {
+    case AttemptOutcome::Rejected:
+    case AttemptOutcome::ConnectFailed:
+      if (now - cut_at_ < recent_ms_) return DecreaseReason::None;
+      if (s.outcome == AttemptOutcome::ConnectFailed && reached_ == 0) reached_ = limit_;
+      cut(now, 0.7 * std::min(limit_, s.in_flight + 1.0));
+      return DecreaseReason::Rejected;
+    case AttemptOutcome::Answered:
       silent_ = 0;
       later_ = std::max(later_, sent);
       // What never came up tells of the way or the door, not of the work: back in reach, all of it counts as one cut.
       if (reached_ > 0) limit_ = std::max(limit_, kReachedAgain * std::exchange(reached_, 0.0));
       break;
-    case Ending::Silent:
+    case AttemptOutcome::TimedOut:
       // Where what was sent later has been answered, or answers came at all since, the connection is at fault.
-      if (later_ >= sent) return Sign::None;
-      if (++silent_ < 2) return Sign::None;
+      if (later_ >= sent) return DecreaseReason::None;
+      if (++silent_ < 2) return DecreaseReason::None;
       break;
-    case Ending::Fault:
-    case Ending::Withdrawn:
-      if (s.elapsed_ms <= 2 * recent_ms_) return Sign::None;
+    case AttemptOutcome::Fault:
+    case AttemptOutcome::Cancelled:
+      if (s.elapsed_ms <= 2 * recent_ms_) return DecreaseReason::None;
       break;
   }
   if (!floor_.known()) { // of a server that has answered nothing yet, nothing but faults are known
-    if (s.ending == Ending::Silent) cut(now, 0.7 * limit_);
-    if (s.ending != Ending::Answered) return s.ending == Ending::Silent ? Sign::Silent : Sign::None;
+    if (s.outcome == AttemptOutcome::TimedOut) cut(now, 0.7 * limit_);
+    if (s.outcome != AttemptOutcome::Answered)
+      return s.outcome == AttemptOutcome::TimedOut ? DecreaseReason::TimedOut : DecreaseReason::None;
     floor_.start(std::max(s.elapsed_ms, 0.01));
   }
   if (recent_ms_ == 0) recent_ms_ = s.elapsed_ms;
-  const double bounded = s.aim_ms > 0 ? std::min(s.elapsed_ms, 2 * s.aim_ms) : s.elapsed_ms;
+  const double bounded =
+      s.latency_objective_ms > 0 ? std::min(s.elapsed_ms, 2 * s.latency_objective_ms) : s.elapsed_ms;
   smooth(recent_ms_, bounded, 0.1);
-  if (s.aim_ms > 0) aim_ms_ = s.aim_ms;
+  if (s.latency_objective_ms > 0) aim_ms_ = s.latency_objective_ms;
   const double fade = std::exp2((lately_at_ - now) / kLatelyMs);
   lately_sum_ = fade * lately_sum_ + bounded, lately_seen_ = fade * lately_seen_ + 1, lately_at_ = now;
   const double slowdown = s.elapsed_ms / std::max(expected(s), 0.01);
-  if (s.ending == Ending::Answered) floor_.compare(slowdown, slow_, s.work_ms, s.write);
+  if (s.outcome == AttemptOutcome::Answered) floor_.learn_work_factors(slowdown, slow_, s.work_ms, s.write);
   const double before = limit_;
   learn(now, s, slowdown);
-  return limit_ < before * 0.9 ? (s.ending == Ending::Silent ? Sign::Silent : Sign::Slow) : Sign::None;
+  return limit_ < before * 0.9
+             ? (s.outcome == AttemptOutcome::TimedOut ? DecreaseReason::TimedOut : DecreaseReason::Slow)
+             : DecreaseReason::None;
 }
 
-void OriginConcurrencyLimiter::learn(double now, const Sample& s, double slowdown) {
+void OriginConcurrencyLimiter::learn(double now, const AttemptSample& s, double slowdown) {
   const double x = std::min(slowdown, kClip);
   if (now - s.elapsed_ms < settled_at_) return; // a crowd that the last cut has answered already
   seen_ = std::min(seen_ + 1, 1000.0);
@@ -153,13 +157,13 @@
     slow_ = 1;
     return;
   }
-  const bool unlimited = s.out + 1 < limit_ / 2;
+  const bool unlimited = s.in_flight + 1 < limit_ / 2;
   if (seen_ < 20) {
     floor_.learn(slowdown, 1 / seen_);
   } else if (unlimited || slow_ < 0.75) {
     floor_.learn(slowdown, slow_ < 0.75 ? 0.05 : 0.01);
   }
-  const double tol = tolerance(s.aim_ms), hold = 1 + kHold * (tol - 1);
+  const double tol = tolerance(s.latency_objective_ms), hold = 1 + kHold * (tol - 1);
   const double weight = std::min(1.0, 8 / std::max(limit_, 1.0));
   strain_ = std::max(0.0, strain_ + weight * (x - tol));
   if (slow_ < 1 + 0.5 * (hold - 1)) {
@@ -168,14 +172,15 @@
     smooth(good_used_, carried, carried > good_used_ ? 0.1 : 0.01);
   }
   const bool more = used_ / std::max(1.0, slow_) > kMore * good_used_;
-  smooth(pressed_, slow_ > 0.9 * hold && s.out + 2 > limit_, 0.03);
-  if (s.aim_ms > 0) smooth(late_, std::min(1.5, s.elapsed_ms / s.aim_ms), limit_ < 1 ? 0.3 : 0.1);
+  smooth(pressed_, slow_ > 0.9 * hold && s.in_flight + 2 > limit_, 0.03);
+  if (s.latency_objective_ms > 0)
+    smooth(late_, std::min(1.5, s.elapsed_ms / s.latency_objective_ms), limit_ < 1 ? 0.3 : 0.1);
   if (goes_by_pool(now)) {
     strain_ = 0;
     return;
   }
-  if (late_ > too_late(s.aim_ms) && now - cut_at_ >= recent_ms_) {
-    cut(now, 0.8 * std::min(limit_, s.out + 1.0));
+  if (late_ > too_late(s.latency_objective_ms) && now - cut_at_ >= recent_ms_) {
+    cut(now, 0.8 * std::min(limit_, s.in_flight + 1.0));
     late_ *= 0.9;
     return;
   }
@@ -205,9 +210,10 @@
   grow(s);
 }
 
-void OriginConcurrencyLimiter::grow(const Sample& s) {
-  if (s.ending != Ending::Answered) return;
-  const bool used = limit_ < 1 ? gap_ms_ < 3 * recent_ms_ / (kPaceSlack * limit_) : s.out + 1 >= limit_ / 2;
+void OriginConcurrencyLimiter::grow(const AttemptSample& s) {
+  if (s.outcome != AttemptOutcome::Answered) return;
+  const bool used =
+      limit_ < 1 ? gap_ms_ < 3 * recent_ms_ / (kPaceSlack * limit_) : s.in_flight + 1 >= limit_ / 2;
   if (used) {
     const double part = std::min(1.0, limit_); // a pace brings less than one answer in a response time
     if (doubling_) {
@@ -223,7 +229,7 @@
 }
 
 // What all hold, dealt out anew, stays what all hold: this adds nothing to the sum and learns nothing.
-void OriginConcurrencyLimiter::lead(double part) {
+void OriginConcurrencyLimiter::set_fleet_share(double part) {
   if (!usable_number(part) || part == 0) return;
   part = std::clamp(part, start_ * kLeast, kMost);
   limit_ += kLead * (part - limit_); // also of one at its beginning: what it took at once nobody would give
@@ -237,11 +243,11 @@
   return limit_ < 1 && now - pooled_at_ < kPoolGone;
 }
 
-double OriginConcurrencyLimiter::lately_ms(double now) const {
+double OriginConcurrencyLimiter::recent_latency_ms(double now) const {
   return lately_seen_ > 0 && now - lately_at_ < kLatelyGone ? lately_sum_ / lately_seen_ : 0;
 }
 
-void OriginConcurrencyLimiter::pooled(double now, double answer_ms, double age_ms) {
+void OriginConcurrencyLimiter::set_fleet_latency(double now, double answer_ms, double age_ms) {
   const double passed = std::clamp(now - led_at_, 0.0, 1000.0);
   led_at_ = now;
   if (!usable_number(answer_ms) || !usable_number(age_ms) || answer_ms == 0) return;
@@ -275,7 +281,7 @@
   tokens_ = std::min(tokens_, 0.0);
 }
 
-double OriginConcurrencyLimiter::crowding(double, double out) const {
+double OriginConcurrencyLimiter::utilization(double, double out) const {
   return std::max(out / limit_, (slow_ - 1) / 0.6);
 }
 
--- a/src/concurrency/origin_concurrency_limiter.h
+++ b/src/concurrency/origin_concurrency_limiter.h
@@ -13,58 +13,58 @@
 
 namespace fernward::concurrency {
 
-enum class Ending : std::uint8_t {
-  Answered,   // by the server: a value, a miss, a refusal of the request itself
-  Fault,      // an error or a reset: no crowding by itself, its time counts where it took long
-  TurnedAway, // unseen: no place, no waiting room
-  Unreached,  // the connection never came up
-  Silent,     // given up without a word from the server: late, or the connection is dead
-  Withdrawn   // given up early (another copy was quicker, the client left): it took at least this long
+enum class AttemptOutcome : std::uint8_t {
+  Answered,      // by the server: a value, a miss, a refusal of the request itself
+  Fault,         // an error or a reset: no crowding by itself, its time counts where it took long
+  Rejected,      // unseen: no place, no waiting room
+  ConnectFailed, // the connection never came up
+  TimedOut,      // given up without a word from the server: late, or the connection is dead
+  Cancelled      // given up early (another copy was quicker, the client left): it took at least this long
 };
 
-struct Sample {
-  Ending ending = Ending::Answered;
+struct AttemptSample {
+  AttemptOutcome outcome = AttemptOutcome::Answered;
   double elapsed_ms = 0;
   double work_ms = 0; // the work expected of the request, in any unit that its neighbours share; 0: unknown
-  double aim_ms = 0;  // an answer within this is worth something; 0: no aim
+  double latency_objective_ms = 0; // an answer within this is worth something; 0: no aim
   bool write = false;
-  std::uint32_t out = 0; // this router's attempts at the server that are still out after this one
+  std::uint32_t in_flight = 0; // this router's attempts at the server that are still out after this one
 };
 
 // What a sample did to the limit, for the caller's log.
-enum class Sign : std::uint8_t { None, Slow, TurnedAway, Silent };
+enum class DecreaseReason : std::uint8_t { None, Slow, Rejected, TimedOut };
 
 class OriginConcurrencyLimiter {
  public:
   // Of the last resort of all, shared by `nodes` routers: it always leaves a write its turn.
-  static OriginConcurrencyLimiter origin(double nodes);
+  static OriginConcurrencyLimiter for_router_count(double nodes);
 
   // May one more go out, `out` being out already?
-  bool room(double now, std::uint32_t out, bool write) const;
-  void sent(double now);
-  Sign ended(double now, const Sample& sample);
+  bool has_capacity(double now, std::uint32_t out, bool write) const;
+  void on_attempt_sent(double now);
+  DecreaseReason on_attempt_ended(double now, const AttemptSample& sample);
 
   // What the routers together hold this one's part to be. Approached over some calls.
-  void lead(double part);
+  void set_fleet_share(double part);
 
   // The response time as the routers saw it together, `age_ms` ago on average; 0: not known. A limit below one brings
   // an answer in many response times: its pace, and whether it falls or grows, then go by this and not by own answers.
-  void pooled(double now, double answer_ms, double age_ms);
-  double lately_ms(double now) const; // own response time of late, to be told; 0: no answer for 0.8 s
+  void set_fleet_latency(double now, double answer_ms, double age_ms);
+  double recent_latency_ms(double now) const; // own response time of late, to be told; 0: no answer for 0.8 s
 
-  double limit() const { return limit_; }         // attempts at once; below one it is a pace
-  double recent_ms() const { return recent_ms_; } // response time lately; 0: none seen
+  double limit() const { return limit_; }          // attempts at once; below one it is a pace
+  double latency_ms() const { return recent_ms_; } // response time lately; 0: none seen
   // How full the server is, as a share of what makes the limit fall: 0 nobody there, over 1 the limit falls.
   // `out`: this router's attempts there and those waiting for it.
-  double crowding(double now, double out) const;
+  double utilization(double now, double out) const;
 
  private:
   OriginConcurrencyLimiter(double nodes, double start);
   double tokens(double now, double pace) const;
-  double expected(const Sample& s) const { return floor_.expected_ms(s.work_ms, s.write); }
+  double expected(const AttemptSample& s) const { return floor_.expected_ms(s.work_ms, s.write); }
   double tolerance(double aim_ms) const;
-  void learn(double now, const Sample& s, double slowdown);
-  void grow(const Sample& s);
+  void learn(double now, const AttemptSample& s, double slowdown);
+  void grow(const AttemptSample& s);
   void cut(double now, double to);
   double too_late(double aim_ms) const;
   bool goes_by_pool(double now) const;
--- a/src/concurrency/origin_request_queue.cpp
+++ b/src/concurrency/origin_request_queue.cpp
@@ -10,7 +10,7 @@
 
 } // namespace
 
-void OriginRequestQueue::serves(double turns_per_ms, double answer_ms) {
+void OriginRequestQueue::set_service_rate(double turns_per_ms, double answer_ms) {
   turns_per_ms_ = std::max(0.0, turns_per_ms);
   answer_ms_ = std::max(0.0, answer_ms);
 }
@@ -61,7 +61,7 @@
   return true;
 }
 
-void OriginRequestQueue::leave(double now, std::vector<Id>& ids) {
+void OriginRequestQueue::take_expired(double now, std::vector<Id>& ids) {
   ids.insert(ids.end(), put_out_.begin(), put_out_.end());
   put_out_.clear();
   std::size_t ahead = 0;
@@ -76,6 +76,6 @@
   }
 }
 
-double OriginRequestQueue::advice_ms() const { return wait_ms(waiting_.size()) + answer_ms_; }
+double OriginRequestQueue::retry_after_ms() const { return wait_ms(waiting_.size()) + answer_ms_; }
 
 } // namespace fernward::concurrency
--- a/src/concurrency/origin_request_queue.h
+++ b/src/concurrency/origin_request_queue.h
@@ -28,7 +28,7 @@
 
   // Told whenever it is known better: how many turns come up per ms at this router, and how long an answer takes
   // from its turn on.
-  void serves(double turns_per_ms, double answer_ms);
+  void set_service_rate(double turns_per_ms, double answer_ms);
 
   // False: not taken, as the turn would surely come too late or all places are taken by dearer ones. `needed_by`:
   // the time at which the answer must be there.
@@ -37,11 +37,11 @@
   std::optional<Id> take(double now, bool read_room, bool write_room);
   bool remove(Id id); // its request is over
   // Appends those that will surely be late now, or were put out; they are no longer waiting.
-  void leave(double now, std::vector<Id>& ids);
+  void take_expired(double now, std::vector<Id>& ids);
 
   std::size_t size() const { return waiting_.size(); }
   // After this long a newcomer of the least worth would find its turn, as things stand.
-  double advice_ms() const;
+  double retry_after_ms() const;
 
  private:
   struct Waiting {
--- a/src/concurrency/retry_budget.cpp
+++ b/src/concurrency/retry_budget.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-double RetryBudget::share() const {
+double RetryBudget::earned_per_request() const {
   // Where nearly all fail a further attempt fails too: asked twice as often, such a fleet does not come back.
   const double hope = std::clamp((kHopeless - failed_) / (kHopeless - kHopeful), 0.0, 1.0);
   return kLeastShare + (kMostShare - kLeastShare) * room_ * hope;
@@ -38,16 +38,16 @@
   if (crowded_ < kFewSigns) room_ += (1 - room_) * -std::expm1(-ms / kProveMs);
 }
 
-void RetryBudget::request(double now, double dead) {
+void RetryBudget::on_request(double now, double dead) {
   pass(now);
   const double most = kLeastSaved + (kMostSaved - kLeastSaved) * room_;
-  saved_ = std::min(most, saved_ + share());
+  saved_ = std::min(most, saved_ + earned_per_request());
   least_ = std::min(kLeastSaved, least_ + kLeastShare);
   copies_ = std::min(1 + 9 * room_,
                      copies_ + std::min(kMostCopies, kLeastCopies + kDeadCopies * room_ * dead * dead));
 }
 
-void RetryBudget::ended(double now, bool crowded, bool failed) {
+void RetryBudget::on_attempt_ended(double now, bool crowded, bool failed) {
   pass(now);
   failed_ += kWeight * ((failed ? 1 : 0) - failed_);
   crowded_ += kWeight * ((crowded ? 1 : 0) - crowded_);
@@ -58,10 +58,10 @@
   copies_ = std::min(copies_, 1 + 9 * room_);
 }
 
-bool RetryBudget::spend(double now, Use use, double crowding) {
+bool RetryBudget::try_consume(double now, Use use, double crowding) {
   pass(now);
   const bool full = !(crowding < 1);
-  if (use == Use::Copy) {
+  if (use == Use::Hedge) {
     if (full || copies_ < 1 || saved_ < 1) return false;
     copies_ -= 1;
   }
@@ -71,8 +71,8 @@
   return true;
 }
 
-void RetryBudget::unspent(Use use) {
-  if (use == Use::Copy) copies_ += 1;
+void RetryBudget::refund(Use use) {
+  if (use == Use::Hedge) copies_ += 1;
   saved_ += 1;
   least_ += 1;
 }
--- a/src/concurrency/retry_budget.h
+++ b/src/concurrency/retry_budget.h
@@ -14,24 +14,24 @@
 
 class RetryBudget {
  public:
-  enum class Use { Retry, Copy };
+  enum class Use { Retry, Hedge };
 
   // One came from a client: it earns. `dead`: how likely an attempt that is late will never be answered. Copies are
   // worth what they cost only as far as it is not just slow.
-  void request(double now, double dead);
+  void on_request(double now, double dead);
   // An attempt ended, or a request was turned away here: `crowded` where that showed a server or the fleet full
   // (turned away, shed, over a limit, late through waiting); `failed` where it brought nothing.
-  void ended(double now, bool crowded, bool failed = false);
+  void on_attempt_ended(double now, bool crowded, bool failed = false);
 
   // Takes one further attempt out of the budget where it holds one. `crowding`: of the server that it would go to,
   // as Limiter::crowding() tells it; a full one gets no copies, and retries from the least share alone.
-  bool spend(double now, Use use, double crowding);
+  bool try_consume(double now, Use use, double crowding);
 
-  void unspent(Use use); // what spend() gave could not be sent after all
+  void refund(Use use); // what spend() gave could not be sent after all
 
-  double room() const { return room_; }   // proven, 0 to 1
-  double saved() const { return saved_; } // further attempts that may go out now
-  double share() const;                   // earned by each request at present
+  double proven_capacity() const { return room_; } // proven, 0 to 1
+  double balance() const { return saved_; }        // further attempts that may go out now
+  double earned_per_request() const;               // earned by each request at present
 
  private:
   void pass(double now);
--- a/src/concurrency/slow_attempt_tracker.h
+++ b/src/concurrency/slow_attempt_tracker.h
@@ -13,16 +13,16 @@
 namespace fernward::concurrency {
 
 struct SlowAttemptTracker {
-  double slow_ms = 0; // an attempt that is out for longer is late
-  double dead = 0;    // share of the late ones that are never answered
+  double slow_threshold_ms = 0;    // an attempt that is out for longer is late
+  double never_answered_share = 0; // share of the late ones that are never answered
 
-  void answered(double elapsed_ms) {
-    const double share = kSlowShare + (kSlowestShare - kSlowShare) * dead;
-    slow_ms *= std::exp(0.05 * ((elapsed_ms > slow_ms) - share));
+  void on_response(double elapsed_ms) {
+    const double share = kSlowShare + (kSlowestShare - kSlowShare) * never_answered_share;
+    slow_threshold_ms *= std::exp(0.05 * ((elapsed_ms > slow_threshold_ms) - share));
   }
   // One that was late, and that nobody withdrew, has ended.
-  void ended(bool answered) { smooth(dead, !answered, 0.05); }
-  bool some_dead() const { return dead > 0.25; }
+  void on_slow_attempt_ended(bool answered) { smooth(never_answered_share, !answered, 0.05); }
+  bool expects_dead_attempts() const { return never_answered_share > 0.25; }
 
  private:
   static constexpr double kSlowShare = 0.05, kSlowestShare = 0.2;
--- a/src/descriptors/client_admission.cpp
+++ b/src/descriptors/client_admission.cpp
@@ -22,23 +22,23 @@
 
 // ---- what happens ----
 
-void ClientAdmission::came(double now, Id id) {
+void ClientAdmission::on_accepted(double now, Id id) {
   const auto [it, added] = clients_.try_emplace(id);
   if (!added) return;
   it->second.came_at = now;
   put(it->second, Rank::Silent, now, id);
 }
 
-void ClientAdmission::busy(double, Id id) {
+void ClientAdmission::on_request_active(double, Id id) {
   if (const auto it = clients_.find(id); it != clients_.end()) take_out(it->second);
 }
 
-void ClientAdmission::begun(double now, Id id) {
+void ClientAdmission::on_request_partial(double now, Id id) {
   const auto it = clients_.find(id);
   if (it != clients_.end() && !it->second.lingers) put(it->second, Rank::Begun, now, id);
 }
 
-void ClientAdmission::asked(double now, Id id) {
+void ClientAdmission::on_request_complete(double now, Id id) {
   const auto it = clients_.find(id);
   if (it == clients_.end() || it->second.lingers) return;
   Client& c = it->second;
@@ -56,7 +56,7 @@
   c.asked_at = now;
 }
 
-void ClientAdmission::rests(double now, Id id) {
+void ClientAdmission::on_idle(double now, Id id) {
   const auto it = clients_.find(id);
   if (it == clients_.end() || it->second.lingers) return;
   Client& c = it->second;
@@ -66,7 +66,7 @@
   c.asked == 1 ? put(c, Rank::Once, now, id) : put(c, Rank::Often, c.asked_before, id);
 }
 
-void ClientAdmission::lingers(double now, Id id) {
+void ClientAdmission::on_lingering(double now, Id id) {
   const auto it = clients_.find(id);
   if (it == clients_.end() || it->second.lingers) return;
   it->second.lingers = true;
@@ -74,16 +74,16 @@
   put(it->second, Rank::Lingering, now, id);
 }
 
-void ClientAdmission::gone(double now, Id id, Gone how) {
+void ClientAdmission::on_closed(double now, Id id, ClosedBy how) {
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
   Client& c = it->second;
   const bool rested = c.indexed && c.key.rank >= Rank::Once;
-  if (rested &&
-      (how == Gone::Left || now - c.rested_at >= options_.rest_ms)) { // else it had no time to come back
+  if (rested && (how == ClosedBy::Client ||
+                 now - c.rested_at >= options_.min_idle_ms)) { // else it had no time to come back
     (c.asked == 1 ? once_ : often_).stayed_away();
   }
-  if (how == Gone::Left && c.asked > 0 && !c.told_to_end) leavers_.count(now);
+  if (how == ClosedBy::Client && c.asked > 0 && !c.told_to_end) leavers_.count(now);
   asking_ -= c.asked > 0 && !c.lingers;
   take_out(c);
   clients_.erase(it);
@@ -107,7 +107,7 @@
   return per_second <= 0 ? std::numeric_limits<double>::infinity() : places / per_second * 1000;
 }
 
-bool ClientAdmission::ends(double now, Id id) {
+bool ClientAdmission::should_close_after_response(double now, Id id) {
   const auto it = clients_.find(id);
   if (it == clients_.end() || it->second.asked == 0) return false;
   if (it->second.asked == 1) newcomers_.count(now);
@@ -119,7 +119,7 @@
   if (static_cast<double>(asking_) <= few) return false;
   if (c.asked == 1) {
     // Some stay whatever is believed: without them nothing would be learnt.
-    if (waiting(Rank::Once) < few && !tight()) return false;
+    if (waiting(Rank::Once) < few && !under_pressure()) return false;
     return once_.share < 0.5 || full_in(now, left()) < once_.ms;
   }
   // Those that came once go first. Only where they do not suffice, and many places lie idle under clients
@@ -128,13 +128,15 @@
   return often_.share < 0.5 || c.log_rest > log_usual_rest_;
 }
 
-std::optional<ClientAdmission::Id> ClientAdmission::overdue(double now) const {
+std::optional<ClientAdmission::Id> ClientAdmission::expired_idle(double now) const {
   const auto first = index_.lower_bound(Key{Rank::Once, -1, 0});
   if (first == index_.end()) return std::nullopt;
-  const auto rested = [&](const Key& key) { return now - clients_.at(key.id).rested_at >= options_.rest_ms; };
+  const auto rested = [&](const Key& key) {
+    return now - clients_.at(key.id).rested_at >= options_.min_idle_ms;
+  };
   const bool untried = waiting(Rank::Once) >= places() / 4 && once_.share < 0.5; // makes room for a newer one
-  if (first->rank == Rank::Once && (untried || tight()) && rested(*first)) return first->id;
-  if (!tight()) return std::nullopt;
+  if (first->rank == Rank::Once && (untried || under_pressure()) && rested(*first)) return first->id;
+  if (!under_pressure()) return std::nullopt;
   int tries = kMostTries;
   for (auto often = index_.lower_bound(Key{Rank::Often, -1, 0}); often != index_.end() && tries-- > 0;
        ++often) {
--- a/src/descriptors/client_admission.h
+++ b/src/descriptors/client_admission.h
@@ -37,31 +37,32 @@
 };
 
 struct ClientAdmissionOptions {
-  std::size_t places = 128; // that clients hold for requests at most, all connections together
-  double fresh_ms = 100;    // the first request of a new connection may be on its way this long
-  double stuck_ms = 700;    // a request that is not whole may wait so long for its next byte
-  double rest_ms = 2000;    // one that has rested so long may be closed
+  std::size_t max_clients = 128;       // that clients hold for requests at most, all connections together
+  double first_request_grace_ms = 100; // the first request of a new connection may be on its way this long
+  double request_stall_ms = 700;       // a request that is not whole may wait so long for its next byte
+  double min_idle_ms = 2000;           // one that has rested so long may be closed
 };
 
 class ClientAdmission {
  public:
   using Id = std::uint64_t;
   using Options = ClientAdmissionOptions;
-  enum class Gone { Left, Closed }; // by its client, or for its client's sake; by this router
+  enum class ClosedBy { Client, Router }; // by its client, or for its client's sake; by this router
   explicit ClientAdmission(const Options& options) : options_(options) {}
 
   // What happens to a connection.
-  void came(double now, Id id);  // accepted; it has said nothing yet
-  void busy(double now, Id id);  // its request is being worked on, or its long body flows: it can't be spared
-  void begun(double now, Id id); // some more of a request has come, and it is not whole
-  void asked(double now, Id id); // a whole request has come
-  void rests(double now, Id id); // the answer is out and the connection stays
-  void lingers(double now, Id id); // the last answer is out, its client need only read it and close
-  void gone(double now, Id id, Gone how);
+  void on_accepted(double now, Id id); // accepted; it has said nothing yet
+  void on_request_active(double now,
+                         Id id); // its request is being worked on, or its long body flows: it can't be spared
+  void on_request_partial(double now, Id id);  // some more of a request has come, and it is not whole
+  void on_request_complete(double now, Id id); // a whole request has come
+  void on_idle(double now, Id id);             // the answer is out and the connection stays
+  void on_lingering(double now, Id id); // the last answer is out, its client need only read it and close
+  void on_closed(double now, Id id, ClosedBy how);
 
   // Its answer is about to be written: should the connection end with it? True only under pressure. To be
   // asked once for each answer.
-  bool ends(double now, Id id);
+  bool should_close_after_response(double now, Id id);
 
   // The one to let go when a place is needed at once, in this order: those that linger, those that never
   // asked (beyond `fresh_ms`), those whose request does not come on (beyond `stuck_ms` since its last byte), those that
@@ -69,16 +70,16 @@
   // says whether nothing is due on it after all; after kMostTries that may not go, nobody is spared. Nobody
   // that rests is, while more have just come and said nothing.
   template <typename May>
-  std::optional<Id> spare(double now, May may) const;
+  std::optional<Id> select_for_eviction(double now, May may) const;
 
   // Under pressure: one that has rested for `rest_ms` and is not expected back. The caller closes it, or
   // leaves it be for now.
-  std::optional<Id> overdue(double now) const;
-  bool tight() const { return left() < places() / 8; } // overdue() should be asked now and then
+  std::optional<Id> expired_idle(double now) const;
+  bool under_pressure() const { return left() < places() / 8; } // overdue() should be asked now and then
 
   std::size_t size() const { return clients_.size(); }
-  std::size_t asking() const { return asking_; }    // have asked, and neither linger nor are gone
-  double back_share() const { return once_.share; } // of those that came once, as it is believed
+  std::size_t active() const { return asking_; }      // have asked, and neither linger nor are gone
+  double return_share() const { return once_.share; } // of those that came once, as it is believed
 
  private:
   static constexpr int kMostTries = 16;
@@ -102,7 +103,7 @@
     Key key{};
   };
 
-  double places() const { return static_cast<double>(options_.places); }
+  double places() const { return static_cast<double>(options_.max_clients); }
   double left() const { return places() - static_cast<double>(asking_); }
   double waiting(Rank rank) const { return static_cast<double>(waiting_[static_cast<std::size_t>(rank)]); }
   double full_in(double now, double places) const;
@@ -129,7 +130,7 @@
 };
 
 template <typename May>
-std::optional<ClientAdmission::Id> ClientAdmission::spare(double now, May may) const {
+std::optional<ClientAdmission::Id> ClientAdmission::select_for_eviction(double now, May may) const {
   int tries = kMostTries;
   for (auto it = index_.begin(); it != index_.end() && tries > 0; --tries) {
     // A crowd that has said nothing yet must not push out those that rest: soon it asks or can be spared
@@ -137,12 +138,12 @@
     if (it->rank >= Rank::Once &&
         waiting(Rank::Silent) + waiting(Rank::Begun) > waiting(Rank::Once) + waiting(Rank::Often))
       break;
-    if (it->rank == Rank::Silent && now - it->time < options_.fresh_ms) {
+    if (it->rank == Rank::Silent && now - it->time < options_.first_request_grace_ms) {
       it = index_.lower_bound(Key{Rank::Begun, -1, 0}); // all later silent ones are younger still
       ++tries;
       continue;
     }
-    if (it->rank == Rank::Begun && now - it->time < options_.stuck_ms) {
+    if (it->rank == Rank::Begun && now - it->time < options_.request_stall_ms) {
       it = index_.lower_bound(Key{Rank::Once, -1, 0});
       ++tries;
       continue;
--- a/src/descriptors/descriptor_budget.h
+++ b/src/descriptors/descriptor_budget.h
@@ -15,65 +15,65 @@
 
 namespace fernward::descriptors {
 
-enum class Side { Clients, Targets };
+enum class Side { Downstream, Upstream };
 
 class DescriptorBudget {
  public:
-  explicit DescriptorBudget(std::size_t total) : total_(total), believed_(total) {}
+  explicit DescriptorBudget(std::size_t total) : total_(total), believed_total_(total) {}
   DescriptorBudget(const DescriptorBudget&) = delete;
   DescriptorBudget& operator=(const DescriptorBudget&) = delete;
 
   // A granted place. It goes back when it ends: once, whatever becomes of its holder.
-  class Place {
+  class Lease {
    public:
-    Place() = default;
-    Place(Place&& other) noexcept : account_(std::exchange(other.account_, nullptr)), side_(other.side_) {}
-    Place& operator=(Place&& other) noexcept {
-      std::swap(account_, other.account_);
+    Lease() = default;
+    Lease(Lease&& other) noexcept : budget_(std::exchange(other.budget_, nullptr)), side_(other.side_) {}
+    Lease& operator=(Lease&& other) noexcept {
+      std::swap(budget_, other.budget_);
       std::swap(side_, other.side_);
       return *this;
     }
-    ~Place() {
-      if (account_ != nullptr) --account_->used_[index(side_)];
+    ~Lease() {
+      if (budget_ != nullptr) --budget_->used_[index(side_)];
     }
-    explicit operator bool() const { return account_ != nullptr; }
+    explicit operator bool() const { return budget_ != nullptr; }
 
    private:
     friend class DescriptorBudget;
-    Place(DescriptorBudget* account, Side side) : account_(account), side_(side) {}
-    DescriptorBudget* account_ = nullptr;
-    Side side_ = Side::Clients;
+    Lease(DescriptorBudget* account, Side side) : budget_(account), side_(side) {}
+    DescriptorBudget* budget_ = nullptr;
+    Side side_ = Side::Downstream;
   };
 
   // What a further place for `side` takes: nothing; a place that the other side holds beyond its share; or
   // one that `side` itself lets go, as it has its share or the other side has nothing to spare.
-  enum class Needs { Nothing, Recall, Own };
-  Needs needs(double now, Side side) const;
-  Place take(double now, Side side); // empty unless needs() is Nothing
+  enum class Eviction { None, OtherSide, OwnSide };
+  Eviction required_eviction(double now, Side side) const;
+  Lease acquire(double now, Side side); // empty unless needs() is Nothing
 
   // The system had no descriptor although the account had a place: something else holds them. The account
   // then reckons with what is in use, and with more again as time passes: one place after a second, then
   // twice as many in each second. True: that is news, a second or more after the last refusal.
-  bool refused(double now);
+  bool on_refused(double now);
 
   // From now on there are so many places; more than that may be taken still, and then none is granted.
-  void limit(std::size_t total) {
-    if (believed_ >= total_) believed_ = total;
+  void set_total(std::size_t total) {
+    if (believed_total_ >= total_) believed_total_ = total;
     total_ = total;
   }
 
   std::size_t used(Side side) const { return used_[index(side)]; }
   std::size_t total() const { return total_; }
   std::size_t usable(double now) const; // of the total, as far as the system is believed to grant them
-  static std::size_t floor_of(std::size_t usable) { return usable / 4; }
-  static std::size_t share_of(std::size_t usable, Side side) { // an odd place is the clients'
-    return side == Side::Clients ? usable - usable / 2 : usable / 2;
+  static std::size_t reserved_of(std::size_t usable) { return usable / 4; }
+  static std::size_t fair_share_of(std::size_t usable, Side side) { // an odd place is the clients'
+    return side == Side::Downstream ? usable - usable / 2 : usable / 2;
   }
 
  private:
   static std::size_t index(Side side) { return static_cast<std::size_t>(side); }
 
-  std::size_t total_, believed_;
+  std::size_t total_, believed_total_;
   std::array<std::size_t, 2> used_{};
   double refused_at_ = 0;
 };
@@ -86,13 +86,13 @@
   RequestBufferBudget& operator=(const RequestBufferBudget&) = delete;
 
   // What one connection holds. It goes back when its holder ends.
-  class Held {
+  class Lease {
    public:
-    explicit Held(RequestBufferBudget& buffers) : buffers_(&buffers) {}
-    Held(const Held&) = delete;
-    Held& operator=(const Held&) = delete;
-    ~Held() { set(0); }
-    void set(std::size_t bytes) { buffers_->held_ += bytes - std::exchange(bytes_, bytes); }
+    explicit Lease(RequestBufferBudget& buffers) : buffers_(&buffers) {}
+    Lease(const Lease&) = delete;
+    Lease& operator=(const Lease&) = delete;
+    ~Lease() { set(0); }
+    void set(std::size_t bytes) { buffers_->used_ += bytes - std::exchange(bytes_, bytes); }
     std::size_t bytes() const { return bytes_; }
 
    private:
@@ -100,12 +100,12 @@
     std::size_t bytes_ = 0;
   };
 
-  std::size_t held() const { return held_; }
-  void limit(std::size_t total) { total_ = total; } // what is held stays
-  bool over() const { return held_ > total_; }      // the next one that grows is refused
+  std::size_t used() const { return used_; }
+  void set_total(std::size_t total) { total_ = total; } // what is held stays
+  bool exceeded() const { return used_ > total_; }      // the next one that grows is refused
 
  private:
-  std::size_t total_, held_ = 0;
+  std::size_t total_, used_ = 0;
 };
 
 } // namespace fernward::descriptors
--- a/src/downstream/answers.cpp
+++ b/src/downstream/answers.cpp
@@ -27,7 +27,7 @@
   if (!c.keep_alive || draining_) return false;
   code = "made-room";
   // A request behind this one would be lost with the connection.
-  return !(clients_.ends(now_ms(), c.self) && loop::pending_input(c.io.get()).empty());
+  return !(clients_.should_close_after_response(now_ms(), c.self) && loop::pending_input(c.io.get()).empty());
 }
 
 bool Listener::present(Handle client) {
@@ -54,7 +54,7 @@
 }
 
 void Listener::reply(Connection& c, const std::string& text, bool keep_alive, const char* code) {
-  clients_.busy(now_ms(), c.self); // until it is out
+  clients_.on_request_active(now_ms(), c.self); // until it is out
   loop::write_or_wait(c.io.get(), text);
   replied(c, keep_alive, code);
 }
@@ -210,7 +210,7 @@
   if (c.state == Connection::State::Reading && !c.parser.begun()) {
     read_on(c);
     if (pass_ && pass_on(c)) return;
-    clients_.rests(now_ms(), c.self);
+    clients_.on_idle(now_ms(), c.self);
     return read(c); // what the client has sent meanwhile
   }
   if (c.state != Connection::State::Closing) return;
--- a/src/downstream/closing.cpp
+++ b/src/downstream/closing.cpp
@@ -33,7 +33,8 @@
 }
 
 bool Listener::let_go(const char* code) {
-  const auto spare = clients_.spare(now_ms(), [this](Handle handle) { return spareable(handle); });
+  const auto spare =
+      clients_.select_for_eviction(now_ms(), [this](Handle handle) { return spareable(handle); });
   if (!spare) return false;
   close(*connections_.find(*spare), code);
   return true;
@@ -43,7 +44,7 @@
 void Listener::close_rested() {
   const double now = now_ms();
   for (int i = 0; i < kMostClosedAtOnce; ++i) {
-    const auto id = clients_.overdue(now);
+    const auto id = clients_.expired_idle(now);
     if (!id || !spareable(*id)) break;
     close(*connections_.find(*id), "rested-long");
   }
@@ -52,7 +53,7 @@
 
 // Where clients hold all the places that they may, no request comes whose answer could end a connection.
 void Listener::watch_places() {
-  if (watch_ != 0 || stopped_ || !clients_.tight()) return;
+  if (watch_ != 0 || stopped_ || !clients_.under_pressure()) return;
   watch_ = deadlines_.at(now_ms() + kWatchPlacesMs, [this] {
     watch_ = 0;
     close_rested();
@@ -67,7 +68,7 @@
 void Listener::linger(Connection& c, const char* code) {
   c.state = Connection::State::Lingering;
   c.code = code;
-  clients_.lingers(now_ms(), c.self);
+  clients_.on_lingering(now_ms(), c.self);
   shutdown(bufferevent_getfd(c.io.get()), SHUT_WR);
   limit(c, options_.linger_ms, code);
 }
@@ -136,8 +137,9 @@
   deadlines_.cancel(c.end_check);
   // A client that leaves, or asked for the end, makes room of itself.
   const bool left = c.peer_closed || !c.keep_alive;
-  clients_.gone(now_ms(), c.self,
-                left ? descriptors::ClientAdmission::Gone::Left : descriptors::ClientAdmission::Gone::Closed);
+  clients_.on_closed(
+      now_ms(), c.self,
+      left ? descriptors::ClientAdmission::ClosedBy::Client : descriptors::ClientAdmission::ClosedBy::Router);
   connections_.remove(c.self);
   resume();
   if (stopped_ && connections_.size() == 0) calls_.emptied();
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -122,7 +122,7 @@
   auto* const listener = static_cast<Listener*>(self);
   if (fault == EMFILE || fault == ENFILE) { // others hold what the account reckoned with
     const double now = now_ms();
-    if (listener->account_.refused(now)) {
+    if (listener->account_.on_refused(now)) {
       log::line("descriptors-refused",
                 {{"in_use", listener->account_.usable(now)}, {"of", listener->account_.total()}});
     }
@@ -152,19 +152,19 @@
 }
 
 // A place for a new connection: a free one, one that the egress side has beyond its share, or one of our own.
-descriptors::DescriptorBudget::Place Listener::place_for_connection() {
-  using Needs = descriptors::DescriptorBudget::Needs;
+descriptors::DescriptorBudget::Lease Listener::place_for_connection() {
+  using Needs = descriptors::DescriptorBudget::Eviction;
   const double now = now_ms();
   for (;;) { // each round lets one connection go
-    const Needs needs = account_.needs(now, descriptors::Side::Clients);
-    if (needs == Needs::Nothing) return account_.take(now, descriptors::Side::Clients);
-    if (needs == Needs::Recall && calls_.recall()) continue;
+    const Needs needs = account_.required_eviction(now, descriptors::Side::Downstream);
+    if (needs == Needs::None) return account_.acquire(now, descriptors::Side::Downstream);
+    if (needs == Needs::OtherSide && calls_.recall()) continue;
     if (!let_go("table-full")) return {};
   }
 }
 
 void Listener::accept(int fd) {
-  descriptors::DescriptorBudget::Place place = place_for_connection();
+  descriptors::DescriptorBudget::Lease place = place_for_connection();
   if (!place) { // the listener is paused in time: only at the end it is not
     const std::string text = encode_shed(options_.shed_retry_ms, false);
     [[maybe_unused]] const auto sent = ::send(fd, text.data(), text.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
@@ -177,7 +177,7 @@
   if (!may_accept()) pause(kAcceptPauseMs); // who comes next waits before the door
 }
 
-Listener::Connection& Listener::join(int fd, descriptors::DescriptorBudget::Place place) {
+Listener::Connection& Listener::join(int fd, descriptors::DescriptorBudget::Lease place) {
   const double now = now_ms();
   const Handle handle = connections_.add(buffers_, bytes_, bodies_.keeper.rules().ceiling);
   Connection& c = *connections_.find(handle);
@@ -189,7 +189,7 @@
   c.place = std::move(place);
   c.io = loop::make_bufferevent(base_, fd);
   c.opened_at = now;
-  clients_.came(now, handle);
+  clients_.on_accepted(now, handle);
   bufferevent_setcb(c.io.get(), &Listener::readable, &Listener::written, &Listener::changed, &c);
   bufferevent_setwatermark(c.io.get(), EV_READ, 0, kMostInput);
   bufferevent_set_max_single_write(c.io.get(), kMostWritten);
@@ -199,8 +199,9 @@
 
 bool Listener::may_accept() {
   const double now = now_ms();
-  return account_.needs(now, descriptors::Side::Clients) != descriptors::DescriptorBudget::Needs::Own ||
-         clients_.spare(now, [this](Handle handle) { return spareable(handle); });
+  return account_.required_eviction(now, descriptors::Side::Downstream) !=
+             descriptors::DescriptorBudget::Eviction::OwnSide ||
+         clients_.select_for_eviction(now, [this](Handle handle) { return spareable(handle); });
 }
 
 // ---- replacing the process ----
@@ -229,7 +230,7 @@
 }
 
 bool Listener::adopt(int fd, unsigned requests) {
-  descriptors::DescriptorBudget::Place place = place_for_connection();
+  descriptors::DescriptorBudget::Lease place = place_for_connection();
   if (!place) {
     ::close(fd);
     log::routine("ingress-ended", {{"code", "table-full"}, {"requests", requests}, {"ms", 0}});
@@ -242,8 +243,8 @@
     return true;
   }
   c.answered_at = now_ms();
-  clients_.asked(c.answered_at, c.self);
-  clients_.rests(c.answered_at, c.self);
+  clients_.on_request_complete(c.answered_at, c.self);
+  clients_.on_idle(c.answered_at, c.self);
   limit_rest(c, c.answered_at + options_.idle_ms);
   return true;
 }
--- a/src/downstream/listener.h
+++ b/src/downstream/listener.h
@@ -100,9 +100,9 @@
         : request(buffers), out(bytes), parser(http::Kind::Request, most_body) {}
     Listener* listener = nullptr;
     loop::Handle self = 0;
-    descriptors::DescriptorBudget::Place place;
-    descriptors::RequestBufferBudget::Held request; // one that has not come whole
-    body_buffers::BufferBudget::Hold out;           // of answers: what the client has not taken
+    descriptors::DescriptorBudget::Lease place;
+    descriptors::RequestBufferBudget::Lease request; // one that has not come whole
+    body_buffers::BufferBudget::Hold out;            // of answers: what the client has not taken
     loop::BuffereventPtr io;
     http::Parser parser;
     std::shared_ptr<proxy::RequestBody> inflow; // a long body that is coming
@@ -136,10 +136,10 @@
   static void accept_failed(evconnlistener*, void* self);
   void pause(double ms); // accepts nothing for so long
   void resume();
-  descriptors::DescriptorBudget::Place
+  descriptors::DescriptorBudget::Lease
   place_for_connection(); // none: all are taken, and no connection can be spared
   void accept(int fd);
-  Connection& join(int fd, descriptors::DescriptorBudget::Place place); // a connection from its descriptor
+  Connection& join(int fd, descriptors::DescriptorBudget::Lease place); // a connection from its descriptor
   bool may_accept();                                                    // there is a place for one more
 
   // ---- requests.cpp: what is read ----
--- a/src/downstream/requests.cpp
+++ b/src/downstream/requests.cpp
@@ -57,7 +57,7 @@
     case http::Fault::BodyTooLarge: return reply(c, encode_fault(413, "body"), false, "body-too-large");
   }
   if (c.parser.done()) {
-    clients_.busy(now_ms(), c.self);
+    clients_.on_request_active(now_ms(), c.self);
     c.head_at = 0;
     c.request.set(0);
     return handle(c, c.parser.take());
@@ -67,9 +67,9 @@
     return begin_body(c);
   }
   if (c.head_at == 0 && c.parser.wants_body()) c.head_at = now_ms();
-  if (c.parser.begun()) clients_.begun(now_ms(), c.self);
+  if (c.parser.begun()) clients_.on_request_partial(now_ms(), c.self);
   c.request.set(c.parser.held());
-  if (buffers_.over()) {
+  if (buffers_.exceeded()) {
     return reply(c, encode_shed(options_.shed_retry_ms, false), false, "buffers-full");
   }
   if (fresh && c.parser.begun() && c.requests > 0) limit(c, options_.request_ms, "request-timeout");
@@ -151,7 +151,7 @@
 }
 
 void Listener::open(Connection& c, proxy::ClientRequest call) {
-  clients_.asked(now_ms(), c.self);
+  clients_.on_request_complete(now_ms(), c.self);
   c.state = Connection::State::Waiting;
   // The module gives it up in time by itself.
   if (ends_by_ > 0)
@@ -192,7 +192,7 @@
   if (!admit(c, decoded, false)) return;
   c.request.set(c.parser.held());
   c.head_at = 0;
-  clients_.busy(now_ms(), c.self);
+  clients_.on_request_active(now_ms(), c.self);
   c.begun_at = now_ms();
   c.inflow = std::make_shared<proxy::RequestBody>(bodies_, c.parser.body().length());
   c.inflow->on_room([this, handle = c.self] {
--- a/src/idle_connections/idle_lifetime_estimator.cpp
+++ b/src/idle_connections/idle_lifetime_estimator.cpp
@@ -60,7 +60,7 @@
   for (Tally& tally : rested) tally.answered *= keep, tally.reset *= keep;
 }
 
-IdleLifetimeEstimator::Known& IdleLifetimeEstimator::known(double now, Target target) {
+IdleLifetimeEstimator::Known& IdleLifetimeEstimator::known(double now, EndpointId target) {
   common_.seen.fade(now);
   const auto [it, added] = targets_.try_emplace(target);
   if (added) it->second.seen.at = now;
@@ -68,7 +68,7 @@
   return it->second;
 }
 
-void IdleLifetimeEstimator::forget(Target target) {
+void IdleLifetimeEstimator::forget(EndpointId target) {
   const auto it = targets_.find(target);
   if (it == targets_.end()) return;
   for (std::size_t i = 0; i < kClasses; ++i) {
@@ -81,7 +81,7 @@
 
 // ---- what came of it ----
 
-void IdleLifetimeEstimator::first_use(double now, Target target, bool reset) {
+void IdleLifetimeEstimator::on_first_use(double now, EndpointId target, bool reset) {
   Known& k = known(now, target);
   for (auto [tally, memory] : {std::pair(&k.seen.fresh, kOwnMemory), {&common_.seen.fresh, kCommonMemory}}) {
     reset ? count(tally->reset, tally->answered, memory) : count(tally->answered, tally->reset, memory);
@@ -95,7 +95,8 @@
   return same;
 }
 
-void IdleLifetimeEstimator::used_again(double now, Target target, double rested_ms, bool trial, bool reset) {
+void IdleLifetimeEstimator::on_reuse(double now, EndpointId target, double rested_ms, bool trial,
+                                     bool reset) {
   Known& k = known(now, target);
   if (trial) {
     trial_wait_ms_ = std::clamp(trial_wait_ms_ * (reset ? 2 : 0.5), kMinTrialMs, kMaxTrialMs);
@@ -116,7 +117,7 @@
 
 // ---- what follows ----
 
-IdleLifetimeEstimator::Known& IdleLifetimeEstimator::estimated(double now, Target target) {
+IdleLifetimeEstimator::Known& IdleLifetimeEstimator::estimated(double now, EndpointId target) {
   Known& k = known(now, target);
   const double age = now - k.estimated_at;
   if ((k.version != version_ && age >= kHearMs) || (k.safe_ms < longest_ms_ && age >= kReestimateMs)) {
@@ -178,17 +179,22 @@
   k.hold_ms = i + 2 < classes_ ? begin_of(i + 2) : longest_ms_;
 }
 
-double IdleLifetimeEstimator::safe_ms(double now, Target target) { return estimated(now, target).safe_ms; }
-double IdleLifetimeEstimator::hold_ms(double now, Target target) { return estimated(now, target).hold_ms; }
+double IdleLifetimeEstimator::safe_idle_ms(double now, EndpointId target) {
+  return estimated(now, target).safe_ms;
+}
+double IdleLifetimeEstimator::keep_ms(double now, EndpointId target) {
+  return estimated(now, target).hold_ms;
+}
 
-IdleLifetimeEstimator::Use IdleLifetimeEstimator::use(double now, Target target, double rested_ms) {
+IdleLifetimeEstimator::Reuse IdleLifetimeEstimator::decide_reuse(double now, EndpointId target,
+                                                                 double rested_ms) {
   const Known& k = estimated(now, target);
-  if (rested_ms < k.safe_ms) return Use::Yes;
+  if (rested_ms < k.safe_ms) return Reuse::Allowed;
   // A target that had no reset there itself goes first.
   const bool guilty = k.seen.rested[class_of(k.safe_ms)].reset > 0.5;
-  if (rested_ms >= k.hold_ms || now < trial_at_ + (guilty ? trial_wait_ms_ : 0)) return Use::No;
+  if (rested_ms >= k.hold_ms || now < trial_at_ + (guilty ? trial_wait_ms_ : 0)) return Reuse::Refused;
   trial_at_ = now + trial_wait_ms_;
-  return Use::Trial;
+  return Reuse::Trial;
 }
 
 } // namespace fernward::idle_connections
--- a/src/idle_connections/idle_lifetime_estimator.h
+++ b/src/idle_connections/idle_lifetime_estimator.h
@@ -35,22 +35,22 @@
 
 class IdleLifetimeEstimator {
  public:
-  using Target = std::uint32_t;
+  using EndpointId = std::uint32_t;
 
   explicit IdleLifetimeEstimator(double longest_ms); // no rest is ever safe beyond it: what the settings say
 
-  enum class Use { Yes, Trial, No };
+  enum class Reuse { Allowed, Trial, Refused };
   // May a request be written to a connection that has rested so long? A Trial is given once for each call.
-  Use use(double now, Target target, double rested_ms);
+  Reuse decide_reuse(double now, EndpointId target, double rested_ms);
   // How long it is worth keeping a connection that rests: until it is neither of use nor of use for a trial.
-  double hold_ms(double now, Target target);
-  double safe_ms(double now, Target target); // rests below it are believed safe
+  double keep_ms(double now, EndpointId target);
+  double safe_idle_ms(double now, EndpointId target); // rests below it are believed safe
 
   // What came of it. `reset`: the connection broke before any of an answer came.
-  void first_use(double now, Target target, bool reset);
-  void used_again(double now, Target target, double rested_ms, bool trial, bool reset);
+  void on_first_use(double now, EndpointId target, bool reset);
+  void on_reuse(double now, EndpointId target, double rested_ms, bool trial, bool reset);
   // It restarted, has another address, or is gone: what was seen of it was another process.
-  void forget(Target target);
+  void forget(EndpointId target);
 
   std::size_t size() const { return targets_.size(); }
 
@@ -79,14 +79,14 @@
 
   static std::size_t class_of(double rested_ms);
   static double begin_of(std::size_t cls);
-  Known& known(double now, Target target);
-  Known& estimated(double now, Target target);
+  Known& known(double now, EndpointId target);
+  Known& estimated(double now, EndpointId target);
   void weigh(Weighed& weighed, double usual, const Weighed* others) const;
   void estimate(Known& known);
   bool same_break(double now, Known& known);
 
   double longest_ms_;
-  std::unordered_map<Target, Known> targets_;
+  std::unordered_map<EndpointId, Known> targets_;
   Weighed common_;          // of all targets
   std::size_t classes_ = 0; // that begin before `longest_ms_`
   std::uint64_t version_ = 0, common_version_ = 0;
--- a/src/placement/fill_rate_limiter.cpp
+++ b/src/placement/fill_rate_limiter.cpp
@@ -51,11 +51,11 @@
 
 // What fetches a move brings is not steady; but where one follows upon the other for ever, there is nothing else.
 bool FillRateLimiter::learns(double now) const {
-  return !open(now) || !known() || now - opened_at_ > kUnrest * set_.transition_ms;
+  return !is_active(now) || !known() || now - opened_at_ > kUnrest * set_.transition_ms;
 }
 
-void FillRateLimiter::read(double now) {
-  if (read_at_ != kNever && !open(now)) calm_ms_ += std::min(now - read_at_, kTrafficMs);
+void FillRateLimiter::on_read(double now) {
+  if (read_at_ != kNever && !is_active(now)) calm_ms_ += std::min(now - read_at_, kTrafficMs);
   read_at_ = now;
   reads_.add(now, kTrafficMs);
   if (learns(now)) {
@@ -66,11 +66,11 @@
   steady_fetches_.skip(now);
 }
 
-void FillRateLimiter::fetched(double now) {
+void FillRateLimiter::on_fetch(double now) {
   learns(now) ? steady_fetches_.add(now, kSteadyMs) : steady_fetches_.skip(now);
   recent_.add(now, kRecentMs);
   calming_.add(now, kCalmingMs);
-  if (!open(now)) return;
+  if (!is_active(now)) return;
   fetches_.count -= 1;
   // Else all that the pace kept back would come at once when it ends.
   if (now > until_ - kCalmingMs / 2 && calming_.per_ms(now, kCalmingMs) > kCalm * base_per_ms(now)) {
@@ -78,28 +78,30 @@
   }
 }
 
-double FillRateLimiter::steady_per_ms(double now) const { return steady_fetches_.per_ms(now, kSteadyMs); }
+double FillRateLimiter::steady_fetches_per_ms(double now) const {
+  return steady_fetches_.per_ms(now, kSteadyMs);
+}
 
 double FillRateLimiter::base_per_ms(double now) const {
   const double traffic = reads_.per_ms(now, kTrafficMs);
   // Seen in a move alone it may be what the pace itself let through: it counts for less, else it would raise itself.
-  if (!known()) return std::max(kAssumed * traffic, kUnsure * steady_per_ms(now));
+  if (!known()) return std::max(kAssumed * traffic, kUnsure * steady_fetches_per_ms(now));
   const double before = steady_reads_.per_ms(now, kSteadyMs);
-  return before > 0 ? steady_per_ms(now) * std::max(1.0, traffic / before / kByChance) : 0;
+  return before > 0 ? steady_fetches_per_ms(now) * std::max(1.0, traffic / before / kByChance) : 0;
 }
 
-double FillRateLimiter::per_ms(double now) const {
-  if (!open(now) || set_.origin_load_multiple <= 0) return 0;
+double FillRateLimiter::max_fetches_per_ms(double now) const {
+  if (!is_active(now) || set_.origin_load_multiple <= 0) return 0;
   return base_per_ms(now) * std::max(1.0, kOfMultiple * set_.origin_load_multiple);
 }
 
-double FillRateLimiter::crowding(double now, double waiting) const {
-  const double most = per_ms(now);
+double FillRateLimiter::utilization(double now, double waiting) const {
+  const double most = max_fetches_per_ms(now);
   return most > 0 ? (recent_.per_ms(now, kRecentMs) + waiting / kRecentMs) / most : 0;
 }
 
 bool FillRateLimiter::may_fetch(double now) {
-  const double rate = per_ms(now);
+  const double rate = max_fetches_per_ms(now);
   if (rate <= 0) return true;
   fetches_.refill(now, rate, kBurst);
   return fetches_.count >= 0.5;
@@ -108,7 +110,8 @@
 bool FillRateLimiter::may_fill(double now, Fill what, double& saved) {
   const double base = base_per_ms(now);
   const double over = set_.origin_load_multiple > 0 ? kOfMultiple * set_.origin_load_multiple - 1 : 1;
-  const double rate = what == Fill::Second ? kSecondShare * base : kFillShare * std::max(0.1, over) * base;
+  const double rate =
+      what == Fill::SecondReplica ? kSecondShare * base : kFillShare * std::max(0.1, over) * base;
   Bucket& bucket = tokens(what);
   bucket.refill(now, rate, kMostSaved);
   saved = bucket.count;
--- a/src/placement/fill_rate_limiter.h
+++ b/src/placement/fill_rate_limiter.h
@@ -36,38 +36,38 @@
  public:
   explicit FillRateLimiter(const ResizeSettings& set) : set_(set) {}
 
-  void read(double now);
-  void fetched(double now);
+  void on_read(double now);
+  void on_fetch(double now);
 
   // The fleet has changed: the pace holds from now until `settle_ms` later, and on until fetches are nearly steady again,
   // for four times as long at most.
-  void disturb(double now) {
+  void on_fleet_changed(double now) {
     if (set_.transition_ms <= 0) return;
-    if (!open(now)) opened_at_ = now;
+    if (!is_active(now)) opened_at_ = now;
     until_ = std::max(until_, now + set_.transition_ms);
     at_latest_ = now + 4 * set_.transition_ms;
   }
-  bool open(double now) const { return now < until_; }
+  bool is_active(double now) const { return now < until_; }
 
   bool may_fetch(double now);
-  double per_ms(double now) const; // the most fetches that it allows; 0: it does not hold now
+  double max_fetches_per_ms(double now) const; // the most fetches that it allows; 0: it does not hold now
 
   // How much of what it allows is taken up, `waiting` fetches being wanted besides; 0: it does not hold now.
-  double crowding(double now, double waiting) const;
+  double utilization(double now, double waiting) const;
 
-  enum class Fill { Move, Second };                    // to a new owner; to a second one in steady times
+  enum class Fill { NewOwner, SecondReplica };         // to a new owner; to a second one in steady times
   bool may_fill(double now, Fill what, double& saved); // `saved`: how many are saved up
-  void filled(Fill what) { tokens(what).count -= 1; }
-  void unfilled(Fill what) { tokens(what).count += 1; } // it cost no fetch after all
+  void on_filled(Fill what) { tokens(what).count -= 1; }
+  void refund(Fill what) { tokens(what).count += 1; } // it cost no fetch after all
 
-  double steady_per_ms(double now) const; // fetches, as of the time before the move; 0: none seen yet
+  double steady_fetches_per_ms(double now) const; // fetches, as of the time before the move; 0: none seen yet
 
  private:
   struct Bucket {
     double count = 0, at = kNever;
     void refill(double now, double per_ms, double most);
   };
-  Bucket& tokens(Fill what) { return what == Fill::Move ? moves_ : seconds_; }
+  Bucket& tokens(Fill what) { return what == Fill::NewOwner ? moves_ : seconds_; }
   double base_per_ms(double now) const; // the steady rate, at the traffic of the moment
   bool known() const;                   // from steady times
   bool learns(double now) const;
--- a/src/placement/hot_key_tracker.cpp
+++ b/src/placement/hot_key_tracker.cpp
@@ -12,7 +12,7 @@
 constexpr double kNoKey = 1 << 20; // above any count
 } // namespace
 
-void HotKeyTracker::seen(std::uint64_t key) {
+void HotKeyTracker::on_read(std::uint64_t key) {
   const std::uint32_t before = sketch_.add(key);
   for (Level& bar : bars_) {
     if (bar.share <= 0) {
--- a/src/placement/hot_key_tracker.h
+++ b/src/placement/hot_key_tracker.h
@@ -18,14 +18,14 @@
 
 class HotKeyTracker {
  public:
-  void seen(std::uint64_t key);
+  void on_read(std::uint64_t key);
   std::uint32_t count(std::uint64_t key) const { return sketch_.count(key); }
 
   // Is it among the keys that make up the first share of the reads, the most popular first? Each share has a bar of its
   // own that is moved with every read until so many of the reads are above it.
   enum Bar : std::size_t { Fifth, Half, MostPart, Chosen, kBars };
-  bool above(Bar bar, std::uint64_t key) const { return count(key) >= bars_[bar].level; }
-  void choose(double share) { bars_[Chosen].share = share; } // 0: no key
+  bool is_in_top_share(Bar bar, std::uint64_t key) const { return count(key) >= bars_[bar].level; }
+  void set_chosen_share(double share) { bars_[Chosen].share = share; } // 0: no key
 
  private:
   static constexpr std::uint32_t kMostSeen = 10 * FrequencySketch::kWidth;
--- a/src/placement/key_demand.h
+++ b/src/placement/key_demand.h
@@ -20,8 +20,8 @@
 #include <algorithm>
 #include <cstdint>
 
-#include "statistics/numbers.h"
 #include "placement/frequency_sketch.h"
+#include "statistics/numbers.h"
 
 namespace fernward::placement {
 
@@ -30,7 +30,7 @@
   /// A request for this key has come, with so many servers in service. Returns the share of such requests that a server in
   /// slow start may be sent, from 0 to 1; its warmth comes on top. `fall_multiple`: it is overloaded by more than this
   /// times its present capacity; below 1 counts as 1.
-  double request(double now, std::uint64_t key, std::size_t servers, double fall_multiple) {
+  double on_request(double now, std::uint64_t key, std::size_t servers, double fall_multiple) {
     if (now >= halve_at_) halve(now);
     const double mean = ++requests_ / static_cast<double>(std::max<std::size_t>(servers, 1));
     if (key == 0) return 1; // every request is a key of its own
--- a/src/placement/key_location_cache.h
+++ b/src/placement/key_location_cache.h
@@ -44,7 +44,7 @@
     --s.count;
   }
   // A write of the key has been carried out, or may have been: the origin drops all copies.
-  void voided(std::uint64_t key, double now) { at(key) = {key, {}, 0, now}; }
+  void invalidate(std::uint64_t key, double now) { at(key) = {key, {}, 0, now}; }
   // Nothing that these servers held is believed any more, of any key: they have started anew.
   template <typename Anew>
   void forget(Anew anew) {
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -37,7 +37,7 @@
 class Placement {
  public:
   explicit Placement(const ResizeSettings& set) : set_(set), pace_(set) {
-    popularity_.choose(set.second_replica_share);
+    popularity_.set_chosen_share(set.second_replica_share);
   }
 
   // ---- the list ----
@@ -99,7 +99,7 @@
 
   // Is the candidate believed to hold the key? Its first one is, as that is where every router looks, unless it came
   // lately while another is known to hold the key; the others are where this router saw it, or where it was before.
-  bool likely(const Choice& c, std::size_t i, std::uint64_t key) const {
+  bool likely_holds(const Choice& c, std::size_t i, std::uint64_t key) const {
     if (key != 0 && (c.at[i] == c.former || memory_.holds(key, c.at[i]->entry.id))) return true;
     if (i > 0 || !c.moving || key == 0) return i == 0;
     for (std::size_t k = 1; k < c.size; ++k) {
@@ -119,33 +119,34 @@
     Member* whom = nullptr;
     FillRateLimiter::Fill what{}; // what it is to be paid from, once it is sent
   };
-  Filling fill(double now, std::uint64_t key, const Choice& c) {
+  Filling choose_fill(double now, std::uint64_t key, const Choice& c) {
     if (!on() || key == 0 || c.size == 0) return {};
     double saved = 0;
     if (c.moving) {
-      if (c.former == nullptr || !pace_.may_fill(now, FillRateLimiter::Fill::Move, saved)) return {};
+      if (c.former == nullptr || !pace_.may_fill(now, FillRateLimiter::Fill::NewOwner, saved)) return {};
       const auto bar = saved < 2   ? HotKeyTracker::Fifth
                        : saved < 3 ? HotKeyTracker::Half
                                    : HotKeyTracker::MostPart;
-      return {popularity_.above(bar, key) ? c.at[0] : nullptr, FillRateLimiter::Fill::Move};
+      return {popularity_.is_in_top_share(bar, key) ? c.at[0] : nullptr, FillRateLimiter::Fill::NewOwner};
     }
-    if (c.size < 2 || pace_.open(now) || !popularity_.above(HotKeyTracker::Chosen, key)) return {};
+    if (c.size < 2 || pace_.is_active(now) || !popularity_.is_in_top_share(HotKeyTracker::Chosen, key))
+      return {};
     if (!memory_.holds(key, c.at[0]->entry.id) || memory_.holds(key, c.at[1]->entry.id)) return {};
-    return {pace_.may_fill(now, FillRateLimiter::Fill::Second, saved) ? c.at[1] : nullptr,
-            FillRateLimiter::Fill::Second};
+    return {pace_.may_fill(now, FillRateLimiter::Fill::SecondReplica, saved) ? c.at[1] : nullptr,
+            FillRateLimiter::Fill::SecondReplica};
   }
 
   // A read has missed and is about to be fetched: who else should hold the key, and would store it if asked first? It
   // costs a miss and no fetch. `usable` leaves out those that were asked.
   template <typename Usable>
-  Member* store_too(double now, std::uint64_t key, std::size_t missed, Usable usable) {
+  Member* choose_second_store(double now, std::uint64_t key, std::size_t missed, Usable usable) {
     if (!on() || key == 0 || missed >= kStored) return nullptr;
     Member* found = nullptr;
     std::size_t place = 0;
     ring_.walk(key, [&](Member& m) {
       if (m.entry.state != ServerState::Ready) return true;
       const bool owner = place == 0 && came_lately(now, key, m);
-      const bool second = place <= 1 && popularity_.above(HotKeyTracker::Chosen, key);
+      const bool second = place <= 1 && popularity_.is_in_top_share(HotKeyTracker::Chosen, key);
       if ((owner || second) && usable(m)) found = &m;
       return found == nullptr && ++place < 2;
     });
@@ -154,18 +155,18 @@
 
   // ---- what is seen ----
 
-  void read(double now, std::uint64_t key) {
+  void on_read(double now, std::uint64_t key) {
     if (!on()) return;
-    pace_.read(now);
-    if (key != 0) popularity_.seen(key);
+    pace_.on_read(now);
+    if (key != 0) popularity_.on_read(key);
   }
-  void hit(std::uint64_t key, ServerId id, double sent_at) { memory_.add(key, id, sent_at); }
-  void missed(std::uint64_t key, ServerId id) { memory_.remove(key, id); }
-  void wrote(std::uint64_t key, double now) { // it has run, or may have
-    if (on() && key != 0) memory_.voided(key, now);
+  void on_hit(std::uint64_t key, ServerId id, double sent_at) { memory_.add(key, id, sent_at); }
+  void on_miss(std::uint64_t key, ServerId id) { memory_.remove(key, id); }
+  void on_write(std::uint64_t key, double now) { // it has run, or may have
+    if (on() && key != 0) memory_.invalidate(key, now);
   }
-  FillRateLimiter& pace() { return pace_; }
-  const FillRateLimiter& pace() const { return pace_; }
+  FillRateLimiter& fill_rate_limiter() { return pace_; }
+  const FillRateLimiter& fill_rate_limiter() const { return pace_; }
 
  private:
   static constexpr double kPoints = 64;        // ring points of a cache of typical weight
@@ -211,7 +212,8 @@
         seat.joined_at = first ? started(m) : now;
         if (!first) anew.push_back(id);
       }
-      if (first && serves && now - seat.joined_at < set_.transition_ms) pace_.disturb(seat.joined_at);
+      if (first && serves && now - seat.joined_at < set_.transition_ms)
+        pace_.on_fleet_changed(seat.joined_at);
       if (seat.serves && !serves && left_.size() < kMostLeft)
         left_[id] = {seat.booted_at, seat.joined_at, now};
       changed |= serves != seat.serves || restarted;
@@ -224,7 +226,7 @@
       memory_.forget([&](ServerId id) { return std::binary_search(anew.begin(), anew.end(), id); });
     }
     std::erase_if(left_, [&](const auto& l) { return now - l.second.at > set_.transition_ms; });
-    if (changed && !first) pace_.disturb(now);
+    if (changed && !first) pace_.on_fleet_changed(now);
     told_ |= changed;
   }
   // It left a while ago and is the same process: it has what it had.
--- a/src/policy/answer.cpp
+++ b/src/policy/answer.cpp
@@ -37,7 +37,7 @@
     const bool stay_away = why == GiveUpReason::Shed || why == GiveUpReason::QueueTimeout ||
                            why == GiveUpReason::ResponseTimeout || why == GiveUpReason::NotSent;
     const double wait =
-        stay_away ? set.max_retry_after_ms : std::min(set.max_retry_after_ms, cache_late.slow_ms);
+        stay_away ? set.max_retry_after_ms : std::min(set.max_retry_after_ms, cache_late.slow_threshold_ms);
     act(Reject{o.in.id, set.send_retry_after ? wait : 0, why});
   } else {
     act(Fail{o.in.id, why});
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -15,8 +15,8 @@
     : set(s), random{mix(seed)}, places(s.origin_kind >= 0 ? s.resize : ResizeSettings{}) {
   take_classes();
   living = s.router_count;
-  cache_late.slow_ms = origin_late.slow_ms = aim_ms / 3; // until answers tell
-  fleet_ms = cache_late.slow_ms / 3;
+  cache_late.slow_threshold_ms = origin_late.slow_threshold_ms = aim_ms / 3; // until answers tell
+  fleet_ms = cache_late.slow_threshold_ms / 3;
 }
 
 void Balancer::Impl::start() {
@@ -77,7 +77,8 @@
   if (restarted) r.forget();
   if (added || restarted) r.gate = concurrency::CacheConcurrencyLimiter(set.router_count);
   if (is_origin(r) && (added || restarted))
-    origin_limit = concurrency::OriginConcurrencyLimiter::origin(set.router_count), origin_places = {};
+    origin_limit = concurrency::OriginConcurrencyLimiter::for_router_count(set.router_count),
+    origin_places = {};
   if (s.started_at > 0) r.cold_since = std::max(r.cold_since, s.started_at);
   tally(r, 1);
   if (is_origin(r)) {
@@ -95,10 +96,10 @@
 }
 
 void Balancer::Impl::arrange(const std::vector<ServerId>& changed) {
-  const bool settled = !places.pace().open(now);
+  const bool settled = !places.fill_rate_limiter().is_active(now);
   places.arrange(now, replicas, changed, set.weight_kind != WeightKind::Live,
                  [this](const Replica& r) { return !is_origin(r) && r.entry.state != ServerState::Gone; });
-  if (const double most = places.pace().per_ms(now); settled && most > 0)
+  if (const double most = places.fill_rate_limiter().max_fetches_per_ms(now); settled && most > 0)
     log("fleet changed, origin reads a second at most", 1000 * most);
   origin = nullptr;
   for (const ServerId id : origins) {
@@ -123,8 +124,8 @@
 void Balancer::Impl::take(const FleetState& e) {
   living = std::clamp(usable_number(e.live_routers) && e.live_routers > 0 ? e.live_routers : 1e9,
                       0.25 * set.router_count, 1.0 * set.router_count);
-  origin_limit.pooled(now, e.origin_response_ms, e.origin_response_age_ms);
-  origin_limit.lead(e.origin_limit_share);
+  origin_limit.set_fleet_latency(now, e.origin_response_ms, e.origin_response_age_ms);
+  origin_limit.set_fleet_share(e.origin_limit_share);
 }
 
 // ---- timers ----
@@ -156,7 +157,7 @@
   probes = std::min(1.0, probes + kProbeShare * requests_now);
   requests_now = 0;
   for (double& rate : tenant_rate) rate *= 0.95;
-  shedder.tick();
+  shedder.on_tick();
   if (set.discovery == DiscoveryMode::Poll && !subscribed && now >= ask_at) {
     act(WatchEndpoints{});
     asked = true;
@@ -196,7 +197,8 @@
 }
 
 Balancer::OriginBudget Balancer::origin_budget() const {
-  return {impl_->ledger_demand, impl_->origin_limit.limit(), impl_->origin_limit.lately_ms(impl_->now)};
+  return {impl_->ledger_demand, impl_->origin_limit.limit(),
+          impl_->origin_limit.recent_latency_ms(impl_->now)};
 }
 
 Balancer::SlowStartCounts Balancer::slow_start_counts() const { return impl_->slow_start; }
--- a/src/policy/balancer.h
+++ b/src/policy/balancer.h
@@ -32,7 +32,8 @@
   placement::Placement<Replica> places;
   placement::KeyDemand demand;
   Replica* origin = nullptr;
-  concurrency::OriginConcurrencyLimiter origin_limit = concurrency::OriginConcurrencyLimiter::origin(1);
+  concurrency::OriginConcurrencyLimiter origin_limit =
+      concurrency::OriginConcurrencyLimiter::for_router_count(1);
   concurrency::ConnectionCapacityEstimator origin_places;
   concurrency::OriginRequestQueue origin_queue;
   std::vector<RequestId> leaving_queue; // scratch
--- a/src/policy/choose.cpp
+++ b/src/policy/choose.cpp
@@ -50,18 +50,18 @@
   const double aim_at = std::max(now, o.in.body_complete_at) + aim_of(o);
   o.end_at = std::min(o.in.deadline, c.late_value_share > 0 ? 1e15 : aim_at) - set.event_interval_ms;
   const std::size_t priority = 2 * in.class_index + (over_quota(in.tenant) ? 1 : 0);
-  o.value = shedder.value[priority];
-  shedder.rate[priority] += 1;
+  o.value = shedder.priority_values[priority];
+  shedder.priority_rates[priority] += 1;
   ++requests_now;
-  allowance.request(now, std::max(cache_late.dead, origin_late.dead));
-  if (o.end_at <= now || !shedder.admit(priority, random.unit())) {
-    allowance.ended(now, true);
+  allowance.on_request(now, std::max(cache_late.never_answered_share, origin_late.never_answered_share));
+  if (o.end_at <= now || !shedder.admits(priority, random.unit())) {
+    allowance.on_attempt_ended(now, true);
     return conclude(o, GiveUpReason::Shed);
   }
   act(SetTimer{o.end_at - now, token(Timer::End, in.id)});
-  o.slow_start_share = demand.request(now, in.key, caches, set.overload_multiple);
+  o.slow_start_share = demand.on_request(now, in.key, caches, set.overload_multiple);
   if (in.write && set.origin_kind >= 0) return to_origin(o);
-  places.read(now, in.key);
+  places.on_read(now, in.key);
   if (!choose(o)) to_origin(o); // which concludes where there is none
 }
 
@@ -93,14 +93,14 @@
   double best_score = std::numeric_limits<double>::infinity();
   const double turn = origin_turn_ms();
   if (!o.missed.empty()) best_score = turn; // or straight to the origin
-  const auto fill = o.attempts.empty() ? places.fill(now, o.in.key, c) : decltype(places)::Filling{};
+  const auto fill = o.attempts.empty() ? places.choose_fill(now, o.in.key, c) : decltype(places)::Filling{};
   for (std::size_t i = 0; i < c.size; ++i) {
     Replica& r = *c.at[i];
     // Keeps its place all the same: the next is not the key's first cache.
     if (o.missed_at(r.entry.id) || now < r.full_until || !start_allows(r, o, i == 0) ||
-        !r.gate.room(now, r.working()))
+        !r.gate.has_capacity(now, r.working()))
       continue;
-    const bool likely = places.likely(c, i, o.in.key);
+    const bool likely = places.likely_holds(c, i, o.in.key);
     double score = r.score(now, living, fleet_ms, fleet_queue, likely ? (1 - warmth(r)) * turn : turn);
     // A crossing is paid for and zones fail apart. In the cube 3 is a queue 1.44 times as long.
     if (set.zone && r.entry.zone != *set.zone) score *= kOtherZone;
@@ -108,12 +108,12 @@
     if (&r == fill.whom) score = -1, o.filling = fill.what;
     if (score < best_score) best_score = score, best = i;
   }
-  shedder.seen += o.attempts.empty();
-  shedder.tight += o.attempts.empty() && best == c.size;
-  if (best == c.size && o.missed.empty()) allowance.ended(now, true);
+  shedder.choices += o.attempts.empty();
+  shedder.choices_without_capacity += o.attempts.empty() && best == c.size;
+  if (best == c.size && o.missed.empty()) allowance.on_attempt_ended(now, true);
   if (best == c.size) return false;
   for (std::size_t i = 0; i < c.size; ++i) c.at[i]->passed_over += i != best;
-  if (c.at[best] == fill.whom) places.pace().filled(fill.what);
+  if (c.at[best] == fill.whom) places.fill_rate_limiter().on_filled(fill.what);
   return send(o, *c.at[best]);
 }
 
@@ -123,9 +123,9 @@
 double Balancer::Impl::origin_turn_ms() const {
   if (origin == nullptr) return 0;
   const double wanted = origin->working() + static_cast<double>(origin_queue.size());
-  const double pace = places.pace().crowding(now, static_cast<double>(origin_queue.size()));
-  const double use = 2 * std::max(origin_limit.crowding(now, wanted), pace);
-  return origin->response(now, origin_limit.recent_ms()) * (1 + use * use * use);
+  const double pace = places.fill_rate_limiter().utilization(now, static_cast<double>(origin_queue.size()));
+  const double use = 2 * std::max(origin_limit.utilization(now, wanted), pace);
+  return origin->response(now, origin_limit.latency_ms()) * (1 + use * use * use);
 }
 
 bool Balancer::Impl::send(RequestState& o, Replica& r) {
@@ -134,7 +134,7 @@
     return false;
   if (r.entry.state != ServerState::Ready || now >= o.end_at) return false;
   r.health.sent();
-  act(SetTimer{std::max(lateness(r).slow_ms, 2 * set.event_interval_ms),
+  act(SetTimer{std::max(lateness(r).slow_threshold_ms, 2 * set.event_interval_ms),
                token(Timer::Overdue, o.in.id, o.attempts.size() & 0xff)});
   if (!o.maybe_ran && o.out == 0) { // the group that a keyed request is bound to from now on
     o.ran_at = now;
@@ -145,9 +145,9 @@
   slow_start.attempts += !is_origin(r) && cold(r);
   ++o.out;
   ++r.open;
-  if (is_origin(r)) origin_places.sent(now, r.working() - 1);
-  is_origin(r) ? origin_limit.sent(now) : r.gate.sent(now);
-  if (is_origin(r) && !o.in.write) places.pace().fetched(now);
+  if (is_origin(r)) origin_places.on_attempt_sent(now, r.working() - 1);
+  is_origin(r) ? origin_limit.on_attempt_sent(now) : r.gate.on_attempt_sent(now);
+  if (is_origin(r) && !o.in.write) places.fill_rate_limiter().on_fetch(now);
   act(Send{o.in.id, r.entry.id, 0});
   return true;
 }
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -6,7 +6,7 @@
 namespace fernward {
 
 bool Balancer::Impl::answers_others(const Replica& r) {
-  return now - r.health.heard_at() < 2 * std::max(lateness(r).slow_ms, r.response(now, fleet_ms));
+  return now - r.health.heard_at() < 2 * std::max(lateness(r).slow_threshold_ms, r.response(now, fleet_ms));
 }
 
 void Balancer::Impl::strike(Replica& r, int weight) {
@@ -17,12 +17,14 @@
 
 void Balancer::Impl::leave_out(Replica& r) {
   ejected += r.entry.state == ServerState::Ready;
-  places.pace().disturb(now); // its keys fall to others now, long before the list tells
+  places.fill_rate_limiter().on_fleet_changed(now); // its keys fall to others now, long before the list tells
   postpone_trial(r);
   log("cache ejected, trial in ms:", r.health.trial_at() - now);
 }
 
-void Balancer::Impl::postpone_trial(Replica& r) { r.health.wait(now, cache_late.slow_ms, random.unit()); }
+void Balancer::Impl::postpone_trial(Replica& r) {
+  r.health.wait(now, cache_late.slow_threshold_ms, random.unit());
+}
 
 void Balancer::Impl::heard(Replica& r) {
   if (r.health.heard(now)) ejected -= r.entry.state == ServerState::Ready;
--- a/src/policy/origin.cpp
+++ b/src/policy/origin.cpp
@@ -12,8 +12,9 @@
   // Another candidate may hold it, at a lower price than the origin's; one attempt is kept for that.
   if (o.attempts.size() + 1 < set.max_attempts_of(o.in.class_index) && !o.filling) {
     if (choose(o)) return;
-    Replica* const too = places.store_too(now, o.in.key, o.missed.size(), [&](const Replica& r) {
-      return !o.tried(r.entry.id) && usable(r) && start_allows(r, o, true) && r.gate.room(now, r.working());
+    Replica* const too = places.choose_second_store(now, o.in.key, o.missed.size(), [&](const Replica& r) {
+      return !o.tried(r.entry.id) && usable(r) && start_allows(r, o, true) &&
+             r.gate.has_capacity(now, r.working());
     });
     if (too != nullptr && send(o, *too)) return;
   }
@@ -38,11 +39,12 @@
   if (pumping || origin == nullptr) return; // concluding one below may bring in another
   pumping = true;
   // A closed loop: what may be out, each for a response time.
-  const double answer_ms = origin_limit.recent_ms();
-  const double most = places.pace().per_ms(now), all = std::min(origin_limit.limit(), origin_places.most()),
+  const double answer_ms = origin_limit.latency_ms();
+  const double most = places.fill_rate_limiter().max_fetches_per_ms(now),
+               all = std::min(origin_limit.limit(), origin_places.capacity()),
                turns = answer_ms > 0 ? all / answer_ms : 0;
-  origin_queue.serves(most > 0 && turns > 0 ? std::min(most, turns) : turns, answer_ms);
-  origin_queue.leave(now, leaving_queue);
+  origin_queue.set_service_rate(most > 0 && turns > 0 ? std::min(most, turns) : turns, answer_ms);
+  origin_queue.take_expired(now, leaving_queue);
   for (std::size_t i = 0; i < leaving_queue.size(); ++i) {
     RequestState* o = live(leaving_queue[i]);
     if (o != nullptr) o->queued = false;
@@ -51,9 +53,10 @@
   leaving_queue.clear();
   while (true) {
     const std::uint32_t out = origin->working();
-    const bool place = origin_places.room(now, out);
-    const bool read_room = place && origin_limit.room(now, out, false) && places.pace().may_fetch(now);
-    const auto next = origin_queue.take(now, read_room, place && origin_limit.room(now, out, true));
+    const bool place = origin_places.has_capacity(now, out);
+    const bool read_room =
+        place && origin_limit.has_capacity(now, out, false) && places.fill_rate_limiter().may_fetch(now);
+    const auto next = origin_queue.take(now, read_room, place && origin_limit.has_capacity(now, out, true));
     if (!next) break;
     RequestState* o = live(*next);
     if (o == nullptr) continue;
@@ -71,7 +74,7 @@
   const auto followers = std::move(it->second);
   fetches.erase(it);
   for (std::size_t i = 0; stored && i < std::min<std::size_t>(2, leader.missed.size()); ++i) {
-    places.hit(leader.in.key, leader.missed[i], leader.attempts.back().sent_at);
+    places.on_hit(leader.in.key, leader.missed[i], leader.attempts.back().sent_at);
   }
   Replica* holder = leader.missed.empty() ? nullptr : find(leader.missed.front());
   for (const RequestId id : followers) {
--- a/src/policy/outcome.cpp
+++ b/src/policy/outcome.cpp
@@ -21,7 +21,7 @@
   if (Replica* r = find(a.server)) learn(o, a, *r, e);
   const bool ran = may_have_run(e.result);
   o.maybe_ran |= ran;
-  if (ran && o.in.write) places.wrote(o.in.key, now);
+  if (ran && o.in.write) places.on_write(o.in.key, now);
   if (!o.over && e.request_ended) finish(o, e.result == AttemptResult::Ok);
   if (!o.over) next_step(o, e);
   if (o.over && o.out == 0) open.erase(e.id);
@@ -38,47 +38,53 @@
   const double elapsed = usable_number(e.elapsed_ms) ? e.elapsed_ms : now - a.sent_at;
   if (e.result == AttemptResult::Ok || e.result == AttemptResult::CacheMiss)
     r.overtaken_at = std::max(r.overtaken_at, a.sent_at);
-  allowance.ended(now, limit(o, r, e, elapsed), failed(e.result));
-  if (std::exchange(a.watched, false)) lateness(r).ended(e.result != AttemptResult::TimedOut);
+  allowance.on_attempt_ended(now, limit(o, r, e, elapsed), failed(e.result));
+  if (std::exchange(a.watched, false)) lateness(r).on_slow_attempt_ended(e.result != AttemptResult::TimedOut);
   is_origin(r) ? learn_origin(r, e, elapsed) : learn_cache(o, a, r, e, elapsed);
 }
 
 // What the end tells of the server's crowding; true: a sign of it.
 bool Balancer::Impl::limit(const RequestState& o, Replica& r, const AttemptOutcome& e, double elapsed) {
   if (!is_origin(r)) {
-    if (e.result == AttemptResult::Overloaded) r.gate.cut(now, 0.7);
+    if (e.result == AttemptResult::Overloaded) r.gate.decrease(now, 0.7);
     const bool silent = e.result == AttemptResult::Cancelled || e.result == AttemptResult::TimedOut;
     // Else the limit would stand still just when nothing comes back in time any more.
-    if (e.result == AttemptResult::Ok || (silent && elapsed > concurrency::kTightAim * aim_of(o)))
-      return r.gate.answered(now, elapsed, aim_of(o), r.working());
+    if (e.result == AttemptResult::Ok ||
+        (silent && elapsed > concurrency::kCrowdedShareOfObjective * aim_of(o)))
+      return r.gate.on_response(now, elapsed, aim_of(o), r.working());
     return e.result == AttemptResult::Overloaded;
   }
   // A connection refused by one that works: it wants places for connections, not room for work.
   const bool connects = e.result == AttemptResult::ConnectFailed && answers_others(r);
   if (connects || (e.result == AttemptResult::Overloaded && e.first_on_connection)) {
-    origin_places.refused(now, r.working(), origin_limit.recent_ms(), random.unit());
+    origin_places.on_connection_refused(now, r.working(), origin_limit.latency_ms(), random.unit());
     log("origin refuses further connections, in use:", r.working());
     return false;
   }
-  concurrency::Sample s{
-      concurrency::Ending::Answered, elapsed, o.in.expected_work_ms, aim_of(o), o.in.write, r.working()};
+  concurrency::AttemptSample s{concurrency::AttemptOutcome::Answered,
+                               elapsed,
+                               o.in.expected_work_ms,
+                               aim_of(o),
+                               o.in.write,
+                               r.working()};
   switch (e.result) {
     case AttemptResult::CacheMiss: // quick, whatever the server is about
     case AttemptResult::InvalidRequest:
     case AttemptResult::Abandoned: return false;
-    case AttemptResult::Ok: origin_places.had(r.working() + 1); break;
-    case AttemptResult::Overloaded: s.ending = concurrency::Ending::TurnedAway; break;
-    case AttemptResult::ConnectFailed: s.ending = concurrency::Ending::Unreached; break;
+    case AttemptResult::Ok: origin_places.on_connection_used(r.working() + 1); break;
+    case AttemptResult::Overloaded: s.outcome = concurrency::AttemptOutcome::Rejected; break;
+    case AttemptResult::ConnectFailed: s.outcome = concurrency::AttemptOutcome::ConnectFailed; break;
     case AttemptResult::Error:
-    case AttemptResult::Reset: s.ending = concurrency::Ending::Fault; break;
-    case AttemptResult::TimedOut: s.ending = concurrency::Ending::Silent; break;
+    case AttemptResult::Reset: s.outcome = concurrency::AttemptOutcome::Fault; break;
+    case AttemptResult::TimedOut: s.outcome = concurrency::AttemptOutcome::TimedOut; break;
     case AttemptResult::Cancelled: // as its time had run out, or as another copy was quicker
-      s.ending = now >= o.end_at ? concurrency::Ending::Silent : concurrency::Ending::Withdrawn;
+      s.outcome =
+          now >= o.end_at ? concurrency::AttemptOutcome::TimedOut : concurrency::AttemptOutcome::Cancelled;
   }
-  const concurrency::Sign sign = origin_limit.ended(now, s);
-  if (sign == concurrency::Sign::TurnedAway)
+  const concurrency::DecreaseReason sign = origin_limit.on_attempt_ended(now, s);
+  if (sign == concurrency::DecreaseReason::Rejected)
     log("origin crowded, attempts at once cut to", origin_limit.limit());
-  return sign == concurrency::Sign::TurnedAway || sign == concurrency::Sign::Slow;
+  return sign == concurrency::DecreaseReason::Rejected || sign == concurrency::DecreaseReason::Slow;
 }
 
 void Balancer::Impl::learn_cache(RequestState& o, const Attempt& a, Replica& r, const AttemptOutcome& e,
@@ -95,7 +101,7 @@
     case AttemptResult::Ok:
       heard(r);
       smooth(fleet_ms, elapsed, 0.02);
-      cache_late.answered(elapsed);
+      cache_late.on_response(elapsed);
       r.answered(now, elapsed);
       note_hit(o, a, true);
       break;
@@ -107,7 +113,7 @@
     case AttemptResult::
         Overloaded: // for about as long as one request takes, another would be turned away too
       r.health.lives(now);
-      shedder.tight += e.attempt > 0; // not its first: the caches are full, not just one
+      shedder.choices_without_capacity += e.attempt > 0; // not its first: the caches are full, not just one
       r.full_until = now + (r.service_ms > 0 ? r.service_ms : r.response(now, fleet_ms));
       break;
     case AttemptResult::ConnectFailed:
@@ -128,22 +134,22 @@
 
 void Balancer::Impl::note_hit(RequestState& o, const Attempt& a, bool hit) {
   if (hit && o.filling)
-    places.pace().unfilled(*std::exchange(o.filling, {})); // another router's fetch filled it
+    places.fill_rate_limiter().refund(*std::exchange(o.filling, {})); // another router's fetch filled it
   if (set.origin_kind < 0 || o.in.key == 0) return;
-  hit ? places.hit(o.in.key, a.server, a.sent_at) : places.missed(o.in.key, a.server);
+  hit ? places.on_hit(o.in.key, a.server, a.sent_at) : places.on_miss(o.in.key, a.server);
 }
 
 void Balancer::Impl::learn_origin(Replica& r, const AttemptOutcome& e, double elapsed) {
   if (e.result != AttemptResult::Ok) return;
   r.health.lives(now);
   r.answered(now, elapsed);
-  origin_late.answered(elapsed);
+  origin_late.on_response(elapsed);
 }
 
 void Balancer::Impl::next_step(RequestState& o, const AttemptOutcome& e) {
   // A copy that is late may be on a connection that fell silent: it is not waited for, as far as copies go.
   if (o.queued || o.waits_well() || (o.out > 0 && (o.streaming || !set.may_hedge))) return;
-  if (o.out > 0 && !allowance.spend(now, concurrency::RetryBudget::Use::Copy, 0)) return;
+  if (o.out > 0 && !allowance.try_consume(now, concurrency::RetryBudget::Use::Hedge, 0)) return;
   if (e.result == AttemptResult::CacheMiss) return after_miss(o);
   if (o.leads) end_fetch(o, false);
   if (e.result == AttemptResult::InvalidRequest) { // asked again it would use up what others may need
@@ -155,8 +161,8 @@
   // Turned away unseen or never connected costs a server next to nothing; the attempt limit bounds it.
   if (e.result != AttemptResult::Overloaded && e.result != AttemptResult::ConnectFailed) {
     const bool at_origin = origin != nullptr && e.server == origin->entry.id;
-    const double crowding = at_origin ? origin_limit.crowding(now, origin->working()) : 0;
-    if (!allowance.spend(now, concurrency::RetryBudget::Use::Retry, crowding))
+    const double crowding = at_origin ? origin_limit.utilization(now, origin->working()) : 0;
+    if (!allowance.try_consume(now, concurrency::RetryBudget::Use::Retry, crowding))
       return conclude(o, GiveUpReason::RetryBudgetEmpty);
   }
   if (origin != nullptr && e.server == origin->entry.id) {
@@ -166,7 +172,7 @@
     if (e.result == AttemptResult::Error || e.result == AttemptResult::Reset || place_ms > 0)
       return to_origin(o);
     if (!repeatable(o, *origin)) return conclude(o, GiveUpReason::NotIdempotent);
-    const double wait = std::max(origin_limit.recent_ms(), set.event_interval_ms) * (0.5 + random.unit());
+    const double wait = std::max(origin_limit.latency_ms(), set.event_interval_ms) * (0.5 + random.unit());
     if (now + wait >= o.end_at) return conclude(o, GiveUpReason::QueueTimeout); // to give up is to answer now
     return act(SetTimer{wait, token(Timer::Again, o.in.id)});
   }
@@ -199,21 +205,23 @@
   if (r == nullptr || a.late) return;
   a.late = true;
   a.watched = is_origin(*r) || mix(o.in.id) % kWatched == 0;
-  a.hung = r->overtaken_at > a.sent_at && lateness(*r).some_dead();
+  a.hung = r->overtaken_at > a.sent_at && lateness(*r).expects_dead_attempts();
   r->hung += a.hung;
   strike(*r, 1);
   const bool safe = set.classes[o.in.class_index].idempotency == Idempotency::Idempotent;
-  if (!set.may_hedge_class(o.in.class_index) && set.may_cancel && safe && allowance.saved() >= 1 &&
+  if (!set.may_hedge_class(o.in.class_index) && set.may_cancel && safe && allowance.balance() >= 1 &&
       o.attempts.size() < set.max_attempts_of(o.in.class_index)) {
     act(Cancel{o.in.id, static_cast<std::uint32_t>(attempt)}); // its outcome brings the next attempt
   }
   if (!set.may_hedge_class(o.in.class_index) || o.queued || o.waits_well()) return;
   // At the origin a copy costs as much as a fetch, so one is sent only where the connection is at fault.
   const bool at_origin = is_origin(*r);
-  const double crowding = at_origin ? origin_limit.crowding(now, r->working()) : 0;
-  if ((at_origin && !a.hung) || !allowance.spend(now, concurrency::RetryBudget::Use::Copy, crowding)) return;
-  const bool sent = !at_origin ? choose(o) : origin_limit.room(now, r->working(), o.in.write) && send(o, *r);
-  if (!sent) allowance.unspent(concurrency::RetryBudget::Use::Copy);
+  const double crowding = at_origin ? origin_limit.utilization(now, r->working()) : 0;
+  if ((at_origin && !a.hung) || !allowance.try_consume(now, concurrency::RetryBudget::Use::Hedge, crowding))
+    return;
+  const bool sent =
+      !at_origin ? choose(o) : origin_limit.has_capacity(now, r->working(), o.in.write) && send(o, *r);
+  if (!sent) allowance.refund(concurrency::RetryBudget::Use::Hedge);
 }
 
 } // namespace fernward
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -57,16 +57,16 @@
 }
 
 void Balancer::Impl::take_classes() {
-  shedder.value.clear();
+  shedder.priority_values.clear();
   aim_ms = 3000;
   for (const ClassSettings& c : set.classes) {
     for (const double share : {1.0, set.over_quota_weight})
-      shedder.value.push_back(c.priority_weight * share);
+      shedder.priority_values.push_back(c.priority_weight * share);
     const double aim =
         c.latency_objective_ms > 0 ? c.latency_objective_ms : c.client_timeout_ms; // as Settings has it
     if (aim > 0) aim_ms = std::min(aim_ms, aim);
   }
-  shedder.rate.resize(shedder.value.size());
+  shedder.priority_rates.resize(shedder.priority_values.size());
   tenant_rate.resize(set.tenants.size());
 }
 
--- a/src/router/hot_restart_coordinator.cpp
+++ b/src/router/hot_restart_coordinator.cpp
@@ -35,7 +35,7 @@
     const hot_restart::Share& share = from->welcome.share;
     had_places_ = std::min(share.places, options_.places);
     had_memory_mb_ = std::min(share.memory_mb, options_.memory_mb);
-    parts_.account.limit(0);
+    parts_.account.set_total(0);
     memory_mb_ = 0;
     take(had_places_, had_memory_mb_);
     before_ = std::make_unique<Channel>(
@@ -66,15 +66,16 @@
 }
 
 std::uint64_t HotRestartCoordinator::used() const {
-  return parts_.account.used(descriptors::Side::Clients) + parts_.account.used(descriptors::Side::Targets);
+  return parts_.account.used(descriptors::Side::Downstream) +
+         parts_.account.used(descriptors::Side::Upstream);
 }
 
 // More places, and more memory.
 void HotRestartCoordinator::take(std::uint64_t places, std::uint64_t memory_mb) {
-  parts_.account.limit(parts_.account.total() + places);
+  parts_.account.set_total(parts_.account.total() + places);
   if (memory_mb == 0) return;
   memory_mb_ += memory_mb;
-  parts_.buffers.limit(config::buffer_bytes(memory_mb_));
+  parts_.buffers.set_total(config::buffer_bytes(memory_mb_));
   parts_.bytes.limit(config::body_bytes(memory_mb_));
 }
 
@@ -135,7 +136,7 @@
   const hot_restart::Split shares = hot_restart::split(whole, used(), hello.reserved);
   given_places_ = whole.places - shares.old.places;
   given_memory_mb_ = shares.next.memory_mb;
-  parts_.account.limit(shares.old.places);
+  parts_.account.set_total(shares.old.places);
   memory_mb_ = 0;
   take(0, shares.old.memory_mb);
   while (used() > shares.old.places && parts_.pool.let_go("handover")) {}
@@ -171,8 +172,8 @@
   parts_.listener.hand_over([this](int fd, unsigned requests) {
     if (!replaced()) return false;
     next_->send(hot_restart::Client{requests}, Descriptor(fd));
-    parts_.account.limit(parts_.account.total() -
-                         std::min<std::size_t>(1, parts_.account.total())); // its place goes along
+    parts_.account.set_total(parts_.account.total() -
+                             std::min<std::size_t>(1, parts_.account.total())); // its place goes along
     return true;
   });
   return true;
@@ -182,7 +183,7 @@
   if (!replaced()) return;
   const std::uint64_t total = parts_.account.total(), needed = used() + kKeptFree;
   if (total > needed) {
-    parts_.account.limit(needed);
+    parts_.account.set_total(needed);
     next_->send(hot_restart::Places{total - needed});
   }
   spare_ = parts_.deadlines.at(now_ms() + kSpareMs, [this] {
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -94,7 +94,7 @@
       std::clamp(kernel_bytes(config) / (config.sockets / 3), std::size_t{16} << 10, std::size_t{64} << 10));
   // Clients hold at most a third of the descriptors for requests: none of them can open one more when all of
   // these rest, however many places this router has.
-  options.clients.places = std::min<std::size_t>(config.sockets / 3, places(config));
+  options.clients.max_clients = std::min<std::size_t>(config.sockets / 3, places(config));
   return options;
 }
 
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -95,7 +95,7 @@
   if (!in_service(target)) return Start::NoTarget;
   UpstreamConnection* c = reusable(target);
   if (c == nullptr) {
-    descriptors::DescriptorBudget::Place place = room();
+    descriptors::DescriptorBudget::Lease place = room();
     const int fd = place ? open_socket() : -1;
     if (fd < 0) return Start::Full; // this process's own want: no fault of the target's
     Start why = Start::NoTarget;
@@ -107,13 +107,13 @@
 }
 
 // A place for a new connection: a free one, one that the clients have beyond their share, or one of our own.
-descriptors::DescriptorBudget::Place ConnectionPool::room() {
-  using Needs = descriptors::DescriptorBudget::Needs;
+descriptors::DescriptorBudget::Lease ConnectionPool::room() {
+  using Needs = descriptors::DescriptorBudget::Eviction;
   const double now = now_ms();
   for (;;) { // each round lets one connection go
-    const Needs needs = account_.needs(now, descriptors::Side::Targets);
-    if (needs == Needs::Nothing) return account_.take(now, descriptors::Side::Targets);
-    if (needs == Needs::Recall && recall_()) continue;
+    const Needs needs = account_.required_eviction(now, descriptors::Side::Upstream);
+    if (needs == Needs::None) return account_.acquire(now, descriptors::Side::Upstream);
+    if (needs == Needs::OtherSide && recall_()) continue;
     if (!let_go("table-full")) return {};
   }
 }
@@ -124,7 +124,7 @@
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd >= 0 || tries == 2) return fd;
     const double now = now_ms();
-    if (account_.refused(now)) {
+    if (account_.on_refused(now)) {
       log::line("descriptors-refused", {{"in_use", account_.usable(now)}, {"of", account_.total()}});
     }
     if (!let_go("table-full") && !recall_()) return -1;
@@ -160,9 +160,9 @@
         continue;
       }
       if (up) {
-        using Use = idle_connections::IdleLifetimeEstimator::Use;
-        const Use use = rests_.use(now, target, now - c->rested_at);
-        if (use == Use::No) break; // those before it have rested longer
+        using Use = idle_connections::IdleLifetimeEstimator::Reuse;
+        const Use use = rests_.decide_reuse(now, target, now - c->rested_at);
+        if (use == Use::Refused) break; // those before it have rested longer
         c->rested_ms = now - c->rested_at;
         c->trial = use == Use::Trial;
       }
@@ -179,7 +179,7 @@
 void ConnectionPool::drop_rested(fernward::ServerId target, double now) {
   const auto it = free_.find(target);
   if (it == free_.end() || it->second.empty()) return;
-  const double hold = rests_.hold_ms(now, target);
+  const double hold = rests_.keep_ms(now, target);
   std::vector<Handle> late;
   for (const Handle handle : it->second) {
     const UpstreamConnection* c = connections_.find(handle);
@@ -193,14 +193,14 @@
 // What its request came to, for the next ones that find a connection at rest.
 void ConnectionPool::learn(const UpstreamConnection& c, bool reset) {
   if (targets_.count(c.target) == 0) return; // nothing stays of one that is gone
-  if (c.rested_ms < 0) return rests_.first_use(now_ms(), c.target, reset);
+  if (c.rested_ms < 0) return rests_.on_first_use(now_ms(), c.target, reset);
   reset_after_rest_ += reset;
-  rests_.used_again(now_ms(), c.target, c.rested_ms, c.trial, reset);
+  rests_.on_reuse(now_ms(), c.target, c.rested_ms, c.trial, reset);
 }
 
 // `fd` is the connection's from here on.
 ConnectionPool::UpstreamConnection* ConnectionPool::open(const endpoints::Endpoint& target,
-                                                         descriptors::DescriptorBudget::Place place, int fd,
+                                                         descriptors::DescriptorBudget::Lease place, int fd,
                                                          Start& why) {
   const Handle handle = connections_.add(options_.answers.ceiling);
   UpstreamConnection& c = *connections_.find(handle);
@@ -633,7 +633,7 @@
 void ConnectionPool::rest(UpstreamConnection& c) {
   make_free(c);
   c.rested_at = now_ms();
-  const double hold = rests_.hold_ms(c.rested_at, c.target);
+  const double hold = rests_.keep_ms(c.rested_at, c.target);
   // Its place is one that other routers may want, and this one has another that rests.
   const bool scarce = static_cast<std::int64_t>(targets_.at(c.target).entry.kind) == options_.scarce_kind;
   const double used = c.rested_at - c.assigned_at;
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -67,7 +67,7 @@
     explicit UpstreamConnection(std::uint64_t ceiling) : parser(http::Kind::Response, ceiling) {}
     ConnectionPool* pool = nullptr;
     loop::Handle self = 0;
-    descriptors::DescriptorBudget::Place place;
+    descriptors::DescriptorBudget::Lease place;
     std::list<loop::Handle> seat; // its entry of `resting_`, while it is not free
     std::list<loop::Handle>::iterator entry;
     fernward::ServerId target = 0;
@@ -131,9 +131,9 @@
   void unpool(const UpstreamConnection& c);
   UpstreamConnection* reusable(fernward::ServerId target);
   // Null: `why` it can't be.
-  UpstreamConnection* open(const endpoints::Endpoint& target, descriptors::DescriptorBudget::Place place,
+  UpstreamConnection* open(const endpoints::Endpoint& target, descriptors::DescriptorBudget::Lease place,
                            int fd, Start& why);
-  descriptors::DescriptorBudget::Place room();
+  descriptors::DescriptorBudget::Lease room();
   int open_socket();
   void learn(const UpstreamConnection& c, bool reset);
   void drop_rested(fernward::ServerId target, double now);
--- a/tests/concurrency/origin_request_queue_test.cpp
+++ b/tests/concurrency/origin_request_queue_test.cpp
@@ -25,18 +25,18 @@
 
 TEST_CASE("a read that will surely be late is not taken, and leaves once that is clear, a write stays") {
   OriginRequestQueue q;
-  q.serves(0.02, 50); // a turn each 50 ms
+  q.set_service_rate(0.02, 50); // a turn each 50 ms
   for (OriginRequestQueue::Id id = 1; id <= 20; ++id) CHECK(q.add(0, id, 5, 10000, false));
   CHECK_FALSE(q.add(0, 21, 1, 200, false)); // 20 turns ahead: a second
   CHECK(q.add(0, 22, 1, 200, true));
   CHECK(q.add(0, 23, 1, 700, false));
   std::vector<OriginRequestQueue::Id> left;
-  q.leave(0, left);
+  q.take_expired(0, left);
   CHECK(left.empty());
-  q.serves(0.004, 50); // the origin slows down: the last of the dear ones is late too
-  q.leave(9000, left);
+  q.set_service_rate(0.004, 50); // the origin slows down: the last of the dear ones is late too
+  q.take_expired(9000, left);
   CHECK(left.size() > 5);
-  CHECK(q.advice_ms() > 1000);
+  CHECK(q.retry_after_ms() > 1000);
   CHECK(q.remove(22));
 }
 
@@ -48,6 +48,6 @@
   CHECK(q.add(0, 4, 3, 1000, false));
   CHECK(q.size() == 2);
   std::vector<OriginRequestQueue::Id> left;
-  q.leave(0, left);
+  q.take_expired(0, left);
   CHECK(left == std::vector<OriginRequestQueue::Id>{1});
 }
--- a/tests/concurrency/retry_budget_test.cpp
+++ b/tests/concurrency/retry_budget_test.cpp
@@ -15,14 +15,14 @@
   int failed = 0, again = 0;
   for (int i = 0; i < requests; ++i) {
     now += 10;
-    a.request(now, 1);
+    a.on_request(now, 1);
     int attempt = i;
     do {
-      a.ended(now, crowded);
+      a.on_attempt_ended(now, crowded);
       if (attempt % 10 >= fails_of_ten) break;
       ++failed;
       attempt = attempt * 7 + 3;
-    } while (a.spend(now, Use::Retry, crowding) && ++again > 0);
+    } while (a.try_consume(now, Use::Retry, crowding) && ++again > 0);
   }
   return failed == 0 ? 1 : static_cast<double>(again) / failed;
 }
@@ -43,21 +43,21 @@
   int again = 0;
   for (int i = 0; i < 1000; ++i) {
     now += 10;
-    a.request(now, 1);
-    a.ended(now, true);
-    again += a.spend(now, Use::Retry, 2);
-    again += a.spend(now, Use::Copy, 2);
+    a.on_request(now, 1);
+    a.on_attempt_ended(now, true);
+    again += a.try_consume(now, Use::Retry, 2);
+    again += a.try_consume(now, Use::Hedge, 2);
   }
   CHECK(again <= 130);
   CHECK(again >= 90);
-  CHECK(a.room() == 0);
+  CHECK(a.proven_capacity() == 0);
 }
 
 TEST_CASE("a crowded server gets no second copy while the fleet has room") {
   RetryBudget a;
   double now = 0;
   tried_again(a, now, 2000, 0, false, 0.2);
-  CHECK(a.room() > 0.9);
-  CHECK_FALSE(a.spend(now, Use::Copy, 1.5));
-  CHECK(a.spend(now, Use::Copy, 0.5));
+  CHECK(a.proven_capacity() > 0.9);
+  CHECK_FALSE(a.try_consume(now, Use::Hedge, 1.5));
+  CHECK(a.try_consume(now, Use::Hedge, 0.5));
 }
--- a/tests/descriptors/descriptors_test.cpp
+++ b/tests/descriptors/descriptors_test.cpp
@@ -11,14 +11,14 @@
 #include "descriptors/descriptor_budget.h"
 
 using namespace fernward::descriptors;
-using Needs = DescriptorBudget::Needs;
+using Needs = DescriptorBudget::Eviction;
 
 namespace {
 
-std::vector<DescriptorBudget::Place> take(DescriptorBudget& account, Side side, int places, double now = 0) {
-  std::vector<DescriptorBudget::Place> taken;
+std::vector<DescriptorBudget::Lease> take(DescriptorBudget& account, Side side, int places, double now = 0) {
+  std::vector<DescriptorBudget::Lease> taken;
   for (int i = 0; i < places; ++i) {
-    taken.push_back(account.take(now, side));
+    taken.push_back(account.acquire(now, side));
     REQUIRE(taken.back());
   }
   return taken;
@@ -28,51 +28,51 @@
 
 TEST_CASE("a side holds up to three quarters while the other rests, and gives them back") {
   DescriptorBudget account(40);
-  auto clients = take(account, Side::Clients, 30);
-  CHECK(account.needs(0, Side::Clients) == Needs::Own); // the rest is the targets' floor
-  auto targets = take(account, Side::Targets, 10);
-  CHECK(account.needs(0, Side::Targets) == Needs::Recall);
-  CHECK_FALSE(account.take(0, Side::Targets));
+  auto clients = take(account, Side::Downstream, 30);
+  CHECK(account.required_eviction(0, Side::Downstream) == Needs::OwnSide); // the rest is the targets' floor
+  auto targets = take(account, Side::Upstream, 10);
+  CHECK(account.required_eviction(0, Side::Upstream) == Needs::OtherSide);
+  CHECK_FALSE(account.acquire(0, Side::Upstream));
   for (int i = 0; i < 10; ++i) {
-    REQUIRE(account.needs(0, Side::Targets) == Needs::Recall);
+    REQUIRE(account.required_eviction(0, Side::Upstream) == Needs::OtherSide);
     clients.pop_back(); // what a recall does
-    targets.push_back(account.take(0, Side::Targets));
+    targets.push_back(account.acquire(0, Side::Upstream));
     CHECK(targets.back());
   }
-  CHECK(account.needs(0, Side::Targets) == Needs::Own); // each has its share
-  CHECK(account.needs(0, Side::Clients) == Needs::Own);
+  CHECK(account.required_eviction(0, Side::Upstream) == Needs::OwnSide); // each has its share
+  CHECK(account.required_eviction(0, Side::Downstream) == Needs::OwnSide);
 }
 
 TEST_CASE("what the system refuses is taken off, and tried again by and by") { // guards: spinning on EMFILE
   DescriptorBudget account(200);
-  auto clients = take(account, Side::Clients, 50);
-  CHECK(account.refused(1000));
+  auto clients = take(account, Side::Downstream, 50);
+  CHECK(account.on_refused(1000));
   CHECK(account.usable(1000) == 50);
-  CHECK(account.needs(1000, Side::Clients) == Needs::Own);
-  CHECK(account.needs(1000, Side::Targets) == Needs::Recall);
-  CHECK_FALSE(account.refused(1500)); // no news
+  CHECK(account.required_eviction(1000, Side::Downstream) == Needs::OwnSide);
+  CHECK(account.required_eviction(1000, Side::Upstream) == Needs::OtherSide);
+  CHECK_FALSE(account.on_refused(1500)); // no news
   CHECK(account.usable(2400) == 50);
   CHECK(account.usable(2500) == 51);
   CHECK(account.usable(6500) == 81);
   CHECK(account.usable(60000) == 200);
   clients.clear();
-  account.refused(70000); // with nothing in use it must still try again
-  CHECK(account.take(70000, Side::Clients));
+  account.on_refused(70000); // with nothing in use it must still try again
+  CHECK(account.acquire(70000, Side::Downstream));
 }
 
 TEST_CASE("requests that have not come whole are over once they hold more than all") {
   RequestBufferBudget buffers(1000);
   {
-    RequestBufferBudget::Held one(buffers), two(buffers);
+    RequestBufferBudget::Lease one(buffers), two(buffers);
     one.set(600);
     two.set(400);
-    CHECK_FALSE(buffers.over());
+    CHECK_FALSE(buffers.exceeded());
     two.set(401);
-    CHECK(buffers.over());
+    CHECK(buffers.exceeded());
     one.set(10);
-    CHECK_FALSE(buffers.over());
+    CHECK_FALSE(buffers.exceeded());
   }
-  CHECK(buffers.held() == 0);
+  CHECK(buffers.used() == 0);
 }
 
 TEST_CASE("properties of the account over random events") {
@@ -81,7 +81,7 @@
     const auto events = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 40), rc::gen::inRange(0, 1000)));
     DescriptorBudget account(total);
-    std::array<std::deque<DescriptorBudget::Place>, 2> held;
+    std::array<std::deque<DescriptorBudget::Lease>, 2> held;
     double now = 0;
     for (const auto& [what, number] : events) {
       now += number % 7 * 100;
@@ -89,38 +89,39 @@
       auto& mine = held[static_cast<std::size_t>(side)];
       auto& others = held[1 - static_cast<std::size_t>(side)];
       if (what == 0) {
-        account.refused(now);
+        account.on_refused(now);
       } else if (what < 12 && !mine.empty()) {
-        DescriptorBudget::Place moved =
+        DescriptorBudget::Lease moved =
             std::move(mine.front()); // a moved place is given back once all the same
         mine.pop_front();
       } else {
         for (int i = 0; i < number % 40; ++i) {
           const std::size_t usable = account.usable(now), before = mine.size();
-          const Needs needs = account.needs(now, side);
-          DescriptorBudget::Place place = account.take(now, side);
-          RC_ASSERT(static_cast<bool>(place) == (needs == Needs::Nothing));
+          const Needs needs = account.required_eviction(now, side);
+          DescriptorBudget::Lease place = account.acquire(now, side);
+          RC_ASSERT(static_cast<bool>(place) == (needs == Needs::None));
           if (place) {
-            RC_ASSERT(mine.size() + 1 + std::max(others.size(), DescriptorBudget::floor_of(usable)) <=
+            RC_ASSERT(mine.size() + 1 + std::max(others.size(), DescriptorBudget::reserved_of(usable)) <=
                       usable);
             mine.push_back(std::move(place));
           } else if (usable == total) {
-            RC_ASSERT(before >= DescriptorBudget::floor_of(usable));
+            RC_ASSERT(before >= DescriptorBudget::reserved_of(usable));
           }
-          if (needs == Needs::Recall) {
-            RC_ASSERT(others.size() > DescriptorBudget::share_of(
-                                          usable, side == Side::Clients ? Side::Targets : Side::Clients));
+          if (needs == Needs::OtherSide) {
+            RC_ASSERT(others.size() > DescriptorBudget::fair_share_of(usable, side == Side::Downstream
+                                                                                  ? Side::Upstream
+                                                                                  : Side::Downstream));
             others.pop_back(); // the other side lets one go: the place is free for the owner
-            if (usable == total) RC_ASSERT(account.needs(now, side) == Needs::Nothing);
+            if (usable == total) RC_ASSERT(account.required_eviction(now, side) == Needs::None);
           }
         }
       }
-      RC_ASSERT(account.used(Side::Clients) == held[0].size());
-      RC_ASSERT(account.used(Side::Targets) == held[1].size());
+      RC_ASSERT(account.used(Side::Downstream) == held[0].size());
+      RC_ASSERT(account.used(Side::Upstream) == held[1].size());
       RC_ASSERT(held[0].size() + held[1].size() <= total);
     }
     held = {};
-    RC_ASSERT(account.used(Side::Clients) + account.used(Side::Targets) == 0u);
+    RC_ASSERT(account.used(Side::Downstream) + account.used(Side::Upstream) == 0u);
   }));
 }
 
@@ -132,58 +133,58 @@
 
 // A connection asks; true: it stays.
 bool ask(ClientAdmission& clients, ClientAdmission::Id id, double now, double took = 1) {
-  clients.busy(now, id);
-  clients.asked(now, id);
-  const bool ends = clients.ends(now + took, id);
-  ends ? clients.lingers(now + took, id) : clients.rests(now + took, id);
+  clients.on_request_active(now, id);
+  clients.on_request_complete(now, id);
+  const bool ends = clients.should_close_after_response(now + took, id);
+  ends ? clients.on_lingering(now + took, id) : clients.on_idle(now + took, id);
   return !ends;
 }
 
 bool first_ask(ClientAdmission& clients, ClientAdmission::Id id, double now) {
-  clients.came(now, id);
+  clients.on_accepted(now, id);
   return ask(clients, id, now);
 }
 
 } // namespace
 
 TEST_CASE("who goes first: lingering, silent, came once, then those that asked twice longest ago") {
-  ClientAdmission clients({.places = 100, .fresh_ms = 100, .rest_ms = 2000});
+  ClientAdmission clients({.max_clients = 100, .first_request_grace_ms = 100, .min_idle_ms = 2000});
   first_ask(clients, 1, 0); // often: its last request but one is the oldest
   ask(clients, 1, 5000);
   first_ask(clients, 2, 4000); // often, and quick
   ask(clients, 2, 4050);
   ask(clients, 2, 4100);
-  first_ask(clients, 3, 4500); // once
-  first_ask(clients, 4, 4400); // once, rests longer
-  clients.came(4600, 5);       // silent
+  first_ask(clients, 3, 4500);  // once
+  first_ask(clients, 4, 4400);  // once, rests longer
+  clients.on_accepted(4600, 5); // silent
   first_ask(clients, 6, 4700);
-  clients.lingers(4800, 6);
-  clients.came(5990, 7); // its request may be on the way
-  clients.came(5000, 8);
-  clients.busy(5950, 8); // has begun one
+  clients.on_lingering(4800, 6);
+  clients.on_accepted(5990, 7); // its request may be on the way
+  clients.on_accepted(5000, 8);
+  clients.on_request_active(5950, 8); // has begun one
   std::vector<ClientAdmission::Id> order;
-  while (const auto id = clients.spare(6000, any)) {
+  while (const auto id = clients.select_for_eviction(6000, any)) {
     order.push_back(*id);
-    clients.gone(6000, *id, ClientAdmission::Gone::Closed);
+    clients.on_closed(6000, *id, ClientAdmission::ClosedBy::Router);
   }
   CHECK(order == std::vector<ClientAdmission::Id>{6, 5, 4, 3, 1, 2});
-  CHECK(clients.spare(6100, any) == 7u);
-  CHECK_FALSE(clients.spare(6100, [](ClientAdmission::Id) { return false; }));
+  CHECK(clients.select_for_eviction(6100, any) == 7u);
+  CHECK_FALSE(clients.select_for_eviction(6100, [](ClientAdmission::Id) { return false; }));
   first_ask(clients, 20, 6200);
-  for (ClientAdmission::Id id = 21; id < 25; ++id) clients.came(6200, id);
-  clients.gone(6200, 7, ClientAdmission::Gone::Left);
-  CHECK_FALSE(clients.spare(6250, any)); // a crowd that may yet ask does not push out who rests
-  CHECK(clients.spare(6300, any) == 21u);
+  for (ClientAdmission::Id id = 21; id < 25; ++id) clients.on_accepted(6200, id);
+  clients.on_closed(6200, 7, ClientAdmission::ClosedBy::Client);
+  CHECK_FALSE(clients.select_for_eviction(6250, any)); // a crowd that may yet ask does not push out who rests
+  CHECK(clients.select_for_eviction(6300, any) == 21u);
 }
 
 TEST_CASE("where few ask, nobody is told to go") { // guards: connections ended for nothing
-  ClientAdmission clients({.places = 85});
+  ClientAdmission clients({.max_clients = 85});
   double now = 0;
   for (int round = 0; round < 100; ++round, now += 50) {
     for (ClientAdmission::Id id = 1; id <= 20; ++id)
       CHECK((round == 0 ? first_ask(clients, id, now) : ask(clients, id, now)));
   }
-  CHECK_FALSE(clients.overdue(now));
+  CHECK_FALSE(clients.expired_idle(now));
 }
 
 namespace {
@@ -224,11 +225,11 @@
       all.push_back({k});
     }
   }
-  const auto close = [&](ClientAdmission::Id id, double now, ClientAdmission::Gone how) {
+  const auto close = [&](ClientAdmission::Id id, double now, ClientAdmission::ClosedBy how) {
     const auto it = open.find(id);
     if (!it->second.forgotten) all[it->second.who].id = 0;
     open.erase(it);
-    clients.gone(now, id, how);
+    clients.on_closed(now, id, how);
   };
   double relieved = 0;
   while (true) {
@@ -242,19 +243,19 @@
     Result& result = results[one.crowd];
     if (now - relieved >= 250) {
       relieved = now;
-      for (auto id = clients.overdue(now); id; id = clients.overdue(now)) {
+      for (auto id = clients.expired_idle(now); id; id = clients.expired_idle(now)) {
         ++results[open.at(*id).crowd].cut;
-        close(*id, now, ClientAdmission::Gone::Closed);
+        close(*id, now, ClientAdmission::ClosedBy::Router);
       }
     }
     if (ends_first) {
-      if (clients.ends(now, one.id)) {
+      if (clients.should_close_after_response(now, one.id)) {
         ++result.told;
-        clients.lingers(now, one.id);
-        close(one.id, now, ClientAdmission::Gone::Left);
-      } else if (clients.rests(now, one.id); ++one.requests == crowd.requests) {
+        clients.on_lingering(now, one.id);
+        close(one.id, now, ClientAdmission::ClosedBy::Client);
+      } else if (clients.on_idle(now, one.id); ++one.requests == crowd.requests) {
         if (crowd.leaves) {
-          close(one.id, now, ClientAdmission::Gone::Left);
+          close(one.id, now, ClientAdmission::ClosedBy::Client);
         } else { // the client forgets it: the next request comes on a new one
           open.at(one.id).forgotten = true;
           one.id = 0;
@@ -273,10 +274,10 @@
       one.requests = 0;
       ++result.opened;
       open[one.id] = {one.crowd, who};
-      clients.came(now, one.id);
+      clients.on_accepted(now, one.id);
     }
-    clients.busy(now, one.id);
-    clients.asked(now, one.id);
+    clients.on_request_active(now, one.id);
+    clients.on_request_complete(now, one.id);
     done.emplace(now + took, who);
   }
 }
@@ -321,7 +322,7 @@
   };
   for (const auto& row : table) {
     CAPTURE(row.name);
-    ClientAdmission clients({.places = row.places});
+    ClientAdmission clients({.max_clients = row.places});
     const auto results = play(row.crowds, row.places, 60, row.took, clients);
     const double asked = results[0].asked;
     MESSAGE(row.name << ": asked " << results[0].asked << ", turned away " << results[0].turned_away
@@ -338,7 +339,7 @@
     const auto places = *rc::gen::inRange<std::size_t>(0, 40);
     const auto events = *rc::gen::container<std::vector<std::pair<int, ClientAdmission::Id>>>(
         rc::gen::pair(rc::gen::inRange(0, 9), rc::gen::inRange<ClientAdmission::Id>(1, 40)));
-    ClientAdmission clients({.places = places});
+    ClientAdmission clients({.max_clients = places});
     struct State {
       bool asked = false, spare = false, lingers = false;
     };
@@ -350,41 +351,42 @@
       const bool here = it != known.end() && !it->second.lingers;
       switch (what) {
         case 0:
-          clients.came(now, id);
+          clients.on_accepted(now, id);
           if (it == known.end()) known[id] = {false, true, false};
           break;
         case 1:
-          clients.busy(now, id);
+          clients.on_request_active(now, id);
           if (it != known.end()) it->second.spare = false;
           break;
         case 2:
         case 3:
-          clients.asked(now, id);
+          clients.on_request_complete(now, id);
           if (here) it->second = {true, false, false};
           break;
         case 4:
-          if (here && clients.ends(now, id)) RC_ASSERT(clients.asking() > places / 4);
+          if (here && clients.should_close_after_response(now, id)) RC_ASSERT(clients.active() > places / 4);
           break;
         case 5:
         case 6:
-          clients.rests(now, id);
+          clients.on_idle(now, id);
           if (here) it->second.spare = true;
           break;
         case 7:
-          clients.lingers(now, id);
+          clients.on_lingering(now, id);
           if (it != known.end()) it->second.lingers = it->second.spare = true;
           break;
         default:
-          clients.gone(now, id, what % 2 == 0 ? ClientAdmission::Gone::Left : ClientAdmission::Gone::Closed);
+          clients.on_closed(
+              now, id, what % 2 == 0 ? ClientAdmission::ClosedBy::Client : ClientAdmission::ClosedBy::Router);
           known.erase(id);
       }
       RC_ASSERT(clients.size() == known.size());
       std::size_t asking = 0;
       for (const auto& [k, s] : known) asking += s.asked && !s.lingers;
-      RC_ASSERT(clients.asking() == asking);
-      RC_ASSERT(clients.back_share() >= 0 && clients.back_share() <= 1);
-      if (const auto id_spare = clients.spare(now, any)) RC_ASSERT(known.at(*id_spare).spare);
-      if (const auto late = clients.overdue(now)) {
+      RC_ASSERT(clients.active() == asking);
+      RC_ASSERT(clients.return_share() >= 0 && clients.return_share() <= 1);
+      if (const auto id_spare = clients.select_for_eviction(now, any)) RC_ASSERT(known.at(*id_spare).spare);
+      if (const auto late = clients.expired_idle(now)) {
         RC_ASSERT(known.at(*late).spare && known.at(*late).asked && !known.at(*late).lingers);
       }
     }
@@ -395,22 +397,24 @@
     "a request that has begun and does not come on is let go before those that rest, after the silent ones") {
   ClientAdmission clients({100, 100, 700, 2000});
   const auto any = [](ClientAdmission::Id) { return true; };
-  clients.came(0, 1);
-  clients.asked(1, 1);
-  clients.rests(2, 1); // 1: was answered
-  clients.came(0, 2);
-  clients.begun(10, 2); // 2: half a request, and no more
-  clients.came(0, 3);
-  clients.begun(10, 3);                                                          // 3: goes on writing, slowly
-  CHECK_FALSE(clients.spare(300, any) == std::optional<ClientAdmission::Id>(2)); // it may be slow
-  clients.begun(600, 3);
-  CHECK(clients.spare(800, any) == std::optional<ClientAdmission::Id>(2));
-  clients.came(800, 4);
-  CHECK(clients.spare(1000, any) == std::optional<ClientAdmission::Id>(4)); // has said nothing at all
-  clients.gone(1000, 4, ClientAdmission::Gone::Closed);
-  clients.gone(1000, 2, ClientAdmission::Gone::Closed);
-  clients.asked(1001, 3); // whole: it is worked on, and can't be spared
-  CHECK(clients.spare(2000, any) == std::optional<ClientAdmission::Id>(1));
-  clients.gone(2000, 1, ClientAdmission::Gone::Closed);
-  CHECK_FALSE(clients.spare(2000, any).has_value());
+  clients.on_accepted(0, 1);
+  clients.on_request_complete(1, 1);
+  clients.on_idle(2, 1); // 1: was answered
+  clients.on_accepted(0, 2);
+  clients.on_request_partial(10, 2); // 2: half a request, and no more
+  clients.on_accepted(0, 3);
+  clients.on_request_partial(10, 3); // 3: goes on writing, slowly
+  CHECK_FALSE(clients.select_for_eviction(300, any) ==
+              std::optional<ClientAdmission::Id>(2)); // it may be slow
+  clients.on_request_partial(600, 3);
+  CHECK(clients.select_for_eviction(800, any) == std::optional<ClientAdmission::Id>(2));
+  clients.on_accepted(800, 4);
+  CHECK(clients.select_for_eviction(1000, any) ==
+        std::optional<ClientAdmission::Id>(4)); // has said nothing at all
+  clients.on_closed(1000, 4, ClientAdmission::ClosedBy::Router);
+  clients.on_closed(1000, 2, ClientAdmission::ClosedBy::Router);
+  clients.on_request_complete(1001, 3); // whole: it is worked on, and can't be spared
+  CHECK(clients.select_for_eviction(2000, any) == std::optional<ClientAdmission::Id>(1));
+  clients.on_closed(2000, 1, ClientAdmission::ClosedBy::Router);
+  CHECK_FALSE(clients.select_for_eviction(2000, any).has_value());
 }
--- a/tests/faults/faults_test.cpp
+++ b/tests/faults/faults_test.cpp
@@ -470,8 +470,8 @@
       return w.router->driver().unanswered() == 0 && w.router->driver().open_attempts() == 0 &&
              w.router->bytes().held() == 0 && w.router->kept().memory() + w.router->kept().file() == 0 &&
              w.router->listener().connections() == 0 &&
-             w.router->account().used(descriptors::Side::Clients) == 0 &&
-             w.router->account().used(descriptors::Side::Targets) == w.router->pool().connections();
+             w.router->account().used(descriptors::Side::Downstream) == 0 &&
+             w.router->account().used(descriptors::Side::Upstream) == w.router->pool().connections();
     }));
     run_for(w.base.get(), 2); // what libevent frees from the loop is freed
     const std::string broken = witness.judge(stage == "waiting");
--- a/tests/idle_connections/idle_lifetime_estimator_test.cpp
+++ b/tests/idle_connections/idle_lifetime_estimator_test.cpp
@@ -11,7 +11,7 @@
 #include "idle_connections/idle_lifetime_estimator.h"
 
 using fernward::idle_connections::IdleLifetimeEstimator;
-using Use = IdleLifetimeEstimator::Use;
+using Use = IdleLifetimeEstimator::Reuse;
 
 namespace {
 
@@ -65,7 +65,7 @@
     next.erase(next.begin());
     const Node& node = nodes[n];
     next.emplace(now - std::log(unit()) / node.rate * 1000, n);
-    const auto target = static_cast<IdleLifetimeEstimator::Target>(n + 1);
+    const auto target = static_cast<IdleLifetimeEstimator::EndpointId>(n + 1);
     const double life = now < node.changes_at ? node.dies_after : node.then;
     Outcome& o = outcomes[n];
     const bool late = now > seconds * 500;
@@ -75,14 +75,14 @@
       if (node.says && rest >= life) {
         return true;
       }
-      return rest >= (rests != nullptr ? rests->hold_ms(now, target) : kLongest);
+      return rest >= (rests != nullptr ? rests->keep_ms(now, target) : kLongest);
     });
     bool kept = false, trial = false;
     double rest = 0;
     if (!free[n].empty()) {
       rest = now - free[n].back().rested_at;
-      const Use use = rests != nullptr ? rests->use(now, target, rest) : Use::Yes;
-      kept = use != Use::No;
+      const Use use = rests != nullptr ? rests->decide_reuse(now, target, rest) : Use::Allowed;
+      kept = use != Use::Refused;
       trial = use == Use::Trial;
     }
     const double took = 5 + 35 * unit();
@@ -92,13 +92,13 @@
                  reset = dead || unit() < node.reset_kept + node.reset_any;
       o.dead += dead;
       o.dead_late += dead && late;
-      if (rests != nullptr) rests->used_again(now + (reset ? 1 : took), target, rest, trial, reset);
+      if (rests != nullptr) rests->on_reuse(now + (reset ? 1 : took), target, rest, trial, reset);
       if (reset) continue;
     } else {
       ++o.opened;
       o.opened_late += late;
       const bool reset = unit() < node.reset_any;
-      if (rests != nullptr) rests->first_use(now + (reset ? 1 : took), target, reset);
+      if (rests != nullptr) rests->on_first_use(now + (reset ? 1 : took), target, reset);
       if (reset) continue;
     }
     if (unit() >= node.closes) done.emplace(now + took, Out{n, {0}});
@@ -167,81 +167,82 @@
   IdleLifetimeEstimator rests(kLongest);
   std::vector<Node> nodes = {{300}, {15000}};
   const auto outcomes = play(nodes, 60, &rests);
-  CHECK(rests.safe_ms(60000, 1) <= 300);
-  CHECK(rests.safe_ms(60000, 1) >= 150);
-  CHECK(rests.safe_ms(60000, 2) == kLongest);
+  CHECK(rests.safe_idle_ms(60000, 1) <= 300);
+  CHECK(rests.safe_idle_ms(60000, 1) >= 150);
+  CHECK(rests.safe_idle_ms(60000, 2) == kLongest);
   CHECK(outcomes[0].dead_late <= 8); // trials
   CHECK(outcomes[1].opened_late <= 6);
 }
 
 TEST_CASE("what the class says by single events") {
   IdleLifetimeEstimator rests(kLongest);
-  CHECK(rests.use(0, 1, 10000) == Use::Yes);
-  CHECK(rests.use(0, 1, kLongest) == Use::No);
-  CHECK(rests.hold_ms(0, 1) == kLongest);
+  CHECK(rests.decide_reuse(0, 1, 10000) == Use::Allowed);
+  CHECK(rests.decide_reuse(0, 1, kLongest) == Use::Refused);
+  CHECK(rests.keep_ms(0, 1) == kLongest);
   // One reset after a rest longer than any that was survived is believed; on other targets too, until they
   // show otherwise.
-  for (int i = 0; i < 20; ++i) rests.used_again(50, 1, 200, false, false);
-  rests.used_again(100, 1, 400, false, true);
-  CHECK(rests.safe_ms(500, 1) <= 400);
-  CHECK(rests.safe_ms(500, 2) <= 400);
-  CHECK(rests.use(500, 1, 190) == Use::Yes);
-  CHECK(rests.use(500, 1, 400) == Use::No);
+  for (int i = 0; i < 20; ++i) rests.on_reuse(50, 1, 200, false, false);
+  rests.on_reuse(100, 1, 400, false, true);
+  CHECK(rests.safe_idle_ms(500, 1) <= 400);
+  CHECK(rests.safe_idle_ms(500, 2) <= 400);
+  CHECK(rests.decide_reuse(500, 1, 190) == Use::Allowed);
+  CHECK(rests.decide_reuse(500, 1, 400) == Use::Refused);
   // A trial is given once at a time, and only a little beyond what is safe.
-  const double doubtful = rests.safe_ms(5000, 1);
-  CHECK(rests.use(5000, 1, 4 * doubtful) == Use::No);
-  CHECK(rests.use(5000, 1, doubtful) == Use::Trial);
-  CHECK(rests.use(5000, 1, doubtful) == Use::No);
+  const double doubtful = rests.safe_idle_ms(5000, 1);
+  CHECK(rests.decide_reuse(5000, 1, 4 * doubtful) == Use::Refused);
+  CHECK(rests.decide_reuse(5000, 1, doubtful) == Use::Trial);
+  CHECK(rests.decide_reuse(5000, 1, doubtful) == Use::Refused);
   // Answers after longer rests restore the trust, here in the other target alone.
-  for (int i = 0; i < 4; ++i) rests.used_again(6000, 2, 3000, true, false);
-  CHECK(rests.safe_ms(7000, 2) == kLongest);
-  CHECK(rests.safe_ms(7000, 1) <= 400);
+  for (int i = 0; i < 4; ++i) rests.on_reuse(6000, 2, 3000, true, false);
+  CHECK(rests.safe_idle_ms(7000, 2) == kLongest);
+  CHECK(rests.safe_idle_ms(7000, 1) <= 400);
   rests.forget(1);
   CHECK(rests.size() == 1);
   // Many connections that break together are one event.
   IdleLifetimeEstimator other(kLongest);
-  for (int i = 0; i < 30; ++i) other.used_again(1000 + i, 1, 50 + i, false, false);
-  for (int i = 0; i < 10; ++i) other.used_again(2000, 1, 100, false, true);
-  CHECK(other.safe_ms(3000, 1) >= 64);
+  for (int i = 0; i < 30; ++i) other.on_reuse(1000 + i, 1, 50 + i, false, false);
+  for (int i = 0; i < 10; ++i) other.on_reuse(2000, 1, 100, false, true);
+  CHECK(other.safe_idle_ms(3000, 1) >= 64);
   // Nothing is kept only where even the shortest rests are deadly, which takes several resets.
   IdleLifetimeEstimator third(kLongest);
-  third.used_again(0, 1, 2, false, true);
-  CHECK(third.safe_ms(300, 1) > 0);
-  for (int i = 1; i < 8; ++i) third.used_again(300 * i, 1, 2, false, true);
-  CHECK(third.safe_ms(3000, 1) == 0);
+  third.on_reuse(0, 1, 2, false, true);
+  CHECK(third.safe_idle_ms(300, 1) > 0);
+  for (int i = 1; i < 8; ++i) third.on_reuse(300 * i, 1, 2, false, true);
+  CHECK(third.safe_idle_ms(3000, 1) == 0);
   // It fades: after some minutes nothing is held against the target.
-  CHECK(third.safe_ms(900000, 1) > 0);
+  CHECK(third.safe_idle_ms(900000, 1) > 0);
 }
 
 TEST_CASE("properties over random events") {
   CHECK(rc::check("rests are ordered and bounded, nothing is kept of what is forgotten", [] {
-    const auto events = *rc::gen::container<std::vector<std::tuple<int, IdleLifetimeEstimator::Target, int>>>(
-        rc::gen::tuple(rc::gen::inRange(0, 12), rc::gen::inRange<IdleLifetimeEstimator::Target>(1, 6),
-                       rc::gen::inRange(0, 20000)));
+    const auto events =
+        *rc::gen::container<std::vector<std::tuple<int, IdleLifetimeEstimator::EndpointId, int>>>(
+            rc::gen::tuple(rc::gen::inRange(0, 12), rc::gen::inRange<IdleLifetimeEstimator::EndpointId>(1, 6),
+                           rc::gen::inRange(0, 20000)));
     IdleLifetimeEstimator rests(kLongest);
     double now = 0;
     for (const auto& [what, target, number] : events) {
       const double rest = number;
       now += number % 400;
       if (what < 3) {
-        rests.used_again(now, target, rest, what == 1, false);
+        rests.on_reuse(now, target, rest, what == 1, false);
       } else if (what < 6) {
-        rests.used_again(now, target, rest, what == 4, true);
+        rests.on_reuse(now, target, rest, what == 4, true);
       } else if (what < 8) {
-        rests.first_use(now, target, what == 6);
+        rests.on_first_use(now, target, what == 6);
       } else if (what == 9) {
         rests.forget(target);
       }
-      const double safe = rests.safe_ms(now, target), hold = rests.hold_ms(now, target);
+      const double safe = rests.safe_idle_ms(now, target), hold = rests.keep_ms(now, target);
       RC_ASSERT(safe >= 0 && safe <= hold && hold <= kLongest);
-      if (safe > 0) RC_ASSERT(rests.use(now, target, safe * 0.999) == Use::Yes);
-      RC_ASSERT(rests.use(now, target, hold) == Use::No);
-      const Use doubtful = rests.use(now, target, safe);
-      RC_ASSERT(doubtful != Use::Yes);
-      if (doubtful == Use::Trial) RC_ASSERT(rests.use(now, target, safe) == Use::No);
+      if (safe > 0) RC_ASSERT(rests.decide_reuse(now, target, safe * 0.999) == Use::Allowed);
+      RC_ASSERT(rests.decide_reuse(now, target, hold) == Use::Refused);
+      const Use doubtful = rests.decide_reuse(now, target, safe);
+      RC_ASSERT(doubtful != Use::Allowed);
+      if (doubtful == Use::Trial) RC_ASSERT(rests.decide_reuse(now, target, safe) == Use::Refused);
       RC_ASSERT(rests.size() <= 5u);
     }
-    for (IdleLifetimeEstimator::Target target = 0; target < 8; ++target) rests.forget(target);
+    for (IdleLifetimeEstimator::EndpointId target = 0; target < 8; ++target) rests.forget(target);
     RC_ASSERT(rests.size() == 0u);
   }));
 }
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -528,7 +528,7 @@
     config = config::parse(config_json("127.0.0.1:1", nullptr).dump(), &no_environment);
     downstream::ListenerOptions options;
     options.address = "127.0.0.1:0";
-    options.clients.places = 20;
+    options.clients.max_clients = 20;
     change(options);
     downstream::ListenerCalls calls;
     calls.open = [this](loop::Handle client, proxy::ClientRequest call) {
--- a/tests/net/stories_test.cpp
+++ b/tests/net/stories_test.cpp
@@ -699,7 +699,7 @@
   CHECK(w.endings[0] == AttemptResult::ConnectFailed);
   CHECK(loop::now_ms() - begun >= 75);
   CHECK(w.pool->connections() == 0);
-  CHECK(w.account->used(descriptors::Side::Targets) == 0);
+  CHECK(w.account->used(descriptors::Side::Upstream) == 0);
   for (const int fd : fills) close(fd);
   close(deaf);
 }
@@ -728,7 +728,7 @@
   CHECK(no_port == Start::Full);
   CHECK(no_way == Start::NoTarget);
   CHECK(w.pool->connections() == 0);
-  CHECK(w.account->used(descriptors::Side::Targets) == 0);
+  CHECK(w.account->used(descriptors::Side::Upstream) == 0);
 }
 
 // guards: a booking that waits a minute for a node that is not there any more
--- a/tests/placement/fill_rate_limiter_test.cpp
+++ b/tests/placement/fill_rate_limiter_test.cpp
@@ -25,8 +25,8 @@
 // Steady traffic: `per_ms` reads, a tenth of them fetched.
 void steady(FillRateLimiter& pace, Load& load, double ms, double per_ms) {
   for (const double end = load.now + ms; load.next(per_ms) < end;) {
-    pace.read(load.now);
-    if (load.random.unit() < 0.1) pace.fetched(load.now);
+    pace.on_read(load.now);
+    if (load.random.unit() < 0.1) pace.on_fetch(load.now);
   }
 }
 
@@ -35,9 +35,9 @@
   std::deque<double> window;
   std::size_t worst = 0;
   for (const double end = load.now + ms; load.next(per_ms) < end;) {
-    pace.read(load.now);
+    pace.on_read(load.now);
     if (!pace.may_fetch(load.now)) continue;
-    pace.fetched(load.now);
+    pace.on_fetch(load.now);
     window.push_back(load.now);
     while (window.front() <= load.now - 1000) window.pop_front();
     worst = std::max(worst, window.size());
@@ -54,8 +54,8 @@
     Load load;
     steady(pace, load, 40000, per_ms);
     const double before = 1000 * 0.1 * per_ms;
-    CHECK(1000 * pace.steady_per_ms(load.now) == doctest::Approx(before).epsilon(0.35));
-    pace.disturb(load.now);
+    CHECK(1000 * pace.steady_fetches_per_ms(load.now) == doctest::Approx(before).epsilon(0.35));
+    pace.on_fleet_changed(load.now);
     CHECK(static_cast<double>(worst_second(pace, load, 25000, per_ms)) <= 2 * before + 1.5);
   }
 }
@@ -66,7 +66,7 @@
     FillRateLimiter pace({30000, 2, 0});
     Load load;
     steady(pace, load, 40000, share);
-    pace.disturb(load.now);
+    pace.on_fleet_changed(load.now);
     all += worst_second(pace, load, 20000, share);
   }
   CHECK(all <= 2 * 100); // the worst seconds of all four, as though they were the same one
@@ -76,11 +76,11 @@
   FillRateLimiter pace({30000, 2, 0});
   Load load;
   steady(pace, load, 40000, 0.4);
-  pace.disturb(load.now);
-  const double before = pace.per_ms(load.now);
+  pace.on_fleet_changed(load.now);
+  const double before = pace.max_fetches_per_ms(load.now);
   worst_second(pace, load, 8000, 1.2);
-  CHECK(pace.per_ms(load.now) > 2.2 * before);
-  CHECK(pace.per_ms(load.now) < 4 * before);
+  CHECK(pace.max_fetches_per_ms(load.now) > 2.2 * before);
+  CHECK(pace.max_fetches_per_ms(load.now) < 4 * before);
 }
 
 TEST_CASE("it holds on until what it kept back is through, and not for ever") {
@@ -88,63 +88,63 @@
   Load load;
   steady(pace, load, 40000, 0.4);
   const double at = load.now;
-  pace.disturb(at);
+  pace.on_fleet_changed(at);
   worst_second(pace, load, 20000, 0.4);
-  CHECK(pace.open(load.now)); // twice its time: every read still wants a fetch
+  CHECK(pace.is_active(load.now)); // twice its time: every read still wants a fetch
   worst_second(pace, load, 30000, 0.4);
-  CHECK_FALSE(pace.open(load.now));
+  CHECK_FALSE(pace.is_active(load.now));
   CHECK(load.now - at >= 40000);
   FillRateLimiter calm({10000, 2, 0});
   Load quiet;
   steady(calm, quiet, 40000, 0.4);
-  calm.disturb(quiet.now);
+  calm.on_fleet_changed(quiet.now);
   steady(calm, quiet, 15000, 0.4);
-  CHECK_FALSE(calm.open(quiet.now));
+  CHECK_FALSE(calm.is_active(quiet.now));
 }
 
 TEST_CASE("a router that has seen too little sets no bound, and without one set there is none") {
   FillRateLimiter fresh({30000, 2, 0});
-  fresh.disturb(1e6);
+  fresh.on_fleet_changed(1e6);
   CHECK(fresh.may_fetch(1e6));
-  CHECK(fresh.per_ms(1e6) == 0);
+  CHECK(fresh.max_fetches_per_ms(1e6) == 0);
   FillRateLimiter unbound({30000, 0, 0});
   Load load;
   steady(unbound, load, 40000, 0.4);
-  unbound.disturb(load.now);
-  CHECK(unbound.per_ms(load.now) == 0);
+  unbound.on_fleet_changed(load.now);
+  CHECK(unbound.max_fetches_per_ms(load.now) == 0);
 }
 
 TEST_CASE("the most popular keys of a skewed load are told from the rest, in a table that does not grow") {
   HotKeyTracker p;
-  p.choose(0.3);
+  p.set_chosen_share(0.3);
   Random random{3};
   constexpr int kKeys = 20000;
   const auto draw = [&] { // about one over the rank
     return static_cast<std::uint64_t>(std::exp(random.unit() * std::log(static_cast<double>(kKeys))));
   };
-  for (int i = 0; i < 200000; ++i) p.seen(draw());
+  for (int i = 0; i < 200000; ++i) p.on_read(draw());
   std::map<HotKeyTracker::Bar, int> above;
   constexpr int kDrawn = 20000;
   for (int i = 0; i < kDrawn; ++i) {
     const std::uint64_t key = draw();
     for (const auto bar :
          {HotKeyTracker::Fifth, HotKeyTracker::Half, HotKeyTracker::MostPart, HotKeyTracker::Chosen}) {
-      above[bar] += p.above(bar, key);
+      above[bar] += p.is_in_top_share(bar, key);
     }
   }
   CHECK(above[HotKeyTracker::Fifth] / double{kDrawn} == doctest::Approx(0.2).epsilon(0.4));
   CHECK(above[HotKeyTracker::Chosen] / double{kDrawn} == doctest::Approx(0.3).epsilon(0.4));
   CHECK(above[HotKeyTracker::Half] / double{kDrawn} == doctest::Approx(0.5).epsilon(0.3));
   CHECK(above[HotKeyTracker::MostPart] / double{kDrawn} > 0.65);
-  CHECK(p.above(HotKeyTracker::Fifth, 1));
-  CHECK_FALSE(p.above(HotKeyTracker::Half, 15000));
+  CHECK(p.is_in_top_share(HotKeyTracker::Fifth, 1));
+  CHECK_FALSE(p.is_in_top_share(HotKeyTracker::Half, 15000));
   SUBCASE("what was popular is forgotten once others are") {
-    for (int i = 0; i < 300000; ++i) p.seen(kKeys + draw());
-    CHECK_FALSE(p.above(HotKeyTracker::Half, 1));
+    for (int i = 0; i < 300000; ++i) p.on_read(kKeys + draw());
+    CHECK_FALSE(p.is_in_top_share(HotKeyTracker::Half, 1));
   }
   SUBCASE("no share chosen, no key chosen") {
-    p.choose(0);
-    p.seen(1);
-    CHECK_FALSE(p.above(HotKeyTracker::Chosen, 1));
+    p.set_chosen_share(0);
+    p.on_read(1);
+    CHECK_FALSE(p.is_in_top_share(HotKeyTracker::Chosen, 1));
   }
 }
--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -145,17 +145,17 @@
     const auto c = r.ask(key);
     CHECK(c.moving == (c.at[0]->entry.id != owner));
     if (!c.moving) {
-      CHECK(r.places.likely(c, 0, key));
+      CHECK(r.places.likely_holds(c, 0, key));
       continue;
     }
     ++moving;
     REQUIRE(c.former != nullptr);
     CHECK(c.former->entry.id == owner);
-    for (std::size_t i = 0; i < c.size; ++i) CHECK(r.places.likely(c, i, key) == (c.at[i] == c.former));
-    r.places.hit(key, c.at[0]->entry.id, r.now);
+    for (std::size_t i = 0; i < c.size; ++i) CHECK(r.places.likely_holds(c, i, key) == (c.at[i] == c.former));
+    r.places.on_hit(key, c.at[0]->entry.id, r.now);
     const auto filled = r.ask(key);
     CHECK_FALSE(filled.moving);
-    CHECK(r.places.likely(filled, 0, key));
+    CHECK(r.places.likely_holds(filled, 0, key));
   }
   CHECK(moving > 100);
   r.now += kSettle;
@@ -209,7 +209,7 @@
     if (r.owner(key) == 8) keys.push_back(key);
   }
   REQUIRE(keys.size() > 10);
-  for (const std::uint64_t key : keys) r.places.hit(key, 8, r.now);
+  for (const std::uint64_t key : keys) r.places.on_hit(key, 8, r.now);
   for (int flap = 0; flap < 5; ++flap) {
     all.pop_back();
     r.list(all);
@@ -241,7 +241,7 @@
   CHECK(c.moving);
   REQUIRE(c.former != nullptr);
   CHECK(c.former == c.at[1]);
-  CHECK_FALSE(r.places.likely(c, 0, 77));
+  CHECK_FALSE(r.places.likely_holds(c, 0, 77));
 }
 
 TEST_CASE("a router that starts in the middle of a move reads the starts from its first list") {
@@ -258,12 +258,12 @@
     CHECK(a.moving == b.moving);
     CHECK((a.former == nullptr ? 0 : a.former->entry.id) == (b.former == nullptr ? 0 : b.former->entry.id));
   }
-  CHECK(fresh.places.pace().open(fresh.now));
+  CHECK(fresh.places.fill_rate_limiter().is_active(fresh.now));
   Router calm; // and takes a fleet that has long been up for settled
   std::vector<Server> settled = servers(1, 8);
   for (Server& s : settled) s.started_at = calm.now - 10 * kSettle;
   calm.list(settled);
-  CHECK_FALSE(calm.places.pace().open(calm.now));
+  CHECK_FALSE(calm.places.fill_rate_limiter().is_active(calm.now));
   for (std::uint64_t key = 1; key < 100; ++key) CHECK_FALSE(calm.ask(key).moving);
 }
 
@@ -277,12 +277,12 @@
   const ServerId now = r.ask(key).at[0]->entry.id, was = r.ask(key).former->entry.id;
   const double sent = r.now; // a fetch goes out, the write overtakes it, the fetch ends
   r.now += 20;
-  r.places.hit(key, was, r.now);
-  r.places.wrote(key, r.now);
+  r.places.on_hit(key, was, r.now);
+  r.places.on_write(key, r.now);
   r.now += 20;
-  r.places.hit(key, now, sent);
+  r.places.on_hit(key, now, sent);
   CHECK(r.ask(key).moving);
-  r.places.hit(key, now, r.now);
+  r.places.on_hit(key, now, r.now);
   CHECK_FALSE(r.ask(key).moving);
 }
 
@@ -291,22 +291,22 @@
   r.list(servers(1, 8));
   for (int i = 0; i < 4000; ++i) { // 10 s of traffic, one read in five of key 7; one in ten is fetched
     r.now += 2.5;
-    r.places.read(r.now, i % 5 == 0 ? 7 : 1000 + i);
-    if (i % 10 == 1) r.places.pace().fetched(r.now);
+    r.places.on_read(r.now, i % 5 == 0 ? 7 : 1000 + i);
+    if (i % 10 == 1) r.places.fill_rate_limiter().on_fetch(r.now);
   }
   r.list(servers(1, 64));
   std::uint64_t rare = 100000;
   while (!r.ask(rare).moving) ++rare;
   REQUIRE(r.ask(7).moving);
-  CHECK(r.places.fill(r.now, rare, r.ask(rare)).whom == nullptr);
-  const auto [owner, what] = r.places.fill(r.now, 7, r.ask(7));
+  CHECK(r.places.choose_fill(r.now, rare, r.ask(rare)).whom == nullptr);
+  const auto [owner, what] = r.places.choose_fill(r.now, 7, r.ask(7));
   REQUIRE(owner != nullptr);
   CHECK(owner->entry.id == r.owner(7));
-  CHECK(what == FillRateLimiter::Fill::Move);
-  r.places.pace().filled(what);
-  CHECK(r.places.fill(r.now, 7, r.ask(7)).whom == nullptr); // nothing saved up
-  r.places.pace().unfilled(what);
-  CHECK(r.places.fill(r.now, 7, r.ask(7)).whom != nullptr);
+  CHECK(what == FillRateLimiter::Fill::NewOwner);
+  r.places.fill_rate_limiter().on_filled(what);
+  CHECK(r.places.choose_fill(r.now, 7, r.ask(7)).whom == nullptr); // nothing saved up
+  r.places.fill_rate_limiter().refund(what);
+  CHECK(r.places.choose_fill(r.now, 7, r.ask(7)).whom != nullptr);
 }
 
 TEST_CASE(
@@ -314,15 +314,15 @@
   const auto any = [](const Node&) { return true; };
   Router r;
   r.list(servers(1, 8));
-  for (int i = 0; i < 2000; ++i) r.places.read(r.now += 1, i % 3 == 0 ? 7 : 1000 + i);
-  CHECK(r.places.store_too(r.now, 5000000, 1, any) == nullptr);
+  for (int i = 0; i < 2000; ++i) r.places.on_read(r.now += 1, i % 3 == 0 ? 7 : 1000 + i);
+  CHECK(r.places.choose_second_store(r.now, 5000000, 1, any) == nullptr);
   const auto c = r.ask(7);
-  CHECK(r.places.store_too(r.now, 7, 1, [&](const Node& n) { return &n != c.at[0]; }) == c.at[1]);
-  CHECK(r.places.store_too(r.now, 7, 2, any) == nullptr); // no more than two store it
+  CHECK(r.places.choose_second_store(r.now, 7, 1, [&](const Node& n) { return &n != c.at[0]; }) == c.at[1]);
+  CHECK(r.places.choose_second_store(r.now, 7, 2, any) == nullptr); // no more than two store it
   r.list(servers(1, 16));
   std::uint64_t key = 6000000;
   while (!r.ask(key).moving) ++key;
-  CHECK(r.places.store_too(r.now, key, 1, any) == r.ask(key).at[0]);
+  CHECK(r.places.choose_second_store(r.now, key, 1, any) == r.ask(key).at[0]);
 }
 
 TEST_CASE("off: three candidates of the ring, no more") {
@@ -334,11 +334,11 @@
     const auto c = r.ask(key);
     CHECK(c.size == 3);
     CHECK_FALSE(c.moving);
-    CHECK(r.places.likely(c, 0, key));
-    CHECK(r.places.fill(r.now, key, c).whom == nullptr);
+    CHECK(r.places.likely_holds(c, 0, key));
+    CHECK(r.places.choose_fill(r.now, key, c).whom == nullptr);
   }
-  CHECK_FALSE(r.places.pace().open(r.now));
-  CHECK(r.places.pace().may_fetch(r.now));
+  CHECK_FALSE(r.places.fill_rate_limiter().is_active(r.now));
+  CHECK(r.places.fill_rate_limiter().may_fetch(r.now));
 }
 
 TEST_CASE("properties over random sequences of lists") {
@@ -381,9 +381,9 @@
           RC_ASSERT(c.former != c.at[0]);
         }
         RC_ASSERT(r.owner(key) == other.owner(key));
-        const Node* const fill = r.places.fill(r.now, key, c).whom;
+        const Node* const fill = r.places.choose_fill(r.now, key, c).whom;
         if (fill != nullptr) RC_ASSERT(named.count(fill->entry.id) == std::size_t{1});
-        if (c.size > 0 && *rc::gen::inRange(0, 4) == 0) r.places.hit(key, c.at[0]->entry.id, r.now);
+        if (c.size > 0 && *rc::gen::inRange(0, 4) == 0) r.places.on_hit(key, c.at[0]->entry.id, r.now);
       }
       r.now += *rc::gen::inRange(1, 20000);
     }
