--- a/src/concurrency/admission_controller.h
+++ b/src/concurrency/admission_controller.h
@@ -1,4 +1,4 @@
-// Which requests are turned away unseen while caches have no room. Decides; no I/O, no clock.
+// Which requests are shed while most choices find no cache with capacity. Decides; no I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -7,32 +7,58 @@
 
 namespace fernward::concurrency {
 
-constexpr double kTightShare = 0.2; // more choices than this find no cache with room: the node sheds
-constexpr double kEvidence = 5;     // choices to judge by where the last ticks hold fewer
-
-// Sheds the least worth first. Each priority is a class, inside or beyond its tenant's quota.
+// Sheds a share of the traffic, the least valuable first. Each priority is a request class, within or beyond
+// its tenant's quota. The caller counts choices and request rates, and calls on_tick() at a fixed interval.
 struct AdmissionController {
-  std::vector<double> priority_values, priority_rates; // by priority
-  double shed_share = 0;                               // share of the traffic to shed
-  double choices = 0, choices_without_capacity = 0; // choices lately, and those that found no cache with room
+  std::vector<double> priority_values; // value of an answer, by priority
+  std::vector<double> priority_rates;  // requests of late, by priority; decayed with each tick
+  double shed_share = 0;               // share of the traffic to shed
+  double choices = 0;                  // of late; decayed with each tick
+  double choices_without_capacity = 0; // of these, choices that found no cache with capacity
 
+  // `draw`: uniform in [0, 1). Sheds all of the lower values and a random part of the value at the boundary.
   bool admits(std::size_t priority, double draw) const {
-    double below = 0, alike = 0, above = 0;
+    const double value = priority_values[priority];
+    double lower = 0;
+    double equal = 0;
+    double higher = 0;
     for (std::size_t i = 0; i < priority_values.size(); ++i) {
-      (priority_values[i] < priority_values[priority]    ? below
-       : priority_values[i] == priority_values[priority] ? alike
-                                                         : above) += priority_rates[i];
+      if (priority_values[i] < value) {
+        lower += priority_rates[i];
+      } else if (priority_values[i] == value) {
+        equal += priority_rates[i];
+      } else {
+        higher += priority_rates[i];
+      }
     }
-    return draw * alike >= shed_share * (below + alike + above) - below;
+    return draw * equal >= shed_share * (lower + equal + higher) - lower;
   }
+
   void on_tick() {
-    const bool crowded = choices_without_capacity > kTightShare * (choices + kEvidence);
-    // A node that sees little must not judge by its last choice alone, nor for long by old ones.
-    const double keep = choices > kEvidence ? 0.8 : 0.97;
-    choices *= keep, choices_without_capacity *= keep;
-    shed_share = crowded ? std::min(0.9, shed_share + 0.03) : shed_share > 0.01 ? 0.9 * shed_share : 0;
-    for (double& r : priority_rates) r *= 0.98;
+    const bool overloaded = choices_without_capacity > kOverloadedShare * (choices + kAssumedChoices);
+    // A router with few choices must not judge by its last one alone, nor for long by old ones.
+    const double decay = choices > kAssumedChoices ? kChoicesDecay : kFewChoicesDecay;
+    choices *= decay;
+    choices_without_capacity *= decay;
+    shed_share = next_shed_share(overloaded);
+    for (double& rate : priority_rates) rate *= kRateDecay;
   }
+
+ private:
+  double next_shed_share(bool overloaded) const {
+    if (overloaded) return std::min(kMaxShedShare, shed_share + kShedStep);
+    return shed_share > kMinShedShare ? kShedDecay * shed_share : 0;
+  }
+
+  static constexpr double kOverloadedShare = 0.2; // of choices that find no cache with capacity
+  static constexpr double kAssumedChoices = 5;    // counted as having found one, as evidence may be thin
+  static constexpr double kChoicesDecay = 0.8;    // per tick
+  static constexpr double kFewChoicesDecay = 0.97;
+  static constexpr double kRateDecay = 0.98;
+  static constexpr double kMaxShedShare = 0.9;
+  static constexpr double kMinShedShare = 0.01; // below it nothing is shed
+  static constexpr double kShedStep = 0.03;     // added per overloaded tick
+  static constexpr double kShedDecay = 0.9;     // per other tick
 };
 
 } // namespace fernward::concurrency
--- a/src/concurrency/cache_concurrency_limiter.h
+++ b/src/concurrency/cache_concurrency_limiter.h
@@ -1,12 +1,8 @@
-// How many attempts at once this node lets a cache have. Decides; no I/O, no clock.
+// Limit of concurrent attempts from this router at one cache. Decides; no I/O, no clock.
 //
-// Capacities are told nowhere and all nodes share them, so the limit follows response times: a closed loop can't
-// send faster than the server answers. A cache whose answers take more than half of the aim is crowded: there are
-// others to ask, and the ring's choice among them needs a bound well below the aim. (The origin has no other beside
-// it; its limit follows its own floor of response time, see limiter.h.) Below one the limit is a pace, else the
-// floors of many nodes add up to more than any server carries.
-//
-// Units: milliseconds; attempts. Plain values, no allocation.
+// Additive increase, multiplicative decrease by latency: capacities are not announced and all routers share
+// them. A limit below one is a rate: one attempt in 1/limit response times.
+// Units: milliseconds on the caller's clock; attempts. No allocation.
 #pragma once
 
 #include <algorithm>
@@ -16,58 +12,72 @@
 
 namespace fernward::concurrency {
 
-constexpr double kCrowdedShareOfObjective =
-    0.5; // a cache whose response time is past this share of the aim is crowded
+// A cache whose mean latency exceeds this share of the latency objective is crowded.
+constexpr double kCrowdedShareOfObjective = 0.5;
 
 class CacheConcurrencyLimiter {
  public:
-  // All nodes together start with a few attempts at once at a cache: a few from each of a hundred push it over before
-  // any of them hears of it. What an answer adds is shared likewise, as all feel their way at once.
-  explicit CacheConcurrencyLimiter(double nodes)
-      : limit_(kStart / nodes), rest_(limit_ / 2), growth_(limit_ / 8), least_(limit_ / 256) {}
+  // The initial limit and the increase per response are shared by all routers.
+  explicit CacheConcurrencyLimiter(double router_count)
+      : limit_(kFleetInitialLimit / router_count),
+        idle_limit_(limit_ / 2),
+        increase_(limit_ / 8),
+        min_limit_(limit_ / 256) {}
 
   double limit() const { return limit_; }
 
-  bool has_capacity(double now, std::uint32_t out) const {
-    if (limit_ < 1) return out == 0 && (now - sent_at_) * kPaceSlack * limit_ >= recent_ms_;
-    return out < limit_;
+  // May one more attempt be sent while `in_flight` are?
+  bool has_capacity(double now, std::uint32_t in_flight) const {
+    if (limit_ < 1) return in_flight == 0 && (now - last_sent_at_) * kRateSlack * limit_ >= latency_ms_;
+    return in_flight < limit_;
   }
-  void on_attempt_sent(double now) { sent_at_ = now; }
 
-  // An answer came, or did not in `elapsed_ms`; `out` others are still out. True: a sign of crowding.
-  bool on_response(double now, double elapsed_ms, double aim_ms, std::uint32_t out) {
-    // A connection that fell silent ends as late as its client waits: one must not outweigh many answers.
-    elapsed_ms = std::min(elapsed_ms, aim_ms);
-    if (recent_ms_ == 0) recent_ms_ = elapsed_ms;
-    smooth(recent_ms_, elapsed_ms, 0.1);
-    smooth(lateness_, elapsed_ms / aim_ms, limit_ < 1 ? 0.5 : 0.1); // a slow pace brings few answers
-    if (lateness_ > kCrowdedShareOfObjective) {
-      limit_ = std::min(limit_, out + 1.0); // room that is not used takes no part in the crowding
-      decrease(now, 0.8);
+  void on_attempt_sent(double now) { last_sent_at_ = now; }
+
+  // A response came, or none within `elapsed_ms`; `in_flight` other attempts remain. True: the cache is
+  // crowded.
+  bool on_response(double now, double elapsed_ms, double objective_ms, std::uint32_t in_flight) {
+    // A silent connection ends as late as its client waits: one must not outweigh many responses.
+    elapsed_ms = std::min(elapsed_ms, objective_ms);
+    if (latency_ms_ == 0) latency_ms_ = elapsed_ms;
+    smooth(latency_ms_, elapsed_ms, kLatencyWeight);
+    smooth(share_of_objective_, elapsed_ms / objective_ms, limit_ < 1 ? kRareResponseWeight : kLatencyWeight);
+    if (share_of_objective_ > kCrowdedShareOfObjective) {
+      limit_ = std::min(limit_, in_flight + 1.0); // unused capacity has no part in the crowding
+      decrease(now, kCrowdedFactor);
       return true;
     }
-    if (out + 1 >= limit_ / 2) {
-      limit_ += growth_ * std::min(1.0, 1 / limit_);
-    } else if (limit_ > rest_) {
-      limit_ *= kUnused; // room that was not tried lately is not known to be there
+    if (in_flight + 1 >= limit_ / 2) {
+      limit_ += increase_ * std::min(1.0, 1 / limit_);
+    } else if (limit_ > idle_limit_) {
+      limit_ *= kUnusedDecay; // capacity that was not tried of late is not known to exist
     }
     return false;
   }
-  // At most once for each response time: one crowding shows in many answers.
+
+  // Multiplies the limit by `factor`, at most once per response time: one overload shows in many responses.
   void decrease(double now, double factor) {
-    if (now - cut_at_ < recent_ms_) return;
-    cut_at_ = now;
-    limit_ = std::max(least_, limit_ * factor);
+    if (now - decreased_at_ < latency_ms_) return;
+    decreased_at_ = now;
+    limit_ = std::max(min_limit_, limit_ * factor);
   }
 
  private:
-  static constexpr double kStart = 12;      // attempts at once that all nodes together let a new cache have
-  static constexpr double kUnused = 0.98;   // by which each answer takes back a limit less than half used
-  static constexpr double kPaceSlack = 1.5; // by which a pace is quicker: requests come unevenly
+  static constexpr double kFleetInitialLimit = 12;   // attempts, over all routers
+  static constexpr double kUnusedDecay = 0.98;       // per response while less than half of the limit is used
+  static constexpr double kRateSlack = 1.5;          // requests come unevenly
+  static constexpr double kCrowdedFactor = 0.8;      // of the limit
+  static constexpr double kLatencyWeight = 0.1;      // of one response
+  static constexpr double kRareResponseWeight = 0.5; // of one response while the limit is below one
 
-  double limit_, rest_, growth_, least_; // rest: where it falls when unused
-  double lateness_ = 0; // as a share of the aim, so that heavy writes don't pass for crowding
-  double recent_ms_ = 0, cut_at_ = kNever, sent_at_ = kNever;
+  double limit_;
+  double idle_limit_; // the limit does not decay below it while unused
+  double increase_;
+  double min_limit_;
+  double share_of_objective_ = 0; // mean latency by objective, so that slow writes don't count as crowding
+  double latency_ms_ = 0;         // mean; 0: no response yet
+  double decreased_at_ = kNever;
+  double last_sent_at_ = kNever;
 };
 
 } // namespace fernward::concurrency
--- a/src/concurrency/connection_capacity_estimator.h
+++ b/src/concurrency/connection_capacity_estimator.h
@@ -1,13 +1,9 @@
-// How many connections at once the last resort of all lets this router have. Decides; no I/O, no clock.
+// How many connections the origin lets this router hold at once. Decides; no I/O, no clock.
 //
-// A server holds only so many connections, and what comes on a further one is turned away whatever room there is for
-// work. Many routers that each keep a few fill its table, and those that come back find none: to take that for crowding
-// and to send less helps nobody, as the connections that are there would carry more. So what is out keeps to the
-// connections that were had, and a further one is tried after about one response time: in each the others may have given
-// one back.
-//
-//  - Units: milliseconds on the caller's clock, which only advances; counts of attempts, each on a connection of its own.
-//  - Ownership: plain values, no allocation; one for each router. A server that was restarted gets a new one.
+// A refused connection is no sign of crowding: the origin's connection table is full. Attempts then keep to
+// the number of connections that was accepted, and one more is tried about once per response time.
+// Units: milliseconds on the caller's clock, which only advances; connections. No allocation. A restarted
+// origin gets a new estimator.
 #pragma once
 
 #include <algorithm>
@@ -21,34 +17,47 @@
 
 class ConnectionCapacityEstimator {
  public:
-  // May one more go out, `out` being out already?
-  bool has_capacity(double now, std::uint32_t out) const { return out < most_ || now >= again_at_; }
-  double wait_ms(double now, std::uint32_t out) const { return has_capacity(now, out) ? 0 : again_at_ - now; }
-  double capacity() const { return most_; } // that were had at once; infinity: none was ever refused
-
-  // One goes out beside `out` others: where it needs a further connection it is a trial, and nothing else goes with it.
-  void on_attempt_sent(double now, std::uint32_t out) {
-    trial_ = out >= most_;
-    if (trial_) again_at_ = now + turn_ms_;
+  // May one more attempt be sent while `in_flight` are, each on its own connection?
+  bool has_capacity(double now, std::uint32_t in_flight) const {
+    return in_flight < capacity_ || now >= next_trial_at_;
+  }
+  // Time until has_capacity(); 0: now.
+  double wait_ms(double now, std::uint32_t in_flight) const {
+    return has_capacity(now, in_flight) ? 0 : next_trial_at_ - now;
   }
-  // A further connection was refused while `out` others were in use; `draw`: evenly from 0 to 1, as all try again.
-  void on_connection_refused(double now, std::uint32_t out, double response_ms, double draw) {
-    most_ = out;
-    if (!std::exchange(trial_, false) && now < again_at_) return; // one of several that went out together
-    turn_ms_ = std::max(response_ms, kLeastMs);
-    again_at_ = now + turn_ms_ * (0.5 + draw);
+  // Connections that were accepted at once; infinity: none was refused yet.
+  double capacity() const { return capacity_; }
+
+  // An attempt is sent beside `in_flight` others. Beyond the capacity it is a trial, and goes alone.
+  void on_attempt_sent(double now, std::uint32_t in_flight) {
+    trial_in_flight_ = in_flight >= capacity_;
+    if (trial_in_flight_) next_trial_at_ = now + trial_interval_ms_;
   }
-  // An answer came on one of `out` connections in use.
-  void on_connection_used(std::uint32_t out) {
-    if (out <= most_) return;
-    trial_ = false;
-    most_ = out;
+
+  // A connection was refused while `in_flight` others were in use. `draw`: uniform in [0, 1), spreads the
+  // routers.
+  void on_connection_refused(double now, std::uint32_t in_flight, double response_ms, double draw) {
+    capacity_ = in_flight;
+    const bool was_trial = std::exchange(trial_in_flight_, false);
+    if (!was_trial && now < next_trial_at_) return; // one of several that were sent together
+    trial_interval_ms_ = std::max(response_ms, kMinTrialIntervalMs);
+    next_trial_at_ = now + trial_interval_ms_ * (0.5 + draw);
+  }
+
+  // A response came on one of `in_use` connections.
+  void on_connection_used(std::uint32_t in_use) {
+    if (in_use <= capacity_) return;
+    trial_in_flight_ = false;
+    capacity_ = in_use;
   }
 
  private:
-  static constexpr double kLeastMs = 10;
-  double most_ = std::numeric_limits<double>::infinity(), turn_ms_ = 0, again_at_ = kNever;
-  bool trial_ = false; // out, on a connection beyond those that were had
+  static constexpr double kMinTrialIntervalMs = 10;
+
+  double capacity_ = std::numeric_limits<double>::infinity();
+  double trial_interval_ms_ = 0;
+  double next_trial_at_ = kNever;
+  bool trial_in_flight_ = false;
 };
 
 } // namespace fernward::concurrency
--- a/src/concurrency/latency_baseline.h
+++ b/src/concurrency/latency_baseline.h
@@ -1,8 +1,7 @@
-// The time a server takes for a request where nobody waits there. Decides; no I/O, no clock.
+// Latency of the origin while nothing queues there. Decides; no I/O, no clock.
 //
-// Service times are spread (the quickest answer says little of the ordinary one) and work differs fivefold, so this
-// is a mean over samples that are believed uncrowded, and a request's own share of it by what its work has explained
-// so far. Which samples those are is the limiter's to say.
+// A mean over samples that the limiter takes for uncrowded. Expected of one request: that mean, scaled by its
+// work hint (linear, the slope learned by regression) and by whether it is a write.
 #pragma once
 
 #include <algorithm>
@@ -15,40 +14,56 @@
 class LatencyBaseline {
  public:
   bool known() const { return mean_ms_ > 0; }
-  double mean_ms() const { return mean_ms_; } // of an ordinary request; 0: not known
+  double mean_ms() const { return mean_ms_; } // of an average request; 0: unknown
 
-  // Expected of this request. `work_ms` 0: unknown.
+  // `work_ms` 0: unknown.
   double expected_ms(double work_ms, bool write) const {
-    const double by_work = work_ms > 0 && work_ > 0 ? 1 + slope() * (work_ms / work_ - 1) : 1;
-    return mean_ms_ * std::clamp(by_work, 0.1, 10.0) * (write ? write_ : 1);
+    const double by_work = work_ms > 0 && mean_work_ > 0 ? 1 + slope() * (work_ms / mean_work_ - 1) : 1;
+    return mean_ms_ * std::clamp(by_work, kMinWorkFactor, kMaxWorkFactor) * (write ? write_factor_ : 1);
   }
 
-  // Every answer teaches how work, and being a write, shows in the time: crowding slows all alike.
+  // Learns how latency depends on work and on writing, crowded or not: crowding slows all requests alike.
+  // `slowdown`: latency by expected_ms(); `mean_slowdown`: of late.
   void learn_work_factors(double slowdown, double mean_slowdown, double work_ms, bool write) {
-    const double share = std::min(slowdown / std::max(mean_slowdown, 0.1), kMostShare);
-    if (write) smooth(write_, std::clamp(write_ * share, 0.2, 10.0), kWeight);
+    const double relative = std::min(slowdown / std::max(mean_slowdown, kMinMeanSlowdown), kMaxSample);
+    if (write) {
+      smooth(write_factor_, std::clamp(write_factor_ * relative, kMinWriteFactor, kMaxWriteFactor), kWeight);
+    }
     if (write || work_ms <= 0) return;
-    if (work_ == 0) work_ = work_ms;
-    smooth(work_, work_ms, kWeight);
-    const double dw = std::clamp(work_ms / work_ - 1, -1.0, kMostShare);
-    const double time = share * (1 + slope() * dw);
-    smooth(spread_, dw * dw, kWeight);
-    smooth(along_, dw * (time - 1), kWeight);
+    if (mean_work_ == 0) mean_work_ = work_ms;
+    smooth(mean_work_, work_ms, kWeight);
+    const double work_deviation = std::clamp(work_ms / mean_work_ - 1, -1.0, kMaxSample);
+    const double latency = relative * (1 + slope() * work_deviation);
+    smooth(work_variance_, work_deviation * work_deviation, kWeight);
+    smooth(covariance_, work_deviation * (latency - 1), kWeight);
   }
 
   void learn(double slowdown, double weight) {
-    mean_ms_ *= 1 + weight * (std::min(slowdown, kMostShare) - 1);
+    mean_ms_ *= 1 + weight * (std::min(slowdown, kMaxSample) - 1);
   }
   void scale(double factor) { mean_ms_ *= factor; }
   void start(double elapsed_ms) { mean_ms_ = elapsed_ms; }
 
  private:
-  static constexpr double kWeight = 0.02; // of one answer: some fifty tell how work shows
-  static constexpr double kMostShare = 5; // one answer counts as so many times the ordinary one at most
-  double slope() const { // of time by work, both as shares of their means: 0 where hints say nothing
-    return spread_ > 1e-3 ? std::clamp(along_ / spread_, 0.0, 1.0) : 0;
+  static constexpr double kWeight = 0.02; // of one response
+  static constexpr double kMaxSample = 5; // bound of one response, by the mean
+  static constexpr double kMinMeanSlowdown = 0.1;
+  static constexpr double kMinWorkFactor = 0.1;
+  static constexpr double kMaxWorkFactor = 10;
+  static constexpr double kMinWriteFactor = 0.2;
+  static constexpr double kMaxWriteFactor = 10;
+  static constexpr double kMinWorkVariance = 1e-3; // below it hints tell nothing
+
+  // Of latency by work, both relative to their means.
+  double slope() const {
+    return work_variance_ > kMinWorkVariance ? std::clamp(covariance_ / work_variance_, 0.0, 1.0) : 0;
   }
-  double mean_ms_ = 0, write_ = 1, work_ = 0, spread_ = 0, along_ = 0;
+
+  double mean_ms_ = 0;
+  double write_factor_ = 1; // latency of a write by that of a read
+  double mean_work_ = 0;
+  double work_variance_ = 0;
+  double covariance_ = 0; // of work and latency
 };
 
 } // namespace fernward::concurrency
--- a/src/concurrency/origin_concurrency_limiter.cpp
+++ b/src/concurrency/origin_concurrency_limiter.cpp
@@ -7,282 +7,417 @@
 namespace fernward::concurrency {
 namespace {
 
-constexpr double kOriginStart = 32;  // attempts at once that all routers together let a new origin have
-constexpr double kWriteTurn = 1;     // that a write may count on however low the limit
-constexpr double kLeast = 1.0 / 256; // of the start
-constexpr double kMost = 4096;
-constexpr double kWriteShare = 1.25; // of the origin limit that writes may fill; reads fill it once
-constexpr double kPaceSlack = 1.5;   // by which a pace is quicker than the limit: requests come unevenly
-constexpr double kBurst = 2;         // attempts that a pace saves up
-
-// What a response time over the floor means depends on how much of it the aim leaves: a server whose ordinary time is
-// a third of the aim may be used nearer to its end than one that is ten times as quick.
-constexpr double kToleranceByAim = 0.25, kMostTolerance = 2.5;
-constexpr double kHold = 0.35;    // of the tolerance, from which the limit no longer grows
-constexpr double kTrigger = 8;    // strain at which the limit falls
-constexpr double kClip = 4;       // one answer counts as so many times its expected time at most
-constexpr double kBelow = 0.8;    // of the knee: a cut goes below it, so that a floor too high shows
-constexpr double kRegrow = 0.2;   // of the limit in each response time, up to where it was before the cut
-constexpr double kRegrowTo = 1.3; // of the knee
-constexpr double kGrow = 0.05;    // beyond
-constexpr double kMostEase = 0.2, kEase = 0.2; // by which a limit eases that holds more than is carried
-constexpr double kPressed = 0.3; // share of answers under a full limit after which the floor is tested
-constexpr double kMore = 1.15; // what is carried over what was carried while quick: crowded rather than slow
-constexpr double kLate = 0.55; // share of the aim past which answers are cut whatever the floor says
-constexpr double kFloorUp = 0.05;                  // by which a floor follows a server that has become slower
-constexpr double kClearDown = 0.5, kClearUp = 0.3; // by which it follows what was seen after a cut
-constexpr double kFewClear = 6, kManyClear = 16;   // samples that this takes
-constexpr double kLead = 0.2;                      // of the way to its part that a limit goes at each call
-constexpr double kReachedAgain = 0.7; // of the limit before the first connection that did not come up
-constexpr double kLatelyMs = 500, kLatelyGone = 800; // half-life of own answers that are told, and their end
-constexpr double kPoolGone = 2000; // without the others' response time for so long a limit learns alone again
-// The words are old: followed at once in both directions, all paces swing together. So a pace is given up within the
-// time that they lag behind, and taken back over several such times.
-constexpr double kPoolRise = 1, kPoolFall = 6;
-constexpr double kPoolHold = 0.8; // of the lateness that cuts, from which they grow no limit
-constexpr double kUnused = 0.98;  // by which each answer takes back a limit less than half used
+// Limits.
+constexpr double kFleetInitialLimit = 32;    // attempts, over all routers
+constexpr double kMinLimitShare = 1.0 / 256; // of the initial limit
+constexpr double kMaxLimit = 4096;
+constexpr double kReservedWrites = 1;     // attempts that writes may have in flight however low the limit
+constexpr double kWriteLimitShare = 1.25; // of the limit, that writes may fill
+constexpr double kFleetShareStep = 0.2;   // of the way to the fleet share, per call
+constexpr double kUnusedDecay = 0.98;     // per response while less than half of the limit is used
+
+// Rate of a limit below one.
+constexpr double kRateSlack = 1.5; // requests come unevenly
+constexpr double kMaxTokens = 2;   // attempts
+constexpr double kUsedRateIntervals =
+    3; // a rate counts as used if attempts are at most so many intervals apart
+
+// Weights of one sample in moving averages.
+constexpr double kLatencyWeight = 0.1;
+constexpr double kUsedWeight = 0.1;
+constexpr double kSendIntervalWeight = 0.2;
+constexpr double kAtLimitWeight = 0.03;
+constexpr double kLateWeight = 0.1;
+constexpr double kRareLateWeight = 0.3; // while the limit is below one
+constexpr double kUncrowdedRiseWeight = 0.1;
+constexpr double kUncrowdedFallWeight = 0.01;
+
+// Tolerated slowdown: 1 + kToleranceByObjective * (objective / baseline - 1), bounded. An origin whose
+// baseline is a third of the objective may be used nearer to its end than one that is ten times as quick.
+constexpr double kToleranceByObjective = 0.25;
+constexpr double kMinTolerance = 1.2;
+constexpr double kMaxTolerance = 2.5;
+constexpr double kDefaultObjectiveRatio = 8;   // where objective or baseline is unknown
+constexpr double kGrowthToleranceShare = 0.35; // of the tolerance, up to which the limit grows
+constexpr double kMaxSlowdownSample = 4;
+constexpr double kMaxLateSample = 1.5;
+constexpr double kStrainTrigger = 8;    // strain at which the limit decreases
+constexpr double kStrainSamples = 8;    // limit above which one sample weighs less
+constexpr double kCarriesMore = 1.15;   // by what was carried uncrowded: crowded rather than slow
+constexpr double kSlowdownAtFull = 0.6; // over the baseline, that counts as full utilization
+
+// Decrease.
+constexpr double kRefusedFactor = 0.7;  // of what is in use
+constexpr double kLateFactor = 0.8;     // of what is in use
+constexpr double kDecreaseOfKnee = 0.8; // below the knee, so that a baseline too high shows
+constexpr double kMinKneeSlowdown = 1.2;
+constexpr double kLateShare = 0.55; // of the objective, past which the limit decreases whatever the baseline
+constexpr double kMaxLateShare = 0.75;
+constexpr double kLateByBaseline = 1.25;
+constexpr double kLateDecay = 0.9; // of late_, per decrease
+constexpr double kAtLimitTrigger =
+    0.3; // share of slow samples at the limit, after which the baseline is tested
+constexpr double kReachedAgainFactor = 0.7; // of the limit before the first failed connect
+constexpr double kReportedDecrease = 0.9;   // decreases below it are reported
+
+// Growth, in shares of the limit per response time.
+constexpr double kRegrow = 0.2; // up to kRegrowToKnee
+constexpr double kRegrowToKnee = 1.3;
+constexpr double kGrow = 0.05; // beyond
+constexpr double kEase =
+    0.2; // by which a limit that holds more than is carried decreases, by excess slowdown
+constexpr double kMaxEase = 0.2;
+
+// Baseline.
+constexpr double kMaxSamples = 1000;
+constexpr double kInitialSamples = 20; // weighted equally
+constexpr double kUnusedWeight = 0.01; // of a sample while less than half of the limit is used
+constexpr double kQuickWeight = 0.05;  // of a sample while latency is below the baseline
+constexpr double kQuickSlowdown = 0.75;
+constexpr double kSlowerWeight = 0.05; // of a sample while the origin is slow and not crowded
+constexpr double kSlowerStep = 0.5;    // of the way to a slowdown that shows no crowding
+
+// Test of the baseline after a decrease.
+constexpr double kMinTestSamples = 6;
+constexpr double kMaxTestSamples = 16;
+constexpr double kTestSamplesByLimit = 3;
+constexpr double kMaxTestSample = 5;
+constexpr double kTestLower = 0.85; // mean slowdown below it: the baseline was too high
+constexpr double kTestDownStep = 0.5;
+constexpr double kTestUpStep = 0.3;
+constexpr double kMinTestIntervalMs = 1000;
+constexpr double kMaxTestIntervalMs = 20000;
+constexpr double kAtLimitAfterTest = 0.2;
+constexpr double kSmallFleet = 9; // routers; below it one router's test is followed fully
+
+// Latency exchanged between routers.
+constexpr double kRecentHalfLifeMs = 500;
+constexpr double kRecentMaxAgeMs = 800;
+constexpr double kFleetLatencyMaxAgeMs = 2000; // after it a limit learns alone again
+// Fleet latency is old: followed at once in both directions all rates would swing together. A rise is
+// followed within the time it lags behind, a fall over several such times.
+constexpr double kFleetRiseLags = 1;
+constexpr double kFleetFallLags = 6;
+constexpr double kFleetGrowthShare = 0.8; // of the late share, up to which a limit grows
+constexpr double kMaxFleetStepMs = 1000;
 
 } // namespace
 
-OriginConcurrencyLimiter OriginConcurrencyLimiter::for_router_count(double nodes) {
-  return OriginConcurrencyLimiter(std::max(nodes, 1.0), kOriginStart / std::max(nodes, 1.0));
+OriginConcurrencyLimiter OriginConcurrencyLimiter::for_router_count(double router_count) {
+  return OriginConcurrencyLimiter(std::max(router_count, 1.0),
+                                  kFleetInitialLimit / std::max(router_count, 1.0));
 }
 
-OriginConcurrencyLimiter::OriginConcurrencyLimiter(double nodes, double start)
-    : limit_(start), start_(start), nodes_(nodes), used_(start), was_(start) {}
+OriginConcurrencyLimiter::OriginConcurrencyLimiter(double router_count, double initial_limit)
+    : limit_(initial_limit),
+      initial_limit_(initial_limit),
+      router_count_(router_count),
+      used_(initial_limit),
+      regrow_limit_(initial_limit) {}
 
-double OriginConcurrencyLimiter::tokens(double now, double pace) const {
-  if (sent_at_ == kNever) return 1;
-  return std::min(kBurst, tokens_ + (now - sent_at_) * kPaceSlack * pace / std::max(recent_ms_, 1.0));
+// ---- Sending ----
+
+double OriginConcurrencyLimiter::rate_tokens(double now, double rate) const {
+  if (last_sent_at_ == kNever) return 1;
+  return std::min(kMaxTokens,
+                  tokens_ + (now - last_sent_at_) * kRateSlack * rate / std::max(latency_ms_, 1.0));
 }
 
-bool OriginConcurrencyLimiter::has_capacity(double now, std::uint32_t out, bool write) const {
-  const double held = out;
-  if (write && held < kWriteTurn) return true;
-  // Before the first answer nothing tells how long a turn is, and so how quick a pace may be: one at a time.
-  if (recent_ms_ == 0 && limit_ < 2) return held < 1;
-  const double mine = write ? kWriteShare * limit_ : limit_;
-  const double whole = std::floor(mine);
-  // What is left beyond whole attempts is a pace: rounded up it would add up to a crowd over many routers.
-  return held < whole || (held == whole && tokens(now, mine - whole) >= 1);
+bool OriginConcurrencyLimiter::has_capacity(double now, std::uint32_t in_flight, bool write) const {
+  const double held = in_flight;
+  if (write && held < kReservedWrites) return true;
+  // Before the first response the duration of an attempt is unknown, and so is the rate: one at a time.
+  if (latency_ms_ == 0 && limit_ < 2) return held < 1;
+  const double limit = write ? kWriteLimitShare * limit_ : limit_;
+  const double whole = std::floor(limit);
+  // The fraction is a rate: rounded up it would add up over many routers.
+  return held < whole || (held == whole && rate_tokens(now, limit - whole) >= 1);
 }
 
 void OriginConcurrencyLimiter::on_attempt_sent(double now) {
-  if (sent_at_ != kNever) {
-    if (gap_ms_ == 0) gap_ms_ = now - sent_at_;
-    smooth(gap_ms_, now - sent_at_, 0.2);
+  if (last_sent_at_ != kNever) {
+    if (send_interval_ms_ == 0) send_interval_ms_ = now - last_sent_at_;
+    smooth(send_interval_ms_, now - last_sent_at_, kSendIntervalWeight);
   }
-  tokens_ = std::max(0.0, tokens(now, limit_ - std::floor(limit_)) - 1);
-  sent_at_ = now;
+  tokens_ = std::max(0.0, rate_tokens(now, limit_ - std::floor(limit_)) - 1);
+  last_sent_at_ = now;
 }
 
-double OriginConcurrencyLimiter::tolerance(double aim_ms) const {
-  const double room = aim_ms > 0 && floor_.known() ? aim_ms / floor_.mean_ms() : 8;
-  return std::clamp(1 + kToleranceByAim * (room - 1), 1.2, kMostTolerance);
+// ---- Samples ----
+
+DecreaseReason OriginConcurrencyLimiter::on_attempt_ended(double now, const AttemptSample& told) {
+  AttemptSample sample = told;
+  if (!usable_number(sample.elapsed_ms)) sample.elapsed_ms = 0;
+  if (!usable_number(sample.work_ms)) sample.work_ms = 0;
+  if (!usable_number(sample.latency_objective_ms)) sample.latency_objective_ms = 0;
+  const bool answered = sample.outcome == AttemptOutcome::Answered;
+  const bool timed_out = sample.outcome == AttemptOutcome::TimedOut;
+
+  smooth(used_, std::min<double>(sample.in_flight + 1.0, limit_), kUsedWeight);
+  if (sample.outcome == AttemptOutcome::Rejected || sample.outcome == AttemptOutcome::ConnectFailed) {
+    return on_refused(now, sample);
+  }
+  if (!shows_latency(now, sample)) return DecreaseReason::None;
+  if (!baseline_.known()) {
+    if (timed_out) decrease(now, kRefusedFactor * limit_);
+    if (!answered) return timed_out ? DecreaseReason::TimedOut : DecreaseReason::None;
+    baseline_.start(std::max(sample.elapsed_ms, 0.01));
+  }
+  update_latency(now, sample);
+  const double slowdown = sample.elapsed_ms / std::max(expected_ms(sample), 0.01);
+  if (answered) baseline_.learn_work_factors(slowdown, slowdown_, sample.work_ms, sample.write);
+  const double limit_before = limit_;
+  learn(now, sample, slowdown);
+  if (limit_ >= limit_before * kReportedDecrease) return DecreaseReason::None;
+  return timed_out ? DecreaseReason::TimedOut : DecreaseReason::Slow;
 }
 
-DecreaseReason OriginConcurrencyLimiter::on_attempt_ended(double now, const AttemptSample& sample) {
-  AttemptSample s = sample;
-  if (!usable_number(s.elapsed_ms)) s.elapsed_ms = 0;
-  if (!usable_number(s.work_ms)) s.work_ms = 0;
-  if (!usable_number(s.latency_objective_ms)) s.latency_objective_ms = 0;
-  const double sent = now - s.elapsed_ms;
-  smooth(used_, std::min<double>(s.in_flight + 1.0, limit_), 0.1);
-  switch (s.outcome) {
-    case AttemptOutcome::Rejected:
-    case AttemptOutcome::ConnectFailed:
-      if (now - cut_at_ < recent_ms_) return DecreaseReason::None;
-      if (s.outcome == AttemptOutcome::ConnectFailed && reached_ == 0) reached_ = limit_;
-      cut(now, 0.7 * std::min(limit_, s.in_flight + 1.0));
-      return DecreaseReason::Rejected;
+DecreaseReason OriginConcurrencyLimiter::on_refused(double now, const AttemptSample& sample) {
+  if (now - decreased_at_ < latency_ms_) return DecreaseReason::None;
+  if (sample.outcome == AttemptOutcome::ConnectFailed && limit_before_connect_failures_ == 0) {
+    limit_before_connect_failures_ = limit_;
+  }
+  decrease(now, kRefusedFactor * std::min(limit_, sample.in_flight + 1.0));
+  return DecreaseReason::Rejected;
+}
+
+// Does the sample's time tell of the server, rather than of one connection or of the request?
+bool OriginConcurrencyLimiter::shows_latency(double now, const AttemptSample& sample) {
+  const double sent_at = now - sample.elapsed_ms;
+  switch (sample.outcome) {
     case AttemptOutcome::Answered:
-      silent_ = 0;
-      later_ = std::max(later_, sent);
-      // What never came up tells of the way or the door, not of the work: back in reach, all of it counts as one cut.
-      if (reached_ > 0) limit_ = std::max(limit_, kReachedAgain * std::exchange(reached_, 0.0));
-      break;
+      consecutive_timeouts_ = 0;
+      last_answered_sent_at_ = std::max(last_answered_sent_at_, sent_at);
+      // Failed connects tell of the network, not of load: once it is back they count as one decrease.
+      if (limit_before_connect_failures_ > 0) {
+        limit_ = std::max(limit_, kReachedAgainFactor * std::exchange(limit_before_connect_failures_, 0.0));
+      }
+      return true;
     case AttemptOutcome::TimedOut:
-      // Where what was sent later has been answered, or answers came at all since, the connection is at fault.
-      if (later_ >= sent) return DecreaseReason::None;
-      if (++silent_ < 2) return DecreaseReason::None;
-      break;
+      // The connection is at fault where a later attempt was answered; so is it taken to be at the first
+      // timeout.
+      if (last_answered_sent_at_ >= sent_at) return false;
+      ++consecutive_timeouts_;
+      return consecutive_timeouts_ >= 2;
     case AttemptOutcome::Fault:
-    case AttemptOutcome::Cancelled:
-      if (s.elapsed_ms <= 2 * recent_ms_) return DecreaseReason::None;
-      break;
-  }
-  if (!floor_.known()) { // of a server that has answered nothing yet, nothing but faults are known
-    if (s.outcome == AttemptOutcome::TimedOut) cut(now, 0.7 * limit_);
-    if (s.outcome != AttemptOutcome::Answered)
-      return s.outcome == AttemptOutcome::TimedOut ? DecreaseReason::TimedOut : DecreaseReason::None;
-    floor_.start(std::max(s.elapsed_ms, 0.01));
+    case AttemptOutcome::Cancelled: return !(sample.elapsed_ms <= 2 * latency_ms_);
+    case AttemptOutcome::Rejected:
+    case AttemptOutcome::ConnectFailed: break;
   }
-  if (recent_ms_ == 0) recent_ms_ = s.elapsed_ms;
-  const double bounded =
-      s.latency_objective_ms > 0 ? std::min(s.elapsed_ms, 2 * s.latency_objective_ms) : s.elapsed_ms;
-  smooth(recent_ms_, bounded, 0.1);
-  if (s.latency_objective_ms > 0) aim_ms_ = s.latency_objective_ms;
-  const double fade = std::exp2((lately_at_ - now) / kLatelyMs);
-  lately_sum_ = fade * lately_sum_ + bounded, lately_seen_ = fade * lately_seen_ + 1, lately_at_ = now;
-  const double slowdown = s.elapsed_ms / std::max(expected(s), 0.01);
-  if (s.outcome == AttemptOutcome::Answered) floor_.learn_work_factors(slowdown, slow_, s.work_ms, s.write);
-  const double before = limit_;
-  learn(now, s, slowdown);
-  return limit_ < before * 0.9
-             ? (s.outcome == AttemptOutcome::TimedOut ? DecreaseReason::TimedOut : DecreaseReason::Slow)
-             : DecreaseReason::None;
+  return false;
 }
 
-void OriginConcurrencyLimiter::learn(double now, const AttemptSample& s, double slowdown) {
-  const double x = std::min(slowdown, kClip);
-  if (now - s.elapsed_ms < settled_at_) return; // a crowd that the last cut has answered already
-  seen_ = std::min(seen_ + 1, 1000.0);
-  smooth(slow_, x, 0.1);
-  if (clear_ > 0) {
-    clear_sum_ += std::min(slowdown, 5.0);
-    ++clear_seen_;
-    if (clear_seen_ < std::clamp(3 * limit_, kFewClear, kManyClear)) return;
-    const double m = clear_sum_ / clear_seen_;
-    clear_ = 0;
-    test_ms_ = m < 0.85 ? std::max(1000.0, test_ms_ / 2) : std::min(20000.0, 2 * test_ms_);
-    if (m > 1 + 2 / std::sqrt(clear_seen_)) { // the cut changed nothing: the server is slow, not crowded
-      floor_.scale(std::pow(m, nodes_ < 9 ? 1 : 0.5));
-      was_ = good_;
-      limit_ = std::max(limit_, std::min(good_, good_used_));
-      pressed_ = 0.2;
-      test_ms_ = 1000;
-    } else {
-      floor_.scale(1 + (m < 0.85 ? kClearDown : kClearUp / std::sqrt(nodes_)) * (m - 1));
-    }
-    slow_ = 1;
-    return;
+void OriginConcurrencyLimiter::update_latency(double now, const AttemptSample& sample) {
+  const double objective_ms = sample.latency_objective_ms;
+  if (latency_ms_ == 0) latency_ms_ = sample.elapsed_ms;
+  const double bounded = objective_ms > 0 ? std::min(sample.elapsed_ms, 2 * objective_ms) : sample.elapsed_ms;
+  smooth(latency_ms_, bounded, kLatencyWeight);
+  if (objective_ms > 0) latency_objective_ms_ = objective_ms;
+  const double decay = std::exp2((recent_at_ - now) / kRecentHalfLifeMs);
+  recent_sum_ms_ = decay * recent_sum_ms_ + bounded;
+  recent_count_ = decay * recent_count_ + 1;
+  recent_at_ = now;
+}
+
+// ---- Learning ----
+
+double OriginConcurrencyLimiter::tolerated_slowdown(double latency_objective_ms) const {
+  const double ratio = latency_objective_ms > 0 && baseline_.known()
+                           ? latency_objective_ms / baseline_.mean_ms()
+                           : kDefaultObjectiveRatio;
+  return std::clamp(1 + kToleranceByObjective * (ratio - 1), kMinTolerance, kMaxTolerance);
+}
+
+void OriginConcurrencyLimiter::learn(double now, const AttemptSample& sample, double slowdown) {
+  const double bounded = std::min(slowdown, kMaxSlowdownSample);
+  if (now - sample.elapsed_ms < decrease_settled_at_) return; // the last decrease has answered it already
+  samples_ = std::min(samples_ + 1, kMaxSamples);
+  smooth(slowdown_, bounded, kLatencyWeight);
+  if (testing_baseline_) return test_baseline(slowdown);
+  learn_baseline(sample, slowdown);
+
+  const double objective_ms = sample.latency_objective_ms;
+  const double tolerance = tolerated_slowdown(objective_ms);
+  const double growth_bound = 1 + kGrowthToleranceShare * (tolerance - 1);
+  const double weight = std::min(1.0, kStrainSamples / std::max(limit_, 1.0));
+  strain_ = std::max(0.0, strain_ + weight * (bounded - tolerance));
+  remember_uncrowded(growth_bound);
+  const bool carries_more = used_ / std::max(1.0, slowdown_) > kCarriesMore * uncrowded_used_;
+  smooth(at_limit_, slowdown_ > 0.9 * growth_bound && sample.in_flight + 2 > limit_, kAtLimitWeight);
+  if (objective_ms > 0) {
+    smooth(late_, std::min(kMaxLateSample, sample.elapsed_ms / objective_ms),
+           limit_ < 1 ? kRareLateWeight : kLateWeight);
   }
-  const bool unlimited = s.in_flight + 1 < limit_ / 2;
-  if (seen_ < 20) {
-    floor_.learn(slowdown, 1 / seen_);
-  } else if (unlimited || slow_ < 0.75) {
-    floor_.learn(slowdown, slow_ < 0.75 ? 0.05 : 0.01);
+  adjust(now, sample, slowdown, growth_bound, carries_more);
+}
+
+void OriginConcurrencyLimiter::test_baseline(double slowdown) {
+  test_sum_ += std::min(slowdown, kMaxTestSample);
+  ++test_samples_;
+  if (test_samples_ < std::clamp(kTestSamplesByLimit * limit_, kMinTestSamples, kMaxTestSamples)) return;
+  const double mean = test_sum_ / test_samples_;
+  testing_baseline_ = false;
+  const bool too_high = mean < kTestLower;
+  test_interval_ms_ = too_high ? std::max(kMinTestIntervalMs, test_interval_ms_ / 2)
+                               : std::min(kMaxTestIntervalMs, 2 * test_interval_ms_);
+  if (mean > 1 + 2 / std::sqrt(test_samples_)) { // as slow as before the decrease: slow, not crowded
+    baseline_.scale(std::pow(mean, router_count_ < kSmallFleet ? 1 : 0.5));
+    regrow_limit_ = uncrowded_limit_;
+    limit_ = std::max(limit_, std::min(uncrowded_limit_, uncrowded_used_));
+    at_limit_ = kAtLimitAfterTest;
+    test_interval_ms_ = kMinTestIntervalMs;
+  } else {
+    const double step = too_high ? kTestDownStep : kTestUpStep / std::sqrt(router_count_);
+    baseline_.scale(1 + step * (mean - 1));
   }
-  const double tol = tolerance(s.latency_objective_ms), hold = 1 + kHold * (tol - 1);
-  const double weight = std::min(1.0, 8 / std::max(limit_, 1.0));
-  strain_ = std::max(0.0, strain_ + weight * (x - tol));
-  if (slow_ < 1 + 0.5 * (hold - 1)) {
-    good_ = limit_;
-    const double carried = used_ / std::max(1.0, slow_);
-    smooth(good_used_, carried, carried > good_used_ ? 0.1 : 0.01);
+  slowdown_ = 1;
+}
+
+void OriginConcurrencyLimiter::learn_baseline(const AttemptSample& sample, double slowdown) {
+  const bool quick = slowdown_ < kQuickSlowdown;
+  if (samples_ < kInitialSamples) {
+    baseline_.learn(slowdown, 1 / samples_);
+  } else if (quick || sample.in_flight + 1 < limit_ / 2) {
+    baseline_.learn(slowdown, quick ? kQuickWeight : kUnusedWeight);
   }
-  const bool more = used_ / std::max(1.0, slow_) > kMore * good_used_;
-  smooth(pressed_, slow_ > 0.9 * hold && s.in_flight + 2 > limit_, 0.03);
-  if (s.latency_objective_ms > 0)
-    smooth(late_, std::min(1.5, s.elapsed_ms / s.latency_objective_ms), limit_ < 1 ? 0.3 : 0.1);
-  if (goes_by_pool(now)) {
+}
+
+void OriginConcurrencyLimiter::remember_uncrowded(double growth_bound) {
+  if (slowdown_ >= 1 + 0.5 * (growth_bound - 1)) return;
+  uncrowded_limit_ = limit_;
+  const double carried = used_ / std::max(1.0, slowdown_);
+  smooth(uncrowded_used_, carried, carried > uncrowded_used_ ? kUncrowdedRiseWeight : kUncrowdedFallWeight);
+}
+
+// ---- Adjusting the limit ----
+
+void OriginConcurrencyLimiter::adjust(double now, const AttemptSample& sample, double slowdown,
+                                      double growth_bound, bool carries_more) {
+  if (follows_fleet_latency(now)) {
     strain_ = 0;
     return;
   }
-  if (late_ > too_late(s.latency_objective_ms) && now - cut_at_ >= recent_ms_) {
-    cut(now, 0.8 * std::min(limit_, s.in_flight + 1.0));
-    late_ *= 0.9;
-    return;
-  }
-  if (strain_ > kTrigger && !more) {
-    floor_.scale(1 + 0.5 * (slow_ - 1));
-    slow_ = 1 + 0.5 * (slow_ - 1);
+  if (decrease_if_late(now, sample)) return;
+  if (strain_ > kStrainTrigger && !carries_more) { // slow, not crowded
+    baseline_.scale(1 + kSlowerStep * (slowdown_ - 1));
+    slowdown_ = 1 + kSlowerStep * (slowdown_ - 1);
     strain_ = 0;
   }
-  const bool due = pressed_ > kPressed && now - cut_at_ > test_ms_;
-  if ((strain_ > kTrigger || due) && now - cut_at_ >= recent_ms_) {
-    const double knee = std::min(limit_, std::max(used_, limit_ < 1 ? 0 : 1.0)) / std::max(1.2, slow_);
-    cut(now, kBelow * knee);
-    was_ = kRegrowTo * knee;
-    clear_ = 1, clear_seen_ = 0, clear_sum_ = 0;
-    return;
-  }
-  if (slow_ > hold) {
-    if (more) {
-      limit_ = std::max(start_ * kLeast, limit_ * (1 - std::min(1.0, 1 / limit_) *
-                                                           std::min(kMostEase, kEase * (slow_ - hold))));
+  if (decrease_if_crowded(now)) return;
+  if (slowdown_ > growth_bound) {
+    if (carries_more) {
+      ease(slowdown_ - growth_bound);
     } else {
-      floor_.learn(slowdown, kFloorUp); // no more is carried than when it was quick: it is slow
+      baseline_.learn(slowdown, kSlowerWeight);
     }
     return;
   }
-  hold_ = (hold - slow_) / (hold - 1);
-  grow(s);
+  growth_share_ = (growth_bound - slowdown_) / (growth_bound - 1);
+  grow(sample);
+}
+
+bool OriginConcurrencyLimiter::decrease_if_late(double now, const AttemptSample& sample) {
+  if (!(late_ > late_share(sample.latency_objective_ms) && now - decreased_at_ >= latency_ms_)) return false;
+  decrease(now, kLateFactor * std::min(limit_, sample.in_flight + 1.0));
+  late_ *= kLateDecay;
+  return true;
 }
 
-void OriginConcurrencyLimiter::grow(const AttemptSample& s) {
-  if (s.outcome != AttemptOutcome::Answered) return;
-  const bool used =
-      limit_ < 1 ? gap_ms_ < 3 * recent_ms_ / (kPaceSlack * limit_) : s.in_flight + 1 >= limit_ / 2;
+bool OriginConcurrencyLimiter::decrease_if_crowded(double now) {
+  const bool test_due = at_limit_ > kAtLimitTrigger && now - decreased_at_ > test_interval_ms_;
+  if (!((strain_ > kStrainTrigger || test_due) && now - decreased_at_ >= latency_ms_)) return false;
+  const double knee =
+      std::min(limit_, std::max(used_, limit_ < 1 ? 0 : 1.0)) / std::max(kMinKneeSlowdown, slowdown_);
+  decrease(now, kDecreaseOfKnee * knee);
+  regrow_limit_ = kRegrowToKnee * knee;
+  testing_baseline_ = true;
+  test_samples_ = 0;
+  test_sum_ = 0;
+  return true;
+}
+
+void OriginConcurrencyLimiter::ease(double excess_slowdown) {
+  const double step = std::min(1.0, 1 / limit_) * std::min(kMaxEase, kEase * excess_slowdown);
+  limit_ = std::max(initial_limit_ * kMinLimitShare, limit_ * (1 - step));
+}
+
+void OriginConcurrencyLimiter::grow(const AttemptSample& sample) {
+  if (sample.outcome != AttemptOutcome::Answered) return;
+  const bool used = limit_ < 1 ? send_interval_ms_ < kUsedRateIntervals * latency_ms_ / (kRateSlack * limit_)
+                               : sample.in_flight + 1 >= limit_ / 2;
   if (used) {
-    const double part = std::min(1.0, limit_); // a pace brings less than one answer in a response time
-    if (doubling_) {
-      limit_ += part;
+    const double responses = std::min(1.0, limit_); // a rate brings less than one in a response time
+    if (slow_start_) {
+      limit_ += responses;
     } else {
-      limit_ += part * (limit_ < was_ ? kRegrow : kGrow * std::min(1.0, hold_)) +
-                start_ / 8 / 16 * part / std::max(1.0, limit_);
+      limit_ += responses * (limit_ < regrow_limit_ ? kRegrow : kGrow * std::min(1.0, growth_share_)) +
+                initial_limit_ / 8 / 16 * responses / std::max(1.0, limit_);
     }
-    limit_ = std::min(limit_, kMost);
-  } else if (limit_ > start_) {
-    limit_ = std::max(start_, limit_ * kUnused); // room that was not tried lately is not known to be there
+    limit_ = std::min(limit_, kMaxLimit);
+  } else if (limit_ > initial_limit_) {
+    limit_ = std::max(initial_limit_, limit_ * kUnusedDecay); // not known to be available any more
   }
 }
 
-// What all hold, dealt out anew, stays what all hold: this adds nothing to the sum and learns nothing.
-void OriginConcurrencyLimiter::set_fleet_share(double part) {
-  if (!usable_number(part) || part == 0) return;
-  part = std::clamp(part, start_ * kLeast, kMost);
-  limit_ += kLead * (part - limit_); // also of one at its beginning: what it took at once nobody would give
+void OriginConcurrencyLimiter::decrease(double now, double to) {
+  slow_start_ = false;
+  regrow_limit_ = limit_;
+  limit_ = std::clamp(to, initial_limit_ * kMinLimitShare, limit_);
+  testing_baseline_ = false;
+  decreased_at_ = now;
+  decrease_settled_at_ = now + latency_ms_;
+  strain_ = 0;
+  slowdown_ = 1;
+  tokens_ = std::min(tokens_, 0.0);
 }
 
-double OriginConcurrencyLimiter::too_late(double aim_ms) const {
-  return std::max(kLate, std::min(1.25 * floor_.mean_ms() / std::max(aim_ms, 1.0), 0.75));
+double OriginConcurrencyLimiter::late_share(double latency_objective_ms) const {
+  const double by_baseline = kLateByBaseline * baseline_.mean_ms() / std::max(latency_objective_ms, 1.0);
+  return std::max(kLateShare, std::min(by_baseline, kMaxLateShare));
 }
 
-bool OriginConcurrencyLimiter::goes_by_pool(double now) const {
-  return limit_ < 1 && now - pooled_at_ < kPoolGone;
+double OriginConcurrencyLimiter::utilization(double, double wanted) const {
+  return std::max(wanted / limit_, (slowdown_ - 1) / kSlowdownAtFull);
 }
 
-double OriginConcurrencyLimiter::recent_latency_ms(double now) const {
-  return lately_seen_ > 0 && now - lately_at_ < kLatelyGone ? lately_sum_ / lately_seen_ : 0;
+// ---- The other routers ----
+
+void OriginConcurrencyLimiter::set_fleet_share(double share) {
+  if (!usable_number(share) || share == 0) return;
+  share = std::clamp(share, initial_limit_ * kMinLimitShare, kMaxLimit);
+  smooth(limit_, share, kFleetShareStep); // also at the start: what one took at once no other would give up
 }
 
-void OriginConcurrencyLimiter::set_fleet_latency(double now, double answer_ms, double age_ms) {
-  const double passed = std::clamp(now - led_at_, 0.0, 1000.0);
-  led_at_ = now;
-  if (!usable_number(answer_ms) || !usable_number(age_ms) || answer_ms == 0) return;
-  pooled_at_ = now;
-  if (limit_ >= 1) return;
-  const double lag = answer_ms + age_ms; // since what they were answered was sent
-  // Of one that had no answer yet, too: else it keeps one attempt out whatever its limit, and half of a tier that comes
-  // back to a ledger which answers nobody in time would keep it so.
-  if (recent_ms_ == 0) recent_ms_ = answer_ms;
-  const double lags = answer_ms > recent_ms_ ? kPoolRise : kPoolFall;
-  smooth(recent_ms_, answer_ms, std::min(1.0, passed / (lags * lag)));
-  if (!floor_.known() || aim_ms_ == 0) return; // nothing is known that the time could be set against
-  // What was sent before the last cut, and seen some time ago, is answered by that cut already.
-  if (now - cut_at_ < lag) return;
-  const double late = answer_ms / aim_ms_, most = too_late(aim_ms_);
-  if (late > most) return cut(now, 0.8 * limit_);
-  const double gap = std::max(gap_ms_, now - sent_at_);
-  if (late < kPoolHold * most && gap < 3 * answer_ms / (kPaceSlack * limit_))
-    limit_ *= 1 + (doubling_ ? kRegrow : kGrow) * std::min(1.0, passed / lag); // quicker until the first cut
+bool OriginConcurrencyLimiter::follows_fleet_latency(double now) const {
+  return limit_ < 1 && now - fleet_latency_at_ < kFleetLatencyMaxAgeMs;
 }
 
-void OriginConcurrencyLimiter::cut(double now, double to) {
-  doubling_ = false;
-  was_ = limit_;
-  limit_ = std::clamp(to, start_ * kLeast, limit_);
-  clear_ = 0;
-  cut_at_ = now;
-  settled_at_ = now + recent_ms_;
-  strain_ = 0;
-  slow_ = 1;
-  tokens_ = std::min(tokens_, 0.0);
+double OriginConcurrencyLimiter::recent_latency_ms(double now) const {
+  return recent_count_ > 0 && now - recent_at_ < kRecentMaxAgeMs ? recent_sum_ms_ / recent_count_ : 0;
 }
 
-double OriginConcurrencyLimiter::utilization(double, double out) const {
-  return std::max(out / limit_, (slow_ - 1) / 0.6);
+void OriginConcurrencyLimiter::set_fleet_latency(double now, double latency_ms, double age_ms) {
+  const double passed_ms = std::clamp(now - fleet_heard_at_, 0.0, kMaxFleetStepMs);
+  fleet_heard_at_ = now;
+  if (!usable_number(latency_ms) || !usable_number(age_ms) || latency_ms == 0) return;
+  fleet_latency_at_ = now;
+  if (limit_ >= 1) return;
+  const double lag_ms = latency_ms + age_ms; // since the attempts it stands for were sent
+  // Also without a response yet: else one attempt stays in flight whatever the limit, and an origin that
+  // answers nobody in time would never recover.
+  if (latency_ms_ == 0) latency_ms_ = latency_ms;
+  const double lags = latency_ms > latency_ms_ ? kFleetRiseLags : kFleetFallLags;
+  smooth(latency_ms_, latency_ms, std::min(1.0, passed_ms / (lags * lag_ms)));
+  if (!baseline_.known() || latency_objective_ms_ == 0) return;
+  if (now - decreased_at_ < lag_ms) return; // the last decrease has answered it already
+  const double late = latency_ms / latency_objective_ms_;
+  const double max_late = late_share(latency_objective_ms_);
+  if (late > max_late) return decrease(now, kLateFactor * limit_);
+  const double interval_ms = std::max(send_interval_ms_, now - last_sent_at_);
+  const bool used = interval_ms < kUsedRateIntervals * latency_ms / (kRateSlack * limit_);
+  if (late < kFleetGrowthShare * max_late && used) {
+    limit_ *= 1 + (slow_start_ ? kRegrow : kGrow) * std::min(1.0, passed_ms / lag_ms);
+  }
 }
 
 } // namespace fernward::concurrency
--- a/src/concurrency/origin_request_queue.cpp
+++ b/src/concurrency/origin_request_queue.cpp
@@ -6,76 +6,78 @@
 namespace fernward::concurrency {
 namespace {
 
-constexpr double kSure = 0.5; // share of the expected time that even a lucky one needs
+constexpr double kMinTimeShare = 0.5; // of the expected time, that even a lucky request needs
 
 } // namespace
 
-void OriginRequestQueue::set_service_rate(double turns_per_ms, double answer_ms) {
+void OriginRequestQueue::set_service_rate(double turns_per_ms, double response_ms) {
   turns_per_ms_ = std::max(0.0, turns_per_ms);
-  answer_ms_ = std::max(0.0, answer_ms);
+  response_ms_ = std::max(0.0, response_ms);
 }
 
 double OriginRequestQueue::wait_ms(std::size_t ahead) const {
-  return turns_per_ms_ > 0 ? static_cast<double>(ahead) / turns_per_ms_ : 0; // nothing known: hope
+  return turns_per_ms_ > 0 ? static_cast<double>(ahead) / turns_per_ms_ : 0; // unknown: none expected
 }
 
-bool OriginRequestQueue::late(double now, const Waiting& w, std::size_t ahead) const {
-  return !w.write && now + kSure * (wait_ms(ahead) + answer_ms_) > w.needed_by;
+bool OriginRequestQueue::is_late(double now, const Request& request, std::size_t ahead) const {
+  return !request.write && now + kMinTimeShare * (wait_ms(ahead) + response_ms_) > request.deadline;
 }
 
-bool OriginRequestQueue::add(double now, Id id, double worth, double needed_by, bool write) {
-  if (places_.count(id) != 0) return false;
-  const Place place{-worth, ~turn_};
-  const Waiting w{id, needed_by, now, write};
-  const auto at = waiting_.lower_bound(place);
-  if (late(now, w, static_cast<std::size_t>(std::distance(waiting_.begin(), at)))) return false;
-  if (waiting_.size() >= most_) {
-    const auto last = std::prev(waiting_.end());
-    if (last->first.first <= place.first || last->second.write) return false;
-    put_out_.push_back(last->second.id);
-    places_.erase(last->second.id);
-    waiting_.erase(last);
+bool OriginRequestQueue::add(double now, Id id, double value, double deadline, bool write) {
+  if (positions_.count(id) != 0) return false;
+  const Position position{-value, ~added_};
+  const Request request{id, deadline, write};
+  const auto next = requests_.lower_bound(position);
+  const auto ahead = static_cast<std::size_t>(std::distance(requests_.begin(), next));
+  if (is_late(now, request, ahead)) return false;
+  if (requests_.size() >= max_size_) {
+    const auto last = std::prev(requests_.end());
+    if (last->first.first <= position.first || last->second.write) return false;
+    evicted_.push_back(last->second.id);
+    positions_.erase(last->second.id);
+    requests_.erase(last);
   }
-  ++turn_;
-  waiting_.emplace(place, w);
-  places_.emplace(id, place);
+  ++added_;
+  requests_.emplace(position, request);
+  positions_.emplace(id, position);
   return true;
 }
 
-std::optional<OriginRequestQueue::Id> OriginRequestQueue::take(double, bool read_room, bool write_room) {
-  for (auto it = waiting_.begin(); it != waiting_.end(); ++it) {
-    if (!(it->second.write ? write_room : read_room)) continue;
+std::optional<OriginRequestQueue::Id> OriginRequestQueue::take(double, bool may_read, bool may_write) {
+  for (auto it = requests_.begin(); it != requests_.end(); ++it) {
+    if (!(it->second.write ? may_write : may_read)) continue;
     const Id id = it->second.id;
-    places_.erase(id);
-    waiting_.erase(it);
+    positions_.erase(id);
+    requests_.erase(it);
     return id;
   }
   return std::nullopt;
 }
 
 bool OriginRequestQueue::remove(Id id) {
-  const auto it = places_.find(id);
-  if (it == places_.end()) return false;
-  waiting_.erase(it->second);
-  places_.erase(it);
+  const auto it = positions_.find(id);
+  if (it == positions_.end()) return false;
+  requests_.erase(it->second);
+  positions_.erase(it);
   return true;
 }
 
 void OriginRequestQueue::take_expired(double now, std::vector<Id>& ids) {
-  ids.insert(ids.end(), put_out_.begin(), put_out_.end());
-  put_out_.clear();
+  ids.insert(ids.end(), evicted_.begin(), evicted_.end());
+  evicted_.clear();
   std::size_t ahead = 0;
-  for (auto it = waiting_.begin(); it != waiting_.end();) {
-    if (late(now, it->second, ahead)) {
+  for (auto it = requests_.begin(); it != requests_.end();) {
+    if (is_late(now, it->second, ahead)) {
       ids.push_back(it->second.id);
-      places_.erase(it->second.id);
-      it = waiting_.erase(it);
+      positions_.erase(it->second.id);
+      it = requests_.erase(it);
     } else {
-      ++ahead, ++it;
+      ++ahead;
+      ++it;
     }
   }
 }
 
-double OriginRequestQueue::retry_after_ms() const { return wait_ms(waiting_.size()) + answer_ms_; }
+double OriginRequestQueue::retry_after_ms() const { return wait_ms(requests_.size()) + response_ms_; }
 
 } // namespace fernward::concurrency
--- a/src/concurrency/origin_request_queue.h
+++ b/src/concurrency/origin_request_queue.h
@@ -1,13 +1,9 @@
-// Who may wait for a turn at the origin, who goes next, and who leaves because it will surely be late. Decides; no
-// I/O, no clock.
+// Requests that wait for an attempt at the origin. Decides; no I/O, no clock.
 //
-// The dearest goes first, then the newest: oldest first, all of a long queue would be late. A read whose turn cannot
-// come in time leaves at once, with advice when to return. A write waits until its own deadline.
-//
-//  - Units: milliseconds on the caller's clock, which only advances; answers per ms.
-//  - Ownership: ids are the caller's; each that was added is handed back once, by take() or leave(), or is removed by
-//    the caller.
-//  - Size: at most `most` wait; beyond that a dearer newcomer puts out the last, which the next leave() names.
+// The most valuable goes first, of equal ones the newest: oldest first, all of a long queue would be late. A
+// read whose turn can't come in time leaves at once, with advice when to retry. A write waits until its own
+// deadline.
+// Units: milliseconds on the caller's clock, which only advances.
 #pragma once
 
 #include <cstddef>
@@ -20,46 +16,49 @@
 
 namespace fernward::concurrency {
 
+// Ids are the caller's. Each that was added is handed back once, by take() or take_expired(), or is removed.
 class OriginRequestQueue {
  public:
   using Id = std::uint64_t;
 
-  explicit OriginRequestQueue(std::size_t most = 4096) : most_(most) {}
+  // Beyond `max_size` a more valuable request evicts the last one, which the next take_expired() returns.
+  explicit OriginRequestQueue(std::size_t max_size = 4096) : max_size_(max_size) {}
 
-  // Told whenever it is known better: how many turns come up per ms at this router, and how long an answer takes
-  // from its turn on.
-  void set_service_rate(double turns_per_ms, double answer_ms);
+  // `turns_per_ms`: attempts that this router may start at the origin; `response_ms`: from the turn on.
+  void set_service_rate(double turns_per_ms, double response_ms);
 
-  // False: not taken, as the turn would surely come too late or all places are taken by dearer ones. `needed_by`:
-  // the time at which the answer must be there.
-  bool add(double now, Id id, double worth, double needed_by, bool write);
-  // The next to go, where there is room for a read or for a write alone.
-  std::optional<Id> take(double now, bool read_room, bool write_room);
-  bool remove(Id id); // its request is over
-  // Appends those that will surely be late now, or were put out; they are no longer waiting.
+  // False: not queued, as its turn would surely come too late or all places are taken by more valuable
+  // requests. `deadline`: when the response must be there.
+  bool add(double now, Id id, double value, double deadline, bool write);
+  // The next to go, of those whose kind may be sent.
+  std::optional<Id> take(double now, bool may_read, bool may_write);
+  // Its request is over. False: not queued.
+  bool remove(Id id);
+  // Removes those that will surely be late, and appends them and the evicted ones to `ids`.
   void take_expired(double now, std::vector<Id>& ids);
 
-  std::size_t size() const { return waiting_.size(); }
-  // After this long a newcomer of the least worth would find its turn, as things stand.
+  std::size_t size() const { return requests_.size(); }
+  // When a new request of the least value would get its response.
   double retry_after_ms() const;
 
  private:
-  struct Waiting {
+  struct Request {
     Id id;
-    double needed_by, since;
+    double deadline;
     bool write;
   };
-  using Place = std::pair<double, std::uint64_t>; // -worth, then newest first
+  using Position = std::pair<double, std::uint64_t>; // -value, then newest first
 
   double wait_ms(std::size_t ahead) const;
-  bool late(double now, const Waiting& w, std::size_t ahead) const;
+  bool is_late(double now, const Request& request, std::size_t ahead) const;
 
-  std::size_t most_;
-  std::map<Place, Waiting> waiting_;
-  std::unordered_map<Id, Place> places_;
-  std::vector<Id> put_out_;
-  std::uint64_t turn_ = 0;
-  double turns_per_ms_ = 0, answer_ms_ = 0;
+  std::size_t max_size_;
+  std::map<Position, Request> requests_;
+  std::unordered_map<Id, Position> positions_;
+  std::vector<Id> evicted_;
+  std::uint64_t added_ = 0;
+  double turns_per_ms_ = 0;
+  double response_ms_ = 0;
 };
 
 } // namespace fernward::concurrency
--- a/src/concurrency/retry_budget.cpp
+++ b/src/concurrency/retry_budget.cpp
@@ -6,75 +6,87 @@
 namespace fernward::concurrency {
 namespace {
 
-constexpr double kLeastShare = 0.1;   // earned by each request under crowding
-constexpr double kMostShare = 1;      // earned with proven room: a third of attempts may fail, retries too
-constexpr double kLeastCopies = 0.02; // earned by each request for copies, and the most
-constexpr double kMostCopies = 0.5;
-// For each request, by the square of the dead share of the late ones: a third of them dead takes ten times what a
-// tenth takes, as copies of those that are merely slow only add to the load.
-constexpr double kDeadCopies = 2;
-constexpr double kLeastSaved = 10; // further attempts saved up at most under crowding
-constexpr double kMostSaved = 40;
-constexpr double kProveMs = 2000;  // room is proven over some such times without crowding
-constexpr double kFewSigns = 0.02; // share of attempts that may show crowding while room grows
-constexpr double kManySigns = 0.1; // at this share nothing is left of the proven room
-constexpr double kHopeful = 0.5;   // share of attempts that may fail with all of the room still given
-constexpr double kHopeless = 0.8;  // at this share a further attempt brings nothing
-constexpr double kWeight = 0.02;   // of one attempt in that share
+constexpr double kMinEarned = 0.1; // attempts per request, under crowding
+constexpr double kMaxEarned = 1;   // attempts per request, with proven capacity: a third of attempts may fail
+
+constexpr double kMinHedgesEarned = 0.02; // hedged requests per request
+constexpr double kMaxHedgesEarned = 0.5;
+// Hedged requests per request, by the square of the share of slow attempts that is never answered: hedging
+// attempts that are merely slow only adds load.
+constexpr double kHedgesByDeadShare = 2;
+
+constexpr double kMinMaxBalance = 10; // attempts saved at most under crowding
+constexpr double kMaxMaxBalance = 40; // attempts saved at most with proven capacity
+
+constexpr double kProofMs = 2000;            // time constant of proving capacity
+constexpr double kProofCrowdedShare = 0.02;  // share of crowded attempts up to which capacity is being proven
+constexpr double kMaxCrowdedShare = 0.1;     // from here on no capacity is proven
+constexpr double kHopefulFailedShare = 0.5;  // share of failed attempts up to which the full share is earned
+constexpr double kHopelessFailedShare = 0.8; // from here on a further attempt brings nothing
+constexpr double kWeight = 0.02;             // of one attempt in these shares
 
 } // namespace
 
 double RetryBudget::earned_per_request() const {
-  // Where nearly all fail a further attempt fails too: asked twice as often, such a fleet does not come back.
-  const double hope = std::clamp((kHopeless - failed_) / (kHopeless - kHopeful), 0.0, 1.0);
-  return kLeastShare + (kMostShare - kLeastShare) * room_ * hope;
+  // Where nearly all attempts fail, further ones fail too, and their load keeps the fleet from recovering.
+  const double hope = std::clamp(
+      (kHopelessFailedShare - failed_share_) / (kHopelessFailedShare - kHopefulFailedShare), 0.0, 1.0);
+  return kMinEarned + (kMaxEarned - kMinEarned) * proven_capacity_ * hope;
 }
 
-void RetryBudget::pass(double now) {
-  if (changed_at_ < -1e17) changed_at_ = now;
-  const double ms = std::max(0.0, now - changed_at_);
-  changed_at_ = std::max(changed_at_, now);
-  // Grows with time, not with requests: what a busy second shows is no better proof than a quiet one.
-  if (crowded_ < kFewSigns) room_ += (1 - room_) * -std::expm1(-ms / kProveMs);
+double RetryBudget::max_balance() const {
+  return kMinMaxBalance + (kMaxMaxBalance - kMinMaxBalance) * proven_capacity_;
+}
+
+// Capacity is proven by time without crowding, not by the number of requests.
+void RetryBudget::advance(double now) {
+  if (advanced_at_ == kNever) advanced_at_ = now;
+  const double passed_ms = std::max(0.0, now - advanced_at_);
+  advanced_at_ = std::max(advanced_at_, now);
+  if (crowded_share_ < kProofCrowdedShare) {
+    proven_capacity_ += (1 - proven_capacity_) * -std::expm1(-passed_ms / kProofMs);
+  }
 }
 
-void RetryBudget::on_request(double now, double dead) {
-  pass(now);
-  const double most = kLeastSaved + (kMostSaved - kLeastSaved) * room_;
-  saved_ = std::min(most, saved_ + earned_per_request());
-  least_ = std::min(kLeastSaved, least_ + kLeastShare);
-  copies_ = std::min(1 + 9 * room_,
-                     copies_ + std::min(kMostCopies, kLeastCopies + kDeadCopies * room_ * dead * dead));
+void RetryBudget::on_request(double now, double never_answered_share) {
+  advance(now);
+  balance_ = std::min(max_balance(), balance_ + earned_per_request());
+  min_balance_ = std::min(kMinMaxBalance, min_balance_ + kMinEarned);
+  const double hedges_earned =
+      std::min(kMaxHedgesEarned, kMinHedgesEarned + kHedgesByDeadShare * proven_capacity_ *
+                                                        never_answered_share * never_answered_share);
+  hedges_ = std::min(max_hedges(), hedges_ + hedges_earned);
 }
 
 void RetryBudget::on_attempt_ended(double now, bool crowded, bool failed) {
-  pass(now);
-  failed_ += kWeight * ((failed ? 1 : 0) - failed_);
-  crowded_ += kWeight * ((crowded ? 1 : 0) - crowded_);
-  const double left = std::clamp((kManySigns - crowded_) / (kManySigns - kFewSigns), 0.0, 1.0);
-  if (left >= room_) return;
-  room_ = left;
-  saved_ = std::min(saved_, kLeastSaved + (kMostSaved - kLeastSaved) * room_);
-  copies_ = std::min(copies_, 1 + 9 * room_);
+  advance(now);
+  smooth(failed_share_, failed ? 1 : 0, kWeight);
+  smooth(crowded_share_, crowded ? 1 : 0, kWeight);
+  const double bound =
+      std::clamp((kMaxCrowdedShare - crowded_share_) / (kMaxCrowdedShare - kProofCrowdedShare), 0.0, 1.0);
+  if (bound >= proven_capacity_) return;
+  proven_capacity_ = bound;
+  balance_ = std::min(balance_, max_balance());
+  hedges_ = std::min(hedges_, max_hedges());
 }
 
-bool RetryBudget::try_consume(double now, Use use, double crowding) {
-  pass(now);
-  const bool full = !(crowding < 1);
+bool RetryBudget::try_consume(double now, Use use, double utilization) {
+  advance(now);
+  const bool server_full = !(utilization < 1); // also where it is no number
   if (use == Use::Hedge) {
-    if (full || copies_ < 1 || saved_ < 1) return false;
-    copies_ -= 1;
+    if (server_full || hedges_ < 1 || balance_ < 1) return false;
+    hedges_ -= 1;
   }
-  if (full ? least_ < 1 : saved_ < 1) return false;
-  saved_ = std::max(0.0, saved_ - 1);
-  least_ = std::max(0.0, least_ - 1);
+  if (server_full ? min_balance_ < 1 : balance_ < 1) return false;
+  balance_ = std::max(0.0, balance_ - 1);
+  min_balance_ = std::max(0.0, min_balance_ - 1);
   return true;
 }
 
 void RetryBudget::refund(Use use) {
-  if (use == Use::Hedge) copies_ += 1;
-  saved_ += 1;
-  least_ += 1;
+  if (use == Use::Hedge) hedges_ += 1;
+  balance_ += 1;
+  min_balance_ += 1;
 }
 
 } // namespace fernward::concurrency
--- a/src/concurrency/retry_budget.h
+++ b/src/concurrency/retry_budget.h
@@ -1,48 +1,51 @@
-// What may be sent beyond each request's first attempt: retries and second copies, from one budget. Decides; no I/O,
-// no clock.
+// Budget of attempts beyond the first of each request: retries and hedged requests. Decides; no I/O, no
+// clock.
 //
-// Every request earns a share of a further attempt. The share grows while there is proven room (few signs of
-// crowding, limits that are not reached) and falls to the fixed least under crowding, so that a storm of retries
-// cannot feed itself: what was saved up in good times is cut with it. A server's own crowding is told with each
-// attempt that would go there.
-//
-//  - Units: milliseconds on the caller's clock, which only advances; shares from 0 to 1.
-//  - Ownership: plain values, no allocation; one for each router.
+// Each request earns a share of an attempt. The share grows while capacity is proven (few signs of crowding)
+// and falls to a fixed minimum under crowding, together with what was saved, so that a retry storm cannot
+// feed itself.
+// Units: milliseconds on the caller's clock; shares from 0 to 1. One for each router; no allocation.
 #pragma once
 
+#include "statistics/numbers.h"
+
 namespace fernward::concurrency {
 
 class RetryBudget {
  public:
   enum class Use { Retry, Hedge };
 
-  // One came from a client: it earns. `dead`: how likely an attempt that is late will never be answered. Copies are
-  // worth what they cost only as far as it is not just slow.
-  void on_request(double now, double dead);
-  // An attempt ended, or a request was turned away here: `crowded` where that showed a server or the fleet full
-  // (turned away, shed, over a limit, late through waiting); `failed` where it brought nothing.
+  // A request came from a client: it earns. `never_answered_share`: of slow attempts, see SlowAttemptTracker;
+  // hedged requests are worth their cost only as far as attempts are dead rather than slow.
+  void on_request(double now, double never_answered_share);
+
+  // An attempt ended, or a request was rejected here. `crowded`: it showed a server or the fleet full
+  // (rejected, shed, over a limit, late through waiting). `failed`: it brought nothing.
   void on_attempt_ended(double now, bool crowded, bool failed = false);
 
-  // Takes one further attempt out of the budget where it holds one. `crowding`: of the server that it would go to,
-  // as Limiter::crowding() tells it; a full one gets no copies, and retries from the least share alone.
-  bool try_consume(double now, Use use, double crowding);
+  // Takes one attempt out of the budget; false: it holds none. `utilization`: of the server it would go to,
+  // see OriginConcurrencyLimiter; at 1 or more no hedged request, and a retry from the minimum share alone.
+  bool try_consume(double now, Use use, double utilization);
 
-  void refund(Use use); // what spend() gave could not be sent after all
+  // What try_consume() gave could not be sent.
+  void refund(Use use);
 
-  double proven_capacity() const { return room_; } // proven, 0 to 1
-  double balance() const { return saved_; }        // further attempts that may go out now
-  double earned_per_request() const;               // earned by each request at present
+  double proven_capacity() const { return proven_capacity_; } // 0 to 1
+  double balance() const { return balance_; }                 // attempts that may be sent now
+  double earned_per_request() const;
 
  private:
-  void pass(double now);
-
-  double room_ = 0;    // starts unproven: a router may have been restarted by a storm
-  double crowded_ = 0; // share of attempts lately that showed crowding
-  double failed_ = 0;  // and that brought nothing
-  double saved_ = 10;  // a few at the start, as requests that would have earned them may be out already
-  double least_ = 10;  // of it, what is earned under crowding too
-  double copies_ = 1;  // of it, what copies may take
-  double changed_at_ = -1e18;
+  void advance(double now);
+  double max_balance() const;
+  double max_hedges() const { return 1 + 9 * proven_capacity_; }
+
+  double proven_capacity_ = 0; // unproven at first: a retry storm may have restarted the router
+  double crowded_share_ = 0;   // of attempts, of late
+  double failed_share_ = 0;    // of attempts, of late
+  double balance_ = 10;        // requests that would have earned it may be in flight already
+  double min_balance_ = 10;    // part of balance_ that is earned under crowding too
+  double hedges_ = 1;          // part of balance_ that hedged requests may take
+  double advanced_at_ = kNever;
 };
 
 } // namespace fernward::concurrency
--- a/src/concurrency/slow_attempt_tracker.h
+++ b/src/concurrency/slow_attempt_tracker.h
@@ -1,9 +1,6 @@
-// From when on an attempt is late, and how likely one that is late is dead rather than slow. Decides; no I/O, no clock.
-//
-// Late is what is slower than all but a share of the answers: 5% of them, and up to 20% where most of the late ones are
-// never answered, since a copy is then worth sending sooner.
-//
-// Units: milliseconds; shares. Plain values.
+// From when on an attempt is slow, and what share of slow attempts is never answered. Decides; no I/O, no
+// clock.
+// Units: milliseconds; shares from 0 to 1.
 #pragma once
 
 #include <cmath>
@@ -12,20 +9,26 @@
 
 namespace fernward::concurrency {
 
+// The threshold follows a quantile of latency in steps: 5% of responses are slower, up to 20% where most slow
+// attempts are never answered, as a hedged request is then worth sending sooner.
 struct SlowAttemptTracker {
-  double slow_threshold_ms = 0;    // an attempt that is out for longer is late
-  double never_answered_share = 0; // share of the late ones that are never answered
+  double slow_threshold_ms = 0;
+  double never_answered_share = 0; // of slow attempts
 
   void on_response(double elapsed_ms) {
-    const double share = kSlowShare + (kSlowestShare - kSlowShare) * never_answered_share;
-    slow_threshold_ms *= std::exp(0.05 * ((elapsed_ms > slow_threshold_ms) - share));
+    const double slow_share = kMinSlowShare + (kMaxSlowShare - kMinSlowShare) * never_answered_share;
+    slow_threshold_ms *= std::exp(kThresholdStep * ((elapsed_ms > slow_threshold_ms) - slow_share));
   }
-  // One that was late, and that nobody withdrew, has ended.
-  void on_slow_attempt_ended(bool answered) { smooth(never_answered_share, !answered, 0.05); }
-  bool expects_dead_attempts() const { return never_answered_share > 0.25; }
+  // A slow attempt that was not cancelled has ended.
+  void on_slow_attempt_ended(bool answered) { smooth(never_answered_share, !answered, kAnsweredWeight); }
+  bool expects_dead_attempts() const { return never_answered_share > kDeadAttemptsShare; }
 
  private:
-  static constexpr double kSlowShare = 0.05, kSlowestShare = 0.2;
+  static constexpr double kMinSlowShare = 0.05;
+  static constexpr double kMaxSlowShare = 0.2;
+  static constexpr double kThresholdStep = 0.05;
+  static constexpr double kAnsweredWeight = 0.05; // of one slow attempt
+  static constexpr double kDeadAttemptsShare = 0.25;
 };
 
 } // namespace fernward::concurrency
--- a/src/statistics/numbers.h
+++ b/src/statistics/numbers.h
@@ -1,27 +1,16 @@
-// What all deciding packages stand on: numbers, hashing, randomness from one seed.
+// Numbers that all deciding packages share.
 #pragma once
 
 #include <cmath>
-#include <cstdint>
 
-namespace fernward {
-
-constexpr double kNever = -1e18; // a time long before any other
+#include "statistics/moving_average.h"
+#include "statistics/random.h"
 
-inline bool usable_number(double v) { return std::isfinite(v) && v >= 0; }
-
-inline std::uint64_t mix(std::uint64_t x) { // splitmix64's finisher
-  x += 0x9e3779b97f4a7c15ull;
-  x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ull;
-  x = (x ^ (x >> 27)) * 0x94d049bb133111ebull;
-  return x ^ (x >> 31);
-}
+namespace fernward {
 
-struct Random {
-  std::uint64_t state;
-  double unit() { return static_cast<double>(mix(state++) >> 11) * 0x1p-53; }
-};
+constexpr double kNever = -1e18; // a time before any other
 
-inline void smooth(double& mean, double sample, double weight) { mean += weight * (sample - mean); }
+// Finite and not negative.
+inline bool usable_number(double value) { return std::isfinite(value) && value >= 0; }
 
 } // namespace fernward
