--- a/src/descriptors/client_admission.cpp
+++ b/src/descriptors/client_admission.cpp
@@ -7,101 +7,114 @@
 namespace fernward::descriptors {
 namespace {
 
-constexpr double kRateMs = 1000;
-constexpr double kBackQuantile = 0.9;
-constexpr double kShareStep = 1.0 / 16;
+constexpr double kRateWindowMs = 1000;
+constexpr double kReturnQuantile = 0.9;
+constexpr double kReturnStep = 0.2; // of the quantile's logarithm
+constexpr double kMinReturnMs = 1;
+constexpr double kMaxReturnMs = 3600e3;
+constexpr double kReturnShareWeight = 1.0 / 16; // of one client
+constexpr double kLowReturnShare = 0.5;         // below it idle clients are taken not to return
 
 } // namespace
 
-void Rate::count(double now) {
-  rate_ = per_second(now) + 1000 / kRateMs;
-  at_ = now;
+void EventRate::count(double now) {
+  rate_ = per_second(now) + 1000 / kRateWindowMs;
+  counted_at_ = now;
 }
 
-double Rate::per_second(double now) const { return rate_ * std::exp(-std::max(0.0, now - at_) / kRateMs); }
+double EventRate::per_second(double now) const {
+  return rate_ * std::exp(-std::max(0.0, now - counted_at_) / kRateWindowMs);
+}
 
-// ---- what happens ----
+// ---- Events ----
 
 void ClientAdmission::on_accepted(double now, Id id) {
   const auto [it, added] = clients_.try_emplace(id);
   if (!added) return;
-  it->second.came_at = now;
-  put(it->second, Rank::Silent, now, id);
+  it->second.accepted_at = now;
+  insert(it->second, State::NoRequest, now, id);
 }
 
 void ClientAdmission::on_request_active(double, Id id) {
-  if (const auto it = clients_.find(id); it != clients_.end()) take_out(it->second);
+  if (const auto it = clients_.find(id); it != clients_.end()) remove(it->second);
 }
 
 void ClientAdmission::on_request_partial(double now, Id id) {
   const auto it = clients_.find(id);
-  if (it != clients_.end() && !it->second.lingers) put(it->second, Rank::Begun, now, id);
+  if (it != clients_.end() && !it->second.lingering) insert(it->second, State::PartialRequest, now, id);
 }
 
 void ClientAdmission::on_request_complete(double now, Id id) {
   const auto it = clients_.find(id);
-  if (it == clients_.end() || it->second.lingers) return;
-  Client& c = it->second;
-  take_out(c);
-  if (++c.asked == 1) {
-    ++asking_;
-  } else if (c.rested_at >= c.asked_at) {
-    const double rest = now - c.rested_at, log_rest = std::log(1 + rest);
-    (c.asked == 2 ? once_ : often_).came_back(rest);
-    c.log_rest = c.asked == 2 ? log_rest : c.log_rest + (log_rest - c.log_rest) / 4;
-    log_usual_rest_ = usual_known_ ? log_usual_rest_ + (log_rest - log_usual_rest_) / 64 : log_rest;
-    usual_known_ = true;
+  if (it == clients_.end() || it->second.lingering) return;
+  Client& client = it->second;
+  remove(client);
+  ++client.requests;
+  if (client.requests == 1) {
+    ++active_;
+  } else if (client.idle_at >= client.request_at) {
+    const double idle_ms = now - client.idle_at;
+    const double log_idle_ms = std::log(1 + idle_ms);
+    const bool second = client.requests == 2;
+    (second ? after_one_ : after_many_).on_return(idle_ms);
+    client.log_idle_ms = second ? log_idle_ms : client.log_idle_ms + (log_idle_ms - client.log_idle_ms) / 4;
+    log_usual_idle_ms_ =
+        usual_idle_known_ ? log_usual_idle_ms_ + (log_idle_ms - log_usual_idle_ms_) / 64 : log_idle_ms;
+    usual_idle_known_ = true;
   }
-  c.asked_before = c.asked == 1 ? now : c.asked_at;
-  c.asked_at = now;
+  client.previous_request_at = client.requests == 1 ? now : client.request_at;
+  client.request_at = now;
 }
 
 void ClientAdmission::on_idle(double now, Id id) {
   const auto it = clients_.find(id);
-  if (it == clients_.end() || it->second.lingers) return;
-  Client& c = it->second;
-  c.rested_at = now;
-  if (c.asked == 0)
-    return put(c, Rank::Silent, c.came_at, id); // it has but asked whether the router is ready
-  c.asked == 1 ? put(c, Rank::Once, now, id) : put(c, Rank::Often, c.asked_before, id);
+  if (it == clients_.end() || it->second.lingering) return;
+  Client& client = it->second;
+  client.idle_at = now;
+  if (client.requests == 0) { // a health check of this router only
+    insert(client, State::NoRequest, client.accepted_at, id);
+  } else if (client.requests == 1) {
+    insert(client, State::IdleAfterOne, now, id);
+  } else {
+    insert(client, State::IdleAfterMany, client.previous_request_at, id);
+  }
 }
 
 void ClientAdmission::on_lingering(double now, Id id) {
   const auto it = clients_.find(id);
-  if (it == clients_.end() || it->second.lingers) return;
-  it->second.lingers = true;
-  asking_ -= it->second.asked > 0;
-  put(it->second, Rank::Lingering, now, id);
+  if (it == clients_.end() || it->second.lingering) return;
+  it->second.lingering = true;
+  if (it->second.requests > 0) --active_;
+  insert(it->second, State::Lingering, now, id);
 }
 
-void ClientAdmission::on_closed(double now, Id id, ClosedBy how) {
+void ClientAdmission::on_closed(double now, Id id, ClosedBy by) {
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
-  Client& c = it->second;
-  const bool rested = c.indexed && c.key.rank >= Rank::Once;
-  if (rested && (how == ClosedBy::Client ||
-                 now - c.rested_at >= options_.min_idle_ms)) { // else it had no time to come back
-    (c.asked == 1 ? once_ : often_).stayed_away();
-  }
-  if (how == ClosedBy::Client && c.asked > 0 && !c.told_to_end) leavers_.count(now);
-  asking_ -= c.asked > 0 && !c.lingers;
-  take_out(c);
+  Client& client = it->second;
+  const bool idle = client.indexed && client.key.state >= State::IdleAfterOne;
+  const bool had_time_to_return = by == ClosedBy::Client || now - client.idle_at >= options_.min_idle_ms;
+  if (idle && had_time_to_return) (client.requests == 1 ? after_one_ : after_many_).on_no_return();
+  if (by == ClosedBy::Client && client.requests > 0 && !client.told_to_close) leavers_.count(now);
+  if (client.requests > 0 && !client.lingering) --active_;
+  remove(client);
   clients_.erase(it);
 }
 
-void ClientAdmission::Returns::came_back(double rest) {
-  share += kShareStep * (1 - share);
-  // A quantile followed in steps: they rise nine times as far as they fall, so that it stands where one in
-  // ten is above it.
-  ms = std::clamp(ms * std::exp(0.2 * (rest > ms ? kBackQuantile : kBackQuantile - 1)), 1.0, 3600e3);
+void ClientAdmission::ReturnEstimate::on_return(double idle_ms) {
+  return_share += kReturnShareWeight * (1 - return_share);
+  // Steps up are nine times as long as steps down, so that one in ten is above it.
+  const double step = idle_ms > return_ms ? kReturnQuantile : kReturnQuantile - 1;
+  return_ms = std::clamp(return_ms * std::exp(kReturnStep * step), kMinReturnMs, kMaxReturnMs);
 }
 
-void ClientAdmission::Returns::stayed_away() { share -= kShareStep * share; }
+void ClientAdmission::ReturnEstimate::on_no_return() { return_share -= kReturnShareWeight * return_share; }
 
-// ---- what to do ----
+// ---- Decisions ----
 
-// How long the places last at the rate of new clients that stay.
-double ClientAdmission::full_in(double now, double places) const {
+// At the present rate of new clients that stay.
+double ClientAdmission::time_until_full_ms(double now) const {
+  const double places = free_places();
   if (places <= 0) return 0;
   const double per_second = newcomers_.per_second(now) - leavers_.per_second(now);
   return per_second <= 0 ? std::numeric_limits<double>::infinity() : places / per_second * 1000;
@@ -109,62 +122,68 @@
 
 bool ClientAdmission::should_close_after_response(double now, Id id) {
   const auto it = clients_.find(id);
-  if (it == clients_.end() || it->second.asked == 0) return false;
-  if (it->second.asked == 1) newcomers_.count(now);
-  return it->second.told_to_end = may_end(now, it->second);
-}
-
-bool ClientAdmission::may_end(double now, const Client& c) const {
-  const double few = places() / 4;
-  if (static_cast<double>(asking_) <= few) return false;
-  if (c.asked == 1) {
-    // Some stay whatever is believed: without them nothing would be learnt.
-    if (waiting(Rank::Once) < few && !under_pressure()) return false;
-    return once_.share < 0.5 || full_in(now, left()) < once_.ms;
+  if (it == clients_.end() || it->second.requests == 0) return false;
+  if (it->second.requests == 1) newcomers_.count(now);
+  it->second.told_to_close = may_close(now, it->second);
+  return it->second.told_to_close;
+}
+
+bool ClientAdmission::may_close(double now, const Client& client) const {
+  const double few = max_clients() / 4;
+  if (static_cast<double>(active_) <= few) return false;
+  if (client.requests == 1) {
+    // Some stay whatever the estimate, or nothing would be learned.
+    if (count(State::IdleAfterOne) < few && !under_pressure()) return false;
+    return after_one_.return_share < kLowReturnShare || time_until_full_ms(now) < after_one_.return_ms;
   }
-  // Those that came once go first. Only where they do not suffice, and many places lie idle under clients
-  // that come often, the rarer half of these gives way; all of them where they do not come back any more.
-  if (left() + waiting(Rank::Once) >= places() / 8 || waiting(Rank::Often) <= few) return false;
-  return often_.share < 0.5 || c.log_rest > log_usual_rest_;
+  // Clients with one request go first. Only where they do not suffice and many places are idle under the
+  // others, the half of these that returns later is closed, or all where they no longer return.
+  if (free_places() + count(State::IdleAfterOne) >= max_clients() / 8 || count(State::IdleAfterMany) <= few) {
+    return false;
+  }
+  return after_many_.return_share < kLowReturnShare || client.log_idle_ms > log_usual_idle_ms_;
 }
 
 std::optional<ClientAdmission::Id> ClientAdmission::expired_idle(double now) const {
-  const auto first = index_.lower_bound(Key{Rank::Once, -1, 0});
+  const auto first = index_.lower_bound(Key{State::IdleAfterOne, -1, 0});
   if (first == index_.end()) return std::nullopt;
-  const auto rested = [&](const Key& key) {
-    return now - clients_.at(key.id).rested_at >= options_.min_idle_ms;
+  const auto expired = [&](const Key& key) {
+    return now - clients_.at(key.id).idle_at >= options_.min_idle_ms;
   };
-  const bool untried = waiting(Rank::Once) >= places() / 4 && once_.share < 0.5; // makes room for a newer one
-  if (first->rank == Rank::Once && (untried || under_pressure()) && rested(*first)) return first->id;
+  // Makes room for newer ones where many clients with one request are idle and do not return.
+  const bool unlikely_to_return =
+      count(State::IdleAfterOne) >= max_clients() / 4 && after_one_.return_share < kLowReturnShare;
+  if (first->state == State::IdleAfterOne && (unlikely_to_return || under_pressure()) && expired(*first)) {
+    return first->id;
+  }
   if (!under_pressure()) return std::nullopt;
-  int tries = kMostTries;
-  for (auto often = index_.lower_bound(Key{Rank::Often, -1, 0}); often != index_.end() && tries-- > 0;
-       ++often) {
-    if (rested(*often)) return often->id;
+  auto it = index_.lower_bound(Key{State::IdleAfterMany, -1, 0});
+  for (int tries = kMaxTries; it != index_.end() && tries > 0; --tries, ++it) {
+    if (expired(*it)) return it->id;
   }
   return std::nullopt;
 }
 
-// ---- the index ----
+// ---- Index ----
 
-void ClientAdmission::put(Client& c, Rank rank, double time, Id id) {
-  take_out(c);
-  c.key = {rank, time, id};
-  if (c.node.empty()) {
-    index_.insert(c.key);
+void ClientAdmission::insert(Client& client, State state, double time, Id id) {
+  remove(client);
+  client.key = {state, time, id};
+  if (client.node.empty()) {
+    index_.insert(client.key);
   } else {
-    c.node.value() = c.key;
-    index_.insert(std::move(c.node));
+    client.node.value() = client.key;
+    index_.insert(std::move(client.node));
   }
-  c.indexed = true;
-  ++waiting_[static_cast<std::size_t>(rank)];
+  client.indexed = true;
+  ++counts_[static_cast<std::size_t>(state)];
 }
 
-void ClientAdmission::take_out(Client& c) {
-  if (!c.indexed) return;
-  c.indexed = false;
-  --waiting_[static_cast<std::size_t>(c.key.rank)];
-  c.node = index_.extract(c.key);
+void ClientAdmission::remove(Client& client) {
+  if (!client.indexed) return;
+  client.indexed = false;
+  --counts_[static_cast<std::size_t>(client.key.state)];
+  client.node = index_.extract(client.key);
 }
 
 } // namespace fernward::descriptors
--- a/src/descriptors/descriptor_budget.cpp
+++ b/src/descriptors/descriptor_budget.cpp
@@ -4,20 +4,29 @@
 #include <cmath>
 
 namespace fernward::descriptors {
+namespace {
+
+constexpr double kMaxRecoverySeconds = 30; // bounds the power of two
+constexpr double kRefusalReportMs = 1000;
+constexpr std::size_t kMinBelievedTotal = 2; // else it would never try again
+
+} // namespace
 
 std::size_t DescriptorBudget::usable(double now) const {
   if (believed_total_ >= total_) return total_;
-  const double seconds = std::clamp((now - refused_at_) / 1000, 0.0, 30.0);
+  const double seconds = std::clamp((now - refused_at_) / 1000, 0.0, kMaxRecoverySeconds);
   return std::min(total_, believed_total_ + static_cast<std::size_t>(std::exp2(seconds) - 1));
 }
 
 DescriptorBudget::Eviction DescriptorBudget::required_eviction(double now, Side side) const {
   const std::size_t usable_now = usable(now);
   const Side other = side == Side::Downstream ? Side::Upstream : Side::Downstream;
-  const std::size_t taken = used(side), lent = used(other);
-  if (taken + std::max(lent, reserved_of(usable_now)) < usable_now) return Eviction::None;
-  const bool owed = taken < fair_share_of(usable_now, side) && lent > fair_share_of(usable_now, other);
-  return owed ? Eviction::OtherSide : Eviction::OwnSide;
+  const std::size_t own_used = used(side);
+  const std::size_t other_used = used(other);
+  if (own_used + std::max(other_used, reserved_of(usable_now)) < usable_now) return Eviction::None;
+  const bool reclaims =
+      own_used < fair_share_of(usable_now, side) && other_used > fair_share_of(usable_now, other);
+  return reclaims ? Eviction::OtherSide : Eviction::OwnSide;
 }
 
 DescriptorBudget::Lease DescriptorBudget::acquire(double now, Side side) {
@@ -27,11 +36,10 @@
 }
 
 bool DescriptorBudget::on_refused(double now) {
-  const bool news = believed_total_ >= total_ || now - refused_at_ >= 1000;
-  believed_total_ =
-      std::min(total_, std::max<std::size_t>(used_[0] + used_[1], 2)); // lest it never tries again
+  const bool is_news = believed_total_ >= total_ || now - refused_at_ >= kRefusalReportMs;
+  believed_total_ = std::min(total_, std::max(used_[0] + used_[1], kMinBelievedTotal));
   refused_at_ = now;
-  return news;
+  return is_news;
 }
 
 } // namespace fernward::descriptors
--- a/src/idle_connections/idle_lifetime_estimator.cpp
+++ b/src/idle_connections/idle_lifetime_estimator.cpp
@@ -2,198 +2,243 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 
 namespace fernward::idle_connections {
 namespace {
 
-constexpr double kShortestMs = 8; // where the second class begins
-constexpr double kWorth = 0.1;    // a reset costs about as much as ten new connections
-// Not to keep any connection takes more: resets nearly always, after the shortest rests too.
-constexpr double kNothingKept = 0.75;
+constexpr double kFirstBucketEndMs = 8;
+constexpr double kBucketsPerDoubling = 4;
+
+constexpr double kMaxExcessResets = 0.1; // a reset costs about as much as ten new connections
+// At the first bucket: above it no connection is kept. Only where resets nearly always follow the shortest
+// idle times.
+constexpr double kKeepNothingExcess = 0.75;
+constexpr double kGuiltyResets =
+    0.5; // at the safe idle time, from which a server is believed to close there itself
+constexpr std::size_t kTrialBuckets = 2; // beyond the safe idle time
+
 constexpr double kHalfLifeMs = 60000;
-constexpr double kOneBreakMs = 20;     // resets so close together have one cause, such as a process that died
-constexpr double kReestimateMs = 1000; // as what was seen fades
-constexpr double kHearMs = 250;        // of resets elsewhere
-constexpr double kMinTrialMs = 250, kMaxTrialMs = 64000;
-constexpr double kOwnMemory = 32,
-                 kCommonMemory = 128; // uses in one class, after which the older ones count a third
-constexpr double kUsualReset = 0.01;  // expected of any connection, before anything is known
-constexpr double kFew = 4;            // uses as which an expectation counts
-constexpr double kLife = 0.1;         // beforehand: that rests matter at all, before `longest_ms`
-constexpr double kAlike = 0.9;        // beforehand: that a target is as the others are
-
-void count(float& of, float& other, double memory) {
+constexpr double kDecayIntervalMs = 1000;
+constexpr double kSameOutageMs = 20;   // resets this close together have one cause, such as a crashed process
+constexpr double kReestimateMs = 1000; // as history decays
+constexpr double kOtherResetsMs = 250; // until resets at other servers count
+constexpr double kMinTrialIntervalMs = 250;
+constexpr double kMaxTrialIntervalMs = 64000;
+
+// Uses in one bucket, after which older ones weigh a third.
+constexpr double kEndpointMemory = 32;
+constexpr double kFleetMemory = 128;
+
+// Priors.
+constexpr double kUsualResets = 0.01;      // share of all uses
+constexpr double kPriorUses = 4;           // weight of a prior, in uses
+constexpr double kChangeProbability = 0.1; // that idle time matters at all, below max_idle_ms
+constexpr double kLikeFleet = 0.9;         // probability that a server behaves as the others
+constexpr double kJeffreys = 0.5;
+constexpr double kMaxLogRatio = 100;
+
+void count(float& counted, float& other, double memory) {
   const auto keep = static_cast<float>(1 - 1 / memory);
-  of = of * keep + 1;
+  counted = counted * keep + 1;
   other *= keep;
 }
 
-// Of resets, where `expected` counts as much as a few uses.
-double rate(double answered, double reset, double expected) {
-  return (reset + kFew * expected) / (answered + reset + kFew);
+// Share of resets, with a prior.
+double reset_share(double answered, double reset, double prior) {
+  return (reset + kPriorUses * prior) / (answered + reset + kPriorUses);
 }
 
 double log_beta(double a, double b) { return std::lgamma(a) + std::lgamma(b) - std::lgamma(a + b); }
 
 } // namespace
 
-IdleLifetimeEstimator::IdleLifetimeEstimator(double longest_ms) : longest_ms_(longest_ms) {
-  while (classes_ < kClasses && begin_of(classes_) < longest_ms_) ++classes_;
-  common_.likely.fill(kLife / static_cast<double>(classes_));
+IdleLifetimeEstimator::IdleLifetimeEstimator(double max_idle_ms) : max_idle_ms_(max_idle_ms) {
+  while (buckets_ < kBuckets && begin_of(buckets_) < max_idle_ms_) ++buckets_;
+  fleet_change_.probability.fill(kChangeProbability / static_cast<double>(buckets_));
 }
 
-std::size_t IdleLifetimeEstimator::class_of(double rested_ms) {
-  if (!(rested_ms >= kShortestMs)) return 0;
-  const double cls = 1 + std::floor(4 * std::log2(rested_ms / kShortestMs));
-  return static_cast<std::size_t>(std::min(cls, static_cast<double>(kClasses - 1)));
+std::size_t IdleLifetimeEstimator::bucket_of(double idle_ms) {
+  if (!(idle_ms >= kFirstBucketEndMs)) return 0;
+  const double bucket = 1 + std::floor(kBucketsPerDoubling * std::log2(idle_ms / kFirstBucketEndMs));
+  return static_cast<std::size_t>(std::min(bucket, static_cast<double>(kBuckets - 1)));
 }
 
-double IdleLifetimeEstimator::begin_of(std::size_t cls) {
-  return cls == 0 ? 0 : kShortestMs * std::exp2(0.25 * static_cast<double>(cls - 1));
+double IdleLifetimeEstimator::begin_of(std::size_t bucket) {
+  return bucket == 0
+             ? 0
+             : kFirstBucketEndMs * std::exp2(1 / kBucketsPerDoubling * static_cast<double>(bucket - 1));
 }
 
-void IdleLifetimeEstimator::History::fade(double now) {
-  if (now - at < 1000) return;
-  const auto keep = static_cast<float>(std::exp2(-(now - at) / kHalfLifeMs));
-  at = now;
-  fresh.answered *= keep, fresh.reset *= keep;
-  for (Tally& tally : rested) tally.answered *= keep, tally.reset *= keep;
+void IdleLifetimeEstimator::History::decay(double now) {
+  if (now - decayed_at < kDecayIntervalMs) return;
+  const auto keep = static_cast<float>(std::exp2(-(now - decayed_at) / kHalfLifeMs));
+  decayed_at = now;
+  first_uses.answered *= keep;
+  first_uses.reset *= keep;
+  for (Counts& counts : reuses) {
+    counts.answered *= keep;
+    counts.reset *= keep;
+  }
 }
 
-IdleLifetimeEstimator::Known& IdleLifetimeEstimator::known(double now, EndpointId target) {
-  common_.seen.fade(now);
-  const auto [it, added] = targets_.try_emplace(target);
-  if (added) it->second.seen.at = now;
-  it->second.seen.fade(now);
+IdleLifetimeEstimator::Endpoint& IdleLifetimeEstimator::find(double now, EndpointId id) {
+  fleet_history_.decay(now);
+  const auto [it, added] = endpoints_.try_emplace(id);
+  if (added) it->second.history.decayed_at = now;
+  it->second.history.decay(now);
   return it->second;
 }
 
-void IdleLifetimeEstimator::forget(EndpointId target) {
-  const auto it = targets_.find(target);
-  if (it == targets_.end()) return;
-  for (std::size_t i = 0; i < kClasses; ++i) {
-    float& reset = common_.seen.rested[i].reset;
-    reset = std::max(0.0f, reset - it->second.seen.rested[i].reset);
+void IdleLifetimeEstimator::forget(EndpointId endpoint) {
+  const auto it = endpoints_.find(endpoint);
+  if (it == endpoints_.end()) return;
+  for (std::size_t i = 0; i < kBuckets; ++i) {
+    float& reset = fleet_history_.reuses[i].reset;
+    reset = std::max(0.0f, reset - it->second.history.reuses[i].reset);
   }
-  targets_.erase(it);
+  endpoints_.erase(it);
   ++version_;
 }
 
-// ---- what came of it ----
+// ---- Results ----
 
-void IdleLifetimeEstimator::on_first_use(double now, EndpointId target, bool reset) {
-  Known& k = known(now, target);
-  for (auto [tally, memory] : {std::pair(&k.seen.fresh, kOwnMemory), {&common_.seen.fresh, kCommonMemory}}) {
-    reset ? count(tally->reset, tally->answered, memory) : count(tally->answered, tally->reset, memory);
+void IdleLifetimeEstimator::on_first_use(double now, EndpointId endpoint, bool reset) {
+  Endpoint& own = find(now, endpoint);
+  for (auto [history, memory] : {std::pair(&own.history, kEndpointMemory), {&fleet_history_, kFleetMemory}}) {
+    Counts& counts = history->first_uses;
+    reset ? count(counts.reset, counts.answered, memory) : count(counts.answered, counts.reset, memory);
   }
 }
 
-// One break of a target, such as the end of its process, resets all its connections: it counts once.
-bool IdleLifetimeEstimator::same_break(double now, Known& k) {
-  const bool same = now - k.reset_at < kOneBreakMs;
-  k.reset_at = now;
+// An outage, such as a crashed process, resets all connections of a server: it counts once.
+bool IdleLifetimeEstimator::is_same_outage(double now, Endpoint& endpoint) {
+  const bool same = now - endpoint.reset_at < kSameOutageMs;
+  endpoint.reset_at = now;
   return same;
 }
 
-void IdleLifetimeEstimator::on_reuse(double now, EndpointId target, double rested_ms, bool trial,
+void IdleLifetimeEstimator::on_reuse(double now, EndpointId endpoint, double idle_ms, bool trial,
                                      bool reset) {
-  Known& k = known(now, target);
+  Endpoint& own = find(now, endpoint);
   if (trial) {
-    trial_wait_ms_ = std::clamp(trial_wait_ms_ * (reset ? 2 : 0.5), kMinTrialMs, kMaxTrialMs);
-    trial_at_ = now + trial_wait_ms_;
+    trial_interval_ms_ =
+        std::clamp(trial_interval_ms_ * (reset ? 2 : 0.5), kMinTrialIntervalMs, kMaxTrialIntervalMs);
+    next_trial_at_ = now + trial_interval_ms_;
   }
-  if (reset && same_break(now, k)) return;
-  const std::size_t cls = class_of(rested_ms);
-  for (auto [history, memory] : {std::pair(&k.seen, kOwnMemory), {&common_.seen, kCommonMemory}}) {
-    Tally& tally = history->rested[cls];
-    reset ? count(tally.reset, tally.answered, memory) : count(tally.answered, tally.reset, memory);
+  if (reset && is_same_outage(now, own)) return;
+  const std::size_t bucket = bucket_of(idle_ms);
+  for (auto [history, memory] : {std::pair(&own.history, kEndpointMemory), {&fleet_history_, kFleetMemory}}) {
+    Counts& counts = history->reuses[bucket];
+    reset ? count(counts.reset, counts.answered, memory) : count(counts.answered, counts.reset, memory);
   }
   if (reset) {
-    trial_at_ = std::max(trial_at_, now + trial_wait_ms_);
+    next_trial_at_ = std::max(next_trial_at_, now + trial_interval_ms_);
     ++version_;
   }
-  if (reset || trial) k.estimated_at = -1e9;
-}
-
-// ---- what follows ----
-
-IdleLifetimeEstimator::Known& IdleLifetimeEstimator::estimated(double now, EndpointId target) {
-  Known& k = known(now, target);
-  const double age = now - k.estimated_at;
-  if ((k.version != version_ && age >= kHearMs) || (k.safe_ms < longest_ms_ && age >= kReestimateMs)) {
-    if (common_version_ != version_ || now - common_at_ >= kReestimateMs) {
-      common_version_ = version_;
-      common_at_ = now;
-      weigh(common_, rate(common_.seen.fresh.answered, common_.seen.fresh.reset, kUsualReset), nullptr);
-    }
-    k.version = version_;
-    k.estimated_at = now;
-    estimate(k);
+  if (reset || trial) own.estimated_at = kLongAgo;
+}
+
+// ---- Estimates ----
+
+IdleLifetimeEstimator::Endpoint& IdleLifetimeEstimator::estimated(double now, EndpointId id) {
+  Endpoint& endpoint = find(now, id);
+  const double age = now - endpoint.estimated_at;
+  const bool other_resets = endpoint.version != version_ && age >= kOtherResetsMs;
+  const bool decayed = endpoint.safe_ms < max_idle_ms_ && age >= kReestimateMs;
+  if (!other_resets && !decayed) return endpoint;
+  if (fleet_version_ != version_ || now - fleet_estimated_at_ >= kReestimateMs) {
+    fleet_version_ = version_;
+    fleet_estimated_at_ = now;
+    const Counts& first_uses = fleet_history_.first_uses;
+    find_change(fleet_change_, fleet_history_,
+                reset_share(first_uses.answered, first_uses.reset, kUsualResets), nullptr);
+  }
+  endpoint.version = version_;
+  endpoint.estimated_at = now;
+  estimate(endpoint);
+  return endpoint;
+}
+
+// Change point by beta-binomial likelihood: P(change at bucket i) ~ prior(i) * L(before i | usual_resets) *
+// L(from i on | Jeffreys), against L(all | usual_resets) for no change. A server that resets whatever the
+// idle time thus shows no change. `others`: the fleet's change point as prior of a server; null: uniform.
+void IdleLifetimeEstimator::find_change(ChangePoint& change, const History& history, double usual_resets,
+                                        const ChangePoint* others) const {
+  Counts before;
+  Counts after;
+  for (std::size_t i = 0; i < buckets_; ++i) {
+    after.answered += history.reuses[i].answered;
+    after.reset += history.reuses[i].reset;
   }
-  return k;
-}
-
-// How likely each class is the one from which on connections die of their rest, and how much likelier a reset
-// is from there on than before.
-void IdleLifetimeEstimator::weigh(Weighed& w, double usual, const Weighed* others) const {
-  const History& h = w.seen;
-  Tally before, after;
-  for (std::size_t i = 0; i < classes_; ++i)
-    after.answered += h.rested[i].answered, after.reset += h.rested[i].reset;
-  const double a = kFew * usual, b = kFew * (1 - usual), norm = log_beta(a, b), own_norm = log_beta(0.5, 0.5);
-  const double same = log_beta(a + after.reset, b + after.answered) - norm; // rests do not matter
-  const double even = kLife / static_cast<double>(classes_);
-  double sum = 1 - kLife;
+  const double a = kPriorUses * usual_resets;
+  const double b = kPriorUses * (1 - usual_resets);
+  const double norm = log_beta(a, b);
+  const double jeffreys_norm = log_beta(kJeffreys, kJeffreys);
+  const double no_change = log_beta(a + after.reset, b + after.answered) - norm;
+  const double uniform = kChangeProbability / static_cast<double>(buckets_);
+  double sum = 1 - kChangeProbability;
   if (others != nullptr) {
     double changed = 0;
-    for (std::size_t i = 0; i < classes_; ++i) changed += others->likely[i];
-    sum = (1 - kAlike) * sum + kAlike * (1 - changed);
+    for (std::size_t i = 0; i < buckets_; ++i) changed += others->probability[i];
+    sum = (1 - kLikeFleet) * sum + kLikeFleet * (1 - changed);
   }
-  for (std::size_t i = 0; i < classes_; ++i) {
-    const double prior = others == nullptr ? even : (1 - kAlike) * even + kAlike * others->likely[i];
-    const double fits = log_beta(a + before.reset, b + before.answered) - norm +
-                        log_beta(0.5 + after.reset, 0.5 + after.answered) - own_norm;
-    w.likely[i] = prior * std::exp(std::clamp(fits - same, -100.0, 100.0));
-    sum += w.likely[i];
-    const double late = (after.reset + 0.5) / (after.answered + after.reset + 1);
-    w.excess[i] = std::max(0.0, late - rate(before.answered, before.reset, usual));
-    before.answered += h.rested[i].answered, before.reset += h.rested[i].reset;
-    after.answered = std::max(0.0f, after.answered - h.rested[i].answered);
-    after.reset = std::max(0.0f, after.reset - h.rested[i].reset);
+  for (std::size_t i = 0; i < buckets_; ++i) {
+    const double prior =
+        others == nullptr ? uniform : (1 - kLikeFleet) * uniform + kLikeFleet * others->probability[i];
+    const double change_here = log_beta(a + before.reset, b + before.answered) - norm +
+                               log_beta(kJeffreys + after.reset, kJeffreys + after.answered) - jeffreys_norm;
+    change.probability[i] =
+        prior * std::exp(std::clamp(change_here - no_change, -kMaxLogRatio, kMaxLogRatio));
+    sum += change.probability[i];
+    const double resets_after = (after.reset + 0.5) / (after.answered + after.reset + 1);
+    change.excess_resets[i] =
+        std::max(0.0, resets_after - reset_share(before.answered, before.reset, usual_resets));
+    before.answered += history.reuses[i].answered;
+    before.reset += history.reuses[i].reset;
+    after.answered = std::max(0.0f, after.answered - history.reuses[i].answered);
+    after.reset = std::max(0.0f, after.reset - history.reuses[i].reset);
   }
-  for (std::size_t i = 0; i < classes_; ++i) w.likely[i] /= sum;
-}
-
-void IdleLifetimeEstimator::estimate(Known& k) {
-  Weighed w;
-  w.seen = k.seen;
-  const Tally &all_fresh = common_.seen.fresh, &own_fresh = k.seen.fresh;
-  const double expected = rate(all_fresh.answered, all_fresh.reset, kUsualReset);
-  weigh(w, rate(own_fresh.answered, own_fresh.reset, expected), &common_);
-  std::size_t i = 0;
-  if (w.likely[0] * w.excess[0] <= kNothingKept) {
-    double excess = 0; // where even the shortest rests are bad, shorter ones do not help
-    for (i = 1; i < classes_ && (excess += w.likely[i] * w.excess[i]) <= kWorth; ++i) {}
+  for (std::size_t i = 0; i < buckets_; ++i) change.probability[i] /= sum;
+}
+
+// Safe up to the bucket at which the sum of probability * excess_resets exceeds kMaxExcessResets.
+void IdleLifetimeEstimator::estimate(Endpoint& endpoint) {
+  const Counts& fleet = fleet_history_.first_uses;
+  const Counts& own = endpoint.history.first_uses;
+  const double fleet_resets = reset_share(fleet.answered, fleet.reset, kUsualResets);
+  ChangePoint change;
+  find_change(change, endpoint.history, reset_share(own.answered, own.reset, fleet_resets), &fleet_change_);
+  std::size_t safe = 0;
+  if (change.probability[0] * change.excess_resets[0] <= kKeepNothingExcess) {
+    // The first bucket is not counted: where the shortest idle times are bad, shorter ones do not help.
+    double excess = 0;
+    for (safe = 1; safe < buckets_; ++safe) {
+      excess += change.probability[safe] * change.excess_resets[safe];
+      if (!(excess <= kMaxExcessResets)) break;
+    }
   }
-  k.safe_ms = i < classes_ ? begin_of(i) : longest_ms_;
-  k.hold_ms = i + 2 < classes_ ? begin_of(i + 2) : longest_ms_;
+  const std::size_t keep = safe + kTrialBuckets;
+  endpoint.safe_ms = safe < buckets_ ? begin_of(safe) : max_idle_ms_;
+  endpoint.keep_ms = keep < buckets_ ? begin_of(keep) : max_idle_ms_;
 }
 
-double IdleLifetimeEstimator::safe_idle_ms(double now, EndpointId target) {
-  return estimated(now, target).safe_ms;
+double IdleLifetimeEstimator::safe_idle_ms(double now, EndpointId endpoint) {
+  return estimated(now, endpoint).safe_ms;
 }
-double IdleLifetimeEstimator::keep_ms(double now, EndpointId target) {
-  return estimated(now, target).hold_ms;
+
+double IdleLifetimeEstimator::keep_ms(double now, EndpointId endpoint) {
+  return estimated(now, endpoint).keep_ms;
 }
 
-IdleLifetimeEstimator::Reuse IdleLifetimeEstimator::decide_reuse(double now, EndpointId target,
-                                                                 double rested_ms) {
-  const Known& k = estimated(now, target);
-  if (rested_ms < k.safe_ms) return Reuse::Allowed;
-  // A target that had no reset there itself goes first.
-  const bool guilty = k.seen.rested[class_of(k.safe_ms)].reset > 0.5;
-  if (rested_ms >= k.hold_ms || now < trial_at_ + (guilty ? trial_wait_ms_ : 0)) return Reuse::Refused;
-  trial_at_ = now + trial_wait_ms_;
+IdleLifetimeEstimator::Reuse IdleLifetimeEstimator::decide_reuse(double now, EndpointId id, double idle_ms) {
+  const Endpoint& endpoint = estimated(now, id);
+  if (idle_ms < endpoint.safe_ms) return Reuse::Allowed;
+  // A server without a reset of its own at that idle time goes first.
+  const bool guilty = endpoint.history.reuses[bucket_of(endpoint.safe_ms)].reset > kGuiltyResets;
+  const double trial_at = next_trial_at_ + (guilty ? trial_interval_ms_ : 0);
+  if (idle_ms >= endpoint.keep_ms || now < trial_at) return Reuse::Refused;
+  next_trial_at_ = now + trial_interval_ms_;
   return Reuse::Trial;
 }
 
