--- a/src/concurrency/admission_controller.h
+++ b/src/concurrency/admission_controller.h
@@ -1,4 +1,4 @@
-// Which requests are turned away unseen while caches have no room. Decides; no I/O, no clock.
+// Which requests are shed while most choices find no cache with capacity. Decides; no I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -7,30 +7,58 @@
 
 namespace fernward::concurrency {
 
-constexpr double kTightShare = 0.2; // more choices than this find no cache with room: the node sheds
-constexpr double kEvidence = 5;     // choices to judge by where the last ticks hold fewer
-
-// Sheds the least worth first. Each priority is a class, inside or beyond its tenant's quota.
+// Sheds a share of the traffic, the least valuable first. Each priority is a request class, within or beyond
+// its tenant's quota. The caller counts choices and request rates, and calls on_tick() at a fixed interval.
 struct AdmissionController {
-  std::vector<double> value, rate; // by priority
-  double level = 0;                // share of the traffic to shed
-  double seen = 0, tight = 0;      // choices lately, and those that found no cache with room
-
-  bool admit(std::size_t priority, double draw) const {
-    double below = 0, alike = 0, above = 0;
-    for (std::size_t i = 0; i < value.size(); ++i) {
-      (value[i] < value[priority] ? below : value[i] == value[priority] ? alike : above) += rate[i];
+  std::vector<double> priority_values; // value of an answer, by priority
+  std::vector<double> priority_rates;  // requests of late, by priority; decayed with each tick
+  double shed_share = 0;               // share of the traffic to shed
+  double choices = 0;                  // of late; decayed with each tick
+  double choices_without_capacity = 0; // of these, choices that found no cache with capacity
+
+  // `draw`: uniform in [0, 1). Sheds all of the lower values and a random part of the value at the boundary.
+  bool admits(std::size_t priority, double draw) const {
+    const double value = priority_values[priority];
+    double lower = 0;
+    double equal = 0;
+    double higher = 0;
+    for (std::size_t i = 0; i < priority_values.size(); ++i) {
+      if (priority_values[i] < value) {
+        lower += priority_rates[i];
+      } else if (priority_values[i] == value) {
+        equal += priority_rates[i];
+      } else {
+        higher += priority_rates[i];
+      }
     }
-    return draw * alike >= level * (below + alike + above) - below;
+    return draw * equal >= shed_share * (lower + equal + higher) - lower;
+  }
+
+  void on_tick() {
+    const bool overloaded = choices_without_capacity > kOverloadedShare * (choices + kAssumedChoices);
+    // A router with few choices must not judge by its last one alone, nor for long by old ones.
+    const double decay = choices > kAssumedChoices ? kChoicesDecay : kFewChoicesDecay;
+    choices *= decay;
+    choices_without_capacity *= decay;
+    shed_share = next_shed_share(overloaded);
+    for (double& rate : priority_rates) rate *= kRateDecay;
   }
-  void tick() {
-    const bool crowded = tight > kTightShare * (seen + kEvidence);
-    // A node that sees little must not judge by its last choice alone, nor for long by old ones.
-    const double keep = seen > kEvidence ? 0.8 : 0.97;
-    seen *= keep, tight *= keep;
-    level = crowded ? std::min(0.9, level + 0.03) : level > 0.01 ? 0.9 * level : 0;
-    for (double& r : rate) r *= 0.98;
+
+ private:
+  double next_shed_share(bool overloaded) const {
+    if (overloaded) return std::min(kMaxShedShare, shed_share + kShedStep);
+    return shed_share > kMinShedShare ? kShedDecay * shed_share : 0;
   }
+
+  static constexpr double kOverloadedShare = 0.2; // of choices that find no cache with capacity
+  static constexpr double kAssumedChoices = 5;    // counted as having found one, as evidence may be thin
+  static constexpr double kChoicesDecay = 0.8;    // per tick
+  static constexpr double kFewChoicesDecay = 0.97;
+  static constexpr double kRateDecay = 0.98;
+  static constexpr double kMaxShedShare = 0.9;
+  static constexpr double kMinShedShare = 0.01; // below it nothing is shed
+  static constexpr double kShedStep = 0.03;     // added per overloaded tick
+  static constexpr double kShedDecay = 0.9;     // per other tick
 };
 
 } // namespace fernward::concurrency
