--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -12,14 +12,14 @@
 #include <optional>
 #include <random>
 
+#include "app_config/fleet.h"
+#include "app_config/read.h"
+#include "app_config/render.h"
 #include "commands/command.h"
 #include "commands/shared.h"
 #include "config/config.h"
 #include "log/log.h"
 #include "router/router.h"
-#include "app_config/fleet.h"
-#include "app_config/read.h"
-#include "app_config/render.h"
 
 namespace fernward::commands {
 namespace {
@@ -60,7 +60,7 @@
   std::string format; // of --log-format; empty: as the file says
 };
 
-void wind_down(int, short, void* running) { static_cast<Running*>(running)->router->wind_down(); }
+void begin_shutdown(int, short, void* running) { static_cast<Running*>(running)->router->begin_shutdown(); }
 
 // A file that can't be read or is faulty changes nothing.
 void reload(int, short, void* self) {
@@ -96,7 +96,7 @@
   running.router = &router;
   std::vector<loop::EventPtr> signals;
   for (const auto& [number, what] :
-       {std::pair(SIGTERM, &wind_down), {SIGINT, &wind_down}, {SIGHUP, &reload}}) {
+       {std::pair(SIGTERM, &begin_shutdown), {SIGINT, &begin_shutdown}, {SIGHUP, &reload}}) {
     signals.emplace_back(evsignal_new(base.get(), number, what, &running));
     event_add(signals.back().get(), nullptr);
   }
--- a/src/commands/sidecar.cpp
+++ b/src/commands/sidecar.cpp
@@ -17,7 +17,7 @@
 namespace fernward::commands {
 namespace {
 
-constexpr double kWindDownMs = 1200; // beyond the longest give-up time: see Router::wind_down
+constexpr double kWindDownMs = 1200; // beyond the longest give-up time: see router/graceful_shutdown.h
 constexpr double kLookMs = 50;
 
 // By the router of a sidecar that crashed: it answers what it has taken, and ends.
--- /dev/null
+++ b/src/router/control_calls.cpp
@@ -0,0 +1,38 @@
+#include "router/control_calls.h"
+
+#include "log/log.h"
+#include "loop/timer_queue.h"
+
+namespace fernward::router {
+
+std::string ControlCalls::answer(const control::Call& call) {
+  switch (call.word) {
+    case control::Word::Ready: return ready();
+    case control::Word::ShowStat: return parts_.figures.lines() + "eof\n";
+    case control::Word::DisableServer: return override_endpoint(call.id, true);
+    case control::Word::EnableServer: return override_endpoint(call.id, false);
+  }
+  return "fail unknown call\n";
+}
+
+std::string ControlCalls::ready() const {
+  if (parts_.shutdown.has_begun()) return "fail winding down\n";
+  return parts_.endpoints.ready() ? "ok\n" : "fail no node in service is known\n";
+}
+
+std::string ControlCalls::override_endpoint(const std::string& name, bool disable) {
+  using Said = admin_overrides::EndpointOverrides::Said;
+  admin_overrides::EndpointOverrides& overrides = parts_.endpoints.overrides();
+  const bool was_disabled = overrides.out(name);
+  const Said said = disable ? overrides.take_out(name) : overrides.put_back(loop::now_ms(), name);
+  if (said == Said::NeverListed) return "fail " + name + " was never listed as a cache node\n";
+  if (said == Said::TooMany) return "fail too many cache nodes are out\n";
+  if (was_disabled != disable) {
+    log::line(disable ? "taken-out" : "put-back", {{"node", name}});
+    parts_.endpoints.refresh(name);
+    parts_.on_override(overrides.of(name));
+  }
+  return "ok\n";
+}
+
+} // namespace fernward::router
--- a/src/router/hot_restart_coordinator.h
+++ b/src/router/hot_restart_coordinator.h
@@ -1,10 +1,10 @@
-// The router's part in replacing its process: as the old one, which gives, and as the new one, which takes. While both
-// live they are one router: bans go to both, descriptors and memory are shared out, and no connection is closed on its
-// client for the change's sake.
+// The router's part in replacing its process: as the old one, which gives, and as the new one, which takes.
+// While both live they are one router: bans go to both, descriptors and memory are shared out, and no
+// connection is closed on its client for the change's sake.
 //
-// The old one: a new process comes to the door, says hello and is welcomed with the listening descriptor, the list, the
-// bans and its share. Once it serves, this one stops accepting. Winding down passes on each connection as it rests. If
-// the new one ends before that, this one has all again.
+// The old one: a new process comes to the door, says hello and is welcomed with the listening descriptor, the
+// list, the bans and its share. Once it serves, this one stops accepting. Winding down passes on each
+// connection as it rests. If the new one ends before that, this one has all again.
 #pragma once
 
 #include <functional>
--- /dev/null
+++ b/src/router/router_options.cpp
@@ -0,0 +1,131 @@
+#include "router/router_options.h"
+
+#include <algorithm>
+
+#include "log/log.h"
+
+namespace fernward::router {
+namespace {
+
+constexpr std::size_t kControlReserved =
+    4; // more where there is a second address; half of the rest lies idle
+constexpr std::size_t kMinConnections = 16; // whatever `limits.sockets` says
+constexpr std::size_t kShortBodyBytes = 64 << 10;
+constexpr std::size_t kDefaultReceiveBytes = 64 << 10; // of a connection, as the kernel makes it, about
+constexpr std::size_t kMinReceiveBytes = 32 << 10;     // the kernel doubles it for its own use
+constexpr std::size_t kMinUnsentBytes = 16 << 10;
+constexpr std::size_t kMaxUnsentBytes = 64 << 10;
+constexpr std::uint64_t kMaxRetainedBytes = 512 << 10; // of one body, in memory
+constexpr double kIdleShare = 0.7; // of the time after which an endpoint closes an idle connection
+
+std::uint64_t memory_bytes(const config::Config& config) {
+  return static_cast<std::uint64_t>(config.memory_mb) << 20;
+}
+
+// What the kernel may hold for the connections of each side: memory of the machine, not of this process.
+std::size_t kernel_bytes(const config::Config& config) {
+  return static_cast<std::size_t>(memory_bytes(config)) / 4;
+}
+
+} // namespace
+
+std::size_t reserved_descriptors(const config::Config& config) {
+  return config::kReserved + (config.control.empty() ? 0 : kControlReserved);
+}
+
+std::size_t connection_descriptors(const config::Config& config) {
+  const std::size_t reserved = reserved_descriptors(config);
+  return std::max<std::size_t>(config.sockets, reserved + kMinConnections) - reserved;
+}
+
+proxy::RequestDispatcherOptions dispatcher_options(const config::Config& config) {
+  proxy::RequestDispatcherOptions options;
+  options.grace_ms = config.limits.grace_to_answer_ms;
+  options.open_cap = static_cast<std::size_t>(config.limits.open_cap);
+  options.look_every_ms = config.limits.drain_grace_ms / 10; // the rest of the grace is for reading the list
+  return options;
+}
+
+upstream::ConnectionPoolOptions pool_options(const config::Config& config) {
+  upstream::ConnectionPoolOptions options;
+  options.connect_timeout_ms = config.limits.connect_timeout_ms;
+  options.idle_ms = kIdleShare * config.limits.conn_idle_ms;
+  options.scarce_kind = config.settings.origin_kind;
+  options.report_fields = config.names.report_fields;
+  options.answers.ceiling = config.answer_bytes;
+  const std::size_t receive_bytes = kernel_bytes(config) / (connection_descriptors(config) / 2);
+  if (receive_bytes < kDefaultReceiveBytes) {
+    options.receive_bytes = static_cast<int>(std::max(receive_bytes, kMinReceiveBytes));
+  }
+  return options;
+}
+
+body_buffers::BufferBudgetOptions buffer_budget_options(const config::Config& config) {
+  body_buffers::BufferBudgetOptions options;
+  options.total = config::body_bytes(config.memory_mb);
+  options.holders = connection_descriptors(config);                 // of responses
+  if (config.request_bytes > kShortBodyBytes) options.holders *= 2; // and of request bodies that are streamed
+  return options;
+}
+
+body_buffers::RetentionLimits retention_limits(const config::Config& config) {
+  const std::uint64_t memory = memory_bytes(config);
+  body_buffers::RetentionLimits limits;
+  limits.ceiling = config.request_bytes;
+  limits.memory_most = std::min(memory / 64, kMaxRetainedBytes);
+  limits.memory_all = memory / 8;
+  limits.file_all = config.body_folder.empty() ? 0 : static_cast<std::uint64_t>(config.body_folder_mb) << 20;
+  limits.file_most = limits.file_all / 4;
+  limits.flow_after = kShortBodyBytes;
+  return limits;
+}
+
+downstream::ListenerOptions listener_options(const config::Config& config,
+                                             hot_restart::Inherited* inherited) {
+  downstream::ListenerOptions options;
+  options.listening = inherited == nullptr ? -1 : inherited->listening.release();
+  options.share_port =
+      !config.control.empty(); // lets a new process listen where the hot restart socket fails
+  options.address = config.listen;
+  options.short_body = kShortBodyBytes;
+  options.unsent_bytes = static_cast<int>(
+      std::clamp(kernel_bytes(config) / (config.sockets / 3), kMinUnsentBytes, kMaxUnsentBytes));
+  // A third at most for client connections that hold a request: none of them can open one more while all are
+  // idle.
+  options.clients.places = std::min<std::size_t>(config.sockets / 3, connection_descriptors(config));
+  return options;
+}
+
+downstream::Rules downstream_rules(const config::Config& config) {
+  return {config.names, config.settings, config.map, config.make_ids};
+}
+
+// Pushed lists: a change counts at once, and half of the grace may pass before discovery is asked again.
+// Polled lists: a change counts later, and discovery is one service that all routers load.
+discovery::SubscriptionRules subscription_rules(const config::Config& config) {
+  discovery::SubscriptionRules rules;
+  const bool pushed = config.settings.discovery == fernward::DiscoveryMode::Push;
+  rules.max_pause_ms = pushed ? std::min(config.limits.drain_grace_ms / 2, rules.max_useless_pause_ms)
+                              : rules.max_useless_pause_ms;
+  rules.first_pause_ms = std::min(rules.first_pause_ms, rules.max_pause_ms);
+  return rules;
+}
+
+gossip_transport::Options gossip_options(const config::Fleet& fleet, const config::Config& config) {
+  gossip_transport::Options options;
+  options.self = static_cast<gossip::Id>(fleet.self);
+  options.listen = fleet.listen;
+  options.peers = fleet.peers;
+  options.rules = {fleet.period_ms, fleet.asked};
+  options.seed = config.seed;
+  if (const auto zone = config.settings.zone) options.zone = static_cast<std::uint8_t>(*zone);
+  return options;
+}
+
+void apply_log_rules(const config::LogRules& rules) {
+  log::limit(rules.per_second, rules.burst);
+  log::write_json(rules.json);
+  log::write_routine(rules.connections);
+}
+
+} // namespace fernward::router
--- /dev/null
+++ b/src/router/stats_reporter.h
@@ -0,0 +1,49 @@
+// Tells the operators how the router does: log lines every kPeriodMs and at the end, and gauges of the second
+// address.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+
+#include "figures/figures.h"
+#include "gossip_transport/link.h"
+#include "loop/timer_queue.h"
+#include "proxy/request_dispatcher.h"
+#include "router/endpoint_updater.h"
+
+namespace fernward::router {
+
+struct StatsReporterParts { // of the router; they outlive the reporter
+  loop::TimerQueue& timers;
+  figures::Figures& figures;
+  const proxy::RequestDispatcher& dispatcher;
+  const EndpointUpdater& endpoints;
+};
+
+class StatsReporter {
+ public:
+  explicit StatsReporter(StatsReporterParts parts); // adds the gauges of the cluster
+  StatsReporter(const StatsReporter&) = delete;
+  StatsReporter& operator=(const StatsReporter&) = delete;
+
+  void add_gossip(gossip_transport::Link& gossip); // its gauges, and its line in each report
+  void start();                                    // reports from now on, until the event loop ends
+  void report();
+
+ private:
+  void report_requests();
+  void report_slow_start();
+  void report_gossip();
+  void report_rejected();
+  std::size_t caches() const;
+  std::size_t unavailable_caches() const;
+
+  StatsReporterParts parts_;
+  gossip_transport::Link* gossip_ = nullptr; // null: the routers share nothing
+  // As last reported:
+  proxy::RequestDispatcher::Figures reported_rejections_{};
+  fernward::Balancer::SlowStartCounts reported_slow_start_;
+  std::uint64_t reported_ended_ = 0;
+};
+
+} // namespace fernward::router
--- a/tests/faults/faults_test.cpp
+++ b/tests/faults/faults_test.cpp
@@ -449,7 +449,7 @@
     REQUIRE(reach());
     reached = true;
     before.try_emplace(kSubject, client(kSubject).answers.size());
-    if (under == Under::Term) w.router->wind_down(), witness.terminated();
+    if (under == Under::Term) w.router->begin_shutdown(), witness.terminated();
     if (under == Under::Hup) w.router->reload(config::parse(config.dump(), &no_environment));
     happen();
     const bool none = stage == "connected" && left; // it never asked for anything
--- a/tests/net/bodies_stories_test.cpp
+++ b/tests/net/bodies_stories_test.cpp
@@ -263,7 +263,7 @@
   Client client = w.client();
   client.send(get("/k/1", "r1"));
   REQUIRE(w.until([&] { return client.come() > 0; }));
-  w.router->wind_down();
+  w.router->begin_shutdown();
   run_for(w.base.get(), 600); // the listening socket is closed
   w.last_asked().say(value.substr(700000));
   REQUIRE(w.until([&] { return client.closed; }));
--- a/tests/net/stories_test.cpp
+++ b/tests/net/stories_test.cpp
@@ -431,7 +431,7 @@
   busy.send(get("/k/1", "r1"));
   REQUIRE(w.until([&] { return w.sent() > 0; }));
   Peer& cache = w.one.seen.empty() ? w.two : w.one;
-  w.router->wind_down();
+  w.router->begin_shutdown();
   Client late = w.client(); // clients still come
   CHECK(late.ask("GET /ready HTTP/1.1\r\n\r\n").status == 503);
   cache.say(ok("late"));
