--- a/src/admin_overrides/endpoint_overrides.cpp
+++ b/src/admin_overrides/endpoint_overrides.cpp
@@ -4,116 +4,123 @@
 
 namespace fernward::admin_overrides {
 
-EndpointOverrides::Name& EndpointOverrides::meet(const std::string& name) {
-  return names_.try_emplace(name).first->second;
+EndpointOverrides::Entry& EndpointOverrides::find_or_add(const std::string& name) {
+  return entries_.try_emplace(name).first->second;
 }
 
-void EndpointOverrides::leave(const std::string& name, Name& of) {
-  if (of.listed || of.out || of.has_gone) return;
-  of.gone = gone_.insert(gone_.end(), name);
-  of.has_gone = true;
+void EndpointOverrides::release(const std::string& name, Entry& entry) {
+  if (entry.listed || entry.disabled || entry.in_unlisted) return;
+  entry.unlisted = unlisted_.insert(unlisted_.end(), name);
+  entry.in_unlisted = true;
 }
 
-void EndpointOverrides::stay(Name& of) {
-  if (of.has_gone) gone_.erase(of.gone);
-  of.has_gone = false;
+void EndpointOverrides::retain(Entry& entry) {
+  if (entry.in_unlisted) unlisted_.erase(entry.unlisted);
+  entry.in_unlisted = false;
 }
 
-// On days where names are always new the memory of old ones must not grow.
-void EndpointOverrides::forget() {
-  while (gone_.size() > options_.remembered) {
-    names_.erase(gone_.front());
-    gone_.pop_front();
+// Bounds the memory where names are always new.
+void EndpointOverrides::forget_oldest() {
+  while (unlisted_.size() > options_.max_unlisted) {
+    entries_.erase(unlisted_.front());
+    unlisted_.pop_front();
   }
 }
 
-void EndpointOverrides::list(const std::vector<std::string>& names) {
-  for (auto& [name, of] : names_) of.listed = false;
-  for (const std::string& name : names) listed(name);
-  for (auto& [name, of] : names_) leave(name, of);
-  forget();
+void EndpointOverrides::set_endpoints(const std::vector<std::string>& names) {
+  for (auto& [name, entry] : entries_) entry.listed = false;
+  for (const std::string& name : names) endpoint_added(name);
+  for (auto& [name, entry] : entries_) release(name, entry);
+  forget_oldest();
 }
 
-void EndpointOverrides::listed(const std::string& name) {
-  Name& of = meet(name);
-  of.listed = true;
-  stay(of);
+void EndpointOverrides::endpoint_added(const std::string& name) {
+  Entry& entry = find_or_add(name);
+  entry.listed = true;
+  retain(entry);
 }
 
-void EndpointOverrides::unlisted(const std::string& name) {
-  const auto found = names_.find(name);
-  if (found == names_.end()) return;
+void EndpointOverrides::endpoint_removed(const std::string& name) {
+  const auto found = entries_.find(name);
+  if (found == entries_.end()) return;
   found->second.listed = false;
-  leave(name, found->second);
-  forget();
+  release(name, found->second);
+  forget_oldest();
 }
 
-EndpointOverrides::Said EndpointOverrides::take_out(const std::string& name) {
-  const auto found = names_.find(name);
-  if (found == names_.end()) return Said::NeverListed;
-  if (found->second.out) return Said::Yes;
-  if (out_ >= options_.most_out) return Said::TooMany;
-  found->second.out = true;
-  ++out_;
-  stay(found->second);
-  return Said::Yes;
+EndpointOverrides::Result EndpointOverrides::disable(const std::string& name) {
+  const auto found = entries_.find(name);
+  if (found == entries_.end()) return Result::UnknownEndpoint;
+  if (found->second.disabled) return Result::Done;
+  if (disabled_ >= options_.max_disabled) return Result::TooManyDisabled;
+  found->second.disabled = true;
+  ++disabled_;
+  retain(found->second);
+  return Result::Done;
 }
 
-EndpointOverrides::Said EndpointOverrides::put_back(double now, const std::string& name) {
-  const auto found = names_.find(name);
-  if (found == names_.end()) return Said::NeverListed;
-  Name& of = found->second;
-  if (!of.out) return Said::Yes; // a second call must not make it cold again
-  of.out = false;
-  --out_;
-  of.fresh_at = now;
-  leave(name, of);
-  forget();
-  return Said::Yes;
+EndpointOverrides::Result EndpointOverrides::enable(double now_ms, const std::string& name) {
+  const auto found = entries_.find(name);
+  if (found == entries_.end()) return Result::UnknownEndpoint;
+  Entry& entry = found->second;
+  if (!entry.disabled) return Result::Done; // a second call must not begin slow start again
+  entry.disabled = false;
+  --disabled_;
+  entry.enabled_at_ms = now_ms;
+  release(name, entry);
+  forget_oldest();
+  return Result::Done;
 }
 
-bool EndpointOverrides::out(const std::string& name) const {
-  const auto found = names_.find(name);
-  return found != names_.end() && found->second.out;
+bool EndpointOverrides::is_disabled(const std::string& name) const {
+  const auto found = entries_.find(name);
+  return found != entries_.end() && found->second.disabled;
 }
 
-Server EndpointOverrides::over(const std::string& name, Server listed) const {
-  const auto found = names_.find(name);
-  if (found == names_.end()) return listed;
-  if (found->second.out && listed.state == ServerState::Ready) listed.state = ServerState::Draining;
-  listed.started_at = std::max(listed.started_at, found->second.fresh_at);
+Server EndpointOverrides::apply(const std::string& name, Server listed) const {
+  const auto found = entries_.find(name);
+  if (found == entries_.end()) return listed;
+  if (found->second.disabled && listed.state == ServerState::Ready) listed.state = ServerState::Draining;
+  listed.started_at = std::max(listed.started_at, found->second.enabled_at_ms);
   return listed;
 }
 
-std::vector<EndpointOverrides::Known> EndpointOverrides::all() const {
-  std::vector<Known> all;
-  for (const std::string& name : gone_)
-    all.push_back({name, false, names_.at(name).fresh_at}); // in their order
-  for (const auto& [name, of] : names_) {
-    if (!of.has_gone) all.push_back({name, of.out, of.fresh_at});
+std::vector<EndpointOverrides::Override> EndpointOverrides::snapshot() const {
+  std::vector<Override> overrides;
+  for (const std::string& name : unlisted_) {
+    overrides.push_back({name, false, entries_.at(name).enabled_at_ms});
   }
-  return all;
+  for (const auto& [name, entry] : entries_) {
+    if (!entry.in_unlisted) overrides.push_back({name, entry.disabled, entry.enabled_at_ms});
+  }
+  return overrides;
 }
 
-EndpointOverrides::Known EndpointOverrides::of(const std::string& name) const {
-  const auto found = names_.find(name);
-  return found == names_.end() ? Known{name, false, 0}
-                               : Known{name, found->second.out, found->second.fresh_at};
+EndpointOverrides::Override EndpointOverrides::find(const std::string& name) const {
+  const auto found = entries_.find(name);
+  if (found == entries_.end()) return {name, false, 0};
+  return {name, found->second.disabled, found->second.enabled_at_ms};
 }
 
-void EndpointOverrides::adopt(const Known& one) {
-  Name& of = meet(one.name);
-  if (one.out && !of.out && out_ >= options_.most_out) return leave(one.name, of);
-  out_ += one.out;
-  out_ -= of.out;
-  of.out = one.out;
-  of.fresh_at = std::max(of.fresh_at, one.fresh_at);
-  of.out ? stay(of) : leave(one.name, of);
-  forget();
+void EndpointOverrides::adopt(const Override& other) {
+  Entry& entry = find_or_add(other.name);
+  if (other.disabled && !entry.disabled && disabled_ >= options_.max_disabled) {
+    return release(other.name, entry);
+  }
+  disabled_ += other.disabled;
+  disabled_ -= entry.disabled;
+  entry.disabled = other.disabled;
+  entry.enabled_at_ms = std::max(entry.enabled_at_ms, other.enabled_at_ms);
+  if (entry.disabled) {
+    retain(entry);
+  } else {
+    release(other.name, entry);
+  }
+  forget_oldest();
 }
 
-void EndpointOverrides::adopt(const std::vector<Known>& all) {
-  for (const Known& one : all) adopt(one);
+void EndpointOverrides::adopt(const std::vector<Override>& overrides) {
+  for (const Override& one : overrides) adopt(one);
 }
 
 } // namespace fernward::admin_overrides
--- a/src/admin_overrides/endpoint_overrides.h
+++ b/src/admin_overrides/endpoint_overrides.h
@@ -1,12 +1,12 @@
-// Which cache nodes are out by hand, laid over discovery's list before anybody else sees it: a node that is out reads as
-// one that drains, whatever the list says of it; one that was put back reads as started at that moment, so that what
-// was learned before counts no more and the limits on cold nodes hold.
+// Caches that an operator has disabled, applied to discovery's list before anybody else sees it. A disabled
+// cache reads as draining, whatever the list says; one that was enabled again reads as started at that
+// moment, so that what was learned of it before counts no more and slow start holds.
 //
-// A ban belongs to the name: it stays when the node leaves the list, comes back, or another takes its address. Names that
-// were listed once are remembered, the latest `remembered` of those that have gone; names that are out are never
+// An override belongs to the name: it stays when the cache leaves the list, comes back or changes its
+// address. A name that was listed once is remembered among the latest `max_unlisted`; a disabled one is never
 // forgotten.
 //
-// Units: `now` in Unix milliseconds, as discovery's since_ms. One thread.
+// Times in Unix milliseconds, as discovery's since_ms. One thread.
 #pragma once
 
 #include <cstddef>
@@ -20,58 +20,61 @@
 namespace fernward::admin_overrides {
 
 struct EndpointOverridesOptions {
-  std::size_t remembered = 4096; // names that were listed once and are not now
-  std::size_t most_out = 1024;   // names that are out at once
+  std::size_t max_unlisted = 4096; // names that were listed once and are not now
+  std::size_t max_disabled = 1024; // names at once
 };
 
 class EndpointOverrides {
  public:
-  explicit EndpointOverrides(const EndpointOverridesOptions& options = {}) : options_(options) {}
+  enum class Result { Done, UnknownEndpoint, TooManyDisabled };
 
-  void list(const std::vector<std::string>& names); // the cache nodes that discovery lists now, all of them
+  // Of one name, as another process of the same router needs it.
+  struct Override {
+    std::string name;
+    bool disabled = false;
+    double enabled_at_ms = 0; // 0: it never was enabled again
+    bool operator==(const Override&) const = default;
+  };
 
-  // The same of one cache node, at a cost that does not grow with their number.
-  void listed(const std::string& name);
-  void unlisted(const std::string& name);
+  explicit EndpointOverrides(const EndpointOverridesOptions& options = {}) : options_(options) {}
 
-  enum class Said { Yes, NeverListed, TooMany };
-  Said take_out(const std::string& name);             // again: yes, and nothing changes
-  Said put_back(double now, const std::string& name); // of one that is not out: yes, and nothing changes
+  void set_endpoints(const std::vector<std::string>& names); // all caches that discovery lists now
+  // The same for one cache, at a cost that does not grow with their number.
+  void endpoint_added(const std::string& name);
+  void endpoint_removed(const std::string& name);
 
-  bool out(const std::string& name) const;
-  Server over(const std::string& name, Server listed) const; // as the router is to see it
+  // A second call for the same name is Done and changes nothing.
+  Result disable(const std::string& name);
+  Result enable(double now_ms, const std::string& name);
 
-  // What another process of the same router needs to go on with these, and takes in place of its own. A name that is
-  // known here only, because it is listed, stays known.
-  struct Known {
-    std::string name;
-    bool out = false;
-    double fresh_at = 0;
-    bool operator==(const Known&) const = default;
-  };
-  std::vector<Known> all() const;
-  Known of(const std::string& name) const;
-  void adopt(const std::vector<Known>& all);
-  void adopt(const Known& one);
+  bool is_disabled(const std::string& name) const;
+  Server apply(const std::string& name, Server listed) const; // `listed` as the router is to see it
+
+  std::vector<Override> snapshot() const; // of every name, the longest unlisted first
+  Override find(const std::string& name) const;
+  // Takes what another process tells in place of this one's own. A name that is known here alone stays known.
+  void adopt(const std::vector<Override>& overrides);
+  void adopt(const Override& other);
 
-  std::size_t known() const { return names_.size(); }
+  std::size_t size() const { return entries_.size(); } // names that are known
 
  private:
-  struct Name {
-    bool listed = false, out = false;
-    double fresh_at = 0; // when it was put back last
-    bool has_gone = false;
-    std::list<std::string>::iterator gone; // its place among those, where it has gone
+  struct Entry {
+    bool listed = false;
+    bool disabled = false;
+    double enabled_at_ms = 0;
+    bool in_unlisted = false;
+    std::list<std::string>::iterator unlisted; // valid if `in_unlisted`
   };
-  Name& meet(const std::string& name);
-  void leave(const std::string& name, Name& of);
-  void stay(Name& of);
-  void forget();
+  Entry& find_or_add(const std::string& name);
+  void release(const std::string& name, Entry& entry);
+  void retain(Entry& entry);
+  void forget_oldest();
 
   EndpointOverridesOptions options_;
-  std::map<std::string, Name> names_;
-  std::list<std::string> gone_; // neither listed nor out, the longest gone in front
-  std::size_t out_ = 0;
+  std::map<std::string, Entry> entries_;
+  std::list<std::string> unlisted_; // neither listed nor disabled, the longest so in front
+  std::size_t disabled_ = 0;
 };
 
 } // namespace fernward::admin_overrides
--- a/src/hot_restart/link.cpp
+++ b/src/hot_restart/link.cpp
@@ -20,45 +20,47 @@
 namespace {
 
 constexpr timeval kAcceptPause{0, 50000};
-constexpr std::size_t kPiece = 64 << 10;
-constexpr std::size_t kMostBeside = 8; // descriptors taken with one read; each frame brings one at most
-
-bool place(const std::string& path, sockaddr_un& where) {
-  where = {};
-  where.sun_family = AF_UNIX;
-  if (path.empty() || path.size() >= sizeof where.sun_path) return false;
-  std::memcpy(where.sun_path, path.c_str(), path.size() + 1);
+constexpr std::size_t kReadBytes = 64 << 10;
+constexpr std::size_t kMaxDescriptorsPerRead = 8; // each frame brings one at most
+constexpr int kBacklog = 4;
+
+bool make_address(const std::string& path, sockaddr_un& address) {
+  address = {};
+  address.sun_family = AF_UNIX;
+  if (path.empty() || path.size() >= sizeof address.sun_path) return false;
+  std::memcpy(address.sun_path, path.c_str(), path.size() + 1);
   return true;
 }
 
 // Only the same user's process may replace this one.
-bool ours(int socket) {
+bool is_same_user(int socket) {
   ucred peer{};
   socklen_t size = sizeof peer;
   return getsockopt(socket, SOL_SOCKET, SO_PEERCRED, &peer, &size) == 0 && peer.uid == geteuid();
 }
 
-bool again() { return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR; }
+bool would_block() { return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR; }
 
-// Bytes that left; 0: none can now; below 0: the other side has gone.
-ssize_t send_part(int socket, std::string_view bytes, int beside) {
+// Bytes that were sent; 0: none can be now; below 0: the other side has closed. `descriptor` below 0: none.
+ssize_t send_part(int socket, std::string_view bytes, int descriptor) {
   iovec part{const_cast<char*>(bytes.data()), bytes.size()};
   msghdr message{};
   message.msg_iov = &part;
   message.msg_iovlen = 1;
   alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
-  if (beside >= 0) {
+  if (descriptor >= 0) {
     message.msg_control = control;
     message.msg_controllen = sizeof control;
     cmsghdr* header = CMSG_FIRSTHDR(&message);
     header->cmsg_level = SOL_SOCKET;
     header->cmsg_type = SCM_RIGHTS;
     header->cmsg_len = CMSG_LEN(sizeof(int));
-    std::memcpy(CMSG_DATA(header), &beside, sizeof beside);
+    std::memcpy(CMSG_DATA(header), &descriptor, sizeof descriptor);
   }
-  const auto n = sendmsg(socket, &message, MSG_DONTWAIT | MSG_NOSIGNAL);
-  // Too many descriptors on their way: the other side takes them first.
-  return n >= 0 ? n : again() || errno == ETOOMANYREFS ? 0 : -1;
+  const auto sent = sendmsg(socket, &message, MSG_DONTWAIT | MSG_NOSIGNAL);
+  if (sent >= 0) return sent;
+  // ETOOMANYREFS: the other side has to take the descriptors that are on their way first.
+  return would_block() || errno == ETOOMANYREFS ? 0 : -1;
 }
 
 } // namespace
@@ -74,19 +76,19 @@
   if (fd_ >= 0) ::close(fd_);
 }
 
-// ---- what comes ----
+// ---- MessageReader ----
 
-Incoming::Got Incoming::receive(int socket) {
-  char bytes[kPiece];
+MessageReader::ReadResult MessageReader::receive(int socket) {
+  char bytes[kReadBytes];
   iovec part{bytes, sizeof bytes};
-  alignas(cmsghdr) char control[CMSG_SPACE(kMostBeside * sizeof(int))];
+  alignas(cmsghdr) char control[CMSG_SPACE(kMaxDescriptorsPerRead * sizeof(int))];
   msghdr message{};
   message.msg_iov = &part;
   message.msg_iovlen = 1;
   message.msg_control = control;
   message.msg_controllen = sizeof control;
-  const auto n = recvmsg(socket, &message, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
-  if (n < 0) return again() ? Got::Nothing : Got::Ended;
+  const auto size = recvmsg(socket, &message, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
+  if (size < 0) return would_block() ? ReadResult::WouldBlock : ReadResult::Closed;
   for (cmsghdr* header = CMSG_FIRSTHDR(&message); header != nullptr; header = CMSG_NXTHDR(&message, header)) {
     if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS) continue;
     const std::size_t count = (header->cmsg_len - CMSG_LEN(0)) / sizeof(int);
@@ -97,186 +99,217 @@
     }
   }
   if ((message.msg_flags & MSG_CTRUNC) != 0) fault_ = "descriptors lost";
-  if (n == 0) return Got::Ended;
-  bytes_.append(bytes, static_cast<std::size_t>(n));
-  return Got::Some;
+  if (size == 0) return ReadResult::Closed;
+  bytes_.append(bytes, static_cast<std::size_t>(size));
+  return ReadResult::Data;
 }
 
-std::optional<Message> Incoming::next(Descriptor& beside) {
+std::optional<Message> MessageReader::next(Descriptor& descriptor) {
   if (!fault_.empty()) return std::nullopt;
   Decoded decoded = decode(bytes_);
   fault_ = decoded.fault;
   if (!decoded.message) return std::nullopt;
   bytes_.erase(0, decoded.used);
-  if (std::holds_alternative<Welcome>(*decoded.message) || std::holds_alternative<Client>(*decoded.message)) {
+  if (std::holds_alternative<TakeoverGrant>(*decoded.message) ||
+      std::holds_alternative<PassedConnection>(*decoded.message)) {
     if (descriptors_.empty()) {
       fault_ = "no descriptor";
       return std::nullopt;
     }
-    beside = std::move(descriptors_.front());
+    descriptor = std::move(descriptors_.front());
     descriptors_.pop_front();
   }
   return std::move(decoded.message);
 }
 
-// ---- the channel ----
+// ---- ProcessConnection ----
 
-Channel::Channel(event_base* base, Descriptor socket, Take take, Ended ended, Incoming before)
+ProcessConnection::ProcessConnection(event_base* base, Descriptor socket, OnMessage on_message,
+                                     OnClosed on_closed, MessageReader reader)
     : socket_(std::move(socket)),
-      take_(std::move(take)),
-      ended_(std::move(ended)),
-      in_(std::move(before)),
-      reads_(event_new(base, socket_.get(), EV_READ | EV_PERSIST, &Channel::readable, this)),
-      writes_(event_new(base, socket_.get(), EV_WRITE, &Channel::writable, this)) {
-  if (reads_ == nullptr || writes_ == nullptr) throw std::bad_alloc();
-  event_add(reads_.get(), nullptr);
-  event_active(reads_.get(), EV_READ, 0); // what came before
+      on_message_(std::move(on_message)),
+      on_closed_(std::move(on_closed)),
+      reader_(std::move(reader)),
+      read_event_(
+          event_new(base, socket_.get(), EV_READ | EV_PERSIST, &ProcessConnection::on_readable, this)),
+      write_event_(event_new(base, socket_.get(), EV_WRITE, &ProcessConnection::on_writable, this)) {
+  if (read_event_ == nullptr || write_event_ == nullptr) throw std::bad_alloc();
+  event_add(read_event_.get(), nullptr);
+  event_active(read_event_.get(), EV_READ, 0); // `reader` may hold a message
 }
 
-void Channel::readable(int, short, void* self) { static_cast<Channel*>(self)->read(); }
-void Channel::writable(int, short, void* self) { static_cast<Channel*>(self)->write(); }
+void ProcessConnection::on_readable(int, short, void* self) { static_cast<ProcessConnection*>(self)->read(); }
+void ProcessConnection::on_writable(int, short, void* self) {
+  static_cast<ProcessConnection*>(self)->write();
+}
 
-void Channel::read() {
-  for (bool open = true; open && !over_;) {
-    const Incoming::Got got = in_.receive(socket_.get());
-    Descriptor beside;
-    for (auto message = in_.next(beside); message; message = in_.next(beside)) {
-      take_(std::move(*message), std::move(beside));
-      if (over_) return;
+void ProcessConnection::read() {
+  for (bool more = true; more && !closed_;) {
+    const MessageReader::ReadResult result = reader_.receive(socket_.get());
+    Descriptor descriptor;
+    for (auto message = reader_.next(descriptor); message; message = reader_.next(descriptor)) {
+      on_message_(std::move(*message), std::move(descriptor));
+      if (closed_) return;
     }
-    if (!in_.fault().empty()) return end(in_.fault());
-    if (got == Incoming::Got::Ended) return end("");
-    open = got == Incoming::Got::Some;
+    if (!reader_.fault().empty()) return close(reader_.fault());
+    if (result == MessageReader::ReadResult::Closed) return close("");
+    more = result == MessageReader::ReadResult::Data;
   }
 }
 
-void Channel::send(const Message& message, Descriptor beside) {
-  if (over_) return;
-  out_.push_back({encode(message), 0, std::move(beside)});
+void ProcessConnection::send(const Message& message, Descriptor descriptor) {
+  if (closed_) return;
+  out_.push_back({encode(message), 0, std::move(descriptor)});
   if (out_.size() == 1) write();
 }
 
-void Channel::write() {
+void ProcessConnection::write() {
   while (!out_.empty()) {
-    Out& out = out_.front();
-    const auto n = send_part(socket_.get(), std::string_view(out.bytes).substr(out.gone), out.beside.get());
-    if (n < 0) {
+    Frame& frame = out_.front();
+    const std::string_view unsent = std::string_view(frame.bytes).substr(frame.sent);
+    const auto sent = send_part(socket_.get(), unsent, frame.descriptor.get());
+    if (sent < 0) {
       out_.clear();
-      event_active(reads_.get(), EV_READ, 0); // which finds the end, from the loop
+      event_active(read_event_.get(), EV_READ, 0); // reading finds the end, from the loop
       return;
     }
-    if (n == 0) {
-      event_add(writes_.get(), nullptr);
+    if (sent == 0) {
+      event_add(write_event_.get(), nullptr);
       return;
     }
-    out.beside = Descriptor(); // it went with the first byte
-    out.gone += static_cast<std::size_t>(n);
-    if (out.gone == out.bytes.size()) out_.pop_front();
+    frame.descriptor = Descriptor(); // it went with the first byte
+    frame.sent += static_cast<std::size_t>(sent);
+    if (frame.sent == frame.bytes.size()) out_.pop_front();
   }
 }
 
-void Channel::end(const std::string& why) {
-  if (std::exchange(over_, true)) return;
-  event_del(reads_.get());
-  event_del(writes_.get());
+void ProcessConnection::close(const std::string& fault) {
+  if (std::exchange(closed_, true)) return;
+  event_del(read_event_.get());
+  event_del(write_event_.get());
   out_.clear();
-  ended_(why); // may end this
+  on_closed_(fault); // may destroy this
 }
 
-// ---- the door ----
+// ---- RestartListener ----
+
+RestartListener::RestartListener(event_base* base, const std::string& path, OnConnect on_connect)
+    : path_(path), on_connect_(std::move(on_connect)) {
+  bind_path();
+  accept_event_.reset(
+      event_new(base, socket_.get(), EV_READ | EV_PERSIST, &RestartListener::on_acceptable, this));
+  resume_event_.reset(event_new(base, -1, 0, &RestartListener::resume, this));
+  if (accept_event_ == nullptr || resume_event_ == nullptr) throw std::bad_alloc();
+  event_add(accept_event_.get(), nullptr);
+}
 
-Door::Door(event_base* base, const std::string& path, Came came) : path_(path), came_(std::move(came)) {
-  const std::string own = path + "." + std::to_string(getpid());
-  const auto fail = [&](const char* what) {
+void RestartListener::bind_path() {
+  const std::string own = path_ + "." + std::to_string(getpid());
+  const auto fail = [&own](const char* what) {
     throw std::runtime_error(std::string(what) + " " + own + ": " + std::strerror(errno));
   };
-  sockaddr_un where{};
+  sockaddr_un address{};
   errno = ENAMETOOLONG;
-  if (!place(own, where)) fail("bind");
+  if (!make_address(own, address)) fail("bind");
   socket_ = Descriptor(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  ::unlink(own.c_str()); // of a process of the same number, long gone
-  if (!socket_ || bind(socket_.get(), reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0)
+  ::unlink(own.c_str()); // left by an earlier process with the same number
+  if (!socket_ || bind(socket_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
     fail("bind");
-  struct stat made {};
-  if (chmod(own.c_str(), 0600) != 0 || listen(socket_.get(), 4) != 0 || stat(own.c_str(), &made) != 0 ||
-      std::rename(own.c_str(), path.c_str()) != 0) {
-    const int why = errno;
+  }
+  struct stat status {};
+  if (chmod(own.c_str(), 0600) != 0 || listen(socket_.get(), kBacklog) != 0 ||
+      stat(own.c_str(), &status) != 0 || std::rename(own.c_str(), path_.c_str()) != 0) {
+    const int error = errno;
     ::unlink(own.c_str());
-    errno = why;
+    errno = error;
     fail("listen");
   }
-  inode_ = made.st_ino;
-  listening_.reset(event_new(base, socket_.get(), EV_READ | EV_PERSIST, &Door::accepted, this));
-  again_.reset(event_new(base, -1, 0, &Door::listen_again, this));
-  if (listening_ == nullptr || again_ == nullptr) throw std::bad_alloc();
-  event_add(listening_.get(), nullptr);
+  inode_ = status.st_ino;
 }
 
-Door::~Door() {
-  struct stat now {};
-  if (stat(path_.c_str(), &now) == 0 && now.st_ino == inode_) ::unlink(path_.c_str());
+RestartListener::~RestartListener() {
+  struct stat status {};
+  if (stat(path_.c_str(), &status) == 0 && status.st_ino == inode_) ::unlink(path_.c_str());
 }
 
-void Door::accepted(int listening, short, void* self) {
-  Descriptor came(accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-  if (!came) { // it would be found again at once, as long as no descriptor is left
-    event_del(static_cast<Door*>(self)->listening_.get());
-    event_add(static_cast<Door*>(self)->again_.get(), &kAcceptPause);
+void RestartListener::on_acceptable(int listening, short, void* self) {
+  auto& listener = *static_cast<RestartListener*>(self);
+  Descriptor accepted(accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+  if (!accepted) { // the event would fire again at once, as long as no descriptor is left
+    event_del(listener.accept_event_.get());
+    event_add(listener.resume_event_.get(), &kAcceptPause);
     return;
   }
-  if (!ours(came.get())) return log::line("handover-refused", {{"why", "another user's process"}});
-  static_cast<Door*>(self)->came_(std::move(came));
+  if (!is_same_user(accepted.get())) {
+    return log::line("handover-refused", {{"why", "another user's process"}});
+  }
+  listener.on_connect_(std::move(accepted));
 }
 
-void Door::listen_again(int, short, void* self) {
-  event_add(static_cast<Door*>(self)->listening_.get(), nullptr);
+void RestartListener::resume(int, short, void* self) {
+  event_add(static_cast<RestartListener*>(self)->accept_event_.get(), nullptr);
 }
 
 // ---- the new process ----
 
-std::optional<Inherited> ask(const std::string& path, const Hello& hello, double patience_ms,
-                             std::string& why) {
-  why.clear();
-  sockaddr_un where{};
-  if (!place(path, where)) return std::nullopt;
-  Inherited out;
-  out.channel = Descriptor(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  if (!out.channel ||
-      connect(out.channel.get(), reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0) {
-    if (errno != ENOENT && errno != ECONNREFUSED) why = std::strerror(errno); // else nobody is there any more
-    return std::nullopt;
-  }
-  if (!ours(out.channel.get())) {
-    why = "another user's process";
-    return std::nullopt;
+namespace {
+
+// None: no process is there (`fault` is empty), or `fault` says what went wrong.
+Descriptor connect_to(const std::string& path, std::string& fault) {
+  sockaddr_un address{};
+  if (!make_address(path, address)) return {};
+  Descriptor connection(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+  if (!connection ||
+      connect(connection.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
+    if (errno != ENOENT && errno != ECONNREFUSED) fault = std::strerror(errno);
+    return {};
   }
-  const std::string text = encode(hello);
-  if (send_part(out.channel.get(), text, -1) != static_cast<ssize_t>(text.size())) {
-    why = "it does not take the question";
-    return std::nullopt;
+  if (!is_same_user(connection.get())) {
+    fault = "another user's process";
+    return {};
   }
-  const double end = loop::now_ms() + patience_ms;
-  for (;;) {
-    const double left = end - loop::now_ms();
-    pollfd wait{out.channel.get(), POLLIN, 0};
-    if (left <= 0 || poll(&wait, 1, static_cast<int>(left) + 1) == 0) {
-      why = "no answer in time";
-      return std::nullopt;
+  return connection;
+}
+
+// Waits for the grant until `deadline_ms`. False: `fault` says what went wrong.
+bool await_grant(Inherited& out, double deadline_ms, std::string& fault) {
+  while (fault.empty()) {
+    const double left_ms = deadline_ms - loop::now_ms();
+    pollfd wait{out.connection.get(), POLLIN, 0};
+    if (left_ms <= 0 || poll(&wait, 1, static_cast<int>(left_ms) + 1) == 0) {
+      fault = "no answer in time";
+      return false;
     }
-    const Incoming::Got got = out.rest.receive(out.channel.get());
-    auto message = out.rest.next(out.listening);
-    if (message) {
-      if (auto* welcome = std::get_if<Welcome>(&*message)) {
-        out.welcome = std::move(*welcome);
-        return out;
+    const MessageReader::ReadResult result = out.reader.receive(out.connection.get());
+    if (auto message = out.reader.next(out.listening)) {
+      if (auto* grant = std::get_if<TakeoverGrant>(&*message)) {
+        out.grant = std::move(*grant);
+        return true;
       }
-      why = "not a welcome";
-      return std::nullopt;
+      fault = "not a welcome";
+      return false;
     }
-    if (!out.rest.fault().empty()) why = out.rest.fault();
-    if (why.empty() && got == Incoming::Got::Ended) why = "it ended";
-    if (!why.empty()) return std::nullopt;
+    fault = out.reader.fault();
+    if (fault.empty() && result == MessageReader::ReadResult::Closed) fault = "it ended";
+  }
+  return false;
+}
+
+} // namespace
+
+std::optional<Inherited> request_takeover(const std::string& path, const TakeoverRequest& request,
+                                          double timeout_ms, std::string& fault) {
+  fault.clear();
+  Inherited out;
+  out.connection = connect_to(path, fault);
+  if (!out.connection) return std::nullopt;
+  const std::string text = encode(request);
+  if (send_part(out.connection.get(), text, -1) != static_cast<ssize_t>(text.size())) {
+    fault = "it does not take the question";
+    return std::nullopt;
   }
+  if (!await_grant(out, loop::now_ms() + timeout_ms, fault)) return std::nullopt;
+  return out;
 }
 
 } // namespace fernward::hot_restart
--- a/src/hot_restart/link.h
+++ b/src/hot_restart/link.h
@@ -1,7 +1,7 @@
-// The hand of handover: the Unix socket where a process waits for the one that replaces it, and the channel between the
-// two, on which descriptors go beside frames. Nothing here decides anything.
+// Carries the messages of a hot restart: the Unix socket where a process waits for the one that replaces it,
+// and the connection between the two, on which descriptors go beside frames. Decides nothing.
 //
-// One thread. Callbacks come from the event loop; a channel may be ended from within its own.
+// One thread. Callbacks come from the event loop; a connection may be destroyed from within its own.
 #pragma once
 
 #include <event2/event.h>
@@ -16,7 +16,8 @@
 
 namespace fernward::hot_restart {
 
-class Descriptor { // closed at its end
+// A file descriptor that is closed with its owner; below 0: none.
+class Descriptor {
  public:
   Descriptor() = default;
   explicit Descriptor(int fd) : fd_(fd) {}
@@ -35,13 +36,14 @@
   int fd_ = -1;
 };
 
-// Bytes and descriptors as they come, messages as they are whole.
-class Incoming {
+// Puts messages together from the bytes and descriptors of a socket.
+class MessageReader {
  public:
-  enum class Got { Some, Nothing, Ended };
-  Got receive(int socket); // once
-  // The next message and, of a Welcome or a Client, its descriptor. None: more is needed, or `fault` is not empty.
-  std::optional<Message> next(Descriptor& beside);
+  enum class ReadResult { Data, WouldBlock, Closed };
+  ReadResult receive(int socket); // reads once
+  // The next message, and its descriptor where it is a TakeoverGrant or a PassedConnection. None: more bytes
+  // are needed, or `fault` is not empty.
+  std::optional<Message> next(Descriptor& descriptor);
   const std::string& fault() const { return fault_; }
 
  private:
@@ -50,69 +52,78 @@
   std::string fault_;
 };
 
-class Channel {
+// To the other process. Open until the other side closes or a message can't be read.
+class ProcessConnection {
  public:
-  using Take = std::function<void(Message, Descriptor)>;
-  using Ended =
-      std::function<void(const std::string& why)>; // called once, from the loop; `why` of a fault, or empty
+  using OnMessage = std::function<void(Message, Descriptor)>;
+  // Once, from the loop. `fault`: what could not be read; empty: the other side has closed.
+  using OnClosed = std::function<void(const std::string& fault)>;
 
-  Channel(event_base* base, Descriptor socket, Take take, Ended ended, Incoming before = {});
-  Channel(const Channel&) = delete;
-  Channel& operator=(const Channel&) = delete;
+  ProcessConnection(event_base* base, Descriptor socket, OnMessage on_message, OnClosed on_closed,
+                    MessageReader reader = {});
+  ProcessConnection(const ProcessConnection&) = delete;
+  ProcessConnection& operator=(const ProcessConnection&) = delete;
 
-  void send(const Message& message, Descriptor beside = {});
-  void look() { read(); }                    // what has come by now, without waiting for the loop
-  bool idle() const { return out_.empty(); } // all that was sent has left
-  bool ended() const { return over_; }
+  void send(const Message& message, Descriptor descriptor = {});
+  void read_now() { read(); }                      // without waiting for the event loop
+  bool is_flushed() const { return out_.empty(); } // all that was sent has left
+  bool is_closed() const { return closed_; }
 
  private:
-  struct Out {
+  struct Frame {
     std::string bytes;
-    std::size_t gone = 0;
-    Descriptor beside;
+    std::size_t sent = 0;
+    Descriptor descriptor;
   };
-  static void readable(int, short, void* self);
-  static void writable(int, short, void* self);
+  static void on_readable(int, short, void* self);
+  static void on_writable(int, short, void* self);
   void read();
   void write();
-  void end(const std::string& why);
+  void close(const std::string& fault);
 
   Descriptor socket_;
-  Take take_;
-  Ended ended_;
-  Incoming in_;
-  std::deque<Out> out_;
-  bool over_ = false;
-  loop::EventPtr reads_, writes_;
+  OnMessage on_message_;
+  OnClosed on_closed_;
+  MessageReader reader_;
+  std::deque<Frame> out_;
+  bool closed_ = false;
+  loop::EventPtr read_event_;
+  loop::EventPtr write_event_;
 };
 
-// Where the next process finds this one. The path is taken by rename, so that whoever came last has it.
-class Door {
+// Where a new process finds this one. The path is taken by rename: the process that came last has it.
+class RestartListener {
  public:
-  using Came = std::function<void(Descriptor)>;
-  Door(event_base* base, const std::string& path, Came came); // throws std::runtime_error
-  ~Door();                                                    // the path goes too, unless another has it now
-  Door(const Door&) = delete;
-  Door& operator=(const Door&) = delete;
+  using OnConnect = std::function<void(Descriptor)>;
+  RestartListener(event_base* base, const std::string& path,
+                  OnConnect on_connect); // throws std::runtime_error
+  ~RestartListener();                    // removes the path, unless another process has it now
+  RestartListener(const RestartListener&) = delete;
+  RestartListener& operator=(const RestartListener&) = delete;
 
  private:
-  static void accepted(int listening, short, void* self);
-  static void listen_again(int, short, void* self);
+  void bind_path();
+  static void on_acceptable(int listening, short, void* self);
+  static void resume(int, short, void* self);
+
   std::string path_;
-  Came came_;
+  OnConnect on_connect_;
   Descriptor socket_;
   std::uint64_t inode_ = 0;
-  loop::EventPtr listening_, again_;
+  loop::EventPtr accept_event_;
+  loop::EventPtr resume_event_;
 };
 
 // What a new process got from the one that it replaces.
 struct Inherited {
-  Welcome welcome;
-  Descriptor listening, channel;
-  Incoming rest; // what came behind the welcome
+  TakeoverGrant grant;
+  Descriptor listening;
+  Descriptor connection;
+  MessageReader reader; // with what came behind the grant
 };
-// Asks at `path` and waits for the answer, up to `patience_ms`. None: nobody is there, or `why` says what went wrong.
-std::optional<Inherited> ask(const std::string& path, const Hello& hello, double patience_ms,
-                             std::string& why);
+// Asks the process at `path` to be replaced, and waits up to `timeout_ms` for its answer. None: no process is
+// there, or `fault` says what went wrong.
+std::optional<Inherited> request_takeover(const std::string& path, const TakeoverRequest& request,
+                                          double timeout_ms, std::string& fault);
 
 } // namespace fernward::hot_restart
--- a/src/hot_restart/state.h
+++ b/src/hot_restart/state.h
@@ -1,8 +1,9 @@
-// What one process of a router tells the other while one replaces the other: frames, their contents, and how the limits
-// are shared. No sockets.
+// What the two processes of a router tell each other during a hot restart: frames, their contents, and how
+// the limits are shared out. No sockets.
 //
-// A frame: "FWHO", version, kind, length of the contents (each 4 bytes, least first), checksum of kind and contents (8
-// bytes), contents (CBOR). A frame is taken whole or not at all; another version is refused.
+// A frame: "FWHO", version, kind, length of the contents (4 bytes each, least significant first), checksum of
+// kind and contents (8 bytes), contents (CBOR). A frame is taken whole or not at all; another version is
+// refused. Kinds, keys and version stay as they are: processes of old and new programs replace each other.
 #pragma once
 
 #include <cstdint>
@@ -17,60 +18,70 @@
 namespace fernward::hot_restart {
 
 constexpr std::uint32_t kVersion = 1;
-constexpr std::size_t kHeader = 24;
-constexpr std::size_t kMostContents = 16 << 20; // lists of some 50,000 nodes
+constexpr std::size_t kHeaderBytes = 24;
+constexpr std::size_t kMaxContentsBytes = 16 << 20; // lists of some 50,000 servers
 
-// ---- shares ----
+// ---- resources ----
 
-// Of the descriptors that connections take, and of the memory: what one process may have.
-struct Share {
-  std::uint64_t places = 0;
+// What one process may have.
+struct Resources {
+  std::uint64_t descriptors = 0; // for connections
   std::uint64_t memory_mb = 0;
-  bool operator==(const Share&) const = default;
+  bool operator==(const Resources&) const = default;
 };
 
-// Two processes are one router: what `whole` the old one had, and `used` of its places. First the old one's share, then
-// the new one's. `reserved`: descriptors that the new process needs for all but connections, above those that the old
-// one has kept back for itself.
-struct Split {
-  Share old, next;
+struct ResourceSplit {
+  Resources old_process;
+  Resources new_process;
 };
-Split split(const Share& whole, std::uint64_t used, std::uint64_t reserved);
+// Shares out `total`, of which `used` descriptors hold connections of the old process. `reserved`:
+// descriptors that the new process needs for all but connections, beyond those that the old one has reserved
+// for itself.
+ResourceSplit split(const Resources& total, std::uint64_t used, std::uint64_t reserved);
 
 // ---- messages ----
 
-struct Hello { // the new process, first
-  std::string name, listen;
+// New process, first: it wants to take over.
+struct TakeoverRequest {
+  std::string name;
+  std::string listen;
   std::uint64_t reserved = 0; // see split()
-  bool operator==(const Hello&) const = default;
+  bool operator==(const TakeoverRequest&) const = default;
 };
-struct Welcome {    // the old one's answer, with the listening descriptor beside it
-  std::string list; // as last told, in discovery's form; empty: none was told
-  std::vector<admin_overrides::EndpointOverrides::Known> known;
-  Share share;
-  bool operator==(const Welcome&) const = default;
+// Old process, in response, with the listening descriptor beside it.
+struct TakeoverGrant {
+  std::string list; // the endpoint list in discovery's form, as last told; empty: none was told
+  std::vector<admin_overrides::EndpointOverrides::Override> overrides;
+  Resources resources;
+  bool operator==(const TakeoverGrant&) const = default;
 };
-struct Serving { // the new one takes clients: the old one need not accept any more
-  bool operator==(const Serving&) const = default;
+// New process: it accepts connections, the old one need not any more.
+struct NewProcessReady {
+  bool operator==(const NewProcessReady&) const = default;
 };
-struct Asked { // a ban or a call back, of either while both live
-  admin_overrides::EndpointOverrides::Known what;
-  bool operator==(const Asked&) const = default;
+// Either process: an operator has changed an override.
+struct OverrideChanged {
+  admin_overrides::EndpointOverrides::Override changed;
+  bool operator==(const OverrideChanged&) const = default;
 };
-struct Client { // of the old one, with a connection at rest beside it, and its place
-  std::uint32_t requests = 0;
-  bool operator==(const Client&) const = default;
+// Old process: an idle client connection, its descriptor beside it and its share of the descriptors with it.
+struct PassedConnection {
+  std::uint32_t requests = 0; // that it has had
+  bool operator==(const PassedConnection&) const = default;
 };
-struct Places { // of the old one: it has let so many go, the new one may have them
-  std::uint64_t more = 0;
-  bool operator==(const Places&) const = default;
+// Old process: descriptors that it does not need any more.
+struct ReleasedDescriptors {
+  std::uint64_t count = 0;
+  bool operator==(const ReleasedDescriptors&) const = default;
 };
-using Message = std::variant<Hello, Welcome, Serving, Asked, Client, Places>;
+// The position is the kind of the frame.
+using Message = std::variant<TakeoverRequest, TakeoverGrant, NewProcessReady, OverrideChanged,
+                             PassedConnection, ReleasedDescriptors>;
 
 std::string encode(const Message& message);
 
-// From the front of `bytes`: a message and how many bytes it took; none where more is needed. `fault` is set where what
-// stands there is no frame of this version: nothing after it can be read either.
+// From the front of `bytes`: a message and how many bytes it took; no message where more bytes are needed.
+// `fault` is set where they are no frame of this version: nothing after it can be read either.
 struct Decoded {
   std::optional<Message> message;
   std::size_t used = 0;
--- a/src/router/control_calls.cpp
+++ b/src/router/control_calls.cpp
@@ -21,16 +21,16 @@
 }
 
 std::string ControlCalls::override_endpoint(const std::string& name, bool disable) {
-  using Said = admin_overrides::EndpointOverrides::Said;
+  using Result = admin_overrides::EndpointOverrides::Result;
   admin_overrides::EndpointOverrides& overrides = parts_.endpoints.overrides();
-  const bool was_disabled = overrides.out(name);
-  const Said said = disable ? overrides.take_out(name) : overrides.put_back(loop::now_ms(), name);
-  if (said == Said::NeverListed) return "fail " + name + " was never listed as a cache node\n";
-  if (said == Said::TooMany) return "fail too many cache nodes are out\n";
+  const bool was_disabled = overrides.is_disabled(name);
+  const Result result = disable ? overrides.disable(name) : overrides.enable(loop::now_ms(), name);
+  if (result == Result::UnknownEndpoint) return "fail " + name + " was never listed as a cache node\n";
+  if (result == Result::TooManyDisabled) return "fail too many cache nodes are out\n";
   if (was_disabled != disable) {
     log::line(disable ? "taken-out" : "put-back", {{"node", name}});
     parts_.endpoints.refresh(name);
-    parts_.on_override(overrides.of(name));
+    parts_.on_override(overrides.find(name));
   }
   return "ok\n";
 }
--- a/src/router/control_calls.h
+++ b/src/router/control_calls.h
@@ -17,7 +17,7 @@
   const GracefulShutdown& shutdown;
   EndpointUpdater& endpoints;
   // An operator has changed an override.
-  std::function<void(const admin_overrides::EndpointOverrides::Known&)> on_override;
+  std::function<void(const admin_overrides::EndpointOverrides::Override&)> on_override;
 };
 
 class ControlCalls {
--- a/src/router/endpoint_updater.cpp
+++ b/src/router/endpoint_updater.cpp
@@ -147,8 +147,8 @@
   for (const auto& [id, endpoint] : endpoints) {
     if (is_cache(endpoint.entry)) caches.push_back(endpoint.name);
   }
-  overrides_.list(caches);
-  for (auto& [id, endpoint] : endpoints) endpoint.entry = overrides_.over(endpoint.name, endpoint.entry);
+  overrides_.set_endpoints(caches);
+  for (auto& [id, endpoint] : endpoints) endpoint.entry = overrides_.apply(endpoint.name, endpoint.entry);
   for (fernward::Server& server : list.servers) {
     if (const auto found = endpoints.find(server.id); found != endpoints.end()) server = found->second.entry;
   }
@@ -161,12 +161,12 @@
   const bool listed = found != table_.targets().end();
   const bool cache = listed && is_cache(found->second.entry);
   if (before != nullptr && is_cache(before->entry) && (!cache || found->second.name != before->name)) {
-    overrides_.unlisted(before->name);
+    overrides_.endpoint_removed(before->name);
   }
-  if (cache) overrides_.listed(found->second.name);
+  if (cache) overrides_.endpoint_added(found->second.name);
   if (!listed) return parts_.pool.update(server.id, nullptr);
   endpoints::Endpoint endpoint = found->second;
-  endpoint.entry = overrides_.over(endpoint.name, endpoint.entry);
+  endpoint.entry = overrides_.apply(endpoint.name, endpoint.entry);
   server = endpoint.entry;
   parts_.pool.update(server.id, &endpoint);
 }
--- a/src/router/graceful_shutdown.cpp
+++ b/src/router/graceful_shutdown.cpp
@@ -34,7 +34,7 @@
   const double now_ms = loop::now_ms();
   const double total_ms = longest_client_timeout_ms(config) + kResponseGraceMs;
   parts_.dispatcher.ends_by(now_ms + total_ms - kRejectLeadMs);
-  const bool replaced = hot_restart_ != nullptr && hot_restart_->wind_down();
+  const bool replaced = hot_restart_ != nullptr && hot_restart_->begin_shutdown();
   if (!replaced) schedule_drain(now_ms, total_ms);
   parts_.timers.at(now_ms + total_ms, [this] { stop_loop(); });
 }
@@ -49,7 +49,7 @@
 }
 
 void GracefulShutdown::on_connections_closed() {
-  if (hot_restart_ == nullptr || hot_restart_->idle()) return stop_loop();
+  if (hot_restart_ == nullptr || hot_restart_->is_flushed()) return stop_loop();
   parts_.timers.at(loop::now_ms() + kPassedOnCheckMs, [this] { on_connections_closed(); });
 }
 
--- a/src/router/hot_restart_coordinator.cpp
+++ b/src/router/hot_restart_coordinator.cpp
@@ -12,229 +12,258 @@
 
 namespace fernward::router {
 
-using hot_restart::Channel;
 using hot_restart::Descriptor;
+using hot_restart::ProcessConnection;
 using loop::now_ms;
 
 namespace {
 
-constexpr double kHelloMs = 2000; // for a new process to say who it is
-constexpr double kSpareMs = 50;   // while winding down, places that are free go to the new process this often
-constexpr std::uint64_t kKeptFree = 8; // of them, for attempts that are still to be made
+constexpr double kRequestTimeoutMs = 2000;
+constexpr double kReleasePeriodMs = 50;
+constexpr std::uint64_t kKeptDescriptors = 8; // during shutdown, for attempts that are still to be made
 
 } // namespace
 
 HotRestartCoordinator::HotRestartCoordinator(HotRestartParts parts, HotRestartOptions options,
-                                             hot_restart::Inherited* from)
+                                             hot_restart::Inherited* inherited)
     : parts_(std::move(parts)),
       options_(std::move(options)),
       memory_mb_(options_.memory_mb),
-      had_places_(options_.places),
-      had_memory_mb_(options_.memory_mb) {
-  if (from != nullptr) {
-    const hot_restart::Share& share = from->welcome.share;
-    had_places_ = std::min(share.places, options_.places);
-    had_memory_mb_ = std::min(share.memory_mb, options_.memory_mb);
-    parts_.account.limit(0);
-    memory_mb_ = 0;
-    take(had_places_, had_memory_mb_);
-    before_ = std::make_unique<Channel>(
-        parts_.base, std::move(from->channel),
-        [this](hot_restart::Message message, Descriptor beside) {
-          from_before(std::move(message), std::move(beside));
-        },
-        [this](const std::string& why) { before_ended(why); }, std::move(from->rest));
-    log::line("handover-taken", {{"places", had_places_}, {"memory_mb", had_memory_mb_}});
-  }
-  open_door();
+      inherited_descriptors_(options_.descriptors),
+      inherited_memory_mb_(options_.memory_mb) {
+  if (inherited != nullptr) inherit(*inherited);
+  listen();
 }
 
 HotRestartCoordinator::~HotRestartCoordinator() {
-  for (auto* ticket : {&patience_, &spare_, &clear_}) parts_.deadlines.cancel(*ticket);
+  for (auto* timer : {&request_timer_, &release_timer_, &disconnect_timer_}) parts_.timers.cancel(*timer);
 }
 
-void HotRestartCoordinator::open_door() {
-  door_.reset();
+void HotRestartCoordinator::listen() {
+  restart_listener_.reset();
   if (options_.path.empty()) return;
   try {
-    door_ = std::make_unique<hot_restart::Door>(parts_.base, options_.path,
-                                                [this](Descriptor socket) { came(std::move(socket)); });
+    restart_listener_ = std::make_unique<hot_restart::RestartListener>(
+        parts_.base, options_.path, [this](Descriptor socket) { on_connect(std::move(socket)); });
   } catch (const std::runtime_error& fault) {
-    // This process serves all the same; the next one shares the port.
+    // A new process then listens on the same port beside this one.
     log::line("handover-off", {{"why", fault.what()}});
   }
 }
 
-std::uint64_t HotRestartCoordinator::used() const {
-  return parts_.account.used(descriptors::Side::Clients) + parts_.account.used(descriptors::Side::Targets);
+std::uint64_t HotRestartCoordinator::used_descriptors() const {
+  return parts_.descriptors.used(descriptors::Side::Clients) +
+         parts_.descriptors.used(descriptors::Side::Targets);
 }
 
-// More places, and more memory.
-void HotRestartCoordinator::take(std::uint64_t places, std::uint64_t memory_mb) {
-  parts_.account.limit(parts_.account.total() + places);
+void HotRestartCoordinator::add_resources(std::uint64_t descriptors, std::uint64_t memory_mb) {
+  parts_.descriptors.limit(parts_.descriptors.total() + descriptors);
   if (memory_mb == 0) return;
   memory_mb_ += memory_mb;
-  parts_.buffers.limit(config::buffer_bytes(memory_mb_));
-  parts_.bytes.limit(config::body_bytes(memory_mb_));
+  parts_.request_buffers.limit(config::buffer_bytes(memory_mb_));
+  parts_.buffer_budget.limit(config::body_bytes(memory_mb_));
 }
 
 // ---- the old process ----
 
-void HotRestartCoordinator::came(Descriptor socket) {
-  if ((next_ != nullptr && !next_->ended()) || winding_down_) {
-    return log::line("handover-refused", {{"why", winding_down_ ? "winding down" : "one is under way"}});
+void HotRestartCoordinator::on_connect(Descriptor socket) {
+  if (is_connected() || shutting_down_) {
+    return log::line("handover-refused", {{"why", shutting_down_ ? "winding down" : "one is under way"}});
   }
-  parts_.deadlines.cancel(clear_);
-  welcomed_ = serving_ = false;
-  next_ = std::make_unique<Channel>(
+  parts_.timers.cancel(disconnect_timer_);
+  new_state_ = NewProcess::Connected;
+  new_process_ = std::make_unique<ProcessConnection>(
       parts_.base, std::move(socket),
-      [this](hot_restart::Message message, Descriptor beside) {
-        from_next(std::move(message), std::move(beside));
-      },
-      [this](const std::string& why) { next_ended(why); });
-  parts_.deadlines.cancel(patience_);
-  patience_ = parts_.deadlines.at(now_ms() + kHelloMs, [this] {
-    patience_ = 0;
-    if (!welcomed_) next_.reset();
+      [this](hot_restart::Message message, const Descriptor&) { on_new_process_message(std::move(message)); },
+      [this](const std::string& fault) { on_new_process_closed(fault); });
+  parts_.timers.cancel(request_timer_);
+  request_timer_ = parts_.timers.at(now_ms() + kRequestTimeoutMs, [this] {
+    request_timer_ = 0;
+    if (!is_granted()) disconnect();
   });
 }
 
-// Not at once: the caller is the channel's own.
-void HotRestartCoordinator::drop_next() {
-  parts_.deadlines.cancel(clear_);
-  clear_ = parts_.deadlines.at(now_ms(), [this] {
-    clear_ = 0;
-    next_.reset();
+// Not at once: the caller is the connection's own.
+void HotRestartCoordinator::disconnect_later() {
+  parts_.timers.cancel(disconnect_timer_);
+  disconnect_timer_ = parts_.timers.at(now_ms(), [this] {
+    disconnect_timer_ = 0;
+    disconnect();
   });
 }
 
-void HotRestartCoordinator::from_next(hot_restart::Message message, Descriptor) {
-  if (const auto* hello = std::get_if<hot_restart::Hello>(&message)) {
-    if (!welcomed_) welcome(*hello);
-  } else if (!welcomed_) {
-    drop_next();
-  } else if (std::holds_alternative<hot_restart::Serving>(message)) {
-    serving_ = true;
-    if (winding_down_) return;
-    parts_.listener.hold(true); // both accept from one queue: it is all the new one's now
-    log::line("handover-serving", {{"name", options_.name}});
-  } else if (const auto* asked = std::get_if<hot_restart::Asked>(&message)) {
-    adopt(asked->what);
+void HotRestartCoordinator::disconnect() {
+  new_process_.reset();
+  new_state_ = NewProcess::None;
+}
+
+void HotRestartCoordinator::on_new_process_message(hot_restart::Message message) {
+  if (const auto* request = std::get_if<hot_restart::TakeoverRequest>(&message)) {
+    if (!is_granted()) grant(*request);
+  } else if (!is_granted()) {
+    disconnect_later();
+  } else if (std::holds_alternative<hot_restart::NewProcessReady>(message)) {
+    on_new_process_ready();
+  } else if (const auto* override_change = std::get_if<hot_restart::OverrideChanged>(&message)) {
+    adopt(override_change->changed);
   }
 }
 
-void HotRestartCoordinator::welcome(const hot_restart::Hello& hello) {
+void HotRestartCoordinator::grant(const hot_restart::TakeoverRequest& request) {
   const int listening = parts_.listener.listening();
-  Descriptor beside(listening < 0 ? -1 : fcntl(listening, F_DUPFD_CLOEXEC, 0));
-  if (hello.listen != options_.listen || !beside) {
+  Descriptor descriptor(listening < 0 ? -1 : fcntl(listening, F_DUPFD_CLOEXEC, 0));
+  if (request.listen != options_.listen || !descriptor) {
     log::line("handover-refused",
-              {{"why", beside ? "another address: " + hello.listen : std::strerror(errno)}});
-    return drop_next();
+              {{"why", descriptor ? "another address: " + request.listen : std::strerror(errno)}});
+    return disconnect_later();
   }
-  const hot_restart::Share whole{parts_.account.total(), memory_mb_};
-  const hot_restart::Split shares = hot_restart::split(whole, used(), hello.reserved);
-  given_places_ = whole.places - shares.old.places;
-  given_memory_mb_ = shares.next.memory_mb;
-  parts_.account.limit(shares.old.places);
-  memory_mb_ = 0;
-  take(0, shares.old.memory_mb);
-  while (used() > shares.old.places && parts_.pool.let_go("handover")) {}
-  welcomed_ = true;
+  const hot_restart::Resources share = share_resources(request.reserved);
+  new_state_ = NewProcess::Granted;
   const std::string list = parts_.table.index() == 0 ? "" : parts_.table.told();
-  next_->send(hot_restart::Welcome{list, parts_.bans.all(), shares.next}, std::move(beside));
+  new_process_->send(hot_restart::TakeoverGrant{list, parts_.overrides.snapshot(), share},
+                     std::move(descriptor));
   log::line("handover-welcome",
-            {{"name", hello.name}, {"places", shares.next.places}, {"kept", shares.old.places}});
-}
-
-void HotRestartCoordinator::next_ended(const std::string& why) {
-  const bool welcomed = std::exchange(welcomed_, false);
-  serving_ = false;
-  drop_next();
-  if (!why.empty()) log::line("handover-damaged", {{"why", why}});
-  if (winding_down_) return parts_.listener.pass_no_more();
-  if (!welcomed) return;
-  log::line("handover-given-up",
-            {{"name", options_.name}}); // it died: this process serves on, with all there is
-  take(std::exchange(given_places_, 0), std::exchange(given_memory_mb_, 0));
+            {{"name", request.name}, {"places", share.descriptors}, {"kept", parts_.descriptors.total()}});
+}
+
+// The new process's share; this one keeps the rest, and closes idle connections that do not fit into it.
+hot_restart::Resources HotRestartCoordinator::share_resources(std::uint64_t reserved) {
+  const hot_restart::Resources total{parts_.descriptors.total(), memory_mb_};
+  const hot_restart::ResourceSplit shares = hot_restart::split(total, used_descriptors(), reserved);
+  granted_descriptors_ = total.descriptors - shares.old_process.descriptors;
+  granted_memory_mb_ = shares.new_process.memory_mb;
+  parts_.descriptors.limit(shares.old_process.descriptors);
+  memory_mb_ = 0;
+  add_resources(0, shares.old_process.memory_mb);
+  while (used_descriptors() > shares.old_process.descriptors && parts_.pool.let_go("handover")) {}
+  return shares.new_process;
+}
+
+// Both processes accept from one queue: all that comes is the new one's from now on.
+void HotRestartCoordinator::on_new_process_ready() {
+  new_state_ = NewProcess::Ready;
+  if (shutting_down_) return;
+  parts_.listener.hold(true);
+  log::line("handover-serving", {{"name", options_.name}});
+}
+
+void HotRestartCoordinator::on_new_process_closed(const std::string& fault) {
+  const bool was_granted = is_granted();
+  new_state_ = NewProcess::None;
+  disconnect_later();
+  if (!fault.empty()) log::line("handover-damaged", {{"why", fault}});
+  if (shutting_down_) return parts_.listener.pass_no_more();
+  if (!was_granted) return;
+  log::line("handover-given-up", {{"name", options_.name}});
+  add_resources(std::exchange(granted_descriptors_, 0), std::exchange(granted_memory_mb_, 0));
   parts_.listener.hold(false);
-  open_door(); // the path was the other's
+  listen(); // the new process had taken the path
 }
 
-bool HotRestartCoordinator::wind_down() {
-  // The signal may be seen before what the new one said first.
-  if (next_ != nullptr && !next_->ended()) next_->look();
-  winding_down_ = true;
-  door_.reset();
-  if (!replaced()) return false;
+bool HotRestartCoordinator::begin_shutdown() {
+  // SIGTERM may be handled before NewProcessReady, which was sent first.
+  if (is_connected()) new_process_->read_now();
+  shutting_down_ = true;
+  restart_listener_.reset();
+  if (!has_ready_new_process()) return false;
+  pass_connections();
+  return true;
+}
+
+void HotRestartCoordinator::pass_connections() {
   log::line("handover-passes", {{"name", options_.name}, {"connections", parts_.listener.connections()}});
-  give_spare();
-  parts_.listener.hand_over([this](int fd, unsigned requests) {
-    if (!replaced()) return false;
-    next_->send(hot_restart::Client{requests}, Descriptor(fd));
-    parts_.account.limit(parts_.account.total() -
-                         std::min<std::size_t>(1, parts_.account.total())); // its place goes along
-    return true;
-  });
+  release_descriptors();
+  parts_.listener.hand_over([this](int fd, unsigned requests) { return pass_connection(fd, requests); });
+}
+
+bool HotRestartCoordinator::pass_connection(int fd, unsigned requests) {
+  if (!has_ready_new_process()) return false;
+  new_process_->send(hot_restart::PassedConnection{requests}, Descriptor(fd));
+  // Its place in the budget goes along.
+  const std::size_t total = parts_.descriptors.total();
+  parts_.descriptors.limit(total - std::min<std::size_t>(1, total));
   return true;
 }
 
-void HotRestartCoordinator::give_spare() {
-  if (!replaced()) return;
-  const std::uint64_t total = parts_.account.total(), needed = used() + kKeptFree;
+void HotRestartCoordinator::release_descriptors() {
+  if (!has_ready_new_process()) return;
+  const std::uint64_t total = parts_.descriptors.total();
+  const std::uint64_t needed = used_descriptors() + kKeptDescriptors;
   if (total > needed) {
-    parts_.account.limit(needed);
-    next_->send(hot_restart::Places{total - needed});
+    parts_.descriptors.limit(needed);
+    new_process_->send(hot_restart::ReleasedDescriptors{total - needed});
   }
-  spare_ = parts_.deadlines.at(now_ms() + kSpareMs, [this] {
-    spare_ = 0;
-    give_spare();
+  release_timer_ = parts_.timers.at(now_ms() + kReleasePeriodMs, [this] {
+    release_timer_ = 0;
+    release_descriptors();
   });
 }
 
-bool HotRestartCoordinator::idle() const { return next_ == nullptr || next_->ended() || next_->idle(); }
+bool HotRestartCoordinator::is_flushed() const { return !is_connected() || new_process_->is_flushed(); }
 
 // ---- the new process ----
 
-void HotRestartCoordinator::began() {
-  if (told_ || !replaces() || !parts_.serves()) return;
-  told_ = true;
-  before_->send(hot_restart::Serving{});
+void HotRestartCoordinator::inherit(hot_restart::Inherited& inherited) {
+  const hot_restart::Resources& share = inherited.grant.resources;
+  inherited_descriptors_ = std::min(share.descriptors, options_.descriptors);
+  inherited_memory_mb_ = std::min(share.memory_mb, options_.memory_mb);
+  parts_.descriptors.limit(0);
+  memory_mb_ = 0;
+  add_resources(inherited_descriptors_, inherited_memory_mb_);
+  old_process_ = std::make_unique<ProcessConnection>(
+      parts_.base, std::move(inherited.connection),
+      [this](hot_restart::Message message, Descriptor descriptor) {
+        on_old_process_message(std::move(message), std::move(descriptor));
+      },
+      [this](const std::string& fault) { on_old_process_closed(fault); }, std::move(inherited.reader));
+  log::line("handover-taken", {{"places", inherited_descriptors_}, {"memory_mb", inherited_memory_mb_}});
 }
 
-void HotRestartCoordinator::from_before(hot_restart::Message message, Descriptor beside) {
-  if (const auto* client = std::get_if<hot_restart::Client>(&message)) {
-    // Of a process with a larger limit more may come than this one has places for: its own limit holds.
-    if (had_places_ < options_.places) {
-      ++had_places_;
-      take(1, 0);
+void HotRestartCoordinator::on_endpoints_updated() {
+  if (ready_sent_ || !has_old_process() || !parts_.ready()) return;
+  ready_sent_ = true;
+  old_process_->send(hot_restart::NewProcessReady{});
+}
+
+void HotRestartCoordinator::on_old_process_message(hot_restart::Message message, Descriptor descriptor) {
+  if (const auto* connection = std::get_if<hot_restart::PassedConnection>(&message)) {
+    // An old process with a higher limit may pass more than this one has descriptors for: its own limit
+    // holds.
+    if (inherited_descriptors_ < options_.descriptors) {
+      ++inherited_descriptors_;
+      add_resources(1, 0);
     }
-    parts_.listener.adopt(beside.release(), client->requests);
-  } else if (const auto* places = std::get_if<hot_restart::Places>(&message)) {
-    const std::uint64_t more =
-        std::min(places->more, options_.places - std::min(options_.places, had_places_));
-    had_places_ += more;
-    take(more, 0);
-  } else if (const auto* asked = std::get_if<hot_restart::Asked>(&message)) {
-    adopt(asked->what);
+    parts_.listener.adopt(descriptor.release(), connection->requests);
+  } else if (const auto* released = std::get_if<hot_restart::ReleasedDescriptors>(&message)) {
+    const std::uint64_t missing =
+        options_.descriptors - std::min(options_.descriptors, inherited_descriptors_);
+    const std::uint64_t added = std::min(released->count, missing);
+    inherited_descriptors_ += added;
+    add_resources(added, 0);
+  } else if (const auto* override_change = std::get_if<hot_restart::OverrideChanged>(&message)) {
+    adopt(override_change->changed);
   }
 }
 
-void HotRestartCoordinator::before_ended(const std::string& why) {
-  if (!why.empty()) log::line("handover-damaged", {{"why", why}});
+void HotRestartCoordinator::on_old_process_closed(const std::string& fault) {
+  if (!fault.empty()) log::line("handover-damaged", {{"why", fault}});
   log::line("handover-done", {{"name", options_.name}});
-  take(options_.places - std::min(options_.places, std::exchange(had_places_, options_.places)),
-       options_.memory_mb - std::exchange(had_memory_mb_, options_.memory_mb));
+  const std::uint64_t had_descriptors = std::exchange(inherited_descriptors_, options_.descriptors);
+  const std::uint64_t had_memory_mb = std::exchange(inherited_memory_mb_, options_.memory_mb);
+  add_resources(options_.descriptors - std::min(options_.descriptors, had_descriptors),
+                options_.memory_mb - had_memory_mb);
 }
 
-// What the operators asked of the other process holds here too.
-void HotRestartCoordinator::adopt(const admin_overrides::EndpointOverrides::Known& what) {
-  parts_.bans.adopt(what);
-  parts_.relist(what.name);
+// ---- both ----
+
+void HotRestartCoordinator::adopt(const admin_overrides::EndpointOverrides::Override& changed) {
+  parts_.overrides.adopt(changed);
+  parts_.refresh_endpoint(changed.name);
 }
 
-void HotRestartCoordinator::asked(const admin_overrides::EndpointOverrides::Known& what) {
-  if (replaces()) before_->send(hot_restart::Asked{what});
-  if (next_ != nullptr && !next_->ended() && welcomed_) next_->send(hot_restart::Asked{what});
+void HotRestartCoordinator::on_override(const admin_overrides::EndpointOverrides::Override& changed) {
+  if (has_old_process()) old_process_->send(hot_restart::OverrideChanged{changed});
+  if (is_connected() && is_granted()) new_process_->send(hot_restart::OverrideChanged{changed});
 }
 
 } // namespace fernward::router
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -50,13 +50,13 @@
       shutdown_({base_, timers_, dispatcher_, listener_}),
       reload_({config_, dispatcher_, listener_, figures_, endpoints_}),
       stats_({timers_, figures_, dispatcher_, endpoints_}),
-      control_calls_({figures_, shutdown_, endpoints_, [this](const auto& known) {
-                        if (hot_restart_ != nullptr) hot_restart_->asked(known);
+      control_calls_({figures_, shutdown_, endpoints_, [this](const auto& changed) {
+                        if (hot_restart_ != nullptr) hot_restart_->on_override(changed);
                       }}) {
   dispatcher_.attach(listener_, pool_);
   dispatcher_.before_bursts([this] { endpoints_.poll_discovery(); });
   endpoints_.on_updated([this] {
-    if (hot_restart_ != nullptr) hot_restart_->began();
+    if (hot_restart_ != nullptr) hot_restart_->on_endpoints_updated();
   });
   if (config_.movable) apply_log_rules(config_.log);
   load_first_list(inherited);
@@ -78,9 +78,9 @@
 }
 
 void Router::load_first_list(hot_restart::Inherited* inherited) {
-  if (inherited != nullptr) endpoints_.overrides().adopt(inherited->welcome.known);
-  const bool with_list = inherited != nullptr && !inherited->welcome.list.empty();
-  if (with_list) config_.known = config::parse_json(inherited->welcome.list);
+  if (inherited != nullptr) endpoints_.overrides().adopt(inherited->grant.overrides);
+  const bool with_list = inherited != nullptr && !inherited->grant.list.empty();
+  if (with_list) config_.known = config::parse_json(inherited->grant.list);
   endpoints_.load_first_list(with_list);
 }
 
@@ -104,7 +104,7 @@
                         [this] { return ready(); }};
   hot_restart_ = std::make_unique<HotRestartCoordinator>(std::move(parts), std::move(options), inherited);
   shutdown_.set_hot_restart(hot_restart_.get());
-  hot_restart_->began();
+  hot_restart_->on_endpoints_updated();
 }
 
 void Router::start_control() {
@@ -152,10 +152,10 @@
 
 std::optional<hot_restart::Inherited> inherit(const config::Config& config) {
   if (config.handover.empty()) return std::nullopt;
-  const hot_restart::Hello hello{config.name, config.listen, reserved_descriptors(config)};
-  std::string why;
-  auto inherited = hot_restart::ask(config.handover, hello, kInheritTimeoutMs, why);
-  if (!why.empty()) log::line("handover-fails", {{"why", why}}); // it listens beside the old process then
+  const hot_restart::TakeoverRequest request{config.name, config.listen, reserved_descriptors(config)};
+  std::string fault;
+  auto inherited = hot_restart::request_takeover(config.handover, request, kInheritTimeoutMs, fault);
+  if (!fault.empty()) log::line("handover-fails", {{"why", fault}}); // it listens beside the old process then
   return inherited;
 }
 
--- a/src/router/stats_reporter.cpp
+++ b/src/router/stats_reporter.cpp
@@ -104,7 +104,7 @@
   for (const auto& [id, endpoint] : parts_.endpoints.table().targets()) {
     if (!parts_.endpoints.is_cache(endpoint.entry)) continue;
     count += endpoint.entry.state != fernward::ServerState::Ready ||
-             parts_.endpoints.overrides().out(endpoint.name) || parts_.dispatcher.avoids(id);
+             parts_.endpoints.overrides().is_disabled(endpoint.name) || parts_.dispatcher.avoids(id);
   }
   return count;
 }
--- a/tests/admin_overrides/endpoint_overrides_test.cpp
+++ b/tests/admin_overrides/endpoint_overrides_test.cpp
@@ -1,4 +1,4 @@
-// Bans by hand: cases, and the module under random lists, bans and time.
+// Endpoint overrides: cases, and the balancer under random lists, overrides and time.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -12,7 +12,7 @@
 
 using namespace fernward;
 using admin_overrides::EndpointOverrides;
-using Said = EndpointOverrides::Said;
+using Result = EndpointOverrides::Result;
 
 namespace {
 
@@ -26,87 +26,90 @@
 
 } // namespace
 
-TEST_CASE("a node that is out reads as one that drains, and as one just started once it is back") {
-  EndpointOverrides bans;
-  bans.list({"a", "b"});
-  CHECK(bans.take_out("a") == Said::Yes);
-  CHECK(bans.take_out("a") == Said::Yes);
-  CHECK(bans.over("a", server()).state == ServerState::Draining);
-  CHECK(bans.over("b", server()).state == ServerState::Ready);
-  CHECK(bans.put_back(500, "a") == Said::Yes); // one call ends it, however often it was taken out
-  CHECK(bans.over("a", server()).state == ServerState::Ready);
-  CHECK(bans.over("a", server(100)).started_at == 500);
-  CHECK(bans.over("a", server(900)).started_at == 900); // the list knows of a later start
-  CHECK(bans.put_back(800, "a") == Said::Yes);
-  CHECK(bans.over("a", server()).started_at == 500); // it was not out: nothing is new about it
-  CHECK(bans.put_back(800, "b") == Said::Yes);
-  CHECK(bans.over("b", server()).started_at == 0);
+TEST_CASE("a disabled cache reads as draining, and as just started once it is enabled") {
+  EndpointOverrides overrides;
+  overrides.set_endpoints({"a", "b"});
+  CHECK(overrides.disable("a") == Result::Done);
+  CHECK(overrides.disable("a") == Result::Done);
+  CHECK(overrides.apply("a", server()).state == ServerState::Draining);
+  CHECK(overrides.apply("b", server()).state == ServerState::Ready);
+  CHECK(overrides.enable(500, "a") == Result::Done); // one call ends it, however often it was taken out
+  CHECK(overrides.apply("a", server()).state == ServerState::Ready);
+  CHECK(overrides.apply("a", server(100)).started_at == 500);
+  CHECK(overrides.apply("a", server(900)).started_at == 900); // the list knows of a later start
+  CHECK(overrides.enable(800, "a") == Result::Done);
+  CHECK(overrides.apply("a", server()).started_at == 500); // it was not out: nothing is new about it
+  CHECK(overrides.enable(800, "b") == Result::Done);
+  CHECK(overrides.apply("b", server()).started_at == 0);
 }
 
-TEST_CASE("a ban lasts while the id leaves the list and comes back, and hides no drain of the list's own") {
-  EndpointOverrides bans;
-  bans.list({"a"});
-  bans.take_out("a");
-  bans.list({});
-  bans.list({"a", "b"});
-  CHECK(bans.over("a", server()).state == ServerState::Draining);
-  CHECK(bans.put_back(5, "a") == Said::Yes);
-  CHECK(bans.over("a", server(0, ServerState::Draining)).state == ServerState::Draining);
-  CHECK(bans.over("a", server(0, ServerState::Gone)).state == ServerState::Gone);
+TEST_CASE(
+    "an override lasts while the id leaves the list and comes back, and hides no drain of the list's own") {
+  EndpointOverrides overrides;
+  overrides.set_endpoints({"a"});
+  overrides.disable("a");
+  overrides.set_endpoints({});
+  overrides.set_endpoints({"a", "b"});
+  CHECK(overrides.apply("a", server()).state == ServerState::Draining);
+  CHECK(overrides.enable(5, "a") == Result::Done);
+  CHECK(overrides.apply("a", server(0, ServerState::Draining)).state == ServerState::Draining);
+  CHECK(overrides.apply("a", server(0, ServerState::Gone)).state == ServerState::Gone);
 }
 
-TEST_CASE("a drain that is told while a node is out by hand counts then and when it is put back") {
-  EndpointOverrides bans;
-  bans.list({"a", "b"});
-  bans.take_out("a");
+TEST_CASE("a drain that is told while a cache is disabled counts then and when it is enabled") {
+  EndpointOverrides overrides;
+  overrides.set_endpoints({"a", "b"});
+  overrides.disable("a");
   for (const ServerState told : {ServerState::Draining, ServerState::Gone}) {
-    CHECK(bans.over("a", server(0, told)).state == told);
+    CHECK(overrides.apply("a", server(0, told)).state == told);
   }
-  CHECK(bans.put_back(5, "a") == Said::Yes);
-  CHECK(bans.over("a", server(0, ServerState::Draining)).state == ServerState::Draining);
-  CHECK(bans.take_out("a") == Said::Yes); // and the other way round: out again while it drains
-  CHECK(bans.over("a", server(0, ServerState::Draining)).state == ServerState::Draining);
-  CHECK(bans.over("a", server()).state == ServerState::Draining); // the drain is taken back, the ban is not
-  CHECK(bans.put_back(9, "a") == Said::Yes);
-  CHECK(bans.over("a", server()).state == ServerState::Ready);
+  CHECK(overrides.enable(5, "a") == Result::Done);
+  CHECK(overrides.apply("a", server(0, ServerState::Draining)).state == ServerState::Draining);
+  CHECK(overrides.disable("a") == Result::Done); // and the other way round: out again while it drains
+  CHECK(overrides.apply("a", server(0, ServerState::Draining)).state == ServerState::Draining);
+  CHECK(overrides.apply("a", server()).state ==
+        ServerState::Draining); // the drain is taken back, the override is not
+  CHECK(overrides.enable(9, "a") == Result::Done);
+  CHECK(overrides.apply("a", server()).state == ServerState::Ready);
 }
 
 TEST_CASE("an id that was never listed gets a no, one that has gone is remembered, and not without bound") {
-  EndpointOverrides bans({3, 2});
-  CHECK(bans.take_out("x") == Said::NeverListed);
-  CHECK(bans.put_back(1, "x") == Said::NeverListed);
-  bans.list({"kept"});
-  bans.take_out("kept");
-  for (int i = 0; i < 100; ++i) bans.list({"n" + std::to_string(i)});
-  CHECK(bans.known() == 5); // one listed, three gone, one out
-  CHECK(bans.take_out("n98") == Said::Yes);
-  CHECK(bans.take_out("n0") == Said::NeverListed);
-  CHECK(bans.out("kept")); // what is out is never forgotten
-  CHECK(bans.take_out("n99") == Said::TooMany);
-  CHECK(bans.put_back(1, "kept") == Said::Yes);
-  CHECK(bans.take_out("n99") == Said::Yes);
+  EndpointOverrides overrides({3, 2});
+  CHECK(overrides.disable("x") == Result::UnknownEndpoint);
+  CHECK(overrides.enable(1, "x") == Result::UnknownEndpoint);
+  overrides.set_endpoints({"kept"});
+  overrides.disable("kept");
+  for (int i = 0; i < 100; ++i) overrides.set_endpoints({"n" + std::to_string(i)});
+  CHECK(overrides.size() == 5); // one listed, three gone, one out
+  CHECK(overrides.disable("n98") == Result::Done);
+  CHECK(overrides.disable("n0") == Result::UnknownEndpoint);
+  CHECK(overrides.is_disabled("kept")); // what is out is never forgotten
+  CHECK(overrides.disable("n99") == Result::TooManyDisabled);
+  CHECK(overrides.enable(1, "kept") == Result::Done);
+  CHECK(overrides.disable("n99") == Result::Done);
 }
 
 TEST_CASE("another process goes on with all of it") {
   EndpointOverrides old;
-  old.list({"a", "b", "c"});
-  old.take_out("a");
-  old.take_out("b");
-  old.put_back(70, "b");
-  old.list({"b"});
+  old.set_endpoints({"a", "b", "c"});
+  old.disable("a");
+  old.disable("b");
+  old.enable(70, "b");
+  old.set_endpoints({"b"});
   EndpointOverrides next;
-  next.list({"b", "d"});
-  next.adopt(old.all());
-  CHECK(next.out("a"));
-  CHECK(next.over("b", server()).started_at == 70);
-  CHECK(next.take_out("c") == Said::Yes);
-  CHECK(next.take_out("d") == Said::Yes);
-  next.adopt(EndpointOverrides::Known{"d", false, 90}); // asked of the other process
-  CHECK_FALSE(next.out("d"));
+  next.set_endpoints({"b", "d"});
+  next.adopt(old.snapshot());
+  CHECK(next.is_disabled("a"));
+  CHECK(next.apply("b", server()).started_at == 70);
+  CHECK(next.disable("c") == Result::Done);
+  CHECK(next.disable("d") == Result::Done);
+  next.adopt(EndpointOverrides::Override{"d", false, 90}); // asked of the other process
+  CHECK_FALSE(next.is_disabled("d"));
 }
 
 TEST_CASE(
-    "random lists, bans and time: the module sends nothing to a node that is out, and soon works with it "
+    "random lists, overrides and time: the balancer sends nothing to a disabled cache, and soon works with "
+    "it "
     "again") {
   CHECK(rc::check([] {
     const auto names = std::vector<std::string>{"a", "b", "c", "d", "e"};
@@ -119,8 +122,8 @@
     settings.load_report_fields = {LoadReportField::Queue, LoadReportField::LatencyMs};
     settings.slow_start_ms = 3000;
     settings.slow_start_min_capacity = 0.3;
-    Balancer module(settings, 1 + *rc::gen::arbitrary<std::uint32_t>());
-    EndpointOverrides bans;
+    Balancer balancer(settings, 1 + *rc::gen::arbitrary<std::uint32_t>());
+    EndpointOverrides overrides;
     double now = 1e9;
     std::map<std::string, Server> listed;
     std::uint64_t ids = 0;
@@ -140,7 +143,7 @@
           request.id = ++ids;
           request.key = ids * 0x9e3779b97f4a7c15ull;
           request.deadline = now + 1000;
-          module.on_event(now, request, actions);
+          balancer.on_event(now, request, actions);
           next = now + 4;
         }
         while (!out.empty() && out.front().at + 30 <= now) {
@@ -153,7 +156,7 @@
           told.elapsed_ms = now - ended.at;
           told.request_ended = true;
           told.load_report = {static_cast<float>(ids % 3), 30};
-          module.on_event(now, told, actions);
+          balancer.on_event(now, told, actions);
         }
         for (const Action& action : actions) {
           const auto* send = std::get_if<Send>(&action);
@@ -167,10 +170,10 @@
       std::vector<std::string> now_listed;
       EndpointList list;
       for (const auto& [name, entry] : listed) now_listed.push_back(name);
-      bans.list(now_listed);
-      for (const auto& [name, entry] : listed) list.servers.push_back(bans.over(name, entry));
+      overrides.set_endpoints(now_listed);
+      for (const auto& [name, entry] : listed) list.servers.push_back(overrides.apply(name, entry));
       std::vector<Action> actions;
-      module.on_event(now, list, actions);
+      balancer.on_event(now, list, actions);
     };
     for (const auto& name : names) {
       Server s;
@@ -181,8 +184,8 @@
     for (int step = 0; step < 20; ++step) {
       const std::string name = *rc::gen::elementOf(names);
       switch (*rc::gen::inRange(0, 5)) {
-        case 0: bans.take_out(name); break;
-        case 1: bans.put_back(now, name); break;
+        case 0: overrides.disable(name); break;
+        case 1: overrides.enable(now, name); break;
         case 2: listed.erase(name); break;
         case 3: {
           Server s;
@@ -197,14 +200,14 @@
       std::map<ServerId, int> sent;
       play(now + *rc::gen::inRange(1, 400), sent);
       for (const auto& n : names) {
-        if (bans.out(n) || listed.count(n) == 0) RC_ASSERT(sent[id_of(n)] == 0);
+        if (overrides.is_disabled(n) || listed.count(n) == 0) RC_ASSERT(sent[id_of(n)] == 0);
       }
     }
     for (const auto& name : names) { // all are called back, and all get work
       Server s;
       s.id = id_of(name);
       listed[name] = s;
-      bans.put_back(now, name);
+      overrides.enable(now, name);
     }
     tell();
     std::map<ServerId, int> sent;
--- a/tests/control/port_test.cpp
+++ b/tests/control/port_test.cpp
@@ -49,7 +49,7 @@
   CHECK(w.call("enable-server s-1") == "ok\n");
   CHECK(w.ask(40) >= 20); // a burst of them is shed in part
   CHECK(w.one.seen.size() > before);
-  CHECK(w.router->overrides().known() == 2);
+  CHECK(w.router->overrides().size() == 2);
 }
 
 TEST_CASE("a request that waits for its connection is not written to a node taken out meanwhile") {
@@ -90,7 +90,7 @@
   CHECK(told("ready ready\n").starts_with("fail "));
   CHECK(told("ready\nready\n").starts_with("fail "));
   CHECK(told("disable-server s-1", true).starts_with("fail ")); // half a call is none
-  CHECK_FALSE(w.router->overrides().out("s-1"));
+  CHECK_FALSE(w.router->overrides().is_disabled("s-1"));
   CHECK(told(std::string(300, 'x')).starts_with("fail "));
   CHECK(told("", true) == "");
   const double begun = loop::now_ms();
--- a/tests/hot_restart/replace_test.cpp
+++ b/tests/hot_restart/replace_test.cpp
@@ -307,9 +307,11 @@
   SUBCASE("silence") { why = "no answer in time"; }
   SUBCASE("its end") { ends = true, why = "it "; } // ended, or did not take the question: as it comes
   SUBCASE("noise") { word = "HTTP/1.1 400 Bad Request\r\n\r\n", why = "no frame"; }
-  SUBCASE("another message") { word = hot_restart::encode(hot_restart::Serving{}), why = "not a welcome"; }
+  SUBCASE("another message") {
+    word = hot_restart::encode(hot_restart::NewProcessReady{}), why = "not a welcome";
+  }
   SUBCASE("a welcome without its descriptor") {
-    word = hot_restart::encode(hot_restart::Welcome{}), why = "no descriptor";
+    word = hot_restart::encode(hot_restart::TakeoverGrant{}), why = "no descriptor";
   }
   const Impostor impostor(line.base.get(), line.door, word, ends);
   Program& program = line.start();
@@ -334,12 +336,13 @@
     CHECK(recv(fd, bytes, sizeof bytes, MSG_DONTWAIT) == 0); // ended, without a word
     close(fd);
   };
-  std::string other = hot_restart::encode(hot_restart::Hello{"n1", "127.0.0.1:" + std::to_string(line.port), 28});
+  std::string other =
+      hot_restart::encode(hot_restart::TakeoverRequest{"n1", "127.0.0.1:" + std::to_string(line.port), 28});
   other[4] = 9; // a version to come
   knock(other);
   knock("GET / HTTP/1.1\r\n\r\n");
-  knock(hot_restart::encode(hot_restart::Hello{"n1", "127.0.0.1:1", 28}));
-  knock(hot_restart::encode(hot_restart::Serving{}));
+  knock(hot_restart::encode(hot_restart::TakeoverRequest{"n1", "127.0.0.1:1", 28}));
+  knock(hot_restart::encode(hot_restart::NewProcessReady{}));
   CHECK(program.says("handover-refused why=\"another address"));
   Client client(line.base.get(), line.port);
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
--- a/tests/hot_restart/state_test.cpp
+++ b/tests/hot_restart/state_test.cpp
@@ -3,6 +3,7 @@
 #include <rapidcheck.h>
 
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "hot_restart/state.h"
@@ -12,12 +13,27 @@
 namespace {
 
 std::vector<Message> all() {
-  Welcome welcome;
-  welcome.list = R"({"index":4,"snapshot":true,"endpoints":[]})";
-  welcome.known = {{"s-1", true, 0}, {"s-2", false, 1.5e12}};
-  welcome.share = {120, 24};
-  return {Hello{"n1", "127.0.0.1:7070", 28}, welcome,    Serving{},
-          Asked{{"s-3", true, 7}},           Client{12}, Places{3}};
+  TakeoverGrant grant;
+  grant.list = R"({"index":4,"snapshot":true,"endpoints":[]})";
+  grant.overrides = {{"s-1", true, 0}, {"s-2", false, 1.5e12}};
+  grant.resources = {120, 24};
+  return {TakeoverRequest{"n1", "127.0.0.1:7070", 28},
+          grant,
+          NewProcessReady{},
+          OverrideChanged{{"s-3", true, 7}},
+          PassedConnection{12},
+          ReleasedDescriptors{3}};
+}
+
+std::string hex(const std::string& bytes) {
+  constexpr std::string_view kDigits = "0123456789abcdef";
+  std::string out;
+  for (const char c : bytes) {
+    const auto byte = static_cast<unsigned char>(c);
+    out += kDigits[byte >> 4];
+    out += kDigits[byte & 15];
+  }
+  return out;
 }
 
 } // namespace
@@ -34,6 +50,24 @@
   CHECK(text.empty());
 }
 
+// Old and new programs replace each other: these bytes were written by the program of 2026-12-03.
+TEST_CASE("frames are byte for byte those of version 1") {
+  const std::vector<std::string> frames = {
+      "4657484f01000000000000002a000000d43500aa28017af4a3666c697374656e6e3132372e302e302e313a3730373064"
+      "6e616d65626e31687265736572766564181c",
+      "4657484f010000000100000068000000173ad9bebde8ecb3a4656b6e6f776e828363732d31f5fa000000008363732d32"
+      "f4fb4275d3ef79800000646c697374782a7b22696e646578223a342c22736e617073686f74223a747275652c22656e64"
+      "706f696e7473223a5b5d7d696d656d6f72795f6d62181866706c616365731878",
+      "4657484f010000000200000001000000f5cdcb1f2eb61afea0",
+      "4657484f0100000003000000110000009f6f485fb331c44ba164776861748363732d33f5fa40e00000",
+      "4657484f01000000040000000b00000076db03d7e999dec8a16872657175657374730c",
+      "4657484f010000000500000007000000493d7008c92d753ea1646d6f726503",
+  };
+  std::vector<std::string> written;
+  for (const Message& message : all()) written.push_back(hex(encode(message)));
+  CHECK(written == frames);
+}
+
 TEST_CASE("cut anywhere, a frame waits for its rest, with any byte changed, it is refused or waits") {
   for (const Message& message : all()) {
     const std::string text = encode(message);
@@ -49,14 +83,14 @@
 }
 
 TEST_CASE("another version, another kind, no frame at all") {
-  std::string text = encode(Serving{});
+  std::string text = encode(NewProcessReady{});
   text[4] = 2;
   CHECK(decode(text).fault == "version 2");
-  text = encode(Serving{});
+  text = encode(NewProcessReady{});
   text[8] = 40;
   CHECK(decode(text).fault == "checksum");
   CHECK(decode("GET / HTTP/1.1\r\n\r\n").fault == "no frame");
-  text = encode(Serving{});
+  text = encode(NewProcessReady{});
   text[15] = 0x7f; // a gigabyte and more
   CHECK(decode(text).fault == "too long");
 }
@@ -66,10 +100,10 @@
     const auto places = *rc::gen::inRange<std::uint64_t>(40, 4096);
     const auto reserved = *rc::gen::inRange<std::uint64_t>(0, 40);
     const auto used = *rc::gen::inRange<std::uint64_t>(0, places);
-    const Split s = split({places, 33}, used, reserved);
-    RC_ASSERT(s.old.places + s.next.places + reserved <= places);
-    RC_ASSERT(s.old.memory_mb + s.next.memory_mb == 33u);
-    RC_ASSERT(s.next.places * 8 + 8 >= places - reserved);
-    if (used <= (places - reserved) / 2) RC_ASSERT(s.old.places >= used);
+    const ResourceSplit s = split({places, 33}, used, reserved);
+    RC_ASSERT(s.old_process.descriptors + s.new_process.descriptors + reserved <= places);
+    RC_ASSERT(s.old_process.memory_mb + s.new_process.memory_mb == 33u);
+    RC_ASSERT(s.new_process.descriptors * 8 + 8 >= places - reserved);
+    if (used <= (places - reserved) / 2) RC_ASSERT(s.old_process.descriptors >= used);
   }));
 }
