--- a/src/endpoints/target_set.cpp
+++ b/src/endpoints/target_set.cpp
@@ -69,7 +69,8 @@
   if (contenders.empty()) return;
   std::sort(contenders.begin(), contenders.end(), goes_before);
   if (contenders.size() > 1) {
-    log::line("route-number-shared", {{"a", contenders[0].name}, {"b", contenders[1].name}, {"number", id}});
+    log::line("endpoint-id-collision",
+              {{"a", contenders[0].name}, {"b", contenders[1].name}, {"number", id}});
   }
   for (std::size_t i = 1; i < contenders.size(); ++i) waiting_.emplace(id, std::move(contenders[i]));
   holders_.emplace(id, std::move(contenders[0]));
--- a/src/hot_restart/link.cpp
+++ b/src/hot_restart/link.cpp
@@ -241,7 +241,7 @@
     return;
   }
   if (!is_same_user(accepted.get())) {
-    return log::line("handover-refused", {{"why", "another user's process"}});
+    return log::line("hot-restart-refused", {{"why", "another user's process"}});
   }
   listener.on_connect_(std::move(accepted));
 }
--- a/src/router/config_reload.cpp
+++ b/src/router/config_reload.cpp
@@ -19,7 +19,7 @@
 void ConfigReload::reload_discovery(const config::Config& next) {
   config::Config& config = parts_.config;
   for (const auto& key : config::refused_changes(config, next)) {
-    log::line("reload-holds-until-start", {{"key", key}});
+    log::line("reload-needs-restart", {{"key", key}});
   }
   if (next.discovery == config.discovery) {
     log::line("reload-discovery-stays", {{"address", config.discovery}});
@@ -44,7 +44,7 @@
   parts_.config = std::move(next);
   if (new_list) parts_.endpoints.load_configured_list();
   parts_.endpoints.watch_sources();
-  log::line("reload-taken", {{"name", parts_.config.name}});
+  log::line("config-reloaded", {{"name", parts_.config.name}});
 }
 
 } // namespace fernward::router
--- a/src/router/control_calls.cpp
+++ b/src/router/control_calls.cpp
@@ -28,7 +28,7 @@
   if (result == Result::UnknownEndpoint) return "fail " + name + " was never listed as a cache node\n";
   if (result == Result::TooManyDisabled) return "fail too many cache nodes are out\n";
   if (was_disabled != disable) {
-    log::line(disable ? "taken-out" : "put-back", {{"node", name}});
+    log::line(disable ? "endpoint-disabled" : "endpoint-enabled", {{"node", name}});
     parts_.endpoints.refresh(name);
     parts_.on_override(overrides.find(name));
   }
--- a/src/router/endpoint_updater.cpp
+++ b/src/router/endpoint_updater.cpp
@@ -29,7 +29,7 @@
   if (read_configured_list()) apply(full_list(fernward::EndpointListKind::Cached));
   first_list_timer_ = parts_.timers.at(loop::now_ms() + kFirstListWaitMs, [this] {
     first_list_timer_ = 0;
-    log::line("known-list-used", {{"name", config_.name}, {"waited_ms", kFirstListWaitMs}});
+    log::line("cached-endpoints-used", {{"name", config_.name}, {"waited_ms", kFirstListWaitMs}});
   });
 }
 
@@ -45,7 +45,7 @@
     table_.apply(config_.known);
     return true;
   } catch (const endpoints::Damaged& damage) {
-    log::line("known-damaged", {{"why", damage.what()}});
+    log::line("cached-endpoints-damaged", {{"why", damage.what()}});
     return false;
   }
 }
@@ -117,12 +117,12 @@
   const std::size_t entries = list.servers.size();
   parts_.timers.cancel(first_list_timer_);
   apply(std::move(list));
-  log::routine("list-taken", {{"index", table_.index()},
-                              {"whole", complete ? "yes" : "no"},
-                              {"entries", entries},
-                              {"ms", loop::now_ms() - started_ms}});
+  log::routine("endpoints-updated", {{"index", table_.index()},
+                                     {"complete", complete ? "yes" : "no"},
+                                     {"entries", entries},
+                                     {"ms", loop::now_ms() - started_ms}});
   if (complete && next_watch_ != nullptr && next_watch_->address() == from) {
-    log::line("follows-discovery", {{"name", config_.name}, {"address", from}});
+    log::line("discovery-connected", {{"name", config_.name}, {"address", from}});
     watch_ = std::move(next_watch_);
   }
   return {table_.index(), complete};
--- a/src/router/graceful_shutdown.cpp
+++ b/src/router/graceful_shutdown.cpp
@@ -30,7 +30,7 @@
   if (has_begun_) return;
   has_begun_ = true;
   if (gossip_ != nullptr) gossip_->leave();
-  log::line("winds-down", {{"name", config.name}});
+  log::line("graceful-shutdown", {{"name", config.name}});
   const double now_ms = loop::now_ms();
   const double total_ms = longest_client_timeout_ms(config) + kResponseGraceMs;
   parts_.dispatcher.ends_by(now_ms + total_ms - kRejectLeadMs);
--- a/src/router/hot_restart_coordinator.cpp
+++ b/src/router/hot_restart_coordinator.cpp
@@ -47,7 +47,7 @@
         parts_.base, options_.path, [this](Descriptor socket) { on_connect(std::move(socket)); });
   } catch (const std::runtime_error& fault) {
     // A new process then listens on the same port beside this one.
-    log::line("handover-off", {{"why", fault.what()}});
+    log::line("hot-restart-off", {{"why", fault.what()}});
   }
 }
 
@@ -68,7 +68,7 @@
 
 void HotRestartCoordinator::on_connect(Descriptor socket) {
   if (is_connected() || shutting_down_) {
-    return log::line("handover-refused", {{"why", shutting_down_ ? "winding down" : "one is under way"}});
+    return log::line("hot-restart-refused", {{"why", shutting_down_ ? "winding down" : "one is under way"}});
   }
   parts_.timers.cancel(disconnect_timer_);
   new_state_ = NewProcess::Connected;
@@ -113,7 +113,7 @@
   const int listening = parts_.listener.listening();
   Descriptor descriptor(listening < 0 ? -1 : fcntl(listening, F_DUPFD_CLOEXEC, 0));
   if (request.listen != options_.listen || !descriptor) {
-    log::line("handover-refused",
+    log::line("hot-restart-refused",
               {{"why", descriptor ? "another address: " + request.listen : std::strerror(errno)}});
     return disconnect_later();
   }
@@ -122,8 +122,9 @@
   const std::string list = parts_.table.index() == 0 ? "" : parts_.table.told();
   new_process_->send(hot_restart::TakeoverGrant{list, parts_.overrides.snapshot(), share},
                      std::move(descriptor));
-  log::line("handover-welcome",
-            {{"name", request.name}, {"places", share.descriptors}, {"kept", parts_.descriptors.total()}});
+  log::line(
+      "hot-restart-granted",
+      {{"name", request.name}, {"descriptors", share.descriptors}, {"kept", parts_.descriptors.total()}});
 }
 
 // The new process's share; this one keeps the rest, and closes idle connections that do not fit into it.
@@ -144,17 +145,17 @@
   new_state_ = NewProcess::Ready;
   if (shutting_down_) return;
   parts_.listener.hold(true);
-  log::line("handover-serving", {{"name", options_.name}});
+  log::line("hot-restart-ready", {{"name", options_.name}});
 }
 
 void HotRestartCoordinator::on_new_process_closed(const std::string& fault) {
   const bool was_granted = is_granted();
   new_state_ = NewProcess::None;
   disconnect_later();
-  if (!fault.empty()) log::line("handover-damaged", {{"why", fault}});
+  if (!fault.empty()) log::line("hot-restart-damaged", {{"why", fault}});
   if (shutting_down_) return parts_.listener.pass_no_more();
   if (!was_granted) return;
-  log::line("handover-given-up", {{"name", options_.name}});
+  log::line("hot-restart-aborted", {{"name", options_.name}});
   add_resources(std::exchange(granted_descriptors_, 0), std::exchange(granted_memory_mb_, 0));
   parts_.listener.hold(false);
   listen(); // the new process had taken the path
@@ -171,7 +172,7 @@
 }
 
 void HotRestartCoordinator::pass_connections() {
-  log::line("handover-passes", {{"name", options_.name}, {"connections", parts_.listener.connections()}});
+  log::line("hot-restart-passing", {{"name", options_.name}, {"connections", parts_.listener.connections()}});
   release_descriptors();
   parts_.listener.hand_over([this](int fd, unsigned requests) { return pass_connection(fd, requests); });
 }
@@ -216,7 +217,8 @@
         on_old_process_message(std::move(message), std::move(descriptor));
       },
       [this](const std::string& fault) { on_old_process_closed(fault); }, std::move(inherited.reader));
-  log::line("handover-taken", {{"places", inherited_descriptors_}, {"memory_mb", inherited_memory_mb_}});
+  log::line("hot-restart-inherited",
+            {{"descriptors", inherited_descriptors_}, {"memory_mb", inherited_memory_mb_}});
 }
 
 void HotRestartCoordinator::on_endpoints_updated() {
@@ -246,8 +248,8 @@
 }
 
 void HotRestartCoordinator::on_old_process_closed(const std::string& fault) {
-  if (!fault.empty()) log::line("handover-damaged", {{"why", fault}});
-  log::line("handover-done", {{"name", options_.name}});
+  if (!fault.empty()) log::line("hot-restart-damaged", {{"why", fault}});
+  log::line("hot-restart-complete", {{"name", options_.name}});
   const std::uint64_t had_descriptors = std::exchange(inherited_descriptors_, options_.descriptors);
   const std::uint64_t had_memory_mb = std::exchange(inherited_memory_mb_, options_.memory_mb);
   add_resources(options_.descriptors - std::min(options_.descriptors, had_descriptors),
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -70,11 +70,11 @@
 
 Router::~Router() {
   stats_.report();
-  log::line("ends", {{"name", config_.name},
-                     {"unanswered", dispatcher_.unanswered()},
-                     {"egress_opened", pool_.opened()},
-                     {"resets_after_rest", pool_.reset_after_rest()},
-                     {"dropped", log::dropped()}});
+  log::line("stopped", {{"name", config_.name},
+                        {"unanswered", dispatcher_.unanswered()},
+                        {"egress_opened", pool_.opened()},
+                        {"resets_after_rest", pool_.reset_after_rest()},
+                        {"dropped", log::dropped()}});
 }
 
 void Router::load_first_list(hot_restart::Inherited* inherited) {
@@ -132,7 +132,7 @@
   const char* nodes = "fixed";
   if (!config_.nodes_file.empty()) nodes = config_.nodes_file.c_str();
   if (!config_.discovery.empty()) nodes = config_.discovery.c_str();
-  log::line("serves",
+  log::line("listening",
             {{"name", config_.name}, {"listen", config_.listen}, {"port", port()}, {"nodes", nodes}});
 }
 
@@ -155,7 +155,8 @@
   const hot_restart::TakeoverRequest request{config.name, config.listen, reserved_descriptors(config)};
   std::string fault;
   auto inherited = hot_restart::request_takeover(config.handover, request, kInheritTimeoutMs, fault);
-  if (!fault.empty()) log::line("handover-fails", {{"why", fault}}); // it listens beside the old process then
+  if (!fault.empty())
+    log::line("hot-restart-failed", {{"why", fault}}); // it listens beside the old process then
   return inherited;
 }
 
--- a/src/router/stats_reporter.cpp
+++ b/src/router/stats_reporter.cpp
@@ -11,8 +11,9 @@
 
 constexpr double kPeriodMs = 10000;
 
-constexpr const char* kReasonNames[] = {"shed",     "queued-late", "unanswered", "unsent",  "allowance",
-                                        "attempts", "class",       "no-target",  "rejected"};
+constexpr const char* kReasonNames[] = {"shed",           "queue-timeout", "response-timeout",
+                                        "not-sent",       "retry-budget",  "attempt-limit",
+                                        "not-idempotent", "no-endpoint",   "invalid-request"};
 static_assert(std::size(kReasonNames) == static_cast<std::size_t>(fernward::GiveUpReason::Count));
 
 } // namespace
@@ -87,7 +88,7 @@
     if (since_last != 0) fields.emplace_back(kReasonNames[i], since_last);
   }
   reported_rejections_ = rejections;
-  if (!fields.empty()) log::line("given-up", fields.data(), fields.size());
+  if (!fields.empty()) log::line("requests-rejected", fields.data(), fields.size());
 }
 
 std::size_t StatsReporter::caches() const {
--- a/tests/app_config/config_command_test.cpp
+++ b/tests/app_config/config_command_test.cpp
@@ -103,7 +103,7 @@
     Program program({"serve", "--config", file}, Json::object(), environment);
     const bool json = file.ends_with("log-json.toml");
     const bool up = run_until(base.get(), [&] {
-      return program.says(json ? "{\"event\":\"serves\",\"name\":" : "serves name=") || program.ended();
+      return program.says(json ? "{\"event\":\"listening\",\"name\":" : "listening name=") || program.ended();
     });
     INFO(program.text);
     CHECK(up);
--- a/tests/gossip_transport/processes_test.cpp
+++ b/tests/gossip_transport/processes_test.cpp
@@ -187,7 +187,8 @@
       start(i);
     }
     // Discovery is silent, as each router has a list of its own: they serve by it.
-    for (const auto& program : programs) REQUIRE(until([&] { return program->says("known-list-used"); }));
+    for (const auto& program : programs)
+      REQUIRE(until([&] { return program->says("cached-endpoints-used"); }));
     if (!shares) return;
     REQUIRE(
         until([&] { return all([&](std::size_t i) { return figure(i, "fleet_heard") == kRouters - 1; }); }));
--- a/tests/hot_restart/replace_test.cpp
+++ b/tests/hot_restart/replace_test.cpp
@@ -130,7 +130,7 @@
     old.signal(SIGTERM);
     REQUIRE(play([&] { return old.ended(); }));
     CHECK(old.code == 0);
-    CHECK(old.says("handover-passes"));
+    CHECK(old.says("hot-restart-passing"));
     most_descriptors = std::max(most_descriptors, next.descriptors());
     const double until = loop::now_ms() + 60;
     play([&] { return loop::now_ms() > until; });
@@ -186,7 +186,7 @@
   Program& old = *line.programs.back();
   line.start();
   old.signal(SIGTERM);
-  REQUIRE(line.until([&] { return old.says("handover-passes"); }));
+  REQUIRE(line.until([&] { return old.says("hot-restart-passing"); }));
   run_for(line.base.get(), 50);
   CHECK_FALSE(old.ended());
   asked.say(ok("in time"));
@@ -204,12 +204,12 @@
   Program& old = *line.programs.back();
   for (int i = 0; i < 3; ++i) {
     Program& next = line.start();
-    REQUIRE(line.until([&] { return old.says("handover-serving"); }));
+    REQUIRE(line.until([&] { return old.says("hot-restart-ready"); }));
     next.signal(SIGKILL);
     REQUIRE(line.until([&] { return next.ended(); }));
     line.programs.pop_back();
     line.controls.pop_back();
-    REQUIRE(line.until([&] { return old.says("handover-given-up"); }));
+    REQUIRE(line.until([&] { return old.says("hot-restart-aborted"); }));
     old.text.clear();
     Client client(line.base.get(), line.port);
     CHECK(client.ask(get("/k/1", "r" + std::to_string(i))).status == 200);
@@ -217,7 +217,7 @@
   Program& last = line.start(); // and can still be replaced
   old.signal(SIGTERM);
   REQUIRE(line.until([&] { return old.ended(); }));
-  REQUIRE(line.until([&] { return last.says("handover-done"); }));
+  REQUIRE(line.until([&] { return last.says("hot-restart-complete"); }));
   Client client(line.base.get(), line.port);
   CHECK(client.ask(get("/k/1", "r9")).status == 200);
 }
@@ -228,7 +228,7 @@
   Program& old = *line.programs.back();
   Program& next = line.start();
   old.signal(SIGKILL);
-  REQUIRE(line.until([&] { return next.says("handover-done"); }));
+  REQUIRE(line.until([&] { return next.says("hot-restart-complete"); }));
   Client client(line.base.get(), line.port);
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
   line.start(); // right after
@@ -243,7 +243,7 @@
   line.start();
   CHECK(line.call("disable-server s-1", 1) == "ok\n"); // the old one
   CHECK(line.call("disable-server s-2") == "ok\n");    // the new one
-  REQUIRE(line.until([&] { return line.programs[0]->says("handover-serving"); }));
+  REQUIRE(line.until([&] { return line.programs[0]->says("hot-restart-ready"); }));
   CHECK(line.until([&] {
     return line.call("show-stat").find("unhealthy=2") != std::string::npos &&
            line.call("show-stat", 1).find("unhealthy=2") != std::string::npos;
@@ -316,7 +316,7 @@
   const Impostor impostor(line.base.get(), line.door, word, ends);
   Program& program = line.start();
   INFO(program.text);
-  CHECK(program.says("handover-fails why=\"" + why));
+  CHECK(program.says("hot-restart-failed why=\"" + why));
   Client client(line.base.get(), line.port);
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
 }
@@ -343,13 +343,13 @@
   knock("GET / HTTP/1.1\r\n\r\n");
   knock(hot_restart::encode(hot_restart::TakeoverRequest{"n1", "127.0.0.1:1", 28}));
   knock(hot_restart::encode(hot_restart::NewProcessReady{}));
-  CHECK(program.says("handover-refused why=\"another address"));
+  CHECK(program.says("hot-restart-refused why=\"another address"));
   Client client(line.base.get(), line.port);
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
   line.start();
   program.signal(SIGTERM);
   REQUIRE(line.until([&] { return program.ended(); }));
-  CHECK(program.says("handover-passes"));
+  CHECK(program.says("hot-restart-passing"));
 }
 
 TEST_CASE("without a channel both listen, and the old one drains as at any end") {
@@ -380,7 +380,7 @@
   Program& next = line.start();
   old.signal(SIGTERM);
   REQUIRE(line.until([&] { return old.ended(); }));
-  REQUIRE(line.until([&] { return next.says("handover-done") || next.ended(); }));
+  REQUIRE(line.until([&] { return next.says("hot-restart-complete") || next.ended(); }));
   CHECK_FALSE(next.ended());
   CHECK(next.descriptors() <= 64);
   Client client(line.base.get(), line.port);
@@ -427,7 +427,7 @@
     Program& old = *line.programs.back();
     line.start();
     old.signal(SIGTERM);
-    REQUIRE(line.until([&] { return old.says("handover-passes"); }));
+    REQUIRE(line.until([&] { return old.says("hot-restart-passing"); }));
     run_for(line.base.get(), 30);
     paused = false;
     client.send(stage.request.substr(stage.sent));
@@ -443,6 +443,6 @@
     CHECK(asked() == 1);
     REQUIRE(line.until([&] { return old.ended(); }));
     CHECK(old.code == 0);
-    CHECK(line.programs.back()->says("handover-done"));
+    CHECK(line.programs.back()->says("hot-restart-complete"));
   }
 }
--- a/tests/lab/rig/rig_test.cpp
+++ b/tests/lab/rig/rig_test.cpp
@@ -161,7 +161,7 @@
     CHECK(ledger.seen(What::Crashed) == c.crashed);
     CHECK(ledger.seen(What::Ready) == c.ready);
     if (std::string(c.event) == "term-router") CHECK(ledger.owed.empty());
-    if (std::string(c.event) == "move") CHECK(ledger.said.find("follows-discovery") != std::string::npos);
+    if (std::string(c.event) == "move") CHECK(ledger.said.find("discovery-connected") != std::string::npos);
   }
 }
 
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -695,7 +695,7 @@
   SUBCASE("as accepting ends and the drain begins, both at once") { behind_ms = 1600; }
   Started s(longest);
   s.program->signal(SIGTERM);
-  REQUIRE(s.until([&] { return s.program->says("winds-down"); }));
+  REQUIRE(s.until([&] { return s.program->says("graceful-shutdown"); }));
   s.program->hold();
   pass_ms(behind_ms);
   const std::string text = get("/k/1", "r2");
@@ -719,7 +719,7 @@
     REQUIRE(s.answered(*rest.back()));
   }
   s.program->signal(SIGTERM);
-  REQUIRE(s.until([&] { return s.program->says("winds-down"); }));
+  REQUIRE(s.until([&] { return s.program->says("graceful-shutdown"); }));
   s.program->hold();
   pass_ms(600);
   s.program->limit_descriptors(static_cast<rlim_t>(s.program->descriptors())); // not one more
@@ -748,7 +748,7 @@
   }
   const double told = loop::now_ms();
   s.program->signal(SIGTERM);
-  REQUIRE(s.until([&] { return s.program->says("winds-down"); }));
+  REQUIRE(s.until([&] { return s.program->says("graceful-shutdown"); }));
   s.program->hold();
   pass_ms(1600); // the drain is due, and has not begun
   for (std::size_t i = 0; i < meet.size(); ++i) meet[i]->send(get("/k/2", "meets" + std::to_string(i)));
@@ -843,7 +843,7 @@
     next.say_now(ok(node_list(3, true, s.all("terminating")).dump()));
     if (!old_first) s.discovery.say_now(s.change(9, "in_service"));
     s.program->go_on();
-    REQUIRE(s.until([&] { return s.program->says("follows-discovery"); }));
+    REQUIRE(s.until([&] { return s.program->says("discovery-connected"); }));
   }
   SUBCASE("the new one tells in a change") {
     told = ok(node_list(3, true, s.all("in_service")).dump());
--- a/tests/net/program.h
+++ b/tests/net/program.h
@@ -134,7 +134,7 @@
   }
   int port() { // 0 until it serves
     read_on();
-    const auto line = text.find("serves name="), at = text.find(" port=", line);
+    const auto line = text.find("listening name="), at = text.find(" port=", line);
     if (line == std::string::npos || at == std::string::npos || text.find('\n', at) == std::string::npos)
       return 0;
     return std::stoi(text.substr(at + 6));
--- a/tests/net/program_test.cpp
+++ b/tests/net/program_test.cpp
@@ -87,7 +87,7 @@
   REQUIRE(s.until([&] { return s.cache.seen.size() == 1; }));
   program.signal(SIGTERM);
   Client late(s.base.get(), program.port());
-  REQUIRE(s.until([&] { return program.says("winds-down"); }));
+  REQUIRE(s.until([&] { return program.says("graceful-shutdown"); }));
   s.cache.say(ok("in time"));
   REQUIRE(s.until([&] { return program.ended(); }));
   CHECK(program.code == 0);
@@ -104,7 +104,7 @@
   CHECK(rests.ask(get("/k/1", "r2")).keep_alive);
   const double begun = loop::now_ms();
   program.signal(SIGTERM);
-  REQUIRE(s.until([&] { return program.says("winds-down"); }));
+  REQUIRE(s.until([&] { return program.says("graceful-shutdown"); }));
   CHECK(client.ask("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").status == 503); // nobody new is to come
   run_for(s.base.get(), 800);
   CHECK(client.ask(get("/k/2", "r3")).body == "v of /k/2");
@@ -151,7 +151,7 @@
   program.rewrite(config.dump());
   program.signal(SIGHUP);
   REQUIRE(s.until([&] { return program.says("reload-discovery-moves from=" + s.discovery.address); }));
-  CHECK(program.says("reload-holds-until-start key=settings.limits.max_attempts"));
+  CHECK(program.says("reload-needs-restart key=settings.limits.max_attempts"));
   s.discovery.refuse();
   REQUIRE(s.until([&] { return program.says("discovery-ended code=connect-failed"); }));
   s.cache.say(ok("in time")); // to the request that was out all the while
@@ -301,7 +301,7 @@
   config["limits"]["answer_bytes"] = 1; // holds until the next start
   program.rewrite(config.dump());
   program.signal(SIGHUP);
-  REQUIRE(s.until([&] { return program.says("reload-holds-until-start key=limits.answer_bytes"); }));
+  REQUIRE(s.until([&] { return program.says("reload-needs-restart key=limits.answer_bytes"); }));
   program.signal(SIGTERM);
   REQUIRE(s.until([&] { return idle.closed; })); // as the listening socket is
   CHECK_FALSE(program.ended());
--- a/tests/sidecar/sidecar_test.cpp
+++ b/tests/sidecar/sidecar_test.cpp
@@ -60,8 +60,8 @@
   INFO(program.text);
   CHECK(program.code == 7);
   CHECK(program.says("at=127.0.0.1:" + std::to_string(s.port) + " mode=fast"));
-  CHECK(program.text.find("serves name=bookings") < program.text.find("at=127"));
-  CHECK(program.text.find("sidecar-application-ended") < program.text.find("winds-down"));
+  CHECK(program.text.find("listening name=bookings") < program.text.find("at=127"));
+  CHECK(program.text.find("sidecar-application-ended") < program.text.find("graceful-shutdown"));
   Program missing({"sidecar", "--config", file, "--", "/no/such/program"}, Json::object());
   REQUIRE(s.until([&] { return missing.ended(); }));
   CHECK(missing.code == 127);
@@ -105,7 +105,7 @@
     CHECK(loser.code == 1);
     CHECK(loser.says(std::string("is claimed by application ") + (&winner == &one ? "one" : "two") +
                      " (process "));
-    CHECK_FALSE(loser.says("serves"));
+    CHECK_FALSE(loser.says("listening"));
     REQUIRE(s.until([&] { return winner.says("sidecar-application-started"); }));
     firsts += &winner == &one;
     winner.signal(
@@ -151,7 +151,7 @@
     CHECK(client.ask(read_of("r2")).body == "v of /k/1");
     REQUIRE(s.until([&] { return program.ended(); }));
     CHECK(program.code == 3);
-    CHECK(program.text.find("sidecar-application-ended") < program.text.find("winds-down"));
+    CHECK(program.text.find("sidecar-application-ended") < program.text.find("graceful-shutdown"));
   }
   Program program(s.words(file, "trap '' TERM; echo begun; while :; do sleep 0.02; done"), Json::object());
   REQUIRE(s.until([&] { return program.says("begun"); }));
@@ -188,7 +188,8 @@
   REQUIRE(s.until([&] { return program.says("restarts=5"); }));
   close(thief);
   CHECK(s.until([&] {
-    return program.says("restarts=5") && program.text.rfind("serves name") > program.text.find("restarts=5");
+    return program.says("restarts=5") &&
+           program.text.rfind("listening name") > program.text.find("restarts=5");
   }));
   CHECK(program.text.find("sidecar-application-ended") == std::string::npos);
   program.signal(SIGTERM);
@@ -267,7 +268,7 @@
   REQUIRE(s.until([&] { return s.node.seen.size() == before + 1; }));
   s.folder.write("app.toml", s.text("bookings", "", "lookup"));
   program.signal(SIGHUP);
-  REQUIRE(s.until([&] { return program.says("reload-taken"); }));
+  REQUIRE(s.until([&] { return program.says("config-reloaded"); }));
   s.node.say(ok("in time"));
   REQUIRE(s.until([&] { return !waiting.answers.empty(); }));
   CHECK(waiting.answers[0].body == "in time");
@@ -289,7 +290,7 @@
   const std::string file = s.folder.write("app.toml", text);
   {
     Program program({"serve", "--config", file}, Json::object());
-    REQUIRE(s.until([&] { return program.says("serves name="); }));
+    REQUIRE(s.until([&] { return program.says("listening name="); }));
     program.signal(SIGKILL);
     REQUIRE(s.until([&] { return program.ended(); }));
   }
