--- a/src/control/call.cpp
+++ b/src/control/call.cpp
@@ -7,18 +7,18 @@
 namespace fernward::control {
 namespace {
 
-constexpr std::size_t kLongestId = 128;
+constexpr std::size_t kMaxNameBytes = 128;
 
 struct Form {
   std::string_view word;
-  Word what;
+  Command command;
   bool takes_id;
 };
-constexpr std::array kForms{Form{"ready", Word::Ready, false}, Form{"show-stat", Word::ShowStat, false},
-                            Form{"disable-server", Word::DisableServer, true},
-                            Form{"enable-server", Word::EnableServer, true}};
+constexpr std::array kForms{Form{"ready", Command::Ready, false}, Form{"show-stat", Command::ShowStat, false},
+                            Form{"disable-server", Command::DisableServer, true},
+                            Form{"enable-server", Command::EnableServer, true}};
 
-std::vector<std::string_view> words(std::string_view line) {
+std::vector<std::string_view> split_words(std::string_view line) {
   std::vector<std::string_view> all;
   while (true) {
     const auto begin = line.find_first_not_of(" \t");
@@ -42,19 +42,19 @@
     return c == '\t' || (static_cast<unsigned char>(c) >= 0x20 && static_cast<unsigned char>(c) < 0x7f);
   });
   if (!printable) return fault("not a line of text");
-  const auto said = words(line);
-  if (said.empty()) return fault("no call");
-  const auto form =
-      std::find_if(kForms.begin(), kForms.end(), [&](const Form& f) { return f.word == said.front(); });
+  const auto words = split_words(line);
+  if (words.empty()) return fault("no call");
+  const auto form = std::find_if(kForms.begin(), kForms.end(),
+                                 [&](const Form& known) { return known.word == words.front(); });
   if (form == kForms.end())
     return fault("unknown call; there are ready, show-stat, disable-server ID, enable-server ID");
   const std::string name(form->word);
-  if (form->takes_id && said.size() < 2) return fault(name + " takes the id of a cache node");
-  if (said.size() > (form->takes_id ? 2u : 1u))
+  if (form->takes_id && words.size() < 2) return fault(name + " takes the id of a cache node");
+  if (words.size() > (form->takes_id ? 2u : 1u))
     return fault(name + (form->takes_id ? " takes one id and nothing more" : " takes nothing more"));
-  if (form->takes_id && said[1].size() > kLongestId) return fault("the id is too long");
-  out.call.word = form->what;
-  if (form->takes_id) out.call.id = said[1];
+  if (form->takes_id && words[1].size() > kMaxNameBytes) return fault("the id is too long");
+  out.call.command = form->command;
+  if (form->takes_id) out.call.endpoint = words[1];
   return out;
 }
 
--- a/src/control/call.h
+++ b/src/control/call.h
@@ -6,14 +6,15 @@
 
 namespace fernward::control {
 
-enum class Word { Ready, ShowStat, DisableServer, EnableServer };
+enum class Command { Ready, ShowStat, DisableServer, EnableServer };
 
 struct Call {
-  Word word = Word::Ready;
-  std::string id; // of a cache node, where the word takes one
+  Command command = Command::Ready;
+  std::string endpoint; // of a cache, where the command takes one
 };
 
-// Of a line without its end. A call, or what is wrong with it: then `fault` is not empty and nothing may be done.
+// Of a line without its end. A call, or what is wrong with it: then `fault` is not empty and nothing may be
+// done.
 struct Parsed {
   Call call;
   std::string fault;
--- a/src/control/port.cpp
+++ b/src/control/port.cpp
@@ -20,22 +20,18 @@
 namespace {
 
 constexpr int kBacklog = 128;
-constexpr int kAtOnce = 16; // accepted before others have their turn
+constexpr int kMaxAcceptsAtOnce = 16; // accepted before others have their turn
 constexpr double kAcceptPauseMs = 50;
 
 // Before traffic, where the loop has been given priorities.
-void go_first(event_base* base, event* e) {
+void raise_priority(event_base* base, event* e) {
   if (event_base_get_npriorities(base) > 1) event_priority_set(e, 0);
 }
 
 } // namespace
 
-Port::Port(event_base* base, loop::TimerQueue& deadlines, const PortOptions& options, Answer answer)
-    : base_(base),
-      deadlines_(deadlines),
-      options_(options),
-      answer_(std::move(answer)),
-      callers_(options.callers) {
+Port::Port(event_base* base, loop::TimerQueue& timers, const PortOptions& options, Answer answer)
+    : base_(base), timers_(timers), options_(options), answer_(std::move(answer)), callers_(options.callers) {
   const auto fail = [this](const char* why) {
     if (fd_ >= 0) ::close(fd_);
     throw std::runtime_error("control: cannot listen on " + options_.address + ": " + why);
@@ -49,16 +45,16 @@
     fail(std::strerror(errno));
   }
   // Not libevent's listener: its event can't be given a priority.
-  listening_.reset(event_new(base_, fd_, EV_READ | EV_PERSIST, &Port::accepted, this));
-  if (listening_ == nullptr) throw std::bad_alloc();
-  go_first(base_, listening_.get());
-  event_add(listening_.get(), nullptr);
+  accept_event_.reset(event_new(base_, fd_, EV_READ | EV_PERSIST, &Port::on_acceptable, this));
+  if (accept_event_ == nullptr) throw std::bad_alloc();
+  raise_priority(base_, accept_event_.get());
+  event_add(accept_event_.get(), nullptr);
 }
 
 Port::~Port() {
-  callers_.each([this](Handle, Caller& c) { close(c); });
-  deadlines_.cancel(resume_);
-  listening_.reset();
+  callers_.each([this](Handle, Caller& caller) { close(caller); });
+  timers_.cancel(resume_timer_);
+  accept_event_.reset();
   ::close(fd_);
 }
 
@@ -69,12 +65,12 @@
   return ntohs(where.sin_port);
 }
 
-void Port::accepted(int listening, short, void* self) {
+void Port::on_acceptable(int listening, short, void* self) {
   auto* const port = static_cast<Port*>(self);
-  for (int i = 0; i < kAtOnce; ++i) {
+  for (int i = 0; i < kMaxAcceptsAtOnce; ++i) {
     int fd = accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0 && (errno == EMFILE || errno == ENFILE) && port->callers_.size() > 0) {
-      port->make_room(); // none of the descriptors that were set aside is left: the oldest caller's is used
+      port->evict_oldest(); // no descriptor that was set aside is left: the oldest caller gives its own
       fd = accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     }
     if (fd < 0) {
@@ -85,58 +81,60 @@
   }
 }
 
-// What can't be accepted stays at the door and would be found again at once: before all traffic, as long as it lasts.
+// What can't be accepted stays at the door and would be found again at once: before all traffic, as long as
+// it lasts.
 void Port::pause() {
-  if (!std::exchange(short_, true)) log::line("control-accept-failed", {{"why", std::strerror(errno)}});
-  event_del(listening_.get());
-  deadlines_.cancel(resume_);
-  resume_ = deadlines_.at(loop::now_ms() + kAcceptPauseMs, [this] {
-    resume_ = 0;
-    event_add(listening_.get(), nullptr);
+  if (!std::exchange(accept_failed_, true))
+    log::line("control-accept-failed", {{"why", std::strerror(errno)}});
+  event_del(accept_event_.get());
+  timers_.cancel(resume_timer_);
+  resume_timer_ = timers_.at(loop::now_ms() + kAcceptPauseMs, [this] {
+    resume_timer_ = 0;
+    event_add(accept_event_.get(), nullptr);
   });
 }
 
 // Those that only linger have their answer; after them the one that came first.
-void Port::make_room() {
-  Caller* goes = nullptr;
-  callers_.each([&goes](Handle, Caller& c) {
-    if (goes == nullptr || c.answered > goes->answered ||
-        (c.answered == goes->answered && c.order < goes->order))
-      goes = &c;
+void Port::evict_oldest() {
+  Caller* oldest = nullptr;
+  callers_.each([&oldest](Handle, Caller& caller) {
+    if (oldest == nullptr || caller.answered > oldest->answered ||
+        (caller.answered == oldest->answered && caller.order < oldest->order))
+      oldest = &caller;
   });
-  if (goes == nullptr) return;
-  if (!goes->answered) log::line("control-ended", {{"code", "made-room"}});
-  close(*goes);
+  if (oldest == nullptr) return;
+  if (!oldest->answered) log::line("control-ended", {{"code", "made-room"}});
+  close(*oldest);
 }
 
 void Port::accept(int fd) {
-  short_ = false;
-  if (callers_.full()) make_room();
+  accept_failed_ = false;
+  if (callers_.full()) evict_oldest();
   const Handle handle = callers_.add();
-  Caller& c = *callers_.find(handle);
-  c.port = this;
-  c.self = handle;
-  c.order = ++came_;
-  c.io = loop::make_bufferevent(base_, fd);
+  Caller& caller = *callers_.find(handle);
+  caller.port = this;
+  caller.self = handle;
+  caller.order = ++accepted_;
+  caller.io = loop::make_bufferevent(base_, fd);
   loop::set_nodelay(fd);
-  if (event_base_get_npriorities(base_) > 1) bufferevent_priority_set(c.io.get(), 0);
-  bufferevent_setcb(c.io.get(), &Port::readable, &Port::written, &Port::changed, &c);
-  bufferevent_setwatermark(c.io.get(), EV_READ, 0, options_.longest + 1);
-  bufferevent_enable(c.io.get(), EV_READ | EV_WRITE);
-  limit(c, options_.patience_ms);
+  if (event_base_get_npriorities(base_) > 1) bufferevent_priority_set(caller.io.get(), 0);
+  bufferevent_setcb(caller.io.get(), &Port::on_readable, &Port::on_written, &Port::on_event, &caller);
+  bufferevent_setwatermark(caller.io.get(), EV_READ, 0, options_.longest + 1);
+  bufferevent_enable(caller.io.get(), EV_READ | EV_WRITE);
+  set_timeout(caller, options_.patience_ms);
 }
 
-void Port::readable(bufferevent*, void* c) {
-  auto* caller = static_cast<Caller*>(c);
+void Port::on_readable(bufferevent*, void* context) {
+  auto* caller = static_cast<Caller*>(context);
   caller->port->read(*caller);
 }
 
-void Port::read(Caller& c) {
-  const std::string_view input = loop::pending_input(c.io.get());
-  if (c.answered) return loop::consume_input(c.io.get(), input.size());
+void Port::read(Caller& caller) {
+  const std::string_view input = loop::pending_input(caller.io.get());
+  if (caller.answered) return loop::consume_input(caller.io.get(), input.size());
   const auto end = input.find('\n');
   if (end == std::string_view::npos) {
-    if (input.size() > options_.longest) reply(c, "fail the line is too long\n");
+    if (input.size() > options_.longest) reply(caller, "fail the line is too long\n");
     return;
   }
   std::string_view line = input.substr(0, end);
@@ -145,27 +143,27 @@
   Parsed parsed = parse(line);
   if (!alone) parsed.fault = "one line to a connection";
   const std::string text = parsed.fault.empty() ? answer_(parsed.call) : "fail " + parsed.fault + "\n";
-  loop::consume_input(c.io.get(), input.size());
-  reply(c, text);
+  loop::consume_input(caller.io.get(), input.size());
+  reply(caller, text);
 }
 
-void Port::reply(Caller& c, const std::string& text) {
-  c.answered = true;
-  loop::write_or_wait(c.io.get(), text);
-  limit(c, options_.linger_ms);
-  if (loop::pending_output(c.io.get()) == 0) shutdown(bufferevent_getfd(c.io.get()), SHUT_WR);
+void Port::reply(Caller& caller, const std::string& text) {
+  caller.answered = true;
+  loop::write_or_wait(caller.io.get(), text);
+  set_timeout(caller, options_.linger_ms);
+  if (loop::pending_output(caller.io.get()) == 0) shutdown(bufferevent_getfd(caller.io.get()), SHUT_WR);
 }
 
-void Port::written(bufferevent*, void* c) {
-  auto* caller = static_cast<Caller*>(c);
+void Port::on_written(bufferevent*, void* context) {
+  auto* caller = static_cast<Caller*>(context);
   // Not closed at once: bytes that are still unread here would make the kernel reset the connection.
   if (caller->answered && loop::pending_output(caller->io.get()) == 0)
     shutdown(bufferevent_getfd(caller->io.get()), SHUT_WR);
 }
 
 // An end before the line's own: half a call is none, as the id might be the beginning of another one.
-void Port::changed(bufferevent*, short what, void* c) {
-  auto* caller = static_cast<Caller*>(c);
+void Port::on_event(bufferevent*, short what, void* context) {
+  auto* caller = static_cast<Caller*>(context);
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
   if (!caller->answered && (what & BEV_EVENT_EOF) != 0 && !loop::pending_input(caller->io.get()).empty()) {
     return caller->port->reply(*caller, "fail the line has no end\n");
@@ -174,20 +172,20 @@
   caller->port->close(*caller);
 }
 
-void Port::limit(Caller& c, double ms) {
-  deadlines_.cancel(c.ticket);
-  c.ticket = deadlines_.at(loop::now_ms() + ms, [this, handle = c.self] {
+void Port::set_timeout(Caller& caller, double ms) {
+  timers_.cancel(caller.timer);
+  caller.timer = timers_.at(loop::now_ms() + ms, [this, handle = caller.self] {
     Caller* late = callers_.find(handle);
     if (late == nullptr) return;
-    late->ticket = 0;
+    late->timer = 0;
     if (late->answered) return close(*late);
     reply(*late, "fail no line came in time\n");
   });
 }
 
-void Port::close(Caller& c) {
-  deadlines_.cancel(c.ticket);
-  callers_.remove(c.self);
+void Port::close(Caller& caller) {
+  timers_.cancel(caller.timer);
+  callers_.remove(caller.self);
 }
 
 } // namespace fernward::control
--- a/src/control/port.h
+++ b/src/control/port.h
@@ -1,8 +1,9 @@
-// The second address: who connects sends one line, gets one answer, and the connection ends. Callers have a few places
-// of their own that no traffic takes, and their events go before all others where the loop has priorities.
+// The second address: who connects sends one line, gets one answer, and the connection ends. Callers have a
+// few places of their own that no traffic takes, and their events go before all others where the loop has
+// priorities.
 //
-// A caller that sends nothing, half a line or too much costs one place for a while; when all places are taken, the one
-// that has held its place longest goes.
+// A caller that sends nothing, half a line or too much costs one place for a while; when all places are
+// taken, the one that has held its place longest is closed.
 #pragma once
 
 #include <event2/event.h>
@@ -31,7 +32,7 @@
   using Answer = std::function<std::string(const Call&)>; // all lines of the answer, with their ends
 
   // Throws std::runtime_error when the address can't be listened on.
-  Port(event_base* base, loop::TimerQueue& deadlines, const PortOptions& options, Answer answer);
+  Port(event_base* base, loop::TimerQueue& timers, const PortOptions& options, Answer answer);
   ~Port();
   Port(const Port&) = delete;
   Port& operator=(const Port&) = delete;
@@ -46,30 +47,30 @@
     loop::BuffereventPtr io;
     std::uint64_t order = 0; // of coming
     bool answered = false;
-    loop::TimerQueue::TimerId ticket = 0;
+    loop::TimerQueue::TimerId timer = 0;
   };
-  static void accepted(int listening, short, void* self);
-  static void readable(bufferevent*, void* c);
-  static void written(bufferevent*, void* c);
-  static void changed(bufferevent*, short what, void* c);
+  static void on_acceptable(int listening, short, void* self);
+  static void on_readable(bufferevent*, void* context);
+  static void on_written(bufferevent*, void* context);
+  static void on_event(bufferevent*, short what, void* context);
   void accept(int fd);
   void pause();
-  void read(Caller& c);
-  void reply(Caller& c, const std::string& text);
-  void limit(Caller& c, double ms);
-  void make_room();
-  void close(Caller& c);
+  void read(Caller& caller);
+  void reply(Caller& caller, const std::string& text);
+  void set_timeout(Caller& caller, double ms);
+  void evict_oldest();
+  void close(Caller& caller);
 
   event_base* base_;
-  loop::TimerQueue& deadlines_;
+  loop::TimerQueue& timers_;
   PortOptions options_;
   Answer answer_;
   loop::SlotMap<Caller> callers_;
-  std::uint64_t came_ = 0;
+  std::uint64_t accepted_ = 0;
   int fd_ = -1;
-  loop::EventPtr listening_;
-  loop::TimerQueue::TimerId resume_ = 0;
-  bool short_ = false; // the last accept failed
+  loop::EventPtr accept_event_;
+  loop::TimerQueue::TimerId resume_timer_ = 0;
+  bool accept_failed_ = false; // the last accept failed
 };
 
 } // namespace fernward::control
--- a/src/discovery/subscription.cpp
+++ b/src/discovery/subscription.cpp
@@ -9,22 +9,24 @@
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
 // A wait that discovery answers without waiting; 0 might be taken for none given.
-constexpr double kAtOnceMs = 1;
-// Of a pause: processes that were cut off together come back spread out. Of a patience: the bounds below hold for the whole.
-constexpr double kLeastPauseShare = 0.5;
-constexpr double kLeastPatienceShare = 0.8;
+constexpr double kNoWaitMs = 1;
+// Of a pause: processes that were cut off together come back spread out. Of a patience: the bounds below hold
+// for the whole.
+constexpr double kMinPauseShare = 0.5;
+constexpr double kMinPatienceShare = 0.8;
 // A call may take this much longer in all than its patience with a silence, however often something comes.
-constexpr double kComingMs = 1000;
+constexpr double kMaxReceiveMs = 1000;
 
-// The platform's bounds on how late a change may be heard: 6 s after discovery had it and could be reached, 4 s after a
-// reload names another address; 250 ms of grace are left for requests on their way. Each is kept over three calls in a row
-// that are never answered, the first a long poll: the fourth one is under way by then, and discovery answers it at once.
-// Where nothing has been answered for long, it is kept over the call that is open then and one more, whatever these do.
+// The platform's bounds on how late a change may be heard: 6 s after discovery had it and could be reached, 4
+// s after a reload names another address; 250 ms of grace are left for requests on their way. Each is kept
+// over three calls in a row that are never answered, the first a long poll: the fourth one is under way by
+// then, and discovery answers it at once. Where nothing has been answered for long, it is kept over the call
+// that is open then and one more, whatever these do.
 constexpr SubscriptionRules kDefaults;
 constexpr double kThreeSilentMs = (1 + 2 + 4) * kDefaults.patience_ms;
 static_assert(kDefaults.poll_ms + kThreeSilentMs < 6000 - 250);
 static_assert(kThreeSilentMs < 4000 - 250);
-static_assert(2 * (kDefaults.max_patience_ms + kComingMs) < 6000 - 250);
+static_assert(2 * (kDefaults.max_patience_ms + kMaxReceiveMs) < 6000 - 250);
 
 // Of doubts in a row the 4th, the 16th and so on: after some 5, 27 and 110 s.
 bool is_rare(std::uint32_t doubts) {
@@ -39,46 +41,48 @@
       random_(static_cast<std::minstd_rand::result_type>(seed ^ (seed >> 32))),
       known_(known) {}
 
-double Subscription::jittered(double ms, double least_share) {
-  return ms * std::uniform_real_distribution<double>(least_share, 1)(random_);
+double Subscription::jittered(double ms, double min_share) {
+  return ms * std::uniform_real_distribution<double>(min_share, 1)(random_);
 }
 
-Subscription::Call* Subscription::find(CallId call) {
-  const auto it = std::find_if(calls_.begin(), calls_.end(), [call](const Call& c) { return c.id == call; });
+Subscription::Call* Subscription::find(CallId id) {
+  const auto it =
+      std::find_if(calls_.begin(), calls_.end(), [id](const Call& call) { return call.id == id; });
   return it == calls_.end() ? nullptr : &*it;
 }
 
 ListIndex Subscription::at_least(CallId id) {
   const Call* call = find(id);
-  return call != nullptr && call->since ? *call->since : told_;
+  return call != nullptr && call->since ? *call->since : last_index_;
 }
 
-void Subscription::erase(CallId call) {
-  std::erase_if(calls_, [call](const Call& c) { return c.id == call; });
+void Subscription::erase(CallId id) {
+  std::erase_if(calls_, [id](const Call& call) { return call.id == id; });
 }
 
 bool Subscription::all_in_doubt(double now) const {
-  return std::all_of(calls_.begin(), calls_.end(), [now](const Call& c) { return c.doubt_at <= now; });
+  return std::all_of(calls_.begin(), calls_.end(), [now](const Call& call) { return call.doubt_at <= now; });
 }
 
 void Subscription::open(double now, Actions& actions) {
   Call call;
   call.id = ++last_call_;
   const double grown = rules_.patience_ms * static_cast<double>(1u << std::min(doubts_, 16u));
-  call.patience_ms = jittered(std::min(grown, rules_.max_patience_ms), kLeastPatienceShare);
+  call.patience_ms = jittered(std::min(grown, rules_.max_patience_ms), kMinPatienceShare);
   call.opened_at = now;
   call.doubt_at = now + call.patience_ms;
-  call.limit_at = call.doubt_at + kComingMs;
+  call.limit_at = call.doubt_at + kMaxReceiveMs;
   calls_.push_back(call);
   actions.push_back(OpenConnection{call.id});
 }
 
-// Changes, as a rule: they cost discovery little. The whole list where there is nothing to go on from, and where this discovery
-// answers and has not told one yet. Else discovery may have lost what a call for changes goes on from: the whole list is asked
-// for after one that failed, and now and then beside one that is in doubt, so rarely that an overload does not grow by it.
-bool Subscription::whole_list_next(const Call& call) const {
+// Changes, as a rule: they cost discovery little. The complete list where there is nothing to go on from, and
+// where this discovery answers and has not told one yet. Else discovery may have lost what a call for changes
+// goes on from: the complete list is asked for after one that failed, and now and then beside one that is in
+// doubt, so rarely that an overload does not grow by it.
+bool Subscription::needs_full_list(const Call& call) const {
   if (!known_ || resync_) return true;
-  if (failures() == 0) return !complete_;
+  if (failures() == 0) return !has_full_list_;
   if (failures() == 1) return false;
   if (changes_failed_) return true;
   const bool pending = std::any_of(calls_.begin(), calls_.end(), [&](const Call& other) {
@@ -88,15 +92,16 @@
 }
 
 void Subscription::ask(double now, Call& call, Actions& actions) {
-  const bool whole = whole_list_next(call);
-  call.since = whole ? std::nullopt : known_;
-  if (whole) changes_failed_ = false;
-  call.wait_ms = whole ? 0 : failures() > 0 ? kAtOnceMs : rules_.poll_ms;
+  const bool full = needs_full_list(call);
+  call.since = full ? std::nullopt : known_;
+  if (full) changes_failed_ = false;
+  call.wait_ms = failures() > 0 ? kNoWaitMs : rules_.poll_ms;
+  if (full) call.wait_ms = 0;
   const bool first = call.asked_at == 0; // on its connection: the time to connect counts, too
   call.asked_at = now;
   call.ask_at = 0;
   const double silent_until = now + call.wait_ms + call.patience_ms;
-  call.limit_at = first ? call.limit_at + call.wait_ms : silent_until + kComingMs;
+  call.limit_at = first ? call.limit_at + call.wait_ms : silent_until + kMaxReceiveMs;
   call.doubt_at = std::min(silent_until, call.limit_at);
   actions.push_back(Ask{call.id, call.since, call.wait_ms});
 }
@@ -111,16 +116,16 @@
   call->doubt_at = std::min(now + call->patience_ms, call->limit_at);
 }
 
-void Subscription::close_others(CallId but, Actions& actions) {
+void Subscription::close_others(CallId kept, Actions& actions) {
   for (const Call& call : calls_) {
-    if (call.id != but) actions.push_back(CloseConnection{call.id});
+    if (call.id != kept) actions.push_back(CloseConnection{call.id});
   }
-  std::erase_if(calls_, [but](const Call& c) { return c.id != but; });
+  std::erase_if(calls_, [kept](const Call& call) { return call.id != kept; });
 }
 
 // A discovery that answers without news and without waiting is not asked again and again at full speed.
 double Subscription::pause_after_empty(double now, const Call& call, const Answer& answer) {
-  const bool waited = call.wait_ms <= kAtOnceMs || now - call.asked_at >= call.wait_ms / 2;
+  const bool waited = call.wait_ms <= kNoWaitMs || now - call.asked_at >= call.wait_ms / 2;
   if (!call.since || *call.since != answer.index || waited) {
     empty_in_a_row_ = 0;
     return 0;
@@ -135,10 +140,11 @@
   if (call == nullptr) return;
   const double pause = pause_after_empty(now, *call, answer);
   known_ = answer.index;
-  told_ = answer.index;
-  complete_ |= answer.whole;
+  last_index_ = answer.index;
+  has_full_list_ |= answer.complete;
   resync_ = false;
-  failures_ = doubts_ = 0;
+  failures_ = 0;
+  doubts_ = 0;
   pause_ms_ = 0;
   reopen_at_ = now + pause;
   close_others(id, actions);
@@ -161,9 +167,10 @@
   erase(id);
   ++failures_;
   resync_ |= failure == Failure::Useless;
-  const double most = failure == Failure::Disconnected ? rules_.max_pause_ms : rules_.max_useless_pause_ms;
-  pause_ms_ = std::clamp(2 * pause_ms_, rules_.first_pause_ms, most);
-  reopen_at_ = now + jittered(pause_ms_, kLeastPauseShare);
+  const double max_pause_ms =
+      failure == Failure::Disconnected ? rules_.max_pause_ms : rules_.max_useless_pause_ms;
+  pause_ms_ = std::clamp(2 * pause_ms_, rules_.first_pause_ms, max_pause_ms);
+  reopen_at_ = now + jittered(pause_ms_, kMinPauseShare);
   tick(now, actions);
 }
 
@@ -185,6 +192,9 @@
   open(now, actions);
 }
 
+// The call for changes stays: in an outage discovery holds it and answers as it returns; a call for the
+// complete list that was made meanwhile is never answered. Of two alike the older one stays, which is nearer
+// to its answer where calls queue, unless it has waited for `abandon_ms`.
 void Subscription::close_one_of_two(double now, Actions& actions) {
   const Call& oldest = calls_.front();
   const bool waited_long = now - std::max(oldest.opened_at, oldest.asked_at) >= rules_.abandon_ms;
--- a/src/discovery/subscription.h
+++ b/src/discovery/subscription.h
@@ -1,22 +1,10 @@
-// When to ask discovery for the list of endpoints, and over which connections. Decides; no I/O, no clock.
+// When to ask discovery for the endpoint list, and over which connections. Decides; no I/O, no clock. Times
+// in milliseconds on the caller's clock, which only advances.
 //
-// One rule bounds how late a change is heard: while some open call may still be answered as expected, nothing more is
-// opened; once every open call is in doubt, another one is opened beside it. A call is in doubt when no byte of its answer
-// has come for longer than it may wait plus its patience, or when its answer has been coming for too long. A call in doubt
-// is not dropped, as it may still be answered: a slow list, a queue at discovery, an outage. The first sound answer closes
-// all others. At most two calls are open at a time; once both are in doubt one is replaced, with a patience that doubles up
-// to a bound.
-//
-// Of two calls in doubt the one that asks for changes stays. In an outage discovery holds such a call, and answers it as it
-// returns; a call for the whole list that was made meanwhile is never answered. Where both are alike the older one stays: it
-// is nearer to its answer where calls wait in turn. One that has waited for very long gives way.
-//
-// Changes can be asked for from the first moment on, as of the list that the process was started with; such a list may be
-// another discovery's or damaged, so that the whole list is asked for next.
-//
-//  - Units: milliseconds on the caller's clock, which only advances.
-//  - Ownership: actions are appended to the caller's vector. A few dozen bytes are kept, whatever the fleet's size.
-//  - Events that name a call that is not open are passed over.
+// States of a call: connecting (asked_at 0), asked, answered and to be asked again (ask_at), each of them in
+// doubt once doubt_at has passed. While a call is not in doubt nothing more is opened; once all are, another
+// is opened beside them. A call in doubt may still be answered: the first sound answer closes all others. At
+// most two calls are open; once both are in doubt one is replaced, see close_one_of_two().
 #pragma once
 
 #include <cstdint>
@@ -52,7 +40,7 @@
 // A sound answer: the list as of `index`.
 struct Answer {
   ListIndex index = 0;
-  bool whole = false; // else changes alone
+  bool complete = false; // false: changes alone
 };
 
 struct OpenConnection {
@@ -60,7 +48,7 @@
 };
 struct Ask {
   CallId call = 0;
-  std::optional<ListIndex> since; // the changes after this version; none: the whole list
+  std::optional<ListIndex> since; // the changes after this version; none: the complete list
   double wait_ms = 0;             // how long discovery may wait for a change
 };
 struct CloseConnection {
@@ -71,7 +59,8 @@
 
 class Subscription {
  public:
-  // `known`: the version of the list that the process has already, from wherever.
+  // `known`: the version of the list that the process has already, from wherever: changes can be asked for
+  // from the first moment on.
   Subscription(const SubscriptionRules& rules, std::uint64_t seed, std::optional<ListIndex> known = {});
 
   void start(double now, Actions& actions) { tick(now, actions); }
@@ -80,7 +69,7 @@
   // `reusable`: the answer's connection can carry the next call.
   void answered(double now, CallId id, const Answer& answer, bool reusable, Actions& actions);
   void failed(double now, CallId id, Failure failure, Actions& actions);
-  // What discovery has now is to be heard soon, whatever the open call says: another one is made beside it.
+  // Makes another call beside the open one, whatever that one will bring.
   void refresh(double now, Actions& actions);
 
   void tick(double now, Actions& actions); // to be called at next() or later
@@ -101,35 +90,34 @@
     std::optional<ListIndex> since;
     double limit_at = 0; // it is in doubt from then on, whatever comes
     double doubt_at = 0; // and from then on, unless something comes before
-    double ask_at =
-        0; // when its next call is made, on a connection that was answered on; 0: it has been made
+    double ask_at = 0;   // when the next call is made on its connection; 0: it has been made
   };
 
-  Call* find(CallId call);
+  Call* find(CallId id);
   bool asks_for_changes(const Call& call) const { return call.asked_at > 0 && call.since.has_value(); }
-  bool whole_list_next(const Call& call) const;
-  void erase(CallId call);
+  bool needs_full_list(const Call& call) const;
+  void erase(CallId id);
   void open(double now, Actions& actions);
   void ask(double now, Call& call, Actions& actions);
-  void close_others(CallId but, Actions& actions);
+  void close_others(CallId kept, Actions& actions);
   void close_one_of_two(double now, Actions& actions);
   bool all_in_doubt(double now) const;
   double pause_after_empty(double now, const Call& call, const Answer& answer);
-  double jittered(double ms, double least_share);
+  double jittered(double ms, double min_share);
 
   SubscriptionRules rules_;
   std::minstd_rand random_;
   std::vector<Call> calls_;        // two at most, the oldest first
   std::optional<ListIndex> known_; // the version that changes can be asked from
-  ListIndex told_ = 0;             // the last version that this discovery has told
-  bool complete_ = false;          // this discovery has told a whole list
+  ListIndex last_index_ = 0;       // the last version that this discovery has told
+  bool has_full_list_ = false;     // this discovery has told a complete list
   CallId last_call_ = 0;
   double reopen_at_ = 0;        // no connection is opened before
   double pause_ms_ = 0;         // the last one, before jitter
   bool changes_failed_ = false; // the last call for changes ended without an answer
-  bool resync_ = false;         // an answer was of no use: only the whole list will do
-  std::uint32_t failures_ = 0,
-                doubts_ = 0; // since the last sound answer: calls that ended, calls that were doubted
+  bool resync_ = false;         // an answer was of no use: only the complete list will do
+  std::uint32_t failures_ = 0;  // calls that ended since the last sound answer
+  std::uint32_t doubts_ = 0;    // calls that came into doubt since then
   std::uint32_t empty_in_a_row_ = 0;
 };
 
--- a/src/endpoints/endpoint_file_watch.cpp
+++ b/src/endpoints/endpoint_file_watch.cpp
@@ -14,8 +14,8 @@
 namespace fernward::endpoints {
 namespace {
 
-constexpr double kLookMs = 250;
-constexpr off_t kMostList = 8 << 20;
+constexpr double kPollPeriodMs = 250;
+constexpr off_t kMaxListBytes = 8 << 20;
 
 bool same(const struct stat& a, const struct stat& b) {
   return a.st_ino == b.st_ino && a.st_dev == b.st_dev && a.st_size == b.st_size &&
@@ -24,20 +24,20 @@
 
 } // namespace
 
-EndpointFileWatch::EndpointFileWatch(loop::TimerQueue& deadlines, const std::string& path, Take take)
-    : deadlines_(deadlines), path_(path), take_(std::move(take)) {
-  look();
+EndpointFileWatch::EndpointFileWatch(loop::TimerQueue& timers, const std::string& path, Take take)
+    : timers_(timers), path_(path), take_(std::move(take)) {
+  poll();
 }
 
-EndpointFileWatch::~EndpointFileWatch() { deadlines_.cancel(ticket_); }
+EndpointFileWatch::~EndpointFileWatch() { timers_.cancel(poll_timer_); }
 
-void EndpointFileWatch::look() {
-  ticket_ = deadlines_.at(loop::now_ms() + kLookMs, [this] { look(); });
+void EndpointFileWatch::poll() {
+  poll_timer_ = timers_.at(loop::now_ms() + kPollPeriodMs, [this] { poll(); });
   struct stat now {};
-  if (stat(path_.c_str(), &now) != 0) return fault(std::strerror(errno));
-  if (!S_ISREG(now.st_mode)) return fault("is no regular file"); // to open a pipe would hold up the loop
+  if (stat(path_.c_str(), &now) != 0) return set_fault(std::strerror(errno));
+  if (!S_ISREG(now.st_mode)) return set_fault("is no regular file"); // to open a pipe would hold up the loop
   if (same(now, seen_)) return;
-  if (now.st_size > kMostList) return fault("is over 8 MiB");
+  if (now.st_size > kMaxListBytes) return set_fault("is over 8 MiB");
   seen_ = now;
   read(); // half written it is no JSON, and is read again when the rest is there
 }
@@ -48,24 +48,24 @@
   text << in.rdbuf();
   if (!in) { // for want of a descriptor, say: it is tried again though it has not changed
     seen_ = {};
-    return fault("can't be read");
+    return set_fault("can't be read");
   }
   auto list = config::parse_json(text.str());
   if (list.is_array()) list = {{"endpoints", std::move(list)}};
-  if (!list.is_object()) return fault("is not JSON, or no list");
+  if (!list.is_object()) return set_fault("is not JSON, or no list");
   list["index"] = ++versions_;
   list["snapshot"] = true;
   try {
     take_(list.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
   } catch (const Damaged& damage) {
-    return fault(damage.what());
+    return set_fault(damage.what());
   }
   if (!fault_.empty()) log::line("list-file-sound", {{"path", path_}});
   fault_.clear();
-  told_ = true;
+  has_list_ = true;
 }
 
-void EndpointFileWatch::fault(const std::string& why) {
+void EndpointFileWatch::set_fault(const std::string& why) {
   if (why == fault_) return;
   fault_ = why;
   log::line("list-file-damaged", {{"path", path_}, {"why", why}});
--- a/src/endpoints/endpoint_table.cpp
+++ b/src/endpoints/endpoint_table.cpp
@@ -97,7 +97,8 @@
   return list;
 }
 
-// What the table knows of a server stands in for what is damaged of its entry, so it stays until the new one is whole.
+// What the table knows of a server stands in for what is damaged of its entry, so it stays until the new one
+// is whole.
 fernward::EndpointList EndpointTable::replace(const json& endpoints) {
   Contents next;
   Damage damage;
--- a/src/endpoints/endpoint_table.h
+++ b/src/endpoints/endpoint_table.h
@@ -29,9 +29,10 @@
   EndpointTable(std::vector<std::string> zones, std::vector<std::string> kinds, bool keeps = false)
       : reader_(std::move(zones), std::move(kinds)), keeps_(keeps) {}
 
-  // Takes a whole list or changes, in discovery's form. The result is for the module. Each entry is judged by itself, see
-  // EndpointReading; what is damaged of them is told in one line of the log. Throws Damaged where the message is none, or
-  // a whole list that has entries and none that tells its server's state; throws Stale where its index is below `at_least`.
+  // Takes a whole list or changes, in discovery's form. The result is for the module. Each entry is judged by
+  // itself, see EndpointReading; what is damaged of them is told in one line of the log. Throws Damaged where
+  // the message is none, or a whole list that has entries and none that tells its server's state; throws
+  // Stale where its index is below `at_least`.
   fernward::EndpointList apply(const std::string& text, std::uint64_t at_least = 0);
   fernward::EndpointList apply(const nlohmann::json& message, std::uint64_t at_least = 0);
 
--- a/src/endpoints/endpoint_watch.cpp
+++ b/src/endpoints/endpoint_watch.cpp
@@ -19,15 +19,17 @@
 using discovery::CallId;
 using discovery::Failure;
 
-constexpr int kTooManyRequests = 429, kUnavailable = 503;
-constexpr std::size_t kLookBytes = 16 << 10; // read at once, of an answer that is looked for
-constexpr std::uint64_t kMostList = 8 << 20; // bytes of an answer: some 50,000 endpoints
-// An answer with an earlier version than was told before is out of date, as from a replica that lags. A discovery that was
-// started anew may count from the beginning: where it says the same this often, it is believed.
-constexpr std::uint32_t kStaleRefused = 2;
+constexpr int kTooManyRequests = 429;
+constexpr int kUnavailable = 503;
+constexpr std::size_t kPollBytes = 16 << 10;     // read at once by poll()
+constexpr std::uint64_t kMaxListBytes = 8 << 20; // some 50,000 endpoints
+// An answer with an earlier version than was told before is out of date, as from a replica that lags. A
+// discovery that was started anew may count from the beginning: where it says the same this often, it is
+// believed.
+constexpr std::uint32_t kMaxStaleAnswers = 2;
 
 // Lists are read before requests are sent on, where the loop has been given priorities.
-void go_first(event_base* base, bufferevent* io) {
+void raise_priority(event_base* base, bufferevent* io) {
   if (event_base_get_npriorities(base) > 1) bufferevent_priority_set(io, 0);
 }
 
@@ -41,29 +43,29 @@
 
 } // namespace
 
-EndpointWatch::Connection::Connection() : parser(http::Kind::Response, kMostList) {}
+EndpointWatch::Connection::Connection() : parser(http::Kind::Response, kMaxListBytes) {}
 
-EndpointWatch::EndpointWatch(event_base* base, loop::TimerQueue& deadlines, const std::string& address,
-                             discovery::Subscription subscription, Take take)
+EndpointWatch::EndpointWatch(event_base* base, loop::TimerQueue& timers, const std::string& address,
+                             discovery::Subscription subscription, OnAnswer on_answer)
     : base_(base),
-      deadlines_(deadlines),
+      timers_(timers),
       address_(address),
-      take_(std::move(take)),
+      on_answer_(std::move(on_answer)),
       subscription_(std::move(subscription)) {
-  decide([this](Actions& actions) { subscription_.start(loop::now_ms(), actions); });
+  run([this](Actions& actions) { subscription_.start(loop::now_ms(), actions); });
 }
 
-EndpointWatch::~EndpointWatch() { deadlines_.cancel(wake_); }
+EndpointWatch::~EndpointWatch() { timers_.cancel(tick_timer_); }
 
 void EndpointWatch::refresh() {
-  decide([this](Actions& actions) { subscription_.refresh(loop::now_ms(), actions); });
+  run([this](Actions& actions) { subscription_.refresh(loop::now_ms(), actions); });
 }
 
 // ---- what is decided ----
 
-void EndpointWatch::decide(const std::function<void(Actions&)>& what_happened) {
+void EndpointWatch::run(const std::function<void(Actions&)>& decide) {
   Actions actions;
-  what_happened(actions);
+  decide(actions);
   for (std::size_t i = 0; i < actions.size(); ++i) { // by index: what fails at once adds to them
     const discovery::Action action = actions[i];
     if (const auto* opens = std::get_if<discovery::OpenConnection>(&action)) {
@@ -74,10 +76,10 @@
       connections_.erase(closes->call);
     }
   }
-  deadlines_.cancel(wake_);
-  wake_ = deadlines_.at(subscription_.next(), [this] {
-    wake_ = 0;
-    decide([this](Actions& due) { subscription_.tick(loop::now_ms(), due); });
+  timers_.cancel(tick_timer_);
+  tick_timer_ = timers_.at(subscription_.next(), [this] {
+    tick_timer_ = 0;
+    run([this](Actions& due) { subscription_.tick(loop::now_ms(), due); });
   });
 }
 
@@ -88,8 +90,8 @@
   connection->call = call;
   connection->io = loop::make_bufferevent(base_, -1);
   bufferevent* const io = connection->io.get();
-  go_first(base_, io);
-  bufferevent_setcb(io, &EndpointWatch::readable, nullptr, &EndpointWatch::changed, connection.get());
+  raise_priority(base_, io);
+  bufferevent_setcb(io, &EndpointWatch::on_readable, nullptr, &EndpointWatch::on_event, connection.get());
   connections_[call] = std::move(connection);
   sockaddr_in where{};
   config::parse_address(address_, where); // checked when the configuration was read
@@ -103,35 +105,35 @@
   Connection& connection = *connections_.at(ask.call);
   connection.asked = true;
   const std::string text = http::write_request("GET", target_of(ask), address_, {}, "");
-  // At once, not from the loop: what discovery has meanwhile is to be there when the process looks for it next.
+  // At once, not from the loop: what discovery has meanwhile is to be there when the process looks for it
+  // next.
   loop::write_or_wait(connection.io.get(), text);
 }
 
 // ---- what the sockets tell ----
 
-void EndpointWatch::readable(bufferevent*, void* connection) {
+void EndpointWatch::on_readable(bufferevent*, void* connection) {
   auto* const found = static_cast<Connection*>(connection);
   found->watch->read(*found);
 }
 
-void EndpointWatch::changed(bufferevent*, short what, void* connection) {
+void EndpointWatch::on_event(bufferevent*, short what, void* connection) {
   auto* const found = static_cast<Connection*>(connection);
-  found->watch->event(*found, what);
+  found->watch->handle_event(*found, what);
 }
 
-void EndpointWatch::event(Connection& connection, short what) {
+void EndpointWatch::handle_event(Connection& connection, short what) {
   if ((what & BEV_EVENT_CONNECTED) != 0) {
-    connection.up = true;
+    connection.connected = true;
     loop::set_nodelay(bufferevent_getfd(connection.io.get()));
     bufferevent_enable(connection.io.get(), EV_READ | EV_WRITE);
-    return decide(
-        [&](Actions& actions) { subscription_.connected(loop::now_ms(), connection.call, actions); });
+    return run([&](Actions& actions) { subscription_.connected(loop::now_ms(), connection.call, actions); });
   }
   // An answer without a length ends with its connection.
-  if (connection.parser.end_of_input()) return answered(connection, false);
+  if (connection.parser.end_of_input()) return on_answer(connection, false);
   const char* const ended = (what & BEV_EVENT_EOF) != 0 ? "peer-closed" : "reset";
   const bool begun = connection.parser.begun();
-  fail(connection, connection.up ? ended : "connect-failed",
+  fail(connection, connection.connected ? ended : "connect-failed",
        begun ? Failure::Useless : Failure::Disconnected);
 }
 
@@ -142,19 +144,20 @@
   const std::size_t used = connection.parser.feed(input);
   const bool all = used == input.size();
   loop::consume_input(connection.io.get(), used);
-  parsed(connection, all);
+  on_parsed(connection, all);
 }
 
-// Some of an answer has been read. `all`: nothing came behind it. With bytes behind it the next one could not be told apart.
-void EndpointWatch::parsed(Connection& connection, bool all) {
+// Some of an answer has been read. `all`: nothing came behind it. With bytes behind it the next one could not
+// be told apart.
+void EndpointWatch::on_parsed(Connection& connection, bool all) {
   if (connection.parser.fault() != http::Fault::None) {
     return fail(connection, "malformed", Failure::Useless);
   }
-  if (connection.parser.done()) return answered(connection, all);
-  decide([&](Actions&) { subscription_.progressed(loop::now_ms(), connection.call); });
+  if (connection.parser.done()) return on_answer(connection, all);
+  run([&](Actions&) { subscription_.progressed(loop::now_ms(), connection.call); });
 }
 
-void EndpointWatch::answered(Connection& connection, bool reusable) {
+void EndpointWatch::on_answer(Connection& connection, bool reusable) {
   const http::Message message = connection.parser.take();
   connection.asked = false;
   if (message.status == kTooManyRequests || message.status == kUnavailable) {
@@ -163,21 +166,21 @@
   discovery::Answer answer;
   try {
     if (message.status != 200) throw Damaged("status " + std::to_string(message.status));
-    answer = take(connection.call, message.body);
+    answer = apply(connection.call, message.body);
   } catch (const Damaged& damage) {
     log::line("list-damaged", {{"from", address_}, {"why", damage.what()}});
     return fail(connection, "damaged", Failure::Useless);
   }
   note_answer();
-  decide([&](Actions& actions) {
+  run([&](Actions& actions) {
     subscription_.answered(loop::now_ms(), connection.call, answer, reusable && message.keep_alive, actions);
   });
 }
 
-discovery::Answer EndpointWatch::take(CallId call, const std::string& text) {
-  const bool believed = stale_in_a_row_ >= kStaleRefused;
+discovery::Answer EndpointWatch::apply(CallId call, const std::string& text) {
+  const bool accepts_stale = stale_in_a_row_ >= kMaxStaleAnswers;
   try {
-    const discovery::Answer answer = take_(text, believed ? 0 : subscription_.at_least(call));
+    const discovery::Answer answer = on_answer_(text, accepts_stale ? 0 : subscription_.at_least(call));
     stale_in_a_row_ = 0;
     return answer;
   } catch (const Stale&) {
@@ -191,32 +194,32 @@
   note_failure(code);
   const CallId call = connection.call;
   connections_.erase(call);
-  decide([&](Actions& actions) { subscription_.failed(loop::now_ms(), call, failure, actions); });
+  run([&](Actions& actions) { subscription_.failed(loop::now_ms(), call, failure, actions); });
 }
 
-void EndpointWatch::look() {
+void EndpointWatch::poll() {
   std::vector<CallId> calls;
   for (const auto& [call, connection] : connections_) calls.push_back(call);
-  for (const CallId call : calls) look(call); // what comes on one may close the others
+  for (const CallId call : calls) poll(call); // what comes on one may close the others
 }
 
 // Past libevent's buffer, which takes bytes from the event loop alone. An end is found again from there.
-void EndpointWatch::look(CallId call) {
-  Connection* connection = asked(call);
+void EndpointWatch::poll(CallId call) {
+  Connection* connection = find_asked(call);
   if (connection != nullptr && !loop::pending_input(connection->io.get()).empty()) read(*connection);
-  std::array<char, kLookBytes> block;
-  while ((connection = asked(call)) != nullptr) { // each round may end it
+  std::array<char, kPollBytes> block;
+  while ((connection = find_asked(call)) != nullptr) { // each round may end it
     std::size_t bytes = 0;
     const int socket = bufferevent_getfd(connection->io.get());
     if (loop::receive(socket, block.data(), block.size(), bytes) != loop::Received::Bytes) return;
     const std::size_t used = connection->parser.feed({block.data(), bytes});
-    parsed(*connection, used == bytes);
+    on_parsed(*connection, used == bytes);
     if (bytes < block.size()) return; // all that was there
   }
 }
 
 // The connection of a call that an answer is due to; null: there is none.
-EndpointWatch::Connection* EndpointWatch::asked(CallId call) {
+EndpointWatch::Connection* EndpointWatch::find_asked(CallId call) {
   const auto found = connections_.find(call);
   return found == connections_.end() || !found->second->asked ? nullptr : found->second.get();
 }
--- a/src/endpoints/target_set.cpp
+++ b/src/endpoints/target_set.cpp
@@ -11,12 +11,12 @@
 
 using fernward::ServerState;
 
-// Of two with one number, which one has it? The same at every router: the drain of one must not take the other from
-// service, and of two in service the lesser name has it.
+// Of two with one number, which one has it? The same at every router: the drain of one must not take the
+// other from service, and of two in service the lesser name has it.
 bool goes_before(const Endpoint& a, const Endpoint& b) {
-  const bool a_serves = a.entry.state == ServerState::Ready;
-  const bool b_serves = b.entry.state == ServerState::Ready;
-  return a_serves != b_serves ? a_serves : a.name < b.name;
+  const bool a_in_service = a.entry.state == ServerState::Ready;
+  const bool b_in_service = b.entry.state == ServerState::Ready;
+  return a_in_service != b_in_service ? a_in_service : a.name < b.name;
 }
 
 } // namespace
@@ -36,15 +36,15 @@
   return found == last ? nullptr : &found->second;
 }
 
-bool TargetSet::serves(fernward::ServerId id) const {
+bool TargetSet::is_in_service(fernward::ServerId id) const {
   const Endpoint* held = holder(id);
   return held != nullptr && held->entry.state == ServerState::Ready;
 }
 
 void TargetSet::put(const Endpoint& target) {
-  in_service_ -= serves(target.entry.id);
+  in_service_ -= is_in_service(target.entry.id);
   replace(target);
-  in_service_ += serves(target.entry.id);
+  in_service_ += is_in_service(target.entry.id);
 }
 
 void TargetSet::replace(const Endpoint& target) {
--- a/src/endpoints/target_set.h
+++ b/src/endpoints/target_set.h
@@ -1,5 +1,5 @@
-// The targets that discovery lists, by number. A number is a hash of the name, so that two names may have the same one:
-// it belongs to one of them at a time, and the others wait until that one drains or is gone.
+// The targets that discovery lists, by number. A number is a hash of the name, so that two names may have the
+// same one: it belongs to one of them at a time, and the others wait until that one drains or is gone.
 #pragma once
 
 #include <cstddef>
@@ -26,7 +26,7 @@
  private:
   void replace(const Endpoint& target);
   void contend(const Endpoint& target);
-  bool serves(fernward::ServerId id) const;
+  bool is_in_service(fernward::ServerId id) const;
 
   std::map<fernward::ServerId, Endpoint> holders_;
   std::multimap<fernward::ServerId, Endpoint> waiting_; // for their number; its holder has another name
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -11,12 +11,15 @@
 namespace fernward::log {
 namespace {
 
-constexpr std::size_t kLongestValue = 400;
+constexpr std::size_t kMaxValueBytes = 400;
 
-struct Bucket {
-  double per_second = 100, burst = 300, tokens = 300;
+struct TokenBucket {
+  double per_second = 100;
+  double burst = 300;
+  double tokens = 300;
   std::chrono::steady_clock::time_point filled = std::chrono::steady_clock::now();
-  std::uint64_t dropped = 0, untold = 0;
+  std::uint64_t dropped = 0;
+  std::uint64_t unreported = 0; // of those, since the last line
 
   bool take(double reserve) {
     const auto now = std::chrono::steady_clock::now();
@@ -29,11 +32,15 @@
     tokens -= 1;
     return true;
   }
-  void drop() { ++dropped, ++untold; }
+  void drop() {
+    ++dropped;
+    ++unreported;
+  }
 };
 
-Bucket bucket;
-bool as_json = false, with_routine = true;
+TokenBucket bucket;
+bool as_json = false;
+bool with_routine = true;
 
 bool plain(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
@@ -45,7 +52,7 @@
 // What a peer sent must not forge a line, in whichever form.
 void quoted(std::string& out, std::string_view text) {
   out += '"';
-  for (const char c : text.substr(0, kLongestValue)) {
+  for (const char c : text.substr(0, kMaxValueBytes)) {
     if (c == '"' || c == '\\') out += '\\';
     const auto byte = static_cast<unsigned char>(c);
     out += byte < 0x20 || byte >= 0x7f ? '?' : c;
@@ -64,7 +71,8 @@
   out += field.key;
   out += '=';
   if (field.kind != Field::Kind::Text) return number(out, field);
-  plain(field.text) && field.text.size() <= kLongestValue ? void(out += field.text) : quoted(out, field.text);
+  plain(field.text) && field.text.size() <= kMaxValueBytes ? void(out += field.text)
+                                                           : quoted(out, field.text);
 }
 
 void member(std::string& out, const Field& field) {
@@ -74,8 +82,8 @@
   field.kind != Field::Kind::Text ? number(out, field) : quoted(out, field.text);
 }
 
-// A reader that has stopped must not stop the router: a full pipe would hold up its one thread. Where poll() says that
-// there is room, a pipe takes 4096 bytes, and no line is as long.
+// A reader that has stopped must not stop the router: a full pipe would hold up its one thread. Where poll()
+// says that there is room, a pipe takes 4096 bytes, and no line is as long.
 bool has_room() {
   pollfd out{STDERR_FILENO, POLLOUT, 0};
   return poll(&out, 1, 0) != 0;
@@ -94,8 +102,8 @@
   }
   const auto add = [&](const Field& field) { as_json ? member(out, field) : key_value(out, field); };
   for (std::size_t i = 0; i < count; ++i) add(fields[i]);
-  if (bucket.untold > 0) add({"lines_dropped", bucket.untold});
-  bucket.untold = 0;
+  if (bucket.unreported > 0) add({"lines_dropped", bucket.unreported});
+  bucket.unreported = 0;
   if (as_json) out += '}';
   std::fprintf(stderr, "%s\n", out.c_str());
 }
--- a/src/router/control_calls.cpp
+++ b/src/router/control_calls.cpp
@@ -6,11 +6,11 @@
 namespace fernward::router {
 
 std::string ControlCalls::answer(const control::Call& call) {
-  switch (call.word) {
-    case control::Word::Ready: return ready();
-    case control::Word::ShowStat: return parts_.figures.lines() + "eof\n";
-    case control::Word::DisableServer: return override_endpoint(call.id, true);
-    case control::Word::EnableServer: return override_endpoint(call.id, false);
+  switch (call.command) {
+    case control::Command::Ready: return ready();
+    case control::Command::ShowStat: return parts_.figures.lines() + "eof\n";
+    case control::Command::DisableServer: return override_endpoint(call.endpoint, true);
+    case control::Command::EnableServer: return override_endpoint(call.endpoint, false);
   }
   return "fail unknown call\n";
 }
--- a/src/router/endpoint_updater.cpp
+++ b/src/router/endpoint_updater.cpp
@@ -105,8 +105,8 @@
 }
 
 void EndpointUpdater::poll_discovery() {
-  if (next_watch_ != nullptr) next_watch_->look();
-  if (watch_ != nullptr) watch_->look();
+  if (next_watch_ != nullptr) next_watch_->poll();
+  if (watch_ != nullptr) watch_->poll();
 }
 
 discovery::Answer EndpointUpdater::on_discovery_answer(const std::string& text, const std::string& from,
--- a/tests/control/call_test.cpp
+++ b/tests/control/call_test.cpp
@@ -9,11 +9,11 @@
 using namespace fernward::control;
 
 TEST_CASE("the four calls") {
-  CHECK(parse("ready").call.word == Word::Ready);
-  CHECK(parse("  show-stat\t").call.word == Word::ShowStat);
-  CHECK(parse("disable-server s-1").call.word == Word::DisableServer);
-  CHECK(parse("disable-server s-1").call.id == "s-1");
-  CHECK(parse("enable-server   s-1 ").call.id == "s-1");
+  CHECK(parse("ready").call.command == Command::Ready);
+  CHECK(parse("  show-stat\t").call.command == Command::ShowStat);
+  CHECK(parse("disable-server s-1").call.command == Command::DisableServer);
+  CHECK(parse("disable-server s-1").call.endpoint == "s-1");
+  CHECK(parse("enable-server   s-1 ").call.endpoint == "s-1");
   for (const char* line : {"ready", "show-stat", "disable-server x", "enable-server x"})
     CHECK(parse(line).fault == "");
 }
@@ -33,6 +33,6 @@
   CHECK(rc::check([](const std::string& line) {
     const Parsed parsed = parse(line);
     RC_ASSERT(parsed.fault.find_first_of("\r\n") == std::string::npos);
-    if (parsed.fault.empty()) RC_ASSERT(parsed.call.id.find_first_of(" \t\r\n") == std::string::npos);
+    if (parsed.fault.empty()) RC_ASSERT(parsed.call.endpoint.find_first_of(" \t\r\n") == std::string::npos);
   }));
 }
