--- a/src/body_buffers/buffer_budget.cpp
+++ b/src/body_buffers/buffer_budget.cpp
@@ -5,100 +5,102 @@
 namespace fernward::body_buffers {
 
 BufferBudget::BufferBudget(const BufferBudgetOptions& options) : options_(options) {
-  const std::size_t holders = std::max<std::size_t>(options_.holders, 1);
-  options_.least = std::min(options_.least, options_.total / 2 / holders);
-  options_.most = std::max(options_.most, options_.least);
-  common_ = options_.total - options_.least * holders;
+  const std::size_t holders = std::max<std::size_t>(options_.max_holders, 1);
+  options_.reserved_per_holder = std::min(options_.reserved_per_holder, options_.total_bytes / 2 / holders);
+  options_.max_per_holder = std::max(options_.max_per_holder, options_.reserved_per_holder);
+  shared_total_ = options_.total_bytes - options_.reserved_per_holder * holders;
 }
 
-void BufferBudget::limit(std::size_t total) {
-  const std::size_t own = options_.total - common_;
-  options_.total = std::max(total, own);
-  common_ = options_.total - own;
+void BufferBudget::set_total(std::size_t total) {
+  const std::size_t own = options_.total_bytes - shared_total_;
+  options_.total_bytes = std::max(total, own);
+  shared_total_ = options_.total_bytes - own;
 }
 
-BufferBudget::Hold::Hold(Hold&& other) noexcept
-    : account_(std::exchange(other.account_, nullptr)),
+BufferBudget::Reservation::Reservation(Reservation&& other) noexcept
+    : budget_(std::exchange(other.budget_, nullptr)),
       bytes_(std::exchange(other.bytes_, 0)),
-      waits_(std::exchange(other.waits_, std::nullopt)) {
-  if (waits_) (*waits_)->second = this;
+      wait_position_(std::exchange(other.wait_position_, std::nullopt)) {
+  if (wait_position_) (*wait_position_)->second = this;
 }
 
-BufferBudget::Hold& BufferBudget::Hold::operator=(Hold&& other) noexcept {
+BufferBudget::Reservation& BufferBudget::Reservation::operator=(Reservation&& other) noexcept {
   if (this == &other) return *this;
-  reset();
-  account_ = std::exchange(other.account_, nullptr);
+  release_all();
+  budget_ = std::exchange(other.budget_, nullptr);
   bytes_ = std::exchange(other.bytes_, 0);
-  waits_ = std::exchange(other.waits_, std::nullopt);
-  if (waits_) (*waits_)->second = this;
+  wait_position_ = std::exchange(other.wait_position_, std::nullopt);
+  if (wait_position_) (*wait_position_)->second = this;
   return *this;
 }
 
-void BufferBudget::Hold::set(std::size_t bytes) {
-  if (account_ == nullptr) return;
-  account_->held_ -= bytes_;
-  account_->beyond_ -= beyond();
+void BufferBudget::Reservation::set(std::size_t bytes) {
+  if (budget_ == nullptr) return;
+  budget_->held_ -= bytes_;
+  budget_->shared_held_ -= beyond_reserved();
   bytes_ = bytes;
-  account_->held_ += bytes_;
-  account_->beyond_ += beyond();
-  account_->most_held_ = std::max(account_->most_held_, account_->held_);
+  budget_->held_ += bytes_;
+  budget_->shared_held_ += beyond_reserved();
+  budget_->peak_held_ = std::max(budget_->peak_held_, budget_->held_);
 }
 
-bool BufferBudget::Hold::take(std::size_t bytes) {
+bool BufferBudget::Reservation::acquire(std::size_t bytes) {
   if (bytes == 0) return true;
-  if (account_ == nullptr || bytes > account_->free()) return false;
+  if (budget_ == nullptr || bytes > budget_->free()) return false;
   set(bytes_ + bytes);
   return true;
 }
 
-void BufferBudget::Hold::give(std::size_t bytes) { set(bytes_ - std::min(bytes, bytes_)); }
+void BufferBudget::Reservation::release(std::size_t bytes) { set(bytes_ - std::min(bytes, bytes_)); }
 
-void BufferBudget::Hold::absorb(Hold&& other) {
-  if (this == &other || other.account_ == nullptr) return;
-  if (account_ == nullptr) account_ = other.account_;
+void BufferBudget::Reservation::merge(Reservation&& other) {
+  if (this == &other || other.budget_ == nullptr) return;
+  if (budget_ == nullptr) budget_ = other.budget_;
   const std::size_t bytes = other.bytes_;
-  other.reset();
-  other.account_ = nullptr;
+  other.release_all();
+  other.budget_ = nullptr;
   set(bytes_ + bytes);
 }
 
-void BufferBudget::Hold::reset() {
+void BufferBudget::Reservation::release_all() {
   set(0);
-  go_on();
+  stop_waiting();
 }
 
-std::size_t BufferBudget::Hold::window() const {
-  if (account_ == nullptr) return 0;
-  const auto& options = account_->options_;
-  const auto share = static_cast<std::size_t>(options.share * static_cast<double>(account_->common_free()));
-  return std::min(options.least + share, options.most);
+std::size_t BufferBudget::Reservation::window() const {
+  if (budget_ == nullptr) return 0;
+  const auto& options = budget_->options_;
+  const auto share =
+      static_cast<std::size_t>(options.share_of_free * static_cast<double>(budget_->shared_free()));
+  return std::min(options.reserved_per_holder + share, options.max_per_holder);
 }
 
-std::size_t BufferBudget::Hold::room() const {
+std::size_t BufferBudget::Reservation::available() const {
   const std::size_t allowed = window();
   if (allowed <= bytes_) return 0;
-  const std::size_t own = account_->options_.least > bytes_ ? account_->options_.least - bytes_ : 0;
-  return std::min({allowed - bytes_, own + account_->common_free(), account_->free()});
+  const std::size_t own =
+      budget_->options_.reserved_per_holder > bytes_ ? budget_->options_.reserved_per_holder - bytes_ : 0;
+  return std::min({allowed - bytes_, own + budget_->shared_free(), budget_->free()});
 }
 
-bool BufferBudget::Hold::may_go_on() const { return room() > 0 && bytes_ <= window() / 2; }
+bool BufferBudget::Reservation::may_resume() const { return available() > 0 && bytes_ <= window() / 2; }
 
-void BufferBudget::Hold::wait(std::uint64_t who) {
-  if (waits_ || account_ == nullptr) return;
-  waits_ = account_->waiting_.emplace(account_->waiting_.end(), who, this);
+void BufferBudget::Reservation::wait_for_bytes(std::uint64_t who) {
+  if (wait_position_ || budget_ == nullptr) return;
+  wait_position_ = budget_->waiting_.emplace(budget_->waiting_.end(), who, this);
 }
 
-void BufferBudget::Hold::go_on() {
-  if (!waits_) return;
-  account_->waiting_.erase(*waits_);
-  waits_.reset();
+void BufferBudget::Reservation::stop_waiting() {
+  if (!wait_position_) return;
+  budget_->waiting_.erase(*wait_position_);
+  wait_position_.reset();
 }
 
-std::optional<std::uint64_t> BufferBudget::next() {
+std::optional<std::uint64_t> BufferBudget::next_resumable() {
   for (const auto& [who, hold] : waiting_) {
-    if (!hold->may_go_on()) continue;
+    if (!hold->may_resume()) continue;
     const std::uint64_t found = who;
-    hold->go_on();
+    hold->stop_waiting();
     return found;
   }
   return std::nullopt;
--- a/src/body_buffers/response_buffering.cpp
+++ b/src/body_buffers/response_buffering.cpp
@@ -4,17 +4,20 @@
 
 namespace fernward::body_buffers {
 
-AnswerStep next_step(const AnswerRules& rules, const AnswerFacts& facts) {
-  if (!within(rules, std::max(facts.come, facts.length.value_or(0)))) return AnswerStep::Spoilt;
-  if (facts.whole) return AnswerStep::Begin;
-  if (facts.room == 0) return AnswerStep::Begin;
-  if (facts.come == 0) return AnswerStep::Wait; // a head alone: the target may still break off
-  if (!facts.early) return AnswerStep::Begin;
-  const std::uint64_t holdable = std::min(rules.wait_most, facts.window);
-  if (!facts.length) return facts.come >= holdable ? AnswerStep::Begin : AnswerStep::Wait;
-  if (*facts.length <= holdable) return AnswerStep::Wait;
-  return facts.come >= std::min<std::uint64_t>(rules.begin_after, holdable) ? AnswerStep::Begin
-                                                                            : AnswerStep::Wait;
+ResponseStep next_step(const ResponseBufferingLimits& rules, const ResponseProgress& facts) {
+  if (!within_size_limit(rules, std::max(facts.received_bytes, facts.announced_length.value_or(0))))
+    return ResponseStep::TooLarge;
+  if (facts.complete) return ResponseStep::Start;
+  if (facts.available == 0) return ResponseStep::Start;
+  if (facts.received_bytes == 0) return ResponseStep::Buffer; // a head alone: the target may still break off
+  if (!facts.may_wait) return ResponseStep::Start;
+  const std::uint64_t holdable = std::min(rules.max_buffered_bytes, facts.window);
+  if (!facts.announced_length)
+    return facts.received_bytes >= holdable ? ResponseStep::Start : ResponseStep::Buffer;
+  if (*facts.announced_length <= holdable) return ResponseStep::Buffer;
+  return facts.received_bytes >= std::min<std::uint64_t>(rules.min_start_bytes, holdable)
+             ? ResponseStep::Start
+             : ResponseStep::Buffer;
 }
 
 } // namespace fernward::body_buffers
--- a/src/body_buffers/retained_bodies.cpp
+++ b/src/body_buffers/retained_bodies.cpp
@@ -5,96 +5,101 @@
 
 namespace fernward::body_buffers {
 
-bool may_send(const Allows& body, Idempotency repeat, double window_ms, const Past& past) {
-  if (past.attempts == 0) return body.first;
-  if (!past.out && !past.may_have_run) return body.not_run;
-  if (past.out && !body.copy) return false;
-  if (past.may_have_run && !body.again) return false;
+bool may_send(const BodyAvailability& body, Idempotency repeat, double window_ms,
+              const AttemptHistory& past) {
+  if (past.attempts == 0) return body.first_attempt;
+  if (!past.in_flight && !past.may_have_run) return body.retry_if_not_run;
+  if (past.in_flight && !body.hedge) return false;
+  if (past.may_have_run && !body.retry_if_run) return false;
   return repeat == Idempotency::Idempotent ||
          (repeat == Idempotency::WithKey && past.since_first_ms < window_ms);
 }
 
 RetainedBodies::Body::Body(RetainedBodies& keeper, std::optional<std::uint64_t> length)
-    : keeper_(keeper), length_(length) {
+    : all_(keeper), length_(length) {
   if (!length) return;
-  if (*length > keeper_.rules_.ceiling) {
+  if (*length > all_.limits_.max_body_bytes) {
     too_long_ = true;
   } else if (fits_memory(*length)) {
-    keeper_.memory_ += memory_ = *length;
+    all_.memory_bytes_ += reserved_memory_ = *length;
   } else if (fits_file(*length)) {
-    to_file();
-    keeper_.file_ += file_ = *length;
+    move_to_file();
+    all_.file_bytes_ += reserved_file_ = *length;
   } else {
-    level_ = Level::Passing;
+    retention_ = Retention::None;
   }
 }
 
 RetainedBodies::Body::~Body() {
-  keeper_.memory_ -= memory_;
-  keeper_.file_ -= file_;
-  keeper_.files_ -= has_file_;
+  all_.memory_bytes_ -= reserved_memory_;
+  all_.file_bytes_ -= reserved_file_;
+  all_.open_files_ -= has_file_;
 }
 
-void RetainedBodies::Body::to_file() {
-  level_ = Level::File;
+void RetainedBodies::Body::move_to_file() {
+  retention_ = Retention::File;
   has_file_ = true;
-  ++keeper_.files_;
+  ++all_.open_files_;
 }
 
 bool RetainedBodies::Body::fits_memory(std::uint64_t bytes) const {
-  return in_memory_ + bytes <= keeper_.rules_.memory_most &&
-         keeper_.memory_ + bytes <= keeper_.rules_.memory_all;
+  return memory_bytes_ + bytes <= all_.limits_.max_memory_per_body &&
+         all_.memory_bytes_ + bytes <= all_.limits_.max_memory_bytes;
 }
 
 bool RetainedBodies::Body::fits_file(std::uint64_t bytes) const {
-  if (!has_file_ && keeper_.files_ >= keeper_.rules_.files) return false;
-  return in_file_ + bytes <= keeper_.rules_.file_most && keeper_.file_ + bytes <= keeper_.rules_.file_all;
+  if (!has_file_ && all_.open_files_ >= all_.limits_.max_files) return false;
+  return file_bytes_ + bytes <= all_.limits_.max_file_per_body &&
+         all_.file_bytes_ + bytes <= all_.limits_.max_file_bytes;
 }
 
-RetainedBodies::Put RetainedBodies::Body::put(std::uint64_t bytes) {
-  if (too_long_ || come_ + bytes > length_.value_or(keeper_.rules_.ceiling)) return Put::TooLong;
-  come_ += bytes;
-  if (level_ == Level::Memory) {
+RetainedBodies::Placement RetainedBodies::Body::append(std::uint64_t bytes) {
+  if (too_long_ || received_bytes_ + bytes > length_.value_or(all_.limits_.max_body_bytes))
+    return Placement::TooLong;
+  received_bytes_ += bytes;
+  if (retention_ == Retention::Memory) {
     const bool fits = length_ || fits_memory(bytes);
     if (fits) {
-      in_memory_ += bytes;
-      if (in_memory_ > memory_) keeper_.memory_ += in_memory_ - std::exchange(memory_, in_memory_);
-      return Put::Memory;
+      memory_bytes_ += bytes;
+      if (memory_bytes_ > reserved_memory_)
+        all_.memory_bytes_ += memory_bytes_ - std::exchange(reserved_memory_, memory_bytes_);
+      return Placement::Memory;
     }
-    fits_file(bytes) ? to_file() : void(level_ = Level::Passing);
+    fits_file(bytes) ? move_to_file() : void(retention_ = Retention::None);
   }
-  if (level_ == Level::File) {
+  if (retention_ == Retention::File) {
     const bool fits = length_ || fits_file(bytes);
     if (fits) {
-      in_file_ += bytes;
-      if (in_file_ > file_) keeper_.file_ += in_file_ - std::exchange(file_, in_file_);
-      return Put::File;
+      file_bytes_ += bytes;
+      if (file_bytes_ > reserved_file_)
+        all_.file_bytes_ += file_bytes_ - std::exchange(reserved_file_, file_bytes_);
+      return Placement::File;
     }
-    level_ = Level::Passing;
+    retention_ = Retention::None;
   }
-  return Put::Passing;
+  return Placement::Unretained;
 }
 
-void RetainedBodies::Body::file_failed(std::uint64_t bytes) {
-  level_ = Level::Passing;
-  in_file_ -= std::min(bytes, in_file_);
+void RetainedBodies::Body::on_file_failure(std::uint64_t bytes) {
+  retention_ = Retention::None;
+  file_bytes_ -= std::min(bytes, file_bytes_);
   // What was set aside for the rest is free again; what came before may still be read.
-  keeper_.file_ -= file_ - in_file_;
-  file_ = in_file_;
+  all_.file_bytes_ -= reserved_file_ - file_bytes_;
+  reserved_file_ = file_bytes_;
 }
 
-bool RetainedBodies::Body::may_flow(bool whole) const {
-  return whole || (level_ != Level::Memory && come_ >= keeper_.rules_.flow_after);
+bool RetainedBodies::Body::may_stream(bool whole) const {
+  return whole || (retention_ != Retention::Memory && received_bytes_ >= all_.limits_.stream_after_bytes);
 }
 
-Allows RetainedBodies::Body::allows() const {
-  if (level_ != Level::Passing) return {};
+BodyAvailability RetainedBodies::Body::availability() const {
+  if (retention_ != Retention::None) return {};
   // Of what is handed on as it comes there is one reader, and a second attempt only before it has begun to read.
-  return {!dropped_, !dropped_, false, false};
+  return {!consumed_, !consumed_, false, false};
 }
 
-double RetainedBodies::Body::due_ms(double base_ms) const {
-  return base_ms + static_cast<double>(come_) / keeper_.rules_.least_rate;
+double RetainedBodies::Body::receive_timeout_ms(double base_ms) const {
+  return base_ms + static_cast<double>(received_bytes_) / all_.limits_.min_bytes_per_ms;
 }
 
 } // namespace fernward::body_buffers
--- a/src/downstream/answers.cpp
+++ b/src/downstream/answers.cpp
@@ -16,7 +16,7 @@
 // Its answer is here before all of it: nobody reads the rest, and the connection ends.
 void Listener::drop_body(Connection& c) {
   if (c.inflow == nullptr) return;
-  c.inflow->cut();
+  c.inflow->abort();
   c.inflow.reset();
   c.keep_alive = false;
 }
@@ -30,25 +30,25 @@
   return !(clients_.ends(now_ms(), c.self) && loop::pending_input(c.io.get()).empty());
 }
 
-bool Listener::present(Handle client) {
+bool Listener::is_connected(Handle client) {
   const Connection* c = connections_.find(client);
   return c != nullptr && !c->peer_closed && !loop::peer_ended(bufferevent_getfd(c->io.get()));
 }
 
-void Listener::answer(Handle client, proxy::ClientResponse answer) {
+void Listener::send_response(Handle client, proxy::ClientResponse answer) {
   Connection* c = connections_.find(client);
   if (c == nullptr || c->state != Connection::State::Waiting) return;
   c->exchange = 0;
   drop_body(*c);
   const char* code = "";
   const bool keep = connection_stays(*c, code);
-  c->taken_request.end(answer.kind == proxy::ClientResponse::Kind::Served    ? figures::Outcome::Answered
-                       : answer.kind == proxy::ClientResponse::Kind::Refused ? figures::Outcome::Deferred
-                                                                             : figures::Outcome::Errored);
-  c->out.absorb(std::move(answer.body.hold));
+  c->taken_request.end(answer.kind == proxy::ClientResponse::Kind::Served     ? figures::Outcome::Answered
+                       : answer.kind == proxy::ClientResponse::Kind::Rejected ? figures::Outcome::Deferred
+                                                                              : figures::Outcome::Errored);
+  c->out.merge(std::move(answer.body.reservation));
   const std::string head = encode(answer, keep);
   const std::size_t waits = loop::write_or_wait(c->io.get(), head, std::move(answer.body.buffer));
-  c->out.give(c->out.bytes() - std::min(c->out.bytes(), waits));
+  c->out.release(c->out.bytes() - std::min(c->out.bytes(), waits));
   replied(*c, keep, code);
   close_rested();
 }
@@ -82,7 +82,7 @@
 
 // ---- answers that pass through ----
 
-bool Listener::begin(Handle client, proxy::ResponseHead opening) {
+bool Listener::start_response(Handle client, proxy::ResponseHead opening) {
   Connection* c = connections_.find(client);
   if (c == nullptr || c->state != Connection::State::Waiting) return false;
   c->state = Connection::State::Passing;
@@ -93,7 +93,7 @@
                : c->old       ? http::Framing::UntilClose
                               : http::Framing::Chunks;
   if (c->framing == http::Framing::UntilClose) c->stays = false;
-  c->out.absorb(std::move(opening.body.hold));
+  c->out.merge(std::move(opening.body.reservation));
   std::string head = encode(opening, c->framing, c->stays);
   const std::size_t come = opening.body.buffer.size();
   const bool chunk = c->framing == http::Framing::Chunks && come > 0;
@@ -108,30 +108,30 @@
   return true;
 }
 
-std::size_t Listener::room(Handle client) {
+std::size_t Listener::writable_bytes(Handle client) {
   Connection* c = connections_.find(client);
   if (c == nullptr || c->state != Connection::State::Passing)
     return loop::IoBuffer::size(); // it goes nowhere
   settle_output(*c);
-  const std::size_t room = c->out.room();
+  const std::size_t room = c->out.available();
   if (room == 0) { // it is told once half of the window is free, or another has given back
     bufferevent_setwatermark(c->io.get(), EV_WRITE, c->out.window() / 2, 0);
-    if (c->out.bytes() == 0) c->out.wait(c->exchange);
+    if (c->out.bytes() == 0) c->out.wait_for_bytes(c->exchange);
   }
   return room;
 }
 
-void Listener::pass(Handle client, std::string_view bytes, loop::IoBuffer& block) {
+void Listener::write(Handle client, std::string_view bytes, loop::IoBuffer& block) {
   Connection* c = connections_.find(client);
   if (c == nullptr || c->state != Connection::State::Passing || bytes.empty()) return;
   c->passed += bytes.size();
   const bool chunk = c->framing == http::Framing::Chunks;
   const std::string line = chunk ? http::chunk_line(bytes.size()) : std::string();
-  c->out.take(loop::write_or_wait(c->io.get(), line, bytes, chunk ? http::kChunkEnd : "", block));
+  c->out.acquire(loop::write_or_wait(c->io.get(), line, bytes, chunk ? http::kChunkEnd : "", block));
 }
 
-bool Listener::pass_from(Handle client, int socket, std::size_t most, loop::IoBuffer& block,
-                         loop::Received& received, std::size_t& bytes) {
+bool Listener::splice_from(Handle client, int socket, std::size_t most, loop::IoBuffer& block,
+                           loop::Received& received, std::size_t& bytes) {
   Connection* c = connections_.find(client);
   if (c == nullptr || c->state != Connection::State::Passing || c->framing == http::Framing::Chunks)
     return false;
@@ -140,16 +140,16 @@
   if (!pipe_.move(socket, c->io.get(), most, block, received, bytes, rest)) return false;
   if (received != loop::Received::Bytes) return true;
   c->passed += bytes;
-  if (!rest.empty()) c->out.take(loop::write_or_wait(c->io.get(), "", rest, "", block));
+  if (!rest.empty()) c->out.acquire(loop::write_or_wait(c->io.get(), "", rest, "", block));
   return true;
 }
 
-void Listener::end(Handle client, bool whole) {
+void Listener::end_response(Handle client, bool whole) {
   Connection* c = connections_.find(client);
   if (c == nullptr || c->state != Connection::State::Passing) return;
   c->exchange = 0;
   c->taken_request.end(whole ? figures::Outcome::Answered : figures::Outcome::Errored);
-  c->out.go_on();
+  c->out.stop_waiting();
   if (c->inflow != nullptr) c->stays = false;
   drop_body(*c);
   if (!whole) {
@@ -165,7 +165,7 @@
 // What the client has taken goes back to the account.
 void Listener::settle_output(Connection& c) {
   const std::size_t waits = loop::pending_output(c.io.get());
-  c.out.give(c.out.bytes() - std::min(c.out.bytes(), waits));
+  c.out.release(c.out.bytes() - std::min(c.out.bytes(), waits));
 }
 
 // A client that takes nothing for so long holds what others could have. One that waits for its target is not at
@@ -198,11 +198,11 @@
 void Listener::flushed(Connection& c) {
   settle_output(c);
   if (c.state == Connection::State::Passing) {
-    if (c.out.may_go_on()) {
-      c.out.go_on();
+    if (c.out.may_resume()) {
+      c.out.stop_waiting();
       calls_.drained(c.exchange);
     } else if (c.out.bytes() == 0) {
-      c.out.wait(c.exchange);
+      c.out.wait_for_bytes(c.exchange);
     }
     return;
   }
--- a/src/downstream/closing.cpp
+++ b/src/downstream/closing.cpp
@@ -80,7 +80,7 @@
     case Connection::State::Waiting:
     case Connection::State::Passing: {
       const Handle exchange = std::exchange(c.exchange, 0);
-      if (c.inflow != nullptr) c.inflow->cut(); // in the middle of a body that already flows
+      if (c.inflow != nullptr) c.inflow->abort(); // in the middle of a body that already flows
       close(c, c.inflow != nullptr ? "request-cut" : "client-gone");
       return calls_.gone(exchange);
     }
--- a/src/downstream/codec.cpp
+++ b/src/downstream/codec.cpp
@@ -72,10 +72,11 @@
   const auto cls = std::find(names.classes.begin(), names.classes.end(),
                              or_else(request.header("x-priority-class"), unsaid.cls));
   if (cls == names.classes.end()) return fault(400, "unknown X-Priority-Class");
-  call.category = static_cast<std::uint32_t>(cls - names.classes.begin());
-  const fernward::ClassSettings& class_settings = rules.settings.classes[call.category];
-  call.repeat_key = request.header("idempotency-key");
-  if (call.write && class_settings.idempotency == fernward::Idempotency::WithKey && call.repeat_key.empty()) {
+  call.class_index = static_cast<std::uint32_t>(cls - names.classes.begin());
+  const fernward::ClassSettings& class_settings = rules.settings.classes[call.class_index];
+  call.idempotency_key = request.header("idempotency-key");
+  if (call.write && class_settings.idempotency == fernward::Idempotency::WithKey &&
+      call.idempotency_key.empty()) {
     return fault(400, "no Idempotency-Key");
   }
   // A tenant that the settings do not name has no share.
@@ -90,9 +91,10 @@
     call.timeout_ms = std::min(call.timeout_ms, class_settings.client_timeout_ms);
   call.timeout_ms = std::min(call.timeout_ms, 3600e3);
   double cost_us = 0;
-  if (number(request.header("x-cost"), cost_us)) call.work_ms = cost_us / 1000; // a hint: a bad one is none
+  if (number(request.header("x-cost"), cost_us))
+    call.expected_work_ms = cost_us / 1000; // a hint: a bad one is none
   call.key = key_of(request.target);
-  call.target = std::move(request.target);
+  call.path = std::move(request.target);
   call.body = std::move(request.body);
   return out;
 }
@@ -112,7 +114,7 @@
   switch (answer.kind) {
     case proxy::ClientResponse::Kind::Served:
       return served_head(answer.content_type, http::Framing::Length, answer.body.buffer.size(), keep_alive);
-    case proxy::ClientResponse::Kind::Refused: return encode_shed(answer.retry_after_ms, keep_alive);
+    case proxy::ClientResponse::Kind::Rejected: return encode_shed(answer.retry_after_ms, keep_alive);
     default: return http::write_response(502, {}, "failed\n", keep_alive);
   }
 }
--- a/src/downstream/codec.h
+++ b/src/downstream/codec.h
@@ -5,7 +5,8 @@
 
 #include "config/config.h"
 #include "http/message.h"
-#include "proxy/call.h"
+#include "proxy/client_request.h"
+#include "proxy/client_response.h"
 
 namespace fernward::downstream {
 
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -179,7 +179,7 @@
 
 Listener::Connection& Listener::join(int fd, descriptors::DescriptorBudget::Place place) {
   const double now = now_ms();
-  const Handle handle = connections_.add(buffers_, bytes_, bodies_.keeper.rules().ceiling);
+  const Handle handle = connections_.add(buffers_, bytes_, bodies_.retained.limits().max_body_bytes);
   Connection& c = *connections_.find(handle);
   evutil_make_socket_nonblocking(fd);
   loop::set_nodelay(fd);
--- a/src/downstream/listener.h
+++ b/src/downstream/listener.h
@@ -18,7 +18,8 @@
 #include "loop/net.h"
 #include "loop/slot_map.h"
 #include "loop/timer_queue.h"
-#include "proxy/call.h"
+#include "proxy/client_request.h"
+#include "proxy/downstream_connections.h"
 
 namespace fernward::downstream {
 
@@ -28,7 +29,7 @@
   bool share_port = false; // another process of this router may listen there too
   descriptors::ClientAdmissionOptions clients;
   std::size_t short_body =
-      64 * 1024; // up to here it waits until it is whole, see exchange/inflow.h for others
+      64 * 1024; // up to here it waits until it is whole, see proxy/request_body.h for others
   int unsent_bytes =
       64 * 1024;               // of answers, that the kernel takes of each connection beyond what it has sent
   double idle_ms = 120000;     // between requests
@@ -62,14 +63,14 @@
 
   void change(Rules rules); // what comes from now on is held against these; no class has gone
 
-  void answer(loop::Handle client, proxy::ClientResponse answer) override;
-  bool present(loop::Handle client) override;
-  bool begin(loop::Handle client, proxy::ResponseHead opening) override;
-  std::size_t room(loop::Handle client) override;
-  void pass(loop::Handle client, std::string_view bytes, loop::IoBuffer& block) override;
-  bool pass_from(loop::Handle client, int socket, std::size_t most, loop::IoBuffer& block,
-                 loop::Received& received, std::size_t& bytes) override;
-  void end(loop::Handle client, bool whole) override;
+  void send_response(loop::Handle client, proxy::ClientResponse answer) override;
+  bool is_connected(loop::Handle client) override;
+  bool start_response(loop::Handle client, proxy::ResponseHead opening) override;
+  std::size_t writable_bytes(loop::Handle client) override;
+  void write(loop::Handle client, std::string_view bytes, loop::IoBuffer& block) override;
+  bool splice_from(loop::Handle client, int socket, std::size_t most, loop::IoBuffer& block,
+                   loop::Received& received, std::size_t& bytes) override;
+  void end_response(loop::Handle client, bool whole) override;
   bool let_go(const char* code); // closes the connection that can best be spared; false: none can
 
   // The end has begun: /ready says so, and who still asks has until `by` at most.
@@ -102,7 +103,7 @@
     loop::Handle self = 0;
     descriptors::DescriptorBudget::Place place;
     descriptors::RequestBufferBudget::Held request; // one that has not come whole
-    body_buffers::BufferBudget::Hold out;           // of answers: what the client has not taken
+    body_buffers::BufferBudget::Reservation out;    // of answers: what the client has not taken
     loop::BuffereventPtr io;
     http::Parser parser;
     std::shared_ptr<proxy::RequestBody> inflow; // a long body that is coming
--- a/src/downstream/requests.cpp
+++ b/src/downstream/requests.cpp
@@ -135,7 +135,7 @@
 bool Listener::admit(Connection& c, Decoded& decoded, bool whole) {
   ++c.requests;
   if (decoded.status == 0) { // it has a class: it is counted, whatever becomes of it
-    c.taken_request = figures_.take(decoded.call.category);
+    c.taken_request = figures_.take(decoded.call.class_index);
     if (whole) c.taken_request.whole();
   }
   if (decoded.status != 0) {
@@ -155,8 +155,8 @@
   c.state = Connection::State::Waiting;
   // The module gives it up in time by itself.
   if (ends_by_ > 0)
-    call.timeout_ms = std::max(1.0, std::min(call.timeout_ms, ends_by_ - now_ms() - call.body_ms));
-  const bool whole = call.body_ms == 0;
+    call.timeout_ms = std::max(1.0, std::min(call.timeout_ms, ends_by_ - now_ms() - call.body_timeout_ms));
+  const bool whole = call.body_timeout_ms == 0;
   c.exchange = calls_.open(c.self, std::move(call));
   if (c.exchange != 0) return;
   if (!whole) return turn_away(c, 503, "", "shed");
@@ -167,7 +167,7 @@
 // With an answer, where one can still be given, and with the connection's end. 503: shed.
 void Listener::turn_away(Connection& c, int status, const char* text, const char* code) {
   const Handle exchange = std::exchange(c.exchange, 0);
-  if (c.inflow != nullptr) c.inflow->cut();
+  if (c.inflow != nullptr) c.inflow->abort();
   c.inflow.reset();
   c.call.reset();
   c.taken_request.end(status == 503 ? figures::Outcome::Deferred : figures::Outcome::Errored);
@@ -195,18 +195,18 @@
   clients_.busy(now_ms(), c.self);
   c.begun_at = now_ms();
   c.inflow = std::make_shared<proxy::RequestBody>(bodies_, c.parser.body().length());
-  c.inflow->on_room([this, handle = c.self] {
+  c.inflow->set_on_writable([this, handle = c.self] {
     Connection* again = connections_.find(handle);
     if (again == nullptr || again->inflow == nullptr) return;
     read_on(*again);
     bufferevent_trigger(again->io.get(), EV_READ, BEV_TRIG_DEFER_CALLBACKS | BEV_TRIG_IGNORE_WATERMARKS);
   });
   c.call = std::move(decoded.call);
-  c.call->inflow = c.inflow;
+  c.call->streamed_body = c.inflow;
   for (std::string_view rest = come; !rest.empty();) {
-    const std::size_t most = std::min(c.inflow->room(), rest.size());
+    const std::size_t most = std::min(c.inflow->writable_bytes(), rest.size());
     if (most == 0) return turn_away(c, 503, "", "buffers-full");
-    if (!c.inflow->put(rest.substr(0, most), block_)) return turn_away(c, 413, "body", "body-too-large");
+    if (!c.inflow->append(rest.substr(0, most), block_)) return turn_away(c, 413, "body", "body-too-large");
     rest.remove_prefix(most);
   }
   go_ahead(c);
@@ -219,13 +219,13 @@
   while (!body.done()) {
     const std::string_view input = loop::pending_input(c.io.get());
     if (input.empty()) break;
-    const std::size_t room = c.inflow->room();
+    const std::size_t room = c.inflow->writable_bytes();
     if (room == 0) { // the target takes it slowly
       pause_reading(c);
       break;
     }
     const http::Framer::Piece piece = body.next(input.substr(0, room));
-    const bool fits = c.inflow->put(piece.body, block_);
+    const bool fits = c.inflow->append(piece.body, block_);
     loop::consume_input(c.io.get(), piece.used);
     if (body.fault() == http::Fault::Malformed) return turn_away(c, 400, "malformed", "malformed");
     if (body.fault() == http::Fault::HeaderTooLarge) return turn_away(c, 431, "header", "header-too-large");
@@ -239,19 +239,20 @@
   const bool whole = c.parser.body().done();
   if (whole) {
     c.taken_request.whole();
-    c.inflow->end();
+    c.inflow->complete();
     c.parser.take();
     c.continued = false;
     deadlines_.cancel(c.ticket);
   }
   const auto inflow = c.inflow;
   if (whole) c.inflow.reset();
-  if (c.call && inflow->may_flow()) {
+  if (c.call && inflow->may_stream()) {
     proxy::ClientRequest call = std::move(*c.call);
     c.call.reset();
     c.request.set(0);
     if (!whole) {
-      call.body_ms = std::max(1.0, c.begun_at + inflow->due_ms(options_.request_ms) - now_ms());
+      call.body_timeout_ms =
+          std::max(1.0, c.begun_at + inflow->receive_timeout_ms(options_.request_ms) - now_ms());
     }
     return open(c, std::move(call));
   }
@@ -261,13 +262,15 @@
 // So long a body may take, and longer as more of it comes.
 void Listener::limit_body(Connection& c) {
   deadlines_.cancel(c.ticket);
-  c.ticket = deadlines_.at(c.begun_at + c.inflow->due_ms(options_.request_ms), [this, handle = c.self] {
-    Connection* late = connections_.find(handle);
-    if (late == nullptr || late->inflow == nullptr) return;
-    late->ticket = 0;
-    if (now_ms() < late->begun_at + late->inflow->due_ms(options_.request_ms)) return limit_body(*late);
-    turn_away(*late, 408, "too slow", "request-timeout");
-  });
+  c.ticket =
+      deadlines_.at(c.begun_at + c.inflow->receive_timeout_ms(options_.request_ms), [this, handle = c.self] {
+        Connection* late = connections_.find(handle);
+        if (late == nullptr || late->inflow == nullptr) return;
+        late->ticket = 0;
+        if (now_ms() < late->begun_at + late->inflow->receive_timeout_ms(options_.request_ms))
+          return limit_body(*late);
+        turn_away(*late, 408, "too slow", "request-timeout");
+      });
 }
 
 } // namespace fernward::downstream
--- a/src/proxy/request_body.cpp
+++ b/src/proxy/request_body.cpp
@@ -7,73 +7,78 @@
 using body_buffers::RetainedBodies;
 
 RequestBody::RequestBody(BodyStores& stores, std::optional<std::uint64_t> length)
-    : stores_(stores), length_(length), body_(stores.keeper, length), hold_(stores.bytes) {}
+    : stores_(stores),
+      length_(length),
+      body_(stores.retained, length),
+      unretained_reservation_(stores.budget) {}
 
 RequestBody::~RequestBody() = default;
 
-std::size_t RequestBody::room() const { return std::min(hold_.room(), loop::IoBuffer::size()); }
+std::size_t RequestBody::writable_bytes() const {
+  return std::min(unretained_reservation_.available(), loop::IoBuffer::size());
+}
 
-bool RequestBody::put(std::string_view bytes, loop::IoBuffer& block) {
+bool RequestBody::append(std::string_view bytes, loop::IoBuffer& block) {
   if (bytes.empty()) return true;
-  RetainedBodies::Put where = body_.put(bytes.size());
-  if (where == RetainedBodies::Put::TooLong) return false;
-  if (where == RetainedBodies::Put::File) {
-    if (file_ == nullptr && stores_.folder != nullptr) file_ = stores_.folder->create();
-    if (file_ == nullptr || !file_->append(bytes)) {
-      body_.file_failed(bytes.size());
-      where = RetainedBodies::Put::Passing;
+  RetainedBodies::Placement where = body_.append(bytes.size());
+  if (where == RetainedBodies::Placement::TooLong) return false;
+  if (where == RetainedBodies::Placement::File) {
+    if (in_file_ == nullptr && stores_.spill_folder != nullptr) in_file_ = stores_.spill_folder->create();
+    if (in_file_ == nullptr || !in_file_->append(bytes)) {
+      body_.on_file_failure(bytes.size());
+      where = RetainedBodies::Placement::Unretained;
     }
   }
-  if (where == RetainedBodies::Put::Memory) memory_.append(bytes);
-  if (where == RetainedBodies::Put::Passing) {
-    hold_.take(bytes.size());
-    passing_.add(bytes, block);
+  if (where == RetainedBodies::Placement::Memory) in_memory_.append(bytes);
+  if (where == RetainedBodies::Placement::Unretained) {
+    unretained_reservation_.acquire(bytes.size());
+    unretained_.add(bytes, block);
   }
-  tell();
+  notify_readers();
   return true;
 }
 
-void RequestBody::end() {
-  whole_ = true;
-  tell();
+void RequestBody::complete() {
+  complete_ = true;
+  notify_readers();
 }
 
-void RequestBody::cut() {
-  cut_ = !whole_;
-  if (cut_) tell();
+void RequestBody::abort() {
+  aborted_ = !complete_;
+  if (aborted_) notify_readers();
 }
 
-void RequestBody::tell() {
-  for (auto it = readers_.begin(); it != readers_.end();) (*it++)->more_();
+void RequestBody::notify_readers() {
+  for (auto it = readers_.begin(); it != readers_.end();) (*it++)->on_more_();
 }
 
-std::unique_ptr<RequestBody::Reader> RequestBody::read(std::function<void()> more) {
+std::unique_ptr<RequestBody::Reader> RequestBody::add_reader(std::function<void()> more) {
   std::unique_ptr<Reader> reader(new Reader(*this, std::move(more)));
   readers_.push_back(reader.get());
   return reader;
 }
 
-RequestBody::Reader::~Reader() { from_.readers_.remove(this); }
+RequestBody::Reader::~Reader() { body_.readers_.remove(this); }
 
-RequestBody::Reader::Got RequestBody::Reader::read(char* into, std::size_t most, std::size_t& bytes) {
-  RequestBody& f = from_;
+RequestBody::Reader::ReadResult RequestBody::Reader::read(char* into, std::size_t most, std::size_t& bytes) {
+  RequestBody& f = body_;
   bytes = 0;
-  if (f.cut_) return Got::Lost;
-  if (at_ == f.come()) return f.whole_ ? Got::End : Got::Later;
-  const std::uint64_t kept = f.memory_.size() + (f.file_ == nullptr ? 0 : f.file_->size());
-  if (at_ < f.memory_.size()) {
-    bytes = f.memory_.copy(into, most, static_cast<std::size_t>(at_));
-  } else if (at_ < kept) {
-    bytes = f.file_->read(at_ - f.memory_.size(), into, most);
-  } else if (at_ == kept + f.gone_) { // else another reader has had it
-    bytes = f.passing_.take(into, most);
-    f.gone_ += bytes;
-    f.body_.handed_on(bytes);
-    f.hold_.give(bytes);
-    if (bytes > 0 && f.room_again_ && f.hold_.may_go_on()) f.room_again_();
+  if (f.aborted_) return ReadResult::Unavailable;
+  if (offset_ == f.received_bytes()) return f.complete_ ? ReadResult::End : ReadResult::Pending;
+  const std::uint64_t kept = f.in_memory_.size() + (f.in_file_ == nullptr ? 0 : f.in_file_->size());
+  if (offset_ < f.in_memory_.size()) {
+    bytes = f.in_memory_.copy(into, most, static_cast<std::size_t>(offset_));
+  } else if (offset_ < kept) {
+    bytes = f.in_file_->read(offset_ - f.in_memory_.size(), into, most);
+  } else if (offset_ == kept + f.consumed_bytes_) { // else another reader has had it
+    bytes = f.unretained_.take(into, most);
+    f.consumed_bytes_ += bytes;
+    f.body_.mark_consumed(bytes);
+    f.unretained_reservation_.release(bytes);
+    if (bytes > 0 && f.on_writable_ && f.unretained_reservation_.may_resume()) f.on_writable_();
   }
-  at_ += bytes;
-  return bytes > 0 ? Got::Bytes : Got::Lost;
+  offset_ += bytes;
+  return bytes > 0 ? ReadResult::Bytes : ReadResult::Unavailable;
 }
 
 } // namespace fernward::proxy
--- a/src/proxy/request_body.h
+++ b/src/proxy/request_body.h
@@ -23,10 +23,10 @@
 struct BodyStores { // of all requests
   BodyStores(const body_buffers::RetentionLimits& rules, body_buffers::BufferBudget& account,
              const std::string& path)
-      : keeper(rules), bytes(account), folder(path.empty() ? nullptr : new spill::Folder(path)) {}
-  body_buffers::RetainedBodies keeper;
-  body_buffers::BufferBudget& bytes;     // for what is passed on without being kept
-  std::unique_ptr<spill::Folder> folder; // null: there is none
+      : retained(rules), budget(account), spill_folder(path.empty() ? nullptr : new spill::Folder(path)) {}
+  body_buffers::RetainedBodies retained;
+  body_buffers::BufferBudget& budget;          // for what is passed on without being kept
+  std::unique_ptr<spill::Folder> spill_folder; // null: there is none
 };
 
 class RequestBody {
@@ -37,20 +37,23 @@
   RequestBody& operator=(const RequestBody&) = delete;
 
   // ---- the client's side ----
-  void on_room(std::function<void()> call) { room_again_ = std::move(call); }
-  std::size_t room() const; // bytes it takes now; 0: on_room's call comes when there is room again
-  bool put(std::string_view bytes, loop::IoBuffer& block); // no more than that; false: longer than it may be
-  void end();                                              // it has come whole
-  void cut();                                              // the rest will never come
-  bool may_flow() const { return body_.may_flow(whole_) || room() == 0; } // else it could never come whole
-  double due_ms(double base_ms) const { return body_.due_ms(base_ms); }
+  void set_on_writable(std::function<void()> call) { on_writable_ = std::move(call); }
+  std::size_t writable_bytes() const; // bytes it takes now; 0: on_room's call comes when there is room again
+  bool append(std::string_view bytes,
+              loop::IoBuffer& block); // no more than that; false: longer than it may be
+  void complete();                    // it has come whole
+  void abort();                       // the rest will never come
+  bool may_stream() const {
+    return body_.may_stream(complete_) || writable_bytes() == 0;
+  } // else it could never come whole
+  double receive_timeout_ms(double base_ms) const { return body_.receive_timeout_ms(base_ms); }
 
   // ---- the attempts' side ----
   std::optional<std::uint64_t> length() const { return length_; }
-  std::uint64_t come() const { return body_.come(); }
-  bool whole() const { return whole_; }
-  body_buffers::Allows allows() const { return body_.allows(); }
-  body_buffers::Level level() const { return body_.level(); }
+  std::uint64_t received_bytes() const { return body_.received_bytes(); }
+  bool is_complete() const { return complete_; }
+  body_buffers::BodyAvailability availability() const { return body_.availability(); }
+  body_buffers::Retention retention() const { return body_.retention(); }
 
   class Reader { // of one attempt; the Inflow outlives it
    public:
@@ -58,32 +61,37 @@
     Reader(const Reader&) = delete;
     Reader& operator=(const Reader&) = delete;
 
-    enum class Got { Bytes, Later, End, Lost }; // later: `more` is called; lost: the rest can't be had
-    Got read(char* into, std::size_t most, std::size_t& bytes);
-    std::uint64_t at() const { return at_; }
+    enum class ReadResult {
+      Bytes,
+      Pending,
+      End,
+      Unavailable
+    }; // later: `more` is called; lost: the rest can't be had
+    ReadResult read(char* into, std::size_t most, std::size_t& bytes);
+    std::uint64_t offset() const { return offset_; }
 
    private:
     friend class RequestBody;
-    Reader(RequestBody& from, std::function<void()> more) : from_(from), more_(std::move(more)) {}
-    RequestBody& from_;
-    std::function<void()> more_;
-    std::uint64_t at_ = 0;
+    Reader(RequestBody& from, std::function<void()> more) : body_(from), on_more_(std::move(more)) {}
+    RequestBody& body_;
+    std::function<void()> on_more_;
+    std::uint64_t offset_ = 0;
   };
-  std::unique_ptr<Reader> read(std::function<void()> more);
+  std::unique_ptr<Reader> add_reader(std::function<void()> more);
 
  private:
-  void tell();
+  void notify_readers();
 
   BodyStores& stores_;
   std::optional<std::uint64_t> length_;
   body_buffers::RetainedBodies::Body body_;
-  std::string memory_;                // the first part
-  std::unique_ptr<spill::File> file_; // what follows
-  loop::Buffer passing_;              // and what is not kept: it goes as it is read
-  body_buffers::BufferBudget::Hold hold_;
-  std::uint64_t gone_ = 0; // of what is not kept, read and gone
-  bool whole_ = false, cut_ = false;
-  std::function<void()> room_again_;
+  std::string in_memory_;                // the first part
+  std::unique_ptr<spill::File> in_file_; // what follows
+  loop::Buffer unretained_;              // and what is not kept: it goes as it is read
+  body_buffers::BufferBudget::Reservation unretained_reservation_;
+  std::uint64_t consumed_bytes_ = 0; // of what is not kept, read and gone
+  bool complete_ = false, aborted_ = false;
+  std::function<void()> on_writable_;
   std::list<Reader*> readers_;
 };
 
--- a/src/router/hot_restart_coordinator.cpp
+++ b/src/router/hot_restart_coordinator.cpp
@@ -75,7 +75,7 @@
   if (memory_mb == 0) return;
   memory_mb_ += memory_mb;
   parts_.buffers.limit(config::buffer_bytes(memory_mb_));
-  parts_.bytes.limit(config::body_bytes(memory_mb_));
+  parts_.bytes.set_total(config::body_bytes(memory_mb_));
 }
 
 // ---- the old process ----
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -47,8 +47,9 @@
 proxy::RequestDispatcherOptions driver_options(const config::Config& config) {
   proxy::RequestDispatcherOptions options;
   options.grace_ms = config.limits.grace_to_answer_ms;
-  options.open_cap = static_cast<std::size_t>(config.limits.open_cap);
-  options.look_every_ms = config.limits.drain_grace_ms / 10; // the rest of the grace is for reading the list
+  options.max_requests = static_cast<std::size_t>(config.limits.open_cap);
+  options.discovery_poll_interval_ms =
+      config.limits.drain_grace_ms / 10; // the rest of the grace is for reading the list
   return options;
 }
 
@@ -58,7 +59,7 @@
   options.idle_ms = 0.7 * config.limits.conn_idle_ms; // well before the target closes it
   options.scarce_kind = config.settings.origin_kind;
   options.report_fields = config.names.report_fields;
-  options.answers.ceiling = config.answer_bytes;
+  options.answers.max_body_bytes = config.answer_bytes;
   const std::size_t each = kernel_bytes(config) / (places(config) / 2);
   if (each < kKernelsOwn) options.receive_bytes = static_cast<int>(std::max(each, kLeastReceived));
   return options;
@@ -66,21 +67,23 @@
 
 body_buffers::BufferBudgetOptions account_options(const config::Config& config) {
   body_buffers::BufferBudgetOptions options;
-  options.total = config::body_bytes(config.memory_mb);
-  options.holders = places(config); // of answers; and of bodies that are passed on, where these may be long
-  if (config.request_bytes > kShortBody) options.holders *= 2;
+  options.total_bytes = config::body_bytes(config.memory_mb);
+  options.max_holders =
+      places(config); // of answers; and of bodies that are passed on, where these may be long
+  if (config.request_bytes > kShortBody) options.max_holders *= 2;
   return options;
 }
 
 body_buffers::RetentionLimits keep_rules(const config::Config& config) {
   const std::uint64_t memory = static_cast<std::uint64_t>(config.memory_mb) << 20;
   body_buffers::RetentionLimits rules;
-  rules.ceiling = config.request_bytes;
-  rules.memory_most = std::min<std::uint64_t>(memory / 64, 512 << 10);
-  rules.memory_all = memory / 8;
-  rules.file_all = config.body_folder.empty() ? 0 : static_cast<std::uint64_t>(config.body_folder_mb) << 20;
-  rules.file_most = rules.file_all / 4;
-  rules.flow_after = kShortBody;
+  rules.max_body_bytes = config.request_bytes;
+  rules.max_memory_per_body = std::min<std::uint64_t>(memory / 64, 512 << 10);
+  rules.max_memory_bytes = memory / 8;
+  rules.max_file_bytes =
+      config.body_folder.empty() ? 0 : static_cast<std::uint64_t>(config.body_folder_mb) << 20;
+  rules.max_file_per_body = rules.max_file_bytes / 4;
+  rules.stream_after_bytes = kShortBody;
   return rules;
 }
 
@@ -159,7 +162,7 @@
       listener_(base, deadlines_, account_, buffers_, bytes_, bodies_, figures_,
                 listener_options(config, from), ingress_rules(config), listener_calls()) {
   driver_.attach(listener_, pool_);
-  driver_.before_bursts([this] {
+  driver_.set_discovery_poll([this] {
     if (next_watch_ != nullptr) next_watch_->look();
     if (watch_ != nullptr) watch_->look();
   });
@@ -206,11 +209,11 @@
   const auto heard = [this, uses](gossip::Fleet& told, double now) {
     std::vector<fernward::Event> events;
     gossip::advise(now, told.view(now), told, uses, events);
-    driver_.fleet(std::move(events));
+    driver_.on_fleet_events(std::move(events));
   };
   peers_ = std::make_unique<gossip_transport::Link>(deadlines_, options, gossip_transport::Calls{own, heard});
   figures_.gauge("fleet_living", [this] { return static_cast<double>(peers_->fleet().members().living()); });
-  figures_.gauge("fleet_limit", [this] { return 1000 * driver_.ledger().limit; });
+  figures_.gauge("fleet_limit", [this] { return 1000 * driver_.origin_budget().limit; });
   figures_.gauge("fleet_doubted", [this] { return static_cast<double>(peers_->fleet().doubted()); });
   figures_.gauge("fleet_heard", [this] { return peers_->fleet().view(loop::now_ms()).heard; });
 }
@@ -218,7 +221,7 @@
 Router::~Router() {
   tell_figures();
   log::line("ends", {{"name", config_.name},
-                     {"unanswered", driver_.unanswered()},
+                     {"unanswered", driver_.unanswered_requests()},
                      {"egress_opened", pool_.opened()},
                      {"resets_after_rest", pool_.reset_after_rest()},
                      {"dropped", log::dropped()}});
@@ -237,7 +240,7 @@
                                     "attempts", "class",       "no-target",  "rejected"};
   static_assert(std::size(kNames) == static_cast<std::size_t>(fernward::GiveUpReason::Count));
   std::vector<log::Field> fields;
-  const auto& given_up = driver_.given_up();
+  const auto& given_up = driver_.give_up_counts();
   for (std::size_t i = 0; i < given_up.size(); ++i) {
     if (given_up[i] != told_[i]) fields.emplace_back(kNames[i], given_up[i] - told_[i]);
   }
@@ -278,15 +281,15 @@
 downstream::ListenerCalls Router::listener_calls() {
   return {[this](loop::Handle client, proxy::ClientRequest call) {
             if (known_waits_ != 0) return loop::Handle{0}; // the list that the module has may be old
-            return driver_.open(client, std::move(call));
+            return driver_.open_request(client, std::move(call));
           },
-          [this](const std::string& id) { return driver_.is_open(id); },
-          [this](loop::Handle exchange) { driver_.body_whole(exchange); },
-          [this](loop::Handle exchange) { driver_.client_gone(exchange); },
+          [this](const std::string& id) { return driver_.is_waiting_for(id); },
+          [this](loop::Handle exchange) { driver_.body_complete(exchange); },
+          [this](loop::Handle exchange) { driver_.client_disconnected(exchange); },
           [this] { return known_waits_ == 0 && table_.usable(); },
           [this] { emptied(); },
           [this] { return pool_.let_go("recalled"); },
-          [this](loop::Handle exchange) { driver_.drained(exchange); }};
+          [this](loop::Handle exchange) { driver_.response_drained(exchange); }};
 }
 
 // The list to begin with. The process that this one replaces has just been told its list. The one in the configuration may be
@@ -400,7 +403,8 @@
   } else {
     spread_whole(list);
   }
-  if (list.kind != fernward::EndpointListKind::Delta || !list.servers.empty()) driver_.list(std::move(list));
+  if (list.kind != fernward::EndpointListKind::Delta || !list.servers.empty())
+    driver_.update_endpoints(std::move(list));
   if (succession_ != nullptr) succession_->began();
 }
 
@@ -467,7 +471,8 @@
   std::size_t n = 0;
   for (const auto& [id, target] : table_.targets()) {
     if (is_origin(target.entry)) continue;
-    n += !avoided || target.entry.state != ServerState::Ready || bans_.out(target.name) || driver_.avoids(id);
+    n += !avoided || target.entry.state != ServerState::Ready || bans_.out(target.name) ||
+         driver_.is_ejected(id);
   }
   return n;
 }
@@ -514,7 +519,7 @@
 // All of it, or nothing: what can fail comes first.
 void Router::move(config::Config next) {
   try {
-    driver_.change(next.settings);
+    driver_.update_settings(next.settings);
   } catch (const std::invalid_argument& fault) {
     throw config::Error(fault.what());
   }
@@ -543,7 +548,7 @@
   if (peers_ != nullptr) peers_->leave();
   log::line("winds-down", {{"name", config_.name}});
   const double now = loop::now_ms(), last = longest_give_up(config_) + kFinishMs;
-  driver_.ends_by(now + last - kLastWordMs);
+  driver_.answer_all_by(now + last - kLastWordMs);
   if (succession_ == nullptr || !succession_->wind_down()) {
     listener_.ends_by(now + last - kLastWordMs);
     deadlines_.at(now + kAcceptOnMs, [this] { listener_.stop_accepting(); });
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -61,7 +61,7 @@
   const endpoints::EndpointTable& table() const { return table_; }
   const figures::Figures& figures() const { return figures_; }
   const body_buffers::BufferBudget& bytes() const { return bytes_; }
-  const body_buffers::RetainedBodies& kept() const { return bodies_.keeper; }
+  const body_buffers::RetainedBodies& kept() const { return bodies_.retained; }
 
  private:
   downstream::ListenerCalls listener_calls();
@@ -112,7 +112,7 @@
   std::unique_ptr<gossip_transport::Link> peers_;      // null: the routers share nothing
   std::unique_ptr<endpoints::EndpointFileWatch> file_; // where a file tells the nodes
   loop::TimerQueue::TimerId known_waits_ = 0; // the configuration's list, while discovery's own is awaited
-  proxy::RequestDispatcher::Figures told_{};  // given up when last told
+  proxy::RequestDispatcher::GiveUpCounts told_{};       // given up when last told
   fernward::Balancer::SlowStartCounts slow_start_told_; // when last told
   std::uint64_t ended_told_ = 0;                        // requests ended when figures were last told
   bool winding_down_ = false;
--- a/src/upstream/codec.cpp
+++ b/src/upstream/codec.cpp
@@ -13,19 +13,19 @@
 std::string encode(const proxy::ClientRequest& call, const std::string& host, double remaining_ms) {
   const std::string wait = std::to_string(std::max(1L, std::lround(std::floor(remaining_ms))));
   std::vector<http::Header> headers = {{"X-Request-ID", call.id}, {"X-Timeout-Ms", wait}};
-  if (!call.repeat_key.empty()) headers.push_back({"Idempotency-Key", call.repeat_key});
-  if (call.inflow != nullptr) {
-    const auto length = call.inflow->length();
-    return http::write_request_head(call.write ? "PUT" : "GET", call.target, host, headers,
+  if (!call.idempotency_key.empty()) headers.push_back({"Idempotency-Key", call.idempotency_key});
+  if (call.streamed_body != nullptr) {
+    const auto length = call.streamed_body->length();
+    return http::write_request_head(call.write ? "PUT" : "GET", call.path, host, headers,
                                     length ? http::Framing::Length : http::Framing::Chunks,
                                     length.value_or(0));
   }
-  return http::write_request(call.write ? "PUT" : "GET", call.target, host, headers, call.body);
+  return http::write_request(call.write ? "PUT" : "GET", call.path, host, headers, call.body);
 }
 
 proxy::AttemptCompletion decode(const http::Message& answer, const std::vector<std::string>& report_fields) {
   proxy::AttemptCompletion ending;
-  ending.report = parse_report(answer.header("x-server-load"), report_fields);
+  ending.load_report = parse_report(answer.header("x-server-load"), report_fields);
   const bool never_ran = answer.header("x-not-processed") == "1";
   if (answer.status == 200) {
     ending.result = AttemptResult::Ok;
--- a/src/upstream/codec.h
+++ b/src/upstream/codec.h
@@ -5,7 +5,8 @@
 #include <vector>
 
 #include "http/message.h"
-#include "proxy/call.h"
+#include "proxy/attempt_callbacks.h"
+#include "proxy/client_request.h"
 
 namespace fernward::upstream {
 
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -89,21 +89,21 @@
 
 // ---- an attempt ----
 
-proxy::UpstreamConnections::Start ConnectionPool::start(Handle attempt, fernward::ServerId target,
-                                                        const proxy::ClientRequestPtr& call,
-                                                        double deadline) {
-  if (!in_service(target)) return Start::NoTarget;
+proxy::UpstreamConnections::StartResult ConnectionPool::start(Handle attempt, fernward::ServerId target,
+                                                              const proxy::ClientRequestPtr& call,
+                                                              double deadline) {
+  if (!in_service(target)) return StartResult::NoEndpoint;
   UpstreamConnection* c = reusable(target);
   if (c == nullptr) {
     descriptors::DescriptorBudget::Place place = room();
     const int fd = place ? open_socket() : -1;
-    if (fd < 0) return Start::Full; // this process's own want: no fault of the target's
-    Start why = Start::NoTarget;
+    if (fd < 0) return StartResult::LocalLimit; // this process's own want: no fault of the target's
+    StartResult why = StartResult::NoEndpoint;
     c = open(targets_.at(target), std::move(place), fd, why);
     if (c == nullptr) return why;
   }
   assign(*c, attempt, call, deadline);
-  return Start::Begun;
+  return StartResult::Started;
 }
 
 // A place for a new connection: a free one, one that the clients have beyond their share, or one of our own.
@@ -201,8 +201,8 @@
 // `fd` is the connection's from here on.
 ConnectionPool::UpstreamConnection* ConnectionPool::open(const endpoints::Endpoint& target,
                                                          descriptors::DescriptorBudget::Place place, int fd,
-                                                         Start& why) {
-  const Handle handle = connections_.add(options_.answers.ceiling);
+                                                         StartResult& why) {
+  const Handle handle = connections_.add(options_.answers.max_body_bytes);
   UpstreamConnection& c = *connections_.find(handle);
   c.pool = this;
   c.self = handle;
@@ -222,7 +222,7 @@
                                  sizeof target.where) != 0) {
     // No port or no memory for it on this machine: as little the target's fault as a want of descriptors.
     const bool ours = errno == EADDRNOTAVAIL || errno == ENOBUFS || errno == ENOMEM || errno == EAGAIN;
-    if (ours) why = Start::Full;
+    if (ours) why = StartResult::LocalLimit;
     close(c, ours ? "not-from-here" : "connect-failed");
     return nullptr;
   }
@@ -255,13 +255,13 @@
 void ConnectionPool::write(UpstreamConnection& c) {
   loop::write_or_wait(c.io.get(), encode(*c.call, targets_.at(c.target).address, c.deadline - now_ms()));
   c.counted = false;
-  if (c.call->inflow == nullptr) return count_sent(c);
+  if (c.call->streamed_body == nullptr) return count_sent(c);
   c.sent = false;
   c.written_at = c.taken_at = now_ms();
   c.taken = 0;
   limit_taking(c);
   bufferevent_setwatermark(c.io.get(), EV_WRITE, kMostAhead / 2, 0);
-  c.upload = c.call->inflow->read([this, handle = c.self] {
+  c.upload = c.call->streamed_body->add_reader([this, handle = c.self] {
     if (UpstreamConnection* more = connections_.find(handle)) send_body(*more);
   });
   send_body(c);
@@ -269,14 +269,14 @@
 
 // Never ends the connection: it is called from within the client's.
 void ConnectionPool::send_body(UpstreamConnection& c) {
-  using Got = proxy::RequestBody::Reader::Got;
-  const bool chunks = !c.call->inflow->length();
+  using Got = proxy::RequestBody::Reader::ReadResult;
+  const bool chunks = !c.call->streamed_body->length();
   while (!c.sent && loop::pending_output(c.io.get()) < kMostAhead) {
     std::size_t bytes = 0;
     char* const into = block_.data();
     const Got got = c.upload->read(into, loop::IoBuffer::size(), bytes);
-    if (got == Got::Later) return;
-    if (got == Got::Lost) {
+    if (got == Got::Pending) return;
+    if (got == Got::Unavailable) {
       deadlines_.at(now_ms(), [this, handle = c.self] { // a request that is not whole has not run
         UpstreamConnection* cut = connections_.find(handle);
         if (cut != nullptr && !cut->sent) lose(*cut, AttemptResult::ConnectFailed, "body-lost");
@@ -305,7 +305,7 @@
   return !c.sent || loop::pending_output(c.io.get()) > 0;
 }
 
-proxy::UpstreamConnections::Pause ConnectionPool::cancel(Handle attempt) {
+proxy::UpstreamConnections::ClientPause ConnectionPool::cancel(Handle attempt) {
   const auto it = by_attempt_.find(attempt);
   if (it == by_attempt_.end()) return {};
   UpstreamConnection* c = connections_.find(it->second);
@@ -313,7 +313,8 @@
   if (c == nullptr) return {};
   c->attempt = 0;
   const double since = c->stopped ? c->stopped_at : c->written_at;
-  const Pause pause{c->paused_ms + (c->stopped || !c->sent ? now_ms() - since : 0), c->stopped || !c->sent};
+  const ClientPause pause{c->paused_ms + (c->stopped || !c->sent ? now_ms() - since : 0),
+                          c->stopped || !c->sent};
   if (c->up) { // an answer is due on it: it never goes back to the pool
     close(*c, c->stopped ? "client-slow" : c->parser.begun() ? "never-ended" : "given-up");
   } else {
@@ -355,11 +356,11 @@
 }
 
 void ConnectionPool::came_up(UpstreamConnection& c) {
-  if (const Handle late = c.attempt; late != 0 && !attempts_.may_write(late)) {
+  if (const Handle late = c.attempt; late != 0 && !attempts_.may_write_request(late)) {
     cancel(late); // while it was not up: nothing of it goes out, and the connection rests
     proxy::AttemptCompletion ending;
     ending.result = AttemptResult::Abandoned;
-    attempts_.ended(late, std::move(ending));
+    attempts_.on_attempt_complete(late, std::move(ending));
   }
   c.up = true;
   deadlines_.cancel(c.ticket);
@@ -405,7 +406,7 @@
     std::size_t bytes = 0;
     loop::Received received = loop::Received::Nothing;
     const bool moved = c.way == UpstreamConnection::Way::Pass && c.parser.body().straight() >= most &&
-                       attempts_.pass_from(c.attempt, socket, most, block_, received, bytes);
+                       attempts_.splice_from(c.attempt, socket, most, block_, received, bytes);
     if (!moved) received = loop::receive(socket, block_.data(), most, bytes);
     if (received == loop::Received::Broken) return event(c, BEV_EVENT_ERROR | BEV_EVENT_READING);
     if (received == loop::Received::Ended && c.direct != nullptr)
@@ -456,12 +457,12 @@
   }
   learn(c, false);
   c.ending = decode(head, options_.report_fields);
-  c.waiting = {{}, body_buffers::BufferBudget::Hold(bytes_)};
+  c.waiting = {{}, body_buffers::BufferBudget::Reservation(bytes_)};
   c.way =
       c.ending.result == AttemptResult::Ok ? UpstreamConnection::Way::Wait : UpstreamConnection::Way::Skip;
-  if (c.way == UpstreamConnection::Way::Wait) c.wait_until = attempts_.wait_until(c.attempt);
+  if (c.way == UpstreamConnection::Way::Wait) c.wait_until = attempts_.buffer_until(c.attempt);
   const auto length = c.parser.body().length();
-  if (c.way == UpstreamConnection::Way::Wait && (!length || *length > options_.answers.begin_after)) {
+  if (c.way == UpstreamConnection::Way::Wait && (!length || *length > options_.answers.min_start_bytes)) {
     // Whoever gives nothing more for a while is found here, not by what comes next.
     deadlines_.cancel(c.ticket);
     c.ticket = deadlines_.at(c.wait_until, [this, handle = c.self] {
@@ -477,11 +478,11 @@
 // How many bytes may be read now. None: reading stops until the client has taken some.
 std::size_t ConnectionPool::room(UpstreamConnection& c) {
   if (c.way == UpstreamConnection::Way::Wait) {
-    if (const std::size_t room = c.waiting.hold.room(); room > 0) return room;
+    if (const std::size_t room = c.waiting.reservation.available(); room > 0) return room;
     begin(c);
   }
   if (c.way == UpstreamConnection::Way::Skip) return loop::IoBuffer::size();
-  const std::size_t room = attempts_.room(c.attempt);
+  const std::size_t room = attempts_.writable_bytes(c.attempt);
   if (room == 0) {
     bufferevent_disable(c.io.get(), EV_READ);
     if (c.direct != nullptr) event_del(c.direct.get());
@@ -491,7 +492,7 @@
   return room;
 }
 
-void ConnectionPool::go_on(Handle attempt) {
+void ConnectionPool::resume_reading(Handle attempt) {
   const auto it = by_attempt_.find(attempt);
   UpstreamConnection* c = it == by_attempt_.end() ? nullptr : connections_.find(it->second);
   if (c == nullptr || !c->stopped) return;
@@ -514,11 +515,11 @@
   while (!bytes.empty() && !body.done()) {
     const http::Framer::Piece piece = body.next(bytes);
     bytes.remove_prefix(piece.used);
-    if (c.way == UpstreamConnection::Way::Wait && !c.waiting.hold.take(piece.body.size())) begin(c);
+    if (c.way == UpstreamConnection::Way::Wait && !c.waiting.reservation.acquire(piece.body.size())) begin(c);
     if (c.way == UpstreamConnection::Way::Wait) {
       c.waiting.buffer.add(piece.body, block_);
     } else if (c.way == UpstreamConnection::Way::Pass) {
-      attempts_.pass(c.attempt, piece.body, block_);
+      attempts_.write(c.attempt, piece.body, block_);
     }
     if (body.fault() != http::Fault::None) {
       spoilt(c);
@@ -538,19 +539,19 @@
     return false;
   }
   if (c.way == UpstreamConnection::Way::Pass) return true;
-  body_buffers::AnswerFacts facts;
-  facts.length = body.length();
-  facts.come = body.come();
-  facts.whole = body.done();
-  facts.early = now_ms() < c.wait_until;
-  facts.window = c.waiting.hold.window();
-  facts.room = c.waiting.hold.room();
+  body_buffers::ResponseProgress facts;
+  facts.announced_length = body.length();
+  facts.received_bytes = body.come();
+  facts.complete = body.done();
+  facts.may_wait = now_ms() < c.wait_until;
+  facts.window = c.waiting.reservation.window();
+  facts.available = c.waiting.reservation.available();
   switch (body_buffers::next_step(options_.answers, facts)) {
-    case body_buffers::AnswerStep::Wait: break;
-    case body_buffers::AnswerStep::Begin:
-      if (!facts.whole) begin(c);
+    case body_buffers::ResponseStep::Buffer: break;
+    case body_buffers::ResponseStep::Start:
+      if (!facts.complete) begin(c);
       break;
-    case body_buffers::AnswerStep::Spoilt: lose(c, AttemptResult::Error, "too-large"); return false;
+    case body_buffers::ResponseStep::TooLarge: lose(c, AttemptResult::Error, "too-large"); return false;
   }
   return true;
 }
@@ -560,8 +561,8 @@
   opening.content_type = c.ending.content_type;
   opening.length = c.parser.body().length();
   opening.body = std::move(c.waiting);
-  c.way = attempts_.begin(c.attempt, std::move(opening)) ? UpstreamConnection::Way::Pass
-                                                         : UpstreamConnection::Way::Skip;
+  c.way = attempts_.start_response(c.attempt, std::move(opening)) ? UpstreamConnection::Way::Pass
+                                                                  : UpstreamConnection::Way::Skip;
   c.given_at = now_ms();
   limit_silence(c);
 }
@@ -589,7 +590,8 @@
     late->ticket = 0;
     if (late->upload == nullptr || !unsent(*late) || late->parser.head_done()) return;
     const std::size_t waits = loop::pending_output(late->io.get());
-    const std::uint64_t taken = late->upload->at() - std::min<std::uint64_t>(late->upload->at(), waits);
+    const std::uint64_t taken =
+        late->upload->offset() - std::min<std::uint64_t>(late->upload->offset(), waits);
     if (waits == 0 || std::exchange(late->taken, taken) < taken) late->taken_at = now_ms();
     if (now_ms() - late->taken_at < options_.silent_ms) return limit_taking(*late);
     lose(*late, AttemptResult::ConnectFailed, "takes-nothing");
@@ -624,10 +626,10 @@
 
 void ConnectionPool::tell(UpstreamConnection& c, proxy::AttemptCompletion ending) {
   ending.paused_ms = c.paused_ms;
-  ending.rested = c.rested_ms >= 0;
-  ending.rested_ms = std::max(0.0, c.rested_ms);
-  ending.first = c.first;
-  attempts_.ended(std::exchange(c.attempt, 0), std::move(ending));
+  ending.on_reused_connection = c.rested_ms >= 0;
+  ending.idle_ms = std::max(0.0, c.rested_ms);
+  ending.first_on_connection = c.first;
+  attempts_.on_attempt_complete(std::exchange(c.attempt, 0), std::move(ending));
 }
 
 void ConnectionPool::rest(UpstreamConnection& c) {
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -17,7 +17,8 @@
 #include "loop/net.h"
 #include "loop/slot_map.h"
 #include "loop/timer_queue.h"
-#include "proxy/call.h"
+#include "proxy/attempt_callbacks.h"
+#include "proxy/upstream_connections.h"
 
 namespace fernward::upstream {
 
@@ -29,7 +30,7 @@
   // as its last request took. -1: none.
   std::int64_t scarce_kind = -1;
   std::vector<std::string> report_fields;
-  body_buffers::AnswerRules answers;
+  body_buffers::ResponseBufferingLimits answers;
   double silent_ms =
       5000; // a node that gives nothing more of an answer, or takes nothing more of a body, is given up
   int receive_bytes = 0; // that the kernel keeps of each connection; 0: as much as it likes
@@ -50,10 +51,10 @@
   void update(fernward::ServerId id, const endpoints::Endpoint* now);
   const endpoints::Endpoint* target(fernward::ServerId id) const; // as it was told last; null: there is none
 
-  Start start(loop::Handle attempt, fernward::ServerId target, const proxy::ClientRequestPtr& call,
-              double deadline) override;
-  Pause cancel(loop::Handle attempt) override;
-  void go_on(loop::Handle attempt) override;
+  StartResult start(loop::Handle attempt, fernward::ServerId target, const proxy::ClientRequestPtr& call,
+                    double deadline) override;
+  ClientPause cancel(loop::Handle attempt) override;
+  void resume_reading(loop::Handle attempt) override;
   bool let_go(const char* code); // closes the free connection that has rested longest; false: none is free
 
   std::size_t connections() const { return connections_.size(); }
@@ -132,7 +133,7 @@
   UpstreamConnection* reusable(fernward::ServerId target);
   // Null: `why` it can't be.
   UpstreamConnection* open(const endpoints::Endpoint& target, descriptors::DescriptorBudget::Place place,
-                           int fd, Start& why);
+                           int fd, StartResult& why);
   descriptors::DescriptorBudget::Place room();
   int open_socket();
   void learn(const UpstreamConnection& c, bool reset);
--- a/tests/body_buffers/body_buffers_test.cpp
+++ b/tests/body_buffers/body_buffers_test.cpp
@@ -27,16 +27,16 @@
 
 TEST_CASE("windows: large for few holders, small for many, and each has something of its own") {
   BufferBudget account({8 << 20, 256, 4 << 10, 1 << 20, 1.0 / 16});
-  BufferBudget::Hold first(account);
+  BufferBudget::Reservation first(account);
   CHECK(first.window() > 400 << 10);
-  std::vector<std::unique_ptr<BufferBudget::Hold>> crowd;
+  std::vector<std::unique_ptr<BufferBudget::Reservation>> crowd;
   for (int i = 0; i < 255; ++i) { // they take what they may, and never give
-    crowd.push_back(std::make_unique<BufferBudget::Hold>(account));
-    for (std::size_t room; (room = std::min<std::size_t>(crowd.back()->room(), 4096)) > 0;) {
-      REQUIRE(crowd.back()->take(room));
+    crowd.push_back(std::make_unique<BufferBudget::Reservation>(account));
+    for (std::size_t room; (room = std::min<std::size_t>(crowd.back()->available(), 4096)) > 0;) {
+      REQUIRE(crowd.back()->acquire(room));
     }
   }
-  CHECK(first.room() >= 4 << 10);
+  CHECK(first.available() >= 4 << 10);
   CHECK(first.window() < 5 << 10);
   crowd.clear();
   CHECK(account.held() == 0);
@@ -45,31 +45,31 @@
 
 TEST_CASE("reading goes on once half of the window is empty, and who waits longest goes on first") {
   BufferBudget account({1000, 1, 0, 400, 1.0});
-  BufferBudget::Hold a(account), b(account);
-  REQUIRE(a.take(400));
-  CHECK(a.room() == 0);
-  CHECK_FALSE(a.may_go_on());
-  a.give(100);
-  CHECK(a.room() == 100);
-  CHECK_FALSE(a.may_go_on());
-  a.give(100);
-  CHECK(a.may_go_on());
+  BufferBudget::Reservation a(account), b(account);
+  REQUIRE(a.acquire(400));
+  CHECK(a.available() == 0);
+  CHECK_FALSE(a.may_resume());
+  a.release(100);
+  CHECK(a.available() == 100);
+  CHECK_FALSE(a.may_resume());
+  a.release(100);
+  CHECK(a.may_resume());
 
-  BufferBudget::Hold all(account);
-  REQUIRE(all.take(800));
-  CHECK_FALSE(b.take(1));
-  CHECK(b.room() == 0);
-  b.wait(7);
-  a.wait(8);
-  CHECK(account.next() == std::nullopt);
-  BufferBudget::Hold moved(std::move(b)); // a holder that moves keeps its place in the row
-  all.reset();
-  CHECK(account.next() == 7u);
-  a.give(200);
-  CHECK(account.next() == 8u);
-  CHECK(account.next() == std::nullopt);
-  a.wait(8);
-  a.reset(); // whoever ends waits no more
+  BufferBudget::Reservation all(account);
+  REQUIRE(all.acquire(800));
+  CHECK_FALSE(b.acquire(1));
+  CHECK(b.available() == 0);
+  b.wait_for_bytes(7);
+  a.wait_for_bytes(8);
+  CHECK(account.next_resumable() == std::nullopt);
+  BufferBudget::Reservation moved(std::move(b)); // a holder that moves keeps its place in the row
+  all.release_all();
+  CHECK(account.next_resumable() == 7u);
+  a.release(200);
+  CHECK(account.next_resumable() == 8u);
+  CHECK(account.next_resumable() == std::nullopt);
+  a.wait_for_bytes(8);
+  a.release_all(); // whoever ends waits no more
   CHECK(account.waiting() == 0);
 }
 
@@ -79,47 +79,47 @@
     const std::size_t most_holders = below(20) + 1;
     BufferBudget account({below(50000) + 100, most_holders, below(500), below(20000) + 1,
                           0.01 + 0.01 * static_cast<double>(below(200))});
-    std::vector<std::unique_ptr<BufferBudget::Hold>> holders;
+    std::vector<std::unique_ptr<BufferBudget::Reservation>> holders;
     const auto steps = below(300);
     bool merged = false; // what was the own of two is one's now
     for (std::size_t step = 0; step < steps; ++step) {
       if (holders.empty() || (holders.size() < most_holders && below(6) == 0)) {
-        holders.push_back(std::make_unique<BufferBudget::Hold>(account));
+        holders.push_back(std::make_unique<BufferBudget::Reservation>(account));
       }
       const std::size_t at = below(holders.size()), other = below(holders.size());
-      BufferBudget::Hold& h = *holders[at];
+      BufferBudget::Reservation& h = *holders[at];
       const auto drop = [&](std::size_t i) {
         holders.erase(holders.begin() + static_cast<std::ptrdiff_t>(i));
       };
       switch (below(8)) {
-        case 0: h.give(below(3000)); break; // more than it has gives what it has
+        case 0: h.release(below(3000)); break; // more than it has gives what it has
         case 1: drop(at); break;
         case 2: {
-          BufferBudget::Hold moved(std::move(h));
+          BufferBudget::Reservation moved(std::move(h));
           h = std::move(moved);
           break;
         }
         case 3:
           if (at == other) break;
           merged = true;
-          holders[other]->absorb(std::move(h));
+          holders[other]->merge(std::move(h));
           drop(at);
           break;
-        case 4: h.wait(step); break;
-        case 5: account.next(); break;
+        case 4: h.wait_for_bytes(step); break;
+        case 5: account.next_resumable(); break;
         default: {
-          const std::size_t room = h.room(), take = below(2) == 0 ? room : below(room + 1);
-          RC_ASSERT(h.take(take)); // what it was told it may take it can take
-          RC_ASSERT(!h.take(account.free() + 1));
+          const std::size_t room = h.available(), take = below(2) == 0 ? room : below(room + 1);
+          RC_ASSERT(h.acquire(take)); // what it was told it may take it can take
+          RC_ASSERT(!h.acquire(account.free() + 1));
         }
       }
       std::size_t sum = 0;
       for (const auto& holder : holders) {
         sum += holder->bytes();
-        if (holder->bytes() == 0 && !merged) RC_ASSERT(holder->room() >= account.least());
+        if (holder->bytes() == 0 && !merged) RC_ASSERT(holder->available() >= account.reserved_per_holder());
       }
       RC_ASSERT(sum == account.held());
-      RC_ASSERT(account.most_held() <= account.total());
+      RC_ASSERT(account.peak_held() <= account.total());
     }
     holders.clear();
     RC_ASSERT(account.held() == 0u);
@@ -128,31 +128,31 @@
 }
 
 TEST_CASE("when an answer begins") {
-  const AnswerRules rules{1000, 400, 100};
+  const ResponseBufferingLimits rules{1000, 400, 100};
   struct Case {
     const char* what;
-    AnswerFacts facts; // length, come, whole, early, window, room
-    AnswerStep step;
+    ResponseProgress facts; // length, come, whole, early, window, room
+    ResponseStep step;
   };
-  using S = AnswerStep;
+  using S = ResponseStep;
   for (const Case& c : std::initializer_list<Case>{
-           {"a head alone", {50, 0, false, true, 500, 500}, S::Wait},
-           {"nothing to come", {0, 0, true, true, 500, 500}, S::Begin},
-           {"small: until it is whole", {400, 399, false, true, 500, 101}, S::Wait},
-           {"whole", {400, 400, true, true, 500, 100}, S::Begin},
-           {"small, but half of the time is gone", {400, 1, false, false, 500, 500}, S::Begin},
-           {"the room is used up", {400, 200, false, true, 500, 0}, S::Begin},
-           {"there is no room at all", {400, 0, false, true, 500, 0}, S::Begin},
-           {"small, but not in this window", {300, 100, false, true, 200, 100}, S::Begin},
-           {"large: after the stated part", {401, 99, false, true, 500, 400}, S::Wait},
-           {"large, and that part is here", {401, 100, false, true, 500, 400}, S::Begin},
-           {"a window less than that part", {401, 60, false, true, 60, 1}, S::Begin},
-           {"of unknown length: as long as it can be held", {{}, 399, false, true, 500, 101}, S::Wait},
-           {"of unknown length, held no longer", {{}, 400, false, true, 500, 100}, S::Begin},
-           {"as long as any may be", {1000, 100, false, true, 500, 100}, S::Begin},
-           {"announced beyond that", {1001, 0, false, true, 500, 500}, S::Spoilt},
-           {"come beyond that", {{}, 1001, false, true, 2000, 500}, S::Spoilt},
-           {"three gigabytes, whole or not", {3000000000, 100, true, false, 500, 0}, S::Spoilt},
+           {"a head alone", {50, 0, false, true, 500, 500}, S::Buffer},
+           {"nothing to come", {0, 0, true, true, 500, 500}, S::Start},
+           {"small: until it is whole", {400, 399, false, true, 500, 101}, S::Buffer},
+           {"whole", {400, 400, true, true, 500, 100}, S::Start},
+           {"small, but half of the time is gone", {400, 1, false, false, 500, 500}, S::Start},
+           {"the room is used up", {400, 200, false, true, 500, 0}, S::Start},
+           {"there is no room at all", {400, 0, false, true, 500, 0}, S::Start},
+           {"small, but not in this window", {300, 100, false, true, 200, 100}, S::Start},
+           {"large: after the stated part", {401, 99, false, true, 500, 400}, S::Buffer},
+           {"large, and that part is here", {401, 100, false, true, 500, 400}, S::Start},
+           {"a window less than that part", {401, 60, false, true, 60, 1}, S::Start},
+           {"of unknown length: as long as it can be held", {{}, 399, false, true, 500, 101}, S::Buffer},
+           {"of unknown length, held no longer", {{}, 400, false, true, 500, 100}, S::Start},
+           {"as long as any may be", {1000, 100, false, true, 500, 100}, S::Start},
+           {"announced beyond that", {1001, 0, false, true, 500, 500}, S::TooLarge},
+           {"come beyond that", {{}, 1001, false, true, 2000, 500}, S::TooLarge},
+           {"three gigabytes, whole or not", {3000000000, 100, true, false, 500, 0}, S::TooLarge},
        }) {
     CAPTURE(c.what);
     CHECK(next_step(rules, c.facts) == c.step);
@@ -162,61 +162,61 @@
 TEST_CASE("where a body is kept") {
   const RetentionLimits rules{1000, 100, 250, 400, 500, 2, 50, 256};
   RetainedBodies keeper(rules);
-  using Put = RetainedBodies::Put;
+  using Put = RetainedBodies::Placement;
   {
     RetainedBodies::Body small(keeper, 100), larger(keeper, 101), second(keeper, 100), third(keeper, 100),
         fourth(keeper, 100);
-    CHECK(small.level() == Level::Memory);
-    CHECK(larger.level() == Level::File);
-    CHECK(second.level() == Level::Memory);
-    CHECK(third.level() == Level::File); // the memory for all is set aside
-    CHECK(keeper.memory() == 200);
-    CHECK(RetainedBodies::Body(keeper, 400).level() == Level::Passing); // and so are the files
+    CHECK(small.retention() == Retention::Memory);
+    CHECK(larger.retention() == Retention::File);
+    CHECK(second.retention() == Retention::Memory);
+    CHECK(third.retention() == Retention::File); // the memory for all is set aside
+    CHECK(keeper.memory_bytes() == 200);
+    CHECK(RetainedBodies::Body(keeper, 400).retention() == Retention::None); // and so are the files
     CHECK(RetainedBodies::Body(keeper, 1001).too_long());
-    CHECK(small.put(100) == Put::Memory);
-    CHECK(small.put(1) == Put::TooLong); // beyond what was announced
-    CHECK(small.come() == 100);
+    CHECK(small.append(100) == Put::Memory);
+    CHECK(small.append(1) == Put::TooLong); // beyond what was announced
+    CHECK(small.received_bytes() == 100);
   }
-  CHECK(keeper.memory() + keeper.file() == 0);
+  CHECK(keeper.memory_bytes() + keeper.file_bytes() == 0);
 
   RetainedBodies::Body grows(keeper, std::nullopt); // chunked
-  CHECK(grows.put(100) == Put::Memory);
-  CHECK_FALSE(grows.may_flow(false)); // it may still end here
-  CHECK(grows.put(1) == Put::File);
-  CHECK(grows.may_flow(false));
-  CHECK(grows.put(399) == Put::File);
-  CHECK(grows.allows().again);
-  CHECK(grows.put(1) == Put::Passing);
-  CHECK(grows.allows().not_run);
-  CHECK_FALSE(grows.allows().again);
-  CHECK_FALSE(grows.allows().copy);
-  grows.handed_on(1);
-  CHECK_FALSE(grows.allows().first);
-  CHECK(grows.put(499) == Put::Passing);
-  CHECK(grows.put(1) == Put::TooLong); // the ceiling of all
-  CHECK(grows.due_ms(2000) == doctest::Approx(2000 + 1000 / 256.0));
+  CHECK(grows.append(100) == Put::Memory);
+  CHECK_FALSE(grows.may_stream(false)); // it may still end here
+  CHECK(grows.append(1) == Put::File);
+  CHECK(grows.may_stream(false));
+  CHECK(grows.append(399) == Put::File);
+  CHECK(grows.availability().retry_if_run);
+  CHECK(grows.append(1) == Put::Unretained);
+  CHECK(grows.availability().retry_if_not_run);
+  CHECK_FALSE(grows.availability().retry_if_run);
+  CHECK_FALSE(grows.availability().hedge);
+  grows.mark_consumed(1);
+  CHECK_FALSE(grows.availability().first_attempt);
+  CHECK(grows.append(499) == Put::Unretained);
+  CHECK(grows.append(1) == Put::TooLong); // the ceiling of all
+  CHECK(grows.receive_timeout_ms(2000) == doctest::Approx(2000 + 1000 / 256.0));
 }
 
 TEST_CASE("a file that fails ends the keeping, and what it had set aside is free again") {
   RetainedBodies keeper({1000, 0, 0, 400, 400, 1, 50, 256});
   RetainedBodies::Body body(keeper, 400);
-  CHECK(body.put(100) == RetainedBodies::Put::File);
-  CHECK(body.put(50) == RetainedBodies::Put::File);
-  CHECK(keeper.file() == 400);
-  body.file_failed(50);
-  CHECK(keeper.file() == 100); // those before can still be read
-  CHECK(body.level() == Level::Passing);
-  CHECK(body.allows().first);
-  CHECK(body.put(10) == RetainedBodies::Put::Passing);
+  CHECK(body.append(100) == RetainedBodies::Placement::File);
+  CHECK(body.append(50) == RetainedBodies::Placement::File);
+  CHECK(keeper.file_bytes() == 400);
+  body.on_file_failure(50);
+  CHECK(keeper.file_bytes() == 100); // those before can still be read
+  CHECK(body.retention() == Retention::None);
+  CHECK(body.availability().first_attempt);
+  CHECK(body.append(10) == RetainedBodies::Placement::Unretained);
 }
 
 TEST_CASE("what may be sent: body and class both allow it") {
-  const Allows kept{}, passing{true, true, false, false}, gone{false, false, false, false};
-  const Past none{}, not_run{1, false, false, 0}, ran{1, false, true, 100}, out{1, true, false, 100},
-      ran_long_ago{1, false, true, 1000}, out_and_ran{2, true, true, 100};
+  const BodyAvailability kept{}, passing{true, true, false, false}, gone{false, false, false, false};
+  const AttemptHistory none{}, not_run{1, false, false, 0}, ran{1, false, true, 100},
+      out{1, true, false, 100}, ran_long_ago{1, false, true, 1000}, out_and_ran{2, true, true, 100};
   struct Row {
     Idempotency repeat;
-    const Past* past;
+    const AttemptHistory* past;
     bool kept, passing, gone;
   };
   for (const Row& row : std::initializer_list<Row>{
@@ -274,12 +274,12 @@
         case 0: // bytes
         case 1: {
           const std::uint64_t n = below(120) + 1;
-          const auto put = r.body.put(n);
-          if (put == RetainedBodies::Put::TooLong) break;
+          const auto put = r.body.append(n);
+          if (put == RetainedBodies::Placement::TooLong) break;
           r.come += n;
-          if (put != RetainedBodies::Put::Passing) r.kept += n;
-          if (put == RetainedBodies::Put::File && below(4) == 0) {
-            r.body.file_failed(n);
+          if (put != RetainedBodies::Placement::Unretained) r.kept += n;
+          if (put == RetainedBodies::Placement::File && below(4) == 0) {
+            r.body.on_file_failure(n);
             r.kept -= n;
           }
           break;
@@ -288,7 +288,8 @@
         case 3: {
           const bool running = !r.out.empty();
           const double since = r.first_at < 0 ? 0 : r.now - r.first_at;
-          if (!may_send(r.body.allows(), r.repeat, 100, {r.attempts, running, r.may_have_run, since})) break;
+          if (!may_send(r.body.availability(), r.repeat, 100, {r.attempts, running, r.may_have_run, since}))
+            break;
           RC_ASSERT(r.lost == 0u);                  // its body is here from the first byte on
           if (running) RC_ASSERT(r.kept == r.come); // and stays for two readers
           if (running || r.may_have_run) {
@@ -304,20 +305,20 @@
           if (r.out.empty()) break;
           r.out.pop_back();
           if (r.kept < r.come && below(2) == 0) {
-            r.body.handed_on(r.come - r.kept);
+            r.body.mark_consumed(r.come - r.kept);
             r.lost = r.come - r.kept;
           }
           r.may_have_run |= below(2) == 0;
           break;
         default: requests.erase(requests.begin() + static_cast<std::ptrdiff_t>(at));
       }
-      RC_ASSERT(keeper.memory() <= rules.memory_all);
-      RC_ASSERT(keeper.file() <= rules.file_all);
-      RC_ASSERT(keeper.files() <= rules.files);
+      RC_ASSERT(keeper.memory_bytes() <= rules.max_memory_bytes);
+      RC_ASSERT(keeper.file_bytes() <= rules.max_file_bytes);
+      RC_ASSERT(keeper.open_files() <= rules.max_files);
     }
     requests.clear();
-    RC_ASSERT(keeper.memory() == 0u);
-    RC_ASSERT(keeper.file() == 0u);
-    RC_ASSERT(keeper.files() == 0u);
+    RC_ASSERT(keeper.memory_bytes() == 0u);
+    RC_ASSERT(keeper.file_bytes() == 0u);
+    RC_ASSERT(keeper.open_files() == 0u);
   }));
 }
--- a/tests/net/bodies_stories_test.cpp
+++ b/tests/net/bodies_stories_test.cpp
@@ -42,7 +42,7 @@
 
 bool all_given_back(World& w) {
   return w.until([&] { return w.router->bytes().held() == 0 && w.router->bytes().waiting() == 0; }) &&
-         w.router->bytes().most_held() <= w.router->bytes().total();
+         w.router->bytes().peak_held() <= w.router->bytes().total();
 }
 
 } // namespace
@@ -135,7 +135,7 @@
   CHECK(client.closed);
   CHECK(client.reset == old); // its end alone would be the end of the answer
   CHECK(w.sent() == 1);
-  CHECK(w.router->driver().unanswered() == 0);
+  CHECK(w.router->driver().unanswered_requests() == 0);
   CHECK(all_given_back(w));
 }
 
@@ -227,7 +227,7 @@
   const double begun = loop::now_ms();
   for (int i = 0; i < 200; ++i) CHECK(quick.ask(get("/k/quick", "q" + std::to_string(i))).body == "quick");
   CHECK(loop::now_ms() - begun < 5000);
-  CHECK(w.router->bytes().most_held() <= w.router->bytes().total());
+  CHECK(w.router->bytes().peak_held() <= w.router->bytes().total());
   for (auto& client : slow) client->read_on();
   CHECK(w.until([&] {
     return std::all_of(slow.begin(), slow.end(),
@@ -281,8 +281,8 @@
     REQUIRE(w.until([&] { return client.come() > 0; }));
   }
   CHECK(w.until([&] { return w.one.open() + w.two.open() == 0; }));
-  CHECK(w.router->driver().open_attempts() == 0);
-  CHECK(w.router->driver().unanswered() == 0);
+  CHECK(w.router->driver().attempts_in_flight() == 0);
+  CHECK(w.router->driver().unanswered_requests() == 0);
   CHECK(all_given_back(w));
 }
 
@@ -332,7 +332,7 @@
   REQUIRE(w.until([&] { return w.router->bytes().held() == 0; }));
   CHECK(loop::now_ms() - begun > 4000); // what it has taken meanwhile is less than a byte a second
   CHECK(w.until([&] { return w.one.open() + w.two.open() == 0; }));
-  CHECK(w.router->driver().unanswered() == 0);
+  CHECK(w.router->driver().unanswered_requests() == 0);
 }
 
 TEST_CASE(
@@ -448,7 +448,7 @@
   Client other = w.client();
   for (int i = 0; i < 20; ++i)
     CHECK(other.ask(get("/k/s" + std::to_string(i), "s" + std::to_string(i))).status == 200);
-  CHECK(w.router->bytes().most_held() <= w.router->bytes().total());
+  CHECK(w.router->bytes().peak_held() <= w.router->bytes().total());
   CHECK(w.router->bytes().total() <= std::size_t{8} * kMb);
   for (const auto& reader : readers) reader->read_on();
   for (std::size_t i = 0; i < readers.size(); ++i) {
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -73,8 +73,8 @@
   REQUIRE(w.until([&] { return w.sent() == 1; }));
   client.send(many_behind(40 << 10)); // far more than is read ahead
   client.leave();
-  REQUIRE(until_even_busy(w, [&] { return w.router->driver().unanswered() == 0; }));
-  CHECK(w.until([&] { return w.router->driver().open_attempts() == 0; }));
+  REQUIRE(until_even_busy(w, [&] { return w.router->driver().unanswered_requests() == 0; }));
+  CHECK(w.until([&] { return w.router->driver().attempts_in_flight() == 0; }));
   run_for(w.base.get(), 20);
   CHECK(w.sent() == 1);
 }
@@ -115,7 +115,7 @@
   pass_ms(150); // it has been gone for longer than an attempt may begin behind it
   Client other = w.client();
   CHECK(other.ask(get("/k/2", "r2")).status == 200);
-  CHECK(w.until([&] { return w.router->driver().unanswered() == 0; }));
+  CHECK(w.until([&] { return w.router->driver().unanswered_requests() == 0; }));
   CHECK(w.sent() == 1); // the other's
 }
 
@@ -127,7 +127,7 @@
   SUBCASE("by an end") { client.leave(); }
   SUBCASE("by a reset") { client.reset(); }
   pass_ms(150);
-  REQUIRE(w.until([&] { return w.router->driver().unanswered() == 0; }));
+  REQUIRE(w.until([&] { return w.router->driver().unanswered_requests() == 0; }));
   run_for(w.base.get(), 20);
   CHECK(w.origin.connections == 1);
   CHECK(w.origin.seen.empty());
@@ -142,10 +142,10 @@
   Peer& asked = w.last_asked();
   SUBCASE("the reset first") { asked.break_off(Peer::End::Reset), client.leave(); }
   SUBCASE("the client first") { client.leave(), asked.break_off(Peer::End::Reset); }
-  CHECK(w.until([&] { return w.router->driver().unanswered() == 0; }));
+  CHECK(w.until([&] { return w.router->driver().unanswered_requests() == 0; }));
   run_for(w.base.get(), 20);
   CHECK(w.sent() == 1);
-  CHECK(w.router->driver().open_attempts() == 0);
+  CHECK(w.router->driver().attempts_in_flight() == 0);
 }
 
 // guards: a crash, or an answer on the next client's connection
@@ -159,7 +159,7 @@
   SUBCASE("by a reset") { asked.say_now(ok("v")), client.reset(); }
   SUBCASE("first") { client.leave(), asked.say_now(ok("v")); }
   CHECK(w.until([&] { return w.router->listener().connections() == 0; }));
-  CHECK(w.router->driver().unanswered() == 0);
+  CHECK(w.router->driver().unanswered_requests() == 0);
   w.caches([](const http::Message& m) { return ok("v of " + m.target); });
   CHECK(w.client().ask(get("/k/2", "r2")).body == "v of /k/2");
   CHECK(w.sent() == 2);
@@ -175,14 +175,14 @@
   Raw first(w.router->port(), book("r1"));
   REQUIRE(w.until([&] { return w.origin.seen.size() == 1; }));
   Raw second(w.router->port(), book("r2")), third(w.router->port(), book("r3"));
-  REQUIRE(w.until([&] { return w.router->driver().unanswered() == 3; }));
-  CHECK(w.router->driver().open_attempts() == 1); // the others wait
+  REQUIRE(w.until([&] { return w.router->driver().unanswered_requests() == 3; }));
+  CHECK(w.router->driver().attempts_in_flight() == 1); // the others wait
   second.leave();
   w.origin.say_now(ok("written")); // in the same moment
   w.origin.script = [](const http::Message&) { return ok("written"); };
   CHECK(
       w.until([&] { return first.look(), third.look(), !first.answers.empty() && !third.answers.empty(); }));
-  CHECK(w.until([&] { return w.router->driver().unanswered() == 0; }));
+  CHECK(w.until([&] { return w.router->driver().unanswered_requests() == 0; }));
   for (const auto& seen : w.origin.seen) CHECK(seen.header("x-request-id") != "r2");
 }
 
@@ -195,8 +195,9 @@
   Raw leader(w.router->port(), patient_get("/k/1", "leader"));
   REQUIRE(w.until([&] { return w.origin.seen.size() == 1; }));
   Raw follower(w.router->port(), patient_get("/k/1", "follower"));
-  REQUIRE(w.until(
-      [&] { return w.router->driver().unanswered() == 2 && w.router->driver().open_attempts() == 1; }));
+  REQUIRE(w.until([&] {
+    return w.router->driver().unanswered_requests() == 2 && w.router->driver().attempts_in_flight() == 1;
+  }));
   run_for(w.base.get(), 20);
   REQUIRE(w.origin.seen.size() == 1); // it follows
   const std::size_t before = w.sent();
@@ -205,7 +206,7 @@
     stored = true;
     w.origin.say_now(ok("v"));
     CHECK(w.until([&] { return leader.look(), !leader.answers.empty(); }));
-    CHECK(w.until([&] { return w.router->driver().unanswered() == 0; }));
+    CHECK(w.until([&] { return w.router->driver().unanswered_requests() == 0; }));
     run_for(w.base.get(), 20);
     CHECK(w.sent() == before);
   }
@@ -285,14 +286,14 @@
     same = now > 0 && now == held ? same + 1 : 0;
     held = now;
   }
-  REQUIRE(w.router->driver().open_attempts() == 1);
+  REQUIRE(w.router->driver().attempts_in_flight() == 1);
   client.leave();
   pass_ms(150);
   origin.open();
   std::string written;
   CHECK(w.until([&] {
     written += origin.take();
-    return w.router->driver().unanswered() == 0 || !written.empty();
+    return w.router->driver().unanswered_requests() == 0 || !written.empty();
   }));
   run_for(w.base.get(), 20);
   written += origin.take();
@@ -547,9 +548,11 @@
   }
   bool until(const std::function<bool()>& done) { return run_until(base.get(), done); }
   void refuse() { // whatever is a whole answer
-    proxy::ClientResponse answer{
-        proxy::ClientResponse::Kind::Refused, {{}, body_buffers::BufferBudget::Hold(bytes)}, "", 1000};
-    listener->answer(last, std::move(answer));
+    proxy::ClientResponse answer{proxy::ClientResponse::Kind::Rejected,
+                                 {{}, body_buffers::BufferBudget::Reservation(bytes)},
+                                 "",
+                                 1000};
+    listener->send_response(last, std::move(answer));
   }
 
   router::BasePtr base = router::make_base();
--- a/tests/net/parts_test.cpp
+++ b/tests/net/parts_test.cpp
@@ -257,13 +257,13 @@
   };
   const auto read = decode(get("/api/7f?q=a/b", "r1", "X-Cost: 12500\r\nX-Attrs: a=b\r\n"));
   CHECK(read.status == 0);
-  CHECK(read.call.target == "/api/7f?q=a/b");
-  CHECK(read.call.work_ms == doctest::Approx(12.5));
+  CHECK(read.call.path == "/api/7f?q=a/b");
+  CHECK(read.call.expected_work_ms == doctest::Approx(12.5));
   CHECK(read.call.key == decode(get("/other/7f", "r2")).call.key); // the path's last part, not the query's
   CHECK(read.call.key != decode(get("/api/80", "r2")).call.key);
   CHECK(decode(get("/api/", "r2")).call.key == 0);
   CHECK(read.call.tenant == 0);
-  CHECK(decode(get("/a", "r", "X-Cost: lots\r\n")).call.work_ms == 0); // a hint: a bad one is none
+  CHECK(decode(get("/a", "r", "X-Cost: lots\r\n")).call.expected_work_ms == 0); // a hint: a bad one is none
   CHECK(decode("GET /a HTTP/1.1\r\nX-Request-ID: i\r\nX-Priority-Class: read\r\n\r\n").call.timeout_ms ==
         2000);
   const auto timeout = [&](const std::string& value) {
--- a/tests/net/stories_test.cpp
+++ b/tests/net/stories_test.cpp
@@ -192,11 +192,11 @@
   const std::string patient = "X-Timeout-Ms: 100000\r\n";
   client.send("GET /k/1 HTTP/1.1\r\nX-Request-ID: r1\r\nX-Priority-Class: read\r\n" + patient + "\r\n");
   REQUIRE(w.until([&] { return w.sent() > 0; }));
-  CHECK(w.router->driver().unanswered() == 1);
+  CHECK(w.router->driver().unanswered_requests() == 1);
   client.leave();
   CHECK(w.until([&] { return w.one.open() + w.two.open() == 0; })); // an answer was due: never pooled
-  CHECK(w.router->driver().unanswered() == 0);
-  CHECK(w.router->driver().open_attempts() == 0);
+  CHECK(w.router->driver().unanswered_requests() == 0);
+  CHECK(w.router->driver().attempts_in_flight() == 0);
 }
 
 // Found on a day of few routers: one whose loop had stood still read a request, sent it on, and only then read that its
@@ -274,7 +274,7 @@
   w.caches([](const http::Message&) { return std::string(); });
   Client first = w.client(), second = w.client();
   first.send(get("/k/1", "r1"));
-  REQUIRE(w.until([&] { return w.router->driver().unanswered() == 1; }));
+  REQUIRE(w.until([&] { return w.router->driver().unanswered_requests() == 1; }));
   const auto answer = second.ask(get("/k/1", "r2"));
   CHECK(answer.status == 503);
   CHECK_FALSE(answer.header("retry-after").empty());
@@ -459,20 +459,20 @@
   }
   auto start(loop::Handle attempt, const char* target = "s-1") {
     auto call = std::make_shared<proxy::ClientRequest>();
-    call->target = "/k/" + std::to_string(attempt);
+    call->path = "/k/" + std::to_string(attempt);
     call->id = "r";
     return pool->start(attempt, endpoints::id_of(target), call, loop::now_ms() + 5000);
   }
-  void ended(loop::Handle, proxy::AttemptCompletion e) override {
+  void on_attempt_complete(loop::Handle, proxy::AttemptCompletion e) override {
     endings.push_back(e.result);
     last = std::move(e);
   }
-  double wait_until(loop::Handle) override { return 1e15; }
-  bool may_write(loop::Handle) override { return waits; }
-  bool begin(loop::Handle, proxy::ResponseHead) override { return false; }
-  std::size_t room(loop::Handle) override { return 0; }
-  void pass(loop::Handle, std::string_view, loop::IoBuffer&) override {}
-  bool pass_from(loop::Handle, int, std::size_t, loop::IoBuffer&, loop::Received&, std::size_t&) override {
+  double buffer_until(loop::Handle) override { return 1e15; }
+  bool may_write_request(loop::Handle) override { return waits; }
+  bool start_response(loop::Handle, proxy::ResponseHead) override { return false; }
+  std::size_t writable_bytes(loop::Handle) override { return 0; }
+  void write(loop::Handle, std::string_view, loop::IoBuffer&) override {}
+  bool splice_from(loop::Handle, int, std::size_t, loop::IoBuffer&, loop::Received&, std::size_t&) override {
     return false;
   }
 
@@ -490,17 +490,17 @@
   std::unique_ptr<upstream::ConnectionPool> pool;
 };
 
-using Start = proxy::UpstreamConnections::Start;
+using Start = proxy::UpstreamConnections::StartResult;
 
 } // namespace
 
 TEST_CASE("a connection that comes up after its target drained sends nothing") { // guards: the third rule
   PoolWorld w;
-  REQUIRE(w.start(1) == Start::Begun);
+  REQUIRE(w.start(1) == Start::Started);
   w.list("terminating"); // before the loop has seen the connection come up
   CHECK(run_until(w.base.get(), [&] { return !w.endings.empty(); }));
   CHECK(w.endings.at(0) == AttemptResult::ConnectFailed);
-  CHECK(w.start(2) == Start::NoTarget);
+  CHECK(w.start(2) == Start::NoEndpoint);
   run_for(w.base.get(), 30);
   CHECK(w.peer.seen.empty());
 }
@@ -509,12 +509,12 @@
 TEST_CASE(
     "a connection that comes up after its request had its final answer sends nothing, and serves the next") {
   PoolWorld w;
-  REQUIRE(w.start(1) == Start::Begun);
+  REQUIRE(w.start(1) == Start::Started);
   w.waits = false;
   CHECK(run_until(w.base.get(), [&] { return !w.endings.empty(); }));
   CHECK(w.endings.at(0) == AttemptResult::Abandoned);
   w.waits = true;
-  REQUIRE(w.start(2) == Start::Begun);
+  REQUIRE(w.start(2) == Start::Started);
   CHECK(run_until(w.base.get(), [&] { return w.endings.size() == 2; }));
   REQUIRE(w.peer.seen.size() == 1);
   CHECK(w.peer.seen[0].target == "/k/2");
@@ -523,9 +523,9 @@
 
 TEST_CASE("a connection that comes up after its attempt was given up sends nothing, and serves the next") {
   PoolWorld w;
-  REQUIRE(w.start(1) == Start::Begun);
+  REQUIRE(w.start(1) == Start::Started);
   w.pool->cancel(1);
-  REQUIRE(w.start(2) == Start::Begun);
+  REQUIRE(w.start(2) == Start::Started);
   CHECK(run_until(w.base.get(), [&] { return !w.endings.empty(); }));
   REQUIRE(w.peer.seen.size() == 1);
   CHECK(w.peer.seen[0].target == "/k/2");
@@ -536,22 +536,22 @@
     "a given-up attempt's connection never serves another") { // guards: the late answer of the one before
   PoolWorld w;
   w.peer.script = [](const http::Message&) { return std::string(); };
-  REQUIRE(w.start(1) == Start::Begun);
+  REQUIRE(w.start(1) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.peer.seen.size() == 1; }));
   w.pool->cancel(1);
   CHECK(w.pool->connections() == 0);
   CHECK(w.endings.empty()); // the driver knows
-  REQUIRE(w.start(2) == Start::Begun);
+  REQUIRE(w.start(2) == Start::Started);
   CHECK(run_until(w.base.get(), [&] { return w.peer.connections == 2; }));
 }
 
 TEST_CASE(
     "a connection that ended unnoticed is not written to") { // guards: resets where a new one would serve
   PoolWorld w;
-  REQUIRE(w.start(1) == Start::Begun);
+  REQUIRE(w.start(1) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
   w.peer.hang_up();
-  REQUIRE(w.start(2) == Start::Begun); // before the loop has seen the end
+  REQUIRE(w.start(2) == Start::Started); // before the loop has seen the end
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 2; }));
   CHECK(w.endings[1] == AttemptResult::Ok);
   CHECK(w.peer.connections == 2);
@@ -576,7 +576,7 @@
   };
   loop::Handle attempt = 0;
   const auto ask = [&](const char* name) {
-    REQUIRE(w.start(++attempt, name) == Start::Begun);
+    REQUIRE(w.start(++attempt, name) == Start::Started);
     REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == attempt; }));
     return w.endings.back();
   };
@@ -620,17 +620,17 @@
 TEST_CASE(
     "an ending tells whether its connection had rested") { // guards: targets ejected for closed connections
   PoolWorld w;
-  REQUIRE(w.start(1) == Start::Begun);
+  REQUIRE(w.start(1) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
-  CHECK_FALSE(w.last.rested);
+  CHECK_FALSE(w.last.on_reused_connection);
   w.peer.script = [](const http::Message&) { return std::string("!"); };
   run_for(w.base.get(), 40);
-  REQUIRE(w.start(2) == Start::Begun);
+  REQUIRE(w.start(2) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 2; }));
   CHECK(w.last.result == AttemptResult::Reset);
-  CHECK(w.last.rested);
-  CHECK(w.last.rested_ms >= 35);
-  CHECK(w.last.rested_ms < 5000);
+  CHECK(w.last.on_reused_connection);
+  CHECK(w.last.idle_ms >= 35);
+  CHECK(w.last.idle_ms < 5000);
 }
 
 // guards: requests to a process that has gone, or to a stranger at its old address
@@ -639,7 +639,7 @@
   Peer moved(w.base.get(), [](const http::Message&) { return ok("v"); });
   SUBCASE("while a request is at work there") {
     w.peer.script = [](const http::Message&) { return std::string(); };
-    REQUIRE(w.start(1) == Start::Begun);
+    REQUIRE(w.start(1) == Start::Started);
     REQUIRE(run_until(w.base.get(), [&] { return w.peer.seen.size() == 1; }));
     w.list("in_service", 0, moved.address);
     w.peer.say(ok("v"));
@@ -647,13 +647,13 @@
     CHECK(w.endings[0] == AttemptResult::Ok);
   }
   SUBCASE("while a connection there is coming up") {
-    REQUIRE(w.start(1) == Start::Begun);
+    REQUIRE(w.start(1) == Start::Started);
     w.list("in_service", 0, moved.address);
     REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
     CHECK(w.endings[0] == AttemptResult::ConnectFailed);
   }
   const std::size_t before = w.peer.seen.size();
-  REQUIRE(w.start(2) == Start::Begun);
+  REQUIRE(w.start(2) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 2; }));
   CHECK(w.endings[1] == AttemptResult::Ok);
   CHECK(w.peer.seen.size() == before);
@@ -663,13 +663,13 @@
 TEST_CASE("a target that was started anew gets nothing more on a connection to the process before") {
   PoolWorld w;
   w.peer.script = [](const http::Message&) { return std::string(); };
-  REQUIRE(w.start(1) == Start::Begun);
+  REQUIRE(w.start(1) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.peer.seen.size() == 1; }));
   w.list("in_service", 5);
   w.peer.script = [](const http::Message&) { return ok("v"); };
   w.peer.say(ok("v"));
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
-  REQUIRE(w.start(2) == Start::Begun);
+  REQUIRE(w.start(2) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 2; }));
   CHECK(w.peer.connections == 2);
 }
@@ -694,7 +694,7 @@
   }
   w.list("in_service", 0, "127.0.0.1:" + std::to_string(ntohs(where.sin_port)));
   const double begun = loop::now_ms();
-  REQUIRE(w.start(1) == Start::Begun);
+  REQUIRE(w.start(1) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return !w.endings.empty(); }));
   CHECK(w.endings[0] == AttemptResult::ConnectFailed);
   CHECK(loop::now_ms() - begun >= 75);
@@ -706,12 +706,12 @@
 
 TEST_CASE("a connection that comes up after its attempt was given up rests, and serves the next") {
   PoolWorld w;
-  REQUIRE(w.start(1) == Start::Begun);
+  REQUIRE(w.start(1) == Start::Started);
   w.pool->cancel(1);
   REQUIRE(run_until(w.base.get(), [&] { return w.peer.connections == 1; }));
   run_for(w.base.get(), 5);
   CHECK(w.pool->connections() == 1);
-  REQUIRE(w.start(2) == Start::Begun);
+  REQUIRE(w.start(2) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return !w.endings.empty(); }));
   CHECK(w.endings[0] == AttemptResult::Ok);
   CHECK(w.peer.connections == 1);
@@ -725,8 +725,8 @@
   connect_fails = ENETUNREACH;
   const Start no_way = w.start(2);
   connect_fails = 0;
-  CHECK(no_port == Start::Full);
-  CHECK(no_way == Start::NoTarget);
+  CHECK(no_port == Start::LocalLimit);
+  CHECK(no_way == Start::NoEndpoint);
   CHECK(w.pool->connections() == 0);
   CHECK(w.account->used(descriptors::Side::Targets) == 0);
 }
@@ -739,23 +739,24 @@
   w.peer.stopped = true;
   body_buffers::BufferBudget bytes{{}};
   body_buffers::RetentionLimits rules;
-  rules.ceiling = 16 << 20;
-  rules.memory_most = rules.memory_all = 16 << 20;
+  rules.max_body_bytes = 16 << 20;
+  rules.max_memory_per_body = rules.max_memory_bytes = 16 << 20;
   proxy::BodyStores stores(rules, bytes, "");
   loop::IoBuffer block;
   auto call = std::make_shared<proxy::ClientRequest>();
   call->write = true;
-  call->target = "/k";
+  call->path = "/k";
   call->id = "r";
-  call->inflow = std::make_shared<proxy::RequestBody>(stores, std::uint64_t{8 << 20});
+  call->streamed_body = std::make_shared<proxy::RequestBody>(stores, std::uint64_t{8 << 20});
   const std::string part(60000, 'b');
-  while (call->inflow->come() < (8u << 20)) {
-    const std::size_t most = std::min<std::size_t>(part.size(), (8u << 20) - call->inflow->come());
-    REQUIRE(call->inflow->put(std::string_view(part).substr(0, most), block));
+  while (call->streamed_body->received_bytes() < (8u << 20)) {
+    const std::size_t most =
+        std::min<std::size_t>(part.size(), (8u << 20) - call->streamed_body->received_bytes());
+    REQUIRE(call->streamed_body->append(std::string_view(part).substr(0, most), block));
   }
-  call->inflow->end();
+  call->streamed_body->complete();
   const double begun = loop::now_ms();
-  REQUIRE(w.pool->start(1, endpoints::id_of("s-1"), call, loop::now_ms() + 60000) == Start::Begun);
+  REQUIRE(w.pool->start(1, endpoints::id_of("s-1"), call, loop::now_ms() + 60000) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
   CHECK(w.endings[0] == AttemptResult::ConnectFailed); // its last byte never left
   CHECK(loop::now_ms() - begun >= 100);
@@ -815,7 +816,7 @@
         }
         CHECK(client.ask(text("r2")).status == 200);
         CHECK(client.answers.size() == (rested ? 3u : 2u));
-        CHECK(w.router->driver().open_attempts() == 0);
+        CHECK(w.router->driver().attempts_in_flight() == 0);
       }
     }
   }
@@ -824,12 +825,12 @@
 TEST_CASE("a full pool is told, not waited for") {
   PoolWorld w(1);
   w.peer.script = [](const http::Message&) { return std::string(); };
-  REQUIRE(w.start(1) == Start::Begun);
-  CHECK(w.start(2) == Start::Full);
+  REQUIRE(w.start(1) == Start::Started);
+  CHECK(w.start(2) == Start::LocalLimit);
   REQUIRE(run_until(w.base.get(), [&] { return w.peer.seen.size() == 1; }));
   w.peer.say(ok("v"));
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
-  CHECK(w.start(3) == Start::Begun); // on the same connection
+  CHECK(w.start(3) == Start::Started); // on the same connection
   CHECK(w.pool->opened() == 1);
 }
 
@@ -841,18 +842,18 @@
   REQUIRE(setrlimit(RLIMIT_NOFILE, &none) == 0);
   const Start start = w.start(1);
   REQUIRE(setrlimit(RLIMIT_NOFILE, &before) == 0);
-  CHECK(start == Start::Full);
-  CHECK(w.start(2) == Start::Begun);
+  CHECK(start == Start::LocalLimit);
+  CHECK(w.start(2) == Start::Started);
 }
 
 TEST_CASE("a silent break is a reset, as it may have run, and an early answer ends the connection") {
   PoolWorld w;
   w.peer.script = [](const http::Message&) { return std::string("!"); };
-  REQUIRE(w.start(1) == Start::Begun);
+  REQUIRE(w.start(1) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
   CHECK(w.endings[0] == AttemptResult::Reset);
   w.peer.script = [](const http::Message&) { return ok("v") + "more"; };
-  REQUIRE(w.start(2) == Start::Begun);
+  REQUIRE(w.start(2) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 2; }));
   CHECK(w.endings[1] == AttemptResult::Ok);
   CHECK(w.pool->connections() == 0); // bytes behind the answer: not pooled
@@ -871,7 +872,7 @@
   }
   SUBCASE("three gigabytes") { spoilt = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello"; }
   w.peer.script = [&](const http::Message&) { return spoilt; };
-  REQUIRE(w.start(1) == Start::Begun);
+  REQUIRE(w.start(1) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
   CHECK(w.endings[0] == AttemptResult::Error);
   CHECK(w.pool->connections() == 0);
@@ -889,7 +890,7 @@
 TEST_CASE("nothing stays of a target that is gone") { // guards: memory that grows with each new cache node
   PoolWorld w;
   w.peer.script = [](const http::Message&) { return std::string(); };
-  REQUIRE(w.start(1) == Start::Begun);
+  REQUIRE(w.start(1) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.peer.seen.size() == 1; }));
   w.table.apply(node_list(2, true, {}));
   w.pool->update(w.table.targets());
@@ -915,15 +916,18 @@
 TEST_CASE(
     "a request that the module passes over is answered as failed at its deadline") { // guards: the first rule
   struct Clients : proxy::DownstreamConnections {
-    void answer(loop::Handle, proxy::ClientResponse answer) override { kinds.push_back(answer.kind); }
-    bool present(loop::Handle) override { return true; }
-    bool begin(loop::Handle, proxy::ResponseHead) override { return false; }
-    std::size_t room(loop::Handle) override { return 0; }
-    void pass(loop::Handle, std::string_view, loop::IoBuffer&) override {}
-    bool pass_from(loop::Handle, int, std::size_t, loop::IoBuffer&, loop::Received&, std::size_t&) override {
+    void send_response(loop::Handle, proxy::ClientResponse response) override {
+      kinds.push_back(response.kind);
+    }
+    bool is_connected(loop::Handle) override { return true; }
+    bool start_response(loop::Handle, proxy::ResponseHead) override { return false; }
+    std::size_t writable_bytes(loop::Handle) override { return 0; }
+    void write(loop::Handle, std::string_view, loop::IoBuffer&) override {}
+    bool splice_from(loop::Handle, int, std::size_t, loop::IoBuffer&, loop::Received&,
+                     std::size_t&) override {
       return false;
     }
-    void end(loop::Handle, bool) override {}
+    void end_response(loop::Handle, bool) override {}
     std::vector<proxy::ClientResponse::Kind> kinds;
   } clients;
   PoolWorld w;
@@ -932,10 +936,10 @@
                                   config.settings, w.bytes, {});
   driver.attach(clients, *w.pool);
   proxy::ClientRequest call;
-  call.category = 99; // the module knows no such class, and says nothing
+  call.class_index = 99; // the module knows no such class, and says nothing
   call.timeout_ms = 50;
-  REQUIRE(driver.open(1, call) != 0);
-  CHECK(run_until(w.base.get(), [&] { return driver.unanswered() == 0; }));
+  REQUIRE(driver.open_request(1, call) != 0);
+  CHECK(run_until(w.base.get(), [&] { return driver.unanswered_requests() == 0; }));
   REQUIRE(clients.kinds.size() == 1);
   CHECK(clients.kinds[0] == proxy::ClientResponse::Kind::Failed);
 }
--- a/tests/net/uploads_test.cpp
+++ b/tests/net/uploads_test.cpp
@@ -58,9 +58,11 @@
   // All of it was given back, and no file has a name.
   bool clean() {
     return w.until([&] {
-      return w.router->kept().memory() + w.router->kept().file() + w.router->kept().files() == 0 &&
-             w.router->bytes().held() == 0 && w.router->driver().open_attempts() == 0;
-    }) && w.router->bytes().most_held() <= w.router->bytes().total();
+      return w.router->kept().memory_bytes() + w.router->kept().file_bytes() +
+                     w.router->kept().open_files() ==
+                 0 &&
+             w.router->bytes().held() == 0 && w.router->driver().attempts_in_flight() == 0;
+    }) && w.router->bytes().peak_held() <= w.router->bytes().total();
   }
   Folder folder;
   World w;
@@ -266,7 +268,7 @@
   REQUIRE(u.w.until([&] { return u.w.origin.connections == 1; }));
   run_for(u.w.base.get(), 300);
   CHECK(u.w.router->bytes().held() > 0);
-  CHECK(u.w.router->bytes().most_held() < kMb); // of 8, and of 4 that all may take
+  CHECK(u.w.router->bytes().peak_held() < kMb); // of 8, and of 4 that all may take
   u.w.origin.read_on();
   REQUIRE(u.w.until([&] { return !client.answers.empty() || client.closed; }));
   REQUIRE(client.answers.size() == 1);
