--- a/src/body_buffers/buffer_budget.h
+++ b/src/body_buffers/buffer_budget.h
@@ -1,13 +1,9 @@
-// One account of the bytes of bodies that this process holds: of answers on their way to clients, and of requests
-// on their way to targets. It says how much each holder may take more, and so when reading stops and goes on.
-//
-// Each holder has a little of its own, which nobody else can take: small answers pass whatever others do. Beyond
-// that it may have up to a share of what is free in common at the moment (dynamic thresholds: Choudhury and Hahne,
-// 1998, "Dynamic Queue Length Thresholds for Shared-Memory Packet Switches"). Few holders get large windows, many
-// get small ones. No constant has to be right for both. Who has more than its window, as others have come since,
-// stops until it has less.
-//
-// Units: bytes. One thread. An account outlives its holders.
+// The budget of bytes that this process holds of bodies: of responses on their way to clients, and of
+// requests on their way to servers. Each holder has a reserved part that nobody else can take, so that small
+// bodies always pass; beyond that it may take a share of what is free at the moment (dynamic thresholds:
+// Choudhury and Hahne, 1998, "Dynamic Queue Length Thresholds for Shared-Memory Packet Switches"). A holder
+// above its window, as others have come, stops until it is below. Units: bytes. One thread. The budget
+// outlives its reservations.
 #pragma once
 
 #include <algorithm>
@@ -21,11 +17,10 @@
 
 struct BufferBudgetOptions {
   std::size_t total_bytes = 24 << 20;
-  std::size_t max_holders =
-      1024; // at most; half of the total, at most, is set aside for what each has of its own
-  std::size_t reserved_per_holder = 4 << 10; // that a holder has of its own
+  std::size_t max_holders = 1024; // expected at most; at most half of the total is reserved for them
+  std::size_t reserved_per_holder = 4 << 10; // that nobody else can take
   std::size_t max_per_holder = 1 << 20;      // for one holder
-  double share_of_free = 1.0 / 16;           // of what is free in common, for one holder
+  double share_of_free = 1.0 / 16;           // of what is free of the shared part, for one holder
 };
 
 class BufferBudget {
@@ -34,28 +29,27 @@
   BufferBudget(const BufferBudget&) = delete;
   BufferBudget& operator=(const BufferBudget&) = delete;
 
-  // What one holder has. It goes back when the holder ends: once, whatever becomes of it.
+  // What one holder has; released when it is destroyed. Movable, so that the bytes are released exactly once.
   class Reservation {
    public:
-    Reservation() = default; // holds nothing, may take nothing
+    Reservation() = default; // of no budget: holds nothing, may acquire nothing
     explicit Reservation(BufferBudget& account) : budget_(&account) {}
     Reservation(Reservation&& other) noexcept;
     Reservation& operator=(Reservation&& other) noexcept;
     ~Reservation() { release_all(); }
 
-    bool acquire(std::size_t bytes); // false: more than is free in all; nothing is taken
-    void release(std::size_t bytes); // no more than it has goes back
-    void merge(Reservation&& other); // takes over what another has, of the same account; that one ends
-    void release_all();              // gives all back, and waits no more
+    bool acquire(std::size_t bytes); // false: more than is free; nothing was acquired
+    void release(std::size_t bytes); // at most what it holds
+    void merge(Reservation&& other); // takes over the bytes of another of the same budget
+    void release_all();              // and stops waiting
     std::size_t bytes() const { return bytes_; }
 
-    std::size_t window() const;    // it may hold this much at the moment
-    std::size_t available() const; // and take this much more
-    // Reading that has stopped goes on: half of the window is empty, so that it does not stop at once again.
+    std::size_t window() const;    // bytes that it may hold at the moment
+    std::size_t available() const; // bytes that it may acquire now
+    // Paused reading may resume: half of the window is free, so that it does not pause again at once.
     bool may_resume() const;
-    void wait_for_bytes(
-        std::uint64_t who); // until Account::next() names `who`; or until this holder goes on by itself
-    void stop_waiting();    // waits no more
+    void wait_for_bytes(std::uint64_t who); // until next_resumable() returns `who`, or stop_waiting()
+    void stop_waiting();
 
    private:
     friend class BufferBudget;
@@ -70,10 +64,10 @@
     std::optional<std::list<std::pair<std::uint64_t, Reservation*>>::iterator> wait_position_;
   };
 
-  // One that waits and may go on now, the longest waiting first; it waits no more. Ask until there is none.
+  // The longest waiting holder that may resume now; it waits no more. To be called until there is none.
   std::optional<std::uint64_t> next_resumable();
 
-  // From now on so much may be held in all; what is held stays, and what each holder has of its own. No less than that.
+  // Changes the total; what is held stays, and what is reserved for each holder. No less than the latter.
   void set_total(std::size_t total);
 
   std::size_t total() const { return options_.total_bytes; }
@@ -87,8 +81,8 @@
   std::size_t shared_free() const { return shared_total_ > shared_held_ ? shared_total_ - shared_held_ : 0; }
 
   BufferBudgetOptions options_;
-  std::size_t shared_total_ = 0;                           // of the total, what is nobody's own
-  std::size_t held_ = 0, shared_held_ = 0, peak_held_ = 0; // beyond: what holders have that is not their own
+  std::size_t shared_total_ = 0;                           // the total without the reserved parts
+  std::size_t held_ = 0, shared_held_ = 0, peak_held_ = 0; // shared_held_: held beyond the reserved parts
   std::list<std::pair<std::uint64_t, Reservation*>> waiting_;
 };
 
--- a/src/proxy/request_body.cpp
+++ b/src/proxy/request_body.cpp
@@ -70,7 +70,7 @@
     bytes = f.in_memory_.copy(into, most, static_cast<std::size_t>(offset_));
   } else if (offset_ < kept) {
     bytes = f.in_file_->read(offset_ - f.in_memory_.size(), into, most);
-  } else if (offset_ == kept + f.consumed_bytes_) { // else another reader has had it
+  } else if (offset_ == kept + f.consumed_bytes_) { // else another reader has consumed it
     bytes = f.unretained_.take(into, most);
     f.consumed_bytes_ += bytes;
     f.body_.mark_consumed(bytes);
--- a/src/proxy/request_body.h
+++ b/src/proxy/request_body.h
@@ -1,8 +1,7 @@
-// The body of a request while it comes from the client: kept as far as it serves a further attempt (bodies/keeping.h
-// decides), and read by attempts, each from its own place. Only long bodies come this way; a short one is in its
-// Call, whole.
-//
-// One thread. The stores outlive it. Its callbacks are called from within its own functions, and may not end it.
+// The body of a long request while it arrives from the client: retained for further attempts as far as
+// body_buffers/retained_bodies.h decides, and read by attempts, each at its own offset. Short bodies are
+// complete in their ClientRequest. One thread; BodyStores outlives it. Callbacks are called from its own
+// functions and must not destroy it.
 #pragma once
 
 #include <cstdint>
@@ -25,8 +24,8 @@
              const std::string& path)
       : retained(rules), budget(account), spill_folder(path.empty() ? nullptr : new spill::Folder(path)) {}
   body_buffers::RetainedBodies retained;
-  body_buffers::BufferBudget& budget;          // for what is passed on without being kept
-  std::unique_ptr<spill::Folder> spill_folder; // null: there is none
+  body_buffers::BufferBudget& budget;          // for what is not retained
+  std::unique_ptr<spill::Folder> spill_folder; // null: no folder is configured
 };
 
 class RequestBody {
@@ -36,26 +35,26 @@
   RequestBody(const RequestBody&) = delete;
   RequestBody& operator=(const RequestBody&) = delete;
 
-  // ---- the client's side ----
+  // ---- called by the client side ----
   void set_on_writable(std::function<void()> call) { on_writable_ = std::move(call); }
-  std::size_t writable_bytes() const; // bytes it takes now; 0: on_room's call comes when there is room again
+  std::size_t writable_bytes() const; // bytes that append() takes; 0: on_writable follows
   bool append(std::string_view bytes,
-              loop::IoBuffer& block); // no more than that; false: longer than it may be
-  void complete();                    // it has come whole
-  void abort();                       // the rest will never come
+              loop::IoBuffer& block); // at most writable_bytes(); false: too long
+  void complete();                    // all of it has arrived
+  void abort();                       // the rest will never arrive
   bool may_stream() const {
     return body_.may_stream(complete_) || writable_bytes() == 0;
-  } // else it could never come whole
+  } // full: it could never become complete
   double receive_timeout_ms(double base_ms) const { return body_.receive_timeout_ms(base_ms); }
 
-  // ---- the attempts' side ----
+  // ---- called by attempts ----
   std::optional<std::uint64_t> length() const { return length_; }
   std::uint64_t received_bytes() const { return body_.received_bytes(); }
   bool is_complete() const { return complete_; }
   body_buffers::BodyAvailability availability() const { return body_.availability(); }
   body_buffers::Retention retention() const { return body_.retention(); }
 
-  class Reader { // of one attempt; the Inflow outlives it
+  class Reader { // of one attempt; the RequestBody outlives it
    public:
     ~Reader();
     Reader(const Reader&) = delete;
@@ -66,7 +65,7 @@
       Pending,
       End,
       Unavailable
-    }; // later: `more` is called; lost: the rest can't be had
+    }; // Pending: on_more follows; Unavailable: it can't be read from here on
     ReadResult read(char* into, std::size_t most, std::size_t& bytes);
     std::uint64_t offset() const { return offset_; }
 
@@ -87,9 +86,9 @@
   body_buffers::RetainedBodies::Body body_;
   std::string in_memory_;                // the first part
   std::unique_ptr<spill::File> in_file_; // what follows
-  loop::Buffer unretained_;              // and what is not kept: it goes as it is read
+  loop::Buffer unretained_;              // the unretained rest; dropped as it is read
   body_buffers::BufferBudget::Reservation unretained_reservation_;
-  std::uint64_t consumed_bytes_ = 0; // of what is not kept, read and gone
+  std::uint64_t consumed_bytes_ = 0; // of the unretained part, already read
   bool complete_ = false, aborted_ = false;
   std::function<void()> on_writable_;
   std::list<Reader*> readers_;
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -11,166 +11,184 @@
 
 namespace {
 
-constexpr std::size_t kBurst = 4; // events at once; in an even flow there are one to three
+constexpr std::size_t kBurstEvents = 4; // events at once; in an even flow there are one to three
 
 } // namespace
 
-RequestDispatcher::RequestDispatcher(event_base* base, loop::TimerQueue& deadlines,
-                                     fernward::Balancer balancer, const fernward::Settings& settings,
-                                     body_buffers::BufferBudget& bytes,
+RequestDispatcher::RequestDispatcher(event_base* base, loop::TimerQueue& timers, fernward::Balancer balancer,
+                                     const fernward::Settings& settings,
+                                     body_buffers::BufferBudget& buffer_budget,
                                      const RequestDispatcherOptions& options)
-    : timers_(deadlines),
+    : timers_(timers),
       balancer_(std::move(balancer)),
       settings_(settings),
-      buffer_budget_(bytes),
+      buffer_budget_(buffer_budget),
       options_(options),
       requests_(options.max_requests),
       events_ready_(event_new(base, -1, 0, &RequestDispatcher::on_events_ready, this)) {
   if (events_ready_ == nullptr) throw std::bad_alloc();
 }
 
-// ---- what happens ----
+// ---- requests ----
 
-Handle RequestDispatcher::open_request(Handle client, ClientRequest call) {
+Handle RequestDispatcher::open_request(Handle client, ClientRequest request) {
   const Handle id = requests_.add();
   if (id == 0) return 0;
-  ActiveRequest& x = *requests_.find(id);
-  x.client = client;
-  x.request = std::make_shared<const ClientRequest>(std::move(call));
+  ActiveRequest& active_request = *requests_.find(id);
+  active_request.client = client;
+  active_request.request = std::make_shared<const ClientRequest>(std::move(request));
   const double now =
-      loop::now_ms() + x.request->body_timeout_ms; // the client's time counts from its last byte on
-  x.deadline = now + x.request->timeout_ms;
-  x.objective_at = x.deadline;
-  if (x.request->class_index < settings_.classes.size()) {
-    const fernward::ClassSettings& rules = settings_.classes[x.request->class_index];
+      loop::now_ms() +
+      active_request.request->body_timeout_ms; // the client's time counts from its last byte on
+  active_request.deadline = now + active_request.request->timeout_ms;
+  active_request.objective_at = active_request.deadline;
+  if (active_request.request->class_index < settings_.classes.size()) {
+    const fernward::ClassSettings& rules = settings_.classes[active_request.request->class_index];
     if (rules.latency_objective_ms > 0)
-      x.objective_at = std::min(x.deadline, now + rules.latency_objective_ms +
-                                                rules.objective_per_work * x.request->expected_work_ms);
+      active_request.objective_at = std::min(
+          active_request.deadline, now + rules.latency_objective_ms +
+                                       rules.objective_per_work * active_request.request->expected_work_ms);
   }
-  // The last guard: the module answers earlier. Half the grace is left for the way back.
-  x.deadline_timer = timers_.at(x.deadline + options_.grace_ms / 2, [this, id] { on_deadline(id); });
+  // A safety net: the Balancer answers earlier. Half of the grace is left for the way to the client.
+  active_request.deadline_timer =
+      timers_.at(active_request.deadline + options_.grace_ms / 2, [this, id] { on_deadline(id); });
   ++unanswered_requests_;
-  waiting_ids_.insert(x.request->id);
-  fernward::Request request;
-  request.id = id;
-  request.class_index = x.request->class_index;
-  request.tenant = x.request->tenant;
-  request.key = x.request->key;
-  request.deadline = x.deadline;
-  request.expected_work_ms = x.request->expected_work_ms;
-  request.write = x.request->write;
-  if (x.request->body_timeout_ms > 0) request.body_complete_at = now;
-  enqueue(request);
+  waiting_ids_.insert(active_request.request->id);
+  fernward::Request event;
+  event.id = id;
+  event.class_index = active_request.request->class_index;
+  event.tenant = active_request.request->tenant;
+  event.key = active_request.request->key;
+  event.deadline = active_request.deadline;
+  event.expected_work_ms = active_request.request->expected_work_ms;
+  event.write = active_request.request->write;
+  if (active_request.request->body_timeout_ms > 0) event.body_complete_at = now;
+  enqueue(event);
   return id;
 }
 
-void RequestDispatcher::body_complete(Handle exchange) {
-  ActiveRequest* x = requests_.find(exchange);
-  if (x == nullptr || x->finished || x->streaming_attempt != 0) return;
-  const double late = loop::now_ms() + x->request->timeout_ms - x->deadline; // than it looked when it began
-  x->deadline += late;
-  x->objective_at += late;
-  timers_.cancel(x->deadline_timer);
-  double guard_at = x->deadline + options_.grace_ms / 2;
-  if (answer_all_by_ > 0) guard_at = std::min(guard_at, answer_all_by_);
-  x->deadline_timer = timers_.at(guard_at, [this, exchange] { on_deadline(exchange); });
-  for (const Handle attempt : x->attempts) {
-    if (Attempt* a = attempts_.find(attempt)) set_attempt_deadline(*a, attempt, a->deadline + late);
+void RequestDispatcher::body_complete(Handle request_id) {
+  ActiveRequest* active_request = requests_.find(request_id);
+  if (active_request == nullptr || active_request->finished || active_request->streaming_attempt != 0) return;
+  const double extension_ms = loop::now_ms() + active_request->request->timeout_ms -
+                              active_request->deadline; // than it looked when it began
+  active_request->deadline += extension_ms;
+  active_request->objective_at += extension_ms;
+  timers_.cancel(active_request->deadline_timer);
+  double answer_at = active_request->deadline + options_.grace_ms / 2;
+  if (answer_all_by_ > 0) answer_at = std::min(answer_at, answer_all_by_);
+  active_request->deadline_timer = timers_.at(answer_at, [this, request_id] { on_deadline(request_id); });
+  for (const Handle attempt_id : active_request->attempts) {
+    if (Attempt* attempt = attempts_.find(attempt_id))
+      set_attempt_deadline(*attempt, attempt_id, attempt->deadline + extension_ms);
   }
 }
 
-void RequestDispatcher::set_attempt_deadline(Attempt& a, Handle attempt, double deadline) {
-  timers_.cancel(a.timeout);
-  a.deadline = deadline;
-  a.timeout = timers_.at(deadline, [this, attempt] { cancel_attempt(attempt, AttemptResult::TimedOut); });
+void RequestDispatcher::set_attempt_deadline(Attempt& attempt, Handle attempt_id, double deadline) {
+  timers_.cancel(attempt.timeout);
+  attempt.deadline = deadline;
+  attempt.timeout =
+      timers_.at(deadline, [this, attempt_id] { cancel_attempt(attempt_id, AttemptResult::TimedOut); });
 }
 
-void RequestDispatcher::client_disconnected(Handle exchange) {
-  const ActiveRequest* x = requests_.find(exchange);
-  if (x == nullptr || x->finished) return;
-  finish(exchange, nullptr);
-  enqueue(fernward::ClientDisconnected{exchange});
-  remove_if_done(exchange);
+void RequestDispatcher::client_disconnected(Handle request_id) {
+  const ActiveRequest* active_request = requests_.find(request_id);
+  if (active_request == nullptr || active_request->finished) return;
+  finish(request_id, nullptr);
+  enqueue(fernward::ClientDisconnected{request_id});
+  remove_if_done(request_id);
 }
 
-void RequestDispatcher::on_attempt_complete(Handle attempt, AttemptCompletion ending) {
-  complete_attempt(attempt, std::move(ending));
+void RequestDispatcher::on_attempt_complete(Handle attempt_id, AttemptCompletion completion) {
+  complete_attempt(attempt_id, std::move(completion));
 }
 
-// ---- an answer that passes through ----
+// ---- streamed responses ----
 
-double RequestDispatcher::buffer_until(Handle attempt) {
-  const Attempt* a = attempts_.find(attempt);
-  const ActiveRequest* x = a == nullptr ? nullptr : requests_.find(a->request);
-  return x == nullptr ? 0 : body_buffers::buffer_until(a->sent_at, x->objective_at);
+double RequestDispatcher::buffer_until(Handle attempt_id) {
+  const Attempt* attempt = attempts_.find(attempt_id);
+  const ActiveRequest* active_request = attempt == nullptr ? nullptr : requests_.find(attempt->request);
+  return active_request == nullptr
+             ? 0
+             : body_buffers::buffer_until(attempt->sent_at, active_request->objective_at);
 }
 
-bool RequestDispatcher::may_write_request(Handle attempt) {
-  const Attempt* a = attempts_.find(attempt);
-  const ActiveRequest* x = a == nullptr ? nullptr : requests_.find(a->request);
+bool RequestDispatcher::may_write_request(Handle attempt_id) {
+  const Attempt* attempt = attempts_.find(attempt_id);
+  const ActiveRequest* active_request = attempt == nullptr ? nullptr : requests_.find(attempt->request);
   const double now = loop::now_ms();
-  return x != nullptr && now < a->deadline && downstream_->is_connected(x->client) && may_send(*x, now, true);
-}
-
-bool RequestDispatcher::start_response(Handle attempt, ResponseHead opening) {
-  const Attempt* a = attempts_.find(attempt);
-  ActiveRequest* x = a == nullptr ? nullptr : requests_.find(a->request);
-  // Of two copies the first to begin is the answer: the module cuts off the other.
-  if (x == nullptr || x->finished || x->streaming_attempt != 0) return false;
-  if (!downstream_->start_response(x->client, std::move(opening))) return false;
-  x->streaming_attempt = attempt;
-  // Its first bytes were in time. From here on the node's and the client's pace counts, which both sides watch.
-  timers_.cancel(x->deadline_timer);
-  timers_.cancel(attempts_.find(attempt)->timeout);
-  enqueue(fernward::ResponseStarted{a->request, a->number, a->server, loop::now_ms() - a->sent_at});
+  return active_request != nullptr && now < attempt->deadline &&
+         downstream_->is_connected(active_request->client) && may_send(*active_request, now, true);
+}
+
+bool RequestDispatcher::start_response(Handle attempt_id, ResponseHead head) {
+  const Attempt* attempt = attempts_.find(attempt_id);
+  ActiveRequest* active_request = attempt == nullptr ? nullptr : requests_.find(attempt->request);
+  // Of two hedged attempts the first response to start counts: the Balancer cancels the other.
+  if (active_request == nullptr || active_request->finished || active_request->streaming_attempt != 0)
+    return false;
+  if (!downstream_->start_response(active_request->client, std::move(head))) return false;
+  active_request->streaming_attempt = attempt_id;
+  // From here on there is no deadline: upstream and downstream watch the pace of server and client.
+  timers_.cancel(active_request->deadline_timer);
+  timers_.cancel(attempts_.find(attempt_id)->timeout);
+  enqueue(fernward::ResponseStarted{attempt->request, attempt->number, attempt->server,
+                                    loop::now_ms() - attempt->sent_at});
   return true;
 }
 
-Handle RequestDispatcher::client_of_streaming(Handle attempt) {
-  const Attempt* a = attempts_.find(attempt);
-  const ActiveRequest* x = a == nullptr ? nullptr : requests_.find(a->request);
-  return x == nullptr || x->finished || x->streaming_attempt != attempt ? 0 : x->client;
+Handle RequestDispatcher::client_of_streaming(Handle attempt_id) {
+  const Attempt* attempt = attempts_.find(attempt_id);
+  const ActiveRequest* active_request = attempt == nullptr ? nullptr : requests_.find(attempt->request);
+  return active_request == nullptr || active_request->finished ||
+                 active_request->streaming_attempt != attempt_id
+             ? 0
+             : active_request->client;
 }
 
-std::size_t RequestDispatcher::writable_bytes(Handle attempt) {
-  return downstream_->writable_bytes(client_of_streaming(attempt));
+std::size_t RequestDispatcher::writable_bytes(Handle attempt_id) {
+  return downstream_->writable_bytes(client_of_streaming(attempt_id));
 }
 
-void RequestDispatcher::write(Handle attempt, std::string_view bytes, loop::IoBuffer& block) {
-  downstream_->write(client_of_streaming(attempt), bytes, block);
+void RequestDispatcher::write(Handle attempt_id, std::string_view bytes, loop::IoBuffer& block) {
+  downstream_->write(client_of_streaming(attempt_id), bytes, block);
 }
 
-bool RequestDispatcher::splice_from(Handle attempt, int socket, std::size_t most, loop::IoBuffer& block,
+bool RequestDispatcher::splice_from(Handle attempt_id, int socket, std::size_t most, loop::IoBuffer& block,
                                     loop::Received& received, std::size_t& bytes) {
-  return downstream_->splice_from(client_of_streaming(attempt), socket, most, block, received, bytes);
+  return downstream_->splice_from(client_of_streaming(attempt_id), socket, most, block, received, bytes);
 }
 
-void RequestDispatcher::response_drained(Handle exchange) {
-  resume_reading(exchange);
+void RequestDispatcher::response_drained(Handle request_id) {
+  resume_reading(request_id);
   resume_blocked_readers();
 }
 
-void RequestDispatcher::resume_reading(Handle exchange) {
-  if (const ActiveRequest* x = requests_.find(exchange); x != nullptr && x->streaming_attempt != 0)
-    upstream_->resume_reading(x->streaming_attempt);
+void RequestDispatcher::resume_reading(Handle request_id) {
+  if (const ActiveRequest* active_request = requests_.find(request_id);
+      active_request != nullptr && active_request->streaming_attempt != 0)
+    upstream_->resume_reading(active_request->streaming_attempt);
 }
 
-// Those that found no room at all, and have nothing of their own that could drain.
+// Responses that found no room in the buffer budget and have no bytes of their own that could drain.
 void RequestDispatcher::resume_blocked_readers() {
-  while (const auto exchange = buffer_budget_.next_resumable()) resume_reading(*exchange);
+  while (const auto request_id = buffer_budget_.next_resumable()) resume_reading(*request_id);
 }
 
-// Its first byte is out: what the module decided in the same moment comes too late.
-bool RequestDispatcher::is_streaming(const ActiveRequest& x, std::size_t number) const {
-  return !x.finished && x.streaming_attempt != 0 && x.attempts[number] == x.streaming_attempt;
+// Its first byte is out: a cancellation that the Balancer decided on at the same time comes too late.
+bool RequestDispatcher::is_streaming(const ActiveRequest& active_request, std::size_t number) const {
+  return !active_request.finished && active_request.streaming_attempt != 0 &&
+         active_request.attempts[number] == active_request.streaming_attempt;
 }
 
 void RequestDispatcher::answer_all_by(double by) {
   answer_all_by_ = by;
-  requests_.each([&](Handle id, ActiveRequest& x) {
-    if (x.finished || x.streaming_attempt != 0 || x.deadline + options_.grace_ms / 2 <= by) return;
-    timers_.cancel(x.deadline_timer);
-    x.deadline_timer = timers_.at(by, [this, id] { on_deadline(id); });
+  requests_.each([&](Handle id, ActiveRequest& active_request) {
+    if (active_request.finished || active_request.streaming_attempt != 0 ||
+        active_request.deadline + options_.grace_ms / 2 <= by)
+      return;
+    timers_.cancel(active_request.deadline_timer);
+    active_request.deadline_timer = timers_.at(by, [this, id] { on_deadline(id); });
   });
 }
 
@@ -185,20 +203,21 @@
   settings_ = settings;
 }
 
-void RequestDispatcher::on_deadline(Handle exchange) {
-  ActiveRequest* x = requests_.find(exchange);
-  if (x == nullptr || x->finished) return;
-  x->deadline_timer = 0;
-  // Of a body that came sooner than it might have, the module does not know.
-  if (x->request->body_timeout_ms == 0 && loop::now_ms() >= x->deadline)
-    log::line("exchange-overdue", {{"id", x->request->id}, {"attempts", x->attempts.size()}});
-  ClientResponse answer; // failed
-  finish(exchange, &answer);
-  enqueue(fernward::ClientDisconnected{exchange});
-  remove_if_done(exchange);
+void RequestDispatcher::on_deadline(Handle request_id) {
+  ActiveRequest* active_request = requests_.find(request_id);
+  if (active_request == nullptr || active_request->finished) return;
+  active_request->deadline_timer = 0;
+  // The Balancer does not know when a body was complete sooner than its timeout.
+  if (active_request->request->body_timeout_ms == 0 && loop::now_ms() >= active_request->deadline)
+    log::line("request-overdue",
+              {{"id", active_request->request->id}, {"attempts", active_request->attempts.size()}});
+  ClientResponse response; // failed
+  finish(request_id, &response);
+  enqueue(fernward::ClientDisconnected{request_id});
+  remove_if_done(request_id);
 }
 
-// ---- the module ----
+// ---- events and actions ----
 
 void RequestDispatcher::enqueue(fernward::Event event) {
   events_.push_back(std::move(event));
@@ -206,7 +225,7 @@
 }
 
 void RequestDispatcher::process_events() {
-  poll_discovery(events_.size() >= kBurst);
+  poll_discovery(events_.size() >= kBurstEvents);
   while (!events_.empty()) {
     const fernward::Event event = std::move(events_.front());
     events_.pop_front();
@@ -226,180 +245,193 @@
 }
 
 void RequestDispatcher::execute(const fernward::Action& action) {
-  if (const auto* a = std::get_if<fernward::Send>(&action)) {
-    start_attempt(*a);
-  } else if (const auto* refuse = std::get_if<fernward::Reject>(&action)) {
-    ClientResponse answer;
-    answer.kind = ClientResponse::Kind::Rejected;
-    answer.retry_after_ms = refuse->retry_after_ms;
-    give_up(refuse->id, refuse->reason, std::move(answer));
+  if (const auto* send = std::get_if<fernward::Send>(&action)) {
+    start_attempt(*send);
+  } else if (const auto* reject = std::get_if<fernward::Reject>(&action)) {
+    ClientResponse response;
+    response.kind = ClientResponse::Kind::Rejected;
+    response.retry_after_ms = reject->retry_after_ms;
+    give_up(reject->id, reject->reason, std::move(response));
   } else if (const auto* fail = std::get_if<fernward::Fail>(&action)) {
     give_up(fail->id, fail->reason, ClientResponse());
   } else if (const auto* cancel = std::get_if<fernward::Cancel>(&action)) {
-    const ActiveRequest* x = requests_.find(cancel->id);
-    if (x != nullptr && cancel->attempt < x->attempts.size() && !is_streaming(*x, cancel->attempt)) {
-      cancel_attempt(x->attempts[cancel->attempt], AttemptResult::Cancelled);
+    const ActiveRequest* active_request = requests_.find(cancel->id);
+    if (active_request != nullptr && cancel->attempt < active_request->attempts.size() &&
+        !is_streaming(*active_request, cancel->attempt)) {
+      cancel_attempt(active_request->attempts[cancel->attempt], AttemptResult::Cancelled);
     }
   } else if (const auto* timer = std::get_if<fernward::SetTimer>(&action)) {
     const std::uint64_t token = timer->token;
     timers_.at(loop::now_ms() + timer->delay_ms, [this, token] { enqueue(fernward::TimerFired{token}); });
-  } else if (const auto* said = std::get_if<fernward::Log>(&action)) {
-    log::line("module", {{"says", said->text}});
+  } else if (const auto* message = std::get_if<fernward::Log>(&action)) {
+    log::line("module", {{"says", message->text}});
   } else if (std::get_if<fernward::WatchEndpoints>(&action) != nullptr) {
-    // The route table is always watched: the call is answered at once, with no changes.
+    // The endpoint list is always watched: an empty delta confirms that at once.
     enqueue(fernward::EndpointList{fernward::EndpointListKind::Delta, {}});
-  } else if (const auto* probe = std::get_if<fernward::SendHealthCheck>(&action)) {
-    enqueue(fernward::HealthCheckResult{probe->server, 0, false, {}}); // the program sends none
+  } else if (const auto* health_check = std::get_if<fernward::SendHealthCheck>(&action)) {
+    enqueue(fernward::HealthCheckResult{health_check->server, 0, false, {}}); // the proxy sends none
   }
 }
 
-void RequestDispatcher::give_up(Handle exchange, fernward::GiveUpReason why, ClientResponse answer) {
-  const ActiveRequest* x = requests_.find(exchange);
-  if (x == nullptr || x->streaming_attempt != 0) return;
+void RequestDispatcher::give_up(Handle request_id, fernward::GiveUpReason why, ClientResponse response) {
+  const ActiveRequest* active_request = requests_.find(request_id);
+  if (active_request == nullptr || active_request->streaming_attempt != 0) return;
   ++give_up_counts_[static_cast<std::size_t>(why)];
-  finish(exchange, &answer);
-  remove_if_done(exchange);
+  finish(request_id, &response);
+  remove_if_done(request_id);
 }
 
 void RequestDispatcher::start_attempt(const fernward::Send& send) {
-  ActiveRequest* x = requests_.find(send.id);
-  if (x == nullptr) return;
+  ActiveRequest* active_request = requests_.find(send.id);
+  if (active_request == nullptr) return;
   const double now = loop::now_ms();
-  const auto number = static_cast<std::uint32_t>(x->attempts.size());
-  const double deadline = send.timeout_ms == 0 ? x->deadline : std::min(x->deadline, now + send.timeout_ms);
-  Handle handle = 0;
+  const auto number = static_cast<std::uint32_t>(active_request->attempts.size());
+  const double deadline = send.timeout_ms == 0 ? active_request->deadline
+                                               : std::min(active_request->deadline, now + send.timeout_ms);
+  Handle attempt_id = 0;
   AttemptResult result = AttemptResult::Abandoned;
-  if (!x->finished &&
-      !downstream_->is_connected(x->client)) { // told here before its connection's end is read
-    x->attempts.push_back(0);
+  if (!active_request->finished &&
+      !downstream_->is_connected(active_request->client)) { // told here before its connection's end is read
+    active_request->attempts.push_back(0);
     client_disconnected(send.id);
     return report_outcome(send.id, number, send.server, 0, result);
   }
-  const bool open = number < settings_.max_attempts_of(x->request->class_index) && now < deadline;
-  if (open && may_send(*x, now, false)) handle = attempts_.add();
-  ++x->attempts_in_flight;
-  x->attempts.push_back(handle);
-  if (handle != 0) {
-    Attempt& a = *attempts_.find(handle);
-    a.request = send.id;
-    a.number = number;
-    a.server = send.server;
-    a.sent_at = now;
-    const auto start = upstream_->start(handle, send.server, x->request, deadline);
-    if (start == UpstreamConnections::StartResult::Started) {
-      if (x->attempts_in_flight == 1 && !x->may_have_run) x->first_sent_at = now;
-      ++x->attempts_started;
-      return set_attempt_deadline(a, handle, deadline);
+  const bool in_time =
+      number < settings_.max_attempts_of(active_request->request->class_index) && now < deadline;
+  if (in_time && may_send(*active_request, now, false)) attempt_id = attempts_.add();
+  ++active_request->attempts_in_flight;
+  active_request->attempts.push_back(attempt_id);
+  if (attempt_id != 0) {
+    Attempt& attempt = *attempts_.find(attempt_id);
+    attempt.request = send.id;
+    attempt.number = number;
+    attempt.server = send.server;
+    attempt.sent_at = now;
+    const auto started = upstream_->start(attempt_id, send.server, active_request->request, deadline);
+    if (started == UpstreamConnections::StartResult::Started) {
+      if (active_request->attempts_in_flight == 1 && !active_request->may_have_run)
+        active_request->first_sent_at = now;
+      ++active_request->attempts_started;
+      return set_attempt_deadline(attempt, attempt_id, deadline);
     }
-    if (start == UpstreamConnections::StartResult::NoEndpoint) result = AttemptResult::ConnectFailed;
-    if (start == UpstreamConnections::StartResult::LocalLimit) log::line("egress-table-full");
-    x->attempts.back() = 0;
-    attempts_.remove(handle);
+    if (started == UpstreamConnections::StartResult::NoEndpoint) result = AttemptResult::ConnectFailed;
+    if (started == UpstreamConnections::StartResult::LocalLimit) log::line("upstream-table-full");
+    active_request->attempts.back() = 0;
+    attempts_.remove(attempt_id);
   }
-  --x->attempts_in_flight;
+  --active_request->attempts_in_flight;
   report_outcome(send.id, number, send.server, 0, result);
 }
 
-// The last word on an attempt, as it is decided and again as its first byte is written: its request waits, and the class
-// and what is left of the body allow it. The module knows the class and asks for none past it.
-bool RequestDispatcher::may_send(const ActiveRequest& x, double now, bool begun) const {
-  if (x.finished || x.streaming_attempt != 0 || x.request->class_index >= settings_.classes.size())
+// The last check of an attempt, as it starts and again as its first byte is written: the request still waits,
+// and its class, key window and body allow it (body_buffers::may_send). The Balancer has checked the class
+// before.
+bool RequestDispatcher::may_send(const ActiveRequest& active_request, double now,
+                                 bool already_started) const {
+  if (active_request.finished || active_request.streaming_attempt != 0 ||
+      active_request.request->class_index >= settings_.classes.size())
     return false;
-  const fernward::ClassSettings& rules = settings_.classes[x.request->class_index];
-  const body_buffers::BodyAvailability body = x.request->streamed_body == nullptr
+  const fernward::ClassSettings& class_settings = settings_.classes[active_request.request->class_index];
+  const body_buffers::BodyAvailability body = active_request.request->streamed_body == nullptr
                                                   ? body_buffers::BodyAvailability()
-                                                  : x.request->streamed_body->availability();
-  const body_buffers::AttemptHistory past{x.attempts_started - begun,
-                                          x.attempts_in_flight > std::size_t{begun}, x.may_have_run,
-                                          now - x.first_sent_at};
-  const bool may = body_buffers::may_send(body, rules.idempotency, rules.idempotency_window_ms, past);
-  if (!may && body.retry_if_run)
-    log::line("resend-held-back", {{"id", x.request->id}, {"attempts", x.attempts_started}});
-  return may;
-}
-
-// Stops waiting for an attempt; its connection is closed, as an answer is still due on it.
-void RequestDispatcher::cancel_attempt(Handle attempt, AttemptResult result) {
-  if (attempts_.find(attempt) == nullptr) return;
-  const UpstreamConnections::ClientPause pause = upstream_->cancel(attempt);
-  AttemptCompletion ending;
-  // Where the time ran out on a client that takes nothing, its target is not at fault.
-  ending.result = result == AttemptResult::TimedOut && pause.ongoing ? AttemptResult::Cancelled : result;
-  ending.paused_ms = pause.ms;
-  complete_attempt(attempt, std::move(ending));
-}
-
-void RequestDispatcher::complete_attempt(Handle attempt, AttemptCompletion ending) {
-  Attempt* found = attempts_.find(attempt);
+                                                  : active_request.request->streamed_body->availability();
+  const body_buffers::AttemptHistory history{active_request.attempts_started - already_started,
+                                             active_request.attempts_in_flight > std::size_t{already_started},
+                                             active_request.may_have_run, now - active_request.first_sent_at};
+  const bool allowed =
+      body_buffers::may_send(body, class_settings.idempotency, class_settings.idempotency_window_ms, history);
+  if (!allowed && body.retry_if_run)
+    log::line("retry-not-allowed",
+              {{"id", active_request.request->id}, {"attempts", active_request.attempts_started}});
+  return allowed;
+}
+
+// The connection is closed, as a response is still due on it.
+void RequestDispatcher::cancel_attempt(Handle attempt_id, AttemptResult result) {
+  if (attempts_.find(attempt_id) == nullptr) return;
+  const UpstreamConnections::ClientPause pause = upstream_->cancel(attempt_id);
+  AttemptCompletion completion;
+  // A timeout while the client took nothing is no fault of the server.
+  completion.result = result == AttemptResult::TimedOut && pause.ongoing ? AttemptResult::Cancelled : result;
+  completion.paused_ms = pause.ms;
+  complete_attempt(attempt_id, std::move(completion));
+}
+
+void RequestDispatcher::complete_attempt(Handle attempt_id, AttemptCompletion completion) {
+  Attempt* found = attempts_.find(attempt_id);
   if (found == nullptr) return;
-  Attempt a = *found;
-  timers_.cancel(a.timeout);
-  attempts_.remove(attempt);
-  ActiveRequest* x = requests_.find(a.request);
-  if (x == nullptr) return;
-  x->attempts[a.number] = 0;
-  --x->attempts_in_flight;
+  Attempt attempt = *found;
+  timers_.cancel(attempt.timeout);
+  attempts_.remove(attempt_id);
+  ActiveRequest* active_request = requests_.find(attempt.request);
+  if (active_request == nullptr) return;
+  active_request->attempts[attempt.number] = 0;
+  --active_request->attempts_in_flight;
   const bool never_ran =
-      ending.result == AttemptResult::Overloaded || ending.result == AttemptResult::ConnectFailed ||
-      ending.result == AttemptResult::Abandoned || ending.result == AttemptResult::CacheMiss;
-  x->may_have_run |= !never_ran;
-  if (x->streaming_attempt == attempt) {
-    finish(a.request, nullptr, ending.result == AttemptResult::Ok);
-  } else if (ending.result == AttemptResult::Ok && x->streaming_attempt == 0 && !x->finished) {
-    ClientResponse answer;
-    answer.kind = ClientResponse::Kind::Served;
-    answer.body = std::move(ending.body);
-    answer.content_type = std::move(ending.content_type);
-    finish(a.request, &answer);
+      completion.result == AttemptResult::Overloaded || completion.result == AttemptResult::ConnectFailed ||
+      completion.result == AttemptResult::Abandoned || completion.result == AttemptResult::CacheMiss;
+  active_request->may_have_run |= !never_ran;
+  if (active_request->streaming_attempt == attempt_id) {
+    finish(attempt.request, nullptr, completion.result == AttemptResult::Ok);
+  } else if (completion.result == AttemptResult::Ok && active_request->streaming_attempt == 0 &&
+             !active_request->finished) {
+    ClientResponse response;
+    response.kind = ClientResponse::Kind::Served;
+    response.body = std::move(completion.body);
+    response.content_type = std::move(completion.content_type);
+    finish(attempt.request, &response);
   }
-  // What the client's slowness took is no sign of the target's.
-  const double elapsed = std::max(0.0, loop::now_ms() - a.sent_at - ending.paused_ms);
-  report_outcome(a.request, a.number, a.server, elapsed, ending.result, std::move(ending.load_report),
-                 ending.on_reused_connection, ending.first_on_connection);
-  remove_if_done(a.request);
-}
-
-void RequestDispatcher::report_outcome(Handle exchange, std::uint32_t number, fernward::ServerId target,
-                                       double elapsed, AttemptResult result, std::vector<float> report,
-                                       bool rested, bool first) {
-  const ActiveRequest* x = requests_.find(exchange);
-  fernward::AttemptOutcome told;
-  told.id = exchange;
-  told.attempt = number;
-  told.server = target;
-  told.result = result;
-  told.elapsed_ms = elapsed;
-  told.request_ended = x == nullptr || x->finished;
-  if (x != nullptr && x->request->streamed_body != nullptr) {
-    const body_buffers::BodyAvailability body = x->request->streamed_body->availability();
-    told.body_consumed = x->may_have_run ? !body.retry_if_run : !body.retry_if_not_run;
+  // Time spent on a slow client says nothing about the server.
+  const double elapsed = std::max(0.0, loop::now_ms() - attempt.sent_at - completion.paused_ms);
+  report_outcome(attempt.request, attempt.number, attempt.server, elapsed, completion.result,
+                 std::move(completion.load_report), completion.on_reused_connection,
+                 completion.first_on_connection);
+  remove_if_done(attempt.request);
+}
+
+void RequestDispatcher::report_outcome(Handle request_id, std::uint32_t number, fernward::ServerId server,
+                                       double elapsed, AttemptResult result, std::vector<float> load_report,
+                                       bool on_reused_connection, bool first_on_connection) {
+  const ActiveRequest* active_request = requests_.find(request_id);
+  fernward::AttemptOutcome attempt_outcome;
+  attempt_outcome.id = request_id;
+  attempt_outcome.attempt = number;
+  attempt_outcome.server = server;
+  attempt_outcome.result = result;
+  attempt_outcome.elapsed_ms = elapsed;
+  attempt_outcome.request_ended = active_request == nullptr || active_request->finished;
+  if (active_request != nullptr && active_request->request->streamed_body != nullptr) {
+    const body_buffers::BodyAvailability body = active_request->request->streamed_body->availability();
+    attempt_outcome.body_consumed =
+        active_request->may_have_run ? !body.retry_if_run : !body.retry_if_not_run;
   }
-  told.load_report = std::move(report);
-  told.on_reused_connection = rested;
-  told.first_on_connection = first;
-  enqueue(std::move(told));
-}
-
-// The exchange has its final answer: this one, or one that passed through and has come to its end, whole or not; or
-// nobody waits for one. Attempts may go on.
-void RequestDispatcher::finish(Handle exchange, ClientResponse* answer, bool whole) {
-  ActiveRequest* x = requests_.find(exchange);
-  if (x == nullptr || x->finished) return;
-  x->finished = true;
+  attempt_outcome.load_report = std::move(load_report);
+  attempt_outcome.on_reused_connection = on_reused_connection;
+  attempt_outcome.first_on_connection = first_on_connection;
+  enqueue(std::move(attempt_outcome));
+}
+
+// `response`: null where a streamed response has ended (`complete` or not), or no client waits. Attempts may
+// go on.
+void RequestDispatcher::finish(Handle request_id, ClientResponse* response, bool complete) {
+  ActiveRequest* active_request = requests_.find(request_id);
+  if (active_request == nullptr || active_request->finished) return;
+  active_request->finished = true;
   --unanswered_requests_;
-  waiting_ids_.erase(x->request->id);
-  timers_.cancel(x->deadline_timer);
-  if (x->streaming_attempt != 0) {
-    downstream_->end_response(x->client, whole);
-  } else if (answer != nullptr) {
-    downstream_->send_response(x->client, std::move(*answer));
+  waiting_ids_.erase(active_request->request->id);
+  timers_.cancel(active_request->deadline_timer);
+  if (active_request->streaming_attempt != 0) {
+    downstream_->end_response(active_request->client, complete);
+  } else if (response != nullptr) {
+    downstream_->send_response(active_request->client, std::move(*response));
   }
   resume_blocked_readers();
 }
 
-void RequestDispatcher::remove_if_done(Handle exchange) {
-  const ActiveRequest* x = requests_.find(exchange);
-  if (x != nullptr && x->finished && x->attempts_in_flight == 0) requests_.remove(exchange);
+void RequestDispatcher::remove_if_done(Handle request_id) {
+  const ActiveRequest* active_request = requests_.find(request_id);
+  if (active_request != nullptr && active_request->finished && active_request->attempts_in_flight == 0)
+    requests_.remove(request_id);
 }
 
 } // namespace fernward::proxy
--- a/src/proxy/request_dispatcher.h
+++ b/src/proxy/request_dispatcher.h
@@ -1,8 +1,4 @@
-// Turns what happens on the sockets into the module's events and its actions into calls. It decides nothing:
-// which target, whether again and when to give up come from the module.
-//
-// Everything that happens is put into a queue that is worked off from the event loop, so that no callback of a
-// socket finds its own connection freed by what it reported.
+// Feeds what happens on the sockets to the Balancer as events, and carries out its actions.
 #pragma once
 
 #include <array>
@@ -20,57 +16,71 @@
 namespace fernward::proxy {
 
 struct RequestDispatcherOptions {
-  double grace_ms = 20;            // an answer may come this much after the client's deadline
-  std::size_t max_requests = 4096; // exchanges at once
-  double discovery_poll_interval_ms =
-      25; // nothing is decided by what discovery had said so long ago, see before_bursts()
+  double grace_ms = 20;            // a response may arrive this long after the client's deadline
+  std::size_t max_requests = 4096; // active at once
+  // Before a burst of events, and after this time between events, discovery is read: no decision uses an
+  // older list.
+  double discovery_poll_interval_ms = 25;
 };
 
+// Decides nothing by itself: which server, whether to retry and when to give up come from the Balancer. It
+// only refuses what has become pointless or unsafe since the Balancer decided, see may_send().
+//
+// Events are queued and processed from the event loop, so that no socket callback finds its connection freed
+// by what it reported. A request is active until its final response (or its client's end) and the end of its
+// last attempt:
+//   waiting -> streaming (an attempt's response has started) -> finished
+//   waiting -> finished -> removed, once no attempt is in flight
+// Handles of requests that are gone are accepted everywhere and have no effect. One thread. Times:
+// loop::now_ms().
 class RequestDispatcher : public AttemptCallbacks {
  public:
-  // The account outlives it.
-  RequestDispatcher(event_base* base, loop::TimerQueue& deadlines, fernward::Balancer balancer,
-                    const fernward::Settings& settings, body_buffers::BufferBudget& bytes,
+  // `buffer_budget` outlives it.
+  RequestDispatcher(event_base* base, loop::TimerQueue& timers, fernward::Balancer balancer,
+                    const fernward::Settings& settings, body_buffers::BufferBudget& buffer_budget,
                     const RequestDispatcherOptions& options);
 
-  void attach(DownstreamConnections& clients, UpstreamConnections& egress) {
-    downstream_ = &clients, upstream_ = &egress;
+  // Before the first request; both outlive it.
+  void attach(DownstreamConnections& downstream, UpstreamConnections& upstream) {
+    downstream_ = &downstream;
+    upstream_ = &upstream;
   }
-  // Called before a burst of events is decided on, and between events once `look_every_ms` have passed, as after a list
-  // that took long: what has come of discovery by then counts for all that follow.
-  void set_discovery_poll(std::function<void()> look) { discovery_poll_ = std::move(look); }
+  // `poll` reads what discovery has sent; see RequestDispatcherOptions::discovery_poll_interval_ms.
+  void set_discovery_poll(std::function<void()> poll) { discovery_poll_ = std::move(poll); }
 
-  Handle open_request(Handle client,
-                      ClientRequest call); // 0: the table is full; `call`'s last byte has just come
-  bool is_waiting_for(const std::string& id) const {
-    return waiting_ids_.count(id) > 0;
-  }                                    // a client waits under this id
-  void body_complete(Handle exchange); // the last byte of its call has come, after open()
-  void client_disconnected(Handle exchange);
-  void response_drained(Handle exchange); // its client has taken some of the answer that passes through
-  // The process ends soon: what has no final answer by then gets one, the last guard's.
+  // A request whose last byte has just arrived, or whose body is still arriving (body_timeout_ms > 0). 0: too
+  // many.
+  Handle open_request(Handle client, ClientRequest request);
+  // A client waits for a response under this request id.
+  bool is_waiting_for(const std::string& id) const { return waiting_ids_.count(id) > 0; }
+  // The last byte of a streamed body has arrived: the deadlines count from now on.
+  void body_complete(Handle request_id);
+  void client_disconnected(Handle request_id);
+  // The client has taken some of a streamed response.
+  void response_drained(Handle request_id);
+  // Graceful shutdown: at this time, what has no final response fails.
   void answer_all_by(double by);
   void update_endpoints(fernward::EndpointList list);
-  void on_fleet_events(
-      std::vector<fernward::Event> events); // what the tier's word comes to, see shared/advice.h
+  // What the other routers' gossip amounts to, see gossip/advice.h.
+  void on_fleet_events(std::vector<fernward::Event> events);
   const fernward::Balancer& balancer() const { return balancer_; }
   fernward::Balancer::OriginBudget origin_budget() const { return balancer_.origin_budget(); }
-  void update_settings(
-      const fernward::Settings& settings); // as of Balancer::change; throws std::invalid_argument
+  // Throws std::invalid_argument, as Balancer::update_settings.
+  void update_settings(const fernward::Settings& settings);
 
-  void on_attempt_complete(Handle attempt, AttemptCompletion ending) override;
-  double buffer_until(Handle attempt) override;
-  bool may_write_request(Handle attempt) override;
-  bool start_response(Handle attempt, ResponseHead opening) override;
-  std::size_t writable_bytes(Handle attempt) override;
-  void write(Handle attempt, std::string_view bytes, loop::IoBuffer& block) override;
-  bool splice_from(Handle attempt, int socket, std::size_t most, loop::IoBuffer& block,
+  void on_attempt_complete(Handle attempt_id, AttemptCompletion completion) override;
+  double buffer_until(Handle attempt_id) override;
+  bool may_write_request(Handle attempt_id) override;
+  bool start_response(Handle attempt_id, ResponseHead head) override;
+  std::size_t writable_bytes(Handle attempt_id) override;
+  void write(Handle attempt_id, std::string_view bytes, loop::IoBuffer& block) override;
+  bool splice_from(Handle attempt_id, int socket, std::size_t most, loop::IoBuffer& block,
                    loop::Received& received, std::size_t& bytes) override;
 
-  // Exchanges given up so far, by why the module gave them up.
+  // Requests given up so far, by reason.
   using GiveUpCounts = std::array<std::uint64_t, static_cast<std::size_t>(fernward::GiveUpReason::Count)>;
   const GiveUpCounts& give_up_counts() const { return give_up_counts_; }
-  bool is_ejected(fernward::ServerId target) const { return balancer_.is_ejected(target); }
+  bool is_ejected(fernward::ServerId server) const { return balancer_.is_ejected(server); }
   std::size_t unanswered_requests() const { return unanswered_requests_; }
   std::size_t attempts_in_flight() const { return attempts_.size(); }
 
@@ -78,21 +88,23 @@
   struct ActiveRequest {
     Handle client = 0;
     ClientRequestPtr request;
-    double deadline = 0, objective_at = 0;
-    std::vector<Handle> attempts;       // by number
-    Handle streaming_attempt = 0;       // the attempt whose answer has begun to be passed on
-    bool may_have_run = false;          // an attempt that has ended
-    std::uint32_t attempts_started = 0; // attempts that began
-    double first_sent_at = 0;           // when the first was sent that may have run, or is out
+    double deadline = 0;
+    double objective_at = 0;      // by when the response has its full value; at most `deadline`
+    std::vector<Handle> attempts; // by attempt number; 0: ended or never started
+    Handle streaming_attempt = 0; // whose response has started
+    bool may_have_run = false;    // an attempt that has ended may have run
+    std::uint32_t attempts_started = 0;
+    double first_sent_at = 0; // of the first attempt that may have run or is in flight
     std::size_t attempts_in_flight = 0;
-    bool finished = false;
+    bool finished = false; // has its final response, or its client has left
     loop::TimerQueue::TimerId deadline_timer = 0;
   };
   struct Attempt {
     Handle request = 0;
     std::uint32_t number = 0;
     fernward::ServerId server = 0;
-    double sent_at = 0, deadline = 0;
+    double sent_at = 0;
+    double deadline = 0;
     loop::TimerQueue::TimerId timeout = 0;
   };
 
@@ -104,22 +116,22 @@
   void poll_discovery(bool burst);
   void execute(const fernward::Action& action);
   void start_attempt(const fernward::Send& send);
-  void cancel_attempt(Handle attempt, fernward::AttemptResult result);
-  void complete_attempt(Handle attempt, AttemptCompletion ending);
-  bool is_streaming(const ActiveRequest& x, std::size_t number) const;
-  // begun: this attempt is one of those tried and out already.
-  bool may_send(const ActiveRequest& x, double now, bool begun) const;
-  void set_attempt_deadline(Attempt& a, Handle attempt, double deadline);
-  Handle client_of_streaming(Handle attempt);
-  void resume_reading(Handle exchange);
+  void cancel_attempt(Handle attempt_id, fernward::AttemptResult result);
+  void complete_attempt(Handle attempt_id, AttemptCompletion completion);
+  bool is_streaming(const ActiveRequest& active_request, std::size_t number) const;
+  // `already_started`: the attempt in question is counted in attempts_started and attempts_in_flight.
+  bool may_send(const ActiveRequest& active_request, double now, bool already_started) const;
+  void set_attempt_deadline(Attempt& attempt, Handle attempt_id, double deadline);
+  Handle client_of_streaming(Handle attempt_id);
+  void resume_reading(Handle request_id);
   void resume_blocked_readers();
-  void report_outcome(Handle exchange, std::uint32_t number, fernward::ServerId target, double elapsed,
-                      fernward::AttemptResult result, std::vector<float> report = {}, bool rested = false,
-                      bool first = false);
-  void give_up(Handle exchange, fernward::GiveUpReason why, ClientResponse answer);
-  void finish(Handle exchange, ClientResponse* answer, bool whole = false);
-  void on_deadline(Handle exchange);
-  void remove_if_done(Handle exchange);
+  void report_outcome(Handle request_id, std::uint32_t number, fernward::ServerId server, double elapsed,
+                      fernward::AttemptResult result, std::vector<float> load_report = {},
+                      bool on_reused_connection = false, bool first_on_connection = false);
+  void give_up(Handle request_id, fernward::GiveUpReason why, ClientResponse response);
+  void finish(Handle request_id, ClientResponse* response, bool complete = false);
+  void on_deadline(Handle request_id);
+  void remove_if_done(Handle request_id);
 
   loop::TimerQueue& timers_;
   fernward::Balancer balancer_;
@@ -132,7 +144,7 @@
   loop::SlotMap<Attempt> attempts_;
   std::deque<fernward::Event> events_;
   std::vector<fernward::Action> actions_;
-  std::unordered_set<std::string> waiting_ids_; // of exchanges that are not over
+  std::unordered_set<std::string> waiting_ids_; // of requests that are not finished
   std::size_t unanswered_requests_ = 0;
   double answer_all_by_ = 0; // 0: no end is known
   std::function<void()> discovery_poll_;
--- a/src/proxy/upstream_connections.h
+++ b/src/proxy/upstream_connections.h
@@ -9,7 +9,8 @@
 
 using loop::Handle;
 
-// Sends attempts and reports to AttemptCallbacks. None of these functions calls AttemptCallbacks before it returns.
+// Sends attempts and reports to AttemptCallbacks. None of these functions calls AttemptCallbacks before it
+// returns.
 class UpstreamConnections {
  public:
   enum class StartResult {
@@ -17,7 +18,8 @@
     NoEndpoint, // not in the endpoint list, or the connection was refused
     LocalLimit, // no descriptor or local port left: no fault of the server
   };
-  // Time in which the client, not the server, was awaited: it took nothing of the response, or still sent the request.
+  // Time in which the client, not the server, was awaited: it took nothing of the response, or still sent the
+  // request.
   struct ClientPause {
     double ms = 0;
     bool ongoing = false;
