--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -26,9 +26,9 @@
   apply_classes();
   live_routers = s.router_count;
   // First guesses, until answers tell.
-  cache_slow_attempts.slow_ms = shortest_objective_ms / 3;
-  origin_slow_attempts.slow_ms = cache_slow_attempts.slow_ms;
-  cache_response_ms = cache_slow_attempts.slow_ms / 3;
+  cache_slow_attempts.slow_threshold_ms = shortest_objective_ms / 3;
+  origin_slow_attempts.slow_threshold_ms = cache_slow_attempts.slow_threshold_ms;
+  cache_response_ms = cache_slow_attempts.slow_threshold_ms / 3;
 }
 
 void Balancer::Impl::start() {
@@ -99,10 +99,10 @@
 }
 
 void Balancer::Impl::place_servers(const std::vector<ServerId>& changed) {
-  const bool settled = !placement.pace().open(now);
+  const bool settled = !placement.fill_rate_limiter().is_active(now);
   placement.arrange(now, replicas, changed, settings.weight_kind != WeightKind::Live,
                     [this](const Replica& r) { return !is_origin(r) && r.entry.state != ServerState::Gone; });
-  if (const double most = placement.pace().per_ms(now); settled && most > 0)
+  if (const double most = placement.fill_rate_limiter().max_fetches_per_ms(now); settled && most > 0)
     log("fleet changed, origin reads a second at most", 1000 * most);
   origin = nullptr;
   for (const ServerId id : listed_origins) {
@@ -128,8 +128,8 @@
   live_routers =
       std::clamp(usable_number(fleet.live_routers) && fleet.live_routers > 0 ? fleet.live_routers : 1e9,
                  kMinLiveShare * settings.router_count, 1.0 * settings.router_count);
-  origin_dispatch.limiter.pooled(now, fleet.origin_response_ms, fleet.origin_response_age_ms);
-  origin_dispatch.limiter.lead(fleet.origin_limit_share);
+  origin_dispatch.limiter.set_fleet_latency(now, fleet.origin_response_ms, fleet.origin_response_age_ms);
+  origin_dispatch.limiter.set_fleet_share(fleet.origin_limit_share);
 }
 
 // ---- timers ----
@@ -166,7 +166,7 @@
   health_check_credit =
       std::min(1.0, health_check_credit + kHealthChecksPerRequest * quotas.requests_this_tick());
   quotas.tick();
-  admission.tick();
+  admission.on_tick();
   if (settings.discovery == DiscoveryMode::Poll && watch.is_due(now)) {
     emit(WatchEndpoints{});
     watch.record_sent(now, settings.poll_interval_ms);
@@ -210,7 +210,7 @@
 
 Balancer::OriginBudget Balancer::origin_budget() const {
   return {impl_->origin_demand, impl_->origin_dispatch.limiter.limit(),
-          impl_->origin_dispatch.limiter.lately_ms(impl_->now)};
+          impl_->origin_dispatch.limiter.recent_latency_ms(impl_->now)};
 }
 
 Balancer::SlowStartCounts Balancer::slow_start_counts() const { return impl_->slow_start.counts(); }
--- a/src/policy/choose.cpp
+++ b/src/policy/choose.cpp
@@ -25,19 +25,19 @@
       std::min(request.params.deadline, class_settings.late_value_share > 0 ? kNoDeadline : objective_at) -
       settings.event_interval_ms;
   const std::size_t priority = 2 * received.class_index + (quotas.over_quota(received.tenant) ? 1 : 0);
-  request.value = admission.value[priority];
-  admission.rate[priority] += 1;
+  request.value = admission.priority_values[priority];
+  admission.priority_rates[priority] += 1;
   quotas.record_request();
-  retry_budget.request(now, std::max(cache_slow_attempts.dead, origin_slow_attempts.dead));
-  if (request.answer_by <= now || !admission.admit(priority, random.unit())) {
-    retry_budget.ended(now, true);
+  retry_budget.on_request(now, std::max(cache_slow_attempts.never_answered_share, origin_slow_attempts.never_answered_share));
+  if (request.answer_by <= now || !admission.admits(priority, random.unit())) {
+    retry_budget.on_attempt_ended(now, true);
     return give_up(request, GiveUpReason::Shed);
   }
   emit(SetTimer{request.answer_by - now, timer_token(Timer::GiveUp, received.id)});
   request.slow_start_share =
-      demand.request(now, received.key, ejection.ready_caches(), settings.overload_multiple);
+      demand.on_request(now, received.key, ejection.ready_caches(), settings.overload_multiple);
   if (received.write && settings.origin_kind >= 0) return queue_for_origin(request);
-  placement.read(now, received.key);
+  placement.on_read(now, received.key);
   if (!send_to_best_cache(request)) queue_for_origin(request); // which gives up where there is none
 }
 
@@ -66,7 +66,7 @@
 bool Balancer::Impl::has_room(Replica& replica, const RequestState& request, bool first_candidate) {
   return !request.has_missed(replica.entry.id) && now >= replica.overloaded_until &&
          slow_start.admits(replica, request, first_candidate, now) &&
-         replica.limiter.room(now, replica.active());
+         replica.limiter.has_capacity(now, replica.active());
 }
 
 // The paper's score; the lower the better. `origin_ms`: what a fetch at the origin costs.
@@ -90,11 +90,11 @@
   double best_score = std::numeric_limits<double>::infinity();
   if (!request.cache_misses.empty()) best_score = origin_ms;
   placement::Placement<Replica>::Filling fill;
-  if (first_attempt) fill = placement.fill(now, request.params.key, candidates);
+  if (first_attempt) fill = placement.choose_fill(now, request.params.key, candidates);
   for (std::size_t i = 0; i < candidates.size; ++i) {
     Replica& replica = *candidates.at[i];
     if (!has_room(replica, request, i == 0)) continue;
-    const bool likely_holder = placement.likely(candidates, i, request.params.key);
+    const bool likely_holder = placement.likely_holds(candidates, i, request.params.key);
     double score = cache_score(replica, key, likely_holder, origin_ms);
     if (&replica == fill.whom) {
       score = -1; // before all others
@@ -106,12 +106,12 @@
     }
   }
   const bool found = best < candidates.size;
-  admission.seen += first_attempt;
-  admission.tight += first_attempt && !found;
-  if (!found && request.cache_misses.empty()) retry_budget.ended(now, true);
+  admission.choices += first_attempt;
+  admission.choices_without_capacity += first_attempt && !found;
+  if (!found && request.cache_misses.empty()) retry_budget.on_attempt_ended(now, true);
   if (!found) return false;
   for (std::size_t i = 0; i < candidates.size; ++i) candidates.at[i]->passed_over += i != best;
-  if (candidates.at[best] == fill.whom) placement.pace().filled(fill.what);
+  if (candidates.at[best] == fill.whom) placement.fill_rate_limiter().on_filled(fill.what);
   return send_attempt(request, *candidates.at[best]);
 }
 
@@ -119,10 +119,10 @@
 // cache's score is. Use: of the concurrency limit or, while keys move, of the fetch rate.
 double Balancer::Impl::origin_cost_ms() const {
   if (origin == nullptr) return 0;
-  const double limit_use = origin_dispatch.limiter.crowding(now, origin_dispatch.demand(origin->active()));
-  const double fill_use = placement.pace().crowding(now, static_cast<double>(origin_dispatch.queue.size()));
+  const double limit_use = origin_dispatch.limiter.utilization(now, origin_dispatch.demand(origin->active()));
+  const double fill_use = placement.fill_rate_limiter().utilization(now, static_cast<double>(origin_dispatch.queue.size()));
   const double use = 2 * std::max(limit_use, fill_use);
-  return origin->expected_response_ms(now, origin_dispatch.limiter.recent_ms()) * (1 + use * use * use);
+  return origin->expected_response_ms(now, origin_dispatch.limiter.latency_ms()) * (1 + use * use * use);
 }
 
 // ---- an attempt is sent ----
@@ -131,7 +131,7 @@
   if (request.finished || request.streaming || retry_policy.attempt_denied(request, replica.entry, now))
     return false;
   replica.outlier.record_sent();
-  emit(SetTimer{std::max(slow_attempts(replica).slow_ms, 2 * settings.event_interval_ms),
+  emit(SetTimer{std::max(slow_attempts(replica).slow_threshold_ms, 2 * settings.event_interval_ms),
                 timer_token(Timer::SlowAttempt, request.params.id, request.attempts.size() & 0xff)});
   if (!request.may_have_executed && request.in_flight == 0) {
     // A request with an idempotency key is bound to this group of servers from now on.
@@ -150,12 +150,12 @@
   ++replica.in_flight;
   if (!is_origin(replica)) {
     slow_start.record_attempt(replica, now);
-    replica.limiter.sent(now);
+    replica.limiter.on_attempt_sent(now);
     return;
   }
-  origin_dispatch.connections.sent(now, replica.active() - 1);
-  origin_dispatch.limiter.sent(now);
-  if (!request.params.write) placement.pace().fetched(now);
+  origin_dispatch.connections.on_attempt_sent(now, replica.active() - 1);
+  origin_dispatch.limiter.on_attempt_sent(now);
+  if (!request.params.write) placement.fill_rate_limiter().on_fetch(now);
 }
 
 } // namespace fernward
--- a/src/policy/origin.cpp
+++ b/src/policy/origin.cpp
@@ -13,9 +13,9 @@
   if (retry_policy.has_attempts_left(request, 1) && !request.pending_fill) {
     if (send_to_best_cache(request)) return;
     Replica* const too =
-        placement.store_too(now, request.params.key, request.cache_misses.size(), [&](const Replica& r) {
+        placement.choose_second_store(now, request.params.key, request.cache_misses.size(), [&](const Replica& r) {
           return !request.has_tried(r.entry.id) && ejection.is_usable(r, now) &&
-                 slow_start.admits(r, request, true, now) && r.limiter.room(now, r.active());
+                 slow_start.admits(r, request, true, now) && r.limiter.has_capacity(now, r.active());
         });
     if (too != nullptr && send_attempt(request, *too)) return;
   }
@@ -39,15 +39,15 @@
 void Balancer::Impl::dispatch_to_origin() {
   if (dispatching_origin || origin == nullptr) return; // giving up one below may come back here
   dispatching_origin = true;
-  origin_dispatch.update_service_rate(placement.pace().per_ms(now));
-  origin_dispatch.queue.leave(now, expired);
+  origin_dispatch.update_service_rate(placement.fill_rate_limiter().max_fetches_per_ms(now));
+  origin_dispatch.queue.take_expired(now, expired);
   for (std::size_t i = 0; i < expired.size(); ++i) {
     RequestState* request = find_request(expired[i]);
     if (request != nullptr) request->queued_for_origin = false;
     if (request != nullptr && request->in_flight == 0) give_up(*request, GiveUpReason::QueueTimeout);
   }
   expired.clear();
-  while (const auto next = origin_dispatch.next(now, origin->active(), placement.pace())) {
+  while (const auto next = origin_dispatch.next(now, origin->active(), placement.fill_rate_limiter())) {
     RequestState* request = find_request(*next);
     if (request == nullptr) continue;
     request->queued_for_origin = false;
@@ -64,7 +64,7 @@
   const auto followers = fetches.end(leader.params.key);
   if (!followers) return;
   for (std::size_t i = 0; stored && i < std::min(kCachesThatStore, leader.cache_misses.size()); ++i) {
-    placement.hit(leader.params.key, leader.cache_misses[i], leader.attempts.back().sent_at);
+    placement.on_hit(leader.params.key, leader.cache_misses[i], leader.attempts.back().sent_at);
   }
   Replica* holder = leader.cache_misses.empty() ? nullptr : find_server(leader.cache_misses.front());
   for (const RequestId id : *followers) {
--- a/src/policy/origin_dispatch.h
+++ b/src/policy/origin_dispatch.h
@@ -17,13 +17,13 @@
 /// while keys move, and the queue before them. Times: milliseconds; `active`: this router's attempts in work
 /// there.
 struct OriginDispatch {
-  concurrency::OriginConcurrencyLimiter limiter = concurrency::OriginConcurrencyLimiter::origin(1);
+  concurrency::OriginConcurrencyLimiter limiter = concurrency::OriginConcurrencyLimiter::for_router_count(1);
   concurrency::ConnectionCapacityEstimator connections;
   concurrency::OriginRequestQueue queue;
 
   /// The origin came, or started anew: nothing that was measured holds.
   void reset(std::uint32_t router_count) {
-    limiter = concurrency::OriginConcurrencyLimiter::origin(router_count);
+    limiter = concurrency::OriginConcurrencyLimiter::for_router_count(router_count);
     connections = {};
   }
   /// Attempts that are in work or wait for their turn.
@@ -31,17 +31,17 @@
   /// Tells the queue how many turns come up: a closed loop of the attempts allowed at once, each for a
   /// response time. `fetch_limit_per_ms`: of the fill rate limiter; 0: none.
   void update_service_rate(double fetch_limit_per_ms) {
-    const double response_ms = limiter.recent_ms();
-    const double most_active = std::min(limiter.limit(), connections.most());
+    const double response_ms = limiter.latency_ms();
+    const double most_active = std::min(limiter.limit(), connections.capacity());
     const double turns_per_ms = response_ms > 0 ? most_active / response_ms : 0;
     const bool fetches_limited = fetch_limit_per_ms > 0 && turns_per_ms > 0;
-    queue.serves(fetches_limited ? std::min(fetch_limit_per_ms, turns_per_ms) : turns_per_ms, response_ms);
+    queue.set_service_rate(fetches_limited ? std::min(fetch_limit_per_ms, turns_per_ms) : turns_per_ms, response_ms);
   }
   /// The next request whose turn it is; it has left the queue.
   std::optional<RequestId> next(double now, std::uint32_t active, placement::FillRateLimiter& fill_rate) {
-    const bool connection = connections.room(now, active);
-    const bool read_room = connection && limiter.room(now, active, false) && fill_rate.may_fetch(now);
-    const bool write_room = connection && limiter.room(now, active, true);
+    const bool connection = connections.has_capacity(now, active);
+    const bool read_room = connection && limiter.has_capacity(now, active, false) && fill_rate.may_fetch(now);
+    const bool write_room = connection && limiter.has_capacity(now, active, true);
     return queue.take(now, read_room, write_room);
   }
 };
--- a/src/policy/outcome.cpp
+++ b/src/policy/outcome.cpp
@@ -15,21 +15,21 @@
 namespace {
 
 // What an outcome at the origin is for its concurrency limiter; nothing where it tells nothing of its load.
-std::optional<concurrency::Ending> ending_of(AttemptResult result, bool out_of_time) {
-  using concurrency::Ending;
+std::optional<concurrency::AttemptOutcome> ending_of(AttemptResult result, bool out_of_time) {
+  using concurrency::AttemptOutcome;
   switch (result) {
     case AttemptResult::CacheMiss: // quick, whatever the load
     case AttemptResult::InvalidRequest:
     case AttemptResult::Abandoned: return std::nullopt;
-    case AttemptResult::Ok: return Ending::Answered;
-    case AttemptResult::Overloaded: return Ending::TurnedAway;
-    case AttemptResult::ConnectFailed: return Ending::Unreached;
+    case AttemptResult::Ok: return AttemptOutcome::Answered;
+    case AttemptResult::Overloaded: return AttemptOutcome::Rejected;
+    case AttemptResult::ConnectFailed: return AttemptOutcome::ConnectFailed;
     case AttemptResult::Error:
-    case AttemptResult::Reset: return Ending::Fault;
-    case AttemptResult::TimedOut: return Ending::Silent;
-    case AttemptResult::Cancelled: return out_of_time ? Ending::Silent : Ending::Withdrawn;
+    case AttemptResult::Reset: return AttemptOutcome::Fault;
+    case AttemptResult::TimedOut: return AttemptOutcome::TimedOut;
+    case AttemptResult::Cancelled: return out_of_time ? AttemptOutcome::TimedOut : AttemptOutcome::Cancelled;
   }
-  return Ending::Answered;
+  return AttemptOutcome::Answered;
 }
 
 } // namespace
@@ -47,7 +47,7 @@
   if (Replica* replica = find_server(attempt.server)) learn_from_outcome(request, attempt, *replica, outcome);
   const bool ran = may_have_executed(outcome.result);
   request.may_have_executed |= ran;
-  if (ran && request.params.write) placement.wrote(request.params.key, now);
+  if (ran && request.params.write) placement.on_write(request.params.key, now);
   if (!request.finished && outcome.request_ended)
     finish_request(request, outcome.result == AttemptResult::Ok);
   if (!request.finished) continue_request(request, outcome);
@@ -68,9 +68,9 @@
     replica.latest_answered_send_at = std::max(replica.latest_answered_send_at, attempt.sent_at);
   const bool overloaded = is_origin(replica) ? update_origin_limit(request, replica, outcome, elapsed)
                                              : update_cache_limit(request, replica, outcome, elapsed);
-  retry_budget.ended(now, overloaded, is_failure(outcome.result));
+  retry_budget.on_attempt_ended(now, overloaded, is_failure(outcome.result));
   if (std::exchange(attempt.runs_to_end, false))
-    slow_attempts(replica).ended(outcome.result != AttemptResult::TimedOut);
+    slow_attempts(replica).on_slow_attempt_ended(outcome.result != AttemptResult::TimedOut);
   if (is_origin(replica)) {
     learn_origin_outcome(replica, outcome, elapsed);
   } else {
@@ -81,13 +81,13 @@
 // Tells the cache's limiter how the attempt ended; true: a sign of overload.
 bool Balancer::Impl::update_cache_limit(const RequestState& request, Replica& replica,
                                         const AttemptOutcome& outcome, double elapsed) {
-  if (outcome.result == AttemptResult::Overloaded) replica.limiter.cut(now, kOverloadedLimitFactor);
+  if (outcome.result == AttemptResult::Overloaded) replica.limiter.decrease(now, kOverloadedLimitFactor);
   const double objective_ms = latency_objective_ms(request);
   const bool silent = outcome.result == AttemptResult::Cancelled || outcome.result == AttemptResult::TimedOut;
   // Late silent ones count, else the limit would stand still just when nothing comes back in time any more.
-  const bool late_silent = silent && elapsed > concurrency::kTightAim * objective_ms;
+  const bool late_silent = silent && elapsed > concurrency::kCrowdedShareOfObjective * objective_ms;
   if (outcome.result == AttemptResult::Ok || late_silent)
-    return replica.limiter.answered(now, elapsed, objective_ms, replica.active());
+    return replica.limiter.on_response(now, elapsed, objective_ms, replica.active());
   return outcome.result == AttemptResult::Overloaded;
 }
 
@@ -97,24 +97,24 @@
   // A connection refused by an origin that works: it lacks connections, not capacity.
   const bool connects = outcome.result == AttemptResult::ConnectFailed && responded_lately(replica);
   if (connects || (outcome.result == AttemptResult::Overloaded && outcome.first_on_connection)) {
-    origin_dispatch.connections.refused(now, replica.active(), origin_dispatch.limiter.recent_ms(),
+    origin_dispatch.connections.on_connection_refused(now, replica.active(), origin_dispatch.limiter.latency_ms(),
                                         random.unit());
     log("origin refuses further connections, in use:", replica.active());
     return false;
   }
   const auto ending = ending_of(outcome.result, now >= request.answer_by);
   if (!ending) return false;
-  if (outcome.result == AttemptResult::Ok) origin_dispatch.connections.had(replica.active() + 1);
-  const concurrency::Sample sample{*ending,
+  if (outcome.result == AttemptResult::Ok) origin_dispatch.connections.on_connection_used(replica.active() + 1);
+  const concurrency::AttemptSample sample{*ending,
                                    elapsed,
                                    request.params.expected_work_ms,
                                    latency_objective_ms(request),
                                    request.params.write,
                                    replica.active()};
-  const concurrency::Sign sign = origin_dispatch.limiter.ended(now, sample);
-  if (sign == concurrency::Sign::TurnedAway)
+  const concurrency::DecreaseReason sign = origin_dispatch.limiter.on_attempt_ended(now, sample);
+  if (sign == concurrency::DecreaseReason::Rejected)
     log("origin crowded, attempts at once cut to", origin_dispatch.limiter.limit());
-  return sign == concurrency::Sign::TurnedAway || sign == concurrency::Sign::Slow;
+  return sign == concurrency::DecreaseReason::Rejected || sign == concurrency::DecreaseReason::Slow;
 }
 
 void Balancer::Impl::learn_cache_outcome(RequestState& request, const Attempt& attempt, Replica& replica,
@@ -129,7 +129,7 @@
     case AttemptResult::Ok:
       record_success(replica);
       smooth(cache_response_ms, elapsed, kFleetMeanWeight);
-      cache_slow_attempts.answered(elapsed);
+      cache_slow_attempts.on_response(elapsed);
       replica.record_response(now, elapsed);
       record_lookup(request, attempt, true);
       break;
@@ -157,7 +157,7 @@
 // first attempt, so that not just one cache is overloaded.
 void Balancer::Impl::learn_overloaded(Replica& replica, bool retried) {
   replica.outlier.record_response(now);
-  admission.tight += retried;
+  admission.choices_without_capacity += retried;
   const double pause_ms = replica.service_time_ms > 0 ? replica.service_time_ms
                                                       : replica.expected_response_ms(now, cache_response_ms);
   replica.overloaded_until = now + pause_ms;
@@ -171,12 +171,12 @@
 
 void Balancer::Impl::record_lookup(RequestState& request, const Attempt& attempt, bool hit) {
   if (hit && request.pending_fill)
-    placement.pace().unfilled(*std::exchange(request.pending_fill, {})); // another router's fetch filled it
+    placement.fill_rate_limiter().refund(*std::exchange(request.pending_fill, {})); // another router's fetch filled it
   if (settings.origin_kind < 0 || request.params.key == 0) return;
   if (hit) {
-    placement.hit(request.params.key, attempt.server, attempt.sent_at);
+    placement.on_hit(request.params.key, attempt.server, attempt.sent_at);
   } else {
-    placement.missed(request.params.key, attempt.server);
+    placement.on_miss(request.params.key, attempt.server);
   }
 }
 
@@ -184,7 +184,7 @@
   if (outcome.result != AttemptResult::Ok) return;
   replica.outlier.record_response(now);
   replica.record_response(now, elapsed);
-  origin_slow_attempts.answered(elapsed);
+  origin_slow_attempts.on_response(elapsed);
 }
 
 void Balancer::Impl::continue_request(RequestState& request, const AttemptOutcome& outcome) {
@@ -192,7 +192,7 @@
   if (request.queued_for_origin || request.has_attempt_on_time() ||
       (request.in_flight > 0 && (request.streaming || !settings.may_hedge)))
     return;
-  if (request.in_flight > 0 && !retry_budget.spend(now, concurrency::RetryBudget::Use::Copy, 0)) return;
+  if (request.in_flight > 0 && !retry_budget.try_consume(now, concurrency::RetryBudget::Use::Hedge, 0)) return;
   if (outcome.result == AttemptResult::CacheMiss) return continue_after_miss(request);
   if (request.leads_fetch) complete_fetch(request, false);
   if (outcome.result == AttemptResult::InvalidRequest) { // asked again it would use up what others may need
@@ -208,8 +208,8 @@
   const bool at_origin = origin != nullptr && outcome.server == origin->entry.id;
   // Rejected unseen or never connected costs a server next to nothing; the attempt limit bounds it.
   if (outcome.result != AttemptResult::Overloaded && outcome.result != AttemptResult::ConnectFailed) {
-    const double crowding = at_origin ? origin_dispatch.limiter.crowding(now, origin->active()) : 0;
-    if (!retry_budget.spend(now, concurrency::RetryBudget::Use::Retry, crowding))
+    const double crowding = at_origin ? origin_dispatch.limiter.utilization(now, origin->active()) : 0;
+    if (!retry_budget.try_consume(now, concurrency::RetryBudget::Use::Retry, crowding))
       return give_up(request, GiveUpReason::RetryBudgetEmpty);
   }
   if (at_origin) return retry_at_origin(request, outcome);
@@ -227,7 +227,7 @@
   if (!retry_policy.allows_server(request, origin->entry, now))
     return give_up(request, GiveUpReason::NotIdempotent);
   const double wait_ms =
-      std::max(origin_dispatch.limiter.recent_ms(), settings.event_interval_ms) * (0.5 + random.unit());
+      std::max(origin_dispatch.limiter.latency_ms(), settings.event_interval_ms) * (0.5 + random.unit());
   if (now + wait_ms >= request.answer_by) return give_up(request, GiveUpReason::QueueTimeout);
   emit(SetTimer{wait_ms, timer_token(Timer::RetryOrigin, request.params.id)});
 }
@@ -262,7 +262,7 @@
   if (replica == nullptr || attempt.slow) return;
   attempt.slow = true;
   attempt.runs_to_end = is_origin(*replica) || mix(request.params.id) % kRunToEndOneIn == 0;
-  attempt.stalled = replica->latest_answered_send_at > attempt.sent_at && slow_attempts(*replica).some_dead();
+  attempt.stalled = replica->latest_answered_send_at > attempt.sent_at && slow_attempts(*replica).expects_dead_attempts();
   replica->stalled += attempt.stalled;
   record_failure(*replica, 1);
   if (settings.may_hedge_class(request.params.class_index)) {
@@ -275,7 +275,7 @@
 // Where no second attempt may be in flight, the slow one is cancelled; its outcome brings the retry.
 void Balancer::Impl::cancel_for_retry(const RequestState& request, std::size_t index) {
   const bool idempotent = settings.classes[request.params.class_index].idempotency == Idempotency::Idempotent;
-  if (settings.may_cancel && idempotent && retry_budget.saved() >= 1 &&
+  if (settings.may_cancel && idempotent && retry_budget.balance() >= 1 &&
       retry_policy.has_attempts_left(request))
     emit(Cancel{request.params.id, static_cast<std::uint32_t>(index)});
 }
@@ -284,13 +284,13 @@
 void Balancer::Impl::hedge(RequestState& request, const Attempt& slow, Replica& replica) {
   if (request.queued_for_origin || request.has_attempt_on_time()) return;
   const bool at_origin = is_origin(replica);
-  const double crowding = at_origin ? origin_dispatch.limiter.crowding(now, replica.active()) : 0;
+  const double crowding = at_origin ? origin_dispatch.limiter.utilization(now, replica.active()) : 0;
   if (at_origin && !slow.stalled) return;
-  if (!retry_budget.spend(now, concurrency::RetryBudget::Use::Copy, crowding)) return;
-  const bool sent = at_origin ? origin_dispatch.limiter.room(now, replica.active(), request.params.write) &&
+  if (!retry_budget.try_consume(now, concurrency::RetryBudget::Use::Hedge, crowding)) return;
+  const bool sent = at_origin ? origin_dispatch.limiter.has_capacity(now, replica.active(), request.params.write) &&
                                     send_attempt(request, replica)
                               : send_to_best_cache(request);
-  if (!sent) retry_budget.unspent(concurrency::RetryBudget::Use::Copy);
+  if (!sent) retry_budget.refund(concurrency::RetryBudget::Use::Hedge);
 }
 
 } // namespace fernward
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -59,17 +59,17 @@
 }
 
 void Balancer::Impl::apply_classes() {
-  admission.value.clear();
+  admission.priority_values.clear();
   shortest_objective_ms = kMaxShortestObjectiveMs;
   for (const ClassSettings& class_settings : settings.classes) {
     // Two priorities for each class: within and over the tenant's quota.
-    admission.value.push_back(class_settings.priority_weight);
-    admission.value.push_back(class_settings.priority_weight * settings.over_quota_weight);
+    admission.priority_values.push_back(class_settings.priority_weight);
+    admission.priority_values.push_back(class_settings.priority_weight * settings.over_quota_weight);
     const double objective_ms = class_settings.latency_objective_ms > 0 ? class_settings.latency_objective_ms
                                                                         : class_settings.client_timeout_ms;
     if (objective_ms > 0) shortest_objective_ms = std::min(shortest_objective_ms, objective_ms);
   }
-  admission.rate.resize(admission.value.size());
+  admission.priority_rates.resize(admission.priority_values.size());
   quotas.resize();
 }
 
--- a/src/proxy/request_body.h
+++ b/src/proxy/request_body.h
@@ -1,8 +1,7 @@
-// The body of a request while it comes from the client: kept as far as it serves a further attempt (body_buffers/retained_bodies.h
-// decides), and read by attempts, each from its own place. Only long bodies come this way; a short one is in its
-// Call, whole.
-//
-// One thread. The stores outlive it. Its callbacks are called from within its own functions, and may not end it.
+// The body of a long request while it arrives from the client: retained for further attempts as far as
+// body_buffers/retained_bodies.h decides, and read by attempts, each at its own offset. Short bodies are
+// complete in their ClientRequest. One thread; BodyStores outlives it. Callbacks are called from its own
+// functions and must not destroy it.
 #pragma once
 
 #include <cstdint>
--- a/src/proxy/request_dispatcher.h
+++ b/src/proxy/request_dispatcher.h
@@ -48,17 +48,21 @@
   // `poll` reads what discovery has sent; see RequestDispatcherOptions::discovery_poll_interval_ms.
   void set_discovery_poll(std::function<void()> poll) { discovery_poll_ = std::move(poll); }
 
-  Handle open(Handle client, ClientRequest call); // 0: the table is full; `call`'s last byte has just come
-  bool is_open(const std::string& id) const {
-    return open_ids_.count(id) > 0;
-  }                                 // a client waits under this id
-  void body_whole(Handle exchange); // the last byte of its call has come, after open()
-  void client_gone(Handle exchange);
-  void drained(Handle exchange); // its client has taken some of the answer that passes through
-  // The process ends soon: what has no final answer by then gets one, the last guard's.
-  void ends_by(double by);
-  void list(fernward::EndpointList list);
-  void fleet(std::vector<fernward::Event> events); // what the tier's word comes to, see gossip/advice.h
+  // A request whose last byte has just arrived, or whose body is still arriving (body_timeout_ms > 0). 0: too
+  // many.
+  Handle open_request(Handle client, ClientRequest request);
+  // A client waits for a response under this request id.
+  bool is_waiting_for(const std::string& id) const { return waiting_ids_.count(id) > 0; }
+  // The last byte of a streamed body has arrived: the deadlines count from now on.
+  void body_complete(Handle request_id);
+  void client_disconnected(Handle request_id);
+  // The client has taken some of a streamed response.
+  void response_drained(Handle request_id);
+  // Graceful shutdown: at this time, what has no final response fails.
+  void answer_all_by(double by);
+  void update_endpoints(fernward::EndpointList list);
+  // What the other routers' gossip amounts to, see gossip/advice.h.
+  void on_fleet_events(std::vector<fernward::Event> events);
   const fernward::Balancer& balancer() const { return balancer_; }
   fernward::Balancer::OriginBudget origin_budget() const { return balancer_.origin_budget(); }
   // Throws std::invalid_argument, as Balancer::update_settings.
--- a/src/router/config_reload.cpp
+++ b/src/router/config_reload.cpp
@@ -33,7 +33,7 @@
 // What can fail comes first.
 void ConfigReload::replace_config(config::Config next) {
   try {
-    parts_.dispatcher.change(next.settings);
+    parts_.dispatcher.update_settings(next.settings);
   } catch (const std::invalid_argument& fault) {
     throw config::Error(fault.what());
   }
--- a/src/router/endpoint_updater.cpp
+++ b/src/router/endpoint_updater.cpp
@@ -137,7 +137,7 @@
   } else {
     apply_full(list);
   }
-  if (!is_change || !list.servers.empty()) parts_.dispatcher.list(std::move(list));
+  if (!is_change || !list.servers.empty()) parts_.dispatcher.update_endpoints(std::move(list));
   if (updated_) updated_();
 }
 
@@ -152,11 +152,11 @@
   for (fernward::Server& server : list.servers) {
     if (const auto found = endpoints.find(server.id); found != endpoints.end()) server = found->second.entry;
   }
-  parts_.pool.update(endpoints);
+  parts_.pool.update_endpoints(endpoints);
 }
 
 void EndpointUpdater::apply_change(fernward::Server& server) {
-  const endpoints::Endpoint* const before = parts_.pool.target(server.id);
+  const endpoints::Endpoint* const before = parts_.pool.endpoint(server.id);
   const auto found = table_.targets().find(server.id);
   const bool listed = found != table_.targets().end();
   const bool cache = listed && is_cache(found->second.entry);
@@ -164,11 +164,11 @@
     overrides_.endpoint_removed(before->name);
   }
   if (cache) overrides_.endpoint_added(found->second.name);
-  if (!listed) return parts_.pool.update(server.id, nullptr);
+  if (!listed) return parts_.pool.update_endpoints(server.id, nullptr);
   endpoints::Endpoint endpoint = found->second;
   endpoint.entry = overrides_.apply(endpoint.name, endpoint.entry);
   server = endpoint.entry;
-  parts_.pool.update(server.id, &endpoint);
+  parts_.pool.update_endpoints(server.id, &endpoint);
 }
 
 void EndpointUpdater::refresh(const std::string& name) {
--- a/src/router/hot_restart_coordinator.cpp
+++ b/src/router/hot_restart_coordinator.cpp
@@ -52,16 +52,16 @@
 }
 
 std::uint64_t HotRestartCoordinator::used_descriptors() const {
-  return parts_.descriptors.used(descriptors::Side::Clients) +
-         parts_.descriptors.used(descriptors::Side::Targets);
+  return parts_.descriptors.used(descriptors::Side::Downstream) +
+         parts_.descriptors.used(descriptors::Side::Upstream);
 }
 
 void HotRestartCoordinator::add_resources(std::uint64_t descriptors, std::uint64_t memory_mb) {
-  parts_.descriptors.limit(parts_.descriptors.total() + descriptors);
+  parts_.descriptors.set_total(parts_.descriptors.total() + descriptors);
   if (memory_mb == 0) return;
   memory_mb_ += memory_mb;
-  parts_.request_buffers.limit(config::buffer_bytes(memory_mb_));
-  parts_.buffer_budget.limit(config::body_bytes(memory_mb_));
+  parts_.request_buffers.set_total(config::buffer_bytes(memory_mb_));
+  parts_.buffer_budget.set_total(config::body_bytes(memory_mb_));
 }
 
 // ---- the old process ----
@@ -133,10 +133,10 @@
   const hot_restart::ResourceSplit shares = hot_restart::split(total, used_descriptors(), reserved);
   granted_descriptors_ = total.descriptors - shares.old_process.descriptors;
   granted_memory_mb_ = shares.new_process.memory_mb;
-  parts_.descriptors.limit(shares.old_process.descriptors);
+  parts_.descriptors.set_total(shares.old_process.descriptors);
   memory_mb_ = 0;
   add_resources(0, shares.old_process.memory_mb);
-  while (used_descriptors() > shares.old_process.descriptors && parts_.pool.let_go("handover")) {}
+  while (used_descriptors() > shares.old_process.descriptors && parts_.pool.evict_oldest_idle("handover")) {}
   return shares.new_process;
 }
 
@@ -182,7 +182,7 @@
   new_process_->send(hot_restart::PassedConnection{requests}, Descriptor(fd));
   // Its place in the budget goes along.
   const std::size_t total = parts_.descriptors.total();
-  parts_.descriptors.limit(total - std::min<std::size_t>(1, total));
+  parts_.descriptors.set_total(total - std::min<std::size_t>(1, total));
   return true;
 }
 
@@ -191,7 +191,7 @@
   const std::uint64_t total = parts_.descriptors.total();
   const std::uint64_t needed = used_descriptors() + kKeptDescriptors;
   if (total > needed) {
-    parts_.descriptors.limit(needed);
+    parts_.descriptors.set_total(needed);
     new_process_->send(hot_restart::ReleasedDescriptors{total - needed});
   }
   release_timer_ = parts_.timers.at(now_ms() + kReleasePeriodMs, [this] {
@@ -208,7 +208,7 @@
   const hot_restart::Resources& share = inherited.grant.resources;
   inherited_descriptors_ = std::min(share.descriptors, options_.descriptors);
   inherited_memory_mb_ = std::min(share.memory_mb, options_.memory_mb);
-  parts_.descriptors.limit(0);
+  parts_.descriptors.set_total(0);
   memory_mb_ = 0;
   add_resources(inherited_descriptors_, inherited_memory_mb_);
   old_process_ = std::make_unique<ProcessConnection>(
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -54,7 +54,7 @@
                         if (hot_restart_ != nullptr) hot_restart_->on_override(changed);
                       }}) {
   dispatcher_.attach(listener_, pool_);
-  dispatcher_.before_bursts([this] { endpoints_.poll_discovery(); });
+  dispatcher_.set_discovery_poll([this] { endpoints_.poll_discovery(); });
   endpoints_.on_updated([this] {
     if (hot_restart_ != nullptr) hot_restart_->on_endpoints_updated();
   });
@@ -71,7 +71,7 @@
 Router::~Router() {
   stats_.report();
   log::line("stopped", {{"name", config_.name},
-                        {"unanswered", dispatcher_.unanswered()},
+                        {"unanswered", dispatcher_.unanswered_requests()},
                         {"egress_opened", pool_.opened()},
                         {"resets_after_rest", pool_.reset_after_rest()},
                         {"dropped", log::dropped()}});
@@ -120,7 +120,7 @@
   const auto heard = [this, uses](gossip::Fleet& told, double now) {
     std::vector<fernward::Event> events;
     gossip::advise(now, told.view(now), told, uses, events);
-    dispatcher_.fleet(std::move(events));
+    dispatcher_.on_fleet_events(std::move(events));
   };
   gossip_ = std::make_unique<gossip_transport::Link>(timers_, gossip_options(fleet, config_),
                                                      gossip_transport::Calls{own, heard});
@@ -139,15 +139,15 @@
 downstream::ListenerCalls Router::listener_calls() {
   return {[this](loop::Handle client, proxy::ClientRequest request) {
             if (endpoints_.awaits_first_list()) return loop::Handle{0}; // the configuration's list may be old
-            return dispatcher_.open(client, std::move(request));
+            return dispatcher_.open_request(client, std::move(request));
           },
-          [this](const std::string& id) { return dispatcher_.is_open(id); },
-          [this](loop::Handle request) { dispatcher_.body_whole(request); },
-          [this](loop::Handle request) { dispatcher_.client_gone(request); },
+          [this](const std::string& id) { return dispatcher_.is_waiting_for(id); },
+          [this](loop::Handle request) { dispatcher_.body_complete(request); },
+          [this](loop::Handle request) { dispatcher_.client_disconnected(request); },
           [this] { return endpoints_.ready(); },
           [this] { shutdown_.on_connections_closed(); },
           [this] { return pool_.let_go("recalled"); },
-          [this](loop::Handle request) { dispatcher_.drained(request); }};
+          [this](loop::Handle request) { dispatcher_.response_drained(request); }};
 }
 
 std::optional<hot_restart::Inherited> inherit(const config::Config& config) {
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -60,7 +60,7 @@
   const endpoints::EndpointTable& table() const { return endpoints_.table(); }
   const figures::Figures& figures() const { return figures_; }
   const body_buffers::BufferBudget& bytes() const { return buffer_budget_; }
-  const body_buffers::RetainedBodies& kept() const { return bodies_.keeper; }
+  const body_buffers::RetainedBodies& kept() const { return bodies_.retained; }
 
  private:
   downstream::ListenerCalls listener_calls();
--- a/src/router/router_options.cpp
+++ b/src/router/router_options.cpp
@@ -41,8 +41,8 @@
 proxy::RequestDispatcherOptions dispatcher_options(const config::Config& config) {
   proxy::RequestDispatcherOptions options;
   options.grace_ms = config.limits.grace_to_answer_ms;
-  options.open_cap = static_cast<std::size_t>(config.limits.open_cap);
-  options.look_every_ms = config.limits.drain_grace_ms / 10; // the rest of the grace is for reading the list
+  options.max_requests = static_cast<std::size_t>(config.limits.open_cap);
+  options.discovery_poll_interval_ms = config.limits.drain_grace_ms / 10; // the rest of the grace is for reading the list
   return options;
 }
 
@@ -52,7 +52,7 @@
   options.idle_ms = kIdleShare * config.limits.conn_idle_ms;
   options.scarce_kind = config.settings.origin_kind;
   options.report_fields = config.names.report_fields;
-  options.answers.ceiling = config.answer_bytes;
+  options.answers.max_body_bytes = config.answer_bytes;
   const std::size_t receive_bytes = kernel_bytes(config) / (connection_descriptors(config) / 2);
   if (receive_bytes < kDefaultReceiveBytes) {
     options.receive_bytes = static_cast<int>(std::max(receive_bytes, kMinReceiveBytes));
@@ -62,21 +62,21 @@
 
 body_buffers::BufferBudgetOptions buffer_budget_options(const config::Config& config) {
   body_buffers::BufferBudgetOptions options;
-  options.total = config::body_bytes(config.memory_mb);
-  options.holders = connection_descriptors(config);                 // of responses
-  if (config.request_bytes > kShortBodyBytes) options.holders *= 2; // and of request bodies that are streamed
+  options.total_bytes = config::body_bytes(config.memory_mb);
+  options.max_holders = connection_descriptors(config);                 // of responses
+  if (config.request_bytes > kShortBodyBytes) options.max_holders *= 2; // and of request bodies that are streamed
   return options;
 }
 
 body_buffers::RetentionLimits retention_limits(const config::Config& config) {
   const std::uint64_t memory = memory_bytes(config);
   body_buffers::RetentionLimits limits;
-  limits.ceiling = config.request_bytes;
-  limits.memory_most = std::min(memory / 64, kMaxRetainedBytes);
-  limits.memory_all = memory / 8;
-  limits.file_all = config.body_folder.empty() ? 0 : static_cast<std::uint64_t>(config.body_folder_mb) << 20;
-  limits.file_most = limits.file_all / 4;
-  limits.flow_after = kShortBodyBytes;
+  limits.max_body_bytes = config.request_bytes;
+  limits.max_memory_per_body = std::min(memory / 64, kMaxRetainedBytes);
+  limits.max_memory_bytes = memory / 8;
+  limits.max_file_bytes = config.body_folder.empty() ? 0 : static_cast<std::uint64_t>(config.body_folder_mb) << 20;
+  limits.max_file_per_body = limits.max_file_bytes / 4;
+  limits.stream_after_bytes = kShortBodyBytes;
   return limits;
 }
 
@@ -92,7 +92,7 @@
       std::clamp(kernel_bytes(config) / (config.sockets / 3), kMinUnsentBytes, kMaxUnsentBytes));
   // A third at most for client connections that hold a request: none of them can open one more while all are
   // idle.
-  options.clients.places = std::min<std::size_t>(config.sockets / 3, connection_descriptors(config));
+  options.clients.max_clients = std::min<std::size_t>(config.sockets / 3, connection_descriptors(config));
   return options;
 }
 
--- a/src/router/stats_reporter.cpp
+++ b/src/router/stats_reporter.cpp
@@ -27,7 +27,7 @@
   gossip_ = &gossip;
   const auto gauge = [this](const char* name, auto value) { parts_.figures.gauge(name, value); };
   gauge("fleet_living", [this] { return static_cast<double>(gossip_->fleet().members().living()); });
-  gauge("fleet_limit", [this] { return 1000 * parts_.dispatcher.ledger().limit; });
+  gauge("fleet_limit", [this] { return 1000 * parts_.dispatcher.origin_budget().limit; });
   gauge("fleet_doubted", [this] { return static_cast<double>(gossip_->fleet().doubted()); });
   gauge("fleet_heard", [this] { return gossip_->fleet().view(loop::now_ms()).heard; });
 }
@@ -81,7 +81,7 @@
 
 // One line for all since the last report: a line for each would be dropped just when there are many.
 void StatsReporter::report_rejected() {
-  const auto& rejections = parts_.dispatcher.given_up();
+  const auto& rejections = parts_.dispatcher.give_up_counts();
   std::vector<log::Field> fields;
   for (std::size_t i = 0; i < rejections.size(); ++i) {
     const auto since_last = rejections[i] - reported_rejections_[i];
@@ -105,7 +105,7 @@
   for (const auto& [id, endpoint] : parts_.endpoints.table().targets()) {
     if (!parts_.endpoints.is_cache(endpoint.entry)) continue;
     count += endpoint.entry.state != fernward::ServerState::Ready ||
-             parts_.endpoints.overrides().is_disabled(endpoint.name) || parts_.dispatcher.avoids(id);
+             parts_.endpoints.overrides().is_disabled(endpoint.name) || parts_.dispatcher.is_ejected(id);
   }
   return count;
 }
--- a/src/router/stats_reporter.h
+++ b/src/router/stats_reporter.h
@@ -41,7 +41,7 @@
   StatsReporterParts parts_;
   gossip_transport::Link* gossip_ = nullptr; // null: the routers share nothing
   // As last reported:
-  proxy::RequestDispatcher::Figures reported_rejections_{};
+  proxy::RequestDispatcher::GiveUpCounts reported_rejections_{};
   fernward::Balancer::SlowStartCounts reported_slow_start_;
   std::uint64_t reported_ended_ = 0;
 };
--- a/src/upstream/codec.cpp
+++ b/src/upstream/codec.cpp
@@ -24,20 +24,20 @@
 std::string encode(const proxy::ClientRequest& request, const std::string& host, double remaining_ms) {
   const std::string timeout_ms = std::to_string(std::max(1L, std::lround(std::floor(remaining_ms))));
   std::vector<http::Header> headers = {{"X-Request-ID", request.id}, {"X-Timeout-Ms", timeout_ms}};
-  if (!request.repeat_key.empty()) headers.push_back({"Idempotency-Key", request.repeat_key});
-  if (request.inflow != nullptr) {
-    const auto length = request.inflow->length();
-    return http::write_request_head(request.write ? "PUT" : "GET", request.target, host, headers,
+  if (!request.idempotency_key.empty()) headers.push_back({"Idempotency-Key", request.idempotency_key});
+  if (request.streamed_body != nullptr) {
+    const auto length = request.streamed_body->length();
+    return http::write_request_head(request.write ? "PUT" : "GET", request.path, host, headers,
                                     length ? http::Framing::Length : http::Framing::Chunks,
                                     length.value_or(0));
   }
-  return http::write_request(request.write ? "PUT" : "GET", request.target, host, headers, request.body);
+  return http::write_request(request.write ? "PUT" : "GET", request.path, host, headers, request.body);
 }
 
 proxy::AttemptCompletion decode(const http::Message& response,
                                 const std::vector<std::string>& report_fields) {
   proxy::AttemptCompletion completion;
-  completion.report = parse_report(response.header("x-server-load"), report_fields);
+  completion.load_report = parse_report(response.header("x-server-load"), report_fields);
   const bool never_ran = response.header("x-not-processed") == "1";
   if (response.status == 200) {
     completion.result = AttemptResult::Ok;
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -88,18 +88,18 @@
 
 // ---- an attempt ----
 
-proxy::UpstreamConnections::Start ConnectionPool::start(Handle attempt, ServerId endpoint,
+proxy::UpstreamConnections::StartResult ConnectionPool::start(Handle attempt, ServerId endpoint,
                                                         const proxy::ClientRequestPtr& request,
                                                         double deadline_ms) {
-  if (!in_service(endpoint)) return Start::NoTarget;
+  if (!in_service(endpoint)) return StartResult::NoEndpoint;
   UpstreamConnection* connection = find_reusable(endpoint);
   if (connection == nullptr) {
-    Start refusal = Start::NoTarget;
+    StartResult refusal = StartResult::NoEndpoint;
     connection = open_connection(endpoints_.at(endpoint), refusal);
     if (connection == nullptr) return refusal;
   }
   assign(*connection, attempt, request, deadline_ms);
-  return Start::Begun;
+  return StartResult::Started;
 }
 
 void ConnectionPool::assign(UpstreamConnection& connection, Handle attempt,
@@ -122,7 +122,7 @@
   return found == by_attempt_.end() ? nullptr : connections_.find(found->second);
 }
 
-proxy::UpstreamConnections::Pause ConnectionPool::cancel(Handle attempt) {
+proxy::UpstreamConnections::ClientPause ConnectionPool::cancel(Handle attempt) {
   UpstreamConnection* const connection = assigned_to(attempt);
   by_attempt_.erase(attempt);
   if (connection == nullptr) return {};
@@ -131,7 +131,7 @@
   const bool paused = connection->is(State::Paused);
   const bool lasts = paused || upload.stage == UploadProgress::Stage::Uploading;
   const double since = paused ? connection->response.paused_at_ms : upload.head_written_at_ms;
-  const Pause pause{connection->paused_ms + (lasts ? now_ms() - since : 0), lasts};
+  const ClientPause pause{connection->paused_ms + (lasts ? now_ms() - since : 0), lasts};
   if (connection->is(State::Connecting)) { // nothing was sent: the next attempt may have it
     connection->request.reset();
     add_to_free(*connection);
@@ -168,7 +168,7 @@
 
 // The newest that is not stale: the oldest are left to run out.
 UpstreamConnection* ConnectionPool::take_idle(ServerId endpoint, double now) {
-  using Use = idle_connections::IdleLifetimeEstimator::Use;
+  using Use = idle_connections::IdleLifetimeEstimator::Reuse;
   std::vector<Handle>& free = free_[endpoint];
   for (std::size_t i = free.size(); i-- > 0;) {
     UpstreamConnection* const connection = connections_.find(free[i]);
@@ -180,10 +180,10 @@
     }
     IdleUse& idle = connection->idle;
     const double idle_ms = now - idle.since_ms;
-    const Use use = idle_lifetimes_.use(now, endpoint, idle_ms);
-    if (use == Use::No) return nullptr; // those before it have been idle for longer
+    const Reuse use = idle_lifetimes_.decide_reuse(now, endpoint, idle_ms);
+    if (use == Reuse::No) return nullptr; // those before it have been idle for longer
     idle.before_request_ms = idle_ms;
-    idle.beyond_safe_lifetime = use == Use::Trial;
+    idle.beyond_safe_lifetime = use == Reuse::Trial;
     free.erase(free.begin() + static_cast<std::ptrdiff_t>(i));
     timers_.cancel(connection->timer);
     return connection;
@@ -207,7 +207,7 @@
 void ConnectionPool::close_outlived(ServerId endpoint, double now) {
   const auto found = free_.find(endpoint);
   if (found == free_.end() || found->second.empty()) return;
-  const double lifetime_ms = idle_lifetimes_.hold_ms(now, endpoint);
+  const double lifetime_ms = idle_lifetimes_.keep_ms(now, endpoint);
   std::vector<Handle> outlived;
   for (const Handle handle : found->second) {
     const UpstreamConnection* const connection = connections_.find(handle);
@@ -223,19 +223,19 @@
   const ServerId endpoint = connection.endpoint.id;
   if (endpoints_.count(endpoint) == 0) return; // nothing is kept of one that was removed
   const IdleUse& idle = connection.idle;
-  if (idle.before_request_ms < 0) return idle_lifetimes_.first_use(now_ms(), endpoint, reset);
+  if (idle.before_request_ms < 0) return idle_lifetimes_.on_first_use(now_ms(), endpoint, reset);
   resets_after_idle_ += reset;
-  idle_lifetimes_.used_again(now_ms(), endpoint, idle.before_request_ms, idle.beyond_safe_lifetime, reset);
+  idle_lifetimes_.on_reuse(now_ms(), endpoint, idle.before_request_ms, idle.beyond_safe_lifetime, reset);
 }
 
 // ---- opening ----
 
 // Null: `refusal` says why.
-UpstreamConnection* ConnectionPool::open_connection(const endpoints::Endpoint& endpoint, Start& refusal) {
-  descriptors::DescriptorBudget::Place descriptor = reserve_descriptor();
+UpstreamConnection* ConnectionPool::open_connection(const endpoints::Endpoint& endpoint, StartResult& refusal) {
+  descriptors::DescriptorBudget::Lease descriptor = reserve_descriptor();
   const int fd = descriptor ? open_socket() : -1;
   if (fd < 0) {
-    refusal = Start::Full; // not the endpoint's fault
+    refusal = StartResult::LocalLimit; // not the endpoint's fault
     return nullptr;
   }
   UpstreamConnection& connection = add_connection(endpoint, std::move(descriptor), fd);
@@ -243,13 +243,13 @@
 }
 
 // Of those that are left, one that the clients have beyond their share, or one of a free connection.
-descriptors::DescriptorBudget::Place ConnectionPool::reserve_descriptor() {
-  using Needs = descriptors::DescriptorBudget::Needs;
+descriptors::DescriptorBudget::Lease ConnectionPool::reserve_descriptor() {
+  using Needs = descriptors::DescriptorBudget::Eviction;
   const double now = now_ms();
   for (;;) { // each round closes one connection
-    const Needs needs = descriptors_.needs(now, descriptors::Side::Targets);
-    if (needs == Needs::Nothing) return descriptors_.take(now, descriptors::Side::Targets);
-    if (needs == Needs::Recall && recall_()) continue;
+    const Eviction needs = descriptors_.required_eviction(now, descriptors::Side::Upstream);
+    if (needs == Eviction::None) return descriptors_.acquire(now, descriptors::Side::Upstream);
+    if (needs == Eviction::OtherSide && recall_()) continue;
     if (!evict_oldest_idle(CloseReason::TableFull)) return {};
   }
 }
@@ -260,7 +260,7 @@
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd >= 0 || retries == kSocketRetries) return fd;
     const double now = now_ms();
-    if (descriptors_.refused(now)) {
+    if (descriptors_.on_refused(now)) {
       log::line("descriptors-refused", {{"in_use", descriptors_.usable(now)}, {"of", descriptors_.total()}});
     }
     if (!evict_oldest_idle(CloseReason::TableFull) && !recall_()) return -1;
@@ -269,8 +269,8 @@
 
 // `fd` is the connection's from here on.
 UpstreamConnection& ConnectionPool::add_connection(const endpoints::Endpoint& endpoint,
-                                                   descriptors::DescriptorBudget::Place descriptor, int fd) {
-  const Handle handle = connections_.add(options_.answers.ceiling);
+                                                   descriptors::DescriptorBudget::Lease descriptor, int fd) {
+  const Handle handle = connections_.add(options_.answers.max_body_bytes);
   UpstreamConnection& connection = *connections_.find(handle);
   connection.pool = this;
   connection.receiver = &receiver_;
@@ -289,12 +289,12 @@
 
 // False: `refusal` says why, and the connection is gone.
 bool ConnectionPool::connect(UpstreamConnection& connection, const endpoints::Endpoint& endpoint,
-                             Start& refusal) {
+                             StartResult& refusal) {
   const auto* const address = reinterpret_cast<const sockaddr*>(&endpoint.where);
   if (bufferevent_socket_connect(connection.socket.get(), address, sizeof endpoint.where) != 0) {
     // No port or no memory on this machine: not the endpoint's fault.
     const bool local = errno == EADDRNOTAVAIL || errno == ENOBUFS || errno == ENOMEM || errno == EAGAIN;
-    if (local) refusal = Start::Full;
+    if (local) refusal = StartResult::LocalLimit;
     close(connection, local ? CloseReason::NoLocalResources : CloseReason::ConnectFailed);
     return false;
   }
@@ -436,7 +436,7 @@
   add_to_free(connection);
   const double now = now_ms();
   connection.become_idle(now);
-  const double lifetime_ms = idle_lifetimes_.hold_ms(now, endpoint);
+  const double lifetime_ms = idle_lifetimes_.keep_ms(now, endpoint);
   // Its place at the endpoint is one that other routers may want, and this one has another that is idle.
   const bool scarce = static_cast<std::int64_t>(endpoints_.at(endpoint).entry.kind) == options_.scarce_kind;
   const double used_ms = now - connection.assigned_at_ms;
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -15,7 +15,7 @@
 #include "idle_connections/idle_lifetime_estimator.h"
 #include "loop/slot_map.h"
 #include "loop/timer_queue.h"
-#include "proxy/call.h"
+#include "proxy/upstream_connections.h"
 #include "upstream/close_reason.h"
 #include "upstream/connection_pool_options.h"
 #include "upstream/request_writer.h"
@@ -44,9 +44,9 @@
   /// As last updated; null: there is none.
   const endpoints::Endpoint* endpoint(fernward::ServerId id) const;
 
-  Start start(loop::Handle attempt, fernward::ServerId endpoint, const proxy::ClientRequestPtr& request,
+  StartResult start(loop::Handle attempt, fernward::ServerId endpoint, const proxy::ClientRequestPtr& request,
               double deadline_ms) override;
-  Pause cancel(loop::Handle attempt) override;
+  ClientPause cancel(loop::Handle attempt) override;
   void go_on(loop::Handle attempt) override;
   /// Closes the free connection that has been free longest. False: none is free.
   bool evict_oldest_idle(CloseReason reason);
@@ -84,11 +84,11 @@
   std::optional<CloseReason> reason_not_to_pool(const UpstreamConnection& connection) const;
 
   // Opening.
-  UpstreamConnection* open_connection(const endpoints::Endpoint& endpoint, Start& refusal);
+  UpstreamConnection* open_connection(const endpoints::Endpoint& endpoint, StartResult& refusal);
   UpstreamConnection& add_connection(const endpoints::Endpoint& endpoint,
-                                     descriptors::DescriptorBudget::Place descriptor, int fd);
-  bool connect(UpstreamConnection& connection, const endpoints::Endpoint& endpoint, Start& refusal);
-  descriptors::DescriptorBudget::Place reserve_descriptor();
+                                     descriptors::DescriptorBudget::Lease descriptor, int fd);
+  bool connect(UpstreamConnection& connection, const endpoints::Endpoint& endpoint, StartResult& refusal);
+  descriptors::DescriptorBudget::Lease reserve_descriptor();
   int open_socket();
 
   // The free list and the eviction list.
--- a/src/upstream/connection_pool_options.h
+++ b/src/upstream/connection_pool_options.h
@@ -17,7 +17,7 @@
   // kept for as long again as its last request took. -1: none.
   std::int64_t scarce_kind = -1;
   std::vector<std::string> report_fields; // of the load report, in the order of the settings
-  body_buffers::AnswerRules answers;
+  body_buffers::ResponseBufferingLimits answers;
   double silent_ms = 5000; // without a byte of the response, or with none of the request's body taken
   int receive_bytes = 0;   // receive buffer of the kernel for each connection; 0: the system's default
 };
--- a/src/upstream/request_writer.cpp
+++ b/src/upstream/request_writer.cpp
@@ -52,17 +52,17 @@
 
 // Never closes the connection: the body's reader calls it from within the client's connection.
 void RequestWriter::upload(UpstreamConnection& connection) {
-  using Got = proxy::RequestBody::Reader::Got;
+  using Got = proxy::RequestBody::Reader::ReadResult;
   bufferevent* const socket = connection.socket.get();
   UploadProgress& progress = connection.upload;
   const bool chunked = !connection.request->inflow->length();
   while (progress.stage == Stage::Uploading && loop::pending_output(socket) < kMaxPendingUploadBytes) {
     std::size_t bytes = 0;
     char* const into = block_.data();
-    const Got got = progress.reader->read(into, loop::IoBuffer::size(), bytes);
-    if (got == Got::Later) return;
-    if (got == Got::Lost) return fail_lost_body(connection);
-    if (got == Got::End) {
+    const ReadResult got = progress.reader->read(into, loop::IoBuffer::size(), bytes);
+    if (got == ReadResult::Pending) return;
+    if (got == ReadResult::Unavailable) return fail_lost_body(connection);
+    if (got == ReadResult::End) {
       if (chunked) loop::write_or_wait(socket, http::kLastChunk);
       progress.stage = Stage::Flushing;
       connection.paused_ms += now_ms() - progress.head_written_at_ms; // the endpoint could not begin before
--- a/src/upstream/response_receiver.cpp
+++ b/src/upstream/response_receiver.cpp
@@ -73,7 +73,7 @@
   context_.owner.response_started(connection);
   ResponseProgress& response = connection.response;
   response.completion = decode(head, context_.options.report_fields);
-  response.buffered = {{}, body_buffers::BufferBudget::Hold(context_.buffer_budget)};
+  response.buffered = {{}, body_buffers::BufferBudget::Reservation(context_.buffer_budget)};
   connection.head_received(response.completion.result == AttemptResult::Ok);
   if (connection.is(State::Buffering)) limit_buffering(connection);
   return apply_buffering_rules(connection);
@@ -156,7 +156,7 @@
 std::size_t ResponseReceiver::read_allowance(UpstreamConnection& connection) {
   ResponseProgress& response = connection.response;
   if (connection.is(State::Buffering)) {
-    if (const std::size_t room = response.buffered.hold.room(); room > 0) return room;
+    if (const std::size_t room = response.buffered.reservation.writable_bytes(); room > 0) return room;
     stop_buffering(connection);
   }
   if (connection.is(State::Discarding)) return loop::IoBuffer::size();
@@ -203,7 +203,7 @@
 
 void ResponseReceiver::deliver(UpstreamConnection& connection, std::string_view body) {
   proxy::BufferedBytes& buffered = connection.response.buffered;
-  if (connection.is(State::Buffering) && !buffered.hold.take(body.size())) stop_buffering(connection);
+  if (connection.is(State::Buffering) && !buffered.reservation.acquire(body.size())) stop_buffering(connection);
   if (connection.is(State::Buffering)) {
     buffered.buffer.add(body, context_.block);
   } else if (connection.is(State::Streaming)) {
@@ -220,20 +220,20 @@
     return false;
   }
   if (!connection.is(State::Buffering)) return true;
-  const body_buffers::BufferBudget::Hold& hold = connection.response.buffered.hold;
-  body_buffers::AnswerFacts facts;
-  facts.length = body.length();
-  facts.come = body.come();
-  facts.whole = body.done();
-  facts.early = now_ms() < connection.response.buffer_until_ms;
+  const body_buffers::BufferBudget::Reservation& hold = connection.response.buffered.hold;
+  body_buffers::ResponseProgress facts;
+  facts.announced_length = body.length();
+  facts.received_bytes = body.come();
+  facts.complete = body.done();
+  facts.may_wait = now_ms() < connection.response.buffer_until_ms;
   facts.window = hold.window();
-  facts.room = hold.room();
+  facts.writable_bytes = hold.writable_bytes();
   switch (body_buffers::next_step(context_.options.answers, facts)) {
-    case body_buffers::AnswerStep::Wait: break;
-    case body_buffers::AnswerStep::Begin:
-      if (!facts.whole) stop_buffering(connection);
+    case body_buffers::ResponseStep::Buffer: break;
+    case body_buffers::ResponseStep::Start:
+      if (!facts.complete) stop_buffering(connection);
       break;
-    case body_buffers::AnswerStep::Spoilt:
+    case body_buffers::ResponseStep::TooLarge:
       context_.owner.fail(connection, AttemptResult::Error, CloseReason::TooLarge);
       return false;
   }
--- a/src/upstream/upstream_connection.h
+++ b/src/upstream/upstream_connection.h
@@ -12,7 +12,7 @@
 #include "loop/net.h"
 #include "loop/slot_map.h"
 #include "loop/timer_queue.h"
-#include "proxy/call.h"
+#include "proxy/client_response.h"
 #include "upstream/close_reason.h"
 
 namespace fernward::upstream {
@@ -96,7 +96,7 @@
   ConnectionPool* pool = nullptr;
   ResponseReceiver* receiver = nullptr;
   loop::Handle handle = 0;
-  descriptors::DescriptorBudget::Place descriptor;
+  descriptors::DescriptorBudget::Lease descriptor;
   std::list<loop::Handle> eviction_node; // holds its entry of the eviction list while it is not free
   std::list<loop::Handle>::iterator eviction_entry;
   EndpointIdentity endpoint;
@@ -132,7 +132,7 @@
   /// The socket broke, or the peer ended its sending.
   virtual void disconnected(UpstreamConnection& connection, bool end_of_input) = 0;
   /// Ends the attempt, if there is one, and closes the connection.
-  virtual void fail(UpstreamConnection& connection, fernward::AttemptResult result, CloseReason reason) = 0;
+  virtual void fail(UpstreamConnection& connection, fernward::CloseReason result, CloseReason reason) = 0;
 };
 
 } // namespace fernward::upstream
