--- a/lab/limiters/contender.h
+++ b/lab/limiters/contender.h
@@ -1,4 +1,4 @@
-// What a limiter looks like to the comparison: the interface of concurrency::Limiter, so that others can stand in for it.
+// What a limiter looks like to the comparison: that of concurrency::OriginConcurrencyLimiter, for others in its place.
 #pragma once
 
 #include <cstdint>
