--- a/src/router/endpoint_updater.cpp
+++ b/src/router/endpoint_updater.cpp
@@ -164,11 +164,11 @@
     overrides_.endpoint_removed(before->name);
   }
   if (cache) overrides_.endpoint_added(found->second.name);
-  if (!listed) return parts_.pool.update_endpoints(server.id, nullptr);
+  if (!listed) return parts_.pool.update_endpoint(server.id, nullptr);
   endpoints::Endpoint endpoint = found->second;
   endpoint.entry = overrides_.apply(endpoint.name, endpoint.entry);
   server = endpoint.entry;
-  parts_.pool.update_endpoints(server.id, &endpoint);
+  parts_.pool.update_endpoint(server.id, &endpoint);
 }
 
 void EndpointUpdater::refresh(const std::string& name) {
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -146,7 +146,7 @@
           [this](loop::Handle request) { dispatcher_.client_disconnected(request); },
           [this] { return endpoints_.ready(); },
           [this] { shutdown_.on_connections_closed(); },
-          [this] { return pool_.let_go("recalled"); },
+          [this] { return pool_.evict_oldest_idle(upstream::CloseReason::Recalled); },
           [this](loop::Handle request) { dispatcher_.response_drained(request); }};
 }
 
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -143,7 +143,7 @@
   return pause;
 }
 
-void ConnectionPool::go_on(Handle attempt) {
+void ConnectionPool::resume_reading(Handle attempt) {
   UpstreamConnection* const connection = assigned_to(attempt);
   if (connection != nullptr && connection->is(State::Paused)) receiver_.resume(*connection);
 }
@@ -151,10 +151,10 @@
 void ConnectionPool::complete_attempt(UpstreamConnection& connection, proxy::AttemptCompletion completion) {
   const double idle_ms = connection.idle.before_request_ms;
   completion.paused_ms = connection.paused_ms;
-  completion.rested = idle_ms >= 0;
-  completion.rested_ms = std::max(0.0, idle_ms);
-  completion.first = connection.first_request;
-  attempts_.ended(std::exchange(connection.attempt, 0), std::move(completion));
+  completion.on_reused_connection = idle_ms >= 0;
+  completion.idle_ms = std::max(0.0, idle_ms);
+  completion.first_on_connection = connection.first_request;
+  attempts_.on_attempt_complete(std::exchange(connection.attempt, 0), std::move(completion));
 }
 
 // ---- reuse ----
@@ -168,7 +168,7 @@
 
 // The newest that is not stale: the oldest are left to run out.
 UpstreamConnection* ConnectionPool::take_idle(ServerId endpoint, double now) {
-  using Use = idle_connections::IdleLifetimeEstimator::Reuse;
+  using Reuse = idle_connections::IdleLifetimeEstimator::Reuse;
   std::vector<Handle>& free = free_[endpoint];
   for (std::size_t i = free.size(); i-- > 0;) {
     UpstreamConnection* const connection = connections_.find(free[i]);
@@ -181,7 +181,7 @@
     IdleUse& idle = connection->idle;
     const double idle_ms = now - idle.since_ms;
     const Reuse use = idle_lifetimes_.decide_reuse(now, endpoint, idle_ms);
-    if (use == Reuse::No) return nullptr; // those before it have been idle for longer
+    if (use == Reuse::Refused) return nullptr; // those before it have been idle for longer
     idle.before_request_ms = idle_ms;
     idle.beyond_safe_lifetime = use == Reuse::Trial;
     free.erase(free.begin() + static_cast<std::ptrdiff_t>(i));
@@ -244,12 +244,12 @@
 
 // Of those that are left, one that the clients have beyond their share, or one of a free connection.
 descriptors::DescriptorBudget::Lease ConnectionPool::reserve_descriptor() {
-  using Needs = descriptors::DescriptorBudget::Eviction;
+  using Eviction = descriptors::DescriptorBudget::Eviction;
   const double now = now_ms();
   for (;;) { // each round closes one connection
-    const Eviction needs = descriptors_.required_eviction(now, descriptors::Side::Upstream);
-    if (needs == Eviction::None) return descriptors_.acquire(now, descriptors::Side::Upstream);
-    if (needs == Eviction::OtherSide && recall_()) continue;
+    const Eviction eviction = descriptors_.required_eviction(now, descriptors::Side::Upstream);
+    if (eviction == Eviction::None) return descriptors_.acquire(now, descriptors::Side::Upstream);
+    if (eviction == Eviction::OtherSide && recall_()) continue;
     if (!evict_oldest_idle(CloseReason::TableFull)) return {};
   }
 }
@@ -335,11 +335,11 @@
 }
 
 void ConnectionPool::on_connected(UpstreamConnection& connection) {
-  if (const Handle late = connection.attempt; late != 0 && !attempts_.may_write(late)) {
+  if (const Handle late = connection.attempt; late != 0 && !attempts_.may_write_request(late)) {
     cancel(late); // still connecting: nothing of the request goes out, and the connection is kept
     proxy::AttemptCompletion completion;
     completion.result = AttemptResult::Abandoned;
-    attempts_.ended(late, std::move(completion));
+    attempts_.on_attempt_complete(late, std::move(completion));
   }
   timers_.cancel(connection.timer);
   bufferevent_enable(connection.socket.get(), EV_READ | EV_WRITE);
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -15,6 +15,7 @@
 #include "idle_connections/idle_lifetime_estimator.h"
 #include "loop/slot_map.h"
 #include "loop/timer_queue.h"
+#include "proxy/attempt_callbacks.h"
 #include "proxy/upstream_connections.h"
 #include "upstream/close_reason.h"
 #include "upstream/connection_pool_options.h"
@@ -47,7 +48,7 @@
   StartResult start(loop::Handle attempt, fernward::ServerId endpoint, const proxy::ClientRequestPtr& request,
               double deadline_ms) override;
   ClientPause cancel(loop::Handle attempt) override;
-  void go_on(loop::Handle attempt) override;
+  void resume_reading(loop::Handle attempt) override;
   /// Closes the free connection that has been free longest. False: none is free.
   bool evict_oldest_idle(CloseReason reason);
 
--- a/src/upstream/request_writer.cpp
+++ b/src/upstream/request_writer.cpp
@@ -33,13 +33,13 @@
                       encode(*connection.request, host, connection.deadline_ms - now_ms()));
   UploadProgress& progress = connection.upload;
   progress.stage = Stage::Flushing;
-  if (connection.request->inflow == nullptr) return count_sent(connection);
+  if (connection.request->streamed_body == nullptr) return count_sent(connection);
   progress.stage = Stage::Uploading;
   progress.head_written_at_ms = progress.last_taken_at_ms = now_ms();
   progress.bytes_taken = 0;
   start_silence_limit(connection);
   bufferevent_setwatermark(connection.socket.get(), EV_WRITE, kMaxPendingUploadBytes / 2, 0);
-  progress.reader = connection.request->inflow->read([this, handle = connection.handle] {
+  progress.reader = connection.request->streamed_body->add_reader([this, handle = connection.handle] {
     if (UpstreamConnection* waiting = connections_.find(handle)) upload(*waiting);
   });
   upload(connection);
@@ -52,10 +52,10 @@
 
 // Never closes the connection: the body's reader calls it from within the client's connection.
 void RequestWriter::upload(UpstreamConnection& connection) {
-  using Got = proxy::RequestBody::Reader::ReadResult;
+  using ReadResult = proxy::RequestBody::Reader::ReadResult;
   bufferevent* const socket = connection.socket.get();
   UploadProgress& progress = connection.upload;
-  const bool chunked = !connection.request->inflow->length();
+  const bool chunked = !connection.request->streamed_body->length();
   while (progress.stage == Stage::Uploading && loop::pending_output(socket) < kMaxPendingUploadBytes) {
     std::size_t bytes = 0;
     char* const into = block_.data();
@@ -103,7 +103,7 @@
   UploadProgress& progress = connection.upload;
   if (progress.reader == nullptr || !connection.request_unsent() || connection.parser.head_done()) return;
   const std::size_t pending = loop::pending_output(connection.socket.get());
-  const std::uint64_t read = progress.reader->at();
+  const std::uint64_t read = progress.reader->offset();
   const std::uint64_t taken = read - std::min<std::uint64_t>(read, pending);
   if (pending == 0 || std::exchange(progress.bytes_taken, taken) < taken) {
     progress.last_taken_at_ms = now_ms();
--- a/src/upstream/response_receiver.cpp
+++ b/src/upstream/response_receiver.cpp
@@ -115,7 +115,7 @@
                                     loop::Received& received, std::size_t& bytes) {
   if (!connection.is(State::Streaming) || connection.parser.body().straight() < max_bytes) return false;
   const int socket = bufferevent_getfd(connection.socket.get());
-  return context_.attempts.pass_from(connection.attempt, socket, max_bytes, context_.block, received, bytes);
+  return context_.attempts.splice_from(connection.attempt, socket, max_bytes, context_.block, received, bytes);
 }
 
 // True: the connection is broken or at its end, and may be gone.
@@ -156,11 +156,11 @@
 std::size_t ResponseReceiver::read_allowance(UpstreamConnection& connection) {
   ResponseProgress& response = connection.response;
   if (connection.is(State::Buffering)) {
-    if (const std::size_t room = response.buffered.reservation.writable_bytes(); room > 0) return room;
+    if (const std::size_t room = response.buffered.reservation.available(); room > 0) return room;
     stop_buffering(connection);
   }
   if (connection.is(State::Discarding)) return loop::IoBuffer::size();
-  const std::size_t room = context_.attempts.room(connection.attempt);
+  const std::size_t room = context_.attempts.writable_bytes(connection.attempt);
   if (room == 0) {
     bufferevent_disable(connection.socket.get(), EV_READ);
     if (response.direct_read != nullptr) event_del(response.direct_read.get());
@@ -207,7 +207,7 @@
   if (connection.is(State::Buffering)) {
     buffered.buffer.add(body, context_.block);
   } else if (connection.is(State::Streaming)) {
-    context_.attempts.pass(connection.attempt, body, context_.block);
+    context_.attempts.write(connection.attempt, body, context_.block);
   }
 }
 
@@ -220,14 +220,14 @@
     return false;
   }
   if (!connection.is(State::Buffering)) return true;
-  const body_buffers::BufferBudget::Reservation& hold = connection.response.buffered.hold;
+  const body_buffers::BufferBudget::Reservation& reservation = connection.response.buffered.reservation;
   body_buffers::ResponseProgress facts;
   facts.announced_length = body.length();
   facts.received_bytes = body.come();
   facts.complete = body.done();
   facts.may_wait = now_ms() < connection.response.buffer_until_ms;
-  facts.window = hold.window();
-  facts.writable_bytes = hold.writable_bytes();
+  facts.window = reservation.window();
+  facts.available = reservation.available();
   switch (body_buffers::next_step(context_.options.answers, facts)) {
     case body_buffers::ResponseStep::Buffer: break;
     case body_buffers::ResponseStep::Start:
@@ -246,7 +246,7 @@
   head.content_type = response.completion.content_type;
   head.length = connection.parser.body().length();
   head.body = std::move(response.buffered);
-  connection.buffering_ended(context_.attempts.begin(connection.attempt, std::move(head)));
+  connection.buffering_ended(context_.attempts.start_response(connection.attempt, std::move(head)));
   response.last_bytes_at_ms = now_ms();
   limit_silence(connection);
 }
@@ -254,9 +254,9 @@
 // Buffering ends in time also where nothing more comes.
 void ResponseReceiver::limit_buffering(UpstreamConnection& connection) {
   ResponseProgress& response = connection.response;
-  response.buffer_until_ms = context_.attempts.wait_until(connection.attempt);
+  response.buffer_until_ms = context_.attempts.buffer_until(connection.attempt);
   const std::optional<std::uint64_t> length = connection.parser.body().length();
-  if (length && *length <= context_.options.answers.begin_after) return;
+  if (length && *length <= context_.options.answers.min_start_bytes) return;
   context_.timers.cancel(connection.timer);
   connection.timer = context_.timers.at(response.buffer_until_ms, [this, handle = connection.handle] {
     UpstreamConnection* late = context_.connections.find(handle);
--- a/src/upstream/upstream_connection.h
+++ b/src/upstream/upstream_connection.h
@@ -12,7 +12,8 @@
 #include "loop/net.h"
 #include "loop/slot_map.h"
 #include "loop/timer_queue.h"
-#include "proxy/client_response.h"
+#include "proxy/attempt_callbacks.h"
+#include "proxy/client_request.h"
 #include "upstream/close_reason.h"
 
 namespace fernward::upstream {
@@ -132,7 +133,7 @@
   /// The socket broke, or the peer ended its sending.
   virtual void disconnected(UpstreamConnection& connection, bool end_of_input) = 0;
   /// Ends the attempt, if there is one, and closes the connection.
-  virtual void fail(UpstreamConnection& connection, fernward::CloseReason result, CloseReason reason) = 0;
+  virtual void fail(UpstreamConnection& connection, fernward::AttemptResult result, CloseReason reason) = 0;
 };
 
 } // namespace fernward::upstream
