--- a/src/downstream/listener.h
+++ b/src/downstream/listener.h
@@ -103,7 +103,7 @@
     loop::Handle self = 0;
     descriptors::DescriptorBudget::Lease place;
     descriptors::RequestBufferBudget::Lease request; // one that has not come whole
-    body_buffers::BufferBudget::Reservation out;            // of answers: what the client has not taken
+    body_buffers::BufferBudget::Reservation out;     // of answers: what the client has not taken
     loop::BuffereventPtr io;
     http::Parser parser;
     std::shared_ptr<proxy::RequestBody> inflow; // a long body that is coming
--- a/src/policy/answer.cpp
+++ b/src/policy/answer.cpp
@@ -33,8 +33,9 @@
   if (retry_policy.client_may_retry(request)) {
     const bool stay_away = why == GiveUpReason::Shed || why == GiveUpReason::QueueTimeout ||
                            why == GiveUpReason::ResponseTimeout || why == GiveUpReason::NotSent;
-    const double wait = stay_away ? settings.max_retry_after_ms
-                                  : std::min(settings.max_retry_after_ms, cache_slow_attempts.slow_threshold_ms);
+    const double wait = stay_away
+                            ? settings.max_retry_after_ms
+                            : std::min(settings.max_retry_after_ms, cache_slow_attempts.slow_threshold_ms);
     emit(Reject{request.params.id, settings.send_retry_after ? wait : 0, why});
   } else {
     emit(Fail{request.params.id, why});
--- a/src/policy/choose.cpp
+++ b/src/policy/choose.cpp
@@ -28,7 +28,8 @@
   request.value = admission.priority_values[priority];
   admission.priority_rates[priority] += 1;
   quotas.record_request();
-  retry_budget.on_request(now, std::max(cache_slow_attempts.never_answered_share, origin_slow_attempts.never_answered_share));
+  retry_budget.on_request(
+      now, std::max(cache_slow_attempts.never_answered_share, origin_slow_attempts.never_answered_share));
   if (request.answer_by <= now || !admission.admits(priority, random.unit())) {
     retry_budget.on_attempt_ended(now, true);
     return give_up(request, GiveUpReason::Shed);
@@ -120,7 +121,8 @@
 double Balancer::Impl::origin_cost_ms() const {
   if (origin == nullptr) return 0;
   const double limit_use = origin_dispatch.limiter.utilization(now, origin_dispatch.demand(origin->active()));
-  const double fill_use = placement.fill_rate_limiter().utilization(now, static_cast<double>(origin_dispatch.queue.size()));
+  const double fill_use =
+      placement.fill_rate_limiter().utilization(now, static_cast<double>(origin_dispatch.queue.size()));
   const double use = 2 * std::max(limit_use, fill_use);
   return origin->expected_response_ms(now, origin_dispatch.limiter.latency_ms()) * (1 + use * use * use);
 }
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -7,7 +7,8 @@
 
 bool Balancer::Impl::responded_lately(const Replica& replica) {
   return now - replica.outlier.last_response_at() <
-         2 * std::max(slow_attempts(replica).slow_threshold_ms, replica.expected_response_ms(now, cache_response_ms));
+         2 * std::max(slow_attempts(replica).slow_threshold_ms,
+                      replica.expected_response_ms(now, cache_response_ms));
 }
 
 void Balancer::Impl::record_failure(Replica& replica, int weight) {
@@ -16,7 +17,8 @@
 }
 
 void Balancer::Impl::eject(Replica& replica) {
-  placement.fill_rate_limiter().on_fleet_changed(now); // its keys move to others now, long before the list tells
+  placement.fill_rate_limiter().on_fleet_changed(
+      now); // its keys move to others now, long before the list tells
   schedule_trial(replica);
   log("cache ejected, trial in ms:", replica.outlier.next_trial_at() - now);
 }
--- a/src/policy/origin.cpp
+++ b/src/policy/origin.cpp
@@ -12,8 +12,8 @@
   // Another candidate may hold it, at a lower price than the origin's; one attempt is kept for that.
   if (retry_policy.has_attempts_left(request, 1) && !request.pending_fill) {
     if (send_to_best_cache(request)) return;
-    Replica* const too =
-        placement.choose_second_store(now, request.params.key, request.cache_misses.size(), [&](const Replica& r) {
+    Replica* const too = placement.choose_second_store(
+        now, request.params.key, request.cache_misses.size(), [&](const Replica& r) {
           return !request.has_tried(r.entry.id) && ejection.is_usable(r, now) &&
                  slow_start.admits(r, request, true, now) && r.limiter.has_capacity(now, r.active());
         });
--- a/src/policy/origin_dispatch.h
+++ b/src/policy/origin_dispatch.h
@@ -35,7 +35,8 @@
     const double most_active = std::min(limiter.limit(), connections.capacity());
     const double turns_per_ms = response_ms > 0 ? most_active / response_ms : 0;
     const bool fetches_limited = fetch_limit_per_ms > 0 && turns_per_ms > 0;
-    queue.set_service_rate(fetches_limited ? std::min(fetch_limit_per_ms, turns_per_ms) : turns_per_ms, response_ms);
+    queue.set_service_rate(fetches_limited ? std::min(fetch_limit_per_ms, turns_per_ms) : turns_per_ms,
+                           response_ms);
   }
   /// The next request whose turn it is; it has left the queue.
   std::optional<RequestId> next(double now, std::uint32_t active, placement::FillRateLimiter& fill_rate) {
--- a/src/policy/outcome.cpp
+++ b/src/policy/outcome.cpp
@@ -97,20 +97,21 @@
   // A connection refused by an origin that works: it lacks connections, not capacity.
   const bool connects = outcome.result == AttemptResult::ConnectFailed && responded_lately(replica);
   if (connects || (outcome.result == AttemptResult::Overloaded && outcome.first_on_connection)) {
-    origin_dispatch.connections.on_connection_refused(now, replica.active(), origin_dispatch.limiter.latency_ms(),
-                                        random.unit());
+    origin_dispatch.connections.on_connection_refused(now, replica.active(),
+                                                      origin_dispatch.limiter.latency_ms(), random.unit());
     log("origin refuses further connections, in use:", replica.active());
     return false;
   }
   const auto ending = ending_of(outcome.result, now >= request.answer_by);
   if (!ending) return false;
-  if (outcome.result == AttemptResult::Ok) origin_dispatch.connections.on_connection_used(replica.active() + 1);
+  if (outcome.result == AttemptResult::Ok)
+    origin_dispatch.connections.on_connection_used(replica.active() + 1);
   const concurrency::AttemptSample sample{*ending,
-                                   elapsed,
-                                   request.params.expected_work_ms,
-                                   latency_objective_ms(request),
-                                   request.params.write,
-                                   replica.active()};
+                                          elapsed,
+                                          request.params.expected_work_ms,
+                                          latency_objective_ms(request),
+                                          request.params.write,
+                                          replica.active()};
   const concurrency::DecreaseReason sign = origin_dispatch.limiter.on_attempt_ended(now, sample);
   if (sign == concurrency::DecreaseReason::Rejected)
     log("origin crowded, attempts at once cut to", origin_dispatch.limiter.limit());
@@ -171,7 +172,8 @@
 
 void Balancer::Impl::record_lookup(RequestState& request, const Attempt& attempt, bool hit) {
   if (hit && request.pending_fill)
-    placement.fill_rate_limiter().refund(*std::exchange(request.pending_fill, {})); // another router's fetch filled it
+    placement.fill_rate_limiter().refund(
+        *std::exchange(request.pending_fill, {})); // another router's fetch filled it
   if (settings.origin_kind < 0 || request.params.key == 0) return;
   if (hit) {
     placement.on_hit(request.params.key, attempt.server, attempt.sent_at);
@@ -192,7 +194,8 @@
   if (request.queued_for_origin || request.has_attempt_on_time() ||
       (request.in_flight > 0 && (request.streaming || !settings.may_hedge)))
     return;
-  if (request.in_flight > 0 && !retry_budget.try_consume(now, concurrency::RetryBudget::Use::Hedge, 0)) return;
+  if (request.in_flight > 0 && !retry_budget.try_consume(now, concurrency::RetryBudget::Use::Hedge, 0))
+    return;
   if (outcome.result == AttemptResult::CacheMiss) return continue_after_miss(request);
   if (request.leads_fetch) complete_fetch(request, false);
   if (outcome.result == AttemptResult::InvalidRequest) { // asked again it would use up what others may need
@@ -262,7 +265,8 @@
   if (replica == nullptr || attempt.slow) return;
   attempt.slow = true;
   attempt.runs_to_end = is_origin(*replica) || mix(request.params.id) % kRunToEndOneIn == 0;
-  attempt.stalled = replica->latest_answered_send_at > attempt.sent_at && slow_attempts(*replica).expects_dead_attempts();
+  attempt.stalled =
+      replica->latest_answered_send_at > attempt.sent_at && slow_attempts(*replica).expects_dead_attempts();
   replica->stalled += attempt.stalled;
   record_failure(*replica, 1);
   if (settings.may_hedge_class(request.params.class_index)) {
@@ -287,9 +291,10 @@
   const double crowding = at_origin ? origin_dispatch.limiter.utilization(now, replica.active()) : 0;
   if (at_origin && !slow.stalled) return;
   if (!retry_budget.try_consume(now, concurrency::RetryBudget::Use::Hedge, crowding)) return;
-  const bool sent = at_origin ? origin_dispatch.limiter.has_capacity(now, replica.active(), request.params.write) &&
-                                    send_attempt(request, replica)
-                              : send_to_best_cache(request);
+  const bool sent = at_origin
+                        ? origin_dispatch.limiter.has_capacity(now, replica.active(), request.params.write) &&
+                              send_attempt(request, replica)
+                        : send_to_best_cache(request);
   if (!sent) retry_budget.refund(concurrency::RetryBudget::Use::Hedge);
 }
 
--- a/src/router/hot_restart_coordinator.cpp
+++ b/src/router/hot_restart_coordinator.cpp
@@ -136,7 +136,8 @@
   parts_.descriptors.set_total(shares.old_process.descriptors);
   memory_mb_ = 0;
   add_resources(0, shares.old_process.memory_mb);
-  while (used_descriptors() > shares.old_process.descriptors && parts_.pool.evict_oldest_idle(upstream::CloseReason::Handover)) {}
+  while (used_descriptors() > shares.old_process.descriptors &&
+         parts_.pool.evict_oldest_idle(upstream::CloseReason::Handover)) {}
   return shares.new_process;
 }
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -73,7 +73,7 @@
   log::line("stopped", {{"name", config_.name},
                         {"unanswered", dispatcher_.unanswered_requests()},
                         {"egress_opened", pool_.opened()},
-                        {"resets_after_rest", pool_.reset_after_rest()},
+                        {"resets_after_rest", pool_.resets_after_idle()},
                         {"dropped", log::dropped()}});
 }
 
--- a/src/router/router_options.cpp
+++ b/src/router/router_options.cpp
@@ -42,7 +42,8 @@
   proxy::RequestDispatcherOptions options;
   options.grace_ms = config.limits.grace_to_answer_ms;
   options.max_requests = static_cast<std::size_t>(config.limits.open_cap);
-  options.discovery_poll_interval_ms = config.limits.drain_grace_ms / 10; // the rest of the grace is for reading the list
+  options.discovery_poll_interval_ms =
+      config.limits.drain_grace_ms / 10; // the rest of the grace is for reading the list
   return options;
 }
 
@@ -63,8 +64,9 @@
 body_buffers::BufferBudgetOptions buffer_budget_options(const config::Config& config) {
   body_buffers::BufferBudgetOptions options;
   options.total_bytes = config::body_bytes(config.memory_mb);
-  options.max_holders = connection_descriptors(config);                 // of responses
-  if (config.request_bytes > kShortBodyBytes) options.max_holders *= 2; // and of request bodies that are streamed
+  options.max_holders = connection_descriptors(config); // of responses
+  if (config.request_bytes > kShortBodyBytes)
+    options.max_holders *= 2; // and of request bodies that are streamed
   return options;
 }
 
@@ -74,7 +76,8 @@
   limits.max_body_bytes = config.request_bytes;
   limits.max_memory_per_body = std::min(memory / 64, kMaxRetainedBytes);
   limits.max_memory_bytes = memory / 8;
-  limits.max_file_bytes = config.body_folder.empty() ? 0 : static_cast<std::uint64_t>(config.body_folder_mb) << 20;
+  limits.max_file_bytes =
+      config.body_folder.empty() ? 0 : static_cast<std::uint64_t>(config.body_folder_mb) << 20;
   limits.max_file_per_body = limits.max_file_bytes / 4;
   limits.stream_after_bytes = kShortBodyBytes;
   return limits;
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -89,8 +89,8 @@
 // ---- an attempt ----
 
 proxy::UpstreamConnections::StartResult ConnectionPool::start(Handle attempt, ServerId endpoint,
-                                                        const proxy::ClientRequestPtr& request,
-                                                        double deadline_ms) {
+                                                              const proxy::ClientRequestPtr& request,
+                                                              double deadline_ms) {
   if (!in_service(endpoint)) return StartResult::NoEndpoint;
   UpstreamConnection* connection = find_reusable(endpoint);
   if (connection == nullptr) {
@@ -231,7 +231,8 @@
 // ---- opening ----
 
 // Null: `refusal` says why.
-UpstreamConnection* ConnectionPool::open_connection(const endpoints::Endpoint& endpoint, StartResult& refusal) {
+UpstreamConnection* ConnectionPool::open_connection(const endpoints::Endpoint& endpoint,
+                                                    StartResult& refusal) {
   descriptors::DescriptorBudget::Lease descriptor = reserve_descriptor();
   const int fd = descriptor ? open_socket() : -1;
   if (fd < 0) {
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -46,7 +46,7 @@
   const endpoints::Endpoint* endpoint(fernward::ServerId id) const;
 
   StartResult start(loop::Handle attempt, fernward::ServerId endpoint, const proxy::ClientRequestPtr& request,
-              double deadline_ms) override;
+                    double deadline_ms) override;
   ClientPause cancel(loop::Handle attempt) override;
   void resume_reading(loop::Handle attempt) override;
   /// Closes the free connection that has been free longest. False: none is free.
--- a/src/upstream/response_receiver.cpp
+++ b/src/upstream/response_receiver.cpp
@@ -115,7 +115,8 @@
                                     loop::Received& received, std::size_t& bytes) {
   if (!connection.is(State::Streaming) || connection.parser.body().straight() < max_bytes) return false;
   const int socket = bufferevent_getfd(connection.socket.get());
-  return context_.attempts.splice_from(connection.attempt, socket, max_bytes, context_.block, received, bytes);
+  return context_.attempts.splice_from(connection.attempt, socket, max_bytes, context_.block, received,
+                                       bytes);
 }
 
 // True: the connection is broken or at its end, and may be gone.
@@ -203,7 +204,8 @@
 
 void ResponseReceiver::deliver(UpstreamConnection& connection, std::string_view body) {
   proxy::BufferedBytes& buffered = connection.response.buffered;
-  if (connection.is(State::Buffering) && !buffered.reservation.acquire(body.size())) stop_buffering(connection);
+  if (connection.is(State::Buffering) && !buffered.reservation.acquire(body.size()))
+    stop_buffering(connection);
   if (connection.is(State::Buffering)) {
     buffered.buffer.add(body, context_.block);
   } else if (connection.is(State::Streaming)) {
--- a/tests/faults/faults_test.cpp
+++ b/tests/faults/faults_test.cpp
@@ -192,7 +192,7 @@
       if (!until([&] { return !w.origin.seen.empty(); })) return false;
       asks(kSubject);
       c.send(request(kSubject, 1));
-      return until([&] { return w.router->driver().unanswered() == 2; }) && (wait(10), true);
+      return until([&] { return w.router->driver().unanswered_requests() == 2; }) && (wait(10), true);
     }
     if (stage == "connecting") {
       node->break_off(Peer::End::Fin);
@@ -200,13 +200,13 @@
       const int before_now = node->connections;
       asks(kSubject);
       c.send(request(kSubject, 1));
-      return until([&] { return w.router->driver().open_attempts() == 1; }) &&
+      return until([&] { return w.router->driver().attempts_in_flight() == 1; }) &&
              node->connections == before_now;
     }
     if (stage == "writing") {
       node->stopped = true;
       c.send(request(kSubject, kUpload));
-      return until([&] { return w.router->driver().open_attempts() == 1; }) && (wait(40), true);
+      return until([&] { return w.router->driver().attempts_in_flight() == 1; }) && (wait(40), true);
     }
     if (stage == "rest") {
       clients[kSubject] = std::move(clients["warm-up"]);
@@ -467,8 +467,9 @@
     crowd.clear();
     for (Peer* peer : {&w.one, &w.two, &third, &w.origin}) peer->read_on();
     CHECK(w.until([&] {
-      return w.router->driver().unanswered() == 0 && w.router->driver().open_attempts() == 0 &&
-             w.router->bytes().held() == 0 && w.router->kept().memory() + w.router->kept().file() == 0 &&
+      return w.router->driver().unanswered_requests() == 0 && w.router->driver().attempts_in_flight() == 0 &&
+             w.router->bytes().held() == 0 &&
+             w.router->kept().memory_bytes() + w.router->kept().file_bytes() == 0 &&
              w.router->listener().connections() == 0 &&
              w.router->account().used(descriptors::Side::Downstream) == 0 &&
              w.router->account().used(descriptors::Side::Upstream) == w.router->pool().connections();
--- a/tests/fuzz/control.cpp
+++ b/tests/fuzz/control.cpp
@@ -8,8 +8,8 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const auto parsed = fernward::control::parse({reinterpret_cast<const char*>(data), size});
   if (parsed.fault.find_first_of("\r\n") != std::string::npos) std::abort();
-  if (parsed.fault.empty() &&
-      (parsed.call.id.find_first_of(" \t\r\n") != std::string::npos || parsed.call.id.size() > 128))
+  if (parsed.fault.empty() && (parsed.call.endpoint.find_first_of(" \t\r\n") != std::string::npos ||
+                               parsed.call.endpoint.size() > 128))
     std::abort();
   return 0;
 }
