--- a/lab/limiters/rivals.cpp
+++ b/lab/limiters/rivals.cpp
@@ -7,7 +7,7 @@
 namespace fernward::limiters {
 namespace {
 
-using concurrency::AttemptOutcome;
+using concurrency::AttemptEnding;
 using concurrency::AttemptSample;
 
 // Below one a limit is a pace, as in the router: else the least limits of many routers bury a small server.
@@ -17,8 +17,8 @@
 }
 
 bool dropped(const AttemptSample& s) {
-  return s.outcome == AttemptOutcome::Rejected || s.outcome == AttemptOutcome::ConnectFailed ||
-         s.outcome == AttemptOutcome::TimedOut || s.elapsed_ms > s.latency_objective_ms;
+  return s.outcome == AttemptEnding::Rejected || s.outcome == AttemptEnding::ConnectFailed ||
+         s.outcome == AttemptEnding::TimedOut || s.elapsed_ms > s.latency_objective_ms;
 }
 
 // What the router had before: cut where answers pass half of the class's aim.
@@ -31,10 +31,10 @@
   }
   void sent(double now) override { sent_at_ = now; }
   void ended(double now, const AttemptSample& s) override {
-    if (s.outcome == AttemptOutcome::Rejected || s.outcome == AttemptOutcome::ConnectFailed)
+    if (s.outcome == AttemptEnding::Rejected || s.outcome == AttemptEnding::ConnectFailed)
       return cut(now, 0.7);
-    const bool fault = s.outcome == AttemptOutcome::Fault || s.outcome == AttemptOutcome::TimedOut;
-    if (s.outcome != AttemptOutcome::Answered && !(fault && s.elapsed_ms >= recent_ms_)) return;
+    const bool fault = s.outcome == AttemptEnding::Fault || s.outcome == AttemptEnding::TimedOut;
+    if (s.outcome != AttemptEnding::Answered && !(fault && s.elapsed_ms >= recent_ms_)) return;
     const double elapsed = std::min(s.elapsed_ms, s.latency_objective_ms);
     if (recent_ms_ == 0) recent_ms_ = elapsed;
     smooth(recent_ms_, elapsed, 0.1);
@@ -85,7 +85,7 @@
   }
   void sent(double now) override { sent_at_ = now; }
   void ended(double now, const AttemptSample& s) override {
-    if (s.outcome == AttemptOutcome::Answered) {
+    if (s.outcome == AttemptEnding::Answered) {
       if (recent_ms_ == 0) recent_ms_ = s.elapsed_ms;
       smooth(recent_ms_, s.elapsed_ms, 0.1);
     }
@@ -114,7 +114,7 @@
       limit_ -= step;
       return;
     }
-    if (s.outcome != AttemptOutcome::Answered) return;
+    if (s.outcome != AttemptEnding::Answered) return;
     if (++seen_ > 30 * limit_) seen_ = 0, least_ms_ = 0;
     if (least_ms_ == 0 || s.elapsed_ms < least_ms_) {
       least_ms_ = s.elapsed_ms;
@@ -141,7 +141,7 @@
 
  private:
   void learn(double, const AttemptSample& s) override {
-    if (s.outcome != AttemptOutcome::Answered) return;
+    if (s.outcome != AttemptEnding::Answered) return;
     seen_ = std::min(seen_ + 1, 600.0);
     smooth(long_ms_, s.elapsed_ms, seen_ < 10 ? 1 / seen_ : 2 / (600 + 1.0));
     if (long_ms_ / s.elapsed_ms > 2) long_ms_ *= 0.95;
@@ -161,7 +161,7 @@
   void learn(double, const AttemptSample& s) override {
     if (dropped(s)) {
       limit_ *= 0.9;
-    } else if (s.outcome == AttemptOutcome::Answered && 2 * (s.in_flight + 1) >= limit_) {
+    } else if (s.outcome == AttemptEnding::Answered && 2 * (s.in_flight + 1) >= limit_) {
       limit_ += 1;
     }
   }
--- a/lab/limiters/world.cpp
+++ b/lab/limiters/world.cpp
@@ -18,7 +18,7 @@
 namespace fernward::limiters {
 namespace {
 
-using concurrency::AttemptOutcome;
+using concurrency::AttemptEnding;
 
 constexpr double kWayMs = 1;      // there and back
 constexpr double kTickMs = 100;   // a router looks at its queue at least this often
@@ -192,13 +192,13 @@
         if (!tries_[e.a].over && tries_[e.a].out == 0 && !tries_[e.a].queued) enqueue(e.a);
         break;
       case Kind::GivenUp:
-        if (attempts_[e.a].out) ended(e.a, AttemptOutcome::TimedOut);
+        if (attempts_[e.a].out) ended(e.a, AttemptEnding::TimedOut);
         break;
       case Kind::Server:
         if (e.a == server_version_) serve();
         break;
       case Kind::Back:
-        if (attempts_[e.a].out) ended(e.a, static_cast<AttemptOutcome>(e.b));
+        if (attempts_[e.a].out) ended(e.a, static_cast<AttemptEnding>(e.b));
         break;
       case Kind::Tick: tick(e.a); break;
       case Kind::Restart:
@@ -389,21 +389,21 @@
     account();
     const auto taken = server_.arrives(now_, n, requests_[t.request].work_ms, t.gone_at);
     if (taken == Server::Taken::TurnedAway)
-      at(now_ + kWayMs, Kind::Back, n, static_cast<std::uint32_t>(AttemptOutcome::Rejected));
+      at(now_ + kWayMs, Kind::Back, n, static_cast<std::uint32_t>(AttemptEnding::Rejected));
     if (taken == Server::Taken::Down)
-      at(now_ + kWayMs, Kind::Back, n, static_cast<std::uint32_t>(AttemptOutcome::ConnectFailed));
+      at(now_ + kWayMs, Kind::Back, n, static_cast<std::uint32_t>(AttemptEnding::ConnectFailed));
     result_.peak = std::max(result_.peak, server_.held_per_core());
     std::vector<Server::Job> lost;
     if (server_.falls(now_, lost)) {
       ++result_.falls;
       for (const auto job : lost)
         at(now_ + kWayMs, Kind::Back, static_cast<std::uint32_t>(job),
-           static_cast<std::uint32_t>(AttemptOutcome::Fault));
+           static_cast<std::uint32_t>(AttemptEnding::Fault));
     }
     schedule();
   }
 
-  void ended(std::uint32_t n, AttemptOutcome ending) {
+  void ended(std::uint32_t n, AttemptEnding ending) {
     Attempt& a = attempts_[n];
     a.out = false;
     Try& t = tries_[a.id];
@@ -412,26 +412,26 @@
     if (!a.stuck || !leaves_out_stuck_) --r.out;
     Request& q = requests_[t.request];
     const double elapsed = now_ - a.sent_at;
-    if (ending == AttemptOutcome::Answered) {
+    if (ending == AttemptEnding::Answered) {
       if (hears_queue_) r.limiter->reported(now_, told_queue_);
       if (r.recent_ms == 0) r.recent_ms = elapsed;
       r.later = std::max(r.later, a.sent_at);
       smooth(r.recent_ms, elapsed, 0.1);
     }
     r.limiter->ended(now_, {ending, elapsed, q.hint_ms, aim_ms_, q.write, r.out});
-    r.allowance.on_attempt_ended(now_, ending == AttemptOutcome::Rejected ||
-                                           ending == AttemptOutcome::ConnectFailed ||
-                                           (ending == AttemptOutcome::Answered && elapsed > aim_ms_));
-    if (ending == AttemptOutcome::Answered && now_ > q.first_at + aim_ms_) ++result_.late;
+    r.allowance.on_attempt_ended(now_, ending == AttemptEnding::Rejected ||
+                                           ending == AttemptEnding::ConnectFailed ||
+                                           (ending == AttemptEnding::Answered && elapsed > aim_ms_));
+    if (ending == AttemptEnding::Answered && now_ > q.first_at + aim_ms_) ++result_.late;
     if (!t.over) next(a.id, ending);
     pump(t.router);
   }
 
-  void next(std::uint32_t id, AttemptOutcome ending) {
+  void next(std::uint32_t id, AttemptEnding ending) {
     Try& t = tries_[id];
     Router& r = routers_[t.router];
     Request& q = requests_[t.request];
-    if (ending == AttemptOutcome::Answered) {
+    if (ending == AttemptEnding::Answered) {
       t.over = true;
       if (!q.good && now_ <= q.first_at + aim_ms_) {
         q.good = true;
@@ -443,8 +443,8 @@
       return;
     }
     if (t.out > 0 || t.queued) return;
-    if (t.attempts >= kMostAttempts || ending == AttemptOutcome::TimedOut) return conclude(id);
-    if (ending == AttemptOutcome::Fault) {
+    if (t.attempts >= kMostAttempts || ending == AttemptEnding::TimedOut) return conclude(id);
+    if (ending == AttemptEnding::Fault) {
       if (!r.allowance.try_consume(now_, concurrency::RetryBudget::Use::Retry, crowding(r)))
         return conclude(id);
       return enqueue(id);
@@ -492,11 +492,11 @@
     for (const auto job : done) {
       const auto n = static_cast<std::uint32_t>(job);
       at(now_ + kWayMs, Kind::Back, n,
-         static_cast<std::uint32_t>(attempts_[n].reset ? AttemptOutcome::Fault : AttemptOutcome::Answered));
+         static_cast<std::uint32_t>(attempts_[n].reset ? AttemptEnding::Fault : AttemptEnding::Answered));
     }
     for (const auto job : dropped)
       at(now_ + kWayMs, Kind::Back, static_cast<std::uint32_t>(job),
-         static_cast<std::uint32_t>(AttemptOutcome::Rejected));
+         static_cast<std::uint32_t>(AttemptEnding::Rejected));
     schedule();
   }
 
--- a/src/app_config/app.h
+++ b/src/app_config/app.h
@@ -1,5 +1,5 @@
-// What one application wants of its router, as people write it: names, times, allowances, where its nodes come from.
-// Plain data; defaults are those of a file that leaves the key out. Times in ms, sizes in bytes.
+// What one application wants of its router, as people write it: names, times, allowances, where its nodes
+// come from. Plain data; defaults are those of a file that leaves the key out. Times in ms, sizes in bytes.
 #pragma once
 
 #include <cstdint>
--- a/src/app_config/explain.h
+++ b/src/app_config/explain.h
@@ -1,5 +1,5 @@
-// What a file comes to: each value that counts with where it came from, what the router will do for a request of each
-// class, and what another file would change.
+// What a file comes to: each value that counts with where it came from, what the router will do for a request
+// of each class, and what another file would change.
 #pragma once
 
 #include <string>
--- a/src/app_config/fleet.h
+++ b/src/app_config/fleet.h
@@ -1,4 +1,5 @@
-// The operators' file on what routers of a tier share, read whole: each fault stands with file, line, column and a code.
+// The operators' file on what routers of a tier share, read whole: each fault stands with file, line, column
+// and a code.
 #pragma once
 
 #include <string>
--- a/src/app_config/fresh.h
+++ b/src/app_config/fresh.h
@@ -1,5 +1,5 @@
-// A new file for one application: what it needs is given, everything else stands there as a comment with its meaning and
-// its default.
+// A new file for one application: what it needs is given, everything else stands there as a comment with its
+// meaning and its default.
 #pragma once
 
 #include <optional>
--- a/src/app_config/host.h
+++ b/src/app_config/host.h
@@ -1,5 +1,5 @@
-// Checks of an application's file against this machine: is its address ours and free, are its folders there, does the
-// system grant what it asks for, can others read what should stay secret.
+// Checks of an application's file against this machine: is its address ours and free, are its folders there,
+// does the system grant what it asks for, can others read what should stay secret.
 #pragma once
 
 #include "app_config/read.h"
--- a/src/app_config/keys.h
+++ b/src/app_config/keys.h
@@ -1,5 +1,5 @@
-// The keys of an application's file: one description of an App, from which the reader, the schema, the reference, the
-// explanation and the comparison are made. See toml_document/visitor.h.
+// The keys of an application's file: one description of an App, from which the reader, the schema, the
+// reference, the explanation and the comparison are made. See toml_document/visitor.h.
 #pragma once
 
 #include "app_config/app.h"
--- a/src/app_config/ledger.h
+++ b/src/app_config/ledger.h
@@ -1,7 +1,8 @@
-// How many of the requests would reach the ledger, from what a file says of its fleet and load. An estimate for a fleet
-// in a steady state: writes go there, reads that miss, and what the nodes have no room for.
+// How many of the requests would reach the ledger, from what a file says of its fleet and load. An estimate
+// for a fleet in a steady state: writes go there, reads that miss, and what the nodes have no room for.
 //
-// Misses by Che's approximation of an LRU (Che, Tung and Wang 2002) over the memory of all nodes that hold values.
+// Misses by Che's approximation of an LRU (Che, Tung and Wang 2002) over the memory of all nodes that hold
+// values.
 #pragma once
 
 #include <cstdint>
--- a/src/app_config/read.h
+++ b/src/app_config/read.h
@@ -1,10 +1,11 @@
-// An application's file, read whole. Each fault stands with file, line, column and a code; none of it counts before
-// there is none.
+// An application's file, read whole. Each fault stands with file, line, column and a code; none of it counts
+// before there is none.
 //
-// What goes before what, the first first: the environment (NODE_NAME, NODE_LISTEN, NODE_DISCOVERY, where they are set
-// and not empty); the file itself; the profile that it names (`profile = "busy"`: the table [profiles.busy] of this file
-// or of one that it includes; FERNWARD_PROFILE goes before it); the files that it includes, the last one first, each with
-// its own includes behind it; the defaults. Key by key, but a list ([[map]]) is taken whole.
+// What goes before what, the first first: the environment (NODE_NAME, NODE_LISTEN, NODE_DISCOVERY, where they
+// are set and not empty); the file itself; the profile that it names (`profile = "busy"`: the table
+// [profiles.busy] of this file or of one that it includes; FERNWARD_PROFILE goes before it); the files that
+// it includes, the last one first, each with its own includes behind it; the defaults. Key by key, but a list
+// ([[map]]) is taken whole.
 #pragma once
 
 #include <map>
--- a/src/app_config/sound.h
+++ b/src/app_config/sound.h
@@ -8,8 +8,8 @@
 
 namespace fernward::app_config {
 
-// Adds to setup.faults and setup.warnings. `broken`: members whose values could not be read; nothing is concluded from
-// those.
+// Adds to setup.faults and setup.warnings. `broken`: members whose values could not be read; nothing is
+// concluded from those.
 void check_sound(Setup& setup, const std::string& file, const std::set<std::string>& broken);
 
 } // namespace fernward::app_config
--- a/src/body_buffers/retained_bodies.cpp
+++ b/src/body_buffers/retained_bodies.cpp
@@ -94,7 +94,8 @@
 
 BodyAvailability RetainedBodies::Body::availability() const {
   if (retention_ != Retention::None) return {};
-  // Of what is handed on as it comes there is one reader, and a second attempt only before it has begun to read.
+  // Of what is handed on as it comes there is one reader, and a second attempt only before it has begun to
+  // read.
   return {!consumed_, !consumed_, false, false};
 }
 
--- a/src/body_buffers/retained_bodies.h
+++ b/src/body_buffers/retained_bodies.h
@@ -68,8 +68,8 @@
     // Where the next `bytes` (> 0) are to be stored. TooLong: beyond what was announced or allowed; nothing
     // is stored.
     Placement append(std::uint64_t bytes);
-    void on_file_failure(
-        std::uint64_t bytes); // the last `bytes` were not written: they and the rest are unretained
+    // The last `bytes` were not written: they and the rest are unretained.
+    void on_file_failure(std::uint64_t bytes);
     void mark_consumed(std::uint64_t bytes) { consumed_ |= bytes > 0; } // of the unretained part: gone
 
     Retention retention() const { return retention_; }
--- a/src/commands/config.cpp
+++ b/src/commands/config.cpp
@@ -1,4 +1,5 @@
-// fernward config: an application's file, written, checked, explained, compared, and turned into the platform's JSON.
+// fernward config: an application's file, written, checked, explained, compared, and turned into the
+// platform's JSON.
 #include <unistd.h>
 
 #include <cstdio>
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -1,5 +1,5 @@
-// fernward serve: the router, from the platform's JSON (NODE_CONFIG) or from an application's file (--config).
-// fernward check-config: the former, checked.
+// fernward serve: the router, from the platform's JSON (NODE_CONFIG) or from an application's file
+// (--config). fernward check-config: the former, checked.
 #include <event2/event.h>
 #include <signal.h>
 #include <sys/resource.h>
@@ -29,7 +29,8 @@
 
 const char* nothing(const char*) { return nullptr; }
 
-// An application's file as the router takes it. Throws config::Error: the first fault, and how many there are.
+// An application's file as the router takes it. Throws config::Error: the first fault, and how many there
+// are.
 config::Config from_setup(const std::string& path, bool tell_all) {
   app_config::Setup setup = app_config::read_file(path, &environment);
   if (!setup.sound()) {
--- a/src/concurrency/origin_concurrency_limiter.cpp
+++ b/src/concurrency/origin_concurrency_limiter.cpp
@@ -19,8 +19,8 @@
 // Rate of a limit below one.
 constexpr double kRateSlack = 1.5; // requests come unevenly
 constexpr double kMaxTokens = 2;   // attempts
-constexpr double kUsedRateIntervals =
-    3; // a rate counts as used if attempts are at most so many intervals apart
+// A rate counts as used if attempts are at most so many intervals apart.
+constexpr double kUsedRateIntervals = 3;
 
 // Weights of one sample in moving averages.
 constexpr double kLatencyWeight = 0.1;
@@ -55,8 +55,8 @@
 constexpr double kMaxLateShare = 0.75;
 constexpr double kLateByBaseline = 1.25;
 constexpr double kLateDecay = 0.9; // of late_, per decrease
-constexpr double kAtLimitTrigger =
-    0.3; // share of slow samples at the limit, after which the baseline is tested
+// Share of slow samples at the limit, after which the baseline is tested.
+constexpr double kAtLimitTrigger = 0.3;
 constexpr double kReachedAgainFactor = 0.7; // of the limit before the first failed connect
 constexpr double kReportedDecrease = 0.9;   // decreases below it are reported
 
@@ -64,8 +64,8 @@
 constexpr double kRegrow = 0.2; // up to kRegrowToKnee
 constexpr double kRegrowToKnee = 1.3;
 constexpr double kGrow = 0.05; // beyond
-constexpr double kEase =
-    0.2; // by which a limit that holds more than is carried decreases, by excess slowdown
+// By which a limit that holds more than is carried decreases, by excess slowdown.
+constexpr double kEase = 0.2;
 constexpr double kMaxEase = 0.2;
 
 // Baseline.
@@ -150,11 +150,11 @@
   if (!usable_number(sample.elapsed_ms)) sample.elapsed_ms = 0;
   if (!usable_number(sample.work_ms)) sample.work_ms = 0;
   if (!usable_number(sample.latency_objective_ms)) sample.latency_objective_ms = 0;
-  const bool answered = sample.outcome == AttemptOutcome::Answered;
-  const bool timed_out = sample.outcome == AttemptOutcome::TimedOut;
+  const bool answered = sample.outcome == AttemptEnding::Answered;
+  const bool timed_out = sample.outcome == AttemptEnding::TimedOut;
 
   smooth(used_, std::min<double>(sample.in_flight + 1.0, limit_), kUsedWeight);
-  if (sample.outcome == AttemptOutcome::Rejected || sample.outcome == AttemptOutcome::ConnectFailed) {
+  if (sample.outcome == AttemptEnding::Rejected || sample.outcome == AttemptEnding::ConnectFailed) {
     return on_refused(now, sample);
   }
   if (!shows_latency(now, sample)) return DecreaseReason::None;
@@ -174,7 +174,7 @@
 
 DecreaseReason OriginConcurrencyLimiter::on_refused(double now, const AttemptSample& sample) {
   if (now - decreased_at_ < latency_ms_) return DecreaseReason::None;
-  if (sample.outcome == AttemptOutcome::ConnectFailed && limit_before_connect_failures_ == 0) {
+  if (sample.outcome == AttemptEnding::ConnectFailed && limit_before_connect_failures_ == 0) {
     limit_before_connect_failures_ = limit_;
   }
   decrease(now, kRefusedFactor * std::min(limit_, sample.in_flight + 1.0));
@@ -185,7 +185,7 @@
 bool OriginConcurrencyLimiter::shows_latency(double now, const AttemptSample& sample) {
   const double sent_at = now - sample.elapsed_ms;
   switch (sample.outcome) {
-    case AttemptOutcome::Answered:
+    case AttemptEnding::Answered:
       consecutive_timeouts_ = 0;
       last_answered_sent_at_ = std::max(last_answered_sent_at_, sent_at);
       // Failed connects tell of the network, not of load: once it is back they count as one decrease.
@@ -193,16 +193,16 @@
         limit_ = std::max(limit_, kReachedAgainFactor * std::exchange(limit_before_connect_failures_, 0.0));
       }
       return true;
-    case AttemptOutcome::TimedOut:
+    case AttemptEnding::TimedOut:
       // The connection is at fault where a later attempt was answered; so is it taken to be at the first
       // timeout.
       if (last_answered_sent_at_ >= sent_at) return false;
       ++consecutive_timeouts_;
       return consecutive_timeouts_ >= 2;
-    case AttemptOutcome::Fault:
-    case AttemptOutcome::Cancelled: return !(sample.elapsed_ms <= 2 * latency_ms_);
-    case AttemptOutcome::Rejected:
-    case AttemptOutcome::ConnectFailed: break;
+    case AttemptEnding::Fault:
+    case AttemptEnding::Cancelled: return !(sample.elapsed_ms <= 2 * latency_ms_);
+    case AttemptEnding::Rejected:
+    case AttemptEnding::ConnectFailed: break;
   }
   return false;
 }
@@ -342,7 +342,7 @@
 }
 
 void OriginConcurrencyLimiter::grow(const AttemptSample& sample) {
-  if (sample.outcome != AttemptOutcome::Answered) return;
+  if (sample.outcome != AttemptEnding::Answered) return;
   const bool used = limit_ < 1 ? send_interval_ms_ < kUsedRateIntervals * latency_ms_ / (kRateSlack * limit_)
                                : sample.in_flight + 1 >= limit_ / 2;
   if (used) {
--- a/src/concurrency/origin_concurrency_limiter.h
+++ b/src/concurrency/origin_concurrency_limiter.h
@@ -16,7 +16,7 @@
 
 namespace fernward::concurrency {
 
-enum class AttemptOutcome : std::uint8_t {
+enum class AttemptEnding : std::uint8_t {
   Answered,      // by the server: a value, a miss, a refusal of the request itself
   Fault,         // an error or a reset: no crowding by itself, its time counts where it took long
   Rejected,      // unseen: no connection or queue slot
@@ -27,7 +27,7 @@
 
 // Numbers that are not finite or are negative count as unknown.
 struct AttemptSample {
-  AttemptOutcome outcome = AttemptOutcome::Answered;
+  AttemptEnding outcome = AttemptEnding::Answered;
   double elapsed_ms = 0;
   double work_ms = 0; // work expected of the request, in any unit shared by all requests; 0: unknown
   double latency_objective_ms = 0; // 0: none
--- a/src/concurrency/origin_request_queue.h
+++ b/src/concurrency/origin_request_queue.h
@@ -1,7 +1,7 @@
 // Requests that wait for an attempt at the origin. Decides; no I/O, no clock.
 //
 // The most valuable goes first, of equal ones the newest: oldest first, all of a long queue would be late. A
-// read whose turn can't come in time leaves at once, with advice when to retry. A write waits until its own
+// read that can't be served in time leaves at once, and the caller gives it up. A write waits until its own
 // deadline.
 // Units: milliseconds on the caller's clock, which only advances.
 #pragma once
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -42,8 +42,8 @@
   return value;
 }
 
-// Under the platform's folder for this router, which both processes see. One path for an address: two routers may have
-// one folder.
+// Under the platform's folder for this router, which both processes see. One path for an address: two routers
+// may have one folder.
 std::string handover_path(const Config& config, Lookup environment) {
   const std::string folder = from_environment(environment, "TMPDIR");
   if (config.control.empty() || folder.empty() || config.listen.ends_with(":0")) return "";
@@ -157,8 +157,8 @@
 
 namespace {
 
-// `now` with what is new in `next` behind it; what `next` has no more keeps its number, under a name that no header can
-// carry. `place`: of each of the result its number in `next`, or none.
+// `now` with what is new in `next` behind it; what `next` has no more keeps its number, under a name that no
+// header can carry. `place`: of each of the result its number in `next`, or none.
 std::vector<std::string> merged(const std::vector<std::string>& now, const std::vector<std::string>& next,
                                 std::vector<std::optional<std::size_t>>& place) {
   std::vector<std::string> all;
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -42,7 +42,8 @@
 
 constexpr std::uint32_t kReserved = 24; // descriptors for all but the connections of clients and targets
 
-// Of a memory limit: what requests that have not come whole may hold, and what bodies and answers on their way may.
+// Of a memory limit: what requests that have not come whole may hold, and what bodies and answers on their
+// way may.
 inline std::size_t buffer_bytes(std::uint64_t memory_mb) { return (memory_mb << 20) / 8; }
 inline std::size_t body_bytes(std::uint64_t memory_mb) { return (memory_mb << 20) / 4; }
 
@@ -50,12 +51,13 @@
 Config load(Lookup environment);                           // throws Error
 Config parse(const std::string& text, Lookup environment); // the file's text; throws Error
 
-// The file read again: its `discovery` goes before the environment, which can't change while the program runs.
+// The file read again: its `discovery` goes before the environment, which can't change while the program
+// runs.
 Config reload(Lookup environment); // throws Error
 
-// Of a configuration that is `movable`: `next` as it can be taken by a router that runs under `now`. Classes and tenants
-// keep their numbers; one that `next` has no more stays, and no request can name it. Throws Error for the first key that
-// can't change while the router runs; nothing of `next` may count then.
+// Of a configuration that is `movable`: `next` as it can be taken by a router that runs under `now`. Classes
+// and tenants keep their numbers; one that `next` has no more stays, and no request can name it. Throws Error
+// for the first key that can't change while the router runs; nothing of `next` may count then.
 Config moved(const Config& now, Config next);
 
 // The keys, by path, in which a file read again differs from the one before and that a reload can't change.
--- a/src/config/fleet.h
+++ b/src/config/fleet.h
@@ -1,5 +1,5 @@
-// What routers of a tier share: switched on by a file of the operators' own (`serve --fleet FILE`), each part by itself.
-// Without the file there is no socket, timer or byte of it.
+// What routers of a tier share: switched on by a file of the operators' own (`serve --fleet FILE`), each part
+// by itself. Without the file there is no socket, timer or byte of it.
 #pragma once
 
 #include <cstdint>
@@ -22,8 +22,8 @@
   std::vector<std::string> peers;
 };
 
-// Adds what the platform's file says of the tier. Throws Error: `peer_listen`, `peers` or `settings.me` is missing or
-// can't be.
+// Adds what the platform's file says of the tier. Throws Error: `peer_listen`, `peers` or `settings.me` is
+// missing or can't be.
 void take_peers(const Config& config, Fleet& fleet);
 
 } // namespace fernward::config
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -8,8 +8,8 @@
 
 constexpr int kMostNested = 64; // no list and no file has a tenth of it
 
-// Do so many brackets stand in one another? Those within strings do not count. One pass over the text: asking the parser
-// at every value made a long list twice as dear.
+// Do so many brackets stand in one another? Those within strings do not count. One pass over the text: asking
+// the parser at every value made a long list twice as dear.
 inline bool too_deep(const std::string& text) {
   int depth = 0;
   bool in_string = false;
@@ -29,8 +29,8 @@
   return false;
 }
 
-// Discarded where it is no JSON, or nested deeper than that: copies, prints and ends of a value call themselves for each
-// level, and a few megabytes of brackets would take the whole stack.
+// Discarded where it is no JSON, or nested deeper than that: copies, prints and ends of a value call
+// themselves for each level, and a few megabytes of brackets would take the whole stack.
 inline nlohmann::json parse_json(const std::string& text) {
   if (too_deep(text)) return {nlohmann::json::value_t::discarded};
   return nlohmann::json::parse(text, nullptr, false);
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -34,8 +34,8 @@
   double connect_timeout_ms = 250;
   double conn_idle_ms = 15000;
   double grace_to_answer_ms = 20;
-  double drain_grace_ms =
-      250; // after it is told that a server drains or is gone, nothing new may be sent there
+  // After it is told that a server drains or is gone, nothing new may be sent there.
+  double drain_grace_ms = 250;
   double open_cap = 20000;
 };
 Names parse_names(const nlohmann::json& json);
--- a/src/descriptors/descriptor_budget.h
+++ b/src/descriptors/descriptor_budget.h
@@ -78,7 +78,8 @@
   double refused_at_ = 0;
 };
 
-// The bytes of requests that have not come whole. Those of answers have an account of their own, see body_buffers/.
+// The bytes of requests that have not come whole. Those of answers have an account of their own, see
+// body_buffers/.
 class RequestBufferBudget {
  public:
   explicit RequestBufferBudget(std::size_t total) : total_(total) {}
--- a/src/downstream/answers.cpp
+++ b/src/downstream/answers.cpp
@@ -168,8 +168,8 @@
   c.out.release(c.out.bytes() - std::min(c.out.bytes(), waits));
 }
 
-// A client that takes nothing for so long holds what others could have. One that waits for its target is not at
-// fault.
+// A client that takes nothing for so long holds what others could have. One that waits for its target is not
+// at fault.
 void Listener::limit_taking(Connection& c) {
   deadlines_.cancel(c.ticket);
   c.ticket = deadlines_.at(now_ms() + options_.write_ms / 4, [this, handle = c.self] {
--- a/src/downstream/closing.cpp
+++ b/src/downstream/closing.cpp
@@ -1,4 +1,5 @@
-// The ends of client connections: limits of time, those closed to make room, lingering, and what is passed on.
+// The ends of client connections: limits of time, those closed to make room, lingering, and what is passed
+// on.
 #include <sys/socket.h>
 
 #include <algorithm>
@@ -62,9 +63,10 @@
 
 // ---- the client ends, or its time is over ----
 
-// The end of a connection on which nothing more is to be said. What comes from now on is read and dropped until the
-// client ends it too: closed over unread bytes, a request that crosses the end would become a reset, which may take
-// with it what the client has not read yet. Only a place that is needed at once is taken without this, see let_go().
+// The end of a connection on which nothing more is to be said. What comes from now on is read and dropped
+// until the client ends it too: closed over unread bytes, a request that crosses the end would become a
+// reset, which may take with it what the client has not read yet. Only a place that is needed at once is
+// taken without this, see let_go().
 void Listener::linger(Connection& c, const char* code) {
   c.state = Connection::State::Lingering;
   c.code = code;
@@ -147,7 +149,8 @@
 
 // ---- passing a connection on ----
 
-// Nothing of a request has been read, and nothing of an answer waits: all that there is of it is in the socket.
+// Nothing of a request has been read, and nothing of an answer waits: all that there is of it is in the
+// socket.
 bool Listener::rests(Connection& c) {
   return c.state == Connection::State::Reading && !c.parser.begun() &&
          loop::pending_input(c.io.get()).empty() && loop::pending_output(c.io.get()) == 0;
--- a/src/downstream/listener.h
+++ b/src/downstream/listener.h
@@ -28,8 +28,8 @@
   int listening = -1;      // a descriptor that listens there already, taken over; below 0: none
   bool share_port = false; // another process of this router may listen there too
   descriptors::ClientAdmissionOptions clients;
-  std::size_t short_body =
-      64 * 1024; // up to here it waits until it is whole, see proxy/request_body.h for others
+  // Up to here it waits until it is whole, see proxy/request_body.h for others.
+  std::size_t short_body = 64 * 1024;
   int unsent_bytes =
       64 * 1024;               // of answers, that the kernel takes of each connection beyond what it has sent
   double idle_ms = 120000;     // between requests
@@ -82,8 +82,9 @@
   // ---- replacing the process ----
   int listening() const; // its descriptor; below 0: it listens no more
   void hold(bool held);  // accepts nothing meanwhile: what comes waits before the door, for whoever shares it
-  // From now on each connection is passed on as soon as it rests, and nothing more is accepted. `pass` takes the
-  // descriptor; false, with the descriptor still the caller's: it can't be passed, and its next answer ends it.
+  // From now on each connection is passed on as soon as it rests, and nothing more is accepted. `pass` takes
+  // the descriptor; false, with the descriptor still the caller's: it can't be passed, and its next answer
+  // ends it.
   using Pass = std::function<bool(int fd, unsigned requests)>;
   void hand_over(Pass pass);
   void pass_no_more();                   // whom it was passed to has gone
--- a/src/downstream/requests.cpp
+++ b/src/downstream/requests.cpp
@@ -86,8 +86,8 @@
   if ((bufferevent_get_enabled(c.io.get()) & EV_READ) == 0) bufferevent_enable(c.io.get(), EV_READ);
 }
 
-// Nothing tells of the end of a client whose bytes are not read: its end stands behind them, and a reset too would be
-// found by a read only.
+// Nothing tells of the end of a client whose bytes are not read: its end stands behind them, and a reset too
+// would be found by a read only.
 void Listener::look_for_end(Connection& c) {
   c.end_check = deadlines_.at(now_ms() + kClientEndCheckMs, [this, handle = c.self] {
     Connection* paused = connections_.find(handle);
--- a/src/endpoints/endpoint.h
+++ b/src/endpoints/endpoint.h
@@ -1,5 +1,5 @@
-// One endpoint of discovery's list: the target that it describes, and how much of its entry could be read. An entry is
-// judged by itself: damage in one must not hide the drain that another one tells.
+// One endpoint of discovery's list: the target that it describes, and how much of its entry could be read. An
+// entry is judged by itself: damage in one must not hide the drain that another one tells.
 #pragma once
 
 #include <netinet/in.h>
@@ -54,8 +54,8 @@
   fernward::Server defaults_;
 };
 
-// A damaged entry as another process should read it: it gives the same target there. `last_entry` is what was written of
-// the server before, or null.
+// A damaged entry as another process should read it: it gives the same target there. `last_entry` is what was
+// written of the server before, or null.
 nlohmann::json repaired_entry(const nlohmann::json& entry, const Endpoint& target,
                               const nlohmann::json& last_entry);
 
--- a/src/figures/figures.h
+++ b/src/figures/figures.h
@@ -1,8 +1,9 @@
-// What the router has done and what it has in hand: counters that are written where a thing happens, each in one place,
-// and gauges that are asked when somebody reads. One registry; the operators' port, the log and the lab read it.
+// What the router has done and what it has in hand: counters that are written where a thing happens, each in
+// one place, and gauges that are asked when somebody reads. One registry; the operators' port, the log and
+// the lab read it.
 //
-// Counting is an addition to a number: nothing is looked up or allocated. One thread. Counters begin at 0 with the
-// process.
+// Counting is an addition to a number: nothing is looked up or allocated. One thread. Counters begin at 0
+// with the process.
 #pragma once
 
 #include <cstddef>
--- a/src/gossip/advice.h
+++ b/src/gossip/advice.h
@@ -1,5 +1,5 @@
-// Between one router's policy and what the tier shares: what it has to say, and what follows for it of what is said.
-// The program and the lab's virtual routers use the same. Both clocks are the caller's.
+// Between one router's policy and what the tier shares: what it has to say, and what follows for it of what
+// is said. The program and the lab's virtual routers use the same. Both clocks are the caller's.
 #pragma once
 
 #include <utility>
--- a/src/gossip/entries.h
+++ b/src/gossip/entries.h
@@ -1,5 +1,6 @@
-// The facts of a datagram: entries of u8 kind, u8 length and so many bytes. Kinds that this version does not know are
-// passed over, so that what routers tell one another can grow while old and new ones stand beside each other.
+// The facts of a datagram: entries of u8 kind, u8 length and so many bytes. Kinds that this version does not
+// know are passed over, so that what routers tell one another can grow while old and new ones stand beside
+// each other.
 #pragma once
 
 #include <cstdint>
@@ -19,7 +20,8 @@
   std::string_view bytes;
 };
 
-// The next of `bytes`, which is shortened by it; none: at the end, or where the rest is damaged and `bytes` stays as it is.
+// The next of `bytes`, which is shortened by it; none: at the end, or where the rest is damaged and `bytes`
+// stays as it is.
 inline std::optional<Entry> next_entry(std::string_view& bytes) {
   if (bytes.size() < kEntryHead) return std::nullopt;
   const std::size_t length = membership::get<std::uint8_t>(bytes, 1);
--- a/src/gossip/facts.cpp
+++ b/src/gossip/facts.cpp
@@ -9,11 +9,13 @@
 using membership::get;
 using membership::put;
 
-// An entry: u16 owner, u32 incarnation, u16 sequence, u16 age in 10 ms, then u16 a quantity. A longer one has quantities
-// that this version does not know; a shorter one is of an older version, and what it lacks is 0: nothing to say.
+// An entry: u16 owner, u32 incarnation, u16 sequence, u16 age in 10 ms, then u16 a quantity. A longer one has
+// quantities that this version does not know; a shorter one is of an older version, and what it lacks is 0:
+// nothing to say.
 constexpr std::size_t kHead = 10, kLength = kHead + 2 * kFacts, kShortest = kHead + 2 * 2;
 constexpr double kAgeUnit = 10, kMostAge = 65535 * kAgeUnit;
-// What a router that asks for nothing keeps, as a share of the usual demand and in attempts: it may be asked at any time.
+// What a router that asks for nothing keeps, as a share of the usual demand and in attempts: it may be asked
+// at any time.
 constexpr double kIdlePart = 0.25, kLeastIdle = 0.25;
 constexpr std::size_t kTrimmed = 8;           // of so many words one is left out, and one at least
 constexpr double kMedians = 8;                // a demand counts as so many times the median at most
@@ -171,8 +173,8 @@
   }
   const double part = limits / demands * (std::min(mine, most) + idle);
   if (n < 3) return part; // nothing was left out: parts add up to what is held
-  // Left out are honest ones, too: where one is asked and the others are not, the ratio is that of idle ones, who keep what they
-  // hold, and would deal several times the whole to the one that is asked.
+  // Left out are honest ones, too: where one is asked and the others are not, the ratio is that of idle ones,
+  // who keep what they hold, and would deal several times the whole to the one that is asked.
   std::nth_element(heard_.begin(), heard_.begin() + 1, heard_.end(),
                    [](const Heard& a, const Heard& b) { return a.limit > b.limit; });
   const double held = all_[self_].values[static_cast<std::size_t>(What::Limit)];
--- a/src/gossip/facts.h
+++ b/src/gossip/facts.h
@@ -1,15 +1,17 @@
-// What routers tell one another beside who lives: facts, each owned by one router and overwritten by it alone. Pure.
+// What routers tell one another beside who lives: facts, each owned by one router and overwritten by it
+// alone. Pure.
 //
-// Merging is a join: of two words of an owner the later stamp stays, of the same stamp the older age. So order, repeats
-// and losses don't matter: merging is commutative, associative and idempotent. What comes from an owner's own address goes
-// before hearsay, whatever stamp that claims.
+// Merging is a join: of two words of an owner the later stamp stays, of the same stamp the older age. So
+// order, repeats and losses don't matter: merging is commutative, associative and idempotent. What comes from
+// an owner's own address goes before hearsay, whatever stamp that claims.
 //
-// Each quantity states in its row how it is bounded, how it fades, what is assumed when nothing is heard, and the most
-// that a false one can do. See kQuantities.
+// Each quantity states in its row how it is bounded, how it fades, what is assumed when nothing is heard, and
+// the most that a false one can do. See kQuantities.
 //
 //  - Units: milliseconds on the caller's clock, which only advances.
 //  - Ownership: plain values; a table of one entry a router, 64 bytes each. One thread.
-//  - Cost: a datagram carries its sender's own facts and as many others', drawn, as fit: flat in the size of the fleet.
+//  - Cost: a datagram carries its sender's own facts and as many others', drawn, as fit: flat in the size of
+//    the fleet.
 //  - Misuse: numbers out of range, and values that are no numbers, are passed over and counted.
 #pragma once
 
@@ -71,20 +73,22 @@
     Id owner;
     Stamp stamp;
   };
-  // All of a datagram's facts from `from`; what was new is appended, for members. A damaged tail is passed over.
+  // All of a datagram's facts from `from`; what was new is appended, for members. A damaged tail is passed
+  // over.
   void read(double now, Id from, std::string_view bytes, std::vector<Told>& told);
 
   // The usual demand: the median over this router and all whose word is not gone.
   double demand(double now);
-  // This router's part of what all hold at the ledger, in proportion to demand and an idle part of it. All is taken as it
-  // was when the others' words were made, its own demand too: one of now against those would deal out more than there is
-  // while demand rises. So the parts of all add up to what they hold. Left out are the eighth that hold the most for what
-  // they want and the one that holds the least: a liar's word moves no part beyond what honest ones have, in however many
-  // rounds. Beyond what it holds a router takes no more than half of what all would have if each held what the second of them
-  // does: with one asked alone the parts come to one and a half times what was held at most.
+  // This router's part of what all hold at the ledger, in proportion to demand and an idle part of it. All is
+  // taken as it was when the others' words were made, its own demand too: one of now against those would deal
+  // out more than there is while demand rises. So the parts of all add up to what they hold. Left out are the
+  // eighth that hold the most for what they want and the one that holds the least: a liar's word moves no
+  // part beyond what honest ones have, in however many rounds. Beyond what it holds a router takes no more
+  // than half of what all would have if each held what the second of them does: with one asked alone the
+  // parts come to one and a half times what was held at most.
   double part(double now);
-  // The ledger's response time of late: the mean of what routers saw, without the eighth at each end. `age_ms`: of these
-  // words, on average. Nothing where fewer than three have an answer.
+  // The ledger's response time of late: the mean of what routers saw, without the eighth at each end.
+  // `age_ms`: of these words, on average. Nothing where fewer than three have an answer.
   struct Answers {
     double ms = 0, age_ms = 0;
   };
--- a/src/gossip/findings.cpp
+++ b/src/gossip/findings.cpp
@@ -21,7 +21,8 @@
 constexpr double kBeforeMs = 1000;     // and it said well no longer than this before
 constexpr std::size_t kOwnAtOnce = 3;  // own words in a datagram
 
-// Addresses that words came from. Each is one vote, whomever it speaks for: what one makes up in others' names counts once.
+// Addresses that words came from. Each is one vote, whomever it speaks for: what one makes up in others'
+// names counts once.
 struct Votes {
   std::array<Id, Findings::kVoters> ways{};
   std::size_t count = 0;
@@ -97,7 +98,8 @@
     }
     return true;
   }
-  // What comes from the owner's own address goes before hearsay, which does not take an incarnation further than that.
+  // What comes from the owner's own address goes before hearsay, which does not take an incarnation further
+  // than that.
   const bool had_first_hand = had->via == owner, first_hand = via == owner;
   if (stamp <= had->stamp && (had_first_hand || !first_hand)) return false;
   if (had_first_hand && !first_hand && stamp.incarnation > had->stamp.incarnation) return false;
@@ -125,8 +127,8 @@
       if (now - w.seen_at < kFreshMs) drawn_.emplace_back(server, &w);
     }
   }
-  // Own ones first, whatever they say: one that floods the tier with words must not drown them. Of others' those that say
-  // ill, as those that say well are many.
+  // Own ones first, whatever they say: one that floods the tier with words must not drown them. Of others'
+  // those that say ill, as those that say well are many.
   const auto others = std::stable_partition(drawn_.begin(), drawn_.end(),
                                             [&](const auto& d) { return d.second->owner == self_; });
   const auto well = std::partition(others, drawn_.end(), [](const auto& d) { return d.second->lost > 0; });
@@ -168,7 +170,8 @@
     if (w.zone != zone_) zones |= zone != zone_ && zone != w.zone, zone = w.zone;
   }
   if (times_.empty()) return v;
-  // An answer from long before most of these attempts were lost tells nothing against them: a node dies at some moment.
+  // An answer from long before most of these attempts were lost tells nothing against them: a node dies at
+  // some moment.
   const auto middle = times_.begin() + static_cast<std::ptrdiff_t>(times_.size() / 2);
   std::nth_element(times_.begin(), middle, times_.end());
   std::size_t well_here = 0, well = 0;
--- a/src/gossip/findings.h
+++ b/src/gossip/findings.h
@@ -1,17 +1,19 @@
 // What routers say of cache nodes, and when several of them together are to be believed. Pure.
 //
-// A router says only what it has seen itself, and says well of a server only where others say ill of it: on days without
-// trouble nothing is said. A word is its owner's alone and overwritten by its later stamp, like all facts (facts.h).
+// A router says only what it has seen itself, and says well of a server only where others say ill of it: on
+// days without trouble nothing is said. A word is its owner's alone and overwritten by its later stamp, like
+// all facts (facts.h).
 //
-//  - Bound: an address that words came from is one vote, whomever it speaks for, and no verdict stands on fewer than two
-//    (this router's own evidence is one) and four lost attempts: a single router, damaged or lying, takes nothing out for
-//    anybody, and of many that are hardly asked one lost attempt each is enough.
-//  - By zone: two of a router's own zone, and twice as many as say well there; or two of two other zones with nobody
-//    at all who says well. Who had an answer before most of the others lost theirs says nothing against them. A server that is cut off from one zone stays good for the others.
+//  - Bound: an address that words came from is one vote, whomever it speaks for, and no verdict stands on
+//    fewer than two (this router's own evidence is one) and four lost attempts: a single router, damaged or
+//    lying, takes nothing out for anybody, and of many that are hardly asked one lost attempt each is enough.
+//  - By zone: two of a router's own zone, and twice as many as say well there; or two of two other zones with
+//    nobody at all who says well. Who had an answer before most of the others lost theirs says nothing
+//    against them. A server that is cut off from one zone stays good for the others.
 //  - Fades: a word counts for kFreshMs from when the evidence was seen, and is forgotten after that.
 //  - Nothing heard: no verdict; each goes by its own evidence.
-//  - The most that false ones can do: two that lie together leave a server out until the first own trial, or the first
-//    word of one that it answered; the policy takes no more than half of the fleet out at all.
+//  - The most that false ones can do: two that lie together leave a server out until the first own trial, or
+//    the first word of one that it answered; the policy takes no more than half of the fleet out at all.
 //  - Cost: kServers servers with kVoters words each, the oldest give way; kRoom bytes of a datagram at most.
 //
 // Units: milliseconds on the caller's clock, which only advances. One thread.
@@ -59,7 +61,8 @@
 
   // All that this router has seen, at each round; what it said before and is not in it is no longer said.
   void own(double now, Stamp stamp, const std::vector<Finding>& seen);
-  // What came of `owner`, from the address of `via`. False: passed over, as older, damaged or this router's own.
+  // What came of `owner`, from the address of `via`. False: passed over, as older, damaged or this router's
+  // own.
   bool merge(double now, Id via, Id owner, Stamp stamp, std::uint8_t zone, const Finding& what);
 
   std::string write(double now, std::size_t room); // own ones first, then others' as they are drawn
--- a/src/gossip/fleet.h
+++ b/src/gossip/fleet.h
@@ -1,12 +1,13 @@
-// One router of many: who of them lives, what they say of the ledger, and what follows for this one. Decides; no I/O, no
-// clock. gossip_transport/ carries its datagrams; the lab plays it in virtual time.
+// One router of many: who of them lives, what they say of the ledger, and what follows for this one. Decides;
+// no I/O, no clock. gossip_transport/ carries its datagrams; the lab plays it in virtual time.
 //
 //  - Units: milliseconds on the caller's clock; attempts at once.
 //  - Ownership: datagrams are appended to the caller's vector.
-//  - What is advice stays advice: the view has a part of the ledger's limit only while others were heard lately, and
-//    whoever takes it goes on learning by itself.
-//  - In a cut each side shares what its own routers hold: the parts of a side are what its limits come to for each
-//    attempt wanted, dealt out by demand, so their sum is about the sum of its limits, and all sides together never hold more than was held before.
+//  - What is advice stays advice: the view has a part of the ledger's limit only while others were heard
+//    lately, and whoever takes it goes on learning by itself.
+//  - In a cut each side shares what its own routers hold: the parts of a side are what its limits come to for
+//    each attempt wanted, dealt out by demand, so their sum is about the sum of its limits, and all sides
+//    together never hold more than was held before.
 #pragma once
 
 #include <cstdint>
--- a/src/gossip_transport/link.cpp
+++ b/src/gossip_transport/link.cpp
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr unsigned kAtOnce = 8; // datagrams of one call, and read before others have their turn
-// An answer takes two looks, this router's and the other's, and is to be there before the next round. Beyond 112 ms the
-// policy's tick, each 100 ms, has come by.
+// An answer takes two looks, this router's and the other's, and is to be there before the next round. Beyond
+// 112 ms the policy's tick, each 100 ms, has come by.
 constexpr double kLookTurns = 0.45, kLookMs = 112;
 constexpr double kOpenAgainMs = 100;
 constexpr int kReceived = 256 * 1024; // bytes that the kernel keeps while this process does something else
--- a/src/gossip_transport/link.h
+++ b/src/gossip_transport/link.h
@@ -1,8 +1,9 @@
 // The socket between routers: carries gossip::Fleet's datagrams, and decides nothing.
 //
-// It listens at `peer_listen` and sends from there to the addresses of `peers`; only what comes from one of these counts.
-// No request waits for a datagram, so none wakes the process: what has come is read, and a round that is due is begun, at
-// wakes that other deadlines cause, the policy's tick first of all; by the period's end at the latest.
+// It listens at `peer_listen` and sends from there to the addresses of `peers`; only what comes from one of
+// these counts. No request waits for a datagram, so none wakes the process: what has come is read, and a
+// round that is due is begun, at wakes that other deadlines cause, the policy's tick first of all; by the
+// period's end at the latest.
 //
 // While another process of this router still has the address (it is being replaced), the link tries again.
 #pragma once
--- a/src/health/outlier_state.cpp
+++ b/src/health/outlier_state.cpp
@@ -5,7 +5,7 @@
 namespace fernward::health {
 namespace {
 
-constexpr int kEjectAfterFailures = 3; // in a row; a refused connection counts for two
+constexpr int kEjectAfterFailures = 3; // in a row, by weight (policy/outcome.cpp)
 constexpr double kMinTrialBackoff = 2; // times what makes an attempt slow
 
 } // namespace
@@ -45,8 +45,8 @@
   half_open_trial_ = false;
   trial_backoff_ms_ = std::clamp(
       2 * trial_backoff_ms_, std::min(kMinTrialBackoff * slow_ms, kMaxTrialBackoffMs), kMaxTrialBackoffMs);
-  next_trial_at_ =
-      now + trial_backoff_ms_ * (0.75 + 0.5 * draw); // spread, so that routers do not try at once
+  // Spread, so that routers do not try at once.
+  next_trial_at_ = now + trial_backoff_ms_ * (0.75 + 0.5 * draw);
 }
 
 } // namespace fernward::health
--- a/src/http/framing.cpp
+++ b/src/http/framing.cpp
@@ -49,7 +49,8 @@
     }
     const auto end = rest.find('\n');
     const std::size_t n = end == std::string_view::npos ? rest.size() : end + 1;
-    // Chunks add a line or two each, and there may be as many as the body has bytes: each line has its own cap.
+    // Chunks add a line or two each, and there may be as many as the body has bytes: each line has its own
+    // cap.
     if (state_ == State::Trailers) trailer_bytes_ += n;
     if (trailer_bytes_ > kMaxHeader || (state_ != State::Trailers && line_.size() + n > kMaxChunkLine)) {
       fail(Fault::HeaderTooLarge);
--- a/src/http/framing.h
+++ b/src/http/framing.h
@@ -1,5 +1,5 @@
-// Where a body ends, and which of the bytes on the wire are its own: for whoever passes a body on without keeping
-// it. No sockets, and no copies: a piece points into the bytes that were given.
+// Where a body ends, and which of the bytes on the wire are its own: for whoever passes a body on without
+// keeping it. No sockets, and no copies: a piece points into the bytes that were given.
 #pragma once
 
 #include <algorithm>
@@ -28,8 +28,8 @@
     std::size_t used = 0;  // bytes taken, framing included
     std::string_view body; // of them: the body's own, in one piece
   };
-  // Takes bytes up to the end of the next piece of body, or of the body itself. Call again with the rest until it
-  // takes nothing; it takes none once done() or after a fault.
+  // Takes bytes up to the end of the next piece of body, or of the body itself. Call again with the rest
+  // until it takes nothing; it takes none once done() or after a fault.
   Piece next(std::string_view bytes);
   // Bytes that the caller has moved by itself, out of sight: at most straight().
   void skipped(std::uint64_t bytes);
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -44,7 +44,8 @@
                           const std::vector<Header>& headers, std::string_view body);
 std::string write_response(int status, const std::vector<Header>& headers, std::string_view body,
                            bool keep_alive);
-// The head alone. Of a body whose length is not known it says chunks, or nothing: then it ends with the connection.
+// The head alone. Of a body whose length is not known it says chunks, or nothing: then it ends with the
+// connection.
 enum class Framing { Length, Chunks, UntilClose };
 std::string write_request_head(std::string_view method, std::string_view target, std::string_view host,
                                const std::vector<Header>& headers, Framing framing, std::uint64_t length);
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -16,7 +16,8 @@
          std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
 
-// Of "http://host:port/path?query", as a client writes it to what it takes for a proxy, the path and the query.
+// Of "http://host:port/path?query", as a client writes it to what it takes for a proxy, the path and the
+// query.
 std::string_view path_of(std::string_view target) {
   constexpr std::string_view kScheme = "http://";
   if (lower(target.substr(0, kScheme.size())) != kScheme) return target;
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -1,7 +1,8 @@
 // An incremental HTTP/1.1 parser for one connection: bytes in, messages out. No sockets.
 //
-// Two ways to use it. feed() takes whole messages, body and all, for what is small. feed_head() stops behind the
-// head; the body is then the caller's, who cuts it out of the bytes with body() and keeps what it likes of it.
+// Two ways to use it. feed() takes whole messages, body and all, for what is small. feed_head() stops behind
+// the head; the body is then the caller's, who cuts it out of the bytes with body() and keeps what it likes
+// of it.
 #pragma once
 
 #include <cstdint>
--- a/src/idle_connections/idle_lifetime_estimator.cpp
+++ b/src/idle_connections/idle_lifetime_estimator.cpp
@@ -14,8 +14,8 @@
 // At the first bucket: above it no connection is kept. Only where resets nearly always follow the shortest
 // idle times.
 constexpr double kKeepNothingExcess = 0.75;
-constexpr double kGuiltyResets =
-    0.5; // at the safe idle time, from which a server is believed to close there itself
+// At the safe idle time, from which a server is believed to close there itself.
+constexpr double kGuiltyResets = 0.5;
 constexpr std::size_t kTrialBuckets = 2; // beyond the safe idle time
 
 constexpr double kHalfLifeMs = 60000;
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,10 +1,11 @@
-// Log lines: an event's name and its fields. One function writes them all; a flood is cut and what was cut is counted.
+// Log lines: an event's name and its fields. One function writes them all; a flood is cut and what was cut is
+// counted.
 //
 //   upstream-ended target=s-1 code=rested answers=12 ms=4031
 //   {"event":"upstream-ended","target":"s-1","code":"rested","answers":12,"ms":4031}
 //
-// Names of events and fields are stable: docs/on-call.md lists them. A value with anything but letters, digits and plain
-// signs stands in quotes.
+// Names of events and fields are stable: docs/on-call.md lists them. A value with anything but letters,
+// digits and plain signs stands in quotes.
 #pragma once
 
 #include <concepts>
@@ -30,8 +31,8 @@
 };
 using Fields = std::initializer_list<Field>;
 
-// Writes one line to standard error; lines beyond the rate are dropped and counted. A flood of routine lines (one for
-// each connection, say) leaves a quarter of the burst to all others.
+// Writes one line to standard error; lines beyond the rate are dropped and counted. A flood of routine lines
+// (one for each connection, say) leaves a quarter of the burst to all others.
 void line(std::string_view event, Fields fields = {});
 void routine(std::string_view event, Fields fields);
 // The same with fields that are put together on the way.
--- a/src/loop/timer_queue.cpp
+++ b/src/loop/timer_queue.cpp
@@ -58,8 +58,8 @@
 void TimerQueue::cancel(TimerId& timer) {
   const TimerId cancelled = std::exchange(timer, 0);
   if (!is_pending(cancelled)) return;
-  remove(
-      slots_[slot_of(cancelled)].heap_index); // the event stays armed: it finds nothing due and is armed anew
+  // The event stays armed: it finds nothing due and is armed anew.
+  remove(slots_[slot_of(cancelled)].heap_index);
 }
 
 void TimerQueue::run_due() {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -36,8 +36,8 @@
   at_ = order_.size(); // drawn anew at the first ping
 }
 
-// What false suspicions there are in a second grows with the tier, and what is said of them has no more room: so a larger one
-// asks once more.
+// What false suspicions there are in a second grows with the tier, and what is said of them has no more room:
+// so a larger one asks once more.
 double Membership::tries() const { return all_.size() > kFew ? 4 : 3; }
 
 double Membership::most_told() const {
@@ -138,8 +138,9 @@
       suspect(now, r.target, self_, false);
       continue;
     }
-    // Again at each tick until then: with a fifth of the datagrams lost, one ping and three asks fail for one in thirteen
-    // that live, and what is said of them and of their return is far more than all datagrams carry.
+    // Again at each tick until then: with a fifth of the datagrams lost, one ping and three asks fail for one
+    // in thirteen that live, and what is said of them and of their return is far more than all datagrams
+    // carry.
     out.push_back(packet(r.target, Kind::Ping, r.number, r.target));
     for (std::uint32_t n = 0; n < rules_.asked; ++n) {
       const Id helper = any_living(r.target);
@@ -241,7 +242,8 @@
       ++passed_over_; // no clock that was set back explains it
       return;
     }
-    // Others have heard a later stamp, of a process whose clock was ahead, or doubt this one: its next word clears it.
+    // Others have heard a later stamp, of a process whose clock was ahead, or doubt this one: its next word
+    // clears it.
     pass(word.stamp);
     say({self_, Standing::Alive, stamp_, self_});
     if (word.standing != Standing::Alive) doubt_ = std::min(kMostDoubt, doubt_ + 1);
@@ -291,8 +293,8 @@
   }
   heard(from, d.stamp);
   sender.direct_at = now;
-  // It lives, as far as this router can tell. To the others only a later stamp says so: it makes one as it hears the word
-  // against it.
+  // It lives, as far as this router can tell. To the others only a later stamp says so: it makes one as it
+  // hears the word against it.
   const bool doubted = sender.standing != State::Alive;
   if (sender.standing == State::Suspect) {
     set(from, State::Alive);
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,20 +1,22 @@
 // Who of the tier lives, as far as this router can tell. Decides; no I/O, no clock.
 //
-// SWIM (Das, Gupta, Motivala 2002): in each period one member is pinged, all in turn in a drawn order; without its answer
-// some others are asked to ping it, and it is pinged again; without their word either it is suspected, the suspicion is
-// passed on with what is said anyway, and one that nobody hears of for a while after that counts as dead. A member clears
-// itself: it hears what is said against it, first from whoever says it, and says a later stamp, which goes round as fast.
-// From Lifeguard (Dadgar, Phillips, Currey 2017): a router that does not get the answers it waits for, or wakes late, first
-// doubts itself and waits longer; a suspicion that several have ends sooner.
+// SWIM (Das, Gupta, Motivala 2002): in each period one member is pinged, all in turn in a drawn order;
+// without its answer some others are asked to ping it, and it is pinged again; without their word either it
+// is suspected, the suspicion is passed on with what is said anyway, and one that nobody hears of for a while
+// after that counts as dead. A member clears itself: it hears what is said against it, first from whoever
+// says it, and says a later stamp, which goes round as fast. From Lifeguard (Dadgar, Phillips, Currey 2017):
+// a router that does not get the answers it waits for, or wakes late, first doubts itself and waits longer; a
+// suspicion that several have ends sooner.
 //
 //  - Units: milliseconds on the caller's clock, which only advances.
-//  - Ownership: datagrams that are to be sent are appended to the caller's vector. What is kept: 48 bytes a member, some
-//    hundred words and rounds.
-//  - At the start all are taken to live, as the configuration says: the number of routers can be too high, never too low.
-//  - Bounds: a period sends one ping, at most `asked` asks and what others' rounds cost; a member that counts as dead is
-//    pinged in one period of eight, so that sides of a cut find each other again.
-//  - What a false word can do: bring a member under suspicion until it has heard so and says a later stamp. What comes
-//    from a member's own address goes before all that others say of it, whatever stamp they claim.
+//  - Ownership: datagrams that are to be sent are appended to the caller's vector. What is kept: 48 bytes a
+//    member, some hundred words and rounds.
+//  - At the start all are taken to live, as the configuration says: the number of routers can be too high,
+//    never too low.
+//  - Bounds: a period sends one ping, at most `asked` asks and what others' rounds cost; a member that counts
+//    as dead is pinged in one period of eight, so that sides of a cut find each other again.
+//  - What a false word can do: bring a member under suspicion until it has heard so and says a later stamp.
+//    What comes from a member's own address goes before all that others say of it, whatever stamp they claim.
 //  - Misuse: numbers out of range, and what bears this router's own number, are passed over and counted.
 #pragma once
 
@@ -48,8 +50,8 @@
   double next() const { return next_; }
   // What has come, from the member that its address stands for. False: nothing of it was taken.
   bool take(double now, Id from, const Datagram& d, std::vector<Packet>& out);
-  // A fact of a process that began then. One of a later process than was known says that this one lives; one of the same
-  // process says nothing, as it may be older than a suspicion.
+  // A fact of a process that began then. One of a later process than was known says that this one lives; one
+  // of the same process says nothing, as it may be older than a suspicion.
   void heard(Id who, std::uint32_t incarnation);
   void leave(std::vector<Packet>& out); // some are told; says nothing any more
 
--- a/src/membership/wire.h
+++ b/src/membership/wire.h
@@ -29,7 +29,8 @@
 
 using Id = std::uint16_t; // a router's number in its tier
 
-// What a router says of itself bears one that only grows: the start of its process, then the number of its word.
+// What a router says of itself bears one that only grows: the start of its process, then the number of its
+// word.
 struct Stamp {
   std::uint32_t incarnation = 0; // tenths of a second of the wall's clock since 2020 at the start
   std::uint16_t sequence = 0;
--- a/src/memcache/frame.h
+++ b/src/memcache/frame.h
@@ -1,5 +1,6 @@
-// One message of the memcached binary protocol, request or answer, as plain values; its names, and which shape each
-// command has. The published protocol ("Memcache Binary Protocol", memcached's protocol-binary.xml) is the source.
+// One message of the memcached binary protocol, request or answer, as plain values; its names, and which
+// shape each command has. The published protocol ("Memcache Binary Protocol", memcached's
+// protocol-binary.xml) is the source.
 //
 //  - Units: lengths in bytes; all numbers in host order.
 //  - Ownership: a Frame owns its parts.
@@ -81,8 +82,8 @@
   std::uint32_t opaque = 0; // the asker's, given back unchanged
   std::uint64_t cas = 0;
   std::string extras, key, value;
-  std::uint64_t skipped =
-      0; // bytes of the value that were passed over, as it is longer than the parser keeps
+  // Bytes of the value that were passed over, as it is longer than the parser keeps.
+  std::uint64_t skipped = 0;
 
   Opcode command() const { return static_cast<Opcode>(opcode); }
   bool operator==(const Frame&) const = default;
--- a/src/memcache/parser.h
+++ b/src/memcache/parser.h
@@ -1,9 +1,9 @@
 // Bytes of the memcached binary protocol to frames, one after another, however they are cut. No sockets.
 //
-// Nothing is held before its length has been judged: a key or extras beyond what the protocol has, or lengths that do
-// not fit into one another, end the stream, as nobody knows where the next frame begins. A value that is longer than is
-// kept does not: its bytes are passed over and counted, and the frame says so, so that its asker can be told and the next
-// frame is found.
+// Nothing is held before its length has been judged: a key or extras beyond what the protocol has, or lengths
+// that do not fit into one another, end the stream, as nobody knows where the next frame begins. A value that
+// is longer than is kept does not: its bytes are passed over and counted, and the frame says so, so that its
+// asker can be told and the next frame is found.
 //
 //  - Size: at most 24 + 20 + 250 + `most_value` bytes are held.
 //  - Misuse: after a fault feed() takes nothing.
@@ -31,7 +31,8 @@
 
 class Parser {
  public:
-  // `most_value`: bytes of a value that are kept. `most_skipped`: of one that is passed over; beyond it the stream ends.
+  // `most_value`: bytes of a value that are kept. `most_skipped`: of one that is passed over; beyond it the
+  // stream ends.
   Parser(Magic expected, std::size_t most_value, std::uint64_t most_skipped = 64u << 20)
       : expected_(expected), most_value_(most_value), most_skipped_(most_skipped) {}
 
--- a/src/model/node.cpp
+++ b/src/model/node.cpp
@@ -11,7 +11,8 @@
 constexpr double kForever = std::numeric_limits<double>::infinity();
 constexpr double kWarmthSteps = 64; // in which a cold node's capacity rises
 constexpr double kWarmthWork = 0.5; // by requests: it is warm after this share of what it could do meanwhile
-// Chance alone pushes nobody over: so many deviations of the number of requests, and so many requests, are let pass.
+// Chance alone pushes nobody over: so many deviations of the number of requests, and so many requests, are
+// let pass.
 constexpr double kTipChance = 3;
 constexpr std::size_t kLeases = 4096; // fetches that a node keeps in mind
 
@@ -130,8 +131,8 @@
   }
 }
 
-// All work that reaches a cold node counts, also what it turns away. Its bound is what settings say of a node of its
-// age: routers are not told of a neighbour.
+// All work that reaches a cold node counts, also what it turns away. Its bound is what settings say of a node
+// of its age: routers are not told of a neighbour.
 void Node::on_arrival(double now, const Attempt& attempt, Acts& acts) {
   if (warm_ || !(kind_.tip_ms > 0)) return;
   work_.add(now, attempt.work_ms);
@@ -188,8 +189,8 @@
   if (kind_.expire_ms > 0 && now >= kind_.expire_ms * unit(mix(world_.spec.seed, key, place_.id)))
     return false;
   if (world_.keys.changed(key, 0, now)) return false;
-  // As many of the keys that nobody has asked for yet are gone as nodes of the beginning are, and the same ones whoever
-  // is asked: a fleet that shrinks would else lose only what was asked for.
+  // As many of the keys that nobody has asked for yet are gone as nodes of the beginning are, and the same
+  // ones whoever is asked: a fleet that shrinks would else lose only what was asked for.
   if (const Beginning* b = world_.beginning;
       b != nullptr && unit(mix(world_.spec.seed, key, 0x6c6f7374)) * b->nodes < b->lost)
     return false;
--- a/src/model/node.h
+++ b/src/model/node.h
@@ -70,8 +70,8 @@
   Memory memory_;
   std::unordered_map<std::uint64_t, double> leases_; // until when
   std::deque<Lease> lease_order_;
-  double unfilled_ =
-      0; // bytes that are taken to be full of what was asked for lately, until it is asked for again
+  // Bytes that are taken to be full of what was asked for lately, until it is asked for again.
+  double unfilled_ = 0;
   bool began_ = false; // it counts among those of the beginning that are left
   bool warm_ = true;
   double started_at_ = 0, started_done_ = 0, next_warmth_ = 0;
--- a/src/model/plan.h
+++ b/src/model/plan.h
@@ -45,8 +45,8 @@
   enum class What { Kill, Term, Start, Reload, Silence, Return, Pause, Wake };
   RouterId router = 0;
   What what = What::Kill;
-  double down_ms =
-      0; // Term: it is started this long after its end; below 0: never. (A Kill has its own Start.)
+  // Term: it is started this long after its end; below 0: never. (A Kill has its own Start.).
+  double down_ms = 0;
 };
 struct CutStep {         // messages between a member of `a` and one of `b` are lost while the cut is on
   std::uint32_t cut = 0; // its number
--- a/src/model/record.h
+++ b/src/model/record.h
@@ -169,7 +169,8 @@
   What what = What::Started;
 };
 
-// What a router that shares says and holds, once a second; virtual time alone: on sockets its log and figures have it.
+// What a router that shares says and holds, once a second; virtual time alone: on sockets its log and figures
+// have it.
 struct Shared {
   double at = 0;
   RouterId router = 0;
--- a/src/model/spec.h
+++ b/src/model/spec.h
@@ -172,7 +172,8 @@
   double ready_every_ms = 200; // how often it asks a starting router whether it is ready
 };
 
-// One discovery server that the calls of all routers share (sockets only). All 0: every call is answered at once.
+// One discovery server that the calls of all routers share (sockets only). All 0: every call is answered at
+// once.
 struct CongestionSpec {
   double answers_per_second = 0; // made one after another, in the order of the calls; 0: no limit
   double bytes_per_second = 0;   // of all answers together, whose pieces are sent in turn; 0: no limit
@@ -214,8 +215,8 @@
   double share = 1; // of the requests, relative to the other classes
   Spread work{Shape::Exponential, 100, 1};
   double attempt_noise = 0; // the work of an attempt is off from the request's by this (log-normal cv)
-  double hint_error =
-      0.1; // the hint is off from the request's work by this (log-normal cv); below 0: no hint
+  // The hint is off from the request's work by this (log-normal cv); below 0: no hint.
+  double hint_error = 0.1;
   double aim_ms = 750, give_up_ms = 1500;
   double aim_stretch = 0, late_share = 0, worth = 1;
   Idempotency repeat = Idempotency::Idempotent;
--- a/src/placement/fill_rate_limiter.cpp
+++ b/src/placement/fill_rate_limiter.cpp
@@ -14,12 +14,12 @@
 constexpr double kCalmingMs = 4000; // over which they are taken to tell whether a move is over
 constexpr double kCalm = 1.15;      // times the steady rate: it is
 constexpr double kUnrest = 8;       // times settle_ms, after which a fleet that never rests is taken as it is
-// Watched in steady times for less, the steady rate is not known, and taken to be a share of the reads, as of caches that
-// are worth having, or a part of what was seen meanwhile.
+// Watched in steady times for less, the steady rate is not known, and taken to be a share of the reads, as of
+// caches that are worth having, or a part of what was seen meanwhile.
 constexpr double kKnownMs = 4000;
 constexpr double kAssumed = 0.1, kUnsure = 0.7;
-// Of the multiple, that is given out: chance makes some seconds busier than others, and the routers' shares are not
-// exactly what they were.
+// Of the multiple, that is given out: chance makes some seconds busier than others, and the routers' shares
+// are not exactly what they were.
 constexpr double kOfMultiple = 0.8;
 constexpr double kFillShare = 0.5;    // of what is given out beyond the steady rate
 constexpr double kSecondShare = 0.05; // of the steady rate, for second holders
@@ -49,7 +49,8 @@
 
 bool FillRateLimiter::known() const { return calm_ms_ >= kKnownMs; }
 
-// What fetches a move brings is not steady; but where one follows upon the other for ever, there is nothing else.
+// What fetches a move brings is not steady; but where one follows upon the other for ever, there is nothing
+// else.
 bool FillRateLimiter::learns(double now) const {
   return !is_active(now) || !known() || now - opened_at_ > kUnrest * set_.transition_ms;
 }
@@ -84,7 +85,8 @@
 
 double FillRateLimiter::base_per_ms(double now) const {
   const double traffic = reads_.per_ms(now, kTrafficMs);
-  // Seen in a move alone it may be what the pace itself let through: it counts for less, else it would raise itself.
+  // Seen in a move alone it may be what the pace itself let through: it counts for less, else it would raise
+  // itself.
   if (!known()) return std::max(kAssumed * traffic, kUnsure * steady_fetches_per_ms(now));
   const double before = steady_reads_.per_ms(now, kSteadyMs);
   return before > 0 ? steady_fetches_per_ms(now) * std::max(1.0, traffic / before / kByChance) : 0;
--- a/src/placement/fill_rate_limiter.h
+++ b/src/placement/fill_rate_limiter.h
@@ -1,12 +1,14 @@
-// How many fetches a second this router may ask of the ledger while keys are on the move, and which of them may be
-// spent on filling new owners. Decides; no I/O, no clock.
+// How many fetches a second this router may ask of the ledger while keys are on the move, and which of them
+// may be spent on filling new owners. Decides; no I/O, no clock.
 //
-// In steady times it learns how many fetches the reads bring. While a move is open, fetches together keep to a multiple
-// of that, at the traffic of the moment; a part of what is beyond the steady rate is for fills. Each router holds to its
-// own share of what it saw before, so all of them together hold to the whole without a message.
+// In steady times it learns how many fetches the reads bring. While a move is open, fetches together keep to
+// a multiple of that, at the traffic of the moment; a part of what is beyond the steady rate is for fills.
+// Each router holds to its own share of what it saw before, so all of them together hold to the whole without
+// a message.
 //
 //  - Units: milliseconds on the caller's clock, which only advances; rates are per ms.
-//  - Use: tell read() for each read of a key, fetched() for each fetch that goes out; ask may_fetch() before it.
+//  - Use: tell read() for each read of a key, fetched() for each fetch that goes out; ask may_fetch() before
+//    it.
 //  - Ownership: plain values, nothing allocated.
 #pragma once
 
@@ -39,8 +41,8 @@
   void on_read(double now);
   void on_fetch(double now);
 
-  // The fleet has changed: the pace holds from now until `settle_ms` later, and on until fetches are nearly steady again,
-  // for four times as long at most.
+  // The fleet has changed: the pace holds from now until `settle_ms` later, and on until fetches are nearly
+  // steady again, for four times as long at most.
   void on_fleet_changed(double now) {
     if (set_.transition_ms <= 0) return;
     if (!is_active(now)) opened_at_ = now;
--- a/src/placement/frequency_sketch.h
+++ b/src/placement/frequency_sketch.h
@@ -1,7 +1,8 @@
-// How often keys were asked for lately: a count-min sketch with conservative update ("New directions in traffic
-// measurement and accounting", Estan and Varghese). Decides; no I/O, no clock.
+// How often keys were asked for lately: a count-min sketch with conservative update ("New directions in
+// traffic measurement and accounting", Estan and Varghese). Decides; no I/O, no clock.
 //
-// A count is never too low since the last halving, and too high only where a key shares all four of its places with others.
+// A count is never too low since the last halving, and too high only where a key shares all four of its
+// places with others.
 //
 //  - Size: fixed, 32 KiB. Nothing grows with the number of keys.
 //  - Ownership: plain values; copies are independent.
--- a/src/placement/hot_key_tracker.cpp
+++ b/src/placement/hot_key_tracker.cpp
@@ -6,8 +6,8 @@
 namespace fernward::placement {
 
 namespace {
-constexpr double kStep =
-    0.01; // by which a bar moves with a read: it is true to about a tenth after some hundreds
+// By which a bar moves with a read: it is true to about a tenth after some hundreds.
+constexpr double kStep = 0.01;
 constexpr double kLeastLevel = 2;  // a key asked for once is popular with nobody
 constexpr double kNoKey = 1 << 20; // above any count
 } // namespace
--- a/src/placement/hot_key_tracker.h
+++ b/src/placement/hot_key_tracker.h
@@ -1,7 +1,8 @@
-// Which keys are asked for often, and which of them make up a given share of the reads. Decides; no I/O, no clock.
+// Which keys are asked for often, and which of them make up a given share of the reads. Decides; no I/O, no
+// clock.
 //
-// The counts of its sketch are halved once it has seen ten times as many reads as it has places ("TinyLFU: A highly
-// efficient cache admission policy", Einziger, Friedman, Manes).
+// The counts of its sketch are halved once it has seen ten times as many reads as it has places ("TinyLFU: A
+// highly efficient cache admission policy", Einziger, Friedman, Manes).
 //
 //  - Units: counts of reads lately; shares from 0 to 1.
 //  - Size: fixed, that of the sketch.
@@ -21,9 +22,9 @@
   void on_read(std::uint64_t key);
   std::uint32_t count(std::uint64_t key) const { return sketch_.count(key); }
 
-  // Is it among the keys that make up the first share of the reads, the most popular first? Each share has a bar of its
-  // own that is moved with every read until so many of the reads are above it.
-  enum Bar : std::size_t { Fifth, Half, MostPart, Chosen, kBars };
+  // Is it among the keys that make up the first share of the reads, the most popular first? Each share has a
+  // bar of its own that is moved with every read until so many of the reads are above it.
+  enum Bar : std::size_t { Fifth, Half, MostPart, Chosen };
   bool is_in_top_share(Bar bar, std::uint64_t key) const { return count(key) >= bars_[bar].level; }
   void set_chosen_share(double share) { bars_[Chosen].share = share; } // 0: no key
 
@@ -33,7 +34,8 @@
     double share, level;
   };
   FrequencySketch sketch_;
-  std::array<Level, kBars> bars_{{{0.2, 4}, {0.5, 4}, {0.8, 4}, {0, 4}}};
+  static constexpr std::size_t kBarCount = Chosen + 1;
+  std::array<Level, kBarCount> bars_{{{0.2, 4}, {0.5, 4}, {0.8, 4}, {0, 4}}};
   std::uint32_t seen_ = 0;
 };
 
--- a/src/placement/key_location_cache.h
+++ b/src/placement/key_location_cache.h
@@ -1,5 +1,5 @@
-// Which caches this node saw holding a key lately, and since when a write may have voided what was seen. Decides; no
-// I/O, no clock. Bounded: keys that share a slot displace each other.
+// Which caches this node saw holding a key lately, and since when a write may have voided what was seen.
+// Decides; no I/O, no clock. Bounded: keys that share a slot displace each other.
 #pragma once
 
 #include <algorithm>
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -1,16 +1,16 @@
-// Where keys live while the fleet changes: the ring, who was seen holding what, which nodes came so lately that the
-// owners before them are still worth reading, and how quickly the new ones may be filled. Decides; no I/O, no clock.
+// Where keys live while the fleet changes: the ring, which caches were seen holding a key, which caches
+// joined so lately that the owners before them are still worth reading, and how quickly the new ones may be
+// filled.
 //
-// No former ring is kept. Consistent hashing moves a key only to a node that has come, so whoever walks the present ring
-// past those that came lately stands before the key's former owner: the same answer as from a copy of the ring before,
-// over any number of changes, and a router that has just started can give it too, as the list tells when nodes started.
+// No former ring is kept: consistent hashing moves a key only to a cache that has joined, so that a walk of
+// the present ring past those that joined lately ends at the key's former owner.
 //
-// `Members` is a map from id to Member. `Member` has `Server entry` and `Seat seat`. Members outlive their points: one goes only after an arrange() in which
-// it was Gone and changed.
+// `Members` is a map from id to Member. `Member` has `Server entry` and `RingWeight seat`. A member is
+// removed only after an arrange() in which it was Gone and changed.
 //
 //  - Units: milliseconds on the caller's clock, which only advances.
-//  - Size: by nodes, and fixed tables of keys; nothing grows with traffic. Of nodes that left 4,096 are remembered.
-//  - Off (`settle_ms` 0): the ring and the memory of holders alone.
+//  - Size: by caches, and fixed tables of keys; nothing grows with traffic.
+//  - Off (`transition_ms` 0): the ring and the key locations alone.
 #pragma once
 
 #include <algorithm>
@@ -42,8 +42,9 @@
 
   // ---- the list ----
 
-  // Takes the members that a list has changed, as they are now; of a whole list, all of them. Costs as many as these are,
-  // but for the rare change of the mean weight. `on_ring(member)`: a cache that has a place, in service or draining.
+  // Takes the members that a list has changed, as they are now; of a whole list, all of them. Costs as many
+  // as these are, but for the rare change of the mean weight. `on_ring(member)`: a cache that has a place, in
+  // service or draining.
   template <typename Members, typename OnRing>
   void arrange(double now, Members& members, const std::vector<ServerId>& changed, bool weighted,
                OnRing on_ring) {
@@ -68,7 +69,8 @@
   // ---- a choice ----
 
   struct Choice {
-    // The key's candidates on the present ring; behind them those that were its candidates before nodes came lately.
+    // The key's candidates on the present ring; behind them those that were its candidates before nodes came
+    // lately.
     std::array<Member*, 2 * kCandidates> at{};
     std::size_t size = 0;
     Member* former = nullptr; // moving: who owned the key before its first candidate came, and may be asked
@@ -97,8 +99,9 @@
     return c;
   }
 
-  // Is the candidate believed to hold the key? Its first one is, as that is where every router looks, unless it came
-  // lately while another is known to hold the key; the others are where this router saw it, or where it was before.
+  // Is the candidate believed to hold the key? Its first one is, as that is where every router looks, unless
+  // it came lately while another is known to hold the key; the others are where this router saw it, or where
+  // it was before.
   bool likely_holds(const Choice& c, std::size_t i, std::uint64_t key) const {
     if (key != 0 && (c.at[i] == c.former || memory_.holds(key, c.at[i]->entry.id))) return true;
     if (i > 0 || !c.moving || key == 0) return i == 0;
@@ -113,8 +116,9 @@
     return on() && came_lately(now, key, m);
   }
 
-  // Whom to ask so that it fetches the key and holds it from then on: the new owner of a moving key, else the second
-  // candidate of a popular one. Null: nobody, for now. Popular keys go first: the less is saved up, the higher the bar.
+  // Whom to ask so that it fetches the key and holds it from then on: the new owner of a moving key, else the
+  // second candidate of a popular one. Null: nobody, for now. Popular keys go first: the less is saved up,
+  // the higher the bar.
   struct Filling {
     Member* whom = nullptr;
     FillRateLimiter::Fill what{}; // what it is to be paid from, once it is sent
@@ -136,8 +140,8 @@
             FillRateLimiter::Fill::SecondReplica};
   }
 
-  // A read has missed and is about to be fetched: who else should hold the key, and would store it if asked first? It
-  // costs a miss and no fetch. `usable` leaves out those that were asked.
+  // A read has missed and is about to be fetched: who else should hold the key, and would store it if asked
+  // first? It costs a miss and no fetch. `usable` leaves out those that were asked.
   template <typename Usable>
   Member* choose_second_store(double now, std::uint64_t key, std::size_t missed, Usable usable) {
     if (!on() || key == 0 || missed >= kStored) return nullptr;
@@ -177,13 +181,15 @@
 
   bool on() const { return set_.transition_ms > 0; }
 
-  // Keys end their move one by one over the second half of the time: all at once they would fall on the ledger.
+  // Keys end their move one by one over the second half of the time: all at once they would fall on the
+  // ledger.
   bool came_lately(double now, std::uint64_t key, const Member& m) const {
     const double part = 0.5 + 0.5 * Random{key ^ 0x6d6f7665}.unit();
     return now < m.seat.joined_at + part * set_.transition_ms;
   }
 
-  // Counts the member's weight in the mean. True: it was the greater part of the sum, which is not exact without it.
+  // Counts the member's weight in the mean. True: it was the greater part of the sum, which is not exact
+  // without it.
   template <typename OnRing>
   bool weigh(Member& m, OnRing on_ring) {
     const double had = std::exchange(m.seat.weight, on_ring(m) ? m.entry.weight : 0);
@@ -197,7 +203,8 @@
     for (const auto& [id, m] : members) weight_sum_ += m.seat.weight;
   }
 
-  // Who came, went or started anew since the last list: whose keys are forgotten, and whether the pace holds from now on.
+  // Who came, went or started anew since the last list: whose keys are forgotten, and whether the pace holds
+  // from now on.
   template <typename Members, typename OnRing>
   void note_changes(double now, Members& members, const std::vector<ServerId>& listed, OnRing on_ring) {
     const bool first = !told_; // it tells nothing of who came when, but when nodes have started
--- a/src/placement/ring.h
+++ b/src/placement/ring.h
@@ -1,11 +1,11 @@
-// Where keys live: consistent hashing with virtual nodes, the same at every node, so that a change of the list
-// moves few keys. Decides; no I/O, no clock.
+// Where keys live: consistent hashing with virtual nodes, the same at every node, so that a change of the
+// list moves few keys. Decides; no I/O, no clock.
 //
-// The points of the ring are dealt out to buckets by the first bits of their hash: a member that comes or goes touches the
-// buckets of its own points alone, however many members there are.
+// The points of the ring are dealt out to buckets by the first bits of their hash: a member that comes or
+// goes touches the buckets of its own points alone, however many members there are.
 //
-// `Member` has a `Seat seat`; the ring points to members, which outlive their points: a member goes only after it was
-// given no place.
+// `Member` has a `Seat seat`; the ring points to members, which outlive their points: a member goes only
+// after it was given no place.
 #pragma once
 
 #include <algorithm>
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -35,7 +35,7 @@
   if (ticking) return;
   ticking = true;
   emit(SetTimer{kTickMs, timer_token(Timer::Tick)});
-  watch.start(now, random.unit());
+  poll_schedule.start(now, random.unit());
 }
 
 void Balancer::Impl::log(const char* what, double figure) {
@@ -50,11 +50,11 @@
 
 void Balancer::Impl::on_endpoint_list(const EndpointList& list) {
   if (list.kind == EndpointListKind::Failed) {
-    watch.on_failure(now, random.unit());
-    log("server list: call failed, next try in ms:", watch.next_at() - now);
+    poll_schedule.on_failure(now, random.unit());
+    log("server list: call failed, next try in ms:", poll_schedule.next_at() - now);
     return;
   }
-  watch.on_list(list.kind);
+  poll_schedule.on_list(list.kind);
   std::vector<ServerId> changed;
   for (const Server& server : list.servers) changed.push_back(server.id);
   if (list.kind != EndpointListKind::Delta) {
@@ -135,9 +135,9 @@
 // ---- timers ----
 
 void Balancer::Impl::on_timer(const TimerFired& timer) {
-  const auto kind = static_cast<Timer>(timer.token >> 60);
+  const Timer kind = timer_kind(timer.token);
   if (kind == Timer::Tick) return tick();
-  RequestState* request = find_request(timer.token & ((1ull << 52) - 1));
+  RequestState* request = find_request(timer_request(timer.token));
   if (request == nullptr || request->streaming) return;
   if (kind == Timer::GiveUp)
     give_up(*request, request->in_flight > 0       ? GiveUpReason::ResponseTimeout
@@ -150,7 +150,7 @@
       queue_for_origin(*request);
     }
   }
-  if (kind == Timer::SlowAttempt) on_slow_attempt(*request, (timer.token >> 52) & 0xff);
+  if (kind == Timer::SlowAttempt) on_slow_attempt(*request, timer_attempt(timer.token));
 }
 
 void Balancer::Impl::send_health_check(Replica& replica) {
@@ -167,9 +167,9 @@
       std::min(1.0, health_check_credit + kHealthChecksPerRequest * quotas.requests_this_tick());
   quotas.tick();
   admission.on_tick();
-  if (settings.discovery == DiscoveryMode::Poll && watch.is_due(now)) {
+  if (settings.discovery == DiscoveryMode::Poll && poll_schedule.is_due(now)) {
     emit(WatchEndpoints{});
-    watch.record_sent(now, settings.poll_interval_ms);
+    poll_schedule.record_sent(now, settings.poll_interval_ms);
   }
   dispatch_to_origin();
   drop_departed();
--- a/src/policy/balancer.h
+++ b/src/policy/balancer.h
@@ -13,7 +13,7 @@
 #include "fernward/balancer.h"
 #include "placement/key_demand.h"
 #include "placement/placement.h"
-#include "policy/endpoint_watch.h"
+#include "policy/endpoint_poll_schedule.h"
 #include "policy/fetch_coalescer.h"
 #include "policy/origin_dispatch.h"
 #include "policy/outlier_ejection.h"
@@ -52,7 +52,7 @@
   OutlierEjection ejection{settings};
   SlowStart slow_start{settings};
   RetryPolicy retry_policy{settings};
-  EndpointWatch watch;
+  EndpointPollSchedule poll_schedule;
   std::vector<ServerId> leaving; // gone from the list, dropped once no attempt is in flight there
   std::set<ServerId> listed_origins;
   double health_check_credit = 0; // health checks that may be sent for load reports
@@ -145,7 +145,7 @@
   void dispatch_to_origin();
   void complete_fetch(RequestState& leader, bool stored);
 
-  // answer.cpp: the final answer
+  // give_up.cpp: the final answer
   void on_client_disconnected(const ClientDisconnected& event);
   void finish_request(RequestState& request, bool served);
   void cancel_attempts(const RequestState& request, std::size_t except);
--- a/src/policy/endpoint_watch.h
+++ b/src/policy/endpoint_poll_schedule.h
@@ -10,7 +10,7 @@
 /// The watch of the endpoint list, where it must be asked for (DiscoveryMode::Poll). States: idle; pending,
 /// from record_sent() on; subscribed, from the first list after that. A failed call leads back to idle, with
 /// a wait that doubles. Times: milliseconds; draws are even from 0 to 1.
-class EndpointWatch {
+class EndpointPollSchedule {
  public:
   /// Restarted routers come in crowds: the first calls are spread, so that discovery is not flooded.
   void start(double now, double draw) { next_at_ = now + kFirstCallSpreadMs * draw; }
--- a/src/policy/answer.cpp
+++ b/src/policy/give_up.cpp
@@ -27,16 +27,16 @@
 }
 
 // Rejects where the promise that a retry does no harm holds, else fails. Under overload clients are told the
-// longest Retry-After; else the time of a slow attempt is enough for what the request met to pass.
+// longest Retry-After; else about the time of a slow attempt.
 void Balancer::Impl::give_up(RequestState& request, GiveUpReason why) {
   if (request.in_flight > 0 && now < request.answer_by) return; // an attempt in flight may yet be answered
   if (retry_policy.client_may_retry(request)) {
-    const bool stay_away = why == GiveUpReason::Shed || why == GiveUpReason::QueueTimeout ||
-                           why == GiveUpReason::ResponseTimeout || why == GiveUpReason::NotSent;
-    const double wait = stay_away
-                            ? settings.max_retry_after_ms
-                            : std::min(settings.max_retry_after_ms, cache_slow_attempts.slow_threshold_ms);
-    emit(Reject{request.params.id, settings.send_retry_after ? wait : 0, why});
+    const bool overloaded = why == GiveUpReason::Shed || why == GiveUpReason::QueueTimeout ||
+                            why == GiveUpReason::ResponseTimeout || why == GiveUpReason::NotSent;
+    const double retry_after_ms =
+        overloaded ? settings.max_retry_after_ms
+                   : std::min(settings.max_retry_after_ms, cache_slow_attempts.slow_threshold_ms);
+    emit(Reject{request.params.id, settings.send_retry_after ? retry_after_ms : 0, why});
   } else {
     emit(Fail{request.params.id, why});
   }
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -17,8 +17,8 @@
 }
 
 void Balancer::Impl::eject(Replica& replica) {
-  placement.fill_rate_limiter().on_fleet_changed(
-      now); // its keys move to others now, long before the list tells
+  // Its keys move to others now, long before the list tells.
+  placement.fill_rate_limiter().on_fleet_changed(now);
   schedule_trial(replica);
   log("cache ejected, trial in ms:", replica.outlier.next_trial_at() - now);
 }
--- a/src/policy/outcome.cpp
+++ b/src/policy/outcome.cpp
@@ -15,21 +15,21 @@
 namespace {
 
 // What an outcome at the origin is for its concurrency limiter; nothing where it tells nothing of its load.
-std::optional<concurrency::AttemptOutcome> ending_of(AttemptResult result, bool out_of_time) {
-  using concurrency::AttemptOutcome;
+std::optional<concurrency::AttemptEnding> ending_of(AttemptResult result, bool out_of_time) {
+  using concurrency::AttemptEnding;
   switch (result) {
     case AttemptResult::CacheMiss: // quick, whatever the load
     case AttemptResult::InvalidRequest:
     case AttemptResult::Abandoned: return std::nullopt;
-    case AttemptResult::Ok: return AttemptOutcome::Answered;
-    case AttemptResult::Overloaded: return AttemptOutcome::Rejected;
-    case AttemptResult::ConnectFailed: return AttemptOutcome::ConnectFailed;
+    case AttemptResult::Ok: return AttemptEnding::Answered;
+    case AttemptResult::Overloaded: return AttemptEnding::Rejected;
+    case AttemptResult::ConnectFailed: return AttemptEnding::ConnectFailed;
     case AttemptResult::Error:
-    case AttemptResult::Reset: return AttemptOutcome::Fault;
-    case AttemptResult::TimedOut: return AttemptOutcome::TimedOut;
-    case AttemptResult::Cancelled: return out_of_time ? AttemptOutcome::TimedOut : AttemptOutcome::Cancelled;
+    case AttemptResult::Reset: return AttemptEnding::Fault;
+    case AttemptResult::TimedOut: return AttemptEnding::TimedOut;
+    case AttemptResult::Cancelled: return out_of_time ? AttemptEnding::TimedOut : AttemptEnding::Cancelled;
   }
-  return AttemptOutcome::Answered;
+  return AttemptEnding::Answered;
 }
 
 } // namespace
@@ -95,8 +95,8 @@
 bool Balancer::Impl::update_origin_limit(const RequestState& request, const Replica& replica,
                                          const AttemptOutcome& outcome, double elapsed) {
   // A connection refused by an origin that works: it lacks connections, not capacity.
-  const bool connects = outcome.result == AttemptResult::ConnectFailed && responded_lately(replica);
-  if (connects || (outcome.result == AttemptResult::Overloaded && outcome.first_on_connection)) {
+  const bool lacks_connections = outcome.result == AttemptResult::ConnectFailed && responded_lately(replica);
+  if (lacks_connections || (outcome.result == AttemptResult::Overloaded && outcome.first_on_connection)) {
     origin_dispatch.connections.on_connection_refused(now, replica.active(),
                                                       origin_dispatch.limiter.latency_ms(), random.unit());
     log("origin refuses further connections, in use:", replica.active());
@@ -112,10 +112,10 @@
                                           latency_objective_ms(request),
                                           request.params.write,
                                           replica.active()};
-  const concurrency::DecreaseReason sign = origin_dispatch.limiter.on_attempt_ended(now, sample);
-  if (sign == concurrency::DecreaseReason::Rejected)
+  const concurrency::DecreaseReason reason = origin_dispatch.limiter.on_attempt_ended(now, sample);
+  if (reason == concurrency::DecreaseReason::Rejected)
     log("origin crowded, attempts at once cut to", origin_dispatch.limiter.limit());
-  return sign == concurrency::DecreaseReason::Rejected || sign == concurrency::DecreaseReason::Slow;
+  return reason == concurrency::DecreaseReason::Rejected || reason == concurrency::DecreaseReason::Slow;
 }
 
 void Balancer::Impl::learn_cache_outcome(RequestState& request, const Attempt& attempt, Replica& replica,
@@ -172,8 +172,8 @@
 
 void Balancer::Impl::record_lookup(RequestState& request, const Attempt& attempt, bool hit) {
   if (hit && request.pending_fill)
-    placement.fill_rate_limiter().refund(
-        *std::exchange(request.pending_fill, {})); // another router's fetch filled it
+    // Another router's fetch filled it.
+    placement.fill_rate_limiter().refund(*std::exchange(request.pending_fill, {}));
   if (settings.origin_kind < 0 || request.params.key == 0) return;
   if (hit) {
     placement.on_hit(request.params.key, attempt.server, attempt.sent_at);
@@ -202,6 +202,8 @@
     emit(Fail{request.params.id, GiveUpReason::InvalidRequest});
     return finish_request(request, false);
   }
+  // They have no reason of their own: an abandoned attempt counts as NoEndpoint, a consumed body as
+  // NotIdempotent.
   if (outcome.result == AttemptResult::Abandoned || outcome.body_consumed)
     return give_up(request, outcome.body_consumed ? GiveUpReason::NotIdempotent : GiveUpReason::NoEndpoint);
   retry(request, outcome);
@@ -216,7 +218,7 @@
       return give_up(request, GiveUpReason::RetryBudgetEmpty);
   }
   if (at_origin) return retry_at_origin(request, outcome);
-  if (!send_to_best_cache(request)) queue_for_origin(request); // which gives up where there is none
+  if (!send_to_best_cache(request)) queue_for_origin(request); // gives up where there is no origin
 }
 
 void Balancer::Impl::retry_at_origin(RequestState& request, const AttemptOutcome& outcome) {
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -9,8 +9,9 @@
 
 namespace fernward {
 
-/// The one place that says whether a request may be sent (again), and why not. Whether a retry is worth its
-/// cost is for the retry budget. Times: milliseconds on the clock of Balancer::on_event.
+/// Whether settings and idempotency allow a request to be sent (again), and why not. The retry budget decides
+/// whether a retry is worth its cost; proxy::RequestDispatcher::may_send() asks once more as the bytes go
+/// out. Times: milliseconds on the clock of Balancer::on_event.
 class RetryPolicy {
  public:
   /// `settings` is referred to and may change between calls.
--- a/src/proxy/request_body.cpp
+++ b/src/proxy/request_body.cpp
@@ -61,21 +61,21 @@
 RequestBody::Reader::~Reader() { body_.readers_.remove(this); }
 
 RequestBody::Reader::ReadResult RequestBody::Reader::read(char* into, std::size_t most, std::size_t& bytes) {
-  RequestBody& f = body_;
+  RequestBody& body = body_;
   bytes = 0;
-  if (f.aborted_) return ReadResult::Unavailable;
-  if (offset_ == f.received_bytes()) return f.complete_ ? ReadResult::End : ReadResult::Pending;
-  const std::uint64_t kept = f.in_memory_.size() + (f.in_file_ == nullptr ? 0 : f.in_file_->size());
-  if (offset_ < f.in_memory_.size()) {
-    bytes = f.in_memory_.copy(into, most, static_cast<std::size_t>(offset_));
+  if (body.aborted_) return ReadResult::Unavailable;
+  if (offset_ == body.received_bytes()) return body.complete_ ? ReadResult::End : ReadResult::Pending;
+  const std::uint64_t kept = body.in_memory_.size() + (body.in_file_ == nullptr ? 0 : body.in_file_->size());
+  if (offset_ < body.in_memory_.size()) {
+    bytes = body.in_memory_.copy(into, most, static_cast<std::size_t>(offset_));
   } else if (offset_ < kept) {
-    bytes = f.in_file_->read(offset_ - f.in_memory_.size(), into, most);
-  } else if (offset_ == kept + f.consumed_bytes_) { // else another reader has consumed it
-    bytes = f.unretained_.take(into, most);
-    f.consumed_bytes_ += bytes;
-    f.body_.mark_consumed(bytes);
-    f.unretained_reservation_.release(bytes);
-    if (bytes > 0 && f.on_writable_ && f.unretained_reservation_.may_resume()) f.on_writable_();
+    bytes = body.in_file_->read(offset_ - body.in_memory_.size(), into, most);
+  } else if (offset_ == kept + body.consumed_bytes_) { // else another reader has consumed it
+    bytes = body.unretained_.take(into, most);
+    body.consumed_bytes_ += bytes;
+    body.body_.mark_consumed(bytes);
+    body.unretained_reservation_.release(bytes);
+    if (bytes > 0 && body.on_writable_ && body.unretained_reservation_.may_resume()) body.on_writable_();
   }
   offset_ += bytes;
   return bytes > 0 ? ReadResult::Bytes : ReadResult::Unavailable;
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -70,8 +70,8 @@
 void RequestDispatcher::body_complete(Handle request_id) {
   ActiveRequest* active_request = requests_.find(request_id);
   if (active_request == nullptr || active_request->finished || active_request->streaming_attempt != 0) return;
-  const double extension_ms = loop::now_ms() + active_request->request->timeout_ms -
-                              active_request->deadline; // than it looked when it began
+  // Above 0: the body was complete later than open_request() assumed; below 0: sooner.
+  const double extension_ms = loop::now_ms() + active_request->request->timeout_ms - active_request->deadline;
   active_request->deadline += extension_ms;
   active_request->objective_at += extension_ms;
   timers_.cancel(active_request->deadline_timer);
@@ -290,8 +290,8 @@
                                                : std::min(active_request->deadline, now + send.timeout_ms);
   Handle attempt_id = 0;
   AttemptResult result = AttemptResult::Abandoned;
-  if (!active_request->finished &&
-      !downstream_->is_connected(active_request->client)) { // told here before its connection's end is read
+  // The client has left, and the event that says so has not been processed yet.
+  if (!active_request->finished && !downstream_->is_connected(active_request->client)) {
     active_request->attempts.push_back(0);
     client_disconnected(send.id);
     return report_outcome(send.id, number, send.server, 0, result);
@@ -346,7 +346,7 @@
   return allowed;
 }
 
-// The connection is closed, as a response is still due on it.
+// The connection is closed, unless it is still connecting: then the next attempt may have it.
 void RequestDispatcher::cancel_attempt(Handle attempt_id, AttemptResult result) {
   if (attempts_.find(attempt_id) == nullptr) return;
   const UpstreamConnections::ClientPause pause = upstream_->cancel(attempt_id);
--- a/src/requests/request_state.h
+++ b/src/requests/request_state.h
@@ -86,8 +86,15 @@
 }
 
 enum class Timer : std::uint64_t { Tick, GiveUp, SlowAttempt, RetryOrigin };
+
+// A timer's token, from the highest bit: 4 bits of kind, 8 of attempt number, 52 of request id.
+constexpr unsigned kTimerKindShift = 60;
+constexpr unsigned kTimerAttemptShift = 52;
 inline std::uint64_t timer_token(Timer kind, RequestId id = 0, std::uint64_t attempt = 0) {
-  return static_cast<std::uint64_t>(kind) << 60 | attempt << 52 | id;
+  return static_cast<std::uint64_t>(kind) << kTimerKindShift | attempt << kTimerAttemptShift | id;
 }
+inline Timer timer_kind(std::uint64_t token) { return static_cast<Timer>(token >> kTimerKindShift); }
+inline std::size_t timer_attempt(std::uint64_t token) { return (token >> kTimerAttemptShift) & 0xff; }
+inline RequestId timer_request(std::uint64_t token) { return token & ((1ull << kTimerAttemptShift) - 1); }
 
 } // namespace fernward
--- a/src/router/endpoint_updater.cpp
+++ b/src/router/endpoint_updater.cpp
@@ -9,8 +9,8 @@
 namespace fernward::router {
 namespace {
 
-// Discovery's list counts as told from the process's first moment. In an outage the configuration's list is
-// used then.
+// How long clients are shed while discovery's first list is awaited. After that the configuration's list is
+// used.
 constexpr double kFirstListWaitMs = 2000;
 
 } // namespace
--- a/src/router/graceful_shutdown.cpp
+++ b/src/router/graceful_shutdown.cpp
@@ -11,9 +11,9 @@
 constexpr double kServeMs = 1500;            // at most
 constexpr double kResponseGraceMs = 600;     // beyond the deadline of the last request
 constexpr double kMaxClientTimeoutMs = 3000; // that the platform allows for before SIGKILL
-constexpr double kRejectLeadMs = 100;
-constexpr double kPassedOnCheckMs =
-    5; // connections that are passed on and have not left are looked at this often
+constexpr double kFailLeadMs = 100;
+// Connections that are passed on and have not left are looked at this often.
+constexpr double kPassedOnCheckMs = 5;
 
 // Of a request that is taken at the last moment. A sidecar, whose configuration is `movable`, waits for the
 // longest of its own classes.
@@ -33,14 +33,14 @@
   log::line("graceful-shutdown", {{"name", config.name}});
   const double now_ms = loop::now_ms();
   const double total_ms = longest_client_timeout_ms(config) + kResponseGraceMs;
-  parts_.dispatcher.answer_all_by(now_ms + total_ms - kRejectLeadMs);
+  parts_.dispatcher.answer_all_by(now_ms + total_ms - kFailLeadMs);
   const bool replaced = hot_restart_ != nullptr && hot_restart_->begin_shutdown();
   if (!replaced) schedule_drain(now_ms, total_ms);
   parts_.timers.at(now_ms + total_ms, [this] { stop_loop(); });
 }
 
 void GracefulShutdown::schedule_drain(double now_ms, double total_ms) {
-  parts_.listener.ends_by(now_ms + total_ms - kRejectLeadMs);
+  parts_.listener.ends_by(now_ms + total_ms - kFailLeadMs);
   parts_.timers.at(now_ms + kAcceptMs, [this] { parts_.listener.stop_accepting(); });
   parts_.timers.at(now_ms + std::max(kAcceptMs, std::min(total_ms / 2, kServeMs)), [this] {
     parts_.listener.drain();
--- a/src/router/graceful_shutdown.h
+++ b/src/router/graceful_shutdown.h
@@ -9,7 +9,7 @@
 //   Draining   each connection ends with its response; until end
 //   Stopped    the event loop is broken: at `end`, or once the last connection has ended
 //
-// What has no response kRejectLeadMs before `end` is rejected, so that its client hears of it. Where a new
+// What has no response kFailLeadMs before `end` fails (502), so that its client hears of it. Where a new
 // process replaces this one there is no Accepting, Serving or Draining: each connection is passed on as it
 // becomes idle, and Stopped waits for the last one to have left.
 #pragma once
--- a/src/router/hot_restart_coordinator.cpp
+++ b/src/router/hot_restart_coordinator.cpp
@@ -68,7 +68,7 @@
 
 void HotRestartCoordinator::on_connect(Descriptor socket) {
   if (is_connected() || shutting_down_) {
-    return log::line("hot-restart-refused", {{"why", shutting_down_ ? "winding down" : "one is under way"}});
+    return log::line("hot-restart-refused", {{"why", shutting_down_ ? "shutting down" : "one is under way"}});
   }
   parts_.timers.cancel(disconnect_timer_);
   new_state_ = NewProcess::Connected;
--- a/src/router/hot_restart_coordinator.h
+++ b/src/router/hot_restart_coordinator.h
@@ -15,7 +15,8 @@
 // kReleasePeriodMs.
 //
 // The new process: it inherits at construction, tells that it is ready as soon as it may send requests, and
-// has all resources once the old one has closed its connection.
+// has all resources once the old one has closed its connection. The old process runs on after Ready, without
+// accepting, until begin_shutdown().
 #pragma once
 
 #include <functional>
--- a/src/router/router_options.cpp
+++ b/src/router/router_options.cpp
@@ -7,8 +7,8 @@
 namespace fernward::router {
 namespace {
 
-constexpr std::size_t kControlReserved =
-    4; // more where there is a second address; half of the rest lies idle
+// More where there is a second address; half of the rest lies idle.
+constexpr std::size_t kControlReserved = 4;
 constexpr std::size_t kMinConnections = 16; // whatever `limits.sockets` says
 constexpr std::size_t kShortBodyBytes = 64 << 10;
 constexpr std::size_t kDefaultReceiveBytes = 64 << 10; // of a connection, as the kernel makes it, about
@@ -87,8 +87,8 @@
                                              hot_restart::Inherited* inherited) {
   downstream::ListenerOptions options;
   options.listening = inherited == nullptr ? -1 : inherited->listening.release();
-  options.share_port =
-      !config.control.empty(); // lets a new process listen where the hot restart socket fails
+  // Lets a new process listen where the hot restart socket fails.
+  options.share_port = !config.control.empty();
   options.address = config.listen;
   options.short_body = kShortBodyBytes;
   options.unsent_bytes = static_cast<int>(
--- a/src/sidecar/beside.h
+++ b/src/sidecar/beside.h
@@ -15,8 +15,8 @@
   std::string address;                  // of the router: IPv4, or "unix:PATH"
 };
 
-// Runs until both have ended; returns the application's exit code. Throws std::runtime_error before anything has
-// started.
+// Runs until both have ended; returns the application's exit code. Throws std::runtime_error before anything
+// has started.
 int run(const Programs& programs, const Rules& rules);
 
 } // namespace fernward::sidecar
--- a/src/sidecar/claim.cpp
+++ b/src/sidecar/claim.cpp
@@ -61,7 +61,8 @@
       close(fd);
       throw std::runtime_error(taken ? address + " is claimed by " + who + ", see " + path_ : who);
     }
-    // Its holder may have ended and removed the file after it was opened: this lock is on a file that nobody finds.
+    // Its holder may have ended and removed the file after it was opened: this lock is on a file that nobody
+    // finds.
     struct stat locked {
     }, there{};
     if (fstat(fd, &locked) != 0 || stat(path_.c_str(), &there) != 0 || locked.st_ino != there.st_ino ||
--- a/src/sidecar/supervisor.h
+++ b/src/sidecar/supervisor.h
@@ -1,8 +1,9 @@
-// Decides what a sidecar does: when the router and the application start, restart and end, and what a signal means.
-// No processes, no clock: events with `now` in, actions out, to be carried out in order.
+// Decides what a sidecar does: when the router and the application start, restart and end, and what a signal
+// means. No processes, no clock: events with `now` in, actions out, to be carried out in order.
 //
 //  - Order: the application starts once the router is ready, and ends before it.
-//  - A router that ends by itself is started again, after a wait that doubles up to a bound; the application goes on.
+//  - A router that ends by itself is started again, after a wait that doubles up to a bound; the application
+//    goes on.
 //  - An application that ends, ends the whole, with its exit code.
 //
 // Units: milliseconds on a clock that only advances. One thread.
@@ -20,8 +21,8 @@
   double stop_ms = 10000;  // for the application to end after a signal; then it is killed
   double drain_ms = 10000; // and for the router
   double restart_first_ms = 100, restart_most_ms = 10000;
-  double steady_ms =
-      10000; // ready for so long, a router has proved itself: the next crash counts as the first
+  // Ready for so long, a router has proved itself: the next crash counts as the first.
+  double steady_ms = 10000;
 };
 
 // ---- events ----
--- a/src/spill/file.h
+++ b/src/spill/file.h
@@ -1,9 +1,9 @@
-// Files that bodies are kept in: without a name from the start, so that nothing is left of them, whatever becomes of
-// the process or of the folder. Reads and writes are the system's, in the calling thread: the folder should be on
-// local storage.
+// Files that bodies are kept in: without a name from the start, so that nothing is left of them, whatever
+// becomes of the process or of the folder. Reads and writes are the system's, in the calling thread: the
+// folder should be on local storage.
 //
-// A fault of the disk (full, read-only, gone, a limit on files) is told by the return value, and by one line in the
-// log when the folder begins to fail and one when it works again.
+// A fault of the disk (full, read-only, gone, a limit on files) is told by the return value, and by one line
+// in the log when the folder begins to fail and one when it works again.
 #pragma once
 
 #include <cstddef>
--- a/src/toml_document/document.cpp
+++ b/src/toml_document/document.cpp
@@ -18,9 +18,9 @@
   const char* why = "";
 };
 
-// toml++ 3.3 does not survive every letter beyond ASCII where a key or a space belongs: they are allowed in quotes
-// and comments alone, as TOML 1.0 has it. Gives the place of the first one elsewhere. It
-// follows brackets and dots by calling itself: too many of them end the stack.
+// toml++ 3.3 does not survive every letter beyond ASCII where a key or a space belongs: they are allowed in
+// quotes and comments alone, as TOML 1.0 has it. Gives the place of the first one elsewhere. It follows
+// brackets and dots by calling itself: too many of them end the stack.
 std::optional<Stray> stray_letter(std::string_view text) {
   enum { Plain, Comment, Basic, Literal, LongBasic, LongLiteral } in = Plain;
   unsigned line = 1, column = 1;
--- a/src/toml_document/document.h
+++ b/src/toml_document/document.h
@@ -1,5 +1,5 @@
-// Files of TOML, what they build on, and where their faults stand. Read whole: every fault is found, not the first
-// alone, and named by file, line and column.
+// Files of TOML, what they build on, and where their faults stand. Read whole: every fault is found, not the
+// first alone, and named by file, line and column.
 //
 // Bounds: a file of 1 MiB, eight files that build on one another, 200 faults told.
 #pragma once
@@ -54,8 +54,8 @@
 
 Position position(const toml::source_region& at, const Layer& layer);
 
-// Parses `text` and what it names under `key`, a path or a list of paths relative to it: those go behind it, of a list
-// the last first, and what they name themselves behind each. False: there is a fault.
+// Parses `text` and what it names under `key`, a path or a list of paths relative to it: those go behind it,
+// of a list the last first, and what they name themselves behind each. False: there is a fault.
 bool parse_layers(std::string text, const std::string& file, const char* key, const Loader& load,
                   Faults& faults, Layers& layers);
 
--- a/src/toml_document/reader.h
+++ b/src/toml_document/reader.h
@@ -13,8 +13,8 @@
 
 class Reader : public Visitor {
  public:
-  // `sources`: the top of the data, of which the first that has a key counts. `names` and both sinks outlive it.
-  // `apart`: keys of the top that are no members.
+  // `sources`: the top of the data, of which the first that has a key counts. `names` and both sinks outlive
+  // it. `apart`: keys of the top that are no members.
   Reader(std::vector<Source> sources, const Names& names, Faults& faults, Places& places,
          std::set<std::string> apart);
   std::set<std::string> close(); // after the walk: the members at fault
--- a/src/toml_document/units.h
+++ b/src/toml_document/units.h
@@ -23,8 +23,8 @@
   std::string text;
 };
 
-// The quantity in the unit it is held in; none: `why` says what is wrong. Bare numbers but 0 need a unit, save
-// for Number and Share.
+// The quantity in the unit it is held in; none: `why` says what is wrong. Bare numbers but 0 need a unit,
+// save for Number and Share.
 std::optional<double> parse_quantity(Unit unit, std::string_view text, Why& why);
 // A bare number of the file.
 std::optional<double> take_number(Unit unit, double number, Why& why);
--- a/src/toml_document/value.h
+++ b/src/toml_document/value.h
@@ -29,7 +29,8 @@
 // As TOML wants it.
 std::string in_quotes(const std::string& text);
 
-// As TOML would have it, or else as text: 820/s needs no quotes on a command line. The value stands under "value".
+// As TOML would have it, or else as text: 820/s needs no quotes on a command line. The value stands under
+// "value".
 toml::table value_of(const std::string& text);
 
 } // namespace fernward::toml_document
--- a/src/toml_document/visitor.h
+++ b/src/toml_document/visitor.h
@@ -1,6 +1,6 @@
-// A description of plain data, walked by all who turn it into text or text into it: the reader, the writer, the setter
-// of single values, the reference, the schema. Each key is described once, so that none of them can know a key that
-// another does not.
+// A description of plain data, walked by all who turn it into text or text into it: the reader, the writer,
+// the setter of single values, the reference, the schema. Each key is described once, so that none of them
+// can know a key that another does not.
 //
 // Members carry their units ("aim_ms"); the keys of a file don't, as units stand with the values: key_of().
 #pragma once
@@ -55,8 +55,8 @@
                                          const char* doc) = 0;
 };
 
-// What the names of a Table stand for, as far as the data has been read: tables are described before what refers to
-// them.
+// What the names of a Table stand for, as far as the data has been read: tables are described before what
+// refers to them.
 class Names {
  public:
   virtual ~Names() = default;
--- a/src/toml_document/writer.cpp
+++ b/src/toml_document/writer.cpp
@@ -136,7 +136,8 @@
     }
     return text.empty() ? "{}" : text + " }";
   }
-  // A table's own values come before its tables, as TOML wants it; the small tables of an item stand in one line.
+  // A table's own values come before its tables, as TOML wants it; the small tables of an item stand in one
+  // line.
   static void print(const Node& table, const std::string& path, std::string& out) {
     for (const Node& child : table.children) {
       if (child.is_leaf) out += child.key + " = " + child.value + "\n";
--- a/tests/concurrency/origin_concurrency_limiter_test.cpp
+++ b/tests/concurrency/origin_concurrency_limiter_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 AttemptSample answered(double elapsed_ms, double aim_ms, std::uint32_t out) {
-  return {.outcome = AttemptOutcome::Answered,
+  return {.outcome = AttemptEnding::Answered,
           .elapsed_ms = elapsed_ms,
           .latency_objective_ms = aim_ms,
           .in_flight = out};
@@ -23,7 +23,7 @@
     now += 500;
     l.on_attempt_sent(now);
     l.on_attempt_ended(now,
-                       {.outcome = AttemptOutcome::Rejected, .elapsed_ms = 1, .latency_objective_ms = 750});
+                       {.outcome = AttemptEnding::Rejected, .elapsed_ms = 1, .latency_objective_ms = 750});
   }
   CHECK(l.limit() < 1);
   CHECK(l.has_capacity(now, 0, true));
@@ -43,7 +43,7 @@
   for (int i = 0; i < 14; ++i)
     l.on_attempt_ended(
         now += 500,
-        {.outcome = AttemptOutcome::ConnectFailed, .elapsed_ms = 250, .latency_objective_ms = 750});
+        {.outcome = AttemptEnding::ConnectFailed, .elapsed_ms = 250, .latency_objective_ms = 750});
   CHECK(l.limit() < 0.1 * before); // while it lasts
   l.on_attempt_ended(now += 60, answered(50, 750, 0));
   CHECK(l.limit() > 0.6 * before);
@@ -52,7 +52,7 @@
     for (int k = 0; k < 3; ++k)
       l.on_attempt_ended(
           now += 500,
-          {.outcome = AttemptOutcome::ConnectFailed, .elapsed_ms = 250, .latency_objective_ms = 750});
+          {.outcome = AttemptEnding::ConnectFailed, .elapsed_ms = 250, .latency_objective_ms = 750});
     l.on_attempt_ended(now += 60, answered(700, 750, 0));
   }
   CHECK(l.limit() < 0.1 * before);
@@ -70,7 +70,7 @@
   CHECK(l.limit() > before);
   const double grown = l.limit();
   CHECK(l.on_attempt_ended(
-            now, {.outcome = AttemptOutcome::Rejected, .elapsed_ms = 1, .latency_objective_ms = 750}) ==
+            now, {.outcome = AttemptEnding::Rejected, .elapsed_ms = 1, .latency_objective_ms = 750}) ==
         DecreaseReason::Rejected);
   CHECK(l.limit() < grown);
 }
