--- a/src/concurrency/origin_concurrency_limiter.cpp
+++ b/src/concurrency/origin_concurrency_limiter.cpp
@@ -145,8 +145,8 @@
 
 // ---- Samples ----
 
-DecreaseReason OriginConcurrencyLimiter::on_attempt_ended(double now, const AttemptSample& told) {
-  AttemptSample sample = told;
+DecreaseReason OriginConcurrencyLimiter::on_attempt_ended(double now, const AttemptSample& reported) {
+  AttemptSample sample = reported;
   if (!usable_number(sample.elapsed_ms)) sample.elapsed_ms = 0;
   if (!usable_number(sample.work_ms)) sample.work_ms = 0;
   if (!usable_number(sample.latency_objective_ms)) sample.latency_objective_ms = 0;
--- a/src/concurrency/origin_concurrency_limiter.h
+++ b/src/concurrency/origin_concurrency_limiter.h
@@ -48,7 +48,7 @@
   // May one more attempt be sent while `in_flight` are? A write is never kept waiting with none in flight.
   bool has_capacity(double now, std::uint32_t in_flight, bool write) const;
   void on_attempt_sent(double now);
-  DecreaseReason on_attempt_ended(double now, const AttemptSample& sample);
+  DecreaseReason on_attempt_ended(double now, const AttemptSample& reported);
 
   // This router's share of the sum of all routers' limits, approached over several calls. Adds nothing to the
   // sum.
--- a/src/idle_connections/idle_lifetime_estimator.cpp
+++ b/src/idle_connections/idle_lifetime_estimator.cpp
@@ -231,13 +231,14 @@
   return estimated(now, endpoint).keep_ms;
 }
 
-IdleLifetimeEstimator::Reuse IdleLifetimeEstimator::decide_reuse(double now, EndpointId id, double idle_ms) {
-  const Endpoint& endpoint = estimated(now, id);
-  if (idle_ms < endpoint.safe_ms) return Reuse::Allowed;
+IdleLifetimeEstimator::Reuse IdleLifetimeEstimator::decide_reuse(double now, EndpointId endpoint,
+                                                                 double idle_ms) {
+  const Endpoint& estimate = estimated(now, endpoint);
+  if (idle_ms < estimate.safe_ms) return Reuse::Allowed;
   // A server without a reset of its own at that idle time goes first.
-  const bool guilty = endpoint.history.reuses[bucket_of(endpoint.safe_ms)].reset > kGuiltyResets;
+  const bool guilty = estimate.history.reuses[bucket_of(estimate.safe_ms)].reset > kGuiltyResets;
   const double trial_at = next_trial_at_ + (guilty ? trial_interval_ms_ : 0);
-  if (idle_ms >= endpoint.keep_ms || now < trial_at) return Reuse::Refused;
+  if (idle_ms >= estimate.keep_ms || now < trial_at) return Reuse::Refused;
   next_trial_at_ = now + trial_interval_ms_;
   return Reuse::Trial;
 }
