--- a/include/fernward/balancer.h
+++ b/include/fernward/balancer.h
@@ -1,13 +1,13 @@
-// fernward: the decisions of a router for fleets of cache servers.
+// fernward: load balancing decisions of one router in front of a fleet of cache servers.
 //
-// The caller feeds one Event at a time to a Balancer and carries out the Actions it appends, in order.
+// The caller passes one Event at a time to a Balancer and executes the Actions that it appends, in order.
 //
-//  - Units: times are milliseconds on the caller's clock, which may start anywhere and only advances.
-//  - Ownership: a Balancer copies what it needs from an Event; actions own their content.
-//  - Threads: a Balancer holds no shared state. Use each one from one thread at a time.
-//  - Randomness comes from the seed alone: the same seed and events give the same actions.
-//  - Misuse: events for unknown requests, attempts, servers, classes or timers are ignored. Values that are
-//    not finite or are negative count as absent. Impossible settings throw std::invalid_argument.
+//  - Units: times are milliseconds on the caller's monotonic clock, whose origin is arbitrary.
+//  - Ownership: a Balancer copies the data that it needs from an Event; actions own their data.
+//  - Threads: Balancers share no state. Use each instance from one thread at a time.
+//  - Randomness depends only on the seed: the same seed and events produce the same actions.
+//  - Invalid input: events for unknown requests, attempts, servers, classes or timers are ignored. Values
+//    that are negative or not finite are treated as absent. Invalid settings throw std::invalid_argument.
 #pragma once
 
 #include <cstdint>
@@ -24,109 +24,108 @@
 
 // ---- settings ----
 
-/// May the effect of a request be carried out more than once?
+/// Whether a request may be executed more than once.
 enum class Idempotency {
-  Idempotent,   // yes, without harm
-  WithKey,      // servers discard a repeat, see IdempotencyScope and ClassSettings::idempotency_window_ms
-  NonIdempotent // no
+  Idempotent,   // may be repeated safely
+  WithKey,      // servers discard duplicates, see IdempotencyScope and ClassSettings::idempotency_window_ms
+  NonIdempotent // must not be repeated
 };
-/// Which servers discard a repeat of a request with an idempotency key: all, or those of the first one's
-/// group.
+/// Which servers discard a duplicate of a request with an idempotency key: all servers, or only those in the
+/// same zone or cell as the server that received the first attempt.
 enum class IdempotencyScope { All, Zone, Cell };
-/// How load reports arrive.
+/// How servers deliver load reports.
 enum class LoadReportSource { Responses, HealthChecks, Never };
-/// What a value of a load report is. Inflight and Queue: requests; LatencyMs: milliseconds; the others are
-/// not used.
+/// Meaning of a load report value. Inflight and Queue are counts of requests, LatencyMs is in milliseconds;
+/// the others are ignored.
 enum class LoadReportField { Inflight, Queue, Util, LatencyMs, Qps, Eps, Other };
-/// How endpoint lists arrive. Poll: only after a WatchEndpoints.
+/// How endpoint lists arrive. Push: unsolicited. Poll: only after a WatchEndpoints action.
 enum class DiscoveryMode { Push, Poll };
-/// What the weights of servers are. Live ones change all the time and do not shape the ring.
+/// Meaning of server weights. Live weights change continuously, so they do not affect the hash ring.
 enum class WeightKind { Off, Nominal, Rough, Live };
 
-/// One class of requests.
+/// Settings of one request class.
 struct ClassSettings {
-  /// An answer within this time earns its full value; 0: client_timeout_ms counts.
+  /// A response within this time has its full value; 0: client_timeout_ms is used instead.
   double latency_objective_ms = 0;
-  /// The client's patience over all its attempts; 0: unknown.
+  /// How long the client waits in total, over all its own attempts; 0: unknown.
   double client_timeout_ms = 0;
-  /// The objective grows by this many times Request::expected_work_ms.
+  /// The latency objective is extended by this factor times Request::expected_work_ms.
   double objective_per_work = 0;
-  /// Share of the value, 0 to 1, that an answer after the objective earns.
+  /// Share of the full value, 0 to 1, that a response after the latency objective still has.
   double late_value_share = 0;
-  /// What an answer is worth beside those of other classes.
+  /// Value of a response relative to those of other classes.
   double priority_weight = 1;
   Idempotency idempotency = Idempotency::NonIdempotent;
   IdempotencyScope idempotency_scope = IdempotencyScope::Zone;
-  /// WithKey: for how long repeats are discarded.
+  /// WithKey: for how long servers discard duplicates.
   double idempotency_window_ms = 0;
   bool streaming = false;
-  /// Of one request; 0: Settings::max_attempts, which bounds it in any case.
+  /// Attempts per request; 0: Settings::max_attempts, which is the upper bound in any case.
   std::uint32_t max_attempts = 0;
-  /// Where Settings::may_hedge allows it.
+  /// Effective only if Settings::may_hedge is set.
   bool may_hedge = true;
 };
 
 struct TenantSettings {
-  /// Of the service, 0 to 1.
+  /// The tenant's share of the whole service, 0 to 1.
   double service_share = 0;
-  /// Requests a second over all routers; 0: no quota.
+  /// Requests per second over all routers; 0: no quota.
   double quota_per_s = 0;
 };
 
-/// What is done when the fleet changes its size. Used where there is an origin and `transition_ms` is above
-/// 0.
+/// Handling of fleet size changes. Enabled if there is an origin and `transition_ms` is above 0.
 struct ResizeSettings {
-  /// A cache that came lately shares its keys with their former owners for this long.
+  /// For this long, a newly added cache shares its keys with their former owners.
   double transition_ms = 0;
-  /// Meanwhile fetches at the origin stay below this many times their steady rate; 0: no bound, else 1 or
-  /// more.
+  /// During the transition, the fetch rate at the origin is limited to this multiple of its steady rate;
+  /// 0: unlimited, otherwise at least 1.
   double origin_load_multiple = 2;
-  /// Share of the reads, 0 to 1, whose keys, the most popular ones, are kept at two caches.
+  /// The most popular keys, which make up this share of the reads (0 to 1), are stored at two caches.
   double second_replica_share = 0;
 };
 
 struct Settings {
-  /// Routers of the fleet, 1 to 65536.
+  /// Number of routers in the fleet, 1 to 65536.
   std::uint32_t router_count = 1;
-  /// The router's own; caches in it are preferred.
+  /// Zone of this router; caches in the same zone are preferred.
   std::optional<std::uint32_t> zone;
-  /// One at least.
+  /// At least one.
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
-  /// Value of a request over its tenant's quota, as a share, 0 to 1.
+  /// Factor, 0 to 1, on the value of a request that exceeds its tenant's quota.
   double over_quota_weight = 1;
-  /// Caches answer CacheMiss and the router asks the origin, which is listed with this Server::kind; -1: no
-  /// origin.
+  /// Server::kind of the origin in endpoint lists. Caches answer CacheMiss and the router then fetches from
+  /// the origin. -1: no origin.
   std::int32_t origin_kind = -1;
   LoadReportSource load_report_source = LoadReportSource::Never;
-  /// What the values of a load report are, in order.
+  /// Meaning of each value of a load report, in order.
   std::vector<LoadReportField> load_report_fields;
   DiscoveryMode discovery = DiscoveryMode::Push;
   WeightKind weight_kind = WeightKind::Off;
   bool may_health_check = false;
   bool may_cancel = false;
-  /// Two attempts of a request may be in flight at once.
+  /// Two attempts of one request may be in flight at the same time.
   bool may_hedge = false;
-  /// Clients are given Reject::retry_after_ms.
+  /// Whether Reject::retry_after_ms is set for clients.
   bool send_retry_after = false;
   double max_retry_after_ms = 0;
-  /// Of one request, 1 or more.
+  /// Attempts per request, at least 1.
   std::uint32_t max_attempts = 1;
-  /// Events come at most this often.
+  /// Granularity of event times: the minimum interval between events.
   double event_interval_ms = 1;
-  /// Poll: a WatchEndpoints without an answer is repeated after this; 0: after 8 s.
+  /// Poll: a WatchEndpoints that is not answered is repeated after this time; 0: after 8 s.
   double poll_interval_ms = 0;
-  /// For how long a started server is in slow start.
+  /// Duration of slow start after a server has started.
   double slow_start_ms = 0;
-  /// The share of its capacity, 0 to 1, that a server surely has at the start of it.
+  /// Share of its capacity, 0 to 1, that a server is guaranteed to have when slow start begins.
   double slow_start_min_capacity = 1;
-  /// A server in slow start that is overloaded for this long fails.
+  /// A server in slow start fails if it is overloaded for this long.
   double overload_failure_ms = 0;
-  /// Overloaded: sent more than this many times its present capacity.
+  /// A server in slow start is overloaded if it is sent more than this multiple of its current capacity.
   double overload_multiple = 1;
   ResizeSettings resize;
 
-  /// Of a request of this class.
+  /// Attempts allowed per request of this class.
   std::uint32_t max_attempts_of(std::uint32_t cls) const {
     const std::uint32_t own = cls < classes.size() ? classes[cls].max_attempts : 0;
     return own > 0 && own < max_attempts ? own : max_attempts;
@@ -136,85 +135,85 @@
   }
 };
 
-/// Throws std::invalid_argument, naming the field, for impossible settings.
+/// Throws std::invalid_argument, which names the field, if a setting is invalid.
 void validate(const Settings& settings);
 
 // ---- events ----
 
 enum class ServerState { Ready, Draining, Gone };
 
-/// A cache or the origin, as discovery lists it.
+/// A cache or the origin as listed by discovery.
 struct Server {
   ServerId id = 0;
   std::uint32_t kind = 0;
   std::uint32_t cell = 0;
   std::uint32_t zone = 0;
   double weight = 1;
-  /// Clock time of its last start; 0: long ago.
+  /// Clock time of its last start; 0: unknown, long ago.
   double started_at = 0;
   ServerState state = ServerState::Ready;
 };
 
-/// Delta: changes alone. Full: all servers. Cached: all, from a stored list. Failed: the call
-/// failed.
+/// Delta: only the changed servers. Full: all servers. Cached: all servers, from a locally stored list.
+/// Failed: the discovery call failed.
 enum class EndpointListKind { Delta, Full, Cached, Failed };
 
-/// Discovery tells which servers there are.
+/// Discovery delivered an endpoint list, or its call failed.
 struct EndpointList {
   EndpointListKind kind = EndpointListKind::Full;
   std::vector<Server> servers;
 };
 
-/// A request arrives.
+/// A client request arrived.
 struct Request {
   RequestId id = 0;
   std::uint32_t class_index = 0;
   std::uint32_t tenant = 0;
   /// 0: none.
   std::uint64_t key = 0;
-  /// Clock time at which the client gives up on this attempt of its own.
+  /// Clock time at which the client stops waiting for this request; it may then send it again by itself.
   double deadline = 0;
   /// 0: unknown.
   double expected_work_ms = 0;
   bool write = false;
-  /// Clock time by which its body will be complete; 0: it is.
+  /// Clock time at which its body is expected to be complete; 0: it is complete.
   double body_complete_at = 0;
 };
 
 enum class AttemptResult {
   Ok,
-  Error,         // the server answered that it failed
-  Overloaded,    // rejected unseen: the attempt never ran
-  TimedOut,      // no answer in time
-  ConnectFailed, // no connection came up: the attempt never ran
+  Error,         // the server responded with an error
+  Overloaded,    // the server rejected it without executing it
+  TimedOut,      // no response in time
+  ConnectFailed, // no connection was established, so it was not executed
   Reset,         // the connection broke
-  Cancelled,     // given up early: by a Cancel, or as its request ended
-  Abandoned,     // not sent, as it was no longer wanted
+  Cancelled,     // ended early: by a Cancel, or because its request ended
+  Abandoned,     // not sent, because it was no longer needed
   CacheMiss,     // the cache does not hold the key
-  InvalidRequest // the server is well, the request is not: no other would take it
+  InvalidRequest // the request itself is invalid: a healthy server rejected it, as any other would
 };
 
-/// An attempt has ended.
+/// An attempt ended.
 struct AttemptOutcome {
   RequestId id = 0;
-  /// In the order of the request's Sends, from 0.
+  /// Index of the attempt: position among the request's Send actions, from 0.
   std::uint32_t attempt = 0;
   ServerId server = 0;
   AttemptResult result = AttemptResult::Ok;
   double elapsed_ms = 0;
-  /// The request has its final answer.
+  /// The client has received the final response of the request.
   bool request_ended = false;
-  /// In the order of Settings::load_report_fields; empty: none.
+  /// Values in the order of Settings::load_report_fields; empty: no load report.
   std::vector<float> load_report;
-  /// On a connection that was idle before: a reset may be of the connection alone.
+  /// Sent on a connection that was idle before: a reset may concern only the connection, not the server.
   bool on_reused_connection = false;
-  /// The first on its connection: overloaded may mean that there is no place for that.
+  /// The first attempt on its connection: Overloaded may mean that the server accepts no more connections.
   bool first_on_connection = false;
-  /// Part of the request's body is gone, so that it can't be sent again.
+  /// Part of the request body is no longer available, so the request cannot be sent again.
   bool body_consumed = false;
 };
 
-/// An attempt's response begins to be passed on to the client.
+/// The router started to forward the response of an attempt to the client.
 struct ResponseStarted {
   RequestId id = 0;
   std::uint32_t attempt = 0;
@@ -226,12 +225,12 @@
   RequestId id = 0;
 };
 
-/// The time of a SetTimer has come.
+/// The timer of a SetTimer expired.
 struct TimerFired {
   std::uint64_t token = 0;
 };
 
-/// A SendHealthCheck has ended.
+/// A health check started by SendHealthCheck ended.
 struct HealthCheckResult {
   ServerId server = 0;
   double elapsed_ms = 0;
@@ -239,26 +238,27 @@
   std::vector<float> load_report;
 };
 
-/// What the routers of the fleet know together, as far as this one was told. Advice, which fades when no
-/// router is heard any more.
+/// Aggregated state of the fleet's routers, as far as this router has received it. Advisory; it loses weight
+/// while no updates from other routers are received.
 struct FleetState {
   /// 0: unknown. Settings::router_count bounds it.
   double live_routers = 0;
-  /// This router's part of the attempts that all may have at the origin at once; 0: unknown.
+  /// This router's share of the concurrent attempts that all routers may have at the origin; 0: unknown.
   double origin_limit_share = 0;
-  /// The origin's response time lately, as several routers saw it; 0: unknown.
+  /// Recent response time of the origin as observed by several routers; 0: unknown.
   double origin_response_ms = 0;
-  /// How long ago they saw it, on average.
+  /// Mean age of these observations.
   double origin_response_age_ms = 0;
 };
 
-/// What several routers say together of a cache; the word of a single one never comes here. A younger
-/// response of the cache's here outweighs it, and what is ejected by it gets a half-open trial before long.
+/// Combined report of several routers about one cache; a report of a single router is never passed on here.
+/// A more recent response of the cache to this router takes precedence. A cache that is ejected because of a
+/// report soon gets a half-open trial.
 struct OutlierReport {
   ServerId server = 0;
-  /// Silent, or its attempts fail.
+  /// It does not respond, or its attempts fail.
   bool is_outlier = false;
-  /// Clock time of the youngest evidence.
+  /// Clock time of the most recent observation behind the report.
   double observed_at = 0;
 };
 
@@ -267,46 +267,46 @@
 
 // ---- actions ----
 
-/// Start an attempt. Its end is told by an AttemptOutcome.
+/// Start an attempt. The caller reports its end with an AttemptOutcome.
 struct Send {
   RequestId id = 0;
   ServerId server = 0;
-  /// 0: until the client gives up.
+  /// 0: until the client's deadline.
   double timeout_ms = 0;
 };
 
-/// Why a request was given up, for figures and logs; nothing else follows from it.
+/// Why a request was given up. Used only for statistics and logs.
 enum class GiveUpReason {
-  Shed,             // rejected unseen, as being worth the least
-  QueueTimeout,     // waited for its turn at the origin until it would have been late
-  ResponseTimeout,  // its time ran out with an attempt in flight
-  NotSent,          // its time ran out with no attempt in flight
+  Shed,             // rejected on arrival: of low priority under overload, or its deadline has passed
+  QueueTimeout,     // queued for the origin for so long that the response would be late
+  ResponseTimeout,  // deadline reached with an attempt in flight
+  NotSent,          // deadline reached with no attempt in flight
   RetryBudgetEmpty, // an attempt failed and the retry budget was empty
   AttemptLimit,     // all attempts that the settings allow were made
-  NotIdempotent,    // its class allows no further attempt
-  NoEndpoint,       // no server was left to ask
-  InvalidRequest,   // a server says that the request itself is at fault
-  Count             // of the reasons
+  NotIdempotent,    // its idempotency setting allows no further attempt
+  NoEndpoint,       // no usable server was left
+  InvalidRequest,   // a server reported that the request itself is invalid
+  Count             // number of reasons
 };
 
-/// A final answer that promises that a retry does no harm.
+/// Final answer to the client that guarantees that a retry is safe.
 struct Reject {
   RequestId id = 0;
-  /// When the client may come again; 0: no advice.
+  /// Advised delay before the client retries; 0: none.
   double retry_after_ms = 0;
   GiveUpReason reason = GiveUpReason::Shed;
 };
-/// A final answer that promises nothing.
+/// Final answer to the client without the guarantee that a retry is safe.
 struct Fail {
   RequestId id = 0;
   GiveUpReason reason = GiveUpReason::NotIdempotent;
 };
-/// Stop waiting for an attempt. Its AttemptOutcome still comes.
+/// Cancel an attempt. The caller still reports its AttemptOutcome.
 struct Cancel {
   RequestId id = 0;
   std::uint32_t attempt = 0;
 };
-/// Feed a TimerFired with this token after this time.
+/// The caller passes a TimerFired with this token after the delay.
 struct SetTimer {
   double delay_ms = 0;
   std::uint64_t token = 0;
@@ -314,7 +314,7 @@
 struct SendHealthCheck {
   ServerId server = 0;
 };
-/// Subscribe to changes of the endpoint list.
+/// Subscribe to changes of the endpoint list at discovery.
 struct WatchEndpoints {};
 struct Log {
   std::string text;
@@ -322,55 +322,55 @@
 
 using Action = std::variant<Send, Reject, Fail, Cancel, SetTimer, SendHealthCheck, WatchEndpoints, Log>;
 
-/// The decisions of one router.
+/// Makes the load balancing decisions of one router. It has no clock and does no I/O; the caller owns it.
 class Balancer {
  public:
-  /// Throws std::invalid_argument as validate() does.
+  /// Throws std::invalid_argument under the conditions of validate().
   Balancer(const Settings& settings, std::uint64_t seed);
   ~Balancer();
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  /// Goes on with other settings; open requests keep their deadlines. Classes and tenants keep their numbers,
-  /// and new ones may follow them. The number of routers, the zone, the origin's kind, load reports,
-  /// discovery and weights must stay. Throws std::invalid_argument, and nothing has changed.
+  /// Replaces the settings; active requests keep their deadlines. Classes and tenants keep their indexes, and
+  /// new ones may be appended. The router count, zone, origin kind, and the settings of load reports,
+  /// discovery and weights must not change. Throws std::invalid_argument and changes nothing otherwise.
   void update_settings(const Settings& settings);
 
-  /// The server gets no requests for now, as attempts there failed. For figures.
+  /// Whether the server is ejected as an outlier, because its attempts failed. For statistics.
   bool is_ejected(ServerId server) const;
 
-  /// What other routers may be told of the origin.
+  /// State of the origin as seen by this router, to be shared with other routers.
   struct OriginBudget {
-    /// Attempts at once that are wanted here; below 0: unknown.
+    /// Concurrent attempts that this router demands; below 0: unknown.
     double demand = -1;
-    /// Attempts at once that this router's limit allows.
+    /// Concurrent attempts that this router's limit allows.
     double limit = 0;
-    /// Response time lately; 0: no answer for 0.8 s.
+    /// Recent response time; 0: no response for 0.8 s.
     double response_ms = 0;
   };
   OriginBudget origin_budget() const;
 
-  /// What slow start has decided since the beginning, over all caches. For figures.
+  /// Slow start decisions since the Balancer was created, over all caches. For statistics.
   struct SlowStartCounts {
-    /// Attempts at caches in slow start.
+    /// Attempts sent to caches in slow start.
     std::uint64_t attempts = 0;
-    /// Times that a cache was a candidate and was passed over for its slow start.
+    /// How often a candidate was skipped because of its slow start.
     std::uint64_t denied = 0;
   };
   SlowStartCounts slow_start_counts() const;
 
-  /// What this router has seen itself of a cache in service, to be told to others.
+  /// This router's own observations of a cache in service, to be shared with other routers.
   struct OutlierObservation {
     ServerId server = 0;
-    /// Attempts; 0: the latest response was a good one.
+    /// Failed attempts since the last response; 0: the last attempt was answered.
     std::uint32_t consecutive_failures = 0;
-    /// Clock time, which may be long ago.
+    /// Clock time of the observation, which may be long ago.
     double observed_at = 0;
   };
-  /// Appends one for each cache in service.
+  /// Appends one observation for each cache in service.
   void outlier_observations(std::vector<OutlierObservation>& to) const;
 
-  /// Takes one event that occurs at clock time `now`; appends what to do about it.
+  /// Handles one event that occurs at clock time `now` (ms) and appends the resulting actions.
   void on_event(double now, const Event& event, std::vector<Action>& actions);
 
  private:
