--- a/src/health/outlier_state.cpp
+++ b/src/health/outlier_state.cpp
@@ -5,8 +5,8 @@
 namespace fernward::health {
 namespace {
 
-constexpr int kEjectAfterFailures = 3; // in a row, by weight (policy/outcome.cpp)
-constexpr double kMinTrialBackoff = 2; // times what makes an attempt slow
+constexpr int kEjectAfterFailures = 3; // sum of weights of consecutive failures (record_failure())
+constexpr double kMinTrialBackoff = 2; // multiple of the slow attempt threshold
 
 } // namespace
 
@@ -45,7 +45,7 @@
   half_open_trial_ = false;
   trial_backoff_ms_ = std::clamp(
       2 * trial_backoff_ms_, std::min(kMinTrialBackoff * slow_ms, kMaxTrialBackoffMs), kMaxTrialBackoffMs);
-  // Spread, so that routers do not try at once.
+  // Jitter keeps routers from sending their trials at the same time.
   next_trial_at_ = now + trial_backoff_ms_ * (0.75 + 0.5 * draw);
 }
 
--- a/src/health/outlier_state.h
+++ b/src/health/outlier_state.h
@@ -1,4 +1,4 @@
-// Whether a server is ejected, by own attempts and by what other routers say. No I/O, no clock.
+// Outlier state of one server, from this router's attempts and other routers' reports. No I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -7,17 +7,19 @@
 
 namespace fernward::health {
 
-constexpr double kMaxTrialBackoffMs = 8000; // the longest wait for a half-open trial
+constexpr double kMaxTrialBackoffMs = 8000; // upper bound of the wait for a half-open trial
 
-/// One server's outlier state; plain values, no allocation. A server that was restarted gets a new one.
+/// Outlier state of one server; plain values, no allocation. Owned by the server's Replica; a restarted
+/// server gets a new one.
 ///
-///   in service -> ejected             enough failures in a row, or others report it as an outlier
-///   ejected -> half-open trial        a request or health check is sent there, once trial_due()
-///   half-open trial -> ejected        it fails; schedule_trial() doubles the wait
+///   in service -> ejected             enough consecutive failures, or other routers report it as an outlier
+///   ejected -> half-open trial        a request or health check is sent to it, once trial_due()
+///   half-open trial -> ejected        the trial fails; schedule_trial() doubles the wait
 ///   ejected or trial -> in service    record_success()
 ///
-/// What others say counts only where it is younger than the server's last response here, and a good word of
-/// theirs only brings the trial forward. Times: milliseconds on the caller's clock, which only advances.
+/// Other routers' outlier reports count only if they are more recent than the server's last response to this
+/// router; their reports that it is healthy only bring the trial forward. Times: milliseconds on the caller's
+/// monotonic clock.
 class OutlierState {
  public:
   bool is_ejected() const { return ejected_; }
@@ -25,26 +27,27 @@
   double next_trial_at() const { return next_trial_at_; }
   double last_response_at() const { return last_response_at_; }
   double last_failure_at() const { return last_failure_at_; }
-  /// By this router's own attempts, since the last response.
+  /// Sum of the failure weights of this router's attempts since the last response.
   int consecutive_failures() const { return consecutive_failures_; }
 
-  /// A request or health check goes there. While the server is ejected, it is the trial.
+  /// A request or health check is sent to the server. While the server is ejected, this is the trial.
   void record_sent() { half_open_trial_ = ejected_; }
-  /// The server responded, be it that it is overloaded.
+  /// The server responded, possibly that it is overloaded.
   void record_response(double now) {
     last_response_at_ = now;
     consecutive_failures_ = 0;
   }
-  /// A good response. True: the server was ejected and is back in service.
+  /// The server responded successfully. Returns true if it was ejected and is now back in service.
   bool record_success(double now);
-  /// An attempt was refused, broke or came to nothing. `weight`: failures that it counts for; 0: none.
-  /// `stays`: the server must not be ejected. True: it is ejected now; call schedule_trial().
+  /// An attempt failed, or is slow. `weight`: number of failures that it counts as; 0: none. `stays`: do not
+  /// eject the server. Returns true if the server is now ejected; the caller then calls schedule_trial().
   bool record_failure(double now, int weight, bool stays);
-  /// Others report it as an outlier, by evidence as old as `observed_at`. True: it is ejected now; call
-  /// schedule_trial().
+  /// Other routers report it as an outlier, from observations made at `observed_at`. Returns true if it is
+  /// now ejected; the caller then calls schedule_trial().
   bool on_reported_outlier(double observed_at);
   void on_reported_healthy(double now, double observed_at);
-  /// Sets the wait for the next trial. `slow_ms`: from when on an attempt is slow; `draw`: even from 0 to 1.
+  /// Sets the wait for the next trial. `slow_ms`: elapsed time from which an attempt counts as slow; `draw`:
+  /// uniform random number in [0, 1).
   void schedule_trial(double now, double slow_ms, double draw);
 
  private:
@@ -54,7 +57,7 @@
   double last_response_at_ = kNever;
   double last_failure_at_ = kNever;
   double next_trial_at_ = 0;
-  double trial_backoff_ms_ = 0; // kept for a while after a success, for a server that fails again
+  double trial_backoff_ms_ = 0; // kept for a while after a success, in case the server fails again
 };
 
 } // namespace fernward::health
--- a/src/requests/load_report.h
+++ b/src/requests/load_report.h
@@ -1,4 +1,4 @@
-// A server's load report, read by the fields that the settings name.
+// Parses a server's load report according to the configured fields.
 #pragma once
 
 #include <algorithm>
@@ -9,9 +9,9 @@
 
 namespace fernward {
 
-/// Values below 0 are unknown.
+/// Load of one server; values below 0 are unknown.
 struct LoadReport {
-  double queue_length = -1; // waiting requests; of servers that report none, requests in work
+  double queue_length = -1; // queued requests; requests in progress if the server reports no queue
   double latency_ms = -1;
 };
 
--- a/src/requests/request_state.h
+++ b/src/requests/request_state.h
@@ -1,4 +1,4 @@
-// What is kept of a request while it is open, and the tokens of timers. No decisions here.
+// State of an active request, and timer tokens. Contains no decisions.
 #pragma once
 
 #include <algorithm>
@@ -18,13 +18,13 @@
   ServerId server = 0;
   double sent_at = 0; // ms, clock time
   bool in_flight = true;
-  bool runs_to_end = false;      // never cancelled, to learn whether slow attempts are ever answered
-  bool slow = false;             // slower than nearly all
-  bool stalled = false;          // slow, and later ones were answered: it takes no place at the server
-  bool response_started = false; // its response is being passed on: the server's work for it is done
+  bool runs_to_end = false;      // never cancelled, to measure whether slow attempts are ever answered
+  bool slow = false;             // exceeded the slow attempt threshold
+  bool stalled = false;          // slow, and later ones were answered: uses no server capacity
+  bool response_started = false; // response is being forwarded: the server has completed its work
 };
 
-/// The request with impossible values taken for absent.
+/// Returns the request with invalid values replaced by those for absent ones.
 inline Request sanitized(Request request, double give_up_at) {
   if (!usable_number(request.expected_work_ms)) request.expected_work_ms = 0;
   if (!usable_number(request.body_complete_at)) request.body_complete_at = 0;
@@ -32,23 +32,24 @@
   return request;
 }
 
-/// A request from its arrival until its last attempt has ended. Times: milliseconds, clock time.
+/// A request from its arrival until its last attempt has ended. Owned by Balancer::Impl. Times: milliseconds,
+/// clock time.
 struct RequestState {
   Request params;
-  double answer_by = 0;        // the final answer goes out by then
-  double value = 0;            // of an answer in time, by priority
-  double slow_start_share = 1; // that a cache in slow start may be sent; see placement::KeyDemand
+  double answer_by = 0;        // the final answer is sent by then
+  double value = 0;            // of a response in time, by priority
+  double slow_start_share = 1; // share admitted to caches in slow start, see placement::KeyDemand
   std::vector<Attempt> attempts;
   std::vector<ServerId> cache_misses;
   std::uint32_t in_flight = 0;
-  // Set where the first attempt goes to a cache without the key, so that it is stored there.
+  // Set if the first attempt was sent to a cache without the key, so that the key is stored there.
   std::optional<placement::FillRateLimiter::Fill> pending_fill;
-  bool finished = false;          // the final answer is given
-  bool streaming = false;         // a response is being passed on
+  bool finished = false;          // the final answer was sent
+  bool streaming = false;         // a response is being forwarded
   bool may_have_executed = false; // by one of its attempts
   bool leads_fetch = false;       // others may wait for its fetch, see FetchCoalescer
   bool queued_for_origin = false;
-  // Of the first attempt that may have executed: the servers that know its idempotency key.
+  // Time and place of the first attempt that may have executed: there the idempotency key is known.
   double bound_at = 0;
   std::uint32_t bound_zone = 0;
   std::uint32_t bound_cell = 0;
@@ -74,7 +75,7 @@
          result != AttemptResult::Abandoned && result != AttemptResult::CacheMiss;
 }
 
-/// The outcome as far as the server goes, once its response begins to be passed on.
+/// The outcome as far as the server is concerned, once its response starts to be forwarded.
 inline AttemptOutcome outcome_of(const ResponseStarted& event) {
   AttemptOutcome outcome;
   outcome.id = event.id;
@@ -87,7 +88,7 @@
 
 enum class Timer : std::uint64_t { Tick, GiveUp, SlowAttempt, RetryOrigin };
 
-// A timer's token, from the highest bit: 4 bits of kind, 8 of attempt number, 52 of request id.
+// Layout of a timer token from the highest bit: 4 bits kind, 8 bits attempt index, 52 bits request id.
 constexpr unsigned kTimerKindShift = 60;
 constexpr unsigned kTimerAttemptShift = 52;
 inline std::uint64_t timer_token(Timer kind, RequestId id = 0, std::uint64_t attempt = 0) {
--- a/src/statistics/moving_average.h
+++ b/src/statistics/moving_average.h
@@ -3,7 +3,7 @@
 
 namespace fernward {
 
-// Moves `mean` by `weight` (0 to 1) of its distance to `sample`.
+// Updates `mean` with `sample`; `weight`: 0 to 1, share of the new sample.
 inline void smooth(double& mean, double sample, double weight) { mean += weight * (sample - mean); }
 
 } // namespace fernward
--- a/src/statistics/numbers.h
+++ b/src/statistics/numbers.h
@@ -1,4 +1,4 @@
-// Numbers that all deciding packages share.
+// Numeric helpers shared by the decision packages.
 #pragma once
 
 #include <cmath>
@@ -8,7 +8,7 @@
 
 namespace fernward {
 
-constexpr double kNever = -1e18; // a time before any other
+constexpr double kNever = -1e18; // a time before all others
 
 // Finite and not negative.
 inline bool usable_number(double value) { return std::isfinite(value) && value >= 0; }
--- a/src/statistics/random.h
+++ b/src/statistics/random.h
@@ -1,11 +1,11 @@
-// Hashing, and random numbers that depend on a seed alone.
+// Hashing, and random numbers that depend only on a seed.
 #pragma once
 
 #include <cstdint>
 
 namespace fernward {
 
-inline std::uint64_t mix(std::uint64_t x) { // the finisher of splitmix64
+inline std::uint64_t mix(std::uint64_t x) { // finalizer of splitmix64
   x += 0x9e3779b97f4a7c15ull;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ull;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebull;
