--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -8,12 +8,12 @@
 
 namespace fernward {
 
-constexpr double kHealthChecksPerRequest = 0.1; // where nothing else brings load reports
-constexpr double kOriginDemandWeight = 0.05;    // of a tick in the mean
-constexpr double kMinLiveShare = 0.25;          // of the configured routers
+constexpr double kHealthChecksPerRequest = 0.1; // if load reports come only from health checks
+constexpr double kOriginDemandWeight = 0.05;    // weight of one tick in the moving average
+constexpr double kMinLiveShare = 0.25;          // share of the configured routers
 constexpr double kLogIntervalMs = 1000;
 
-// Joins one handler for each type of event into the visitor that std::visit takes.
+// Combines one handler per event type into a visitor for std::visit.
 template <typename... Handlers>
 struct Overloaded : Handlers... {
   using Handlers::operator()...;
@@ -25,7 +25,7 @@
     : settings(s), random{mix(seed)}, placement(s.origin_kind >= 0 ? s.resize : ResizeSettings{}) {
   apply_classes();
   live_routers = s.router_count;
-  // First guesses, until answers tell.
+  // Initial estimates until responses are measured.
   cache_slow_attempts.slow_threshold_ms = shortest_objective_ms / 3;
   origin_slow_attempts.slow_threshold_ms = cache_slow_attempts.slow_threshold_ms;
   cache_response_ms = cache_slow_attempts.slow_threshold_ms / 3;
@@ -39,7 +39,7 @@
 }
 
 void Balancer::Impl::log(const char* what, double figure) {
-  if (now - logged_at < kLogIntervalMs) return; // the first line of a second tells enough
+  if (now - logged_at < kLogIntervalMs) return; // at most one line per interval
   logged_at = now;
   char text[120];
   std::snprintf(text, sizeof text, "%s %.0f", what, figure);
@@ -73,7 +73,7 @@
   place_servers(changed);
 }
 
-// Its cost does not grow with the number of servers.
+// The cost does not depend on the number of servers.
 void Balancer::Impl::update_server(const Server& listed) {
   Server entry = listed;
   if (!usable_number(entry.weight) || entry.weight == 0) entry.weight = 1;
@@ -111,11 +111,11 @@
   }
 }
 
-// Forgets those that are gone, once no attempt is in flight there.
+// Erases servers that are gone and have no attempt in flight.
 void Balancer::Impl::drop_departed() {
   std::erase_if(leaving, [this](ServerId id) {
     const Replica* r = find_server(id);
-    if (r == nullptr || r->entry.state != ServerState::Gone) return true; // it is back
+    if (r == nullptr || r->entry.state != ServerState::Gone) return true; // listed again
     if (r->in_flight > 0 || r == origin) return false;
     listed_origins.erase(id);
     replicas.erase(id);
@@ -123,7 +123,7 @@
   });
 }
 
-// Bounded by the configured number on both sides: a router that is cut off must not take itself for alone.
+// Bounded on both sides by the configured number: an isolated router must not assume that it is the only one.
 void Balancer::Impl::on_fleet_state(const FleetState& fleet) {
   live_routers =
       std::clamp(usable_number(fleet.live_routers) && fleet.live_routers > 0 ? fleet.live_routers : 1e9,
@@ -178,9 +178,9 @@
     send_due_health_checks();
 }
 
-// Walks all servers: only where the settings allow health checks.
+// Iterates over all servers, so it is called only if the settings allow health checks.
 void Balancer::Impl::send_due_health_checks() {
-  Replica* oldest = nullptr; // checked the longest ago
+  Replica* oldest = nullptr; // least recently checked cache
   for (auto& [id, replica] : replicas) {
     if (replica.entry.state != ServerState::Ready) continue;
     if (replica.outlier.is_ejected() && replica.outlier.trial_due(now)) send_health_check(replica);
--- a/src/policy/balancer.h
+++ b/src/policy/balancer.h
@@ -1,4 +1,4 @@
-// The Balancer's parts, joined. Interface: include/fernward/balancer.h
+// Implementation class of the Balancer. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <map>
@@ -25,8 +25,8 @@
 
 namespace fernward {
 
-/// The Balancer's parts, and the events that it passes to them. The functions lie in files by concern, named
-/// below.
+/// The Balancer's components and the event handlers that connect them; owned by the Balancer. The functions
+/// are split by topic into the source files named below.
 struct Balancer::Impl {
   Settings settings;
   Random random;
@@ -37,27 +37,27 @@
   placement::KeyDemand demand;
   Replica* origin = nullptr;
   OriginDispatch origin_dispatch;
-  std::vector<RequestId> expired; // scratch of dispatch_to_origin()
+  std::vector<RequestId> expired; // scratch buffer of dispatch_to_origin()
   concurrency::RetryBudget retry_budget;
   bool dispatching_origin = false;
   std::unordered_map<RequestId, RequestState> requests;
-  std::vector<RequestId> finished; // with no attempt in flight: dropped once the event is handled
+  std::vector<RequestId> finished; // no attempt in flight: erased once the event is handled
   FetchCoalescer fetches;
   concurrency::AdmissionController admission;
   double shortest_objective_ms = 0; // over the classes
-  double cache_response_ms = 0;     // mean of all caches' response times
-  double cache_queue_length = 0;    // mean of all caches' reported queues
+  double cache_response_ms = 0;     // moving average over all caches' response times
+  double cache_queue_length = 0;    // moving average over all caches' reported queues
   concurrency::SlowAttemptTracker cache_slow_attempts, origin_slow_attempts;
   TenantQuotas quotas{settings};
   OutlierEjection ejection{settings};
   SlowStart slow_start{settings};
   RetryPolicy retry_policy{settings};
   EndpointPollSchedule poll_schedule;
-  std::vector<ServerId> leaving; // gone from the list, dropped once no attempt is in flight there
+  std::vector<ServerId> leaving; // no longer listed; removed once they have no attempt in flight
   std::set<ServerId> listed_origins;
-  double health_check_credit = 0; // health checks that may be sent for load reports
-  double live_routers = 0;        // in service, as far as known
-  double origin_demand = -1;      // mean of attempts in flight or waiting; below 0: not known
+  double health_check_credit = 0; // health checks that may be sent to obtain load reports
+  double live_routers = 0;        // routers in service, as far as known
+  double origin_demand = -1;      // moving average of attempts in flight or queued; below 0: unknown
   bool ticking = false;
   double logged_at = kNever;
 
@@ -97,7 +97,7 @@
     return static_cast<std::int64_t>(replica.entry.kind) == settings.origin_kind;
   }
 
-  // choose.cpp: a request arrives, and the choice among the caches
+  // choose.cpp: request arrival and cache selection
   void on_request(const Request& received);
   double latency_objective_ms(const RequestState& request) const;
   using Choice = placement::Placement<Replica>::Choice;
@@ -109,14 +109,14 @@
   bool send_attempt(RequestState& request, Replica& replica);
   void record_attempt(RequestState& request, Replica& replica);
 
-  // health.cpp: which caches are ejected
+  // health.cpp: cache ejection and half-open trials
   bool responded_lately(const Replica& replica);
   void record_failure(Replica& replica, int weight);
   void eject(Replica& replica);
   void schedule_trial(Replica& replica);
   void record_success(Replica& replica);
 
-  // outcome.cpp: an attempt ends or is slow
+  // outcome.cpp: attempts that end or are slow
   void on_attempt_outcome(const AttemptOutcome& outcome);
   void on_response_started(const ResponseStarted& started);
   void on_health_check_result(const HealthCheckResult& result);
@@ -139,13 +139,13 @@
   void cancel_for_retry(const RequestState& request, std::size_t index);
   void hedge(RequestState& request, const Attempt& slow, Replica& replica);
 
-  // origin.cpp: misses, writes and the origin
+  // origin.cpp: cache misses, writes and origin dispatch
   void continue_after_miss(RequestState& request);
   void queue_for_origin(RequestState& request);
   void dispatch_to_origin();
   void complete_fetch(RequestState& leader, bool stored);
 
-  // give_up.cpp: the final answer
+  // give_up.cpp: final answers and cancellation
   void on_client_disconnected(const ClientDisconnected& event);
   void finish_request(RequestState& request, bool served);
   void cancel_attempts(const RequestState& request, std::size_t except);
--- a/src/policy/choose.cpp
+++ b/src/policy/choose.cpp
@@ -1,4 +1,4 @@
-// A request arrives: the choice among the caches, and sending. Interface: include/fernward/balancer.h
+// Request arrival, cache selection and sending. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -9,17 +9,17 @@
 
 constexpr double kNoObjectiveMs = 1e12;
 constexpr double kNoDeadline = 1e15;           // clock time
-constexpr double kOtherZoneScoreFactor = 3;    // crossing costs, and zones fail apart
-constexpr double kUnheldKeyScorePenalty = 1e9; // a cache that came lately and would have to fetch
+constexpr double kOtherZoneScoreFactor = 3;    // cross-zone traffic is costly, and zones fail independently
+constexpr double kUnheldKeyScorePenalty = 1e9; // for a newly added cache that would have to fetch
 
-// ---- a request arrives ----
+// ---- request arrival ----
 
 void Balancer::Impl::on_request(const Request& received) {
   if (received.class_index >= settings.classes.size() || requests.count(received.id) != 0) return;
   const ClassSettings& class_settings = settings.classes[received.class_index];
   RequestState& request = requests[received.id];
   request.params = sanitized(received, now + class_settings.client_timeout_ms);
-  // Past the objective an answer may be worth nothing: then the request ends there.
+  // If a response after the latency objective has no value, the request ends at the objective.
   const double objective_at = std::max(now, request.params.body_complete_at) + latency_objective_ms(request);
   request.answer_by =
       std::min(request.params.deadline, class_settings.late_value_share > 0 ? kNoDeadline : objective_at) -
@@ -39,7 +39,7 @@
       demand.on_request(now, received.key, ejection.ready_caches(), settings.overload_multiple);
   if (received.write && settings.origin_kind >= 0) return queue_for_origin(request);
   placement.on_read(now, received.key);
-  if (!send_to_best_cache(request)) queue_for_origin(request); // which gives up where there is none
+  if (!send_to_best_cache(request)) queue_for_origin(request); // gives up if there is no origin
 }
 
 double Balancer::Impl::latency_objective_ms(const RequestState& request) const {
@@ -50,12 +50,12 @@
   return class_settings.client_timeout_ms > 0 ? class_settings.client_timeout_ms : kNoObjectiveMs;
 }
 
-// ---- the choice among the caches ----
+// ---- cache selection ----
 
-// Those that may be asked now. A cache that is overloaded or has missed keeps its place among them: the next
-// one is not the key's first cache.
+// Candidates for an attempt now. A cache that is overloaded or has missed stays in the list, so that the next
+// cache on the ring is not taken for the key's first one and asked as well.
 Balancer::Impl::Choice Balancer::Impl::cache_candidates(const RequestState& request, std::uint64_t key) {
-  if (ejection.ready_caches() == 0) return {}; // else the whole ring is walked
+  if (ejection.ready_caches() == 0) return {}; // avoids iterating over the whole ring
   return placement.candidates(now, key, [&](const Replica& replica) {
     const bool worth_listing = now < replica.overloaded_until || request.has_missed(replica.entry.id) ||
                                !request.has_tried(replica.entry.id);
@@ -70,7 +70,7 @@
          replica.limiter.has_capacity(now, replica.active());
 }
 
-// The paper's score; the lower the better. `origin_ms`: what a fetch at the origin costs.
+// The paper's score; lower is better. `origin_ms`: cost of a fetch at the origin.
 double Balancer::Impl::cache_score(const Replica& replica, std::uint64_t key, bool likely_holder,
                                    double origin_ms) const {
   const double extra_ms =
@@ -81,7 +81,7 @@
   return score;
 }
 
-// False: there is no cache to send to, or the origin is quicker than a further one.
+// Returns false if no cache can be sent to, or if the origin is expected to be faster than another cache.
 bool Balancer::Impl::send_to_best_cache(RequestState& request) {
   const std::uint64_t key = request.params.key != 0 ? request.params.key : mix(request.params.id);
   const bool first_attempt = request.attempts.empty();
@@ -98,7 +98,7 @@
     const bool likely_holder = placement.likely_holds(candidates, i, request.params.key);
     double score = cache_score(replica, key, likely_holder, origin_ms);
     if (&replica == fill.whom) {
-      score = -1; // before all others
+      score = -1; // preferred over all others
       request.pending_fill = fill.what;
     }
     if (score < best_score) {
@@ -116,8 +116,9 @@
   return send_attempt(request, *candidates.at[best]);
 }
 
-// What a miss costs, which the paper has not: the origin's response time, grown with the cube of its use as a
-// cache's score is. Use: of the concurrency limit or, while keys move, of the fetch rate.
+// Cost of a cache miss, which the paper does not model: the origin's response time, scaled with the cube of
+// its utilization as a cache's score is with its queue. The utilization is that of the concurrency limit or,
+// while keys move between caches, of the fetch rate.
 double Balancer::Impl::origin_cost_ms() const {
   if (origin == nullptr) return 0;
   const double limit_use = origin_dispatch.limiter.utilization(now, origin_dispatch.demand(origin->active()));
@@ -127,7 +128,7 @@
   return origin->expected_response_ms(now, origin_dispatch.limiter.latency_ms()) * (1 + use * use * use);
 }
 
-// ---- an attempt is sent ----
+// ---- sending an attempt ----
 
 bool Balancer::Impl::send_attempt(RequestState& request, Replica& replica) {
   if (request.finished || request.streaming || retry_policy.attempt_denied(request, replica.entry, now))
@@ -136,7 +137,7 @@
   emit(SetTimer{std::max(slow_attempts(replica).slow_threshold_ms, 2 * settings.event_interval_ms),
                 timer_token(Timer::SlowAttempt, request.params.id, request.attempts.size() & 0xff)});
   if (!request.may_have_executed && request.in_flight == 0) {
-    // A request with an idempotency key is bound to this group of servers from now on.
+    // From now on a request with an idempotency key is bound to the servers of its scope.
     request.bound_at = now;
     request.bound_zone = replica.entry.zone;
     request.bound_cell = replica.entry.cell;
--- a/src/policy/endpoint_poll_schedule.h
+++ b/src/policy/endpoint_poll_schedule.h
@@ -1,4 +1,4 @@
-// When to call discovery for the endpoint list. Interface: include/fernward/balancer.h
+// Schedule of discovery calls for the endpoint list. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <algorithm>
@@ -7,16 +7,16 @@
 
 namespace fernward {
 
-/// The watch of the endpoint list, where it must be asked for (DiscoveryMode::Poll). States: idle; pending,
-/// from record_sent() on; subscribed, from the first list after that. A failed call leads back to idle, with
-/// a wait that doubles. Times: milliseconds; draws are even from 0 to 1.
+/// Decides when to send a WatchEndpoints in DiscoveryMode::Poll. States: idle; pending after record_sent();
+/// subscribed from the first list after that. A failed call leads back to idle, with exponential backoff.
+/// Owned by Balancer::Impl. Times: milliseconds; `draw`: uniform random number in [0, 1).
 class EndpointPollSchedule {
  public:
-  /// Restarted routers come in crowds: the first calls are spread, so that discovery is not flooded.
+  /// Many routers may restart at the same time: the first calls are spread to keep from overloading
+  /// discovery.
   void start(double now, double draw) { next_at_ = now + kFirstCallSpreadMs * draw; }
   bool is_due(double now) const { return !subscribed_ && now >= next_at_; }
-  /// `poll_interval_ms`: no answer for this long is an answer; 0: never, and the call is repeated after a
-  /// while.
+  /// `poll_interval_ms`: the call is repeated if no list arrives within this time; 0: a default is used.
   void record_sent(double now, double poll_interval_ms) {
     pending_ = true;
     next_at_ = now + (poll_interval_ms > 0 ? poll_interval_ms : kMaxBackoffMs);
--- a/src/policy/fetch_coalescer.h
+++ b/src/policy/fetch_coalescer.h
@@ -11,20 +11,20 @@
 
 namespace fernward {
 
-/// Which requests wait for a fetch of the same key. The first request of a key leads: it is sent to the
-/// origin. Later ones follow until the leader's fetch ends.
+/// Tracks the requests that wait for a fetch of the same key. The first request of a key is the leader, which
+/// is sent to the origin. Later ones are followers until the leader's fetch ends. Owned by Balancer::Impl.
 class FetchCoalescer {
  public:
-  /// True: the caller leads from now on. False: a fetch of the key has its leader already.
+  /// Returns true if the caller is now the leader, false if a fetch of the key already has one.
   bool lead(std::uint64_t key) { return followers_.try_emplace(key).second; }
-  /// True: the request waits for the key's fetch. False: there is none.
+  /// Returns true if the request now waits for the key's fetch, false if there is no fetch.
   bool follow(std::uint64_t key, RequestId id) {
     const auto fetch = followers_.find(key);
     if (fetch == followers_.end()) return false;
     fetch->second.push_back(id);
     return true;
   }
-  /// Ends the fetch and hands back its followers, the earliest first; nothing where there was no fetch.
+  /// Ends the fetch and returns its followers in order of arrival; nullopt if there was no fetch.
   std::optional<std::vector<RequestId>> end(std::uint64_t key) {
     const auto fetch = followers_.find(key);
     if (fetch == followers_.end()) return std::nullopt;
--- a/src/policy/give_up.cpp
+++ b/src/policy/give_up.cpp
@@ -5,7 +5,7 @@
 
 namespace fernward {
 
-// The client has its answer, or has gone.
+// The client has received its answer, or has disconnected.
 void Balancer::Impl::finish_request(RequestState& request, bool served) {
   request.finished = true;
   if (request.queued_for_origin) origin_dispatch.queue.remove(request.params.id);
@@ -18,7 +18,8 @@
 void Balancer::Impl::cancel_attempts(const RequestState& request, std::size_t except) {
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
     const Attempt& attempt = request.attempts[i];
-    // The origin finishes what it has begun: its response is waited for, so that the limit counts it.
+    // The origin completes requests that it has started: the attempt is not cancelled, so that the
+    // concurrency limit still counts it.
     const bool waited_for = attempt.runs_to_end || (origin != nullptr && attempt.server == origin->entry.id);
     if (i != except && attempt.in_flight && settings.may_cancel && !waited_for) {
       emit(Cancel{request.params.id, static_cast<std::uint32_t>(i)});
@@ -26,10 +27,10 @@
   }
 }
 
-// Rejects where the promise that a retry does no harm holds, else fails. Under overload clients are told the
-// longest Retry-After; else about the time of a slow attempt.
+// Rejects if a retry by the client is guaranteed to be safe, otherwise fails. Under overload the maximum
+// Retry-After is sent; otherwise about the duration of a slow attempt.
 void Balancer::Impl::give_up(RequestState& request, GiveUpReason why) {
-  if (request.in_flight > 0 && now < request.answer_by) return; // an attempt in flight may yet be answered
+  if (request.in_flight > 0 && now < request.answer_by) return; // an attempt in flight may still be answered
   if (retry_policy.client_may_retry(request)) {
     const bool overloaded = why == GiveUpReason::Shed || why == GiveUpReason::QueueTimeout ||
                             why == GiveUpReason::ResponseTimeout || why == GiveUpReason::NotSent;
--- a/src/policy/health.cpp
+++ b/src/policy/health.cpp
@@ -1,4 +1,4 @@
-// Ejection of caches and their half-open trials. Interface: include/fernward/balancer.h
+// Cache ejection and half-open trials. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 }
 
 void Balancer::Impl::eject(Replica& replica) {
-  // Its keys move to others now, long before the list tells.
+  // Its keys move to other caches now, long before the endpoint list changes.
   placement.fill_rate_limiter().on_fleet_changed(now);
   schedule_trial(replica);
   log("cache ejected, trial in ms:", replica.outlier.next_trial_at() - now);
@@ -29,7 +29,7 @@
 
 void Balancer::Impl::record_success(Replica& replica) { ejection.record_success(replica, now); }
 
-// ---- what routers tell one another ----
+// ---- outlier reports between routers ----
 
 void Balancer::Impl::on_outlier_report(const OutlierReport& report) {
   Replica* replica = find_server(report.server);
--- a/src/policy/origin.cpp
+++ b/src/policy/origin.cpp
@@ -6,10 +6,11 @@
 
 namespace fernward {
 
-constexpr std::size_t kCachesThatStore = 2; // of those that missed, the first ones store what is fetched
+constexpr std::size_t kCachesThatStore = 2; // the first caches that missed store the fetched value
 
 void Balancer::Impl::continue_after_miss(RequestState& request) {
-  // Another candidate may hold it, at a lower price than the origin's; one attempt is kept for that.
+  // Another candidate may hold the key at a lower cost than the origin. One attempt is reserved for the
+  // origin.
   if (retry_policy.has_attempts_left(request, 1) && !request.pending_fill) {
     if (send_to_best_cache(request)) return;
     Replica* const too = placement.choose_second_store(
@@ -37,7 +38,7 @@
 }
 
 void Balancer::Impl::dispatch_to_origin() {
-  if (dispatching_origin || origin == nullptr) return; // giving up one below may come back here
+  if (dispatching_origin || origin == nullptr) return; // give_up() below may call this again
   dispatching_origin = true;
   origin_dispatch.update_service_rate(placement.fill_rate_limiter().max_fetches_per_ms(now));
   origin_dispatch.queue.take_expired(now, expired);
@@ -58,7 +59,7 @@
   dispatching_origin = false;
 }
 
-// The fetch that others waited for is over: they read what it stored, or the next of them fetches.
+// A coalesced fetch has ended: its followers read the value that it stored, or the next of them fetches.
 void Balancer::Impl::complete_fetch(RequestState& leader, bool stored) {
   leader.leads_fetch = false;
   const auto followers = fetches.end(leader.params.key);
--- a/src/policy/origin_dispatch.h
+++ b/src/policy/origin_dispatch.h
@@ -1,4 +1,4 @@
-// Origin dispatch: who may be sent to the origin, and when. Interface: include/fernward/balancer.h
+// Origin dispatch: which requests are sent to the origin, and when. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <algorithm>
@@ -13,23 +13,23 @@
 
 namespace fernward {
 
-/// Joins what bounds the attempts at the origin: its concurrency limit, its connections, the rate of fetches
-/// while keys move, and the queue before them. Times: milliseconds; `active`: this router's attempts in work
-/// there.
+/// Combines the limits on attempts at the origin: the concurrency limit, the connection capacity, the fetch
+/// rate while keys move between caches, and the queue of waiting requests. Owned by Balancer::Impl. Times:
+/// milliseconds; `active`: this router's attempts in progress at the origin.
 struct OriginDispatch {
   concurrency::OriginConcurrencyLimiter limiter = concurrency::OriginConcurrencyLimiter::for_router_count(1);
   concurrency::ConnectionCapacityEstimator connections;
   concurrency::OriginRequestQueue queue;
 
-  /// The origin came, or started anew: nothing that was measured holds.
+  /// The origin was added or restarted: earlier measurements no longer apply.
   void reset(std::uint32_t router_count) {
     limiter = concurrency::OriginConcurrencyLimiter::for_router_count(router_count);
     connections = {};
   }
-  /// Attempts that are in work or wait for their turn.
+  /// Attempts in progress plus queued requests.
   double demand(std::uint32_t active) const { return active + static_cast<double>(queue.size()); }
-  /// Tells the queue how many turns come up: a closed loop of the attempts allowed at once, each for a
-  /// response time. `fetch_limit_per_ms`: of the fill rate limiter; 0: none.
+  /// Updates the queue's service rate, estimated as a closed loop: the allowed concurrent attempts divided by
+  /// the response time. `fetch_limit_per_ms`: limit of the fill rate limiter; 0: none.
   void update_service_rate(double fetch_limit_per_ms) {
     const double response_ms = limiter.latency_ms();
     const double most_active = std::min(limiter.limit(), connections.capacity());
@@ -38,7 +38,7 @@
     queue.set_service_rate(fetches_limited ? std::min(fetch_limit_per_ms, turns_per_ms) : turns_per_ms,
                            response_ms);
   }
-  /// The next request whose turn it is; it has left the queue.
+  /// Removes and returns the next request that may be sent now; nullopt if there is none.
   std::optional<RequestId> next(double now, std::uint32_t active, placement::FillRateLimiter& fill_rate) {
     const bool connection = connections.has_capacity(now, active);
     const bool read_room = connection && limiter.has_capacity(now, active, false) && fill_rate.may_fetch(now);
--- a/src/policy/outcome.cpp
+++ b/src/policy/outcome.cpp
@@ -1,4 +1,5 @@
-// An attempt ends or is overdue: what it teaches, and what comes next. Interface: include/fernward/balancer.h
+// Attempt outcomes and slow attempts: updates of statistics and limits, retries and hedged requests.
+// Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -7,18 +8,18 @@
 
 namespace fernward {
 
-constexpr std::uint64_t kRunToEndOneIn = 4;    // one in so many slow attempts is never cancelled
-constexpr double kFleetMeanWeight = 0.02;      // of one answer in the means over all caches
-constexpr double kOverloadedLimitFactor = 0.7; // cuts the limit of a cache that rejects as overloaded
-constexpr int kConnectionFailureWeight = 2;    // a refused or broken connection, beside an error or a silence
+constexpr std::uint64_t kRunToEndOneIn = 4;    // one of this many slow attempts is never cancelled
+constexpr double kFleetMeanWeight = 0.02;      // weight of one response in the means over all caches
+constexpr double kOverloadedLimitFactor = 0.7; // on the limit of a cache that responds as overloaded
+constexpr int kConnectionFailureWeight = 2;    // refused or broken connection; other failures count 1
 
 namespace {
 
-// What an outcome at the origin is for its concurrency limiter; nothing where it tells nothing of its load.
+// Converts an outcome at the origin for its concurrency limiter; nullopt if it does not depend on its load.
 std::optional<concurrency::AttemptEnding> ending_of(AttemptResult result, bool out_of_time) {
   using concurrency::AttemptEnding;
   switch (result) {
-    case AttemptResult::CacheMiss: // quick, whatever the load
+    case AttemptResult::CacheMiss: // fast at any load
     case AttemptResult::InvalidRequest:
     case AttemptResult::Abandoned: return std::nullopt;
     case AttemptResult::Ok: return AttemptEnding::Answered;
@@ -34,7 +35,7 @@
 
 } // namespace
 
-// ---- an attempt ends ----
+// ---- attempt outcomes ----
 
 void Balancer::Impl::on_attempt_outcome(const AttemptOutcome& outcome) {
   const auto it = requests.find(outcome.id);
@@ -55,7 +56,7 @@
   dispatch_to_origin();
 }
 
-// Of a response that is passed on, the start is what counts: its end depends on the client.
+// For a forwarded response the start is what is measured, because its end depends on the client.
 void Balancer::Impl::learn_from_outcome(RequestState& request, Attempt& attempt, Replica& replica,
                                         const AttemptOutcome& outcome) {
   if (replica.record_report(now, settings.load_report_fields, outcome.load_report) && !is_origin(replica))
@@ -78,23 +79,23 @@
   }
 }
 
-// Tells the cache's limiter how the attempt ended; true: a sign of overload.
+// Updates the cache's concurrency limiter. Returns true if the outcome indicates overload.
 bool Balancer::Impl::update_cache_limit(const RequestState& request, Replica& replica,
                                         const AttemptOutcome& outcome, double elapsed) {
   if (outcome.result == AttemptResult::Overloaded) replica.limiter.decrease(now, kOverloadedLimitFactor);
   const double objective_ms = latency_objective_ms(request);
   const bool silent = outcome.result == AttemptResult::Cancelled || outcome.result == AttemptResult::TimedOut;
-  // Late silent ones count, else the limit would stand still just when nothing comes back in time any more.
+  // Late unanswered attempts count, otherwise the limit would stop changing when no response is in time.
   const bool late_silent = silent && elapsed > concurrency::kCrowdedShareOfObjective * objective_ms;
   if (outcome.result == AttemptResult::Ok || late_silent)
     return replica.limiter.on_response(now, elapsed, objective_ms, replica.active());
   return outcome.result == AttemptResult::Overloaded;
 }
 
-// The same for the origin, by its limiter and the estimate of its connections.
+// The same for the origin, with its limiter and its connection capacity estimate.
 bool Balancer::Impl::update_origin_limit(const RequestState& request, const Replica& replica,
                                          const AttemptOutcome& outcome, double elapsed) {
-  // A connection refused by an origin that works: it lacks connections, not capacity.
+  // The connection was refused by an origin that responds: it lacks connections, not capacity.
   const bool lacks_connections = outcome.result == AttemptResult::ConnectFailed && responded_lately(replica);
   if (lacks_connections || (outcome.result == AttemptResult::Overloaded && outcome.first_on_connection)) {
     origin_dispatch.connections.on_connection_refused(now, replica.active(),
@@ -120,7 +121,7 @@
 
 void Balancer::Impl::learn_cache_outcome(RequestState& request, const Attempt& attempt, Replica& replica,
                                          const AttemptOutcome& outcome, double elapsed) {
-  // The cache had closed an idle connection: it is well, and the next connection will do.
+  // The cache had closed an idle connection: it is healthy, and a new connection will work.
   const bool stale = outcome.result == AttemptResult::Reset && outcome.on_reused_connection;
   const bool well = outcome.result == AttemptResult::Ok || outcome.result == AttemptResult::CacheMiss ||
                     outcome.result == AttemptResult::Overloaded;
@@ -154,8 +155,8 @@
   if (replica.outlier.is_ejected() && outcome.result != AttemptResult::Overloaded) schedule_trial(replica);
 }
 
-// For about as long as one request takes, another would be rejected too. `retried`: it was not the request's
-// first attempt, so that not just one cache is overloaded.
+// Another request would probably be rejected for about the duration of one request. `retried`: it was not the
+// request's first attempt, so more than one cache is overloaded.
 void Balancer::Impl::learn_overloaded(Replica& replica, bool retried) {
   replica.outlier.record_response(now);
   admission.choices_without_capacity += retried;
@@ -164,7 +165,7 @@
   replica.overloaded_until = now + pause_ms;
 }
 
-// The response would have taken at least this long.
+// The elapsed time is a lower bound of the response time.
 void Balancer::Impl::learn_unanswered(Replica& replica, double elapsed) {
   if (elapsed > replica.expected_response_ms(now, cache_response_ms)) replica.record_response(now, elapsed);
   if (elapsed > cache_response_ms) smooth(cache_response_ms, elapsed, kFleetMeanWeight);
@@ -172,7 +173,7 @@
 
 void Balancer::Impl::record_lookup(RequestState& request, const Attempt& attempt, bool hit) {
   if (hit && request.pending_fill)
-    // Another router's fetch filled it.
+    // A fetch by another router has already filled the cache.
     placement.fill_rate_limiter().refund(*std::exchange(request.pending_fill, {}));
   if (settings.origin_kind < 0 || request.params.key == 0) return;
   if (hit) {
@@ -190,7 +191,7 @@
 }
 
 void Balancer::Impl::continue_request(RequestState& request, const AttemptOutcome& outcome) {
-  // A slow attempt may be on a connection that fell silent: a hedged request need not wait for it.
+  // A slow attempt may be on a connection that no longer responds: a hedged request does not wait for it.
   if (request.queued_for_origin || request.has_attempt_on_time() ||
       (request.in_flight > 0 && (request.streaming || !settings.may_hedge)))
     return;
@@ -198,12 +199,12 @@
     return;
   if (outcome.result == AttemptResult::CacheMiss) return continue_after_miss(request);
   if (request.leads_fetch) complete_fetch(request, false);
-  if (outcome.result == AttemptResult::InvalidRequest) { // asked again it would use up what others may need
+  if (outcome.result == AttemptResult::InvalidRequest) { // a retry would only use up what other requests need
     emit(Fail{request.params.id, GiveUpReason::InvalidRequest});
     return finish_request(request, false);
   }
-  // They have no reason of their own: an abandoned attempt counts as NoEndpoint, a consumed body as
-  // NotIdempotent.
+  // These cases have no GiveUpReason of their own: an abandoned attempt counts as NoEndpoint, a consumed body
+  // as NotIdempotent.
   if (outcome.result == AttemptResult::Abandoned || outcome.body_consumed)
     return give_up(request, outcome.body_consumed ? GiveUpReason::NotIdempotent : GiveUpReason::NoEndpoint);
   retry(request, outcome);
@@ -211,21 +212,22 @@
 
 void Balancer::Impl::retry(RequestState& request, const AttemptOutcome& outcome) {
   const bool at_origin = origin != nullptr && outcome.server == origin->entry.id;
-  // Rejected unseen or never connected costs a server next to nothing; the attempt limit bounds it.
+  // An attempt that was rejected as overloaded or never connected costs a server almost nothing, so it is not
+  // charged to the retry budget; the attempt limit bounds such retries.
   if (outcome.result != AttemptResult::Overloaded && outcome.result != AttemptResult::ConnectFailed) {
     const double crowding = at_origin ? origin_dispatch.limiter.utilization(now, origin->active()) : 0;
     if (!retry_budget.try_consume(now, concurrency::RetryBudget::Use::Retry, crowding))
       return give_up(request, GiveUpReason::RetryBudgetEmpty);
   }
   if (at_origin) return retry_at_origin(request, outcome);
-  if (!send_to_best_cache(request)) queue_for_origin(request); // gives up where there is no origin
+  if (!send_to_best_cache(request)) queue_for_origin(request); // gives up if there is no origin
 }
 
 void Balancer::Impl::retry_at_origin(RequestState& request, const AttemptOutcome& outcome) {
   const double connection_wait_ms = origin_dispatch.connections.wait_ms(now, origin->active());
   if (connection_wait_ms > 0)
     emit(SetTimer{connection_wait_ms, timer_token(Timer::RetryOrigin, request.params.id)});
-  // After a fault there is nothing to wait for; for a connection the queue waits.
+  // After a fault a delay has no use; if connections are lacking, the request waits in the queue.
   if (outcome.result == AttemptResult::Error || outcome.result == AttemptResult::Reset ||
       connection_wait_ms > 0)
     return queue_for_origin(request);
@@ -247,7 +249,7 @@
   request->attempts[started.attempt].response_started = true;
   request->streaming = true;
   cancel_attempts(*request, started.attempt); // the slower attempts
-  // The origin has responded: the followers need not wait until this client has read it.
+  // The origin has responded: followers need not wait until this client has read the response.
   if (request->leads_fetch) complete_fetch(*request, origin != nullptr && started.server == origin->entry.id);
 }
 
@@ -259,7 +261,8 @@
   if (replica->outlier.is_ejected()) schedule_trial(*replica);
 }
 
-// Slower than nearly all: the server may be stuck, or the connection; a hedged request may be quicker.
+// The attempt is slower than nearly all others: the server or connection may be stuck, and a hedged request
+// may be faster.
 void Balancer::Impl::on_slow_attempt(RequestState& request, std::size_t index) {
   if (index >= request.attempts.size() || !request.attempts[index].in_flight) return;
   Attempt& attempt = request.attempts[index];
@@ -278,7 +281,7 @@
   }
 }
 
-// Where no second attempt may be in flight, the slow one is cancelled; its outcome brings the retry.
+// If no second attempt may be in flight, the slow one is cancelled; its outcome then starts the retry.
 void Balancer::Impl::cancel_for_retry(const RequestState& request, std::size_t index) {
   const bool idempotent = settings.classes[request.params.class_index].idempotency == Idempotency::Idempotent;
   if (settings.may_cancel && idempotent && retry_budget.balance() >= 1 &&
@@ -286,7 +289,7 @@
     emit(Cancel{request.params.id, static_cast<std::uint32_t>(index)});
 }
 
-// At the origin a hedged request costs a fetch, so one is sent only where the connection is at fault.
+// At the origin a hedged request costs a fetch, so it is sent only if the connection seems to be stuck.
 void Balancer::Impl::hedge(RequestState& request, const Attempt& slow, Replica& replica) {
   if (request.queued_for_origin || request.has_attempt_on_time()) return;
   const bool at_origin = is_origin(replica);
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -1,4 +1,4 @@
-// Outlier ejection: which caches are left out, over all of them. Interface: include/fernward/balancer.h
+// Outlier ejection over all caches. Interface: include/fernward/balancer.h
 #include "policy/outlier_ejection.h"
 
 #include "statistics/numbers.h"
@@ -6,10 +6,10 @@
 namespace fernward {
 namespace {
 
-constexpr double kPanicThreshold = 0.5; // share of the caches; with more ejected, none counts as ejected
-constexpr double kCacheFailureRateWeight = 0.1; // of one attempt in the cache's own rate
+constexpr double kPanicThreshold = 0.5; // share of the caches; if more are ejected, ejection is ignored
+constexpr double kCacheFailureRateWeight = 0.1; // weight of one attempt in the cache's rate
 constexpr double kFleetFailureRateWeight = 0.01;
-constexpr double kToleratedFailureRate = 0.5; // of a cache that answers, where the others do not fail
+constexpr double kToleratedFailureRate = 0.5; // of a cache that responds, if the other caches do not fail
 
 } // namespace
 
@@ -26,7 +26,7 @@
 bool OutlierEjection::is_usable(const Replica& replica, double now) const {
   if (replica.entry.state != ServerState::Ready) return false;
   if (!replica.outlier.is_ejected() || is_panic()) return true;
-  // Without health checks a request of a client is the half-open trial, one at a time.
+  // Without health checks a client request serves as the half-open trial, one at a time.
   return !settings_.may_health_check && replica.outlier.trial_due(now);
 }
 
@@ -36,8 +36,8 @@
 }
 
 bool OutlierEjection::record_failure(Replica& replica, double now, int weight, bool responded_lately) {
-  // A cache that answers others is slow, or its connections break; it stays unless it fails far more than
-  // most.
+  // A cache that responds to other attempts is only slow, or its connections break: it is not ejected unless
+  // it fails far more often than most.
   const bool stays = responded_lately && replica.failure_rate < kToleratedFailureRate + failure_rate_ / 2;
   if (!replica.outlier.record_failure(now, weight, stays)) return false;
   ejected_ += replica.entry.state == ServerState::Ready;
--- a/src/policy/outlier_ejection.h
+++ b/src/policy/outlier_ejection.h
@@ -1,4 +1,4 @@
-// Outlier ejection: which caches are left out, over all of them. Interface: include/fernward/balancer.h
+// Outlier ejection over all caches. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <cstddef>
@@ -8,27 +8,27 @@
 
 namespace fernward {
 
-/// Ejects caches whose attempts fail, and stops believing that when most look bad (panic). The states of one
-/// cache are those of health::OutlierState. What it ejects the caller schedules a half-open trial for. Times:
-/// milliseconds.
+/// Ejects caches whose attempts fail. Ejection is ignored while too many caches are ejected (panic
+/// threshold). The states of one cache are those of health::OutlierState. The caller schedules a half-open
+/// trial for each cache that is ejected. Owned by Balancer::Impl. Times: milliseconds.
 class OutlierEjection {
  public:
-  /// `settings` is referred to and may change between calls.
+  /// Keeps a reference to `settings`, which may change between calls.
   explicit OutlierEjection(const Settings& settings) : settings_(settings) {}
 
-  /// To be called with `sign` -1 before a server's entry changes and with 1 after.
+  /// Must be called with `sign` -1 before a server's entry changes and with 1 afterwards.
   void count(const Replica& replica, bool is_origin, int sign);
   std::size_t ready_caches() const { return ready_caches_; }
-  std::size_t ejected() const { return ejected_; } // of those in service
-  /// May requests go to this cache now?
+  std::size_t ejected() const { return ejected_; } // ready servers only
+  /// Whether requests may be sent to this cache now.
   bool is_usable(const Replica& replica, double now) const;
-  /// An attempt at a cache showed whether the cache is well.
+  /// Records in the failure rates whether an attempt at a cache succeeded.
   void record_attempt(Replica& replica, bool ok);
-  /// True: the cache is ejected now. `responded_lately`: it has answered other attempts; `weight` as for
-  /// health::OutlierState::record_failure().
+  /// Returns true if the cache is now ejected. `responded_lately`: it recently responded to other attempts;
+  /// `weight` as for health::OutlierState::record_failure().
   bool record_failure(Replica& replica, double now, int weight, bool responded_lately);
   void record_success(Replica& replica, double now);
-  /// What several routers say of the cache. True: it is ejected now.
+  /// Applies a combined report of several routers. Returns true if the cache is now ejected.
   bool on_report(Replica& replica, const OutlierReport& report, double now);
 
  private:
@@ -37,7 +37,7 @@
   const Settings& settings_;
   std::size_t ready_caches_ = 0;
   std::size_t ejected_ = 0;
-  double failure_rate_ = 0; // share of all caches' attempts that fail
+  double failure_rate_ = 0; // moving average over all caches' attempts
 };
 
 } // namespace fernward
--- a/src/policy/queue_trend.h
+++ b/src/policy/queue_trend.h
@@ -1,4 +1,4 @@
-// Where a cache's queue is heading. Interface: include/fernward/balancer.h
+// Trend prediction for a cache's queue. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <algorithm>
@@ -7,14 +7,15 @@
 
 namespace fernward {
 
-constexpr double kStableQueueLength = 30; // queues up to this do not trend (paper, figure 6)
+constexpr double kStableQueueLength = 30; // queues up to this have no trend (paper, figure 6)
 constexpr double kSampleWeight = 0.2;     // of a new sample in a replica's moving averages
-constexpr double kMaxReadings = 16;       // that a trend line rests on; older ones fade
+constexpr double kMaxReadings = 16;       // used for a trend line; older ones fade
 
-/// The trend of one cache's reported queue (paper, section 4.2), by a line through the readings of the
-/// present state. Stable: short, or without a direction. Stable turns to Rising or Falling where the queue
-/// moves ever faster one way; these turn into each other where it moves or bends the other way, and to Stable
-/// where the queue is short. Times: milliseconds; queues: requests.
+/// Trend of one cache's reported queue (paper, section 4.2): a regression line through the samples since the
+/// last state change. Stable: short queue, or no direction. Stable changes to Rising or Falling if the queue
+/// changes in one direction at an increasing speed. Rising and Falling change into each other if the change
+/// or its acceleration reverses, and to Stable if the queue is short. Owned by a Replica. Times:
+/// milliseconds; queue lengths: requests.
 class QueueTrend {
  public:
   void add(double at, double queue) {
@@ -29,13 +30,14 @@
     has_reading_ = true;
   }
 
-  /// The queue expected at `now`.
+  /// The queue length expected at `now`.
   double predict(double now) const {
     if (state_ == State::Stable) return mean_;
     const double spread = reading_count_ * time_square_sum_ - time_sum_ * time_sum_;
     if (reading_count_ < 2 || spread <= 0) return last_queue_;
     const double slope = (reading_count_ * time_queue_sum_ - time_sum_ * queue_sum_) / spread;
-    // Pauses and late reports stretch stale lines: read no further ahead than the readings reach back.
+    // After a pause or a late report the line is outdated: do not extrapolate further ahead than the samples
+    // reach back.
     const double at = std::min(now, 2 * last_at_ - first_at_) - time_origin_;
     return std::max(0.0, (queue_sum_ - slope * time_sum_) / reading_count_ + slope * at);
   }
@@ -55,7 +57,7 @@
     return state_;
   }
 
-  // The line starts anew; the reading before begins it where it lies on the new side of the turn.
+  // Starts a new line. The previous sample is its first one if it lies on the new side of the turning point.
   void enter(State next, double queue) {
     const bool keep_last = starts_with_last(next, queue);
     state_ = next;
@@ -88,7 +90,7 @@
     time_queue_sum_ += time * queue;
     smooth(mean_, queue, kSampleWeight);
   }
-  // Old readings fade, so that the sums need no list of them.
+  // Fades old samples by halving the sums, so that no list of samples is needed.
   void halve() {
     for (double* sum : {&reading_count_, &time_sum_, &queue_sum_, &time_square_sum_, &time_queue_sum_})
       *sum /= 2;
@@ -100,7 +102,7 @@
   double last_at_ = 0;
   double last_queue_ = 0;
   double last_change_ = 0;
-  // of the line; times count from time_origin_
+  // Sums of the regression line; times are relative to time_origin_.
   double time_origin_ = 0;
   double first_at_ = 0;
   double reading_count_ = 0;
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -1,4 +1,4 @@
-// What a router knows of a cache or of the origin. Interface: include/fernward/balancer.h
+// This router's state of a cache or of the origin. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <algorithm>
@@ -14,35 +14,35 @@
 
 namespace fernward {
 
-constexpr double kFreshReportMs = 100; // a younger report is used as it is (paper, section 4.1)
+constexpr double kFreshReportMs = 100; // more recent reports are used unchanged (paper, section 4.1)
 constexpr double kObservationHalfLifeMs = 3000;
 
-/// What this router knows of a cache, or of the origin, which stays off the ring. Times: milliseconds on the
-/// clock of Balancer::on_event; letters in comments: the paper's symbols.
+/// This router's state of a cache, or of the origin, which is not on the hash ring. Owned by Balancer::Impl.
+/// Times: milliseconds on the clock of Balancer::on_event; letters in comments are the paper's symbols.
 struct Replica {
   Server entry;
-  // inputs of the score
+  // Inputs of the score.
   double queue_length = 0;     // q, as last reported
-  double service_time_ms = 0;  // 1/mu, mean of reports; 0: none
-  double response_time_ms = 0; // R, mean as seen here
+  double service_time_ms = 0;  // 1/mu, moving average of reports; 0: none
+  double response_time_ms = 0; // R, moving average as measured by this router
   double reported_at = kNever;
   double responded_at = kNever;
   double overloaded_until = kNever;
   std::uint32_t in_flight = 0;   // os, this router's attempts
-  std::uint32_t passed_over = 0; // f, times a candidate and not chosen since the last report
-  std::uint32_t stalled = 0;     // of those in flight, on connections that fell silent
+  std::uint32_t passed_over = 0; // f, how often a candidate but not chosen since the last report
+  std::uint32_t stalled = 0;     // of those in flight, on connections that stopped responding
   QueueTrend queue_trend;
   std::vector<float> last_report;
-  // outlier ejection
+  // Outlier ejection.
   health::OutlierState outlier;
-  double failure_rate = 0;                 // mean share of its attempts that fail
-  double latest_answered_send_at = kNever; // the latest time of sending of an attempt that was answered
+  double failure_rate = 0;                 // moving average over its attempts
+  double latest_answered_send_at = kNever; // latest send time of an answered attempt
   double health_checked_at = kNever;
   concurrency::CacheConcurrencyLimiter limiter{1}; // unused for the origin
   double slow_start_began_at = kNever;
   placement::RingWeight seat;
 
-  /// The process was restarted: only its name and what is still in flight hold.
+  /// The server process was restarted: resets all state but its entry, ring weight and attempts in flight.
   void reset_for_restart() {
     Replica fresh;
     fresh.entry = entry;
@@ -52,7 +52,8 @@
     *this = std::move(fresh);
   }
 
-  /// What was seen `age` ms ago, faded to the mean over all caches: a router may meet a cache once a minute.
+  /// A value observed `age` ms ago, decayed towards the mean over all caches, because a router may send to a
+  /// cache only once a minute.
   static double decay(double age, double seen, double fleet) {
     return fleet + (seen - fleet) * std::exp2(-age / kObservationHalfLifeMs);
   }
@@ -60,12 +61,12 @@
     return responded_at == kNever ? fleet_ms : decay(now - responded_at, response_time_ms, fleet_ms);
   }
 
-  /// Attempts in flight that take a place at the server.
+  /// Attempts in flight that occupy capacity at the server.
   std::uint32_t active() const { return in_flight - std::min(in_flight, stalled); }
 
-  /// The paper's score R + q^3 / mu, in ms; the lower the better. `routers`: of the fleet, each taken to have
-  /// as many attempts in flight as this one; `fleet_*`: means over all caches; `extra_ms`: what the request
-  /// is expected to cost elsewhere if this cache gets it, added to R and to 1/mu.
+  /// The paper's score R + q^3 / mu, in ms; lower is better. `routers`: number of routers in the fleet, each
+  /// assumed to have as many attempts in flight as this one; `fleet_*`: means over all caches; `extra_ms`:
+  /// expected additional cost at the origin if this cache is chosen, added to R and to 1/mu.
   double score(double now, double routers, double fleet_ms, double fleet_queue, double extra_ms) const {
     const double response_ms = expected_response_ms(now, fleet_ms) + extra_ms;
     const double per_request_ms = service_time_ms > 0 ? service_time_ms + extra_ms : response_ms;
@@ -73,7 +74,7 @@
     if (now - reported_at < kFreshReportMs) {
       queue += queue_length;
     } else if (in_flight == 0 && passed_over == 0) {
-      queue = 0; // nobody asked it for long: invite a report
+      queue = 0; // not used recently: a request obtains a new report
     } else {
       queue += decay(now - reported_at, queue_trend.predict(now), fleet_queue);
     }
@@ -86,8 +87,8 @@
     responded_at = now;
   }
 
-  /// True: the report tells a queue and is news. One with the very values of the last is a repeat and tells
-  /// nothing.
+  /// Returns true if the report is new and contains a queue length. A report with the same values as the last
+  /// one is a repetition and is ignored.
   bool record_report(double now, const std::vector<LoadReportField>& fields,
                      const std::vector<float>& values) {
     if (values.empty() || values == last_report) return false;
@@ -98,7 +99,7 @@
       if (service_time_ms == 0) service_time_ms = sample;
       smooth(service_time_ms, sample, kSampleWeight);
     }
-    if (waiting < 0) return false; // then queue_length stays 0 and is never fresh
+    if (waiting < 0) return false; // queue_length then stays 0 and never counts as fresh
     queue_length = waiting;
     queue_trend.add(now, waiting);
     reported_at = now;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -1,10 +1,10 @@
-// Retry policy: what a request's attempts are bound to. Interface: include/fernward/balancer.h
+// Retry policy: conditions for further attempts of a request. Interface: include/fernward/balancer.h
 #include "policy/retry_policy.h"
 
 namespace fernward {
 
-// With an idempotency key the servers of its scope discard a repeat, within the window. The margin is for the
-// times at which two events are seen.
+// With an idempotency key the servers of its scope discard duplicates within the window. The margin of two
+// event intervals covers the granularity at which the two event times are observed.
 bool RetryPolicy::idempotency_allows(const RequestState& request, const Server& server, double now) const {
   const ClassSettings& class_settings = settings_.classes[request.params.class_index];
   if (class_settings.idempotency == Idempotency::Idempotent) return true;
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -1,4 +1,4 @@
-// Retry policy: what a request's attempts are bound to. Interface: include/fernward/balancer.h
+// Retry policy: conditions for further attempts of a request. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <cstddef>
@@ -9,30 +9,32 @@
 
 namespace fernward {
 
-/// Whether settings and idempotency allow a request to be sent (again), and why not. The retry budget decides
-/// whether a retry is worth its cost; proxy::RequestDispatcher::may_send() asks once more as the bytes go
-/// out. Times: milliseconds on the clock of Balancer::on_event.
+/// Decides whether settings and idempotency allow an attempt or retry of a request, and if not, why. The
+/// retry budget separately limits the number of retries; proxy::RequestDispatcher::may_send() checks again
+/// when the bytes are sent. Owned by Balancer::Impl. Times: milliseconds on the clock of Balancer::on_event.
 class RetryPolicy {
  public:
-  /// `settings` is referred to and may change between calls.
+  /// Keeps a reference to `settings`, which may change between calls.
   explicit RetryPolicy(const Settings& settings) : settings_(settings) {}
 
-  /// Are attempts left, beyond `reserved` of them?
+  /// Whether more than `reserved` attempts are left.
   bool has_attempts_left(const RequestState& request, std::size_t reserved = 0) const {
     return request.attempts.size() + reserved < settings_.max_attempts_of(request.params.class_index);
   }
-  /// May it be in flight at this server now, beside its other attempts and after them? Hedging and
-  /// idempotency.
+  /// Whether hedging and idempotency settings allow an attempt at this server now, given the request's
+  /// earlier attempts and those in flight.
   bool allows_server(const RequestState& request, const Server& server, double now) const {
     return (request.in_flight == 0 || settings_.may_hedge) && idempotency_allows(request, server, now);
   }
-  /// Why no further attempt is allowed at this server at any time: AttemptLimit or NotIdempotent.
+  /// Why no further attempt is allowed at this server: AttemptLimit or NotIdempotent; nullopt if it is
+  /// allowed.
   std::optional<GiveUpReason> retry_denied(const RequestState& request, const Server& server,
                                            double now) const;
-  /// Why none is allowed now: as retry_denied(), or NotSent (too late), or NoEndpoint (not in service).
+  /// Why an attempt must not be sent now: as retry_denied(), or NotSent (deadline passed), or NoEndpoint
+  /// (server not in service); nullopt if it may be sent.
   std::optional<GiveUpReason> attempt_denied(const RequestState& request, const Server& server,
                                              double now) const;
-  /// Can the client be promised that its own retry carries out no effect twice?
+  /// Whether the client can be guaranteed that its own retry does not execute the request twice.
   bool client_may_retry(const RequestState& request) const;
 
  private:
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -1,4 +1,4 @@
-// Checks of the settings that a Balancer is given, and their change while it runs. No decisions here.
+// Validation of a Balancer's settings, and their change at runtime. Contains no decisions.
 #include <algorithm>
 #include <cmath>
 #include <stdexcept>
@@ -10,23 +10,24 @@
 namespace fernward {
 namespace {
 
-// Each router gets its part of what all may do at a cache: a count that no fleet has would leave it nothing.
+// Each router gets its share of the attempts that all may have at a cache: an unrealistic router count would
+// leave it almost none.
 constexpr std::uint32_t kMaxRouters = 65536;
 
-constexpr double kMaxShortestObjectiveMs = 3000; // where no class has a shorter one
+constexpr double kMaxShortestObjectiveMs = 3000; // upper bound, used if no class has a shorter one
 
 bool natural(double value) { return std::isfinite(value) && value >= 0; }
 bool share(double value) { return value >= 0 && value <= 1; }
 
 void check(bool valid, const std::string& field) {
-  if (!valid) throw std::invalid_argument("settings: impossible value of " + field);
+  if (!valid) throw std::invalid_argument("settings: value out of range: " + field);
 }
 
 } // namespace
 
 void validate(const Settings& settings) {
   check(settings.router_count >= 1 && settings.router_count <= kMaxRouters, "nodes");
-  check(!settings.classes.empty(), "classes (there are none)");
+  check(!settings.classes.empty(), "classes (at least one is required)");
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     const ClassSettings& class_settings = settings.classes[i];
     const std::string at = "classes[" + std::to_string(i) + "].";
@@ -77,7 +78,7 @@
   validate(settings);
   const Settings& current = impl_->settings;
   const auto stays = [](bool same, const char* what) {
-    if (!same) throw std::invalid_argument(std::string("settings: ") + what + " can't change while it runs");
+    if (!same) throw std::invalid_argument(std::string("settings: ") + what + " cannot change at runtime");
   };
   stays(settings.router_count == current.router_count, "nodes");
   stays(settings.zone == current.zone, "zone");
@@ -88,7 +89,7 @@
             settings.load_report_fields == current.load_report_fields,
         "reports");
   stays(settings.discovery == current.discovery && settings.weight_kind == current.weight_kind,
-        "the form of lists");
+        "discovery mode or weight kind");
   impl_->settings = settings;
   impl_->apply_classes();
 }
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -1,4 +1,4 @@
-// Slow start: how much a cache that has just started may be sent. Interface: include/fernward/balancer.h
+// Slow start: limits the requests sent to a recently started cache. Interface: include/fernward/balancer.h
 #include "policy/slow_start.h"
 
 #include <algorithm>
@@ -8,7 +8,7 @@
 namespace fernward {
 namespace {
 
-constexpr double kLaterCandidateShare = 0.5; // of what the key's first candidate would be sent
+constexpr double kLaterCandidateShare = 0.5; // relative to the key's first candidate
 
 } // namespace
 
@@ -18,8 +18,9 @@
   return settings_.slow_start_min_capacity + (1 - settings_.slow_start_min_capacity) * age_share;
 }
 
-// One draw for each request and cache, the same on every router: the sum over all routers does not depend on
-// their number. `slow_start_share` cuts popular keys to what one cache can take of them.
+// One random number per request and cache, the same on every router: the total over all routers does not
+// depend on their number. `slow_start_share` limits a popular key to the share of its requests that one cache
+// can handle.
 bool SlowStart::admits(const Replica& replica, const RequestState& request, bool first_candidate,
                        double now) {
   if (!is_active(replica, now)) return true;
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,4 +1,4 @@
-// Slow start: how much a cache that has just started may be sent. Interface: include/fernward/balancer.h
+// Slow start: limits the requests sent to a recently started cache. Interface: include/fernward/balancer.h
 #pragma once
 
 #include "fernward/balancer.h"
@@ -7,20 +7,21 @@
 
 namespace fernward {
 
-/// Keeps a started cache from being overloaded while it fills. Its capacity is taken to grow evenly, over
-/// Settings::slow_start_ms, from Settings::slow_start_min_capacity to all of it. Times: milliseconds.
+/// Keeps a recently started cache from being overloaded while it fills. Its capacity is assumed to grow
+/// linearly over Settings::slow_start_ms, from Settings::slow_start_min_capacity to 1. Owned by
+/// Balancer::Impl. Times: milliseconds.
 class SlowStart {
  public:
-  /// `settings` is referred to and may change between calls.
+  /// Keeps a reference to `settings`, which may change between calls.
   explicit SlowStart(const Settings& settings) : settings_(settings) {}
 
   bool is_active(const Replica& replica, double now) const {
     return now - replica.slow_start_began_at < settings_.slow_start_ms;
   }
-  /// The share of its capacity, 0 to 1, that the cache surely has; 1 outside slow start.
+  /// Share of its capacity, 0 to 1, that the cache is assumed to have; 1 outside slow start.
   double capacity_factor(const Replica& replica, double now) const;
-  /// May the request go to this cache? `first_candidate`: the cache is the key's first. Counts what it
-  /// denies.
+  /// Whether the request may be sent to this cache. `first_candidate`: it is the key's first candidate.
+  /// Counts denials.
   bool admits(const Replica& replica, const RequestState& request, bool first_candidate, double now);
   void record_attempt(const Replica& replica, double now) { counts_.attempts += is_active(replica, now); }
   const Balancer::SlowStartCounts& counts() const { return counts_; }
--- a/src/policy/tenant_quotas.h
+++ b/src/policy/tenant_quotas.h
@@ -1,4 +1,4 @@
-// Tenant quotas: who asks for more than its part. Interface: include/fernward/balancer.h
+// Tenant quotas: detects tenants above their quota. Interface: include/fernward/balancer.h
 #pragma once
 
 #include <algorithm>
@@ -10,20 +10,20 @@
 
 namespace fernward {
 
-constexpr double kTickMs = 100; // between two calls of tick()
+constexpr double kTickMs = 100; // interval between calls of tick()
 
-/// Request rates of this router, all in all and by tenant, and whether a tenant is over its quota. Rates are
-/// kept in requests per millisecond.
+/// Request rates of this router, in total and by tenant, and whether a tenant is over its quota. Rates are in
+/// requests per millisecond. Owned by Balancer::Impl.
 class TenantQuotas {
  public:
-  /// `settings` is referred to and may change between calls; call resize() then.
+  /// Keeps a reference to `settings`, which may change between calls; call resize() after a change.
   explicit TenantQuotas(const Settings& settings) : settings_(settings) {}
 
   void resize() { rate_per_ms_.resize(settings_.tenants.size()); }
   void record_request() { ++requests_this_tick_; }
   double requests_this_tick() const { return requests_this_tick_; }
-  /// Counts a request of the tenant. True: the tenant is over its quota here, and over its share of the
-  /// service.
+  /// Counts a request of the tenant. Returns true if the tenant exceeds both its quota at this router and its
+  /// share of the service.
   bool over_quota(std::uint32_t tenant) {
     if (tenant >= settings_.tenants.size()) return false;
     rate_per_ms_[tenant] += 1 / kTenantRateWindowMs;
@@ -33,7 +33,7 @@
     return tenant_settings.quota_per_s > 0 &&
            rate_per_ms_[tenant] * 1000 > std::max(quota_here_per_s, share_per_s);
   }
-  /// To be called every kTickMs.
+  /// Must be called every kTickMs.
   void tick() {
     smooth(total_rate_per_ms_, requests_this_tick_ / kTickMs, kTotalRateWeight);
     requests_this_tick_ = 0;
@@ -43,7 +43,7 @@
  private:
   static constexpr double kTenantRateWindowMs = 2000;
   static constexpr double kTenantRateKeptPerTick = 0.95; // 1 - kTickMs / kTenantRateWindowMs
-  static constexpr double kTotalRateWeight = 0.05;       // of a tick's rate in the mean
+  static constexpr double kTotalRateWeight = 0.05;       // weight of one tick's rate in the moving average
 
   const Settings& settings_;
   std::vector<double> rate_per_ms_; // by tenant
