--- a/tests/choice_test.cpp
+++ b/tests/choice_test.cpp
@@ -1,4 +1,4 @@
-// The module by hand-written events: the paper's choice, and each failure guarded against.
+// Tests of the Balancer with hand-written events: the paper's selection rules, and regressions.
 #include <array>
 #include <cmath>
 #include <deque>
@@ -15,7 +15,7 @@
 
 constexpr RequestId kFirst = 1000;
 
-// Requests of one key until `count` different servers were met; none is answered.
+// Sends `count` requests for one key without answering any; returns the servers that they are sent to.
 std::vector<ServerId> candidates_of(Node& node, std::uint64_t key, int count) {
   std::vector<ServerId> met;
   for (int i = 0; i < count; ++i) {
@@ -34,7 +34,7 @@
 
 // ---- the ring and the score ----
 
-TEST(Choice, AKeyHasThreeCandidatesAlikeAtEveryRouter) {
+TEST(CacheSelection, KeyHasTheSameThreeCandidatesAtEveryRouter) {
   Node one(plain_settings(), 1);
   Node two(plain_settings(), 2);
   one.caches(10);
@@ -44,7 +44,7 @@
   EXPECT_EQ(met, distinct(candidates_of(two, 42, 12)));
 }
 
-TEST(Choice, ACacheThatDrainsIsWalkedPast) {
+TEST(CacheSelection, DrainingCacheIsSkipped) {
   Node whole(plain_settings());
   whole.caches(10);
   const auto before = distinct(candidates_of(whole, 42, 12));
@@ -57,9 +57,9 @@
   EXPECT_EQ(std::count(after.begin(), after.end(), before[1]), 1);
 }
 
-TEST(Choice, AListChangeMovesFewKeys) {
+TEST(CacheSelection, EndpointListChangeMovesFewKeys) {
   int moved = 0;
-  for (int key = 1; key <= 300; ++key) { // a fresh node asks a key's first cache
+  for (int key = 1; key <= 300; ++key) { // a new balancer sends to a key's first cache
     Node ten(plain_settings());
     Node nine(plain_settings());
     ten.caches(10);
@@ -72,7 +72,7 @@
   EXPECT_LT(moved, 60); // about a tenth
 }
 
-TEST(Choice, RequestsWithoutAKeySpread) {
+TEST(CacheSelection, RequestsWithoutKeyAreSpreadOverCaches) {
   Node node(plain_settings());
   node.caches(10);
   for (int i = 0; i < 60; ++i) {
@@ -84,14 +84,14 @@
   EXPECT_GE(distinct(met).size(), 8u);
 }
 
-TEST(Choice, RequestsInFlightCountTimesTheRouters) {
+TEST(CacheSelection, RequestsInFlightAreMultipliedByRouterCount) {
   Node node(plain_settings());
   node.caches(3);
   const auto met = candidates_of(node, 42, 3);
-  EXPECT_EQ(distinct(met).size(), 3u); // each open request makes its cache the dearest
+  EXPECT_EQ(distinct(met).size(), 3u); // each active request gives its cache the highest score
 }
 
-TEST(Choice, AFreshReportOfALongQueueTurnsTheChoice) {
+TEST(CacheSelection, FreshReportOfLongQueueChangesSelection) {
   Node node(plain_settings());
   node.caches(3);
   node.request(1, 42);
@@ -101,22 +101,22 @@
   EXPECT_NE(node.last_server(2), crowded);
 }
 
-TEST(Choice, ACacheThatNobodyAskedForLongIsInvitedToRefresh) {
+TEST(CacheSelection, IdleCacheWithOutdatedReportIsSelected) {
   Node node(plain_settings());
   node.caches(3);
   node.request(1, 42);
   const ServerId crowded = node.last_server(1);
   node.outcome(1, AttemptResult::Ok, 20, {25, 20});
   node.wait(150);
-  node.request(2, 42); // os and f are zero and the report is old: its queue counts as none
+  node.request(2, 42); // os and f are zero and the report is old: the queue counts as empty
   EXPECT_EQ(node.last_server(2), crowded);
 }
 
-// ---- prediction ----
+// ---- queue prediction ----
 
-// Caches 1 and 2 get their readings 20 ms apart, the last at the same moment; both are passed over once by a
-// request that goes to cache 3, which then drains. 150 ms later the predicted queues decide. Speeds are
-// alike.
+// Caches 1 and 2 get their reports 20 ms apart, the last ones at the same time. Both are passed over once by
+// a request that is sent to cache 3, which then drains. 150 ms later the predicted queues decide the
+// selection. Service times are equal.
 ServerId chosen_by_prediction(const std::vector<float>& one, const std::vector<float>& two) {
   Node node(plain_settings());
   node.caches(3);
@@ -138,45 +138,45 @@
   return node.last_server(2);
 }
 
-TEST(Prediction, ARisingQueueIsReadOnItsLine) {
+TEST(QueuePrediction, RisingQueueIsExtrapolated) {
   EXPECT_EQ(chosen_by_prediction({35, 45, 60}, {62}), 2u);
-  EXPECT_EQ(chosen_by_prediction({60}, {62}), 1u); // the last report alone would say so
+  EXPECT_EQ(chosen_by_prediction({60}, {62}), 1u); // with only the last report
 }
 
-TEST(Prediction, ALineIsReadNoFurtherAheadThanItReachesBack) {
-  EXPECT_EQ(chosen_by_prediction({35, 45, 60}, {100}), 1u); // 150 ms ahead it would be at 172
+TEST(QueuePrediction, ExtrapolationIsLimitedToTheSampledTimeSpan) {
+  EXPECT_EQ(chosen_by_prediction({35, 45, 60}, {100}), 1u); // extrapolated by 150 ms it would be 172
 }
 
-TEST(Prediction, ARepeatedReportIsNoReading) {
-  EXPECT_EQ(chosen_by_prediction({35, 45, 60, 60}, {62}), 2u); // taken for a reading it would end the rise
+TEST(QueuePrediction, RepeatedReportIsNoSample) {
+  EXPECT_EQ(chosen_by_prediction({35, 45, 60, 60}, {62}), 2u); // as a sample it would end the rising state
 }
 
-TEST(Prediction, AFallingQueueIsReadOnItsLine) {
+TEST(QueuePrediction, FallingQueueIsExtrapolated) {
   EXPECT_EQ(chosen_by_prediction({100, 90, 70}, {60}), 1u);
   EXPECT_EQ(chosen_by_prediction({70}, {60}), 2u);
 }
 
-TEST(Prediction, AStableQueueIsSmoothed) {
+TEST(QueuePrediction, StableQueueIsAveraged) {
   EXPECT_EQ(chosen_by_prediction({20, 28}, {25}), 1u);
   EXPECT_EQ(chosen_by_prediction({28}, {25}), 2u);
 }
 
-TEST(Prediction, ADropToThirtyEndsATrend) {
-  EXPECT_EQ(chosen_by_prediction({100, 80, 29}, {26}), 2u); // on the falling line it would be at zero
+TEST(QueuePrediction, DropToThirtyEndsTrend) {
+  EXPECT_EQ(chosen_by_prediction({100, 80, 29}, {26}), 2u); // extrapolated it would be 0
 }
 
-TEST(Prediction, AChangeFromRisingToFallingKeepsTheHigherReading) {
-  EXPECT_EQ(chosen_by_prediction({40, 60, 90, 80}, {75}), 1u); // 90 and 80 make the line
+TEST(QueuePrediction, ChangeFromRisingToFallingKeepsHigherSample) {
+  EXPECT_EQ(chosen_by_prediction({40, 60, 90, 80}, {75}), 1u); // the line starts with 90 and 80
 }
 
-TEST(Prediction, AChangeFromFallingToRisingKeepsTheLowerReading) {
-  EXPECT_EQ(chosen_by_prediction({100, 80, 60, 70}, {75}), 2u); // 60 and 70 make the line
+TEST(QueuePrediction, ChangeFromFallingToRisingKeepsLowerSample) {
+  EXPECT_EQ(chosen_by_prediction({100, 80, 60, 70}, {75}), 2u); // the line starts with 60 and 70
   EXPECT_EQ(chosen_by_prediction({70}, {75}), 1u);
 }
 
-// ---- request life ----
+// ---- request lifecycle ----
 
-TEST(RequestLife, AnswersBeforeTheDeadlineWhenTheServerNeverDoes) {
+TEST(RequestLifecycle, IsAnsweredBeforeDeadlineIfServerNeverResponds) {
   for (const Idempotency repeat :
        {Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NonIdempotent}) {
     Settings s = plain_settings();
@@ -191,7 +191,7 @@
   }
 }
 
-TEST(RequestLife, EndsAtTheLatencyObjectiveWhenLaterEarnsNothing) {
+TEST(RequestLifecycle, EndsAtLatencyObjectiveIfLateResponsesHaveNoValue) {
   Node node(plain_settings());
   node.caches(3);
   node.request(1, 42);
@@ -201,8 +201,8 @@
   EXPECT_TRUE(node.final_answer(1));
 }
 
-// Fault: a constant of three seconds in place of the latency objective.
-TEST(RequestLife, WithoutALatencyObjectiveTheClientTimeoutSaysWhatIsSlow) {
+// Regression: without a latency objective, a constant of three seconds decided which attempts are slow.
+TEST(RequestLifecycle, ClientTimeoutDefinesSlowAttemptsWithoutLatencyObjective) {
   Settings s = plain_settings();
   s.classes[0].latency_objective_ms = 0;
   s.classes[0].client_timeout_ms = 300;
@@ -210,11 +210,11 @@
   node.caches(3);
   node.request(1, 42, {.deadline = node.now + 300});
   ASSERT_EQ(node.sends_of(1).size(), 1u);
-  node.wait(110); // a third of it is over without a response: a hedged request goes out
+  node.wait(110); // a third of it has elapsed without a response
   EXPECT_EQ(node.sends_of(1).size(), 2u);
 }
 
-TEST(RequestLife, NothingFollowsAFinalAnswer) {
+TEST(RequestLifecycle, NoActionFollowsFinalAnswer) {
   Node node(plain_settings());
   node.caches(3);
   node.request(1, 42);
@@ -226,7 +226,7 @@
   EXPECT_EQ(node.refused.size() + node.failed.size(), 1u);
 }
 
-TEST(RequestLife, ANonIdempotentRequestIsRetriedOnlyIfItNeverRan) {
+TEST(RequestLifecycle, NonIdempotentRequestIsRetriedOnlyIfNotExecuted) {
   Settings s = plain_settings();
   s.classes[0].idempotency = Idempotency::NonIdempotent;
   Node node(s);
@@ -236,10 +236,10 @@
   EXPECT_EQ(node.sends_of(1).size(), 2u);
   node.outcome(1, AttemptResult::Error);
   EXPECT_EQ(node.sends_of(1).size(), 2u);
-  EXPECT_EQ(node.failed, std::vector<RequestId>{1}); // no promise that a retry is harmless
+  EXPECT_EQ(node.failed, std::vector<RequestId>{1}); // no guarantee that a retry is safe
 }
 
-TEST(RequestLife, ARequestWithAnIdempotencyKeyStaysInItsScopeAndWindow) {
+TEST(RequestLifecycle, RequestWithIdempotencyKeyStaysInScopeAndWindow) {
   Settings s = plain_settings();
   s.classes[0].idempotency = Idempotency::WithKey;
   s.classes[0].idempotency_scope = IdempotencyScope::Zone;
@@ -258,7 +258,7 @@
   }
 }
 
-TEST(RequestLife, AHedgedRequestGoesOutWhenTheFirstAttemptIsSlow) {
+TEST(RequestLifecycle, HedgedRequestIsSentIfFirstAttemptIsSlow) {
   Node node(plain_settings());
   node.caches(3);
   node.request(1, 42);
@@ -266,12 +266,12 @@
   ASSERT_EQ(node.sends_of(1).size(), 2u);
   EXPECT_NE(node.sends_of(1)[0].server, node.sends_of(1)[1].server);
   node.outcome(1, AttemptResult::Ok);
-  ASSERT_EQ(node.cancels.size(), 1u); // the slower one is cancelled
+  ASSERT_EQ(node.cancels.size(), 1u); // the slower attempt is cancelled
   EXPECT_EQ(node.cancels[0].attempt, 0u);
 }
 
-// Fault: two answers read to the end for one client
-TEST(RequestLife, TheSlowerAttemptIsCancelledOnceTheOtherResponseHasStarted) {
+// Regression: two responses were read to the end for one client.
+TEST(RequestLifecycle, SlowerAttemptIsCancelledOnceOtherResponseHasStarted) {
   Node node(plain_settings());
   node.caches(3);
   node.request(1, 42);
@@ -281,13 +281,13 @@
   ASSERT_EQ(node.cancels.size(), 1u);
   EXPECT_EQ(node.cancels[0].attempt, 0u);
   node.outcome(1, AttemptResult::Cancelled, 300, {}, 0);
-  EXPECT_EQ(node.sends_of(1).size(), 2u); // its end brings no further attempt
+  EXPECT_EQ(node.sends_of(1).size(), 2u); // its end causes no further attempt
   node.outcome(1, AttemptResult::Ok, 400);
   EXPECT_FALSE(node.final_answer(1));
 }
 
-// Fault: caches that seem to have no room as a few clients read slowly
-TEST(RequestLife, AStreamedResponseTakesNoRoomAtItsCache) {
+// Regression: caches seemed to have no capacity left because a few clients read their responses slowly.
+TEST(RequestLifecycle, StreamedResponseUsesNoCapacityOfItsCache) {
   Node node(plain_settings());
   node.caches(2);
   for (RequestId id = kFirst; id < kFirst + 200; ++id) {
@@ -296,10 +296,10 @@
     node.on(ResponseStarted{id, 0, node.last_server(id), 20});
     node.now += 1;
   }
-  // How its time was is known; its end tells only whether it broke off.
+  // The response time was measured at the start; the end shows only whether the response was cut off.
   for (RequestId id = kFirst; id < kFirst + 100; ++id) node.outcome(id, AttemptResult::Ok, 100000);
   EXPECT_TRUE(node.logs.empty());
-  node.now += 10000; // nothing is heard of them but this
+  node.now += 10000; // no other outcomes in the meantime
   for (RequestId id = kFirst + 100; id < kFirst + 106; ++id) {
     node.on(AttemptOutcome{
         .id = id, .server = node.last_server(id), .result = AttemptResult::Reset, .request_ended = true});
@@ -308,7 +308,7 @@
   EXPECT_FALSE(node.final_answer(kFirst + 100));
 }
 
-TEST(RequestLife, HedgedRequestsHaveABudget) {
+TEST(RequestLifecycle, HedgedRequestsAreLimitedByBudget) {
   Node node(plain_settings());
   node.caches(30);
   for (int i = 0; i < 100; ++i) node.request(kFirst + i, i + 1);
@@ -317,7 +317,7 @@
   EXPECT_LE(node.sends.size(), 100u + 10 + 10);
 }
 
-TEST(RequestLife, NoHedgedRequestWhereNoneIsAllowed) {
+TEST(RequestLifecycle, NoHedgedRequestIfHedgingIsDisabled) {
   Settings s = plain_settings();
   s.may_hedge = false;
   Node node(s);
@@ -325,12 +325,12 @@
   node.request(1, 42);
   node.wait(300);
   EXPECT_EQ(node.sends_of(1).size(), 1u);
-  ASSERT_EQ(node.cancels.size(), 1u); // cancelled instead, and retried once that is known
+  ASSERT_EQ(node.cancels.size(), 1u); // cancelled instead, and retried once its outcome is known
   node.outcome(1, AttemptResult::Cancelled, 170);
   EXPECT_EQ(node.sends_of(1).size(), 2u);
 }
 
-TEST(RequestLife, AStreamThatHasBegunHasNoDeadline) {
+TEST(RequestLifecycle, StartedStreamHasNoDeadline) {
   Settings s = plain_settings();
   s.classes[0].streaming = true;
   Node node(s);
@@ -342,8 +342,8 @@
   EXPECT_EQ(node.sends_of(1).size(), 1u);
 }
 
-// Fault: rejections by overloaded caches that ate the retry budget.
-TEST(RequestLife, ARetryAfterAnOverloadedCacheIsFreeAndStaysAmongTheCandidates) {
+// Regression: rejections by overloaded caches used up the retry budget.
+TEST(RequestLifecycle, RetryAfterOverloadedNeedsNoBudgetAndStaysAmongCandidates) {
   Node node(plain_settings());
   node.caches(8);
   std::vector<ServerId> met;
@@ -364,7 +364,7 @@
 
 // ---- endpoint list ----
 
-TEST(EndpointListing, NothingGoesToAServerMissingFromAFullList) {
+TEST(EndpointListUpdates, ServerMissingFromFullListGetsNoRequests) {
   Node node(plain_settings());
   node.caches(3);
   node.list({{.id = 2}});
@@ -372,7 +372,7 @@
   for (const Send& s : node.sends) EXPECT_EQ(s.server, 2u);
 }
 
-TEST(EndpointListing, AnEmptyListIsSurvived) {
+TEST(EndpointListUpdates, EmptyListIsHandled) {
   Node node(plain_settings());
   node.list({});
   node.request(1, 42);
@@ -380,12 +380,12 @@
   EXPECT_TRUE(node.sends.empty());
 }
 
-TEST(EndpointListing, CallsDiscoveryWithBackoffWhereItMust) {
+TEST(EndpointListUpdates, PollModeCallsDiscoveryWithBackoff) {
   Settings s = plain_settings();
   s.discovery = DiscoveryMode::Poll;
   Node node(s);
   node.list({{.id = 1}}, EndpointListKind::Cached);
-  EXPECT_EQ(node.watches, 0); // spread, not at once
+  EXPECT_EQ(node.watches, 0); // the first call is delayed at random
   node.wait(1200);
   EXPECT_EQ(node.watches, 1);
   for (int i = 0; i < 6; ++i) {
@@ -398,26 +398,26 @@
   node.list({}, EndpointListKind::Delta);
   const int asked = node.watches;
   node.wait(60000);
-  EXPECT_EQ(node.watches, asked); // subscribed: changes come by themselves
+  EXPECT_EQ(node.watches, asked); // subscribed: changes arrive without further calls
 }
 
-TEST(EndpointListing, PushModeNeverCallsDiscovery) {
+TEST(EndpointListUpdates, PushModeNeverCallsDiscovery) {
   Node node(plain_settings());
   node.caches(2);
   node.wait(20000);
   EXPECT_EQ(node.watches, 0);
 }
 
-// ---- what is forgotten ----
+// ---- decay and reset of observations ----
 
-TEST(Memory, ASlowSpellThatNobodyRenewsFades) {
+TEST(ObservedState, SlowResponseTimeDecays) {
   Settings s = plain_settings();
   s.router_count = 1;
   s.load_report_source = LoadReportSource::Never;
   Node node(s);
   node.caches(2);
   RequestId id = kFirst;
-  const auto two_at_once = [&] { // the second looks for a less busy cache
+  const auto two_at_once = [&] { // the second is sent to a less loaded cache, if its score allows
     std::set<ServerId> met;
     for (int i = 0; i < 2; ++i) node.request(++id, 42), met.insert(node.last_server(id));
     node.outcome(id - 1, AttemptResult::Ok, 20);
@@ -437,7 +437,7 @@
   EXPECT_EQ(two_at_once(), 2u);
 }
 
-TEST(Memory, ARestartedCacheStartsAnew) {
+TEST(ObservedState, RestartedCacheIsNoLongerEjected) {
   Settings s = plain_settings();
   s.slow_start_ms = 0;
   Node node(s);
@@ -463,7 +463,7 @@
 
 // ---- zones ----
 
-TEST(Zones, TheOwnZoneIsPreferredWhileItKeepsUp) {
+TEST(Zones, OwnZoneIsPreferredUntilItIsFull) {
   for (const bool known : {false, true}) {
     Settings s = plain_settings();
     if (known) s.zone = 1;
@@ -477,7 +477,7 @@
       node.wait(50);
     }
     EXPECT_EQ(home == 60, known) << home;
-    // Requests that stay there fill it: then the others are taken as well.
+    // Active requests fill the own zone: then the other caches are used as well.
     std::set<ServerId> met;
     for (int i = 0; i < 12; ++i) {
       node.request(5000 + i, i + 1);
@@ -489,7 +489,8 @@
 
 // ---- slow start ----
 
-// Keeps a few requests open all the time; `answer` says how one that went to a server ends.
+// Keeps a few requests active at all times; `answer` returns the result of an attempt at a server. Returns
+// the number of first attempts by server.
 template <typename Answer>
 std::map<ServerId, int> busy(Node& node, RequestId& id, int requests, Answer answer) {
   std::map<ServerId, int> met;
@@ -498,7 +499,7 @@
     node.request(++id, static_cast<std::uint64_t>(7 * i + 1));
     if (!node.sends_of(id).empty()) met[node.last_server(id)]++;
     const RequestId oldest = id - kOpen;
-    for (int tries = 0; i >= kOpen && tries < 5; ++tries) { // a failed attempt may bring the next
+    for (int tries = 0; i >= kOpen && tries < 5; ++tries) { // a failed attempt may cause the next one
       if (node.sends_of(oldest).empty() || node.final_answer(oldest)) break;
       node.outcome(oldest, answer(node.last_server(oldest)), 5 * kOpen, {0, 5});
     }
@@ -509,8 +510,9 @@
 }
 AttemptResult all_well(ServerId) { return AttemptResult::Ok; }
 
-// Fault: sorting the whole ring at each list message took more CPU than all decisions.
-TEST(Ring, ChangesOneByOneLeaveTheRingOfTheWholeList) {
+// Incremental ring updates must equal a rebuild. Sorting the whole ring at each list used more CPU than all
+// decisions.
+TEST(HashRing, DeltaUpdatesBuildTheSameRingAsFullList) {
   Node changed(plain_settings()), fresh(plain_settings());
   changed.caches(6);
   changed.list({{.id = 3, .state = ServerState::Gone}, {.id = 7}, {.id = 2, .weight = 4}},
@@ -524,20 +526,20 @@
   }
 }
 
-TEST(SlowStart, AStartedCacheGetsItsShareOfTheTrafficOnly) {
+TEST(SlowStart, StartedCacheGetsOnlyItsShareOfTraffic) {
   Node node(plain_settings());
   node.caches(4);
   RequestId id = kFirst;
   const auto before = busy(node, id, 800, all_well);
   node.list({{.id = 4, .started_at = node.now}}, EndpointListKind::Delta);
-  const auto after = busy(node, id, 300, all_well); // 1.5 s of 10: capacity from 0.2 to 0.32
+  const auto after = busy(node, id, 300, all_well); // 1.5 s of 10 s: capacity from 0.2 to 0.32
   EXPECT_GT(before.at(4), 100);
   EXPECT_GT(after.at(4), 0);
-  EXPECT_LE(after.at(4), 300 * (1 + 2 * 0.5) / 4 * 0.32); // one request in four its own, two at half
+  EXPECT_LE(after.at(4), 300 * (1 + 2 * 0.5) / 4 * 0.32); // first of 1 in 4 keys, later of 2 in 4 at half
 }
 
-// Fault: a budget for each node began with one whole request, a thousand in all at once.
-TEST(SlowStart, HundredsOfRoutersTogetherKeepToTheShare) {
+// Regression: a budget per router started with one full request each, so a thousand were sent at once.
+TEST(SlowStart, HundredsOfRoutersTogetherStayWithinTheShare) {
   constexpr int kNodes = 400, kRequests = 5, kCaches = 20;
   int sent = 0;
   for (int n = 0; n < kNodes; ++n) {
@@ -552,13 +554,13 @@
       sent += !node.sends_of(id).empty() && node.last_server(id) == kCaches + 1;
     }
   }
-  constexpr double kShare = 1.0 / (kCaches + 1) * 0.2; // of the traffic, at the stated start capacity
+  constexpr double kShare = 1.0 / (kCaches + 1) * 0.2; // of the traffic, at the configured start capacity
   EXPECT_GT(sent, 0);
-  EXPECT_LE(sent, 2 * 1.5 * kShare * kNodes * kRequests); // own keys and half of two others', ring uneven
+  EXPECT_LE(sent, 2 * 1.5 * kShare * kNodes * kRequests); // own keys, half of two others'; uneven ring
 }
 
-// Fault: a cache in slow start that was not drawn, and left its keys to the next one in slow start.
-TEST(SlowStart, CachesInSlowStartAreNotGivenEachOthersKeys) {
+// Regression: a cache in slow start that did not admit a request left it to the next cache in slow start.
+TEST(SlowStart, CachesInSlowStartDoNotGetEachOthersKeys) {
   Node node(plain_settings());
   std::vector<Server> cold;
   for (std::uint32_t i = 1; i <= 30; ++i) cold.push_back({.id = i, .started_at = node.now});
@@ -569,7 +571,7 @@
     sent += !node.sends_of(id).empty();
   }
   EXPECT_GT(sent, 10);
-  EXPECT_LE(sent, 55); // 0.2, 0.1 and 0.1 of the three candidates; walking on would find one for nearly all
+  EXPECT_LE(sent, 55); // 0.2, 0.1 and 0.1 at the three candidates; more candidates would admit nearly all
 }
 
 // ---- outlier ejection ----
@@ -578,20 +580,20 @@
   return server == 1 ? AttemptResult::ConnectFailed : AttemptResult::Ok;
 }
 
-TEST(OutlierEjection, RefusedConnectionsEjectAndATrialBringsBack) {
+TEST(OutlierEjection, RefusedConnectionsEjectAndTrialRestores) {
   Node node(plain_settings());
   node.caches(6);
   RequestId id = kFirst;
   const auto first = busy(node, id, 200, one_is_down);
   const auto later = busy(node, id, 1600, one_is_down);
   EXPECT_GT(first.at(1), 1);
-  EXPECT_LE(later.at(1), 20); // trials only, further and further apart
+  EXPECT_LE(later.at(1), 20); // only trials, at increasing intervals
   EXPECT_FALSE(node.logs.empty());
   busy(node, id, 2000, all_well);
   EXPECT_GT(busy(node, id, 600, all_well)[1], 50);
 }
 
-TEST(OutlierEjection, TrialsAreHealthChecksWhereAllowed) {
+TEST(OutlierEjection, TrialsAreHealthChecksIfAllowed) {
   Settings s = plain_settings();
   s.may_health_check = true;
   Node node(s);
@@ -615,10 +617,10 @@
   const auto sent = node.sends.size();
   id += 1;
   node.request(id, id);
-  EXPECT_GT(node.sends.size(), sent); // still tries
+  EXPECT_GT(node.sends.size(), sent); // still sends
 }
 
-TEST(OutlierEjection, HealthChecksBringLoadReportsWhereNothingElseDoes) {
+TEST(OutlierEjection, HealthChecksObtainLoadReportsIfConfigured) {
   Settings s = plain_settings();
   s.load_report_source = LoadReportSource::HealthChecks;
   s.may_health_check = true;
@@ -633,7 +635,7 @@
 
 // ---- origin ----
 
-// Every cache that is asked for the request answers so, until it goes to the origin or waits.
+// Ends each attempt of the request at a cache with `result`, until it is sent to the origin or waits.
 void caches_say(Node& node, RequestId id, AttemptResult result) {
   for (auto tried = 0u; tried != node.sends_of(id).size() && node.last_server(id) != kOrigin;) {
     tried = static_cast<unsigned>(node.sends_of(id).size());
@@ -641,14 +643,14 @@
   }
 }
 
-TEST(Origin, WritesGoThere) {
+TEST(Origin, WritesAreSentToOrigin) {
   Node node(aside_settings());
   node.caches(4, true);
   node.request(1, 42, {.write = true});
   EXPECT_EQ(node.last_server(1), kOrigin);
 }
 
-TEST(Origin, AMissGoesOnAndIsFetchedOnceForAll) {
+TEST(Origin, ConcurrentMissesOfAKeyCauseOneFetch) {
   Node node(aside_settings());
   node.caches(4, true);
   node.request(1, 42);
@@ -660,13 +662,13 @@
       std::count_if(node.sends.begin(), node.sends.end(), [](const Send& s) { return s.server == kOrigin; });
   EXPECT_EQ(fetches, 1);
   node.outcome(1, AttemptResult::Ok, 80);
-  EXPECT_NE(node.last_server(2), kOrigin); // reads what the fetch stored
+  EXPECT_NE(node.last_server(2), kOrigin); // reads the value that the fetch stored
   node.outcome(2, AttemptResult::Ok, 5);
   EXPECT_FALSE(node.final_answer(2));
 }
 
-// Fault: readers of a key kept waiting by one client that reads slowly
-TEST(Origin, FollowersReadWhatIsStoredWhileTheLeadersAnswerPasses) {
+// Regression: readers of a key had to wait for one client that reads its response slowly.
+TEST(Origin, FollowersReadStoredValueWhileLeaderResponseIsForwarded) {
   Node node(aside_settings());
   node.caches(4, true);
   node.request(1, 42);
@@ -679,7 +681,7 @@
   EXPECT_NE(node.last_server(2), kOrigin);
 }
 
-TEST(Origin, FollowersSurviveTheLeader) {
+TEST(Origin, FollowersContinueAfterLeaderGivesUp) {
   Node node(aside_settings());
   node.caches(4, true);
   node.request(1, 42, {.deadline = node.now + 60});
@@ -691,7 +693,7 @@
   EXPECT_EQ(node.last_server(2), kOrigin);
 }
 
-TEST(Origin, AttemptsAtOnceAreBoundedAndWritesGoFirst) {
+TEST(Origin, ConcurrentAttemptsAreLimitedAndCapacityIsReservedForWrites) {
   Node node(aside_settings());
   node.caches(4, true);
   for (int i = 0; i < 40; ++i) {
@@ -704,15 +706,13 @@
                          [](const Send& s) { return s.server == kOrigin; });
   };
   EXPECT_GT(at_origin(), 2);
-  EXPECT_LE(at_origin(), 32 / 3); // of what all three nodes let a new origin have
+  EXPECT_LE(at_origin(), 32 / 3); // the router's share of the fleet's initial limit of 32
   node.request(1, 7777, {.write = true});
-  EXPECT_EQ(node.last_server(1), kOrigin); // room is kept for writes
+  EXPECT_EQ(node.last_server(1), kOrigin); // capacity is reserved for writes
 }
 
-// Fault: the caches asked already were left out of the walk, so each next one passed for
-// the key's first cache and was asked as well.
-// Fault: served oldest first, everything in a long queue was late.
-TEST(Origin, OfEqualValueTheNewestIsServedFirst) {
+// Regression: with the oldest served first, all requests in a long queue were late.
+TEST(Origin, NewestOfEqualValueIsServedFirst) {
   Node node(aside_settings());
   node.caches(3, true);
   for (int i = 0; i < 20; ++i) node.request(100 + i, 9000 + i, {.write = true});
@@ -723,7 +723,7 @@
   EXPECT_EQ(node.sends[started].id, 119u);
 }
 
-TEST(Origin, TheHighestValueIsServedBeforeTheNewest) {
+TEST(Origin, HighestValueIsServedBeforeNewest) {
   Settings s = aside_settings();
   s.classes.push_back(s.classes[0]);
   s.classes[1].priority_weight = 10;
@@ -739,8 +739,8 @@
   EXPECT_EQ(node.sends[started].id, 130u);
 }
 
-TEST(Origin, AFetchThatWouldComeTooLateIsNotSent) {
-  for (const double origin_ms : {20.0, 700.0}) { // a lucky one takes half
+TEST(Origin, FetchThatWouldBeLateIsNotSent) {
+  for (const double origin_ms : {20.0, 700.0}) { // the fastest responses take half of it
     Settings s = aside_settings();
     s.may_cancel = s.may_hedge = false;
     Node node(s);
@@ -755,7 +755,9 @@
   }
 }
 
-TEST(Origin, OneMissAtTheFirstCacheIsEnoughForANewKey) {
+// Regression: caches already tried were left out of the candidates, so each next cache was taken for the
+// key's first one and was tried as well.
+TEST(Origin, NewKeyIsFetchedAfterOneMissAtFirstCache) {
   Node node(aside_settings());
   node.caches(10, true);
   node.request(1, 42);
@@ -764,8 +766,8 @@
   EXPECT_EQ(node.sends_of(1).size(), 2u);
 }
 
-// Fault: a node left with writes alone took their weight for crowding.
-TEST(Origin, HeavyWritesWithinTheirObjectiveAreNotTakenForCrowding) {
+// Regression: a router with only writes took their long response times for congestion.
+TEST(Origin, HeavyWritesWithinObjectiveAreNoCongestion) {
   Settings s = aside_settings();
   s.classes.push_back({.latency_objective_ms = 3000,
                        .client_timeout_ms = 6000,
@@ -783,8 +785,8 @@
   EXPECT_EQ(node.sends.size(), 207u);
 }
 
-// Fault: each kept a read out at an origin that took 1.3 s, and all they fetched came too late.
-TEST(Origin, AtASlowOriginReadsKeepToAPaceAndAWriteHasItsTurn) {
+// Regression: each router kept one read in flight at an origin that took 1.3 s, and all fetches were late.
+TEST(Origin, SlowOriginLimitsReadRateAndStillGetsWrites) {
   Node node(aside_settings());
   node.caches(4, true);
   RequestId id = kFirst;
@@ -793,28 +795,28 @@
     while (node.last_server(id) != kOrigin && node.sends_of(id).size() < 4 && !node.final_answer(id)) {
       const auto sent = node.sends_of(id).size();
       node.outcome(id, AttemptResult::CacheMiss, 2);
-      if (node.sends_of(id).size() == sent) return false; // waits for the origin
+      if (node.sends_of(id).size() == sent) return false; // queued for the origin
     }
     return true;
   };
-  for (int i = 0; i < 13; ++i) { // one at a time: it is slow, but not crowded
+  for (int i = 0; i < 13; ++i) { // one at a time: slow, but not congested
     ASSERT_TRUE(read());
     node.wait(450);
     node.outcome(id, AttemptResult::Ok, 450);
     node.wait(10000);
   }
-  for (int i = 0; i < 40; ++i) { // now it is: what takes 450 ms alone takes all the client's patience
+  for (int i = 0; i < 40; ++i) { // now congested: 450 ms unloaded becomes nearly the client timeout
     if (!read()) continue;
     node.wait(100);
     node.outcome(id, AttemptResult::Ok, 1900);
   }
-  EXPECT_FALSE(read()); // though nothing is out
+  EXPECT_FALSE(read()); // although nothing is in flight
   node.request(id + 1, id + 1, {.write = true}), ++id;
   ASSERT_EQ(node.sends_of(id).size(), 1u);
   EXPECT_EQ(node.last_server(id), kOrigin);
 }
 
-// How many of forty writes the origin is given at once, after twenty that ended as told.
+// Number of forty writes that are sent to the origin at once, after twenty that ended as `ending` returns.
 std::size_t let_to_origin(const std::function<std::pair<AttemptResult, double>(int)>& ending) {
   Settings s = aside_settings();
   s.max_attempts = 1;
@@ -831,26 +833,26 @@
   return node.sends.size() - before;
 }
 
-TEST(Origin, RefusalsCutTheLimit) {
+TEST(Origin, RejectionsDecreaseTheLimit) {
   EXPECT_LE(let_to_origin([](int) { return std::pair(AttemptResult::Overloaded, 5.0); }), 2u);
   EXPECT_LE(let_to_origin([](int) { return std::pair(AttemptResult::ConnectFailed, 5.0); }), 2u);
 }
 
-// A slow answer now and then, or a connection that breaks, is no crowding.
-TEST(Origin, FaultsAreNoCrowding) {
+// An occasional slow response or broken connection is no congestion.
+TEST(Origin, FaultsAreNoCongestion) {
   for (const AttemptResult fault : {AttemptResult::Error, AttemptResult::Reset, AttemptResult::TimedOut}) {
     EXPECT_GE(let_to_origin([fault](int i) {
                 return i % 10 == 9 ? std::pair(fault, 450.0) : std::pair(AttemptResult::Ok, 20.0);
               }),
               7u);
-    if (fault == AttemptResult::TimedOut) continue; // silence all over is another matter
+    if (fault == AttemptResult::TimedOut) continue; // if all time out, it is congestion
     EXPECT_GE(let_to_origin([fault](int) { return std::pair(fault, 5.0); }), 7u);
   }
 }
 
-// Found on a day of connections that fall silent, at an origin that takes a third of the objective when all
-// is well.
-TEST(Origin, OneSilentConnectionDoesNotOutweighTenAnswers) {
+// Regression: unresponsive connections were taken for congestion, at an origin whose normal response time is
+// a third of the latency objective.
+TEST(Origin, OneUnresponsiveConnectionDoesNotOutweighNineResponses) {
   EXPECT_GE(let_to_origin([](int i) {
               return i % 10 == 9 ? std::pair(AttemptResult::TimedOut, 2000.0)
                                  : std::pair(AttemptResult::Ok, 170.0);
@@ -858,9 +860,9 @@
             7u);
 }
 
-// Fault: each late answer pulled the limit down to what was out, which is less than the limit where
-// reads may not fill it, so that a few answers in a row took it from 26 to 3.
-TEST(Origin, TheLimitFallsOnceForEachResponseTime) {
+// Regression: each late response reduced the limit to the attempts in flight. These are fewer than the limit
+// because reads may not use all of it, so a few responses in a row reduced it from 26 to 3.
+TEST(Origin, LimitDecreasesOncePerResponseTime) {
   Node node(aside_settings());
   node.caches(4, true);
   for (RequestId id = kFirst; id < kFirst + 60; ++id) {
@@ -881,11 +883,11 @@
     ++answered;
   }
   EXPECT_EQ(answered, 24u);
-  EXPECT_GE(out(), before / 3); // each answer by itself would take it to nothing
+  EXPECT_GE(out(), before / 3); // a decrease per response would reduce it to almost 0
 }
 
-// Fault: eighty reads waited until they were late while the limit crept up from 8.
-TEST(Origin, TheLimitDoublesUntilTheFirstCrowding) {
+// Regression: eighty reads waited until they were late while the limit grew slowly from 8.
+TEST(Origin, LimitDoublesUntilFirstCongestion) {
   for (const bool crowded : {false, true}) {
     Node node(aside_settings());
     node.caches(4, true);
@@ -905,16 +907,15 @@
   }
 }
 
-// Fault: each cut the origin's limit, and reads waited for
-// it until they were late.
-TEST(Origin, AFaultInItsUsualTimeCutsNothing) {
+// Regression: each such fault decreased the origin's limit, and reads waited until they were late.
+TEST(Origin, FaultAtUsualResponseTimeDoesNotDecreaseLimit) {
   Node node(aside_settings());
   node.caches(4, true);
-  for (int i = 0; i < 10; ++i) { // as many retries as are saved up
+  for (int i = 0; i < 10; ++i) { // as many as the retry budget allows
     node.request(kFirst + i, i + 1, {.write = true});
     node.wait(20);
     node.outcome(kFirst + i, i % 2 == 0 ? AttemptResult::Error : AttemptResult::Reset, 20);
-    EXPECT_EQ(node.sends_of(kFirst + i).size(), 2u); // asked again at once: there is nothing to wait for
+    EXPECT_EQ(node.sends_of(kFirst + i).size(), 2u); // retried without delay
     node.outcome(kFirst + i, AttemptResult::Ok, 20);
   }
   std::size_t started = 0;
@@ -926,15 +927,15 @@
 
 // ---- overload ----
 
-// How many of twenty requests at once the node sends.
+// Number of twenty simultaneous requests that are sent.
 std::size_t let_out(Node& node) {
   const auto before = node.sends.size();
   for (int i = 0; i < 20; ++i) node.request(5000 + i, 9000 + i);
   return node.sends.size() - before;
 }
 
-// Fault: the score alone filled every candidate's waiting room until all were late.
-TEST(Overload, ACacheThatAnswersLateGetsFewAttemptsAtOnce) {
+// Regression: with only the score as limit, every candidate's queue was filled until all responses were late.
+TEST(Overload, LateCacheGetsFewConcurrentAttempts) {
   Node node(plain_settings());
   node.caches(1);
   RequestId id = kFirst;
@@ -950,8 +951,8 @@
   EXPECT_LE(out, 4u);
 }
 
-// Fault: slow attempts that ejected crowded caches which rejected others as overloaded meanwhile.
-TEST(OutlierEjection, AnOverloadedResponseIsASignOfLife) {
+// Regression: slow attempts ejected overloaded caches that still rejected other attempts as overloaded.
+TEST(OutlierEjection, OverloadedResponsePreventsEjection) {
   for (const bool alive : {false, true}) {
     Node node(plain_settings());
     node.caches(1);
@@ -965,7 +966,7 @@
   }
 }
 
-TEST(OutlierEjection, ACacheThatAnswersOthersIsSlowNotSilent) {
+TEST(OutlierEjection, SlowCacheThatRespondsIsNotEjected) {
   for (const bool answers : {false, true}) {
     Node node(plain_settings());
     node.caches(1);
@@ -977,9 +978,9 @@
   }
 }
 
-// Fault: small caches hold fewer connections than there are nodes, and those that got none used up
-// the retry budget, so that requests were refused which the next cache had served.
-TEST(RequestLife, ARetryAfterAFailedConnectionIsFree) {
+// Regression: small caches accept fewer connections than there are routers. Routers without a connection used
+// up their retry budget, so that requests were rejected that the next cache could have served.
+TEST(RequestLifecycle, RetryAfterConnectFailureNeedsNoBudget) {
   Node node(plain_settings());
   node.caches(30);
   for (RequestId id = kFirst; id < kFirst + 40; ++id) {
@@ -990,7 +991,7 @@
   }
 }
 
-TEST(RequestLife, RetriesKeepToTheirBudget) {
+TEST(RequestLifecycle, RetriesStayWithinBudget) {
   Node node(plain_settings());
   node.caches(6);
   std::size_t requests = 0;
@@ -1004,8 +1005,9 @@
   EXPECT_LE(node.sends.size(), requests + 10 + 30);
 }
 
-// Fault: with a request a second the signs had faded before the next came, and nothing was shed.
-TEST(Shedding, ARouterThatSeesLittleShedsTooButNotForOneBadChoice) {
+// Regression: at one request per second the overload signals had decayed before the next request arrived, and
+// nothing was shed.
+TEST(LoadShedding, RouterWithLittleTrafficShedsButNotAfterOneOverloadedRequest) {
   const auto refused_unsent = [](int full_ones, int times) {
     Node node(plain_settings());
     node.caches(3);
@@ -1026,35 +1028,35 @@
   EXPECT_GT(refused_unsent(40, 5), 3);
 }
 
-// Fault: one attempt at once from each is more than a cache carries.
-TEST(Overload, BelowOneAttemptTheLimitIsAPace) {
+// One concurrent attempt from each router can exceed a cache's capacity, so a limit below one becomes a rate.
+TEST(Overload, LimitBelowOneAttemptIsARateLimit) {
   Node node(plain_settings());
   node.caches(1);
   RequestId id = kFirst;
-  for (int i = 0; i < 40; ++i) { // late each time
+  for (int i = 0; i < 40; ++i) { // each response is late
     node.request(id + 1, id + 1), ++id;
     node.wait(400);
     if (!node.sends_of(id).empty() && !node.final_answer(id)) node.outcome(id, AttemptResult::Ok, 400);
   }
   node.wait(60000);
   node.request(id + 1, id + 1), ++id;
-  ASSERT_EQ(node.sends_of(id).size(), 1u); // its turn
+  ASSERT_EQ(node.sends_of(id).size(), 1u); // the rate allows it
   node.outcome(id, AttemptResult::Ok, 400);
   node.wait(100);
   node.request(id + 1, id + 1), ++id;
-  EXPECT_TRUE(node.sends_of(id).empty()); // though nothing is out
+  EXPECT_TRUE(node.sends_of(id).empty()); // although nothing is in flight
 }
 
-// Fault: with four attempts at once from each node at every cache a fleet is over before
-// any of them hears of it. What all together start with is shared.
-TEST(Overload, TheFirstLimitOfACacheIsSharedByAllRouters) {
+// Regression: with four concurrent attempts from each router at every cache, a fleet is overloaded before any
+// router receives a response. The initial limit is shared by all routers.
+TEST(Overload, InitialLimitOfACacheIsSharedByAllRouters) {
   const auto attempts_in_two_seconds = [](int nodes) {
     Settings s = plain_settings();
     s.router_count = nodes;
     Node node(s);
     node.caches(1);
     RequestId id = kFirst;
-    for (int i = 0; i < 100; ++i) { // an answer takes 200 ms
+    for (int i = 0; i < 100; ++i) { // a response takes 200 ms
       node.request(id + 1, id + 1), ++id;
       node.wait(20);
       if (const RequestId due = id - 9;
@@ -1066,16 +1068,16 @@
   constexpr std::size_t kTwelveAtOnce = 12 * 2000 / 200;
   const std::size_t of_hundred = 100 * attempts_in_two_seconds(100);
   EXPECT_GT(of_hundred, 0u);
-  EXPECT_LE(of_hundred, 3 * kTwelveAtOnce); // they try one each before the first answer, and grow
+  EXPECT_LE(of_hundred, 3 * kTwelveAtOnce); // one each before the first response, and growth
   EXPECT_GE(3 * attempts_in_two_seconds(3), kTwelveAtOnce / 2);
 }
 
-// Requests come unevenly, so a pace kept to the letter leaves a part of the limit unused: at 142 nodes that
-// was seen as refusals beside idle caches.
-TEST(Overload, APaceIsQuickerThanTheLimitAsRequestsComeUnevenly) {
+// Requests arrive unevenly, so an exact rate limit leaves part of the limit unused: at 142 routers requests
+// were rejected while caches were idle.
+TEST(Overload, RateLimitAllowsForUnevenArrivals) {
   for (const double after_ms : {500.0, 700.0}) {
     Settings s = plain_settings();
-    s.router_count = 120; // a tenth of an attempt at once, and little more after an answer
+    s.router_count = 120; // 0.1 concurrent attempts, and slightly more after a response
     Node node(s);
     node.caches(1);
     node.request(1, 1);
@@ -1083,22 +1085,22 @@
     node.outcome(1, AttemptResult::Ok, 100);
     node.wait(after_ms - 100);
     node.request(2, 2);
-    EXPECT_EQ(node.sends_of(2).size(), after_ms > 600 ? 1u : 0u); // to the letter: 889 ms
+    EXPECT_EQ(node.sends_of(2).size(), after_ms > 600 ? 1u : 0u); // exact rate: 889 ms
   }
 }
 
-TEST(Overload, OneCrowdingCutsTheLimitOnce) {
+TEST(Overload, OneOverloadDecreasesTheLimitOnce) {
   Node node(plain_settings());
   node.caches(1);
   node.request(1, 1);
-  node.outcome(1, AttemptResult::Ok, 20); // limit a little under 4
+  node.outcome(1, AttemptResult::Ok, 20); // limit slightly below 4
   for (int i = 0; i < 3; ++i) node.request(10 + i, i + 2);
   for (int i = 0; i < 3; ++i) node.outcome(10 + i, AttemptResult::Overloaded, 1);
   node.wait(300);
   EXPECT_EQ(let_out(node), 3u);
 }
 
-TEST(EndpointListing, RoutersDoNotCallDiscoveryAgainInStep) {
+TEST(EndpointListUpdates, RoutersRetryDiscoveryAtDifferentTimes) {
   std::set<std::string> lines;
   for (const std::uint64_t seed : {1, 2, 3}) {
     Node node(plain_settings(), seed);
@@ -1108,8 +1110,8 @@
   EXPECT_EQ(lines.size(), 3u);
 }
 
-// Fault: everything ended cancelled, so that no answer moved the limit any more.
-TEST(Overload, AttemptsThatNeverCameBackInTimeCountInTheLimit) {
+// Regression: all attempts ended as cancelled, so that no response changed the limit any more.
+TEST(Overload, CancelledAttemptsDecreaseTheLimit) {
   Node node(plain_settings());
   node.caches(1);
   RequestId id = kFirst;
@@ -1117,15 +1119,15 @@
     id += 1;
     node.request(id, id);
     if (node.sends_of(id).empty()) continue;
-    node.wait(500); // past the objective: it is rejected and cancelled
+    node.wait(500); // after the objective: the request is rejected and its attempt cancelled
     node.outcome(id, AttemptResult::Cancelled, 500);
     node.wait(600);
   }
   EXPECT_LE(let_out(node), 2u);
 }
 
-// Fault: a limit from quiet times let a flood through, unused as it was.
-TEST(Overload, AnUnusedLimitIsTakenBack) {
+// Regression: a high limit that had not been used at low load admitted a sudden burst.
+TEST(Overload, UnusedLimitIsReduced) {
   Node node(plain_settings());
   node.caches(1);
   RequestId id = kFirst;
@@ -1140,8 +1142,8 @@
   EXPECT_LE(out, 3u);
 }
 
-// Fault: hedged requests paid from the retry budget kept a fleet pushed over after a crash.
-TEST(Hedging, HedgedRequestsAreFewerThanRetries) {
+// Regression: hedged requests charged to the retry budget kept a fleet overloaded after a crash.
+TEST(Hedging, HedgedRequestsHaveASmallerBudgetThanRetries) {
   Node node(plain_settings());
   node.caches(6);
   RequestId id = kFirst;
@@ -1154,7 +1156,8 @@
   EXPECT_LE(node.sends.size(), sent.size() + 3);
 }
 
-// More requests than three caches answer in time: while a few are out, each answer comes at the last moment.
+// Sends more requests than three caches answer in time: with four or more in flight, responses are nearly
+// late.
 void crowd(Node& node, RequestId& id, double ms, double gap_ms, std::uint32_t classes = 1) {
   struct Due {
     double at, lasts;
@@ -1179,7 +1182,7 @@
   }
 }
 
-// Of the requests up to `last`, those with even ids bear the refusals.
+// Expects that of the requests up to `last` mostly those with even ids were shed.
 void expect_even_shed_first(const Node& node, RequestId last) {
   std::array<int, 2> unsent{};
   for (RequestId i = kFirst + 1; i <= last; ++i) unsent[i % 2] += node.sends_of(i).empty();
@@ -1187,8 +1190,8 @@
   EXPECT_LT(3 * unsent[1], 2 * unsent[0]);
 }
 
-// Fault: shedding never ended once nothing was admitted.
-TEST(Shedding, EndsByItselfAfterTheCrowding) {
+// Regression: shedding never ended once no request was admitted.
+TEST(LoadShedding, EndsAfterOverload) {
   Node node(plain_settings());
   node.caches(3);
   RequestId id = kFirst;
@@ -1205,7 +1208,7 @@
   EXPECT_EQ(node.sends.size(), sent + 20);
 }
 
-TEST(Shedding, TheLeastValueIsShedFirst) {
+TEST(LoadShedding, LeastValueIsShedFirst) {
   Settings s = plain_settings();
   s.classes.push_back(s.classes[0]);
   s.classes[1].priority_weight = 10;
@@ -1216,7 +1219,7 @@
   expect_even_shed_first(node, id);
 }
 
-TEST(Shedding, ATenantOverItsQuotaIsShedFirst) {
+TEST(LoadShedding, TenantOverQuotaIsShedFirst) {
   Settings s = plain_settings();
   s.over_quota_weight = 0.1;
   s.tenants = {{.service_share = 0, .quota_per_s = 1}, {.service_share = 1, .quota_per_s = 1000}};
@@ -1227,10 +1230,10 @@
   expect_even_shed_first(node, id);
 }
 
-// ---- log lines ----
+// ---- ejection by errors, log lines ----
 
-// A cache whose answers are all of no use gets no more of them; errors among good answers are no reason.
-TEST(OutlierEjection, OnlyErrorsEjectACache) {
+// A cache that responds only with errors is ejected; occasional errors are no reason to eject it.
+TEST(OutlierEjection, CacheIsEjectedOnlyIfAllResponsesAreErrors) {
   for (const bool always : {true, false}) {
     Node node(plain_settings());
     node.caches(6);
@@ -1248,7 +1251,7 @@
   }
 }
 
-TEST(OnCallPage, QuotesTheLinesThatAreLogged) {
+TEST(OnCallDocumentation, ContainsTheLoggedLines) {
   std::ifstream file(FERNWARD_SOURCE_DIR "/docs/on-call.md");
   const std::string page{std::istreambuf_iterator<char>(file), {}};
   Node caches(plain_settings());
@@ -1270,9 +1273,9 @@
   for (const std::string& kind : kinds) EXPECT_NE(page.find('`' + kind + '`'), std::string::npos) << kind;
 }
 
-// ---- to give up is to answer now ----
+// ---- giving up ----
 
-// An origin of 400 ms that is full of dearer requests which have time.
+// An origin with a response time of 400 ms, filled with requests of a higher value and a distant deadline.
 void crowded_settings(Settings& s) {
   s.origin_kind = kOriginKind;
   s.classes.push_back({.latency_objective_ms = 60000,
@@ -1292,8 +1295,8 @@
     node.request(id, id, {.class_index = 1, .deadline = node.now + 60000, .write = true});
 }
 
-// No way of giving a request up holds its answer back: it goes out in the same moment as what decided it.
-TEST(GivingUp, EachWayAnswersAtOnce) {
+// Whatever the reason for giving up, the final answer is sent with the event that caused it.
+TEST(GiveUp, IsAnsweredImmediatelyForEachReason) {
   struct Way {
     const char* what;
     GiveUpReason why;
@@ -1302,26 +1305,26 @@
   };
   const auto asked = [](Node& node) { node.caches(3), node.request(1, 42), node.wait(20); };
   const std::vector<Way> ways = {
-      {"its time is over",
+      {"its deadline has passed",
        GiveUpReason::Shed,
        {},
        [](Node& n) { n.caches(3), n.request(1, 42, {.deadline = n.now - 1}); }},
-      {"nobody is there", GiveUpReason::NoEndpoint, {}, [](Node& n) { n.request(1, 42); }},
-      {"one attempt allowed", GiveUpReason::AttemptLimit,
+      {"no server is listed", GiveUpReason::NoEndpoint, {}, [](Node& n) { n.request(1, 42); }},
+      {"one attempt is allowed", GiveUpReason::AttemptLimit,
        [](Settings& with) { with.max_attempts = 1, with.origin_kind = kOriginKind; },
        [](Node& n) { n.caches(3, true), n.request(1, 42), n.wait(20), n.outcome(1, AttemptResult::Error); }},
-      {"its class allows no repeat", GiveUpReason::NotIdempotent,
+      {"its class is not idempotent", GiveUpReason::NotIdempotent,
        [](Settings& s) { s.classes[0].idempotency = Idempotency::NonIdempotent; },
        [&](Node& n) { asked(n), n.outcome(1, AttemptResult::Reset); }},
-      {"it is at fault itself",
+      {"the request is invalid",
        GiveUpReason::InvalidRequest,
        {},
        [&](Node& n) { asked(n), n.outcome(1, AttemptResult::InvalidRequest); }},
-      {"no place for an attempt",
+      {"its attempt is abandoned",
        GiveUpReason::NoEndpoint,
        {},
        [&](Node& n) { asked(n), n.outcome(1, AttemptResult::Abandoned); }},
-      {"its body is gone",
+      {"its body is consumed",
        GiveUpReason::NotIdempotent,
        {},
        [&](Node& n) {
@@ -1329,19 +1332,19 @@
              n.on(AttemptOutcome{
                  .id = 1, .server = n.last_server(1), .result = AttemptResult::Reset, .body_consumed = true});
        }},
-      {"no further attempt saved up",
+      {"the retry budget is empty",
        GiveUpReason::RetryBudgetEmpty,
        {},
        [&](Node& n) {
          n.caches(3);
-         for (RequestId id = 100; id < 400; ++id) { // nearly all fail: nothing is earned
+         for (RequestId id = 100; id < 400; ++id) { // nearly all fail: the budget is not refilled
            n.request(id, id);
            for (int i = 0; i < 5 && !n.final_answer(id); ++i) n.outcome(id, AttemptResult::Error);
          }
          n.request(1, 42);
          for (int i = 0; i < 5 && !n.final_answer(1); ++i) n.outcome(1, AttemptResult::Error);
        }},
-      {"too late for a turn at the origin", GiveUpReason::QueueTimeout, crowded_settings,
+      {"too late for the origin queue", GiveUpReason::QueueTimeout, crowded_settings,
        [](Node& n) {
          crowd(n);
          n.request(1, 42);
@@ -1362,9 +1365,9 @@
   }
 }
 
-// Fault: it waited about one of the origin's response times before it was asked again. Where that
-// was more than the time left, the request was held to its end though nothing could come of it any more.
-TEST(GivingUp, NobodyWaitsForATurnThatComesTooLate) {
+// Regression: a retry at the origin is delayed by about one of its response times. If that was more than the
+// time left, the request was still held until its deadline, although it could no longer succeed.
+TEST(GiveUp, RequestDoesNotWaitForARetryThatWouldBeLate) {
   Settings s = aside_settings();
   s.max_retry_after_ms = 1000;
   Node node(s);
@@ -1381,23 +1384,23 @@
     ASSERT_EQ(node.sends_of(id).size(), 1u);
     node.wait(200);
     node.outcome(id, AttemptResult::Overloaded,
-                 200); // 300 ms of its objective are left, and a turn takes 200 to 600
+                 200); // 300 ms of its objective are left, the retry delay is 200 to 600 ms
     if (node.final_answer(id)) {
       ++given_up;
       continue;
     }
     node.wait(295);
     asked_again += node.sends_of(id).size() == 2;
-    EXPECT_EQ(node.sends_of(id).size(), 2u) << "held to its end for nothing";
+    EXPECT_EQ(node.sends_of(id).size(), 2u) << "held until its deadline without a retry";
     if (node.sends_of(id).size() == 2) node.outcome(id, AttemptResult::Ok, 5);
     node.wait(100);
   }
   EXPECT_GT(given_up, 0);
 }
 
-// Why it waits at all: asked again at once, all attempts would be gone before an origin that is full for a
-// moment is not.
-TEST(Origin, AWriteOutlastsAMomentInWhichTheOriginIsFull) {
+// Reason for the retry delay: with immediate retries, all attempts would be used up while the origin is
+// briefly overloaded.
+TEST(Origin, WriteSucceedsAfterOriginIsBrieflyOverloaded) {
   Node node(aside_settings());
   node.caches(3, true);
   for (int i = 0; i < 20; ++i) {
@@ -1426,9 +1429,9 @@
   EXPECT_GE(served, 18);
 }
 
-// Fault: a request whose fetch was refused a place, while its hedged request was in flight, passed
-// for the one that fetches; others waited for it.
-TEST(GivingUp, NobodyWaitsForAFetchThatIsNotUnderWay) {
+// Regression: a request whose fetch was not admitted while its hedged request was in flight counted as the
+// leader of the fetch, and other requests waited for it.
+TEST(GiveUp, RequestDoesNotWaitForAFetchThatWasNotStarted) {
   Settings s = aside_settings();
   crowded_settings(s);
   s.max_attempts = 3;
@@ -1436,17 +1439,17 @@
   crowd(node);
   node.request(1, 42);
   ASSERT_EQ(node.sends_of(1).size(), 1u);
-  node.wait(300); // slow: a hedged request goes to another cache, and misses; the first attempt stays out
+  node.wait(300); // slow: a hedged request to another cache misses; the first attempt stays in flight
   ASSERT_EQ(node.sends_of(1).size(), 2u);
   node.outcome(1, AttemptResult::CacheMiss, 5, {}, 1);
   node.request(2, 42);
   for (int i = 0; i < 3 && !node.final_answer(2); ++i) node.outcome(2, AttemptResult::CacheMiss, 5);
-  EXPECT_TRUE(node.final_answer(2)); // refused at once, as the first one's fetch was
+  EXPECT_TRUE(node.final_answer(2)); // rejected immediately, as the first request's fetch was
 }
 
-// ---- bad input ----
+// ---- invalid input ----
 
-TEST(BadInput, UnknownIdsAreIgnored) {
+TEST(InvalidInput, UnknownIdsAreIgnored) {
   Node node(aside_settings());
   node.caches(3, true);
   EXPECT_TRUE(node.on(AttemptOutcome{.id = 77, .attempt = 3, .server = 5}).empty());
@@ -1458,7 +1461,7 @@
   EXPECT_TRUE(node.sends.empty());
 }
 
-TEST(BadInput, ReportsThatLieAreDegraded) {
+TEST(InvalidInput, InvalidLoadReportsAreIgnored) {
   Node node(plain_settings());
   node.caches(3);
   const float nan = std::numeric_limits<float>::quiet_NaN();
@@ -1480,7 +1483,7 @@
   EXPECT_EQ(node.sends_of(id).size(), 1u);
 }
 
-TEST(BadInput, AListWithoutOriginAndEveryServerGoneAreSurvived) {
+TEST(InvalidInput, ListsWithoutOriginOrServersAreHandled) {
   Node node(aside_settings());
   node.caches(3);
   node.request(1, 42, {.write = true});
@@ -1495,7 +1498,7 @@
   EXPECT_EQ(node.sends.size(), 1u);
 }
 
-TEST(BadInput, ADeadlineInThePastIsAnsweredAtOnce) {
+TEST(InvalidInput, DeadlineInThePastIsAnsweredImmediately) {
   Node node(plain_settings());
   node.caches(3);
   node.request(1, 42, {.deadline = node.now - 5});
--- a/tests/policy/day.h
+++ b/tests/policy/day.h
@@ -1,5 +1,4 @@
-// A short day in virtual time: requests at random, servers that answer as a script says, one Balancer
-// between.
+// Simulation in virtual time: random requests, one Balancer, and servers that respond according to a script.
 #pragma once
 
 #include <array>
@@ -16,8 +15,8 @@
 
 struct Reply {
   AttemptResult result = AttemptResult::Ok;
-  double after_ms = 20; // never: the connection fell silent
-  bool first = false;   // on its connection
+  double after_ms = 20; // kSilent: no response
+  bool first = false;   // whether it is the first on its connection
 };
 constexpr double kSilent = 1e12;
 
@@ -35,7 +34,7 @@
   std::array<std::size_t, static_cast<std::size_t>(GiveUpReason::Count)> why{};
   std::map<ServerId, std::size_t> sent_to;
   std::map<ServerId, std::size_t> most_out;
-  double refused_wait_ms = 0; // how long the refused ones waited, all together
+  double refused_wait_ms = 0; // total time from arrival to rejection
 
   std::size_t asked() const { return served + late + failed + refused; }
   double share_served() const {
@@ -46,7 +45,7 @@
     served = late = failed = refused = sends = 0, refused_wait_ms = 0, why = {}, sent_to.clear();
   }
 
-  // Requests at random, `per_s` of them a second on average, for so long; a share of them are writes.
+  // Random requests for `ms`, on average `per_s` per second; `writes`: share of writes, 0 to 1.
   void run(double ms, double per_s, double writes = 0, std::uint64_t keys = 500) {
     const double end = now + ms;
     double next = now;
--- a/tests/policy/findings_use_test.cpp
+++ b/tests/policy/findings_use_test.cpp
@@ -1,4 +1,4 @@
-// What the policy makes of what several routers say together of a cache, and what it has to tell them.
+// Outlier reports that several routers make together, and this router's own observations for them.
 #include <gtest/gtest.h>
 
 #include "health/outlier_state.h"
@@ -7,7 +7,7 @@
 namespace fernward::testing {
 namespace {
 
-// How many of `n` requests, each answered by the cache asked first, go to `server` first.
+// Number of `n` requests whose first attempt is sent to `server`. Each first attempt is answered.
 int first_at(Node& node, ServerId server, int n, RequestId& id) {
   int there = 0;
   for (int i = 0; i < n; ++i) {
@@ -21,7 +21,7 @@
   return there;
 }
 
-TEST(FindingsUse, WhatSeveralCallBadIsLeftOutUntilAnOwnTrialSaysOtherwise) {
+TEST(OutlierReports, ReportedOutlierIsEjectedUntilOwnTrialSucceeds) {
   Node node(plain_settings());
   node.caches(6);
   RequestId id = 0;
@@ -29,11 +29,11 @@
   EXPECT_TRUE(node.balancer().is_ejected(1));
   EXPECT_EQ(first_at(node, 1, 5, id), 0);
   node.wait(3000);
-  EXPECT_GE(first_at(node, 1, 40, id), 1); // its trial was answered well
+  EXPECT_GE(first_at(node, 1, 40, id), 1); // its trial succeeded
   EXPECT_FALSE(node.balancer().is_ejected(1));
 }
 
-TEST(FindingsUse, AnOwnGoodAnswerThatIsYoungerOutweighsWhatOthersSay) {
+TEST(OutlierReports, MoreRecentOwnResponseTakesPrecedenceOverReport) {
   Node node(plain_settings());
   node.caches(6);
   RequestId id = 0;
@@ -41,14 +41,14 @@
   while (first_at(node, 1, 1, id) == 0) {}
   node.on(OutlierReport{1, true, seen});
   EXPECT_FALSE(node.balancer().is_ejected(1));
-  node.on(OutlierReport{1, true, node.now + 1}); // younger than that answer
+  node.on(OutlierReport{1, true, node.now + 1}); // more recent than that response
   EXPECT_TRUE(node.balancer().is_ejected(1));
 }
 
-TEST(FindingsUse, ThatOthersHadAnswersBringsTheTrialForwardUnlessTheOwnEvidenceIsYounger) {
+TEST(OutlierReports, HealthyReportBringsTrialForwardUnlessOwnFailureIsMoreRecent) {
   health::OutlierState told;
   EXPECT_TRUE(told.on_reported_outlier(900));
-  EXPECT_FALSE(told.on_reported_outlier(950)); // it is out already
+  EXPECT_FALSE(told.on_reported_outlier(950)); // already ejected
   told.schedule_trial(1000, 300, 0.5);
   EXPECT_FALSE(told.trial_due(1000));
   told.on_reported_healthy(1000, 990);
@@ -63,7 +63,7 @@
   EXPECT_FALSE(seen.trial_due(1010));
 }
 
-TEST(FindingsUse, ItTellsWhatItHasSeenItselfAndPassesNoHearsayOn) {
+TEST(OutlierReports, ObservationsContainOnlyOwnEvidence) {
   Node node(plain_settings());
   node.caches(6);
   RequestId id = 0;
@@ -77,8 +77,8 @@
     }
     return -1;
   };
-  EXPECT_EQ(lost_at(1), 0); // of an answer before that
-  // Two attempts refused in a row are its own evidence.
+  EXPECT_EQ(lost_at(1), 0); // because of an earlier response
+  // A refused connection counts as two failures and is the router's own evidence.
   for (int lost = 0; lost < 1;) {
     ++id;
     node.request(id, 0x9e3779b97f4a7c15ull * id);
@@ -90,7 +90,7 @@
   EXPECT_EQ(lost_at(2), 2);
 }
 
-TEST(FindingsUse, WordsOnUnknownServersAndTheOriginArePassedOver) {
+TEST(OutlierReports, ReportsOnUnknownServersAndOriginAreIgnored) {
   Node node(aside_settings());
   node.caches(3, true);
   node.on(OutlierReport{77, true, node.now});
--- a/tests/policy/resize_use_test.cpp
+++ b/tests/policy/resize_use_test.cpp
@@ -1,4 +1,4 @@
-// What the policy makes of a fleet that changes: whom it asks, whom it fills, what it spares the ledger.
+// Fleet size changes: cache selection, filling of new caches, and the load on the origin.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -22,7 +22,7 @@
   return s;
 }
 
-// Caches that keep what is fetched, as the platform's do: the first two that missed for the request store it.
+// Caches that store fetched values as the real ones do: the first two that missed for the request store it.
 struct Fleet {
   std::map<ServerId, std::set<std::uint64_t>> held;
   std::size_t fetches = 0;
@@ -30,7 +30,7 @@
   std::map<ServerId, std::size_t> reads;
 };
 
-// Plays requests one after another, each to its end.
+// Runs requests one after another, each to its end.
 class Town {
  public:
   explicit Town(const Settings& s) : node_(s) {}
@@ -42,7 +42,7 @@
     all.push_back({.id = kOrigin, .kind = kOriginKind});
     node_.list(all);
   }
-  // Reads of the keys 1 to `keys` in turn, one each `every` ms; returns how many were refused.
+  // Reads keys 1 to `keys` in turn, one every `every` ms; returns the number of rejected reads.
   std::size_t read(std::size_t count, std::uint64_t keys, double every = 5) {
     std::size_t refused = 0;
     for (std::size_t i = 0; i < count; ++i) refused += ask(1 + i % keys) ? 0 : 1, node_.wait(every);
@@ -82,8 +82,8 @@
 
 constexpr std::uint64_t kKeys = 300;
 
-// Without it every key of the newcomers is fetched on its next read.
-TEST(ResizeUse, NewcomersTakeTheirKeysAtAPaceAndFormerOwnersAnswerMeanwhile) {
+// Without resize settings every key of the new caches is fetched on its next read.
+TEST(FleetResize, NewCachesFillAtALimitedRateWhileFormerOwnersServe) {
   std::size_t fetched[2];
   for (const bool on : {false, true}) {
     Town town(resizing(on ? kSettle : 0));
@@ -98,14 +98,14 @@
     if (on) {
       std::size_t newcomers = 0;
       for (ServerId id = 9; id <= 12; ++id) newcomers += town.fleet.held[id].size();
-      EXPECT_GT(newcomers, 40u); // of about 100 in the end
+      EXPECT_GT(newcomers, 40u); // of about 100 after the transition
     }
   }
   EXPECT_GT(fetched[0], 60u);
   EXPECT_LT(fetched[1], 20u);
 }
 
-TEST(ResizeUse, EveryReadIsServedThroughThreeChangesInARow) {
+TEST(FleetResize, EveryReadIsServedDuringConsecutiveChanges) {
   Town town(resizing());
   town.list(6);
   town.read(3000, kKeys);
@@ -115,12 +115,12 @@
   }
 }
 
-// The second holder costs no fetch: it is asked just before one, and stores the same answer.
-TEST(ResizeUse, PopularKeysAreStoredAtTwoByOneFetch) {
+// The second replica costs no fetch: it is tried just before the fetch and stores the same response.
+TEST(FleetResize, PopularKeysAreStoredAtTwoCachesByOneFetch) {
   Town town(resizing(kSettle, 0.5));
   town.list(8);
   for (int i = 0; i < 400; ++i) town.ask(1 + i % 4), town.ask(1000 + i); // four popular keys
-  for (auto& [id, keys] : town.fleet.held) keys.clear();                 // a write voids all copies
+  for (auto& [id, keys] : town.fleet.held) keys.clear();                 // a write invalidates all copies
   town.fleet.fetches = 0;
   for (std::uint64_t key = 1; key <= 4; ++key) town.ask(key);
   EXPECT_EQ(town.fleet.fetches, 4u);
@@ -131,7 +131,7 @@
   EXPECT_EQ(copies, 8u);
 }
 
-TEST(ResizeUse, NothingOfItHappensWhereItIsOffOrThereIsNoOrigin) {
+TEST(FleetResize, ResizeSettingsHaveNoEffectWithoutOrigin) {
   Settings plain = plain_settings();
   plain.resize = {kSettle, 2, 0.5};
   Node on(plain), off(plain_settings());
--- a/tests/policy/slow_start_use_test.cpp
+++ b/tests/policy/slow_start_use_test.cpp
@@ -1,6 +1,6 @@
-// What all routers of a tier together send to servers in slow start: at most the budget that the settings
-// allow, in fleets of any size, with popular keys, uneven load and routers that know nothing yet; and still
-// their part of the work.
+// The attempts of all routers together at caches in slow start stay within the budget of the settings, in
+// fleets of any size, with popular keys, uneven load and newly started routers. The caches must still get a
+// fair share of the traffic.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,24 +16,23 @@
 namespace fernward::testing {
 namespace {
 
-constexpr double kUtilization = 0.5; // of the fleet: a warm server's capacity is twice its mean load
+constexpr double kUtilization = 0.5; // of the fleet: a cache's full capacity is twice its mean load
 constexpr double kAnswerMs = 20;
 constexpr double kSlowStartMs = 9000;
 
 struct FleetSize {
   std::uint32_t routers, caches;
-  double requests_per_s; // at a router, in the mean
+  double requests_per_s; // mean, at one router
   const char* name;
 };
 
 struct Knowledge {
-  double lives_ms;    // of the routers, before the servers start anew
-  double new_routers; // share of them that starts with the servers
+  double lives_ms;    // of the routers, before the caches restart
+  double new_routers; // share of routers that restart together with the caches
   const char* name;
 };
 
-// Routers that share nothing, before caches that answer every request. Popularity is Zipf's, as 1 / (rank +
-// 4).
+// Routers that exchange no state, in front of caches. Key popularity follows Zipf's law: 1 / (rank + 4).
 class Tier {
  public:
   Tier(const FleetSize& size, std::uint64_t seed) : size_(size), random_{seed} {
@@ -45,7 +44,7 @@
     for (std::uint32_t rank = 0; rank < kKeys; ++rank) below_.push_back(sum += 1.0 / (rank + 4));
   }
 
-  // Three in ten caches start anew, and the first so many of all keys' first owners with them.
+  // Restarts three in ten caches, and those found by find_owners().
   void restart_caches() {
     started_at_ = now_;
     for (Server& cache : caches_) {
@@ -75,7 +74,7 @@
       request(*routers_[static_cast<std::size_t>(part * size_.routers)]);
     }
   }
-  // Of the most popular keys; asked for by nobody else, at routers that know nothing.
+  // Finds the first caches of the most popular keys, with a separate new router for each key.
   void find_owners(std::uint32_t keys) {
     for (std::uint32_t rank = 0; rank < keys; ++rank) {
       Tier alone({1, size_.caches, size_.requests_per_s, ""}, 1);
@@ -84,7 +83,8 @@
     }
   }
 
-  // Of any cold cache in any time of tip_after: calls as a multiple of what the rule allows then.
+  // Maximum over all caches in slow start and all windows of overload_failure_ms: attempts as a multiple of
+  // the attempts that the rule allows.
   double worst_load() const {
     double worst = 0;
     for (const auto& [id, times] : cold_) {
@@ -97,7 +97,7 @@
     }
     return worst;
   }
-  // Calls at all cold caches, as a share of what their warmth of their mean load comes to.
+  // Attempts at all caches in slow start, relative to their mean load times their mean capacity share.
   double share_of_work() const {
     double sent = 0, due = 0;
     for (const auto& [id, times] : cold_) {
@@ -145,7 +145,7 @@
     r.deadline = now_ + 2000;
     on(router, r);
   }
-  // Every attempt is answered before anything else happens.
+  // Every attempt is answered before the next event.
   void on(Router& router, const Event& event) {
     std::deque<Event> events{event};
     std::map<RequestId, std::uint32_t> attempts;
@@ -169,7 +169,8 @@
     }
   }
 
-  // False: a warm cache has had as much as it can do. Then popular keys are asked for elsewhere.
+  // Returns false if a cache that is not in slow start has reached its capacity. Popular keys are then sent
+  // to other caches.
   bool take(ServerId cache) {
     const auto cold = cold_.find(cache);
     if (cold != cold_.end()) cold->second.push_back(now_);
@@ -190,15 +191,15 @@
   std::vector<Server> caches_;
   std::vector<double> below_;
   std::vector<ServerId> owners_;
-  std::map<ServerId, std::vector<double>> cold_; // calls
-  std::map<ServerId, std::deque<double>> warm_;  // calls of the last tip_after
+  std::map<ServerId, std::vector<double>> cold_; // attempt times
+  std::map<ServerId, std::deque<double>> warm_;  // attempt times within overload_failure_ms
   ServerId first_sent_ = 0;
   RequestId last_id_ = 0;
 };
 
 class SlowStartUse : public ::testing::TestWithParam<std::tuple<FleetSize, Knowledge>> {};
 
-TEST_P(SlowStartUse, AllRoutersTogetherStayWithinTheBudgetOfEachServer) {
+TEST_P(SlowStartUse, AllRoutersTogetherStayWithinBudgetOfEachServer) {
   const auto& [size, knowledge] = GetParam();
   Tier tier(size, 11);
   tier.find_owners(3);
@@ -208,9 +209,9 @@
   tier.run(kSlowStartMs);
   RecordProperty("worst_load", std::to_string(tier.worst_load()));
   RecordProperty("share_of_work", std::to_string(tier.share_of_work()));
-  EXPECT_LE(tier.worst_load(), 1) << "share of the work " << tier.share_of_work();
+  EXPECT_LE(tier.worst_load(), 1) << "share of the traffic " << tier.share_of_work();
   if (knowledge.new_routers == 0) {
-    EXPECT_GE(tier.share_of_work(), 0.4) << "servers in slow start are starved";
+    EXPECT_GE(tier.share_of_work(), 0.4) << "servers in slow start get too few requests";
   }
 }
 
--- a/tests/support.h
+++ b/tests/support.h
@@ -1,4 +1,4 @@
-// Drives a Balancer by hand-written events and keeps what it said.
+// Drives a Balancer with hand-written events and records its actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -39,6 +39,7 @@
   return s;
 }
 
+/// A Balancer with virtual time. It fires due timers and records all actions by kind.
 class Node {
  public:
   explicit Node(const Settings& settings, std::uint64_t seed = 7) : balancer_(settings, seed) {}
@@ -67,7 +68,7 @@
     on(EndpointList{kind, std::move(servers)});
   }
 
-  // Caches 1..count of one kind, and the origin where wanted.
+  // Lists caches 1 to `count`, and optionally the origin.
   void caches(std::uint32_t count, bool origin = false) {
     std::vector<Server> servers;
     for (std::uint32_t i = 1; i <= count; ++i) servers.push_back({.id = i});
@@ -82,7 +83,7 @@
     on(with);
   }
 
-  // How the newest attempt of a request, or a given one, ended.
+  // Ends the latest attempt of a request, or the given one.
   void outcome(RequestId id, AttemptResult result, double elapsed_ms = 20, std::vector<float> report = {},
                int attempt = -1) {
     AttemptOutcome e;
@@ -98,12 +99,12 @@
     on(e);
   }
 
-  void settle(RequestId id) { // as the driver does: what was withdrawn ends
+  void settle(RequestId id) { // as a caller does: all attempts of a finished request end
     const auto sent = sends_of(id).size();
     for (std::size_t i = 0; i < sent; ++i) outcome(id, AttemptResult::Cancelled, 1, {}, static_cast<int>(i));
   }
 
-  // Fires what is due on the way.
+  // Advances the time and fires the timers that are due.
   void until(double time) {
     while (!timers_.empty() && timers_.begin()->first <= time) {
       now = std::max(now, timers_.begin()->first);
