--- a/src/policy/choose.cpp
+++ b/src/policy/choose.cpp
@@ -53,7 +53,7 @@
 // ---- cache selection ----
 
 // Candidates for an attempt now. A cache that is overloaded or has missed stays in the list, so that the next
-// cache on the ring is not taken for the key's first one and asked as well.
+// cache on the ring is not taken for the key's first one and tried as well.
 Balancer::Impl::Choice Balancer::Impl::cache_candidates(const RequestState& request, std::uint64_t key) {
   if (ejection.ready_caches() == 0) return {}; // avoids iterating over the whole ring
   return placement.candidates(now, key, [&](const Replica& replica) {
--- a/src/policy/outlier_ejection.h
+++ b/src/policy/outlier_ejection.h
@@ -37,7 +37,7 @@
   const Settings& settings_;
   std::size_t ready_caches_ = 0;
   std::size_t ejected_ = 0;
-  double failure_rate_ = 0; // moving average over all caches' attempts
+  double failure_rate_ = 0; // share of failed attempts at all caches, moving average
 };
 
 } // namespace fernward
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -35,7 +35,7 @@
   std::vector<float> last_report;
   // Outlier ejection.
   health::OutlierState outlier;
-  double failure_rate = 0;                 // moving average over its attempts
+  double failure_rate = 0;                 // share of failed attempts, moving average
   double latest_answered_send_at = kNever; // latest send time of an answered attempt
   double health_checked_at = kNever;
   concurrency::CacheConcurrencyLimiter limiter{1}; // unused for the origin
--- a/tests/policy/day.h
+++ b/tests/policy/day.h
@@ -20,6 +20,7 @@
 };
 constexpr double kSilent = 1e12;
 
+/// Feeds a Balancer with random requests and scripted attempt outcomes, and counts how the requests end.
 class Day {
  public:
   using Script = std::function<Reply(ServerId server, double now, Random& random)>;
