--- a/src/body_buffers/buffer_budget.h
+++ b/src/body_buffers/buffer_budget.h
@@ -1,9 +1,9 @@
-// The budget of bytes that this process holds of bodies: of responses on their way to clients, and of
-// requests on their way to servers. Each holder has a reserved part that nobody else can take, so that small
-// bodies always pass; beyond that it may take a share of what is free at the moment (dynamic thresholds:
+// Budget of the bytes of bodies that this process buffers: responses to be sent to clients, and requests to
+// be sent to servers. Each holder has a reserved part that no other holder can use, so that small bodies
+// always pass. Beyond it, a holder may use a share of the bytes that are currently free (dynamic thresholds:
 // Choudhury and Hahne, 1998, "Dynamic Queue Length Thresholds for Shared-Memory Packet Switches"). A holder
-// above its window, as others have come, stops until it is below. Units: bytes. One thread. The budget
-// outlives its reservations.
+// whose window has fallen below its usage because of new holders stops acquiring until it is below the
+// window. Units: bytes. Not thread-safe. The budget outlives its reservations.
 #pragma once
 
 #include <algorithm>
@@ -17,10 +17,10 @@
 
 struct BufferBudgetOptions {
   std::size_t total_bytes = 24 << 20;
-  std::size_t max_holders = 1024; // expected at most; at most half of the total is reserved for them
-  std::size_t reserved_per_holder = 4 << 10; // that nobody else can take
-  std::size_t max_per_holder = 1 << 20;      // for one holder
-  double share_of_free = 1.0 / 16;           // of what is free of the shared part, for one holder
+  std::size_t max_holders = 1024;            // expected; at most half of the total is reserved for them
+  std::size_t reserved_per_holder = 4 << 10; // not available to other holders
+  std::size_t max_per_holder = 1 << 20;
+  double share_of_free = 1.0 / 16; // of the free shared bytes, that one holder may use
 };
 
 class BufferBudget {
@@ -29,26 +29,27 @@
   BufferBudget(const BufferBudget&) = delete;
   BufferBudget& operator=(const BufferBudget&) = delete;
 
-  // What one holder has; released when it is destroyed. Movable, so that the bytes are released exactly once.
+  // The bytes of one holder, released on destruction. Movable, so that the bytes are released exactly once.
   class Reservation {
    public:
-    Reservation() = default; // of no budget: holds nothing, may acquire nothing
+    Reservation() = default; // without a budget: holds no bytes and cannot acquire any
     explicit Reservation(BufferBudget& account) : budget_(&account) {}
     Reservation(Reservation&& other) noexcept;
     Reservation& operator=(Reservation&& other) noexcept;
     ~Reservation() { release_all(); }
 
-    bool acquire(std::size_t bytes); // false: more than is free; nothing was acquired
-    void release(std::size_t bytes); // at most what it holds
-    void merge(Reservation&& other); // takes over the bytes of another of the same budget
-    void release_all();              // and stops waiting
+    bool acquire(std::size_t bytes); // false: exceeds the free bytes; nothing was acquired
+    void release(std::size_t bytes); // bounded by the bytes held
+    void merge(Reservation&& other); // moves the bytes of another reservation of the same budget to this one
+    void release_all();              // also stops waiting
     std::size_t bytes() const { return bytes_; }
 
-    std::size_t window() const;    // bytes that it may hold at the moment
+    std::size_t window() const;    // bytes that it may currently hold
     std::size_t available() const; // bytes that it may acquire now
-    // Paused reading may resume: half of the window is free, so that it does not pause again at once.
+    // Whether paused reading may resume: half of the window is free, so that reading does not pause again at
+    // once.
     bool may_resume() const;
-    void wait_for_bytes(std::uint64_t who); // until next_resumable() returns `who`, or stop_waiting()
+    void wait_for_bytes(std::uint64_t who); // until next_resumable() returns `holder_id`, or stop_waiting()
     void stop_waiting();
 
    private:
@@ -64,25 +65,27 @@
     std::optional<std::list<std::pair<std::uint64_t, Reservation*>>::iterator> wait_position_;
   };
 
-  // The longest waiting holder that may resume now; it waits no more. To be called until there is none.
+  // Returns the longest waiting holder that may resume now, and removes it from the waiting list. Call it
+  // until it returns nullopt.
   std::optional<std::uint64_t> next_resumable();
 
-  // Changes the total; what is held stays, and what is reserved for each holder. No less than the latter.
+  // Changes the total. Bytes already held and the reserved part of each holder stay as they are; the total
+  // does not fall below the sum of the reserved parts.
   void set_total(std::size_t total);
 
   std::size_t total() const { return options_.total_bytes; }
   std::size_t held() const { return held_; }
   std::size_t free() const { return options_.total_bytes - std::min(held_, options_.total_bytes); }
   std::size_t reserved_per_holder() const { return options_.reserved_per_holder; }
-  std::size_t peak_held() const { return peak_held_; } // so far
+  std::size_t peak_held() const { return peak_held_; }
   std::size_t waiting() const { return waiting_.size(); }
 
  private:
   std::size_t shared_free() const { return shared_total_ > shared_held_ ? shared_total_ - shared_held_ : 0; }
 
   BufferBudgetOptions options_;
-  std::size_t shared_total_ = 0;                           // the total without the reserved parts
-  std::size_t held_ = 0, shared_held_ = 0, peak_held_ = 0; // shared_held_: held beyond the reserved parts
+  std::size_t shared_total_ = 0;                           // total without the reserved parts
+  std::size_t held_ = 0, shared_held_ = 0, peak_held_ = 0; // shared: beyond the reserved parts
   std::list<std::pair<std::uint64_t, Reservation*>> waiting_;
 };
 
--- a/src/body_buffers/response_buffering.cpp
+++ b/src/body_buffers/response_buffering.cpp
@@ -9,7 +9,7 @@
     return ResponseStep::TooLarge;
   if (facts.complete) return ResponseStep::Start;
   if (facts.available == 0) return ResponseStep::Start;
-  if (facts.received_bytes == 0) return ResponseStep::Buffer; // a head alone: the server may still break off
+  if (facts.received_bytes == 0) return ResponseStep::Buffer; // only the head: the connection may still break
   if (!facts.may_wait) return ResponseStep::Start;
   const std::uint64_t holdable = std::min(rules.max_buffered_bytes, facts.window);
   if (!facts.announced_length)
--- a/src/body_buffers/response_buffering.h
+++ b/src/body_buffers/response_buffering.h
@@ -1,6 +1,6 @@
-// When a response from a server starts to be sent to the client. Before its first byte is out, a broken
-// response can still be retried; so it is buffered until it is complete, as long as there is time and room.
-// One that can't be buffered whole starts once a stated part has arrived. Units: bytes, milliseconds.
+// Decides when to start sending a server's response to the client. Until its first byte is sent, a broken
+// response can still be retried. So it is buffered until it is complete, as long as time and buffer space
+// allow. A response that does not fit starts once `min_start_bytes` have arrived. Units: bytes, milliseconds.
 #pragma once
 
 #include <cstddef>
@@ -10,35 +10,36 @@
 namespace fernward::body_buffers {
 
 struct ResponseBufferingLimits {
-  std::uint64_t max_body_bytes = 16 << 20;    // a longer response fails its attempt
-  std::size_t max_buffered_bytes = 512 << 10; // a longer one is streamed
-  std::size_t min_start_bytes = 64 << 10;     // of a streamed one, before it starts
+  std::uint64_t max_body_bytes = 16 << 20;    // a longer response makes its attempt fail
+  std::size_t max_buffered_bytes = 512 << 10; // a longer response is streamed
+  std::size_t min_start_bytes = 64 << 10;     // received bytes after which a streamed response starts
 };
 
 struct ResponseProgress {
-  std::optional<std::uint64_t> announced_length; // by the head
-  std::uint64_t received_bytes = 0;              // of the body, all of it buffered
+  std::optional<std::uint64_t> announced_length; // from the response head
+  std::uint64_t received_bytes = 0;              // of the body, all still buffered
   bool complete = false;
-  bool may_wait = false;     // before buffer_until()
-  std::size_t window = 0;    // bytes that may be buffered of it, see BufferBudget
+  bool may_wait = false;     // the time is before buffering_deadline()
+  std::size_t window = 0;    // bytes of this response that may be buffered, see BufferBudget
   std::size_t available = 0; // bytes that may be buffered beyond received_bytes
 };
 
 enum class ResponseStep {
-  Buffer,  // read on, send nothing yet
-  Start,   // send what is buffered, and the rest as it arrives
+  Buffer,  // continue reading, send nothing yet
+  Start,   // send the buffered bytes, and further bytes as they arrive
   TooLarge // fail the attempt
 };
 
 ResponseStep next_step(const ResponseBufferingLimits& rules, const ResponseProgress& facts);
 
-// To be checked also after the start.
+// Also to be checked after the response was started.
 inline bool within_size_limit(const ResponseBufferingLimits& rules, std::uint64_t come) {
   return come <= rules.max_body_bytes;
 }
 
-// Buffering ends halfway between the attempt's start and the time by which its response is wanted: a retry
-// begun later would have less time than this attempt has taken, and the client must still get all bytes.
+// Time at which buffering ends: halfway between the start of the attempt and its response deadline. A retry
+// started later would have less time than this attempt has taken, and the client must still receive all
+// bytes.
 inline double buffer_until(double sent_at, double wanted_by) { return sent_at + (wanted_by - sent_at) / 2; }
 
 } // namespace fernward::body_buffers
--- a/src/body_buffers/retained_bodies.cpp
+++ b/src/body_buffers/retained_bodies.cpp
@@ -83,7 +83,7 @@
 void RetainedBodies::Body::on_file_failure(std::uint64_t bytes) {
   retention_ = Retention::None;
   file_bytes_ -= std::min(bytes, file_bytes_);
-  // What was set aside for the rest is free again; what came before may still be read.
+  // Releases the reservation for bytes not yet received. Bytes stored earlier can still be read.
   all_.file_bytes_ -= reserved_file_ - file_bytes_;
   reserved_file_ = file_bytes_;
 }
@@ -94,8 +94,7 @@
 
 BodyAvailability RetainedBodies::Body::availability() const {
   if (retention_ != Retention::None) return {};
-  // Of what is handed on as it comes there is one reader, and a second attempt only before it has begun to
-  // read.
+  // Streamed bytes have a single reader, so another attempt is possible only before that reader has started.
   return {!consumed_, !consumed_, false, false};
 }
 
--- a/tests/body_buffers/body_buffers_test.cpp
+++ b/tests/body_buffers/body_buffers_test.cpp
@@ -1,5 +1,5 @@
-// What may be held of bodies, when an answer begins, and what may be sent once more: tables of cases, and properties
-// over random schedules.
+// Buffer budget, start of buffered responses, retention of request bodies and rules for further attempts:
+// tables of cases, and properties over random schedules.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Says whether the property holds; RapidCheck prints the schedule that breaks it.
+// Returns whether the property holds; RapidCheck prints the schedule that violates it.
 template <typename Property>
 bool holds(const char* what, Property property) {
   return rc::check(what, property);
@@ -25,12 +25,12 @@
 
 } // namespace
 
-TEST_CASE("windows: large for few holders, small for many, and each has something of its own") {
+TEST_CASE("the window is large for few holders and small for many and each holder keeps its reserved part") {
   BufferBudget account({8 << 20, 256, 4 << 10, 1 << 20, 1.0 / 16});
   BufferBudget::Reservation first(account);
   CHECK(first.window() > 400 << 10);
   std::vector<std::unique_ptr<BufferBudget::Reservation>> crowd;
-  for (int i = 0; i < 255; ++i) { // they take what they may, and never give
+  for (int i = 0; i < 255; ++i) { // acquire all that is available, release nothing
     crowd.push_back(std::make_unique<BufferBudget::Reservation>(account));
     for (std::size_t room; (room = std::min<std::size_t>(crowd.back()->available(), 4096)) > 0;) {
       REQUIRE(crowd.back()->acquire(room));
@@ -43,7 +43,7 @@
   CHECK(first.window() > 400 << 10);
 }
 
-TEST_CASE("reading goes on once half of the window is empty, and who waits longest goes on first") {
+TEST_CASE("reading resumes once half of the window is free and the longest waiting holder resumes first") {
   BufferBudget account({1000, 1, 0, 400, 1.0});
   BufferBudget::Reservation a(account), b(account);
   REQUIRE(a.acquire(400));
@@ -62,26 +62,25 @@
   b.wait_for_bytes(7);
   a.wait_for_bytes(8);
   CHECK(account.next_resumable() == std::nullopt);
-  BufferBudget::Reservation moved(std::move(b)); // a holder that moves keeps its place in the row
+  BufferBudget::Reservation moved(std::move(b)); // a moved reservation keeps its position in the waiting list
   all.release_all();
   CHECK(account.next_resumable() == 7u);
   a.release(200);
   CHECK(account.next_resumable() == 8u);
   CHECK(account.next_resumable() == std::nullopt);
   a.wait_for_bytes(8);
-  a.release_all(); // whoever ends waits no more
+  a.release_all(); // releasing everything ends the wait
   CHECK(account.waiting() == 0);
 }
 
-TEST_CASE(
-    "bytes held never pass the bound, each goes back once, and what is a holder's own nobody else takes") {
+TEST_CASE("held bytes stay within the total and are released once and reserved parts stay available") {
   CHECK(holds("account", [] {
     const std::size_t most_holders = below(20) + 1;
     BufferBudget account({below(50000) + 100, most_holders, below(500), below(20000) + 1,
                           0.01 + 0.01 * static_cast<double>(below(200))});
     std::vector<std::unique_ptr<BufferBudget::Reservation>> holders;
     const auto steps = below(300);
-    bool merged = false; // what was the own of two is one's now
+    bool merged = false; // one reservation then holds the reserved parts of two
     for (std::size_t step = 0; step < steps; ++step) {
       if (holders.empty() || (holders.size() < most_holders && below(6) == 0)) {
         holders.push_back(std::make_unique<BufferBudget::Reservation>(account));
@@ -92,7 +91,7 @@
         holders.erase(holders.begin() + static_cast<std::ptrdiff_t>(i));
       };
       switch (below(8)) {
-        case 0: h.release(below(3000)); break; // more than it has gives what it has
+        case 0: h.release(below(3000)); break; // bounded by the bytes held
         case 1: drop(at); break;
         case 2: {
           BufferBudget::Reservation moved(std::move(h));
@@ -109,7 +108,7 @@
         case 5: account.next_resumable(); break;
         default: {
           const std::size_t room = h.available(), take = below(2) == 0 ? room : below(room + 1);
-          RC_ASSERT(h.acquire(take)); // what it was told it may take it can take
+          RC_ASSERT(h.acquire(take)); // available bytes can be acquired
           RC_ASSERT(!h.acquire(account.free() + 1));
         }
       }
@@ -127,39 +126,39 @@
   }));
 }
 
-TEST_CASE("when an answer begins") {
+TEST_CASE("start of a buffered response") {
   const ResponseBufferingLimits rules{1000, 400, 100};
   struct Case {
     const char* what;
-    ResponseProgress facts; // length, come, whole, early, window, room
+    ResponseProgress facts; // announced, received, complete, within buffering time, window, available
     ResponseStep step;
   };
   using S = ResponseStep;
   for (const Case& c : std::initializer_list<Case>{
-           {"a head alone", {50, 0, false, true, 500, 500}, S::Buffer},
-           {"nothing to come", {0, 0, true, true, 500, 500}, S::Start},
-           {"small: until it is whole", {400, 399, false, true, 500, 101}, S::Buffer},
+           {"head only", {50, 0, false, true, 500, 500}, S::Buffer},
+           {"empty body", {0, 0, true, true, 500, 500}, S::Start},
+           {"short and incomplete", {400, 399, false, true, 500, 101}, S::Buffer},
            {"whole", {400, 400, true, true, 500, 100}, S::Start},
-           {"small, but half of the time is gone", {400, 1, false, false, 500, 500}, S::Start},
-           {"the room is used up", {400, 200, false, true, 500, 0}, S::Start},
-           {"there is no room at all", {400, 0, false, true, 500, 0}, S::Start},
-           {"small, but not in this window", {300, 100, false, true, 200, 100}, S::Start},
-           {"large: after the stated part", {401, 99, false, true, 500, 400}, S::Buffer},
-           {"large, and that part is here", {401, 100, false, true, 500, 400}, S::Start},
-           {"a window less than that part", {401, 60, false, true, 60, 1}, S::Start},
-           {"of unknown length: as long as it can be held", {{}, 399, false, true, 500, 101}, S::Buffer},
-           {"of unknown length, held no longer", {{}, 400, false, true, 500, 100}, S::Start},
-           {"as long as any may be", {1000, 100, false, true, 500, 100}, S::Start},
-           {"announced beyond that", {1001, 0, false, true, 500, 500}, S::TooLarge},
-           {"come beyond that", {{}, 1001, false, true, 2000, 500}, S::TooLarge},
-           {"three gigabytes, whole or not", {3000000000, 100, true, false, 500, 0}, S::TooLarge},
+           {"short, but the buffering time is over", {400, 1, false, false, 500, 500}, S::Start},
+           {"no bytes available any more", {400, 200, false, true, 500, 0}, S::Start},
+           {"no bytes available from the start", {400, 0, false, true, 500, 0}, S::Start},
+           {"short, but longer than the window", {300, 100, false, true, 200, 100}, S::Start},
+           {"long, below the minimum to start", {401, 99, false, true, 500, 400}, S::Buffer},
+           {"long, minimum to start received", {401, 100, false, true, 500, 400}, S::Start},
+           {"window smaller than the minimum to start", {401, 60, false, true, 60, 1}, S::Start},
+           {"unknown length, fits the buffer", {{}, 399, false, true, 500, 101}, S::Buffer},
+           {"unknown length, buffer full", {{}, 400, false, true, 500, 100}, S::Start},
+           {"announced length equal to the limit", {1000, 100, false, true, 500, 100}, S::Start},
+           {"announced length above the limit", {1001, 0, false, true, 500, 500}, S::TooLarge},
+           {"received bytes above the limit", {{}, 1001, false, true, 2000, 500}, S::TooLarge},
+           {"three gigabytes announced", {3000000000, 100, true, false, 500, 0}, S::TooLarge},
        }) {
     CAPTURE(c.what);
     CHECK(next_step(rules, c.facts) == c.step);
   }
 }
 
-TEST_CASE("where a body is kept") {
+TEST_CASE("retention level of a body") {
   const RetentionLimits rules{1000, 100, 250, 400, 500, 2, 50, 256};
   RetainedBodies keeper(rules);
   using Put = RetainedBodies::Placement;
@@ -169,12 +168,12 @@
     CHECK(small.retention() == Retention::Memory);
     CHECK(larger.retention() == Retention::File);
     CHECK(second.retention() == Retention::Memory);
-    CHECK(third.retention() == Retention::File); // the memory for all is set aside
+    CHECK(third.retention() == Retention::File); // the memory for all bodies is reserved
     CHECK(keeper.memory_bytes() == 200);
-    CHECK(RetainedBodies::Body(keeper, 400).retention() == Retention::None); // and so are the files
+    CHECK(RetainedBodies::Body(keeper, 400).retention() == Retention::None); // and so is the file space
     CHECK(RetainedBodies::Body(keeper, 1001).too_long());
     CHECK(small.append(100) == Put::Memory);
-    CHECK(small.append(1) == Put::TooLong); // beyond what was announced
+    CHECK(small.append(1) == Put::TooLong); // exceeds the announced length
     CHECK(small.received_bytes() == 100);
   }
   CHECK(keeper.memory_bytes() + keeper.file_bytes() == 0);
@@ -193,24 +192,24 @@
   grows.mark_consumed(1);
   CHECK_FALSE(grows.availability().first_attempt);
   CHECK(grows.append(499) == Put::Unretained);
-  CHECK(grows.append(1) == Put::TooLong); // the ceiling of all
+  CHECK(grows.append(1) == Put::TooLong); // exceeds the limit for any body
   CHECK(grows.receive_timeout_ms(2000) == doctest::Approx(2000 + 1000 / 256.0));
 }
 
-TEST_CASE("a file that fails ends the keeping, and what it had set aside is free again") {
+TEST_CASE("a file failure ends the retention and frees the unused part of its reservation") {
   RetainedBodies keeper({1000, 0, 0, 400, 400, 1, 50, 256});
   RetainedBodies::Body body(keeper, 400);
   CHECK(body.append(100) == RetainedBodies::Placement::File);
   CHECK(body.append(50) == RetainedBodies::Placement::File);
   CHECK(keeper.file_bytes() == 400);
   body.on_file_failure(50);
-  CHECK(keeper.file_bytes() == 100); // those before can still be read
+  CHECK(keeper.file_bytes() == 100); // bytes stored earlier can still be read
   CHECK(body.retention() == Retention::None);
   CHECK(body.availability().first_attempt);
   CHECK(body.append(10) == RetainedBodies::Placement::Unretained);
 }
 
-TEST_CASE("what may be sent: body and class both allow it") {
+TEST_CASE("an attempt is sent only if both the body and the request class allow it") {
   const BodyAvailability kept{}, passing{true, true, false, false}, gone{false, false, false, false};
   const AttemptHistory none{}, not_run{1, false, false, 0}, ran{1, false, true, 100},
       out{1, true, false, 100}, ran_long_ago{1, false, true, 1000}, out_and_ran{2, true, true, 100};
@@ -241,9 +240,9 @@
   }
 }
 
-// guards: a booking sent twice, and a body sent again of which a part is gone
-TEST_CASE(
-    "no schedule of bytes, faults and attempts leads to a resend past the class, or of a body that is gone") {
+// Guards against sending a request twice that is not idempotent (a booking), and against a retry with a body
+// of which a part is no longer available.
+TEST_CASE("no schedule of bytes and faults leads to an attempt that the class or the missing body forbids") {
   CHECK(holds("resends", [] {
     const RetentionLimits rules{below(400) + 1, below(200), below(400), below(2) * below(300),
                                 below(500),     below(100), 1};
@@ -251,7 +250,8 @@
     struct Request {
       Request(RetainedBodies& k, std::optional<std::uint64_t> length) : body(k, length) {}
       RetainedBodies::Body body;
-      std::uint64_t come = 0, kept = 0, lost = 0; // kept: can be read from the start again; lost: handed on
+      std::uint64_t come = 0, kept = 0,
+                    lost = 0; // retained: readable from the start; consumed: by an attempt
       Idempotency repeat = Idempotency::Idempotent;
       std::vector<double> out; // when sent
       std::uint32_t attempts = 0;
@@ -290,8 +290,8 @@
           const double since = r.first_at < 0 ? 0 : r.now - r.first_at;
           if (!may_send(r.body.availability(), r.repeat, 100, {r.attempts, running, r.may_have_run, since}))
             break;
-          RC_ASSERT(r.lost == 0u);                  // its body is here from the first byte on
-          if (running) RC_ASSERT(r.kept == r.come); // and stays for two readers
+          RC_ASSERT(r.lost == 0u);                  // the body is available from its first byte
+          if (running) RC_ASSERT(r.kept == r.come); // and is retained for two readers
           if (running || r.may_have_run) {
             RC_ASSERT(r.repeat != Idempotency::NonIdempotent);
             RC_ASSERT(r.repeat == Idempotency::Idempotent || r.now - r.first_at < 100);
@@ -301,7 +301,7 @@
           r.out.push_back(r.now);
           break;
         }
-        case 4: // an attempt ends: run or not, its body partly read
+        case 4: // an attempt ends, whether run or not, with its body partly read
           if (r.out.empty()) break;
           r.out.pop_back();
           if (r.kept < r.come && below(2) == 0) {
