--- a/src/concurrency/admission_controller.h
+++ b/src/concurrency/admission_controller.h
@@ -1,4 +1,4 @@
-// Which requests are shed while most choices find no cache with capacity. Decides; no I/O, no clock.
+// Decides which requests are shed while many cache choices find no cache with capacity. No I/O, no clock.
 #pragma once
 
 #include <algorithm>
@@ -7,16 +7,18 @@
 
 namespace fernward::concurrency {
 
-// Sheds a share of the traffic, the least valuable first. Each priority is a request class, within or beyond
-// its tenant's quota. The caller counts choices and request rates, and calls on_tick() at a fixed interval.
+// Sheds a share of the traffic, lowest priority weight first. Each priority is a request class, either within
+// or beyond its tenant's quota. The caller counts choices and request rates, and calls on_tick() at a fixed
+// interval.
 struct AdmissionController {
-  std::vector<double> priority_values; // value of an answer, by priority
-  std::vector<double> priority_rates;  // requests of late, by priority; decayed with each tick
+  std::vector<double> priority_values; // priority weight of a response, by priority
+  std::vector<double> priority_rates;  // recent requests, by priority; decayed with each tick
   double shed_share = 0;               // share of the traffic to shed
-  double choices = 0;                  // of late; decayed with each tick
-  double choices_without_capacity = 0; // of these, choices that found no cache with capacity
+  double choices = 0;                  // recent choices; decayed with each tick
+  double choices_without_capacity = 0; // recent choices that found no cache with capacity
 
-  // `draw`: uniform in [0, 1). Sheds all of the lower values and a random part of the value at the boundary.
+  // `uniform_draw`: uniform in [0, 1). Sheds all requests of the lower weights and a random part of those
+  // with the weight at the boundary.
   bool admits(std::size_t priority, double draw) const {
     const double value = priority_values[priority];
     double lower = 0;
@@ -36,7 +38,7 @@
 
   void on_tick() {
     const bool overloaded = choices_without_capacity > kOverloadedShare * (choices + kAssumedChoices);
-    // A router with few choices must not judge by its last one alone, nor for long by old ones.
+    // With few choices, the decision must not depend on the last choice alone, nor on old choices for long.
     const double decay = choices > kAssumedChoices ? kChoicesDecay : kFewChoicesDecay;
     choices *= decay;
     choices_without_capacity *= decay;
@@ -50,15 +52,17 @@
     return shed_share > kMinShedShare ? kShedDecay * shed_share : 0;
   }
 
-  static constexpr double kOverloadedShare = 0.2; // of choices that find no cache with capacity
-  static constexpr double kAssumedChoices = 5;    // counted as having found one, as evidence may be thin
-  static constexpr double kChoicesDecay = 0.8;    // per tick
+  static constexpr double kOverloadedShare =
+      0.2; // share of choices without capacity above which the fleet is overloaded
+  static constexpr double kAssumedChoices =
+      5; // added as choices that found capacity, as few choices are weak evidence
+  static constexpr double kChoicesDecay = 0.8; // per tick
   static constexpr double kFewChoicesDecay = 0.97;
   static constexpr double kRateDecay = 0.98;
   static constexpr double kMaxShedShare = 0.9;
-  static constexpr double kMinShedShare = 0.01; // below it nothing is shed
-  static constexpr double kShedStep = 0.03;     // added per overloaded tick
-  static constexpr double kShedDecay = 0.9;     // per other tick
+  static constexpr double kMinShedShare = 0.01; // below this share nothing is shed
+  static constexpr double kShedStep = 0.03;     // added per tick while overloaded
+  static constexpr double kShedDecay = 0.9;     // per tick otherwise
 };
 
 } // namespace fernward::concurrency
--- a/src/concurrency/cache_concurrency_limiter.h
+++ b/src/concurrency/cache_concurrency_limiter.h
@@ -1,8 +1,8 @@
-// Limit of concurrent attempts from this router at one cache. Decides; no I/O, no clock.
+// Limit of concurrent attempts from this router to one cache. Pure decisions: no I/O, no clock.
 //
-// Additive increase, multiplicative decrease by latency: capacities are not announced and all routers share
-// them. A limit below one is a rate: one attempt in 1/limit response times.
-// Units: milliseconds on the caller's clock; attempts. No allocation.
+// The limit follows latency with additive increase and multiplicative decrease, because caches do not
+// announce their capacity and all routers share it. A limit below one is a rate: one attempt per 1/limit
+// response times. Units: milliseconds on the caller's clock; attempts. Does not allocate.
 #pragma once
 
 #include <algorithm>
@@ -12,12 +12,12 @@
 
 namespace fernward::concurrency {
 
-// A cache whose mean latency exceeds this share of the latency objective is crowded.
+// A cache whose mean latency exceeds this share of the latency objective is congested.
 constexpr double kCrowdedShareOfObjective = 0.5;
 
 class CacheConcurrencyLimiter {
  public:
-  // The initial limit and the increase per response are shared by all routers.
+  // The initial limit and the increase per response are divided by the number of routers.
   explicit CacheConcurrencyLimiter(double router_count)
       : limit_(kFleetInitialLimit / router_count),
         idle_limit_(limit_ / 2),
@@ -26,7 +26,7 @@
 
   double limit() const { return limit_; }
 
-  // May one more attempt be sent while `in_flight` are?
+  // Whether one more attempt may be sent while `in_flight` attempts are in flight.
   bool has_capacity(double now, std::uint32_t in_flight) const {
     if (limit_ < 1) return in_flight == 0 && (now - last_sent_at_) * kRateSlack * limit_ >= latency_ms_;
     return in_flight < limit_;
@@ -34,28 +34,29 @@
 
   void on_attempt_sent(double now) { last_sent_at_ = now; }
 
-  // A response came, or none within `elapsed_ms`; `in_flight` other attempts remain. True: the cache is
-  // crowded.
+  // A response was received after `elapsed_ms`, or none within that time; `in_flight` other attempts remain.
+  // Returns true if the cache is congested.
   bool on_response(double now, double elapsed_ms, double objective_ms, std::uint32_t in_flight) {
-    // A silent connection ends as late as its client waits: one must not outweigh many responses.
+    // An attempt on an unresponsive connection ends only when its client gives up. One such attempt must not
+    // outweigh many responses.
     elapsed_ms = std::min(elapsed_ms, objective_ms);
     if (latency_ms_ == 0) latency_ms_ = elapsed_ms;
     smooth(latency_ms_, elapsed_ms, kLatencyWeight);
     smooth(share_of_objective_, elapsed_ms / objective_ms, limit_ < 1 ? kRareResponseWeight : kLatencyWeight);
     if (share_of_objective_ > kCrowdedShareOfObjective) {
-      limit_ = std::min(limit_, in_flight + 1.0); // unused capacity has no part in the crowding
+      limit_ = std::min(limit_, in_flight + 1.0); // unused capacity did not cause the congestion
       decrease(now, kCrowdedFactor);
       return true;
     }
     if (in_flight + 1 >= limit_ / 2) {
       limit_ += increase_ * std::min(1.0, 1 / limit_);
     } else if (limit_ > idle_limit_) {
-      limit_ *= kUnusedDecay; // capacity that was not tried of late is not known to exist
+      limit_ *= kUnusedDecay; // capacity that was not used recently may no longer exist
     }
     return false;
   }
 
-  // Multiplies the limit by `factor`, at most once per response time: one overload shows in many responses.
+  // Multiplies the limit by `factor`, at most once per response time, as one overload affects many responses.
   void decrease(double now, double factor) {
     if (now - decreased_at_ < latency_ms_) return;
     decreased_at_ = now;
@@ -65,17 +66,18 @@
  private:
   static constexpr double kFleetInitialLimit = 12;   // attempts, over all routers
   static constexpr double kUnusedDecay = 0.98;       // per response while less than half of the limit is used
-  static constexpr double kRateSlack = 1.5;          // requests come unevenly
-  static constexpr double kCrowdedFactor = 0.8;      // of the limit
-  static constexpr double kLatencyWeight = 0.1;      // of one response
-  static constexpr double kRareResponseWeight = 0.5; // of one response while the limit is below one
+  static constexpr double kRateSlack = 1.5;          // requests arrive unevenly
+  static constexpr double kCrowdedFactor = 0.8;      // applied to the limit
+  static constexpr double kLatencyWeight = 0.1;      // weight of one response
+  static constexpr double kRareResponseWeight = 0.5; // weight of one response while the limit is below one
 
   double limit_;
-  double idle_limit_; // the limit does not decay below it while unused
+  double idle_limit_; // an unused limit does not decay below it
   double increase_;
   double min_limit_;
-  double share_of_objective_ = 0; // mean latency by objective, so that slow writes don't count as crowding
-  double latency_ms_ = 0;         // mean; 0: no response yet
+  double share_of_objective_ =
+      0; // mean of latency / objective; relative, so that slow writes do not count as congestion
+  double latency_ms_ = 0; // mean; 0: no response yet
   double decreased_at_ = kNever;
   double last_sent_at_ = kNever;
 };
--- a/src/concurrency/latency_baseline.h
+++ b/src/concurrency/latency_baseline.h
@@ -1,7 +1,8 @@
-// Latency of the origin while nothing queues there. Decides; no I/O, no clock.
+// Estimates the latency of the origin while no requests queue there. No I/O, no clock.
 //
-// A mean over samples that the limiter takes for uncrowded. Expected of one request: that mean, scaled by its
-// work hint (linear, the slope learned by regression) and by whether it is a write.
+// The baseline is a mean over samples that the limiter classifies as uncongested. The expected latency of one
+// request is that mean, scaled by its work hint (linear; the slope is found by regression) and by whether it
+// is a write.
 #pragma once
 
 #include <algorithm>
@@ -22,8 +23,8 @@
     return mean_ms_ * std::clamp(by_work, kMinWorkFactor, kMaxWorkFactor) * (write ? write_factor_ : 1);
   }
 
-  // Learns how latency depends on work and on writing, crowded or not: crowding slows all requests alike.
-  // `slowdown`: latency by expected_ms(); `mean_slowdown`: of late.
+  // Updates how latency depends on the work hint and on writing. Congested samples count too, as congestion
+  // slows all requests alike. `slowdown`: latency / expected_ms(); `mean_slowdown`: its recent mean.
   void learn_work_factors(double slowdown, double mean_slowdown, double work_ms, bool write) {
     const double relative = std::min(slowdown / std::max(mean_slowdown, kMinMeanSlowdown), kMaxSample);
     if (write) {
@@ -45,22 +46,22 @@
   void start(double elapsed_ms) { mean_ms_ = elapsed_ms; }
 
  private:
-  static constexpr double kWeight = 0.02; // of one response
-  static constexpr double kMaxSample = 5; // bound of one response, by the mean
+  static constexpr double kWeight = 0.02; // weight of one response
+  static constexpr double kMaxSample = 5; // bound of one response, relative to the mean
   static constexpr double kMinMeanSlowdown = 0.1;
   static constexpr double kMinWorkFactor = 0.1;
   static constexpr double kMaxWorkFactor = 10;
   static constexpr double kMinWriteFactor = 0.2;
   static constexpr double kMaxWriteFactor = 10;
-  static constexpr double kMinWorkVariance = 1e-3; // below it hints tell nothing
+  static constexpr double kMinWorkVariance = 1e-3; // below it the hints carry no information
 
-  // Of latency by work, both relative to their means.
+  // Slope of latency over work, both relative to their means.
   double slope() const {
     return work_variance_ > kMinWorkVariance ? std::clamp(covariance_ / work_variance_, 0.0, 1.0) : 0;
   }
 
   double mean_ms_ = 0;
-  double write_factor_ = 1; // latency of a write by that of a read
+  double write_factor_ = 1; // latency of a write / latency of a read
   double mean_work_ = 0;
   double work_variance_ = 0;
   double covariance_ = 0; // of work and latency
--- a/src/concurrency/origin_concurrency_limiter.cpp
+++ b/src/concurrency/origin_concurrency_limiter.cpp
@@ -11,15 +11,15 @@
 constexpr double kFleetInitialLimit = 32;    // attempts, over all routers
 constexpr double kMinLimitShare = 1.0 / 256; // of the initial limit
 constexpr double kMaxLimit = 4096;
-constexpr double kReservedWrites = 1;     // attempts that writes may have in flight however low the limit
-constexpr double kWriteLimitShare = 1.25; // of the limit, that writes may fill
-constexpr double kFleetShareStep = 0.2;   // of the way to the fleet share, per call
+constexpr double kReservedWrites = 1;     // attempts that writes may have in flight at any limit
+constexpr double kWriteLimitShare = 1.25; // of the limit, available to writes
+constexpr double kFleetShareStep = 0.2;   // of the difference to the fleet share, per call
 constexpr double kUnusedDecay = 0.98;     // per response while less than half of the limit is used
 
 // Rate of a limit below one.
-constexpr double kRateSlack = 1.5; // requests come unevenly
+constexpr double kRateSlack = 1.5; // requests arrive unevenly
 constexpr double kMaxTokens = 2;   // attempts
-// A rate counts as used if attempts are at most so many intervals apart.
+// A rate counts as used if attempts are at most this many intervals apart.
 constexpr double kUsedRateIntervals = 3;
 
 // Weights of one sample in moving averages.
@@ -33,38 +33,39 @@
 constexpr double kUncrowdedFallWeight = 0.01;
 
 // Tolerated slowdown: 1 + kToleranceByObjective * (objective / baseline - 1), bounded. An origin whose
-// baseline is a third of the objective may be used nearer to its end than one that is ten times as quick.
+// baseline is a third of the objective may be used closer to its capacity than one that is ten times as fast.
 constexpr double kToleranceByObjective = 0.25;
 constexpr double kMinTolerance = 1.2;
 constexpr double kMaxTolerance = 2.5;
-constexpr double kDefaultObjectiveRatio = 8;   // where objective or baseline is unknown
+constexpr double kDefaultObjectiveRatio = 8;   // if the objective or the baseline is unknown
 constexpr double kGrowthToleranceShare = 0.35; // of the tolerance, up to which the limit grows
 constexpr double kMaxSlowdownSample = 4;
 constexpr double kMaxLateSample = 1.5;
-constexpr double kStrainTrigger = 8;    // strain at which the limit decreases
-constexpr double kStrainSamples = 8;    // limit above which one sample weighs less
-constexpr double kCarriesMore = 1.15;   // by what was carried uncrowded: crowded rather than slow
-constexpr double kSlowdownAtFull = 0.6; // over the baseline, that counts as full utilization
+constexpr double kStrainTrigger = 8;    // score at which the limit decreases
+constexpr double kStrainSamples = 8;    // limit above which one sample has less weight
+constexpr double kCarriesMore = 1.15;   // relative to the uncongested throughput; above: congested, not slow
+constexpr double kSlowdownAtFull = 0.6; // relative to the baseline, that counts as full utilization
 
 // Decrease.
-constexpr double kRefusedFactor = 0.7;  // of what is in use
-constexpr double kLateFactor = 0.8;     // of what is in use
-constexpr double kDecreaseOfKnee = 0.8; // below the knee, so that a baseline too high shows
+constexpr double kRefusedFactor = 0.7; // of the attempts in use
+constexpr double kLateFactor = 0.8;    // of the attempts in use
+constexpr double kDecreaseOfKnee =
+    0.8; // below the knee, so that the test can detect a baseline that is too high
 constexpr double kMinKneeSlowdown = 1.2;
-constexpr double kLateShare = 0.55; // of the objective, past which the limit decreases whatever the baseline
+constexpr double kLateShare = 0.55; // of the objective; above it the limit decreases at any baseline
 constexpr double kMaxLateShare = 0.75;
 constexpr double kLateByBaseline = 1.25;
-constexpr double kLateDecay = 0.9; // of late_, per decrease
-// Share of slow samples at the limit, after which the baseline is tested.
+constexpr double kLateDecay = 0.9; // of the mean objective ratio, per decrease
+// Share of samples that are slow while the limit is used up, above which the baseline is tested.
 constexpr double kAtLimitTrigger = 0.3;
-constexpr double kReachedAgainFactor = 0.7; // of the limit before the first failed connect
+constexpr double kReachedAgainFactor = 0.7; // of the limit before the first failed connect attempt
 constexpr double kReportedDecrease = 0.9;   // decreases below it are reported
 
 // Growth, in shares of the limit per response time.
 constexpr double kRegrow = 0.2; // up to kRegrowToKnee
 constexpr double kRegrowToKnee = 1.3;
 constexpr double kGrow = 0.05; // beyond
-// By which a limit that holds more than is carried decreases, by excess slowdown.
+// Decrease of a limit under mild congestion, per excess slowdown.
 constexpr double kEase = 0.2;
 constexpr double kMaxEase = 0.2;
 
@@ -72,33 +73,34 @@
 constexpr double kMaxSamples = 1000;
 constexpr double kInitialSamples = 20; // weighted equally
 constexpr double kUnusedWeight = 0.01; // of a sample while less than half of the limit is used
-constexpr double kQuickWeight = 0.05;  // of a sample while latency is below the baseline
+constexpr double kQuickWeight = 0.05;  // of a sample while the mean latency is below the baseline
 constexpr double kQuickSlowdown = 0.75;
-constexpr double kSlowerWeight = 0.05; // of a sample while the origin is slow and not crowded
-constexpr double kSlowerStep = 0.5;    // of the way to a slowdown that shows no crowding
+constexpr double kSlowerWeight = 0.05; // of a sample while the origin is slow but not congested
+constexpr double kSlowerStep = 0.5;    // of the difference to a slowdown that is not caused by congestion
 
 // Test of the baseline after a decrease.
 constexpr double kMinTestSamples = 6;
 constexpr double kMaxTestSamples = 16;
 constexpr double kTestSamplesByLimit = 3;
 constexpr double kMaxTestSample = 5;
-constexpr double kTestLower = 0.85; // mean slowdown below it: the baseline was too high
+constexpr double kTestLower = 0.85; // a mean slowdown below it shows that the baseline was too high
 constexpr double kTestDownStep = 0.5;
 constexpr double kTestUpStep = 0.3;
 constexpr double kMinTestIntervalMs = 1000;
 constexpr double kMaxTestIntervalMs = 20000;
 constexpr double kAtLimitAfterTest = 0.2;
-constexpr double kSmallFleet = 9; // routers; below it one router's test is followed fully
+constexpr double kSmallFleet =
+    9; // routers; in a smaller fleet the result of one router's test is applied fully
 
 // Latency exchanged between routers.
 constexpr double kRecentHalfLifeMs = 500;
 constexpr double kRecentMaxAgeMs = 800;
-constexpr double kFleetLatencyMaxAgeMs = 2000; // after it a limit learns alone again
-// Fleet latency is old: followed at once in both directions all rates would swing together. A rise is
-// followed within the time it lags behind, a fall over several such times.
+constexpr double kFleetLatencyMaxAgeMs = 2000; // after it the limit adapts to its own samples again
+// Fleet latency is delayed: if all routers followed it at once in both directions, their rates would
+// oscillate together. A rise is followed within one lag, a fall over several lags.
 constexpr double kFleetRiseLags = 1;
 constexpr double kFleetFallLags = 6;
-constexpr double kFleetGrowthShare = 0.8; // of the late share, up to which a limit grows
+constexpr double kFleetGrowthShare = 0.8; // of the late objective ratio, up to which a limit grows
 constexpr double kMaxFleetStepMs = 1000;
 
 } // namespace
@@ -126,11 +128,11 @@
 bool OriginConcurrencyLimiter::has_capacity(double now, std::uint32_t in_flight, bool write) const {
   const double held = in_flight;
   if (write && held < kReservedWrites) return true;
-  // Before the first response the duration of an attempt is unknown, and so is the rate: one at a time.
+  // Before the first response the duration of an attempt and so the rate is unknown: one attempt at a time.
   if (latency_ms_ == 0 && limit_ < 2) return held < 1;
   const double limit = write ? kWriteLimitShare * limit_ : limit_;
   const double whole = std::floor(limit);
-  // The fraction is a rate: rounded up it would add up over many routers.
+  // The fraction is a rate. If it were rounded up, the excess would add up over many routers.
   return held < whole || (held == whole && rate_tokens(now, limit - whole) >= 1);
 }
 
@@ -181,21 +183,22 @@
   return DecreaseReason::Rejected;
 }
 
-// Does the sample's time tell of the server, rather than of one connection or of the request?
+// Whether the sample's time reflects the latency of the server, rather than one connection or the request.
 bool OriginConcurrencyLimiter::shows_latency(double now, const AttemptSample& sample) {
   const double sent_at = now - sample.elapsed_ms;
   switch (sample.outcome) {
     case AttemptEnding::Answered:
       consecutive_timeouts_ = 0;
       last_answered_sent_at_ = std::max(last_answered_sent_at_, sent_at);
-      // Failed connects tell of the network, not of load: once it is back they count as one decrease.
+      // Failed connects indicate a network fault, not load. Once the network is back, they count as a single
+      // decrease.
       if (limit_before_connect_failures_ > 0) {
         limit_ = std::max(limit_, kReachedAgainFactor * std::exchange(limit_before_connect_failures_, 0.0));
       }
       return true;
     case AttemptEnding::TimedOut:
-      // The connection is at fault where a later attempt was answered; so is it taken to be at the first
-      // timeout.
+      // If a later attempt was answered, the connection is at fault. A first timeout is also attributed to
+      // the connection.
       if (last_answered_sent_at_ >= sent_at) return false;
       ++consecutive_timeouts_;
       return consecutive_timeouts_ >= 2;
@@ -230,7 +233,7 @@
 
 void OriginConcurrencyLimiter::learn(double now, const AttemptSample& sample, double slowdown) {
   const double bounded = std::min(slowdown, kMaxSlowdownSample);
-  if (now - sample.elapsed_ms < decrease_settled_at_) return; // the last decrease has answered it already
+  if (now - sample.elapsed_ms < decrease_settled_at_) return; // sent before the last decrease took effect
   samples_ = std::min(samples_ + 1, kMaxSamples);
   smooth(slowdown_, bounded, kLatencyWeight);
   if (testing_baseline_) return test_baseline(slowdown);
@@ -260,7 +263,7 @@
   const bool too_high = mean < kTestLower;
   test_interval_ms_ = too_high ? std::max(kMinTestIntervalMs, test_interval_ms_ / 2)
                                : std::min(kMaxTestIntervalMs, 2 * test_interval_ms_);
-  if (mean > 1 + 2 / std::sqrt(test_samples_)) { // as slow as before the decrease: slow, not crowded
+  if (mean > 1 + 2 / std::sqrt(test_samples_)) { // as slow as before the decrease: slow, not congested
     baseline_.scale(std::pow(mean, router_count_ < kSmallFleet ? 1 : 0.5));
     regrow_limit_ = uncrowded_limit_;
     limit_ = std::max(limit_, std::min(uncrowded_limit_, uncrowded_used_));
@@ -298,7 +301,7 @@
     return;
   }
   if (decrease_if_late(now, sample)) return;
-  if (strain_ > kStrainTrigger && !carries_more) { // slow, not crowded
+  if (strain_ > kStrainTrigger && !carries_more) { // slow, not congested
     baseline_.scale(1 + kSlowerStep * (slowdown_ - 1));
     slowdown_ = 1 + kSlowerStep * (slowdown_ - 1);
     strain_ = 0;
@@ -346,7 +349,7 @@
   const bool used = limit_ < 1 ? send_interval_ms_ < kUsedRateIntervals * latency_ms_ / (kRateSlack * limit_)
                                : sample.in_flight + 1 >= limit_ / 2;
   if (used) {
-    const double responses = std::min(1.0, limit_); // a rate brings less than one in a response time
+    const double responses = std::min(1.0, limit_); // a rate yields less than one response per response time
     if (slow_start_) {
       limit_ += responses;
     } else {
@@ -355,7 +358,7 @@
     }
     limit_ = std::min(limit_, kMaxLimit);
   } else if (limit_ > initial_limit_) {
-    limit_ = std::max(initial_limit_, limit_ * kUnusedDecay); // not known to be available any more
+    limit_ = std::max(initial_limit_, limit_ * kUnusedDecay); // unused capacity may no longer be available
   }
 }
 
@@ -385,7 +388,7 @@
 void OriginConcurrencyLimiter::set_fleet_share(double share) {
   if (!usable_number(share) || share == 0) return;
   share = std::clamp(share, initial_limit_ * kMinLimitShare, kMaxLimit);
-  smooth(limit_, share, kFleetShareStep); // also at the start: what one took at once no other would give up
+  smooth(limit_, share, kFleetShareStep); // also at the start: other routers would not yield to a sudden rise
 }
 
 bool OriginConcurrencyLimiter::follows_fleet_latency(double now) const {
@@ -402,14 +405,14 @@
   if (!usable_number(latency_ms) || !usable_number(age_ms) || latency_ms == 0) return;
   fleet_latency_at_ = now;
   if (limit_ >= 1) return;
-  const double lag_ms = latency_ms + age_ms; // since the attempts it stands for were sent
-  // Also without a response yet: else one attempt stays in flight whatever the limit, and an origin that
-  // answers nobody in time would never recover.
+  const double lag_ms = latency_ms + age_ms; // since the measured attempts were sent
+  // Also before the first response: otherwise one attempt would stay in flight at any limit, and an origin
+  // that answers no router in time would never recover.
   if (latency_ms_ == 0) latency_ms_ = latency_ms;
   const double lags = latency_ms > latency_ms_ ? kFleetRiseLags : kFleetFallLags;
   smooth(latency_ms_, latency_ms, std::min(1.0, passed_ms / (lags * lag_ms)));
   if (!baseline_.known() || latency_objective_ms_ == 0) return;
-  if (now - decreased_at_ < lag_ms) return; // the last decrease has answered it already
+  if (now - decreased_at_ < lag_ms) return; // measured before the last decrease took effect
   const double late = latency_ms / latency_objective_ms_;
   const double max_late = late_share(latency_objective_ms_);
   if (late > max_late) return decrease(now, kLateFactor * limit_);
--- a/src/concurrency/origin_concurrency_limiter.h
+++ b/src/concurrency/origin_concurrency_limiter.h
@@ -1,12 +1,11 @@
-// Limit of concurrent attempts from this router at the origin. Decides; no I/O, no clock.
+// Limit of concurrent attempts from this router to the origin. Pure decisions: no I/O, no clock.
 //
-// Latency gradient: each response's latency by its expected value (LatencyBaseline) is its slowdown. Below a
-// bound the limit grows, beyond the tolerated slowdown strain gathers until the limit is decreased. After a
-// decrease for strain the baseline is tested: a latency that stays shows an origin that is slow, not crowded.
-// A limit below one is a rate. It yields too few responses to learn from and follows the fleet's latency
-// instead.
-// Units: milliseconds on the caller's clock, which only advances; attempts; shares from 0 to 1. No
-// allocation.
+// Uses a latency gradient: the slowdown of a response is its latency divided by its expected latency
+// (LatencyBaseline). While the slowdown is below a bound, the limit grows. Slowdown above the tolerated value
+// adds to a congestion score until the limit is decreased. After such a decrease the baseline is tested: if
+// the latency does not fall, the origin is slow rather than congested. A limit below one is a rate. It yields
+// too few responses to adapt to, and follows the latency of the fleet instead. Units: milliseconds on the
+// caller's clock, which only advances; attempts; shares from 0 to 1. Does not allocate.
 #pragma once
 
 #include <cstdint>
@@ -17,50 +16,52 @@
 namespace fernward::concurrency {
 
 enum class AttemptEnding : std::uint8_t {
-  Answered,      // by the server: a value, a miss, a refusal of the request itself
-  Fault,         // an error or a reset: no crowding by itself, its time counts where it took long
-  Rejected,      // unseen: no connection or queue slot
-  ConnectFailed, // the connection never came up
-  TimedOut,      // given up without a byte from the server: late, or the connection is dead
-  Cancelled      // given up early (another attempt was quicker, the client left): it took at least this long
+  Answered,      // response received: a value, a miss or an error response to the request itself
+  Fault,         // an error or a reset: no congestion by itself, but its time counts if it took long
+  Rejected,      // not processed: the server had no connection or queue slot
+  ConnectFailed, // the connection was not established
+  TimedOut,      // abandoned without a byte from the server: it is late, or the connection is dead
+  Cancelled // abandoned early (another attempt was faster, the client left); a lower bound of its latency
 };
 
-// Numbers that are not finite or are negative count as unknown.
+// Numbers that are negative or not finite count as unknown.
 struct AttemptSample {
   AttemptEnding outcome = AttemptEnding::Answered;
   double elapsed_ms = 0;
   double work_ms = 0; // work expected of the request, in any unit shared by all requests; 0: unknown
   double latency_objective_ms = 0; // 0: none
   bool write = false;
-  std::uint32_t in_flight = 0; // this router's attempts at the server that remain after this one
+  std::uint32_t in_flight = 0; // this router's other attempts to the server that remain in flight
 };
 
-// Why a sample decreased the limit, for the caller's log.
+// Reason for which a sample decreased the limit, for the caller's log.
 enum class DecreaseReason : std::uint8_t { None, Slow, Rejected, TimedOut };
 
-// Ask has_capacity() before each attempt; tell on_attempt_sent() of each that is sent and on_attempt_ended()
-// of each that is over. The caller counts attempts in flight. A restarted server gets a new limiter.
+// Call has_capacity() before each attempt, on_attempt_sent() when it is sent and on_attempt_ended() when it
+// has ended. The caller counts the attempts in flight. A restarted server gets a new limiter.
 class OriginConcurrencyLimiter {
  public:
-  // The initial limit is shared by `router_count` routers.
+  // The initial limit is divided by `router_count`.
   static OriginConcurrencyLimiter for_router_count(double router_count);
 
-  // May one more attempt be sent while `in_flight` are? A write is never kept waiting with none in flight.
+  // Whether one more attempt may be sent while `in_flight` attempts are in flight. A write never has to wait
+  // while none is in flight.
   bool has_capacity(double now, std::uint32_t in_flight, bool write) const;
   void on_attempt_sent(double now);
   DecreaseReason on_attempt_ended(double now, const AttemptSample& reported);
 
-  // This router's share of the sum of all routers' limits, approached over several calls. Adds nothing to the
-  // sum.
+  // This router's share of the sum of all routers' limits. The limit approaches it over several calls; the
+  // sum does not change.
   void set_fleet_share(double share);
-  // Latency as seen by all routers, `age_ms` ago on average; 0: unknown. Used by a limit below one.
+  // Latency measured by all routers, on average `age_ms` ago; 0: unknown. Used by a limit below one.
   void set_fleet_latency(double now, double latency_ms, double age_ms);
 
   double limit() const { return limit_; }
-  double latency_ms() const { return latency_ms_; } // moving average; 0: none seen
-  // Own latency for the other routers: responses of the last 0.8 s, weighted by age; 0: none.
+  double latency_ms() const { return latency_ms_; } // moving average; 0: no response yet
+  // This router's latency, for the other routers: responses of the last 0.8 s, weighted by age; 0: none.
   double recent_latency_ms(double now) const;
-  // Of what makes the limit decrease: 0 idle, over 1 decreasing. `wanted`: attempts in flight and waiting.
+  // Utilization relative to the point at which the limit decreases: 0: idle; above 1: the limit decreases.
+  // `demand`: attempts in flight and waiting.
   double utilization(double now, double wanted) const;
 
  private:
@@ -98,17 +99,17 @@
 
   double latency_ms_ = 0;
   double latency_objective_ms_ = 0; // of the last sample that had one
-  double slowdown_ = 1;             // mean latency by its expected value
-  double late_ = 0;                 // mean latency by the objective
-  double strain_ = 0;               // evidence of crowding, summed over samples
+  double slowdown_ = 1;             // mean of latency / expected latency
+  double late_ = 0;                 // mean of latency / objective
+  double strain_ = 0;               // evidence of congestion, summed over samples
   double samples_ = 0;              // up to kMaxSamples
   double used_;                     // mean attempts in flight
   double at_limit_ = 0;             // share of samples that were slow while the limit was used up
 
-  // While the server was uncrowded.
+  // Values while the server was not congested.
   double uncrowded_limit_ = 0;
   double uncrowded_used_ = 0;
-  double growth_share_ = 1; // of full growth, by how far the slowdown is from the growth bound
+  double growth_share_ = 1; // share of full growth, by the distance of the slowdown from the growth bound
 
   // Test of the baseline after a decrease.
   bool testing_baseline_ = false;
@@ -116,23 +117,23 @@
   double test_sum_ = 0;
   double test_interval_ms_ = 4000;
 
-  double regrow_limit_; // up to here the limit grows quickly after a decrease
+  double regrow_limit_; // after a decrease the limit grows fast up to this value
   double decreased_at_ = kNever;
-  double decrease_settled_at_ = kNever;      // attempts sent before it show nothing new
+  double decrease_settled_at_ = kNever;      // attempts sent earlier do not show the effect of the decrease
   double limit_before_connect_failures_ = 0; // 0: none since a response
-  double last_answered_sent_at_ = kNever;    // when the latest attempt that was answered had been sent
+  double last_answered_sent_at_ = kNever;    // send time of the latest sent attempt that was answered
   std::uint32_t consecutive_timeouts_ = 0;
 
-  // Rate of a limit below one, or of its fraction.
+  // Rate of a limit below one, or of the fractional part of the limit.
   double last_sent_at_ = kNever;
   double tokens_ = 0;
   double send_interval_ms_ = 0; // mean
 
-  // Own latency told to the other routers, and theirs.
+  // This router's latency, reported to the other routers, and the latency reported by them.
   double recent_sum_ms_ = 0;
   double recent_count_ = 0;
   double recent_at_ = kNever;
-  double fleet_latency_at_ = kNever; // last known latency of the fleet
+  double fleet_latency_at_ = kNever; // last call that had a known latency
   double fleet_heard_at_ = kNever;   // last call of set_fleet_latency()
 };
 
--- a/src/concurrency/origin_request_queue.cpp
+++ b/src/concurrency/origin_request_queue.cpp
@@ -6,7 +6,7 @@
 namespace fernward::concurrency {
 namespace {
 
-constexpr double kMinTimeShare = 0.5; // of the expected time, that even a lucky request needs
+constexpr double kMinTimeShare = 0.5; // of the expected time, that even the fastest request needs
 
 } // namespace
 
@@ -16,7 +16,8 @@
 }
 
 double OriginRequestQueue::wait_ms(std::size_t ahead) const {
-  return turns_per_ms_ > 0 ? static_cast<double>(ahead) / turns_per_ms_ : 0; // unknown: none expected
+  return turns_per_ms_ > 0 ? static_cast<double>(ahead) / turns_per_ms_
+                           : 0; // rate unknown: no wait is expected
 }
 
 bool OriginRequestQueue::is_late(double now, const Request& request, std::size_t ahead) const {
--- a/src/concurrency/origin_request_queue.h
+++ b/src/concurrency/origin_request_queue.h
@@ -1,8 +1,8 @@
-// Requests that wait for an attempt at the origin. Decides; no I/O, no clock.
+// Queue of requests that wait for an attempt to the origin. Pure decisions: no I/O, no clock.
 //
-// The most valuable goes first, of equal ones the newest: oldest first, all of a long queue would be late. A
-// read that can't be served in time leaves at once, and the caller gives it up. A write waits until its own
-// deadline.
+// The request with the highest priority weight is sent first; of equal ones the newest, because oldest first
+// would make all requests of a long queue late. A read that cannot be served in time is removed at once, and
+// the caller abandons it. A write waits until its own deadline.
 // Units: milliseconds on the caller's clock, which only advances.
 #pragma once
 
@@ -16,29 +16,32 @@
 
 namespace fernward::concurrency {
 
-// Ids are the caller's. Each that was added is handed back once, by take() or take_expired(), or is removed.
+// Ids are assigned by the caller. Each added id is returned once, by take() or take_expired(), unless it is
+// removed.
 class OriginRequestQueue {
  public:
   using Id = std::uint64_t;
 
-  // Beyond `max_size` a more valuable request evicts the last one, which the next take_expired() returns.
+  // In a full queue a request of higher priority weight evicts the last request, which the next
+  // take_expired() returns.
   explicit OriginRequestQueue(std::size_t max_size = 4096) : max_size_(max_size) {}
 
-  // `turns_per_ms`: attempts that this router may start at the origin; `response_ms`: from the turn on.
+  // `attempts_per_ms`: rate of attempts that this router may send to the origin; `response_time_ms`: from
+  // sending an attempt to its response.
   void set_service_rate(double turns_per_ms, double response_ms);
 
-  // False: not queued, as its turn would surely come too late or all places are taken by more valuable
-  // requests. `deadline`: when the response must be there.
+  // False: not queued, as it would certainly be late, or the queue is full and no request in it may be
+  // evicted for it, or the id is queued already. `deadline`: time by which the response is needed.
   bool add(double now, Id id, double value, double deadline, bool write);
-  // The next to go, of those whose kind may be sent.
+  // Removes and returns the next request of the kinds that may be sent.
   std::optional<Id> take(double now, bool may_read, bool may_write);
-  // Its request is over. False: not queued.
+  // The request has ended. False: not queued.
   bool remove(Id id);
-  // Removes those that will surely be late, and appends them and the evicted ones to `ids`.
+  // Removes the requests that will certainly be late, and appends them and the evicted ones to `ids`.
   void take_expired(double now, std::vector<Id>& ids);
 
   std::size_t size() const { return requests_.size(); }
-  // When a new request of the least value would get its response.
+  // Time until a new request of the lowest priority weight would get its response.
   double retry_after_ms() const;
 
  private:
@@ -47,7 +50,7 @@
     double deadline;
     bool write;
   };
-  using Position = std::pair<double, std::uint64_t>; // -value, then newest first
+  using Position = std::pair<double, std::uint64_t>; // -priority_weight, then newest first
 
   double wait_ms(std::size_t ahead) const;
   bool is_late(double now, const Request& request, std::size_t ahead) const;
--- a/src/concurrency/retry_budget.cpp
+++ b/src/concurrency/retry_budget.cpp
@@ -6,29 +6,30 @@
 namespace fernward::concurrency {
 namespace {
 
-constexpr double kMinEarned = 0.1; // attempts per request, under crowding
+constexpr double kMinEarned = 0.1; // attempts per request, under congestion
 constexpr double kMaxEarned = 1;   // attempts per request, with proven capacity: a third of attempts may fail
 
 constexpr double kMinHedgesEarned = 0.02; // hedged requests per request
 constexpr double kMaxHedgesEarned = 0.5;
-// Hedged requests per request, by the square of the share of slow attempts that is never answered: hedging
-// attempts that are merely slow only adds load.
+// Hedged requests per request, multiplied by the square of the share of slow attempts that are never
+// answered: hedging attempts that are only slow just adds load.
 constexpr double kHedgesByDeadShare = 2;
 
-constexpr double kMinMaxBalance = 10; // attempts saved at most under crowding
-constexpr double kMaxMaxBalance = 40; // attempts saved at most with proven capacity
+constexpr double kMinMaxBalance = 10; // highest balance under congestion, in attempts
+constexpr double kMaxMaxBalance = 40; // highest balance with proven capacity, in attempts
 
-constexpr double kProofMs = 2000;            // time constant of proving capacity
-constexpr double kProofCrowdedShare = 0.02;  // share of crowded attempts up to which capacity is being proven
-constexpr double kMaxCrowdedShare = 0.1;     // from here on no capacity is proven
-constexpr double kHopefulFailedShare = 0.5;  // share of failed attempts up to which the full share is earned
-constexpr double kHopelessFailedShare = 0.8; // from here on a further attempt brings nothing
-constexpr double kWeight = 0.02;             // of one attempt in these shares
+constexpr double kProofMs = 2000;            // time constant of the growth of proven capacity
+constexpr double kProofCrowdedShare = 0.02;  // share of congested attempts up to which proven capacity grows
+constexpr double kMaxCrowdedShare = 0.1;     // from this share on no capacity is proven
+constexpr double kHopefulFailedShare = 0.5;  // share of failed attempts up to which requests earn fully
+constexpr double kHopelessFailedShare = 0.8; // from this share on further attempts are useless
+constexpr double kWeight = 0.02;             // weight of one attempt in these shares
 
 } // namespace
 
 double RetryBudget::earned_per_request() const {
-  // Where nearly all attempts fail, further ones fail too, and their load keeps the fleet from recovering.
+  // If nearly all attempts fail, further attempts fail too, and their load prevents the fleet from
+  // recovering.
   const double hope = std::clamp(
       (kHopelessFailedShare - failed_share_) / (kHopelessFailedShare - kHopefulFailedShare), 0.0, 1.0);
   return kMinEarned + (kMaxEarned - kMinEarned) * proven_capacity_ * hope;
@@ -38,7 +39,7 @@
   return kMinMaxBalance + (kMaxMaxBalance - kMinMaxBalance) * proven_capacity_;
 }
 
-// Capacity is proven by time without crowding, not by the number of requests.
+// Capacity is proven by time without congestion, not by the number of requests.
 void RetryBudget::advance(double now) {
   if (advanced_at_ == kNever) advanced_at_ = now;
   const double passed_ms = std::max(0.0, now - advanced_at_);
@@ -72,7 +73,7 @@
 
 bool RetryBudget::try_consume(double now, Use use, double utilization) {
   advance(now);
-  const bool server_full = !(utilization < 1); // also where it is no number
+  const bool server_full = !(utilization < 1); // also if it is NaN
   if (use == Use::Hedge) {
     if (server_full || hedges_ < 1 || balance_ < 1) return false;
     hedges_ -= 1;
--- a/src/concurrency/retry_budget.h
+++ b/src/concurrency/retry_budget.h
@@ -1,10 +1,10 @@
-// Budget of attempts beyond the first of each request: retries and hedged requests. Decides; no I/O, no
-// clock.
+// Budget of attempts beyond the first of each request: retries and hedged requests. Pure decisions: no I/O,
+// no clock.
 //
-// Each request earns a share of an attempt. The share grows while capacity is proven (few signs of crowding)
-// and falls to a fixed minimum under crowding, together with what was saved, so that a retry storm cannot
-// feed itself.
-// Units: milliseconds on the caller's clock; shares from 0 to 1. One for each router; no allocation.
+// Each request earns a fraction of an attempt. The fraction grows while capacity is proven (few signs of
+// congestion). Under congestion the fraction and the saved balance fall to a fixed minimum, so that a retry
+// storm cannot sustain itself.
+// Units: milliseconds on the caller's clock; shares from 0 to 1. One per router; does not allocate.
 #pragma once
 
 #include "statistics/numbers.h"
@@ -15,19 +15,20 @@
  public:
   enum class Use { Retry, Hedge };
 
-  // A request came from a client: it earns. `never_answered_share`: of slow attempts, see SlowAttemptTracker;
-  // hedged requests are worth their cost only as far as attempts are dead rather than slow.
+  // A client request was received and adds to the budget. `never_answered_share`: of slow attempts, see
+  // SlowAttemptTracker; hedged requests pay off only if slow attempts are never answered rather than late.
   void on_request(double now, double never_answered_share);
 
-  // An attempt ended, or a request was rejected here. `crowded`: it showed a server or the fleet full
-  // (rejected, shed, over a limit, late through waiting). `failed`: it brought nothing.
+  // An attempt ended, or this router rejected a request. `congested`: it indicated that a server or the fleet
+  // is full (rejected, shed, over a limit, late because of queueing). `failed`: it had no usable result.
   void on_attempt_ended(double now, bool crowded, bool failed = false);
 
-  // Takes one attempt out of the budget; false: it holds none. `utilization`: of the server it would go to,
-  // see OriginConcurrencyLimiter; at 1 or more no hedged request, and a retry from the minimum share alone.
+  // Removes one attempt from the budget; false: none is available. `utilization`: of the target server, see
+  // OriginConcurrencyLimiter; at 1 or more, hedged requests are denied and retries use only the part of the
+  // balance that is earned under congestion.
   bool try_consume(double now, Use use, double utilization);
 
-  // What try_consume() gave could not be sent.
+  // An attempt granted by try_consume() could not be sent.
   void refund(Use use);
 
   double proven_capacity() const { return proven_capacity_; } // 0 to 1
@@ -39,12 +40,12 @@
   double max_balance() const;
   double max_hedges() const { return 1 + 9 * proven_capacity_; }
 
-  double proven_capacity_ = 0; // unproven at first: a retry storm may have restarted the router
-  double crowded_share_ = 0;   // of attempts, of late
-  double failed_share_ = 0;    // of attempts, of late
-  double balance_ = 10;        // requests that would have earned it may be in flight already
-  double min_balance_ = 10;    // part of balance_ that is earned under crowding too
-  double hedges_ = 1;          // part of balance_ that hedged requests may take
+  double proven_capacity_ = 0; // 0 at first: a retry storm may have caused the restart of the router
+  double crowded_share_ = 0;   // of recent attempts
+  double failed_share_ = 0;    // of recent attempts
+  double balance_ = 10;        // not 0: requests that would have earned it may already be in flight
+  double min_balance_ = 10;    // part of balance_ that is also earned under congestion
+  double hedges_ = 1;          // part of balance_ that hedged requests may use
   double advanced_at_ = kNever;
 };
 
--- a/src/concurrency/slow_attempt_tracker.h
+++ b/src/concurrency/slow_attempt_tracker.h
@@ -1,6 +1,5 @@
-// From when on an attempt is slow, and what share of slow attempts is never answered. Decides; no I/O, no
-// clock.
-// Units: milliseconds; shares from 0 to 1.
+// Tracks the latency above which an attempt is slow, and the share of slow attempts that are never answered.
+// No I/O, no clock. Units: milliseconds; shares from 0 to 1.
 #pragma once
 
 #include <cmath>
@@ -9,8 +8,8 @@
 
 namespace fernward::concurrency {
 
-// The threshold follows a quantile of latency in steps: 5% of responses are slower, up to 20% where most slow
-// attempts are never answered, as a hedged request is then worth sending sooner.
+// The threshold follows a quantile of latency in steps: 5% of responses are slower. The share rises to 20% if
+// most slow attempts are never answered, because a hedged request is then useful earlier.
 struct SlowAttemptTracker {
   double slow_threshold_ms = 0;
   double never_answered_share = 0; // of slow attempts
@@ -27,7 +26,7 @@
   static constexpr double kMinSlowShare = 0.05;
   static constexpr double kMaxSlowShare = 0.2;
   static constexpr double kThresholdStep = 0.05;
-  static constexpr double kAnsweredWeight = 0.05; // of one slow attempt
+  static constexpr double kAnsweredWeight = 0.05; // weight of one slow attempt
   static constexpr double kDeadAttemptsShare = 0.25;
 };
 
--- a/tests/concurrency/connection_capacity_estimator_test.cpp
+++ b/tests/concurrency/connection_capacity_estimator_test.cpp
@@ -4,8 +4,7 @@
 
 using fernward::concurrency::ConnectionCapacityEstimator;
 
-TEST_CASE(
-    "what was never refused has no bound, what was keeps to what was had, and tries one more after a wait") {
+TEST_CASE("capacity is unbounded until a connection is refused and then one more is tried after a wait") {
   ConnectionCapacityEstimator p;
   CHECK(p.has_capacity(0, 1000));
   p.on_connection_refused(1000, 2, 100, 0.5);
@@ -13,23 +12,23 @@
   CHECK_FALSE(p.has_capacity(1000, 2));
   CHECK_FALSE(p.has_capacity(1099, 2));
   CHECK(p.has_capacity(1100, 2));            // one response time later
-  p.on_connection_refused(60000, 0, 100, 1); // the last of them are lost; all try again at different times
+  p.on_connection_refused(60000, 0, 100, 1); // refused with none in use; the draw spreads the trials
   CHECK_FALSE(p.has_capacity(60149, 0));
   CHECK(p.has_capacity(60150, 0));
 }
 
-TEST_CASE("a trial goes alone") {
+TEST_CASE("only one trial is in flight at a time") {
   ConnectionCapacityEstimator p;
   p.on_connection_refused(1000, 1, 100, 0.5);
   REQUIRE(p.has_capacity(1100, 1));
   p.on_attempt_sent(1100, 1);
   CHECK_FALSE(p.has_capacity(1101, 2));
-  CHECK(p.has_capacity(1101, 0)); // what needs no further connection goes on
+  CHECK(p.has_capacity(1101, 0)); // attempts within the capacity are still allowed
   p.on_connection_used(2);
   CHECK(p.has_capacity(1150, 1));
 }
 
-TEST_CASE("several that were refused together are one sign, a further one that was had ends the wait") {
+TEST_CASE("refusals at the same time count once and a further accepted connection ends the wait") {
   ConnectionCapacityEstimator p;
   p.on_connection_refused(1000, 3, 100, 0.5);
   p.on_connection_refused(1001, 2, 100, 0.5);
@@ -37,7 +36,7 @@
   CHECK(p.has_capacity(1100, 2));
   p.on_connection_used(4);
   CHECK(p.capacity() == 4);
-  p.on_connection_used(1); // tells nothing of the others
+  p.on_connection_used(1); // fewer connections in use do not lower the capacity
   CHECK(p.capacity() == 4);
   p.on_connection_refused(2000, 4, 100, 0.5);
   CHECK(p.has_capacity(2100, 4));
--- a/tests/concurrency/origin_concurrency_limiter_test.cpp
+++ b/tests/concurrency/origin_concurrency_limiter_test.cpp
@@ -1,4 +1,4 @@
-// What may be out at once: the cases that a limit exists for.
+// Concurrency limit of attempts to the origin: the cases that the limiter exists for.
 #include "concurrency/origin_concurrency_limiter.h"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,7 @@
 
 } // namespace
 
-TEST_CASE("a write gets its turn however low the limit") {
+TEST_CASE("a write is sent at any limit if none is in flight") {
   OriginConcurrencyLimiter l = OriginConcurrencyLimiter::for_router_count(4);
   double now = 0;
   for (int i = 0; i < 400; ++i) {
@@ -30,8 +30,9 @@
   CHECK_FALSE(l.has_capacity(now, 8, true));
 }
 
-// Found on full-size days: a part of the tier could not reach the ledger for 7 s and was left with a 2400th of an attempt.
-TEST_CASE("a server that was out of reach for a while costs one cut once it is back") {
+// Guards against a limit that collapses during a network fault: routers that could not connect to the origin
+// for 7 s were left with a limit of 1/2400 of an attempt.
+TEST_CASE("a server that was unreachable for a while causes a single decrease") {
   OriginConcurrencyLimiter l = OriginConcurrencyLimiter::for_router_count(300);
   double now = 0;
   for (int i = 0; i < 200; ++i) {
@@ -44,10 +45,11 @@
     l.on_attempt_ended(
         now += 500,
         {.outcome = AttemptEnding::ConnectFailed, .elapsed_ms = 250, .latency_objective_ms = 750});
-  CHECK(l.limit() < 0.1 * before); // while it lasts
+  CHECK(l.limit() < 0.1 * before); // during the fault
   l.on_attempt_ended(now += 60, answered(50, 750, 0));
   CHECK(l.limit() > 0.6 * before);
-  // One that is swamped, where some come in and most do not, is cut further each time.
+  // An overloaded server, which accepts some connections and refuses most, causes further decreases each
+  // time.
   for (int i = 0; i < 20; ++i) {
     for (int k = 0; k < 3; ++k)
       l.on_attempt_ended(
@@ -58,7 +60,7 @@
   CHECK(l.limit() < 0.1 * before);
 }
 
-TEST_CASE("a limit that is used grows, one that is turned away falls") {
+TEST_CASE("a used limit grows and a rejected attempt decreases it") {
   OriginConcurrencyLimiter l = OriginConcurrencyLimiter::for_router_count(1);
   const double before = l.limit();
   double now = 0;
@@ -75,19 +77,19 @@
   CHECK(l.limit() < grown);
 }
 
-// Found in the lab at 256 routers: half of them came back to a ledger that answered nobody in time, and each kept one
-// attempt out for ever, whatever its limit.
-TEST_CASE("one that had no answer yet goes by the response time that the others saw") {
+// Guards against an origin that never recovers: with 256 routers, half of them reconnected to an origin that
+// answered no attempt in time, and each kept one attempt in flight for ever, whatever its limit.
+TEST_CASE("a limiter without a response uses the fleet latency") {
   OriginConcurrencyLimiter l = OriginConcurrencyLimiter::for_router_count(256);
   CHECK(l.has_capacity(0, 0, false));
   l.on_attempt_sent(0);
-  CHECK(l.has_capacity(500, 0, false)); // alone it knows no pace
+  CHECK(l.has_capacity(500, 0, false)); // without the fleet latency the rate is unknown
   l.set_fleet_latency(500, 1000, 500);
   CHECK_FALSE(l.has_capacity(500, 0, false));
   CHECK(l.has_capacity(9000, 0, false));
 }
 
-TEST_CASE("a limit below one falls by the others' response time, once for what was seen since") {
+TEST_CASE("a limit below one decreases by the fleet latency once per lag") {
   OriginConcurrencyLimiter l = OriginConcurrencyLimiter::for_router_count(256);
   l.on_attempt_sent(0);
   l.on_attempt_ended(200, answered(200, 750, 0));
@@ -97,11 +99,11 @@
   const double cut = l.limit();
   CHECK(cut < 0.9 * before);
   for (; now < 2000; now += 250) l.set_fleet_latency(now, 700, 500);
-  CHECK(l.limit() == cut); // what they say was sent before the cut
+  CHECK(l.limit() == cut); // measured before the decrease took effect
   l.set_fleet_latency(2250, 700, 500);
   CHECK(l.limit() < cut);
   OriginConcurrencyLimiter whole =
-      OriginConcurrencyLimiter::for_router_count(4); // an attempt and more learn by their own answers
+      OriginConcurrencyLimiter::for_router_count(4); // a limit above one follows its own responses
   whole.on_attempt_sent(0);
   whole.on_attempt_ended(200, answered(200, 750, 0));
   const double held = whole.limit(), recent = whole.latency_ms();
@@ -110,7 +112,7 @@
   CHECK(whole.latency_ms() == recent);
 }
 
-TEST_CASE("a pace is given up as soon as the others wait longer, and taken back slowly") {
+TEST_CASE("a rise of the fleet latency is followed at once and a fall slowly") {
   OriginConcurrencyLimiter l = OriginConcurrencyLimiter::for_router_count(256);
   double now = 0;
   l.set_fleet_latency(now, 200, 300);
--- a/tests/concurrency/retry_budget_test.cpp
+++ b/tests/concurrency/retry_budget_test.cpp
@@ -1,4 +1,4 @@
-// Retries and second copies from one budget.
+// One budget for retries and hedged requests.
 #include "concurrency/retry_budget.h"
 
 #include <doctest/doctest.h>
@@ -8,8 +8,8 @@
 
 namespace {
 
-// A day of requests, a share of whose attempts fail without a sign of crowding, or each with one. Returns the
-// share of the failed attempts that could be tried again.
+// Sends requests of which a share of the attempts fail; `congested`: each attempt indicates congestion.
+// Returns the share of failed attempts that could be retried.
 double tried_again(RetryBudget& a, double& now, int requests, int fails_of_ten, bool crowded,
                    double crowding) {
   int failed = 0, again = 0;
@@ -29,14 +29,14 @@
 
 } // namespace
 
-TEST_CASE("with proven room nearly all failed attempts are tried again") {
+TEST_CASE("with proven capacity nearly all failed attempts are retried") {
   RetryBudget a;
   double now = 0;
   tried_again(a, now, 2000, 0, false, 0.2);
   CHECK(tried_again(a, now, 3000, 3, false, 0.2) > 0.95);
 }
 
-TEST_CASE("under crowding no more than a tenth of the requests is tried again, however much was saved up") {
+TEST_CASE("under congestion at most a tenth of the requests is retried whatever the balance was") {
   RetryBudget a;
   double now = 0;
   tried_again(a, now, 2000, 0, false, 0.2);
@@ -53,7 +53,7 @@
   CHECK(a.proven_capacity() == 0);
 }
 
-TEST_CASE("a crowded server gets no second copy while the fleet has room") {
+TEST_CASE("a fully utilized server gets no hedged request while the fleet has capacity") {
   RetryBudget a;
   double now = 0;
   tried_again(a, now, 2000, 0, false, 0.2);
