--- a/src/descriptors/client_admission.cpp
+++ b/src/descriptors/client_admission.cpp
@@ -13,7 +13,7 @@
 constexpr double kMinReturnMs = 1;
 constexpr double kMaxReturnMs = 3600e3;
 constexpr double kReturnShareWeight = 1.0 / 16; // of one client
-constexpr double kLowReturnShare = 0.5;         // below it idle clients are taken not to return
+constexpr double kLowReturnShare = 0.5;         // below it idle clients are assumed not to return
 
 } // namespace
 
@@ -71,7 +71,7 @@
   if (it == clients_.end() || it->second.lingering) return;
   Client& client = it->second;
   client.idle_at = now;
-  if (client.requests == 0) { // a health check of this router only
+  if (client.requests == 0) { // it has only sent health checks of this router
     insert(client, State::NoRequest, client.accepted_at, id);
   } else if (client.requests == 1) {
     insert(client, State::IdleAfterOne, now, id);
@@ -103,7 +103,7 @@
 
 void ClientAdmission::ReturnEstimate::on_return(double idle_ms) {
   return_share += kReturnShareWeight * (1 - return_share);
-  // Steps up are nine times as long as steps down, so that one in ten is above it.
+  // Steps up are nine times as large as steps down, so that one in ten idle times is above the estimate.
   const double step = idle_ms > return_ms ? kReturnQuantile : kReturnQuantile - 1;
   return_ms = std::clamp(return_ms * std::exp(kReturnStep * step), kMinReturnMs, kMaxReturnMs);
 }
@@ -112,7 +112,7 @@
 
 // ---- Decisions ----
 
-// At the present rate of new clients that stay.
+// Extrapolates the current net rate of new clients.
 double ClientAdmission::time_until_full_ms(double now) const {
   const double places = free_places();
   if (places <= 0) return 0;
@@ -132,12 +132,12 @@
   const double few = max_clients() / 4;
   if (static_cast<double>(active_) <= few) return false;
   if (client.requests == 1) {
-    // Some stay whatever the estimate, or nothing would be learned.
+    // Some connections are kept whatever the estimate, as it could not be updated otherwise.
     if (count(State::IdleAfterOne) < few && !under_pressure()) return false;
     return after_one_.return_share < kLowReturnShare || time_until_full_ms(now) < after_one_.return_ms;
   }
-  // Clients with one request go first. Only where they do not suffice and many places are idle under the
-  // others, the half of these that returns later is closed, or all where they no longer return.
+  // Clients with one request are closed first. Only if these do not suffice and many other clients are idle,
+  // the half of those that returns later is closed, or all of them if they no longer return.
   if (free_places() + count(State::IdleAfterOne) >= max_clients() / 8 || count(State::IdleAfterMany) <= few) {
     return false;
   }
@@ -150,7 +150,7 @@
   const auto expired = [&](const Key& key) {
     return now - clients_.at(key.id).idle_at >= options_.min_idle_ms;
   };
-  // Makes room for newer ones where many clients with one request are idle and do not return.
+  // Frees capacity for new clients if many clients with one request are idle and do not return.
   const bool unlikely_to_return =
       count(State::IdleAfterOne) >= max_clients() / 4 && after_one_.return_share < kLowReturnShare;
   if (first->state == State::IdleAfterOne && (unlikely_to_return || under_pressure()) && expired(*first)) {
--- a/src/descriptors/client_admission.h
+++ b/src/descriptors/client_admission.h
@@ -1,11 +1,11 @@
-// Which client connections to close when descriptors run out, and which to close with a response so that they
-// don't. Decides; no I/O, no clock.
+// Decides which client connections to close when descriptors run out, and which to close with a response to
+// prevent that. No I/O, no clock.
 //
-// An idle connection that is not used again is pure loss, one used again in 50 ms is worth keeping. So it
-// learns what share of idle clients returns and after which idle time, separately for clients with one
-// request and with several. Eviction is LRU-2 (O'Neil, O'Neil and Weikum, SIGMOD 1993): who sent two requests
-// within a short time goes last.
-// Units: milliseconds; `now` only advances. Each operation takes O(log n).
+// An idle connection that is not used again only wastes a descriptor, while one used again after 50 ms should
+// be kept. So this class estimates which share of idle clients return and after which idle time, separately
+// for clients with one request and with several. Eviction is LRU-2 (O'Neil, O'Neil and Weikum, SIGMOD 1993):
+// clients that sent two requests within a short time are evicted last. Units: milliseconds; `now` only
+// advances. Each operation takes O(log n).
 #pragma once
 
 #include <array>
@@ -30,19 +30,19 @@
 
 struct ClientAdmissionOptions {
   std::size_t max_clients = 128;       // connections that have sent a request
-  double first_request_grace_ms = 100; // the first request of a new connection may be on its way this long
-  double request_stall_ms = 700;       // a partial request may wait this long for its next byte
+  double first_request_grace_ms = 100; // time that the first request of a new connection may take to arrive
+  double request_stall_ms = 700;       // time that a partial request may wait for its next byte
   double min_idle_ms = 2000;           // a connection idle for this long may be closed
 };
 
 // States of a connection, in the order of eviction; none while a request is active.
-//  - Lingering: the last response is out, its client need only read it and close
-//  - NoRequest: accepted, or had a health check only
-//  - PartialRequest: some bytes of a request are there
+//  - Lingering: the last response was sent, the client only has to read it and close
+//  - NoRequest: accepted, has sent no request or only health checks
+//  - PartialRequest: some bytes of a request were received
 //  - IdleAfterOne: idle after its only request
 //  - IdleAfterMany: idle after its second request or a later one
 //
-// Ids are the caller's, never 0. Calls for unknown ids do nothing.
+// Ids are assigned by the caller and are never 0. Calls for unknown ids do nothing.
 class ClientAdmission {
  public:
   using Id = std::uint64_t;
@@ -52,36 +52,38 @@
   explicit ClientAdmission(const Options& options) : options_(options) {}
 
   void on_accepted(double now, Id id);
-  // Its request is being worked on, or its body flows.
+  // Its request is being processed, or its body is being transferred.
   void on_request_active(double now, Id id);
-  // More bytes of a request came, and it is not complete.
+  // More bytes of a request were received, and it is not complete.
   void on_request_partial(double now, Id id);
   void on_request_complete(double now, Id id);
-  // The response is out and the connection stays.
+  // The response was sent and the connection stays open.
   void on_idle(double now, Id id);
-  // The last response is out.
+  // The last response of the connection was sent.
   void on_lingering(double now, Id id);
-  // ClosedBy::Client also where the router closes for the client's sake.
+  // Use ClosedBy::Client also if the router closes on the client's request.
   void on_closed(double now, Id id, ClosedBy by);
 
-  // Should the connection close with the response that is about to be written? True only under pressure. Must
-  // be asked once for each response.
+  // Whether the connection should be closed with the response that is about to be written. True only when
+  // capacity is scarce. Must be called once for each response.
   bool should_close_after_response(double now, Id id);
 
-  // The connection to close when a descriptor is needed at once: Lingering, NoRequest beyond its grace,
-  // PartialRequest beyond its stall time, IdleAfterOne longest first, IdleAfterMany. `may(id)` vetoes; after
-  // kMaxTries vetoes there is none. No idle one, while more connections are new than idle.
+  // The connection to close when a descriptor is needed at once, in this order: Lingering, NoRequest beyond
+  // its grace time, PartialRequest beyond its stall time, IdleAfterOne with the longest idle first,
+  // IdleAfterMany. `may_evict(id)` returning false excludes a connection; after kMaxTries exclusions the
+  // result is nullopt. No idle connection is selected while more connections are new than idle.
   template <typename May>
   std::optional<Id> select_for_eviction(double now, May may) const;
 
-  // Under pressure: one idle for min_idle_ms that is not expected to return. The caller may leave it open.
+  // A connection idle for min_idle_ms that may be closed: one of a client with one request if few of these
+  // return, or any under pressure. The caller may leave it open.
   std::optional<Id> expired_idle(double now) const;
-  // expired_idle() should be asked from time to time.
+  // Few places are free: expired_idle() should be called periodically.
   bool under_pressure() const { return free_places() < max_clients() / 8; }
 
   std::size_t size() const { return clients_.size(); }
   std::size_t active() const { return active_; } // have sent a request, and are not lingering
-  double return_share() const { return after_one_.return_share; } // of clients with one request, as estimated
+  double return_share() const { return after_one_.return_share; } // estimate for clients with one request
 
  private:
   static constexpr int kMaxTries = 16;
@@ -91,7 +93,8 @@
 
   struct Key {
     State state;
-    // Since when; PartialRequest: its last byte; IdleAfterMany: the last request but one.
+    // Start of the state; PartialRequest: time of the last byte; IdleAfterMany: time of the last request but
+    // one.
     double time;
     Id id;
     auto operator<=>(const Key&) const = default;
@@ -108,14 +111,14 @@
     bool lingering = false;
     bool indexed = false;
     bool told_to_close = false;
-    Index::node_type node; // kept while it is not in the index, so that a request allocates nothing
+    Index::node_type node; // retained while not in the index, so that a request does not allocate
     Key key{};
   };
 
-  // What is known of the returns of idle clients.
+  // Estimate of whether and when idle clients return.
   struct ReturnEstimate {
     double return_share; // of idle clients
-    double return_ms;    // 90% of those that return do so within it
+    double return_ms;    // 90% of the returning clients return within it
     void on_return(double idle_ms);
     void on_no_return();
   };
@@ -135,8 +138,8 @@
   std::size_t active_ = 0;
   EventRate newcomers_;
   EventRate leavers_;
-  ReturnEstimate after_one_{0.4, 1000};  // unknown at first: a few are kept to find out
-  ReturnEstimate after_many_{0.9, 1000}; // they have returned before
+  ReturnEstimate after_one_{0.4, 1000};  // unknown at first: a few are kept to measure it
+  ReturnEstimate after_many_{0.9, 1000}; // these clients have returned before
   double log_usual_idle_ms_ = 0;         // mean of all clients with several requests
   bool usual_idle_known_ = false;
 };
@@ -145,14 +148,14 @@
 std::optional<ClientAdmission::Id> ClientAdmission::select_for_eviction(double now, May may) const {
   int tries = kMaxTries;
   for (auto it = index_.begin(); it != index_.end() && tries > 0; --tries) {
-    // Many new connections must not push out idle ones: soon they send a request or can be evicted
+    // Many new connections must not displace idle ones: they soon send a request or can be evicted
     // themselves.
     if (it->state >= State::IdleAfterOne && count(State::NoRequest) + count(State::PartialRequest) >
                                                 count(State::IdleAfterOne) + count(State::IdleAfterMany)) {
       break;
     }
     if (it->state == State::NoRequest && now - it->time < options_.first_request_grace_ms) {
-      it = index_.lower_bound(Key{State::PartialRequest, -1, 0}); // later ones are younger still
+      it = index_.lower_bound(Key{State::PartialRequest, -1, 0}); // later entries are newer
       ++tries;
       continue;
     }
--- a/src/descriptors/descriptor_budget.cpp
+++ b/src/descriptors/descriptor_budget.cpp
@@ -8,7 +8,7 @@
 
 constexpr double kMaxRecoverySeconds = 30; // bounds the power of two
 constexpr double kRefusalReportMs = 1000;
-constexpr std::size_t kMinBelievedTotal = 2; // else it would never try again
+constexpr std::size_t kMinBelievedTotal = 2; // otherwise no further descriptor would be tried
 
 } // namespace
 
--- a/src/descriptors/descriptor_budget.h
+++ b/src/descriptors/descriptor_budget.h
@@ -1,5 +1,5 @@
-// Budgets of the process: file descriptors of connections, and bytes of partial requests. Decides; no I/O, no
-// clock.
+// Budgets of the process: file descriptors of connections, and bytes of partial requests. Pure decisions: no
+// I/O, no clock.
 #pragma once
 
 #include <array>
@@ -11,9 +11,10 @@
 enum class Side { Downstream, Upstream };
 
 // Descriptors of client connections (downstream) and server connections (upstream). Each side has a reserve
-// of a quarter, never lent, and a fair share of a half, lent while unused and reclaimed when its owner needs
-// it. So one side may hold up to three quarters. Descriptors that the process needs besides are not part of
-// the budget. Times are milliseconds. A budget outlives its leases.
+// of a quarter that the other side never uses, and a fair share of a half that the other side may borrow
+// while it is unused and must return when its owner needs it. So one side may hold up to three quarters.
+// Other descriptors of the process are not part of the budget. Times are milliseconds. A budget outlives its
+// leases.
 class DescriptorBudget {
  public:
   explicit DescriptorBudget(std::size_t total) : total_(total), believed_total_(total) {}
@@ -42,20 +43,21 @@
     Side side_ = Side::Downstream;
   };
 
-  // Whose connection must be closed before `side` can have one more descriptor: nobody's; the other side's,
-  // which holds more than its fair share; or its own, as it has its fair share or the other side has none to
-  // spare.
+  // Which side must close a connection before `side` can acquire one more descriptor: none; the other side,
+  // which holds more than its fair share; or its own, because it holds its fair share or the other side does
+  // not exceed its own.
   enum class Eviction { None, OtherSide, OwnSide };
   Eviction required_eviction(double now, Side side) const;
   // Empty unless required_eviction() is None.
   Lease acquire(double now, Side side);
 
-  // The system refused a descriptor that the budget had: something else holds them. The usable total falls to
-  // what is in use and recovers with time: one descriptor after a second, then twice as many in each second.
-  // True: the first refusal, or a second or more after the last one.
+  // The system refused a descriptor that the budget allowed, because other parts of the system hold them. The
+  // usable total falls to the number in use and recovers with time: by one descriptor after a second, then by
+  // twice as many in each further second. Returns true for the first refusal, or if the last one was at least
+  // a second ago.
   bool on_refused(double now);
 
-  // May be less than what is in use; then none is granted.
+  // May be less than the number in use; then no descriptor is granted.
   void set_total(std::size_t total) {
     if (believed_total_ >= total_) believed_total_ = total;
     total_ = total;
@@ -63,9 +65,9 @@
 
   std::size_t used(Side side) const { return used_[index(side)]; }
   std::size_t total() const { return total_; }
-  std::size_t usable(double now) const; // of the total, what the system is believed to grant
+  std::size_t usable(double now) const; // part of the total that the system is expected to grant
   static std::size_t reserved_of(std::size_t usable) { return usable / 4; }
-  static std::size_t fair_share_of(std::size_t usable, Side side) { // an odd one is downstream's
+  static std::size_t fair_share_of(std::size_t usable, Side side) { // an odd one belongs to downstream
     return side == Side::Downstream ? usable - usable / 2 : usable / 2;
   }
 
@@ -78,8 +80,8 @@
   double refused_at_ = 0;
 };
 
-// The bytes of requests that have not come whole. Those of answers have an account of their own, see
-// body_buffers/.
+// Budget of the bytes of requests that are not completely received. Response bytes have a separate budget,
+// see body_buffers/.
 class RequestBufferBudget {
  public:
   explicit RequestBufferBudget(std::size_t total) : total_(total) {}
@@ -102,8 +104,8 @@
   };
 
   std::size_t used() const { return used_; }
-  void set_total(std::size_t total) { total_ = total; } // leases stay
-  bool exceeded() const { return used_ > total_; }      // the next lease that grows is refused
+  void set_total(std::size_t total) { total_ = total; } // existing leases are unchanged
+  bool exceeded() const { return used_ > total_; }      // the caller must reject the next request that grows
 
  private:
   std::size_t total_;
