--- a/src/idle_connections/idle_lifetime_estimator.cpp
+++ b/src/idle_connections/idle_lifetime_estimator.cpp
@@ -11,30 +11,30 @@
 constexpr double kBucketsPerDoubling = 4;
 
 constexpr double kMaxExcessResets = 0.1; // a reset costs about as much as ten new connections
-// At the first bucket: above it no connection is kept. Only where resets nearly always follow the shortest
-// idle times.
+// For the first bucket: above it no connection is kept. Reached only if even the shortest idle times nearly
+// always lead to resets.
 constexpr double kKeepNothingExcess = 0.75;
-// At the safe idle time, from which a server is believed to close there itself.
+// Decayed resets of a server at its safe idle time, above which the server itself is assumed to close there.
 constexpr double kGuiltyResets = 0.5;
 constexpr std::size_t kTrialBuckets = 2; // beyond the safe idle time
 
 constexpr double kHalfLifeMs = 60000;
 constexpr double kDecayIntervalMs = 1000;
 constexpr double kSameOutageMs = 20;   // resets this close together have one cause, such as a crashed process
-constexpr double kReestimateMs = 1000; // as history decays
-constexpr double kOtherResetsMs = 250; // until resets at other servers count
+constexpr double kReestimateMs = 1000; // because the history decays
+constexpr double kOtherResetsMs = 250; // until resets of other servers are considered
 constexpr double kMinTrialIntervalMs = 250;
 constexpr double kMaxTrialIntervalMs = 64000;
 
-// Uses in one bucket, after which older ones weigh a third.
+// Uses in one bucket after which the weight of older ones has fallen to a third.
 constexpr double kEndpointMemory = 32;
 constexpr double kFleetMemory = 128;
 
 // Priors.
 constexpr double kUsualResets = 0.01;      // share of all uses
 constexpr double kPriorUses = 4;           // weight of a prior, in uses
-constexpr double kChangeProbability = 0.1; // that idle time matters at all, below max_idle_ms
-constexpr double kLikeFleet = 0.9;         // probability that a server behaves as the others
+constexpr double kChangeProbability = 0.1; // that resets depend on the idle time at all, below max_idle_ms
+constexpr double kLikeFleet = 0.9;         // probability that a server behaves like the others
 constexpr double kJeffreys = 0.5;
 constexpr double kMaxLogRatio = 100;
 
@@ -111,7 +111,7 @@
   }
 }
 
-// An outage, such as a crashed process, resets all connections of a server: it counts once.
+// An outage, such as a crashed process, resets all connections of a server and must count only once.
 bool IdleLifetimeEstimator::is_same_outage(double now, Endpoint& endpoint) {
   const bool same = now - endpoint.reset_at < kSameOutageMs;
   endpoint.reset_at = now;
@@ -162,7 +162,8 @@
 
 // Change point by beta-binomial likelihood: P(change at bucket i) ~ prior(i) * L(before i | usual_resets) *
 // L(from i on | Jeffreys), against L(all | usual_resets) for no change. A server that resets whatever the
-// idle time thus shows no change. `others`: the fleet's change point as prior of a server; null: uniform.
+// idle time therefore shows no change. `others`: the change point of the fleet as prior of a server; null:
+// uniform prior.
 void IdleLifetimeEstimator::find_change(ChangePoint& change, const History& history, double usual_resets,
                                         const ChangePoint* others) const {
   Counts before;
@@ -211,7 +212,7 @@
   find_change(change, endpoint.history, reset_share(own.answered, own.reset, fleet_resets), &fleet_change_);
   std::size_t safe = 0;
   if (change.probability[0] * change.excess_resets[0] <= kKeepNothingExcess) {
-    // The first bucket is not counted: where the shortest idle times are bad, shorter ones do not help.
+    // The first bucket is not counted: if resets follow the shortest idle times, no shorter limit helps.
     double excess = 0;
     for (safe = 1; safe < buckets_; ++safe) {
       excess += change.probability[safe] * change.excess_resets[safe];
@@ -235,7 +236,7 @@
                                                                  double idle_ms) {
   const Endpoint& estimate = estimated(now, endpoint);
   if (idle_ms < estimate.safe_ms) return Reuse::Allowed;
-  // A server without a reset of its own at that idle time goes first.
+  // Servers that had no reset themselves at that idle time are tried first.
   const bool guilty = estimate.history.reuses[bucket_of(estimate.safe_ms)].reset > kGuiltyResets;
   const double trial_at = next_trial_at_ + (guilty ? trial_interval_ms_ : 0);
   if (idle_ms >= estimate.keep_ms || now < trial_at) return Reuse::Refused;
--- a/src/idle_connections/idle_lifetime_estimator.h
+++ b/src/idle_connections/idle_lifetime_estimator.h
@@ -1,12 +1,11 @@
-// How long a connection to a server may be idle and still be reused. Decides; no I/O, no clock.
+// Estimates how long a connection to a server may be idle and still be reused. No I/O, no clock.
 //
-// A server may close idle connections earlier than the settings say and without a word: the next request is
-// reset, and may have run. Learns, per server and over all servers, the idle time from which on resets become
-// likelier (a change point, see estimate()), and finds out by occasional trials whether longer idle times are
-// safe again.
-// Units: milliseconds; `now` only advances. State: about 500 bytes per server. An observation takes constant
-// time, an estimate some ten microseconds, at most once in 250 ms per server unless one of its own
-// connections was reset.
+// A server may close idle connections earlier than configured and without notice: the next request is reset,
+// and may have run. The estimator determines, per server and over all servers, the idle time from which
+// resets become more likely (a change point, see estimate()), and tests by occasional trials whether longer
+// idle times are safe again. Units: milliseconds; `now` only advances. State: about 500 bytes per server. An
+// observation takes constant time, an estimate some ten microseconds, at most once in 250 ms per server
+// unless one of its own connections was reset.
 #pragma once
 
 #include <array>
@@ -20,23 +19,23 @@
  public:
   using EndpointId = std::uint32_t;
 
-  // `max_idle_ms`: by the settings; no idle time beyond it is safe.
+  // `max_idle_ms`: from the settings; no longer idle time is safe.
   explicit IdleLifetimeEstimator(double max_idle_ms);
 
   enum class Reuse { Allowed, Trial, Refused };
-  // May a request be written to a connection that was idle for `idle_ms`? Each Trial starts the wait for the
-  // next one.
+  // Whether a request may be written to a connection that was idle for `idle_ms`. Each Trial starts the
+  // waiting time before the next one.
   Reuse decide_reuse(double now, EndpointId endpoint, double idle_ms);
-  // Idle time after which a connection is of no use, not even for a trial.
+  // Idle time after which a connection cannot be used, not even for a trial.
   double keep_ms(double now, EndpointId endpoint);
-  // Shorter idle times are believed safe.
+  // Shorter idle times are considered safe.
   double safe_idle_ms(double now, EndpointId endpoint);
 
   // Results. `reset`: the connection broke before the first byte of a response. Connections closed while idle
   // cost no request and are not reported.
   void on_first_use(double now, EndpointId endpoint, bool reset);
   void on_reuse(double now, EndpointId endpoint, double idle_ms, bool trial, bool reset);
-  // The server restarted, has another address, or is gone.
+  // The server was restarted, has a new address, or was removed.
   void forget(EndpointId endpoint);
 
   std::size_t size() const { return endpoints_.size(); }
@@ -61,9 +60,9 @@
     double safe_ms = 0;
     double keep_ms = 0;
     double estimated_at = kLongAgo;
-    std::uint64_t version = 0; // of the resets that the estimate knows
+    std::uint64_t version = 0; // version_ at the time of the estimate
   };
-  // By bucket: the probability that resets become likelier from it on, and by how much.
+  // By bucket: the probability that resets become more likely from it on, and by how much.
   struct ChangePoint {
     std::array<double, kBuckets> probability{};
     std::array<double, kBuckets> excess_resets{};
@@ -81,7 +80,7 @@
   static bool is_same_outage(double now, Endpoint& endpoint);
 
   double max_idle_ms_;
-  std::size_t buckets_ = 0; // that begin before max_idle_ms_
+  std::size_t buckets_ = 0; // number of buckets that begin before max_idle_ms_
   std::unordered_map<EndpointId, Endpoint> endpoints_;
 
   History fleet_history_;
--- a/tests/idle_connections/idle_lifetime_estimator_test.cpp
+++ b/tests/idle_connections/idle_lifetime_estimator_test.cpp
@@ -1,4 +1,5 @@
-// How long connections may rest: tables of cases in virtual time, and properties over random events.
+// Estimates of the idle lifetime of connections: tables of cases in virtual time, and properties over random
+// events.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -18,24 +19,24 @@
 constexpr double kLongest = 10500;
 
 struct Node {
-  double dies_after;        // of rest, in silence; 0: with the answer
-  double reset_kept = 0;    // share of requests on kept connections that are reset, whatever the rest
-  double reset_any = 0;     // of all requests
-  double changes_at = 1e18; // from then on `dies_after` is:
+  double dies_after;        // idle time after which it closes without notice; 0: with the response
+  double reset_kept = 0;    // share of requests on reused connections that are reset at any idle time
+  double reset_any = 0;     // share of all requests that are reset
+  double changes_at = 1e18; // time from which the idle lifetime is:
   double then = kLongest;
-  bool says = false; // it closes in good order: seen at once
-  double rate = 20;  // requests a second
-  double share = 1;  // of those that rested so long that have died
-  double closes = 0; // share of answers after which it closes in good order
+  bool says = false; // closes gracefully, which is noticed at once
+  double rate = 20;  // requests per second
+  double share = 1;  // of the connections idle for that time, closed ones
+  double closes = 0; // share of responses after which it closes gracefully
 };
 
 struct Outcome {
-  int requests = 0, dead = 0, opened = 0; // dead: written to a connection that had died of its rest
+  int requests = 0, dead = 0, opened = 0; // dead: written to a connection closed while idle
   int dead_late = 0, opened_late = 0;     // in the second half
 };
 
-// Requests come at random and take 5 to 40 ms; the connection that rested last is used first. Without
-// `rests`: every rest up to the longest is taken for safe.
+// Requests arrive at random and take 5 to 40 ms; the most recently used connection is reused first. With a
+// null estimator every idle time up to the longest is treated as safe.
 std::vector<Outcome> play(const std::vector<Node>& nodes, double seconds, IdleLifetimeEstimator* rests,
                           unsigned seed = 1) {
   struct Connection {
@@ -119,35 +120,36 @@
 
 } // namespace
 
-// guards: requests written to connections that were closed in silence; connections closed for nothing
-TEST_CASE("a minute of days in virtual time: what was written to dead connections, and what was opened") {
+// Guards against requests written to connections that were closed without notice, and against needless
+// closing.
+TEST_CASE("a minute in virtual time: requests on dead connections and opened connections") {
   auto half = same(10, {300});
   for (const Node& node : same(10, {kLongest})) half.push_back(node);
   const struct {
     std::string name;
     std::vector<Node> nodes;
-    double dead;   // at most this share of what was written to dead connections without the class
-    double opened; // and at most so many times the connections that were opened without it
+    double dead;   // highest ratio of requests on dead connections, with and without the estimator
+    double opened; // highest ratio of opened connections, with and without the estimator
   } table[] = {
-      {"20 nodes, all well", same(20, {kLongest}), 1, 1.02},
-      {"20 nodes, all well, few requests", same(20, {.dies_after = kLongest, .rate = 1}), 1, 1.05},
+      {"20 servers, all healthy", same(20, {kLongest}), 1, 1.02},
+      {"20 servers, all healthy, few requests", same(20, {.dies_after = kLongest, .rate = 1}), 1, 1.05},
       {"20 that close after 300 ms", same(20, {300}), 0.1, 1e9},
       {"20 that close after 40 ms", same(20, {40}), 0.1, 1e9},
       {"20 that close after 3 s, few requests", same(20, {.dies_after = 3000, .rate = 1}), 0.2, 1e9},
-      {"20 that close with the answer", same(20, {0}), 0.02, 1e9},
-      {"10 that close after 300 ms, 10 well", half, 0.1, 1e9},
-      {"20 that close after 300 ms and say so", same(20, {.dies_after = 300, .says = true}), 1, 1e9},
+      {"20 that close with the response", same(20, {0}), 0.02, 1e9},
+      {"10 that close after 300 ms, 10 healthy", half, 0.1, 1e9},
+      {"20 that close gracefully after 300 ms", same(20, {.dies_after = 300, .says = true}), 1, 1e9},
       {"20 that reset 2% of all", same(20, {.dies_after = kLongest, .reset_any = 0.02}), 1, 1.2},
       {"20 that reset half of all", same(20, {.dies_after = kLongest, .reset_any = 0.5}), 1, 1.1},
-      {"20 that reset 5% on kept connections", same(20, {.dies_after = kLongest, .reset_kept = 0.05}), 1,
+      {"20 that reset 5% on reused connections", same(20, {.dies_after = kLongest, .reset_kept = 0.05}), 1,
        1.3},
-      {"20 that reset 30% on kept connections", same(20, {.dies_after = kLongest, .reset_kept = 0.3}), 1,
+      {"20 that reset 30% on reused connections", same(20, {.dies_after = kLongest, .reset_kept = 0.3}), 1,
        1.5},
-      {"13 that reset half of what rested for 150 ms, 6% of all, and close after 1 in 10 answers",
+      {"13 that reset half of those idle for 150 ms, 6% of all, and close after 1 in 10 responses",
        same(13, {.dies_after = 150, .reset_any = 0.06, .rate = 30, .share = 0.5, .closes = 0.1}), 0.2, 1e9},
-      {"20 well, then close after 300 ms",
+      {"20 healthy, then close after 300 ms",
        same(20, {.dies_after = kLongest, .changes_at = 30000, .then = 300}), 0.25, 1e9},
-      {"20 that close after 300 ms, then are well",
+      {"20 that close after 300 ms, then are healthy",
        same(20, {.dies_after = 300, .changes_at = 20000, .then = kLongest}), 0.15, 1e9},
   };
   for (const auto& row : table) {
@@ -163,7 +165,7 @@
   }
 }
 
-TEST_CASE("one node closes after 300 ms, its neighbour after 15 s: each is believed by itself") {
+TEST_CASE("servers that close after 300 ms and after 15 s are estimated separately") {
   IdleLifetimeEstimator rests(kLongest);
   std::vector<Node> nodes = {{300}, {15000}};
   const auto outcomes = play(nodes, 60, &rests);
@@ -174,47 +176,47 @@
   CHECK(outcomes[1].opened_late <= 6);
 }
 
-TEST_CASE("what the class says by single events") {
+TEST_CASE("estimates after single events") {
   IdleLifetimeEstimator rests(kLongest);
   CHECK(rests.decide_reuse(0, 1, 10000) == Use::Allowed);
   CHECK(rests.decide_reuse(0, 1, kLongest) == Use::Refused);
   CHECK(rests.keep_ms(0, 1) == kLongest);
-  // One reset after a rest longer than any that was survived is believed; on other targets too, until they
-  // show otherwise.
+  // A single reset after a longer idle time than any successful one changes the estimate; also for other
+  // servers, until their own results differ.
   for (int i = 0; i < 20; ++i) rests.on_reuse(50, 1, 200, false, false);
   rests.on_reuse(100, 1, 400, false, true);
   CHECK(rests.safe_idle_ms(500, 1) <= 400);
   CHECK(rests.safe_idle_ms(500, 2) <= 400);
   CHECK(rests.decide_reuse(500, 1, 190) == Use::Allowed);
   CHECK(rests.decide_reuse(500, 1, 400) == Use::Refused);
-  // A trial is given once at a time, and only a little beyond what is safe.
+  // Only one trial is allowed at a time, and only slightly beyond the safe idle time.
   const double doubtful = rests.safe_idle_ms(5000, 1);
   CHECK(rests.decide_reuse(5000, 1, 4 * doubtful) == Use::Refused);
   CHECK(rests.decide_reuse(5000, 1, doubtful) == Use::Trial);
   CHECK(rests.decide_reuse(5000, 1, doubtful) == Use::Refused);
-  // Answers after longer rests restore the trust, here in the other target alone.
+  // Responses after longer idle times raise the estimate, here only for the other server.
   for (int i = 0; i < 4; ++i) rests.on_reuse(6000, 2, 3000, true, false);
   CHECK(rests.safe_idle_ms(7000, 2) == kLongest);
   CHECK(rests.safe_idle_ms(7000, 1) <= 400);
   rests.forget(1);
   CHECK(rests.size() == 1);
-  // Many connections that break together are one event.
+  // Many connections that break at the same time count as one event.
   IdleLifetimeEstimator other(kLongest);
   for (int i = 0; i < 30; ++i) other.on_reuse(1000 + i, 1, 50 + i, false, false);
   for (int i = 0; i < 10; ++i) other.on_reuse(2000, 1, 100, false, true);
   CHECK(other.safe_idle_ms(3000, 1) >= 64);
-  // Nothing is kept only where even the shortest rests are deadly, which takes several resets.
+  // No connection is kept only if even the shortest idle times lead to resets, which takes several resets.
   IdleLifetimeEstimator third(kLongest);
   third.on_reuse(0, 1, 2, false, true);
   CHECK(third.safe_idle_ms(300, 1) > 0);
   for (int i = 1; i < 8; ++i) third.on_reuse(300 * i, 1, 2, false, true);
   CHECK(third.safe_idle_ms(3000, 1) == 0);
-  // It fades: after some minutes nothing is held against the target.
+  // The history decays: after some minutes the resets no longer count.
   CHECK(third.safe_idle_ms(900000, 1) > 0);
 }
 
-TEST_CASE("properties over random events") {
-  CHECK(rc::check("rests are ordered and bounded, nothing is kept of what is forgotten", [] {
+TEST_CASE("properties of the estimator over random events") {
+  CHECK(rc::check("idle times are ordered and bounded, forgotten servers leave no state", [] {
     const auto events =
         *rc::gen::container<std::vector<std::tuple<int, IdleLifetimeEstimator::EndpointId, int>>>(
             rc::gen::tuple(rc::gen::inRange(0, 12), rc::gen::inRange<IdleLifetimeEstimator::EndpointId>(1, 6),
