--- a/src/placement/fill_rate_limiter.cpp
+++ b/src/placement/fill_rate_limiter.cpp
@@ -7,24 +7,25 @@
 
 namespace {
 
-constexpr double kSteadyMs = 20000; // over which the steady rates are taken
-constexpr double kTrafficMs = 4000; // over which the traffic of the moment is taken
-constexpr double kByChance = 1.15;  // times its mean that traffic comes to without having grown
-constexpr double kRecentMs = 1000;  // over which the fetches of the moment are taken
-constexpr double kCalmingMs = 4000; // over which they are taken to tell whether a move is over
-constexpr double kCalm = 1.15;      // times the steady rate: it is
-constexpr double kUnrest = 8;       // times settle_ms, after which a fleet that never rests is taken as it is
-// Watched in steady times for less, the steady rate is not known, and taken to be a share of the reads, as of
-// caches that are worth having, or a part of what was seen meanwhile.
+constexpr double kSteadyMs = 20000; // averaging window of the steady rates
+constexpr double kTrafficMs = 4000; // averaging window of the current traffic
+constexpr double kByChance = 1.15;  // traffic / its mean that random variation reaches without growth
+constexpr double kRecentMs = 1000;  // averaging window of the current fetches
+constexpr double kCalmingMs = 4000; // averaging window of the fetches that show whether a transition is over
+constexpr double kCalm = 1.15;      // fetches / base rate up to which a transition is over
+// Transition times after which a fleet that keeps changing is treated as steady.
+constexpr double kUnrest = 8;
+// With less steady observation time than this, the steady rate is unknown. It is then assumed to be a share
+// of the reads, typical of useful caches, or a part of the rate observed during the transition.
 constexpr double kKnownMs = 4000;
 constexpr double kAssumed = 0.1, kUnsure = 0.7;
-// Of the multiple, that is given out: chance makes some seconds busier than others, and the routers' shares
-// are not exactly what they were.
+// Share of the multiple that is used: load varies randomly between seconds, and the routers' shares of the
+// traffic change slightly.
 constexpr double kOfMultiple = 0.8;
-constexpr double kFillShare = 0.5;    // of what is given out beyond the steady rate
-constexpr double kSecondShare = 0.05; // of the steady rate, for second holders
-constexpr double kMostSaved = 3;      // fills saved up
-constexpr double kBurst = 1;          // fetches saved up
+constexpr double kFillShare = 0.5;    // of the allowed rate beyond the base rate
+constexpr double kSecondShare = 0.05; // of the base rate, for second replicas
+constexpr double kMostSaved = 3;      // saved fills
+constexpr double kBurst = 1;          // saved fetches
 
 } // namespace
 
@@ -49,8 +50,8 @@
 
 bool FillRateLimiter::known() const { return calm_ms_ >= kKnownMs; }
 
-// What fetches a move brings is not steady; but where one follows upon the other for ever, there is nothing
-// else.
+// Fetches during a transition do not belong to the steady rate. They are used only if the steady rate is
+// unknown, or if transitions follow one another without end.
 bool FillRateLimiter::learns(double now) const {
   return !is_active(now) || !known() || now - opened_at_ > kUnrest * set_.transition_ms;
 }
@@ -60,7 +61,7 @@
   read_at_ = now;
   reads_.add(now, kTrafficMs);
   if (learns(now)) {
-    steady_fetches_.add(now, kSteadyMs, 0); // both are watched for the same time
+    steady_fetches_.add(now, kSteadyMs, 0); // both rates must cover the same time
     return steady_reads_.add(now, kSteadyMs);
   }
   steady_reads_.skip(now);
@@ -73,7 +74,7 @@
   calming_.add(now, kCalmingMs);
   if (!is_active(now)) return;
   fetches_.count -= 1;
-  // Else all that the pace kept back would come at once when it ends.
+  // Otherwise all fetches that were held back would be sent at once when the limit ends.
   if (now > until_ - kCalmingMs / 2 && calming_.per_ms(now, kCalmingMs) > kCalm * base_per_ms(now)) {
     until_ = std::max(until_, std::min(until_ + kCalmingMs / 2, at_latest_));
   }
@@ -85,8 +86,8 @@
 
 double FillRateLimiter::base_per_ms(double now) const {
   const double traffic = reads_.per_ms(now, kTrafficMs);
-  // Seen in a move alone it may be what the pace itself let through: it counts for less, else it would raise
-  // itself.
+  // A rate observed only during a transition may result from this limit itself. It counts less, as otherwise
+  // the limit would raise itself.
   if (!known()) return std::max(kAssumed * traffic, kUnsure * steady_fetches_per_ms(now));
   const double before = steady_reads_.per_ms(now, kSteadyMs);
   return before > 0 ? steady_fetches_per_ms(now) * std::max(1.0, traffic / before / kByChance) : 0;
--- a/src/placement/frequency_sketch.cpp
+++ b/src/placement/frequency_sketch.cpp
@@ -6,7 +6,7 @@
 
 std::uint32_t FrequencySketch::add(std::uint64_t key) {
   const std::uint32_t before = count(key);
-  // Conservative update: raising the others as well would only raise the counts of keys that share them.
+  // Conservative update: raising the larger counters too would only raise the counts of other keys.
   for (std::size_t row = 0; row < kRows && before < UINT16_MAX; ++row) {
     std::uint16_t& c = counts_[place(row, key)];
     if (c == before) ++c;
--- a/src/placement/frequency_sketch.h
+++ b/src/placement/frequency_sketch.h
@@ -1,8 +1,8 @@
-// How often keys were asked for lately: a count-min sketch with conservative update ("New directions in
-// traffic measurement and accounting", Estan and Varghese). Decides; no I/O, no clock.
+// Counts recent requests per key: a count-min sketch with conservative update ("New directions in traffic
+// measurement and accounting", Estan and Varghese). No I/O, no clock.
 //
-// A count is never too low since the last halving, and too high only where a key shares all four of its
-// places with others.
+// Since the last halving a count is never too low, and it is too high only if a key shares all four of its
+// counters with other keys.
 //
 //  - Size: fixed, 32 KiB. Nothing grows with the number of keys.
 //  - Ownership: plain values; copies are independent.
@@ -18,13 +18,13 @@
 
 class FrequencySketch {
  public:
-  static constexpr std::size_t kWidth = 4096; // places in each of the rows
+  static constexpr std::size_t kWidth = 4096; // counters per row
 
   FrequencySketch() : counts_(kRows * kWidth, 0) {}
 
-  std::uint32_t add(std::uint64_t key); // the key's count before
+  std::uint32_t add(std::uint64_t key); // returns the previous count of the key
   std::uint32_t count(std::uint64_t key) const;
-  void halve(); // all counts, rounded down: old requests fade
+  void halve(); // halves all counts, rounded down, so that old requests lose weight
 
  private:
   static constexpr std::size_t kRows = 4;
--- a/src/placement/hot_key_tracker.cpp
+++ b/src/placement/hot_key_tracker.cpp
@@ -6,10 +6,10 @@
 namespace fernward::placement {
 
 namespace {
-// By which a bar moves with a read: it is true to about a tenth after some hundreds.
+// Relative step of a threshold per read: accurate to about a tenth after some hundreds of reads.
 constexpr double kStep = 0.01;
-constexpr double kLeastLevel = 2;  // a key asked for once is popular with nobody
-constexpr double kNoKey = 1 << 20; // above any count
+constexpr double kLeastLevel = 2;  // a key requested once is not popular
+constexpr double kNoKey = 1 << 20; // above any count: no key qualifies
 } // namespace
 
 void HotKeyTracker::on_read(std::uint64_t key) {
--- a/src/placement/hot_key_tracker.h
+++ b/src/placement/hot_key_tracker.h
@@ -1,10 +1,10 @@
-// Which keys are asked for often, and which of them make up a given share of the reads. Decides; no I/O, no
+// Tracks which keys are requested often, and which of them account for a given share of the reads. No I/O, no
 // clock.
 //
-// The counts of its sketch are halved once it has seen ten times as many reads as it has places ("TinyLFU: A
-// highly efficient cache admission policy", Einziger, Friedman, Manes).
+// The counts of its sketch are halved after ten times as many reads as a row has counters ("TinyLFU: A highly
+// efficient cache admission policy", Einziger, Friedman, Manes).
 //
-//  - Units: counts of reads lately; shares from 0 to 1.
+//  - Units: counts of recent reads; shares from 0 to 1.
 //  - Size: fixed, that of the sketch.
 //  - Ownership: plain values; copies are independent.
 #pragma once
@@ -22,8 +22,8 @@
   void on_read(std::uint64_t key);
   std::uint32_t count(std::uint64_t key) const { return sketch_.count(key); }
 
-  // Is it among the keys that make up the first share of the reads, the most popular first? Each share has a
-  // bar of its own that is moved with every read until so many of the reads are above it.
+  // Whether the key is among the most popular keys that together account for the given share of the reads.
+  // Each share has a threshold, which is adjusted with every read until that share of the reads is above it.
   enum Bar : std::size_t { Fifth, Half, MostPart, Chosen };
   bool is_in_top_share(Bar bar, std::uint64_t key) const { return count(key) >= bars_[bar].level; }
   void set_chosen_share(double share) { bars_[Chosen].share = share; } // 0: no key
--- a/src/placement/key_demand.h
+++ b/src/placement/key_demand.h
@@ -1,18 +1,18 @@
-// What share of a key's requests a server in slow start may be sent, so that the sum over all routers stays
-// within what the server can take. Decides; no I/O, no clock.
+// Estimates the share of a key's requests that a server in slow start may receive, so that the sum over all
+// routers stays within the capacity of the server. Pure decisions: no I/O, no clock.
 //
-// The rule is a budget for each server: no more than `fall_multiple` times its present capacity. A server's
-// part of the fleet shrinks with the number of servers; what one popular key asks for does not. Capacities
-// are told nowhere, but a server that is warm bears its part of the load, so that its capacity is that much
-// at least: the mean number of requests for each server. A router sees the same mix of keys as all others, so
-// it compares its own counts and the number of routers cancels out: a key that this router saw `count` times
-// brings the server count / mean times the load of an average one, and may have the budget divided by that.
+// Each server has a budget of `fall_multiple` times its current capacity. The share of a server in the fleet
+// shrinks with the number of servers, while the demand for one popular key does not. Capacities are not
+// announced, but a warm server handles its share of the load, so its capacity is at least the mean number of
+// requests per server. All routers see the same mix of keys, so each compares its own counts and the number
+// of routers cancels out: a key that this router has counted `count` times brings the server count / mean
+// times the average load, and may use the budget divided by that.
 //
-// A router sees little: of thousands of servers and one popular key it may know nothing yet, above all after
-// its own start. A key that was not seen before counts as half a request (Krichevsky and Trofimov's
-// estimate). Over all routers, a key that nobody has seen then brings its server at most the budget times the
-// mean load, whatever the key's true rate: the rarer it is, the later it is first seen, and the more requests
-// the estimate rests on.
+// One router sees few requests: with thousands of servers and one popular key it may not know the key yet,
+// especially after its own start. An unseen key counts as half a request (Krichevsky and Trofimov's
+// estimate). Over all routers, a key that no router has seen then adds at most the budget times the mean load
+// to its server, whatever its true rate: the rarer the key, the later it is first seen, and the more requests
+// the estimate is based on.
 //
 //  - Units: `now` in milliseconds on the caller's clock, which only advances; counts of requests.
 //  - Size: fixed, that of the sketch.
@@ -28,23 +28,23 @@
 
 class KeyDemand {
  public:
-  /// A request for this key has come, with so many servers in service. Returns the share of such requests
-  /// that a server in slow start may be sent, from 0 to 1; its warmth comes on top. `fall_multiple`: it is
-  /// overloaded by more than this times its present capacity; below 1 counts as 1.
+  /// A request for this key was received while `server_count` servers are in service. Returns the share of
+  /// such requests, from 0 to 1, that a server in slow start may receive in addition to its slow-start share.
+  /// `overload_multiple`: more than this times its current capacity overloads a server; below 1 counts as 1.
   double on_request(double now, std::uint64_t key, std::size_t servers, double fall_multiple) {
     if (now >= halve_at_) halve(now);
     const double mean = ++requests_ / static_cast<double>(std::max<std::size_t>(servers, 1));
-    if (key == 0) return 1; // every request is a key of its own
+    if (key == 0) return 1; // no key: each request counts as a separate key
     return std::min(1.0, kKnownPart * std::max(1.0, fall_multiple) * mean / (sketch_.add(key) + kUnseen));
   }
 
  private:
-  // Of the budget, what keys that are known may use. The rest is for those seen first, further attempts and
-  // chance.
+  // Share of the budget for known keys. The remainder is for unseen keys, further attempts and random
+  // variation.
   static constexpr double kKnownPart = 0.5;
   static constexpr double kUnseen = 0.5;
-  // Long enough for a router with some tens of requests a second to tell the popular ones of thousands of
-  // keys, short beside the minutes in which popularity moves on.
+  // Long enough for a router with some tens of requests per second to identify the popular keys among
+  // thousands, and short compared to the minutes in which popularity changes.
   static constexpr double kHalvingMs = 60000;
 
   void halve(double now) {
--- a/src/placement/key_location_cache.h
+++ b/src/placement/key_location_cache.h
@@ -1,5 +1,5 @@
-// Which caches this node saw holding a key lately, and since when a write may have voided what was seen.
-// Decides; no I/O, no clock. Bounded: keys that share a slot displace each other.
+// Remembers which caches were recently observed to hold a key, and since when a write may have invalidated
+// this. No I/O, no clock. Bounded size: keys that share a slot displace each other.
 #pragma once
 
 #include <algorithm>
@@ -29,7 +29,8 @@
     return s.key == key &&
            std::find(s.holders.begin(), s.holders.begin() + s.count, id) != s.holders.begin() + s.count;
   }
-  // Seen by an attempt that was sent at `sent_at`: what a write has voided since is not taken as held.
+  // The server had the key for an attempt sent at `sent_at`. Ignored if a write has invalidated the key
+  // since.
   void add(std::uint64_t key, ServerId id, double sent_at) {
     Slot& s = at(key);
     if (s.key != key) s = {key, {}, 0, kNever};
@@ -43,9 +44,9 @@
     if (s.holders[0] == id) s.holders[0] = s.holders[1];
     --s.count;
   }
-  // A write of the key has been carried out, or may have been: the origin drops all copies.
+  // A write of the key was executed, or may have been: the origin invalidates all cached values.
   void invalidate(std::uint64_t key, double now) { at(key) = {key, {}, 0, now}; }
-  // Nothing that these servers held is believed any more, of any key: they have started anew.
+  // Forgets all keys of the restarted servers.
   template <typename Anew>
   void forget(Anew anew) {
     for (Slot& s : slots_) {
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -1,16 +1,16 @@
-// Where keys live while the fleet changes: the ring, which caches were seen holding a key, which caches
-// joined so lately that the owners before them are still worth reading, and how quickly the new ones may be
-// filled.
+// Placement of keys on caches while the fleet changes: the ring, the caches observed to hold a key, the
+// caches that joined so recently that the previous owners are still useful for reads, and the rate at which
+// new caches may be filled.
 //
-// No former ring is kept: consistent hashing moves a key only to a cache that has joined, so that a walk of
-// the present ring past those that joined lately ends at the key's former owner.
+// No previous ring is stored: consistent hashing moves a key only to a cache that has joined, so a walk of
+// the current ring that skips the recently joined caches finds the former owner of the key.
 //
 // `Members` is a map from id to Member. `Member` has `Server entry` and `RingWeight seat`. A member is
-// removed only after an arrange() in which it was Gone and changed.
+// removed only after an arrange() in which it was Gone and listed as changed.
 //
 //  - Units: milliseconds on the caller's clock, which only advances.
-//  - Size: by caches, and fixed tables of keys; nothing grows with traffic.
-//  - Off (`transition_ms` 0): the ring and the key locations alone.
+//  - Size: grows with the number of caches; tables of keys are fixed, nothing grows with traffic.
+//  - Disabled (`transition_ms` 0): only the ring and the key locations are used.
 #pragma once
 
 #include <algorithm>
@@ -40,18 +40,18 @@
     popularity_.set_chosen_share(set.second_replica_share);
   }
 
-  // ---- the list ----
+  // ---- Endpoint list ----
 
-  // Takes the members that a list has changed, as they are now; of a whole list, all of them. Costs as many
-  // as these are, but for the rare change of the mean weight. `on_ring(member)`: a cache that has a place, in
-  // service or draining.
+  // Applies the members that an endpoint list has changed; after a complete list, all members. The cost is
+  // proportional to the changed members, except for rare changes of the mean weight. `on_ring(member)`:
+  // whether the member is a cache with ring points, in service or draining.
   template <typename Members, typename OnRing>
   void arrange(double now, Members& members, const std::vector<ServerId>& changed, bool weighted,
                OnRing on_ring) {
     bool doubtful = false;
     for (const ServerId id : changed) doubtful |= weigh(members.at(id), on_ring);
     if (doubtful) weigh_all(members);
-    // A power of two near the mean weight: it seldom changes with the list.
+    // A power of two near the mean weight, so that it rarely changes with the list.
     const double unit = weight_sum_ > 0 ? std::exp2(std::round(std::log2(weight_sum_ / weighed_))) : 1;
     ring_.reserve(static_cast<std::size_t>(kPoints * weighed_));
     const auto place = [&](ServerId id, Member& m) {
@@ -66,15 +66,15 @@
     if (on()) note_changes(now, members, changed, on_ring);
   }
 
-  // ---- a choice ----
+  // ---- Choice ----
 
   struct Choice {
-    // The key's candidates on the present ring; behind them those that were its candidates before nodes came
-    // lately.
+    // The candidates of the key on the current ring, followed by those that were candidates before other
+    // caches joined recently.
     std::array<Member*, 2 * kCandidates> at{};
     std::size_t size = 0;
-    Member* former = nullptr; // moving: who owned the key before its first candidate came, and may be asked
-    bool moving = false;      // its first candidate came lately and was not seen to hold it
+    Member* former = nullptr; // if moving: usable owner of the key before its first candidate joined
+    bool moving = false;      // its first candidate joined recently and is not known to hold it
   };
   template <typename Usable>
   Choice candidates(double now, std::uint64_t key, Usable usable) {
@@ -99,9 +99,9 @@
     return c;
   }
 
-  // Is the candidate believed to hold the key? Its first one is, as that is where every router looks, unless
-  // it came lately while another is known to hold the key; the others are where this router saw it, or where
-  // it was before.
+  // Whether the candidate is likely to hold the key. The first candidate is, because every router asks it
+  // first, unless it joined recently and another one is known to hold the key. Others are if this router
+  // observed the key there, or if they owned it before.
   bool likely_holds(const Choice& c, std::size_t i, std::uint64_t key) const {
     if (key != 0 && (c.at[i] == c.former || memory_.holds(key, c.at[i]->entry.id))) return true;
     if (i > 0 || !c.moving || key == 0) return i == 0;
@@ -111,17 +111,17 @@
     return true;
   }
 
-  // Has it come so lately that only fills bring it what it is not known to hold?
+  // Whether the member joined so recently that keys it is not known to hold reach it only by fills.
   bool lately(double now, std::uint64_t key, const Member& m) const {
     return on() && came_lately(now, key, m);
   }
 
-  // Whom to ask so that it fetches the key and holds it from then on: the new owner of a moving key, else the
-  // second candidate of a popular one. Null: nobody, for now. Popular keys go first: the less is saved up,
-  // the higher the bar.
+  // The member to which the read is sent so that it fetches and stores the key: the new owner of a moving
+  // key, or else the second candidate of a popular one. Null: none now. Popular keys are filled first: the
+  // fewer fills are saved, the more popular a key must be.
   struct Filling {
     Member* whom = nullptr;
-    FillRateLimiter::Fill what{}; // what it is to be paid from, once it is sent
+    FillRateLimiter::Fill what{}; // token bucket to charge when the fill is sent
   };
   Filling choose_fill(double now, std::uint64_t key, const Choice& c) {
     if (!on() || key == 0 || c.size == 0) return {};
@@ -140,8 +140,9 @@
             FillRateLimiter::Fill::SecondReplica};
   }
 
-  // A read has missed and is about to be fetched: who else should hold the key, and would store it if asked
-  // first? It costs a miss and no fetch. `usable` leaves out those that were asked.
+  // After a cache miss, before the key is fetched: another member that should hold the key, and would store
+  // it if the read went there first. This costs a further miss but no additional fetch. `usable` must exclude
+  // members that were already tried.
   template <typename Usable>
   Member* choose_second_store(double now, std::uint64_t key, std::size_t missed, Usable usable) {
     if (!on() || key == 0 || missed >= kStored) return nullptr;
@@ -157,7 +158,7 @@
     return found;
   }
 
-  // ---- what is seen ----
+  // ---- Events ----
 
   void on_read(double now, std::uint64_t key) {
     if (!on()) return;
@@ -166,7 +167,7 @@
   }
   void on_hit(std::uint64_t key, ServerId id, double sent_at) { memory_.add(key, id, sent_at); }
   void on_miss(std::uint64_t key, ServerId id) { memory_.remove(key, id); }
-  void on_write(std::uint64_t key, double now) { // it has run, or may have
+  void on_write(std::uint64_t key, double now) { // the write was executed, or may have been
     if (on() && key != 0) memory_.invalidate(key, now);
   }
   FillRateLimiter& fill_rate_limiter() { return pace_; }
@@ -174,22 +175,23 @@
 
  private:
   static constexpr double kPoints = 64;        // ring points of a cache of typical weight
-  static constexpr std::size_t kSlots = 8192;  // keys whose holders are remembered
-  static constexpr std::size_t kFarthest = 64; // members walked past for a former owner
-  static constexpr std::size_t kStored = 2;    // of those that missed so many store what is fetched
+  static constexpr std::size_t kSlots = 8192;  // keys whose locations are remembered
+  static constexpr std::size_t kFarthest = 64; // members visited in search of a former owner
+  static constexpr std::size_t kStored =
+      2; // highest number of caches that missed and store the fetched value
   static constexpr std::size_t kMostLeft = 4096;
 
   bool on() const { return set_.transition_ms > 0; }
 
-  // Keys end their move one by one over the second half of the time: all at once they would fall on the
-  // ledger.
+  // Keys end their move at different times in the second half of the transition, as otherwise all of them
+  // would be fetched from the origin at once.
   bool came_lately(double now, std::uint64_t key, const Member& m) const {
     const double part = 0.5 + 0.5 * Random{key ^ 0x6d6f7665}.unit();
     return now < m.seat.joined_at + part * set_.transition_ms;
   }
 
-  // Counts the member's weight in the mean. True: it was the greater part of the sum, which is not exact
-  // without it.
+  // Updates the member's weight in the sum. True: its previous weight was more than the remaining sum, which
+  // may then be inexact and must be recomputed.
   template <typename OnRing>
   bool weigh(Member& m, OnRing on_ring) {
     const double had = std::exchange(m.seat.weight, on_ring(m) ? m.entry.weight : 0);
@@ -203,11 +205,11 @@
     for (const auto& [id, m] : members) weight_sum_ += m.seat.weight;
   }
 
-  // Who came, went or started anew since the last list: whose keys are forgotten, and whether the pace holds
-  // from now on.
+  // Finds members that joined, left or restarted since the last list. Forgets the keys of new and restarted
+  // members, and activates the fill rate limit.
   template <typename Members, typename OnRing>
   void note_changes(double now, Members& members, const std::vector<ServerId>& listed, OnRing on_ring) {
-    const bool first = !told_; // it tells nothing of who came when, but when nodes have started
+    const bool first = !told_; // the first list has start times but no join times
     bool changed = false;
     std::vector<ServerId> anew;
     for (const ServerId id : listed) {
@@ -236,7 +238,7 @@
     if (changed && !first) pace_.on_fleet_changed(now);
     told_ |= changed;
   }
-  // It left a while ago and is the same process: it has what it had.
+  // The member left recently and returns as the same process, so it still holds its keys.
   bool back(ServerId id, Member& m) {
     const auto was = left_.find(id);
     if (was == left_.end() || was->second.booted_at != m.entry.started_at) return false;
@@ -250,13 +252,13 @@
   };
   ResizeSettings set_;
   Ring<Member> ring_;
-  double weight_sum_ = 0, unit_ = 1; // of the members that have a place; what counts as a typical weight
-  int weighed_ = 0;                  // members
+  double weight_sum_ = 0, unit_ = 1; // of members on the ring; typical weight
+  int weighed_ = 0;                  // number of members on the ring
   KeyLocationCache memory_{kSlots};
   HotKeyTracker popularity_;
   FillRateLimiter pace_;
   std::map<ServerId, Left> left_;
-  bool told_ = false; // a list with a node in service has come
+  bool told_ = false; // a list with a member in service was received
 };
 
 } // namespace fernward::placement
--- a/src/placement/ring.h
+++ b/src/placement/ring.h
@@ -1,11 +1,11 @@
-// Where keys live: consistent hashing with virtual nodes, the same at every node, so that a change of the
-// list moves few keys. Decides; no I/O, no clock.
+// Ring for consistent hashing with virtual nodes. It is the same at every router, and a change of the
+// endpoint list moves few keys. No I/O, no clock.
 //
-// The points of the ring are dealt out to buckets by the first bits of their hash: a member that comes or
-// goes touches the buckets of its own points alone, however many members there are.
+// The points of the ring are divided into buckets by the first bits of their hash. Adding or removing a
+// member changes only the buckets of its own points, whatever the number of members.
 //
-// `Member` has a `Seat seat`; the ring points to members, which outlive their points: a member goes only
-// after it was given no place.
+// `Member` has a `RingWeight seat`. The ring holds pointers to members, which must outlive their points:
+// remove a member only after place() with 0 points.
 #pragma once
 
 #include <algorithm>
@@ -20,31 +20,32 @@
 
 namespace fernward::placement {
 
-struct RingWeight { // what is kept at a member
+// Per-member state of Ring and Placement.
+struct RingWeight {
   std::int64_t points = 0;
-  double weight = 0;    // as it counts in the mean; 0: it has no place
-  bool counted = false; // scratch
-  // See Placement.
-  bool known = false, serves = false;            // it has been in service; it is now
-  double joined_at = kNever, booted_at = kNever; // since when it can have been given keys; its start
+  double weight = 0;    // as counted in the mean; 0: not on the ring
+  bool counted = false; // temporary mark during walk()
+  // Used by Placement.
+  bool known = false, serves = false;            // was ever in service; is now
+  double joined_at = kNever, booted_at = kNever; // time from which it may hold keys; process start
 };
 
 template <typename Member>
 class Ring {
  public:
-  // Gives the member so many points; 0 for none.
+  // Sets the number of points of the member; 0 removes it.
   void place(ServerId id, Member& m, std::int64_t points) {
     const std::int64_t had = std::exchange(m.seat.points, points);
     for (std::int64_t i = points; i < had; ++i) remove(hash_of(id, i), id);
     for (std::int64_t i = had; i < points; ++i) insert({hash_of(id, i), id, &m});
   }
 
-  // Makes room for so many points in all, so that a whole list is not dealt out again and again.
+  // Prepares for this total number of points, so that a complete list does not split the buckets repeatedly.
   void reserve(std::size_t points) {
     while (points > kFill * buckets_.size()) split_buckets();
   }
 
-  // The first distinct members clockwise of the key that `usable` lets through; the others are walked past.
+  // Finds the first distinct members clockwise of the key for which `usable` is true. Returns their number.
   template <std::size_t N, typename Usable>
   std::size_t walk(std::uint64_t key, std::array<Member*, N>& found, Usable usable) {
     std::size_t n = 0;
@@ -54,7 +55,7 @@
     });
     return n;
   }
-  // Each distinct member clockwise of the key, until `visit(member)` says no.
+  // Visits each distinct member clockwise of the key until `visit(member)` returns false.
   template <typename Visit>
   void walk(std::uint64_t key, Visit visit) {
     if (size_ == 0) return;
@@ -85,7 +86,7 @@
   };
   using Bucket = std::vector<Point>; // in the order of before()
 
-  static constexpr std::size_t kFill = 8; // points of a bucket, on average, at which the buckets are doubled
+  static constexpr std::size_t kFill = 8; // mean points per bucket at which the buckets are doubled
 
   static std::uint64_t hash_of(ServerId id, std::int64_t number) {
     return mix(mix(id) + static_cast<std::uint64_t>(number));
@@ -107,7 +108,7 @@
     size_ -= std::erase_if(buckets_[bucket_of(hash)],
                            [hash, id](const Point& point) { return point.hash == hash && point.id == id; });
   }
-  // Each bucket becomes two by the next bit; they keep their order.
+  // Splits each bucket in two by the next bit of the hash; the order of the points is kept.
   void split_buckets() {
     std::vector<Bucket> halves(2 * buckets_.size());
     ++bits_;
@@ -119,7 +120,7 @@
   }
 
   std::vector<Bucket> buckets_{1};
-  int bits_ = 0;         // of a hash that name its bucket
+  int bits_ = 0;         // leading bits of a hash that select its bucket
   std::size_t size_ = 0; // points
   std::vector<Member*> seen_;
 };
--- a/tests/placement/fill_rate_limiter_test.cpp
+++ b/tests/placement/fill_rate_limiter_test.cpp
@@ -1,4 +1,4 @@
-// The pace of fetches while keys move, and the sketch of popular keys.
+// Fetch rate limit while keys move, and tracking of popular keys.
 #include "placement/fill_rate_limiter.h"
 
 #include <doctest/doctest.h>
@@ -30,7 +30,7 @@
   }
 }
 
-// The most fetches in any second, where every read wants one.
+// Highest number of fetches in any second if every read needs one.
 std::size_t worst_second(FillRateLimiter& pace, Load& load, double ms, double per_ms) {
   std::deque<double> window;
   std::size_t worst = 0;
@@ -47,8 +47,7 @@
 
 } // namespace
 
-TEST_CASE(
-    "while a move is open fetches stay below twice the steady rate in any second, however many are wanted") {
+TEST_CASE("during a transition fetches stay below twice the steady rate in any second whatever the demand") {
   for (const double per_ms : {0.1, 0.4, 2.0}) {
     FillRateLimiter pace({30000, 2, 0});
     Load load;
@@ -60,7 +59,7 @@
   }
 }
 
-TEST_CASE("four routers that see unequal parts of the traffic keep to the whole without a word") {
+TEST_CASE("four routers with unequal shares of the traffic respect the total limit without messages") {
   std::size_t all = 0;
   for (const double share : {0.4, 0.3, 0.2, 0.1}) {
     FillRateLimiter pace({30000, 2, 0});
@@ -69,10 +68,10 @@
     pace.on_fleet_changed(load.now);
     all += worst_second(pace, load, 20000, share);
   }
-  CHECK(all <= 2 * 100); // the worst seconds of all four, as though they were the same one
+  CHECK(all <= 2 * 100); // sum of the worst seconds of all four, as if they coincided
 }
 
-TEST_CASE("the pace follows the traffic, as a growing fleet goes with growing traffic") {
+TEST_CASE("the limit follows the traffic because a fleet grows with its traffic") {
   FillRateLimiter pace({30000, 2, 0});
   Load load;
   steady(pace, load, 40000, 0.4);
@@ -83,14 +82,14 @@
   CHECK(pace.max_fetches_per_ms(load.now) < 4 * before);
 }
 
-TEST_CASE("it holds on until what it kept back is through, and not for ever") {
+TEST_CASE("the limit stays active until delayed fetches are done and for a bounded time") {
   FillRateLimiter pace({10000, 2, 0});
   Load load;
   steady(pace, load, 40000, 0.4);
   const double at = load.now;
   pace.on_fleet_changed(at);
   worst_second(pace, load, 20000, 0.4);
-  CHECK(pace.is_active(load.now)); // twice its time: every read still wants a fetch
+  CHECK(pace.is_active(load.now)); // after twice the transition time: every read still needs a fetch
   worst_second(pace, load, 30000, 0.4);
   CHECK_FALSE(pace.is_active(load.now));
   CHECK(load.now - at >= 40000);
@@ -102,7 +101,7 @@
   CHECK_FALSE(calm.is_active(quiet.now));
 }
 
-TEST_CASE("a router that has seen too little sets no bound, and without one set there is none") {
+TEST_CASE("there is no limit without observations or without a configured multiple") {
   FillRateLimiter fresh({30000, 2, 0});
   fresh.on_fleet_changed(1e6);
   CHECK(fresh.may_fetch(1e6));
@@ -114,12 +113,12 @@
   CHECK(unbound.max_fetches_per_ms(load.now) == 0);
 }
 
-TEST_CASE("the most popular keys of a skewed load are told from the rest, in a table that does not grow") {
+TEST_CASE("the most popular keys of a skewed load are found in a table of fixed size") {
   HotKeyTracker p;
   p.set_chosen_share(0.3);
   Random random{3};
   constexpr int kKeys = 20000;
-  const auto draw = [&] { // about one over the rank
+  const auto draw = [&] { // probability about 1 / rank
     return static_cast<std::uint64_t>(std::exp(random.unit() * std::log(static_cast<double>(kKeys))));
   };
   for (int i = 0; i < 200000; ++i) p.on_read(draw());
@@ -138,11 +137,11 @@
   CHECK(above[HotKeyTracker::MostPart] / double{kDrawn} > 0.65);
   CHECK(p.is_in_top_share(HotKeyTracker::Fifth, 1));
   CHECK_FALSE(p.is_in_top_share(HotKeyTracker::Half, 15000));
-  SUBCASE("what was popular is forgotten once others are") {
+  SUBCASE("formerly popular keys are forgotten once others are popular") {
     for (int i = 0; i < 300000; ++i) p.on_read(kKeys + draw());
     CHECK_FALSE(p.is_in_top_share(HotKeyTracker::Half, 1));
   }
-  SUBCASE("no share chosen, no key chosen") {
+  SUBCASE("with a configured share of 0 no key qualifies") {
     p.set_chosen_share(0);
     p.on_read(1);
     CHECK_FALSE(p.is_in_top_share(HotKeyTracker::Chosen, 1));
--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -1,4 +1,4 @@
-// Where keys live while the list changes: cases, and properties over random sequences of lists.
+// Placement of keys while the endpoint list changes: cases, and properties over random sequences of lists.
 #include "placement/placement.h"
 
 #include <doctest/doctest.h>
@@ -30,7 +30,7 @@
   Placement places;
   double now = 1e6;
 
-  void list(const std::vector<Server>& servers) { // whole
+  void list(const std::vector<Server>& servers) { // applies a complete list
     for (auto& [id, n] : nodes) n.entry.state = ServerState::Gone;
     for (const Server& s : servers) nodes[s.id].entry = s;
     std::vector<ServerId> all;
@@ -44,7 +44,7 @@
       return n.entry.state != ServerState::Gone;
     });
   }
-  int looked_at = 0; // members that were looked at
+  int looked_at = 0; // number of members examined
   Placement::Choice ask(std::uint64_t key) {
     return places.candidates(now, key, [](const Node& n) { return n.entry.state == ServerState::Ready; });
   }
@@ -62,8 +62,9 @@
 
 } // namespace
 
-// guards: each change walked all members, and a process with a small share of a core was held up by it
-TEST_CASE("a change of one node looks at as many nodes in a fleet of 3,200 as in one of 200") {
+// Guards against a change of one member that examines all members, which stalled a process with a small share
+// of a core.
+TEST_CASE("a change of one node examines as many nodes in a fleet of 3200 as in one of 200") {
   const auto work_of_a_change = [](std::uint32_t fleet) {
     Router r;
     r.list(servers(1, fleet));
@@ -80,7 +81,7 @@
   CHECK(work_of_a_change(3200) == work_of_a_change(200));
 }
 
-// What is kept up change by change is what a whole list gives, weights and all.
+// Guards against incremental updates that diverge from the placement, weights included, of a complete list.
 TEST_CASE("any sequence of changes leads to the same placement as a list of its result") {
   rc::check([] {
     Router changed, listed;
@@ -102,7 +103,7 @@
   });
 }
 
-TEST_CASE("a node more moves no more keys than its share, and the load stays even") {
+TEST_CASE("an added node moves at most its share of the keys and the load stays even") {
   constexpr int kKeys = 60000;
   for (const std::uint32_t n : {8u, 20u, 200u}) {
     Router r;
@@ -125,15 +126,14 @@
   }
 }
 
-TEST_CASE("a thousand nodes that come whole stand where they stand when they come one by one") {
+TEST_CASE("a thousand nodes in one list get the same placement as in several lists") {
   Router whole, slow;
   whole.list(servers(1, 1000));
   for (std::uint32_t n = 100; n <= 1000; n += 100) slow.list(servers(1, n));
   for (std::uint64_t key = 1; key < 3000; ++key) CHECK(whole.owner(key) == slow.owner(key));
 }
 
-TEST_CASE(
-    "a key's former owner is believed to hold it, and the newcomer is not, until it shows that it does") {
+TEST_CASE("the former owner of a key is expected to hold it and the new owner is not until it had a hit") {
   Router r;
   r.list(servers(1, 8));
   std::map<std::uint64_t, ServerId> before;
@@ -162,7 +162,7 @@
   for (const auto& [key, owner] : before) CHECK_FALSE(r.ask(key).moving);
 }
 
-TEST_CASE("moves end one by one, not all at once") {
+TEST_CASE("keys end their move one by one") {
   Router r;
   r.list(servers(1, 8));
   r.now += 60000;
@@ -181,7 +181,7 @@
   }
 }
 
-TEST_CASE("second and third changes before the first has settled: who held a key before them all is asked") {
+TEST_CASE("with several changes in one transition the former owner is the one before all of them") {
   Router r;
   r.list(servers(1, 6));
   std::map<std::uint64_t, ServerId> before;
@@ -198,7 +198,7 @@
   }
 }
 
-TEST_CASE("a node that comes back as it was has its keys, one that was started anew has none") {
+TEST_CASE("a node that returns unchanged still has its keys and a restarted one has none") {
   Router r;
   std::vector<Server> all = servers(1, 8);
   for (Server& s : all) s.started_at = 1000;
@@ -219,8 +219,8 @@
     r.now += 1000;
   }
   for (const std::uint64_t key : keys) CHECK_FALSE(r.ask(key).moving);
-  SUBCASE("under the same id, seen to restart") { all.back().started_at = r.now; }
-  SUBCASE("away and back with another start") {
+  SUBCASE("restarted under the same id") { all.back().started_at = r.now; }
+  SUBCASE("left and returned with another start time") {
     all.pop_back();
     r.list(all);
     all.push_back({.id = 8, .started_at = r.now});
@@ -229,7 +229,7 @@
   for (const std::uint64_t key : keys) CHECK(r.ask(key).moving);
 }
 
-TEST_CASE("the popular key on a node that was just started is asked of the next that may hold it") {
+TEST_CASE("a key on a restarted node is read from the next node that may hold it") {
   Router r;
   std::vector<Server> all = servers(1, 8);
   r.list(all);
@@ -244,7 +244,7 @@
   CHECK_FALSE(r.places.likely_holds(c, 0, 77));
 }
 
-TEST_CASE("a router that starts in the middle of a move reads the starts from its first list") {
+TEST_CASE("a router that starts during a transition uses the start times of its first list") {
   Router old, fresh;
   old.list(servers(1, 8));
   old.now = fresh.now = old.now + 60000;
@@ -259,7 +259,7 @@
     CHECK((a.former == nullptr ? 0 : a.former->entry.id) == (b.former == nullptr ? 0 : b.former->entry.id));
   }
   CHECK(fresh.places.fill_rate_limiter().is_active(fresh.now));
-  Router calm; // and takes a fleet that has long been up for settled
+  Router calm; // and treats a fleet that started long ago as settled
   std::vector<Server> settled = servers(1, 8);
   for (Server& s : settled) s.started_at = calm.now - 10 * kSettle;
   calm.list(settled);
@@ -267,7 +267,7 @@
   for (std::uint64_t key = 1; key < 100; ++key) CHECK_FALSE(calm.ask(key).moving);
 }
 
-TEST_CASE("what was seen before a write is not taken as held, wherever it was seen") {
+TEST_CASE("a key observed before a write does not count as held on any node") {
   Router r;
   r.list(servers(1, 8));
   r.now += 60000;
@@ -275,7 +275,7 @@
   std::uint64_t key = 1;
   while (!r.ask(key).moving) ++key;
   const ServerId now = r.ask(key).at[0]->entry.id, was = r.ask(key).former->entry.id;
-  const double sent = r.now; // a fetch goes out, the write overtakes it, the fetch ends
+  const double sent = r.now; // a fetch is sent, the write overtakes it, the fetch ends
   r.now += 20;
   r.places.on_hit(key, was, r.now);
   r.places.on_write(key, r.now);
@@ -286,7 +286,7 @@
   CHECK_FALSE(r.ask(key).moving);
 }
 
-TEST_CASE("fills: popular keys first, at the new owner, each paid from what is saved up") {
+TEST_CASE("fills go to the new owner with popular keys first and each uses a saved fill") {
   Router r;
   r.list(servers(1, 8));
   for (int i = 0; i < 4000; ++i) { // 10 s of traffic, one read in five of key 7; one in ten is fetched
@@ -304,13 +304,12 @@
   CHECK(owner->entry.id == r.owner(7));
   CHECK(what == FillRateLimiter::Fill::NewOwner);
   r.places.fill_rate_limiter().on_filled(what);
-  CHECK(r.places.choose_fill(r.now, 7, r.ask(7)).whom == nullptr); // nothing saved up
+  CHECK(r.places.choose_fill(r.now, 7, r.ask(7)).whom == nullptr); // no saved fill
   r.places.fill_rate_limiter().refund(what);
   CHECK(r.places.choose_fill(r.now, 7, r.ask(7)).whom != nullptr);
 }
 
-TEST_CASE(
-    "a read about to be fetched asks who should hold the key: the new owner, or a popular key's second") {
+TEST_CASE("before a fetch the read goes to the new owner or to the second replica of a popular key") {
   const auto any = [](const Node&) { return true; };
   Router r;
   r.list(servers(1, 8));
@@ -318,14 +317,14 @@
   CHECK(r.places.choose_second_store(r.now, 5000000, 1, any) == nullptr);
   const auto c = r.ask(7);
   CHECK(r.places.choose_second_store(r.now, 7, 1, [&](const Node& n) { return &n != c.at[0]; }) == c.at[1]);
-  CHECK(r.places.choose_second_store(r.now, 7, 2, any) == nullptr); // no more than two store it
+  CHECK(r.places.choose_second_store(r.now, 7, 2, any) == nullptr); // at most two store it
   r.list(servers(1, 16));
   std::uint64_t key = 6000000;
   while (!r.ask(key).moving) ++key;
   CHECK(r.places.choose_second_store(r.now, key, 1, any) == r.ask(key).at[0]);
 }
 
-TEST_CASE("off: three candidates of the ring, no more") {
+TEST_CASE("disabled: only the three candidates of the ring") {
   Router r{ResizeSettings{}};
   r.list(servers(1, 8));
   r.now += 60000;
@@ -341,8 +340,8 @@
   CHECK(r.places.fill_rate_limiter().may_fetch(r.now));
 }
 
-TEST_CASE("properties over random sequences of lists") {
-  CHECK(rc::check("every key has a place, nobody out of service is named, each move ends, routers agree", [] {
+TEST_CASE("properties of placement over random sequences of lists") {
+  CHECK(rc::check("every key has a candidate, all are in service, each move ends, routers agree", [] {
     Router r;
     std::map<ServerId, Server> fleet;
     ServerId last = 0;
@@ -365,7 +364,7 @@
       bool serves = false;
       for (const auto& [id, s] : fleet) list.push_back(s), serves |= s.state == ServerState::Ready;
       r.list(list);
-      Router other; // learns all of it at once
+      Router other; // receives only the final list
       other.now = r.now;
       other.list(list);
       for (std::uint64_t key = 1; key <= 40; ++key) {
