--- a/src/spill/file.cpp
+++ b/src/spill/file.cpp
@@ -21,7 +21,7 @@
     if (fd >= 0) unlink(name.c_str());
   }
   if (fd < 0) {
-    tell(false, "no file can be made");
+    tell(false, "cannot create a file");
     return nullptr;
   }
   return std::unique_ptr<File>(new File(*this, fd));
@@ -32,7 +32,7 @@
   fails_ = !works;
   if (works) {
     log::line("body-folder-works", {{"path", path_}});
-  } else { // bodies that need it are passed on and not kept
+  } else { // bodies that need the folder are forwarded without being retained
     log::line("body-folder-fails", {{"path", path_}, {"what", what}, {"why", std::strerror(errno)}});
   }
 }
@@ -44,8 +44,8 @@
   while (out < bytes.size()) {
     const auto n = pwrite(fd_, bytes.data() + out, bytes.size() - out, static_cast<off_t>(size_ + out));
     if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) { // of a short write the rest is tried again, and told here
-      folder_.tell(false, "a file can't be written");
+    if (n <= 0) { // after a short write the remaining bytes are written again, which reports the error here
+      folder_.tell(false, "cannot write a file");
       return false;
     }
     out += static_cast<std::size_t>(n);
@@ -61,7 +61,7 @@
   for (;;) {
     const auto n = pread(fd_, into, most, static_cast<off_t>(at));
     if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) folder_.tell(false, "a file can't be read");
+    if (n <= 0) folder_.tell(false, "cannot read a file");
     return n > 0 ? static_cast<std::size_t>(n) : 0;
   }
 }
--- a/src/spill/file.h
+++ b/src/spill/file.h
@@ -1,9 +1,9 @@
-// Files that bodies are kept in: without a name from the start, so that nothing is left of them, whatever
-// becomes of the process or of the folder. Reads and writes are the system's, in the calling thread: the
+// Files that hold request bodies. They have no name in the file system, so that no file remains whatever
+// happens to the process or to the folder. Reads and writes are system calls in the calling thread, so the
 // folder should be on local storage.
 //
-// A fault of the disk (full, read-only, gone, a limit on files) is told by the return value, and by one line
-// in the log when the folder begins to fail and one when it works again.
+// A disk fault (full, read-only, missing, a limit on files) is reported by the return value, and by one log
+// line when the folder begins to fail and one when it works again.
 #pragma once
 
 #include <cstddef>
@@ -22,9 +22,9 @@
   File(const File&) = delete;
   File& operator=(const File&) = delete;
 
-  // All of it behind what is there, or false; then the file ends where it did.
+  // Appends all of `bytes`. False: an error occurred, and the size of the file is unchanged.
   bool append(std::string_view bytes);
-  // Up to `most` bytes from a place; 0: there are none, or they can't be read.
+  // Reads up to `max_bytes` from `offset`. 0: the file ends there, or cannot be read.
   std::size_t read(std::uint64_t at, char* into, std::size_t most) const;
   std::uint64_t size() const { return size_; }
 
@@ -36,13 +36,14 @@
   std::uint64_t size_ = 0;
 };
 
-class Folder { // outlives its files
+// Folder in which the files are created. Outlives its files.
+class Folder {
  public:
   explicit Folder(std::string path) : path_(std::move(path)) {}
   Folder(const Folder&) = delete;
   Folder& operator=(const Folder&) = delete;
 
-  std::unique_ptr<File> create(); // null: it can't be done
+  std::unique_ptr<File> create(); // null: no file could be created
   bool fails() const { return fails_; }
 
  private:
