--- a/src/concurrency/admission_controller.h
+++ b/src/concurrency/admission_controller.h
@@ -52,10 +52,10 @@
     return shed_share > kMinShedShare ? kShedDecay * shed_share : 0;
   }
 
-  static constexpr double kOverloadedShare =
-      0.2; // share of choices without capacity above which the fleet is overloaded
-  static constexpr double kAssumedChoices =
-      5; // added as choices that found capacity, as few choices are weak evidence
+  // Share of choices without capacity above which the fleet is overloaded.
+  static constexpr double kOverloadedShare = 0.2;
+  // Added to the choices as having found capacity, because few choices are weak evidence.
+  static constexpr double kAssumedChoices = 5;
   static constexpr double kChoicesDecay = 0.8; // per tick
   static constexpr double kFewChoicesDecay = 0.97;
   static constexpr double kRateDecay = 0.98;
--- a/src/concurrency/cache_concurrency_limiter.h
+++ b/src/concurrency/cache_concurrency_limiter.h
@@ -2,7 +2,8 @@
 //
 // The limit follows latency with additive increase and multiplicative decrease, because caches do not
 // announce their capacity and all routers share it. A limit below one is a rate: one attempt per 1/limit
-// response times. Units: milliseconds on the caller's clock; attempts. Does not allocate.
+// response times.
+// Units: milliseconds on the caller's clock; attempts. Does not allocate.
 #pragma once
 
 #include <algorithm>
@@ -75,8 +76,8 @@
   double idle_limit_; // an unused limit does not decay below it
   double increase_;
   double min_limit_;
-  double share_of_objective_ =
-      0; // mean of latency / objective; relative, so that slow writes do not count as congestion
+  // Mean of latency / objective. Relative, so that slow writes do not count as congestion.
+  double share_of_objective_ = 0;
   double latency_ms_ = 0; // mean; 0: no response yet
   double decreased_at_ = kNever;
   double last_sent_at_ = kNever;
--- a/src/concurrency/origin_concurrency_limiter.cpp
+++ b/src/concurrency/origin_concurrency_limiter.cpp
@@ -49,8 +49,8 @@
 // Decrease.
 constexpr double kRefusedFactor = 0.7; // of the attempts in use
 constexpr double kLateFactor = 0.8;    // of the attempts in use
-constexpr double kDecreaseOfKnee =
-    0.8; // below the knee, so that the test can detect a baseline that is too high
+// Below the knee, so that the test can detect a baseline that is too high.
+constexpr double kDecreaseOfKnee = 0.8;
 constexpr double kMinKneeSlowdown = 1.2;
 constexpr double kLateShare = 0.55; // of the objective; above it the limit decreases at any baseline
 constexpr double kMaxLateShare = 0.75;
@@ -89,8 +89,8 @@
 constexpr double kMinTestIntervalMs = 1000;
 constexpr double kMaxTestIntervalMs = 20000;
 constexpr double kAtLimitAfterTest = 0.2;
-constexpr double kSmallFleet =
-    9; // routers; in a smaller fleet the result of one router's test is applied fully
+// Number of routers below which the result of one router's test is applied fully.
+constexpr double kSmallFleet = 9;
 
 // Latency exchanged between routers.
 constexpr double kRecentHalfLifeMs = 500;
--- a/src/concurrency/origin_concurrency_limiter.h
+++ b/src/concurrency/origin_concurrency_limiter.h
@@ -4,8 +4,9 @@
 // (LatencyBaseline). While the slowdown is below a bound, the limit grows. Slowdown above the tolerated value
 // adds to a congestion score until the limit is decreased. After such a decrease the baseline is tested: if
 // the latency does not fall, the origin is slow rather than congested. A limit below one is a rate. It yields
-// too few responses to adapt to, and follows the latency of the fleet instead. Units: milliseconds on the
-// caller's clock, which only advances; attempts; shares from 0 to 1. Does not allocate.
+// too few responses to adapt to, and follows the latency of the fleet instead.
+// Units: milliseconds on the caller's clock, which only advances; attempts; shares from 0 to 1. Does not
+// allocate.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +22,7 @@
   Rejected,      // not processed: the server had no connection or queue slot
   ConnectFailed, // the connection was not established
   TimedOut,      // abandoned without a byte from the server: it is late, or the connection is dead
-  Cancelled // abandoned early (another attempt was faster, the client left); a lower bound of its latency
+  Cancelled      // abandoned early (another attempt was faster, the client left): time is a lower bound
 };
 
 // Numbers that are negative or not finite count as unknown.
--- a/src/concurrency/slow_attempt_tracker.h
+++ b/src/concurrency/slow_attempt_tracker.h
@@ -1,5 +1,6 @@
 // Tracks the latency above which an attempt is slow, and the share of slow attempts that are never answered.
-// No I/O, no clock. Units: milliseconds; shares from 0 to 1.
+// No I/O, no clock.
+// Units: milliseconds; shares from 0 to 1.
 #pragma once
 
 #include <cmath>
--- a/src/descriptors/client_admission.h
+++ b/src/descriptors/client_admission.h
@@ -4,8 +4,8 @@
 // An idle connection that is not used again only wastes a descriptor, while one used again after 50 ms should
 // be kept. So this class estimates which share of idle clients return and after which idle time, separately
 // for clients with one request and with several. Eviction is LRU-2 (O'Neil, O'Neil and Weikum, SIGMOD 1993):
-// clients that sent two requests within a short time are evicted last. Units: milliseconds; `now` only
-// advances. Each operation takes O(log n).
+// clients that sent two requests within a short time are evicted last.
+// Units: milliseconds; `now` only advances. Each operation takes O(log n).
 #pragma once
 
 #include <array>
@@ -64,8 +64,9 @@
   // Use ClosedBy::Client also if the router closes on the client's request.
   void on_closed(double now, Id id, ClosedBy by);
 
-  // Whether the connection should be closed with the response that is about to be written. True only when
-  // capacity is scarce. Must be called once for each response.
+  // Whether the connection should be closed with the response that is about to be written. True only if more
+  // than a quarter of max_clients are active and the client is not expected to return in time. Must be called
+  // once for each response.
   bool should_close_after_response(double now, Id id);
 
   // The connection to close when a descriptor is needed at once, in this order: Lingering, NoRequest beyond
@@ -75,8 +76,8 @@
   template <typename May>
   std::optional<Id> select_for_eviction(double now, May may) const;
 
-  // A connection idle for min_idle_ms that may be closed: one of a client with one request if few of these
-  // return, or any under pressure. The caller may leave it open.
+  // A connection idle for min_idle_ms that may be closed: any under pressure; otherwise one of a client with
+  // one request, if many of these are idle and few return. The caller may leave it open.
   std::optional<Id> expired_idle(double now) const;
   // Few places are free: expired_idle() should be called periodically.
   bool under_pressure() const { return free_places() < max_clients() / 8; }
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -177,8 +177,7 @@
   static constexpr double kPoints = 64;        // ring points of a cache of typical weight
   static constexpr std::size_t kSlots = 8192;  // keys whose locations are remembered
   static constexpr std::size_t kFarthest = 64; // members visited in search of a former owner
-  static constexpr std::size_t kStored =
-      2; // highest number of caches that missed and store the fetched value
+  static constexpr std::size_t kStored = 2;    // highest number of caches that store a fetched value
   static constexpr std::size_t kMostLeft = 4096;
 
   bool on() const { return set_.transition_ms > 0; }
--- a/tests/concurrency/origin_concurrency_limiter_test.cpp
+++ b/tests/concurrency/origin_concurrency_limiter_test.cpp
@@ -102,8 +102,8 @@
   CHECK(l.limit() == cut); // measured before the decrease took effect
   l.set_fleet_latency(2250, 700, 500);
   CHECK(l.limit() < cut);
-  OriginConcurrencyLimiter whole =
-      OriginConcurrencyLimiter::for_router_count(4); // a limit above one follows its own responses
+  // A limit above one follows its own responses.
+  OriginConcurrencyLimiter whole = OriginConcurrencyLimiter::for_router_count(4);
   whole.on_attempt_sent(0);
   whole.on_attempt_ended(200, answered(200, 750, 0));
   const double held = whole.limit(), recent = whole.latency_ms();
