--- a/src/placement/fill_rate_limiter.cpp
+++ b/src/placement/fill_rate_limiter.cpp
@@ -13,7 +13,7 @@
 constexpr double kRecentMs = 1000;  // averaging window of the current fetches
 constexpr double kCalmingMs = 4000; // averaging window of the fetches that show whether a transition is over
 constexpr double kCalm = 1.15;      // fetches / base rate up to which a transition is over
-// Transition times after which a fleet that keeps changing is treated as steady.
+// Number of transition times after which a fleet that keeps changing is treated as steady.
 constexpr double kUnrest = 8;
 // With less steady observation time than this, the steady rate is unknown. It is then assumed to be a share
 // of the reads, typical of useful caches, or a part of the rate observed during the transition.
--- a/tests/descriptors/descriptors_test.cpp
+++ b/tests/descriptors/descriptors_test.cpp
@@ -30,8 +30,8 @@
 TEST_CASE("a side holds up to three quarters while the other is unused and returns them") {
   DescriptorBudget account(40);
   auto clients = take(account, Side::Downstream, 30);
-  CHECK(account.required_eviction(0, Side::Downstream) ==
-        Needs::OwnSide); // the remaining quarter is reserved for upstream
+  // The remaining quarter is reserved for upstream.
+  CHECK(account.required_eviction(0, Side::Downstream) == Needs::OwnSide);
   auto targets = take(account, Side::Upstream, 10);
   CHECK(account.required_eviction(0, Side::Upstream) == Needs::OtherSide);
   CHECK_FALSE(account.acquire(0, Side::Upstream));
@@ -45,8 +45,8 @@
   CHECK(account.required_eviction(0, Side::Downstream) == Needs::OwnSide);
 }
 
-TEST_CASE(
-    "a refused descriptor lowers the usable total which then recovers") { // guards against spinning on EMFILE
+// Guards against spinning on EMFILE.
+TEST_CASE("a refused descriptor lowers the usable total which then recovers") {
   DescriptorBudget account(200);
   auto clients = take(account, Side::Downstream, 50);
   CHECK(account.on_refused(1000));
@@ -79,53 +79,52 @@
 }
 
 TEST_CASE("properties of the descriptor budget over random events") {
-  CHECK(rc::check(
-      "reserves and sums are respected, borrowed descriptors are reclaimed, each lease is returned once", [] {
-        const auto total = *rc::gen::inRange<std::size_t>(0, 300);
-        const auto events = *rc::gen::container<std::vector<std::pair<int, int>>>(
-            rc::gen::pair(rc::gen::inRange(0, 40), rc::gen::inRange(0, 1000)));
-        DescriptorBudget account(total);
-        std::array<std::deque<DescriptorBudget::Lease>, 2> held;
-        double now = 0;
-        for (const auto& [what, number] : events) {
-          now += number % 7 * 100;
-          const auto side = static_cast<Side>(number % 2);
-          auto& mine = held[static_cast<std::size_t>(side)];
-          auto& others = held[1 - static_cast<std::size_t>(side)];
-          if (what == 0) {
-            account.on_refused(now);
-          } else if (what < 12 && !mine.empty()) {
-            DescriptorBudget::Lease moved = std::move(mine.front()); // a moved lease is returned only once
-            mine.pop_front();
-          } else {
-            for (int i = 0; i < number % 40; ++i) {
-              const std::size_t usable = account.usable(now), before = mine.size();
-              const Needs needs = account.required_eviction(now, side);
-              DescriptorBudget::Lease place = account.acquire(now, side);
-              RC_ASSERT(static_cast<bool>(place) == (needs == Needs::None));
-              if (place) {
-                RC_ASSERT(mine.size() + 1 + std::max(others.size(), DescriptorBudget::reserved_of(usable)) <=
-                          usable);
-                mine.push_back(std::move(place));
-              } else if (usable == total) {
-                RC_ASSERT(before >= DescriptorBudget::reserved_of(usable));
-              }
-              if (needs == Needs::OtherSide) {
-                RC_ASSERT(others.size() > DescriptorBudget::fair_share_of(usable, side == Side::Downstream
-                                                                                      ? Side::Upstream
-                                                                                      : Side::Downstream));
-                others.pop_back(); // the other side releases one, which the owner can acquire
-                if (usable == total) RC_ASSERT(account.required_eviction(now, side) == Needs::None);
-              }
-            }
+  CHECK(rc::check("reserves and sums hold, lent descriptors are reclaimed, each lease returns once", [] {
+    const auto total = *rc::gen::inRange<std::size_t>(0, 300);
+    const auto events = *rc::gen::container<std::vector<std::pair<int, int>>>(
+        rc::gen::pair(rc::gen::inRange(0, 40), rc::gen::inRange(0, 1000)));
+    DescriptorBudget account(total);
+    std::array<std::deque<DescriptorBudget::Lease>, 2> held;
+    double now = 0;
+    for (const auto& [what, number] : events) {
+      now += number % 7 * 100;
+      const auto side = static_cast<Side>(number % 2);
+      auto& mine = held[static_cast<std::size_t>(side)];
+      auto& others = held[1 - static_cast<std::size_t>(side)];
+      if (what == 0) {
+        account.on_refused(now);
+      } else if (what < 12 && !mine.empty()) {
+        DescriptorBudget::Lease moved = std::move(mine.front()); // a moved lease is returned only once
+        mine.pop_front();
+      } else {
+        for (int i = 0; i < number % 40; ++i) {
+          const std::size_t usable = account.usable(now), before = mine.size();
+          const Needs needs = account.required_eviction(now, side);
+          DescriptorBudget::Lease place = account.acquire(now, side);
+          RC_ASSERT(static_cast<bool>(place) == (needs == Needs::None));
+          if (place) {
+            RC_ASSERT(mine.size() + 1 + std::max(others.size(), DescriptorBudget::reserved_of(usable)) <=
+                      usable);
+            mine.push_back(std::move(place));
+          } else if (usable == total) {
+            RC_ASSERT(before >= DescriptorBudget::reserved_of(usable));
+          }
+          if (needs == Needs::OtherSide) {
+            RC_ASSERT(others.size() > DescriptorBudget::fair_share_of(usable, side == Side::Downstream
+                                                                                  ? Side::Upstream
+                                                                                  : Side::Downstream));
+            others.pop_back(); // the other side releases one, which the owner can acquire
+            if (usable == total) RC_ASSERT(account.required_eviction(now, side) == Needs::None);
           }
-          RC_ASSERT(account.used(Side::Downstream) == held[0].size());
-          RC_ASSERT(account.used(Side::Upstream) == held[1].size());
-          RC_ASSERT(held[0].size() + held[1].size() <= total);
         }
-        held = {};
-        RC_ASSERT(account.used(Side::Downstream) + account.used(Side::Upstream) == 0u);
-      }));
+      }
+      RC_ASSERT(account.used(Side::Downstream) == held[0].size());
+      RC_ASSERT(account.used(Side::Upstream) == held[1].size());
+      RC_ASSERT(held[0].size() + held[1].size() <= total);
+    }
+    held = {};
+    RC_ASSERT(account.used(Side::Downstream) + account.used(Side::Upstream) == 0u);
+  }));
 }
 
 // ---- clients ----
@@ -176,12 +175,13 @@
   first_ask(clients, 20, 6200);
   for (ClientAdmission::Id id = 21; id < 25; ++id) clients.on_accepted(6200, id);
   clients.on_closed(6200, 7, ClientAdmission::ClosedBy::Client);
-  CHECK_FALSE(clients.select_for_eviction(
-      6250, any)); // new connections that may still send a request do not displace idle ones
+  // New connections that may still send a request do not displace idle ones.
+  CHECK_FALSE(clients.select_for_eviction(6250, any));
   CHECK(clients.select_for_eviction(6300, any) == 21u);
 }
 
-TEST_CASE("with few active clients no connection is closed") { // guards against needless closing
+// Guards against connections that are closed without need.
+TEST_CASE("with few active clients no connection is closed") {
   ClientAdmission clients({.max_clients = 85});
   double now = 0;
   for (int round = 0; round < 100; ++round, now += 50) {
@@ -201,7 +201,7 @@
 };
 
 struct Result {
-  int asked = 0, turned_away = 0, opened = 0, told = 0, cut = 0; // closed by expired_idle()
+  int asked = 0, turned_away = 0, opened = 0, told = 0, cut = 0; // cut: by expired_idle()
 };
 
 // Simulates client groups against a table of at most `places` connections; requests that would need a further
@@ -349,66 +349,62 @@
 }
 
 TEST_CASE("properties of client admission over random events") {
-  CHECK(rc::check(
-      "counts are consistent, only evictable connections are selected, unknown ids change nothing", [] {
-        const auto places = *rc::gen::inRange<std::size_t>(0, 40);
-        const auto events = *rc::gen::container<std::vector<std::pair<int, ClientAdmission::Id>>>(
-            rc::gen::pair(rc::gen::inRange(0, 9), rc::gen::inRange<ClientAdmission::Id>(1, 40)));
-        ClientAdmission clients({.max_clients = places});
-        struct State {
-          bool asked = false, spare = false, lingers = false;
-        };
-        std::map<ClientAdmission::Id, State> known;
-        double now = 0;
-        for (const auto& [what, id] : events) {
-          now += static_cast<double>(id) * 40;
-          const auto it = known.find(id);
-          const bool here = it != known.end() && !it->second.lingers;
-          switch (what) {
-            case 0:
-              clients.on_accepted(now, id);
-              if (it == known.end()) known[id] = {false, true, false};
-              break;
-            case 1:
-              clients.on_request_active(now, id);
-              if (it != known.end()) it->second.spare = false;
-              break;
-            case 2:
-            case 3:
-              clients.on_request_complete(now, id);
-              if (here) it->second = {true, false, false};
-              break;
-            case 4:
-              if (here && clients.should_close_after_response(now, id))
-                RC_ASSERT(clients.active() > places / 4);
-              break;
-            case 5:
-            case 6:
-              clients.on_idle(now, id);
-              if (here) it->second.spare = true;
-              break;
-            case 7:
-              clients.on_lingering(now, id);
-              if (it != known.end()) it->second.lingers = it->second.spare = true;
-              break;
-            default:
-              clients.on_closed(
-                  now, id,
-                  what % 2 == 0 ? ClientAdmission::ClosedBy::Client : ClientAdmission::ClosedBy::Router);
-              known.erase(id);
-          }
-          RC_ASSERT(clients.size() == known.size());
-          std::size_t asking = 0;
-          for (const auto& [k, s] : known) asking += s.asked && !s.lingers;
-          RC_ASSERT(clients.active() == asking);
-          RC_ASSERT(clients.return_share() >= 0 && clients.return_share() <= 1);
-          if (const auto id_spare = clients.select_for_eviction(now, any))
-            RC_ASSERT(known.at(*id_spare).spare);
-          if (const auto late = clients.expired_idle(now)) {
-            RC_ASSERT(known.at(*late).spare && known.at(*late).asked && !known.at(*late).lingers);
-          }
-        }
-      }));
+  CHECK(rc::check("counts hold, only evictable ids are selected, unknown ids change nothing", [] {
+    const auto places = *rc::gen::inRange<std::size_t>(0, 40);
+    const auto events = *rc::gen::container<std::vector<std::pair<int, ClientAdmission::Id>>>(
+        rc::gen::pair(rc::gen::inRange(0, 9), rc::gen::inRange<ClientAdmission::Id>(1, 40)));
+    ClientAdmission clients({.max_clients = places});
+    struct State {
+      bool asked = false, spare = false, lingers = false;
+    };
+    std::map<ClientAdmission::Id, State> known;
+    double now = 0;
+    for (const auto& [what, id] : events) {
+      now += static_cast<double>(id) * 40;
+      const auto it = known.find(id);
+      const bool here = it != known.end() && !it->second.lingers;
+      switch (what) {
+        case 0:
+          clients.on_accepted(now, id);
+          if (it == known.end()) known[id] = {false, true, false};
+          break;
+        case 1:
+          clients.on_request_active(now, id);
+          if (it != known.end()) it->second.spare = false;
+          break;
+        case 2:
+        case 3:
+          clients.on_request_complete(now, id);
+          if (here) it->second = {true, false, false};
+          break;
+        case 4:
+          if (here && clients.should_close_after_response(now, id)) RC_ASSERT(clients.active() > places / 4);
+          break;
+        case 5:
+        case 6:
+          clients.on_idle(now, id);
+          if (here) it->second.spare = true;
+          break;
+        case 7:
+          clients.on_lingering(now, id);
+          if (it != known.end()) it->second.lingers = it->second.spare = true;
+          break;
+        default:
+          clients.on_closed(
+              now, id, what % 2 == 0 ? ClientAdmission::ClosedBy::Client : ClientAdmission::ClosedBy::Router);
+          known.erase(id);
+      }
+      RC_ASSERT(clients.size() == known.size());
+      std::size_t asking = 0;
+      for (const auto& [k, s] : known) asking += s.asked && !s.lingers;
+      RC_ASSERT(clients.active() == asking);
+      RC_ASSERT(clients.return_share() >= 0 && clients.return_share() <= 1);
+      if (const auto id_spare = clients.select_for_eviction(now, any)) RC_ASSERT(known.at(*id_spare).spare);
+      if (const auto late = clients.expired_idle(now)) {
+        RC_ASSERT(known.at(*late).spare && known.at(*late).asked && !known.at(*late).lingers);
+      }
+    }
+  }));
 }
 
 TEST_CASE("a stalled partial request is evicted before idle connections and after those without a request") {
