--- a/tests/body_buffers/body_buffers_test.cpp
+++ b/tests/body_buffers/body_buffers_test.cpp
@@ -250,8 +250,8 @@
     struct Request {
       Request(RetainedBodies& k, std::optional<std::uint64_t> length) : body(k, length) {}
       RetainedBodies::Body body;
-      std::uint64_t come = 0, kept = 0,
-                    lost = 0; // retained: readable from the start; consumed: by an attempt
+      // Retained: readable from the start; consumed: read by an attempt.
+      std::uint64_t come = 0, kept = 0, lost = 0;
       Idempotency repeat = Idempotency::Idempotent;
       std::vector<double> out; // when sent
       std::uint32_t attempts = 0;
