--- a/src/loop/blocked_signals.h
+++ b/src/loop/blocked_signals.h
@@ -1,7 +1,7 @@
-// A scope in which no signal is delivered to the calling thread, for fork() and exec().
+// Blocks all signals for the calling thread within a scope, around fork() and exec().
 //
 // A signal that reaches the new process before it has reset its handlers would run an inherited handler, or
-// be ignored as its parent ignores it, and be lost. Blocked, it stays pending until deliver_by_default().
+// be lost if the parent ignores it. A blocked signal stays pending until deliver_by_default().
 #pragma once
 
 #include <signal.h>
@@ -21,8 +21,8 @@
   BlockedSignals(const BlockedSignals&) = delete;
   BlockedSignals& operator=(const BlockedSignals&) = delete;
 
-  /// In a new process, before exec(): `signals` get their default actions, and pending signals are delivered.
-  /// Safe between fork() and exec().
+  /// For the new process, before exec(): resets `signals` to their default actions and unblocks all signals,
+  /// which delivers the pending ones. Async-signal-safe: may be called between fork() and exec().
   static void deliver_by_default(std::initializer_list<int> signals) {
     for (const int number : signals) ::signal(number, SIG_DFL);
     sigset_t none;
--- a/src/loop/buffer.cpp
+++ b/src/loop/buffer.cpp
@@ -17,7 +17,7 @@
 // ---- IoBuffer ----
 
 struct IoBuffer::Memory {
-  unsigned references = 1; // by its IoBuffer, and by each piece of a Buffer
+  unsigned references = 1; // one for the IoBuffer, one for each piece in a Buffer
   std::shared_ptr<FreeList> free_list;
   char bytes[kIoBufferBytes];
 
@@ -29,7 +29,7 @@
   }
 };
 
-// The system would clear the pages of new memory each time.
+// Unused blocks are kept for reuse: the kernel zeroes the pages of every new allocation.
 struct IoBuffer::FreeList {
   static constexpr std::size_t kMaxKept = 16;
   std::vector<std::unique_ptr<Memory>> kept;
@@ -109,7 +109,7 @@
 
 namespace {
 
-// Of the return value of recv() or splice(), right after the call.
+// Interprets the return value of recv() or splice(); reads errno, so call it right after.
 Received received_of(ssize_t result) {
   if (result > 0) return Received::Bytes;
   if (result == 0) return Received::EndOfStream;
@@ -145,7 +145,8 @@
   const ssize_t spliced = splice(from, nullptr, ends_[1], nullptr, std::min(max_bytes, kIoBufferBytes),
                                  SPLICE_F_MOVE | SPLICE_F_NONBLOCK);
   if (spliced < 0 && (errno == EINVAL || errno == ENOSYS || errno == EPERM)) {
-    // Says nothing of the connection: taken for its end, it would cut off a response that is still coming.
+    // splice() itself is refused; the connection is intact. Treating this as its end would truncate a
+    // response that is still arriving.
     close();
     return false;
   }
@@ -158,7 +159,7 @@
   return true;
 }
 
-// Returns how many bytes went out. An error shows when the rest is written.
+// Returns how many bytes were sent. An error surfaces when the remaining bytes are written.
 std::size_t Pipe::send_now(bufferevent* to, std::size_t bytes) {
   if (evbuffer_get_length(bufferevent_get_output(to)) > 0) return 0;
   return bytes_of(
@@ -170,7 +171,7 @@
   std::size_t filled = 0;
   while (filled < bytes) {
     const ssize_t part = read(ends_[0], into + filled, bytes - filled);
-    if (part <= 0) break; // does not happen: the bytes are in the pipe
+    if (part <= 0) break; // unreachable: the bytes are in the pipe
     filled += static_cast<std::size_t>(part);
   }
   return {into, filled};
@@ -180,7 +181,7 @@
 
 namespace {
 
-constexpr int kMaxParts = 16; // of one write
+constexpr int kMaxParts = 16; // iovecs in one sendmsg()
 
 std::size_t write_now(bufferevent* to, const iovec* parts, int count) {
   if (evbuffer_get_length(bufferevent_get_output(to)) > 0) return 0;
@@ -192,7 +193,7 @@
 
 iovec part_of(std::string_view text) { return {const_cast<char*>(text.data()), text.size()}; }
 
-// What of `text` is left after the first `written` bytes; reduces `written` by what falls on `text`.
+// Returns the part of `text` after its first `written` bytes, and subtracts the skipped bytes from `written`.
 std::string_view unwritten(std::string_view text, std::size_t& written) {
   const std::size_t gone = std::min(written, text.size());
   written -= gone;
--- a/src/loop/buffer.h
+++ b/src/loop/buffer.h
@@ -1,7 +1,7 @@
-// Buffers for bodies, and reads and writes that go straight to a socket.
+// Buffers for bodies, and reads and writes that bypass libevent's buffers.
 //
-// libevent reads 4 KB at a time and arms an event for each write, which is most of the cost of a long body
-// (docs/notes/bodies.md has the figures).
+// libevent reads 4 KB at a time and registers an event for each write, which is most of the cost of a long
+// body (docs/notes/bodies.md has the figures).
 #pragma once
 
 #include <event2/buffer.h>
@@ -16,8 +16,8 @@
 
 constexpr std::size_t kIoBufferBytes = 64 * 1024;
 
-/// The memory that sockets are read into, one for all of a loop: its bytes are valid until the next callback.
-/// What must be kept goes into a Buffer.
+/// The memory that sockets are read into. One instance serves a whole event loop: its contents are valid
+/// until the next callback, and bytes that are needed longer go into a Buffer.
 class IoBuffer {
  public:
   IoBuffer();
@@ -25,7 +25,7 @@
   IoBuffer(const IoBuffer&) = delete;
   IoBuffer& operator=(const IoBuffer&) = delete;
 
-  /// Memory that no Buffer refers to: other than before, where one still refers to that.
+  /// Returns memory that no Buffer references: a new block if a Buffer still references the current one.
   char* data();
   static constexpr std::size_t size() { return kIoBufferBytes; }
 
@@ -34,10 +34,11 @@
   struct Memory;
   struct FreeList;
   std::shared_ptr<FreeList> free_list_;
-  Memory* memory_; // shared with the buffers that refer to it; never null
+  Memory* memory_; // shared with the Buffers that reference it; never null
 };
 
-/// A chain of bytes that is moved and not copied. Where memory is missing its methods throw std::bad_alloc.
+/// A byte buffer (an evbuffer chain) that can be moved without copying. Methods throw std::bad_alloc when out
+/// of memory.
 class Buffer {
  public:
   Buffer() = default;
@@ -46,15 +47,15 @@
 
   std::size_t size() const { return chain_ == nullptr ? 0 : evbuffer_get_length(chain_.get()); }
   void copy(std::string_view bytes);
-  /// By reference where they fill half of `block` or more, else as a copy: no Buffer holds more memory than
-  /// twice its size.
+  /// Appends by reference if `bytes` fill at least half of `io_buffer`, else as a copy. So no Buffer holds
+  /// more than twice its size in memory.
   void add(std::string_view bytes, IoBuffer& block);
-  /// Empty afterwards.
+  /// Appends all bytes to `to`; this Buffer is empty afterwards.
   void move_to(evbuffer* to);
   void drain(std::size_t bytes);
-  /// Moves up to `max_bytes` from the front; returns how many.
+  /// Removes up to `max_bytes` from the front into `destination`; returns how many.
   std::size_t take(char* into, std::size_t max_bytes);
-  /// A copy of all, for what is small.
+  /// A copy of the contents; for small buffers.
   std::string text() const;
   void clear() { chain_.reset(); }
 
@@ -67,25 +68,26 @@
   std::unique_ptr<evbuffer, Free> chain_; // null: empty
 };
 
-/// What a read from a socket came to. WouldBlock: nothing is there yet.
+/// The result of a read from a socket. WouldBlock: no bytes are available yet.
 enum class Received { Bytes, WouldBlock, EndOfStream, Error };
-/// Reads up to `max_bytes`; sets `bytes` where it returns Bytes.
+/// Reads up to `max_bytes` without blocking. `bytes` is set only if the result is Bytes.
 Received receive(int fd, char* into, std::size_t max_bytes, std::size_t& bytes);
 
-/// Moves bytes from socket to socket without a copy in this process. It is empty between two calls: one
-/// serves all of a loop, for two descriptors.
+/// Moves bytes from socket to socket with splice(), without a copy in this process. The pipe is empty between
+/// two calls, so that one instance (two descriptors) serves a whole event loop.
 class Pipe {
  public:
   Pipe();
   ~Pipe();
   Pipe(const Pipe&) = delete;
   Pipe& operator=(const Pipe&) = delete;
-  /// False: the system had no descriptors for it, or does not move bytes this way.
+  /// False: no descriptors were available for the pipe, or the system does not permit splice().
   bool usable() const { return ends_[0] >= 0; }
 
-  /// Moves up to `max_bytes`, and kIoBufferBytes at most. `bytes`: how many were read; `rest`: those that the
-  /// socket of `to` did not take, read into `block`. False: the system refuses, by a filter on system calls
-  /// or for a kind of socket; nothing was read, and the pipe is not usable from then on.
+  /// Moves up to `max_bytes`, at most kIoBufferBytes. `bytes`: the number of bytes read. `unsent`: the bytes
+  /// that the socket of `to` did not accept, copied into `io_buffer`. Returns false if the system refuses
+  /// splice() (a system call filter, or an unsupported socket type): nothing was read, and the pipe is
+  /// unusable from then on.
   bool move(int from, bufferevent* to, std::size_t max_bytes, IoBuffer& block, Received& received,
             std::size_t& bytes, std::string_view& rest);
 
@@ -93,12 +95,13 @@
   std::size_t send_now(bufferevent* to, std::size_t bytes);
   std::string_view read_rest(IoBuffer& block, std::size_t bytes);
   void close();
-  int ends_[2] = {-1, -1}; // to read from, to write to
+  int ends_[2] = {-1, -1}; // read end, write end
 };
 
-/// These write to the socket of `to` at once where its output buffer is empty; what does not go out waits
-/// there. An error shows when that is written. They return how many bytes of the body wait: of all, where
-/// there is no other.
+/// These functions write to the socket of `to` at once if its output buffer is empty, and append to that
+/// buffer what the socket does not accept. Errors surface when libevent writes the output buffer. They return
+/// how many bytes of the body are left in the output buffer; the overload without a body counts all of
+/// `text`.
 std::size_t write_or_wait(bufferevent* to, std::string_view text);
 std::size_t write_or_wait(bufferevent* to, std::string_view head, Buffer&& body);
 std::size_t write_or_wait(bufferevent* to, std::string_view before, std::string_view body,
--- a/src/loop/net.cpp
+++ b/src/loop/net.cpp
@@ -11,8 +11,8 @@
 
 namespace fernward::loop {
 
-// libevent would close the socket later, from the loop: a connection that is closed for its descriptor must
-// free it at once.
+// libevent would close the socket later, from the event loop. A connection that is closed to free its
+// descriptor must free it at once.
 void BuffereventFree::operator()(bufferevent* b) const {
   const int fd = bufferevent_getfd(b);
   bufferevent_setfd(b, -1);
--- a/src/loop/net.h
+++ b/src/loop/net.h
@@ -1,4 +1,4 @@
-// Bufferevents with an owner, and small helpers on sockets.
+// Owning pointers to bufferevents, and socket helpers.
 #pragma once
 
 #include <event2/bufferevent.h>
@@ -9,29 +9,30 @@
 namespace fernward::loop {
 
 struct BuffereventFree {
-  void operator()(bufferevent* b) const; // the socket is closed on return
+  void operator()(bufferevent* b) const; // closes the socket before it returns
 };
 using BuffereventPtr = std::unique_ptr<bufferevent, BuffereventFree>;
 
 void set_nodelay(int fd);
-/// Bytes that the kernel takes beyond what it has sent. By default it takes 4 MB for a peer that does not
-/// read, which no budget counts.
+/// Limits the unsent bytes that the kernel accepts for a socket (TCP_NOTSENT_LOWAT). By default it accepts 4
+/// MB for a peer that does not read, which no buffer budget counts.
 void limit_unsent(int fd, int bytes);
-/// The kernel's receive buffer. To be set before the connection is made.
+/// Sets the size of the kernel's receive buffer. Call it before connecting.
 void limit_received(int fd, int bytes);
-/// The peer sees a reset, not an end.
+/// Makes close() send a reset instead of a regular end of stream.
 void reset_on_close(int fd);
 
-/// What a read of the socket would find. Closed: an end or an error.
+/// What a read from the socket would return. Closed: end of stream, or an error.
 enum class Peek { NoData, Data, Closed };
 Peek peek(int fd);
-/// The peer has ended its sending or broken off, also where bytes from before are still unread.
+/// Whether the peer has shut down its sending side or reset the connection, even if earlier bytes are unread.
 bool peer_ended(int fd);
 
-/// A bufferevent whose callbacks come from the event loop only. Never null: throws std::bad_alloc.
+/// Creates a bufferevent with deferred callbacks: they run from the event loop only. Never null; throws
+/// std::bad_alloc.
 BuffereventPtr make_bufferevent(event_base* base, int fd);
 
-/// A view of all that is unread in the input buffer; valid until that changes.
+/// All unread bytes of the input buffer; valid until the buffer changes.
 std::string_view pending_input(bufferevent* b);
 void consume_input(bufferevent* b, std::size_t bytes);
 /// Bytes in the output buffer.
--- a/src/loop/slot_map.h
+++ b/src/loop/slot_map.h
@@ -1,4 +1,4 @@
-// A table of numbered slots with generations.
+// A slot map: values in numbered slots, addressed by handles with a generation.
 #pragma once
 
 #include <cstddef>
@@ -11,17 +11,18 @@
 
 using Handle = std::uint64_t; // generation << 20 | slot: below 2^52, never 0
 
-/// A handle names a slot and its generation: one that was kept for too long finds nothing.
+/// A handle consists of a slot number and the slot's generation, so that a handle to a removed value finds
+/// nothing, even if its slot is in use again.
 template <typename T>
 class SlotMap {
  public:
-  /// `limit`: values at the same time, 2^20 at most.
+  /// `limit`: maximum number of values, at most 2^20.
   explicit SlotMap(std::size_t limit = kMaxSlots) : limit_(limit < kMaxSlots ? limit : kMaxSlots) {}
 
   bool full() const { return size_ >= limit_; }
   std::size_t size() const { return size_; }
 
-  /// 0: the table is full.
+  /// Returns 0 if the table is full.
   template <typename... Args>
   Handle add(Args&&... args) {
     if (full()) return 0;
@@ -32,13 +33,13 @@
     ++size_;
     return handle_of(index);
   }
-  /// Null: the value has been removed.
+  /// Null if the value has been removed.
   T* find(Handle handle) {
     const std::size_t index = index_of(handle);
     if (index >= slots_.size() || slots_[index].generation != handle >> kSlotBits) return nullptr;
     return slots_[index].value.get();
   }
-  /// Harmless for a value that has been removed.
+  /// No effect if the value has already been removed.
   void remove(Handle handle) {
     if (find(handle) == nullptr) return;
     const std::size_t index = index_of(handle);
@@ -46,7 +47,7 @@
     free_.push_back(index);
     --size_;
   }
-  /// Calls visit(handle, value) in the order of the slots. It may remove any value.
+  /// Calls visit(handle, value) in slot order. `visit` may remove any value.
   template <typename Visit>
   void each(Visit visit) {
     for (std::size_t index = 0; index < slots_.size(); ++index) {
--- a/src/loop/timer_queue.cpp
+++ b/src/loop/timer_queue.cpp
@@ -7,8 +7,8 @@
 namespace fernward::loop {
 namespace {
 
-constexpr std::size_t kChildren = 4;       // of a node of the heap
-constexpr double kLongestWaitMs = 60000.0; // of the libevent timer; it is armed again
+constexpr std::size_t kChildren = 4;       // per heap node
+constexpr double kLongestWaitMs = 60000.0; // of the libevent timer, which is then armed again
 
 double steady_ms() {
   return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
@@ -58,14 +58,15 @@
 void TimerQueue::cancel(TimerId& timer) {
   const TimerId cancelled = std::exchange(timer, 0);
   if (!is_pending(cancelled)) return;
-  // The event stays armed: it finds nothing due and is armed anew.
+  // The event stays armed: if it fires with nothing due, it is armed again.
   remove(slots_[slot_of(cancelled)].heap_index);
 }
 
 void TimerQueue::run_due() {
   armed_for_ms_ = 0;
   const double now = now_ms();
-  const std::uint64_t newest = last_sequence_; // what is added meanwhile waits: the loop must not starve
+  const std::uint64_t newest =
+      last_sequence_; // timers added by callbacks wait: the event loop must not starve
   while (!heap_.empty() && heap_.front().due_ms <= now && heap_.front().sequence <= newest) {
     remove(0)(); // removed first: the callback may change the heap
   }
@@ -73,7 +74,7 @@
   arm();
 }
 
-// From the end: what is added meanwhile waits, too.
+// Iterates from the end, so that timers added by callbacks wait for the next wake-up.
 void TimerQueue::run_flexible(double now) {
   for (std::size_t i = flexible_.size(); i > 0; --i) {
     const FlexibleTimer flexible = flexible_[i - 1];
@@ -113,7 +114,7 @@
   place(index, entry);
 }
 
-// Returns the callback that was due there.
+// Removes the entry at `index` and returns its callback.
 std::function<void()> TimerQueue::remove(std::size_t index) {
   const std::uint32_t slot_number = heap_[index].slot;
   Slot& slot = slots_[slot_number];
@@ -124,7 +125,7 @@
   const HeapEntry last = heap_.back();
   heap_.pop_back();
   if (index == heap_.size()) return callback;
-  // The last entry fills the gap, and moves to its place from there.
+  // The last entry fills the gap and is then moved to its position.
   if (index > 0 && last < heap_[(index - 1) / kChildren]) {
     sift_up(index, last);
   } else {
--- a/src/loop/timer_queue.h
+++ b/src/loop/timer_queue.h
@@ -1,4 +1,4 @@
-// The program's timers and its clock.
+// The timers of an event loop, and the clock.
 #pragma once
 
 #include <event2/event.h>
@@ -10,7 +10,7 @@
 
 namespace fernward::loop {
 
-/// Unix time in milliseconds that only advances: the wall clock at the start, steady from there.
+/// Monotonic Unix time in milliseconds: the wall clock at the first call, advanced by the steady clock.
 double now_ms();
 
 struct EventFree {
@@ -18,9 +18,9 @@
 };
 using EventPtr = std::unique_ptr<event, EventFree>;
 
-/// All timers of a loop in one heap, with one libevent timer for the first of them. Times are those of
-/// now_ms(). Most timers are cancelled long before they are due: the heap's slots know their place in it, and
-/// nothing is allocated once the tables have grown.
+/// All timers of an event loop in one heap, driven by one libevent timer for the earliest. Times are on the
+/// now_ms() clock. Most timers are cancelled long before they are due: each slot stores its heap index for
+/// fast removal, and nothing is allocated once the tables have grown.
 class TimerQueue {
  public:
   using TimerId = std::uint64_t; // 0: none
@@ -29,12 +29,13 @@
   TimerQueue(const TimerQueue&) = delete;
   TimerQueue& operator=(const TimerQueue&) = delete;
 
-  /// Calls `callback` once, from the loop. Timers of the same time run in the order in which they were added.
+  /// Calls `callback` once, from the event loop. Timers due at the same time run in the order of their
+  /// addition.
   TimerId at(double due_ms, std::function<void()> callback);
-  /// For what is not urgent: runs with the first other timer due after `earliest_ms`, without a wake-up of
-  /// its own, and at `latest_ms` if there was none.
+  /// For work that is not urgent: runs together with the first other timer due after `earliest_ms`, which
+  /// saves a wake-up, or at `latest_ms` if there was none.
   TimerId within(double earliest_ms, double latest_ms, std::function<void()> callback);
-  /// Sets `timer` to 0. Harmless for a timer that has run.
+  /// Sets `timer` to 0. No effect for a timer that has run.
   void cancel(TimerId& timer);
   std::size_t size() const { return heap_.size(); }
 
@@ -50,7 +51,7 @@
   struct Slot {
     std::function<void()> callback;
     std::uint32_t heap_index = 0;
-    std::uint32_t generation = 1; // of its timer ids; never 0
+    std::uint32_t generation = 1; // part of the timer ids; never 0
   };
   struct FlexibleTimer {
     double earliest_ms;
@@ -71,7 +72,7 @@
   std::vector<HeapEntry> heap_;
   std::vector<Slot> slots_;
   std::vector<std::uint32_t> free_slots_;
-  std::vector<FlexibleTimer> flexible_; // few: searched at each wake-up
+  std::vector<FlexibleTimer> flexible_; // few: searched linearly at each wake-up
   std::uint64_t last_sequence_ = 0;
   double armed_for_ms_ = 0; // 0: not armed
   EventPtr event_;
