--- a/src/http/framing.cpp
+++ b/src/http/framing.cpp
@@ -49,8 +49,8 @@
     }
     const auto end = rest.find('\n');
     const std::size_t n = end == std::string_view::npos ? rest.size() : end + 1;
-    // Chunks add a line or two each, and there may be as many as the body has bytes: each line has its own
-    // cap.
+    // Each chunk adds one or two lines, and there may be as many chunks as body bytes: so the limit applies
+    // to each line, not to their sum.
     if (state_ == State::Trailers) trailer_bytes_ += n;
     if (trailer_bytes_ > kMaxHeader || (state_ != State::Trailers && line_.size() + n > kMaxChunkLine)) {
       fail(Fault::HeaderTooLarge);
@@ -67,7 +67,7 @@
       whole.swap(line_);
       text = whole.append(text);
     }
-    if (text.size() < 2 || text[text.size() - 2] != '\r') { // a bare LF ends no line here
+    if (text.size() < 2 || text[text.size() - 2] != '\r') { // a bare LF does not end a line
       fail(Fault::Malformed);
       break;
     }
--- a/src/http/framing.h
+++ b/src/http/framing.h
@@ -1,5 +1,5 @@
-// Where a body ends, and which of the bytes on the wire are its own: for whoever passes a body on without
-// keeping it. No sockets, and no copies: a piece points into the bytes that were given.
+// Message body framing: finds the end of a body, and separates its bytes from chunk framing. For callers that
+// forward a body without buffering it. No sockets and no copies: a piece points into the caller's bytes.
 #pragma once
 
 #include <algorithm>
@@ -14,9 +14,11 @@
 
 enum class Fault { None, Malformed, HeaderTooLarge, BodyTooLarge };
 
+// An incremental parser of one message body.
 class Framer {
  public:
-  // How a body is framed. Its own ceiling is the caller's: a longer body is a fault, announced or come.
+  // One factory per framing. A body longer than `max_body_bytes` is an error, as soon as it is announced or
+  // received.
   static Framer none() { return Framer(Kind::None, 0, 0); }
   static Framer fixed(std::uint64_t length, std::uint64_t ceiling) {
     return Framer(length == 0 ? Kind::None : Kind::Fixed, length, ceiling);
@@ -25,25 +27,27 @@
   static Framer until_close(std::uint64_t ceiling) { return Framer(Kind::UntilClose, 0, ceiling); }
 
   struct Piece {
-    std::size_t used = 0;  // bytes taken, framing included
-    std::string_view body; // of them: the body's own, in one piece
+    std::size_t used = 0;  // input bytes consumed, including framing
+    std::string_view body; // the body bytes among them, contiguous
   };
-  // Takes bytes up to the end of the next piece of body, or of the body itself. Call again with the rest
-  // until it takes nothing; it takes none once done() or after a fault.
+  // Consumes bytes up to the end of the next piece of the body, or up to the end of the body. Call again with
+  // the remaining bytes until nothing is consumed. Consumes nothing once done() or after an error.
   Piece next(std::string_view bytes);
-  // Bytes that the caller has moved by itself, out of sight: at most straight().
+  // Accounts for body bytes that the caller moved without passing them to next(): at most
+  // contiguous_body_bytes().
   void skipped(std::uint64_t bytes);
-  // So many bytes that come next are the body's own, whatever they are.
+  // The number of input bytes that follow and belong to the body, without any framing in between.
   std::uint64_t straight() const {
     return state_ == State::Body || state_ == State::ChunkData ? std::min(left_, ceiling_ - come_) : 0;
   }
-  // The peer has ended its sending: a body until close ends there. False: it is cut off.
+  // To be called when the peer has ended its stream; a body framed until close is complete then. False: the
+  // body is truncated.
   bool end_of_input();
 
   bool done() const { return state_ == State::Done && fault_ == Fault::None; }
   Fault fault() const { return fault_; }
-  std::uint64_t come() const { return come_; } // of the body's own bytes
-  std::optional<std::uint64_t> length() const; // as announced
+  std::uint64_t come() const { return come_; } // body bytes, without framing
+  std::optional<std::uint64_t> length() const; // if announced
   bool ends_with_connection() const { return kind_ == Kind::UntilClose; }
 
  private:
@@ -57,12 +61,12 @@
   Kind kind_;
   State state_ = State::Done;
   Fault fault_ = Fault::None;
-  std::string line_; // the part of a line that has come
+  std::string line_; // the received part of an incomplete line
   std::size_t trailer_bytes_ = 0;
-  std::uint64_t length_ = 0, left_ = 0, come_ = 0, ceiling_ = 0; // left: of the body or of a chunk
+  std::uint64_t length_ = 0, left_ = 0, come_ = 0, ceiling_ = 0; // remaining: in the body or the chunk
 };
 
-// A number without sign, of up to 15 digits.
+// Parses an unsigned number of up to 15 digits.
 bool parse_number(std::string_view text, int base, std::uint64_t& value);
 
 } // namespace fernward::http
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages as this project reads and writes them. No sockets.
+// HTTP/1.1 messages and their serialization. No sockets.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,7 @@
 namespace fernward::http {
 
 constexpr std::size_t kMaxBody = 64 * 1024;
-constexpr std::size_t kMaxHeader = 16 * 1024; // start line and all header lines together
+constexpr std::size_t kMaxHeader = 16 * 1024; // start line and all header lines
 
 struct Message {
   std::string method, target;                               // of a request
@@ -20,9 +20,9 @@
   std::vector<std::pair<std::string, std::string>> headers; // names in lower case
   std::string body;
   bool keep_alive = true;
-  bool version_1_0 = false; // its reader knows no chunks
+  bool version_1_0 = false; // the peer does not support chunked encoding
 
-  // The first header of that name (in lower case), or empty.
+  // The value of the first header with that name (in lower case); empty if there is none.
   std::string_view header(std::string_view name) const {
     for (const auto& [key, value] : headers) {
       if (key == name) return value;
@@ -39,19 +39,19 @@
   std::string_view name, value;
 };
 
-// A head and its body in one piece, so that both can go out in one go.
+// Serializes head and body into one string, so that they can be sent with one write.
 std::string write_request(std::string_view method, std::string_view target, std::string_view host,
                           const std::vector<Header>& headers, std::string_view body);
 std::string write_response(int status, const std::vector<Header>& headers, std::string_view body,
                            bool keep_alive);
-// The head alone. Of a body whose length is not known it says chunks, or nothing: then it ends with the
-// connection.
+// Serialize the head alone. A body of unknown length is announced as chunked, or not at all: then the end of
+// the connection ends the body.
 enum class Framing { Length, Chunks, UntilClose };
 std::string write_request_head(std::string_view method, std::string_view target, std::string_view host,
                                const std::vector<Header>& headers, Framing framing, std::uint64_t length);
 std::string write_response_head(int status, const std::vector<Header>& headers, Framing framing,
                                 std::uint64_t length, bool keep_alive);
-// What stands before the bytes of a chunk; behind them stands kChunkEnd, and kLastChunk behind the last.
+// The line before the bytes of a chunk. kChunkEnd follows each chunk, and kLastChunk ends the body.
 std::string chunk_line(std::size_t bytes);
 constexpr std::string_view kChunkEnd = "\r\n", kLastChunk = "0\r\n\r\n";
 std::string_view reason(int status);
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -11,13 +11,13 @@
   return text.size() == 8 && text.substr(0, 7) == "HTTP/1." && is_digit(text[7]);
 }
 
-bool is_target(std::string_view text) { // printable, and a path
+bool is_target(std::string_view text) { // a path of printable characters
   return !text.empty() && text.front() == '/' &&
          std::all_of(text.begin(), text.end(), [](char c) { return c > 0x20 && c < 0x7f; });
 }
 
-// Of "http://host:port/path?query", as a client writes it to what it takes for a proxy, the path and the
-// query.
+// Returns the path and query of an absolute-form target ("http://host:port/path?query"), which clients send
+// to a configured proxy; other targets are returned unchanged.
 std::string_view path_of(std::string_view target) {
   constexpr std::string_view kScheme = "http://";
   if (lower(target.substr(0, kScheme.size())) != kScheme) return target;
@@ -94,7 +94,7 @@
       whole.swap(line_);
       text = whole.append(text);
     }
-    if (text.size() < 2 || text[text.size() - 2] != '\r') { // a bare LF ends no line here
+    if (text.size() < 2 || text[text.size() - 2] != '\r') { // a bare LF does not end a line
       fail(Fault::Malformed);
       break;
     }
@@ -112,7 +112,7 @@
 void Parser::line(std::string_view text) {
   if (state_ == State::Headers) {
     text.empty() ? headers_end() : header_line(text);
-  } else if (!text.empty()) { // an empty line before a message is passed over
+  } else if (!text.empty()) { // empty lines before a message are skipped
     start_line(text);
   }
 }
@@ -132,7 +132,7 @@
     const std::string_view code = text.substr(first + 1, 3);
     std::uint64_t status = 0;
     if (code.size() != 3 || !parse_number(code, 10, status) || status < 100 || status > 599 ||
-        status == 101) // nobody asked to switch
+        status == 101) // no protocol switch was requested
       return fail(Fault::Malformed);
     if (text.size() > first + 4 && text[first + 4] != ' ') return fail(Fault::Malformed);
     message_.status = static_cast<int>(status);
@@ -151,7 +151,7 @@
   };
   std::string name = lower(text.substr(0, colon));
   if (std::any_of(value.begin(), value.end(), is_control)) {
-    // Of an answer only that header is lost, as long as it does not tell where the answer ends.
+    // In a response only this header is dropped, unless it affects where the response ends.
     const bool frames = name == "content-length" || name == "transfer-encoding" || name == "connection";
     return kind_ == Kind::Request || frames ? fail(Fault::Malformed) : void();
   }
@@ -160,7 +160,7 @@
 
 void Parser::headers_end() {
   if (kind_ == Kind::Response && message_.status < 200) {
-    message_ = Message(); // an interim response: the real one follows
+    message_ = Message(); // an interim response: the final one follows
     state_ = State::StartLine;
     return;
   }
@@ -175,7 +175,7 @@
         message_.keep_alive = true;
     } else if (name == "content-length") {
       std::uint64_t told = 0;
-      // Two lengths, or a length beside chunks, hide a second message.
+      // Two lengths, or a length together with chunked encoding, can smuggle a second message.
       if (!parse_number(value, 10, told) || has_length) return fail(Fault::Malformed);
       has_length = true;
       length = told;
--- a/src/http/text.h
+++ b/src/http/text.h
@@ -1,4 +1,4 @@
-// The few rules on text that heads, bodies and their users share.
+// Text helpers shared by the HTTP parsers and their callers.
 #pragma once
 
 #include <string>
@@ -6,9 +6,10 @@
 
 namespace fernward::http {
 
-bool is_token(std::string_view text);                        // a method or a header's name
-std::string lower(std::string_view text);                    // ASCII
-std::string_view trim(std::string_view text);                // of spaces and tabs
-bool has_item(std::string_view list, std::string_view item); // a comma-separated list, any case
+bool is_token(std::string_view text);         // a method or a header name
+std::string lower(std::string_view text);     // ASCII
+std::string_view trim(std::string_view text); // removes surrounding spaces and tabs
+bool has_item(std::string_view list,
+              std::string_view item); // comma-separated, case-insensitive; `item` in lower case
 
 } // namespace fernward::http
--- a/src/http/writer.cpp
+++ b/src/http/writer.cpp
@@ -20,7 +20,7 @@
 
 std::string write_request(std::string_view method, std::string_view target, std::string_view host,
                           const std::vector<Header>& headers, std::string_view body) {
-  // A request without a length has no body.
+  // In a request, a missing Content-Length means that there is no body.
   const Framing framing = method != "GET" || !body.empty() ? Framing::Length : Framing::UntilClose;
   return write_request_head(method, target, host, headers, framing, body.size()).append(body);
 }
--- a/tests/http/framing_test.cpp
+++ b/tests/http/framing_test.cpp
@@ -1,4 +1,4 @@
-// Bodies that are handed out piece by piece.
+// Tests of the incremental body parser.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -10,7 +10,8 @@
 
 std::size_t below(std::size_t limit) { return *rc::gen::inRange<std::size_t>(0, limit); }
 
-// Feeds `wire` in cuts of a size that `cut` tells; the body's pieces joined, and how many bytes were taken.
+// Feeds `wire` in parts of next_part_bytes() bytes. Returns the joined body pieces, and the number of bytes
+// consumed.
 template <typename Cut>
 std::pair<std::string, std::size_t> pieces(Framer& framer, const std::string& wire, Cut cut) {
   std::string body;
@@ -26,7 +27,7 @@
 } // namespace
 
 TEST_CASE(
-    "a body is the same however it is framed and wherever it is cut") { // guards: bytes lost at a boundary
+    "a body reads the same with any framing and any split of the input") { // guards: bytes lost at a boundary
   CHECK(rc::check("framing", [] {
     std::string body;
     for (std::size_t n = below(400); n > 0; --n) body += static_cast<char>(below(256));
@@ -45,7 +46,7 @@
       wire = body;
     }
     const std::size_t end = wire.size();
-    wire += "HTTP/1.1 200 OK\r\n"; // the next one's bytes stay
+    wire += "HTTP/1.1 200 OK\r\n"; // bytes of the next message are not consumed
     Framer framer = chunked ? Framer::chunked(400) : Framer::fixed(body.size(), 400);
     const auto [got, used] = pieces(framer, wire, [] { return below(50) + 1; });
     RC_ASSERT(framer.done());
@@ -56,7 +57,7 @@
   }));
 }
 
-TEST_CASE("what a body may not be") {
+TEST_CASE("invalid and too long bodies are rejected") {
   struct Case {
     const char* what;
     Framer framer;
@@ -65,24 +66,25 @@
   };
   const auto chunked = [] { return Framer::chunked(100); };
   for (Case c : std::initializer_list<Case>{
-           {"longer than may be, announced", Framer::fixed(101, 100), "", Fault::BodyTooLarge},
-           {"longer than may be, in one chunk", chunked(), "65\r\n", Fault::BodyTooLarge},
-           {"longer than may be, in many", chunked(), "63\r\n" + std::string(99, 'x') + "\r\n2\r\n",
+           {"announced length above the limit", Framer::fixed(101, 100), "", Fault::BodyTooLarge},
+           {"one chunk above the limit", chunked(), "65\r\n", Fault::BodyTooLarge},
+           {"several chunks above the limit", chunked(), "63\r\n" + std::string(99, 'x') + "\r\n2\r\n",
             Fault::BodyTooLarge},
-           {"longer than may be, until close", Framer::until_close(100), std::string(101, 'x'),
+           {"body until close above the limit", Framer::until_close(100), std::string(101, 'x'),
             Fault::BodyTooLarge},
-           {"a trailer without end", chunked(), "0\r\nA: " + std::string(400000, 'a'), Fault::HeaderTooLarge},
-           {"trailers without end", chunked(),
+           {"an endless trailer line", chunked(), "0\r\nA: " + std::string(400000, 'a'),
+            Fault::HeaderTooLarge},
+           {"an endless list of trailers", chunked(),
             [] {
               std::string text = "0\r\n";
               while (text.size() < 20000) text += "A: b\r\n";
               return text;
             }(),
             Fault::HeaderTooLarge},
-           {"a chunk's line without end", chunked(), "1;" + std::string(2000, 'a'), Fault::HeaderTooLarge},
-           {"a chunk longer than its size", chunked(), "1\r\nab\r\n", Fault::Malformed},
-           {"a size below zero", chunked(), "-1\r\n", Fault::Malformed},
-           {"no size", chunked(), "\r\n", Fault::Malformed},
+           {"an endless chunk size line", chunked(), "1;" + std::string(2000, 'a'), Fault::HeaderTooLarge},
+           {"a chunk longer than its announced size", chunked(), "1\r\nab\r\n", Fault::Malformed},
+           {"a negative chunk size", chunked(), "-1\r\n", Fault::Malformed},
+           {"a missing chunk size", chunked(), "\r\n", Fault::Malformed},
            {"a bare LF", chunked(), "1\na\n", Fault::Malformed},
        }) {
     CAPTURE(c.what);
@@ -93,7 +95,7 @@
   }
 }
 
-TEST_CASE("bytes that the caller moves by itself count as come") {
+TEST_CASE("body bytes that the caller moved itself count as received") {
   Framer framer = Framer::chunked(1000);
   framer.next("64\r\nab");
   framer.next("ab");
@@ -108,7 +110,7 @@
   CHECK(Framer::none().done());
 }
 
-TEST_CASE("a head first, and the body left to the caller") {
+TEST_CASE("feed_head stops after the head and leaves the body to the caller") {
   Parser parser(Kind::Response, 10000000);
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n";
   CHECK(parser.feed_head(head + "first") == head.size());
