--- a/src/proxy/attempt_callbacks.h
+++ b/src/proxy/attempt_callbacks.h
@@ -1,4 +1,4 @@
-// What UpstreamConnections asks and tells RequestDispatcher about an attempt.
+// Callbacks from UpstreamConnections to RequestDispatcher about an attempt.
 #pragma once
 
 #include <cstddef>
@@ -15,17 +15,17 @@
 
 using loop::Handle;
 
-// How an attempt ended. After start_response(), any result but Ok means that the response broke off.
+// How an attempt ended. After start_response(), any result but Ok means that the response was truncated.
 struct AttemptCompletion {
   fernward::AttemptResult result = fernward::AttemptResult::Reset;
-  BufferedBytes body; // of a response that is complete and was not started
+  BufferedBytes body; // of a complete response that was not streamed
   std::string content_type;
   std::vector<float> load_report;
-  double paused_ms = 0; // time in which the client was awaited, see UpstreamConnections::ClientPause
-  // The connection had been idle before. A reset says less about the server then: it may have closed the
-  // connection before the request arrived.
+  double paused_ms = 0; // time spent waiting for the client, see UpstreamConnections::ClientPause
+  // The connection was idle before the request. A reset is weaker evidence against the server then: it may
+  // have closed the connection before the request arrived.
   bool on_reused_connection = false;
-  double idle_ms = 0;               // how long it had been idle
+  double idle_ms = 0;               // how long the connection was idle
   bool first_on_connection = false; // the first request on its connection
 };
 
@@ -37,16 +37,16 @@
 
   virtual void on_attempt_complete(Handle attempt, AttemptCompletion completion) = 0;
 
-  // A response is buffered until it is complete, but no longer than until this time (loop::now_ms() clock),
-  // see body_buffers/response_buffering.h.
+  // The time (loop::now_ms() clock) until which an incomplete response may be buffered, see
+  // body_buffers/response_buffering.h.
   virtual double buffer_until(Handle attempt) = 0;
 
-  // May the first byte of the request be written now? Its connection may have come up long after the attempt
-  // was decided on. See body_buffers::may_send().
+  // Whether the first byte of the request may be written now. The connection may have been established long
+  // after the Balancer chose this attempt. See body_buffers::may_send().
   virtual bool may_write_request(Handle attempt) = 0;
 
-  // A streamed response, as of DownstreamConnections, for the client of the attempt. start_response() false:
-  // the response is not wanted any more.
+  // Streaming of a response to the attempt's client, as in DownstreamConnections. start_response() returns
+  // false if the response is no longer needed.
   virtual bool start_response(Handle attempt, ResponseHead head) = 0;
   virtual std::size_t writable_bytes(Handle attempt) = 0;
   virtual void write(Handle attempt, std::string_view bytes, loop::IoBuffer& block) = 0;
--- a/src/proxy/client_response.h
+++ b/src/proxy/client_response.h
@@ -1,4 +1,4 @@
-// Responses to clients, behind the protocol's codec: complete ones, and heads of streamed ones.
+// Responses to clients, independent of the protocol: complete responses, and heads of streamed responses.
 #pragma once
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 struct ClientResponse {
   enum class Kind {
     Served,
-    Rejected, // 503: the request has not run, a retry does no harm
+    Rejected, // 503: the request has not run, so a retry is safe
     Failed,   // 502
   };
   Kind kind = Kind::Failed;
@@ -29,7 +29,7 @@
   double retry_after_ms = 0; // Rejected only; 0: no Retry-After
 };
 
-// A served response that starts before its body is complete.
+// The head of a served response whose body is incomplete when it starts.
 struct ResponseHead {
   std::string content_type;
   std::optional<std::uint64_t> length; // of the body, if announced
--- a/src/proxy/request_body.cpp
+++ b/src/proxy/request_body.cpp
@@ -70,7 +70,7 @@
     bytes = body.in_memory_.copy(into, most, static_cast<std::size_t>(offset_));
   } else if (offset_ < kept) {
     bytes = body.in_file_->read(offset_ - body.in_memory_.size(), into, most);
-  } else if (offset_ == kept + body.consumed_bytes_) { // else another reader has consumed it
+  } else if (offset_ == kept + body.consumed_bytes_) { // otherwise another reader has consumed these bytes
     bytes = body.unretained_.take(into, most);
     body.consumed_bytes_ += bytes;
     body.body_.mark_consumed(bytes);
--- a/src/proxy/request_body.h
+++ b/src/proxy/request_body.h
@@ -1,7 +1,7 @@
-// The body of a long request while it arrives from the client: retained for further attempts as far as
-// body_buffers/retained_bodies.h decides, and read by attempts, each at its own offset. Short bodies are
-// complete in their ClientRequest. One thread; BodyStores outlives it. Callbacks are called from its own
-// functions and must not destroy it.
+// The body of a long request while it arrives from the client. It is retained for further attempts as far as
+// body_buffers/retained_bodies.h allows, and read by attempts, each at its own offset. Short bodies are
+// complete in their ClientRequest. Single-threaded; BodyStores must outlive it. Callbacks are called from its
+// methods and must not destroy it.
 #pragma once
 
 #include <cstdint>
@@ -19,13 +19,14 @@
 
 namespace fernward::proxy {
 
-struct BodyStores { // of all requests
+// Storage shared by the bodies of all requests.
+struct BodyStores {
   BodyStores(const body_buffers::RetentionLimits& rules, body_buffers::BufferBudget& account,
              const std::string& path)
       : retained(rules), budget(account), spill_folder(path.empty() ? nullptr : new spill::Folder(path)) {}
   body_buffers::RetainedBodies retained;
-  body_buffers::BufferBudget& budget;          // for what is not retained
-  std::unique_ptr<spill::Folder> spill_folder; // null: no folder is configured
+  body_buffers::BufferBudget& budget;          // for the bytes that are not retained
+  std::unique_ptr<spill::Folder> spill_folder; // null: none is configured
 };
 
 class RequestBody {
@@ -37,14 +38,17 @@
 
   // ---- called by the client side ----
   void set_on_writable(std::function<void()> call) { on_writable_ = std::move(call); }
-  std::size_t writable_bytes() const; // bytes that append() takes; 0: on_writable follows
-  bool append(std::string_view bytes,
-              loop::IoBuffer& block); // at most writable_bytes(); false: too long
-  void complete();                    // all of it has arrived
-  void abort();                       // the rest will never arrive
-  bool may_stream() const {
-    return body_.may_stream(complete_) || writable_bytes() == 0;
-  } // full: it could never become complete
+  // The number of bytes that append() accepts. After 0, on_writable is called when it accepts bytes again.
+  std::size_t writable_bytes() const;
+  // `bytes` is no longer than writable_bytes(). False: the body is too long.
+  bool append(std::string_view bytes, loop::IoBuffer& block);
+  // The last byte has arrived.
+  void complete();
+  // The rest of the body will never arrive.
+  void abort();
+  // Whether an attempt may start before the body is complete. A body whose buffer is full may always be
+  // streamed: it could not become complete otherwise.
+  bool may_stream() const { return body_.may_stream(complete_) || writable_bytes() == 0; }
   double receive_timeout_ms(double base_ms) const { return body_.receive_timeout_ms(base_ms); }
 
   // ---- called by attempts ----
@@ -54,18 +58,16 @@
   body_buffers::BodyAvailability availability() const { return body_.availability(); }
   body_buffers::Retention retention() const { return body_.retention(); }
 
-  class Reader { // of one attempt; the RequestBody outlives it
+  // Reads the body for one attempt. The RequestBody must outlive it.
+  class Reader {
    public:
     ~Reader();
     Reader(const Reader&) = delete;
     Reader& operator=(const Reader&) = delete;
 
-    enum class ReadResult {
-      Bytes,
-      Pending,
-      End,
-      Unavailable
-    }; // Pending: on_more follows; Unavailable: it can't be read from here on
+    // Pending: on_readable is called when there is more. Unavailable: the body can't be read from this offset
+    // on.
+    enum class ReadResult { Bytes, Pending, End, Unavailable };
     ReadResult read(char* into, std::size_t most, std::size_t& bytes);
     std::uint64_t offset() const { return offset_; }
 
@@ -84,11 +86,11 @@
   BodyStores& stores_;
   std::optional<std::uint64_t> length_;
   body_buffers::RetainedBodies::Body body_;
-  std::string in_memory_;                // the first part
-  std::unique_ptr<spill::File> in_file_; // what follows
-  loop::Buffer unretained_;              // the unretained rest; dropped as it is read
+  std::string in_memory_;                // the first bytes of the body
+  std::unique_ptr<spill::File> in_file_; // the bytes after them
+  loop::Buffer unretained_;              // the remaining bytes, dropped as they are read
   body_buffers::BufferBudget::Reservation unretained_reservation_;
-  std::uint64_t consumed_bytes_ = 0; // of the unretained part, already read
+  std::uint64_t consumed_bytes_ = 0; // bytes of unretained_ already read
   bool complete_ = false, aborted_ = false;
   std::function<void()> on_writable_;
   std::list<Reader*> readers_;
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t kBurstEvents = 4; // events at once; in an even flow there are one to three
+constexpr std::size_t kBurstEvents = 4; // events pending at once; under steady load there are one to three
 
 } // namespace
 
@@ -39,7 +39,7 @@
   active_request.request = std::make_shared<const ClientRequest>(std::move(request));
   const double now =
       loop::now_ms() +
-      active_request.request->body_timeout_ms; // the client's time counts from its last byte on
+      active_request.request->body_timeout_ms; // the timeout counts from the last byte of the request
   active_request.deadline = now + active_request.request->timeout_ms;
   active_request.objective_at = active_request.deadline;
   if (active_request.request->class_index < settings_.classes.size()) {
@@ -49,7 +49,8 @@
           active_request.deadline, now + rules.latency_objective_ms +
                                        rules.objective_per_work * active_request.request->expected_work_ms);
   }
-  // A safety net: the Balancer answers earlier. Half of the grace is left for the way to the client.
+  // A fallback: normally the Balancer responds earlier. Half of the grace period is left for the transmission
+  // to the client.
   active_request.deadline_timer =
       timers_.at(active_request.deadline + options_.grace_ms / 2, [this, id] { on_deadline(id); });
   ++unanswered_requests_;
@@ -70,7 +71,7 @@
 void RequestDispatcher::body_complete(Handle request_id) {
   ActiveRequest* active_request = requests_.find(request_id);
   if (active_request == nullptr || active_request->finished || active_request->streaming_attempt != 0) return;
-  // Above 0: the body was complete later than open_request() assumed; below 0: sooner.
+  // Positive if the body was complete later than open_request() assumed, negative if sooner.
   const double extension_ms = loop::now_ms() + active_request->request->timeout_ms - active_request->deadline;
   active_request->deadline += extension_ms;
   active_request->objective_at += extension_ms;
@@ -124,12 +125,12 @@
 bool RequestDispatcher::start_response(Handle attempt_id, ResponseHead head) {
   const Attempt* attempt = attempts_.find(attempt_id);
   ActiveRequest* active_request = attempt == nullptr ? nullptr : requests_.find(attempt->request);
-  // Of two hedged attempts the first response to start counts: the Balancer cancels the other.
+  // Of two hedged attempts the first response to start is used; the Balancer cancels the other attempt.
   if (active_request == nullptr || active_request->finished || active_request->streaming_attempt != 0)
     return false;
   if (!downstream_->start_response(active_request->client, std::move(head))) return false;
   active_request->streaming_attempt = attempt_id;
-  // From here on there is no deadline: upstream and downstream watch the pace of server and client.
+  // A streamed response has no deadline: upstream and downstream detect a stalled server or client.
   timers_.cancel(active_request->deadline_timer);
   timers_.cancel(attempts_.find(attempt_id)->timeout);
   enqueue(fernward::ResponseStarted{attempt->request, attempt->number, attempt->server,
@@ -170,12 +171,13 @@
     upstream_->resume_reading(active_request->streaming_attempt);
 }
 
-// Responses that found no room in the buffer budget and have no bytes of their own that could drain.
+// Resumes responses that found the buffer budget exhausted and have no buffered bytes whose draining would
+// resume them.
 void RequestDispatcher::resume_blocked_readers() {
   while (const auto request_id = buffer_budget_.next_resumable()) resume_reading(*request_id);
 }
 
-// Its first byte is out: a cancellation that the Balancer decided on at the same time comes too late.
+// The response has started: a cancellation that the Balancer decided on at the same time comes too late.
 bool RequestDispatcher::is_streaming(const ActiveRequest& active_request, std::size_t number) const {
   return !active_request.finished && active_request.streaming_attempt != 0 &&
          active_request.attempts[number] == active_request.streaming_attempt;
@@ -207,7 +209,8 @@
   ActiveRequest* active_request = requests_.find(request_id);
   if (active_request == nullptr || active_request->finished) return;
   active_request->deadline_timer = 0;
-  // The Balancer does not know when a body was complete sooner than its timeout.
+  // With a streamed body the Balancer's deadline may be later: it is not notified of a body that is complete
+  // before its timeout.
   if (active_request->request->body_timeout_ms == 0 && loop::now_ms() >= active_request->deadline)
     log::line("request-overdue",
               {{"id", active_request->request->id}, {"attempts", active_request->attempts.size()}});
@@ -266,10 +269,10 @@
   } else if (const auto* message = std::get_if<fernward::Log>(&action)) {
     log::line("module", {{"says", message->text}});
   } else if (std::get_if<fernward::WatchEndpoints>(&action) != nullptr) {
-    // The endpoint list is always watched: an empty delta confirms that at once.
+    // The endpoint list is always watched: an empty delta confirms the watch at once.
     enqueue(fernward::EndpointList{fernward::EndpointListKind::Delta, {}});
   } else if (const auto* health_check = std::get_if<fernward::SendHealthCheck>(&action)) {
-    enqueue(fernward::HealthCheckResult{health_check->server, 0, false, {}}); // the proxy sends none
+    enqueue(fernward::HealthCheckResult{health_check->server, 0, false, {}}); // none are sent
   }
 }
 
@@ -290,7 +293,7 @@
                                                : std::min(active_request->deadline, now + send.timeout_ms);
   Handle attempt_id = 0;
   AttemptResult result = AttemptResult::Abandoned;
-  // The client has left, and the event that says so has not been processed yet.
+  // The client has disconnected, but that event has not been processed yet.
   if (!active_request->finished && !downstream_->is_connected(active_request->client)) {
     active_request->attempts.push_back(0);
     client_disconnected(send.id);
@@ -323,9 +326,9 @@
   report_outcome(send.id, number, send.server, 0, result);
 }
 
-// The last check of an attempt, as it starts and again as its first byte is written: the request still waits,
-// and its class, key window and body allow it (body_buffers::may_send). The Balancer has checked the class
-// before.
+// The final check of an attempt, when it starts and again when its first byte is written: the request still
+// waits for a response, and its class, idempotency window and body permit the attempt
+// (body_buffers::may_send). The Balancer has already checked the class.
 bool RequestDispatcher::may_send(const ActiveRequest& active_request, double now,
                                  bool already_started) const {
   if (active_request.finished || active_request.streaming_attempt != 0 ||
@@ -346,12 +349,12 @@
   return allowed;
 }
 
-// The connection is closed, unless it is still connecting: then the next attempt may have it.
+// The connection is closed, unless it is still connecting: then it is kept for the next attempt.
 void RequestDispatcher::cancel_attempt(Handle attempt_id, AttemptResult result) {
   if (attempts_.find(attempt_id) == nullptr) return;
   const UpstreamConnections::ClientPause pause = upstream_->cancel(attempt_id);
   AttemptCompletion completion;
-  // A timeout while the client took nothing is no fault of the server.
+  // A timeout while waiting for the client is not attributed to the server.
   completion.result = result == AttemptResult::TimedOut && pause.ongoing ? AttemptResult::Cancelled : result;
   completion.paused_ms = pause.ms;
   complete_attempt(attempt_id, std::move(completion));
@@ -381,7 +384,7 @@
     response.content_type = std::move(completion.content_type);
     finish(attempt.request, &response);
   }
-  // Time spent on a slow client says nothing about the server.
+  // Time spent waiting for a slow client is not attributed to the server.
   const double elapsed = std::max(0.0, loop::now_ms() - attempt.sent_at - completion.paused_ms);
   report_outcome(attempt.request, attempt.number, attempt.server, elapsed, completion.result,
                  std::move(completion.load_report), completion.on_reused_connection,
@@ -411,8 +414,8 @@
   enqueue(std::move(attempt_outcome));
 }
 
-// `response`: null where a streamed response has ended (`complete` or not), or no client waits. Attempts may
-// go on.
+// `response`: null if a streamed response has ended (`complete` or not), or if no client waits. Attempts may
+// still be in flight.
 void RequestDispatcher::finish(Handle request_id, ClientResponse* response, bool complete) {
   ActiveRequest* active_request = requests_.find(request_id);
   if (active_request == nullptr || active_request->finished) return;
--- a/src/proxy/request_dispatcher.h
+++ b/src/proxy/request_dispatcher.h
@@ -1,4 +1,4 @@
-// Feeds what happens on the sockets to the Balancer as events, and carries out its actions.
+// Translates socket activity into events for the Balancer, and executes the Balancer's actions.
 #pragma once
 
 #include <array>
@@ -17,55 +17,56 @@
 
 struct RequestDispatcherOptions {
   double grace_ms = 20;            // a response may arrive this long after the client's deadline
-  std::size_t max_requests = 4096; // active at once
-  // Before a burst of events, and after this time between events, discovery is read: no decision uses an
-  // older list.
+  std::size_t max_requests = 4096; // maximum number of active requests
+  // Discovery is polled before a burst of events, and between events after this interval, so that no decision
+  // uses an older endpoint list.
   double discovery_poll_interval_ms = 25;
 };
 
-// Decides nothing by itself: which server, whether to retry and when to give up come from the Balancer. It
-// only refuses what has become pointless or unsafe since the Balancer decided, see may_send().
+// The Balancer makes the decisions: which server, whether to retry, when to give up. This class only refuses
+// attempts that have become pointless or unsafe since the decision, see may_send().
 //
 // Events are queued and processed from the event loop, so that no socket callback finds its connection freed
-// by what it reported. A request is active until its final response (or its client's end) and the end of its
-// last attempt:
+// as a result of its own event. A request is active until its final response (or the disconnect of its
+// client) and the end of its last attempt:
 //   waiting -> streaming (an attempt's response has started) -> finished
 //   waiting -> finished -> removed, once no attempt is in flight
-// Handles of requests that are gone are accepted everywhere and have no effect. One thread. Times:
-// loop::now_ms().
+// Handles of removed requests are accepted everywhere and have no effect. Single-threaded. Times are on the
+// loop::now_ms() clock.
 class RequestDispatcher : public AttemptCallbacks {
  public:
-  // `buffer_budget` outlives it.
+  // `buffer_budget` must outlive the dispatcher.
   RequestDispatcher(event_base* base, loop::TimerQueue& timers, fernward::Balancer balancer,
                     const fernward::Settings& settings, body_buffers::BufferBudget& buffer_budget,
                     const RequestDispatcherOptions& options);
 
-  // Before the first request; both outlive it.
+  // To be called before the first request; both must outlive the dispatcher.
   void attach(DownstreamConnections& downstream, UpstreamConnections& upstream) {
     downstream_ = &downstream;
     upstream_ = &upstream;
   }
-  // `poll` reads what discovery has sent; see RequestDispatcherOptions::discovery_poll_interval_ms.
+  // `poll` processes pending updates from discovery, see
+  // RequestDispatcherOptions::discovery_poll_interval_ms.
   void set_discovery_poll(std::function<void()> poll) { discovery_poll_ = std::move(poll); }
 
-  // A request whose last byte has just arrived, or whose body is still arriving (body_timeout_ms > 0). 0: too
-  // many.
+  // Adds a request whose last byte has just arrived, or whose body is still arriving (body_timeout_ms > 0).
+  // Returns 0 if there are too many requests.
   Handle open_request(Handle client, ClientRequest request);
-  // A client waits for a response under this request id.
+  // Whether a client waits for a response to a request with this id.
   bool is_waiting_for(const std::string& id) const { return waiting_ids_.count(id) > 0; }
-  // The last byte of a streamed body has arrived: the deadlines count from now on.
+  // The last byte of a streamed body has arrived: the deadlines are counted from now on.
   void body_complete(Handle request_id);
   void client_disconnected(Handle request_id);
-  // The client has taken some of a streamed response.
+  // The client has received part of a streamed response, and more can be written.
   void response_drained(Handle request_id);
-  // Graceful shutdown: at this time, what has no final response fails.
+  // Graceful shutdown: requests without a final response fail at this time.
   void answer_all_by(double by);
   void update_endpoints(fernward::EndpointList list);
-  // What the other routers' gossip amounts to, see gossip/advice.h.
+  // Events derived from the gossip of the other routers, see gossip/advice.h.
   void on_fleet_events(std::vector<fernward::Event> events);
   const fernward::Balancer& balancer() const { return balancer_; }
   fernward::Balancer::OriginBudget origin_budget() const { return balancer_.origin_budget(); }
-  // Throws std::invalid_argument, as Balancer::update_settings.
+  // Throws std::invalid_argument, like Balancer::update_settings.
   void update_settings(const fernward::Settings& settings);
 
   void on_attempt_complete(Handle attempt_id, AttemptCompletion completion) override;
@@ -77,7 +78,7 @@
   bool splice_from(Handle attempt_id, int socket, std::size_t most, loop::IoBuffer& block,
                    loop::Received& received, std::size_t& bytes) override;
 
-  // Requests given up so far, by reason.
+  // The number of requests given up so far, by reason.
   using GiveUpCounts = std::array<std::uint64_t, static_cast<std::size_t>(fernward::GiveUpReason::Count)>;
   const GiveUpCounts& give_up_counts() const { return give_up_counts_; }
   bool is_ejected(fernward::ServerId server) const { return balancer_.is_ejected(server); }
@@ -89,14 +90,14 @@
     Handle client = 0;
     ClientRequestPtr request;
     double deadline = 0;
-    double objective_at = 0;      // by when the response has its full value; at most `deadline`
+    double objective_at = 0;      // latency objective; at most `deadline`
     std::vector<Handle> attempts; // by attempt number; 0: ended or never started
-    Handle streaming_attempt = 0; // whose response has started
-    bool may_have_run = false;    // an attempt that has ended may have run
+    Handle streaming_attempt = 0; // the attempt whose response has started
+    bool may_have_run = false;    // an attempt that has ended may have been executed
     std::uint32_t attempts_started = 0;
     double first_sent_at = 0; // of the first attempt that may have run or is in flight
     std::size_t attempts_in_flight = 0;
-    bool finished = false; // has its final response, or its client has left
+    bool finished = false; // has its final response, or its client has disconnected
     loop::TimerQueue::TimerId deadline_timer = 0;
   };
   struct Attempt {
@@ -144,9 +145,9 @@
   loop::SlotMap<Attempt> attempts_;
   std::deque<fernward::Event> events_;
   std::vector<fernward::Action> actions_;
-  std::unordered_set<std::string> waiting_ids_; // of requests that are not finished
+  std::unordered_set<std::string> waiting_ids_; // of unfinished requests
   std::size_t unanswered_requests_ = 0;
-  double answer_all_by_ = 0; // 0: no end is known
+  double answer_all_by_ = 0; // 0: no shutdown is in progress
   std::function<void()> discovery_poll_;
   double discovery_polled_at_ = 0;
   GiveUpCounts give_up_counts_{};
--- a/src/proxy/upstream_connections.h
+++ b/src/proxy/upstream_connections.h
@@ -1,4 +1,4 @@
-// The server side as RequestDispatcher sees it.
+// The interface of RequestDispatcher to the server connections.
 #pragma once
 
 #include "fernward/balancer.h"
@@ -16,10 +16,10 @@
   enum class StartResult {
     Started,
     NoEndpoint, // not in the endpoint list, or the connection was refused
-    LocalLimit, // no descriptor or local port left: no fault of the server
+    LocalLimit, // no descriptor or local port left; not attributed to the server
   };
-  // Time in which the client, not the server, was awaited: it took nothing of the response, or still sent the
-  // request.
+  // Time spent waiting for the client instead of the server: the client did not read the response, or was
+  // still sending the request.
   struct ClientPause {
     double ms = 0;
     bool ongoing = false;
@@ -27,12 +27,12 @@
 
   virtual ~UpstreamConnections() = default;
 
-  // Only after Started is AttemptCallbacks called for `attempt`. `deadline`: loop::now_ms() clock.
+  // AttemptCallbacks is called for `attempt` only if this returns Started. `deadline`: loop::now_ms() clock.
   virtual StartResult start(Handle attempt, fernward::ServerId server, const ClientRequestPtr& request,
                             double deadline) = 0;
-  // Ends a started attempt: AttemptCallbacks is not called for it any more.
+  // Ends a started attempt: AttemptCallbacks is no longer called for it.
   virtual ClientPause cancel(Handle attempt) = 0;
-  // Reads the response again, after AttemptCallbacks::writable_bytes() was 0.
+  // Resumes reading the response, after AttemptCallbacks::writable_bytes() was 0.
   virtual void resume_reading(Handle attempt) = 0;
 };
 
