--- a/src/upstream/close_reason.h
+++ b/src/upstream/close_reason.h
@@ -5,41 +5,41 @@
 
 namespace fernward::upstream {
 
-// docs/on-call.md lists the words and what they mean; .ci/pages compares both ways.
+// docs/on-call.md lists the log codes and their meaning; .ci/pages checks that both lists agree.
 enum class CloseReason {
-  // Nothing of a request was sent.
+  // Before any byte of a request was sent.
   ConnectFailed,    // refused, or unreachable
-  ConnectTimeout,   // not up within the connect time-out
+  ConnectTimeout,   // not established within the connect timeout
   NoLocalResources, // no local port or memory
   // During a request.
-  BrokeUnsent,  // before the request's last byte had left
-  Reset,        // while a response was due
-  CutOff,       // the endpoint ended its sending in the middle of a response
-  Malformed,    // the response could not be read
+  BrokeUnsent,  // before the request's last byte was sent
+  Reset,        // while a response was expected
+  CutOff,       // the endpoint ended its stream before the response was complete
+  Malformed,    // the response could not be parsed
   TooLarge,     // the response is longer than limits.answer_bytes
-  ClientSlow,   // cancelled while its client took nothing
-  BodyLost,     // the rest of the request's body can't be had
-  FellSilent,   // nothing more of a response that had begun
-  TakesNothing, // nothing more of a request body was taken
-  NeverEnded,   // cancelled with a part of the response there
-  GivenUp,      // cancelled before any of the response was there
+  ClientSlow,   // cancelled while its client did not read the response
+  BodyLost,     // the rest of the request's body is unavailable
+  FellSilent,   // no further bytes of a response that had started
+  TakesNothing, // the endpoint stopped reading the request body
+  NeverEnded,   // cancelled after part of the response was received
+  GivenUp,      // cancelled before any of the response was received
   // After a response, or while idle.
-  LongRemains,   // an unwanted response with too much left to discard
-  BytesBehind,   // more than the response was sent
-  EarlyAnswer,   // a response before the request was out
+  LongRemains,   // an unneeded response with too many bytes left to discard
+  BytesBehind,   // the endpoint sent more bytes than the response
+  EarlyAnswer,   // a response before the request was sent completely
   PeerClosed,    // by the endpoint, while idle
-  PeerSaidClose, // by the endpoint, with its response
-  Stale,         // found closed as it was to be reused
-  UnaskedBytes,  // bytes with no request
-  Idle,          // unused for the configured time
-  Spare,         // origin only: another one was idle too
-  Rested,        // idle for longer than the endpoint is believed to keep it
-  NotInService,  // the endpoint has left the list, or drains
-  Restarted,     // the endpoint has a new start or address
-  // Its descriptor was needed.
+  PeerSaidClose, // requested by the endpoint in its response
+  Stale,         // found closed when it was to be reused
+  UnaskedBytes,  // received bytes without a request
+  Idle,          // idle for the configured time
+  Spare,         // origin only: another connection was idle as well
+  Rested,        // idle for longer than the endpoint's estimated idle timeout
+  NotInService,  // the endpoint was removed from the list, or is draining
+  Restarted,     // the endpoint was restarted or has a new address
+  // To free its descriptor.
   Handover,  // for the new process of a hot restart
-  TableFull, // this process had none left
-  Recalled,  // the clients' side needed it
+  TableFull, // this process had no descriptor left
+  Recalled,  // needed for a client connection
 };
 
 /// The value of `code=` in the log.
--- a/src/upstream/codec.cpp
+++ b/src/upstream/codec.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr float kMaxReportValue = 1e6f; // no queue and no latency of an endpoint that answers
+constexpr float kMaxReportValue = 1e6f; // above any queue length or latency of a responsive endpoint
 
-// Responses of endpoints that refuse the request itself: no other endpoint would take it.
+// Statuses that reject the request itself: every other endpoint would reject it as well.
 bool is_invalid_request(int status) {
   return status == 400 || status == 405 || status == 413 || status == 414 || status == 422 || status == 431;
 }
@@ -49,7 +49,7 @@
   } else if (is_invalid_request(response.status)) {
     completion.result = AttemptResult::InvalidRequest;
   } else {
-    completion.result = AttemptResult::Error; // it may have run
+    completion.result = AttemptResult::Error; // the request may have run
   }
   return completion;
 }
@@ -62,7 +62,7 @@
     const std::string_view item = http::trim(text.substr(0, comma));
     text = comma == std::string_view::npos ? std::string_view() : text.substr(comma + 1);
     const auto equals = item.find('=');
-    if (equals == std::string_view::npos) return {}; // damaged: nothing of it is used
+    if (equals == std::string_view::npos) return {}; // malformed: the complete report is ignored
     const auto field = std::find(fields.begin(), fields.end(), http::trim(item.substr(0, equals)));
     if (field == fields.end()) continue;
     const std::string_view number = http::trim(item.substr(equals + 1));
--- a/src/upstream/codec.h
+++ b/src/upstream/codec.h
@@ -1,4 +1,4 @@
-// Requests and responses of upstream endpoints as HTTP. No sockets.
+// HTTP encoding of upstream requests and decoding of upstream responses. No sockets.
 #pragma once
 
 #include <string>
@@ -11,14 +11,14 @@
 
 namespace fernward::upstream {
 
-/// All of a request whose body is short; the head of one whose body is long, in chunks where its length is
-/// unknown. `remaining_ms`: until the attempt's deadline.
+/// Encodes a request with a short body completely. Of a request with a streamed body, encodes the head; the
+/// body is chunked if its length is unknown. `remaining_ms`: the time until the attempt's deadline.
 std::string encode(const proxy::ClientRequest& request, const std::string& host, double remaining_ms);
-/// What a response's head says of its attempt: the result, the content type, the load report.
+/// Decodes a response's head: the attempt's result, the content type, the load report.
 proxy::AttemptCompletion decode(const http::Message& response, const std::vector<std::string>& report_fields);
 
-/// A load report, as "queue=2,util=0.61", in the order of `fields`; a value that is missing is -1. Empty:
-/// damaged, or with no value that is known.
+/// Parses a load report such as "queue=2,util=0.61". The values are in the order of `fields`, -1 for a
+/// missing value. Empty if the report is malformed or has no known field.
 std::vector<float> parse_report(std::string_view text, const std::vector<std::string>& fields);
 
 } // namespace fernward::upstream
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr int kSocketRetries = 2; // each after a connection was closed for its descriptor
+constexpr int kSocketRetries = 2; // each after another connection was closed
 
 } // namespace
 
@@ -76,7 +76,7 @@
   if (endpoint->entry.state != ServerState::Ready) {
     close_free(id, CloseReason::NotInService);
   } else if (endpoint->address != before.address || endpoint->entry.started_at != before.entry.started_at) {
-    close_free(id, CloseReason::Restarted); // these lead to the process before
+    close_free(id, CloseReason::Restarted); // they lead to the previous process
     idle_lifetimes_.forget(id);
   }
 }
@@ -132,10 +132,10 @@
   const bool lasts = paused || upload.stage == UploadProgress::Stage::Uploading;
   const double since = paused ? connection->response.paused_at_ms : upload.head_written_at_ms;
   const ClientPause pause{connection->paused_ms + (lasts ? now_ms() - since : 0), lasts};
-  if (connection->is(State::Connecting)) { // nothing was sent: the next attempt may have it
+  if (connection->is(State::Connecting)) { // nothing was sent: the next attempt may use it
     connection->request.reset();
     add_to_free(*connection);
-  } else if (paused) { // these cannot be reused: a response is due
+  } else if (paused) { // not reusable: a response is outstanding
     close(*connection, CloseReason::ClientSlow);
   } else {
     close(*connection, connection->parser.begun() ? CloseReason::NeverEnded : CloseReason::GivenUp);
@@ -166,7 +166,7 @@
   return take_connecting(endpoint);
 }
 
-// The newest that is not stale: the oldest are left to run out.
+// Takes the newest connection that is not stale, so that the oldest ones reach their idle timeout.
 UpstreamConnection* ConnectionPool::take_idle(ServerId endpoint, double now) {
   using Reuse = idle_connections::IdleLifetimeEstimator::Reuse;
   std::vector<Handle>& free = free_[endpoint];
@@ -174,14 +174,14 @@
     UpstreamConnection* const connection = connections_.find(free[i]);
     if (connection == nullptr || !connection->is(State::Idle)) continue;
     if (loop::peek(bufferevent_getfd(connection->socket.get())) != loop::Peek::NoData) {
-      close(*connection, CloseReason::Stale); // takes it out of `free`
+      close(*connection, CloseReason::Stale); // removes it from `free`
       i = std::min(i, free.size());
       continue;
     }
     IdleUse& idle = connection->idle;
     const double idle_ms = now - idle.since_ms;
     const Reuse use = idle_lifetimes_.decide_reuse(now, endpoint, idle_ms);
-    if (use == Reuse::Refused) return nullptr; // those before it have been idle for longer
+    if (use == Reuse::Refused) return nullptr; // the connections before it have been idle for longer
     idle.before_request_ms = idle_ms;
     idle.beyond_safe_lifetime = use == Reuse::Trial;
     free.erase(free.begin() + static_cast<std::ptrdiff_t>(i));
@@ -191,7 +191,7 @@
   return nullptr;
 }
 
-// The newest; it keeps its connect time-out.
+// Takes the newest connecting one; its connect timeout stays in force.
 UpstreamConnection* ConnectionPool::take_connecting(ServerId endpoint) {
   std::vector<Handle>& free = free_[endpoint];
   for (std::size_t i = free.size(); i-- > 0;) {
@@ -203,7 +203,7 @@
   return nullptr;
 }
 
-// Of free connections the idle ones stand in the order in which they became idle.
+// The idle connections among the free ones are in the order in which they became idle.
 void ConnectionPool::close_outlived(ServerId endpoint, double now) {
   const auto found = free_.find(endpoint);
   if (found == free_.end() || found->second.empty()) return;
@@ -218,10 +218,10 @@
   for (const Handle handle : outlived) close(*connections_.find(handle), CloseReason::Rested);
 }
 
-// What a request on the connection shows of the endpoint's idle timeout.
+// Updates the estimate of the endpoint's idle timeout from a request on the connection.
 void ConnectionPool::record_idle_use(const UpstreamConnection& connection, bool reset) {
   const ServerId endpoint = connection.endpoint.id;
-  if (endpoints_.count(endpoint) == 0) return; // nothing is kept of one that was removed
+  if (endpoints_.count(endpoint) == 0) return; // no state is kept for removed endpoints
   const IdleUse& idle = connection.idle;
   if (idle.before_request_ms < 0) return idle_lifetimes_.on_first_use(now_ms(), endpoint, reset);
   resets_after_idle_ += reset;
@@ -230,20 +230,21 @@
 
 // ---- opening ----
 
-// Null: `refusal` says why.
+// Returns null and sets `refusal` on failure.
 UpstreamConnection* ConnectionPool::open_connection(const endpoints::Endpoint& endpoint,
                                                     StartResult& refusal) {
   descriptors::DescriptorBudget::Lease descriptor = reserve_descriptor();
   const int fd = descriptor ? open_socket() : -1;
   if (fd < 0) {
-    refusal = StartResult::LocalLimit; // not the endpoint's fault
+    refusal = StartResult::LocalLimit; // not attributed to the endpoint
     return nullptr;
   }
   UpstreamConnection& connection = add_connection(endpoint, std::move(descriptor), fd);
   return connect(connection, endpoint, refusal) ? &connection : nullptr;
 }
 
-// Of those that are left, one that the clients have beyond their share, or one of a free connection.
+// Reserves an unused descriptor, one that the client connections hold beyond their share, or that of a free
+// connection.
 descriptors::DescriptorBudget::Lease ConnectionPool::reserve_descriptor() {
   using Eviction = descriptors::DescriptorBudget::Eviction;
   const double now = now_ms();
@@ -255,7 +256,7 @@
   }
 }
 
-// -1: the system grants none, even after connections were closed for it.
+// Returns -1 if the system grants no descriptor, even after connections were closed.
 int ConnectionPool::open_socket() {
   for (int retries = 0;; ++retries) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -268,7 +269,7 @@
   }
 }
 
-// `fd` is the connection's from here on.
+// The connection takes ownership of `fd`.
 UpstreamConnection& ConnectionPool::add_connection(const endpoints::Endpoint& endpoint,
                                                    descriptors::DescriptorBudget::Lease descriptor, int fd) {
   const Handle handle = connections_.add(options_.answers.max_body_bytes);
@@ -288,12 +289,12 @@
   return connection;
 }
 
-// False: `refusal` says why, and the connection is gone.
+// On failure returns false, sets `refusal`, and destroys the connection.
 bool ConnectionPool::connect(UpstreamConnection& connection, const endpoints::Endpoint& endpoint,
                              StartResult& refusal) {
   const auto* const address = reinterpret_cast<const sockaddr*>(&endpoint.where);
   if (bufferevent_socket_connect(connection.socket.get(), address, sizeof endpoint.where) != 0) {
-    // No port or no memory on this machine: not the endpoint's fault.
+    // No local port or memory: not attributed to the endpoint.
     const bool local = errno == EADDRNOTAVAIL || errno == ENOBUFS || errno == ENOMEM || errno == EAGAIN;
     if (local) refusal = StartResult::LocalLimit;
     close(connection, local ? CloseReason::NoLocalResources : CloseReason::ConnectFailed);
@@ -310,7 +311,7 @@
   return true;
 }
 
-// ---- what the socket tells ----
+// ---- socket callbacks ----
 
 void ConnectionPool::on_readable(bufferevent*, void* connection) {
   auto* const readable = static_cast<UpstreamConnection*>(connection);
@@ -337,14 +338,14 @@
 
 void ConnectionPool::on_connected(UpstreamConnection& connection) {
   if (const Handle late = connection.attempt; late != 0 && !attempts_.may_write_request(late)) {
-    cancel(late); // still connecting: nothing of the request goes out, and the connection is kept
+    cancel(late); // still connecting: nothing of the request is sent, and the connection is kept
     proxy::AttemptCompletion completion;
     completion.result = AttemptResult::Abandoned;
     attempts_.on_attempt_complete(late, std::move(completion));
   }
   timers_.cancel(connection.timer);
   bufferevent_enable(connection.socket.get(), EV_READ | EV_WRITE);
-  // The endpoint may have been withdrawn meanwhile, or have moved: nothing new goes there.
+  // The endpoint may have been removed or have changed its address meanwhile: no new request is sent there.
   if (!leads_to_endpoint(connection)) {
     return fail(connection, AttemptResult::ConnectFailed, CloseReason::NotInService);
   }
@@ -361,14 +362,15 @@
   if (connection.is(State::Connecting)) {
     return fail(connection, AttemptResult::ConnectFailed, CloseReason::ConnectFailed);
   }
-  if (connection.is(State::Idle)) return close(connection, CloseReason::PeerClosed); // costs no request
-  // What came before the end has not been taken yet; the end is found again.
+  if (connection.is(State::Idle)) return close(connection, CloseReason::PeerClosed); // no request is affected
+  // Bytes received before the end are still unread; the end is detected again after them.
   if (end_of_input && connection.is(State::Paused)) return;
   if (end_of_input && connection.parser.end_of_input()) {
     return response_complete(connection, CloseReason::PeerSaidClose);
   }
-  if (!connection.parser.begun()) record_idle_use(connection, true); // else it was alive after its idle time
-  // While its last byte waits here, the request cannot have run.
+  if (!connection.parser.begun())
+    record_idle_use(connection, true); // otherwise it was alive after its idle time
+  // As its last byte has not been sent, the request cannot have run.
   if (connection.request_unsent()) {
     return fail(connection, AttemptResult::ConnectFailed, CloseReason::BrokeUnsent);
   }
@@ -399,7 +401,7 @@
   return_to_pool(connection);
 }
 
-// The process that answered may have gone, or live on under another name.
+// The process that responded may have been removed from the endpoint list, or be listed at another address.
 std::optional<CloseReason> ConnectionPool::reason_not_to_pool(const UpstreamConnection& connection) const {
   const EndpointIdentity& opened_to = connection.endpoint;
   if (!in_service(opened_to.id)) return CloseReason::NotInService;
@@ -418,7 +420,7 @@
   close(connection, reason);
 }
 
-// The connection is gone on return.
+// The connection is destroyed on return.
 void ConnectionPool::close(UpstreamConnection& connection, CloseReason reason) {
   log::routine("upstream-ended", {{"target", connection.endpoint.name},
                                   {"code", log_word(reason)},
@@ -438,7 +440,7 @@
   const double now = now_ms();
   connection.become_idle(now);
   const double lifetime_ms = idle_lifetimes_.keep_ms(now, endpoint);
-  // Its place at the endpoint is one that other routers may want, and this one has another that is idle.
+  // Other routers may need the connection slot at the endpoint, and this router has another idle connection.
   const bool scarce = static_cast<std::int64_t>(endpoints_.at(endpoint).entry.kind) == options_.scarce_kind;
   const double used_ms = now - connection.assigned_at_ms;
   const bool spare = scarce && free_[endpoint].size() > 1 && used_ms < lifetime_ms;
@@ -469,7 +471,7 @@
   const auto found = free_.find(endpoint);
   if (found == free_.end()) return;
   std::erase(found->second, connection.handle);
-  // Nothing is kept of an endpoint that was removed.
+  // No state is kept for removed endpoints.
   if (found->second.empty() && endpoints_.count(endpoint) == 0) free_.erase(found);
 }
 
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -1,4 +1,4 @@
-// Connections to the upstream endpoints.
+// The pool of connections to the upstream endpoints.
 #pragma once
 
 #include <functional>
@@ -25,48 +25,48 @@
 
 namespace fernward::upstream {
 
-/// Which connections there are, which of them are free, and which one a request gets. Free connections are
-/// the idle ones and those still connecting whose request was cancelled.
+/// Owns the upstream connections, and assigns requests to them. Free connections are the idle ones, and those
+/// that are still connecting and whose request was cancelled.
 class ConnectionPool : public proxy::UpstreamConnections, private ConnectionOwner {
  public:
-  /// The clients' side closes a connection for this one. False: it can spare none.
+  /// Closes a client connection to free a descriptor. False: no client connection can be closed.
   using RecallDescriptor = std::function<bool()>;
 
-  /// All references outlive the pool.
+  /// All references must outlive the pool.
   ConnectionPool(event_base* base, loop::TimerQueue& timers, descriptors::DescriptorBudget& descriptors,
                  body_buffers::BufferBudget& buffer_budget, figures::Figures& figures,
                  const ConnectionPoolOptions& options, proxy::AttemptCallbacks& attempts,
                  RecallDescriptor recall);
 
-  /// The whole endpoint table as it is now; endpoints that are missing are removed.
+  /// Replaces the endpoint table; endpoints that are missing from `endpoints` are removed.
   void update_endpoints(const std::map<fernward::ServerId, endpoints::Endpoint>& endpoints);
-  /// One endpoint as it is now, at a cost that does not grow with their number; null: it is removed.
+  /// Updates one endpoint, at a cost independent of the number of endpoints. Null: the endpoint is removed.
   void update_endpoint(fernward::ServerId id, const endpoints::Endpoint* endpoint);
-  /// As last updated; null: there is none.
+  /// The endpoint as last updated; null if it is unknown.
   const endpoints::Endpoint* endpoint(fernward::ServerId id) const;
 
   StartResult start(loop::Handle attempt, fernward::ServerId endpoint, const proxy::ClientRequestPtr& request,
                     double deadline_ms) override;
   ClientPause cancel(loop::Handle attempt) override;
   void resume_reading(loop::Handle attempt) override;
-  /// Closes the free connection that has been free longest. False: none is free.
+  /// Closes the connection that has been free for the longest time. False: none is free.
   bool evict_oldest_idle(CloseReason reason);
 
   std::size_t connections() const { return connections_.size(); }
   std::size_t pooled_endpoints() const { return free_.size(); }
   std::uint64_t opened() const { return opened_; }
-  std::uint64_t resets_after_idle() const { return resets_after_idle_; } // requests on reused connections
+  std::uint64_t resets_after_idle() const { return resets_after_idle_; } // on reused connections
   const idle_connections::IdleLifetimeEstimator& idle_lifetimes() const { return idle_lifetimes_; }
 
  private:
-  // What the socket tells.
+  // Socket callbacks.
   static void on_readable(bufferevent*, void* connection);
   static void on_writable(bufferevent*, void* connection);
   static void on_event(bufferevent*, short events, void* connection);
   void read(UpstreamConnection& connection);
   void on_connected(UpstreamConnection& connection);
 
-  // What the writer and the receiver tell.
+  // Callbacks from the writer and the receiver.
   void response_started(const UpstreamConnection& connection) override;
   void response_complete(UpstreamConnection& connection, std::optional<CloseReason> reason) override;
   void disconnected(UpstreamConnection& connection, bool end_of_input) override;
@@ -111,8 +111,8 @@
   RecallDescriptor recall_;
   std::map<fernward::ServerId, endpoints::Endpoint> endpoints_;
   loop::SlotMap<UpstreamConnection> connections_;
-  std::map<fernward::ServerId, std::vector<loop::Handle>> free_; // by endpoint, the newest last
-  std::list<loop::Handle> eviction_list_;                        // all that are free, the oldest in front
+  std::map<fernward::ServerId, std::vector<loop::Handle>> free_; // by endpoint, newest last
+  std::list<loop::Handle> eviction_list_;                        // all free connections, oldest first
   std::unordered_map<loop::Handle, loop::Handle> by_attempt_;
   idle_connections::IdleLifetimeEstimator idle_lifetimes_;
   std::uint64_t opened_ = 0;
--- a/src/upstream/request_writer.cpp
+++ b/src/upstream/request_writer.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxPendingUploadBytes = 128 * 1024; // of a body, waiting in the output buffer
-constexpr double kSilenceChecks = 4;                       // in each period of silence that ends a connection
+constexpr std::size_t kMaxPendingUploadBytes = 128 * 1024; // body bytes in the output buffer
+constexpr double kSilenceChecks = 4;                       // checks per silence timeout
 
 } // namespace
 
@@ -50,7 +50,8 @@
   count_sent(connection);
 }
 
-// Never closes the connection: the body's reader calls it from within the client's connection.
+// Never closes the connection: it is also called by the body's reader, from within code of the client
+// connection.
 void RequestWriter::upload(UpstreamConnection& connection) {
   using ReadResult = proxy::RequestBody::Reader::ReadResult;
   bufferevent* const socket = connection.socket.get();
@@ -65,7 +66,7 @@
     if (got == ReadResult::End) {
       if (chunked) loop::write_or_wait(socket, http::kLastChunk);
       progress.stage = Stage::Flushing;
-      connection.paused_ms += now_ms() - progress.head_written_at_ms; // the endpoint could not begin before
+      connection.paused_ms += now_ms() - progress.head_written_at_ms; // the endpoint could not start before
       return count_sent(connection);
     }
     const std::string chunk_line = chunked ? http::chunk_line(bytes) : std::string();
@@ -88,7 +89,8 @@
   figures_.sent();
 }
 
-// The pace of a body is its client's; only an endpoint that takes nothing of what has come is at fault.
+// The client determines how fast a body arrives. The endpoint is responsible only if it accepts none of the
+// bytes that have arrived.
 void RequestWriter::start_silence_limit(UpstreamConnection& connection) {
   timers_.cancel(connection.timer);
   connection.timer = timers_.at(now_ms() + silent_ms_ / kSilenceChecks, [this, handle = connection.handle] {
--- a/src/upstream/request_writer.h
+++ b/src/upstream/request_writer.h
@@ -11,19 +11,19 @@
 
 namespace fernward::upstream {
 
-/// Encodes the request, uploads its body as it comes from the client, and counts requests whose last byte has
-/// left.
+/// Encodes requests, uploads their bodies as they arrive from the client, and counts the requests whose last
+/// byte was sent.
 class RequestWriter {
  public:
-  /// `silent_ms`: an endpoint that takes nothing of a long body for so long is given up.
+  /// `silence_timeout_ms`: an attempt fails if its endpoint accepts none of a streamed body for this long.
   RequestWriter(loop::TimerQueue& timers, loop::SlotMap<UpstreamConnection>& connections,
                 figures::Figures& figures, loop::IoBuffer& block, ConnectionOwner& owner, double silent_ms);
 
-  /// Writes the head and what is there of the body. `host` is the endpoint's address.
+  /// Writes the head and the available part of the body. `host` is the endpoint's address.
   void write(UpstreamConnection& connection, const std::string& host);
-  /// The socket has room, or has taken all.
+  /// The output buffer has drained to its low watermark or completely.
   void on_writable(UpstreamConnection& connection);
-  /// Counts the request as sent once its last byte has left this process.
+  /// Counts the request as sent if its last byte has left this process. Counts each request once.
   void count_sent(UpstreamConnection& connection);
 
  private:
--- a/src/upstream/response_receiver.cpp
+++ b/src/upstream/response_receiver.cpp
@@ -15,13 +15,13 @@
 
 namespace {
 
-constexpr int kMaxBlocksPerTurn = 8; // read from one connection before others have their turn
-// The rest of a body from which on it is read past libevent, which takes 4 KB at a time.
+constexpr int kMaxBlocksPerTurn = 8; // read from one connection before others are served
+// With more remaining body bytes, reads bypass libevent, which reads 4 KB at a time.
 constexpr std::uint64_t kDirectReadBytes = 128 * 1024;
-constexpr std::size_t kMaxDiscardedBytes = 64 * 1024; // a new connection is cheaper than reading more
-constexpr double kSilenceChecks = 4;                  // in each period of silence that ends a connection
+constexpr std::size_t kMaxDiscardedBytes = 64 * 1024; // opening a connection is cheaper than reading more
+constexpr double kSilenceChecks = 4;                  // checks per silence timeout
 
-// With bytes behind a response the next one could not be told apart.
+// Bytes after a response make it impossible to delimit the next response.
 std::optional<CloseReason> reason_of_trailing(std::size_t bytes) {
   if (bytes > 0) return CloseReason::BytesBehind;
   return std::nullopt;
@@ -50,7 +50,7 @@
   read_socket(connection);
 }
 
-// False: the head is incomplete, or the connection is gone.
+// False: the head is incomplete, or the connection has been destroyed.
 bool ResponseReceiver::read_head(UpstreamConnection& connection) {
   bufferevent* const socket = connection.socket.get();
   loop::consume_input(socket, connection.parser.feed_head(loop::pending_input(socket)));
@@ -61,11 +61,11 @@
   return connection.parser.head_done() && on_head(connection);
 }
 
-// False: the connection is gone.
+// False: the connection has been destroyed.
 bool ResponseReceiver::on_head(UpstreamConnection& connection) {
   context_.writer.count_sent(connection);
   const http::Message& head = connection.parser.message();
-  // Before the request is out nothing can have been made for it: this belongs to the request before.
+  // A response cannot precede the complete request: this one belongs to the previous request.
   if (head.status == 200 && connection.request_unsent()) {
     context_.owner.fail(connection, AttemptResult::ConnectFailed, CloseReason::EarlyAnswer);
     return false;
@@ -79,7 +79,7 @@
   return apply_buffering_rules(connection);
 }
 
-// Straight from the socket, block by block.
+// Reads from the socket directly, block by block.
 void ResponseReceiver::read_socket(UpstreamConnection& connection) {
   for (int block = 0; block < kMaxBlocksPerTurn; ++block) {
     const std::size_t allowed = std::min(loop::IoBuffer::size(), read_allowance(connection));
@@ -110,7 +110,7 @@
   set_direct_read(connection, connection.parser.body().straight() > kDirectReadBytes);
 }
 
-// From socket to socket. False: not this way, or not now; nothing was read.
+// Moves bytes from socket to socket. False: not possible for this response or not now; nothing was read.
 bool ResponseReceiver::stream_block(UpstreamConnection& connection, std::size_t max_bytes,
                                     loop::Received& received, std::size_t& bytes) {
   if (!connection.is(State::Streaming) || connection.parser.body().straight() < max_bytes) return false;
@@ -119,13 +119,13 @@
                                        bytes);
 }
 
-// True: the connection is broken or at its end, and may be gone.
+// True: the connection is broken or at its end, and may have been destroyed.
 bool ResponseReceiver::handle_read_end(UpstreamConnection& connection, loop::Received received) {
   if (received == loop::Received::Error) {
     context_.owner.disconnected(connection, false);
     return true;
   }
-  // Without a direct read libevent finds the end again.
+  // Without a direct read, libevent detects the end of the stream again.
   if (received == loop::Received::EndOfStream && connection.response.direct_read != nullptr) {
     context_.owner.disconnected(connection, true);
     return true;
@@ -153,7 +153,7 @@
   readable->receiver->read_socket(*readable);
 }
 
-// How many bytes may be read now. 0: the connection is paused until the client has taken some.
+// Returns how many bytes may be read now. 0: the connection is paused until the client accepts more.
 std::size_t ResponseReceiver::read_allowance(UpstreamConnection& connection) {
   ResponseProgress& response = connection.response;
   if (connection.is(State::Buffering)) {
@@ -170,7 +170,7 @@
   return room;
 }
 
-// From the loop: the client's connection that has room now is still in use by the caller.
+// Reading resumes from the event loop, because the caller is still using the client connection.
 void ResponseReceiver::resume(UpstreamConnection& connection) {
   connection.resume(now_ms());
   event* const direct_read = connection.response.direct_read.get();
@@ -184,7 +184,7 @@
   bufferevent_trigger(socket, EV_READ, BEV_TRIG_DEFER_CALLBACKS | BEV_TRIG_IGNORE_WATERMARKS);
 }
 
-// Takes from `bytes`, no more than read_allowance(), up to the end of the response.
+// Consumes from `bytes`, which are no more than read_allowance(), up to the end of the response.
 ResponseReceiver::BodyStatus ResponseReceiver::receive_body(UpstreamConnection& connection,
                                                             std::string_view& bytes) {
   http::Framer& body = connection.parser.body();
@@ -213,7 +213,8 @@
   }
 }
 
-// Ends buffering where it is time to, and a response that is too long. False: the connection is gone.
+// Stops buffering when it is time to, and fails a response that is too long. False: the connection has been
+// destroyed.
 bool ResponseReceiver::apply_buffering_rules(UpstreamConnection& connection) {
   const http::Framer& body = connection.parser.body();
   if (connection.is(State::Discarding)) {
@@ -253,7 +254,7 @@
   limit_silence(connection);
 }
 
-// Buffering ends in time also where nothing more comes.
+// Ends buffering in time even if no further bytes arrive.
 void ResponseReceiver::limit_buffering(UpstreamConnection& connection) {
   ResponseProgress& response = connection.response;
   response.buffer_until_ms = context_.attempts.buffer_until(connection.attempt);
@@ -268,7 +269,7 @@
   });
 }
 
-// A streamed response has no other deadline: its endpoint must go on sending while the client goes on taking.
+// A streamed response has no other deadline: its endpoint must keep sending while the client keeps reading.
 void ResponseReceiver::limit_silence(UpstreamConnection& connection) {
   context_.timers.cancel(connection.timer);
   const double next_check_ms = now_ms() + context_.options.silent_ms / kSilenceChecks;
@@ -287,7 +288,8 @@
   context_.owner.fail(connection, AttemptResult::TimedOut, CloseReason::FellSilent);
 }
 
-// The endpoint is up and has answered, as by a 500: what it did is not known, the connection is of no use.
+// Handled like a 500: the endpoint is alive and has responded, but it is unknown what it did. The connection
+// cannot be reused.
 void ResponseReceiver::malformed_response(UpstreamConnection& connection) {
   if (!connection.parser.head_done()) context_.owner.response_started(connection);
   const bool malformed = connection.parser.fault() == http::Fault::Malformed;
--- a/src/upstream/response_receiver.h
+++ b/src/upstream/response_receiver.h
@@ -1,4 +1,4 @@
-// Reads responses of upstream endpoints.
+// Receives responses of upstream endpoints.
 #pragma once
 
 #include <string_view>
@@ -13,11 +13,11 @@
 
 namespace fernward::upstream {
 
-/// Reads the head, then buffers the body until it is whole or must be passed on, streams it to the client, or
-/// discards it. Ends a connection whose endpoint falls silent in the middle of a response.
+/// Reads the head, then buffers the body until it is complete or must be streamed, streams it to the client,
+/// or discards it. Fails a connection whose endpoint stops sending in the middle of a response.
 class ResponseReceiver {
  public:
-  /// What the receiver works with; all of it outlives the receiver.
+  /// The receiver's dependencies; all must outlive it.
   struct Context {
     event_base* base;
     loop::TimerQueue& timers;
@@ -31,11 +31,12 @@
   };
   explicit ResponseReceiver(const Context& context) : context_(context) {}
 
-  /// For a connection with a request. The connection may be gone afterwards.
+  /// To be called for a connection with a request. The connection may be destroyed afterwards.
   void on_readable(UpstreamConnection& connection);
-  /// Reads on where the client had no room; nothing is read before the next turn of the loop.
+  /// Resumes reading after the client could not accept more. Reads nothing before the next event loop
+  /// iteration.
   void resume(UpstreamConnection& connection);
-  /// Reads past libevent's buffer while a long stretch of body is due, through it otherwise.
+  /// `direct`: bypasses libevent's input buffer, for long stretches of a body; otherwise reads through it.
   void set_direct_read(UpstreamConnection& connection, bool direct);
 
  private:
--- a/src/upstream/upstream_connection.h
+++ b/src/upstream/upstream_connection.h
@@ -29,33 +29,33 @@
   double started_at = 0; // of its process
 };
 
-/// The request's way out.
+/// The progress of sending the request.
 struct UploadProgress {
-  // Uploading: a long body is not yet written whole. Flushing: the last byte waits in the output buffer.
-  // Sent: the last byte has left this process; also before the first request.
+  // Uploading: a streamed body is not yet written completely. Flushing: the last byte is in the output
+  // buffer. Sent: the last byte has left this process; also the initial stage.
   enum class Stage { Uploading, Flushing, Sent };
   Stage stage = Stage::Sent;
-  std::unique_ptr<proxy::RequestBody::Reader> reader; // of a long body; else null
+  std::unique_ptr<proxy::RequestBody::Reader> reader; // of a streamed body; else null
   double head_written_at_ms = 0;
-  std::uint64_t bytes_taken = 0; // of a long body: what had left this process when last looked at
+  std::uint64_t bytes_taken = 0; // of a streamed body, at the last check
   double last_taken_at_ms = 0;
 };
 
-/// How long the connection was idle before its present request.
+/// How long the connection was idle before its current request.
 struct IdleUse {
   double since_ms = 0;               // when it became idle
-  double before_request_ms = -1;     // below 0: the present request is its first
-  bool beyond_safe_lifetime = false; // reused although it was idle for longer than is believed safe
+  double before_request_ms = -1;     // below 0: the current request is its first
+  bool beyond_safe_lifetime = false; // reused after being idle for longer than is estimated to be safe
 };
 
 struct ResponseProgress {
   proxy::BufferedBytes buffered;
-  proxy::AttemptCompletion completion; // as the head tells it
+  proxy::AttemptCompletion completion; // decoded from the head
   double buffer_until_ms = 0;
-  // Reads past libevent's buffer while a long stretch of body is due; else null.
+  // Bypasses libevent's input buffer during a long stretch of the body; else null.
   loop::EventPtr direct_read;
   double paused_at_ms = 0;
-  double last_bytes_at_ms = 0; // or when reading could go on
+  double last_bytes_at_ms = 0; // or when reading could resume
 };
 
 /// A connection carries one request at a time. States and transitions:
@@ -65,14 +65,14 @@
 ///   Idle             --request assigned-->                  AwaitingResponse
 ///   AwaitingResponse --head of a 200-->                     Buffering
 ///   AwaitingResponse --any other head-->                    Discarding
-///   Buffering        --client takes the response-->         Streaming
-///   Buffering        --client does not want it-->           Discarding
-///   Streaming        --client has no room-->                Paused
-///   Paused           --client has room-->                   Streaming
+///   Buffering        --client accepts the response-->       Streaming
+///   Buffering        --response is not needed-->            Discarding
+///   Streaming        --client output is full-->             Paused
+///   Paused           --client output has drained-->         Streaming
 ///   Buffering, Streaming, Discarding --response complete--> Idle
 ///
-/// Any state ends with the close of the connection, which destroys the object. The upload of the request has
-/// a state of its own (UploadProgress): a response may begin before the request is out.
+/// The connection can be closed in any state, which destroys the object. The upload of the request has its
+/// own state (UploadProgress), as a response may start before the request is sent completely.
 class UpstreamConnection {
  public:
   enum class State { Connecting, Idle, AwaitingResponse, Buffering, Streaming, Paused, Discarding };
@@ -86,19 +86,19 @@
   void head_received(bool wanted) { state_ = wanted ? State::Buffering : State::Discarding; }
   void buffering_ended(bool wanted) { state_ = wanted ? State::Streaming : State::Discarding; }
   void pause(double now_ms);
-  void resume(double now_ms); // adds the pause to paused_ms
+  void resume(double now_ms); // adds the pause duration to paused_ms
   void become_idle(double now_ms);
 
-  /// The request's last byte is still in this process: the endpoint cannot have run it.
+  /// Whether the request's last byte is still in this process, so that the endpoint cannot have run it.
   bool request_unsent() const;
 
-  // Declared in the order of their dependence: the descriptor goes back after the socket is closed, the
-  // body's reader ends before the request, and the direct read before the socket.
+  // The order of declaration matters for destruction: the descriptor is released after the socket is closed,
+  // the body's reader is destroyed before the request, and the direct read before the socket.
   ConnectionPool* pool = nullptr;
   ResponseReceiver* receiver = nullptr;
   loop::Handle handle = 0;
   descriptors::DescriptorBudget::Lease descriptor;
-  std::list<loop::Handle> eviction_node; // holds its entry of the eviction list while it is not free
+  std::list<loop::Handle> eviction_node; // holds the eviction list entry while not free
   std::list<loop::Handle>::iterator eviction_entry;
   EndpointIdentity endpoint;
   loop::BuffereventPtr socket;
@@ -111,28 +111,28 @@
   double deadline_ms = 0; // of the attempt
   double opened_at_ms = 0;
   double assigned_at_ms = 0;
-  double paused_ms = 0; // of the attempt: the client took nothing, or was still sending
+  double paused_ms = 0; // of the attempt: waiting for the client to read or to send
   bool first_request = true;
   unsigned requests_served = 0;
-  // Connect time-out, silence limit of the upload or of the response, or idle time.
+  // Connect timeout, silence timeout of the upload or of the response, or idle timeout.
   loop::TimerQueue::TimerId timer = 0;
 
  private:
   State state_ = State::Connecting;
 };
 
-/// What the writer and the receiver tell the pool. After each call but response_started() the connection may
-/// be gone.
+/// Callbacks from the writer and the receiver to the pool. After each call except response_started() the
+/// connection may have been destroyed.
 class ConnectionOwner {
  public:
   virtual ~ConnectionOwner() = default;
-  /// The endpoint is alive: it has sent a response's head, or bytes in place of one.
+  /// The endpoint is alive: it has sent a response's head, or other bytes instead of one.
   virtual void response_started(const UpstreamConnection& connection) = 0;
-  /// `reason`: why the connection cannot be reused; none: it may be.
+  /// `reason`: why the connection cannot be reused; empty if it may be reused.
   virtual void response_complete(UpstreamConnection& connection, std::optional<CloseReason> reason) = 0;
-  /// The socket broke, or the peer ended its sending.
+  /// The connection broke, or the peer ended its stream.
   virtual void disconnected(UpstreamConnection& connection, bool end_of_input) = 0;
-  /// Ends the attempt, if there is one, and closes the connection.
+  /// Ends the attempt with `result`, if there is one, and closes the connection.
   virtual void fail(UpstreamConnection& connection, fernward::AttemptResult result, CloseReason reason) = 0;
 };
 
