--- a/src/downstream/answers.cpp
+++ b/src/downstream/answers.cpp
@@ -1,4 +1,4 @@
-// Answers as they are written, whole or while they pass through, and what clients have taken of them.
+// Writing of responses, complete or streamed, and detection of clients that do not read them.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -11,9 +11,10 @@
 using loop::Handle;
 using loop::now_ms;
 
-// ---- answers ----
+// ---- complete responses ----
 
-// Its answer is here before all of it: nobody reads the rest, and the connection ends.
+// The response is available before the request body is complete: the rest of the body is not needed, and the
+// connection is closed after the response.
 void Listener::drop_body(Connection& c) {
   if (c.inflow == nullptr) return;
   c.inflow->abort();
@@ -21,12 +22,12 @@
   c.keep_alive = false;
 }
 
-// Does the connection stay after the answer that is about to be written? To be asked once for each answer.
+// Whether the connection stays open after the response that is about to be written. Call once per response.
 bool Listener::connection_stays(Connection& c, const char*& code) {
   code = "done";
   if (!c.keep_alive || draining_) return false;
   code = "made-room";
-  // A request behind this one would be lost with the connection.
+  // A pipelined request after this one would be lost with the connection.
   return !(clients_.should_close_after_response(now_ms(), c.self) && loop::pending_input(c.io.get()).empty());
 }
 
@@ -54,12 +55,12 @@
 }
 
 void Listener::reply(Connection& c, const std::string& text, bool keep_alive, const char* code) {
-  clients_.on_request_active(now_ms(), c.self); // until it is out
+  clients_.on_request_active(now_ms(), c.self); // until the response is sent
   loop::write_or_wait(c.io.get(), text);
   replied(c, keep_alive, code);
 }
 
-// All of an answer has been written, or waits in the output.
+// The complete response has been written to the socket or the output buffer.
 void Listener::replied(Connection& c, bool keep_alive, const char* code) {
   c.answered_at = c.taken_at = now_ms();
   c.left = loop::pending_output(c.io.get());
@@ -67,11 +68,12 @@
   c.request.set(0);
   read_on(c);
   bufferevent_setwatermark(c.io.get(), EV_WRITE, 0, 0);
-  // Where it is out already, libevent will not tell so; and the caller still uses this connection.
+  // If the response is already sent, libevent does not call on_writable(). The callback is deferred because
+  // the caller still uses this connection.
   if (loop::pending_output(c.io.get()) == 0)
     bufferevent_trigger(c.io.get(), EV_WRITE, BEV_TRIG_DEFER_CALLBACKS);
   if (!keep_alive) {
-    c.parser.take(); // what it holds is of no more use
+    c.parser.take(); // discards the partial request
     c.state = Connection::State::Closing;
     c.code = code;
     return limit(c, options_.write_ms / 4, "stalled");
@@ -80,7 +82,7 @@
   limit_rest(c, c.answered_at + options_.write_ms / 4);
 }
 
-// ---- answers that pass through ----
+// ---- streamed responses ----
 
 bool Listener::start_response(Handle client, proxy::ResponseHead opening) {
   Connection* c = connections_.find(client);
@@ -111,10 +113,10 @@
 std::size_t Listener::writable_bytes(Handle client) {
   Connection* c = connections_.find(client);
   if (c == nullptr || c->state != Connection::State::Passing)
-    return loop::IoBuffer::size(); // it goes nowhere
+    return loop::IoBuffer::size(); // the bytes will be discarded
   settle_output(*c);
   const std::size_t room = c->out.available();
-  if (room == 0) { // it is told once half of the window is free, or another has given back
+  if (room == 0) { // resumed when half of the window is free, or budget was released
     bufferevent_setwatermark(c->io.get(), EV_WRITE, c->out.window() / 2, 0);
     if (c->out.bytes() == 0) c->out.wait_for_bytes(c->exchange);
   }
@@ -153,23 +155,24 @@
   if (c->inflow != nullptr) c->stays = false;
   drop_body(*c);
   if (!whole) {
-    // Where the end of the connection is the end of the answer, only a reset tells that it is not whole.
+    // If the end of the connection ends the response, only a reset shows that the response is incomplete.
     if (c->framing == http::Framing::UntilClose) loop::reset_on_close(bufferevent_getfd(c->io.get()));
     return close(*c, "answer-broken");
   }
   if (c->framing == http::Framing::Chunks) loop::write_or_wait(c->io.get(), http::kLastChunk);
-  replied(*c, c->stays && !draining_, c->code); // its head is out: that the connection ends shows by itself
+  // The head is already sent, so it cannot announce that a drain closes the connection.
+  replied(*c, c->stays && !draining_, c->code);
   close_rested();
 }
 
-// What the client has taken goes back to the account.
+// Releases the budget of bytes that have left the output buffer.
 void Listener::settle_output(Connection& c) {
   const std::size_t waits = loop::pending_output(c.io.get());
   c.out.release(c.out.bytes() - std::min(c.out.bytes(), waits));
 }
 
-// A client that takes nothing for so long holds what others could have. One that waits for its target is not
-// at fault.
+// A client that reads nothing for write_timeout_ms occupies buffers that others need, and is closed. A client
+// that waits for the server is not affected.
 void Listener::limit_taking(Connection& c) {
   deadlines_.cancel(c.ticket);
   c.ticket = deadlines_.at(now_ms() + options_.write_ms / 4, [this, handle = c.self] {
@@ -186,15 +189,15 @@
   });
 }
 
-// Of a whole answer that waits: its client has taken some of it lately, however slowly.
+// Whether the client has recently read some of a complete response in the output buffer, however slowly.
 bool Listener::client_takes(Connection& c) {
   const std::size_t waits = loop::pending_output(c.io.get());
   if (waits < std::exchange(c.left, waits)) c.taken_at = now_ms();
   return waits == 0 || now_ms() - c.taken_at < options_.write_ms;
 }
 
-// All that was to be said is with the kernel. Closed at once, bytes still unread here would make the kernel
-// reset the connection, and the client could lose the answer.
+// Called when the response has been passed to the kernel. A connection to be closed lingers first: closing
+// with unread input would make the kernel reset the connection, and the client could lose the response.
 void Listener::flushed(Connection& c) {
   settle_output(c);
   if (c.state == Connection::State::Passing) {
@@ -211,7 +214,7 @@
     read_on(c);
     if (pass_ && pass_on(c)) return;
     clients_.on_idle(now_ms(), c.self);
-    return read(c); // what the client has sent meanwhile
+    return read(c); // input received meanwhile
   }
   if (c.state != Connection::State::Closing) return;
   if (c.peer_closed) return close(c, c.code);
--- a/src/downstream/closing.cpp
+++ b/src/downstream/closing.cpp
@@ -1,5 +1,4 @@
-// The ends of client connections: limits of time, those closed to make room, lingering, and what is passed
-// on.
+// The end of client connections: timeouts, eviction, lingering close, and handover to a new process.
 #include <sys/socket.h>
 
 #include <algorithm>
@@ -16,15 +15,15 @@
 
 namespace {
 
-constexpr double kPendingInputMs = 10; // for what has come, or been read, to be worked on by the loop
-constexpr double kWatchPlacesMs = 250; // while places are short, without an answer that asks
-constexpr int kMostClosedAtOnce = 4;   // connections closed at once for want of places
+constexpr double kPendingInputMs = 10; // for the event loop to process pending input
+constexpr double kWatchPlacesMs = 250; // while under pressure, without responses that trigger the check
+constexpr int kMostClosedAtOnce = 4;   // idle connections closed at a time under pressure
 
 } // namespace
 
-// ---- making room ----
+// ---- eviction ----
 
-// Nothing is due on it: no request is on its way in the socket either.
+// No request is pending on the connection, not even unread in its socket.
 bool Listener::spareable(Handle handle) {
   Connection* c = connections_.find(handle);
   if (c == nullptr) return false;
@@ -41,7 +40,8 @@
   return true;
 }
 
-// While places are short, those that have rested long and are not expected back are closed.
+// Under descriptor pressure, closes connections that have been idle for long and are not expected to be
+// reused.
 void Listener::close_rested() {
   const double now = now_ms();
   for (int i = 0; i < kMostClosedAtOnce; ++i) {
@@ -52,7 +52,8 @@
   watch_places();
 }
 
-// Where clients hold all the places that they may, no request comes whose answer could end a connection.
+// When clients hold all the descriptors that they may, idle connections may see no response that would
+// trigger close_expired_idle(): so it is triggered by a timer.
 void Listener::watch_places() {
   if (watch_ != 0 || stopped_ || !clients_.under_pressure()) return;
   watch_ = deadlines_.at(now_ms() + kWatchPlacesMs, [this] {
@@ -61,12 +62,12 @@
   });
 }
 
-// ---- the client ends, or its time is over ----
+// ---- timeouts and disconnects ----
 
-// The end of a connection on which nothing more is to be said. What comes from now on is read and dropped
-// until the client ends it too: closed over unread bytes, a request that crosses the end would become a
-// reset, which may take with it what the client has not read yet. Only a place that is needed at once is
-// taken without this, see let_go().
+// Lingering close of a connection on which nothing more will be sent. Input is read and discarded until the
+// client closes as well: closing with unread input resets the connection, and a reset caused by a request
+// that crosses the close may destroy response bytes that the client has not read yet. Only a connection whose
+// descriptor is needed at once is closed without lingering, see evict_connection().
 void Listener::linger(Connection& c, const char* code) {
   c.state = Connection::State::Lingering;
   c.code = code;
@@ -83,7 +84,7 @@
     case Connection::State::Waiting:
     case Connection::State::Passing: {
       const Handle exchange = std::exchange(c.exchange, 0);
-      if (c.inflow != nullptr) c.inflow->abort(); // in the middle of a body that already flows
+      if (c.inflow != nullptr) c.inflow->abort(); // its body is already being streamed
       close(c, c.inflow != nullptr ? "request-cut" : "client-gone");
       return calls_.gone(exchange);
     }
@@ -104,7 +105,7 @@
     if (late->state == Connection::State::Closing && client_takes(*late))
       return limit(*late, options_.write_ms / 4, code);
     if (late->state == Connection::State::Reading && late->parser.begun()) {
-      // A body may take its time as long as it comes.
+      // The deadline of a body is extended while it arrives.
       const double come = static_cast<double>(late->parser.message().body.size());
       const double due = late->head_at + options_.body_ms + come / options_.body_rate;
       if (late->head_at > 0 && now_ms() < due) return limit(*late, due - now_ms(), code);
@@ -115,7 +116,8 @@
   });
 }
 
-// Between requests, from an answer on: first the client has to take that answer.
+// The idle time between requests counts from the last response, but the client has to read that response
+// first.
 void Listener::limit_rest(Connection& c, double when) {
   deadlines_.cancel(c.ticket);
   c.ticket = deadlines_.at(when, [this, handle = c.self] {
@@ -128,7 +130,7 @@
     }
     const double idle_at = late->answered_at + options_.idle_ms;
     if (now_ms() < idle_at) return limit_rest(*late, idle_at);
-    // A request that has come in this very moment is worked on before its connection ends.
+    // A request that has just arrived is processed before its connection is closed.
     spareable(handle) ? linger(*late, "idle") : limit_rest(*late, now_ms() + kPendingInputMs);
   });
 }
@@ -137,7 +139,7 @@
   log::routine("ingress-ended", {{"code", code}, {"requests", c.requests}, {"ms", now_ms() - c.opened_at}});
   deadlines_.cancel(c.ticket);
   deadlines_.cancel(c.end_check);
-  // A client that leaves, or asked for the end, makes room of itself.
+  // Clients that disconnect, or requested the close, free their descriptors by themselves.
   const bool left = c.peer_closed || !c.keep_alive;
   clients_.on_closed(
       now_ms(), c.self,
@@ -147,10 +149,10 @@
   if (stopped_ && connections_.size() == 0) calls_.emptied();
 }
 
-// ---- passing a connection on ----
+// ---- handover to a new process ----
 
-// Nothing of a request has been read, and nothing of an answer waits: all that there is of it is in the
-// socket.
+// Nothing of a request has been read, and no response is in the output buffer: all of the connection's state
+// is in its socket.
 bool Listener::rests(Connection& c) {
   return c.state == Connection::State::Reading && !c.parser.begun() &&
          loop::pending_input(c.io.get()).empty() && loop::pending_output(c.io.get()) == 0;
@@ -159,7 +161,7 @@
 bool Listener::pass_on(Connection& c) {
   if (!rests(c)) return false;
   const int fd = bufferevent_getfd(c.io.get());
-  bufferevent_disable(c.io.get(), EV_READ | EV_WRITE); // else its event would outlive the descriptor here
+  bufferevent_disable(c.io.get(), EV_READ | EV_WRITE); // else its event would outlive the descriptor
   if (!pass_(fd, c.requests)) {
     bufferevent_enable(c.io.get(), EV_READ | EV_WRITE);
     return false;
--- a/src/downstream/codec.cpp
+++ b/src/downstream/codec.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::size_t kMaxId = 128;
 
-bool whole_ms(std::string_view text, double& value) { // digits alone: no sign, no point, no exponent
+bool whole_ms(std::string_view text, double& value) { // digits only: no sign, point or exponent
   std::uint64_t ms = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), ms);
   value = static_cast<double>(ms);
@@ -25,7 +25,7 @@
   return error == std::errc() && end == text.data() + text.size() && std::isfinite(value) && value >= 0;
 }
 
-// The subject stands last in the path; the same name is the same number at every router. 0 means none.
+// The key is the last path segment. Its hash is the same at every router; 0 means that there is no key.
 std::uint64_t key_of(std::string_view target) {
   const std::string_view path = target.substr(0, target.find('?'));
   const std::string_view last = path.substr(path.rfind('/') + 1);
@@ -41,7 +41,7 @@
   return kNothing;
 }
 
-// The header, or what stands in for it.
+// The header, or the configured default if it is empty.
 std::string_view or_else(std::string_view header, const std::string& otherwise) {
   return header.empty() ? std::string_view(otherwise) : header;
 }
@@ -57,7 +57,7 @@
     return out;
   };
   if (request.method != "GET" && request.method != "PUT") return fault(405, "method");
-  // Of two values another reader of this request may take the other one.
+  // With two values, another parser of this request could use the other one.
   for (const char* name :
        {"x-request-id", "x-priority-class", "x-timeout-ms", "x-tenant-id", "idempotency-key"}) {
     if (request.count(name) > 1) return fault(400, "a header twice");
@@ -79,7 +79,7 @@
       call.idempotency_key.empty()) {
     return fault(400, "no Idempotency-Key");
   }
-  // A tenant that the settings do not name has no share.
+  // An unknown tenant gets the index after the last one, and has no share.
   call.tenant = static_cast<std::uint32_t>(std::find(names.tenants.begin(), names.tenants.end(),
                                                      or_else(request.header("x-tenant-id"), unsaid.tenant)) -
                                            names.tenants.begin());
@@ -92,7 +92,7 @@
   call.timeout_ms = std::min(call.timeout_ms, 3600e3);
   double cost_us = 0;
   if (number(request.header("x-cost"), cost_us))
-    call.expected_work_ms = cost_us / 1000; // a hint: a bad one is none
+    call.expected_work_ms = cost_us / 1000; // a hint: a malformed one is ignored
   call.key = key_of(request.target);
   call.path = std::move(request.target);
   call.body = std::move(request.body);
--- a/src/downstream/codec.h
+++ b/src/downstream/codec.h
@@ -1,4 +1,4 @@
-// From a client's HTTP request to a call, and from an answer to HTTP. No sockets.
+// Decodes HTTP requests of clients into proxy::ClientRequest, and encodes responses as HTTP. No sockets.
 #pragma once
 
 #include <string>
@@ -10,21 +10,22 @@
 
 namespace fernward::downstream {
 
-struct Rules { // what a request is held against
+// What requests are validated against.
+struct Rules {
   config::Names names;
   fernward::Settings settings;
-  std::vector<config::Mapping> map; // for what its headers do not say
-  bool make_ids = false;            // one without an id is sound: the caller gives it one
+  std::vector<config::Mapping> map; // defaults for missing headers, by path and method
+  bool make_ids = false;            // accept requests without an id: the caller generates one
 };
 
 struct Decoded {
-  int status = 0; // 0: `call` is sound; else what to answer, and why
+  int status = 0; // 0: `request` is valid; else the error status, explained by `reason`
   const char* why = "";
   proxy::ClientRequest call;
 };
 Decoded decode(http::Message request, const Rules& rules);
 
-// Of a served answer the head: its body follows. Of any other all of it.
+// Encodes the head of a served response (the caller sends its body), and any other response completely.
 std::string encode(const proxy::ClientResponse& answer, bool keep_alive);
 std::string encode(const proxy::ResponseHead& opening, http::Framing framing, bool keep_alive);
 std::string encode_shed(double retry_after_ms, bool keep_alive);
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -1,5 +1,5 @@
-// The listening socket: connections as they come, places for them, and their passing to the process that
-// replaces this one.
+// The listening socket: accepting connections, reserving descriptors for them, and handover to the process
+// that replaces this one.
 #include "downstream/listener.h"
 
 #include <sys/socket.h>
@@ -23,9 +23,9 @@
 
 namespace {
 
-constexpr double kAcceptPauseMs = 50; // out of descriptors: the loop must not spin on accept
+constexpr double kAcceptPauseMs = 50; // out of descriptors: the event loop must not spin on accept()
 constexpr int kBacklog = 512;
-constexpr ev_ssize_t kMostWritten = 256 * 1024; // in one go
+constexpr ev_ssize_t kMostWritten = 256 * 1024; // per event
 
 } // namespace
 
@@ -46,7 +46,7 @@
       calls_(std::move(calls)),
       connections_(account.total()) {
   listen();
-  // Ids of two lives of a router must not meet at a node that remembers them.
+  // Generated ids must differ between restarts of a router: servers may remember earlier ids.
   std::random_device draw;
   char prefix[32];
   std::snprintf(prefix, sizeof prefix, "r%08x%08x-", draw(), draw());
@@ -59,7 +59,7 @@
 
 namespace {
 
-// A path that a crash left behind is nobody's: no one takes a connection there.
+// Whether a socket path is left over from a crash: nobody accepts connections on it.
 bool left_behind(const sockaddr_un& where) {
   const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (fd < 0) return false;
@@ -80,7 +80,8 @@
     std::memcpy(path.sun_path, at->c_str(), at->size() + 1);
     if (left_behind(path)) ::unlink(path.sun_path);
   } else if (!config::parse_address(options_.address, where)) {
-    throw std::runtime_error("listen: no address: " + options_.address);
+    throw std::runtime_error("listen: invalid address, expected IPv4 address and port or unix:PATH: " +
+                             options_.address);
   }
   unsigned reuse = at ? 0u : unsigned{LEV_OPT_REUSEABLE};
   if (!at && options_.share_port) reuse |= unsigned{LEV_OPT_REUSEABLE_PORT};
@@ -111,7 +112,7 @@
   return where.sin_family == AF_INET ? ntohs(where.sin_port) : 0;
 }
 
-// ---- connections come ----
+// ---- accepting connections ----
 
 void Listener::accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
   static_cast<Listener*>(self)->accept(fd);
@@ -120,13 +121,13 @@
 void Listener::accept_failed(evconnlistener*, void* self) {
   const int fault = EVUTIL_SOCKET_ERROR();
   auto* const listener = static_cast<Listener*>(self);
-  if (fault == EMFILE || fault == ENFILE) { // others hold what the account reckoned with
+  if (fault == EMFILE || fault == ENFILE) { // fewer descriptors are available than the budget assumed
     const double now = now_ms();
     if (listener->account_.on_refused(now)) {
       log::line("descriptors-refused",
                 {{"in_use", listener->account_.usable(now)}, {"of", listener->account_.total()}});
     }
-    if (listener->let_go("table-full")) return; // the loop accepts again
+    if (listener->let_go("table-full")) return; // the event loop accepts again
   }
   log::line("accept-failed", {{"why", std::strerror(fault)}});
   listener->pause(kAcceptPauseMs);
@@ -151,11 +152,12 @@
   if (!held_) evconnlistener_enable(listener_.get());
 }
 
-// A place for a new connection: a free one, one that the egress side has beyond its share, or one of our own.
+// Reserves a descriptor for a new connection: an unused one, one that upstream connections hold beyond their
+// share, or that of an evicted client connection.
 descriptors::DescriptorBudget::Lease Listener::place_for_connection() {
   using Needs = descriptors::DescriptorBudget::Eviction;
   const double now = now_ms();
-  for (;;) { // each round lets one connection go
+  for (;;) { // each iteration closes one connection
     const Needs needs = account_.required_eviction(now, descriptors::Side::Downstream);
     if (needs == Needs::None) return account_.acquire(now, descriptors::Side::Downstream);
     if (needs == Needs::OtherSide && calls_.recall()) continue;
@@ -165,7 +167,7 @@
 
 void Listener::accept(int fd) {
   descriptors::DescriptorBudget::Lease place = place_for_connection();
-  if (!place) { // the listener is paused in time: only at the end it is not
+  if (!place) { // only during shutdown: otherwise accepting is paused before
     const std::string text = encode_shed(options_.shed_retry_ms, false);
     [[maybe_unused]] const auto sent = ::send(fd, text.data(), text.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     ::close(fd);
@@ -174,7 +176,7 @@
   }
   Connection& c = join(fd, std::move(place));
   limit(c, options_.request_ms, "silent");
-  if (!may_accept()) pause(kAcceptPauseMs); // who comes next waits before the door
+  if (!may_accept()) pause(kAcceptPauseMs); // further connections stay in the kernel's queue
 }
 
 Listener::Connection& Listener::join(int fd, descriptors::DescriptorBudget::Lease place) {
@@ -204,7 +206,7 @@
          clients_.select_for_eviction(now, [this](Handle handle) { return spareable(handle); });
 }
 
-// ---- replacing the process ----
+// ---- hot restart ----
 
 void Listener::hold(bool held) {
   held_ = held;
@@ -217,7 +219,7 @@
   stopped_ = true;
   deadlines_.cancel(resume_);
   deadlines_.cancel(watch_);
-  listener_.reset(); // whoever shares it goes on accepting
+  listener_.reset(); // the process that shares the socket continues to accept
   unix_path_.clear();
   connections_.each([this](Handle, Connection& c) { pass_on(c); });
   if (connections_.size() == 0) calls_.emptied();
@@ -249,20 +251,20 @@
   return true;
 }
 
-// ---- the end ----
+// ---- shutdown ----
 
 void Listener::drain() { draining_ = true; }
 
 void Listener::stop_accepting() {
   if (listener_ == nullptr) return;
-  // What the kernel has taken for this router is taken: closing the socket would reset it.
+  // Accepts the connections in the kernel's queue: closing the listening socket would reset them.
   const int listening = evconnlistener_get_fd(listener_.get());
   for (;;) {
     const int fd = accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
       accept(fd);
     } else if ((errno != EMFILE && errno != ENFILE) || !let_go("table-full")) {
-      break; // with descriptors short, who rests gives way as before
+      break; // out of descriptors, idle connections are evicted as before
     }
   }
   deadlines_.cancel(resume_);
@@ -270,7 +272,7 @@
   listener_.reset();
   if (!unix_path_.empty()) ::unlink(unix_path_.c_str());
   unix_path_.clear();
-  stopped_ = true; // who leaves last from now on ends it all
+  stopped_ = true; // from now on the last connection to close ends the shutdown
   if (connections_.size() == 0) calls_.emptied();
 }
 
--- a/src/downstream/requests.cpp
+++ b/src/downstream/requests.cpp
@@ -1,4 +1,4 @@
-// Requests as they are read: their heads, short bodies, and long ones that flow on while they come.
+// Reading of requests: heads, short bodies, and long bodies that are streamed while they arrive.
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -13,9 +13,10 @@
 
 namespace {
 
-constexpr std::size_t kMostDrained = 256 * 1024; // taken from a client whose request was turned away
-constexpr unsigned kMostPipelined = 2;           // requests in a row that came before the last one's answer
-constexpr double kClientEndCheckMs = 50; // an attempt begun 0.1 s after its client left is one too many
+constexpr std::size_t kMostDrained = 256 * 1024; // read from a client whose request was rejected
+constexpr unsigned kMostPipelined = 2;           // consecutive requests received before the previous response
+// An attempt that starts 0.1 s or more after its client disconnected counts as a fault.
+constexpr double kClientEndCheckMs = 50;
 
 } // namespace
 
@@ -38,13 +39,15 @@
   const std::string_view input = loop::pending_input(c.io.get());
   if (c.state == Connection::State::Lingering || c.state == Connection::State::Closing) {
     c.drained += input.size();
-    if (c.drained > kMostDrained) bufferevent_disable(c.io.get(), EV_READ); // sixty megabytes are not read
+    if (c.drained > kMostDrained) bufferevent_disable(c.io.get(), EV_READ); // do not read an upload of 60 MB
     return loop::consume_input(c.io.get(), input.size());
   }
   if (c.inflow != nullptr) return read_body(c);
-  // The next request waits its turn, and until the answer before it is out: else answers could pile up here.
+  // The next request is not read before the previous response is sent: otherwise responses could accumulate
+  // in the output buffer.
   if (c.state != Connection::State::Reading || input.empty() || loop::pending_output(c.io.get()) > 0) {
-    // Left as it is, libevent would tell of a full input again and again: a whole core for each such client.
+    // With a full input buffer libevent would call again and again, and use a whole core for each such
+    // client.
     if (input.size() >= kMostInput) pause_reading(c);
     return;
   }
@@ -76,7 +79,7 @@
   go_ahead(c);
 }
 
-// Until there is room again: then the caller reads on, see read_on().
+// Pauses reading until resume_reading() is called.
 void Listener::pause_reading(Connection& c) {
   bufferevent_disable(c.io.get(), EV_READ);
   if (c.end_check == 0) look_for_end(c);
@@ -86,8 +89,8 @@
   if ((bufferevent_get_enabled(c.io.get()) & EV_READ) == 0) bufferevent_enable(c.io.get(), EV_READ);
 }
 
-// Nothing tells of the end of a client whose bytes are not read: its end stands behind them, and a reset too
-// would be found by a read only.
+// While reading is paused, a disconnect of the client is not reported: the end of the stream follows unread
+// bytes, and a reset is detected by a read only. So the socket is polled.
 void Listener::look_for_end(Connection& c) {
   c.end_check = deadlines_.at(now_ms() + kClientEndCheckMs, [this, handle = c.self] {
     Connection* paused = connections_.find(handle);
@@ -100,7 +103,7 @@
   });
 }
 
-// Who waits to be told before sending a body is told.
+// Answers Expect: 100-continue.
 void Listener::go_ahead(Connection& c) {
   if (!c.parser.wants_body() || c.continued) return;
   if (http::lower(c.parser.message().header("expect")) != "100-continue") return;
@@ -134,7 +137,7 @@
 
 bool Listener::admit(Connection& c, Decoded& decoded, bool whole) {
   ++c.requests;
-  if (decoded.status == 0) { // it has a class: it is counted, whatever becomes of it
+  if (decoded.status == 0) { // its class is known: it is counted, whatever its outcome
     c.taken_request = figures_.take(decoded.call.class_index);
     if (whole) c.taken_request.whole();
   }
@@ -153,7 +156,7 @@
 void Listener::open(Connection& c, proxy::ClientRequest call) {
   clients_.on_request_complete(now_ms(), c.self);
   c.state = Connection::State::Waiting;
-  // The module gives it up in time by itself.
+  // With the shortened timeout the Balancer gives the request up in time.
   if (ends_by_ > 0)
     call.timeout_ms = std::max(1.0, std::min(call.timeout_ms, ends_by_ - now_ms() - call.body_timeout_ms));
   const bool whole = call.body_timeout_ms == 0;
@@ -164,7 +167,7 @@
   reply(c, encode_shed(options_.shed_retry_ms, c.keep_alive), c.keep_alive, "shed");
 }
 
-// With an answer, where one can still be given, and with the connection's end. 503: shed.
+// Rejects a request and closes the connection, with an error response if no response has started. 503: shed.
 void Listener::turn_away(Connection& c, int status, const char* text, const char* code) {
   const Handle exchange = std::exchange(c.exchange, 0);
   if (c.inflow != nullptr) c.inflow->abort();
@@ -182,7 +185,7 @@
 
 // ---- long bodies ----
 
-// Its head has come, and perhaps a first part.
+// The head has been received, and perhaps a first part of the body.
 void Listener::begin_body(Connection& c) {
   const http::Message& head = c.parser.message();
   const std::string come = c.parser.take_body();
@@ -220,7 +223,7 @@
     const std::string_view input = loop::pending_input(c.io.get());
     if (input.empty()) break;
     const std::size_t room = c.inflow->writable_bytes();
-    if (room == 0) { // the target takes it slowly
+    if (room == 0) { // the server reads it slowly
       pause_reading(c);
       break;
     }
@@ -234,7 +237,7 @@
   flow(c);
 }
 
-// The call goes on its way, whole or while its body comes.
+// Forwards the request when its body is complete or may be streamed.
 void Listener::flow(Connection& c) {
   const bool whole = c.parser.body().done();
   if (whole) {
@@ -259,7 +262,7 @@
   if (whole && c.exchange != 0) calls_.whole(c.exchange);
 }
 
-// So long a body may take, and longer as more of it comes.
+// Limits the time for a body to arrive. The limit grows with the bytes received.
 void Listener::limit_body(Connection& c) {
   deadlines_.cancel(c.ticket);
   c.ticket =
