--- a/tests/faults/checker_test.cpp
+++ b/tests/faults/checker_test.cpp
@@ -1,4 +1,5 @@
-// The checker of the cells is seen to fail: each way a wrong router could act, told as its clients and nodes would see it.
+// Tests that the check of the fault cells detects faults: each test records what clients and nodes would
+// observe with a faulty router.
 #include <doctest/doctest.h>
 #include <unistd.h>
 
@@ -19,7 +20,7 @@
 
 } // namespace
 
-TEST_CASE("the cells' checker: a sound router breaks nothing") {
+TEST_CASE("checker of the fault cells: a correct router causes no breach") {
   Told t;
   t.asked("a", 0);
   t.ended(t.came("a", 0, loop::now_ms()), model::Ending::Miss);
@@ -28,48 +29,48 @@
   CHECK(t.judge() == "");
 }
 
-TEST_CASE("the cells' checker: what a wrong router does is found") {
+TEST_CASE("checker of the fault cells: each fault of a router is detected") {
   Told t;
-  SUBCASE("two answers") {
+  SUBCASE("two responses to one request") {
     t.asked("a", 0);
     t.heard("a", Heard::Served);
     t.heard("a", Heard::Served);
     CHECK(t.finds("one-answer"));
   }
-  SUBCASE("a connection that ends without one") {
+  SUBCASE("a connection that ends without a response") {
     t.asked("a", 0);
     t.heard("a", Heard::Broken);
     CHECK(t.finds("no-lost"));
   }
-  SUBCASE("an answer past its time") {
+  SUBCASE("a response after the client timeout") {
     t.asked("a", 0);
     usleep(static_cast<useconds_t>(1000 * (kGiveUpMs + 200)));
     t.heard("a", Heard::Failed);
     CHECK(t.finds("no-lost"));
   }
-  SUBCASE("a value that no node made") {
+  SUBCASE("a value that no node sent") {
     t.asked("a", 0);
     t.heard("a", Heard::Served, false);
     CHECK(t.finds("genuine"));
   }
-  SUBCASE("a request of a class that may not be repeated, sent again after it may have run") {
+  SUBCASE("a non-idempotent request sent again after it may have run") {
     t.asked("a", 2);
     t.ended(t.came("a", t.ledger(), loop::now_ms()), model::Ending::Lost);
     t.ended(t.came("a", t.ledger(), loop::now_ms()), model::Ending::Written);
     t.heard("a", Heard::Served);
     CHECK(t.finds("repeats"));
   }
-  SUBCASE("the same refused as if it had not run") {
+  SUBCASE("a non-idempotent request rejected as if it had not run") {
     t.asked("a", 2);
     t.ended(t.came("a", t.ledger(), loop::now_ms()), model::Ending::Lost);
     t.heard("a", Heard::Refused);
     CHECK(t.finds("repeats"));
   }
-  SUBCASE("an attempt for nobody") {
+  SUBCASE("an attempt for an unknown request") {
     t.came("stranger", 0, loop::now_ms());
     CHECK(t.finds("repeats"));
   }
-  SUBCASE("something new to a node long after it was told to drain") {
+  SUBCASE("a new request sent to a node long after it started to drain") {
     t.told(0, ServerState::Draining);
     usleep(450000);
     t.asked("a", 0);
@@ -77,7 +78,7 @@
     t.heard("a", Heard::Served);
     CHECK(t.finds("drains"));
   }
-  SUBCASE("given up with nothing out, and held until its time was over") {
+  SUBCASE("a request given up with no attempt in flight but not answered at once") {
     t.asked("a", 1);
     t.ended(t.came("a", t.ledger(), loop::now_ms()), model::Ending::Error);
     usleep(250000);
--- a/tests/faults/faults_test.cpp
+++ b/tests/faults/faults_test.cpp
@@ -1,5 +1,6 @@
-// Every cell of the table of faults against stages: a request is brought to its stage, the fault happens, everything goes
-// on, and the checker judges what clients and nodes saw. A lookup, a keyed booking and a class that may not be repeated.
+// Runs every cell of the table of faults against stages: brings a request to its stage, injects the fault,
+// lets clients and nodes continue, and checks what they observed. Each cell runs with an idempotent read, a
+// write with an idempotency key, and a write that is not idempotent.
 #include <doctest/doctest.h>
 #include <signal.h>
 #include <sys/resource.h>
@@ -18,20 +19,20 @@
 
 using Heard = model::Heard;
 
-[[maybe_unused]] const auto no_signal =
-    signal(SIGPIPE, SIG_IGN); // peers write to connections that have ended
+[[maybe_unused]] const auto no_signal = signal(SIGPIPE, SIG_IGN); // peers write to closed connections
 
 enum class Under { Nothing, Term, Hup };
 
-constexpr std::size_t kLong = 1 << 20;    // an answer that begins before it is whole
-constexpr std::size_t kUpload = 6u << 20; // a body that no socket swallows
-constexpr std::size_t kFlowing = 1 << 20; // one that flows before it is whole
+constexpr std::size_t kLong = 1 << 20;    // a response that is streamed
+constexpr std::size_t kUpload = 6u << 20; // a body larger than the socket buffers
+constexpr std::size_t kFlowing = 1 << 20; // a body that is streamed
 const char* const kSubject = "subject";
 
 std::string value_of(const std::string& target) { return "v of " + target; }
 std::string long_value() { return std::string(kLong, 'L'); }
 
-struct Part { // of a text: what comes before the stage is reached, and the rest
+// A message split into the part sent before the stage is reached, and the rest.
+struct Part {
   std::string first, rest;
 };
 Part cut(const std::string& text, std::size_t at) { return {text.substr(0, at), text.substr(at)}; }
@@ -57,14 +58,14 @@
   void settings_of(Json& file) {
     file["limits"]["memory_mb"] = fault == "buffers-out" ? 8 : 64;
     if (fault == "body-file-fails") {
-      file["limits"]["memory_mb"] = 16; // 256 KiB of a body are kept in memory
+      file["limits"]["memory_mb"] = 16; // 256 KiB of a body are retained in memory
       file["limits"]["body_folder"] = "/proc/no-such-folder";
     }
     auto& classes = file["settings"]["classes"];
     classes.push_back({{"name", "once"}, {"repeat", "unsafe"}, {"worth", 1}});
     for (auto& c : classes) c["aim"] = kAimMs, c["give_up"] = kGiveUpMs;
     classes[1]["window"] = kWindowMs;
-    if (stage == "waiting") file["settings"]["balancers"] = 32; // one write at a time at the ledger
+    if (stage == "waiting") file["settings"]["balancers"] = 32; // one write at a time at the origin
   }
 
   // ---- the nodes ----
@@ -87,7 +88,7 @@
     return machine == witness.ledger() ? writes() ? model::Ending::Written : model::Ending::Fetched
                                        : model::Ending::Hit;
   }
-  // All attempts that a node has not answered, by this.
+  // Ends all attempts that `peer` has not answered.
   void end_held(Peer& peer, model::Ending how) {
     for (const auto& [id, attempt] : std::exchange(held[&peer], {})) witness.ended(attempt, how);
   }
@@ -118,7 +119,7 @@
   }
   std::uint32_t class_number() const { return cls == "read" ? 0 : cls == "book" ? 1 : 2; }
 
-  // Runs the loop, hearing what clients hear meanwhile.
+  // Runs the event loop until `done`, and records the clients' responses meanwhile.
   bool until(const std::function<bool()>& done) {
     return w.until([&] {
       witness.looked();
@@ -141,7 +142,8 @@
       }
       return witness.heard(id, a.status == 503 ? Heard::Refused : Heard::Failed);
     }
-    // Of an answer that has begun a part is all there can be: its client can tell, and that is what is asked for.
+    // If its node fails, a streamed response is truncated: then it is only required that the client can
+    // detect it.
     if (c.closed)
       witness.heard(id, stage == "passing" && id == kSubject && node_breaks() ? Heard::Left : Heard::Broken);
   }
@@ -150,9 +152,9 @@
     if (c == nullptr) c = std::make_unique<Client>(w.base.get(), w.router->port());
     return *c;
   }
-  // A whole request is on its way from here on.
+  // Records that the complete request is sent from now on.
   void asks(const std::string& id, bool owed = true) {
-    before.try_emplace(id, client(id).answers.size()); // its answer may be there before its last byte
+    before.try_emplace(id, client(id).answers.size()); // a response may arrive before the request is complete
     witness.asked(id, class_number(), owed);
   }
   bool ask(const std::string& id) {
@@ -161,11 +163,11 @@
     return until([&] { return witness.is_over(id); });
   }
 
-  // ---- to the stage ----
+  // ---- reaching the stage ----
 
   bool reach() {
     if (!w.until([&] { return w.watched(); })) return false;
-    if (stage != "waiting") { // who will be asked, and a connection to it at rest
+    if (stage != "waiting") { // find out the target, and open a connection to it that is idle then
       if (!ask("warm-up")) return false;
       node = writes() ? &w.origin : &w.last_asked();
     } else {
@@ -216,7 +218,7 @@
     const std::string whole = stage == "passing" ? ok(long_value()) : ok(value_of("/k/subject"));
     answer = cut(whole, stage == "awaiting"      ? 0
                         : stage == "answer-head" ? 24
-                        : stage == "answer-body" ? whole.size() - 1 // all but the last byte
+                        : stage == "answer-body" ? whole.size() - 1 // all except the last byte
                                                  : 300 << 10);
     asks(kSubject);
     c.send(request(kSubject, 1));
@@ -226,7 +228,7 @@
     return true;
   }
 
-  // ---- the fault, and how everything goes on ----
+  // ---- injecting the fault, and continuing ----
 
   bool node_breaks() const {
     return fault == "node-fin" || fault == "node-rst" || fault == "node-half-close" ||
@@ -246,13 +248,13 @@
     return stage == "awaiting" ? ok(value_of("/k/subject")) : answer.rest;
   }
 
-  // What the client still has to send.
+  // Sends the rest of the client's request.
   void client_goes_on() {
     if (!client_side()) return;
     asks(kSubject);
     client(kSubject).send(rest_of_request());
   }
-  // What the node still has to do.
+  // Lets the node do what remains: read the request, or send its response or `with` instead.
   void node_goes_on(const std::string& with, model::Ending how) {
     if (stage == "writing" || stage == "body") return node->read_on();
     if (stage == "waiting") {
@@ -288,8 +290,8 @@
     if (fault == "client-fin") return client_ends(Peer::End::Fin);
     if (fault == "client-rst") return client_ends(Peer::End::Reset);
     if (fault == "client-half-close")
-      return client_ends(Peer::End::Half); // the end of what it sends counts as its leaving
-    if (fault == "client-silent") {        // it never sends the rest
+      return client_ends(Peer::End::Half); // a half-close counts as a disconnect
+    if (fault == "client-silent") {        // the rest of the request is never sent
       if (client_side() && stage != "connected" && stage != "rest") asks(kSubject, false);
       wait(30);
       node_goes_on();
@@ -357,7 +359,7 @@
       const std::string noise("\x01\x02 no HTTP\r\n\r\n", 14);
       if (!node_side() || stage == "connecting" || stage == "body" || stage == "writing") {
         if (node->open() > 0 && stage != "writing" && stage != "body")
-          node->say(noise); // on a connection at rest
+          node->say(noise); // on an idle connection
         says[node] = noise;
         client_goes_on();
         return node->read_on();
@@ -402,7 +404,7 @@
       return client_goes_on();
     }
     if (fault ==
-        "address-taken-over") { // the node goes on at another address; whoever has the old one is a stranger
+        "address-taken-over") { // the node continues at another address; another machine has the old one
       list(8, {entry("in_service", third.address, loop::now_ms())});
       witness.told(machine(), ServerState::Gone);
       witness.told(2, ServerState::Ready);
@@ -438,12 +440,12 @@
     if (fault == "discovery-damaged") w.discovery.say(ok("<html>"));
     if (fault == "discovery-silent") w.discovery.script = [](const http::Message&) { return std::string(); };
     if (fault == "loop-held-up") usleep(60000);
-    // body-file-fails: it has failed from the start
+    // body-file-fails: configured in apply_settings()
     client_goes_on();
     node_goes_on();
   }
 
-  // ---- all of it ----
+  // ---- the complete run ----
 
   void run() {
     REQUIRE(reach());
@@ -452,17 +454,18 @@
     if (under == Under::Term) w.router->begin_shutdown(), witness.terminated();
     if (under == Under::Hup) w.router->reload(config::parse(config.dump(), &no_environment));
     happen();
-    const bool none = stage == "connected" && left; // it never asked for anything
+    const bool none = stage == "connected" && left; // no request was sent
     if (!witness.known(kSubject)) witness.asked(kSubject, class_number(), false);
     if (!none && !left)
-      CHECK_MESSAGE(until([&] { return witness.is_over(kSubject); }), "the client never had an end");
+      CHECK_MESSAGE(until([&] { return witness.is_over(kSubject); }),
+                    "the client received neither a response nor the end of its connection");
     if (left && !witness.is_over(kSubject)) witness.heard(kSubject, Heard::Left);
     for (auto& [id, c] : clients) {
       if (id != kSubject && witness.known(id)) CHECK(until([&, name = id] { return witness.is_over(name); }));
     }
-    wait(5); // for a second answer, or an attempt behind the answer
+    wait(5); // for a second response, or an attempt after the response
     CHECK(client(kSubject).answers.size() <= before[kSubject] + 2);
-    // Nothing is left over: no exchange, attempt, connection, byte.
+    // Nothing may remain: no request, attempt, connection or buffered byte.
     clients.clear();
     crowd.clear();
     for (Peer* peer : {&w.one, &w.two, &third, &w.origin}) peer->read_on();
@@ -474,7 +477,7 @@
              w.router->account().used(descriptors::Side::Downstream) == 0 &&
              w.router->account().used(descriptors::Side::Upstream) == w.router->pool().connections();
     }));
-    run_for(w.base.get(), 2); // what libevent frees from the loop is freed
+    run_for(w.base.get(), 2); // for libevent to free what it frees from the event loop
     const std::string broken = witness.judge(stage == "waiting");
     CHECK_MESSAGE(broken.empty(), broken);
   }
@@ -496,15 +499,15 @@
   std::vector<std::unique_ptr<Client>> crowd;
 };
 
-// A cell that this class can't come to.
+// Whether a request of this class can reach the cell.
 bool applies(const Cell& cell, const std::string& cls) {
   if (cls == "read") return cell.stage != "body" && cell.stage != "writing";
-  return cell.fault != "target-banned"; // the ledger can't be banned
+  return cell.fault != "target-banned"; // the origin cannot be disabled
 }
 
 void play_stage(const std::string& stage, Under under) {
   int played = 0;
-  const char* const only = std::getenv("FERNWARD_CELL"); // one fault alone, for whoever looks at a cell
+  const char* const only = std::getenv("FERNWARD_CELL"); // runs one fault alone, for debugging
   for (const Cell& cell : read_cells(FERNWARD_CELLS)) {
     if (cell.stage != stage || !cell.played || (only != nullptr && cell.fault != only)) continue;
     for (const char* cls : {"read", "book", "once"}) {
--- a/tests/faults/witness.h
+++ b/tests/faults/witness.h
@@ -1,5 +1,5 @@
-// What clients and nodes of one cell saw, judged by the lab's checker once the cell is over. The router's own word is not
-// asked for.
+// Records what the clients and nodes of one cell observed, and checks the records with the lab's checker at
+// the end of the cell. The router's own statistics and logs are not used.
 #pragma once
 
 #include <algorithm>
@@ -15,7 +15,8 @@
 
 constexpr double kAimMs = 250, kGiveUpMs = 400, kWindowMs = 1000;
 
-// Caches s-1 and s-2, a third machine that may take over an address, the ledger; classes as the world's settings have them.
+// Caches s-1 and s-2, a third machine that may take over an address, and the origin. The classes are those of
+// the test router's settings.
 inline model::Spec cell_spec() {
   model::Spec s;
   s.name = "cell";
@@ -51,7 +52,8 @@
 
   model::MachineId ledger() const { return plan_.origin; }
 
-  // A client means to ask; its request is whole with the call of asked().
+  // A client has sent, or is about to send, the last byte of a request. `expects_response` false: the request
+  // stays incomplete, or its client disconnects, so that no response is required.
   void asked(const std::string& id, std::uint32_t cls, bool owed = true) {
     Request& r = requests_[id];
     if (r.number != 0) return;
@@ -69,11 +71,11 @@
     tried.at = tried.due = r.at;
     tried.request = tried.try_id = r.number;
     tried.taken = owed;
-    tried.deadline = r.at + (owed ? kGiveUpMs : 1e6); // it was never whole: no time runs for it
+    tried.deadline = r.at + (owed ? kGiveUpMs : 1e6); // incomplete: it has no deadline
     r.owed = owed;
     tell(tried);
   }
-  // A request that was never whole is owed nothing, and neither is one whose client went.
+  // A client has its response, or its connection has ended without one. A second one is recorded as surplus.
   void heard(const std::string& id, Heard how, bool genuine = true) {
     Request& r = requests_.at(id);
     if (r.over) return surplus(r, how);
@@ -96,7 +98,7 @@
   bool known(const std::string& id) const { return requests_.count(id) > 0; }
   bool is_over(const std::string& id) const { return requests_.count(id) > 0 && requests_.at(id).over; }
 
-  // A node has the whole of an attempt; `begun_at`: its first byte.
+  // A node has received a complete attempt. `first_byte_at`: when its first byte arrived.
   model::AttemptId came(const std::string& id, model::MachineId machine, double begun_at) {
     const auto found = requests_.find(id);
     model::Arrived a;
@@ -104,7 +106,7 @@
     a.sent_at = begun_at;
     a.attempt = ++attempts_;
     a.machine = machine;
-    a.try_id = found == requests_.end() ? 1u << 30 : found->second.number; // of nobody: a breach
+    a.try_id = found == requests_.end() ? 1u << 30 : found->second.number; // of an unknown request: a breach
     out_[a.attempt] = id;
     tell(a);
     return a.attempt;
@@ -128,19 +130,21 @@
     tell(t);
     caused();
   }
-  void caused() { // something happened that may have decided a request
+  void caused() { // an event that may have ended a request
     for (auto& [id, r] : requests_) r.cause_at = now();
   }
   void terminated() { tell(model::RouterEvent{now(), 0, model::RouterEvent::What::Term}); }
 
-  // How long the machine kept this process from its work, at the worst: granted to every limit.
+  // To be called in each iteration of the event loop. Measures the longest time for which the machine did not
+  // run this process; every limit is extended accordingly.
   void looked() {
     const double at = now();
     if (looked_at_ > 0) worst_gap_ms_ = std::max(worst_gap_ms_, at - looked_at_);
     looked_at_ = at;
   }
 
-  // What was broken, in words; empty: nothing. `queued`: requests wait for the attempts of others.
+  // Returns a description of all breaches; empty: none. `queued`: requests wait for the attempts of other
+  // requests.
   std::string judge(bool queued = false) {
     const double slack = 60 + 2 * worst_gap_ms_;
     lab::Checker checker(spec_, plan_, slack);
@@ -151,7 +155,8 @@
       for (const lab::Breach& b : rule.first)
         broken += std::string(lab::rule_name(rule.rule)) + ": " + b.what + "\n";
     }
-    // To give up is to answer now: with nothing out there is nothing to wait for.
+    // A request that is given up must be answered at once: with no attempt in flight there is nothing to wait
+    // for.
     for (const auto& [id, r] : requests_) {
       if (!r.over || !r.owed || (r.how != Heard::Refused && r.how != Heard::Failed)) continue;
       const bool waits = (queued && !out_.empty()) ||
@@ -171,7 +176,7 @@
     bool over = false, owed = true;
     Heard how = Heard::Served;
   };
-  // A retry at the ledger waits for about one of its response times, some milliseconds here.
+  // A retry at the origin waits for about one response time of the origin, some milliseconds here.
   static constexpr double kAtOnceMs = 50;
 
   static double now() { return loop::now_ms(); }
