--- a/src/downstream/listener.h
+++ b/src/downstream/listener.h
@@ -46,16 +46,20 @@
 
 // Callbacks from the listener to the router.
 struct ListenerCalls {
-  std::function<loop::Handle(loop::Handle client, proxy::ClientRequest)>
-      open; // 0: too many requests, or no endpoint list yet
-  std::function<bool(const std::string& id)>
-      is_open; // whether a client waits for a response to this request id
-  std::function<void(loop::Handle exchange)> whole; // the last body byte arrived after open_request()
+  // Returns the handle of the active request. 0: too many requests, or no endpoint list yet.
+  std::function<loop::Handle(loop::Handle client, proxy::ClientRequest)> open;
+  // Whether a client waits for a response to a request with this id.
+  std::function<bool(const std::string& id)> is_open;
+  // The last byte of the body arrived after open_request().
+  std::function<void(loop::Handle exchange)> whole;
   std::function<void(loop::Handle exchange)> gone;
   std::function<bool()> ready;
-  std::function<void()> emptied; // after the listener has stopped
-  std::function<bool()> recall;  // closes a free upstream connection; false: none is free
-  std::function<void(loop::Handle exchange)> drained; // a streamed response can be continued
+  // The last connection was closed after the listener had stopped.
+  std::function<void()> emptied;
+  // Closes a free upstream connection to release its descriptor. False: none is free.
+  std::function<bool()> recall;
+  // The client has read part of a streamed response, and more can be written.
+  std::function<void(loop::Handle exchange)> drained;
 };
 
 // Accepts client connections, decodes their requests, and sends the responses. Owned by the router.
@@ -118,7 +122,7 @@
   std::size_t connections() const { return connections_.size(); }
 
  private:
-  static constexpr std::size_t kMostInput = 16 * 1024; // input buffer limit
+  static constexpr std::size_t kMostInput = 16 * 1024; // of input buffered ahead of the current request
 
   struct Connection {
     Connection(descriptors::RequestBufferBudget& buffers, body_buffers::BufferBudget& bytes,
--- a/tests/faults/cells.h
+++ b/tests/faults/cells.h
@@ -11,8 +11,8 @@
 
 struct Cell {
   std::string stage, fault;
-  bool played =
-      false; // run by faults_test.cpp; else `coverage` names a test, or says why the fault is impossible
+  // Run by faults_test.cpp; else `coverage` names a test, or says why the fault is impossible.
+  bool played = false;
   std::string how;
 };
 
--- a/tests/faults/faults_test.cpp
+++ b/tests/faults/faults_test.cpp
@@ -403,8 +403,8 @@
       witness.caused();
       return client_goes_on();
     }
-    if (fault ==
-        "address-taken-over") { // the node continues at another address; another machine has the old one
+    if (fault == "address-taken-over") {
+      // The node continues at another address; another machine has the old one.
       list(8, {entry("in_service", third.address, loop::now_ms())});
       witness.told(machine(), ServerState::Gone);
       witness.told(2, ServerState::Ready);
