--- a/src/admin_overrides/endpoint_overrides.cpp
+++ b/src/admin_overrides/endpoint_overrides.cpp
@@ -19,7 +19,7 @@
   entry.in_unlisted = false;
 }
 
-// Bounds the memory where names are always new.
+// Bounds memory when the list keeps introducing new names.
 void EndpointOverrides::forget_oldest() {
   while (unlisted_.size() > options_.max_unlisted) {
     entries_.erase(unlisted_.front());
@@ -63,7 +63,7 @@
   const auto found = entries_.find(name);
   if (found == entries_.end()) return Result::UnknownEndpoint;
   Entry& entry = found->second;
-  if (!entry.disabled) return Result::Done; // a second call must not begin slow start again
+  if (!entry.disabled) return Result::Done; // a repeated call must not restart slow start
   entry.disabled = false;
   --disabled_;
   entry.enabled_at_ms = now_ms;
--- a/src/admin_overrides/endpoint_overrides.h
+++ b/src/admin_overrides/endpoint_overrides.h
@@ -1,12 +1,13 @@
-// Caches that an operator has disabled, applied to discovery's list before anybody else sees it. A disabled
-// cache reads as draining, whatever the list says; one that was enabled again reads as started at that
-// moment, so that what was learned of it before counts no more and slow start holds.
+// Stores which caches an operator has disabled, and applies this to discovery's list before any other
+// component uses it. A disabled cache is presented as draining, whatever the list states. A cache that has
+// been enabled again is presented as started at that moment: this discards earlier measurements of it and
+// applies slow start.
 //
-// An override belongs to the name: it stays when the cache leaves the list, comes back or changes its
-// address. A name that was listed once is remembered among the latest `max_unlisted`; a disabled one is never
-// forgotten.
+// An override is bound to the cache's name: it persists when the cache leaves the list, returns or changes
+// its address. Of the names that are neither listed nor disabled the latest `max_unlisted` are kept; a
+// disabled name is never evicted.
 //
-// Times in Unix milliseconds, as discovery's since_ms. One thread.
+// Times are Unix milliseconds, like since_ms in discovery's list. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -20,43 +21,43 @@
 namespace fernward::admin_overrides {
 
 struct EndpointOverridesOptions {
-  std::size_t max_unlisted = 4096; // names that were listed once and are not now
-  std::size_t max_disabled = 1024; // names at once
+  std::size_t max_unlisted = 4096; // names kept that are no longer listed
+  std::size_t max_disabled = 1024; // names disabled at the same time
 };
 
 class EndpointOverrides {
  public:
   enum class Result { Done, UnknownEndpoint, TooManyDisabled };
 
-  // Of one name, as another process of the same router needs it.
+  // The override of one name, as passed to another process of the same router during a hot restart.
   struct Override {
     std::string name;
     bool disabled = false;
-    double enabled_at_ms = 0; // 0: it never was enabled again
+    double enabled_at_ms = 0; // 0: never enabled after being disabled
     bool operator==(const Override&) const = default;
   };
 
   explicit EndpointOverrides(const EndpointOverridesOptions& options = {}) : options_(options) {}
 
-  void set_endpoints(const std::vector<std::string>& names); // all caches that discovery lists now
-  // The same for one cache, at a cost that does not grow with their number.
+  void set_endpoints(const std::vector<std::string>& names); // all caches listed by discovery
+  // Updates one cache. The cost does not depend on the number of listed caches.
   void endpoint_added(const std::string& name);
   void endpoint_removed(const std::string& name);
 
-  // A second call for the same name is Done and changes nothing.
+  // Repeating a call for the same name returns Done and changes nothing.
   Result disable(const std::string& name);
   Result enable(double now_ms, const std::string& name);
 
   bool is_disabled(const std::string& name) const;
-  Server apply(const std::string& name, Server listed) const; // `listed` as the router is to see it
+  Server apply(const std::string& name, Server listed) const; // `listed` with its override
 
-  std::vector<Override> snapshot() const; // of every name, the longest unlisted first
+  std::vector<Override> snapshot() const; // all names; unlisted ones first, oldest first
   Override find(const std::string& name) const;
-  // Takes what another process tells in place of this one's own. A name that is known here alone stays known.
+  // Replaces the overrides of the given names by those of another process. Other names are kept.
   void adopt(const std::vector<Override>& overrides);
   void adopt(const Override& other);
 
-  std::size_t size() const { return entries_.size(); } // names that are known
+  std::size_t size() const { return entries_.size(); } // names stored
 
  private:
   struct Entry {
@@ -73,7 +74,7 @@
 
   EndpointOverridesOptions options_;
   std::map<std::string, Entry> entries_;
-  std::list<std::string> unlisted_; // neither listed nor disabled, the longest so in front
+  std::list<std::string> unlisted_; // neither listed nor disabled, oldest first
   std::size_t disabled_ = 0;
 };
 
--- a/tests/admin_overrides/endpoint_overrides_test.cpp
+++ b/tests/admin_overrides/endpoint_overrides_test.cpp
@@ -1,4 +1,4 @@
-// Endpoint overrides: cases, and the balancer under random lists, overrides and time.
+// Endpoint overrides: single cases, and the balancer with random lists, overrides and times.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -26,25 +26,24 @@
 
 } // namespace
 
-TEST_CASE("a disabled cache reads as draining, and as just started once it is enabled") {
+TEST_CASE("a disabled cache is presented as draining and an enabled one as just started") {
   EndpointOverrides overrides;
   overrides.set_endpoints({"a", "b"});
   CHECK(overrides.disable("a") == Result::Done);
   CHECK(overrides.disable("a") == Result::Done);
   CHECK(overrides.apply("a", server()).state == ServerState::Draining);
   CHECK(overrides.apply("b", server()).state == ServerState::Ready);
-  CHECK(overrides.enable(500, "a") == Result::Done); // one call ends it, however often it was taken out
+  CHECK(overrides.enable(500, "a") == Result::Done); // one call is enough, however often it was disabled
   CHECK(overrides.apply("a", server()).state == ServerState::Ready);
   CHECK(overrides.apply("a", server(100)).started_at == 500);
-  CHECK(overrides.apply("a", server(900)).started_at == 900); // the list knows of a later start
+  CHECK(overrides.apply("a", server(900)).started_at == 900); // the list states a later start
   CHECK(overrides.enable(800, "a") == Result::Done);
-  CHECK(overrides.apply("a", server()).started_at == 500); // it was not out: nothing is new about it
+  CHECK(overrides.apply("a", server()).started_at == 500); // it was not disabled: no new start
   CHECK(overrides.enable(800, "b") == Result::Done);
   CHECK(overrides.apply("b", server()).started_at == 0);
 }
 
-TEST_CASE(
-    "an override lasts while the id leaves the list and comes back, and hides no drain of the list's own") {
+TEST_CASE("an override persists while the cache is not listed and does not hide a drain in the list") {
   EndpointOverrides overrides;
   overrides.set_endpoints({"a"});
   overrides.disable("a");
@@ -56,7 +55,7 @@
   CHECK(overrides.apply("a", server(0, ServerState::Gone)).state == ServerState::Gone);
 }
 
-TEST_CASE("a drain that is told while a cache is disabled counts then and when it is enabled") {
+TEST_CASE("a drain received while a cache is disabled applies before and after it is enabled") {
   EndpointOverrides overrides;
   overrides.set_endpoints({"a", "b"});
   overrides.disable("a");
@@ -65,31 +64,31 @@
   }
   CHECK(overrides.enable(5, "a") == Result::Done);
   CHECK(overrides.apply("a", server(0, ServerState::Draining)).state == ServerState::Draining);
-  CHECK(overrides.disable("a") == Result::Done); // and the other way round: out again while it drains
+  CHECK(overrides.disable("a") == Result::Done); // reverse order: disabled while it drains
   CHECK(overrides.apply("a", server(0, ServerState::Draining)).state == ServerState::Draining);
   CHECK(overrides.apply("a", server()).state ==
-        ServerState::Draining); // the drain is taken back, the override is not
+        ServerState::Draining); // the drain has been withdrawn, the override has not
   CHECK(overrides.enable(9, "a") == Result::Done);
   CHECK(overrides.apply("a", server()).state == ServerState::Ready);
 }
 
-TEST_CASE("an id that was never listed gets a no, one that has gone is remembered, and not without bound") {
+TEST_CASE("a name never listed is rejected and unlisted names are kept up to a limit") {
   EndpointOverrides overrides({3, 2});
   CHECK(overrides.disable("x") == Result::UnknownEndpoint);
   CHECK(overrides.enable(1, "x") == Result::UnknownEndpoint);
   overrides.set_endpoints({"kept"});
   overrides.disable("kept");
   for (int i = 0; i < 100; ++i) overrides.set_endpoints({"n" + std::to_string(i)});
-  CHECK(overrides.size() == 5); // one listed, three gone, one out
+  CHECK(overrides.size() == 5); // one listed, three unlisted, one disabled
   CHECK(overrides.disable("n98") == Result::Done);
   CHECK(overrides.disable("n0") == Result::UnknownEndpoint);
-  CHECK(overrides.is_disabled("kept")); // what is out is never forgotten
+  CHECK(overrides.is_disabled("kept")); // a disabled name is never evicted
   CHECK(overrides.disable("n99") == Result::TooManyDisabled);
   CHECK(overrides.enable(1, "kept") == Result::Done);
   CHECK(overrides.disable("n99") == Result::Done);
 }
 
-TEST_CASE("another process goes on with all of it") {
+TEST_CASE("another process adopts all overrides") {
   EndpointOverrides old;
   old.set_endpoints({"a", "b", "c"});
   old.disable("a");
@@ -103,14 +102,11 @@
   CHECK(next.apply("b", server()).started_at == 70);
   CHECK(next.disable("c") == Result::Done);
   CHECK(next.disable("d") == Result::Done);
-  next.adopt(EndpointOverrides::Override{"d", false, 90}); // asked of the other process
+  next.adopt(EndpointOverrides::Override{"d", false, 90}); // a change requested from the other process
   CHECK_FALSE(next.is_disabled("d"));
 }
 
-TEST_CASE(
-    "random lists, overrides and time: the balancer sends nothing to a disabled cache, and soon works with "
-    "it "
-    "again") {
+TEST_CASE("the balancer sends nothing to a disabled cache and uses it again soon after it is enabled") {
   CHECK(rc::check([] {
     const auto names = std::vector<std::string>{"a", "b", "c", "d", "e"};
     Settings settings;
@@ -203,7 +199,7 @@
         if (overrides.is_disabled(n) || listed.count(n) == 0) RC_ASSERT(sent[id_of(n)] == 0);
       }
     }
-    for (const auto& name : names) { // all are called back, and all get work
+    for (const auto& name : names) { // all caches are enabled, and all receive requests
       Server s;
       s.id = id_of(name);
       listed[name] = s;
