--- a/src/control/call.h
+++ b/src/control/call.h
@@ -1,4 +1,4 @@
-// A call on the second address: one line. No sockets.
+// Parses a command of the control port: one line of text. Does no I/O.
 #pragma once
 
 #include <string>
@@ -10,15 +10,15 @@
 
 struct Call {
   Command command = Command::Ready;
-  std::string endpoint; // of a cache, where the command takes one
+  std::string endpoint; // name of a cache, for commands that require one
 };
 
-// Of a line without its end. A call, or what is wrong with it: then `fault` is not empty and nothing may be
-// done.
+// The result of parsing. If `error` is not empty it describes why the line is invalid, and the command must
+// not be executed.
 struct Parsed {
   Call call;
   std::string fault;
 };
-Parsed parse(std::string_view line);
+Parsed parse(std::string_view line); // `line` has no line terminator
 
 } // namespace fernward::control
--- a/src/control/port.cpp
+++ b/src/control/port.cpp
@@ -20,10 +20,10 @@
 namespace {
 
 constexpr int kBacklog = 128;
-constexpr int kMaxAcceptsAtOnce = 16; // accepted before others have their turn
+constexpr int kMaxAcceptsAtOnce = 16; // connections accepted per event, so that other events are not delayed
 constexpr double kAcceptPauseMs = 50;
 
-// Before traffic, where the loop has been given priorities.
+// Events of the control port run before those of traffic, if the event loop has priorities.
 void raise_priority(event_base* base, event* e) {
   if (event_base_get_npriorities(base) > 1) event_priority_set(e, 0);
 }
@@ -37,14 +37,14 @@
     throw std::runtime_error("control: cannot listen on " + options_.address + ": " + why);
   };
   sockaddr_in where{};
-  if (!config::parse_address(options_.address, where)) fail("no address");
+  if (!config::parse_address(options_.address, where)) fail("not a valid IPv4 address and port");
   fd_ = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   const int on = 1;
   if (fd_ < 0 || setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) != 0 ||
       bind(fd_, reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0 || listen(fd_, kBacklog) != 0) {
     fail(std::strerror(errno));
   }
-  // Not libevent's listener: its event can't be given a priority.
+  // evconnlistener is not used: its event can't be given a priority.
   accept_event_.reset(event_new(base_, fd_, EV_READ | EV_PERSIST, &Port::on_acceptable, this));
   if (accept_event_ == nullptr) throw std::bad_alloc();
   raise_priority(base_, accept_event_.get());
@@ -70,7 +70,7 @@
   for (int i = 0; i < kMaxAcceptsAtOnce; ++i) {
     int fd = accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0 && (errno == EMFILE || errno == ENFILE) && port->callers_.size() > 0) {
-      port->evict_oldest(); // no descriptor that was set aside is left: the oldest caller gives its own
+      port->evict_oldest(); // no reserved descriptor is left: frees that of the oldest connection
       fd = accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     }
     if (fd < 0) {
@@ -81,8 +81,8 @@
   }
 }
 
-// What can't be accepted stays at the door and would be found again at once: before all traffic, as long as
-// it lasts.
+// A connection that can't be accepted stays in the backlog. Its event would fire again at once, with priority
+// over all traffic, and stall the router until a descriptor is free.
 void Port::pause() {
   if (!std::exchange(accept_failed_, true))
     log::line("control-accept-failed", {{"why", std::strerror(errno)}});
@@ -94,7 +94,7 @@
   });
 }
 
-// Those that only linger have their answer; after them the one that came first.
+// Prefers connections that already have their response, then the one accepted first.
 void Port::evict_oldest() {
   Caller* oldest = nullptr;
   callers_.each([&oldest](Handle, Caller& caller) {
@@ -156,12 +156,13 @@
 
 void Port::on_written(bufferevent*, void* context) {
   auto* caller = static_cast<Caller*>(context);
-  // Not closed at once: bytes that are still unread here would make the kernel reset the connection.
+  // Only the write side is closed: closing with unread input would make the kernel reset the connection, and
+  // the response could be lost.
   if (caller->answered && loop::pending_output(caller->io.get()) == 0)
     shutdown(bufferevent_getfd(caller->io.get()), SHUT_WR);
 }
 
-// An end before the line's own: half a call is none, as the id might be the beginning of another one.
+// A line that ends without a terminator is rejected: its id may be a truncated prefix of another id.
 void Port::on_event(bufferevent*, short what, void* context) {
   auto* caller = static_cast<Caller*>(context);
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
--- a/src/control/port.h
+++ b/src/control/port.h
@@ -1,9 +1,9 @@
-// The second address: who connects sends one line, gets one answer, and the connection ends. Callers have a
-// few places of their own that no traffic takes, and their events go before all others where the loop has
-// priorities.
+// The control port for operators: a client connects, sends one command line, receives one response, and the
+// connection is closed. Control connections have reserved descriptors that traffic can't use, and their
+// events run before all others if the event loop has priorities.
 //
-// A caller that sends nothing, half a line or too much costs one place for a while; when all places are
-// taken, the one that has held its place longest is closed.
+// A client that sends nothing, an incomplete line or too much occupies one connection until its timeout. When
+// all connections are in use, the oldest one is closed to make room.
 #pragma once
 
 #include <event2/event.h>
@@ -20,18 +20,18 @@
 namespace fernward::control {
 
 struct PortOptions {
-  std::string address;       // IPv4
-  std::size_t callers = 10;  // at once
-  std::size_t longest = 256; // bytes of a line
-  double patience_ms = 2000; // for a line to come
-  double linger_ms = 500;    // for the caller to read its answer and close
+  std::string address;       // IPv4 address and port
+  std::size_t callers = 10;  // open at the same time
+  std::size_t longest = 256; // without the line terminator
+  double patience_ms = 2000; // to receive a complete line
+  double linger_ms = 500;    // for the client to read its response and close
 };
 
 class Port {
  public:
-  using Answer = std::function<std::string(const Call&)>; // all lines of the answer, with their ends
+  using Answer = std::function<std::string(const Call&)>; // returns the response, each line terminated
 
-  // Throws std::runtime_error when the address can't be listened on.
+  // Throws std::runtime_error if it can't listen on the address.
   Port(event_base* base, loop::TimerQueue& timers, const PortOptions& options, Answer answer);
   ~Port();
   Port(const Port&) = delete;
@@ -45,7 +45,7 @@
     Port* port = nullptr;
     loop::Handle self = 0;
     loop::BuffereventPtr io;
-    std::uint64_t order = 0; // of coming
+    std::uint64_t order = 0; // in which connections were accepted
     bool answered = false;
     loop::TimerQueue::TimerId timer = 0;
   };
@@ -70,7 +70,7 @@
   int fd_ = -1;
   loop::EventPtr accept_event_;
   loop::TimerQueue::TimerId resume_timer_ = 0;
-  bool accept_failed_ = false; // the last accept failed
+  bool accept_failed_ = false; // the last accept() failed, and this has been logged
 };
 
 } // namespace fernward::control
--- a/tests/control/call_test.cpp
+++ b/tests/control/call_test.cpp
@@ -1,4 +1,4 @@
-// Lines on the second address: each taken whole or refused with a reason.
+// Commands on the control port: each line is accepted completely or rejected with a reason.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -8,7 +8,7 @@
 
 using namespace fernward::control;
 
-TEST_CASE("the four calls") {
+TEST_CASE("the four commands are parsed") {
   CHECK(parse("ready").call.command == Command::Ready);
   CHECK(parse("  show-stat\t").call.command == Command::ShowStat);
   CHECK(parse("disable-server s-1").call.command == Command::DisableServer);
@@ -18,7 +18,7 @@
     CHECK(parse(line).fault == "");
 }
 
-TEST_CASE("anything else is refused") {
+TEST_CASE("any other line is rejected") {
   for (const std::string line :
        {"", "   ", "READY", "ready now", "show-stat all", "show", "disable-server", "disable-server a b",
         "enable-server", "disable-servers a", "GET / HTTP/1.1", "ready\r", "disable-server a\001"}) {
@@ -29,7 +29,7 @@
   CHECK(parse(std::string("ready\0", 6)).fault != "");
 }
 
-TEST_CASE("whatever comes, a fault is one line and an id is one word") {
+TEST_CASE("for any input an error is one line and an id is one word") {
   CHECK(rc::check([](const std::string& line) {
     const Parsed parsed = parse(line);
     RC_ASSERT(parsed.fault.find_first_of("\r\n") == std::string::npos);
--- a/tests/control/caller.h
+++ b/tests/control/caller.h
@@ -1,4 +1,4 @@
-// A router with a second address, and callers there.
+// A router with a control port, and clients of this port.
 #pragma once
 
 #include <memory>
@@ -9,7 +9,7 @@
 
 namespace fernward::tests {
 
-// One connection to the second address: what it was told, and whether the other side has ended it.
+// One connection to the control port: the text received, and whether the router has closed it.
 class Caller {
  public:
   Caller(event_base* base, int port, const std::string& text = "")
@@ -54,7 +54,7 @@
     until([&] { return caller.ended; });
     return caller.told;
   }
-  // So many requests at once, so that one cache alone is not enough; how many were served.
+  // Sends `times` requests at once, more than one cache can serve, and returns how many were served.
   int ask(int times) {
     std::vector<std::unique_ptr<Client>> all;
     for (int i = 0; i < times; ++i) {
--- a/tests/control/port_test.cpp
+++ b/tests/control/port_test.cpp
@@ -1,4 +1,4 @@
-// The second address over loopback: each call, each kind of bad caller, and a node taken out and put back.
+// The control port over loopback: each command, invalid clients, and disabling and enabling a cache.
 #include <doctest/doctest.h>
 #include <sys/resource.h>
 
@@ -9,16 +9,16 @@
 using namespace fernward;
 using namespace fernward::tests;
 
-TEST_CASE("without a second address there is none") {
+TEST_CASE("there is no control port unless it is configured") {
   World w;
   CHECK(w.router->control_port() == 0);
 }
 
-TEST_CASE("ready: yes while this process takes clients") {
+TEST_CASE("ready succeeds while the process accepts clients") {
   Controlled w;
   CHECK(w.call("ready") == "ok\n");
   CHECK(w.call("ready\r") == "ok\n");
-  Client holds = w.client(); // else the router would end at once
+  Client holds = w.client(); // otherwise the router would stop immediately
   w.caches([](const http::Message&) { return std::string(); });
   holds.send(get("/k/1", "r1"));
   REQUIRE(w.until([&] { return w.sent() == 1; }));
@@ -26,28 +26,28 @@
   CHECK(w.call("ready").starts_with("fail "));
 }
 
-TEST_CASE("ready: no before a node is known") {
+TEST_CASE("ready fails before an endpoint is known") {
   Controlled w([](Json& file) { file["known"] = nullptr; });
   w.discovery.script = [](const http::Message&) { return std::string(); };
   CHECK(w.call("ready").starts_with("fail "));
 }
 
-TEST_CASE("a node taken out gets nothing, whatever the list says, put back it gets work") {
+TEST_CASE("a disabled cache gets no requests whatever the list states and an enabled one does") {
   Controlled w;
-  CHECK(w.ask(40) >= 20); // a burst of them is shed in part
+  CHECK(w.ask(40) >= 20); // some requests of the burst are shed
   REQUIRE(w.one.seen.size() > 0);
   CHECK(w.call("disable-server s-1") == "ok\n");
   CHECK(w.call("disable-server s-1") == "ok\n");
   const auto before = w.one.seen.size();
-  CHECK(w.ask(40) >= 20); // a burst of them is shed in part
+  CHECK(w.ask(40) >= 20); // some requests of the burst are shed
   REQUIRE(w.tell(node_list(8, true, w.all())));
-  CHECK(w.ask(40) >= 20); // a burst of them is shed in part
+  CHECK(w.ask(40) >= 20); // some requests of the burst are shed
   REQUIRE(w.tell(node_list(9, false, {endpoint("s-1", w.one.address, "terminated")})));
   REQUIRE(w.tell(node_list(10, false, {endpoint("s-1", w.one.address)})));
-  CHECK(w.ask(40) >= 20); // a burst of them is shed in part
+  CHECK(w.ask(40) >= 20); // some requests of the burst are shed
   CHECK(w.one.seen.size() == before);
   CHECK(w.call("enable-server s-1") == "ok\n");
-  CHECK(w.ask(40) >= 20); // a burst of them is shed in part
+  CHECK(w.ask(40) >= 20); // some requests of the burst are shed
   CHECK(w.one.seen.size() > before);
   CHECK(w.router->overrides().size() == 2);
 }
@@ -65,7 +65,7 @@
   CHECK(w.one.seen.size() + w.two.seen.size() == before);
 }
 
-TEST_CASE("ids that are no cache node's") {
+TEST_CASE("ids that are not those of a cache") {
   Controlled w;
   CHECK(w.call("disable-server s-9").starts_with("fail "));
   CHECK(w.call("enable-server s-9").starts_with("fail "));
@@ -74,7 +74,7 @@
   CHECK(w.call("disable-server s-1") == "ok\n"); // it was listed once
 }
 
-TEST_CASE("bad callers get a no or an end") {
+TEST_CASE("invalid clients get an error or are disconnected") {
   Controlled w;
   const auto told = [&](const std::string& text, bool half_close = false) {
     Caller caller(w.base.get(), w.router->control_port(), text);
@@ -89,16 +89,16 @@
   CHECK(told("\n").starts_with("fail "));
   CHECK(told("ready ready\n").starts_with("fail "));
   CHECK(told("ready\nready\n").starts_with("fail "));
-  CHECK(told("disable-server s-1", true).starts_with("fail ")); // half a call is none
+  CHECK(told("disable-server s-1", true).starts_with("fail ")); // an incomplete command is not executed
   CHECK_FALSE(w.router->overrides().is_disabled("s-1"));
   CHECK(told(std::string(300, 'x')).starts_with("fail "));
   CHECK(told("", true) == "");
   const double begun = loop::now_ms();
-  CHECK(told("read").starts_with("fail ")); // nothing more comes
+  CHECK(told("read").starts_with("fail ")); // the line is never completed
   CHECK(loop::now_ms() - begun < 3500);
 }
 
-TEST_CASE("callers that say nothing never keep the next one waiting") {
+TEST_CASE("silent control clients do not delay the next one") {
   Controlled w;
   std::vector<std::unique_ptr<Caller>> silent;
   for (int i = 0; i < 60; ++i)
@@ -109,9 +109,9 @@
   CHECK(loop::now_ms() - begun < 1000);
 }
 
-TEST_CASE("a call is answered while clients flood the router") {
+TEST_CASE("a command is answered while clients overload the router") {
   Controlled w;
-  w.caches([](const http::Message&) { return std::string(); }); // nobody is answered
+  w.caches([](const http::Message&) { return std::string(); }); // no request is answered
   std::vector<std::unique_ptr<Client>> crowd;
   for (int i = 0; i < 200; ++i) {
     crowd.push_back(std::make_unique<Client>(w.base.get(), w.router->port()));
@@ -124,7 +124,7 @@
   }
 }
 
-TEST_CASE("addresses that can't be listened on are told by their key") {
+TEST_CASE("an invalid control address is reported with its key") {
   World w;
   Json file = config_json(w.discovery.address, nullptr);
   file["control"] = "here";
@@ -143,22 +143,22 @@
   } catch (const config::Error& error) {
     CHECK(std::string(error.what()).starts_with("NODE_CONTROL: "));
   }
-  file["control"] = w.one.address; // taken
+  file["control"] = w.one.address; // already in use
   CHECK_THROWS_WITH(router::Router(config::parse(file.dump(), &no_environment), w.base.get()),
                     doctest::Contains("control: cannot listen"));
 }
 
-// guards: a router that answers nobody, as a call that can't be accepted goes before all traffic, again and again
+// Guards against a router that stalls because a control connection can't be accepted: its event has priority
+// over all traffic and fires again and again.
 TEST_CASE(
-    "a caller that can't be accepted for want of descriptors holds up nothing, and gets its answer once it "
-    "can") {
+    "a control client that can't be accepted without descriptors delays nothing and is answered later") {
   const router::BasePtr base = router::make_base();
   loop::TimerQueue deadlines(base.get());
   control::PortOptions options;
   options.address = "127.0.0.1:0";
   control::Port port(base.get(), deadlines, options,
                      [](const control::Call&) { return std::string("ok\n"); });
-  Caller caller(base.get(), port.port(), "ready\n"); // waits before the door: the loop has not run
+  Caller caller(base.get(), port.port(), "ready\n"); // waits in the backlog: the loop has not run
   rlimit usual{};
   REQUIRE(getrlimit(RLIMIT_NOFILE, &usual) == 0);
   const rlimit none{0, usual.rlim_max};
