--- a/src/endpoints/endpoint.cpp
+++ b/src/endpoints/endpoint.cpp
@@ -38,7 +38,7 @@
   return value.is_number_unsigned() ? value.get<std::uint32_t>() : index_of(value.dump(), {});
 }
 
-// Not below 0 and finite, or the default.
+// A finite number that is not negative, else the fallback. None: not a number.
 std::optional<double> read_amount(const json& value, double otherwise) {
   if (!value.is_number()) return std::nullopt;
   const auto amount = value.get<double>();
@@ -48,7 +48,7 @@
 ServerState state_of(const std::string& status) {
   if (status == "in_service") return ServerState::Ready;
   if (status == "terminated") return ServerState::Gone;
-  return ServerState::Draining; // "terminating"; an unknown word gets the careful meaning
+  return ServerState::Draining; // "terminating"; an unknown status is treated as draining, the safe choice
 }
 
 const char* status_of(ServerState state) {
@@ -60,7 +60,7 @@
   return "terminating";
 }
 
-// Reads one entry.
+// Parses one entry and collects the result.
 class Reading {
  public:
   Reading(const json& entry, const fernward::Server& defaults, const EndpointReader::FindLast& find_last)
@@ -72,7 +72,7 @@
     const std::string* name = entry_.is_object() ? find_text(entry_, "name") : nullptr;
     if (name == nullptr || name->empty()) {
       result_.outcome = Outcome::Dropped;
-      result_.fault = entry_.is_object() ? "name" : "not an object";
+      result_.fault = entry_.is_object() ? "name" : "entry is not a JSON object";
       return false;
     }
     result_.target.name = *name;
@@ -130,7 +130,7 @@
     result_.target.where = known == nullptr ? sockaddr_in{} : known->where;
   }
 
-  // Where a server is, or whether it serves, is not known: a request sent there may be lost.
+  // The server's address or its state is unknown: a request sent there may be lost.
   void keep_from_service(const char* key) {
     damaged(last() == nullptr ? Outcome::Dropped : Outcome::Draining, key);
     result_.target.entry.state = ServerState::Draining;
@@ -150,13 +150,14 @@
   const json& entry_;
   const fernward::Server& defaults_;
   const EndpointReader::FindLast& find_last_;
-  std::optional<const Endpoint*> last_; // none: not asked for yet
+  std::optional<const Endpoint*> last_; // none: not looked up yet
   EndpointReading result_;
 };
 
 } // namespace
 
-std::uint64_t hash_of(const std::string& text) { // FNV-1a, then splitmix64's finisher to spread short names
+// FNV-1a, then the splitmix64 finalizer, as FNV-1a alone distributes short names poorly.
+std::uint64_t hash_of(const std::string& text) {
   std::uint64_t h = 0xcbf29ce484222325ull;
   for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ull;
   h = (h ^ (h >> 30)) * 0xbf58476d1ce4e5b9ull;
@@ -178,7 +179,8 @@
     : zones_(std::move(zones)), kinds_(std::move(kinds)) {
   defaults_.zone = index_of("", zones_);
   defaults_.kind = index_of("", kinds_);
-  defaults_.cell = index_of("0", {}); // apart from the small numbers that lists write for groups
+  // Hashed, so that it differs from the small numbers that lists use for groups.
+  defaults_.cell = index_of("0", {});
 }
 
 EndpointReading EndpointReader::read(const json& entry, const FindLast& find_last) const {
--- a/src/endpoints/endpoint.h
+++ b/src/endpoints/endpoint.h
@@ -1,5 +1,5 @@
-// One endpoint of discovery's list: the target that it describes, and how much of its entry could be read. An
-// entry is judged by itself: damage in one must not hide the drain that another one tells.
+// Parses one entry of discovery's endpoint list. Each entry is validated separately: an invalid entry must
+// not hide the drain of an endpoint in another entry.
 #pragma once
 
 #include <netinet/in.h>
@@ -20,33 +20,34 @@
   fernward::Server entry;
 };
 
-// The same at every router and after every restart: they depend on the name alone.
+// Depends on the name alone, so that it is the same on every router and after every restart.
 fernward::ServerId id_of(const std::string& name);
-// A position in the settings' list, or for a name that is not there one beyond it.
+// The position of `name` in `names` (a list of the settings); for other names a hash beyond the end of the
+// list.
 std::uint32_t index_of(const std::string& name, const std::vector<std::string>& names);
 std::uint64_t hash_of(const std::string& text);
 
 struct EndpointReading {
   enum class Outcome {
     Sound,
-    Repaired, // what could not be read is as it was, or the default; the state is as discovery tells it
-    Draining, // status, or the address of one in service, could not be read: nothing new may be sent there
-    Dropped,  // no name, or it would be Draining and the server is unknown; there is no target
+    Repaired, // invalid fields have their previous value or the default; the state is discovery's
+    Draining, // invalid status, or invalid address while in service: no new requests may be sent there
+    Dropped,  // no name, or Draining applies and the server is unknown; there is no endpoint
   };
 
   Outcome outcome = Outcome::Sound;
   Endpoint target;
-  const char* fault = ""; // the first thing that could not be read
+  const char* fault = ""; // the first invalid field; empty: none
 };
 
 class EndpointReader {
  public:
-  // The target of this name as it is known now; null: it is not. Asked only where an entry is damaged.
+  // Returns the endpoint of this name as currently known, or null. Called only for invalid entries.
   using FindLast = std::function<const Endpoint*(const std::string& name)>;
 
   EndpointReader(std::vector<std::string> zones, std::vector<std::string> kinds);
 
-  // Never throws for what the entry holds.
+  // Does not throw, whatever the entry contains.
   EndpointReading read(const nlohmann::json& entry, const FindLast& find_last) const;
 
  private:
@@ -54,8 +55,8 @@
   fernward::Server defaults_;
 };
 
-// A damaged entry as another process should read it: it gives the same target there. `last_entry` is what was
-// written of the server before, or null.
+// Rewrites an invalid entry so that another process parses it to the same endpoint. `previous_entry` is the
+// entry stored for the server before, or null.
 nlohmann::json repaired_entry(const nlohmann::json& entry, const Endpoint& target,
                               const nlohmann::json& last_entry);
 
--- a/src/endpoints/endpoint_file_watch.cpp
+++ b/src/endpoints/endpoint_file_watch.cpp
@@ -35,24 +35,25 @@
   poll_timer_ = timers_.at(loop::now_ms() + kPollPeriodMs, [this] { poll(); });
   struct stat now {};
   if (stat(path_.c_str(), &now) != 0) return set_fault(std::strerror(errno));
-  if (!S_ISREG(now.st_mode)) return set_fault("is no regular file"); // to open a pipe would hold up the loop
+  // Opening a pipe would block the event loop.
+  if (!S_ISREG(now.st_mode)) return set_fault("is not a regular file");
   if (same(now, seen_)) return;
-  if (now.st_size > kMaxListBytes) return set_fault("is over 8 MiB");
+  if (now.st_size > kMaxListBytes) return set_fault("is larger than 8 MiB");
   seen_ = now;
-  read(); // half written it is no JSON, and is read again when the rest is there
+  read(); // a partially written file is not valid JSON; it is read again after the next change
 }
 
 void EndpointFileWatch::read() {
   std::ifstream in(path_, std::ios::binary);
   std::ostringstream text;
   text << in.rdbuf();
-  if (!in) { // for want of a descriptor, say: it is tried again though it has not changed
+  if (!in) { // for example no descriptor is left: retries although the file has not changed
     seen_ = {};
-    return set_fault("can't be read");
+    return set_fault("can't be read completely");
   }
   auto list = config::parse_json(text.str());
   if (list.is_array()) list = {{"endpoints", std::move(list)}};
-  if (!list.is_object()) return set_fault("is not JSON, or no list");
+  if (!list.is_object()) return set_fault("is not JSON, or neither an endpoint list nor an array");
   list["index"] = ++versions_;
   list["snapshot"] = true;
   try {
--- a/src/endpoints/endpoint_file_watch.h
+++ b/src/endpoints/endpoint_file_watch.h
@@ -1,6 +1,6 @@
-// A file that tells the nodes, in discovery's form: a whole list, or only its array of endpoints. It is
-// looked at four times a second and read when it has changed; what can't be read leaves the list as it is,
-// with a line in the log.
+// Watches a file with the endpoint list, in discovery's format: a full list, or only its array of endpoints.
+// The file is checked four times a second and read when it has changed. If it is invalid, the current list
+// stays in use and the error is logged.
 #pragma once
 
 #include <sys/stat.h>
@@ -15,8 +15,8 @@
 
 class EndpointFileWatch {
  public:
-  // Takes a whole list; throws Damaged. It is called first from within the constructor, where the file can be
-  // read.
+  // Applies a full list; throws InvalidEndpointList. If the file is readable, the constructor already calls
+  // it.
   using Take = std::function<std::uint64_t(const std::string& text)>;
 
   EndpointFileWatch(loop::TimerQueue& timers, const std::string& path, Take take);
@@ -25,7 +25,7 @@
   EndpointFileWatch& operator=(const EndpointFileWatch&) = delete;
 
   const std::string& path() const { return path_; }
-  bool has_list() const { return has_list_; } // a list has been taken
+  bool has_list() const { return has_list_; } // a list has been applied
 
  private:
   void poll();
@@ -38,7 +38,7 @@
   std::uint64_t versions_ = 0;
   struct stat seen_ {};
   bool has_list_ = false;
-  std::string fault_; // told last: it is not told again and again
+  std::string fault_; // the error logged last; a repeated error is not logged again
   loop::TimerQueue::TimerId poll_timer_ = 0;
 };
 
--- a/src/endpoints/endpoint_table.cpp
+++ b/src/endpoints/endpoint_table.cpp
@@ -24,22 +24,22 @@
 
 const json& field(const json& message, const char* key) {
   const auto found = message.find(key);
-  if (found == message.end()) throw Damaged(std::string("no ") + key);
+  if (found == message.end()) throw Damaged(std::string("field missing: ") + key);
   return *found;
 }
 
 Envelope read_envelope(const json& message) {
-  if (!message.is_object()) throw Damaged("not an object");
+  if (!message.is_object()) throw Damaged("message is not a JSON object");
   const json& index = field(message, "index");
-  if (!index.is_number_integer() || index < 0) throw Damaged("index: no whole number from 0");
+  if (!index.is_number_integer() || index < 0) throw Damaged("index: expected an integer from 0");
   const json& whole = field(message, "snapshot");
-  if (!whole.is_boolean()) throw Damaged("snapshot: neither true nor false");
+  if (!whole.is_boolean()) throw Damaged("snapshot: expected true or false");
   const json& endpoints = field(message, "endpoints");
-  if (!endpoints.is_array()) throw Damaged("endpoints: no array");
+  if (!endpoints.is_array()) throw Damaged("endpoints: expected an array");
   return {index.get<std::uint64_t>(), whole.get<bool>(), endpoints};
 }
 
-// What changes do to the targets of the module: each number once, as it is after all of them.
+// Collects the servers that a delta changes: each id once, with its state after all entries of the delta.
 class ChangedServers {
  public:
   void add(const fernward::Server& server) {
@@ -97,12 +97,12 @@
   return list;
 }
 
-// What the table knows of a server stands in for what is damaged of its entry, so it stays until the new one
-// is whole.
+// Fields of invalid entries are taken from the current contents, which are therefore replaced only after all
+// entries have been parsed.
 fernward::EndpointList EndpointTable::replace(const json& endpoints) {
   Contents next;
   Damage damage;
-  std::set<std::string> ended; // by this message: what was known of them counts no more
+  std::set<std::string> ended; // by this message: their previous values are not used any more
   const auto find_last = [this, &next, &ended](const std::string& name) {
     const Endpoint* in_message = next.targets.find(name);
     if (in_message != nullptr || ended.contains(name)) return in_message;
@@ -117,7 +117,7 @@
   }
   if (!endpoints.empty() && damage.dropped + damage.draining == endpoints.size()) {
     throw Damaged("none of " + std::to_string(endpoints.size()) +
-                  " entries is sound, the first: " + damage.first + ": " + damage.why);
+                  " entries is valid; first error: " + damage.first + ": " + damage.why);
   }
   contents_ = std::move(next);
   report(damage);
--- a/src/endpoints/endpoint_table.h
+++ b/src/endpoints/endpoint_table.h
@@ -1,4 +1,4 @@
-// The route table: discovery's list by name, with the numbers that the module knows it under.
+// The endpoint table: discovery's list, by server name and by the server id that the balancer uses.
 #pragma once
 
 #include <cstdint>
@@ -15,41 +15,41 @@
 
 namespace fernward::endpoints {
 
-struct Damaged : std::runtime_error { // what discovery sent is no list; the table is as before
+struct Damaged : std::runtime_error { // discovery sent no valid list; the table is unchanged
   using std::runtime_error::runtime_error;
 };
 
-struct Stale : Damaged { // a sound answer from before what is known already; the table is as before
+struct Stale : Damaged { // a valid list, but older than the table; the table is unchanged
   using Damaged::Damaged;
 };
 
 class EndpointTable {
  public:
-  // `keeps`: what was told can be told on, see told().
+  // `keep_entry_texts`: keeps the text of each entry for serialized_list().
   EndpointTable(std::vector<std::string> zones, std::vector<std::string> kinds, bool keeps = false)
       : reader_(std::move(zones), std::move(kinds)), keeps_(keeps) {}
 
-  // Takes a whole list or changes, in discovery's form. The result is for the module. Each entry is judged by
-  // itself, see EndpointReading; what is damaged of them is told in one line of the log. Throws Damaged where
-  // the message is none, or a whole list that has entries and none that tells its server's state; throws
-  // Stale where its index is below `at_least`.
+  // Applies a full list or a delta, in discovery's format, and returns the corresponding update for the
+  // balancer. Each entry is validated separately, see ParsedEndpoint; one log line summarizes the invalid
+  // ones. Throws InvalidEndpointList if the message is invalid, or if it is a full list with entries of which
+  // none has a usable state. Throws StaleEndpointList if its index is below `min_index`.
   fernward::EndpointList apply(const std::string& text, std::uint64_t at_least = 0);
   fernward::EndpointList apply(const nlohmann::json& message, std::uint64_t at_least = 0);
 
-  std::string told() const; // the whole list, in discovery's form, where it is kept
+  std::string told() const; // the full list in discovery's format; requires `keep_entry_texts`
   std::uint64_t index() const { return index_; }
   const std::map<fernward::ServerId, Endpoint>& targets() const { return contents_.targets.holders(); }
-  bool usable() const { return contents_.targets.in_service() > 0; } // some target is in service
-  std::uint64_t dropped_entries() const {
-    return dropped_entries_;
-  } // of messages that were taken, since the start
+  bool usable() const { return contents_.targets.in_service() > 0; }
+  // Of all applied messages, since the process start.
+  std::uint64_t dropped_entries() const { return dropped_entries_; }
 
  private:
   struct Contents {
     TargetSet targets;
-    std::map<std::string, std::string> texts; // by name, as discovery wrote it; where they are kept
+    // JSON text of each entry by name; empty unless `keep_entry_texts_`.
+    std::map<std::string, std::string> texts;
   };
-  struct Damage { // of the entries of one message
+  struct Damage { // invalid entries of one message
     std::size_t dropped = 0, draining = 0, repaired = 0;
     std::string first, why;
 
--- a/src/endpoints/endpoint_watch.cpp
+++ b/src/endpoints/endpoint_watch.cpp
@@ -21,14 +21,14 @@
 
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
-constexpr std::size_t kPollBytes = 16 << 10;     // read at once by poll()
-constexpr std::uint64_t kMaxListBytes = 8 << 20; // some 50,000 endpoints
-// An answer with an earlier version than was told before is out of date, as from a replica that lags. A
-// discovery that was started anew may count from the beginning: where it says the same this often, it is
-// believed.
+constexpr std::size_t kPollBytes = 16 << 10;     // read per system call by poll()
+constexpr std::uint64_t kMaxListBytes = 8 << 20; // about 50,000 endpoints
+// A response with an earlier index than one already received is out of date, for example from a lagging
+// replica. A restarted discovery may count from the beginning again: after this many stale responses in a
+// row, the next one is accepted.
 constexpr std::uint32_t kMaxStaleAnswers = 2;
 
-// Lists are read before requests are sent on, where the loop has been given priorities.
+// Endpoint lists are read before requests are forwarded, if the event loop has priorities.
 void raise_priority(event_base* base, bufferevent* io) {
   if (event_base_get_npriorities(base) > 1) bufferevent_priority_set(io, 0);
 }
@@ -61,12 +61,13 @@
   run([this](Actions& actions) { subscription_.refresh(loop::now_ms(), actions); });
 }
 
-// ---- what is decided ----
+// ---- actions of the subscription ----
 
 void EndpointWatch::run(const std::function<void(Actions&)>& decide) {
   Actions actions;
   decide(actions);
-  for (std::size_t i = 0; i < actions.size(); ++i) { // by index: what fails at once adds to them
+  // By index: an action that fails immediately appends further actions.
+  for (std::size_t i = 0; i < actions.size(); ++i) {
     const discovery::Action action = actions[i];
     if (const auto* opens = std::get_if<discovery::OpenConnection>(&action)) {
       open(opens->call, actions);
@@ -94,7 +95,7 @@
   bufferevent_setcb(io, &EndpointWatch::on_readable, nullptr, &EndpointWatch::on_event, connection.get());
   connections_[call] = std::move(connection);
   sockaddr_in where{};
-  config::parse_address(address_, where); // checked when the configuration was read
+  config::parse_address(address_, where); // validated when the configuration was read
   if (bufferevent_socket_connect(io, reinterpret_cast<sockaddr*>(&where), sizeof where) == 0) return;
   connections_.erase(call);
   note_failure("connect-failed");
@@ -105,12 +106,12 @@
   Connection& connection = *connections_.at(ask.call);
   connection.asked = true;
   const std::string text = http::write_request("GET", target_of(ask), address_, {}, "");
-  // At once, not from the loop: what discovery has meanwhile is to be there when the process looks for it
-  // next.
+  // Written immediately, not from the event loop: the response should already be available at the next
+  // poll().
   loop::write_or_wait(connection.io.get(), text);
 }
 
-// ---- what the sockets tell ----
+// ---- socket events ----
 
 void EndpointWatch::on_readable(bufferevent*, void* connection) {
   auto* const found = static_cast<Connection*>(connection);
@@ -129,7 +130,7 @@
     bufferevent_enable(connection.io.get(), EV_READ | EV_WRITE);
     return run([&](Actions& actions) { subscription_.connected(loop::now_ms(), connection.call, actions); });
   }
-  // An answer without a length ends with its connection.
+  // A response without a length ends when the connection is closed.
   if (connection.parser.end_of_input()) return on_answer(connection, false);
   const char* const ended = (what & BEV_EVENT_EOF) != 0 ? "peer-closed" : "reset";
   const bool begun = connection.parser.begun();
@@ -147,8 +148,8 @@
   on_parsed(connection, all);
 }
 
-// Some of an answer has been read. `all`: nothing came behind it. With bytes behind it the next one could not
-// be told apart.
+// Part of a response has been parsed. `all_input_used`: no further bytes follow it. If bytes follow, the
+// connection can't be reused, as they can't be distinguished from the next response.
 void EndpointWatch::on_parsed(Connection& connection, bool all) {
   if (connection.parser.fault() != http::Fault::None) {
     return fail(connection, "malformed", Failure::Useless);
@@ -189,7 +190,7 @@
   }
 }
 
-// The connection is gone on return.
+// Destroys the connection.
 void EndpointWatch::fail(Connection& connection, const char* code, Failure failure) {
   note_failure(code);
   const CallId call = connection.call;
@@ -200,31 +201,32 @@
 void EndpointWatch::poll() {
   std::vector<CallId> calls;
   for (const auto& [call, connection] : connections_) calls.push_back(call);
-  for (const CallId call : calls) poll(call); // what comes on one may close the others
+  for (const CallId call : calls) poll(call); // a response on one may close the others
 }
 
-// Past libevent's buffer, which takes bytes from the event loop alone. An end is found again from there.
+// Reads the socket directly, as libevent's buffer is filled only by the event loop. The event loop also
+// detects the end of the connection, which is ignored here.
 void EndpointWatch::poll(CallId call) {
   Connection* connection = find_asked(call);
   if (connection != nullptr && !loop::pending_input(connection->io.get()).empty()) read(*connection);
   std::array<char, kPollBytes> block;
-  while ((connection = find_asked(call)) != nullptr) { // each round may end it
+  while ((connection = find_asked(call)) != nullptr) { // each iteration may close it
     std::size_t bytes = 0;
     const int socket = bufferevent_getfd(connection->io.get());
     if (loop::receive(socket, block.data(), block.size(), bytes) != loop::Received::Bytes) return;
     const std::size_t used = connection->parser.feed({block.data(), bytes});
     on_parsed(*connection, used == bytes);
-    if (bytes < block.size()) return; // all that was there
+    if (bytes < block.size()) return; // the socket has no more input
   }
 }
 
-// The connection of a call that an answer is due to; null: there is none.
+// The connection of a call that awaits a response, or null.
 EndpointWatch::Connection* EndpointWatch::find_asked(CallId call) {
   const auto found = connections_.find(call);
   return found == connections_.end() || !found->second->asked ? nullptr : found->second.get();
 }
 
-// ---- the log: the first failure, each other code, and the end of it ----
+// ---- logging: the first failure, each change of its code, and the recovery ----
 
 void EndpointWatch::note_failure(const char* code) {
   ++failures_;
--- a/src/endpoints/endpoint_watch.h
+++ b/src/endpoints/endpoint_watch.h
@@ -1,5 +1,5 @@
-// Watches the endpoint list of one discovery address: one connection, and a second one beside it while the
-// first is in doubt. When to open, ask and close is decided by discovery/subscription.h.
+// Watches the endpoint list at one discovery address, over one connection and a second one while the first
+// may be broken. discovery/subscription.h decides when to connect, send a request and close.
 #pragma once
 
 #include <cstdint>
@@ -17,8 +17,8 @@
 
 class EndpointWatch {
  public:
-  // Takes an answer's text whose version is `at_least` or later. Throws Damaged, or Stale where the version
-  // is an earlier one; nothing is changed then.
+  // Applies the text of a response whose index is `min_index` or later. Throws InvalidEndpointList, or
+  // StaleEndpointList for an earlier index; nothing is changed then.
   using OnAnswer = std::function<discovery::Answer(const std::string& text, std::uint64_t at_least)>;
 
   EndpointWatch(event_base* base, loop::TimerQueue& timers, const std::string& address,
@@ -28,8 +28,8 @@
   EndpointWatch& operator=(const EndpointWatch&) = delete;
 
   const std::string& address() const { return address_; }
-  void poll();    // takes what discovery has written already, without waiting for the event loop
-  void refresh(); // asks at once for what discovery has now, beside the open call
+  void poll();    // reads responses that have already been received, without waiting for the event loop
+  void refresh(); // requests the current list immediately, in addition to the pending call
 
  private:
   struct Connection {
@@ -39,7 +39,7 @@
     loop::BuffereventPtr io;
     http::Parser parser;
     bool connected = false;
-    bool asked = false; // an answer is due
+    bool asked = false; // a request was sent and its response is incomplete
   };
 
   static void on_readable(bufferevent*, void* connection);
@@ -66,8 +66,8 @@
   std::map<discovery::CallId, std::unique_ptr<Connection>> connections_;
   std::uint64_t answers_ = 0;
   std::uint32_t stale_in_a_row_ = 0;
-  std::uint64_t failures_ = 0; // since the last sound answer
-  std::string failed_with_;    // the code that was logged last, for the log only
+  std::uint64_t failures_ = 0; // since the last valid response
+  std::string failed_with_;    // the code logged last; used for logging only
   loop::TimerQueue::TimerId tick_timer_ = 0;
 };
 
--- a/src/endpoints/target_set.cpp
+++ b/src/endpoints/target_set.cpp
@@ -11,8 +11,9 @@
 
 using fernward::ServerState;
 
-// Of two with one number, which one has it? The same at every router: the drain of one must not take the
-// other from service, and of two in service the lesser name has it.
+// Decides which of two endpoints with the same id uses it; the result is the same on every router. An
+// endpoint in service comes first, so that the drain of one does not remove the other from service; then the
+// lesser name.
 bool goes_before(const Endpoint& a, const Endpoint& b) {
   const bool a_in_service = a.entry.state == ServerState::Ready;
   const bool b_in_service = b.entry.state == ServerState::Ready;
@@ -58,7 +59,7 @@
   }
 }
 
-// Takes all with this number out, and puts them back with the new one in its order.
+// Removes all endpoints with this id, and adds them again together with the new one in order of precedence.
 void TargetSet::contend(const Endpoint& target) {
   const fernward::ServerId id = target.entry.id;
   std::vector<Endpoint> contenders;
--- a/src/endpoints/target_set.h
+++ b/src/endpoints/target_set.h
@@ -1,5 +1,5 @@
-// The targets that discovery lists, by number. A number is a hash of the name, so that two names may have the
-// same one: it belongs to one of them at a time, and the others wait until that one drains or is gone.
+// The endpoints that discovery lists, by server id. The id is a hash of the name, so two names may have the
+// same one: only one of these endpoints is used at a time, and the others wait until it drains or is removed.
 #pragma once
 
 #include <cstddef>
@@ -13,15 +13,14 @@
 
 class TargetSet {
  public:
-  // Adds the target or takes the place of the one of its name; a target that is Gone only ends that one.
+  // Adds the endpoint or replaces the one of the same name. State Gone removes the one of the same name.
   void put(const Endpoint& target);
 
-  const Endpoint* find(const std::string& name) const;   // also one that waits; null: none
-  const Endpoint* holder(fernward::ServerId id) const;   // null: none
-  std::size_t in_service() const { return in_service_; } // of the holders
-  const std::map<fernward::ServerId, Endpoint>& holders() const {
-    return holders_;
-  } // of each number its holder
+  const Endpoint* find(const std::string& name) const;   // also one that waits for its id; null: none
+  const Endpoint* holder(fernward::ServerId id) const;   // the endpoint that uses the id; null: none
+  std::size_t in_service() const { return in_service_; } // endpoints in service, without those that wait
+  // The endpoint that uses each id.
+  const std::map<fernward::ServerId, Endpoint>& holders() const { return holders_; }
 
  private:
   void replace(const Endpoint& target);
@@ -29,7 +28,8 @@
   bool is_in_service(fernward::ServerId id) const;
 
   std::map<fernward::ServerId, Endpoint> holders_;
-  std::multimap<fernward::ServerId, Endpoint> waiting_; // for their number; its holder has another name
+  // Endpoints whose id is used by an endpoint of another name.
+  std::multimap<fernward::ServerId, Endpoint> waiting_;
   std::size_t in_service_ = 0;
 };
 
