--- a/src/figures/figures.cpp
+++ b/src/figures/figures.cpp
@@ -26,7 +26,7 @@
   };
   for (std::size_t cls = 0; cls < classes_.size(); ++cls) {
     const std::string& name = classes_[cls].name;
-    if (name.empty() || name.front() == '\n') continue; // a reload has left it out: no request can name it
+    if (name.empty() || name.front() == '\n') continue; // removed by a reload: no request can name it
     line("answered." + name, count(cls, Outcome::Answered));
     line("deferred." + name, count(cls, Outcome::Deferred));
     line("errored." + name, count(cls, Outcome::Errored));
--- a/src/figures/figures.h
+++ b/src/figures/figures.h
@@ -1,8 +1,8 @@
-// What the router has done and what it has in hand: counters that are written where a thing happens, each in
-// one place, and gauges that are asked when somebody reads. One registry; the operators' port, the log and
-// the lab read it.
+// The router's statistics: counters, each incremented in one place where the event occurs, and gauges, which
+// are computed when they are read. There is one registry per router; the control port, the log and the lab
+// read it.
 //
-// Counting is an addition to a number: nothing is looked up or allocated. One thread. Counters begin at 0
+// Counting only increments an integer, without lookup or allocation. Not thread-safe. Counters start at 0
 // with the process.
 #pragma once
 
@@ -15,7 +15,8 @@
 
 namespace fernward::figures {
 
-enum class Outcome { Answered, Deferred, Errored, Gone }; // Gone: nobody was there to take an answer
+// ClientGone: the client disconnected before its response.
+enum class Outcome { Answered, Deferred, Errored, Gone };
 
 class Figures {
  public:
@@ -25,11 +26,12 @@
   Figures(const Figures&) = delete;
   Figures& operator=(const Figures&) = delete;
 
-  // After a reload: classes keep their numbers, new ones follow them.
+  // Called at construction and after a reload: existing classes keep their index, new ones are appended.
   void name(std::vector<std::string> classes);
   void gauge(std::string name, Gauge gauge) { gauges_.emplace_back(std::move(name), std::move(gauge)); }
 
-  // A request that the router has taken. It is counted when it ends, once, by its first outcome.
+  // Tracks one accepted request. It is counted once, when it ends, by its first outcome; if it is destroyed
+  // without one, as ClientGone.
   class Taken {
    public:
     Taken() = default;
@@ -45,7 +47,7 @@
     }
     ~Taken() { end(Outcome::Gone); }
 
-    void whole() { // its last byte has come: from now on it is one of `current`
+    void whole() { // the request has been received completely: counts as active from now on
       if (figures_ != nullptr && !std::exchange(whole_, true)) ++figures_->current_;
     }
     void end(Outcome how) {
@@ -63,14 +65,14 @@
   };
   Taken take(std::size_t cls) { return {*this, cls}; }
 
-  void sent() { ++sends_; } // an attempt's last byte has left for its node
+  void sent() { ++sends_; } // the last byte of an attempt has been sent to its server
 
   std::uint64_t count(std::size_t cls, Outcome how) const;
   std::uint64_t all(Outcome how) const;
   std::uint64_t sends() const { return sends_; }
   std::uint64_t current() const { return current_; }
 
-  std::string lines() const; // "router.NAME=VALUE", a line each
+  std::string lines() const; // one line "router.NAME=VALUE" per counter and gauge
 
  private:
   struct Class {
--- a/tests/figures/counts_test.cpp
+++ b/tests/figures/counts_test.cpp
@@ -1,4 +1,4 @@
-// The figures beside what scripted clients and nodes count themselves, to the last request.
+// Compares the router's statistics with the exact counts of scripted clients and servers.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -26,7 +26,7 @@
 
 } // namespace
 
-TEST_CASE("outcomes and attempts are what clients and nodes saw") {
+TEST_CASE("counted outcomes and attempts equal those seen by clients and servers") {
   Controlled w([](Json& file) {
     file["settings"]["classes"].push_back(
         {{"name", "once"}, {"aim", 900}, {"give_up", 2000}, {"repeat", "unsafe"}, {"worth", 1}});
@@ -63,7 +63,7 @@
   play(kTurnedAway, kTurnedAway, 6);
   Client bad = w.client();
   CHECK(bad.ask("GET /k HTTP/1.1\r\nX-Request-ID: r\r\nX-Priority-Class: none\r\n\r\n").status ==
-        400); // no class: no count
+        400); // without a class it is not counted
   auto told = read_figures(w);
   for (const char* how : {"answered", "deferred", "errored"}) {
     for (const char* cls : {"read", "book", "once"}) {
@@ -80,7 +80,7 @@
   CHECK(told["router.errored.once"] > 0);
 }
 
-TEST_CASE("current: taken and not ended, a body that still comes is not taken yet") {
+TEST_CASE("active requests are counted once their body is complete and until they end") {
   Controlled w;
   w.caches([](const http::Message&) { return std::string(); });
   w.origin.script = [](const http::Message&) { return std::string(); };
@@ -97,14 +97,14 @@
   CHECK(read_figures(w)["router.current"] == 5);
   half.send(long_put.substr(200 << 10));
   REQUIRE(w.until([&] { return read_figures(w)["router.current"] == 6; }));
-  all.clear(); // these leave
+  all.clear(); // these clients disconnect
   half.leave();
   CHECK(w.until([&] { return read_figures(w)["router.current"] == 0; }));
   auto told = read_figures(w);
   CHECK(told["router.answered.read"] + told["router.deferred.read"] + told["router.errored.read"] == 0);
 }
 
-TEST_CASE("an attempt counts once its last byte has left, not when it waits") {
+TEST_CASE("an attempt is counted when its last byte has been sent") {
   Controlled w;
   w.origin.stopped = true; // reads nothing
   Client client = w.client();
@@ -113,7 +113,7 @@
   CHECK(read_figures(w)["router.sends"] == 0);
 }
 
-TEST_CASE("the cluster: listed cache nodes, and those that get no work now") {
+TEST_CASE("the cluster gauges count listed caches and unavailable ones") {
   Controlled w;
   auto told = read_figures(w);
   CHECK(told["router.cluster_size"] == 2);
@@ -122,18 +122,18 @@
   CHECK(read_figures(w)["router.cluster_unhealthy"] == 1);
   REQUIRE(w.tell(node_list(8, false, {endpoint("s-1", w.one.address, "terminated")})));
   told = read_figures(w);
-  CHECK(told["router.cluster_size"] == 1); // not listed: not counted, though its ban lasts
+  CHECK(told["router.cluster_size"] == 1); // not listed: not counted, although it stays disabled
   CHECK(told["router.cluster_unhealthy"] == 0);
   REQUIRE(w.tell(node_list(9, false, {endpoint("s-1", w.one.address)})));
   CHECK(read_figures(w)["router.cluster_unhealthy"] == 1);
   CHECK(w.call("enable-server s-1") == "ok\n");
   CHECK(read_figures(w)["router.cluster_unhealthy"] == 0);
-  w.two.refuse(); // found out by choice
+  w.two.refuse(); // ejected after failed attempts
   for (int i = 0; i < 40; ++i) w.ask(10);
   CHECK(read_figures(w)["router.cluster_unhealthy"] == 1);
 }
 
-TEST_CASE("a caller that reads the figures a byte at a time gets all of them") {
+TEST_CASE("a client that sends its command byte by byte gets all statistics") {
   Controlled w;
   Caller slow(w.base.get(), w.router->control_port(), "");
   for (const char c : std::string("show-stat\n")) {
