--- a/src/hot_restart/link.cpp
+++ b/src/hot_restart/link.cpp
@@ -21,7 +21,7 @@
 
 constexpr timeval kAcceptPause{0, 50000};
 constexpr std::size_t kReadBytes = 64 << 10;
-constexpr std::size_t kMaxDescriptorsPerRead = 8; // each frame brings one at most
+constexpr std::size_t kMaxDescriptorsPerRead = 8; // each frame carries at most one
 constexpr int kBacklog = 4;
 
 bool make_address(const std::string& path, sockaddr_un& address) {
@@ -32,7 +32,7 @@
   return true;
 }
 
-// Only the same user's process may replace this one.
+// Only a process of the same user may replace this one.
 bool is_same_user(int socket) {
   ucred peer{};
   socklen_t size = sizeof peer;
@@ -41,7 +41,8 @@
 
 bool would_block() { return errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR; }
 
-// Bytes that were sent; 0: none can be now; below 0: the other side has closed. `descriptor` below 0: none.
+// Returns the number of bytes sent; 0: the socket is not writable now; below 0: the peer has closed it.
+// `descriptor` below 0: none is sent.
 ssize_t send_part(int socket, std::string_view bytes, int descriptor) {
   iovec part{const_cast<char*>(bytes.data()), bytes.size()};
   msghdr message{};
@@ -59,7 +60,7 @@
   }
   const auto sent = sendmsg(socket, &message, MSG_DONTWAIT | MSG_NOSIGNAL);
   if (sent >= 0) return sent;
-  // ETOOMANYREFS: the other side has to take the descriptors that are on their way first.
+  // ETOOMANYREFS: the peer first has to receive the descriptors that are already in transit.
   return would_block() || errno == ETOOMANYREFS ? 0 : -1;
 }
 
@@ -98,7 +99,7 @@
       descriptors_.emplace_back(fd);
     }
   }
-  if ((message.msg_flags & MSG_CTRUNC) != 0) fault_ = "descriptors lost";
+  if ((message.msg_flags & MSG_CTRUNC) != 0) fault_ = "received file descriptors were truncated";
   if (size == 0) return ReadResult::Closed;
   bytes_.append(bytes, static_cast<std::size_t>(size));
   return ReadResult::Data;
@@ -113,7 +114,7 @@
   if (std::holds_alternative<TakeoverGrant>(*decoded.message) ||
       std::holds_alternative<PassedConnection>(*decoded.message)) {
     if (descriptors_.empty()) {
-      fault_ = "no descriptor";
+      fault_ = "message has no file descriptor";
       return std::nullopt;
     }
     descriptor = std::move(descriptors_.front());
@@ -135,7 +136,7 @@
       write_event_(event_new(base, socket_.get(), EV_WRITE, &ProcessConnection::on_writable, this)) {
   if (read_event_ == nullptr || write_event_ == nullptr) throw std::bad_alloc();
   event_add(read_event_.get(), nullptr);
-  event_active(read_event_.get(), EV_READ, 0); // `reader` may hold a message
+  event_active(read_event_.get(), EV_READ, 0); // `reader` may already hold a message
 }
 
 void ProcessConnection::on_readable(int, short, void* self) { static_cast<ProcessConnection*>(self)->read(); }
@@ -170,14 +171,14 @@
     const auto sent = send_part(socket_.get(), unsent, frame.descriptor.get());
     if (sent < 0) {
       out_.clear();
-      event_active(read_event_.get(), EV_READ, 0); // reading finds the end, from the loop
+      event_active(read_event_.get(), EV_READ, 0); // read() then detects the closed connection
       return;
     }
     if (sent == 0) {
       event_add(write_event_.get(), nullptr);
       return;
     }
-    frame.descriptor = Descriptor(); // it went with the first byte
+    frame.descriptor = Descriptor(); // it is sent together with the first byte
     frame.sent += static_cast<std::size_t>(sent);
     if (frame.sent == frame.bytes.size()) out_.pop_front();
   }
@@ -212,7 +213,7 @@
   errno = ENAMETOOLONG;
   if (!make_address(own, address)) fail("bind");
   socket_ = Descriptor(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  ::unlink(own.c_str()); // left by an earlier process with the same number
+  ::unlink(own.c_str()); // left by an earlier process with the same process id
   if (!socket_ || bind(socket_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
     fail("bind");
   }
@@ -235,13 +236,13 @@
 void RestartListener::on_acceptable(int listening, short, void* self) {
   auto& listener = *static_cast<RestartListener*>(self);
   Descriptor accepted(accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
-  if (!accepted) { // the event would fire again at once, as long as no descriptor is left
+  if (!accepted) { // without the pause the event would fire again at once until a descriptor is free
     event_del(listener.accept_event_.get());
     event_add(listener.resume_event_.get(), &kAcceptPause);
     return;
   }
   if (!is_same_user(accepted.get())) {
-    return log::line("hot-restart-refused", {{"why", "another user's process"}});
+    return log::line("hot-restart-refused", {{"why", "peer process belongs to another user"}});
   }
   listener.on_connect_(std::move(accepted));
 }
@@ -254,7 +255,7 @@
 
 namespace {
 
-// None: no process is there (`fault` is empty), or `fault` says what went wrong.
+// None: no process listens there (`error` is empty), or `error` describes the failure.
 Descriptor connect_to(const std::string& path, std::string& fault) {
   sockaddr_un address{};
   if (!make_address(path, address)) return {};
@@ -265,19 +266,19 @@
     return {};
   }
   if (!is_same_user(connection.get())) {
-    fault = "another user's process";
+    fault = "peer process belongs to another user";
     return {};
   }
   return connection;
 }
 
-// Waits for the grant until `deadline_ms`. False: `fault` says what went wrong.
+// Blocks until the grant is received or `deadline_ms` has passed. False: `error` describes the failure.
 bool await_grant(Inherited& out, double deadline_ms, std::string& fault) {
   while (fault.empty()) {
     const double left_ms = deadline_ms - loop::now_ms();
     pollfd wait{out.connection.get(), POLLIN, 0};
     if (left_ms <= 0 || poll(&wait, 1, static_cast<int>(left_ms) + 1) == 0) {
-      fault = "no answer in time";
+      fault = "no takeover grant received in time";
       return false;
     }
     const MessageReader::ReadResult result = out.reader.receive(out.connection.get());
@@ -286,11 +287,12 @@
         out.grant = std::move(*grant);
         return true;
       }
-      fault = "not a welcome";
+      fault = "first message is not a takeover grant";
       return false;
     }
     fault = out.reader.fault();
-    if (fault.empty() && result == MessageReader::ReadResult::Closed) fault = "it ended";
+    if (fault.empty() && result == MessageReader::ReadResult::Closed)
+      fault = "old process closed the connection";
   }
   return false;
 }
@@ -305,7 +307,7 @@
   if (!out.connection) return std::nullopt;
   const std::string text = encode(request);
   if (send_part(out.connection.get(), text, -1) != static_cast<ssize_t>(text.size())) {
-    fault = "it does not take the question";
+    fault = "old process did not accept the takeover request";
     return std::nullopt;
   }
   if (!await_grant(out, loop::now_ms() + timeout_ms, fault)) return std::nullopt;
--- a/src/hot_restart/link.h
+++ b/src/hot_restart/link.h
@@ -1,7 +1,8 @@
-// Carries the messages of a hot restart: the Unix socket where a process waits for the one that replaces it,
-// and the connection between the two, on which descriptors go beside frames. Decides nothing.
+// Transport for hot restart messages: the Unix socket on which a process accepts the one that replaces it,
+// and the connection between the two, which carries frames and file descriptors.
+// router/hot_restart_coordinator.h decides what is sent and when.
 //
-// One thread. Callbacks come from the event loop; a connection may be destroyed from within its own.
+// Not thread-safe. Callbacks run on the event loop; a connection may be destroyed from its own callbacks.
 #pragma once
 
 #include <event2/event.h>
@@ -16,7 +17,7 @@
 
 namespace fernward::hot_restart {
 
-// A file descriptor that is closed with its owner; below 0: none.
+// Owns a file descriptor and closes it on destruction; below 0: none.
 class Descriptor {
  public:
   Descriptor() = default;
@@ -36,13 +37,13 @@
   int fd_ = -1;
 };
 
-// Puts messages together from the bytes and descriptors of a socket.
+// Assembles messages from the bytes and file descriptors received on a socket.
 class MessageReader {
  public:
   enum class ReadResult { Data, WouldBlock, Closed };
   ReadResult receive(int socket); // reads once
-  // The next message, and its descriptor where it is a TakeoverGrant or a PassedConnection. None: more bytes
-  // are needed, or `fault` is not empty.
+  // The next message, and its descriptor if it is a TakeoverGrant or a PassedConnection. None: more bytes are
+  // needed, or error() is not empty.
   std::optional<Message> next(Descriptor& descriptor);
   const std::string& fault() const { return fault_; }
 
@@ -52,11 +53,13 @@
   std::string fault_;
 };
 
-// To the other process. Open until the other side closes or a message can't be read.
+// The connection to the other process, open until the peer closes it or sends an invalid message. `reader`
+// may already hold received messages.
 class ProcessConnection {
  public:
   using OnMessage = std::function<void(Message, Descriptor)>;
-  // Once, from the loop. `fault`: what could not be read; empty: the other side has closed.
+  // Called once, from the event loop. `error`: why a message was invalid; empty: the peer closed the
+  // connection.
   using OnClosed = std::function<void(const std::string& fault)>;
 
   ProcessConnection(event_base* base, Descriptor socket, OnMessage on_message, OnClosed on_closed,
@@ -65,8 +68,8 @@
   ProcessConnection& operator=(const ProcessConnection&) = delete;
 
   void send(const Message& message, Descriptor descriptor = {});
-  void read_now() { read(); }                      // without waiting for the event loop
-  bool is_flushed() const { return out_.empty(); } // all that was sent has left
+  void read_now() { read(); }                      // reads immediately instead of waiting for the event loop
+  bool is_flushed() const { return out_.empty(); } // everything has been written to the socket
   bool is_closed() const { return closed_; }
 
  private:
@@ -91,13 +94,14 @@
   loop::EventPtr write_event_;
 };
 
-// Where a new process finds this one. The path is taken by rename: the process that came last has it.
+// Listens on a Unix socket for the process that replaces this one. The path is replaced by rename(), so it
+// belongs to the process that was started last.
 class RestartListener {
  public:
   using OnConnect = std::function<void(Descriptor)>;
   RestartListener(event_base* base, const std::string& path,
                   OnConnect on_connect); // throws std::runtime_error
-  ~RestartListener();                    // removes the path, unless another process has it now
+  ~RestartListener();                    // removes the path, unless another process has replaced it
   RestartListener(const RestartListener&) = delete;
   RestartListener& operator=(const RestartListener&) = delete;
 
@@ -114,15 +118,15 @@
   loop::EventPtr resume_event_;
 };
 
-// What a new process got from the one that it replaces.
+// What a new process receives from the one that it replaces.
 struct Inherited {
   TakeoverGrant grant;
   Descriptor listening;
   Descriptor connection;
-  MessageReader reader; // with what came behind the grant
+  MessageReader reader; // may hold messages that followed the grant
 };
-// Asks the process at `path` to be replaced, and waits up to `timeout_ms` for its answer. None: no process is
-// there, or `fault` says what went wrong.
+// Sends a takeover request to the process that listens at `path`, and blocks for up to `timeout_ms` until it
+// is granted. None: no process listens there (`error` is empty), or `error` describes the failure.
 std::optional<Inherited> request_takeover(const std::string& path, const TakeoverRequest& request,
                                           double timeout_ms, std::string& fault);
 
--- a/src/hot_restart/state.cpp
+++ b/src/hot_restart/state.cpp
@@ -83,7 +83,8 @@
 
 } // namespace
 
-// The old process keeps what it uses, but leaves an eighth at least: the new one needs some to begin with.
+// The old process keeps the descriptors in use, or half if that is more, but leaves at least an eighth: the
+// new process needs some to start.
 ResourceSplit split(const Resources& total, std::uint64_t used, std::uint64_t reserved) {
   const std::uint64_t descriptors = total.descriptors - std::min(total.descriptors, reserved);
   const std::uint64_t max_kept = descriptors - std::min(descriptors, descriptors / 8);
@@ -114,13 +115,13 @@
     return out;
   };
   const auto begin = bytes.substr(0, kMagic.size());
-  if (begin != kMagic.substr(0, begin.size())) return fault("no frame");
+  if (begin != kMagic.substr(0, begin.size())) return fault("bytes are not a hot restart frame");
   if (bytes.size() < kHeaderBytes) return out;
   const std::uint64_t version = read_number(bytes, 4, 4);
   const std::uint64_t kind = read_number(bytes, 8, 4);
   const std::uint64_t length = read_number(bytes, 12, 4);
-  if (version != kVersion) return fault("version " + std::to_string(version));
-  if (length > kMaxContentsBytes) return fault("too long");
+  if (version != kVersion) return fault("unsupported frame version " + std::to_string(version));
+  if (length > kMaxContentsBytes) return fault("frame contents are longer than 16 MiB");
   if (bytes.size() - kHeaderBytes < length) return out;
   const std::string_view contents = bytes.substr(kHeaderBytes, length);
   if (checksum(static_cast<std::uint32_t>(kind), contents) != read_number(bytes, 16, 8))
@@ -132,7 +133,7 @@
   } catch (const json::exception&) {
     return fault("contents");
   }
-  if (!out.message) return fault("kind " + std::to_string(kind));
+  if (!out.message) return fault("unknown frame kind " + std::to_string(kind));
   out.used = kHeaderBytes + length;
   return out;
 }
--- a/src/hot_restart/state.h
+++ b/src/hot_restart/state.h
@@ -1,9 +1,10 @@
-// What the two processes of a router tell each other during a hot restart: frames, their contents, and how
-// the limits are shared out. No sockets.
+// The messages that the two processes of a router exchange during a hot restart, their encoding as frames,
+// and the split of descriptors and memory between the processes. No sockets.
 //
-// A frame: "FWHO", version, kind, length of the contents (4 bytes each, least significant first), checksum of
-// kind and contents (8 bytes), contents (CBOR). A frame is taken whole or not at all; another version is
-// refused. Kinds, keys and version stay as they are: processes of old and new programs replace each other.
+// A frame consists of "FWHO", version, kind, length of the contents (4 bytes each, least significant first),
+// checksum of kind and contents (8 bytes), and contents (CBOR). A frame is decoded completely or rejected;
+// other versions are rejected. Kinds, keys and version must not change, as processes of old and new programs
+// replace each other.
 #pragma once
 
 #include <cstdint>
@@ -19,13 +20,13 @@
 
 constexpr std::uint32_t kVersion = 1;
 constexpr std::size_t kHeaderBytes = 24;
-constexpr std::size_t kMaxContentsBytes = 16 << 20; // lists of some 50,000 servers
+constexpr std::size_t kMaxContentsBytes = 16 << 20; // endpoint lists of about 50,000 servers
 
 // ---- resources ----
 
-// What one process may have.
+// The limits of one process.
 struct Resources {
-  std::uint64_t descriptors = 0; // for connections
+  std::uint64_t descriptors = 0; // for client and upstream connections
   std::uint64_t memory_mb = 0;
   bool operator==(const Resources&) const = default;
 };
@@ -34,54 +35,56 @@
   Resources old_process;
   Resources new_process;
 };
-// Shares out `total`, of which `used` descriptors hold connections of the old process. `reserved`:
-// descriptors that the new process needs for all but connections, beyond those that the old one has reserved
-// for itself.
+// Splits `total` between the processes. `used`: descriptors in use by connections of the old process.
+// `reserved`: descriptors that the new process needs for purposes other than connections, in addition to
+// those that the old one has reserved for itself.
 ResourceSplit split(const Resources& total, std::uint64_t used, std::uint64_t reserved);
 
 // ---- messages ----
 
-// New process, first: it wants to take over.
+// Sent first, by the new process: asks to take over from the old one.
 struct TakeoverRequest {
   std::string name;
   std::string listen;
   std::uint64_t reserved = 0; // see split()
   bool operator==(const TakeoverRequest&) const = default;
 };
-// Old process, in response, with the listening descriptor beside it.
+// Response of the old process, accompanied by the listening descriptor.
 struct TakeoverGrant {
-  std::string list; // the endpoint list in discovery's form, as last told; empty: none was told
+  std::string list; // the current endpoint list in discovery's format; empty: none received yet
   std::vector<admin_overrides::EndpointOverrides::Override> overrides;
   Resources resources;
   bool operator==(const TakeoverGrant&) const = default;
 };
-// New process: it accepts connections, the old one need not any more.
+// Sent by the new process: it accepts connections, so the old one can stop accepting.
 struct NewProcessReady {
   bool operator==(const NewProcessReady&) const = default;
 };
-// Either process: an operator has changed an override.
+// Sent by either process: an operator has changed an override.
 struct OverrideChanged {
   admin_overrides::EndpointOverrides::Override changed;
   bool operator==(const OverrideChanged&) const = default;
 };
-// Old process: an idle client connection, its descriptor beside it and its share of the descriptors with it.
+// Sent by the old process: an idle client connection, accompanied by its descriptor. The descriptor's place
+// in the budget passes to the new process.
 struct PassedConnection {
-  std::uint32_t requests = 0; // that it has had
+  std::uint32_t requests = 0; // requests received on it so far
   bool operator==(const PassedConnection&) const = default;
 };
-// Old process: descriptors that it does not need any more.
+// Sent by the old process: the number of descriptors in its budget that it no longer needs.
 struct ReleasedDescriptors {
   std::uint64_t count = 0;
   bool operator==(const ReleasedDescriptors&) const = default;
 };
-// The position is the kind of the frame.
+// The index of the alternative is the kind of the frame.
 using Message = std::variant<TakeoverRequest, TakeoverGrant, NewProcessReady, OverrideChanged,
                              PassedConnection, ReleasedDescriptors>;
 
 std::string encode(const Message& message);
 
-// From the front of `bytes`: a message and how many bytes it took; no message where more bytes are needed.
-// `fault` is set where they are no frame of this version: nothing after it can be read either.
+// The result of decoding the start of a byte stream: a message and the length of its frame, or no message if
+// more bytes are needed. `error` is set if the bytes are not a frame of this version; later bytes can't be
+// decoded then.
 struct Decoded {
   std::optional<Message> message;
   std::size_t used = 0;
--- a/src/router/hot_restart_coordinator.cpp
+++ b/src/router/hot_restart_coordinator.cpp
@@ -20,7 +20,7 @@
 
 constexpr double kRequestTimeoutMs = 2000;
 constexpr double kReleasePeriodMs = 50;
-constexpr std::uint64_t kKeptDescriptors = 8; // during shutdown, for attempts that are still to be made
+constexpr std::uint64_t kKeptDescriptors = 8; // kept during shutdown for further attempts
 
 } // namespace
 
@@ -46,7 +46,7 @@
     restart_listener_ = std::make_unique<hot_restart::RestartListener>(
         parts_.base, options_.path, [this](Descriptor socket) { on_connect(std::move(socket)); });
   } catch (const std::runtime_error& fault) {
-    // A new process then listens on the same port beside this one.
+    // A new process then listens on the same port in parallel with this one.
     log::line("hot-restart-off", {{"why", fault.what()}});
   }
 }
@@ -68,7 +68,8 @@
 
 void HotRestartCoordinator::on_connect(Descriptor socket) {
   if (is_connected() || shutting_down_) {
-    return log::line("hot-restart-refused", {{"why", shutting_down_ ? "shutting down" : "one is under way"}});
+    return log::line("hot-restart-refused",
+                     {{"why", shutting_down_ ? "shutting down" : "another restart is in progress"}});
   }
   parts_.timers.cancel(disconnect_timer_);
   new_state_ = NewProcess::Connected;
@@ -83,7 +84,7 @@
   });
 }
 
-// Not at once: the caller is the connection's own.
+// Deferred, because it is called from the connection's own callbacks.
 void HotRestartCoordinator::disconnect_later() {
   parts_.timers.cancel(disconnect_timer_);
   disconnect_timer_ = parts_.timers.at(now_ms(), [this] {
@@ -114,7 +115,8 @@
   Descriptor descriptor(listening < 0 ? -1 : fcntl(listening, F_DUPFD_CLOEXEC, 0));
   if (request.listen != options_.listen || !descriptor) {
     log::line("hot-restart-refused",
-              {{"why", descriptor ? "another address: " + request.listen : std::strerror(errno)}});
+              {{"why", descriptor ? "takeover request names another listen address: " + request.listen
+                                  : std::strerror(errno)}});
     return disconnect_later();
   }
   const hot_restart::Resources share = share_resources(request.reserved);
@@ -127,7 +129,8 @@
       {{"name", request.name}, {"descriptors", share.descriptors}, {"kept", parts_.descriptors.total()}});
 }
 
-// The new process's share; this one keeps the rest, and closes idle connections that do not fit into it.
+// Returns the limits of the new process. This process keeps the remaining resources, and closes idle
+// connections that exceed them.
 hot_restart::Resources HotRestartCoordinator::share_resources(std::uint64_t reserved) {
   const hot_restart::Resources total{parts_.descriptors.total(), memory_mb_};
   const hot_restart::ResourceSplit shares = hot_restart::split(total, used_descriptors(), reserved);
@@ -141,7 +144,7 @@
   return shares.new_process;
 }
 
-// Both processes accept from one queue: all that comes is the new one's from now on.
+// Both processes accept from one queue, so from now on the new process gets all new connections.
 void HotRestartCoordinator::on_new_process_ready() {
   new_state_ = NewProcess::Ready;
   if (shutting_down_) return;
@@ -159,11 +162,11 @@
   log::line("hot-restart-aborted", {{"name", options_.name}});
   add_resources(std::exchange(granted_descriptors_, 0), std::exchange(granted_memory_mb_, 0));
   parts_.listener.hold(false);
-  listen(); // the new process had taken the path
+  listen(); // the new process had replaced the socket path
 }
 
 bool HotRestartCoordinator::begin_shutdown() {
-  // SIGTERM may be handled before NewProcessReady, which was sent first.
+  // SIGTERM may be handled before a NewProcessReady that was sent earlier.
   if (is_connected()) new_process_->read_now();
   shutting_down_ = true;
   restart_listener_.reset();
@@ -181,7 +184,7 @@
 bool HotRestartCoordinator::pass_connection(int fd, unsigned requests) {
   if (!has_ready_new_process()) return false;
   new_process_->send(hot_restart::PassedConnection{requests}, Descriptor(fd));
-  // Its place in the budget goes along.
+  // Its place in the descriptor budget passes to the new process.
   const std::size_t total = parts_.descriptors.total();
   parts_.descriptors.set_total(total - std::min<std::size_t>(1, total));
   return true;
@@ -230,8 +233,8 @@
 
 void HotRestartCoordinator::on_old_process_message(hot_restart::Message message, Descriptor descriptor) {
   if (const auto* connection = std::get_if<hot_restart::PassedConnection>(&message)) {
-    // An old process with a higher limit may pass more than this one has descriptors for: its own limit
-    // holds.
+    // An old process with a higher limit may pass more connections than this process has descriptors for: the
+    // limit of this process applies.
     if (inherited_descriptors_ < options_.descriptors) {
       ++inherited_descriptors_;
       add_resources(1, 0);
--- a/src/router/hot_restart_coordinator.h
+++ b/src/router/hot_restart_coordinator.h
@@ -1,22 +1,23 @@
-// Hot restart, seen from one process of the router: as the old one, which grants, and as the new one, which
-// inherits. A process may be both. While two live they are one router: overrides go to both, descriptors and
-// memory are shared out, and no client connection is closed for the restart's sake.
+// Coordinates a hot restart in one process of the router: as the old process, which grants a takeover, and as
+// the new process, which inherits. A process may have both roles. While both processes run they act as one
+// router: overrides apply in both, descriptors and memory are split between them, and the restart closes no
+// client connection.
 //
-// States of the new process, as the old one sees it (NewProcess):
+// States of the new process, as seen by the old one (NewProcessState):
 //
-//   None -> Connected       a process connects to `path`; others are refused until its connection has closed
-//   Connected -> Granted    its request is answered: listening descriptor, list, overrides, resources
-//   Connected -> None       no request in kRequestTimeoutMs, another address, or a message out of turn
+//   None -> Connected       a process connects to `socket_path`; others are rejected until it disconnects
+//   Connected -> Granted    its request is granted: listening descriptor, endpoint list, overrides, resources
+//   Connected -> None       no request within kRequestTimeoutMs, another address, or an unexpected message
 //   Granted -> Ready        it accepts connections: this process stops accepting
-//   Granted, Ready -> None  its connection has closed. Before shutdown this process takes all back and
-//                           accepts again; during shutdown it serves what it still has
+//   Granted, Ready -> None  its connection is closed. Before shutdown this process reclaims all resources
+//                           and accepts again; during shutdown it serves its remaining connections
 //
-// begin_shutdown() while Ready: idle connections are passed on, and free descriptors are released every
-// kReleasePeriodMs.
+// begin_shutdown() in state Ready: idle connections are passed to the new process, and free descriptors are
+// released to it every kReleasePeriodMs.
 //
-// The new process: it inherits at construction, tells that it is ready as soon as it may send requests, and
-// has all resources once the old one has closed its connection. The old process runs on after Ready, without
-// accepting, until begin_shutdown().
+// The new process inherits at construction, reports that it is ready as soon as it can send requests, and has
+// all resources once the old process has closed the connection. After Ready the old process keeps running
+// without accepting connections until begin_shutdown().
 #pragma once
 
 #include <functional>
@@ -34,15 +35,15 @@
 namespace fernward::router {
 
 struct HotRestartOptions {
-  std::string path; // of the socket for new processes; empty: none can replace this one
+  std::string path; // of the Unix socket for new processes; empty: no process can replace this one
   std::string name;
-  std::string listen;            // a new process must name the same
-  std::uint64_t descriptors = 0; // for connections
-  std::uint64_t reserved = 0;    // descriptors for all else
+  std::string listen;            // a new process must request the same address
+  std::uint64_t descriptors = 0; // for client and upstream connections
+  std::uint64_t reserved = 0;    // descriptors for other purposes
   std::uint64_t memory_mb = 0;
 };
 
-struct HotRestartParts { // of the router; they outlive the coordinator
+struct HotRestartParts { // owned by the router; must outlive the coordinator
   event_base* base;
   loop::TimerQueue& timers;
   descriptors::DescriptorBudget& descriptors;
@@ -52,25 +53,25 @@
   upstream::ConnectionPool& pool;
   admin_overrides::EndpointOverrides& overrides;
   endpoints::EndpointTable& table;
-  std::function<void(const std::string& name)> refresh_endpoint; // its override has changed
-  std::function<bool()> ready;                                   // this process may send requests
+  std::function<void(const std::string& name)> refresh_endpoint; // called after a change of its override
+  std::function<bool()> ready;                                   // whether this process can send requests
 };
 
 class HotRestartCoordinator {
  public:
-  // `inherited`: from the old process, which still lives; null: this process replaces none.
+  // `inherited`: received from the old process, which is still running; null: this process replaces none.
   HotRestartCoordinator(HotRestartParts parts, HotRestartOptions options, hot_restart::Inherited* inherited);
   ~HotRestartCoordinator();
   HotRestartCoordinator(const HotRestartCoordinator&) = delete;
   HotRestartCoordinator& operator=(const HotRestartCoordinator&) = delete;
 
-  // This process may be ready by now: tells the old one, once.
+  // Notifies the old process, once, if this process is ready.
   void on_endpoints_updated();
-  // An operator has changed an override here: tells the other process.
+  // Called after an operator has changed an override in this process: notifies the other process.
   void on_override(const admin_overrides::EndpointOverrides::Override& changed);
-  // True: a new process takes over the client connections.
+  // Returns true if a new process takes over the client connections.
   bool begin_shutdown();
-  // All that was passed on has left.
+  // Whether all passed connections have been sent.
   bool is_flushed() const;
 
   bool has_old_process() const { return old_process_ != nullptr && !old_process_->is_closed(); }
@@ -80,7 +81,7 @@
   enum class NewProcess { None, Connected, Granted, Ready };
 
   void listen();
-  // Of the old process:
+  // In the old process:
   void on_connect(hot_restart::Descriptor socket);
   void on_new_process_message(hot_restart::Message message);
   void on_new_process_closed(const std::string& fault);
@@ -94,23 +95,23 @@
   void release_descriptors();
   bool is_connected() const { return new_process_ != nullptr && !new_process_->is_closed(); }
   bool is_granted() const { return new_state_ == NewProcess::Granted || new_state_ == NewProcess::Ready; }
-  // Of the new process:
+  // In the new process:
   void inherit(hot_restart::Inherited& inherited);
   void on_old_process_message(hot_restart::Message message, hot_restart::Descriptor descriptor);
   void on_old_process_closed(const std::string& fault);
-  // Of both:
+  // In both:
   void adopt(const admin_overrides::EndpointOverrides::Override& changed);
   void add_resources(std::uint64_t descriptors, std::uint64_t memory_mb);
   std::uint64_t used_descriptors() const;
 
   HotRestartParts parts_;
   HotRestartOptions options_;
-  std::uint64_t memory_mb_;             // this process's share
-  std::uint64_t inherited_descriptors_; // this process's share of all, from the old one
+  std::uint64_t memory_mb_;             // limit of this process
+  std::uint64_t inherited_descriptors_; // limit of this process, granted by the old one
   std::uint64_t inherited_memory_mb_;
-  std::uint64_t granted_descriptors_ = 0; // the new process's share
+  std::uint64_t granted_descriptors_ = 0; // limit of the new process
   std::uint64_t granted_memory_mb_ = 0;
-  std::unique_ptr<hot_restart::RestartListener> restart_listener_; // null: no process can replace this one
+  std::unique_ptr<hot_restart::RestartListener> restart_listener_; // null: this process can't be replaced
   std::unique_ptr<hot_restart::ProcessConnection> old_process_;    // null: this process replaces none
   std::unique_ptr<hot_restart::ProcessConnection> new_process_;    // null: none has connected
   NewProcess new_state_ = NewProcess::None;
--- a/tests/hot_restart/replace_test.cpp
+++ b/tests/hot_restart/replace_test.cpp
@@ -1,5 +1,5 @@
-// Replacing the process, with real processes before scripted peers: what is lost, what is kept, and what happens when it
-// fails halfway.
+// Hot restart with real processes and scripted peers: requests, connections and overrides are kept, also when
+// one of the processes fails during the restart.
 #include <doctest/doctest.h>
 #include <sys/stat.h>
 #include <sys/un.h>
@@ -16,7 +16,7 @@
 
 namespace {
 
-// A router that is replaced: its address, its folder, its peers, and one process after the other.
+// A router and the processes that replace each other: its address, its folder, its peers.
 struct Line {
   Line() {
     config = config_json(discovery.address, list());
@@ -29,7 +29,7 @@
                      {endpoint("s-1", one.address), endpoint("s-2", two.address),
                       endpoint("o-1", origin.address, "in_service", "origin")});
   }
-  // Starts one more, and waits for its yes.
+  // Starts one more process, and by default waits until it is ready.
   Program& start(bool wait = true) {
     const int control = free_port();
     entries.push_back("NODE_CONTROL=127.0.0.1:" + std::to_string(control));
@@ -40,7 +40,8 @@
     if (wait) REQUIRE(until([&] { return call("ready") == "ok\n"; }));
     return *programs.back();
   }
-  std::string call(const std::string& line, std::size_t back = 0) { // of the newest, or the one before it
+  // Sends a command to the newest process, or to the one `processes_back` before it.
+  std::string call(const std::string& line, std::size_t back = 0) {
     Caller caller(base.get(), controls[controls.size() - 1 - back], line + "\n");
     until([&] { return caller.ended; });
     return caller.told;
@@ -57,13 +58,13 @@
   int port = free_port();
   Folder folder;
   std::string folder_entry, door;
-  std::deque<std::string> entries; // putenv keeps them
+  std::deque<std::string> entries; // putenv() keeps pointers to them
   std::vector<int> controls;
   Json config;
   std::vector<std::unique_ptr<Program>> programs;
 };
 
-// A client that asks again as soon as it is answered, now and then on a new connection.
+// A closed-loop client: sends the next request after each response, every seventh on a new connection.
 struct Asker {
   Asker(Line& l, int number) : line(l), n(number) {}
   void go() {
@@ -81,7 +82,7 @@
       right += client->answers.back().status == 200 && client->answers.back().body == "v of /k/" + id;
       shed += client->answers.back().status == 503;
       if (!client->answers.back().keep_alive) client.reset(), ++told_to_close;
-    } else if (client->closed) { // the request ended at the door
+    } else if (client->closed) { // closed without a response
       waits = false;
       ++lost;
       client.reset();
@@ -100,7 +101,7 @@
 TEST_CASE(
     "ten upgrades under load: each request answered once, none lost at the door, bans kept, limits held") {
   Line line;
-  std::map<std::string, int> ran; // at the nodes, by id
+  std::map<std::string, int> ran; // attempts at the servers, by request id
   const auto count = [&](const http::Message& m) {
     ++ran[std::string(m.header("x-request-id"))];
     return ok("v of " + m.target);
@@ -109,7 +110,7 @@
   line.start();
   std::vector<std::unique_ptr<Asker>> askers;
   for (int i = 0; i < 24; ++i) askers.push_back(std::make_unique<Asker>(line, i));
-  std::vector<std::unique_ptr<Client>> rest; // that ask once and keep their connections
+  std::vector<std::unique_ptr<Client>> rest; // send one request and keep their connections
   for (int i = 0; i < 20; ++i) rest.push_back(std::make_unique<Client>(line.base.get(), line.port));
   for (std::size_t i = 0; i < rest.size(); ++i)
     CHECK(rest[i]->ask(get("/k/r", "rest" + std::to_string(i))).status == 200);
@@ -155,13 +156,13 @@
   CHECK(answered > 500);
   CHECK(lost == 0);
   CHECK(wrong == 0);
-  for (const auto& client : rest) CHECK_FALSE(client->closed); // whoever rested has not noticed
-  for (std::size_t i = 0; i < rest.size();
-       ++i) { // the first may be shed, right after the load: they are answered
+  for (const auto& client : rest) CHECK_FALSE(client->closed); // idle clients are not affected
+  // The first ones may be shed right after the load, but are answered.
+  for (std::size_t i = 0; i < rest.size(); ++i) {
     const int status = rest[i]->ask(get("/k/r", "again" + std::to_string(i))).status;
     CHECK((status == 200 || status == 503));
   }
-  const std::size_t before = line.one.seen.size(); // out since before the first upgrade
+  const std::size_t before = line.one.seen.size(); // s-1 has been disabled since before the first upgrade
   CHECK(line.call("enable-server s-1") == "ok\n");
   std::vector<std::unique_ptr<Client>> burst;
   for (int i = 0; i < 40; ++i) {
@@ -175,7 +176,7 @@
   }
 }
 
-TEST_CASE("a request under way is answered by the process that took it, then its connection is passed on") {
+TEST_CASE("an active request is answered by its process and then its connection is passed on") {
   Line line;
   line.one.script = line.two.script = [](const http::Message&) { return std::string(); };
   line.start();
@@ -214,7 +215,7 @@
     Client client(line.base.get(), line.port);
     CHECK(client.ask(get("/k/1", "r" + std::to_string(i))).status == 200);
   }
-  Program& last = line.start(); // and can still be replaced
+  Program& last = line.start(); // it can still be replaced
   old.signal(SIGTERM);
   REQUIRE(line.until([&] { return old.ended(); }));
   REQUIRE(line.until([&] { return last.says("hot-restart-complete"); }));
@@ -231,18 +232,18 @@
   REQUIRE(line.until([&] { return next.says("hot-restart-complete"); }));
   Client client(line.base.get(), line.port);
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
-  line.start(); // right after
+  line.start(); // immediately afterwards
   next.signal(SIGTERM);
   REQUIRE(line.until([&] { return next.ended(); }));
   CHECK(client.ask(get("/k/2", "r2")).status == 200);
 }
 
-TEST_CASE("bans asked of either process while both live hold in both") {
+TEST_CASE("overrides set in either process apply in both") {
   Line line;
   line.start();
   line.start();
-  CHECK(line.call("disable-server s-1", 1) == "ok\n"); // the old one
-  CHECK(line.call("disable-server s-2") == "ok\n");    // the new one
+  CHECK(line.call("disable-server s-1", 1) == "ok\n"); // the old process
+  CHECK(line.call("disable-server s-2") == "ok\n");    // the new process
   REQUIRE(line.until([&] { return line.programs[0]->says("hot-restart-ready"); }));
   CHECK(line.until([&] {
     return line.call("show-stat").find("unhealthy=2") != std::string::npos &&
@@ -252,9 +253,9 @@
   CHECK(line.until([&] { return line.call("show-stat", 1).find("unhealthy=1") != std::string::npos; }));
 }
 
-TEST_CASE("what lies at the door and is no process, or no process of ours, keeps nobody from starting") {
+TEST_CASE("a process starts whatever it finds at the socket path") {
   Line line;
-  SUBCASE("a socket that a crash left behind") {
+  SUBCASE("a socket left by a crash") {
     const int fd = socket(AF_UNIX, SOCK_STREAM, 0);
     sockaddr_un where{};
     where.sun_family = AF_UNIX;
@@ -262,9 +263,9 @@
     REQUIRE(bind(fd, reinterpret_cast<const sockaddr*>(&where), sizeof where) == 0);
     close(fd);
   }
-  SUBCASE("half a file") { std::ofstream(line.door) << "FWHO"; }
-  SUBCASE("a folder") { mkdir(line.door.c_str(), 0700); }
-  SUBCASE("no folder") { line.folder_entry = "TMPDIR=/nowhere/at/all"; }
+  SUBCASE("a file") { std::ofstream(line.door) << "FWHO"; }
+  SUBCASE("a directory") { mkdir(line.door.c_str(), 0700); }
+  SUBCASE("a missing directory") { line.folder_entry = "TMPDIR=/nowhere/at/all"; }
   line.start();
   Client client(line.base.get(), line.port);
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
@@ -272,7 +273,8 @@
 
 namespace {
 
-// At the door, in place of a process: says its word to whoever comes, or nothing, and may hang up.
+// Listens at the socket path in place of a router process: sends fixed bytes, or none, to each connection and
+// may close it.
 struct Impostor {
   Impostor(event_base* base, const std::string& path, std::string what, bool hangs_up)
       : word(std::move(what)), ends(hangs_up) {
@@ -300,18 +302,20 @@
 
 } // namespace
 
-TEST_CASE("a process at the door that does not answer as one keeps nobody from starting") {
+TEST_CASE("a process starts if the listener at the socket path answers incorrectly") {
   Line line;
   std::string word, why;
   bool ends = false;
-  SUBCASE("silence") { why = "no answer in time"; }
-  SUBCASE("its end") { ends = true, why = "it "; } // ended, or did not take the question: as it comes
-  SUBCASE("noise") { word = "HTTP/1.1 400 Bad Request\r\n\r\n", why = "no frame"; }
-  SUBCASE("another message") {
-    word = hot_restart::encode(hot_restart::NewProcessReady{}), why = "not a welcome";
+  SUBCASE("silence") { why = "no takeover grant received in time"; }
+  // Either "old process closed the connection" or "old process did not accept the takeover request", by
+  // timing.
+  SUBCASE("the connection is closed") { ends = true, why = "old process "; }
+  SUBCASE("noise") { word = "HTTP/1.1 400 Bad Request\r\n\r\n", why = "bytes are not a hot restart frame"; }
+  SUBCASE("an unexpected message") {
+    word = hot_restart::encode(hot_restart::NewProcessReady{}), why = "first message is not a takeover grant";
   }
-  SUBCASE("a welcome without its descriptor") {
-    word = hot_restart::encode(hot_restart::TakeoverGrant{}), why = "no descriptor";
+  SUBCASE("a grant without its descriptor") {
+    word = hot_restart::encode(hot_restart::TakeoverGrant{}), why = "message has no file descriptor";
   }
   const Impostor impostor(line.base.get(), line.door, word, ends);
   Program& program = line.start();
@@ -321,7 +325,7 @@
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
 }
 
-TEST_CASE("strangers at the door change nothing") {
+TEST_CASE("invalid connections to the socket path change nothing") {
   Line line;
   Program& program = line.start();
   const auto knock = [&](const std::string& text) {
@@ -333,17 +337,17 @@
     REQUIRE(send(fd, text.data(), text.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(text.size()));
     run_for(line.base.get(), 50);
     char bytes[256];
-    CHECK(recv(fd, bytes, sizeof bytes, MSG_DONTWAIT) == 0); // ended, without a word
+    CHECK(recv(fd, bytes, sizeof bytes, MSG_DONTWAIT) == 0); // closed without a response
     close(fd);
   };
   std::string other =
       hot_restart::encode(hot_restart::TakeoverRequest{"n1", "127.0.0.1:" + std::to_string(line.port), 28});
-  other[4] = 9; // a version to come
+  other[4] = 9; // a future version
   knock(other);
   knock("GET / HTTP/1.1\r\n\r\n");
   knock(hot_restart::encode(hot_restart::TakeoverRequest{"n1", "127.0.0.1:1", 28}));
   knock(hot_restart::encode(hot_restart::NewProcessReady{}));
-  CHECK(program.says("hot-restart-refused why=\"another address"));
+  CHECK(program.says("hot-restart-refused why=\"takeover request names another listen address"));
   Client client(line.base.get(), line.port);
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
   line.start();
@@ -352,7 +356,7 @@
   CHECK(program.says("hot-restart-passing"));
 }
 
-TEST_CASE("without a channel both listen, and the old one drains as at any end") {
+TEST_CASE("without the Unix socket both processes listen and the old one drains normally") {
   Line line;
   line.folder_entry = "TMPDIR=/nowhere/at/all";
   line.start();
@@ -365,7 +369,7 @@
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
 }
 
-// guards: an upgrade that lowers the limit and takes the new process with it
+// Guards against a new process that fails because its descriptor limit is lower than that of the old process.
 TEST_CASE("a new process with far fewer descriptors takes what it has places for, and lives") {
   Line line;
   line.config["limits"]["sockets"] = 512;
@@ -387,7 +391,8 @@
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
 }
 
-// Wherever a request stands when its process is replaced, it is answered whole and once, and asked for once at the nodes.
+// Guards against a lost, truncated or repeated request if its process is replaced at any stage of the
+// request.
 TEST_CASE("an upgrade at each stage of a request: one whole answer, one attempt") {
   const std::string value(1 << 20, 'L'), body(1 << 20, 'b');
   const std::string upload =
@@ -398,7 +403,7 @@
   const struct {
     const char* name;
     std::string request, answer;
-    std::size_t sent, said; // of the two, before the upgrade
+    std::size_t sent, said; // bytes of request and answer sent before the upgrade
   } stages[] = {{"connected", lookup, ok("v"), 0, 0},
                 {"head", lookup, ok("v"), 30, 0},
                 {"body", upload, ok("v"), 600 << 10, 0},
--- a/tests/hot_restart/state_test.cpp
+++ b/tests/hot_restart/state_test.cpp
@@ -1,4 +1,4 @@
-// Frames between two processes: each is taken whole or refused. And the shares.
+// Hot restart frames, which are decoded completely or rejected, and the split of resources.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -38,7 +38,7 @@
 
 } // namespace
 
-TEST_CASE("what is written reads the same, one frame behind the other") {
+TEST_CASE("encoded messages decode to the same messages from one stream") {
   std::string text;
   for (const Message& message : all()) text += encode(message);
   for (const Message& message : all()) {
@@ -50,8 +50,9 @@
   CHECK(text.empty());
 }
 
-// Old and new programs replace each other: these bytes were written by the program of 2026-12-03.
-TEST_CASE("frames are byte for byte those of version 1") {
+// Guards against a change of the frame format, as old and new programs replace each other. The bytes were
+// written by the program of 2026-12-03.
+TEST_CASE("frames equal those of version 1 byte for byte") {
   const std::vector<std::string> frames = {
       "4657484f01000000000000002a000000d43500aa28017af4a3666c697374656e6e3132372e302e302e313a3730373064"
       "6e616d65626e31687265736572766564181c",
@@ -68,7 +69,7 @@
   CHECK(written == frames);
 }
 
-TEST_CASE("cut anywhere, a frame waits for its rest, with any byte changed, it is refused or waits") {
+TEST_CASE("a truncated frame is incomplete and a changed byte is rejected or leaves it incomplete") {
   for (const Message& message : all()) {
     const std::string text = encode(message);
     for (std::size_t n = 0; n < text.size(); ++n) {
@@ -82,20 +83,20 @@
   }
 }
 
-TEST_CASE("another version, another kind, no frame at all") {
+TEST_CASE("another version or kind or invalid bytes are rejected") {
   std::string text = encode(NewProcessReady{});
   text[4] = 2;
-  CHECK(decode(text).fault == "version 2");
+  CHECK(decode(text).fault == "unsupported frame version 2");
   text = encode(NewProcessReady{});
   text[8] = 40;
   CHECK(decode(text).fault == "checksum");
-  CHECK(decode("GET / HTTP/1.1\r\n\r\n").fault == "no frame");
+  CHECK(decode("GET / HTTP/1.1\r\n\r\n").fault == "bytes are not a hot restart frame");
   text = encode(NewProcessReady{});
-  text[15] = 0x7f; // a gigabyte and more
-  CHECK(decode(text).fault == "too long");
+  text[15] = 0x7f; // more than a gigabyte
+  CHECK(decode(text).fault == "frame contents are longer than 16 MiB");
 }
 
-TEST_CASE("shares: together never more than the whole, the new one has room to begin") {
+TEST_CASE("split limits never exceed the total and the new process can start") {
   CHECK(rc::check([] {
     const auto places = *rc::gen::inRange<std::uint64_t>(40, 4096);
     const auto reserved = *rc::gen::inRange<std::uint64_t>(0, 40);
