--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -19,7 +19,7 @@
   double tokens = 300;
   std::chrono::steady_clock::time_point filled = std::chrono::steady_clock::now();
   std::uint64_t dropped = 0;
-  std::uint64_t unreported = 0; // of those, since the last line
+  std::uint64_t unreported = 0; // dropped since the last written line
 
   bool take(double reserve) {
     const auto now = std::chrono::steady_clock::now();
@@ -49,7 +49,7 @@
   });
 }
 
-// What a peer sent must not forge a line, in whichever form.
+// Escapes text sent by a peer, so that it can't forge a log line in either format.
 void quoted(std::string& out, std::string_view text) {
   out += '"';
   for (const char c : text.substr(0, kMaxValueBytes)) {
@@ -82,8 +82,8 @@
   field.kind != Field::Kind::Text ? number(out, field) : quoted(out, field.text);
 }
 
-// A reader that has stopped must not stop the router: a full pipe would hold up its one thread. Where poll()
-// says that there is room, a pipe takes 4096 bytes, and no line is as long.
+// Writing to a full pipe would block the router's only thread if the reader of the log has stopped. If poll()
+// reports a pipe as writable, it accepts 4096 bytes without blocking, and every line is shorter than that.
 bool has_room() {
   pollfd out{STDERR_FILENO, POLLOUT, 0};
   return poll(&out, 1, 0) != 0;
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,11 +1,11 @@
-// Log lines: an event's name and its fields. One function writes them all; a flood is cut and what was cut is
-// counted.
+// Writes structured log lines: an event name and its fields. The rate of lines is limited, and dropped lines
+// are counted.
 //
 //   upstream-ended target=s-1 code=rested answers=12 ms=4031
 //   {"event":"upstream-ended","target":"s-1","code":"rested","answers":12,"ms":4031}
 //
-// Names of events and fields are stable: docs/on-call.md lists them. A value with anything but letters,
-// digits and plain signs stands in quotes.
+// Names of events and fields are stable and listed in docs/on-call.md. A value with characters other than
+// letters, digits and a few punctuation marks is quoted.
 #pragma once
 
 #include <concepts>
@@ -16,7 +16,7 @@
 
 namespace fernward::log {
 
-struct Field { // refers to what it is made from, which outlives the call
+struct Field { // refers to the key and text passed in, which must outlive the call
   template <std::integral T>
   Field(std::string_view k, T value) : key(k), kind(Kind::Whole), number(static_cast<double>(value)) {}
   Field(std::string_view k, double value) : key(k), kind(Kind::Number), number(value) {}
@@ -26,23 +26,23 @@
 
   std::string_view key;
   enum class Kind { Text, Whole, Number } kind = Kind::Text;
-  double number = 0; // a Number is written to a whole one: of milliseconds, say
+  double number = 0; // rounded to an integer when written
   std::string_view text;
 };
 using Fields = std::initializer_list<Field>;
 
-// Writes one line to standard error; lines beyond the rate are dropped and counted. A flood of routine lines
-// (one for each connection, say) leaves a quarter of the burst to all others.
+// Writes one line to standard error; lines beyond the rate limit are dropped and counted. routine_line() is
+// for frequent events, such as one per connection: it leaves a quarter of the burst to line().
 void line(std::string_view event, Fields fields = {});
 void routine(std::string_view event, Fields fields);
-// The same with fields that are put together on the way.
+// Overload for a number of fields that is only known at run time.
 void line(std::string_view event, const Field* fields, std::size_t count);
 
-// Lines that may go out each second, and how many may be saved up.
+// Sets the rate limit: lines per second, and the size of the burst (token bucket).
 void limit(double per_second, double burst);
-void write_json(bool json);       // in place of key=value
-void write_routine(bool routine); // false: no line of that kind
+void write_json(bool json);       // true: JSON; false: key=value
+void write_routine(bool routine); // false: routine_line() writes nothing
 
-std::uint64_t dropped(); // since the start
+std::uint64_t dropped(); // lines dropped since the process start
 
 } // namespace fernward::log
