--- a/src/router/config_reload.cpp
+++ b/src/router/config_reload.cpp
@@ -30,7 +30,7 @@
   parts_.endpoints.watch_sources();
 }
 
-// What can fail comes first.
+// Steps that can fail come first.
 void ConfigReload::replace_config(config::Config next) {
   try {
     parts_.dispatcher.update_settings(next.settings);
--- a/src/router/config_reload.h
+++ b/src/router/config_reload.h
@@ -1,8 +1,8 @@
-// What SIGHUP asks for: the configuration as it reads now. Connections, requests and the endpoint list stay.
+// Applies a new configuration on SIGHUP. Connections, requests and the endpoint list are kept.
 //
-// Of the platform's configuration only `discovery` changes; each other key that differs is logged and holds
-// until the next start. Of an application's (`movable`) all changes that config::moved() lets pass, or
-// nothing.
+// Of a platform configuration only `discovery` is changed; every other key that differs is logged and keeps
+// its value until the next start. Of an application's configuration (`movable`) either all changes are
+// applied, if config::moved() accepts them, or none.
 #pragma once
 
 #include "config/config.h"
@@ -13,8 +13,8 @@
 
 namespace fernward::router {
 
-struct ConfigReloadParts { // of the router; they outlive the reload
-  config::Config& config;  // the one in use
+struct ConfigReloadParts { // owned by the router; must outlive ConfigReload
+  config::Config& config;  // the current configuration; updated by a reload
   proxy::RequestDispatcher& dispatcher;
   downstream::Listener& listener;
   figures::Figures& figures;
@@ -25,7 +25,8 @@
  public:
   explicit ConfigReload(ConfigReloadParts parts) : parts_(parts) {}
 
-  // Throws config::Error where `next` changes what may not change or has a fault; nothing has changed then.
+  // Throws config::Error if `new_config` is invalid or changes a key that can't be changed; nothing is
+  // changed then.
   void reload(const config::Config& next);
 
  private:
--- a/src/router/control_calls.h
+++ b/src/router/control_calls.h
@@ -1,4 +1,4 @@
-// Answers the operators' calls on the second address.
+// Executes the operators' commands from the control port.
 #pragma once
 
 #include <functional>
@@ -12,11 +12,11 @@
 
 namespace fernward::router {
 
-struct ControlCallsParts { // of the router; they outlive the calls
+struct ControlCallsParts { // owned by the router; must outlive the handler
   const figures::Figures& figures;
   const GracefulShutdown& shutdown;
   EndpointUpdater& endpoints;
-  // An operator has changed an override.
+  // Called after an operator has changed an override.
   std::function<void(const admin_overrides::EndpointOverrides::Override&)> on_override;
 };
 
@@ -24,7 +24,7 @@
  public:
   explicit ControlCalls(ControlCallsParts parts) : parts_(std::move(parts)) {}
 
-  std::string answer(const control::Call& call); // all lines of the answer, with their ends
+  std::string answer(const control::Call& call); // returns the response, each line terminated
 
  private:
   std::string ready() const;
--- a/src/router/endpoint_updater.cpp
+++ b/src/router/endpoint_updater.cpp
@@ -9,7 +9,7 @@
 namespace fernward::router {
 namespace {
 
-// How long clients are shed while discovery's first list is awaited. After that the configuration's list is
+// How long requests are shed while waiting for discovery's first list. After that the configuration's list is
 // used.
 constexpr double kFirstListWaitMs = 2000;
 
@@ -22,8 +22,8 @@
 
 // ---- the configuration's list ----
 
-// The dispatcher gets the configuration's list even while discovery's own is awaited: discovery's then costs
-// it only what has changed.
+// The dispatcher receives the configuration's list even while discovery's list is pending: applying
+// discovery's list then costs only the differences.
 void EndpointUpdater::load_first_list(bool inherited) {
   if (inherited || config_.nodes_fixed || config_.discovery.empty()) return load_configured_list();
   if (read_configured_list()) apply(full_list(fernward::EndpointListKind::Cached));
@@ -73,8 +73,8 @@
     next_watch_.reset();
     watch_ = watch_discovery(discovery);
   } else if (watch_->address() == discovery) {
-    next_watch_.reset(); // the old address again, before the other one has told anything
-    watch_->refresh();   // its open call may be one that is never answered
+    next_watch_.reset(); // back to the old address before the new one has provided a list
+    watch_->refresh();   // its pending call may never be answered
   } else if (next_watch_ != nullptr && next_watch_->address() == discovery) {
     next_watch_->refresh();
   } else {
@@ -98,7 +98,7 @@
       });
 }
 
-// Of the list that changes can be applied to.
+// The index of the current list, to which deltas can be applied; none: there is no list.
 std::optional<std::uint64_t> EndpointUpdater::known_version() const {
   if (table_.targets().empty()) return std::nullopt;
   return table_.index();
--- a/src/router/endpoint_updater.h
+++ b/src/router/endpoint_updater.h
@@ -1,9 +1,10 @@
-// Carries each change of the endpoint list, in this order: discovery, the endpoint file or the configuration
-// -> EndpointTable -> EndpointOverrides -> ConnectionPool, then RequestDispatcher. Nobody else changes any of
-// them.
+// Propagates each change of the endpoint list in this order: source (discovery, the endpoint file or the
+// configuration) -> EndpointTable -> EndpointOverrides -> ConnectionPool, then RequestDispatcher. No other
+// component changes their endpoints.
 //
-// A change (EndpointListKind::Delta) costs as much as it changes, however long the list is: a process with a
-// small share of a core must not be held up past the grace of a drain by changes of other endpoints.
+// The cost of a delta (EndpointListKind::Delta) is proportional to its entries, not to the length of the
+// list: in a process with a small share of a core, changes of other endpoints must not delay a drain beyond
+// its grace period.
 #pragma once
 
 #include <cstddef>
@@ -24,7 +25,7 @@
 
 namespace fernward::router {
 
-struct EndpointUpdaterParts { // of the router; they outlive the updater
+struct EndpointUpdaterParts { // owned by the router; must outlive the updater
   event_base* base;
   loop::TimerQueue& timers;
   proxy::RequestDispatcher& dispatcher;
@@ -33,7 +34,7 @@
 
 class EndpointUpdater {
  public:
-  // Reads `config` at each call: it is the router's own and changes at a reload.
+  // Keeps a reference to `config`, which the router owns and a reload changes.
   EndpointUpdater(const config::Config& config, EndpointUpdaterParts parts);
   EndpointUpdater(const EndpointUpdater&) = delete;
   EndpointUpdater& operator=(const EndpointUpdater&) = delete;
@@ -41,18 +42,18 @@
   // Called after each update.
   void on_updated(std::function<void()> updated) { updated_ = std::move(updated); }
 
-  // The list to begin with, from the configuration. `inherited`: the process that this one replaces has just
-  // told it. Else, where discovery is to tell a list, nothing is sent by the one of the configuration for
-  // kFirstListWaitMs.
+  // Loads the initial list from the configuration. `inherited`: it was just received from the process that
+  // this one replaces, and is used immediately. Otherwise, if discovery is configured, requests are not sent
+  // by this list until discovery has answered or kInitialListTimeoutMs has passed.
   void load_first_list(bool inherited);
-  // Applies the list of the configuration; a damaged one is logged and changes nothing.
+  // Applies the list of the configuration. An invalid list is logged and changes nothing.
   void load_configured_list();
-  // Watches what the configuration names: discovery, a file, or neither. The list stays until the next one is
-  // told.
+  // Watches the sources that the configuration names: discovery, a file, or neither. The current list is used
+  // until a source provides a new one.
   void watch_sources();
-  // Takes what discovery has written already, without waiting for the event loop.
+  // Reads responses of discovery that have already been received, without waiting for the event loop.
   void poll_discovery();
-  // Tells pool and dispatcher of this endpoint again, as its override or the table reads now.
+  // Updates this endpoint in the pool and the dispatcher after a change of its override.
   void refresh(const std::string& name);
 
   bool awaits_first_list() const { return first_list_timer_ != 0; }
@@ -80,9 +81,9 @@
   EndpointUpdaterParts parts_;
   std::function<void()> updated_;
   endpoints::EndpointTable table_;
-  std::unique_ptr<endpoints::EndpointWatch> watch_; // of the discovery that has told the list
-  std::unique_ptr<endpoints::EndpointWatch>
-      next_watch_; // after a reload: of one that has not told its list yet
+  std::unique_ptr<endpoints::EndpointWatch> watch_;
+  // After a reload: the watch at the new address. Replaces discovery_watch_ with its first full list.
+  std::unique_ptr<endpoints::EndpointWatch> next_watch_;
   admin_overrides::EndpointOverrides overrides_;
   std::unique_ptr<endpoints::EndpointFileWatch> file_watch_;
   loop::TimerQueue::TimerId first_list_timer_ = 0;
--- a/src/router/graceful_shutdown.cpp
+++ b/src/router/graceful_shutdown.cpp
@@ -7,16 +7,16 @@
 namespace fernward::router {
 namespace {
 
-constexpr double kAcceptMs = 500;            // load balancers go on sending clients for this long
-constexpr double kServeMs = 1500;            // at most
-constexpr double kResponseGraceMs = 600;     // beyond the deadline of the last request
-constexpr double kMaxClientTimeoutMs = 3000; // that the platform allows for before SIGKILL
+constexpr double kAcceptMs = 500;            // load balancers keep sending clients for this long
+constexpr double kServeMs = 1500;            // upper bound of the end of Serving
+constexpr double kResponseGraceMs = 600;     // after the timeout of the last request
+constexpr double kMaxClientTimeoutMs = 3000; // the longest that the platform allows for before SIGKILL
 constexpr double kFailLeadMs = 100;
-// Connections that are passed on and have not left are looked at this often.
+// How often to check whether all passed connections have been sent.
 constexpr double kPassedOnCheckMs = 5;
 
-// Of a request that is taken at the last moment. A sidecar, whose configuration is `movable`, waits for the
-// longest of its own classes.
+// The client timeout of a request that is accepted at the last moment. A sidecar, whose configuration is
+// `movable`, waits for the longest timeout of its classes without the platform's limit.
 double longest_client_timeout_ms(const config::Config& config) {
   double longest = 0;
   for (const auto& cls : config.settings.classes) longest = std::max(longest, cls.client_timeout_ms);
--- a/src/router/graceful_shutdown.h
+++ b/src/router/graceful_shutdown.h
@@ -1,17 +1,19 @@
-// What SIGTERM asks for: every request that was taken gets its response, then the event loop is broken.
+// Graceful shutdown on SIGTERM: every accepted request gets a response, then the event loop is stopped.
 //
-// States, by the time since begin(). `end` is the longest client timeout and kResponseGraceMs; the platform
+// States, by the time since begin(). `end` is the longest client timeout plus kResponseGraceMs; the platform
 // sends SIGKILL after that.
 //
 //   Running    until begin()
-//   Accepting  /ready fails, connections are still accepted; until kAcceptMs
-//   Serving    no connection is accepted, kept ones are; until end / 2, from kAcceptMs to kServeMs
-//   Draining   each connection ends with its response; until end
-//   Stopped    the event loop is broken: at `end`, or once the last connection has ended
+//   Accepting  /ready fails, connections are still accepted; until kAcceptingMs
+//   Serving    new connections are not accepted, existing ones are served; until end / 2, but not before
+//              kAcceptingMs nor after kMaxServingMs
+//   Draining   each connection is closed after its response; until end
+//   Stopped    the event loop is stopped: at `end`, or once the last connection is closed
 //
-// What has no response kFailLeadMs before `end` fails (502), so that its client hears of it. Where a new
-// process replaces this one there is no Accepting, Serving or Draining: each connection is passed on as it
-// becomes idle, and Stopped waits for the last one to have left.
+// Requests without a response kFailBeforeEndMs before `end` fail with 502, so that their clients are
+// notified. If a new process replaces this one, Accepting, Serving and Draining do not apply: each connection
+// is passed to the new process when it becomes idle, and this process stops once the last one has been
+// passed.
 #pragma once
 
 #include <event2/event.h>
@@ -25,7 +27,7 @@
 
 namespace fernward::router {
 
-struct GracefulShutdownParts { // of the router; they outlive the shutdown
+struct GracefulShutdownParts { // owned by the router; must outlive GracefulShutdown
   event_base* base;
   loop::TimerQueue& timers;
   proxy::RequestDispatcher& dispatcher;
@@ -41,9 +43,9 @@
   void set_gossip(gossip_transport::Link* gossip) { gossip_ = gossip; }
   void set_hot_restart(HotRestartCoordinator* hot_restart) { hot_restart_ = hot_restart; }
 
-  void begin(const config::Config& config); // a second call changes nothing
+  void begin(const config::Config& config); // repeated calls have no effect
   bool has_begun() const { return has_begun_; }
-  // The listener has no connection left.
+  // Called when the listener has no connection left.
   void on_connections_closed();
 
  private:
@@ -51,8 +53,8 @@
   void stop_loop();
 
   GracefulShutdownParts parts_;
-  gossip_transport::Link* gossip_ = nullptr;     // null: the routers share nothing
-  HotRestartCoordinator* hot_restart_ = nullptr; // null: no process can replace this one
+  gossip_transport::Link* gossip_ = nullptr;     // null: gossip is disabled
+  HotRestartCoordinator* hot_restart_ = nullptr; // null: hot restart is disabled
   bool has_begun_ = false;
 };
 
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -12,20 +12,20 @@
 namespace fernward::router {
 namespace {
 
-constexpr int kMaxCallbacksAtOnce =
-    64;                        // of traffic, before events of the first priority are looked for again
-constexpr int kPriorities = 2; // discovery and the operators' calls; all else
+constexpr int kMaxCallbacksAtOnce = 64; // of traffic, before checking for events of the first priority again
+constexpr int kPriorities = 2;          // first: discovery and the control port; second: everything else
 constexpr double kInheritTimeoutMs = 2500;
 
 } // namespace
 
 BasePtr make_base() {
   event_config* config = event_config_new();
-  event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER); // deadlines of some milliseconds
+  // Deadlines are as short as a few milliseconds.
+  event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
   event_config_set_max_dispatch_interval(config, nullptr, kMaxCallbacksAtOnce, 1);
   BasePtr base(event_base_new_with_config(config));
   event_config_free(config);
-  if (base == nullptr) throw std::runtime_error("libevent: no event base");
+  if (base == nullptr) throw std::runtime_error("libevent: cannot create an event base");
   event_base_priority_init(base.get(), kPriorities);
   return base;
 }
@@ -138,7 +138,8 @@
 
 downstream::ListenerCalls Router::listener_calls() {
   return {[this](loop::Handle client, proxy::ClientRequest request) {
-            if (endpoints_.awaits_first_list()) return loop::Handle{0}; // the configuration's list may be old
+            // The configuration's list may be out of date.
+            if (endpoints_.awaits_first_list()) return loop::Handle{0};
             return dispatcher_.open_request(client, std::move(request));
           },
           [this](const std::string& id) { return dispatcher_.is_waiting_for(id); },
@@ -155,8 +156,8 @@
   const hot_restart::TakeoverRequest request{config.name, config.listen, reserved_descriptors(config)};
   std::string fault;
   auto inherited = hot_restart::request_takeover(config.handover, request, kInheritTimeoutMs, fault);
-  if (!fault.empty())
-    log::line("hot-restart-failed", {{"why", fault}}); // it listens beside the old process then
+  // After a failure this process listens in parallel with the old one.
+  if (!fault.empty()) log::line("hot-restart-failed", {{"why", fault}});
   return inherited;
 }
 
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -1,4 +1,4 @@
-// One router of the fleet: its parts, wired together. What each part does stands with the part.
+// One router of the fleet: creates its components and connects them.
 #pragma once
 
 #include <event2/event.h>
@@ -30,24 +30,25 @@
   void operator()(event_base* base) const { event_base_free(base); }
 };
 using BasePtr = std::unique_ptr<event_base, BaseFree>;
-// Events of discovery and of the operators' calls go before those of traffic. Throws std::runtime_error.
+// Creates an event base on which events of discovery and of the control port run before those of traffic.
+// Throws std::runtime_error.
 BasePtr make_base();
 
 class Router {
  public:
-  // Listens and asks discovery; throws std::runtime_error when it can't listen. Runs as the event loop runs,
-  // and breaks the loop at the end of a graceful shutdown.
-  // `inherited`: what the process that this one replaces has given; it is used up. Null: this one replaces
-  // none.
-  // `fleet`: what the routers of the fleet share; null: nothing.
+  // Starts listening and watching discovery; throws std::runtime_error if it can't listen. Runs on the event
+  // loop, and stops the loop at the end of a graceful shutdown.
+  // `inherited`: received from the process that this one replaces; its descriptors are moved out. Null: this
+  // process replaces none.
+  // `fleet`: settings of the gossip between the routers; null: gossip is disabled.
   Router(const config::Config& config, event_base* base, hot_restart::Inherited* inherited = nullptr,
          const config::Fleet* fleet = nullptr);
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
   ~Router();
 
-  void begin_shutdown() { shutdown_.begin(config_); } // SIGTERM, see GracefulShutdown
-  // SIGHUP, see ConfigReload. Throws config::Error, and nothing has changed.
+  void begin_shutdown() { shutdown_.begin(config_); } // on SIGTERM, see GracefulShutdown
+  // On SIGHUP, see ConfigReload. Throws config::Error; nothing is changed then.
   void reload(const config::Config& next) { reload_.reload(next); }
 
   int port() const { return listener_.port(); }
@@ -87,13 +88,13 @@
   ConfigReload reload_;
   StatsReporter stats_;
   ControlCalls control_calls_;
-  std::unique_ptr<control::Port> control_;             // null: there is no second address
-  std::unique_ptr<HotRestartCoordinator> hot_restart_; // null: no process can replace this one
-  std::unique_ptr<gossip_transport::Link> gossip_;     // null: the routers share nothing
+  std::unique_ptr<control::Port> control_;             // null: the control port is disabled
+  std::unique_ptr<HotRestartCoordinator> hot_restart_; // null: hot restart is disabled
+  std::unique_ptr<gossip_transport::Link> gossip_;     // null: gossip is disabled
 };
 
-// Asks the process that a new one with this configuration replaces. None: there is no such process, or it
-// failed.
+// Requests a takeover from the running process that a new one with this configuration replaces. None: there
+// is no such process, or the request failed, which is logged.
 std::optional<hot_restart::Inherited> inherit(const config::Config& config);
 
 } // namespace fernward::router
--- a/src/router/router_options.cpp
+++ b/src/router/router_options.cpp
@@ -7,22 +7,23 @@
 namespace fernward::router {
 namespace {
 
-// More where there is a second address; half of the rest lies idle.
+// Additional descriptors if the control port is enabled; half of the other reserved descriptors are unused.
 constexpr std::size_t kControlReserved = 4;
-constexpr std::size_t kMinConnections = 16; // whatever `limits.sockets` says
+constexpr std::size_t kMinConnections = 16; // at least, even if `limits.sockets` is smaller
 constexpr std::size_t kShortBodyBytes = 64 << 10;
-constexpr std::size_t kDefaultReceiveBytes = 64 << 10; // of a connection, as the kernel makes it, about
-constexpr std::size_t kMinReceiveBytes = 32 << 10;     // the kernel doubles it for its own use
+constexpr std::size_t kDefaultReceiveBytes = 64 << 10; // approximate default of the kernel, per connection
+constexpr std::size_t kMinReceiveBytes = 32 << 10;     // the kernel doubles this value for its own overhead
 constexpr std::size_t kMinUnsentBytes = 16 << 10;
 constexpr std::size_t kMaxUnsentBytes = 64 << 10;
 constexpr std::uint64_t kMaxRetainedBytes = 512 << 10; // of one body, in memory
-constexpr double kIdleShare = 0.7; // of the time after which an endpoint closes an idle connection
+// The router closes an idle connection after this fraction of the endpoints' idle timeout.
+constexpr double kIdleShare = 0.7;
 
 std::uint64_t memory_bytes(const config::Config& config) {
   return static_cast<std::uint64_t>(config.memory_mb) << 20;
 }
 
-// What the kernel may hold for the connections of each side: memory of the machine, not of this process.
+// Kernel buffers for the connections of each side. They use memory of the machine, not of this process.
 std::size_t kernel_bytes(const config::Config& config) {
   return static_cast<std::size_t>(memory_bytes(config)) / 4;
 }
@@ -43,7 +44,7 @@
   options.grace_ms = config.limits.grace_to_answer_ms;
   options.max_requests = static_cast<std::size_t>(config.limits.open_cap);
   options.discovery_poll_interval_ms =
-      config.limits.drain_grace_ms / 10; // the rest of the grace is for reading the list
+      config.limits.drain_grace_ms / 10; // the remaining grace period is for reading the list
   return options;
 }
 
@@ -87,14 +88,14 @@
                                              hot_restart::Inherited* inherited) {
   downstream::ListenerOptions options;
   options.listening = inherited == nullptr ? -1 : inherited->listening.release();
-  // Lets a new process listen where the hot restart socket fails.
+  // A new process can then listen on the port even if the hot restart socket fails.
   options.share_port = !config.control.empty();
   options.address = config.listen;
   options.short_body = kShortBodyBytes;
   options.unsent_bytes = static_cast<int>(
       std::clamp(kernel_bytes(config) / (config.sockets / 3), kMinUnsentBytes, kMaxUnsentBytes));
-  // A third at most for client connections that hold a request: none of them can open one more while all are
-  // idle.
+  // At most a third of the descriptors are for client connections that hold a request. While all of these are
+  // idle, none of them can open a further one.
   options.clients.max_clients = std::min<std::size_t>(config.sockets / 3, connection_descriptors(config));
   return options;
 }
@@ -103,8 +104,9 @@
   return {config.names, config.settings, config.map, config.make_ids};
 }
 
-// Pushed lists: a change counts at once, and half of the grace may pass before discovery is asked again.
-// Polled lists: a change counts later, and discovery is one service that all routers load.
+// With pushed lists a change applies immediately, so at most half of the drain grace period may pass before
+// the next request to discovery. With polled lists a change applies later anyway, and longer pauses spare
+// discovery, a single service that all routers load.
 discovery::SubscriptionRules subscription_rules(const config::Config& config) {
   discovery::SubscriptionRules rules;
   const bool pushed = config.settings.discovery == fernward::DiscoveryMode::Push;
--- a/src/router/router_options.h
+++ b/src/router/router_options.h
@@ -1,5 +1,4 @@
-// What a configuration means for the parts of the router: the options of each, worked out from limits and
-// sizes.
+// Derives the options of the router's components from the limits and sizes of its configuration.
 #pragma once
 
 #include <cstddef>
@@ -17,7 +16,8 @@
 
 namespace fernward::router {
 
-// Descriptors for all but client and upstream connections, and those that are left for connections.
+// The number of descriptors for other purposes than client and upstream connections, and the number for these
+// connections.
 std::size_t reserved_descriptors(const config::Config& config);
 std::size_t connection_descriptors(const config::Config& config);
 
@@ -25,7 +25,7 @@
 upstream::ConnectionPoolOptions pool_options(const config::Config& config);
 body_buffers::BufferBudgetOptions buffer_budget_options(const config::Config& config);
 body_buffers::RetentionLimits retention_limits(const config::Config& config);
-// Takes the listening descriptor out of `inherited`, if there is one.
+// Moves the listening descriptor out of `inherited` unless it is null.
 downstream::ListenerOptions listener_options(const config::Config& config, hot_restart::Inherited* inherited);
 downstream::Rules downstream_rules(const config::Config& config);
 discovery::SubscriptionRules subscription_rules(const config::Config& config);
--- a/src/router/stats_reporter.cpp
+++ b/src/router/stats_reporter.cpp
@@ -79,7 +79,8 @@
                       {"strangers", gossip_->strangers()}});
 }
 
-// One line for all since the last report: a line for each would be dropped just when there are many.
+// Writes one summary line for all rejections since the last report: one line per rejection would exceed the
+// log's rate limit exactly when there are many.
 void StatsReporter::report_rejected() {
   const auto& rejections = parts_.dispatcher.give_up_counts();
   std::vector<log::Field> fields;
@@ -99,7 +100,7 @@
   return count;
 }
 
-// Caches that get no work now: disabled by an operator, not in service, or ejected.
+// Caches that receive no requests now: disabled by an operator, not in service, or ejected.
 std::size_t StatsReporter::unavailable_caches() const {
   std::size_t count = 0;
   for (const auto& [id, endpoint] : parts_.endpoints.table().targets()) {
--- a/src/router/stats_reporter.h
+++ b/src/router/stats_reporter.h
@@ -1,5 +1,5 @@
-// Tells the operators how the router does: log lines every kPeriodMs and at the end, and gauges of the second
-// address.
+// Reports the router's statistics to operators: log lines every kReportPeriodMs and at shutdown, and gauges
+// on the control port.
 #pragma once
 
 #include <cstddef>
@@ -13,7 +13,7 @@
 
 namespace fernward::router {
 
-struct StatsReporterParts { // of the router; they outlive the reporter
+struct StatsReporterParts { // owned by the router; must outlive the reporter
   loop::TimerQueue& timers;
   figures::Figures& figures;
   const proxy::RequestDispatcher& dispatcher;
@@ -22,12 +22,12 @@
 
 class StatsReporter {
  public:
-  explicit StatsReporter(StatsReporterParts parts); // adds the gauges of the cluster
+  explicit StatsReporter(StatsReporterParts parts); // registers the gauges of the cluster
   StatsReporter(const StatsReporter&) = delete;
   StatsReporter& operator=(const StatsReporter&) = delete;
 
-  void add_gossip(gossip_transport::Link& gossip); // its gauges, and its line in each report
-  void start();                                    // reports from now on, until the event loop ends
+  void add_gossip(gossip_transport::Link& gossip); // registers its gauges and adds its line to each report
+  void start();                                    // reports periodically until the event loop ends
   void report();
 
  private:
@@ -39,8 +39,8 @@
   std::size_t unavailable_caches() const;
 
   StatsReporterParts parts_;
-  gossip_transport::Link* gossip_ = nullptr; // null: the routers share nothing
-  // As last reported:
+  gossip_transport::Link* gossip_ = nullptr; // null: gossip is disabled
+  // Values at the last report:
   proxy::RequestDispatcher::GiveUpCounts reported_rejections_{};
   fernward::Balancer::SlowStartCounts reported_slow_start_;
   std::uint64_t reported_ended_ = 0;
