--- a/src/hot_restart/state.h
+++ b/src/hot_restart/state.h
@@ -46,7 +46,7 @@
 struct TakeoverRequest {
   std::string name;
   std::string listen;
-  std::uint64_t reserved = 0; // see split()
+  std::uint64_t reserved = 0; // see split_resources()
   bool operator==(const TakeoverRequest&) const = default;
 };
 // Response of the old process, accompanied by the listening descriptor.
