--- a/src/app_config/explain.h
+++ b/src/app_config/explain.h
@@ -1,5 +1,5 @@
-// What a file comes to: each value that counts with where it came from, what the router will do for a request
-// of each class, and what another file would change.
+// Explains a configuration: each effective value and its source, the router's behavior for the requests of
+// each class, and the differences from another configuration.
 #pragma once
 
 #include <string>
@@ -14,12 +14,12 @@
 };
 std::vector<Value> values(const Setup& setup);
 
-// In plain sentences, a paragraph for each class.
+// Text with one paragraph per class.
 std::string behaviour(const App& app);
 
 struct Change {
-  std::string key, before, after; // empty: it is not there
-  bool by_reload = false;         // else it holds until the next start
+  std::string key, before, after; // empty: the key is absent
+  bool by_reload = false;         // false: the change needs a restart
 };
 std::vector<Change> changes(const App& before, const App& after);
 
--- a/src/app_config/fleet.cpp
+++ b/src/app_config/fleet.cpp
@@ -9,7 +9,7 @@
 using toml_document::Table;
 using toml_document::Unit;
 
-class NoNames : public toml_document::Names { // nothing in this file refers to another part of it
+class NoNames : public toml_document::Names { // this file has no references by name
  public:
   std::optional<std::uint32_t> find(Table, const std::string&) const override { return std::nullopt; }
   std::string name(Table, std::uint32_t) const override { return ""; }
--- a/src/app_config/fleet.h
+++ b/src/app_config/fleet.h
@@ -1,5 +1,5 @@
-// The operators' file on what routers of a tier share, read whole: each fault stands with file, line, column
-// and a code.
+// Reads the operators' TOML file on what the routers of a tier share. All errors are collected, each with
+// file, line, column and code.
 #pragma once
 
 #include <string>
@@ -11,7 +11,7 @@
 namespace fernward::app_config {
 
 struct FleetFile {
-  config::Fleet fleet; // counts where no fault is left; without what the platform's file says
+  config::Fleet fleet; // valid only without errors; lacks the values of the platform file
   toml_document::Faults faults;
 };
 
--- a/src/app_config/fresh.cpp
+++ b/src/app_config/fresh.cpp
@@ -19,7 +19,7 @@
 using toml_document::in_quotes;
 using toml_document::Row;
 
-// The keys of a table that are not given, as comments.
+// Appends the keys of the table that are not in `given_keys`, as TOML comments.
 void commented(const Row& table, const std::set<std::string>& given, std::string& out) {
   for (const Row& row : table.children) {
     if (!row.is_leaf || given.contains(row.key)) continue;
@@ -30,7 +30,7 @@
     if (row.written.starts_with("list")) {
       now = "[" + (now.empty() ? "" : in_quotes(now)) + "]";
     } else if (now.empty()) {
-      now = "..."; // without it something else counts: its meaning says what
+      now = "..."; // no default value; the description says what applies without the key
     } else if (!bare) {
       now = in_quotes(now);
     }
@@ -114,7 +114,7 @@
   const auto fail = [&](const std::string& what) {
     const std::string why = std::strerror(errno);
     unlink(beside.c_str());
-    throw std::runtime_error(what + " " + path + ": " + why + "; what was there is as it was");
+    throw std::runtime_error(what + " " + path + ": " + why + "; the old file is unchanged");
   };
   const int fd = open(beside.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0644);
   if (fd < 0) fail("cannot write");
@@ -135,7 +135,7 @@
   close(fd);
   errno = why;
   if (!synced) fail("cannot write");
-  if (rename(beside.c_str(), path.c_str()) != 0) fail("cannot put in place");
+  if (rename(beside.c_str(), path.c_str()) != 0) fail("cannot rename the new file to");
 }
 
 } // namespace fernward::app_config
--- a/src/app_config/fresh.h
+++ b/src/app_config/fresh.h
@@ -1,5 +1,5 @@
-// A new file for one application: what it needs is given, everything else stands there as a comment with its
-// meaning and its default.
+// Generates a new application file: required keys have values, all others are comments with their meaning and
+// default.
 #pragma once
 
 #include <optional>
@@ -10,15 +10,16 @@
 
 struct Wishes {
   std::string name = "app", listen = "127.0.0.1:7070";
-  std::string discovery, file;    // or the nodes themselves:
+  std::string discovery, file;    // both empty: `node_addresses`
   std::vector<std::string> nodes; // "127.0.0.1:9001"
-  std::string ledger;             // its address, beside `nodes`
-  bool has_ledger = true;         // of discovery or a file: one kind of node is "ledger"
+  std::string ledger;             // the origin's address, used with `node_addresses`
+  bool has_ledger = true;         // with discovery or a file: the node kind "ledger" exists
 };
 
 std::string fresh(const Wishes& wishes);
 
-// Writes it beside `path` first and renames it: a fault leaves what was there. Throws std::runtime_error.
+// Writes a temporary file next to `path` and renames it, so that a failure leaves the old file unchanged.
+// Throws std::runtime_error.
 void save(const std::string& path, const std::string& text);
 
 } // namespace fernward::app_config
--- a/src/app_config/host.cpp
+++ b/src/app_config/host.cpp
@@ -36,14 +36,14 @@
     add(setup_.faults, member, code, std::move(why));
   }
 
-  // By the bind itself: what else tells for sure?
+  // Binds the address, as only bind() itself shows reliably whether it is available.
   void listen() {
     const std::string& text = setup_.app.listen;
     if (const auto path = config::unix_path(text)) {
       const std::string folder = path->substr(0, path->rfind('/') + 1);
       if (access(folder.c_str(), W_OK | X_OK) != 0) {
         return fault("listen", "listen-path",
-                     "no socket can be made in " + folder + ": " + std::strerror(errno));
+                     "cannot create a socket in " + folder + ": " + std::strerror(errno));
       }
       sockaddr_un where{};
       where.sun_family = AF_UNIX;
@@ -52,9 +52,9 @@
       const bool taken = connect(fd, reinterpret_cast<const sockaddr*>(&where), sizeof where) == 0;
       close(fd);
       struct stat there {};
-      if (taken) return fault("listen", "listen-taken", "another program serves there");
+      if (taken) return fault("listen", "listen-taken", "another process already serves this address");
       if (lstat(path->c_str(), &there) == 0 && !S_ISSOCK(there.st_mode)) {
-        fault("listen", "listen-path", "something that is no socket has that path");
+        fault("listen", "listen-path", "the path exists and is not a socket");
       }
       return;
     }
@@ -67,8 +67,9 @@
     const int why = errno;
     close(fd);
     if (bound) return;
-    if (why == EADDRNOTAVAIL) return fault("listen", "listen-elsewhere", "is no address of this host");
-    if (why == EADDRINUSE) return fault("listen", "listen-taken", "another program listens there");
+    if (why == EADDRNOTAVAIL) return fault("listen", "listen-elsewhere", "is not an address of this host");
+    if (why == EADDRINUSE)
+      return fault("listen", "listen-taken", "another process already listens on this address");
     fault("listen", "listen-refused", std::strerror(why));
   }
 
@@ -80,7 +81,7 @@
     const std::string& nodes = setup_.app.fleet.file;
     if (!nodes.empty() && access(nodes.c_str(), R_OK) != 0) {
       add(setup_.warnings, "fleet.file", "no-file-yet",
-          nodes + ": " + std::strerror(errno) + ": the router is not ready before it is there");
+          nodes + ": " + std::strerror(errno) + ": the router is not ready until the file exists");
     }
     const std::string& claims = setup_.app.application.runtime_folder;
     if (!claims.empty() && access(claims.c_str(), W_OK | X_OK) != 0) {
@@ -92,10 +93,10 @@
     rlimit files{};
     if (getrlimit(RLIMIT_NOFILE, &files) != 0 || files.rlim_max >= setup_.app.limits.sockets) return;
     fault("limits.sockets", "descriptors",
-          "the system grants this user " + std::to_string(files.rlim_max) + " descriptors at most");
+          "the system limits this user to " + std::to_string(files.rlim_max) + " descriptors");
   }
 
-  // Variables that look like secrets, in a file that others can read.
+  // Reports variables that look like secrets in a file that other users can read.
   void secrets() {
     for (const std::string& entry : setup_.app.application.environment) {
       std::string name = entry.substr(0, entry.find('='));
@@ -107,7 +108,7 @@
       struct stat there {};
       if (stat(at.file.c_str(), &there) == 0 && (there.st_mode & (S_IRGRP | S_IROTH)) != 0) {
         fault("application.environment", "secret-readable",
-              name + " looks like a secret, and others can read this file: chmod 600 " + at.file);
+              name + " looks like a secret, and other users can read this file; use chmod 600 " + at.file);
       }
     }
   }
--- a/src/app_config/host.h
+++ b/src/app_config/host.h
@@ -1,11 +1,12 @@
-// Checks of an application's file against this machine: is its address ours and free, are its folders there,
-// does the system grant what it asks for, can others read what should stay secret.
+// Checks an application's configuration against this host: the listen address belongs to the host and is
+// free, folders exist, the descriptor limit is sufficient, and files with secrets are not readable by other
+// users.
 #pragma once
 
 #include "app_config/read.h"
 
 namespace fernward::app_config {
 
-void check_host(Setup& setup, const std::string& file); // adds to setup.faults and setup.warnings
+void check_host(Setup& setup, const std::string& file); // adds to config.errors and config.warnings
 
 } // namespace fernward::app_config
--- a/src/app_config/keys.h
+++ b/src/app_config/keys.h
@@ -1,5 +1,5 @@
-// The keys of an application's file: one description of an App, from which the reader, the schema, the
-// reference, the explanation and the comparison are made. See toml_document/visitor.h.
+// The keys of an application's file. The parser, the schema, the reference, the explanation and the
+// comparison all use this one description of AppConfig. See toml_document/visitor.h.
 #pragma once
 
 #include "app_config/app.h"
@@ -14,7 +14,8 @@
 inline constexpr toml_document::Table kTenants{3};
 } // namespace tables
 
-class AppNames : public toml_document::Names { // the App outlives it
+// Resolves the names defined in an AppConfig, which must outlive this object.
+class AppNames : public toml_document::Names {
  public:
   explicit AppNames(const App& app) : app_(app) {}
   std::optional<std::uint32_t> find(toml_document::Table table, const std::string& name) const override;
@@ -30,7 +31,7 @@
 
 void describe(toml_document::Visitor& visitor, App& app);
 
-// Of a key's path: does a reload take it, or does it hold until the next start?
+// Whether a reload can change the key; otherwise the change needs a restart. `key`: the key's path.
 bool reload_takes(const std::string& key);
 
 const char* repeat_word(Idempotency repeat);
--- a/src/app_config/ledger.cpp
+++ b/src/app_config/ledger.cpp
@@ -7,11 +7,11 @@
 namespace fernward::app_config {
 namespace {
 
-struct Ranks { // neighbours that are asked for nearly alike
+struct Ranks { // adjacent ranks with nearly equal request probability
   double count, p;
 };
 
-// Ranks in stretches that grow by a fiftieth: 20 million keys are some 700 of them.
+// Groups of ranks whose bounds grow by a fiftieth: about 700 groups for 20 million keys.
 std::vector<Ranks> stretches(std::uint32_t keys, double zipf) {
   std::vector<Ranks> all;
   double sum = 0;
--- a/src/app_config/ledger.h
+++ b/src/app_config/ledger.h
@@ -1,8 +1,7 @@
-// How many of the requests would reach the ledger, from what a file says of its fleet and load. An estimate
-// for a fleet in a steady state: writes go there, reads that miss, and what the nodes have no room for.
+// Estimates the share of requests that reach the origin, from the configured fleet and expected load. Assumes
+// a steady state: writes, cache misses and reads beyond the caches' capacity go to the origin.
 //
-// Misses by Che's approximation of an LRU (Che, Tung and Wang 2002) over the memory of all nodes that hold
-// values.
+// Misses follow Che's approximation of an LRU cache (Che, Tung and Wang 2002) over the memory of all caches.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +12,16 @@
 namespace fernward::app_config {
 
 struct LedgerLoad {
-  double share = 0;                                // of the requests; 0 to 1
-  double writes = 0, misses = 0, no_room = 0;      // its parts
-  bool no_nodes = false;                           // no node but the ledger's is in the fleet named
-  bool counts_memory = false, counts_work = false; // what of the file it could be worked out from
+  double share = 0;                                // of all requests, 0 to 1
+  double writes = 0, misses = 0, no_room = 0;      // parts of request_share
+  bool no_nodes = false;                           // the configured fleet has no caches
+  bool counts_memory = false, counts_work = false; // which estimates the file allows
 };
 
-// Of `app`, whose names resolve. Nodes told elsewhere (discovery) are not known: they count as enough.
+// All names in `app` must resolve. Nodes from discovery are unknown here and count as sufficient.
 LedgerLoad ledger_load(const App& app);
 
-// Share of the requests that a cache of `held` values answers, of `keys` asked for by Zipf's law.
+// Hit ratio of an LRU cache of `cached_values` values when `key_count` keys are requested by Zipf's law.
 double lru_hits(std::uint32_t keys, double zipf, double held);
 
 } // namespace fernward::app_config
--- a/src/app_config/read.cpp
+++ b/src/app_config/read.cpp
@@ -33,7 +33,7 @@
   const Layer* layer = nullptr;
 };
 
-// All profiles of all files; what is none is a fault.
+// Collects the profiles of all files; reports entries that are not valid profiles.
 std::vector<Profile> profiles(const toml_document::Layers& layers, toml_document::Faults& faults) {
   std::vector<Profile> all;
   for (const auto& layer : layers) {
@@ -55,7 +55,7 @@
         const toml::node* stray = entry.as_table()->get(apart);
         if (stray == nullptr) continue;
         faults.push_back({toml_document::position(stray->source(), *layer), "profiles." + name + "." + apart,
-                          "can't stand in a profile", "unknown-key"});
+                          "is not allowed in a profile", "unknown-key"});
       }
       all.push_back({name, entry.as_table(), layer.get()});
     }
@@ -63,7 +63,7 @@
   return all;
 }
 
-// The profile that counts; empty: none.
+// The name of the active profile; empty: none.
 std::string chosen_profile(const toml_document::Layers& layers, const std::vector<Profile>& all,
                            Environment environment, Setup& setup) {
   std::string name = variable(environment, "FERNWARD_PROFILE");
@@ -94,7 +94,8 @@
   return "";
 }
 
-// A profile that does not count today counts tomorrow: its form is checked, as far as it can be by itself.
+// Checks the form of inactive profiles too, as they may be activated later. Missing keys and unknown names
+// are ignored: they depend on the other sources.
 void check_others(const std::vector<Profile>& all, const std::string& chosen, const App& app,
                   toml_document::Faults& faults) {
   for (const Profile& p : all) {
@@ -145,7 +146,7 @@
   for (std::size_t i = 1; i < layers.size(); ++i) sources.push_back({&layers[i]->table, layers[i].get()});
 
   const AppNames names(setup.app);
-  // What the environment gives need not stand in the file.
+  // Keys given by the environment are not required in the file.
   toml::table given;
   for (const auto& [name, member] : {std::pair("NODE_NAME", "name"), {"NODE_LISTEN", "listen"}}) {
     const std::string value = variable(environment, name);
@@ -164,7 +165,7 @@
   const std::set<std::string> broken = reader.close();
   for (Fault& fault : setup.faults) {
     if (fault.at.file.empty() || (fault.at.file == from_environment.file && fault.code == "missing")) {
-      fault.at = {file, 1, 1}; // a part that no file gives
+      fault.at = {file, 1, 1}; // a table that no file contains
     }
   }
   check_others(all, setup.profile, setup.app, setup.faults);
--- a/src/app_config/read.h
+++ b/src/app_config/read.h
@@ -1,11 +1,11 @@
-// An application's file, read whole. Each fault stands with file, line, column and a code; none of it counts
-// before there is none.
+// Reads an application's file. All errors are collected, each with file, line, column and code; the
+// configuration is valid only if there are none.
 //
-// What goes before what, the first first: the environment (NODE_NAME, NODE_LISTEN, NODE_DISCOVERY, where they
-// are set and not empty); the file itself; the profile that it names (`profile = "busy"`: the table
-// [profiles.busy] of this file or of one that it includes; FERNWARD_PROFILE goes before it); the files that
-// it includes, the last one first, each with its own includes behind it; the defaults. Key by key, but a list
-// ([[map]]) is taken whole.
+// Order of precedence, highest first: the environment (NODE_NAME, NODE_LISTEN, NODE_DISCOVERY, if set and not
+// empty); the file itself; the active profile (`profile = "busy"` selects the table [profiles.busy] of this
+// file or of an included one; FERNWARD_PROFILE overrides the key); the included files, the last one first,
+// each followed by its own includes; the defaults. Precedence applies per key; a list ([[map]]) is taken from
+// one source as a unit.
 #pragma once
 
 #include <map>
@@ -18,28 +18,28 @@
 
 namespace fernward::app_config {
 
-using Environment = const char* (*)(const char* name); // std::getenv, or a test's
+using Environment = const char* (*)(const char* name); // std::getenv, or a replacement in tests
 
 struct Setup {
-  App app;                                      // counts where no fault is left
-  toml_document::Faults faults;                 // what is wrong
-  toml_document::Faults warnings;               // and what is likely not meant
-  toml_document::Places places;                 // of what the files give, by the App's member
-  std::map<std::string, std::string> variables; // what the environment gives: the variable, by member
-  std::vector<std::string> files;               // all that were read
-  std::string profile;                          // the one that counts
+  App app;                                      // valid only without errors
+  toml_document::Faults faults;                 // severity error
+  toml_document::Faults warnings;               // severity warning: probably unintended
+  toml_document::Places places;                 // of values given in files, by AppConfig member
+  std::map<std::string, std::string> variables; // environment variables in effect, by member
+  std::vector<std::string> files;               // every file that was read
+  std::string profile;                          // the name of the active profile
 
   bool sound() const { return faults.empty(); }
 };
 
-// With the checks of form and of sense, but none of this machine (app_config/host.h).
+// Includes syntactic and semantic checks, but no checks against this host (see check_host()).
 Setup read(std::string_view text, const std::string& file, Environment environment,
            const toml_document::Loader& load = toml_document::load_file);
 Setup read_file(const std::string& path, Environment environment);
 
-toml_document::Fault unreadable(const std::string& path); // the file can't be read
+toml_document::Fault unreadable(const std::string& path); // the error for a file that can't be read
 
-// Where a member stands, or the table that it would stand in; else the top of the file.
+// The position of a member, or of the nearest enclosing table that is present, or the start of the file.
 toml_document::Position place_of(const Setup& setup, std::string member, const std::string& file);
 
 } // namespace fernward::app_config
--- a/src/app_config/render.cpp
+++ b/src/app_config/render.cpp
@@ -10,7 +10,8 @@
 using nlohmann::json;
 
 json class_of(const ClassSetup& c, const App& app) {
-  // Within its window alone a repeat is dropped; a shorter one keeps this router to fewer of them.
+  // Servers drop duplicates only within the idempotency window. A shorter retry window only limits this
+  // router's retries.
   const double window = c.retry_for_ms ? std::min(*c.retry_for_ms, c.window_ms) : c.window_ms;
   json made = {{"name", c.name},
                {"aim", c.aim_ms > 0 ? c.aim_ms : c.give_up_ms},
--- a/src/app_config/render.h
+++ b/src/app_config/render.h
@@ -1,4 +1,4 @@
-// An App as the platform's JSON, which the router starts from (config/config.h reads it).
+// Renders an AppConfig as the platform JSON with which the router starts (parsed by config/config.h).
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -7,7 +7,7 @@
 
 namespace fernward::app_config {
 
-// Keys that the platform does not know (map, nodes_file, ...) are there only where they say something.
+// Keys unknown to the platform (map, nodes_file, ...) are included only if they are not at their defaults.
 nlohmann::json render(const App& app);
 
 } // namespace fernward::app_config
--- a/src/app_config/schema.cpp
+++ b/src/app_config/schema.cpp
@@ -150,7 +150,7 @@
   Schema visitor(names);
   describe(visitor, app);
   const ordered_json whole = visitor.whole();
-  // What a profile holds: the same, and nothing of it is needed there.
+  // A profile has the same keys, none of them required.
   ordered_json parts = whole["properties"];
   ordered_json made = {{"$schema", "https://json-schema.org/draft/2020-12/schema"},
                        {"title", "fernward: one application's router"},
--- a/src/app_config/schema.h
+++ b/src/app_config/schema.h
@@ -1,5 +1,5 @@
-// The keys as a JSON schema (draft 2020-12), for editors, and as Markdown, for people: walks through the same
-// description as the reader's.
+// The keys as a JSON schema (draft 2020-12) for editors, and as a Markdown reference. Both are generated from
+// the description that the parser uses.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -10,7 +10,7 @@
 nlohmann::ordered_json schema();
 std::string reference();
 
-// Every code that a finding may have, with its meaning: Markdown.
+// Markdown table of all diagnostic codes and their meanings.
 std::string code_reference();
 struct Code {
   const char* code;
--- a/src/app_config/sound.h
+++ b/src/app_config/sound.h
@@ -1,4 +1,4 @@
-// Checks of sense: what reads well and still would not do. No look at this machine, see app_config/host.h.
+// Semantic checks of a configuration. Checks against this host are made by check_host().
 #pragma once
 
 #include <set>
@@ -8,8 +8,8 @@
 
 namespace fernward::app_config {
 
-// Adds to setup.faults and setup.warnings. `broken`: members whose values could not be read; nothing is
-// concluded from those.
+// Adds to config.errors and config.warnings. `invalid_members`: members whose values could not be read;
+// checks that depend on them are skipped.
 void check_sound(Setup& setup, const std::string& file, const std::set<std::string>& broken);
 
 } // namespace fernward::app_config
--- a/tests/app_config/app_config_test.cpp
+++ b/tests/app_config/app_config_test.cpp
@@ -1,4 +1,4 @@
-// An application's file: what is wrong is named where it stands, what is sound comes out as it went in.
+// An application's file: errors are reported with their position, and a valid file survives a round trip.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -53,8 +53,8 @@
 
 } // namespace
 
-// guards: a broken file that is taken, or refused with the wrong word or place
-TEST_CASE("every broken file is refused for the reason that stands in it, at that place") {
+// Guards against an invalid file that is accepted, or rejected with the wrong code or position.
+TEST_CASE("every invalid file is rejected with the code and position that it states") {
   std::set<std::string> seen;
   const auto files = corpus("broken");
   for (const std::string& file : files) {
@@ -79,7 +79,7 @@
   }
   CHECK(files.size() >= 120);
   MESSAGE(files.size() << " broken files, " << seen.size() << " codes");
-  // Every code of a fault that needs no look at the machine is met by some file.
+  // Every error code that does not depend on the host is produced by at least one file.
   for (const auto& code : app_config::codes()) {
     const std::string means = code.means;
     const bool warning = means.starts_with("warning"), host = means.ends_with("(not with `--elsewhere`)");
@@ -88,7 +88,7 @@
   }
 }
 
-TEST_CASE("every good file is sound, comes back as it was written, and is one the router takes") {
+TEST_CASE("every valid file is accepted and survives a round trip and is accepted by the router") {
   const auto files = corpus("good");
   CHECK(files.size() >= 30);
   for (const std::string& file : files) {
@@ -108,18 +108,18 @@
   }
 }
 
-TEST_CASE("a file cut off at any byte is read without a crash, and never half taken") {
+TEST_CASE("a file truncated at any byte is parsed without a crash and never accepted in part") {
   for (const std::string& text :
        {text_of(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"), kLeast}) {
     for (std::size_t cut = 0; cut < text.size(); ++cut) {
       const auto made = app_config::read(text.substr(0, cut), "cut.toml", &nothing, nullptr);
-      // What is sound when cut is a whole file of its own.
+      // A truncated file that is valid must be a complete file by itself.
       if (made.sound()) CHECK(app_config::read(as_file(made.app), "again.toml", &nothing, nullptr).sound());
     }
   }
 }
 
-TEST_CASE("ten megabytes, or tables without end, are refused at once") {
+TEST_CASE("files of ten megabytes or with endless nesting are rejected at once") {
   const Folder folder;
   std::string nested;
   while (nested.size() < 10u << 20) nested += "[a.b.c.d.e.f.g.h]\nx = [[[[[[[[1]]]]]]]]\n";
@@ -133,8 +133,8 @@
   }
 }
 
-// guards: a value whose origin is not what the page says
-TEST_CASE("what goes before what") {
+// Guards against a value that is taken from another source than the documented precedence says.
+TEST_CASE("precedence of environment and file and profile and includes") {
   const Folder folder;
   folder.write(
       "first.toml",
@@ -148,8 +148,8 @@
     return made;
   };
   CHECK(read(kLeast).app.limits.sockets == 1024);
-  CHECK(read(own).app.limits.sockets == 102); // the last include first
-  CHECK(read(own).app.attempts.most == 11);   // and what it leaves out from the one before
+  CHECK(read(own).app.limits.sockets == 102); // the last include has precedence
+  CHECK(read(own).app.attempts.most == 11);   // keys that it omits come from the include before it
   CHECK(read("profile = \"busy\"\n" + own).app.limits.sockets == 301);
   CHECK(read("profile = \"busy\"\n" + own).app.limits.open == 12);
   CHECK(read("profile = \"busy\"\n" + own + "[limits]\nsockets = 400\n").app.limits.sockets == 400);
@@ -162,7 +162,7 @@
   });
   CHECK(with.app.limits.sockets == 301);
   CHECK(with.app.listen == "127.0.0.1:1");
-  CHECK(with.app.name == "a"); // set and empty is not set
+  CHECK(with.app.name == "a"); // an empty variable counts as not set
   std::map<std::string, std::string> from;
   for (const auto& v : app_config::values(with)) from[v.key] = v.from;
   CHECK(from["listen"] == "NODE_LISTEN");
@@ -171,7 +171,7 @@
   CHECK(from["limits.memory"] == "default");
 }
 
-TEST_CASE("schema, reference and reader know the same keys") {
+TEST_CASE("schema and reference and parser have the same keys") {
   const auto schema = app_config::schema();
   std::size_t keys = 0;
   const std::string reference = app_config::reference();
@@ -199,13 +199,13 @@
     ++keys;
   }
   CHECK(keys > 60);
-  // The page for operators is what the program prints.
+  // The operators' page contains exactly what the program prints.
   const std::string page = text_of(FERNWARD_SOURCE_DIR "/docs/operators/config-reference.md");
   CHECK(page.find(app_config::reference()) != std::string::npos);
   CHECK(page.find(app_config::code_reference()) != std::string::npos);
 }
 
-TEST_CASE("the share of requests at the ledger: a cache that is simulated, writes, and what has no room") {
+TEST_CASE("estimated origin load matches a simulated LRU cache and counts writes and overflow") {
   std::mt19937 draw(7);
   for (const auto& [keys, zipf, held] :
        {std::tuple(1000u, 1.0, 100u), {5000u, 0.8, 1000u}, {300u, 0.6, 30u}}) {
@@ -232,18 +232,18 @@
   app_config::App app = app_of(text_of(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"));
   const auto load = app_config::ledger_load(app); // 5% writes; 128 MB hold all 20,000 keys of 4 kB
   CHECK(load.share == doctest::Approx(0.05));
-  app.expect.rate_per_s = 16000; // x 2 ms: 32 cores' work, of which reads want 30.4, and there are 8
+  app.expect.rate_per_s = 16000; // x 2 ms: work for 32 cores, of which reads need 30.4; the caches have 8
   CHECK(app_config::ledger_load(app).no_room == doctest::Approx(0.95 * (1 - 8 / 30.4)));
 }
 
-TEST_CASE("what a reload takes: whole or not at all, and classes keep their numbers") {
+TEST_CASE("a reload applies completely or not at all and classes keep their indexes") {
   const auto config = [](const std::string& more, const std::string& base = kLeast) {
     return config::parse(app_config::render(app_of(base + more)).dump(), &nothing);
   };
   const auto now =
       config("[classes.book]\ngive_up = \"1s\"\nrepeat = \"unsafe\"\n[tenants.t]\nshare = 0.5\n");
   REQUIRE(now.names.classes == std::vector<std::string>{"any", "book"});
-  // "book" is renamed, "aaa" is new: the numbers of the old ones stay.
+  // "book" is renamed and "aaa" is new; existing classes keep their indexes.
   const auto next = config(
       "[classes.booking]\ngive_up = \"2s\"\nrepeat = \"unsafe\"\n[classes.aaa]\ngive_up = \"3s\"\nrepeat = "
       "\"safe\"\n[attempts]\nmost = 2\n");
@@ -253,19 +253,19 @@
   CHECK(moved.settings.classes[2].client_timeout_ms == 3000);
   CHECK(moved.settings.max_attempts == 2);
   CHECK(moved.names.tenants == std::vector<std::string>{"\nt"});
-  const auto back = config::moved(moved, now); // and it is back under its old number
+  const auto back = config::moved(moved, now); // a class that returns gets its old index
   CHECK(back.names.classes == std::vector<std::string>{"any", "book", "\naaa", "\nbooking"});
   const auto twice = config::moved(back, now);
   CHECK(twice.names.classes == back.names.classes);
   for (const char* more :
        {"[limits]\nsockets = 500\n", "[tier]\nrouters = 3\n", "[attempts]\nidle = \"3s\"\n", "seed = 4\n"}) {
-    if (std::string(more).starts_with("seed")) continue; // counts at a start only, as of the platform's file
+    if (std::string(more).starts_with("seed")) continue; // applies only at startup, as in the platform file
     CAPTURE(more);
     CHECK_THROWS_AS(config::moved(now, config(more)), config::Error);
   }
 }
 
-TEST_CASE("held against this machine: taken addresses, folders, descriptors, secrets") {
+TEST_CASE("host checks of addresses in use and folders and descriptors and secrets") {
   const router::BasePtr base = router::make_base();
   const Peer taken(base.get(), [](const http::Message&) { return std::string(); });
   const Folder folder;
@@ -286,7 +286,7 @@
   CHECK(codes(taken.address, "") == "listen-taken");
   CHECK(codes("192.0.2.1:7070", "") == "listen-elsewhere");
   CHECK(codes("unix:/nowhere/x.sock", "") == "listen-path");
-  CHECK(codes("unix:" + folder.path + "/app.toml", "") == "listen-path"); // a file of another kind
+  CHECK(codes("unix:" + folder.path + "/app.toml", "") == "listen-path"); // a regular file
   CHECK(codes("127.0.0.1:0", "[limits]\nbody_folder = \"/nowhere\"\n") == "folder");
   CHECK(codes("127.0.0.1:0", "[limits]\nsockets = 4000000000\nmemory = \"30000000MiB\"\n") == "descriptors");
   CHECK(codes("127.0.0.1:0", secret) == "");
--- a/tests/app_config/config_command_test.cpp
+++ b/tests/app_config/config_command_test.cpp
@@ -1,4 +1,4 @@
-// `fernward config` and `fernward serve --config` as a user runs them.
+// Runs `fernward config` and `fernward serve --config` as processes, as a user does.
 #include <doctest/doctest.h>
 
 #include <cstdlib>
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("wrong usage ends with 2, faults with 1 and every one of them named") {
+TEST_CASE("config commands: usage errors exit with 2, file errors with 1 and are all reported") {
   const struct {
     std::string arguments;
     int code;
@@ -43,9 +43,9 @@
       {"check --elsewhere " + kGood + "whole.toml", 0, "whole.toml: sound"},
       {"check /nowhere.toml", 1, "/nowhere.toml:1:1: unreadable: (file): can't be read"},
       {"check --elsewhere " + kBroken + "shares.toml", 1,
-       "shares.toml:45:9: shares: tenants.agents.share: the shares of all tenants come to 110%"},
+       "shares.toml:45:9: shares: tenants.agents.share: the shares of all tenants add up to 110%"},
       {"check --elsewhere " + kBroken + "no-zones.toml", 1, "no-zones.toml:20:8: unknown-name"},
-      {"explain " + kGood + "whole.toml", 0, "with the same key, within 800ms of it"},
+      {"explain " + kGood + "whole.toml", 0, "with the same key, within 800ms of that attempt"},
       {"explain " + kGood + "whole.toml", 0, "About 5.0% of the requests reach it"},
       {"explain " + kBroken + "shares.toml", 1, "shares.toml:45:9"},
       {"diff " + kGood + "whole.toml " + kGood + "retries-none.toml", 0,
@@ -72,7 +72,7 @@
   CHECK(found[0]["severity"] == "error");
 }
 
-TEST_CASE("new files pass their own check, one that is there stays whole when the disk is full") {
+TEST_CASE("config new writes files that pass the check and keeps an existing file if writing fails") {
   const Folder folder;
   const std::string out = folder / "app.toml";
   for (const char* how : {"--node 127.0.0.1:9001 --ledger 127.0.0.1:9002", "--node 127.0.0.1:9001",
@@ -85,16 +85,16 @@
   }
   const std::string was = text_of(out);
   CHECK(ask("new --node 127.0.0.1:1 --out " + out).has("there already"));
-  // A file of more than a block can't be written.
+  // The process may not write a file of more than one block.
   const Said full = ask("new --force --node 127.0.0.1:1 --out " + out, "trap '' XFSZ; ulimit -f 1;");
   CHECK(full.code == 1);
-  CHECK(full.has("what was there is as it was"));
+  CHECK(full.has("the old file is unchanged"));
   CHECK(text_of(out) == was);
   CHECK(std::distance(std::filesystem::directory_iterator(folder.path), {}) ==
-        1); // and nothing is left beside it
+        1); // no temporary file is left
 }
 
-TEST_CASE("every good file starts a router") {
+TEST_CASE("every valid corpus file starts a router") {
   const router::BasePtr base = router::make_base();
   for (const std::string& file : corpus("good")) {
     CAPTURE(file);
@@ -111,7 +111,7 @@
   }
 }
 
-TEST_CASE("a node list in a file: it is followed as it changes, and a damaged one changes nothing") {
+TEST_CASE("a node list file is reread when it changes and an invalid one is ignored") {
   const router::BasePtr base = router::make_base();
   const auto answers = [&](const std::string& what) {
     return [what](const http::Message&) { return ok(what); };
@@ -133,7 +133,7 @@
   Program program({"serve", "--config", file}, Json::object());
   REQUIRE(run_until(base.get(), [&] { return program.port() != 0; }));
   Client client(base.get(), program.port());
-  CHECK(client.ask("GET /ready HTTP/1.1\r\n\r\n").status == 503); // the file is not there
+  CHECK(client.ask("GET /ready HTTP/1.1\r\n\r\n").status == 503); // the file does not exist
   const auto put = [&](const std::string& text) {
     folder.write("nodes.json.new", text);
     std::filesystem::rename(folder / "nodes.json.new", list);
@@ -141,7 +141,7 @@
   const auto becomes = [&](const std::string& body) {
     return run_until(base.get(), [&] {
       Client asking(base.get(), program.port());
-      return asking.ask("GET /k/1 HTTP/1.1\r\n\r\n").body == body; // without an id, a class or a time
+      return asking.ask("GET /k/1 HTTP/1.1\r\n\r\n").body == body; // no id, class or timeout header
     });
   };
   put(Json::array({entry("n-a", a)}).dump());
--- a/tests/app_config/corpus.h
+++ b/tests/app_config/corpus.h
@@ -1,4 +1,4 @@
-// The files of tests/corpus/config.
+// Lists the files of tests/corpus/config/`folder`, sorted by path.
 #pragma once
 
 #include <algorithm>
--- a/tests/app_config/mutants_test.cpp
+++ b/tests/app_config/mutants_test.cpp
@@ -1,5 +1,5 @@
-// Each key of each good file, dropped, doubled, misspelt and retyped: a mutant is refused at the right line, or it is
-// shown to be harmless.
+// Drops, duplicates, misspells and retypes each key of each valid corpus file. A mutant must be rejected at
+// the mutated line, or its only effect must be that the key has another value.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 const char* nothing(const char*) { return nullptr; }
 
 struct Line {
-  std::string key, value; // of `key = value` in one line
+  std::string key, value; // of a line `key = value`
 };
 
 bool parse(const std::string& line, Line& into) {
@@ -39,7 +39,7 @@
 
 } // namespace
 
-TEST_CASE("mutants of good files") {
+TEST_CASE("mutants of valid files are rejected at the mutated line or harmless") {
   struct Count {
     int made = 0, refused = 0, harmless = 0;
   };
@@ -69,7 +69,7 @@
         INFO(file << ":" << at + 1 << " " << how << " " << lines[at]);
         if (!made.sound()) {
           ++count.refused;
-          // Dropped, it is missed in its table or by what names it; else the line itself is at fault.
+          // A dropped line is reported at its table or at a reference to it, other mutants at their line.
           const unsigned wanted = static_cast<unsigned>(at + (how == "double" ? 2 : 1));
           const bool here = std::any_of(made.faults.begin(), made.faults.end(), [&](const auto& f) {
             return f.at.file == file && f.at.line == wanted;
@@ -77,7 +77,7 @@
           CHECK((here || how == "drop"));
           continue;
         }
-        // Harmless: only what the line itself gives may have changed, to what counts without it.
+        // A harmless mutant may change only the value of the line, to the value that applies without it.
         CHECK(how == "drop");
         ++count.harmless;
         for (const auto& change : app_config::changes(original.app, made.app)) {
