--- a/src/arguments/arguments.cpp
+++ b/src/arguments/arguments.cpp
@@ -11,7 +11,7 @@
   std::fprintf(out, "%s: %s\n\nUsage: %s COMMAND [--help]\n\n", program.c_str(), about.c_str(),
                program.c_str());
   for (const Command& command : commands) std::fprintf(out, "  %-12s  %s\n", command.name, command.what);
-  std::fprintf(out, "\nExit code: 0 well; 1 a fault; 2 wrong usage\n");
+  std::fprintf(out, "\nExit code: 0 success; 1 error; 2 usage error\n");
   return out == stdout ? kWell : kUsage;
 }
 
@@ -27,11 +27,11 @@
       std::printf("%s", options.help().c_str());
       throw Help();
     }
-    if (!parsed.unmatched().empty()) throw UsageError("too many words: " + parsed.unmatched().front());
+    if (!parsed.unmatched().empty()) throw UsageError("unexpected argument: " + parsed.unmatched().front());
     return parsed;
   } catch (const UsageError&) {
     throw;
-  } catch (const std::exception& error) { // the base class of cxxopts' own has changed its name
+  } catch (const std::exception& error) { // the base class of cxxopts' exceptions differs between versions
     throw UsageError(error.what());
   }
 }
--- a/src/arguments/arguments.h
+++ b/src/arguments/arguments.h
@@ -1,9 +1,9 @@
-// Command lines of all programs: cxxopts, with one way to say what is wrong.
+// Parses the command lines of all programs with cxxopts, with uniform error reporting.
 //
-// Exit codes: 0 well; 1 a fault; 2 wrong usage.
+// Exit codes: 0 success; 1 error; 2 usage error.
 #pragma once
 
-// An option may hold a list: commas are its own.
+// Commas within option values must not split them, so the delimiter of vector options is a control character.
 #define CXXOPTS_VECTOR_DELIMITER '\x1f'
 #include <cxxopts.hpp>
 #include <stdexcept>
@@ -17,20 +17,21 @@
 struct UsageError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-struct Help {}; // it was asked for, and has been printed
+struct Help {}; // thrown after the requested help has been printed
 
-using Arguments = std::vector<std::string>; // after the sub-command's name
+using Arguments = std::vector<std::string>; // without the name of the subcommand
 
-// Throws UsageError, and Help where help was asked for and printed.
+// Throws UsageError, and HelpPrinted if help was requested.
 cxxopts::ParseResult parse(cxxopts::Options& options, const Arguments& arguments);
 
 struct Command {
   const char* name;
-  const char* what; // it does, for the list of commands
+  const char* what; // shown in the list of commands
   int (*run)(const Arguments&);
 };
 
-// The command that `arguments` name, run; `program` for messages, `about` for the list.
+// Runs the command named by the first of `arguments` and returns the exit code. `program` is used in
+// messages, `summary` in the list of commands.
 int run(const std::string& program, const std::string& about, const std::vector<Command>& commands,
         const Arguments& arguments);
 
