--- a/src/commands/command.h
+++ b/src/commands/command.h
@@ -1,4 +1,4 @@
-// The sub-commands of fernward; each is one file here.
+// The subcommands of fernward, implemented in the files of this folder. Each returns the exit code.
 #pragma once
 
 #include "arguments/arguments.h"
@@ -6,8 +6,8 @@
 namespace fernward::commands {
 
 int serve(const arguments::Arguments& given);        // run the router
-int check_config(const arguments::Arguments& given); // check the file that NODE_CONFIG names
-int config(const arguments::Arguments& given);       // write, check and explain an application's file
-int sidecar(const arguments::Arguments& given);      // run the router and the application beside it
+int check_config(const arguments::Arguments& given); // check the platform file named by NODE_CONFIG
+int config(const arguments::Arguments& given);       // create, check and explain an application's file
+int sidecar(const arguments::Arguments& given);      // run the router and its application
 
 } // namespace fernward::commands
--- a/src/commands/config.cpp
+++ b/src/commands/config.cpp
@@ -1,5 +1,5 @@
-// fernward config: an application's file, written, checked, explained, compared, and turned into the
-// platform's JSON.
+// fernward config: creates, checks, explains and compares application files, and renders them as platform
+// JSON.
 #include <unistd.h>
 
 #include <cstdio>
@@ -31,7 +31,8 @@
   parsed = parse(options, given);
   std::vector<std::string> names;
   if (parsed.count("files") > 0) names = parsed["files"].as<std::vector<std::string>>();
-  if (names.size() < least || names.size() > most) throw UsageError(std::string("wanted: ") + wanted);
+  if (names.size() < least || names.size() > most)
+    throw UsageError(std::string("expected arguments: ") + wanted);
   return names;
 }
 
@@ -43,14 +44,14 @@
 int check(const Arguments& given) {
   cxxopts::Options options(
       "fernward config check",
-      "Name every fault of files, by file, line, column and code. Ends with 1 where there is one");
+      "Report every error of files, with file, line, column and code. Exits with 1 if there is one");
   options.add_options()("format", "text or json", cxxopts::value<std::string>()->default_value("text"))(
-      "elsewhere", "The file is for another host: nothing is held against this one")(
-      "strict", "Warnings count as faults");
+      "elsewhere", "The file is for another host: skip the checks against this host")(
+      "strict", "Treat warnings as errors");
   cxxopts::ParseResult parsed;
   const auto names = files(options, given, parsed, 1, 1000, "FILE...");
   const std::string format = parsed["format"].as<std::string>();
-  if (format != "text" && format != "json") throw UsageError("--format is text or json");
+  if (format != "text" && format != "json") throw UsageError("--format must be text or json");
   bool good = true;
   ordered_json all = ordered_json::array();
   for (const std::string& name : names) {
@@ -72,8 +73,9 @@
 }
 
 int explain(const Arguments& given) {
-  cxxopts::Options options("fernward config explain",
-                           "Every value that counts, where it came from, and what the router will do");
+  cxxopts::Options options(
+      "fernward config explain",
+      "Print every effective value, its source, and the resulting behavior of the router");
   options.add_options()("format", "text or json", cxxopts::value<std::string>()->default_value("text"));
   cxxopts::ParseResult parsed;
   const auto names = files(options, given, parsed, 1, 1, "FILE");
@@ -86,7 +88,7 @@
     std::printf("%s\n", all.dump(1).c_str());
     return kWell;
   }
-  if (!setup.profile.empty()) std::printf("profile %s counts\n\n", setup.profile.c_str());
+  if (!setup.profile.empty()) std::printf("profile %s is active\n\n", setup.profile.c_str());
   std::size_t widest = 0, longest = 0;
   for (const auto& v : values) {
     widest = std::max(widest, v.key.size());
@@ -102,13 +104,13 @@
 
 int diff(const Arguments& given) {
   cxxopts::Options options("fernward config diff",
-                           "What a new file changes, and whether a reload (SIGHUP) takes it. Ends with 1 "
-                           "where a file has a fault");
+                           "What a new file changes, and whether a reload (SIGHUP) applies it. Exits with 1 "
+                           "if a file has an error");
   cxxopts::ParseResult parsed;
   const auto names = files(options, given, parsed, 2, 2, "OLD NEW");
   const app_config::Setup before = app_config::read_file(names[0], &environment),
                           after = app_config::read_file(names[1], &environment);
-  const bool before_sound = tell(before), after_sound = tell(after); // the faults of both are shown
+  const bool before_sound = tell(before), after_sound = tell(after); // print the errors of both files
   if (!before_sound || !after_sound) return kBad;
   bool by_reload = true;
   const auto changes = app_config::changes(before.app, after.app);
@@ -118,13 +120,13 @@
                 c.after.empty() ? "absent" : c.after.c_str(), c.by_reload ? "reload" : "restart");
   }
   std::printf("%s\n", changes.empty() ? "nothing changes"
-                      : by_reload     ? "a reload takes all of it"
-                                      : "a restart is needed: a reload is refused whole");
+                      : by_reload     ? "a reload applies all changes"
+                                      : "a restart is needed: a reload is rejected and applies nothing");
   return kWell;
 }
 
 int render(const Arguments& given) {
-  cxxopts::Options options("fernward config render", "The file as the platform's JSON");
+  cxxopts::Options options("fernward config render", "Print the file as platform JSON");
   cxxopts::ParseResult parsed;
   const auto names = files(options, given, parsed, 1, 1, "FILE");
   const app_config::Setup setup = app_config::read_file(names.front(), &environment);
@@ -139,23 +141,24 @@
   std::printf("%s [%s]: ", question.c_str(), otherwise.c_str());
   std::fflush(stdout);
   std::string answer;
-  if (!std::getline(std::cin, answer)) throw std::runtime_error("no answer");
+  if (!std::getline(std::cin, answer)) throw std::runtime_error("no answer on standard input");
   return answer.empty() ? otherwise : answer;
 }
 
 int fresh(const Arguments& given) {
-  cxxopts::Options options("fernward config new",
-                           "Write a file for one application, which passes `check`. Without options it asks");
-  options.add_options()("name", "Of the application", cxxopts::value<std::string>())(
-      "listen", "Where it asks, such as 127.0.0.1:7070 or unix:/run/app/router.sock",
-      cxxopts::value<std::string>())("discovery", "An address that tells the nodes",
-                                     cxxopts::value<std::string>())("nodes-file", "A file that tells them",
+  cxxopts::Options options(
+      "fernward config new",
+      "Create a file for one application that passes `check`. Without options it prompts");
+  options.add_options()("name", "Name of the application", cxxopts::value<std::string>())(
+      "listen", "Listen address of the router, such as 127.0.0.1:7070 or unix:/run/app/router.sock",
+      cxxopts::value<std::string>())("discovery", "Address of the discovery service",
+                                     cxxopts::value<std::string>())("nodes-file", "File with the node list",
                                                                     cxxopts::value<std::string>())(
-      "node", "Or the address of a node; may be given again", cxxopts::value<std::vector<std::string>>())(
-      "ledger", "And of the ledger", cxxopts::value<std::string>())(
-      "no-ledger", "Nodes answer everything themselves")("out", "The file; without it it is printed",
-                                                         cxxopts::value<std::string>())(
-      "force", "Write over a file that is there");
+      "node", "Address of a node; may be repeated", cxxopts::value<std::vector<std::string>>())(
+      "ledger", "Address of the ledger", cxxopts::value<std::string>())(
+      "no-ledger", "There is no ledger: nodes serve all requests")(
+      "out", "Output file; default: standard output", cxxopts::value<std::string>())(
+      "force", "Overwrite an existing file");
   const auto parsed = parse(options, given);
   const auto text = [&](const char* option, std::string otherwise) {
     return parsed.count(option) > 0 ? parsed[option].as<std::string>() : otherwise;
@@ -171,8 +174,8 @@
   std::string out = text("out", "");
   if (given.empty() && isatty(STDIN_FILENO) == 1) {
     wishes.name = ask("name of the application", wishes.name);
-    wishes.listen = ask("where it asks", wishes.listen);
-    const std::string source = ask("where nodes are told: an address, a file's path, or \"list\"", "list");
+    wishes.listen = ask("listen address of the router", wishes.listen);
+    const std::string source = ask("source of nodes: an address, a file's path, or \"list\"", "list");
     if (source == "list") {
       for (std::string node; !(node = ask("address of a node, or \"end\"", "end")).empty() && node != "end";)
         wishes.nodes.push_back(node);
@@ -184,7 +187,8 @@
     out = ask("file", wishes.name + ".toml");
   }
   const int sources = !wishes.discovery.empty() + !wishes.file.empty() + !wishes.nodes.empty();
-  if (sources != 1) throw UsageError("nodes come from one source: give --discovery, --nodes-file or --node");
+  if (sources != 1)
+    throw UsageError("nodes come from one source: set one of --discovery, --nodes-file and --node");
   const std::string made = app_config::fresh(wishes);
   const app_config::Setup read = app_config::read(made, out.empty() ? "(new)" : out, nullptr);
   if (!tell(read)) return kBad;
@@ -193,21 +197,21 @@
     return kWell;
   }
   if (parsed.count("force") == 0 && std::filesystem::exists(out))
-    throw std::runtime_error(out + " is there already; --force writes over it");
+    throw std::runtime_error(out + " already exists; --force overwrites it");
   app_config::save(out, made);
-  std::printf("%s is written; next: fernward config check %s\n", out.c_str(), out.c_str());
+  std::printf("wrote %s; next: fernward config check %s\n", out.c_str(), out.c_str());
   return kWell;
 }
 
 int schema(const Arguments& given) {
-  cxxopts::Options options("fernward config schema", "The keys as a JSON schema, for editors");
+  cxxopts::Options options("fernward config schema", "Print the keys as a JSON schema, for editors");
   parse(options, given);
   std::printf("%s\n", app_config::schema().dump(1).c_str());
   return kWell;
 }
 
 int reference(const Arguments& given) {
-  cxxopts::Options options("fernward config reference", "Every key and every code, as Markdown");
+  cxxopts::Options options("fernward config reference", "Print all keys and codes as Markdown");
   parse(options, given);
   std::printf("## Keys\n\n%s\n## Codes\n\n%s", app_config::reference().c_str(),
               app_config::code_reference().c_str());
@@ -217,10 +221,10 @@
 } // namespace
 
 int config(const Arguments& given) {
-  return run("fernward config", "one application's file",
-             {{"new", "write one", &fresh},
-              {"check", "name every fault", &check},
-              {"explain", "every value, where it came from, and what follows", &explain},
+  return run("fernward config", "the configuration file of one application",
+             {{"new", "create a file", &fresh},
+              {"check", "report every error", &check},
+              {"explain", "print every value, its source and the resulting behavior", &explain},
               {"diff", "what another file changes", &diff},
               {"render", "the platform's JSON", &render},
               {"schema", "a JSON schema of the keys", &schema},
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -1,5 +1,5 @@
-// fernward serve: the router, from the platform's JSON (NODE_CONFIG) or from an application's file
-// (--config). fernward check-config: the former, checked.
+// fernward serve: runs the router with the platform JSON (NODE_CONFIG) or an application's file (--config).
+// fernward check-config: checks the platform JSON.
 #include <event2/event.h>
 #include <signal.h>
 #include <sys/resource.h>
@@ -29,14 +29,14 @@
 
 const char* nothing(const char*) { return nullptr; }
 
-// An application's file as the router takes it. Throws config::Error: the first fault, and how many there
-// are.
+// Loads an application's file as a router configuration. Throws config::Error with the first error and the
+// number of errors; with `print_all`, prints all errors and throws their number.
 config::Config from_setup(const std::string& path, bool tell_all) {
   app_config::Setup setup = app_config::read_file(path, &environment);
   if (!setup.sound()) {
     if (tell_all) tell(setup);
     const std::size_t n = setup.faults.size();
-    throw config::Error(tell_all ? path + ": " + std::to_string(n) + (n == 1 ? " fault" : " faults")
+    throw config::Error(tell_all ? path + ": " + std::to_string(n) + (n == 1 ? " error" : " errors")
                                  : setup.faults.front().coded() +
                                        (n > 1 ? " (and " + std::to_string(n - 1) + " more)" : ""));
   }
@@ -44,12 +44,13 @@
   return config::parse(app_config::render(setup.app).dump(), &nothing);
 }
 
-// What the operators' file switches on. Throws config::Error: its faults, all of them told.
+// Loads the operators' file on what the routers share. Prints all errors; throws config::Error if there are
+// any.
 config::Fleet fleet_from(const std::string& path, const config::Config& config) {
   const app_config::FleetFile read = app_config::read_fleet_file(path);
   for (const auto& fault : read.faults) std::fprintf(stderr, "%s\n", fault.coded().c_str());
   const std::size_t n = read.faults.size();
-  if (n > 0) throw config::Error(path + ": " + std::to_string(n) + (n == 1 ? " fault" : " faults"));
+  if (n > 0) throw config::Error(path + ": " + std::to_string(n) + (n == 1 ? " error" : " errors"));
   config::Fleet fleet = read.fleet;
   config::take_peers(config, fleet);
   return fleet;
@@ -58,12 +59,12 @@
 struct Running {
   router::Router* router = nullptr;
   std::function<config::Config()> read_again;
-  std::string format; // of --log-format; empty: as the file says
+  std::string format; // value of --log-format; empty: use the format of the file
 };
 
 void begin_shutdown(int, short, void* running) { static_cast<Running*>(running)->router->begin_shutdown(); }
 
-// A file that can't be read or is faulty changes nothing.
+// On SIGHUP. A file that is unreadable or invalid changes nothing.
 void reload(int, short, void* self) {
   auto* running = static_cast<Running*>(self);
   try {
@@ -74,7 +75,8 @@
   }
 }
 
-// The tables are sized by what the system grants, where that is less than was promised.
+// Raises the process's descriptor limit to the configured one. If the system grants fewer descriptors, the
+// tables are sized by the granted number.
 void raise_descriptor_limit(config::Config& config) {
   rlimit files{};
   if (getrlimit(RLIMIT_NOFILE, &files) != 0 || files.rlim_cur >= config.sockets) return;
@@ -87,8 +89,8 @@
 
 int run(config::Config config, Running running, const std::optional<config::Fleet>& fleet) {
   signal(SIGPIPE, SIG_IGN);
-  signal(SIGXFSZ, SIG_IGN); // a body's file at the process's limit: the write fails, and that is dealt with
-  signal(SIGHUP, SIG_IGN);  // until the router is there to reload
+  signal(SIGXFSZ, SIG_IGN); // at the file size limit, the write of a spilled body fails, which is handled
+  signal(SIGHUP, SIG_IGN);  // until the router can reload
   raise_descriptor_limit(config);
   const router::BasePtr base = router::make_base();
   auto from = router::inherit(config);
@@ -109,11 +111,11 @@
 
 int serve(const Arguments& given) {
   cxxopts::Options options("fernward serve", "Run the router");
-  options.add_options()("config",
-                        "An application's file (TOML); without it NODE_CONFIG names the platform's (JSON)",
-                        cxxopts::value<std::string>())(
-      "fleet", "A file (TOML) on what the routers of a tier share; without it nothing",
-      cxxopts::value<std::string>())("log-format", "text or json; goes before the file's",
+  options.add_options()(
+      "config", "An application's file (TOML); default: the platform file (JSON) named by NODE_CONFIG",
+      cxxopts::value<std::string>())(
+      "fleet", "A file (TOML) on what the routers of a tier share; default: they share nothing",
+      cxxopts::value<std::string>())("log-format", "text or json; overrides the file",
                                      cxxopts::value<std::string>());
   const auto parsed = arguments::parse(options, given);
   Running running;
@@ -126,15 +128,16 @@
     if (parsed.count("fleet") > 0) fleet = fleet_from(parsed["fleet"].as<std::string>(), config);
     return run(std::move(config), std::move(running), fleet);
   }
-  if (parsed.count("fleet") > 0) throw UsageError("--fleet needs the platform's file, which names the peers");
+  if (parsed.count("fleet") > 0)
+    throw UsageError("--fleet requires the platform file, which lists the peers");
   const std::string path = parsed["config"].as<std::string>();
   running.read_again = [path] { return from_setup(path, false); };
   return run(from_setup(path, true), std::move(running), std::nullopt);
 }
 
 int check_config(const Arguments& given) {
-  cxxopts::Options options("fernward check-config", "Check the file that NODE_CONFIG names");
-  options.add_options()("fleet", "And this file on what the routers of a tier share",
+  cxxopts::Options options("fernward check-config", "Check the platform file named by NODE_CONFIG");
+  options.add_options()("fleet", "Also check this file on what the routers of a tier share",
                         cxxopts::value<std::string>());
   const auto parsed = arguments::parse(options, given);
   const config::Config config = config::load(&environment);
--- a/src/commands/sidecar.cpp
+++ b/src/commands/sidecar.cpp
@@ -1,4 +1,4 @@
-// fernward sidecar: the router of one application, and the application.
+// fernward sidecar: runs one application and its router as child processes.
 #include <signal.h>
 #include <unistd.h>
 
@@ -17,10 +17,11 @@
 namespace fernward::commands {
 namespace {
 
-constexpr double kWindDownMs = 1200; // beyond the longest give-up time: see router/graceful_shutdown.h
+constexpr double kWindDownMs = 1200; // after the longest client timeout: see router/graceful_shutdown.h
 constexpr double kLookMs = 50;
 
-// By the router of a sidecar that crashed: it answers what it has taken, and ends.
+// Whether the only error is that the address is in use. The router of a crashed sidecar still holds it: it
+// finishes its active requests and ends.
 bool only_taken(const app_config::Setup& setup) {
   return setup.faults.size() == 1 && setup.faults.front().code == "listen-taken";
 }
@@ -30,16 +31,16 @@
 int sidecar(const arguments::Arguments& given) {
   cxxopts::Options options(
       "fernward sidecar",
-      "Run the router and the application beside it: the application starts once the router is ready, "
-      "with the address in its environment, and its exit code is this one's");
+      "Run the router and its application: the application is started once the router is ready, with "
+      "the router's address in its environment; its exit code is returned");
   options.add_options()("config", "The application's file (TOML)", cxxopts::value<std::string>())(
-      "log-format", "text or json; goes before the file's", cxxopts::value<std::string>());
+      "log-format", "text or json; overrides the file", cxxopts::value<std::string>());
   options.custom_help("[OPTION...] -- COMMAND [WORD...]");
   const auto split = std::find(given.begin(), given.end(), "--");
   const auto parsed = arguments::parse(options, {given.begin(), split});
-  if (parsed.count("config") != 1) throw arguments::UsageError("--config is wanted");
+  if (parsed.count("config") != 1) throw arguments::UsageError("--config is required");
   if (split == given.end() || split + 1 == given.end())
-    throw arguments::UsageError("wanted: -- COMMAND, the application");
+    throw arguments::UsageError("missing -- COMMAND, the application");
   const std::string path = parsed["config"].as<std::string>();
   std::string format = log_format(parsed);
 
@@ -48,7 +49,7 @@
   const app_config::App& app = setup.app;
   if (format.empty() && app.log.format == 1) format = "json";
   log::write_json(format == "json");
-  // The claim first: who has it is told by name, where the bind could only say that somebody listens.
+  // The claim comes first: it reports the owner of the address by name, bind() only that it is in use.
   const std::string folder =
       app.application.runtime_folder.empty() ? sidecar::runtime_folder() : app.application.runtime_folder;
   const sidecar::Claim claim(folder, app.listen, app.name);
--- a/tests/app_config/config_command_test.cpp
+++ b/tests/app_config/config_command_test.cpp
@@ -38,7 +38,7 @@
   } cases[] = {
       {"", 2, "no command"},
       {"mend", 2, "no command \"mend\""},
-      {"check", 2, "wanted: FILE..."},
+      {"check", 2, "expected arguments: FILE..."},
       {"check --format xml " + kGood + "least.toml", 2, "text or json"},
       {"check --elsewhere " + kGood + "whole.toml", 0, "whole.toml: sound"},
       {"check /nowhere.toml", 1, "/nowhere.toml:1:1: unreadable: (file): can't be read"},
@@ -51,7 +51,7 @@
       {"diff " + kGood + "whole.toml " + kGood + "retries-none.toml", 0,
        "classes.book.retries: 2 -> 0 (reload)"},
       {"diff " + kGood + "whole.toml " + kGood + "tier.toml", 0, "a restart is needed"},
-      {"diff " + kGood + "whole.toml", 2, "wanted: OLD NEW"},
+      {"diff " + kGood + "whole.toml", 2, "expected arguments: OLD NEW"},
       {"render " + kGood + "whole.toml", 0, "\"dedup_scope\": \"all\""},
       {"schema", 0, "json-schema.org"},
       {"reference", 0, "| `retry-past-window` |"},
@@ -84,7 +84,7 @@
     CHECK(said.code == 0);
   }
   const std::string was = text_of(out);
-  CHECK(ask("new --node 127.0.0.1:1 --out " + out).has("there already"));
+  CHECK(ask("new --node 127.0.0.1:1 --out " + out).has("already exists"));
   // The process may not write a file of more than one block.
   const Said full = ask("new --force --node 127.0.0.1:1 --out " + out, "trap '' XFSZ; ulimit -f 1;");
   CHECK(full.code == 1);
