--- a/src/app_config/fleet.cpp
+++ b/src/app_config/fleet.cpp
@@ -20,14 +20,14 @@
 };
 
 void describe(toml_document::Visitor& v, config::Fleet& f) {
-  v.enter("members", "who of the tier lives");
-  v.amount("period_ms", f.period_ms, Unit::Time, "one other router is pinged in each");
-  v.count("asked", f.asked, "others that are asked about one that does not answer", Unit::Number);
+  v.enter("members", "membership of the tier");
+  v.amount("period_ms", f.period_ms, Unit::Time, "another router is pinged once per period");
+  v.count("asked", f.asked, "other routers that are asked to ping one that does not answer", Unit::Number);
   v.leave();
-  v.enter("share", "what is told, and used");
-  v.flag("ledger", f.ledger, "the limit at the ledger, dealt out by demand");
-  v.flag("count", f.count, "living routers, in place of the configured number where that is safe");
-  v.flag("findings", f.findings, "what several routers say together of a cache node");
+  v.enter("share", "what the routers exchange and use");
+  v.flag("ledger", f.ledger, "the limit at the ledger, distributed by demand");
+  v.flag("count", f.count, "the number of live routers instead of the configured one, if safe");
+  v.flag("findings", f.findings, "consistent reports of several routers on a cache node");
   v.leave();
 }
 
@@ -56,7 +56,7 @@
     };
     if (read.fleet.period_ms < 50 || read.fleet.period_ms > 5000)
       wrong("members.period_ms", "must be from 50 ms to 5 s");
-    if (read.fleet.asked > 8) wrong("members.asked", "must be 8 at most");
+    if (read.fleet.asked > 8) wrong("members.asked", "must be at most 8");
   }
   toml_document::tidy(read.faults);
   return read;
