--- a/src/config/address.h
+++ b/src/config/address.h
@@ -1,4 +1,4 @@
-// Addresses as configuration and discovery write them.
+// Parses addresses in the form used by configuration and discovery.
 #pragma once
 
 #include <netinet/in.h>
@@ -8,10 +8,10 @@
 
 namespace fernward::config {
 
-bool parse_address(const std::string& text, sockaddr_in& into); // IPv4 "host:port"
+bool parse_address(const std::string& text, sockaddr_in& into); // IPv4 "host:port"; false: invalid
 
-// Of "unix:/run/app/router.sock" the path; none: it is no such address, or longer than the kernel takes (107
-// bytes).
+// The path of an address such as "unix:/run/app/router.sock"; none: another kind of address, or the path
+// exceeds the kernel's limit of 107 bytes.
 std::optional<std::string> unix_path(const std::string& text);
 
 } // namespace fernward::config
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -24,26 +24,26 @@
   if (value.empty()) value = from_environment(environment, variable);
   const std::string named = file_first || value.empty() ? key : variable;
   if (value.empty()) file.read(key, value);
-  if (value.empty()) throw Error(std::string(key) + ": is missing (as is " + variable + ")");
+  if (value.empty()) throw Error(std::string(key) + ": is missing (and so is " + variable + ")");
   sockaddr_in where{};
   if (!parse_address(value, where) && !(named == "listen" && unix_path(value)))
-    throw Error(named + ": \"" + value + "\" is no address of the form 10.0.0.4:7070");
+    throw Error(named + ": \"" + value + "\" is not an address of the form 10.0.0.4:7070");
   return value;
 }
 
-// Where the operators call; no address, no listener.
+// The listen address of the admin port; empty: no listener.
 std::string control_address(const Part& file, Lookup environment) {
   std::string value = from_environment(environment, "NODE_CONTROL");
   const char* named = value.empty() ? "control" : "NODE_CONTROL";
   if (value.empty()) file.read("control", value);
   sockaddr_in where{};
   if (!value.empty() && !parse_address(value, where))
-    throw Error(std::string(named) + ": \"" + value + "\" is no address of the form 10.0.0.4:7071");
+    throw Error(std::string(named) + ": \"" + value + "\" is not an address of the form 10.0.0.4:7071");
   return value;
 }
 
-// Under the platform's folder for this router, which both processes see. One path for an address: two routers
-// may have one folder.
+// The socket is in the platform's folder for this router, which both processes can access. Its name contains
+// the listen address, as two routers may share a folder.
 std::string handover_path(const Config& config, Lookup environment) {
   const std::string folder = from_environment(environment, "TMPDIR");
   if (config.control.empty() || folder.empty() || config.listen.ends_with(":0")) return "";
@@ -61,7 +61,7 @@
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (text.empty() || error != std::errc() || end != text.data() + text.size()) {
-    throw Error("seed: \"" + text + "\" is no hexadecimal number of up to 16 digits");
+    throw Error("seed: \"" + text + "\" is not a hexadecimal number of up to 16 digits");
   }
   return seed;
 }
@@ -92,7 +92,7 @@
   Part file;
   file.json = parse_json(text);
   if (file.json.is_discarded()) throw Error("NODE_CONFIG: the file is not JSON, or nested too deeply");
-  if (!file.json.is_object()) throw Error("NODE_CONFIG: the file holds no JSON object");
+  if (!file.json.is_object()) throw Error("NODE_CONFIG: the file must contain a JSON object");
 
   Config config;
   config.name = from_environment(environment, "NODE_NAME");
@@ -157,8 +157,9 @@
 
 namespace {
 
-// `now` with what is new in `next` behind it; what `next` has no more keeps its number, under a name that no
-// header can carry. `place`: of each of the result its number in `next`, or none.
+// Appends the new names of `next` to `current`. A name absent from `next` keeps its index but gets a leading
+// newline, which no header can carry. `source_index`: for each name of the result its index in `next`, or
+// none.
 std::vector<std::string> merged(const std::vector<std::string>& now, const std::vector<std::string>& next,
                                 std::vector<std::optional<std::size_t>>& place) {
   std::vector<std::string> all;
@@ -171,7 +172,7 @@
   }
   for (std::size_t i = 0; i < next.size(); ++i) {
     if (std::find(now.begin(), now.end(), next[i]) != now.end()) continue;
-    // One that was left out before and is back has its old number.
+    // A name that was removed before and returns gets its old index.
     const auto back = std::find(all.begin(), all.end(), "\n\n" + next[i]);
     if (back != all.end()) {
       *back = next[i];
@@ -182,12 +183,12 @@
     place.push_back(i);
   }
   for (std::string& name : all) {
-    if (name.starts_with("\n\n")) name.erase(0, 1); // left out for longer
+    if (name.starts_with("\n\n")) name.erase(0, 1); // removed in an earlier reload
   }
   return all;
 }
 
-// What a reload may move, by its path in the platform's form.
+// Whether a reload may change the key. `path`: a JSON pointer in the platform file.
 bool may_move(const std::string& path) {
   for (const char* part :
        {"/map", "/make_ids", "/log", "/nodes_file", "/nodes_fixed", "/settings/classes", "/settings/parties",
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,5 @@
-// The one place that reads the environment and NODE_CONFIG, checks what is there and fills in defaults.
+// Reads the environment and the platform file (NODE_CONFIG), validates them and fills in defaults. No other
+// code reads them.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,58 +10,60 @@
 
 namespace fernward::config {
 
-// How the log is written.
+// Format and rate limit of the log.
 struct LogRules {
   bool json = false, connections = true;
   double per_second = 100, burst = 300;
 };
 
-// Where nodes are told: by discovery, by a file that is watched, or once for all in `known`.
+// The configuration of a router. The endpoint list comes from discovery, from a watched file, or from
+// `known_endpoints` alone.
 struct Config {
   std::string name, listen, discovery, nodes_file;
-  std::string control;  // the operators' address; empty: there is none
-  std::string handover; // the path where a process that replaces this one finds it; empty: it can't
+  std::string control;  // listen address of the admin port; empty: none
+  std::string handover; // socket path for a hot restart; empty: not possible
   bool nodes_fixed = false;
   std::vector<Mapping> map;
   bool make_ids = false; // for requests without X-Request-ID
   LogRules log;
-  bool movable = false; // a reload may change more than `discovery`: see moved()
+  bool movable = false; // a reload may change more than `discovery`: see merge_reloaded()
   std::uint64_t seed = 1;
   std::uint32_t sockets = 1024, memory_mb = 192;
-  std::uint32_t answer_bytes = 32 << 20;  // the longest answer that is passed on
-  std::uint32_t request_bytes = 32 << 20; // the longest body of a request
-  std::string body_folder;                // for bodies beyond what memory keeps; empty: none
-  std::uint32_t body_folder_mb = 64;      // for all of them
-  nlohmann::json known;                   // the node list as this router had it last; null: none
-  nlohmann::json fixed; // the file's keys that hold until the program ends, as they were written
+  std::uint32_t answer_bytes = 32 << 20;  // the longest response that is forwarded
+  std::uint32_t request_bytes = 32 << 20; // the longest request body
+  std::string body_folder;                // for bodies that exceed the buffer budget; empty: no spill
+  std::uint32_t body_folder_mb = 64;      // total size of spilled bodies
+  nlohmann::json known;                   // the last endpoint list of this router; null: none
+  nlohmann::json fixed; // the keys of the file that are fixed until the process ends, as written
   fernward::Settings settings;
   Names names;
   Limits limits;
 };
 
-using Lookup = const char* (*)(const char* name); // std::getenv, or a test's
+using Lookup = const char* (*)(const char* name); // std::getenv, or a replacement in tests
 
-constexpr std::uint32_t kReserved = 24; // descriptors for all but the connections of clients and targets
+constexpr std::uint32_t kReserved = 24; // descriptors not used for connections of clients and servers
 
-// Of a memory limit: what requests that have not come whole may hold, and what bodies and answers on their
-// way may.
+// Parts of the memory limit: for requests that are incomplete, and for bodies and responses that are being
+// forwarded.
 inline std::size_t buffer_bytes(std::uint64_t memory_mb) { return (memory_mb << 20) / 8; }
 inline std::size_t body_bytes(std::uint64_t memory_mb) { return (memory_mb << 20) / 4; }
 
-// What the program starts with: the environment goes before the file.
+// The configuration at startup. The environment has precedence over the file.
 Config load(Lookup environment);                           // throws Error
 Config parse(const std::string& text, Lookup environment); // the file's text; throws Error
 
-// The file read again: its `discovery` goes before the environment, which can't change while the program
-// runs.
+// Reads the file again. Its `discovery` has precedence over the environment, which can't change while the
+// process runs.
 Config reload(Lookup environment); // throws Error
 
-// Of a configuration that is `movable`: `next` as it can be taken by a router that runs under `now`. Classes
-// and tenants keep their numbers; one that `next` has no more stays, and no request can name it. Throws Error
-// for the first key that can't change while the router runs; nothing of `next` may count then.
+// For a `reloadable` configuration: `next` in the form that a router running with `current` can apply.
+// Classes and tenants keep their indexes; those absent from `next` are kept under names that no request can
+// carry. Throws Error for the first key that can't change while the router runs; then nothing of `next` may
+// be applied.
 Config moved(const Config& now, Config next);
 
-// The keys, by path, in which a file read again differs from the one before and that a reload can't change.
+// The paths of the keys that differ between two versions of the file and that a reload can't change.
 std::vector<std::string> refused_changes(const Config& before, const Config& after);
 
 } // namespace fernward::config
--- a/src/config/fleet.cpp
+++ b/src/config/fleet.cpp
@@ -12,13 +12,12 @@
   const Part settings = file.needed_part("settings");
   bool may_tell = true;
   settings.part("limits").read("may_tell", may_tell);
-  if (!may_tell)
-    throw Error("settings.limits.may_tell: is false: routers may not tell one another anything here");
+  if (!may_tell) throw Error("settings.limits.may_tell: is false: routers must not exchange messages here");
   settings.count("me", fleet.self);
   sockaddr_in where{};
   if (!parse_address(fleet.listen, where))
-    throw Error("peer_listen: \"" + fleet.listen + "\" is no address of the form 10.0.0.4:7946");
-  if (fleet.peers.size() > 65535) throw Error("peers: are more than 65535");
+    throw Error("peer_listen: \"" + fleet.listen + "\" is not an address of the form 10.0.0.4:7946");
+  if (fleet.peers.size() > 65535) throw Error("peers: has more than 65535 entries");
   for (std::size_t i = 0; i < fleet.peers.size(); ++i) {
     if (!parse_address(fleet.peers[i], where))
       throw Error("peers[" + std::to_string(i) + "]: \"" + fleet.peers[i] +
--- a/src/config/fleet.h
+++ b/src/config/fleet.h
@@ -1,5 +1,5 @@
-// What routers of a tier share: switched on by a file of the operators' own (`serve --fleet FILE`), each part
-// by itself. Without the file there is no socket, timer or byte of it.
+// What the routers of a tier share with one another. Enabled by a separate file of the operators
+// (`serve --fleet FILE`), each part independently. Without the file there is no socket, timer or traffic.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +11,19 @@
 namespace fernward::config {
 
 struct Fleet {
-  double period_ms = 400;  // one ping in each
-  std::uint32_t asked = 3; // others that are asked about one that does not answer
-  bool ledger = true;      // the limit at the ledger, dealt out by demand
-  bool count = true;       // living routers in place of the configured number, where that is safe
-  bool findings = false;   // what several say together of cache nodes
-  // From the platform's file:
+  double period_ms = 400;  // one ping of another router per period
+  std::uint32_t asked = 3; // routers that are asked to ping one that does not answer
+  bool ledger = true;      // distribute the origin limit by demand
+  bool count = true;       // use the number of live routers instead of the configured one, if safe
+  bool findings = false;   // use consistent reports of several routers on caches
+  // From the platform file:
   std::uint32_t self = 0;
   std::string listen;
   std::vector<std::string> peers;
 };
 
-// Adds what the platform's file says of the tier. Throws Error: `peer_listen`, `peers` or `settings.me` is
-// missing or can't be.
+// Adds the tier's members from the platform file. Throws Error if `peer_listen`, `peers` or `settings.me` is
+// missing or invalid.
 void take_peers(const Config& config, Fleet& fleet);
 
 } // namespace fernward::config
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -1,4 +1,4 @@
-// JSON from outside, as far as it may be nested.
+// Parses untrusted JSON with a limit on nesting.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -6,10 +6,10 @@
 
 namespace fernward::config {
 
-constexpr int kMostNested = 64; // no list and no file has a tenth of it
+constexpr int kMostNested = 64; // valid lists and files need less than a tenth of it
 
-// Do so many brackets stand in one another? Those within strings do not count. One pass over the text: asking
-// the parser at every value made a long list twice as dear.
+// Whether brackets are nested deeper than kMaxNesting; those within strings are ignored. This is a separate
+// pass over the text, as a parser callback for every value doubled the cost of a long list.
 inline bool too_deep(const std::string& text) {
   int depth = 0;
   bool in_string = false;
@@ -29,8 +29,8 @@
   return false;
 }
 
-// Discarded where it is no JSON, or nested deeper than that: copies, prints and ends of a value call
-// themselves for each level, and a few megabytes of brackets would take the whole stack.
+// Returns a discarded value if the text is not JSON or is nested deeper than kMaxNesting. Copying, printing
+// and destroying a value recurse for each level, so a few megabytes of brackets would exhaust the stack.
 inline nlohmann::json parse_json(const std::string& text) {
   if (too_deep(text)) return {nlohmann::json::value_t::discarded};
   return nlohmann::json::parse(text, nullptr, false);
--- a/src/config/read.h
+++ b/src/config/read.h
@@ -1,4 +1,4 @@
-// Typed reads from JSON that name the key at fault.
+// Typed reads from JSON. Errors name the invalid key.
 #pragma once
 
 #include <cmath>
@@ -9,14 +9,14 @@
 
 namespace fernward::config {
 
-// An object and where it stands, for messages.
+// A JSON object and its path, which is used in messages.
 struct Part {
   nlohmann::json json;
   std::string path;
 
   std::string at(const std::string& key) const { return path.empty() ? key : path + "." + key; }
 
-  // What is absent keeps its default.
+  // `into` keeps its value if the key is absent or null.
   template <typename T>
   void read(const std::string& key, T& into) const {
     const auto found = json.find(key);
@@ -33,24 +33,24 @@
     if (!json.contains(key) || json.at(key).is_null()) throw Error(at(key) + ": is missing");
     read(key, into);
   }
-  // A number that must lie in a range; what is absent keeps its default.
+  // Reads a number from 0 to `max`. `into` keeps its value if the key is absent.
   void range(const std::string& key, double& into, double most = 1e300) const {
     read(key, into);
-    if (!(into >= 0 && into <= most)) throw Error(at(key) + ": must be a number from 0 on" + limit(most));
+    if (!(into >= 0 && into <= most)) throw Error(at(key) + ": must be a number of at least 0" + limit(most));
   }
   static std::string limit(double most) {
-    return most < 1e300 ? " to " + std::to_string(std::lround(most)) : "";
+    return most < 1e300 ? " and at most " + std::to_string(std::lround(most)) : "";
   }
-  // A count: JSON's -1 or 2.5 must not turn into one in silence.
+  // Reads a required count. Rejects values such as -1 or 2.5, which must not be converted silently.
   void count(const std::string& key, std::uint32_t& into, double least = 0) const {
     double value = into;
     need(key, value);
     if (!(value >= least && value <= 4294967295.0) || value != std::floor(value)) {
-      throw Error(at(key) + ": must be a whole number from " + std::to_string(std::lround(least)) + " on");
+      throw Error(at(key) + ": must be an integer of " + std::to_string(std::lround(least)) + " or more");
     }
     into = static_cast<std::uint32_t>(value);
   }
-  // A part that may be missing, but must be an object where it is there.
+  // An optional object; empty if absent. Throws Error if it has another type.
   Part part(const std::string& key) const {
     const auto found = json.find(key);
     if (found == json.end() || found->is_null()) return {nlohmann::json::object(), at(key)};
@@ -62,7 +62,7 @@
     if (!json.contains(key) || json.at(key).is_null()) throw Error(at(key) + ": is missing");
     return part(key);
   }
-  // The objects of a list that may be missing.
+  // The objects of an optional list.
   std::vector<Part> list(const std::string& key) const {
     std::vector<Part> parts;
     const auto found = json.find(key);
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -37,7 +37,7 @@
   from.read("may_duplicate", cls.may_hedge);
   std::string repeat;
   from.need("repeat", repeat);
-  // An unknown word gets the strictest meaning.
+  // An unknown word is treated as the strictest value.
   cls.idempotency =
       one_of<Idempotency>(repeat, {{"safe", Idempotency::Idempotent}, {"keyed", Idempotency::WithKey}},
                           Idempotency::NonIdempotent);
@@ -58,21 +58,21 @@
                                  LoadReportField::Other);
 }
 
-// Requests carry these names: without one, or with another's, an entry could not be asked for.
+// Requests refer to entries by name, so an entry without a name or with a duplicate one would be unreachable.
 std::vector<std::string> names_of(const Part& from, const char* key) {
   std::vector<std::string> names;
   for (const Part& entry : from.list(key)) {
     std::string name;
     entry.need("name", name);
-    if (name.empty()) throw Error(entry.at("name") + ": is empty");
+    if (name.empty()) throw Error(entry.at("name") + ": must not be empty");
     if (std::find(names.begin(), names.end(), name) != names.end())
-      throw Error(entry.at("name") + ": \"" + name + "\" is there twice");
+      throw Error(entry.at("name") + ": \"" + name + "\" is given twice");
     names.push_back(std::move(name));
   }
   return names;
 }
 
-// A number that points into a list of names; where the list is not told, any.
+// Checks an index into a list of names. If the list is absent, any index is valid.
 void check_place(const Part& from, const std::string& key, std::uint32_t place, const Part& lists,
                  const char* list) {
   std::vector<std::string> names;
@@ -101,7 +101,7 @@
   }
   if (!json.contains("classes")) throw Error("classes: is missing");
   for (const Part& cls : from.list("classes")) s.classes.push_back(parse_class(cls));
-  if (s.classes.empty()) throw Error("classes: there must be one at least");
+  if (s.classes.empty()) throw Error("classes: must have at least one entry");
   for (const Part& party : from.list("parties")) {
     fernward::TenantSettings tenant;
     party.range("share", tenant.service_share, 1);
@@ -158,7 +158,7 @@
   resize.range("ledger_multiple", s.resize.origin_load_multiple);
   resize.range("second_holder", s.resize.second_replica_share, 1);
   if (s.resize.origin_load_multiple > 0 && s.resize.origin_load_multiple < 1) {
-    throw Error(resize.at("ledger_multiple") + ": must be 0 or 1 and more");
+    throw Error(resize.at("ledger_multiple") + ": must be 0, or at least 1");
   }
   return s;
 }
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -1,4 +1,4 @@
-// The settings object: what the decision module and the network code need of it, checked, with defaults.
+// Parses and validates the settings object for the load balancer and for the network code; fills in defaults.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -10,31 +10,31 @@
 
 namespace fernward::config {
 
-// What is wrong, in words that begin with the faulty key.
+// An invalid configuration. The message begins with the invalid key.
 struct Error : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// The module's part. Unknown keys are passed over; throws Error for a needed key that is missing or for a
-// value of the wrong type.
+// The settings of the load balancer. Unknown keys are ignored. Throws Error for a missing required key or for
+// a value of the wrong type.
 fernward::Settings parse_settings(const nlohmann::json& json);
 
-// The network's part: names as they stand in headers and in discovery's list, and limits of connections.
+// The settings of the network code: names used in headers and in the endpoint list, and connection limits.
 struct Names {
   std::vector<std::string> classes, tenants, zones, kinds, report_fields;
 };
-// What a request is that does not say so in its headers; the first that fits counts.
+// Class and tenant of requests without these headers; the first matching entry applies.
 struct Mapping {
-  std::string path;        // that its path begins with
+  std::string path;        // prefix of the request's path
   std::string method;      // empty: any
-  std::string cls, tenant; // empty: not said
-  double timeout_ms = 0;   // 0: not said
+  std::string cls, tenant; // empty: none
+  double timeout_ms = 0;   // 0: none
 };
 struct Limits {
   double connect_timeout_ms = 250;
   double conn_idle_ms = 15000;
   double grace_to_answer_ms = 20;
-  // After it is told that a server drains or is gone, nothing new may be sent there.
+  // After a report that a server drains or is removed, new attempts to it must stop within this time.
   double drain_grace_ms = 250;
   double open_cap = 20000;
 };
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings: what the wire's JSON becomes, and what is rejected.
+// Parsing of the settings JSON, and validation of the parsed settings.
 #include "simulator_adapter/settings.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   "registry_mode": "ask", "weight_kind": "live",
   "telemetry": {"via": "on_probe", "columns": ["qps", "latency_ms", "queue", "x9"]}})";
 
-TEST(SettingsJson, ReadsWhatThePageNames) {
+TEST(SettingsJson, ReadsAllDocumentedKeys) {
   const Settings s = simulator_adapter::parse_settings(kFull);
   EXPECT_EQ(s.router_count, 4u);
   EXPECT_EQ(s.zone, 1u);
@@ -47,7 +47,7 @@
   EXPECT_DOUBLE_EQ(s.tenants[0].quota_per_s, 45);
 }
 
-TEST(SettingsJson, ThroughModeHasNoOriginOnTheList) {
+TEST(SettingsJson, ModeOtherThanAsideHasNoOriginKind) {
   std::string text = kFull;
   text.replace(text.find("aside"), 5, "thru!");
   EXPECT_EQ(simulator_adapter::parse_settings(text).origin_kind, -1);
@@ -61,7 +61,7 @@
   EXPECT_THROW(simulator_adapter::parse_settings(text), simulator_adapter::BadInput);
 }
 
-TEST(Validate, NamesTheImpossibleField) {
+TEST(Validate, NamesTheInvalidField) {
   const auto message = [](auto change) {
     Settings s = testing::plain_settings();
     change(s);
