--- a/src/toml_document/document.cpp
+++ b/src/toml_document/document.cpp
@@ -9,18 +9,18 @@
 namespace {
 
 constexpr std::size_t kMostFaults = 200;
-constexpr std::size_t kMostLayers = 9;            // the file and eight that it builds on
-constexpr std::uintmax_t kLargestFile = 1u << 20; // such files have a few hundred lines
-constexpr int kDeepest = 100;                     // brackets within brackets, or names behind dots
+constexpr std::size_t kMostLayers = 9;            // the file and eight included files
+constexpr std::uintmax_t kLargestFile = 1u << 20; // usual files have a few hundred lines
+constexpr int kDeepest = 100;                     // nested brackets, or parts of a dotted key
 
 struct Stray {
   unsigned line = 1, column = 1;
   const char* why = "";
 };
 
-// toml++ 3.3 does not survive every letter beyond ASCII where a key or a space belongs: they are allowed in
-// quotes and comments alone, as TOML 1.0 has it. Gives the place of the first one elsewhere. It follows
-// brackets and dots by calling itself: too many of them end the stack.
+// Finds text that would crash toml++ 3.3. Some non-ASCII characters crash it in place of a key or of white
+// space; TOML 1.0 allows them only in quotes and comments. It also recurses for brackets and dotted keys, so
+// too many of them exhaust the stack. Returns the position of the first such text, if any.
 std::optional<Stray> stray_letter(std::string_view text) {
   enum { Plain, Comment, Basic, Literal, LongBasic, LongLiteral } in = Plain;
   unsigned line = 1, column = 1;
@@ -48,7 +48,7 @@
     } else if ((in == LongBasic || in == LongLiteral) && three == std::string(3, mark)) {
       i += 2, column += 2;
       in = Plain;
-      while (text.substr(i + 1, 1) == std::string(1, mark)) ++i, ++column; // up to two more belong to it
+      while (text.substr(i + 1, 1) == std::string(1, mark)) ++i, ++column; // up to two more are content
     }
     if (i < text.size() && text[i] == '\n') {
       ++line;
@@ -80,7 +80,7 @@
   if (faults.size() <= kMostFaults) return;
   const std::size_t more = faults.size() - kMostFaults;
   faults.resize(kMostFaults);
-  faults.push_back({faults.back().at, "...", "and " + std::to_string(more) + " more faults", "more"});
+  faults.push_back({faults.back().at, "...", "and " + std::to_string(more) + " more errors", "more"});
 }
 
 Position position(const toml::source_region& at, const Layer& layer) {
@@ -100,12 +100,12 @@
 
 namespace {
 
-// `within`: the files on the way to this one.
+// `including_files`: the chain of files that include this one.
 bool parse_with(std::string text, const std::string& file, const char* key, const Loader& load,
                 Faults& faults, Layers& layers, std::vector<std::string> within) {
   auto layer = std::make_unique<Layer>();
   layer->file = file;
-  if (text.starts_with("\xef\xbb\xbf")) text.erase(0, 3); // a byte order mark, as some editors leave it
+  if (text.starts_with("\xef\xbb\xbf")) text.erase(0, 3); // a byte order mark, written by some editors
   if (const auto stray = stray_letter(text)) {
     faults.push_back({{file, stray->line, stray->column}, "(syntax)", stray->why, "syntax"});
     return false;
--- a/src/toml_document/document.h
+++ b/src/toml_document/document.h
@@ -1,7 +1,7 @@
-// Files of TOML, what they build on, and where their faults stand. Read whole: every fault is found, not the
-// first alone, and named by file, line and column.
+// Parses TOML files and the files that they include. All errors are collected, not only the first, each with
+// file, line and column.
 //
-// Bounds: a file of 1 MiB, eight files that build on one another, 200 faults told.
+// Limits: 1 MiB per file, eight included files, 200 reported errors.
 #pragma once
 
 #include <filesystem>
@@ -25,37 +25,38 @@
 struct Fault {
   Position at;
   std::string key, why;
-  std::string code; // for programs: "syntax", "include", "unknown-key", "type", "unit", "value", "word", ...
+  std::string code; // machine-readable: "syntax", "include", "unknown-key", "type", "unit", "value", ...
 
   std::string text() const;  // "day.toml:12:8: load.rate: has no unit: ..."
   std::string coded() const; // "day.toml:12:8: unit: load.rate: has no unit: ..."
 };
 using Faults = std::vector<Fault>;
-using Places = std::map<std::string, Position>; // of what files give, by the member's path
+using Places = std::map<std::string, Position>; // of the values in files, by member path
 
-// In the order of files and lines, each once, no more than anyone reads.
+// Sorts by file and position, removes duplicates, and replaces those beyond kMaxDiagnostics by their number.
 void tidy(Faults& faults);
 
-struct Layer { // a file: what it does not give, another one may
+struct Layer { // a parsed file; keys that it omits may come from another layer
   std::string file;
   toml::table table;
 };
 using Layers = std::vector<std::unique_ptr<Layer>>;
 
-// A table of some file, of which a part of the data is made; of several the first that has a key counts.
+// A table of one layer. Of several source tables, the first that contains a key provides its value.
 struct Source {
   const toml::table* table = nullptr;
   const Layer* layer = nullptr;
 };
 
-// The text of a file; none: it can't be read.
+// Returns the text of a file; none: it can't be read.
 using Loader = std::function<std::optional<std::string>(const std::filesystem::path&)>;
 std::optional<std::string> load_file(const std::filesystem::path& path);
 
 Position position(const toml::source_region& at, const Layer& layer);
 
-// Parses `text` and what it names under `key`, a path or a list of paths relative to it: those go behind it,
-// of a list the last first, and what they name themselves behind each. False: there is a fault.
+// Parses `text` and the files named under its key `include_key`: a path or a list, relative to `file`.
+// Appends to `layers` in order of precedence: the file, then its includes, the last one first, each followed
+// by its own includes. Returns false if there is an error.
 bool parse_layers(std::string text, const std::string& file, const char* key, const Loader& load,
                   Faults& faults, Layers& layers);
 
--- a/src/toml_document/reader.cpp
+++ b/src/toml_document/reader.cpp
@@ -140,7 +140,7 @@
 
 void Reader::fault(const Found& found, const std::string& member, Why why) {
   broken_.insert(member);
-  if (why.text.empty()) return; // told elsewhere
+  if (why.text.empty()) return; // reported elsewhere
   fault(position(found.node->source(), *found.layer), key_of(member), why.code, std::move(why.text));
 }
 
@@ -182,7 +182,7 @@
   return part;
 }
 
-// A name is not to blame where the table it should be in could not be read.
+// Does not report an unknown name if the table that should define it could not be read.
 std::function<std::optional<std::uint32_t>(const toml::node&, Why&)> Reader::reference(Table table) {
   return [this, table](const toml::node& node, Why& why) -> std::optional<std::uint32_t> {
     const auto found = take_ref(node, table, names_, why);
@@ -198,7 +198,7 @@
          });
 }
 
-// Is it given? A value at fault stays as it was.
+// Returns whether the member is present. An invalid value leaves `value` unchanged.
 template <typename T, typename F>
 bool Reader::leaf(const char* member, T& value, F take) {
   const Found found = find(member);
--- a/src/toml_document/reader.h
+++ b/src/toml_document/reader.h
@@ -1,4 +1,5 @@
-// Reads described data from tables of TOML. Every fault is noted; a value at fault stays as it was.
+// Reads described data from TOML tables. All errors are collected; an invalid value leaves the member
+// unchanged.
 #pragma once
 
 #include <functional>
@@ -13,11 +14,11 @@
 
 class Reader : public Visitor {
  public:
-  // `sources`: the top of the data, of which the first that has a key counts. `names` and both sinks outlive
-  // it. `apart`: keys of the top that are no members.
+  // `sources`: the top-level tables; the first that contains a key provides its value. `names`, `errors` and
+  // `positions` must outlive the reader. `non_member_keys`: top-level keys that are not members.
   Reader(std::vector<Source> sources, const Names& names, Faults& faults, Places& places,
          std::set<std::string> apart);
-  std::set<std::string> close(); // after the walk: the members at fault
+  std::set<std::string> close(); // call after the description; returns the invalid members
 
   void amount(const char* member, double& value, Unit unit, const char* doc, Word word) override;
   void count(const char* member, std::uint32_t& value, const char* doc, Unit unit) override;
@@ -39,8 +40,8 @@
 
  private:
   struct Part {
-    std::vector<Source> tables; // the first that has a key counts
-    std::string path;           // of members
+    std::vector<Source> tables; // the first that contains a key provides its value
+    std::string path;           // member path of the table
     std::set<std::string> known;
   };
   struct Found {
@@ -67,7 +68,7 @@
   Places& places_;
   std::vector<Part> parts_;
   std::set<std::string> broken_;
-  std::set<std::string> tables_; // members that are tables of tables
+  std::set<std::string> tables_; // members that are tables of named tables
 };
 
 } // namespace fernward::toml_document
--- a/src/toml_document/toml.h
+++ b/src/toml_document/toml.h
@@ -1,6 +1,6 @@
-// toml++, with its assertions off. Version 3.3 asserts (or, optimised by clang, takes for granted) that a key
-// begins with a key's character, and then reports well that it does not: a file's fault must not end the
-// program.
+// toml++ with its assertions disabled. Version 3.3 asserts (or, optimised by clang, assumes) that a key
+// begins with a key character, and afterwards reports that error correctly. An invalid file must not end the
+// process.
 #pragma once
 
 #pragma push_macro("NDEBUG")
--- a/src/toml_document/units.cpp
+++ b/src/toml_document/units.cpp
@@ -10,7 +10,7 @@
 
 struct Suffix {
   std::string_view text;
-  double factor; // held = written * factor
+  double factor; // internal value = written value * factor
 };
 
 constexpr std::array<Suffix, 6> kTimes{
@@ -35,7 +35,7 @@
   return {};
 }
 
-// The decimal digits decide, not a factor that is itself rounded: 30% is 0.3, as it reads.
+// Divides by the inverse of factors below 1, which are rounded themselves: 30% is exactly 0.3.
 double scaled(double number, double factor) {
   return factor < 1 ? number / std::round(1 / factor) : number * factor;
 }
@@ -101,13 +101,13 @@
 std::string quantity_text(Unit unit, double value) {
   if (value == 0) return "0";
   std::string best;
-  // Short ones read best, and whole ones: 100ms, 1.5s.
+  // Prefers short texts and integers, such as 100ms or 1.5s.
   const auto cost = [](const std::string& text) {
     return text.size() + (text.find('.') == std::string::npos ? 0 : 2);
   };
   for (const Suffix& suffix : suffixes(unit)) {
     const double written = suffix.factor < 1 ? value * std::round(1 / suffix.factor) : value / suffix.factor;
-    // What a factor rounds away, a rounder number may bring back: 0.07 is 7%, not 7.000000000000001%.
+    // Rounding to six decimals may compensate the rounding of the factor: 0.07 is 7%, not 7.000000000000001%.
     for (const double number : {std::round(written * 1e6) / 1e6, written}) {
       std::string text = number_text(number) + std::string(suffix.text);
       Why why;
@@ -116,7 +116,7 @@
     }
   }
   if (!best.empty()) return best;
-  return number_text(value); // Number, and shares that no percentage hits
+  return number_text(value); // Number, and shares without an exact percentage
 }
 
 } // namespace fernward::toml_document
--- a/src/toml_document/units.h
+++ b/src/toml_document/units.h
@@ -1,4 +1,4 @@
-// Quantities as people write them in a file: "750ms", "64KiB", "410/s", "30%".
+// Quantities with units as written in a file: "750ms", "64KiB", "410/s", "30%".
 #pragma once
 
 #include <optional>
@@ -17,23 +17,23 @@
   ShareRate, // a percentage per time; held as a share per second
 };
 
-// Why a value can't be had: a word for programs, and what to tell people.
+// Why a value is invalid: a machine-readable code, and a message.
 struct Why {
   const char* code = "";
   std::string text;
 };
 
-// The quantity in the unit it is held in; none: `why` says what is wrong. Bare numbers but 0 need a unit,
-// save for Number and Share.
+// Returns the quantity in its internal unit; none: `failure` is set. A unit is required except for 0 and for
+// Number and Share.
 std::optional<double> parse_quantity(Unit unit, std::string_view text, Why& why);
-// A bare number of the file.
+// The same for a number without quotes.
 std::optional<double> take_number(Unit unit, double number, Why& why);
-// The shortest text that parse_quantity turns back into exactly `value`.
+// The shortest text that parse_quantity() converts to exactly `value`.
 std::string quantity_text(Unit unit, double value);
-// What may be written, for messages and the reference: "a time such as \"750ms\"".
+// The expected form, for messages and the reference: "a time such as \"750ms\"".
 const char* example_of(Unit unit);
 
-// The shortest decimal that reads back as exactly `value`.
+// The shortest decimal that parses to exactly `value`.
 std::string number_text(double value);
 
 } // namespace fernward::toml_document
--- a/src/toml_document/value.cpp
+++ b/src/toml_document/value.cpp
@@ -47,7 +47,7 @@
 
 std::string nearest(const std::string& given, const std::vector<std::string>& words) {
   std::string best;
-  std::size_t least = 3; // further off it is another word
+  std::size_t least = 3; // words at a greater distance are unrelated
   if (given.size() > 64) return best;
   for (const std::string& word : words) {
     const std::size_t off = distance(given, word);
--- a/src/toml_document/visitor.cpp
+++ b/src/toml_document/visitor.cpp
@@ -11,7 +11,7 @@
     std::string_view step = path.substr(0, end);
     path.remove_prefix(std::min(end + 1, path.size()));
     std::string_view index;
-    if (step == "backoff_ms") step = "wait_ms"; // `backoff` is its neighbour
+    if (step == "backoff_ms") step = "wait_ms"; // the key `backoff` belongs to another member
     if (const std::size_t at = step.find('['); at != std::string_view::npos) {
       index = step.substr(at);
       step = step.substr(0, at);
--- a/src/toml_document/visitor.h
+++ b/src/toml_document/visitor.h
@@ -1,8 +1,9 @@
-// A description of plain data, walked by all who turn it into text or text into it: the reader, the writer,
-// the setter of single values, the reference, the schema. Each key is described once, so that none of them
-// can know a key that another does not.
+// A description of plain data as a sequence of visitor calls. The reader, the writer, the setter of single
+// values, the reference and the schema are visitors. Each key is described once, so all of them support the
+// same keys.
 //
-// Members carry their units ("aim_ms"); the keys of a file don't, as units stand with the values: key_of().
+// Member names contain their units ("aim_ms"); the keys of a file don't, as its values contain units: see
+// key_of().
 #pragma once
 
 #include <cstdint>
@@ -16,10 +17,10 @@
 
 namespace fernward::toml_document {
 
-// What a name in the file refers to. The numbers are the description's own.
+// Identifies the table to which a name in the file refers. Each description defines its own numbers.
 enum class Table : int {};
 
-struct Word { // that stands for a value no quantity can say
+struct Word { // a word for a value that no quantity can express
   const char* text = nullptr;
   double value = 0;
 };
@@ -42,37 +43,38 @@
   virtual void ref(const char* member, std::uint32_t& value, Table table, bool needed, const char* doc) = 0;
   virtual void refs(const char* member, std::vector<std::uint32_t>& values, Table table, const char* doc) = 0;
 
-  // Of a member that may be absent: will it be there after this visit? `now`: it is there before.
+  // For an optional member: whether it is present after this visit. `now`: whether it is present before.
   virtual bool present(const char* member, bool now) = 0;
 
   virtual void enter(const char* member, const char* doc) = 0;
   virtual void leave() = 0;
-  // How many items the list will have; `size`: it has now. Then come item() and leave() for each.
+  // Returns the number of items after this visit; `size`: the current number. For each of them item() and
+  // leave() follow.
   virtual std::size_t list(const char* member, std::size_t size, const char* doc) = 0;
   virtual void item(const char* member, std::size_t index, const std::string& name) = 0;
-  // The same of a table of tables: the names that it will have, in order; `names`: it has now.
+  // The same for a table of named tables: returns the names in order; `names`: the current ones.
   virtual std::vector<std::string> named(const char* member, std::vector<std::string> names,
                                          const char* doc) = 0;
 };
 
-// What the names of a Table stand for, as far as the data has been read: tables are described before what
-// refers to them.
+// Resolves the names of a Table in the data read so far: tables must be described before the members that
+// refer to them.
 class Names {
  public:
   virtual ~Names() = default;
   virtual std::optional<std::uint32_t> find(Table table, const std::string& name) const = 0;
-  virtual std::string name(Table table, std::uint32_t index) const = 0; // empty: there is none
-  virtual std::vector<std::string> known(Table table) const = 0;        // empty: not to be listed
+  virtual std::string name(Table table, std::uint32_t index) const = 0; // empty: no such index
+  virtual std::vector<std::string> known(Table table) const = 0;        // empty: can't be listed
   virtual const char* what(Table table) const = 0;                      // "zone"
   virtual const char* written(Table table) const = 0;                   // "a zone's name", for the reference
-  virtual const char* list(Table table) const = 0;                      // the member that holds them
-  virtual const char* hint(Table) const { return ""; } // how they are named, where none is near
+  virtual const char* list(Table table) const = 0;                      // the member that defines them
+  virtual const char* hint(Table) const { return ""; } // added to the error if no known name is close
 };
 
-// "at_ms" -> "at": units stand with the values. Each step of a path: "events[3].at_ms" -> "events[3].at".
+// The key of a member path: removes the unit from each part, as in "events[3].at_ms" -> "events[3].at".
 std::string key_of(std::string_view member_path);
 
-// The rest of this file serves descriptions.
+// Helpers for descriptions.
 
 template <typename E>
 void pick(Visitor& v, const char* member, E& value, Words words, const char* doc, bool needed = false) {
@@ -107,7 +109,7 @@
   }
 }
 
-// Items that have a `name`, which is their key in the file.
+// For items with a `name`, which is their key in the file.
 template <typename T, typename F>
 void each_named(Visitor& v, const char* member, std::vector<T>& items, const char* doc, F fields) {
   std::vector<std::string> names;
--- a/src/toml_document/writer.cpp
+++ b/src/toml_document/writer.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 struct Node {
-  std::string member, key, value; // the value of a leaf; else children
-  std::string name;               // of an item of a table of tables
+  std::string member, key, value; // leaves have a value, other nodes children
+  std::string name;               // of an item of a table of named tables
   bool is_leaf = false, is_item = false;
   std::vector<Node> children;
 
@@ -113,7 +113,7 @@
     leaf(member, text + "]");
   }
   static void flatten(const Node& table, const std::string& path, std::vector<Leaf>& all) {
-    std::map<std::string, std::size_t> items; // of each list, so far
+    std::map<std::string, std::size_t> items; // number of items so far, by list
     for (const Node& child : table.children) {
       std::string at = path.empty() ? child.member : path + "." + child.member;
       if (child.is_leaf) {
@@ -136,8 +136,8 @@
     }
     return text.empty() ? "{}" : text + " }";
   }
-  // A table's own values come before its tables, as TOML wants it; the small tables of an item stand in one
-  // line.
+  // Writes the values of a table before its subtables, as TOML requires. Subtables of list items that contain
+  // only values are written inline.
   static void print(const Node& table, const std::string& path, std::string& out) {
     for (const Node& child : table.children) {
       if (child.is_leaf) out += child.key + " = " + child.value + "\n";
@@ -166,7 +166,7 @@
 
   const Names& all_names_;
   std::vector<Node> open_;
-  std::set<std::string> named_; // members that are tables of tables
+  std::set<std::string> named_; // members that are tables of named tables
 };
 
 class Reference : public Visitor {
@@ -277,8 +277,8 @@
   const Words elsewhere_;
   std::vector<Row> open_;
   std::string list_doc_;
-  bool is_named_ = false;      // the list begun last
-  bool may_be_absent_ = false; // the next leaf, and then it has no default
+  bool is_named_ = false;      // whether the list entered last has named items
+  bool may_be_absent_ = false; // whether the next leaf is optional, so has no default
 };
 
 } // namespace
--- a/src/toml_document/writer.h
+++ b/src/toml_document/writer.h
@@ -1,4 +1,4 @@
-// Described data as text: a file with every value given, and the reference of all keys.
+// Writes described data as a TOML file with every value, and as a reference of all keys.
 #pragma once
 
 #include <functional>
@@ -9,30 +9,30 @@
 
 namespace fernward::toml_document {
 
-using Walk = std::function<void(Visitor&)>; // through the description of some data
+using Walk = std::function<void(Visitor&)>; // passes a visitor through a data description
 
-// As a file, in the order of the description. Read again it gives the same data.
+// A TOML file in the order of the description. Reading it yields the same data.
 std::string written(const Names& names, const Walk& walk);
 
-// The same, a line for each value.
+// The same data as a list with an entry for each value.
 struct Leaf {
-  std::string member, key, value; // its path with and without units; the value as a file has it
+  std::string member, key, value; // its path with and without units; the value in TOML form
 };
 std::vector<Leaf> leaves(const Names& names, const Walk& walk);
 
 struct Row {
-  std::string key, written, now, doc; // a table or an item of a list has children instead
+  std::string key, written, now, doc; // a table or list item has children instead of a value
   bool is_leaf = false, is_item = false, is_named = false;
   std::vector<Row> children;
 };
 
-// What the data are with their defaults. Choices among `elsewhere` are told elsewhere.
+// The reference of data at its defaults. Choices among the words `documented_elsewhere` are not listed.
 Row reference(const Names& names, const Walk& walk, Words elsewhere = {});
 
-// Rows of Markdown: the keys of a table, and of those within it, as `table.key`.
+// Markdown rows for the keys of a table and of its subtables (`table.key`).
 void rows(const Row& table, const std::string& prefix, std::string& out);
 void section(const Row& table, const std::string& heading, std::string& out);
-void sections(const Row& table, const std::string& path, std::string& out); // of all tables within
-std::string leading(const Row& table);                                      // the keys of the top
+void sections(const Row& table, const std::string& path, std::string& out); // of all subtables
+std::string leading(const Row& table);                                      // rows of the top-level keys
 
 } // namespace fernward::toml_document
