--- a/tests/app_config/config_command_test.cpp
+++ b/tests/app_config/config_command_test.cpp
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("config commands: usage errors exit with 2, file errors with 1 and are all reported") {
+TEST_CASE("config commands exit with 2 on usage errors and with 1 on file errors and report all of them") {
   const struct {
     std::string arguments;
     int code;
