--- a/src/discovery/subscription.cpp
+++ b/src/discovery/subscription.cpp
@@ -8,27 +8,27 @@
 namespace {
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
-// A wait that discovery answers without waiting; 0 might be taken for none given.
+// A wait that discovery answers at once; 0 might be read as no wait given.
 constexpr double kNoWaitMs = 1;
-// Of a pause: processes that were cut off together come back spread out. Of a patience: the bounds below hold
-// for the whole.
+// Jitter of a pause: processes that lost their connections together reconnect spread out. Jitter of a
+// timeout: the bounds below hold for the unreduced value.
 constexpr double kMinPauseShare = 0.5;
 constexpr double kMinPatienceShare = 0.8;
-// A call may take this much longer in all than its patience with a silence, however often something comes.
+// A call may take this much longer in total than its silence timeout, however often bytes arrive.
 constexpr double kMaxReceiveMs = 1000;
 
-// The platform's bounds on how late a change may be heard: 6 s after discovery had it and could be reached, 4
-// s after a reload names another address; 250 ms of grace are left for requests on their way. Each is kept
-// over three calls in a row that are never answered, the first a long poll: the fourth one is under way by
-// then, and discovery answers it at once. Where nothing has been answered for long, it is kept over the call
-// that is open then and one more, whatever these do.
+// The platform's bounds on how late a change may be received: 6 s after discovery has it and is reachable, 4
+// s after a reload names another address; 250 ms of it are reserved for requests in flight. Each bound holds
+// over three calls in a row that are never answered, the first a long poll: the fourth call is sent by then,
+// and discovery answers it at once. If nothing has been answered for long, it holds over the call that is
+// open at that time and one more, whatever their outcome.
 constexpr SubscriptionRules kDefaults;
 constexpr double kThreeSilentMs = (1 + 2 + 4) * kDefaults.patience_ms;
 static_assert(kDefaults.poll_ms + kThreeSilentMs < 6000 - 250);
 static_assert(kThreeSilentMs < 4000 - 250);
 static_assert(2 * (kDefaults.max_patience_ms + kMaxReceiveMs) < 6000 - 250);
 
-// Of doubts in a row the 4th, the 16th and so on: after some 5, 27 and 110 s.
+// True for the 4th, the 16th and so on of overdue calls in a row: after some 5, 27 and 110 s.
 bool is_rare(std::uint32_t doubts) {
   const bool is_power_of_two = std::has_single_bit(doubts);
   return is_power_of_two && doubts > 1 && std::countr_zero(doubts) % 2 == 0;
@@ -76,10 +76,10 @@
   actions.push_back(OpenConnection{call.id});
 }
 
-// Changes, as a rule: they cost discovery little. The complete list where there is nothing to go on from, and
-// where this discovery answers and has not told one yet. Else discovery may have lost what a call for changes
-// goes on from: the complete list is asked for after one that failed, and now and then beside one that is in
-// doubt, so rarely that an overload does not grow by it.
+// Calls usually ask for changes, which cost discovery little. The complete list is requested if no version is
+// known, and if this discovery answers but has not sent a complete list yet. Otherwise discovery may have
+// lost the version that a call for changes starts from: the complete list is requested after such a call
+// failed, and occasionally beside an overdue one, rarely enough not to worsen an overload.
 bool Subscription::needs_full_list(const Call& call) const {
   if (!known_ || resync_) return true;
   if (failures() == 0) return !has_full_list_;
@@ -97,7 +97,7 @@
   if (full) changes_failed_ = false;
   call.wait_ms = failures() > 0 ? kNoWaitMs : rules_.poll_ms;
   if (full) call.wait_ms = 0;
-  const bool first = call.asked_at == 0; // on its connection: the time to connect counts, too
+  const bool first = call.asked_at == 0; // on its connection: the connect time counts towards the deadline
   call.asked_at = now;
   call.ask_at = 0;
   const double silent_until = now + call.wait_ms + call.patience_ms;
@@ -123,7 +123,7 @@
   std::erase_if(calls_, [kept](const Call& call) { return call.id != kept; });
 }
 
-// A discovery that answers without news and without waiting is not asked again and again at full speed.
+// Paces the polls of a discovery that returns empty answers without waiting.
 double Subscription::pause_after_empty(double now, const Call& call, const Answer& answer) {
   const bool waited = call.wait_ms <= kNoWaitMs || now - call.asked_at >= call.wait_ms / 2;
   if (!call.since || *call.since != answer.index || waited) {
@@ -179,7 +179,7 @@
   reopen_at_ = now;
   const std::uint32_t doubts = doubts_;
   tick(now, actions);
-  doubts_ = std::max(doubts, 1u); // however often it is asked for, patience does not grow by it
+  doubts_ = std::max(doubts, 1u); // repeated refreshes do not lengthen the timeout
 }
 
 void Subscription::tick(double now, Actions& actions) {
@@ -192,9 +192,9 @@
   open(now, actions);
 }
 
-// The call for changes stays: in an outage discovery holds it and answers as it returns; a call for the
-// complete list that was made meanwhile is never answered. Of two alike the older one stays, which is nearer
-// to its answer where calls queue, unless it has waited for `abandon_ms`.
+// Keeps the call for changes: in an outage discovery holds it and answers it on recovery, while a call for
+// the complete list made during the outage is never answered. Of two calls of one kind the older one is kept,
+// as it is closer to its answer if calls are queued, unless it has waited for `abandon_after_ms`.
 void Subscription::close_one_of_two(double now, Actions& actions) {
   const Call& oldest = calls_.front();
   const bool waited_long = now - std::max(oldest.opened_at, oldest.asked_at) >= rules_.abandon_ms;
--- a/src/discovery/subscription.h
+++ b/src/discovery/subscription.h
@@ -1,10 +1,11 @@
-// When to ask discovery for the endpoint list, and over which connections. Decides; no I/O, no clock. Times
-// in milliseconds on the caller's clock, which only advances.
+// Decides when to poll discovery for the endpoint list, and over which connections. No I/O, no clock. Times
+// are in milliseconds on the caller's clock, which only advances.
 //
-// States of a call: connecting (asked_at 0), asked, answered and to be asked again (ask_at), each of them in
-// doubt once doubt_at has passed. While a call is not in doubt nothing more is opened; once all are, another
-// is opened beside them. A call in doubt may still be answered: the first sound answer closes all others. At
-// most two calls are open; once both are in doubt one is replaced, see close_one_of_two().
+// States of a call: connecting (polled_at is 0), polled, or answered with the next poll scheduled
+// (next_poll_at). In each state it is overdue once overdue_at has passed. While any call is not overdue no
+// other is opened; once all are, another is opened beside them. An overdue call may still be answered: the
+// first valid answer closes all others. At most two calls are open; once both are overdue one is replaced,
+// see close_one_of_two().
 #pragma once
 
 #include <cstdint>
@@ -16,31 +17,31 @@
 namespace fernward::discovery {
 
 using CallId = std::uint32_t;    // one connection to discovery, with at most one call on it
-using ListIndex = std::uint64_t; // a version of the list, as discovery counts them
+using ListIndex = std::uint64_t; // a version of the endpoint list, assigned by discovery
 
 struct SubscriptionRules {
-  double poll_ms = 1000;    // how long discovery may hold a call; an empty answer costs it next to nothing
-  double patience_ms = 400; // silence after which a call is in doubt
-  double max_patience_ms = 1800;     // of a call that was opened beside another
-  double abandon_ms = 15000;         // a call that has waited for this long gives way to another
-  double first_pause_ms = 25;        // before the next connection, after one that ended
-  double max_pause_ms = 125;         // the same after many
-  double max_useless_pause_ms = 500; // after refusals and answers of no use
-  double min_empty_ms = 20;          // before the next call, after an empty answer that did not wait
-  double max_empty_ms = 100; // the same after many; a subscription lapses 200 ms after its last answer
+  double poll_ms = 1000;         // how long discovery may hold a call; an empty answer costs it very little
+  double patience_ms = 400;      // silence after which a call is overdue
+  double max_patience_ms = 1800; // of a call opened beside another
+  double abandon_ms = 15000;     // a call that has waited for this long is replaced
+  double first_pause_ms = 25;    // before reconnecting after a connection ended
+  double max_pause_ms = 125;     // the same after many ended in a row
+  double max_useless_pause_ms = 500; // the same after refusals and invalid answers
+  double min_empty_ms = 20;          // before the next call after an empty answer without a wait
+  double max_empty_ms = 100; // the same after many; a subscription expires 200 ms after its last answer
 };
 
-// How a call ended that brought no list.
+// How a call ended without a list.
 enum class Failure {
   Disconnected, // refused, reset or closed before an answer began
-  Refused,      // discovery is overloaded, and says so
-  Useless,      // an answer that can't be read, breaks off, is out of date or an error
+  Refused,      // discovery reports that it is overloaded
+  Useless,      // the answer is malformed, truncated, out of date or an error
 };
 
-// A sound answer: the list as of `index`.
+// A valid answer: the list as of `index`.
 struct Answer {
   ListIndex index = 0;
-  bool complete = false; // false: changes alone
+  bool complete = false; // false: changes only
 };
 
 struct OpenConnection {
@@ -59,38 +60,38 @@
 
 class Subscription {
  public:
-  // `known`: the version of the list that the process has already, from wherever: changes can be asked for
-  // from the first moment on.
+  // `known`: the version of the list that the process already has, from any source, so that the first call
+  // can ask for changes only.
   Subscription(const SubscriptionRules& rules, std::uint64_t seed, std::optional<ListIndex> known = {});
 
   void start(double now, Actions& actions) { tick(now, actions); }
   void connected(double now, CallId id, Actions& actions);
-  void progressed(double now, CallId id); // some bytes of its answer have come
+  void progressed(double now, CallId id); // some bytes of its answer were received
   // `reusable`: the answer's connection can carry the next call.
   void answered(double now, CallId id, const Answer& answer, bool reusable, Actions& actions);
   void failed(double now, CallId id, Failure failure, Actions& actions);
-  // Makes another call beside the open one, whatever that one will bring.
+  // Makes another call beside the open one, without waiting for that one's result.
   void refresh(double now, Actions& actions);
 
-  void tick(double now, Actions& actions); // to be called at next() or later
-  double next() const;                     // infinity: nothing is waited for
+  void tick(double now, Actions& actions); // to be called at next_tick_at() or later
+  double next() const;                     // infinity: nothing is scheduled
 
-  // The least version that a sound answer to this call can have.
+  // The lowest version that a valid answer to this call can have.
   ListIndex at_least(CallId id);
   std::size_t open_calls() const { return calls_.size(); }
-  std::uint32_t failures() const { return failures_ + doubts_; } // since the last sound answer
+  std::uint32_t failures() const { return failures_ + doubts_; } // since the last valid answer
 
  private:
   struct Call {
     CallId id = 0;
     double patience_ms = 0;
     double opened_at = 0;
-    double asked_at = 0; // 0: its connection has not come up
+    double asked_at = 0; // 0: its connection is not established
     double wait_ms = 0;
     std::optional<ListIndex> since;
-    double limit_at = 0; // it is in doubt from then on, whatever comes
-    double doubt_at = 0; // and from then on, unless something comes before
-    double ask_at = 0;   // when the next call is made on its connection; 0: it has been made
+    double limit_at = 0; // it is overdue from then on, even if bytes arrive
+    double doubt_at = 0; // and from then on, unless bytes arrive before
+    double ask_at = 0;   // when the next poll is sent on its connection; 0: none is scheduled
   };
 
   Call* find(CallId id);
@@ -108,16 +109,16 @@
   SubscriptionRules rules_;
   std::minstd_rand random_;
   std::vector<Call> calls_;        // two at most, the oldest first
-  std::optional<ListIndex> known_; // the version that changes can be asked from
-  ListIndex last_index_ = 0;       // the last version that this discovery has told
-  bool has_full_list_ = false;     // this discovery has told a complete list
+  std::optional<ListIndex> known_; // the version after which changes can be requested
+  ListIndex last_index_ = 0;       // the last version that this discovery sent
+  bool has_full_list_ = false;     // this discovery has sent a complete list
   CallId last_call_ = 0;
-  double reopen_at_ = 0;        // no connection is opened before
+  double reopen_at_ = 0;        // no connection is opened before this time
   double pause_ms_ = 0;         // the last one, before jitter
   bool changes_failed_ = false; // the last call for changes ended without an answer
-  bool resync_ = false;         // an answer was of no use: only the complete list will do
-  std::uint32_t failures_ = 0;  // calls that ended since the last sound answer
-  std::uint32_t doubts_ = 0;    // calls that came into doubt since then
+  bool resync_ = false;         // an answer was invalid: the next call must get the complete list
+  std::uint32_t failures_ = 0;  // calls that failed since the last valid answer
+  std::uint32_t doubts_ = 0;    // calls that became overdue since then
   std::uint32_t empty_in_a_row_ = 0;
 };
 
