--- a/src/gossip/advice.h
+++ b/src/gossip/advice.h
@@ -1,5 +1,6 @@
-// Between one router's policy and what the tier shares: what it has to say, and what follows for it of what
-// is said. The program and the lab's virtual routers use the same. Both clocks are the caller's.
+// Exchange between one router's balancer and its gossip node: collects the reports that the router sends, and
+// turns received state into events for the balancer. Used by the program and by the lab's virtual routers.
+// The balancer and the gossip node both use the caller's clock.
 #pragma once
 
 #include <utility>
@@ -10,7 +11,7 @@
 
 namespace fernward::gossip {
 
-struct Uses { // each part by itself
+struct Uses { // each feature can be enabled on its own
   bool ledger = true, count = true, findings = true;
 };
 
@@ -24,7 +25,7 @@
   return own;
 }
 
-// The events for the policy after a round, appended.
+// Appends the events for the balancer after a gossip round.
 inline void advise(double now, const View& v, Fleet& fleet, const Uses& uses, std::vector<Event>& to) {
   FleetState word{uses.count ? v.living : 0};
   if (uses.ledger)
--- a/src/gossip/entries.h
+++ b/src/gossip/entries.h
@@ -1,6 +1,5 @@
-// The facts of a datagram: entries of u8 kind, u8 length and so many bytes. Kinds that this version does not
-// know are passed over, so that what routers tell one another can grow while old and new ones stand beside
-// each other.
+// The payload of a datagram: entries of u8 kind, u8 length and `length` bytes. Entries of an unknown kind are
+// ignored, so that new kinds can be added while routers of old and new versions run side by side.
 #pragma once
 
 #include <cstdint>
@@ -20,8 +19,8 @@
   std::string_view bytes;
 };
 
-// The next of `bytes`, which is shortened by it; none: at the end, or where the rest is damaged and `bytes`
-// stays as it is.
+// Removes the first entry from `bytes` and returns it. Returns nothing at the end, or if the remaining bytes
+// are damaged; `bytes` is then unchanged.
 inline std::optional<Entry> next_entry(std::string_view& bytes) {
   if (bytes.size() < kEntryHead) return std::nullopt;
   const std::size_t length = membership::get<std::uint8_t>(bytes, 1);
--- a/src/gossip/facts.cpp
+++ b/src/gossip/facts.cpp
@@ -9,17 +9,17 @@
 using membership::get;
 using membership::put;
 
-// An entry: u16 owner, u32 incarnation, u16 sequence, u16 age in 10 ms, then u16 a quantity. A longer one has
-// quantities that this version does not know; a shorter one is of an older version, and what it lacks is 0:
-// nothing to say.
+// An entry: u16 owner, u32 incarnation, u16 sequence, u16 age in units of 10 ms, then a u16 per quantity. A
+// longer entry has quantities that this version does not know; a shorter one is from an older version, and
+// its missing quantities are 0 (unknown).
 constexpr std::size_t kHead = 10, kLength = kHead + 2 * kFacts, kShortest = kHead + 2 * 2;
 constexpr double kAgeUnit = 10, kMostAge = 65535 * kAgeUnit;
-// What a router that asks for nothing keeps, as a share of the usual demand and in attempts: it may be asked
-// at any time.
+// The allowance of a router without demand, as a share of the median demand and in attempts: requests may
+// arrive at any time.
 constexpr double kIdlePart = 0.25, kLeastIdle = 0.25;
-constexpr std::size_t kTrimmed = 8;           // of so many words one is left out, and one at least
-constexpr double kMedians = 8;                // a demand counts as so many times the median at most
-constexpr std::size_t kWanted = 256;          // own demands that are kept
+constexpr std::size_t kTrimmed = 8;           // one of so many reports is excluded, and at least one
+constexpr double kMedians = 8;                // a demand is capped at so many times the median
+constexpr std::size_t kWanted = 256;          // size of the history of own demands
 constexpr double kSteps = 65534, kSpan = 1e7; // of the logarithmic scale from 1/1024 up
 
 std::uint16_t scaled(double value) {
@@ -55,13 +55,13 @@
   Entry& e = all_[owner];
   const double made_at = now - age_ms;
   if (e.known && stamp == e.stamp) {
-    e.made_at = std::min(e.made_at, made_at); // every age is one that it has at least
+    e.made_at = std::min(e.made_at, made_at); // each received age is a lower bound
     e.direct |= direct;
     return false;
   }
   const bool over_hearsay = direct && !e.direct;
   if (e.known && stamp < e.stamp && !over_hearsay) return false;
-  // Hearsay does not take an owner's incarnation further while its own word is young.
+  // A relayed report does not advance an owner's incarnation while the owner's direct report is recent.
   if (e.known && e.direct && !direct && stamp.incarnation > e.stamp.incarnation &&
       now - e.made_at < kQuantities[0].half_life_ms)
     return false;
@@ -87,7 +87,7 @@
   if (room < kEach || !all_[self_].known) return bytes;
   write_one(now, self_, all_[self_], bytes);
   const double n = static_cast<double>(all_.size());
-  // The younger of two drawn ones: what is new spreads first, and what is old is soon not passed on at all.
+  // Takes the newer of two drawn reports: new reports spread first, and old ones soon stop being relayed.
   for (std::size_t tries = 0; tries < 24 && bytes.size() + kEach <= room; ++tries) {
     const auto a = static_cast<std::size_t>(random_.unit() * n),
                b = static_cast<std::size_t>(random_.unit() * n);
@@ -172,9 +172,9 @@
     demands += heard_[i].weight * heard_[i].demand;
   }
   const double part = limits / demands * (std::min(mine, most) + idle);
-  if (n < 3) return part; // nothing was left out: parts add up to what is held
-  // Left out are honest ones, too: where one is asked and the others are not, the ratio is that of idle ones,
-  // who keep what they hold, and would deal several times the whole to the one that is asked.
+  if (n < 3) return part; // nothing was excluded: the shares add up to the total limit
+  // Correct routers are excluded, too: if only one router has demand, the ratio is that of the idle routers,
+  // which keep their limits, and would assign several times the total to the router with demand.
   std::nth_element(heard_.begin(), heard_.begin() + 1, heard_.end(),
                    [](const Heard& a, const Heard& b) { return a.limit > b.limit; });
   const double held = all_[self_].values[static_cast<std::size_t>(What::Limit)];
--- a/src/gossip/facts.h
+++ b/src/gossip/facts.h
@@ -1,18 +1,19 @@
-// What routers tell one another beside who lives: facts, each owned by one router and overwritten by it
-// alone. Pure.
+// Gossip of each router's state at the origin: demand, limit and response time. Each report is owned by one
+// router, and only that router overwrites it. No I/O, no clock.
 //
-// Merging is a join: of two words of an owner the later stamp stays, of the same stamp the older age. So
-// order, repeats and losses don't matter: merging is commutative, associative and idempotent. What comes from
-// an owner's own address goes before hearsay, whatever stamp that claims.
+// Merging is a join: of two reports of one owner the later stamp wins; with equal stamps the greater age
+// wins. Order, duplicates and losses therefore don't matter: merging is commutative, associative and
+// idempotent. A report from the owner's own address takes precedence over a relayed one, whatever stamp that
+// one claims.
 //
-// Each quantity states in its row how it is bounded, how it fades, what is assumed when nothing is heard, and
-// the most that a false one can do. See kQuantities.
+// Each row of kQuantityBounds states the bounds of a quantity, how its weight decays, what is assumed when no
+// report is available, and the worst effect of a false value.
 //
 //  - Units: milliseconds on the caller's clock, which only advances.
-//  - Ownership: plain values; a table of one entry a router, 64 bytes each. One thread.
-//  - Cost: a datagram carries its sender's own facts and as many others', drawn, as fit: flat in the size of
-//    the fleet.
-//  - Misuse: numbers out of range, and values that are no numbers, are passed over and counted.
+//  - Ownership: plain values; a table with one entry per router, 64 bytes each. Single-threaded.
+//  - Cost: a datagram carries the sender's own report and as many randomly drawn reports of other routers as
+//    fit, so the cost does not depend on the size of the fleet.
+//  - Misuse: reports with router numbers out of range or non-finite values are ignored and counted.
 #pragma once
 
 #include <array>
@@ -32,29 +33,29 @@
 using membership::Stamp;
 
 enum class What : std::uint8_t {
-  Demand, // attempts that this router wants at the ledger at once, waiting ones included
-  Limit,  // attempts at once that its limiter holds the ledger's share for it to be
-  Answer, // response time of the ledger there of late, ms; 0: no answer for 0.8 s
+  Demand, // concurrent attempts that this router wants at the origin, queued ones included
+  Limit,  // concurrent attempts at the origin that this router's concurrency limiter allows
+  Answer, // recent response time of the origin at this router, ms; 0: no response for 0.8 s
   Count
 };
 constexpr std::size_t kFacts = static_cast<std::size_t>(What::Count);
 
 struct Quantity {
   const char* name;
-  double least, most;  // a value beyond is brought within
-  double half_life_ms; // of the weight that a value has in what is made of many
-  double gone_ms;      // older ones count for nothing
-  const char* silence; // what is assumed when nothing is heard
-  const char* harm;    // the most that a false one can do
+  double least, most;  // values beyond are clamped
+  double half_life_ms; // of a value's weight in aggregates over routers
+  double gone_ms;      // older values are not used
+  const char* silence; // what is assumed without reports
+  const char* harm;    // the worst effect of a false value
 };
 inline constexpr std::array<Quantity, kFacts> kQuantities = {{
-    {"demand", 0, 4096, 4000, 12000, "all want as much as this one: each keeps its own limit",
-     "none on others' parts: each is dealt out by its own demand"},
-    {"limit", 1.0 / 1024, 4096, 4000, 12000, "the router's own limit, as it learned it alone",
-     "with fewer liars than an eighth (than two, in small tiers): parts stay within what honest ones have"},
-    {"response time", 0, 8192, 300, 3000, "the router's own answers, as it learned alone",
-     "with fewer liars than an eighth (than two, in small tiers): the mean stays within what honest ones "
-     "saw"},
+    {"demand", 0, 4096, 4000, 12000, "equal demand on all routers: each router keeps its own limit",
+     "none on other routers' shares: a share depends on the router's own demand"},
+    {"limit", 1.0 / 1024, 4096, 4000, 12000, "the limit that the router learned by itself",
+     "with fewer than an eighth false (than two in small tiers): shares stay within correct routers' limits"},
+    {"response time", 0, 8192, 300, 3000, "the response times that the router measured by itself",
+     "with fewer than an eighth false (than two in small tiers): the mean stays within correct routers' "
+     "response times"},
 }};
 
 using Values = std::array<double, kFacts>;
@@ -63,37 +64,40 @@
  public:
   Facts(Id self, std::size_t count, std::uint64_t seed);
 
-  void own(double now, Stamp stamp, const Values& values); // replaces this router's
-  // What came of `owner`. False: passed over, as older, damaged or this router's own.
+  void own(double now, Stamp stamp, const Values& values); // replaces this router's report
+  // Merges a report of `owner`; `direct`: it came from the owner's own address. Returns false if the report
+  // is ignored because it is not newer, is invalid or is this router's own.
   bool merge(double now, Id owner, Stamp stamp, double age_ms, const Values& values, bool direct);
 
-  // For a datagram: this router's own first, then others as they are drawn, young ones rather than old ones.
+  // Encodes reports into at most `room` bytes: this router's own first, then randomly drawn reports of other
+  // routers, with a preference for recent ones.
   std::string write(double now, std::size_t room);
   struct Told {
     Id owner;
     Stamp stamp;
   };
-  // All of a datagram's facts from `from`; what was new is appended, for members. A damaged tail is passed
-  // over.
+  // Merges all reports of a datagram from the router `sender`. Appends the owner and stamp of each new report
+  // to `updates`, for the membership. A damaged tail is ignored and counted.
   void read(double now, Id from, std::string_view bytes, std::vector<Told>& told);
 
-  // The usual demand: the median over this router and all whose word is not gone.
+  // The median demand over this router and all routers whose reports have not expired.
   double demand(double now);
-  // This router's part of what all hold at the ledger, in proportion to demand and an idle part of it. All is
-  // taken as it was when the others' words were made, its own demand too: one of now against those would deal
-  // out more than there is while demand rises. So the parts of all add up to what they hold. Left out are the
-  // eighth that hold the most for what they want and the one that holds the least: a liar's word moves no
-  // part beyond what honest ones have, in however many rounds. Beyond what it holds a router takes no more
-  // than half of what all would have if each held what the second of them does: with one asked alone the
-  // parts come to one and a half times what was held at most.
+  // This router's share of the fleet's total limit at the origin, in proportion to its demand plus an idle
+  // allowance. All values are taken as of the time of the other routers' reports, this router's own demand
+  // too: its current demand against their older ones would distribute more than the total while demand rises.
+  // The shares of all routers therefore add up to the total limit. Excluded are the eighth of the routers
+  // with the highest limit for their demand and the one with the lowest: a false report moves no share beyond
+  // the limits of correct routers, in however many rounds. Above its own limit a router takes at most half of
+  // what the fleet would have if each router had the second-highest limit: if only one router has demand, the
+  // shares add up to at most one and a half times the previous total.
   double part(double now);
-  // The ledger's response time of late: the mean of what routers saw, without the eighth at each end.
-  // `age_ms`: of these words, on average. Nothing where fewer than three have an answer.
+  // The recent response time of the origin: the weighted mean over routers, without the eighth at each end.
+  // `age_ms`: the mean age of these reports. All zero if fewer than three routers have a response time.
   struct Answers {
     double ms = 0, age_ms = 0;
   };
   Answers answers(double now);
-  std::size_t heard(double now) const; // routers whose word counts, without this one
+  std::size_t heard(double now) const; // other routers whose reports have not expired
 
   std::uint64_t passed_over() const { return passed_over_; }
 
@@ -120,7 +124,7 @@
   };
   std::vector<Heard> heard_;                     // scratch
   std::vector<Seen> seen_;                       // scratch
-  std::deque<std::pair<double, double>> wanted_; // by this router: when, and how much
+  std::deque<std::pair<double, double>> wanted_; // this router's demands: time and value
   std::uint64_t passed_over_ = 0;
 };
 
--- a/src/gossip/findings.cpp
+++ b/src/gossip/findings.cpp
@@ -10,19 +10,19 @@
 using membership::get;
 using membership::put;
 
-// u16 owner, u32 incarnation, u16 sequence, u8 zone, u8 lost, u32 server, u16 age in 10 ms.
+// u16 owner, u32 incarnation, u16 sequence, u8 zone, u8 lost, u32 server, u16 age in units of 10 ms.
 constexpr std::size_t kLength = 16;
 constexpr double kAgeUnit = 10;
 constexpr std::uint32_t kMostTold = 255;
-constexpr std::size_t kQuorum = 2;     // addresses that words came from
-constexpr std::uint32_t kLost = 4;     // attempts, of all of them: one more than one router needs alone
-constexpr std::uint32_t kMostLost = 2; // of one
-constexpr std::size_t kOverWell = 2;   // so many say ill for each that says well
-constexpr double kBeforeMs = 1000;     // and it said well no longer than this before
-constexpr std::size_t kOwnAtOnce = 3;  // own words in a datagram
-
-// Addresses that words came from. Each is one vote, whomever it speaks for: what one makes up in others'
-// names counts once.
+constexpr std::size_t kQuorum = 2;     // sender addresses
+constexpr std::uint32_t kLost = 4;     // attempts over all senders: one more than one router needs by itself
+constexpr std::uint32_t kMostLost = 2; // counted per sender
+constexpr std::size_t kOverWell = 2;   // votes for each reported success
+constexpr double kBeforeMs = 1000;     // a success up to so long before the median failure contradicts it
+constexpr std::size_t kOwnAtOnce = 3;  // own reports in a datagram
+
+// The sender addresses of reports. Each is one vote, whichever owners' reports it relays: reports that a
+// sender forges in the names of other routers count once.
 struct Votes {
   std::array<Id, Findings::kVoters> ways{};
   std::size_t count = 0;
@@ -59,7 +59,7 @@
   if (found == said_.end()) return false;
   std::uint32_t lost = 0;
   for (const Word& w : found->second) lost += w.lost;
-  return lost >= kMostLost; // an attempt is lost now and then: that alone needs no answer
+  return lost >= kMostLost; // a single failed attempt needs no contradiction
 }
 
 void Findings::own(double now, Stamp stamp, const std::vector<Finding>& seen) {
@@ -98,8 +98,8 @@
     }
     return true;
   }
-  // What comes from the owner's own address goes before hearsay, which does not take an incarnation further
-  // than that.
+  // A report from the owner's own address takes precedence over a relayed one, which does not advance the
+  // incarnation of a direct one.
   const bool had_first_hand = had->via == owner, first_hand = via == owner;
   if (stamp <= had->stamp && (had_first_hand || !first_hand)) return false;
   if (had_first_hand && !first_hand && stamp.incarnation > had->stamp.incarnation) return false;
@@ -127,8 +127,8 @@
       if (now - w.seen_at < kFreshMs) drawn_.emplace_back(server, &w);
     }
   }
-  // Own ones first, whatever they say: one that floods the tier with words must not drown them. Of others'
-  // those that say ill, as those that say well are many.
+  // Own reports first, whatever their content: a router that floods the tier with reports must not displace
+  // them. Of the others, failures before successes, as successes are numerous.
   const auto others = std::stable_partition(drawn_.begin(), drawn_.end(),
                                             [&](const auto& d) { return d.second->owner == self_; });
   const auto well = std::partition(others, drawn_.end(), [](const auto& d) { return d.second->lost > 0; });
@@ -138,7 +138,7 @@
     put_word(now, server, *word, bytes);
   }
   for (auto [at, end] : {std::pair(others, well), std::pair(well, drawn_.end())}) {
-    for (; at != end && bytes.size() + kEach <= room; ++at) { // each once, as drawn
+    for (; at != end && bytes.size() + kEach <= room; ++at) { // each once, in random order
       std::swap(*at, *(at + static_cast<std::ptrdiff_t>(random_.unit() * static_cast<double>(end - at))));
       put_word(now, at->first, *at->second, bytes);
     }
@@ -159,7 +159,7 @@
 Verdict Findings::judge(ServerId server, const Words& words) {
   Verdict v{server, false, kNever};
   Votes here, abroad;
-  bool zones = false; // more than one abroad
+  bool zones = false; // reports from more than one other zone
   std::uint8_t zone = zone_;
   times_.clear();
   for (const Word& w : words) {
@@ -170,8 +170,8 @@
     if (w.zone != zone_) zones |= zone != zone_ && zone != w.zone, zone = w.zone;
   }
   if (times_.empty()) return v;
-  // An answer from long before most of these attempts were lost tells nothing against them: a node dies at
-  // some moment.
+  // A success from long before most of these failures does not contradict them: the node may have failed
+  // since.
   const auto middle = times_.begin() + static_cast<std::ptrdiff_t>(times_.size() / 2);
   std::nth_element(times_.begin(), middle, times_.end());
   std::size_t well_here = 0, well = 0;
@@ -191,7 +191,7 @@
       ++it;
       continue;
     }
-    to.push_back({*it, false, kNever}); // nobody says anything any more
+    to.push_back({*it, false, kNever}); // no report is left
     it = bad_.erase(it);
   }
   for (const auto& [server, words] : said_) {
--- a/src/gossip/fleet.cpp
+++ b/src/gossip/fleet.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr double kEpochMs = 1577836800000; // 2020
-// Bytes of facts in a datagram: the sender's own and six others'. At five datagrams a second and 300 routers
-// that is half of the tier within a half-life.
+// Bytes of origin reports in a datagram: the sender's own and those of six other routers. At five datagrams
+// per second and 300 routers that covers half of the tier within a half-life.
 constexpr std::size_t kFactsRoom = 128;
 
 } // namespace
--- a/src/gossip/fleet.h
+++ b/src/gossip/fleet.h
@@ -1,13 +1,13 @@
-// One router of many: who of them lives, what they say of the ledger, and what follows for this one. Decides;
-// no I/O, no clock. gossip_transport/ carries its datagrams; the lab plays it in virtual time.
+// One router's gossip node: membership, reports about the origin and outlier reports. No I/O, no clock:
+// gossip_transport/ sends and receives its datagrams; the lab runs it in virtual time.
 //
-//  - Units: milliseconds on the caller's clock; attempts at once.
+//  - Units: milliseconds on the caller's clock; concurrent attempts.
 //  - Ownership: datagrams are appended to the caller's vector.
-//  - What is advice stays advice: the view has a part of the ledger's limit only while others were heard
-//    lately, and whoever takes it goes on learning by itself.
-//  - In a cut each side shares what its own routers hold: the parts of a side are what its limits come to for
-//    each attempt wanted, dealt out by demand, so their sum is about the sum of its limits, and all sides
-//    together never hold more than was held before.
+//  - The view is only advice: it has a share of the origin's limit only while recent reports of other routers
+//    are known, and the balancer that uses it continues to learn its own limit.
+//  - In a network partition each side distributes the limits of its own routers in proportion to demand, so
+//    the sum of its shares is about the sum of its limits, and all sides together do not exceed the previous
+//    total.
 #pragma once
 
 #include <cstdint>
@@ -21,19 +21,19 @@
 
 namespace fernward::gossip {
 
-struct Own {          // what this router has to say of the ledger, and of the cache nodes
-  double demand = -1; // below 0: not known yet
+struct Own {          // this router's own reports about the origin and the cache nodes
+  double demand = -1; // below 0: unknown so far
   double limit = 0;
   std::vector<Finding> findings = {};
-  double answer_ms = 0; // the ledger's response time lately; 0: no answer
+  double answer_ms = 0; // recent response time of the origin; 0: no response
 };
 
 struct View {
-  double living = 1;      // routers, this one included
-  double heard = 0;       // others whose word counts now
-  double ledger_part = 0; // of the fleet's limit at the ledger, as attempts at once; 0: nothing is known
+  double living = 1;      // live routers, this one included
+  double heard = 0;       // other routers whose reports have not expired
+  double ledger_part = 0; // of the fleet's limit at the origin, in concurrent attempts; 0: unknown
   double answer_ms = 0,
-         answer_age_ms = 0; // the ledger's response time as several saw it, and how long ago; 0: not known
+         answer_age_ms = 0; // the origin's mean response time over several routers, and its age; 0: unknown
 };
 
 struct Counts {
@@ -49,16 +49,16 @@
     Id to;
     std::string bytes;
   };
-  void tick(double now, const Own& own, std::vector<Out>& out); // due at next()
+  void tick(double now, const Own& own, std::vector<Out>& out); // due at next_tick_at()
   double next() const { return members_.next(); }
-  // What came from the address of `from`. False: nothing of it counts.
+  // Processes a datagram from the address of `sender`. Returns false if all of it was ignored.
   bool take(double now, Id from, std::string_view bytes, std::vector<Out>& out);
   void leave(double now, std::vector<Out>& out);
 
   View view(double now);
-  // What several routers say together of cache nodes, where it differs from the last time; appended.
+  // Appends the outlier decisions about cache nodes that changed since the last call.
   void verdicts(double now, std::vector<Verdict>& to) { findings_.changes(now, to); }
-  std::size_t doubted() const { return findings_.standing(); } // cache nodes, by the last verdicts
+  std::size_t doubted() const { return findings_.standing(); } // cache nodes, by the last changes appended
   const membership::Membership& members() const { return members_; }
   Counts counts() const;
 
@@ -74,7 +74,7 @@
   std::vector<Facts::Told> told_;
 };
 
-// The incarnation of a process that starts at this time of the wall's clock, in Unix milliseconds.
+// The incarnation of a process that starts at this wall-clock time, in Unix milliseconds.
 std::uint32_t incarnation_at(double unix_ms);
 
 } // namespace fernward::gossip
