--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -6,17 +6,18 @@
 namespace fernward::membership {
 namespace {
 
-constexpr double kMostDoubt = 8;        // Lifeguard's
-constexpr double kSuspectTurns = 2;     // periods for each power of ten of members, until a suspect is dead
-constexpr double kSuspectMost = 3;      // times as long where nobody else suspects it
-constexpr std::size_t kMostRounds = 64; // pings out, others' included
+constexpr double kMostDoubt = 8;        // as in Lifeguard
+constexpr double kSuspectTurns = 2;     // until a suspect is dead, per power of ten of members
+constexpr double kSuspectMost = 3;      // times as long if no other member suspects it
+constexpr std::size_t kMostRounds = 64; // including pings for other members
 constexpr std::size_t kMostSayings = 128;
-constexpr std::size_t kWordsAtOnce = 8; // 104 bytes beside 128 of facts
+constexpr std::size_t kWordsAtOnce = 8; // 104 bytes, next to 128 of payload
 constexpr std::size_t kFew = 64;
-constexpr std::size_t kDeadTurn = 8;        // one ping in so many goes to one that counts as dead
+constexpr std::size_t kDeadTurn = 8;        // one period in so many may ping a dead member
 constexpr std::uint32_t kMostAhead = 36000; // tenths of a second: an hour
-constexpr double kLateTurns = 4;            // periods without a tick: this process was stopped
-// Who spoke to this router so many periods ago spoke later than those pings went out that others judge it by.
+constexpr double kLateTurns = 4;            // periods without a tick: this process was paused
+// A datagram from a member within so many periods is later than the pings on which other routers base a
+// suspicion of it.
 constexpr double kKnownTurns = 3;
 
 } // namespace
@@ -33,18 +34,18 @@
   for (std::size_t i = 0; i < count; ++i) {
     if (i != self_) order_.push_back(static_cast<Id>(i));
   }
-  at_ = order_.size(); // drawn anew at the first ping
+  at_ = order_.size(); // shuffled at the first ping
 }
 
-// What false suspicions there are in a second grows with the tier, and what is said of them has no more room:
-// so a larger one asks once more.
+// The rate of false suspicions grows with the tier, but the room for updates in datagrams does not: a larger
+// tier therefore sends one more ping before a suspicion.
 double Membership::tries() const { return all_.size() > kFew ? 4 : 3; }
 
 double Membership::most_told() const {
   return 3 * std::ceil(std::log2(static_cast<double>(all_.size()) + 1));
 }
 
-// ---- what is said ----
+// ---- sending ----
 
 void Membership::say(const Word& word) {
   std::erase_if(sayings_, [&](const Saying& s) { return s.word.who == word.who; });
@@ -59,12 +60,12 @@
   p.what.about = about;
   p.what.stamp = stamp_;
   p.what.round = round;
-  // Whoever is under suspicion is the first to hear of it: only its own word clears it.
+  // A suspect is notified first: only its own later stamp refutes the suspicion.
   if (all_[to].standing == State::Suspect || all_[to].standing == State::Dead) {
     p.what.words.push_back({to, Standing::Suspect, all_[to].stamp, self_});
   }
   std::size_t n = std::min(kWordsAtOnce, sayings_.size());
-  for (; n > 0; --n) { // the least told are in front; each goes behind those told as often
+  for (; n > 0; --n) { // least sent first; each goes behind those sent as often
     Saying s = sayings_.front();
     sayings_.pop_front();
     p.what.words.push_back(s.word);
@@ -115,7 +116,8 @@
   if (left_ || order_.empty()) return;
   if (++word_.sequence == 0) stamp_ = {++word_.incarnation, 0};
   if (ticked_at_ != kNever && now - ticked_at_ > kLateTurns * rules_.period_ms) {
-    // It was stopped, not they: nobody is judged by what came meanwhile and was not read.
+    // This process was paused, not the others: answers that arrived meanwhile are unread, so no pending ping
+    // counts against its target.
     doubt_ = kMostDoubt;
     rounds_.clear();
     for (Member& m : all_) m.dies_at += now - ticked_at_;
@@ -126,21 +128,21 @@
     const double out_ms = now - r.sent_at;
     if (r.for_other) {
       if (!r.answered && out_ms >= 0.8 * rules_.period_ms && !r.asked) {
-        r.asked = true; // its nack is out
+        r.asked = true; // the nack is sent
         out.push_back(packet(r.of, Kind::Nack, r.of_round, r.target));
       }
       continue;
     }
     if (r.answered || out_ms < 0.9 * patience()) continue;
     if (r.asked && out_ms >= (tries() - 0.1) * patience()) {
-      r.answered = true; // judged
+      r.answered = true; // handled
       if (r.nacks < r.expected) doubt_ = std::min(kMostDoubt, doubt_ + 1);
       suspect(now, r.target, self_, false);
       continue;
     }
-    // Again at each tick until then: with a fifth of the datagrams lost, one ping and three asks fail for one
-    // in thirteen that live, and what is said of them and of their return is far more than all datagrams
-    // carry.
+    // Repeated at each tick until then: with a fifth of the datagrams lost, one ping and three ping requests
+    // fail for one live member in thirteen, and the updates about these members and their return exceed by
+    // far what all datagrams can carry.
     out.push_back(packet(r.target, Kind::Ping, r.number, r.target));
     for (std::uint32_t n = 0; n < rules_.asked; ++n) {
       const Id helper = any_living(r.target);
@@ -174,9 +176,9 @@
   }
 }
 
-// ---- what is heard ----
+// ---- receiving ----
 
-// This router's next stamp, later than `said` and than all of its own.
+// Advances this router's stamp beyond `stamp` and beyond all of its own.
 void Membership::pass(Stamp said) {
   stamp_ = std::max(stamp_, said);
   if (++stamp_.sequence == 0) ++stamp_.incarnation;
@@ -194,7 +196,8 @@
   return kSuspectTurns * std::max(1.0, std::log10(static_cast<double>(all_.size()))) * patience();
 }
 
-// `dead`: by that word it has been suspected elsewhere for long enough; its own next word still clears it.
+// `reported_dead`: another router declared it dead after its suspicion timed out there; the member's own next
+// stamp still refutes that.
 void Membership::suspect(double now, Id who, Id by, bool dead) {
   Member& m = all_[who];
   if (m.standing >= State::Dead) return;
@@ -210,7 +213,7 @@
   if (by == self_ || m.agree >= std::size(m.agreed)) return;
   if (std::find(m.agreed, m.agreed + m.agree, by) != m.agreed + m.agree) return;
   m.agreed[m.agree++] = by;
-  // Lifeguard: from the most to the least as others agree.
+  // Lifeguard: decreases from the maximum to the minimum as confirmations arrive.
   const double left = most - (most - least) * std::log(m.agree + 1.0) / std::log(4.0);
   m.dies_at = std::min(m.dies_at, now + left);
   say({who, Standing::Suspect, m.stamp, by});
@@ -237,13 +240,13 @@
   }
   if (word.who == self_) {
     if (word.standing == Standing::Alive ? word.stamp <= stamp_ : word.stamp < stamp_)
-      return; // cleared since
+      return; // refuted since
     if (word.stamp.incarnation > stamp_.incarnation + kMostAhead) {
-      ++passed_over_; // no clock that was set back explains it
+      ++passed_over_; // more than a clock that was set back can explain
       return;
     }
-    // Others have heard a later stamp, of a process whose clock was ahead, or doubt this one: its next word
-    // clears it.
+    // Other routers have received a later stamp, from a process whose clock was ahead, or suspect this
+    // router: its next stamp refutes that.
     pass(word.stamp);
     say({self_, Standing::Alive, stamp_, self_});
     if (word.standing != Standing::Alive) doubt_ = std::min(kMostDoubt, doubt_ + 1);
@@ -256,13 +259,13 @@
     case Standing::Dead:
     case Standing::Left:
       if (m.standing >= State::Dead) return;
-      if (word.stamp < m.stamp) { // cleared since, which whoever said it does not know
+      if (word.stamp < m.stamp) { // refuted since, unknown to the reporter
         if (m.standing == State::Alive && word.stamp.incarnation == m.stamp.incarnation) remind(word.who);
         return;
       }
-      // What it said to this router itself goes before what others miss of it.
+      // A recent datagram from the member itself outweighs a suspicion of others.
       if (word.standing != Standing::Left && now - m.direct_at < kKnownTurns * rules_.period_ms) return;
-      // Of a process that this router knows nothing of, unless it knows none.
+      // Ignored if it concerns a later process than this router knows, unless it knows none.
       if (word.stamp.incarnation > m.stamp.incarnation && m.stamp.incarnation != 0) return;
       m.stamp = std::max(m.stamp, word.stamp);
       if (word.standing != Standing::Left &&
@@ -281,20 +284,20 @@
 bool Membership::take(double now, Id from, const Datagram& d, std::vector<Packet>& out) {
   if (from >= all_.size() || from == self_ || d.from != from || d.about >= all_.size() ||
       d.stamp.incarnation < all_[from].direct) {
-    ++passed_over_; // of another, or of the process before
+    ++passed_over_; // of another router, or of the previous process
     return false;
   }
   if (left_) return false;
   Member& sender = all_[from];
   if (d.stamp.incarnation > sender.direct || d.stamp < sender.stamp) {
-    // Its own word goes before whatever others claimed, but one that came late tells nothing new.
+    // A member's own datagram takes precedence over claims of others; a delayed one changes nothing.
     if (d.stamp.incarnation != sender.stamp.incarnation) sender.stamp = {};
     sender.direct = d.stamp.incarnation;
   }
   heard(from, d.stamp);
   sender.direct_at = now;
-  // It lives, as far as this router can tell. To the others only a later stamp says so: it makes one as it
-  // hears the word against it.
+  // It is alive, as far as this router knows. The other routers accept only a later stamp, which the member
+  // creates once it is notified of the suspicion.
   const bool doubted = sender.standing != State::Alive;
   if (sender.standing == State::Suspect) {
     set(from, State::Alive);
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,23 +1,25 @@
-// Who of the tier lives, as far as this router can tell. Decides; no I/O, no clock.
+// Membership of the tier: which routers are alive, as far as this router knows. No I/O, no clock.
 //
-// SWIM (Das, Gupta, Motivala 2002): in each period one member is pinged, all in turn in a drawn order;
-// without its answer some others are asked to ping it, and it is pinged again; without their word either it
-// is suspected, the suspicion is passed on with what is said anyway, and one that nobody hears of for a while
-// after that counts as dead. A member clears itself: it hears what is said against it, first from whoever
-// says it, and says a later stamp, which goes round as fast. From Lifeguard (Dadgar, Phillips, Currey 2017):
-// a router that does not get the answers it waits for, or wakes late, first doubts itself and waits longer; a
-// suspicion that several have ends sooner.
+// SWIM (Das, Gupta, Motivala 2002): in each period one member is pinged, all in turn in random order. Without
+// an ack some other members are asked to ping it, and it is pinged again. Without any ack it becomes suspect;
+// the suspicion is piggybacked on later datagrams, and a suspect that is not refuted for a while is declared
+// dead. A member refutes a suspicion: it is notified, first by whoever suspects it, and sends a later stamp,
+// which spreads as fast. From Lifeguard (Dadgar, Phillips, Currey 2017): a router that misses expected
+// answers, or wakes late, first lowers its own health and uses longer timeouts; a suspicion that several
+// routers share times out sooner.
 //
 //  - Units: milliseconds on the caller's clock, which only advances.
-//  - Ownership: datagrams that are to be sent are appended to the caller's vector. What is kept: 48 bytes a
-//    member, some hundred words and rounds.
-//  - At the start all are taken to live, as the configuration says: the number of routers can be too high,
-//    never too low.
-//  - Bounds: a period sends one ping, at most `asked` asks and what others' rounds cost; a member that counts
-//    as dead is pinged in one period of eight, so that sides of a cut find each other again.
-//  - What a false word can do: bring a member under suspicion until it has heard so and says a later stamp.
-//    What comes from a member's own address goes before all that others say of it, whatever stamp they claim.
-//  - Misuse: numbers out of range, and what bears this router's own number, are passed over and counted.
+//  - Ownership: datagrams to be sent are appended to the caller's vector. Memory: 48 bytes per member, and
+//    about a hundred updates and pending pings.
+//  - At the start all configured members count as alive: the number of routers can be too high, never too
+//    low.
+//  - Bounds: a period sends one ping, at most `indirect_pings` ping requests and what the pings of other
+//    members cost. One period of eight may ping a dead member, so that the sides of a network partition find
+//    each other again.
+//  - Worst effect of a false update: a member is suspect until it is notified and sends a later stamp. What
+//    comes from a member's own address takes precedence over updates from others, whatever stamp they claim.
+//  - Misuse: router numbers out of range, and datagrams with this router's own number, are ignored and
+//    counted.
 #pragma once
 
 #include <cstdint>
@@ -32,7 +34,7 @@
 
 struct Rules {
   double period_ms = 400;
-  std::uint32_t asked = 3; // others that are asked to ping a member which does not answer
+  std::uint32_t asked = 3; // other members that are asked to ping a member that does not answer
 };
 
 struct Packet {
@@ -42,45 +44,46 @@
 
 class Membership {
  public:
-  // `count` routers in the tier, this one is `self`. `incarnation`: later than any before.
+  // `count`: routers in the tier; `self`: this router's number; `incarnation`: greater than any previous one.
   Membership(Id self, std::size_t count, std::uint32_t incarnation, const Rules& rules, std::uint64_t seed);
 
-  // To be called at next() or later. Appends what is to be said.
+  // To be called at next_tick_at() or later. Appends the datagrams to be sent.
   void tick(double now, std::vector<Packet>& out);
   double next() const { return next_; }
-  // What has come, from the member that its address stands for. False: nothing of it was taken.
+  // Processes a datagram; `sender`: the member that its source address belongs to. Returns false if all of it
+  // was ignored.
   bool take(double now, Id from, const Datagram& d, std::vector<Packet>& out);
-  // A fact of a process that began then. One of a later process than was known says that this one lives; one
-  // of the same process says nothing, as it may be older than a suspicion.
+  // Called for each new report of the process with this incarnation. A report of a later process than known
+  // shows that the member is alive; one of the same process shows nothing, as it may predate a suspicion.
   void heard(Id who, std::uint32_t incarnation);
-  void leave(std::vector<Packet>& out); // some are told; says nothing any more
+  void leave(std::vector<Packet>& out); // notifies some members; sends nothing afterwards
 
   bool alive(Id who) const { return who == self_ || all_[who].standing <= State::Suspect; }
   std::size_t living() const { return living_; } // this one included
-  Stamp stamp() const { return stamp_; }         // a later one only to clear itself
-  Stamp word() const { return word_; }           // of its facts: a later one at each tick
-  double doubt() const { return doubt_; }        // of itself, 0 to 8
+  Stamp stamp() const { return stamp_; }         // increases to refute a suspicion or to leave
+  Stamp word() const { return word_; }           // stamp of its gossip reports: increases at each tick
+  double doubt() const { return doubt_; }        // 0 (healthy) to 8; multiplies timeouts
   std::uint64_t passed_over() const { return passed_over_; }
 
  private:
-  friend struct Inside; // tests look into it
+  friend struct Inside; // gives tests access to the state
   enum class State : std::uint8_t { Alive, Suspect, Dead, Left };
   struct Member {
     Stamp stamp;
-    std::uint32_t direct = 0; // incarnation of its own last word
-    double dies_at = 0;       // Suspect
+    std::uint32_t direct = 0; // incarnation in its own last datagram
+    double dies_at = 0;       // valid while suspect
     double direct_at = kNever;
     State standing = State::Alive;
-    std::uint8_t agree = 0; // others that suspect it too
+    std::uint8_t agree = 0; // other members that suspect it, too
     Id agreed[3] = {};
   };
-  struct Round { // a ping that is out
+  struct Round { // a ping that waits for its ack
     Id target = 0;
     std::uint16_t number = 0;
     double sent_at = 0;
     bool asked = false, answered = false;
     std::uint32_t nacks = 0, expected = 0;
-    Id of = 0; // whom it is for: another's, where for_other
+    Id of = 0; // valid if for_requester: the member that asked for this ping
     std::uint16_t of_round = 0;
     bool for_other = false;
   };
@@ -103,14 +106,14 @@
   Id any_living(Id but);
   double patience() const { return rules_.period_ms * (1 + doubt_); }
   double most_told() const;
-  double tries() const; // periods from a ping to a suspicion
+  double tries() const; // from a ping to a suspicion, in periods
 
   Id self_;
   Rules rules_;
   Random random_;
   Stamp stamp_, word_;
   std::vector<Member> all_;
-  std::vector<Id> order_; // of pings
+  std::vector<Id> order_; // of pings, random
   std::size_t at_ = 0, periods_ = 0;
   std::vector<Round> rounds_;
   std::deque<Saying> sayings_;
--- a/src/membership/wire.h
+++ b/src/membership/wire.h
@@ -1,18 +1,19 @@
-// Datagrams between routers: one layout, 256 bytes at most, little-endian. Pure.
+// Datagrams between routers: one layout, 256 bytes at most, little-endian. No I/O.
 //
-//   0  u8  version (1)            another one is dropped and counted
-//   1  u8  length of this head    a longer one has fields that this version passes over
-//   2  u8  kind                   ping, ack, ask (ping somebody for me), nack
-//   3  u8  number of words
-//   4  u16 from, u16 about        numbers in the tier; about: of whom an ask, an ack or a nack speaks
+//   0  u8  version (1)            datagrams of another version are dropped and counted
+//   1  u8  length of this header  a longer one has fields that this version ignores
+//   2  u8  kind                   ping, ack, ping request (indirect ping through another member), nack
+//   3  u8  number of updates
+//   4  u16 from, u16 subject      router numbers; subject: whom a ping request, ack or nack concerns
 //   8  u32 incarnation, u16 sequence: the sender's stamp
-//  14  u16 round                  an ack or nack bears its ping's
-//  16  words, 13 bytes each: u16 who, u8 standing, u32 incarnation, u16 sequence, u16 by, u16 reserved (0)
-//  ..  facts, as gossip/entries.h has them, up to
-//  -4  u32 xxHash32 of all before it
+//  14  u16 round                  an ack or nack carries its ping's
+//  16  updates, 13 bytes each: u16 member, u8 state, u32 incarnation, u16 sequence, u16 reporter,
+//      u16 reserved (0)
+//  ..  payload: entries as in gossip/entries.h, up to
+//  -4  u32 xxHash32 of all preceding bytes
 //
 //  - Ownership: encode() and decode() copy; a Datagram holds no reference into the bytes.
-//  - Misuse: bytes that are not whole, or hold what can't be, give none; nothing of them is taken.
+//  - Misuse: incomplete datagrams and invalid field values are rejected as a whole.
 #pragma once
 
 #include <compare>
@@ -25,21 +26,21 @@
 
 namespace fernward::membership {
 
-constexpr std::size_t kMostBytes = 256; // of a datagram, by the protocol
+constexpr std::size_t kMostBytes = 256; // of a datagram, set by the protocol
 
 using Id = std::uint16_t; // a router's number in its tier
 
-// What a router says of itself bears one that only grows: the start of its process, then the number of its
-// word.
+// The version of a router's statement about itself. It only increases: the start time of the process, then a
+// sequence number.
 struct Stamp {
-  std::uint32_t incarnation = 0; // tenths of a second of the wall's clock since 2020 at the start
+  std::uint32_t incarnation = 0; // wall-clock start time of the process, in tenths of a second since 2020
   std::uint16_t sequence = 0;
   auto operator<=>(const Stamp&) const = default;
 };
 
 enum class Standing : std::uint8_t { Alive, Suspect, Dead, Left };
 
-// That somebody with this stamp is thought of so. Left is its own word.
+// A statement that the member with this stamp is in this state. Left is only sent by the member itself.
 struct Word {
   Id who = 0;
   Standing standing = Standing::Alive;
@@ -59,10 +60,10 @@
 };
 
 std::size_t room_for_facts(const Datagram& d); // bytes
-std::string encode(const Datagram& d);         // words and facts that don't fit are left out
+std::string encode(const Datagram& d);         // omits updates and a payload that don't fit
 std::optional<Datagram> decode(std::string_view bytes);
 
-// Little-endian numbers, for all that is written into a datagram.
+// Little-endian integers, used for all fields of a datagram.
 template <typename T>
 void put(std::string& to, T value) {
   for (std::size_t i = 0; i < sizeof(T); ++i) to.push_back(static_cast<char>(value >> (8 * i) & 0xff));
