--- a/src/gossip_transport/link.cpp
+++ b/src/gossip_transport/link.cpp
@@ -16,12 +16,12 @@
 namespace fernward::gossip_transport {
 namespace {
 
-constexpr unsigned kAtOnce = 8; // datagrams of one call, and read before others have their turn
-// An answer takes two looks, this router's and the other's, and is to be there before the next round. Beyond
-// 112 ms the policy's tick, each 100 ms, has come by.
+constexpr unsigned kAtOnce = 8; // datagrams read in one call, so that other events are not delayed
+// An answer takes two polls, the peer's and this router's, and must arrive before the next round. The
+// balancer's tick wakes the process each 100 ms, so no interval above 112 ms is needed.
 constexpr double kLookTurns = 0.45, kLookMs = 112;
 constexpr double kOpenAgainMs = 100;
-constexpr int kReceived = 256 * 1024; // bytes that the kernel keeps while this process does something else
+constexpr int kReceived = 256 * 1024; // that the kernel keeps while this process is busy
 
 std::uint64_t key_of(const sockaddr_in& a) { return std::uint64_t{a.sin_addr.s_addr} << 16 | a.sin_port; }
 
@@ -70,7 +70,7 @@
   const bool more = read();
   const double now = loop::now_ms();
   if (now + look_ms_ / 2 >= fleet_.next())
-    round(now); // the nearest look: rounds come as often as they should
+    round(now); // the poll nearest to the due time, so that rounds keep their period
   look_again(now, more);
 }
 
@@ -85,7 +85,7 @@
   calls_.heard(fleet_, now);
 }
 
-// True: there may be more.
+// Returns true if there may be more datagrams.
 bool Link::read() {
   std::array<char, membership::kMostBytes + 1> bytes;
   const double now = loop::now_ms();
@@ -96,7 +96,7 @@
     const ssize_t length =
         recvfrom(socket_, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&from), &size);
     if (length < 0) {
-      if (errno == ECONNREFUSED) continue; // of what was sent to one that is gone: it says nothing for sure
+      if (errno == ECONNREFUSED) continue; // caused by an earlier send; no proof that the peer is gone
       break;
     }
     const auto peer = by_address_.find(key_of(from));
@@ -109,12 +109,12 @@
   send();
   if (!heard_ && got > 0) {
     heard_ = fleet_.view(now).heard > 0;
-    if (heard_) calls_.heard(fleet_, now); // one that comes back need not wait for the next round
+    if (heard_) calls_.heard(fleet_, now); // a restarted router need not wait for the next round
   }
   return got == kAtOnce;
 }
 
-// What the kernel does not take is lost, as the net loses some.
+// Datagrams that the kernel does not accept are lost, like those lost in the network.
 void Link::send() {
   for (const auto& [to, bytes] : out_) {
     const auto& where = peers_[to];
--- a/src/gossip_transport/link.h
+++ b/src/gossip_transport/link.h
@@ -1,11 +1,12 @@
-// The socket between routers: carries gossip::Fleet's datagrams, and decides nothing.
+// The UDP socket between routers: sends and receives the datagrams of gossip::GossipNode.
 //
-// It listens at `peer_listen` and sends from there to the addresses of `peers`; only what comes from one of
-// these counts. No request waits for a datagram, so none wakes the process: what has come is read, and a
-// round that is due is begun, at wakes that other deadlines cause, the policy's tick first of all; by the
-// period's end at the latest.
+// It is bound to `peer_listen` and sends to the addresses of `peers`; datagrams from other addresses are
+// ignored. No request waits for a datagram, so none wakes the process: datagrams are read, and due gossip
+// rounds are started, when other timers wake the process, mainly the balancer's tick, and by the end of the
+// period at the latest.
 //
-// While another process of this router still has the address (it is being replaced), the link tries again.
+// While another process of this router still holds the address (the process is being replaced), bind is
+// retried.
 #pragma once
 
 #include <netinet/in.h>
@@ -23,16 +24,16 @@
 struct Options {
   gossip::Id self = 0;
   std::string listen;             // "10.0.0.4:7946"
-  std::vector<std::string> peers; // by number, this router's own included
+  std::vector<std::string> peers; // by router number, this router's own included
   membership::Rules rules;
   std::uint64_t seed = 1;
   std::uint8_t zone = gossip::kNoZone;
 };
 
 struct Calls {
-  std::function<gossip::Own()> own; // what is to be said
+  std::function<gossip::Own()> own; // the reports to send
   std::function<void(gossip::Fleet&, double now)>
-      heard; // after each round, and as soon as the first others are heard
+      heard; // after each round, and as soon as the first report of another router is received
 };
 
 class Link {
@@ -43,9 +44,9 @@
   Link(const Link&) = delete;
   Link& operator=(const Link&) = delete;
 
-  void leave(); // tells some, closes its socket; nothing comes of it any more
+  void leave(); // notifies some members and closes the socket; nothing is sent afterwards
   gossip::Fleet& fleet() { return fleet_; }
-  std::uint64_t strangers() const { return strangers_; } // datagrams from no address of `peers`, or too long
+  std::uint64_t strangers() const { return strangers_; } // from addresses not in `peers`, or too long
 
  private:
   void open();
@@ -60,7 +61,7 @@
   sockaddr_in listen_{};
   std::vector<sockaddr_in> peers_;
   std::unordered_map<std::uint64_t, gossip::Id> by_address_;
-  double look_ms_; // at the latest
+  double look_ms_; // the longest time between reads
   gossip::Fleet fleet_;
   std::vector<gossip::Fleet::Out> out_;
   loop::TimerQueue::TimerId ticket_ = 0;
