--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -50,7 +50,7 @@
   // To be called at next_tick_at() or later. Appends the datagrams to be sent.
   void tick(double now, std::vector<Packet>& out);
   double next() const { return next_; }
-  // Processes a datagram; `sender`: the member that its source address belongs to. Returns false if all of it
+  // Processes a datagram; `from`: the member that its source address belongs to. Returns false if all of it
   // was ignored.
   bool take(double now, Id from, const Datagram& d, std::vector<Packet>& out);
   // Called for each new report of the process with this incarnation. A report of a later process than known
