--- a/tests/discovery/subscription_test.cpp
+++ b/tests/discovery/subscription_test.cpp
@@ -1,4 +1,5 @@
-// The subscription against a discovery in virtual time, whose connections and calls fare as a script or a draw says.
+// Tests the subscription against a simulated discovery in virtual time, whose connections and calls behave as
+// a script or a random draw determines. Guards against late or lost changes and against bursts of calls.
 #include "discovery/subscription.h"
 
 #include <doctest/doctest.h>
@@ -18,17 +19,17 @@
 constexpr double kNever = std::numeric_limits<double>::infinity();
 constexpr double kRoundTripMs = 1;
 
-// What becomes of one connection and of the calls on it.
+// The behavior of one connection and of the calls on it.
 struct Fate {
-  double up_after_ms = kRoundTripMs;      // kNever: the connection does not come up
-  double refused_after_ms = kNever;       // it ends before that
-  double answers_after_ms = kRoundTripMs; // beyond what a call waits; kNever: it is silent
-  double progress_every_ms = kNever;      // bytes that come before the answer is whole
-  bool useless = false;                   // the answer is of no use
+  double up_after_ms = kRoundTripMs;      // kNever: the connection is never established
+  double refused_after_ms = kNever;       // the connection attempt fails after this time
+  double answers_after_ms = kRoundTripMs; // after a call's wait; kNever: no answer
+  double progress_every_ms = kNever;      // interval of bytes before the answer is complete
+  bool useless = false;                   // the answer is invalid
   bool silent_in_outage = true;           // a call that is open in an outage is answered at its end
 };
 
-// Discovery, and the version of its list.
+// Simulates discovery and the version of its list.
 class SimulatedDiscovery {
  public:
   using Draw = std::function<Fate(double now)>;
@@ -53,13 +54,13 @@
     }
     if (now < end && !done()) now = end;
   }
-  double heard_at(ListIndex index, double end) { // kNever: not by then
+  double heard_at(ListIndex index, double end) { // kNever: not received by `end`
     run(end, [&] { return heard >= index; });
     return heard >= index ? now : kNever;
   }
   void change() { ++version; }
   void down(bool on) { down_ = on; }
-  void silence_open_calls() { // for good: their connections stay open, and tell nothing more
+  void silence_open_calls() { // permanently: their connections stay open without further bytes
     for (auto& [id, connection] : connections_) connection.fate.answers_after_ms = kNever;
   }
   void refresh() {
@@ -80,7 +81,7 @@
     Fate fate;
     double up_at = kNever, ends_at = kNever, answer_at = kNever, progress_at = kNever;
     std::optional<Ask> call;
-    bool lost = false; // a call for the whole list that was made in an outage: never answered
+    bool lost = false; // a call for the complete list made in an outage: never answered
   };
 
   bool news(const Connection& c) const { return c.call && (!c.call->since || *c.call->since < version); }
@@ -192,7 +193,7 @@
   fate.useless = true;
   return fate;
 }
-// An answer that keeps coming and never ends.
+// An answer whose bytes keep arriving and never end.
 Fate endless() {
   Fate fate = silent();
   fate.progress_every_ms = 300;
@@ -201,7 +202,7 @@
 
 } // namespace
 
-TEST_CASE("a healthy discovery: one connection, one whole list, changes heard at once") {
+TEST_CASE("a healthy discovery needs one connection and one complete list and changes are received at once") {
   SimulatedDiscovery discovery([](double) { return Fate(); });
   for (int i = 0; i < 20; ++i) {
     discovery.run(discovery.now + 700);
@@ -212,10 +213,10 @@
   CHECK(discovery.opened == 1);
   CHECK(discovery.whole_lists == 1);
   CHECK(discovery.most_open == 1);
-  CHECK(discovery.asked < 60); // a long poll a second, and one for each change
+  CHECK(discovery.asked < 60); // one long poll per second, and one per change
 }
 
-TEST_CASE("a list that keeps coming is heard, however long it takes") {
+TEST_CASE("a list whose bytes keep arriving is received however long it takes") {
   SimulatedDiscovery discovery([](double) {
     Fate slow;
     slow.answers_after_ms = 12000;
@@ -227,7 +228,7 @@
   CHECK(discovery.opened <= 9);
 }
 
-TEST_CASE("a discovery that begins to answer late is heard, however late") {
+TEST_CASE("a late first answer of discovery is received however late it is") {
   for (const double late : {300.0, 600.0, 1500.0, 4000.0, 9000.0, 14000.0}) {
     SimulatedDiscovery discovery([late](double) {
       Fate slow;
@@ -235,14 +236,14 @@
       return slow;
     });
     INFO(late);
-    CHECK(discovery.heard_at(41, 1000 + late + 10) < kNever); // the first call is not given up
+    CHECK(discovery.heard_at(41, 1000 + late + 10) < kNever); // the first call is not abandoned
     discovery.change();
     const double changed_at = discovery.now;
     CHECK(discovery.heard_at(42, changed_at + 2 * late + 2000) < kNever);
   }
 }
 
-TEST_CASE("connections that come up late are waited for") {
+TEST_CASE("slowly established connections are awaited") {
   for (const double late : {600.0, 1500.0, 5000.0}) {
     SimulatedDiscovery discovery([late](double) {
       Fate slow;
@@ -254,7 +255,7 @@
   }
 }
 
-TEST_CASE("slow calls after one that is never answered: heard, as the silent one gives way") {
+TEST_CASE("slow calls after an unanswered one are received because the unanswered call is replaced") {
   int connections = 0;
   SimulatedDiscovery discovery([&](double) {
     Fate slow = ++connections == 1 ? silent() : Fate();
@@ -264,7 +265,7 @@
   CHECK(discovery.heard_at(41, 60000) < 40000);
 }
 
-TEST_CASE("three calls in a row that are never answered, the first a long poll: heard within 6 s") {
+TEST_CASE("a change is received within 6 s despite three unanswered calls in a row") {
   for (const auto& [first, second] : std::vector<std::pair<Fate, Fate>>{{silent(), silent()},
                                                                         {never_up(), silent()},
                                                                         {silent(), never_up()},
@@ -288,7 +289,7 @@
   }
 }
 
-TEST_CASE("an outage in which calls stay open: heard as it ends, and few connections are made") {
+TEST_CASE("after an outage with open calls a change is received at once with few connections made") {
   for (const double outage_ms : {500.0, 8000.0, 60000.0, 600000.0}) {
     SimulatedDiscovery discovery([](double) { return Fate(); });
     discovery.run(3000);
@@ -305,7 +306,7 @@
   }
 }
 
-TEST_CASE("an outage in which connections are refused: heard within half of the grace of its end") {
+TEST_CASE("after an outage with refused connections a change is received within half of the reserve") {
   for (int phase = 0; phase < 50; ++phase) {
     bool down = false;
     SimulatedDiscovery discovery([&](double) { return down ? refused() : Fate(); });
@@ -320,8 +321,7 @@
   }
 }
 
-TEST_CASE(
-    "after a failure the changes are asked for, after a second one or a useless answer the whole list") {
+TEST_CASE("changes are requested after one failure and the complete list after two or an invalid answer") {
   std::vector<Fate> fates = {Fate(), refused(), Fate()};
   SimulatedDiscovery discovery([&](double) {
     const Fate fate = fates.front();
@@ -336,7 +336,7 @@
   const auto after = std::find_if(discovery.calls.begin(), discovery.calls.end(),
                                   [](const Ask& call) { return call.call > 1; });
   REQUIRE(after != discovery.calls.end());
-  CHECK(after->since); // no call for changes has failed
+  CHECK(after->since); // no call for changes has failed yet
 
   fates = {Fate(), useless(), Fate()};
   SimulatedDiscovery other([&](double) {
@@ -353,10 +353,10 @@
   }
   REQUIRE(whole.size() >= 2);
   CHECK_FALSE(whole[0]); // the call beside the open one asks for changes
-  CHECK(whole[1]);       // and after its useless answer the whole list
+  CHECK(whole[1]);       // and after its invalid answer the complete list
 }
 
-TEST_CASE("in an outage the whole list is asked for rarely, and a call for changes is always open") {
+TEST_CASE("in an outage the complete list is requested rarely and a call for changes is always open") {
   SimulatedDiscovery discovery([](double) { return Fate(); });
   discovery.run(3000);
   discovery.down(true);
@@ -371,10 +371,10 @@
   CHECK(discovery.heard_at(42, up_at + 100) - up_at < 10);
 }
 
-TEST_CASE("a refresh asks beside the open call, and often so without a burst") {
+TEST_CASE("a refresh makes a call beside the open one and repeated refreshes cause no burst") {
   SimulatedDiscovery discovery([](double) { return Fate(); });
   discovery.run(1500);
-  discovery.down(true); // the open call is silent
+  discovery.down(true); // the open call gets no answer
   discovery.run(1600);
   discovery.refresh();
   CHECK(discovery.subscription.open_calls() == 2);
@@ -386,7 +386,7 @@
   CHECK(discovery.heard_at(42, up_at + 100) < kNever);
 }
 
-TEST_CASE("long polls that are answered empty at once are paced") {
+TEST_CASE("polls are paced if discovery returns empty answers at once") {
   Subscription subscription(SubscriptionRules(), 1);
   Actions actions;
   subscription.start(1, actions);
@@ -397,7 +397,7 @@
     Actions due;
     subscription.tick(now, due);
     actions.insert(actions.end(), due.begin(), due.end());
-    while (!actions.empty()) { // each call is answered in the moment in which it is made
+    while (!actions.empty()) { // each call is answered as soon as it is made
       REQUIRE(std::holds_alternative<Ask>(actions.front()));
       ++asked;
       actions.clear();
@@ -405,12 +405,12 @@
     }
   }
   CHECK(asked < 120);
-  CHECK(asked > 90); // a subscription lapses 200 ms after its last answer
+  CHECK(asked > 90); // a subscription expires 200 ms after its last answer
 }
 
-// Whatever befell connections and calls before: once discovery can be reached, a change is heard within the bound, also
-// where the calls that are open then and one more are never answered.
-TEST_CASE("any history, then a discovery that can be reached: heard within 6 s less the grace") {
+// After any history of connections and calls: once discovery is reachable, a change is received within the
+// bound, even if the calls open at that time and one more are never answered.
+TEST_CASE("after any history a change is received within 6 s less the reserve once discovery is reachable") {
   CHECK(rc::check([] {
     const auto faults = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 7));
     const double quiet_ms = *rc::gen::inRange(0, 40000);
