--- a/tests/membership/measure.cpp
+++ b/tests/membership/measure.cpp
@@ -1,5 +1,6 @@
-// Prints how soon a death and a return are known, how often a living router is counted out, and what it all sends.
-// Usage: fernward_members_measure PERIOD_MS ROUTERS LOSS SECONDS SEED...   See docs/notes/fleet.md.
+// Prints how soon a failed and a restarted router are detected, how often a live router is declared dead, and
+// the traffic. Usage: fernward_members_measure PERIOD_MS ROUTERS LOSS SECONDS SEED...   See
+// docs/notes/fleet.md.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -11,7 +12,7 @@
 
 namespace {
 
-// Until the first or the last of the others counts router 0 as living or not; below 0: not within two minutes.
+// Time until the first or the last other router considers router 0 alive or dead; -1: not within two minutes.
 double until(Tier& tier, bool living, bool all) {
   const double from = tier.now;
   const auto knows = [&](std::size_t i) { return i == 0 || tier.routers[i]->members().alive(0) == living; };
@@ -24,7 +25,7 @@
 
 void tell(const char* what, std::vector<double> all) {
   std::sort(all.begin(), all.end());
-  std::printf("  %-28s median %6.2f s, least %6.2f, most %6.2f\n", what, all[all.size() / 2] / 1000,
+  std::printf("  %-28s median %6.2f s, min %6.2f, max %6.2f\n", what, all[all.size() / 2] / 1000,
               all.front() / 1000, all.back() / 1000);
 }
 
@@ -42,7 +43,7 @@
     Tier tier(n, static_cast<std::uint64_t>(std::atoi(argv[i])), rules);
     tier.loss = loss;
     std::vector<std::size_t> seen(n, n);
-    tier.before_tick = [&](std::size_t r) { // a living one that is counted out, by each who does so
+    tier.before_tick = [&](std::size_t r) { // counts each live router once per router that declares it dead
       const std::size_t now = tier.living(r);
       alarms += now < seen[r] ? static_cast<double>(seen[r] - now) : 0;
       seen[r] = now;
@@ -61,11 +62,11 @@
     back.push_back(until(tier, true, true));
   }
   std::printf(
-      "%zu routers, %.0f%% lost, %d seeds of %.0f s: %.1f datagrams, %.0f bytes a second and router\n", n,
+      "%zu routers, %.0f%% lost, %d seeds of %.0f s: %.1f datagrams, %.0f bytes per second and router\n", n,
       100 * loss, argc - 5, seconds, datagrams / of, bytes / of);
-  std::printf("  %.1f times an hour a living router is counted out, of %zu pairs\n",
+  std::printf("  %.1f times per hour a live router is declared dead, over %zu pairs\n",
               alarms / (seconds * (argc - 5)) * 3600, n * (n - 1));
-  tell("a death is known to one after", first);
-  tell("and to all after", last);
-  tell("a return to all after", back);
+  tell("failure detected by one after", first);
+  tell("and by all after", last);
+  tell("restart detected by all after", back);
 }
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-TEST_CASE("a datagram is read as it was written, and not at all where a bit differs or a byte is missing") {
+TEST_CASE("a datagram decodes to what was encoded and is rejected if a bit differs or a byte is missing") {
   CHECK(rc::check([] {
     const Datagram d = some();
     const std::string bytes = membership::encode(d);
@@ -49,7 +49,7 @@
   }));
 }
 
-TEST_CASE("all hear of all, and of one that dies, returns or leaves, within stated times") {
+TEST_CASE("all routers see all members and detect a failure and a restart within the stated times") {
   for (const std::size_t n : {2, 4, 64, 300}) {
     CAPTURE(n);
     Tier t(n);
@@ -58,24 +58,24 @@
     t.kill(1);
     const double died = t.now;
     t.run(40000, [&] { return t.all([&](std::size_t i) { return t.living(i) == n - 1; }); });
-    MESSAGE(n << " routers, all know of a death after ms: " << t.now - died);
+    MESSAGE(n << " routers, all detected a failure after ms: " << t.now - died);
     CHECK(t.now - died < (n < 65 ? 12000 : 20000));
     t.start(1);
     const double back = t.now;
     t.run(20000, [&] { return t.all([&](std::size_t i) { return t.living(i) == n; }); });
-    MESSAGE("and of its return after ms: " << t.now - back);
+    MESSAGE("and its restart after ms: " << t.now - back);
     CHECK(t.now - back < 10000);
   }
 }
 
 TEST_CASE(
-    "a death is known to all within 4 (4 + log2 n) periods, whatever later facts of the dead are about") {
+    "all detect a failure within 4 (4 + log2 n) periods even while reports of the dead router circulate") {
   for (const std::size_t n : {4, 64, 256}) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
       CAPTURE(n);
       CAPTURE(seed);
       Tier t(n, seed);
-      t.run(15000); // facts of all, of several ages, are everywhere
+      t.run(15000); // every router has reports of all others, of various ages
       t.kill(0);
       const double died = t.now;
       t.run(60000, [&] { return t.all([&](std::size_t i) { return !t.routers[i]->members().alive(0); }); });
@@ -86,7 +86,7 @@
 }
 
 TEST_CASE(
-    "a fifth of the datagrams lost, 128 routers: what is said of suspects has room, nobody is counted out") {
+    "with a fifth of the datagrams lost 128 routers have room for suspicions and none is declared dead") {
   Tier t(128, 2);
   t.loss = 0.2;
   std::size_t alarms = 0;
@@ -99,7 +99,7 @@
   CHECK(alarms == 0);
 }
 
-TEST_CASE("half of the datagrams lost, some twice: nobody who lives is dead for long to anybody") {
+TEST_CASE("with half of the datagrams lost and some duplicated no live router is considered dead for long") {
   for (const double loss : {0.05, 0.2, 0.5}) {
     CAPTURE(loss);
     Tier t(32, 5);
@@ -115,7 +115,7 @@
   }
 }
 
-TEST_CASE("a cut in three, then one way only: each side counts its own, and all find each other again") {
+TEST_CASE("after a three-way and a one-way partition each side counts its own members and all reconnect") {
   Tier t(30, 9);
   t.run(10000);
   t.passes = [](std::size_t a, std::size_t b) { return a % 3 == b % 3; };
@@ -125,14 +125,14 @@
   const double healed = t.now;
   t.run(30000, [&] { return t.all([&](std::size_t i) { return t.living(i) == 30; }); });
   CHECK(t.now - healed < 20000);
-  t.passes = [](std::size_t a, std::size_t b) { return !(a == 0 && b != 0); }; // nobody hears the first
+  t.passes = [](std::size_t a, std::size_t b) { return !(a == 0 && b != 0); }; // nobody receives from 0
   t.run(30000);
   CHECK(t.living(5) == 29);
-  CHECK(t.living(0) <= 30);                   // it hears the others' pings, so they live to it
-  CHECK(t.routers[0]->members().doubt() > 0); // and doubts itself
+  CHECK(t.living(0) <= 30);                   // it receives the others' pings, so it considers them alive
+  CHECK(t.routers[0]->members().doubt() > 0); // and lowers its own health
 }
 
-TEST_CASE("one that was stopped for ten seconds wakes and judges nobody by them") {
+TEST_CASE("a router that was paused for ten seconds declares no other router dead when it resumes") {
   Tier t(16, 3);
   t.run(10000);
   t.paused_until[4] = t.now + 10000;
@@ -145,10 +145,11 @@
   CHECK(t.all([&](std::size_t i) { return t.living(i) == 16; }));
 }
 
-TEST_CASE("a liar brings others under suspicion, takes nobody's number, and damage is counted") {
+TEST_CASE("a router with false updates causes only suspicions and forged or damaged datagrams are counted") {
   Tier t(8, 4);
   t.run(8000);
-  // Router 7 says at each of its rounds that 1 is dead at a stamp far ahead, and speaks as 1.
+  // In each of its rounds router 7 claims with a stamp far ahead that router 1 is dead, and sends as router
+  // 1.
   double worst = 8;
   t.before_tick = [&](std::size_t i) {
     worst = std::min(worst, static_cast<double>(t.living(0)));
@@ -170,7 +171,7 @@
     }
   };
   t.run(20000);
-  CHECK(worst >= 7); // nobody else is lost by it
+  CHECK(worst >= 7); // nobody else is considered dead
   CHECK(t.routers[0]->counts().damaged > 0);
   CHECK(t.routers[0]->counts().passed_over > 0);
   t.before_tick = [](std::size_t) {};
@@ -178,7 +179,7 @@
   CHECK(t.living(0) == 8);
 }
 
-TEST_CASE("what a router says costs the same in a small tier and in a large one") {
+TEST_CASE("the traffic of a router is the same in a small tier and in a large one") {
   double each[2];
   for (int i = 0; i < 2; ++i) {
     const std::size_t n = i == 0 ? 8 : 300;
@@ -189,5 +190,5 @@
     each[i] = static_cast<double>(t.bytes) / static_cast<double>(n) / 20;
   }
   CHECK(each[1] < 1.25 * each[0]);
-  CHECK(each[1] < 1100); // bytes a second a router, at four rounds a second
+  CHECK(each[1] < 1100); // bytes per second and router, at four rounds per second
 }
--- a/tests/membership/model_test.cpp
+++ b/tests/membership/model_test.cpp
@@ -1,4 +1,6 @@
-// Three routers, all orders and losses of what they say within a few rounds, a false word and a crash: what must never be.
+// Explores the states of three routers over a few rounds: all orders and losses of datagrams, false updates
+// and a crash. Guards against stamps that decrease or exceed the owner's, and live routers declared dead by
+// outdated updates.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -9,7 +11,7 @@
 
 namespace fernward::membership {
 
-// What a router knows, as bytes: two that are alike go on alike, but for what they draw.
+// Serializes the state of a router: two routers with equal bytes behave alike, except for random draws.
 struct Inside {
   static void append(const Membership& m, std::string& to) {
     const auto add = [&](auto value) { to.append(reinterpret_cast<const char*>(&value), sizeof value); };
@@ -50,7 +52,7 @@
   std::vector<Membership> all;
   std::vector<Packet> under_way;
   bool crashed = false;
-  int losses = 0, rounds = 0; // that are left
+  int losses = 0, rounds = 0; // remaining
   double now = 1000;
 };
 
@@ -80,7 +82,8 @@
     for (Id j = 0; j < kThree; ++j) {
       const Membership &then = before.all[p.to], &now = w.all[p.to];
       if (j == p.to || !then.alive(j) || now.alive(j)) continue;
-      // Counted out by this datagram: not by words older than what is known, nor right after it spoke itself.
+      // Declared dead by this datagram: must not be due to updates older than the known stamp, nor right
+      // after direct contact.
       by_older += std::none_of(p.what.words.begin(), p.what.words.end(), [&](const Word& word) {
         return word.who == j && word.stamp >= Inside::known(then, j);
       });
@@ -131,8 +134,8 @@
 } // namespace fernward::membership
 
 TEST_CASE(
-    "three routers, all orders of what they say, losses, a false word and a crash: no state that must not "
-    "be") {
+    "three routers reach no invalid state under any order and loss of datagrams with false updates and a "
+    "crash") {
   using namespace fernward::membership;
   Model model;
   const auto play = [&](int lies, std::uint16_t lie, bool crashed, int rounds, int losses) {
@@ -146,7 +149,7 @@
       p.what.words = std::move(words);
       out.push_back(std::move(p));
     };
-    // The second was suspected twice, has answered that, and was heard by both.
+    // The second router was suspected twice, refuted both suspicions, and both others received that.
     std::vector<Packet> before, none;
     for (std::uint16_t n = 0; n < 2; ++n) {
       tell(0, 1, {{1, Standing::Suspect, {1, n}, 0}}, before);
@@ -156,22 +159,23 @@
       tell(1, to, {}, before);
       w.all[to].take(0, 1, before.back().what, none);
     }
-    // Words of its death that come whenever they like: the first brings it under suspicion, the next would do.
+    // False updates that declare it dead arrive at any time: the first makes it suspect, the next could
+    // declare it dead.
     for (int n = 0; n < lies; ++n) tell(kCrashes, 0, {{1, Standing::Dead, {1, lie}, kCrashes}}, w.under_way);
     if (lies > 0) tell(kCrashes, 1, {{1, Standing::Suspect, {1, 0}, kCrashes}}, w.under_way);
     w.now = 10 * Rules{}.period_ms;
     w.crashed = crashed, w.rounds = rounds, w.losses = losses;
     model.living_out = 0;
     model.play(w);
-    MESSAGE(lies << " words of stamp " << lie << ", crashed " << crashed << ", rounds " << rounds
+    MESSAGE(lies << " false updates of stamp " << lie << ", crashed " << crashed << ", rounds " << rounds
                  << ", losses " << losses << ": " << model.seen.size()
-                 << " states so far, somebody counted out in " << model.counted_out << " steps");
+                 << " states so far, a router declared dead in " << model.counted_out << " steps");
     return model.living_out;
   };
-  CHECK(play(2, 0, false, 2, 0) == 0); // and a crash anywhere
+  CHECK(play(2, 0, false, 2, 0) == 0); // with a crash at any point
   CHECK(play(2, 0, true, 2, 1) == 0);
   CHECK(play(2, 0, true, 3, 0) == 0);
-  CHECK(play(2, 2, true, 2, 0) > 0); // as nobody has heard it lately
+  CHECK(play(2, 2, true, 2, 0) > 0); // possible, as nobody had recent direct contact
   CHECK(model.went_back == 0);
   CHECK(model.beyond == 0);
   CHECK(model.by_older == 0);
--- a/tests/membership/tier.h
+++ b/tests/membership/tier.h
@@ -1,4 +1,5 @@
-// A tier of pure parts in virtual time: datagrams that come late, twice, out of order or not at all, cuts and pauses.
+// A tier of gossip nodes in virtual time, with delayed, duplicated, reordered and lost datagrams, network
+// partitions and paused processes.
 #pragma once
 
 #include <algorithm>
@@ -19,7 +20,7 @@
       : rules(r), random{mix(seed)}, own(n), paused_until(n), routers(n), looks_at(n) {
     for (std::size_t i = 0; i < n; ++i) start(i);
   }
-  void start(std::size_t i) { // a new process, which knows nothing
+  void start(std::size_t i) { // a new process without any state
     routers[i] = std::make_unique<gossip::Fleet>(static_cast<gossip::Id>(i), routers.size(),
                                                  gossip::incarnation_at(kStart + now), rules, mix(i + 77));
     const std::uint64_t life = ++lives[i];
@@ -48,7 +49,8 @@
   }
 
   static constexpr double kStart = 1.7e12;
-  // How often a router looks what has come and whether a round is due, about as gossip_transport::Link does.
+  // How often a router reads datagrams and checks whether a round is due; similar to
+  // gossip_transport::Transport.
   double look_ms() const { return std::min(100.0, 0.4 * rules.period_ms); }
   membership::Rules rules;
   Random random;
@@ -60,7 +62,7 @@
   std::vector<gossip::Own> own;
   std::vector<double> paused_until;
   std::vector<std::unique_ptr<gossip::Fleet>> routers;
-  std::vector<double> looks_at; // once, and a look apart ever after
+  std::vector<double> looks_at; // of each router; later polls follow at equal intervals
   std::map<std::size_t, std::uint64_t> lives;
   std::uint64_t datagrams = 0, bytes = 0;
 
@@ -74,7 +76,7 @@
     send(i, out);
     at(look(i, routers[i]->next() - look_ms() / 2), [this, i, life] { tick(i, life); });
   }
-  double look(std::size_t i, double from) const { // the first one
+  double look(std::size_t i, double from) const { // the first poll at or after `from`
     const double apart = look_ms();
     return looks_at[i] + apart * std::ceil((from - looks_at[i]) / apart);
   }
