--- a/tests/gossip/findings_test.cpp
+++ b/tests/gossip/findings_test.cpp
@@ -25,11 +25,11 @@
   const auto all = verdicts(f, now);
   return !all.empty() && all.back().bad;
 }
-constexpr std::uint32_t kWell = 0, kBad = 2; // attempts lost in a row
+constexpr std::uint32_t kWell = 0, kBad = 2; // consecutive failed attempts
 
 Finding finding(std::uint32_t lost, double at) { return {kNode, lost, at}; }
 
-// Four routers a zone in three zones; what each has seen of the node is in `own`.
+// Three zones of four routers; local_reports holds what each has observed at the node.
 struct Zoned : Tier {
   Zoned() : Tier(12, 3, {250, 3}) {
     for (std::size_t i = 0; i < 12; ++i) {
@@ -53,41 +53,40 @@
 
 } // namespace
 
-TEST_CASE(
-    "two of a zone, heard two ways, take a node out for it, one alone, however often it speaks, does not") {
+TEST_CASE("two routers of a zone with two sender addresses make a node an outlier and one alone never does") {
   Findings f(0, 1, 1);
   f.own(1000, {1, 1}, {});
   CHECK(f.merge(1000, 2, 2, {1, 1}, 1, finding(kBad, 900)));
-  CHECK_FALSE(f.merge(1000, 2, 2, {1, 1}, 1, finding(kBad, 900))); // the same once more
+  CHECK_FALSE(f.merge(1000, 2, 2, {1, 1}, 1, finding(kBad, 900))); // a duplicate
   CHECK(f.merge(1000, 2, 2, {1, 2}, 1, finding(kBad, 950)));
   CHECK_FALSE(bad(f, 1000));
-  // A second owner's word, but from the first one's mouth: it may be made up.
+  // A report of a second owner, but relayed by the first: it may be forged.
   CHECK(f.merge(1000, 2, 3, {1, 1}, 1, finding(kBad, 900)));
   CHECK_FALSE(bad(f, 1000));
-  CHECK(f.merge(1000, 3, 3, {1, 1}, 1, finding(kBad, 900))); // from its own: no hearsay any more
+  CHECK(f.merge(1000, 3, 3, {1, 1}, 1, finding(kBad, 900))); // from the owner's own address: direct
   CHECK(bad(f, 1000));
-  CHECK(verdicts(f, 1000).empty()); // told once
-  // It fades, and that is told, too.
+  CHECK(verdicts(f, 1000).empty()); // each change is returned once
+  // The reports expire, and that change is returned, too.
   const auto later = verdicts(f, 950 + gossip::kFreshMs);
   REQUIRE(later.size() == 1);
   CHECK_FALSE(later[0].bad);
   CHECK(f.standing() == 0);
 }
 
-TEST_CASE("of many that are hardly asked, one lost attempt each is enough: four of them") {
+TEST_CASE("four routers with one failed attempt each make a node an outlier") {
   Findings f(0, 1, 1);
   for (gossip::Id who = 1; who <= 4; ++who) {
     CHECK_FALSE(bad(f, 1000));
     f.merge(1000, who, who, {1, 1}, 1, finding(1, 900));
   }
   CHECK(bad(f, 1000));
-  Findings g(0, 1, 1); // nor do many lost ones of one stand for others'
+  Findings g(0, 1, 1); // many failures at one router do not replace those of others
   g.merge(1000, 1, 1, {1, 1}, 1, finding(30, 900));
   g.merge(1000, 2, 2, {1, 1}, 1, finding(1, 900));
   CHECK_FALSE(bad(g, 1000));
 }
 
-TEST_CASE("who says well outweighs two, other zones count only together, and only where nobody says well") {
+TEST_CASE("one success outweighs two failures and other zones count only together and without a success") {
   Findings f(0, 1, 1);
   const auto says = [&](gossip::Id who, std::uint8_t zone, std::uint32_t lost) {
     f.merge(1000, who, who, {1, 1}, zone, finding(lost, lost > 0 ? 900 : 950));
@@ -96,7 +95,7 @@
   CHECK_FALSE(bad(f, 1000));
   says(5, 1, kBad);
   CHECK(bad(f, 1000));      // three to one
-  Findings before(0, 1, 1); // an answer from before they lost theirs tells nothing against them
+  Findings before(0, 1, 1); // a success from before the failures does not contradict them
   before.merge(2000, 4, 4, {1, 1}, 1, finding(kWell, 800));
   for (const gossip::Id who : {gossip::Id{2}, gossip::Id{3}})
     before.merge(2000, who, who, {1, 1}, 1, finding(kBad, 1900));
@@ -106,14 +105,14 @@
     g.merge(1000, who, who, {1, 1}, zone, finding(lost, lost > 0 ? 900 : 950));
   };
   abroad(2, 2, kBad), abroad(3, 2, kBad), abroad(4, 2, kBad);
-  CHECK_FALSE(bad(g, 1000)); // one zone: it may be that zone which is cut off
+  CHECK_FALSE(bad(g, 1000)); // a single zone: that zone may be the one that is cut off
   abroad(5, 3, kBad);
   CHECK(bad(g, 1000));
   abroad(6, 4, kWell);
   CHECK_FALSE(bad(g, 1000));
 }
 
-TEST_CASE("of any words in any order, with any repeats, the same verdict, none on one owner or one address") {
+TEST_CASE("duplicates do not change the decision and one owner or one sender never suffices") {
   CHECK(rc::check([] {
     struct Told {
       gossip::Id via, owner;
@@ -146,10 +145,11 @@
 
 namespace {
 
-// Three routers, each of which may have seen the node fail, well or not at all; each tells both others, who pass it on.
+// Three routers, each of which observed a failure, a success or nothing at the node; each sends to both
+// others, which relay the reports.
 struct Small {
   explicit Small(int seen) : saw{seen % 3, seen / 3 % 3, seen / 9} {}
-  // All orders of all choices of the six messages; those left out are lost.
+  // All orders of all subsets of the six messages; the others are lost.
   void play(std::vector<Findings> all, unsigned sent) {
     ++states;
     for (Findings& f : all) {
@@ -165,13 +165,13 @@
       play(std::move(next), sent | 1u << message);
     }
   }
-  int saw[3]; // 0 well, 1 nothing, 2 bad
+  int saw[3]; // 0 success, 1 nothing, 2 failure
   std::size_t states = 0, verdicts = 0;
 };
 
 } // namespace
 
-TEST_CASE("three routers, all orders and losses of their words: no verdict without two who saw it") {
+TEST_CASE("three routers decide nothing without two observers under all orders and losses of their reports") {
   std::size_t states = 0, right = 0;
   for (int seen = 0; seen < 27; ++seen) {
     Small small(seen);
@@ -195,21 +195,21 @@
 }
 
 TEST_CASE(
-    "a dead node is out for all within two seconds, one that is cut off from a zone, for that zone alone") {
+    "a dead node is ejected by all within two seconds and an unreachable one only by the cut-off zone") {
   Zoned t;
   t.run(2000);
-  t.sees = [&](std::size_t i) { // one router in two has asked it by now
+  t.sees = [&](std::size_t i) { // every second router has sent an attempt to it
     if (i % 2 != 0) return std::vector<Finding>();
     return std::vector<Finding>{finding(kBad, t.now)};
   };
   const double dies = t.now;
   t.run(10000, [&] { return t.leave_out(0, 12) == 12; });
-  MESSAGE("out for all after ms: " << t.now - dies);
+  MESSAGE("ejected by all after ms: " << t.now - dies);
   CHECK(t.now - dies <= 2000);
   t.sees = [](std::size_t) { return std::vector<Finding>(); };
   t.run(gossip::kFreshMs + 1000);
   CHECK(t.leave_out(0, 12) == 0);
-  // Cut off from the first zone: its routers find it dead, all others have their answers.
+  // Cut off from the first zone: its routers observe failures, all others get responses.
   t.sees = [&](std::size_t i) { return std::vector<Finding>{finding(i < 4 ? kBad : kWell, t.now)}; };
   for (int k = 0; k < 40; ++k) {
     t.run(250);
@@ -218,13 +218,14 @@
   CHECK(t.leave_out(0, 4) == 4);
 }
 
-TEST_CASE("a router with a bad line, and one that lies in others' names, take no node out for anybody else") {
+TEST_CASE(
+    "a router with a broken connection and one that forges reports eject no node for any other router") {
   Zoned t;
   t.sees = [&](std::size_t i) { return std::vector<Finding>{finding(i == 2 ? kBad : kWell, t.now)}; };
-  t.run(2000); // who is well served says so where somebody says ill: until that is heard, two are believed
+  t.run(2000); // successes are only reported after a failure report: until they arrive, two failures suffice
   for (int k = 0; k < 40; ++k) {
     t.run(250);
-    // The liar's datagrams: words of all others, with stamps beyond theirs.
+    // Forged datagrams: reports in the names of all others, with stamps beyond theirs.
     Findings lies(3, 0, 1);
     for (gossip::Id who = 0; who < 12; ++who) {
       if (who != 3) lies.merge(t.now, who, who, {9, 9}, 0, finding(kBad, t.now));
@@ -237,11 +238,11 @@
     for (std::size_t to = 0; to < 12; ++to) {
       if (to != 3) CHECK(t.routers[to]->take(t.now, 3, membership::encode(d), answers));
     }
-    CHECK(t.leave_out(0, 2) + t.leave_out(3, 12) == 0); // 2 goes by what it has seen itself
+    CHECK(t.leave_out(0, 2) + t.leave_out(3, 12) == 0); // 2 uses its own observations
   }
 }
 
-TEST_CASE("tables are bounded: further servers are passed over, the oldest voters give way") {
+TEST_CASE("tables are bounded and ignore further servers and replace the oldest reports") {
   Findings f(0, 1, 1);
   for (gossip::ServerId s = 0; s < 2 * Findings::kServers; ++s) {
     CHECK(f.merge(1000, 2, 2, {1, 1}, 1, {s, kBad, 900}) == (s < Findings::kServers));
@@ -249,10 +250,10 @@
   for (gossip::Id who = 1; who <= 2 * Findings::kVoters; ++who) {
     f.merge(1000, who, who, {2, 1}, 1, {0, kBad, 900.0 + who});
   }
-  CHECK_FALSE(f.merge(1000, 1, 1, {2, 1}, 1, {0, kBad, 901})); // it gave way, and is the oldest still
+  CHECK_FALSE(f.merge(1000, 1, 1, {2, 1}, 1, {0, kBad, 901})); // it was replaced, and is still the oldest
   CHECK(f.merge(1000, 99, 99, {2, 1}, 1, {0, kBad, 999}));
   CHECK(f.write(1000, Findings::kRoom).size() <= Findings::kRoom);
-  // What can't be: of this router itself, from the future.
+  // Invalid reports: of this router itself, and from the future.
   CHECK_FALSE(f.merge(1000, 2, 0, {9, 9}, 1, finding(kBad, 900)));
   CHECK_FALSE(f.merge(1000, 2, 3, {9, 9}, 1, finding(kBad, 1001)));
   CHECK(f.passed_over() == 2);
--- a/tests/gossip/gossip_test.cpp
+++ b/tests/gossip/gossip_test.cpp
@@ -22,7 +22,7 @@
 
 double part(Tier& t, std::size_t i) { return t.routers[i]->view(t.now).ledger_part; }
 
-// Each router goes a fifth of the way to its part at each round, as the limiter does.
+// Moves each router's limit a fifth of the way to its share in each round, as the concurrency limiter does.
 void follow(Tier& t) {
   t.before_tick = [&t](std::size_t i) {
     const double to = part(t, i);
@@ -37,13 +37,13 @@
 
 } // namespace
 
-TEST_CASE("merging is commutative, associative and idempotent: any order, any repeats, the same table") {
+TEST_CASE("merging reports in any order and with any duplicates gives the same table") {
   CHECK(rc::check([] {
     std::vector<Heard> words;
     for (int n = *rc::gen::inRange(1, 12); n > 0; --n) {
       const auto sequence = *rc::gen::inRange<std::uint16_t>(1, 5);
       const auto owner = *rc::gen::inRange<std::uint16_t>(1, 4);
-      // One owner says one thing under one stamp.
+      // One owner sends one report per stamp.
       words.push_back(
           {owner, {10, sequence}, *rc::gen::inRange(0, 500) * 10.0, {1.0 * sequence, 2.0 * owner}});
     }
@@ -63,10 +63,11 @@
   }));
 }
 
-TEST_CASE("three routers, all orders of their words, losses and a crash: parts never exceed what is held") {
-  // Each of three routers sends its fact to both others: six messages, each lost, delivered once or twice, in any order,
-  // while one of them may have crashed and come back knowing nothing before any step. In every state the parts that all
-  // three would take, each by what it knows, are within the bound that the means allow.
+TEST_CASE("three routers keep shares within their limits under any order and loss of reports and a crash") {
+  // Each of three routers sends its report to both others: six messages, each delivered or lost, in any
+  // order, while one router may crash and restart without state before any step. In every state the sum of
+  // the shares that the three routers compute from what they know is within the bound that follows from the
+  // weighted means.
   std::set<std::vector<double>> states;
   std::size_t played = 0;
   std::vector<int> order{0, 1, 2, 3, 4, 5};
@@ -98,10 +99,10 @@
           const double mine = all[i].part(0);
           state.push_back(mine);
           parts += mine;
-          CHECK(mine <= 3 * 3 * 1.0); // no router alone takes more than its weight of the whole
+          CHECK(mine <= 3 * 3 * 1.0); // no single router takes more than its weight of the total
         }
         worst = std::max(worst, parts);
-        CHECK(worst <= 1.6 * (limit[0] + limit[1] + limit[2])); // views that differ: the slack that is stated
+        CHECK(worst <= 1.6 * (limit[0] + limit[1] + limit[2])); // the stated slack for views that differ
         states.insert(state);
         ++played;
       }
@@ -111,7 +112,7 @@
   CHECK(played == 720u * 64 * 7);
 }
 
-TEST_CASE("the ledger's limit goes where it is wanted, and its sum stays") {
+TEST_CASE("the origin limit moves to the routers with demand and its sum stays the same") {
   Tier t(40, 6);
   for (std::size_t i = 0; i < 40; ++i) t.own[i] = {i < 4 ? 3.0 : 0.2, 0.5};
   follow(t);
@@ -119,11 +120,10 @@
   CHECK(sum(t) > 0.8 * 20);
   CHECK(sum(t) < 1.2 * 20);
   CHECK(t.own[0].limit > 4 * t.own[20].limit);
-  CHECK(t.own[20].limit > 0.05); // nobody is left with nothing
+  CHECK(t.own[20].limit > 0.05); // no router is left without a limit
 }
 
-TEST_CASE(
-    "where one alone is asked, parts come to one and a half times what was held at most, however long") {
+TEST_CASE("with demand at one router the shares stay within one and a half times the previous total") {
   for (const std::size_t n : {3u, 4u, 9u, 20u}) {
     CAPTURE(n);
     Tier t(n, 8);
@@ -136,7 +136,7 @@
   }
 }
 
-TEST_CASE("one that comes back knowing nothing has its part after the first exchange") {
+TEST_CASE("a router restarted without state has its share after the first exchange") {
   Tier t(40, 7);
   for (auto& own : t.own) own = {1, 2};
   t.run(15000);
@@ -149,8 +149,8 @@
   CHECK(t.now - back <= 2 * t.rules.period_ms + 100);
 }
 
-TEST_CASE("in any cut, and with everybody deaf, all sides together hold no more than before") {
-  for (const int sides : {2, 3, 40}) { // the last: nobody hears anybody
+TEST_CASE("in any partition all sides together do not exceed the previous total limit") {
+  for (const int sides : {2, 3, 40}) { // the last: no router receives anything
     CAPTURE(sides);
     Tier t(40, 8);
     for (std::size_t i = 0; i < 40; ++i) t.own[i] = {i % 5 == 0 ? 2.0 : 0.3, 1};
@@ -165,12 +165,12 @@
     CHECK(most <= 1.15 * before);
     t.passes = [](std::size_t, std::size_t) { return true; };
     for (int i = 0; i < 40; ++i) t.run(500), most = std::max(most, sum(t));
-    CHECK(most <= 1.15 * before); // nor when it heals
+    CHECK(most <= 1.15 * before); // also when the partition heals
     CHECK(sum(t) >= 0.8 * before);
   }
 }
 
-TEST_CASE("seven in ten killed at once, and all restarted: the parts that are left stay sound") {
+TEST_CASE("shares stay within the total when seven in ten routers are killed and restarted") {
   Tier t(40, 10);
   for (auto& own : t.own) own = {1, 1};
   follow(t);
@@ -185,8 +185,8 @@
 }
 
 TEST_CASE(
-    "a router that lies about its demand and its limit moves nothing beyond what honest ones have, for long "
-    "either") {
+    "a router that reports a false demand and limit does not move the limits of correct routers out of "
+    "bounds") {
   for (const std::size_t n : {4u, 40u}) {
     for (const gossip::Own& lie : {gossip::Own{4000, 0}, gossip::Own{0, 4000}, gossip::Own{4000, 4000}}) {
       CAPTURE(n);
@@ -205,7 +205,7 @@
   }
 }
 
-TEST_CASE("a demand that rises everywhere at once deals out no more than there was") {
+TEST_CASE("a demand that rises at all routers at once does not increase the total limit") {
   Tier t(40, 12);
   for (auto& own : t.own) own = {0.02, 0.5};
   follow(t);
@@ -217,7 +217,7 @@
   CHECK(most <= 1.25 * before);
 }
 
-TEST_CASE("values that are no numbers, numbers of nobody and damaged tails are passed over and counted") {
+TEST_CASE("non-finite values and unknown router numbers and damaged tails are ignored and counted") {
   Facts f(0, 4, 1);
   f.own(0, {10, 1}, {std::nan(""), 1e300});
   CHECK(f.demand(0) == 0);
@@ -238,8 +238,8 @@
 }
 
 TEST_CASE(
-    "the ledger's response time is pooled: old words fade soon, a liar moves it within what honest ones "
-    "saw") {
+    "the pooled origin response time expires soon and a false report keeps it within the range of correct "
+    "ones") {
   for (const std::size_t n : {4u, 40u}) {
     CAPTURE(n);
     Tier t(n, 13);
@@ -256,11 +256,11 @@
     }
     for (auto& own : t.own) own.answer_ms = 0;
     t.run(8000);
-    CHECK(t.all([&](std::size_t i) { return seen(i) == 0; })); // nobody was answered lately
+    CHECK(t.all([&](std::size_t i) { return seen(i) == 0; })); // no recent response at any router
   }
 }
 
-TEST_CASE("entries of an older version, and of a newer one, say what they have") {
+TEST_CASE("entries of older and newer versions are read as far as they go") {
   Facts old(1, 4, 1);
   old.own(0, {10, 1}, {2, 3, 50});
   std::string bytes = old.write(0, 18);
@@ -272,7 +272,7 @@
   f.read(0, 1, newer, told);
   CHECK(told.size() == 1);
   Facts g(0, 4, 1);
-  std::string older = bytes.substr(0, 16); // demand and limit alone
+  std::string older = bytes.substr(0, 16); // demand and limit only
   older[1] = static_cast<char>(older[1] - 2);
   g.read(0, 1, older, told);
   CHECK(told.size() == 2);
