--- a/tests/gossip_transport/processes_test.cpp
+++ b/tests/gossip_transport/processes_test.cpp
@@ -1,5 +1,6 @@
-// Several processes of the program with `serve --fleet`, real datagrams and a net between them that cuts, loses and
-// doubles; a ledger that counts what all of them have there at once, while the fault lasts.
+// Several processes of the program with `serve --fleet` and real datagrams, over a simulated network that
+// partitions, loses and duplicates them. The origin counts the concurrent attempts of all routers, to check
+// their total limit during faults.
 #include <doctest/doctest.h>
 #include <sys/socket.h>
 
@@ -30,7 +31,7 @@
 }
 std::string text_of(int port) { return "127.0.0.1:" + std::to_string(port); }
 
-// A datagram socket in the loop.
+// A datagram socket in the event loop.
 struct Port {
   Port(event_base* base, std::function<void(const std::string&)> got) : take(std::move(got)) {
     fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
@@ -56,7 +57,7 @@
   loop::EventPtr reads;
 };
 
-// The net: for each router a port for each other, as in `peers`.
+// The network: one port per pair of routers, as listed in `peers`.
 struct Net {
   explicit Net(event_base* base) {
     for (std::size_t i = 0; i < kRouters; ++i) listens.push_back(free_port());
@@ -81,12 +82,12 @@
   double loss = 0, twice = 0;
   std::size_t sent = 0, longest = 0;
   std::vector<int> listens;
-  std::vector<std::unique_ptr<Port>> ports; // by whose file names it, and for whom it stands
+  std::vector<std::unique_ptr<Port>> ports; // by listing router, then by the router it stands for
   std::mt19937 random{7};
   std::uniform_real_distribution<double> draw{0, 1};
 };
 
-// A ledger that takes longer the more it has in work.
+// An origin whose response time grows with the number of active requests.
 class Ledger {
  public:
   explicit Ledger(event_base* base) : base_(base) {
@@ -100,7 +101,7 @@
   }
   ~Ledger() { evconnlistener_free(listener_); }
   std::string address;
-  int in_work = 0, most = 0, answered = 0; // `most` since it was set back
+  int in_work = 0, most = 0, answered = 0; // `max_active` since it was reset
 
  private:
   struct Link {
@@ -155,8 +156,8 @@
 };
 
 struct Tier {
-  // `bad_line`: what the first router takes for s-1 says nothing.
-  // `fleet`: the file's text; without it the routers share nothing.
+  // `broken_path`: the address that the first router has for s-1 does not answer.
+  // `fleet_file`: the file's text; without it the routers do not gossip.
   explicit Tier(bool bad_line = false,
                 const std::optional<std::string>& fleet = "[members]\nperiod = \"" +
                                                           std::to_string(kPeriodMs) +
@@ -181,12 +182,12 @@
       c["peers"] = peers;
       c["settings"]["balancers"] = kRouters;
       c["settings"]["me"] = i;
-      c["settings"]["classes"][0]["aim"] = 200; // so that the ledger is crowded long before all are there
+      c["settings"]["classes"][0]["aim"] = 200; // so that the origin is congested long before the full load
       c["settings"]["classes"][0]["give_up"] = 800;
       configs.push_back(c);
       start(i);
     }
-    // Discovery is silent, as each router has a list of its own: they serve by it.
+    // Discovery does not answer: each router uses its own cached list.
     for (const auto& program : programs)
       REQUIRE(until([&] { return program->says("cached-endpoints-used"); }));
     if (!shares) return;
@@ -207,7 +208,7 @@
     programs[i].reset(); // SIGKILL
     clients.erase(i);
   }
-  // Of a router; -1: it does not answer.
+  // A statistic of a router; -1: the router does not answer.
   double figure(std::size_t i, const std::string& name) {
     if (programs[i] == nullptr || programs[i]->ended()) return -1;
     Caller caller(base.get(), controls[i], "show-stat\n");
@@ -228,8 +229,8 @@
     }
     return true;
   }
-  // Clients that ask again as soon as they are answered: `each[i]` at router i. Each key is a new one, so all goes to
-  // the ledger.
+  // Clients that send the next request after each response: `clients_per_router[i]` at router i. Each key is
+  // new, so all requests go to the origin.
   void load() {
     for (std::size_t i = 0; i < kRouters; ++i) {
       if (programs[i] == nullptr || programs[i]->port() == 0) continue;
@@ -243,7 +244,7 @@
         if (a.sent > 0 && a.next_at == 0) {
           const bool well = a.client->answers.back().status == 200;
           served += well;
-          if (!well) a.next_at = loop::now_ms() + 50; // as clients do that were told to stay away
+          if (!well) a.next_at = loop::now_ms() + 50; // as clients do after a rejection
           if (!well) continue;
         }
         a.next_at = 0;
@@ -253,7 +254,7 @@
       }
     }
   }
-  bool until(const std::function<bool()>& done) { // load goes on; `done` may look at figures
+  bool until(const std::function<bool()>& done) { // keeps sending load; `done` may read statistics
     const double end = loop::now_ms() + 30000;
     while (!done()) {
       if (loop::now_ms() > end) return false;
@@ -265,11 +266,11 @@
     }
     return true;
   }
-  // Says after what time all count all, from now on.
+  // Waits until all routers see all others alive, and prints how long that took.
   bool whole() {
     const double from = loop::now_ms();
     const bool is = until([&] { return counts(kRouters); });
-    MESSAGE("whole again after ms: " << loop::now_ms() - from << ", most at the ledger: " << ledger.most);
+    MESSAGE("all alive after ms: " << loop::now_ms() - from << ", max active attempts: " << ledger.most);
     return is;
   }
   void run(double ms) {
@@ -281,19 +282,19 @@
     for (std::size_t i = 0; i < kRouters; ++i) sum += std::max(0.0, figure(i, "fleet_limit")) / 1000;
     return sum;
   }
-  // What all sides of a cut together may have at the ledger: what they held before, rounded up at each router, and what
-  // limits grow by themselves where nothing is crowded.
+  // The most attempts that all sides of a partition together may have at the origin: the previous total
+  // limit, rounded up at each router, plus the growth of limits at routers without congestion.
   int bound(double before) const {
     return static_cast<int>(std::ceil(1.25 * before)) + static_cast<int>(kRouters);
   }
 
-  bool shares, direct; // direct: no net between them
+  bool shares, direct; // direct: without the simulated network
   router::BasePtr base = router::make_base();
   Net net{base.get()};
   Ledger ledger{base.get()};
   Peer discovery{base.get(), [](const http::Message&) { return std::string(); }};
   Peer deaf{base.get(), [](const http::Message&) { return std::string(); }};
-  bool silent = false; // s-1, for all
+  bool silent = false; // s-1 does not answer any router
   std::size_t came = 0;
   Peer one{base.get(), [this](const http::Message&) { return ++came, silent ? std::string() : kMiss; }};
   Peer two{base.get(), [](const http::Message&) { return kMiss; }};
@@ -305,13 +306,13 @@
   struct Asker {
     std::unique_ptr<Client> client;
     std::size_t sent = 0;
-    double next_at = 0; // waits until then after a refusal
+    double next_at = 0; // after a rejected request: waits until then
   };
   std::map<std::size_t, std::vector<Asker>> clients;
   std::uint64_t asked = 0, served = 0;
 };
 
-void crowd(Tier& t) { // until the limits have been found
+void crowd(Tier& t) { // until the limiters have settled
   t.each[0] = 48;
   t.each[1] = t.each[2] = t.each[3] = 16;
   t.run(4000);
@@ -320,14 +321,14 @@
 } // namespace
 
 TEST_CASE(
-    "a cut, one way or both: each side counts its own, the ledger has no more than before, all meet again") {
+    "in a partition each side counts its own and the origin gets no more than before and all reconnect") {
   Tier t;
   crowd(t);
   bool one_way = false;
-  SUBCASE("both ways, two and two") {
+  SUBCASE("both directions between two and two routers") {
     t.net.passes = [](std::size_t a, std::size_t b) { return a / 2 == b / 2; };
   }
-  SUBCASE("one way: nobody hears the first") {
+  SUBCASE("one direction and nobody receives from the first router") {
     one_way = true;
     t.net.passes = [](std::size_t a, std::size_t) { return a != 0; };
   }
@@ -339,7 +340,7 @@
     CHECK(t.until([&] { return t.counts(2); }));
   }
   t.run(2000);
-  MESSAGE("limits before: " << before << ", most at the ledger in the cut: " << t.ledger.most);
+  MESSAGE("limits before: " << before << ", max active at the origin in the partition: " << t.ledger.most);
   CHECK(t.ledger.most <= t.bound(before));
   const std::uint64_t served = t.served;
   t.run(500);
@@ -351,7 +352,7 @@
   CHECK(t.net.longest <= 256);
 }
 
-TEST_CASE("half of the datagrams lost, some twice: nobody who lives is given up for long") {
+TEST_CASE("with half of the datagrams lost and some duplicated no live router is declared dead for long") {
   Tier t;
   t.net.loss = 0.5;
   t.net.twice = 0.2;
@@ -365,7 +366,7 @@
   CHECK(t.whole());
 }
 
-TEST_CASE("a router that is stopped is counted out, and judges nobody when it wakes") {
+TEST_CASE("a stopped router is declared dead and declares no other dead when it resumes") {
   Tier t;
   crowd(t);
   const double before = t.limits();
@@ -382,12 +383,12 @@
     least = std::min(least, t.figure(3, "fleet_living"));
     return t.counts(4);
   }));
-  MESSAGE("whole again after ms: " << loop::now_ms() - woken);
+  MESSAGE("all alive again after ms: " << loop::now_ms() - woken);
   CHECK(least >= 4);
   CHECK(t.ledger.most <= t.bound(before));
 }
 
-TEST_CASE("a router that was killed and comes back has its part of the ledger after one exchange") {
+TEST_CASE("a killed and restarted router has its share of the origin limit after one exchange") {
   Tier t;
   crowd(t);
   t.kill(2);
@@ -405,8 +406,7 @@
   CHECK(t.ledger.most <= t.bound(before * 4 / 3));
 }
 
-TEST_CASE(
-    "an upgrade of each in turn, and a restart of all: a process that leaves says so, and all count all") {
+TEST_CASE("in a rolling upgrade and a full restart leaving processes notify others and all see all alive") {
   Tier t;
   t.each[0] = t.each[1] = t.each[2] = t.each[3] = 2;
   t.run(500);
@@ -416,7 +416,7 @@
     t.programs[i]->signal(SIGTERM);
     std::unique_ptr<Program> old = std::move(t.programs[i]);
     t.clients.erase(i);
-    t.start(i); // beside the old one, which still answers what it has taken
+    t.start(i); // beside the old one, which still answers its accepted requests
     CHECK(t.whole());
     CHECK(t.until([&] { return old->ended(); }));
     CHECK(old->code == 0);
@@ -425,16 +425,16 @@
   for (std::size_t i = 0; i < kRouters; ++i) t.start(i);
   const double started = loop::now_ms();
   CHECK(t.until([&] { return t.all([&](std::size_t i) { return t.figure(i, "fleet_heard") == 3; }); }));
-  MESSAGE("after a restart of all each has heard all after ms: " << loop::now_ms() - started);
+  MESSAGE("after a full restart each has reports of all others after ms: " << loop::now_ms() - started);
   CHECK(t.counts(4));
   CHECK(t.ledger.most <= t.bound(before));
 }
 
 TEST_CASE(
-    "a silent node is out for all on the word of two, in a cut only for those who hear them, and comes "
-    "back") {
+    "a silent node is ejected by all on the reports of two routers and in a partition only on their side "
+    "and recovers") {
   Tier t;
-  t.each[0] = t.each[1] = 4; // the others ask nobody: what they know of the node they were told
+  t.each[0] = t.each[1] = 4; // the others send no requests: they know the node only from reports
   t.run(500);
   const auto out = [&](std::size_t i) { return t.figure(i, "cluster_unhealthy") == 1; };
   t.net.passes = [](std::size_t a, std::size_t b) { return a / 2 == b / 2; };
@@ -448,13 +448,13 @@
   }
   t.net.passes = [](std::size_t, std::size_t) { return true; };
   CHECK(t.until([&] { return out(2) && out(3); }));
-  MESSAGE("out for all after ms: " << loop::now_ms() - began << ", attempts that came there: " << t.came);
+  MESSAGE("ejected by all after ms: " << loop::now_ms() - began << ", attempts at the node: " << t.came);
   t.silent = false;
   t.each[2] = t.each[3] = 4;
   CHECK(t.until([&] { return t.all([&](std::size_t i) { return t.figure(i, "cluster_unhealthy") == 0; }); }));
 }
 
-TEST_CASE("a router with a bad line to a node takes it out for itself alone") {
+TEST_CASE("a router with a broken connection to a node ejects it for itself only") {
   Tier t(true);
   for (auto& each : t.each) each = 4;
   CHECK(t.until([&] { return t.figure(0, "cluster_unhealthy") == 1; }));
@@ -466,7 +466,7 @@
   }
 }
 
-TEST_CASE("what is no peer's, too long or damaged is dropped and counted, and serves as before") {
+TEST_CASE("datagrams that are too long or damaged or not from a peer are dropped and counted") {
   Tier t;
   Port stranger(t.base.get(), nullptr);
   const sockaddr_in where = loopback(t.net.listens[0]);
@@ -482,7 +482,7 @@
   CHECK(t.counts(4));
 }
 
-TEST_CASE("a faulty fleet file, or a platform's file without peers, is named and nothing is started") {
+TEST_CASE("a faulty fleet file or a platform file without peers is named and the program does not start") {
   Folder folder;
   const auto refused = [&](const std::string& text, const Json& config, const std::string& why) {
     std::ofstream(folder / "f.toml") << text;
@@ -508,17 +508,18 @@
   refused("", config, "peers[0]: \"nowhere\" is no address");
 }
 
-// What sharing costs, for docs/notes/fleet.md:
-//   COST="400ms 15 3" fernward_gossip_transport_tests --no-skip -tc="cost*"     period, requests a second and router, pairs, and
-// what else is to stand under [share]. The two tiers of a pair run at the same time, as others use the machine too.
-TEST_CASE("cost of sharing: off and on at the same time" * doctest::skip()) {
+// Measures the cost of gossip, for docs/notes/fleet.md:
+//   COST="400ms 15 3" fernward_gossip_transport_tests --no-skip -tc="cost*"
+// The values are the period, requests per second and router, pairs, and further lines under [share]. The two
+// tiers of a pair run at the same time, as other processes use the machine, too.
+TEST_CASE("cost of gossip with both settings at the same time" * doctest::skip()) {
   const char* wanted = std::getenv("COST");
   std::istringstream words(wanted != nullptr ? wanted : "400ms 0 3");
   std::string period, share;
   double rate = 0;
   int pairs = 0;
   words >> period >> rate >> pairs;
-  std::getline(words >> std::ws, share); // "ledger=false", say
+  std::getline(words >> std::ws, share); // for example "ledger=false"
   constexpr double kSeconds = 20;
   struct One {
     explicit One(const std::optional<std::string>& fleet) : tier(false, fleet, true) {
@@ -551,7 +552,7 @@
     std::size_t turn = 0;
     const auto run = [&](double ms) {
       for (const double end = loop::now_ms() + ms; loop::now_ms() < end; usleep(300)) {
-        ++turn; // who is served second finds caches that the first has filled
+        ++turn; // the tier that runs second benefits from warm CPU caches
         for (std::size_t i = 0; i < 2; ++i)
           event_base_loop(both[(turn + i) % 2]->tier.base.get(), EVLOOP_NONBLOCK);
         if (rate <= 0 || loop::now_ms() < next) continue;
@@ -567,10 +568,10 @@
       const Program::Use u = both[i]->use();
       const double of = kSeconds * kRouters;
       cpu[i] = (u.cpu_ms - began[i].cpu_ms) / of;
-      std::printf("  %-3s %6.3f ms of CPU and %5.1f wakes a second and router\n", i == 0 ? "off" : "on",
+      std::printf("  %-3s %6.3f ms of CPU and %5.1f wakes per second and router\n", i == 0 ? "off" : "on",
                   cpu[i], (u.wakes - began[i].wakes) / of);
     }
-    std::printf("%s, %.0f requests a second: +%.3f ms a second, +%.1f%%\n", period.c_str(), rate,
+    std::printf("%s, %.0f requests per second: +%.3f ms per second, +%.1f%%\n", period.c_str(), rate,
                 cpu[1] - cpu[0], 100 * (cpu[1] / cpu[0] - 1));
     std::fflush(stdout);
   }
