--- a/src/discovery/subscription.h
+++ b/src/discovery/subscription.h
@@ -60,8 +60,8 @@
 
 class Subscription {
  public:
-  // `known`: the version of the list that the process already has, from any source, so that the first call
-  // can ask for changes only.
+  // `known_index`: the version of the list that the process already has, from any source, so that the first
+  // call can ask for changes only.
   Subscription(const SubscriptionRules& rules, std::uint64_t seed, std::optional<ListIndex> known = {});
 
   void start(double now, Actions& actions) { tick(now, actions); }
--- a/src/gossip/facts.h
+++ b/src/gossip/facts.h
@@ -69,7 +69,7 @@
   // is ignored because it is not newer, is invalid or is this router's own.
   bool merge(double now, Id owner, Stamp stamp, double age_ms, const Values& values, bool direct);
 
-  // Encodes reports into at most `room` bytes: this router's own first, then randomly drawn reports of other
+  // Encodes reports into at most `room_bytes`: this router's own first, then randomly drawn reports of other
   // routers, with a preference for recent ones.
   std::string write(double now, std::size_t room);
   struct Told {
--- a/tests/discovery/subscription_test.cpp
+++ b/tests/discovery/subscription_test.cpp
@@ -265,7 +265,7 @@
   CHECK(discovery.heard_at(41, 60000) < 40000);
 }
 
-TEST_CASE("a change is received within 6 s despite three unanswered calls in a row") {
+TEST_CASE("a change is received within 6 s despite a long poll and two more calls without an answer") {
   for (const auto& [first, second] : std::vector<std::pair<Fate, Fate>>{{silent(), silent()},
                                                                         {never_up(), silent()},
                                                                         {silent(), never_up()},
--- a/tests/gossip/findings_test.cpp
+++ b/tests/gossip/findings_test.cpp
@@ -1,3 +1,5 @@
+// Guards against servers that are ejected on too few, forged or outdated outlier reports, and against servers
+// that stay undetected although several routers report failures.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -73,7 +75,7 @@
   CHECK(f.standing() == 0);
 }
 
-TEST_CASE("four routers with one failed attempt each make a node an outlier") {
+TEST_CASE("four routers with little traffic and one failed attempt each make a node an outlier") {
   Findings f(0, 1, 1);
   for (gossip::Id who = 1; who <= 4; ++who) {
     CHECK_FALSE(bad(f, 1000));
@@ -112,7 +114,7 @@
   CHECK_FALSE(bad(g, 1000));
 }
 
-TEST_CASE("duplicates do not change the decision and one owner or one sender never suffices") {
+TEST_CASE("duplicate reports do not change the decision and one owner or one sender never suffices") {
   CHECK(rc::check([] {
     struct Told {
       gossip::Id via, owner;
--- a/tests/gossip/gossip_test.cpp
+++ b/tests/gossip/gossip_test.cpp
@@ -1,3 +1,5 @@
+// Guards against shares of the origin limit that add up to more than the total, after lost, duplicated, false
+// or outdated reports, network partitions and restarts.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -123,7 +125,7 @@
   CHECK(t.own[20].limit > 0.05); // no router is left without a limit
 }
 
-TEST_CASE("with demand at one router the shares stay within one and a half times the previous total") {
+TEST_CASE("with demand at one router the shares never exceed one and a half times the previous total") {
   for (const std::size_t n : {3u, 4u, 9u, 20u}) {
     CAPTURE(n);
     Tier t(n, 8);
@@ -149,7 +151,7 @@
   CHECK(t.now - back <= 2 * t.rules.period_ms + 100);
 }
 
-TEST_CASE("in any partition all sides together do not exceed the previous total limit") {
+TEST_CASE("in any partition or without any reception all sides stay within the previous total limit") {
   for (const int sides : {2, 3, 40}) { // the last: no router receives anything
     CAPTURE(sides);
     Tier t(40, 8);
@@ -185,8 +187,8 @@
 }
 
 TEST_CASE(
-    "a router that reports a false demand and limit does not move the limits of correct routers out of "
-    "bounds") {
+    "a router that keeps reporting a false demand and limit does not move the limits of correct routers "
+    "out of bounds") {
   for (const std::size_t n : {4u, 40u}) {
     for (const gossip::Own& lie : {gossip::Own{4000, 0}, gossip::Own{0, 4000}, gossip::Own{4000, 4000}}) {
       CAPTURE(n);
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,3 +1,5 @@
+// Guards against live routers declared dead, failures detected late, and damaged or forged datagrams that are
+// accepted.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
