--- a/src/memcache/frame.cpp
+++ b/src/memcache/frame.cpp
@@ -64,10 +64,10 @@
 enum class Part { None, Needed, Any };
 
 const char* parts(const Frame& f, std::size_t extras, Part key, Part value) {
-  if (f.extras.size() != extras) return "extras of another length than the command has";
-  if (key == Part::Needed && f.key.empty()) return "no key";
-  if (key == Part::None && !f.key.empty()) return "a key where none belongs";
-  if (value == Part::None && (!f.value.empty() || f.skipped > 0)) return "a value where none belongs";
+  if (f.extras.size() != extras) return "length of extras does not match the command";
+  if (key == Part::Needed && f.key.empty()) return "key missing";
+  if (key == Part::None && !f.key.empty()) return "unexpected key for this command";
+  if (value == Part::None && (!f.value.empty() || f.skipped > 0)) return "unexpected value for this command";
   return nullptr;
 }
 
@@ -96,7 +96,7 @@
       return request.extras.size() == 4 ? parts(request, 4, Part::None, Part::None)
                                         : parts(request, 0, Part::None, Part::None);
     case Opcode::Noop:
-      if (command(request.opcode).does == Does::Unknown) return nullptr; // its shape is not known either
+      if (command(request.opcode).does == Does::Unknown) return nullptr; // the expected format is not known
       [[fallthrough]];
     case Opcode::Quit:
     case Opcode::Version: return parts(request, 0, Part::None, Part::None);
--- a/src/memcache/frame.h
+++ b/src/memcache/frame.h
@@ -1,9 +1,9 @@
-// One message of the memcached binary protocol, request or answer, as plain values; its names, and which
-// shape each command has. The published protocol ("Memcache Binary Protocol", memcached's
-// protocol-binary.xml) is the source.
+// Messages of the memcached binary protocol, requests and responses, as plain values, and the properties and
+// expected format of each command. The reference is the published protocol ("Memcache Binary Protocol",
+// memcached's protocol-binary.xml).
 //
-//  - Units: lengths in bytes; all numbers in host order.
-//  - Ownership: a Frame owns its parts.
+//  - Units: lengths in bytes; all numbers in host byte order.
+//  - Ownership: a Frame owns its extras, key and value.
 #pragma once
 
 #include <cstdint>
@@ -59,7 +59,7 @@
 enum class Status : std::uint16_t {
   Ok = 0x0000,
   NotFound = 0x0001,
-  Exists = 0x0002, // another CAS
+  Exists = 0x0002, // the CAS value differs
   TooLarge = 0x0003,
   Invalid = 0x0004,
   NotStored = 0x0005,
@@ -77,45 +77,49 @@
 
 struct Frame {
   Magic magic = Magic::Request;
-  std::uint8_t opcode = 0;  // of an unknown command, too
-  std::uint16_t status = 0; // of an answer; of a request the partition
-  std::uint32_t opaque = 0; // the asker's, given back unchanged
+  std::uint8_t opcode = 0;  // may be the opcode of an unknown command
+  std::uint16_t status = 0; // in a response; in a request the vbucket id
+  std::uint32_t opaque = 0; // set by the client and returned unchanged
   std::uint64_t cas = 0;
   std::string extras, key, value;
-  // Bytes of the value that were passed over, as it is longer than the parser keeps.
+  // Length of a value that was discarded because it exceeds the parser's limit; 0 if the value was kept.
   std::uint64_t skipped = 0;
 
   Opcode command() const { return static_cast<Opcode>(opcode); }
   bool operator==(const Frame&) const = default;
 };
 
-// What a command does, for those who route it.
+// How a command is routed.
 enum class Does : std::uint8_t {
-  Read,     // get and its forms
-  Write,    // stores, replaces, deletes, counts
-  ReadTime, // get and touch: a read that moves the value's end
-  Local,    // noop, quit, version, verbosity: answered here
-  Stats,    // answered here, from the router's own figures
-  Everyone, // flush: would touch every node; refused by name
-  Login,    // SASL: there is none
+  Read,     // get and its variants
+  Write,    // set, add, replace, delete, append, prepend, counters, touch
+  ReadTime, // get and touch: a read that also changes the expiration time
+  Local,    // noop, quit, version, verbosity: answered by the router
+  Stats,    // answered by the router from its own statistics
+  Everyone, // flush: would affect every server; rejected as not supported
+  Login,    // SASL: not supported
   Unknown
 };
 
 struct Command {
-  const char* name; // as people write it
+  const char* name; // lower case, for logs and messages
   Does does = Does::Unknown;
-  bool quiet = false;    // says nothing on a miss, or on success of a write
-  bool with_key = false; // its answer repeats the key
+  bool quiet = false;    // no response to a cache miss of a read or to a successful write
+  bool with_key = false; // the response repeats the key
   Opcode loud = Opcode::Noop;
-  bool repeats_harm = false; // carried out twice it does another thing than once, whatever else it says
+  // Executing the command twice has another effect than executing it once, whatever the request's other
+  // fields are.
+  bool repeats_harm = false;
 };
-const Command& command(std::uint8_t opcode); // of an unknown one Does::Unknown, its name "unknown"
+// For an unknown opcode: CommandKind::Unknown with the name "unknown".
+const Command& command(std::uint8_t opcode);
 
-// What is wrong with a request's parts for its command; null: nothing. A node would answer Invalid.
+// Describes what is wrong with the extras, key or value of a request for its command; null if nothing is.
+// A server would answer such a request with Status::Invalid.
 const char* misshapen(const Frame& request);
 
-// The time that a value lives, or a counter's step and start: numbers within the extras.
-std::uint32_t flags_of(const Frame& frame);      // of an answer to a read, or a store; 0 without
-std::uint32_t lifetime_of(const Frame& request); // of a store, a touch, a counter; 0 without
+// Numbers within the extras; 0 where the frame has none.
+std::uint32_t flags_of(const Frame& frame);      // of a response to a read, or of a store request
+std::uint32_t lifetime_of(const Frame& request); // expiration time of a store, touch or counter request
 
 } // namespace fernward::memcache
--- a/src/memcache/meaning.cpp
+++ b/src/memcache/meaning.cpp
@@ -10,23 +10,24 @@
     case Status::NotFound:
       return does == Does::Read || does == Does::ReadTime
                  ? AttemptResult::CacheMiss
-                 : AttemptResult::Ok; // a write ran, and found nothing
+                 : AttemptResult::Ok; // the write ran and found no such key
     case Status::Exists:
     case Status::NotStored:
-    case Status::NotANumber: return AttemptResult::Ok; // it ran: the condition did not hold
+    case Status::NotANumber: return AttemptResult::Ok; // the request ran, but its condition did not hold
     case Status::OutOfMemory:
     case Status::Busy:
-    case Status::Temporary: return AttemptResult::Overloaded; // turned away, nothing was changed
+    case Status::Temporary: return AttemptResult::Overloaded; // rejected without any change
     case Status::TooLarge:
     case Status::Invalid:
     case Status::WrongServer:
     case Status::AuthError:
     case Status::AuthGoOn:
     case Status::UnknownCommand:
-    case Status::NotSupported: return AttemptResult::InvalidRequest; // no other node would take it
+    case Status::NotSupported:
+      return AttemptResult::InvalidRequest; // every other server would reject it as well
     case Status::Internal: break;
   }
-  return AttemptResult::Error; // one that nobody knows may have run, too
+  return AttemptResult::Error; // a request answered with an unknown status may have run
 }
 
 bool silent(std::uint8_t opcode, std::uint16_t status) {
--- a/src/memcache/numbers.h
+++ b/src/memcache/numbers.h
@@ -1,4 +1,4 @@
-// Numbers as the protocol writes them: the most significant byte first.
+// Reads and writes unsigned integers in network byte order (big-endian).
 #pragma once
 
 #include <cstdint>
--- a/src/memcache/parser.cpp
+++ b/src/memcache/parser.cpp
@@ -28,7 +28,7 @@
     const std::string_view rest = bytes.substr(taken);
     switch (state_) {
       case State::Header: {
-        // Text is told from the first byte on: its sender would never complete a header.
+        // A text protocol is recognized by its first byte, as its sender may never complete a header.
         if (held_ == 0) {
           const auto magic = static_cast<std::uint8_t>(rest[0]);
           const auto other = expected_ == Magic::Request ? Magic::Response : Magic::Request;
@@ -82,7 +82,7 @@
   frame_.skipped = skip_;
   kept_ = total_ - skip_;
   body_.clear();
-  // Room is made as bytes come, not as they are announced: a header alone must not hold a megabyte.
+  // Memory is allocated as bytes arrive, not as announced: a header alone must not reserve a megabyte.
   state_ = kept_ > 0 ? State::Body : skip_ > 0 ? State::Skip : State::Done;
   if (state_ == State::Done) finish();
   return true;
--- a/tests/fuzz/memcache.cpp
+++ b/tests/fuzz/memcache.cpp
@@ -1,5 +1,6 @@
-// The parser of the memcached binary protocol takes any bytes: it ends in frames or in a fault, holds no more than it
-// may, and reads the same however the bytes are cut. What it read, written again, reads the same.
+// Fuzzes the parser of the memcached binary protocol. Any input gives frames or an error, the parser buffers
+// no more than its limit, and the result does not depend on how the input is split. A decoded frame survives
+// a round trip.
 #include <algorithm>
 #include <cstdint>
 #include <cstdio>
@@ -37,7 +38,8 @@
     text.remove_prefix(n);
     while (!part.empty() && parser.fault() == Fault::None) {
       part.remove_prefix(parser.feed(part));
-      must(parser.held() <= kHeader + kLongestExtras + kLongestKey + kMost, "more is held than may be");
+      must(parser.held() <= kHeader + kLongestExtras + kLongestKey + kMost,
+           "the parser buffers more than its limit");
       if (parser.done()) all.frames.push_back(parser.take());
     }
   }
@@ -51,11 +53,13 @@
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   for (const Magic magic : {Magic::Request, Magic::Response}) {
     const Read whole = read(text, magic, std::max<std::size_t>(1, size));
-    must(whole == read(text, magic, 1) && whole == read(text, magic, 7), "cut otherwise it reads otherwise");
+    must(whole == read(text, magic, 1) && whole == read(text, magic, 7),
+         "the result depends on how the input is split");
     for (const Frame& frame : whole.frames) {
       if (frame.skipped > 0) continue;
       const Read again = read(write(frame), magic, 5);
-      must(again.frames.size() == 1 && again.frames.front() == frame, "written again it reads otherwise");
+      must(again.frames.size() == 1 && again.frames.front() == frame,
+           "a frame changes when it is encoded and decoded again");
       misshapen(frame);
       meaning(frame.opcode, frame.status);
       flags_of(frame), lifetime_of(frame);
--- a/tests/memcache/codec_test.cpp
+++ b/tests/memcache/codec_test.cpp
@@ -1,4 +1,5 @@
-// The codec of the memcached binary protocol: cases byte by byte, and properties over random frames and cuts.
+// Tests of the memcached binary protocol codec: byte-level examples, and properties over random frames that
+// are split at random positions.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -18,10 +19,10 @@
   return all;
 }
 
-// The example of the published protocol: get "Hello".
+// The example request of the published protocol: get "Hello".
 const std::string kGetHello =
     bytes({0x80, 0, 0, 5, 0, 0, 0, 0, 0, 0, 0, 5, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0}) + "Hello";
-// And its answer: flags 0xdeadbeef, cas 1, "World".
+// The response to it: flags 0xdeadbeef, CAS 1, value "World".
 const std::string kWorld = bytes({0x81, 0, 0, 0, 4, 0, 0, 0, 0, 0, 0,    9,    0,    0,
                                   0,    0, 0, 0, 0, 0, 0, 0, 0, 1, 0xde, 0xad, 0xbe, 0xef}) +
                            "World";
@@ -65,7 +66,7 @@
 
 } // namespace
 
-TEST_CASE("the published examples, read and written") {
+TEST_CASE("the published examples are decoded and encoded") {
   const Frame get = one(kGetHello);
   CHECK(get.command() == Opcode::Get);
   CHECK(get.key == "Hello");
@@ -79,7 +80,7 @@
   CHECK(write_head(world, 5) + "World" == kWorld);
 }
 
-TEST_CASE("what is no frame ends the stream at its first byte that shows it") {
+TEST_CASE("invalid input ends the stream at the first byte that shows it") {
   std::size_t taken = 1;
   CHECK(fault("get slot-1\r\n", &taken) == Fault::NotBinary); // the text protocol
   CHECK(taken == 0);
@@ -93,7 +94,7 @@
   CHECK(fault(header(1, 1, 8, 0xffffffff)) == Fault::TooLong);
 }
 
-TEST_CASE("a value at the limit is kept, one byte more is passed over, and the next frame is found") {
+TEST_CASE("a value at the limit is kept and a longer one is discarded before the next frame is parsed") {
   for (const std::size_t length : {1023u, 1024u, 1025u, 5000u}) {
     Frame set;
     set.opcode = static_cast<std::uint8_t>(Opcode::Set);
@@ -117,14 +118,14 @@
   }
 }
 
-TEST_CASE("a header alone holds no room for what it announces") {
+TEST_CASE("a header alone reserves no memory for the announced body") {
   Parser parser(Magic::Request, 1 << 20);
   parser.feed(header(1, 1, 8, 9 + (1 << 20)));
   CHECK(parser.announced() == kHeader + 9 + (1 << 20));
   CHECK(parser.held() == kHeader);
 }
 
-TEST_CASE("each command has its shape, and one of another shape is named before a node sees it") {
+TEST_CASE("requests whose format does not match their command are detected") {
   const auto frame = [](Opcode op, std::size_t extras, const char* key, const char* value) {
     Frame f;
     f.opcode = static_cast<std::uint8_t>(op);
@@ -146,10 +147,11 @@
   CHECK(misshapen(frame(Opcode::Noop, 0, "", "")) == nullptr);
   CHECK(misshapen(frame(Opcode::Noop, 0, "k", "")) != nullptr);
   CHECK(misshapen(frame(Opcode::Flush, 4, "", "")) == nullptr);
-  CHECK(misshapen(frame(static_cast<Opcode>(0x77), 3, "k", "v")) == nullptr); // nobody knows it
+  CHECK(misshapen(frame(static_cast<Opcode>(0x77), 3, "k", "v")) ==
+        nullptr); // unknown command: its format is not checked
   CHECK(command(0x77).does == Does::Unknown);
   CHECK(command(static_cast<std::uint8_t>(Opcode::Flush)).does == Does::Everyone);
-  for (int op = 0; op < 256; ++op) { // a quiet one has a loud one that does the same
+  for (int op = 0; op < 256; ++op) { // each quiet command has a non-quiet one of the same kind
     const Command& c = command(static_cast<std::uint8_t>(op));
     if (c.does == Does::Unknown) continue;
     const Command& loud = command(static_cast<std::uint8_t>(c.loud));
@@ -163,13 +165,13 @@
   CHECK(lifetime_of(set) == 60);
 }
 
-TEST_CASE("what an answer means for its attempt") {
+TEST_CASE("the status of a response determines the result of the attempt") {
   const auto means = [](Opcode op, Status s) {
     return meaning(static_cast<std::uint8_t>(op), static_cast<std::uint16_t>(s));
   };
   CHECK(means(Opcode::GetQ, Status::Ok) == AttemptResult::Ok);
   CHECK(means(Opcode::GetQ, Status::NotFound) == AttemptResult::CacheMiss);
-  CHECK(means(Opcode::Delete, Status::NotFound) == AttemptResult::Ok); // it ran
+  CHECK(means(Opcode::Delete, Status::NotFound) == AttemptResult::Ok); // the request ran
   CHECK(means(Opcode::Set, Status::Exists) == AttemptResult::Ok);
   CHECK(means(Opcode::Add, Status::NotStored) == AttemptResult::Ok);
   CHECK(means(Opcode::Set, Status::OutOfMemory) == AttemptResult::Overloaded);
@@ -181,7 +183,7 @@
     return silent(static_cast<std::uint8_t>(op), static_cast<std::uint16_t>(s));
   };
   CHECK(quiet(Opcode::GetKQ, Status::NotFound));
-  CHECK_FALSE(quiet(Opcode::GetKQ, Status::Busy)); // an error is never silent
+  CHECK_FALSE(quiet(Opcode::GetKQ, Status::Busy)); // an error response is never omitted
   CHECK_FALSE(quiet(Opcode::GetKQ, Status::Ok));
   CHECK(quiet(Opcode::SetQ, Status::Ok));
   CHECK_FALSE(quiet(Opcode::SetQ, Status::NotStored));
@@ -196,7 +198,7 @@
 }
 
 TEST_CASE("properties of the codec") {
-  CHECK(rc::check("what is written reads the same, several in a row, wherever they are cut", [] {
+  CHECK(rc::check("encoded frames decode to the same frames, however the stream is split", [] {
     const Magic magic = *rc::gen::arbitrary<bool>() ? Magic::Request : Magic::Response;
     std::vector<Frame> frames;
     std::string text;
@@ -219,7 +221,7 @@
     RC_ASSERT(got == frames);
     RC_ASSERT(!parser.begun());
   }));
-  CHECK(rc::check("a frame cut short is never done, and never a fault", [] {
+  CHECK(rc::check("a truncated frame is neither complete nor an error", [] {
     const std::string text = write(random_frame(Magic::Request));
     Parser parser(Magic::Request, 200);
     parser.feed(std::string_view(text).substr(0, *rc::gen::inRange<std::size_t>(0, text.size())));
