--- a/src/sidecar/beside.cpp
+++ b/src/sidecar/beside.cpp
@@ -26,10 +26,11 @@
 namespace fernward::sidecar {
 namespace {
 
-constexpr double kAskMs = 20;                 // a router that is not ready is asked again
-constexpr int kNotFound = 127, kNotRun = 126; // as a shell has them
+constexpr double kAskMs = 20;                 // interval between readiness checks until the router is ready
+constexpr int kNotFound = 127, kNotRun = 126; // the exit codes that a shell uses
 
-// A look at /ready: one connection, one answer.
+// A single readiness check: one GET /ready on a connection of its own. Calls the callback once, unless
+// failed().
 class Look {
  public:
   Look(event_base* base, const std::string& address, std::function<void(bool)> told)
@@ -54,7 +55,7 @@
     bufferevent_write(io_.get(), kReadyRequest, sizeof kReadyRequest - 1);
     bufferevent_enable(io_.get(), EV_READ | EV_WRITE);
   }
-  bool failed() const { return failed_; } // nothing will be told
+  bool failed() const { return failed_; } // the connection could not be started; the callback is not called
 
  private:
   static void readable(bufferevent* io, void* self) {
@@ -68,13 +69,14 @@
   void tell(bool ready) {
     if (std::exchange(done_, true)) return;
     const auto told = told_;
-    told(ready); // this ends
+    told(ready); // the callback may destroy this object
   }
   std::function<void(bool)> told_;
   loop::BuffereventPtr io_;
   bool done_ = false, failed_ = false;
 };
 
+// Executes the supervisor's actions, and reports process exits, signals and router readiness to it.
 class Beside {
  public:
   Beside(const Programs& programs, const Rules& rules, event_base* base)
@@ -147,7 +149,7 @@
       case Do::ReloadRouter: return send(router_, SIGHUP);
       case Do::KillRouter: return send(router_, SIGKILL);
       case Do::TerminateApplication: return send(application_, SIGTERM);
-      case Do::InterruptApplication: // from a terminal it has come to the application as well
+      case Do::InterruptApplication: // on a terminal the application receives it as well
         if (!terminal_) send(application_, SIGINT);
         return;
       case Do::KillApplication:
@@ -167,7 +169,7 @@
     look_.reset();
     if (router_ <= 0) return;
     look_ = std::make_unique<Look>(base_, programs_.address, [this](bool ready) {
-      // From the loop: the look that tells is still at work.
+      // Deferred to the event loop, as the check that calls this is still running and must not be destroyed.
       deadlines_.at(loop::now_ms() + (ready ? 0 : kAskMs), [this, ready, pid = router_] {
         if (pid != router_ || router_ <= 0) return;
         if (!ready) return ask();
@@ -182,21 +184,21 @@
     }
   }
 
-  // The child's calls between fork and exec are safe in a process of one thread.
+  // The calls of the child between fork and exec are safe because the process has a single thread.
   pid_t start(const std::vector<std::string>& command, bool is_router) {
     const pid_t parent = getpid();
-    const loop::BlockedSignals
-        blocked; // in the child until its handlers are put back: one that comes before is not lost
+    // In the child, signals stay blocked until its handlers are reset, so that no earlier signal is lost.
+    const loop::BlockedSignals blocked;
     const pid_t pid = fork();
     if (pid < 0) {
       log::line("sidecar-cannot-start", {{"program", command.front()}, {"why", std::strerror(errno)}});
       return 0;
     }
     if (pid > 0) return pid;
-    // Nobody is left without a sidecar that could end it.
+    // If the sidecar dies, the child is terminated, as no other process would end it.
     prctl(PR_SET_PDEATHSIG, SIGTERM);
     if (getppid() != parent) _exit(kNotRun);
-    if (is_router) setpgid(0, 0); // Ctrl-C is for the application: the router ends after it
+    if (is_router) setpgid(0, 0); // Ctrl-C must reach only the application; the router ends after it
     loop::BlockedSignals::deliver_by_default(
         {SIGTERM, SIGINT, SIGHUP, SIGCHLD, SIGUSR1, SIGUSR2, SIGQUIT, SIGPIPE});
     if (!is_router) {
--- a/src/sidecar/beside.h
+++ b/src/sidecar/beside.h
@@ -1,4 +1,5 @@
-// The sidecar's hands: processes, signals, and the look whether the router is ready.
+// Runs a router and an application: starts and ends the processes, handles signals, and checks whether the
+// router is ready. The decisions are made by Supervisor.
 #pragma once
 
 #include <string>
@@ -11,12 +12,12 @@
 struct Programs {
   std::vector<std::string> router;      // command line
   std::vector<std::string> application; // command line
-  std::vector<std::string> environment; // further variables of the application, NAME=VALUE
-  std::string address;                  // of the router: IPv4, or "unix:PATH"
+  std::vector<std::string> environment; // additional variables for the application, NAME=VALUE
+  std::string address;                  // of the router: an IPv4 address with port, or "unix:PATH"
 };
 
-// Runs until both have ended; returns the application's exit code. Throws std::runtime_error before anything
-// has started.
+// Runs until both processes have ended and returns the application's exit code. Throws std::runtime_error if
+// the event loop cannot be created; no process has been started then.
 int run(const Programs& programs, const Rules& rules);
 
 } // namespace fernward::sidecar
--- a/src/sidecar/claim.cpp
+++ b/src/sidecar/claim.cpp
@@ -15,8 +15,8 @@
 namespace fernward::sidecar {
 namespace {
 
-constexpr int kRounds = 100;    // a file that is removed between two steps is looked for again
-constexpr int kWordRounds = 20; // whoever has the lock writes its name a moment later
+constexpr int kRounds = 100;    // attempts, as the file may be removed between opening and locking
+constexpr int kWordRounds = 20; // the owner of the lock writes its name a moment after locking
 constexpr unsigned kWordUs = 5000;
 
 std::string file_of(const std::string& address) {
@@ -28,7 +28,7 @@
                  c == '-');
       },
       '_');
-  // Two long paths may differ at one letter that became "_": the hash tells them apart.
+  // Addresses that become the same name after replacement or truncation are distinguished by the hash.
   unsigned long long h = 0xcbf29ce484222325ull;
   for (const char c : address) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ull;
   if (name.size() > 100) name = name.substr(name.size() - 100);
@@ -61,8 +61,8 @@
       close(fd);
       throw std::runtime_error(taken ? address + " is claimed by " + who + ", see " + path_ : who);
     }
-    // Its holder may have ended and removed the file after it was opened: this lock is on a file that nobody
-    // finds.
+    // The previous owner may have removed the file after it was opened here. The lock is then on a file that
+    // no other process can open, so the claim is tried again.
     struct stat locked {
     }, there{};
     if (fstat(fd, &locked) != 0 || stat(path_.c_str(), &there) != 0 || locked.st_ino != there.st_ino ||
@@ -80,12 +80,12 @@
     fd_ = fd;
     return;
   }
-  throw std::runtime_error("claim " + path_ + ": it is removed again and again");
+  throw std::runtime_error("claim " + path_ + ": the file was removed during every attempt to lock it");
 }
 
 Claim::~Claim() {
   if (fd_ < 0) return;
-  unlink(path_.c_str()); // while the lock is held: nobody else's is removed
+  unlink(path_.c_str()); // while the lock is held, so that no other process's file is removed
   close(fd_);
 }
 
--- a/src/sidecar/claim.h
+++ b/src/sidecar/claim.h
@@ -1,9 +1,9 @@
-// A claim of an address: two sidecars of one host that want the same one find it out before either serves,
-// and the second is told who has it.
+// An exclusive claim to a listen address. When two sidecars on a host are configured with the same address,
+// the second one fails before it serves, with an error that names the owner of the claim.
 //
-// It is a lock on a file in the runtime folder, held by the process: a crash gives it up, whatever the file
-// says. The file holds the application's name and the process's number for the message. Two that start in the
-// same moment meet at the lock.
+// The claim is a lock on a file in the runtime folder, held by the process: a crash releases it, whatever the
+// file contains. The file holds the application's name and the process id for the error message. The lock
+// also decides between two sidecars that start at the same moment.
 #pragma once
 
 #include <string>
@@ -12,17 +12,16 @@
 
 class Claim {
  public:
-  // Throws std::runtime_error: somebody has it ("... is claimed by application a (process 12)"), or the
-  // folder won't do.
+  // Throws std::runtime_error if another process holds the claim ("... is claimed by application a
+  // (process 12)"), or if the file cannot be created, locked or written in `folder`.
   Claim(const std::string& folder, const std::string& address, const std::string& application);
   ~Claim();
   Claim(const Claim&) = delete;
   Claim& operator=(const Claim&) = delete;
 
   const std::string& path() const { return path_; }
-  bool left_behind() const {
-    return left_behind_;
-  } // by one that crashed: its router may need a moment to end
+  // Whether a sidecar that crashed left the claim file behind. Its router may need a moment to end.
+  bool left_behind() const { return left_behind_; }
 
  private:
   std::string path_;
@@ -30,8 +29,8 @@
   bool left_behind_ = false;
 };
 
-// Where claims lie if the file names no folder: $XDG_RUNTIME_DIR, else /run/fernward where that is writable,
-// else /tmp.
+// The folder for claims if the configuration names none: $XDG_RUNTIME_DIR, else /run/fernward if that is
+// writable, else /tmp.
 std::string runtime_folder();
 
 } // namespace fernward::sidecar
--- a/src/sidecar/supervisor.cpp
+++ b/src/sidecar/supervisor.cpp
@@ -5,7 +5,7 @@
 namespace fernward::sidecar {
 namespace {
 
-constexpr int kTerminated = 143, kInterrupted = 130, kFault = 1; // as a shell has them
+constexpr int kTerminated = 143, kInterrupted = 130, kFault = 1; // the exit codes that a shell uses
 
 } // namespace
 
@@ -56,7 +56,7 @@
   if (router_ != Router::Starting && router_ != Router::Ready) return;
   if (router_ == Router::Ready && now - ready_at_ >= rules_.steady_ms) wait_ms_ = rules_.restart_first_ms;
   router_ = Router::Waiting;
-  reload_due_ = false; // it reads the file as it starts
+  reload_due_ = false; // the router reads the configuration when it starts
   start_at_ = now + wait_ms_;
   wait_ms_ = std::min(2 * wait_ms_, rules_.restart_most_ms);
 }
@@ -85,7 +85,7 @@
 void Supervisor::signalled(double now, Signal signal, std::vector<Do>& actions) {
   if (signal == Signal::Reload) {
     if (router_ == Router::Ready) actions.push_back(Do::ReloadRouter);
-    // Before it is ready it may not listen for the signal yet.
+    // A router that is not ready may not handle the signal yet.
     reload_due_ = reload_due_ || router_ == Router::Starting;
     return;
   }
@@ -99,9 +99,9 @@
       application_ = Application::Ending;
       kill_application_at_ = now + rules_.stop_ms;
       [[fallthrough]];
-    case Application::Ending: // again: it may listen to the second
+    case Application::Ending: // repeated signals are forwarded: the application may react to the second one
       return actions.push_back(interrupt ? Do::InterruptApplication : Do::TerminateApplication);
-    case Application::Gone: return; // the router is on its way out
+    case Application::Gone: return; // the router is already ending
   }
 }
 
--- a/src/sidecar/supervisor.h
+++ b/src/sidecar/supervisor.h
@@ -1,10 +1,11 @@
-// Decides what a sidecar does: when the router and the application start, restart and end, and what a signal
-// means. No processes, no clock: events with `now` in, actions out, to be carried out in order.
+// Decides when a sidecar starts, restarts and ends the router and the application, and how it reacts to
+// signals. Has no access to processes or a clock: it receives events with the current time and returns
+// actions, which the caller executes in order.
 //
 //  - Order: the application starts once the router is ready, and ends before it.
-//  - A router that ends by itself is started again, after a wait that doubles up to a bound; the application
-//    goes on.
-//  - An application that ends, ends the whole, with its exit code.
+//  - A router that ends unexpectedly is restarted after a backoff that doubles up to a limit; the application
+//    keeps running.
+//  - When the application ends, the sidecar ends the router and exits with the application's exit code.
 //
 // Units: milliseconds on a clock that only advances. One thread.
 #pragma once
@@ -17,11 +18,11 @@
 namespace fernward::sidecar {
 
 struct Rules {
-  double ready_ms = 10000; // for the router to be ready at the start; the application has not begun then
-  double stop_ms = 10000;  // for the application to end after a signal; then it is killed
-  double drain_ms = 10000; // and for the router
+  double ready_ms = 10000; // for the router to become ready at startup, before the application is started
+  double stop_ms = 10000;  // for the application to end after a signal before it is killed
+  double drain_ms = 10000; // the same for the router
   double restart_first_ms = 100, restart_most_ms = 10000;
-  // Ready for so long, a router has proved itself: the next crash counts as the first.
+  // After the router has been ready for this long, the restart backoff starts from its first value again.
   double steady_ms = 10000;
 };
 
@@ -31,13 +32,13 @@
 struct RouterReady {};
 struct RouterEnded {};
 struct ApplicationEnded {
-  int code = 0; // as a shell has it: 128 and the signal's number for one that a signal ended
+  int code = 0; // as in a shell: 128 plus the signal number if a signal ended it
 };
-enum class Signal { Terminate, Interrupt, Reload }; // to the sidecar
+enum class Signal { Terminate, Interrupt, Reload }; // received by the sidecar
 struct Signalled {
   Signal signal = Signal::Terminate;
 };
-struct Tick {}; // `next()` is due
+struct Tick {}; // the time returned by `next_deadline()` has come
 
 using Event = std::variant<Begin, RouterReady, RouterEnded, ApplicationEnded, Signalled, Tick>;
 
@@ -46,13 +47,13 @@
 enum class Do {
   StartRouter,
   StartApplication,
-  TerminateRouter, // it answers what it has taken, and ends
+  TerminateRouter, // graceful shutdown: active requests are completed first
   ReloadRouter,
   KillRouter,
-  TerminateApplication, // the signal that came goes on to it
+  TerminateApplication, // the received signal is forwarded
   InterruptApplication,
   KillApplication,
-  End // with code()
+  End // the sidecar exits with exit_code()
 };
 
 class Supervisor {
@@ -60,7 +61,7 @@
   explicit Supervisor(const Rules& rules) : rules_(rules), wait_ms_(rules.restart_first_ms) {}
 
   void on(double now, const Event& event, std::vector<Do>& actions);
-  std::optional<double> next() const; // a Tick is wanted then
+  std::optional<double> next() const; // when the next TimerExpired is due; empty: none
   int code() const { return code_; }
   std::uint64_t restarts() const { return restarts_; }
   bool never_ready() const { return never_ready_; }
@@ -78,11 +79,11 @@
   void end_router(double now, std::vector<Do>& actions);
 
   Rules rules_;
-  // What is due, and when.
-  std::optional<double> give_up_at_;          // the first start
-  std::optional<double> start_at_;            // a router that crashed, again
-  std::optional<double> kill_application_at_; // that was told to end
-  std::optional<double> kill_router_at_;      // the same
+  // Pending deadlines.
+  std::optional<double> give_up_at_;          // end of the wait for the router's first readiness
+  std::optional<double> start_at_;            // restart of the router after its backoff
+  std::optional<double> kill_application_at_; // the application has been asked to end
+  std::optional<double> kill_router_at_;      // the router has been asked to end
   double ready_at_ = 0, wait_ms_;
   int code_ = 0;
   std::uint64_t restarts_ = 0;
--- a/tests/sidecar/hold_between_fork_and_exec.cpp
+++ b/tests/sidecar/hold_between_fork_and_exec.cpp
@@ -1,5 +1,5 @@
-// Preloaded into the sidecar by a test: the router's process stops itself between fork() and the reset of its signal
-// handlers, where it calls setpgid(), until it is continued.
+// Preloaded into the sidecar by a test. Replaces setpgid(), which the router's process calls between fork()
+// and the reset of its signal handlers, so that the process stops there until it receives SIGCONT.
 #include <signal.h>
 #include <sys/syscall.h>
 #include <unistd.h>
--- a/tests/sidecar/sidecar_test.cpp
+++ b/tests/sidecar/sidecar_test.cpp
@@ -1,4 +1,5 @@
-// The real program beside real applications: order, crashes, claims, reloads.
+// End-to-end tests of the sidecar program with real applications: start and stop order, crashes, claims,
+// reloads.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -30,14 +31,14 @@
     return {"sidecar", "--config", file, "--", "/bin/sh", "-c", script};
   }
   bool until(const std::function<bool()>& done) { return run_until(base.get(), done); }
-  // The process that a line tells of: "EVENT process=N".
+  // The process id in the last log line "EVENT process=N"; 0 if there is none.
   static pid_t process(Program& program, const std::string& event) {
     const auto at = program.text.rfind(event + " process=");
     return at == std::string::npos ? 0 : std::stoi(program.text.substr(at + event.size() + 9));
   }
 };
 
-// A field of /proc/PID/status; empty: there is none.
+// A field of /proc/PID/status; empty if there is none.
 std::string status_of(pid_t process, const std::string& key) {
   std::ifstream lines("/proc/" + std::to_string(process) + "/status");
   for (std::string line; std::getline(lines, line);) {
@@ -46,13 +47,13 @@
   return "";
 }
 
-std::string read_of(const std::string& id) { // as get() of peers.h, for the class "read"
+std::string read_of(const std::string& id) { // like get_request() of peers.h, but with the class "read"
   return "GET /k/1 HTTP/1.1\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: read\r\n\r\n";
 }
 
 } // namespace
 
-TEST_CASE("the application starts with a router that is ready, and its exit code is the sidecar's") {
+TEST_CASE("the application starts once the router is ready and its exit code becomes the sidecar's") {
   Beside s;
   const std::string file = s.folder.write("app.toml", s.text("bookings", "environment = [\"MODE=fast\"]\n"));
   Program program(s.words(file, "echo at=$FERNWARD_ADDRESS mode=$MODE; exit 7"), Json::object());
@@ -67,7 +68,7 @@
   CHECK(missing.code == 127);
 }
 
-TEST_CASE("wrong usage, and files that won't do") {
+TEST_CASE("wrong usage and invalid configuration files are rejected") {
   Beside s;
   const auto run = [&](const std::vector<std::string>& words) {
     Program program(words, Json::object());
@@ -77,7 +78,7 @@
   CHECK(run({"sidecar", "--", "true"}).first == 2);
   CHECK(run({"sidecar", "--config", "/nowhere"}).first == 2);
   CHECK(run({"sidecar", "--config", "/nowhere", "--", "true"}).first == 1);
-  // guards: every request of an application sent to the ledger
+  // Guards against a configuration that sends all requests of an application to the origin.
   const std::string ledger =
       s.folder.write("ledger.toml", s.text("a", "[fleet]\nledger = \"slots\"\n[fleet.kinds.slots]\n"));
   const auto [code, text] = run(s.words(ledger, "echo begun"));
@@ -88,7 +89,8 @@
   CHECK(text.find("begun") == std::string::npos);
 }
 
-TEST_CASE("two that want one address, started together: exactly one serves, and the other says who has it") {
+TEST_CASE(
+    "of two sidecars started together on one address exactly one serves and the other names the owner") {
   Beside s;
   const std::string a = s.folder.write("a.toml", s.text("one")), b = s.folder.write("b.toml", s.text("two"));
   constexpr int kRounds = 50;
@@ -108,13 +110,12 @@
     CHECK_FALSE(loser.says("listening"));
     REQUIRE(s.until([&] { return winner.says("sidecar-application-started"); }));
     firsts += &winner == &one;
-    winner.signal(
-        SIGKILL); // and what it leaves behind is taken over by nobody here: each round has its own address
+    winner.signal(SIGKILL); // the claim left behind does not matter: each round has its own address
   }
-  MESSAGE("the first of the two served " << firsts << " times of " << kRounds);
+  MESSAGE("the sidecar started first served " << firsts << " times out of " << kRounds);
 }
 
-TEST_CASE("a claim that a crash left behind is taken over, the application and the router are gone with it") {
+TEST_CASE("after a crash the application and the router end and the next sidecar takes over the claim") {
   Beside s;
   const std::string file = s.folder.write("app.toml", s.text("bookings"));
   Program first(s.words(file, "sleep 60"), Json::object());
@@ -130,13 +131,13 @@
   second.signal(SIGTERM);
   REQUIRE(s.until([&] { return second.ended(); }));
   CHECK(second.code == 143);
-  // It leaves no claim.
+  // A normal exit leaves no claim file behind.
   for (const auto& entry : std::filesystem::directory_iterator(s.folder.path)) {
     CHECK(entry.path().extension() != ".claim");
   }
 }
 
-TEST_CASE("SIGTERM: the application ends first and is served until then, one that ignores it is killed") {
+TEST_CASE("SIGTERM: the application is served until it ends and is killed if it ignores the signal") {
   Beside s;
   const std::string file = s.folder.write("app.toml", s.text("bookings", "ready = \"5s\"\n"));
   {
@@ -161,7 +162,7 @@
   CHECK(program.says("sidecar-application-killed"));
 }
 
-TEST_CASE("a router that crashes is started again, however often, the application goes on") {
+TEST_CASE("a router that crashes is restarted repeatedly while the application keeps running") {
   Beside s;
   const std::string file =
       s.folder.write("app.toml", s.text("bookings", "restart_first = \"50ms\"\nrestart_most = \"100ms\"\n"));
@@ -174,7 +175,7 @@
     run_for(s.base.get(), 20);
     return !client.closed && client.ask(read_of("r" + std::to_string(loop::now_ms()))).status == 200;
   }));
-  // Its address is taken by another: it crashes at once, each time, until that has gone.
+  // While another socket occupies its address, the router ends right after each start.
   const int thief = socket(AF_INET, SOCK_STREAM, 0), on = 1;
   setsockopt(thief, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
   sockaddr_in where{};
@@ -196,7 +197,7 @@
   REQUIRE(s.until([&] { return program.ended(); }));
 }
 
-TEST_CASE("never ready, or told to end before: the application is not begun") {
+TEST_CASE("the application is not started if the router is never ready or SIGTERM arrives before") {
   Beside s;
   std::string text =
       s.text("bookings", "ready = \"300ms\"\n[fleet]\nfile = \"" + s.folder.path + "/none.json\"\n");
@@ -217,9 +218,9 @@
   CHECK_FALSE(ended.says("begun"));
 }
 
-// guards: a SIGTERM in the moment of the router's start ran a handler that the new process had inherited, and was lost
-TEST_CASE(
-    "told to end while the router's process has not put its signal handlers back: it ends all the same") {
+// Guards against a lost SIGTERM: while the router was starting, the signal ran a handler that the new process
+// had inherited from the sidecar, and had no effect.
+TEST_CASE("SIGTERM before the router's process has reset its signal handlers is not lost") {
   Beside s;
   const std::string file = s.folder.write("app.toml", s.text("bookings"));
   Program program(s.words(file, "echo begun"), Json::object(),
@@ -237,12 +238,12 @@
   const double told = loop::now_ms();
   REQUIRE(s.until([&] { return program.ended(); }));
   INFO(program.text);
-  CHECK(loop::now_ms() - told < 4000); // not after the 10 s that its drain may take
+  CHECK(loop::now_ms() - told < 4000); // well below the 10 s drain timeout
   CHECK(program.code == 143);
   CHECK_FALSE(program.says("begun"));
 }
 
-TEST_CASE("reload under load: broken, mended, a class renamed while its requests are open, none is lost") {
+TEST_CASE("reload: an invalid file and a class renamed under an active request lose no request") {
   Beside s;
   const std::string file = s.folder.write("app.toml", s.text("bookings"));
   Program program(s.words(file, "echo begun; sleep 60"), Json::object());
@@ -257,7 +258,8 @@
   s.folder.write("app.toml", "name = ");
   program.signal(SIGHUP);
   REQUIRE(s.until([&] { return program.says("reload-refused") && served(); }));
-  s.folder.write("app.toml", s.text("bookings", "[limits]\nsockets = 300\n")); // whole or not at all
+  // A reload is applied completely or not at all.
+  s.folder.write("app.toml", s.text("bookings", "[limits]\nsockets = 300\n"));
   program.signal(SIGHUP);
   REQUIRE(s.until([&] { return program.says("limits.sockets: holds until the next start") && served(); }));
 
@@ -275,13 +277,13 @@
   s.node.script = script;
   CHECK(steady.ask("GET /k/1 HTTP/1.1\r\nX-Request-ID: n1\r\nX-Priority-Class: lookup\r\n\r\n").status ==
         200);
-  CHECK(steady.ask(read_of("n2")).status == 400); // the old name is no class any more
+  CHECK(steady.ask(read_of("n2")).status == 400); // the class no longer exists under its old name
   CHECK_FALSE(program.says("sidecar-router-ended"));
   program.signal(SIGTERM);
   REQUIRE(s.until([&] { return program.ended(); }));
 }
 
-TEST_CASE("a unix socket: served, removed at the end, and taken over where a crash left it") {
+TEST_CASE("a unix socket is served and removed on exit and one left by a crash is taken over") {
   Beside s;
   const std::string path = s.folder / "router.sock";
   std::string text = s.text("bookings");
@@ -295,8 +297,8 @@
     REQUIRE(s.until([&] { return program.ended(); }));
   }
   CHECK(std::filesystem::exists(path));
-  Program program(s.words(file, "echo at=$FERNWARD_ADDRESS"),
-                  Json::object()); // it is ready: it was asked there
+  // The application starts only if the readiness check on the socket succeeds.
+  Program program(s.words(file, "echo at=$FERNWARD_ADDRESS"), Json::object());
   REQUIRE(s.until([&] { return program.ended(); }));
   INFO(program.text);
   CHECK(program.code == 0);
--- a/tests/sidecar/supervisor_test.cpp
+++ b/tests/sidecar/supervisor_test.cpp
@@ -1,4 +1,5 @@
-// What a sidecar decides: stories as tables, and what holds over any sequence of events.
+// Tests of the sidecar's decisions: event sequences with their expected actions, and properties of any
+// sequence.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -18,7 +19,8 @@
   return kWords[static_cast<std::size_t>(action)];
 }
 
-// Events as letters: b begin, r ready, x router ended, a application ended with 7, T, I, H signals, and "+N" for N ms.
+// Runs a sequence of events and returns the actions. Events are letters: b begin, r ready, x router ended,
+// a application ended with code 7, T/I/H the signals SIGTERM, SIGINT, SIGHUP; "+N" advances the time by N ms.
 std::string played(const std::string& events, int* code = nullptr) {
   Rules rules;
   rules.ready_ms = 1000, rules.stop_ms = 500, rules.drain_ms = 800, rules.restart_first_ms = 100,
@@ -68,30 +70,33 @@
     int code;
   } rows[] = {
       {"the application ends: the router drains after it", "brax", "router application end-router end", 7},
-      {"a signal goes to the application first", "brTax", "router application terminate end-router end", 7},
-      {"one that ignores it is killed in time", "brT+499+1ax",
+      {"a signal is sent to the application first", "brTax", "router application terminate end-router end",
+       7},
+      {"an application that ignores the signal is killed at the timeout", "brT+499+1ax",
        "router application terminate | kill | end-router end", 7},
-      {"an interrupt is passed on as one", "brIax", "router application interrupt end-router end", 7},
-      {"a second signal goes on too, and the time stays", "brT+300T+200ax",
+      {"an interrupt is forwarded as an interrupt", "brIax", "router application interrupt end-router end",
+       7},
+      {"a second signal is forwarded without extending the timeout", "brT+300T+200ax",
        "router application terminate | terminate kill | end-router end", 7},
-      {"a router that hangs at its end is killed", "bra+800x",
-       "router application end-router kill-router | end", 7},
-      {"a crash: started again after a wait that doubles", "brx+100x+199+1x+400x+400r",
+      {"a router that does not end is killed", "bra+800x", "router application end-router kill-router | end",
+       7},
+      {"a crashed router is restarted after a backoff that doubles", "brx+100x+199+1x+400x+400r",
        "router application router | | router | router | router |", 0},
-      {"a steady router's crash counts as the first", "brx+100x+200r+2500x+100",
+      {"a crash after a long ready time resets the backoff", "brx+100x+200r+2500x+100",
        "router application router | router | | router |", 0},
-      {"SIGTERM before the application has begun", "bTx", "router end-router end", 143},
-      {"interrupted there", "bIx", "router end-router end", 130},
-      {"SIGTERM while a router that crashed waits", "bxT", "router end", 143},
-      {"never ready: the application is not begun", "b+1000x", "router end-router | end", 1},
-      {"crashes at once each time, and never ready", "bx+100x+200x+400x+300",
+      {"SIGTERM before the application has started", "bTx", "router end-router end", 143},
+      {"SIGINT before the application has started", "bIx", "router end-router end", 130},
+      {"SIGTERM while the router waits for its restart", "bxT", "router end", 143},
+      {"the router is never ready: the application is not started", "b+1000x", "router end-router | end", 1},
+      {"the router crashes at every start and is never ready", "bx+100x+200x+400x+300",
        "router router | router | router | end |", 1},
-      {"reload, and one that comes too early", "bHrH", "router reload application reload", 0},
-      {"reload while it is down: it reads the file as it starts", "brxH+100r", "router application router |",
-       0},
-      {"the router ends while the application is ending", "brTx+100r+400ax",
+      {"a reload is forwarded, an early one once the router is ready", "bHrH",
+       "router reload application reload", 0},
+      {"reload while the router is down: it reads the file when it starts", "brxH+100r",
+       "router application router |", 0},
+      {"the router crashes while the application is ending", "brTx+100r+400ax",
        "router application terminate router | kill | end-router end", 7},
-      {"and the application's end finds it down", "brxa", "router application end", 7},
+      {"the application ends while the router is down", "brxa", "router application end", 7},
   };
   for (const auto& row : rows) {
     CAPTURE(row.what);
@@ -101,8 +106,9 @@
   }
 }
 
-// guards: an application without a router, a router that goes before its application, a sidecar that never ends
-TEST_CASE("whatever happens in whatever order") {
+// Guards against an application that is started without a ready router, a router that ends before its
+// application, and a sidecar that never ends.
+TEST_CASE("invariants hold for any sequence of events") {
   CHECK(rc::check("order", [] {
     Rules rules;
     Supervisor supervisor(rules);
@@ -115,7 +121,7 @@
       std::vector<Do> actions;
       supervisor.on(now, event, actions);
       for (const Do action : actions) {
-        RC_ASSERT(ends == 0); // nothing after the end
+        RC_ASSERT(ends == 0); // no action after End
         switch (action) {
           case Do::StartRouter:
             RC_ASSERT(!router);
@@ -126,7 +132,7 @@
             application = began = true;
             break;
           case Do::TerminateRouter:
-            RC_ASSERT(router && !application); // the application goes first
+            RC_ASSERT(router && !application); // the application ends first
             break;
           case Do::ReloadRouter: RC_ASSERT(router && ready); break;
           case Do::KillRouter: RC_ASSERT(router && asked_to_end); break;
@@ -172,7 +178,7 @@
         default: take(Tick{});
       }
     }
-    // From anywhere it comes to its end, when the processes do as they are told.
+    // From any state the sidecar ends, provided that the processes react to the signals.
     if (!over)
       asked_to_end = true, asked_at = std::min(asked_at, application ? now : 1e18),
       take(Signalled{Signal::Terminate});
