--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,4 +1,5 @@
-// fernward_simulator_adapter: the decision module on the bench's wire.
+// fernward_simulator_adapter: serves the simulator's binary protocol on standard input and output with the
+// balancer.
 #include <cstdio>
 #include <exception>
 #include <string>
@@ -7,7 +8,7 @@
 
 namespace {
 
-// False at the end of input; throws when it ends within the wanted bytes.
+// Returns false at the end of input; throws BadInput if the input ends within the requested bytes.
 bool read_exactly(char* into, std::size_t count) {
   const std::size_t got = std::fread(into, 1, count, stdin);
   if (got == 0) return false;
--- a/src/simulator_adapter/settings.h
+++ b/src/simulator_adapter/settings.h
@@ -1,4 +1,4 @@
-// Start-up settings from the wire's JSON.
+// Reads the balancer's settings from the JSON text of a Boot record.
 #pragma once
 
 #include <string_view>
@@ -7,8 +7,8 @@
 
 namespace fernward::simulator_adapter {
 
-// Unknown keys are passed over. Throws BadInput when the text is not JSON or a needed key is missing or of
-// the wrong type.
+// Unknown keys are ignored. Throws BadInput if the text is not valid JSON, or if a required key is missing or
+// has the wrong type.
 Settings parse_settings(std::string_view text);
 
 } // namespace fernward::simulator_adapter
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -10,14 +10,14 @@
   Reader in(frame.substr(kBatchHeader));
   reply_.begin(header.number);
   for (std::uint32_t i = 0; i < header.records; ++i) take(read_record(in), header.now);
-  if (in.left() != 0) throw BadInput(std::to_string(in.left()) + " bytes left over after the last record");
+  if (in.left() != 0) throw BadInput(std::to_string(in.left()) + " unexpected bytes after the last record");
   return reply_.finish();
 }
 
 Balancer& SimulatorAdapter::balancer(std::uint16_t instance) {
   const auto found = balancers_.find(instance);
   if (found == balancers_.end())
-    throw BadInput("event for instance " + std::to_string(instance) + " before Boot");
+    throw BadInput("event received for instance " + std::to_string(instance) + " before its Boot record");
   return found->second;
 }
 
@@ -35,7 +35,8 @@
       EndpointList list{announce->kind, {}};
       if (announce->kind != EndpointListKind::Failed) {
         if (announce->slot >= lists_.size() || !lists_[announce->slot]) {
-          throw BadInput("list number " + std::to_string(announce->slot) + " was never sent");
+          throw BadInput("list number " + std::to_string(announce->slot) +
+                         " was announced but not sent before");
         }
         list.servers = *lists_[announce->slot];
       }
--- a/src/simulator_adapter/simulator_adapter.h
+++ b/src/simulator_adapter/simulator_adapter.h
@@ -1,4 +1,4 @@
-// Hosts one Balancer for each instance of a process and answers batches.
+// Hosts one Balancer for each instance in the process and answers batches of events with their actions.
 #pragma once
 
 #include <array>
@@ -15,7 +15,8 @@
 
 class SimulatorAdapter {
  public:
-  // Answers one whole frame, header included. Throws BadInput or std::invalid_argument; no reply then.
+  // Answers one complete frame, including its header. The reply is valid until the next call. Throws BadInput
+  // or std::invalid_argument, without a reply, if the frame or the settings are invalid.
   const std::string& answer(std::string_view frame);
 
  private:
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -81,7 +81,7 @@
   outcome.result = read_result(in);
   outcome.elapsed_ms = in.get<double>();
   outcome.request_ended = in.get<std::uint8_t>() != 0;
-  in.get<std::uint32_t>(); // the server's own note, not used
+  in.get<std::uint32_t>(); // an additional value from the server, not used
   outcome.load_report = read_report(in);
   return outcome;
 }
@@ -137,7 +137,7 @@
     case 60: record.body = Event(ClientDisconnected{in.get<std::uint64_t>()}); break;
     case 70: record.body = Event(TimerFired{in.get<std::uint64_t>()}); break;
     case 80: record.body = read_health(in); break;
-    case 90: // a neighbour's words: nodes decide alone
+    case 90: // a message from another router: ignored, as each router decides alone
       in.get<std::uint16_t>();
       in.take(in.get<std::uint16_t>());
       record.body = Ignored{};
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -1,4 +1,5 @@
-// The bench's wire: binary little-endian frames on standard input and output, see docs/design.md.
+// Codec of the simulator's protocol: binary little-endian frames on standard input and output, see
+// docs/design.md.
 #pragma once
 
 #include <cstdint>
@@ -12,22 +13,22 @@
 
 namespace fernward::simulator_adapter {
 
-// What is wrong with the input, in words for standard error.
+// Invalid input; the message is printed to standard error.
 struct BadInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 constexpr std::size_t kBatchHeader = 20;
-constexpr std::uint32_t kMaxFrame = 1u << 30; // far above any batch; guards the allocation
+constexpr std::uint32_t kMaxFrame = 1u << 30; // far above any batch; limits the allocation
 
 struct BatchHeader {
   std::uint32_t records = 0;
-  std::uint32_t length = 0; // of the whole frame
+  std::uint32_t length = 0; // of the complete frame, in bytes
   double now = 0;
   std::uint32_t number = 0;
 };
 
-// Reads fixed-width fields from a frame; throws BadInput when the frame ends first.
+// Reads fixed-width fields from a frame; throws BadInput if the frame is too short.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
@@ -53,7 +54,7 @@
 
 BatchHeader read_header(std::string_view bytes);
 
-// One record of a batch. Instance events carry the module's own event.
+// The records of a batch. Records for an instance hold an event of the balancer.
 struct Boot {
   std::uint64_t seed = 0;
   std::string_view settings;
@@ -67,14 +68,14 @@
   EndpointListKind kind = EndpointListKind::Full;
   std::uint8_t slot = 0;
 };
-struct Ignored {}; // legal, of no use to the module
+struct Ignored {}; // valid, but not used by the balancer
 struct Record {
-  std::uint16_t instance = 0; // of no meaning for a Roster
+  std::uint16_t instance = 0; // unused in a ServerList record
   std::variant<Boot, Teardown, Roster, Announce, Event, Ignored> body;
 };
 Record read_record(Reader& in);
 
-// Collects a reply frame.
+// Encodes a reply frame.
 class Reply {
  public:
   void begin(std::uint32_t batch);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,4 @@
-// The codec against the bytes that the wire page publishes, and against damaged frames.
+// Tests of the simulator adapter's codec: the published example bytes, and damaged frames.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -45,7 +45,7 @@
   "classes": [{"give_up": 2000.0, "aim": 600.0, "repeat": "safe", "name": "any"}],
   "limits": {"max_attempts": 5, "may_cancel": true}, "obligations": {"grace_to_answer": 20.0}})";
 
-// The page's list, and its announcement for instance 3.
+// The published example of a list, and its announcement for instance 3.
 const char* const kRoster =
     "6e 00 02000000 0000 0000 0000803f 0000000000000000 00 074a1203 00 "
     "0000 0000 0000c03f 0000000000d4b740 01 f211902c 00";
@@ -62,7 +62,7 @@
   EXPECT_EQ(drill.answer(bytes("00000000 14000000 00000000206ec040 01000000")), bytes("08000000 01000000"));
 }
 
-TEST(Wire, ReadsThePublishedCall) {
+TEST(Wire, ReadsThePublishedRequest) {
   const std::string text = bytes(kCall);
   Reader in(text);
   const Record record = read_record(in);
@@ -90,7 +90,7 @@
   EXPECT_EQ(outcome.load_report, (std::vector<float>{140, 14.5, 3}));
 }
 
-TEST(Wire, ReadsThePublishedRosterAndAnnounce) {
+TEST(Wire, ReadsThePublishedListAndAnnouncement) {
   const std::string text = bytes(std::string(kRoster) + kAnnounce);
   Reader in(text);
   const Record record = read_record(in);
@@ -115,7 +115,7 @@
                                   "5a 0300 1100 74776f2073657276657273206b6e6f776e"));
 }
 
-TEST(Wire, SendsAPublishedCallToAListedServer) {
+TEST(Wire, SendsThePublishedRequestToAListedServer) {
   SimulatorAdapter drill;
   const std::string reply = drill.answer(settled_frame({bytes(kCall)}));
   const std::string send = bytes("0a 0300 c4913a5dc99e0300");
@@ -125,25 +125,25 @@
   EXPECT_TRUE(server == bytes("074a1203") || server == bytes("f211902c"));
 }
 
-TEST(Wire, PassesOverANeighboursWords) {
+TEST(Wire, IgnoresMessagesFromOtherRouters) {
   SimulatorAdapter drill;
   const std::string quiet = drill.answer(settled_frame());
   SimulatorAdapter other;
   EXPECT_EQ(other.answer(settled_frame({bytes("5a 0300 0100 0400 68692037")})), quiet);
 }
 
-TEST(Wire, RejectsWhatIsMalformed) {
+TEST(Wire, RejectsMalformedInput) {
   const auto rejects = [](const std::string& input) {
     EXPECT_THROW(SimulatorAdapter().answer(input), std::runtime_error);
   };
   rejects(frame({}).substr(0, 12));
   rejects(frame({}) + "x");
   rejects(frame({bytes("ff 0300")}));                  // unknown code
-  rejects(frame({bytes(kCall)}));                      // before Boot
-  rejects(frame({boot(kSettings), bytes(kAnnounce)})); // a list never sent
+  rejects(frame({bytes(kCall)}));                      // request before Boot
+  rejects(frame({boot(kSettings), bytes(kAnnounce)})); // announced list was not sent
   rejects(frame({boot("not json"), bytes(kRoster)}));
-  rejects(frame({boot("{}")}));                                                    // needed keys
-  rejects(frame({bytes("6e 10 00000000")}));                                       // list number
+  rejects(frame({boot("{}")}));                                                    // required keys missing
+  rejects(frame({bytes("6e 10 00000000")}));                                       // list number above 15
   rejects(frame({bytes("6e 00 ffffffff")}));                                       // count beyond the frame
   rejects(settled_frame({bytes(kCall).substr(0, 20)}));                            // truncated record
   rejects(settled_frame({bytes("32 0300 c4913a5dc99e0300 0000 074a1203 0a 00")})); // unknown outcome
