--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -1,4 +1,5 @@
-// The smallest node: one cache list, one request, its answer. Exits non-zero if the module does not serve it.
+// Minimal embedding of the balancer: one endpoint list, one request and its response. Exits with a non-zero
+// code if the balancer does not send the request to a server.
 #include <cstdio>
 #include <variant>
 #include <vector>
@@ -17,7 +18,7 @@
 
   Balancer balancer(settings, 1);
   std::vector<Action> actions;
-  double now = 1000; // the node's own clock, in milliseconds
+  double now = 1000; // the embedding program's clock, in milliseconds
 
   EndpointList list;
   for (ServerId id = 1; id <= 4; ++id) {
@@ -37,7 +38,7 @@
     const auto* send = std::get_if<Send>(&action);
     if (send == nullptr) continue;
     std::printf("request %llu goes to cache %u\n", static_cast<unsigned long long>(send->id), send->server);
-    AttemptOutcome answer; // what the node would report once the cache has answered
+    AttemptOutcome answer; // the report that follows the response of the cache
     answer.id = send->id;
     answer.server = send->server;
     answer.elapsed_ms = 12;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// fernward: a router before a fleet of cache nodes. Only the command line is here.
+// Entry point of the fernward program: the table of its subcommands and the version command.
 #include <cstdio>
 
 #include "commands/command.h"
@@ -21,11 +21,12 @@
 } // namespace
 
 int main(int argc, char** argv) {
-  return arguments::run("fernward", "a router before a fleet of cache nodes",
-                        {{"serve", "run the router", &commands::serve},
-                         {"sidecar", "run the router and an application beside it", &commands::sidecar},
-                         {"config", "write, check and explain an application's file", &commands::config},
-                         {"check-config", "check the file that NODE_CONFIG names", &commands::check_config},
-                         {"version", "print the version", &version}},
-                        {argv + 1, argv + argc});
+  return arguments::run(
+      "fernward", "a router in front of a fleet of cache servers",
+      {{"serve", "run the router", &commands::serve},
+       {"sidecar", "run the router as a sidecar together with an application", &commands::sidecar},
+       {"config", "create, check and explain an application's configuration file", &commands::config},
+       {"check-config", "check the configuration file named by NODE_CONFIG", &commands::check_config},
+       {"version", "print the version", &version}},
+      {argv + 1, argv + argc});
 }
