--- a/tests/fuzz/config.cpp
+++ b/tests/fuzz/config.cpp
@@ -1,5 +1,6 @@
-// The reader of an application's file takes any bytes: it ends with an App or with faults that have a place and a code,
-// and what it takes it can write and read again, and the router can start from.
+// Fuzzes the reader of an application's configuration file. Any input gives an App or errors with a location
+// and a code. An accepted file survives a round trip through the writer, and its rendered form is a valid
+// router configuration.
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
@@ -44,17 +45,18 @@
   });
   for (const auto* faults : {&made.faults, &made.warnings}) {
     for (const auto& fault : *faults) {
-      must(fault.at.line > 0 && fault.at.column > 0 && !fault.at.file.empty(), "a fault without a place");
+      must(fault.at.line > 0 && fault.at.column > 0 && !fault.at.file.empty(), "an error without a location");
       must(!fault.key.empty() && !fault.why.empty() && !fault.code.empty(),
-           "a fault without key, reason or code");
+           "an error without a key, reason or code");
     }
   }
   if (!made.sound()) return 0;
   const std::string written = as_file(made.app);
   const app_config::Setup again = app_config::read(written, "again.toml", nothing, nullptr);
   if (!again.sound()) std::fprintf(stderr, "%s\n%s", again.faults.front().coded().c_str(), written.c_str());
-  must(again.sound(), "what was taken is refused when it is written and read again");
-  must(app_config::changes(made.app, again.app).empty(), "written and read again, it says something else");
+  must(again.sound(), "an accepted file is rejected after it is written and read again");
+  must(app_config::changes(made.app, again.app).empty(),
+       "the settings differ after they are written and read again");
   config::parse(app_config::render(made.app).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace),
                 nothing);
   return 0;
--- a/tests/fuzz/control.cpp
+++ b/tests/fuzz/control.cpp
@@ -1,4 +1,5 @@
-// A line on the second address: a call with an id that is one word, or a fault that is one line.
+// Fuzzes the parser of control commands. Any line gives a command whose endpoint id contains no white space
+// and has at most 128 bytes, or an error message of a single line.
 #include <cstdint>
 #include <cstdlib>
 #include <string_view>
--- a/tests/fuzz/handover.cpp
+++ b/tests/fuzz/handover.cpp
@@ -1,4 +1,5 @@
-// A frame of the handover is taken whole or not at all, and what was taken, written again, reads the same.
+// Fuzzes the decoder of hot restart frames. A frame is decoded completely or not at all, and a decoded
+// message survives a round trip through the encoder.
 #include <cstdint>
 #include <cstdlib>
 #include <string_view>
--- a/tests/fuzz/http.cpp
+++ b/tests/fuzz/http.cpp
@@ -1,5 +1,6 @@
-// Any bytes, cut anywhere, give the same message or the same fault, whether the body is kept or handed out piece by
-// piece; and a piece never is more than was given.
+// Fuzzes the HTTP parser. Any input gives the same message or the same error however it is split, whether the
+// parser buffers the body or returns it in pieces, and a piece always lies within the input that was
+// consumed.
 #include <algorithm>
 #include <cstdint>
 #include <cstdio>
@@ -43,7 +44,8 @@
   for (const auto& [name, value] : m.headers) seen.start += "\n" + name + ":" + value;
 }
 
-// `step` cuts the bytes; whole: the parser keeps the body.
+// Parses `bytes` in pieces of `piece_bytes` bytes. If `buffer_body` is set, the parser buffers the body;
+// otherwise the body is read in pieces.
 Seen read(Kind kind, std::string_view bytes, std::size_t step, bool whole) {
   Seen seen;
   Parser parser(kind, kCeiling);
@@ -58,19 +60,20 @@
       const Framer::Piece piece = parser.body().next(part);
       must(piece.body.empty() || (piece.body.data() >= part.data() &&
                                   piece.body.data() + piece.body.size() <= part.data() + piece.used),
-           "a piece lies outside of the bytes that were taken");
+           "a piece lies outside of the consumed bytes");
       seen.body += piece.body;
-      must(parser.body().come() == seen.body.size(), "the framer has lost count");
+      must(parser.body().come() == seen.body.size(),
+           "the framer's byte count differs from the bytes it returned");
       used = piece.used;
     }
-    must(used <= part.size(), "more was taken than given");
+    must(used <= part.size(), "more bytes were consumed than given");
     seen.used += used;
     if (used == 0) break;
   }
   if (whole) seen.body = parser.message().body;
-  must(seen.body.size() <= kCeiling, "a body beyond its ceiling");
+  must(seen.body.size() <= kCeiling, "the body exceeds its limit");
   note(seen, parser);
-  must(!seen.done || seen.fault == Fault::None, "done, and a fault");
+  must(!seen.done || seen.fault == Fault::None, "the message is complete although there is an error");
   return seen;
 }
 
@@ -82,8 +85,8 @@
   const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
   const Seen once = read(kind, bytes, std::max<std::size_t>(1, bytes.size()), true);
   for (const std::size_t step : {std::size_t{1}, std::size_t{2}, std::size_t{7}, bytes.size() + 1}) {
-    must(once.same(read(kind, bytes, step, true)), "cut in another way it is another message");
-    must(once.same(read(kind, bytes, step, false)), "piece by piece it is another message");
+    must(once.same(read(kind, bytes, step, true)), "the message depends on how the input is split");
+    must(once.same(read(kind, bytes, step, false)), "the message differs if the body is read in pieces");
   }
   return 0;
 }
--- a/tests/fuzz/over_corpus.cpp
+++ b/tests/fuzz/over_corpus.cpp
@@ -1,4 +1,5 @@
-// In place of libFuzzer: every file of the folders named, whole, cut at many lengths and with single bytes changed.
+// Replaces libFuzzer: runs the target over each file in the given folders, unchanged, truncated at many
+// lengths, and with single bytes changed.
 #include <cstdint>
 #include <cstdio>
 #include <filesystem>
--- a/tests/fuzz/peers.cpp
+++ b/tests/fuzz/peers.cpp
@@ -1,6 +1,7 @@
-// Datagrams between routers may hold any bytes: what is taken keeps every figure within its bounds, what is said in return
-// fits a datagram, and what was read, written again, reads the same. The input is a datagram without its checksum, which is
-// set right here, so that what lies behind it is reached.
+// Fuzzes the gossip between routers. Whatever datagrams are received, all values stay within their bounds,
+// the datagrams sent in return fit the size limit, and a decoded message survives a round trip. The input is
+// a datagram without its checksum; a correct checksum is appended here so that the code behind the check is
+// reached.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -35,16 +36,18 @@
     for (gossip::Id from = 0; from < 9; ++from) {
       fleet.take(1001, from, bytes, out);
       const gossip::View view = fleet.view(1002);
-      must(view.living >= 1 && view.living <= 8, "as many live as there are, at most");
+      must(view.living >= 1 && view.living <= 8, "the number of live routers is out of range");
       must(std::isfinite(view.ledger_part) && view.ledger_part >= 0 && view.ledger_part <= 4096 * 8,
-           "a part is a number");
+           "the origin's share is out of range");
     }
     if (const auto read = membership::decode(bytes)) {
       const auto again = membership::decode(membership::encode(*read));
-      must(again && membership::encode(*again) == membership::encode(*read), "what was read is read again");
+      must(again && membership::encode(*again) == membership::encode(*read),
+           "a message changes when it is encoded and decoded again");
     }
   }
   fleet.tick(2000, {1, 2}, out);
-  for (const auto& o : out) must(o.to < 8 && o.bytes.size() <= membership::kMostBytes, "what is said fits");
+  for (const auto& o : out)
+    must(o.to < 8 && o.bytes.size() <= membership::kMostBytes, "a datagram exceeds the size limit");
   return 0;
 }
--- a/tests/fuzz/scenario.cpp
+++ b/tests/fuzz/scenario.cpp
@@ -1,5 +1,5 @@
-// The reader of scenario files takes any bytes: it ends with a Spec or with faults that have a place, and what it
-// takes it can write and read again.
+// Fuzzes the reader of scenario files. Any input gives a Spec or errors with a location, and an accepted
+// scenario survives a round trip through the writer.
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
@@ -41,20 +41,20 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace fernward::lab;
   const std::string_view text(reinterpret_cast<const char*>(data), size);
-  // Small, as sound files are written and read again.
+  // Small limits, because valid scenarios are written and read again.
   const Offer offer{1000, 100, 8};
   const Scenario scenario = read_scenario(text, "fuzz.toml", offer, [](const auto& path) {
     return path == "fleet.toml" ? std::optional<std::string>(kBase) : std::nullopt;
   });
   for (const Fault& fault : scenario.faults) {
-    must(fault.at.line > 0 && fault.at.column > 0 && !fault.at.file.empty(), "a fault without a place");
-    must(!fault.key.empty() && !fault.why.empty(), "a fault without a key or a reason");
+    must(fault.at.line > 0 && fault.at.column > 0 && !fault.at.file.empty(), "an error without a location");
+    must(!fault.key.empty() && !fault.why.empty(), "an error without a key or a reason");
   }
   if (!scenario.sound()) return 0;
   const std::string written = scenario_text(scenario.spec);
   const Scenario again = read_scenario(written, "again.toml", offer);
   if (!again.sound()) std::fprintf(stderr, "%s\n%s", again.faults.front().text().c_str(), written.c_str());
-  must(again.sound(), "what was taken is refused when it is written and read again");
-  must(scenario_text(again.spec) == written, "written and read again, it is another scenario");
+  must(again.sound(), "an accepted scenario is rejected after it is written and read again");
+  must(scenario_text(again.spec) == written, "the scenario differs after it is written and read again");
   return 0;
 }
