--- a/tests/memory_test.cpp
+++ b/tests/memory_test.cpp
@@ -1,4 +1,5 @@
-// Memory stays bounded over a long run. Counts live allocations, so it is a program of its own.
+// Memory use stays bounded over a long run. A program of its own, as it replaces operator new and delete to
+// count allocations.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -9,7 +10,7 @@
 
 namespace {
 long live_blocks = 0;
-long made_blocks = 0; // since the start
+long made_blocks = 0; // allocated since the start
 } // namespace
 
 void* operator new(std::size_t size) {
@@ -28,7 +29,7 @@
 namespace fernward::testing {
 namespace {
 
-// A node whose keys are ever new, whose caches come and go, and whose requests end in every way.
+// A router with new keys all the time, caches that are replaced, and requests with various results.
 class LongRun {
  public:
   LongRun() : balancer_(settings(), 3) {}
@@ -97,20 +98,21 @@
   double now_ = 1000;
   RequestId id_ = 0;
   ServerId server_ = 1000;
-  std::map<RequestId, std::uint32_t> attempts_; // sent so far
+  std::map<RequestId, std::uint32_t> attempts_; // number of attempts sent so far
   std::multimap<double, std::uint64_t> timers_;
 };
 
 TEST(Memory, StaysBoundedOverALongRun) {
   LongRun run;
-  run.play(20000); // more keys than a node remembers
+  run.play(20000); // more keys than a router keeps
   const long early = live_blocks;
   run.play(60000);
-  EXPECT_LE(live_blocks, 2 * early); // a leak a request would be hundreds of times as many
+  EXPECT_LE(live_blocks, 2 * early); // leaking one block per request gives hundreds of times as many
   EXPECT_GT(run.sent, 20000);
 }
 
-// The allocations of one step of a node that knows so many caches, once all that is kept has its size.
+// Counts the allocations of single operations of a router with the given number of caches, after all
+// containers have reached their final size.
 class FleetWork {
  public:
   explicit FleetWork(std::uint32_t caches) : balancer_(aside_settings(), 3) {
@@ -120,13 +122,13 @@
     for (int round = 0; round < kWarmUps; ++round) change(), tick(), request();
   }
 
-  long change() { // a drain and a return
+  long change() { // a server starts draining and becomes ready again
     const long before = made_blocks;
     feed(EndpointList{EndpointListKind::Delta, {{.id = 1007, .state = ServerState::Draining}}});
     feed(EndpointList{EndpointListKind::Delta, {{.id = 1007}}});
     return made_blocks - before;
   }
-  long replace() { // one goes, and is dropped; another comes
+  long replace() { // removes one server and adds another; counts only the addition and a tick
     feed(EndpointList{EndpointListKind::Delta, {{.id = newest_, .state = ServerState::Gone}}});
     const long before = made_blocks;
     feed(EndpointList{EndpointListKind::Delta, {{.id = ++newest_}}});
@@ -139,7 +141,7 @@
     feed(TimerFired{tick_});
     return made_blocks - before;
   }
-  long request() { // and its answer
+  long request() { // with its response
     const long before = made_blocks;
     const RequestId id = ++id_;
     const ServerId server = feed(Request{.id = id, .key = 77, .deadline = now_ + 400});
@@ -155,7 +157,7 @@
   static constexpr int kWarmUps = 50;
   static constexpr double kTickMs = 100;
 
-  ServerId feed(const Event& event) { // whom it sends to; 0: nobody
+  ServerId feed(const Event& event) { // returns the server that was sent to; 0: none
     actions_.clear();
     balancer_.on_event(now_, event, actions_);
     ServerId sent_to = 0;
@@ -175,14 +177,16 @@
   ServerId newest_ = 900'000;
 };
 
-// guards: the work of a change, a tick and a request that grows with the fleet
-TEST(Memory, AChangeATickAndARequestAllocateAsMuchWith3200CachesAsWith200) {
+// Guards against work per endpoint change, tick and request that grows with the size of the fleet, measured
+// by the allocations.
+TEST(Memory, AllocationsPerOperationAreIndependentOfTheNumberOfCaches) {
   FleetWork few(200), many(3200);
   EXPECT_GT(few.change(), 0);
   EXPECT_EQ(many.change(), few.change());
   EXPECT_EQ(many.tick(), few.tick());
   EXPECT_EQ(many.request(), few.request());
-  constexpr long kBuckets = 64; // of the ring, one for each point: whether one of them grows is chance
+  // Buckets of the hash ring, one for each point; whether a bucket grows depends on chance.
+  constexpr long kBuckets = 64;
   EXPECT_LE(many.replace(), few.replace() + kBuckets);
 }
 
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -1,5 +1,6 @@
-// Seeded random events under many settings: the rules hold, and the same events give the same actions.
-// There is no server model here: outcomes, lists and timers come in any order that the interface allows.
+// Property tests with seeded random events and settings: the balancer's rules hold, and equal events lead to
+// equal actions. There is no server model: outcomes, lists and timers occur in any order that the interface
+// allows.
 #include <random>
 #include <set>
 
@@ -8,7 +9,7 @@
 namespace fernward::testing {
 namespace {
 
-struct Tracked { // one request as the rules see it
+struct Tracked { // the state of a request that is needed to check the rules
   Request in;
   std::vector<Send> sends;
   std::vector<double> sent_at;
@@ -17,6 +18,7 @@
   bool ended = false;
 };
 
+// Drives a balancer with random events and records violations of its rules.
 class Drive {
  public:
   Drive(std::uint64_t seed, bool break_a_rule = false) : random_(seed), break_a_rule_(break_a_rule) {
@@ -94,7 +96,7 @@
     const auto server = servers_.find(a.server);
     if (server == servers_.end()) return fault("Send to an unknown server");
     if (server->second.state != ServerState::Ready) fault("Send to a draining or gone server");
-    if (r->sends.size() >= settings_.max_attempts) fault("too many attempts");
+    if (r->sends.size() >= settings_.max_attempts) fault("more attempts than max_attempts");
     check_repeat(*r, server->second);
     r->sends.push_back(a);
     r->sent_at.push_back(now_);
@@ -105,15 +107,16 @@
   void check_repeat(const Tracked& r, const Server& to) {
     const ClassSettings& c = settings_.classes[r.in.class_index];
     for (std::size_t i = 0; i < r.sends.size(); ++i) {
-      if (r.out[i] && !settings_.may_hedge) fault("two attempts out at once");
+      if (r.out[i] && !settings_.may_hedge) fault("two concurrent attempts without hedging");
       if (!r.may_have_run[i] || c.idempotency == Idempotency::Idempotent) continue;
-      if (c.idempotency == Idempotency::NonIdempotent) fault("unsafe request repeated");
+      if (c.idempotency == Idempotency::NonIdempotent) fault("non-idempotent request repeated");
       const Server& ran = servers_.at(r.sends[i].server);
-      if (now_ - r.sent_at[i] > c.idempotency_window_ms) fault("keyed request repeated after its window");
+      if (now_ - r.sent_at[i] > c.idempotency_window_ms)
+        fault("request repeated after its idempotency window");
       if (c.idempotency_scope == IdempotencyScope::Zone && ran.zone != to.zone)
-        fault("keyed request left its zone");
+        fault("request repeated outside its zone");
       if (c.idempotency_scope == IdempotencyScope::Cell && ran.cell != to.cell)
-        fault("keyed request left its cell");
+        fault("request repeated outside its cell");
     }
   }
 
@@ -128,7 +131,8 @@
     const bool repeatable =
         c.idempotency == Idempotency::Idempotent ||
         (c.idempotency == Idempotency::WithKey && c.idempotency_scope == IdempotencyScope::All);
-    if (refusal && may_have_run && !repeatable) fault("refusal with a promise that does not hold");
+    if (refusal && may_have_run && !repeatable)
+      fault("request rejected although it may have run and must not be repeated");
   }
 
   void take(const Reject& a) { transcript += "r" + std::to_string(a.id), end(a.id, true); }
@@ -137,14 +141,14 @@
     transcript += "c" + std::to_string(a.id);
     if (!settings_.may_cancel) fault("Cancel is not allowed");
     Tracked* r = known(a.id, "Cancel");
-    if (r != nullptr && a.attempt >= r->sends.size()) fault("Cancel of an attempt never made");
+    if (r != nullptr && a.attempt >= r->sends.size()) fault("Cancel of an attempt that was not sent");
   }
   void take(const SetTimer& a) {
-    if (!(a.delay_ms >= 0)) fault("timer in the past");
+    if (!(a.delay_ms >= 0)) fault("timer with a negative delay");
     timers_.emplace(now_ + a.delay_ms, a.token);
   }
   void take(const SendHealthCheck& a) {
-    if (!settings_.may_health_check) fault("Probe is not allowed");
+    if (!settings_.may_health_check) fault("health check is not allowed");
     probes_.push_back(a.server);
   }
   void take(const WatchEndpoints&) { watching_ = true; }
@@ -155,14 +159,14 @@
     act_up();
   }
 
-  void tick() { // timers are due within one tick
+  void tick() { // fires the timers that are due within one event interval
     now_ += settings_.event_interval_ms;
     while (!timers_.empty() && timers_.begin()->first <= now_) {
       const auto token = timers_.begin()->second;
       timers_.erase(timers_.begin());
       feed(TimerFired{token});
     }
-    for (auto& [id, r] : requests_) { // what is still out at the deadline times out then
+    for (auto& [id, r] : requests_) { // attempts that are active at the deadline time out
       if (now_ >= r.in.deadline) time_out(id, r);
     }
   }
@@ -191,7 +195,7 @@
     }
   }
 
-  RequestId kept(int back) { // a request whose departure is noted first
+  RequestId kept(int back) { // a recent request, which is marked as ended before the event is sent
     const RequestId id = next_ > static_cast<RequestId>(back) ? next_ - static_cast<RequestId>(back) : 0;
     if (const auto it = requests_.find(id); it != requests_.end()) it->second.ended = true;
     return id;
@@ -214,7 +218,7 @@
     in.write = pick(0, 5) == 0;
     requests_[in.id].in = in;
     feed(in);
-    if (break_a_rule_ && next_ % 50 == 0) { // what a broken module would do
+    if (break_a_rule_ && next_ % 50 == 0) { // actions of a balancer that violates the rules
       take(Reject{in.id, 0});
       take(Send{in.id, 1, 0});
     }
@@ -247,7 +251,7 @@
       for (std::size_t i = 0; i < r.out.size(); ++i) {
         if (!r.out[i] || pick(0, 5) != 0) continue;
         const AttemptResult result = static_cast<AttemptResult>(pick(0, 8));
-        if (result == AttemptResult::TimedOut) continue; // only at the deadline
+        if (result == AttemptResult::TimedOut) continue; // attempts time out only at the deadline
         end_attempt(id, r, i, pick(0, 2) == 0 ? AttemptResult::Ok : result);
         break;
       }
@@ -262,7 +266,7 @@
   void settle() {
     for (int i = 0; i < 2000; ++i) tick();
     for (const auto& [id, r] : requests_) {
-      if (!r.ended) fault("request never answered");
+      if (!r.ended) fault("request without a final answer");
     }
   }
 
@@ -281,7 +285,7 @@
 
 class RandomEvents : public ::testing::TestWithParam<int> {};
 
-TEST_P(RandomEvents, KeepTheRules) {
+TEST_P(RandomEvents, SatisfyTheRules) {
   for (int i = 0; i < 10; ++i) {
     Drive drive(static_cast<std::uint64_t>(GetParam() * 10 + i));
     drive.run(4000);
@@ -292,14 +296,14 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomEvents, ::testing::Range(0, 10));
 
-TEST(RandomEventsAlike, GiveTheSameActions) {
+TEST(RandomEventsDeterminism, EqualEventsLeadToEqualActions) {
   Drive one(3), two(3);
   one.run(3000);
   two.run(3000);
   EXPECT_EQ(one.transcript, two.transcript);
 }
 
-TEST(RandomEventsChecks, AreSeenToFailWhenARuleIsBroken) {
+TEST(RandomEventsChecks, DetectARuleViolation) {
   Drive drive(3, true);
   drive.run(1000);
   const std::set<std::string> found(drive.broken.begin(), drive.broken.end());
