--- a/tests/net/bodies_stories_test.cpp
+++ b/tests/net/bodies_stories_test.cpp
@@ -1,4 +1,4 @@
-// Stories of answers and bodies of any size, over loopback sockets against scripted peers.
+// Tests of responses and request bodies of any size, over loopback sockets against scripted peers.
 #include <doctest/doctest.h>
 #include <unistd.h>
 
@@ -13,7 +13,7 @@
 
 constexpr std::size_t kMb = 1 << 20;
 
-std::string value_of(std::size_t size) { // no two places alike, so that nothing can be lost or swapped unseen
+std::string value_of(std::size_t size) { // pseudo-random, so that lost or swapped bytes are detected
   std::string value(size, '\0');
   std::uint32_t state = 12345;
   for (char& c : value) {
@@ -47,7 +47,8 @@
 
 } // namespace
 
-TEST_CASE("a node list of a thousand targets is taken") { // guards: the cap on bodies that met discovery too
+// Guards against applying the limit for bodies to answers of discovery.
+TEST_CASE("an endpoint list with a thousand servers is accepted") {
   World w;
   std::vector<Json> many = w.all();
   for (int i = 0; i < 1000; ++i)
@@ -57,7 +58,8 @@
   CHECK(w.router->table().targets().size() == 1003);
 }
 
-TEST_CASE("an answer passed on is the answer sent, byte for byte") { // guards: bytes lost where pieces meet
+// Guards against bytes lost between two buffers.
+TEST_CASE("a response is forwarded byte for byte") {
   World w;
   std::string wire;
   w.caches([&](const http::Message&) { return wire; });
@@ -75,23 +77,23 @@
     ++number;
     CHECK(answer.status == 200);
     CHECK(answer.body.size() == value.size());
-    CHECK((answer.body == value)); // not printed
+    CHECK((answer.body == value)); // the inner parentheses keep doctest from printing the body
   };
   for (const std::size_t size : {0ul, 1ul, 1000ul, 4095ul, 4096ul, 4097ul, 65535ul, 65536ul, 65537ul,
                                  100000ul, 400000ul, 524288ul, 524289ul, 1000000ul, 5 * kMb}) {
     const std::string value = whole.substr(0, size);
     same(value, length_head(size) + value, "with its length");
-    same(value, "!" + kUntilCloseHead + value, "until close"); // the script's mark: then close
+    same(value, "!" + kUntilCloseHead + value, "until close"); // "!": the server then closes the connection
     same(value, kChunkedHead + chunks(value, 8192), "in chunks");
     same(value, kChunkedHead + chunks(value, 65536), "in large chunks");
-    same(value, kChunkedHead + chunks(value, 100003), "in chunks that meet no block", true);
+    same(value, kChunkedHead + chunks(value, 100003), "in chunks not aligned with the buffers", true);
   }
   same(whole.substr(0, 3000), kChunkedHead + chunks(whole.substr(0, 3000), 1), "in chunks of a byte");
   CHECK(all_given_back(w));
 }
 
-TEST_CASE(
-    "an answer is the same wherever its bytes are cut") { // guards: a boundary in the middle of a chunk's line
+// Guards against a boundary in the middle of a chunk's size line.
+TEST_CASE("a response is forwarded unchanged wherever its bytes are split") {
   World w;
   const std::string value = value_of(40);
   const std::string wire = kChunkedHead + chunks(value, 17);
@@ -111,47 +113,47 @@
   }
 }
 
-// guards: a part that passes for the whole
-TEST_CASE("an answer that has begun and breaks off: the client can tell, and nobody else is asked") {
+// Guards against a partial response that looks complete.
+TEST_CASE("a response that is truncated after forwarding began: the client detects it and no retry is sent") {
   World w;
   const std::string value = value_of(kMb);
   const std::string part = value.substr(0, 700000);
   std::string wire;
   bool old = false;
   SUBCASE("with its length") { wire = "!" + length_head(value.size()) + part; }
-  SUBCASE("in chunks, between two") { wire = "!" + kChunkedHead + chunk(part); }
-  SUBCASE("in chunks, in the middle of one") { wire = "!" + kChunkedHead + chunk(value).substr(0, 700000); }
-  SUBCASE("to a client that knows no chunks") {
+  SUBCASE("between two chunks") { wire = "!" + kChunkedHead + chunk(part); }
+  SUBCASE("in the middle of a chunk") { wire = "!" + kChunkedHead + chunk(value).substr(0, 700000); }
+  SUBCASE("to a client without chunked encoding") {
     wire = "!" + kChunkedHead + chunk(part);
     old = true;
   }
-  SUBCASE("noise in place of a chunk") { wire = kChunkedHead + chunk(part) + "noise\r\n"; }
+  SUBCASE("garbage in place of a chunk") { wire = kChunkedHead + chunk(part) + "noise\r\n"; }
   w.caches([&](const http::Message&) { return wire; });
   Client client = w.client();
   std::string request = get("/k/1", "r1");
   if (old) request.replace(request.find("HTTP/1.1"), 8, "HTTP/1.0");
   const auto answer = client.ask(request);
-  CHECK(answer.status == 0); // none that is whole
+  CHECK(answer.status == 0); // no complete response
   CHECK(client.closed);
-  CHECK(client.reset == old); // its end alone would be the end of the answer
+  CHECK(client.reset == old); // for HTTP/1.0 a plain close would mark the end of the response
   CHECK(w.sent() == 1);
   CHECK(w.router->driver().unanswered_requests() == 0);
   CHECK(all_given_back(w));
 }
 
-TEST_CASE(
-    "an answer that breaks off or stalls before it has begun is asked for elsewhere") { // guards: lost worth
+// Guards against requests that fail although a retry succeeds.
+TEST_CASE("a response that is truncated or stalls before forwarding began is retried at another endpoint") {
   World w;
   const std::string value = value_of(400000);
   std::string wire;
   SUBCASE("it ends after 300 of 400 KB") { wire = "!" + length_head(value.size()) + value.substr(0, 300000); }
   SUBCASE("it stalls after 300 of 400 KB") { wire = length_head(value.size()) + value.substr(0, 300000); }
-  SUBCASE("in chunks, cut") { wire = "!" + kChunkedHead + chunk(value); }
+  SUBCASE("truncated between chunks") { wire = "!" + kChunkedHead + chunk(value); }
   SUBCASE("a trailer of 400 KB") {
     wire = kChunkedHead + chunk("v") + "0\r\nA: " + value.substr(0, 0) + std::string(400000, 'a');
   }
-  SUBCASE("three gigabytes announced") { wire = length_head(3000000000) + value; }
-  SUBCASE("two lengths") {
+  SUBCASE("a Content-Length of 3 GB") { wire = length_head(3000000000) + value; }
+  SUBCASE("two Content-Length headers") {
     wire = "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n" + length_head(400000).substr(17) + value;
   }
   int asked = 0;
@@ -163,7 +165,7 @@
   CHECK(all_given_back(w));
 }
 
-TEST_CASE("an answer without end is cut at the longest that may be, and no more is read than is passed on") {
+TEST_CASE("an endless response is truncated at the size limit and no more is read than is forwarded") {
   World w([](Json& file) { file["limits"]["answer_bytes"] = 2 << 20; });
   const std::string value = value_of(3 * kMb);
   w.caches([&](const http::Message&) { return kChunkedHead + chunks(value, 50000); });
@@ -176,7 +178,8 @@
   CHECK(all_given_back(w));
 }
 
-TEST_CASE("a client that takes nothing stops the reading from the node, and gets all once it reads on") {
+TEST_CASE(
+    "a client that does not read pauses reading from the server and receives everything when it resumes") {
   World w([](Json& file) { file["limits"]["memory_mb"] = 32; });
   const std::string value = value_of(16 * kMb - 1);
   bool chunked = false;
@@ -188,7 +191,7 @@
   Client slow(w.base.get(), w.router->port(), 4096);
   slow.stop_reading();
   slow.send(get("/k/1", "slow"));
-  // The rest waits with the node, as no socket's buffer takes 16 MB.
+  // The remainder stays at the server because no socket buffer holds 16 MB.
   REQUIRE(w.until([&] { return w.router->bytes().held() > 300000; }));
   run_for(w.base.get(), 50);
   CHECK(w.router->bytes().held() <= 512 * 1024 + loop::IoBuffer::size());
@@ -202,8 +205,9 @@
   CHECK(all_given_back(w));
 }
 
-// guards: a router out of memory, and others who wait for those who do not read
-TEST_CASE("32 MB and 200 clients that do not read their 400 KB, while others ask") {
+// Guards against a router without memory, and against clients that wait for others that do not read.
+TEST_CASE(
+    "200 clients that do not read their 400 KB with 32 MB of memory while another client sends requests") {
   World w([](Json& file) {
     file["limits"]["memory_mb"] = 32;
     file["limits"]["sockets"] = 1024;
@@ -220,7 +224,7 @@
     slow.back()->stop_reading();
     slow.back()->send("GET /k/" + std::to_string(i) + " HTTP/1.1\r\nX-Request-ID: s" + std::to_string(i) +
                       "\r\nX-Priority-Class: read\r\n\r\n");
-    run_for(w.base.get(), 10); // no burst: that would be the module's story
+    run_for(w.base.get(), 10); // not a burst, which would test the balancer's admission
   }
   REQUIRE(w.until([&] { return w.router->bytes().held() > 2 * kMb; }));
   Client quick = w.client();
@@ -240,23 +244,23 @@
   CHECK(all_given_back(w));
 }
 
-TEST_CASE("of two copies the one that begins first is the answer, the other is cut off") {
+TEST_CASE("of two hedged attempts the response that begins first is forwarded and the other is canceled") {
   World w;
   const std::string value = value_of(kMb);
   int asked = 0;
-  w.caches([&](const http::Message&) { // the first is silent: after a third of the aim another is asked
-    return ++asked == 1 ? std::string() : length_head(value.size()) + value;
-  });
+  // The first server is silent: the hedged request follows after a third of the latency objective.
+  w.caches(
+      [&](const http::Message&) { return ++asked == 1 ? std::string() : length_head(value.size()) + value; });
   Client client = w.client();
   const auto answer = client.ask(get("/k/1", "r1"));
   CHECK((answer.body == value));
   CHECK(asked == 2);
   Peer& silent = &w.last_asked() == &w.one ? w.two : w.one;
   CHECK(w.until([&] { return silent.open() == 0; }));
-  CHECK(client.ask(get("/k/2", "r2")).status == 200); // the connection goes on
+  CHECK(client.ask(get("/k/2", "r2")).status == 200); // the client's connection stays open
 }
 
-TEST_CASE("winding down: an answer that passes through comes to its end, and its connection with it") {
+TEST_CASE("graceful shutdown: a response being forwarded is completed and its connection closed") {
   World w;
   const std::string value = value_of(kMb);
   w.caches([&](const http::Message&) { return length_head(value.size()) + value.substr(0, 700000); });
@@ -271,7 +275,8 @@
   CHECK((client.answers[0].body == value));
 }
 
-TEST_CASE("a client that leaves while its answer passes takes the attempt along") { // guards: leaks
+// Guards against leaks.
+TEST_CASE("a client that disconnects while its response is forwarded cancels the attempt") {
   World w;
   const std::string value = value_of(kMb);
   w.caches([&](const http::Message&) { return length_head(value.size()) + value.substr(0, 700000); });
@@ -286,7 +291,8 @@
   CHECK(all_given_back(w));
 }
 
-TEST_CASE("what nobody wants of an answer is not read") { // guards: megabytes read to keep a connection
+// Guards against reading megabytes to keep a connection.
+TEST_CASE("the unused body of a response is not read") {
   World w;
   const std::string value = value_of(3 * kMb);
   w.caches([&](const http::Message&) { return "HTTP/1.1 404 X\r\nContent-Length: 3145728\r\n\r\n" + value; });
@@ -294,7 +300,7 @@
   CHECK(w.until([&] { return w.one.open() + w.two.open() == 0; }));
 }
 
-TEST_CASE("a reset after half of an answer, on a connection that had rested: asked for elsewhere, once") {
+TEST_CASE("a reset after half of a response on a reused connection is retried once at another endpoint") {
   World w;
   const std::string value = value_of(400000);
   bool breaks = false;
@@ -307,7 +313,7 @@
   w.caches(script);
   w.origin.script = script;
   Client client = w.client();
-  for (int i = 0; i < 4; ++i) { // both caches have a connection at rest
+  for (int i = 0; i < 4; ++i) { // afterwards both caches have an idle connection
     CHECK((client.ask(get("/k/" + std::to_string(i), "r" + std::to_string(i))).body == value));
   }
   run_for(w.base.get(), 50);
@@ -318,7 +324,8 @@
   CHECK(all_given_back(w));
 }
 
-TEST_CASE("a client that takes an answer a byte at a time is let go") { // guards: windows held for good
+// Guards against response buffers that are held forever.
+TEST_CASE("a client that reads a response very slowly is disconnected") {
   World w([](Json& file) {
     file["settings"]["classes"][0]["aim"] = file["settings"]["classes"][0]["give_up"] = 60000;
   });
@@ -330,19 +337,19 @@
   REQUIRE(w.until([&] { return w.router->bytes().held() > 0; }));
   const double begun = loop::now_ms();
   REQUIRE(w.until([&] { return w.router->bytes().held() == 0; }));
-  CHECK(loop::now_ms() - begun > 4000); // what it has taken meanwhile is less than a byte a second
+  CHECK(loop::now_ms() - begun > 4000); // meanwhile the client has read less than one byte per second
   CHECK(w.until([&] { return w.one.open() + w.two.open() == 0; }));
   CHECK(w.router->driver().unanswered_requests() == 0);
 }
 
-TEST_CASE(
-    "what waits takes no more memory than twice its size, however it came") { // guards: blocks for crumbs
+// Guards against a whole block for each small piece.
+TEST_CASE("buffered bytes use at most twice their size in memory") {
   loop::IoBuffer block;
   const char* const first = block.data();
   std::vector<loop::Buffer> waiting(50);
   for (auto& buffer : waiting) {
     for (int i = 0; i < 20; ++i) buffer.add({block.data(), 1000}, block);
-    CHECK(block.data() == first); // crumbs are copied: the block is used again
+    CHECK(block.data() == first); // small pieces are copied: the block is reused
   }
   loop::Buffer large;
   std::string sent;
@@ -352,7 +359,7 @@
     const std::size_t size = loop::IoBuffer::size() / 2 + static_cast<std::size_t>(i) * 1000;
     large.add({at, size}, block);
     sent.append(at, size);
-    CHECK(block.data() != at); // what was taken by reference is left alone
+    CHECK(block.data() != at); // a block that is referenced is not reused
   }
   CHECK((large.text() == sent));
   std::string got(large.size(), '\0');
@@ -362,8 +369,8 @@
   CHECK(large.size() == 0);
 }
 
-TEST_CASE(
-    "an answer that has begun in time may take longer than its request may") { // guards: long answers cut off
+// Guards against long responses that are truncated.
+TEST_CASE("a response that began in time may take longer than the timeout of its request") {
   World w;
   const std::string value = value_of(300 << 10);
   w.caches([&](const http::Message&) { return length_head(value.size()) + value.substr(0, 100 << 10); });
@@ -377,7 +384,7 @@
     const std::size_t before = client.come();
     w.last_asked().say(value.substr(at, 40 << 10));
     CHECK(w.until(
-        [&] { return client.come() > before || !client.answers.empty(); })); // none of it is held back
+        [&] { return client.come() > before || !client.answers.empty(); })); // each part is forwarded at once
   }
   REQUIRE(w.until([&] { return !client.answers.empty(); }));
   CHECK(client.answers.front().body == value);
@@ -385,8 +392,8 @@
   CHECK(all_given_back(w));
 }
 
-TEST_CASE(
-    "a node that falls silent in the middle of an answer is given up") { // guards: connections held for good
+// Guards against connections that are held forever.
+TEST_CASE("a server that stops in the middle of a response times out") {
   World w;
   const std::string value = value_of(300 << 10);
   w.caches([&](const http::Message&) { return length_head(value.size()) + value.substr(0, 100 << 10); });
@@ -394,11 +401,11 @@
   client.send(get("/k", "r1"));
   REQUIRE(w.until([&] { return client.come() > 0; }));
   CHECK(w.until([&] { return client.closed; }));
-  CHECK(client.answers.empty()); // it can tell
+  CHECK(client.answers.empty()); // the client detects that the response is incomplete
   CHECK(all_given_back(w));
 }
 
-TEST_CASE("a client that takes a whole answer slowly gets all of it, however long that takes") {
+TEST_CASE("a client that reads a fully received response slowly receives all of it") {
   World w([](Json& file) { file["limits"]["memory_mb"] = 32; });
   const std::string value = value_of(400 << 10);
   w.caches([&](const http::Message&) { return ok(value); });
@@ -425,7 +432,9 @@
   CHECK(told.ends_with(value));
 }
 
-TEST_CASE("32 MB both ways through slow peers, far over the memory limit together, and others are served") {
+TEST_CASE(
+    "32 MB bodies in both directions through slow peers exceed the memory limit and other clients are "
+    "served") {
   World w([](Json& file) { file["limits"]["memory_mb"] = 32; });
   const std::string value = value_of(32 * kMb);
   const std::string head = length_head(value.size());
@@ -433,7 +442,7 @@
   std::vector<std::unique_ptr<Client>> readers, writers;
   const std::string upload = put("/k/up", "up", value_of(32 * kMb));
   const std::size_t upload_head = upload.size() - value.size();
-  w.origin.stopped = true; // takes nothing yet
+  w.origin.stopped = true; // does not read yet
   for (int i = 0; i < 4; ++i) {
     readers.push_back(std::make_unique<Client>(w.base.get(), w.router->port(), 16 << 10));
     readers.back()->stop_reading();
@@ -454,7 +463,7 @@
   for (std::size_t i = 0; i < readers.size(); ++i) {
     REQUIRE(w.until([&] { return !readers[i]->answers.empty() || readers[i]->closed; }));
     REQUIRE(!readers[i]->answers.empty());
-    CHECK(readers[i]->answers.front().body == value); // byte for byte
+    CHECK(readers[i]->answers.front().body == value);
   }
   for (const auto& writer : writers) writer->leave();
   CHECK(all_given_back(w));
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -1,6 +1,7 @@
-// Crossings: two events that meet in the same moment, in the order that hurts. The order is forced. Within one process the
-// router's loop does not run while both are put into its sockets; a started program is stopped with SIGSTOP meanwhile. A
-// span that has to pass (a deadline, a window) passes while nothing runs: to be slower changes no verdict.
+// Two events at the same moment, in the order that is hardest to handle. The order is forced: within one
+// process the router's event loop does not run while both are written to its sockets; a separate process is
+// stopped with SIGSTOP meanwhile. A period that has to elapse (a deadline, a window) elapses while nothing
+// runs, so that a slow machine does not change the result.
 #include <doctest/doctest.h>
 #include <signal.h>
 #include <unistd.h>
@@ -16,12 +17,12 @@
 
 namespace {
 
-void pass_ms(double ms) { // nothing runs meanwhile
+void pass_ms(double ms) { // no event loop runs meanwhile
   const double end = loop::now_ms() + ms;
   while (loop::now_ms() < end) usleep(1000);
 }
 
-// So patient that no time of its own ends a request in the time of a test.
+// Sets class timeouts so long that none of them ends a request during a test.
 void patient(Json& file) {
   for (auto& c : file["settings"]["classes"]) c["aim"] = c["give_up"] = 100000;
 }
@@ -29,7 +30,7 @@
   return "GET " + path + " HTTP/1.1\r\nX-Request-ID: " + id +
          "\r\nX-Priority-Class: read\r\nX-Timeout-Ms: 100000\r\n\r\n";
 }
-std::string many_behind(std::size_t bytes) { // further requests of the same client
+std::string many_behind(std::size_t bytes) { // at least so many bytes of further requests of the same client
   std::string all;
   for (int i = 0; all.size() < bytes; ++i) all += patient_get("/behind", "b" + std::to_string(i));
   return all;
@@ -42,14 +43,14 @@
          "\r\nX-Timeout-Ms: " + std::to_string(wait_ms) + "\r\nContent-Length: 1\r\n\r\nv";
 }
 
-// Up to the moment in which the router waits for one connection more, to the origin: it is up already, but neither side's
-// loop has looked.
+// Waits until the router has started one more connection, to the origin. The kernel has established it, but
+// neither side's event loop has seen that.
 bool comes_up(World& w, std::uint64_t opened) {
   return w.until([&] { return w.router->pool().opened() > opened; }) &&
          w.origin.connections == static_cast<int>(opened);
 }
 
-// As World::until, and ends also where the loop never comes to rest.
+// Like RouterFixture::wait_until, but also returns if the event loop is busy all the time.
 bool until_even_busy(World& w, const std::function<bool()>& done) {
   const loop::EventPtr tick(event_new(
       w.base.get(), -1, EV_PERSIST,
@@ -63,15 +64,16 @@
 
 } // namespace
 
-// ---- a client that leaves ----
+// ---- client disconnects ----
 
-// guards: attempts for clients that have gone, as their end lies behind bytes that the router does not read yet
-TEST_CASE("a client that leaves with much unread behind its request is seen to leave") {
+// Guards against attempts for disconnected clients: the end of the connection is behind bytes that the
+// router does not read yet.
+TEST_CASE("a client disconnect is detected behind many unread bytes") {
   World w(patient);
   w.caches(kSilent);
   Raw client(w.router->port(), patient_get("/k/1", "r1"));
   REQUIRE(w.until([&] { return w.sent() == 1; }));
-  client.send(many_behind(40 << 10)); // far more than is read ahead
+  client.send(many_behind(40 << 10)); // far more than the router reads ahead
   client.leave();
   REQUIRE(until_even_busy(w, [&] { return w.router->driver().unanswered_requests() == 0; }));
   CHECK(w.until([&] { return w.router->driver().attempts_in_flight() == 0; }));
@@ -79,11 +81,12 @@
   CHECK(w.sent() == 1);
 }
 
-// guards: the next requests of a client that has gone, sent on once the answer before them is out
-TEST_CASE("a client that leaves with requests behind the first: none of them is sent on") {
+// Guards against forwarding the next requests of a disconnected client after the response to the previous
+// one.
+TEST_CASE("a client that disconnects after pipelining requests: none behind the first is forwarded") {
   std::size_t behind = 0;
   SUBCASE("a few") { behind = 1 << 10; }
-  SUBCASE("more than is read ahead") { behind = 40 << 10; }
+  SUBCASE("more than the router reads ahead") { behind = 40 << 10; }
   World w(patient);
   w.caches(kSilent);
   Raw client(w.router->port(), patient_get("/k/1", "r1") + many_behind(behind));
@@ -94,15 +97,15 @@
   CHECK(w.sent() == 1);
 }
 
-// guards: attempts for a client that went before the router came to read what it had sent
-TEST_CASE("a request and its client's end that lie in the socket together: nothing is sent on") {
+// Guards against attempts for a client that disconnected before the router read what it had sent.
+TEST_CASE("a request read together with the end of its connection is not forwarded") {
   World w(patient);
   REQUIRE(w.until([&] { return w.watched(); }));
   SUBCASE("on a new connection") {
     Raw client(w.router->port(), patient_get("/k/1", "r1"));
     client.leave();
   }
-  SUBCASE("on a kept one") {
+  SUBCASE("on a kept connection") {
     Raw client(w.router->port(), "GET /ready HTTP/1.1\r\n\r\n");
     REQUIRE(w.until([&] { return client.look(), client.answers.size() == 1; }));
     client.send(patient_get("/k/1", "r1"));
@@ -112,15 +115,15 @@
     Raw client(w.router->port(), patient_get("/k/1", "r1"));
     client.reset();
   }
-  pass_ms(150); // it has been gone for longer than an attempt may begin behind it
+  pass_ms(150); // longer than the time after a disconnect in which an attempt may still begin
   Client other = w.client();
   CHECK(other.ask(get("/k/2", "r2")).status == 200);
   CHECK(w.until([&] { return w.router->driver().unanswered_requests() == 0; }));
-  CHECK(w.sent() == 1); // the other's
+  CHECK(w.sent() == 1); // the request of the other client
 }
 
-// guards: a request written for nobody once its connection is up
-TEST_CASE("a client that leaves while its request's connection comes up: nothing is written") {
+// Guards against sending a request that no client waits for when its connection is established.
+TEST_CASE("a client that disconnects while the upstream connection is being established: nothing is sent") {
   World w(patient);
   Raw client(w.router->port(), book("r1"));
   REQUIRE(comes_up(w, 0));
@@ -133,8 +136,8 @@
   CHECK(w.origin.seen.empty());
 }
 
-// guards: a further attempt for a client that went in the moment in which the first one broke
-TEST_CASE("a target that resets as the client leaves: no further attempt") {
+// Guards against a retry for a client that disconnected at the moment in which the first attempt failed.
+TEST_CASE("a server reset together with a client disconnect: no further attempt") {
   World w(patient);
   w.caches(kSilent);
   Raw client(w.router->port(), patient_get("/k/1", "r1"));
@@ -148,8 +151,8 @@
   CHECK(w.router->driver().attempts_in_flight() == 0);
 }
 
-// guards: a crash, or an answer on the next client's connection
-TEST_CASE("a client that leaves as its answer comes") {
+// Guards against a crash and against a response on the next client's connection.
+TEST_CASE("a client that disconnects as its response arrives") {
   World w(patient);
   w.caches(kSilent);
   Raw client(w.router->port(), patient_get("/k/1", "r1"));
@@ -165,8 +168,8 @@
   CHECK(w.sent() == 2);
 }
 
-// guards: the origin asked for clients that have gone
-TEST_CASE("a client that leaves while its request waits in the origin's queue: it is not sent") {
+// Guards against requests to the origin for disconnected clients.
+TEST_CASE("a client that disconnects while its request is queued for the origin: it is not sent") {
   World w([](Json& file) {
     patient(file);
     file["settings"]["balancers"] = 32; // one write at a time
@@ -176,9 +179,9 @@
   REQUIRE(w.until([&] { return w.origin.seen.size() == 1; }));
   Raw second(w.router->port(), book("r2")), third(w.router->port(), book("r3"));
   REQUIRE(w.until([&] { return w.router->driver().unanswered_requests() == 3; }));
-  CHECK(w.router->driver().attempts_in_flight() == 1); // the others wait
+  CHECK(w.router->driver().attempts_in_flight() == 1); // the others are queued
   second.leave();
-  w.origin.say_now(ok("written")); // in the same moment
+  w.origin.say_now(ok("written")); // at the same moment
   w.origin.script = [](const http::Message&) { return ok("written"); };
   CHECK(
       w.until([&] { return first.look(), third.look(), !first.answers.empty() && !third.answers.empty(); }));
@@ -186,8 +189,10 @@
   for (const auto& seen : w.origin.seen) CHECK(seen.header("x-request-id") != "r2");
 }
 
-// guards: requests that hang where the one that fetched for them has gone, and fetches for nobody
-TEST_CASE("one fetch for several clients: whoever leaves it, the others are served and it is not sent on") {
+// Guards against requests that hang after the client whose request fetched for them has disconnected, and
+// against fetches for no client.
+TEST_CASE(
+    "coalesced requests: if any client disconnects the others are served and its request is not forwarded") {
   World w(patient);
   bool stored = false;
   w.caches([&](const http::Message&) { return stored ? ok("v") : kMiss; });
@@ -199,7 +204,7 @@
     return w.router->driver().unanswered_requests() == 2 && w.router->driver().attempts_in_flight() == 1;
   }));
   run_for(w.base.get(), 20);
-  REQUIRE(w.origin.seen.size() == 1); // it follows
+  REQUIRE(w.origin.seen.size() == 1); // the second request is coalesced with the first
   const std::size_t before = w.sent();
   SUBCASE("the follower") {
     follower.leave();
@@ -220,7 +225,8 @@
 
 namespace {
 
-// An address whose connections do not come up: its queue is full until `open`, and the system tries again a second later.
+// A listening address whose connections are not established: its accept queue is full until clear_backlog().
+// The connecting system then tries again a second later.
 struct Late {
   Late() : listening(socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in where{};
@@ -247,7 +253,7 @@
     for (const int fd : fills) loop::reset_on_close(fd), ::close(fd);
     fills.clear();
   }
-  std::string take() { // what has come, on all connections
+  std::string take() { // reads what has arrived on all connections
     for (int fd; (fd = accept4(listening, nullptr, nullptr, SOCK_NONBLOCK)) >= 0;) come.push_back(fd);
     char bytes[65536];
     std::string text;
@@ -264,13 +270,16 @@
 
 } // namespace
 
-// guards: a long booking begun for a client that has gone, as its end was not read for want of room for the body
-TEST_CASE("a client that leaves while its body is not read: nothing is written once the connection is up") {
+// Guards against starting a long write for a disconnected client: the end of its connection was not read
+// because there was no room for the body.
+TEST_CASE(
+    "a client that disconnects while its body is not read: nothing is sent when the connection is "
+    "established") {
   Late origin;
   World w([&](Json& file) {
     patient(file);
     file["limits"]["request_bytes"] = 8 << 20;
-    file["limits"]["memory_mb"] = 16; // no body that is longer than a short one is kept
+    file["limits"]["memory_mb"] = 16; // only short bodies are kept in memory
     file["settings"]["limits"]["connect_timeout"] = 9000;
     file["known"]["endpoints"][2]["address"] = origin.address;
   });
@@ -278,7 +287,8 @@
   Raw client(w.router->port(),
              "PUT /k/1 HTTP/1.1\r\nX-Request-ID: r1\r\nX-Priority-Class: book\r\nIdempotency-Key: k-1\r\n"
              "X-Timeout-Ms: 100000\r\nContent-Length: 6000000\r\n\r\n");
-  // More and more, until no more is taken: well below what the kernel holds besides, so that the end gets through.
+  // Sends until the router reads no more. This is well below the capacity of the kernel's buffers, so that
+  // the end of the connection still arrives.
   for (std::size_t held = 0, same = 0; same < 3;) {
     client.send(std::string(8 << 10, 'b'));
     run_for(w.base.get(), 20);
@@ -300,10 +310,12 @@
   CHECK(written.empty());
 }
 
-// ---- a connection that comes up late ----
+// ---- connections that are established late ----
 
-// guards: a booking made twice, as its key is kept no longer
-TEST_CASE("a key's window that passes while a further attempt's connection comes up: nothing is written") {
+// Guards against a write that is executed twice because its key is no longer kept.
+TEST_CASE(
+    "an idempotency window that expires while the connection of a retry is being established: nothing is "
+    "sent") {
   World w([](Json& file) {
     patient(file);
     file["settings"]["classes"][1]["window"] = 400;
@@ -311,7 +323,7 @@
   w.origin.script = [](const http::Message&) { return std::string("!"); }; // it may have run
   Client client = w.client();
   client.send(book("r1"));
-  REQUIRE(comes_up(w, 1)); // the further attempt's, begun within the window
+  REQUIRE(comes_up(w, 1)); // of the retry, which began within the window
   pass_ms(450);
   w.origin.script = [](const http::Message&) { return ok("twice"); };
   CHECK(w.until([&] { return !client.answers.empty() || client.closed; }));
@@ -319,8 +331,9 @@
   CHECK(w.origin.seen.size() == 1);
 }
 
-// guards: work at a node that nobody waits for any more, or that is told a time that has passed
-TEST_CASE("a request whose connection comes up late tells the time that is left then") {
+// Guards against work at a server for a request that has expired, and against sending a timeout that has
+// already passed.
+TEST_CASE("a request whose connection is established late sends the remaining timeout") {
   World w;
   REQUIRE(w.until([&] { return w.watched(); }));
   const auto asked = [&](int wait_ms, double passes_ms) {
@@ -331,20 +344,22 @@
     REQUIRE(w.until([&] { return !client.answers.empty(); }));
     return client.answers[0].status;
   };
-  SUBCASE("some is left") {
+  SUBCASE("some time remains") {
     CHECK(asked(2000, 500) == 200);
     REQUIRE(w.origin.seen.size() == 1);
     CHECK(std::stoi(std::string(w.origin.seen[0].header("x-timeout-ms"))) <= 1500);
   }
-  SUBCASE("none is left") {
+  SUBCASE("no time remains") {
     CHECK(asked(300, 350) >= 500);
     run_for(w.base.get(), 20);
     CHECK(w.origin.seen.empty());
   }
 }
 
-// guards: the third rule, whatever told the drain
-TEST_CASE("a node that is told draining or gone while a connection to it comes up gets nothing") {
+// Guards against requests to a server after discovery has reported it as draining (the third protocol
+// rule), whatever the source of the report.
+TEST_CASE(
+    "a server reported as draining or gone while a connection to it is being established receives nothing") {
   std::string state;
   SUBCASE("draining") { state = "terminating"; }
   SUBCASE("gone") { state = "terminated"; }
@@ -353,7 +368,7 @@
   Client client = w.client();
   client.send(book("r1", 1000));
   REQUIRE(comes_up(w, 0));
-  // Both lie in the sockets: it is written to before the change is read, or not at all.
+  // Both events are in the sockets: the request is sent before the update is read, or not at all.
   w.discovery.say_now(ok(node_list(8, false, {endpoint("o-1", w.origin.address, state, "origin")}).dump()));
   REQUIRE(w.until([&] { return w.discovery.seen.back().target.find("since=8&") != std::string::npos; }));
   run_for(w.base.get(), 20);
@@ -364,10 +379,10 @@
   CHECK(w.origin.seen.size() == told);
 }
 
-// ---- answers ----
+// ---- responses ----
 
-// guards: the answer of one request given to another
-TEST_CASE("a second answer that comes as the next request does: the next one is answered by its own") {
+// Guards against delivering the response of one request to another.
+TEST_CASE("a second response that arrives with the next request is not used for that request") {
   for (const std::string& extra : {ok("v of r1"), std::string("H"), std::string("\r\n")}) {
     for (const bool first : {true, false}) {
       CAPTURE(extra);
@@ -389,8 +404,8 @@
   }
 }
 
-// guards: half an answer taken for a whole one
-TEST_CASE("an answer without length: its connection's end is its end, a reset is none") {
+// Guards against a truncated response taken as complete.
+TEST_CASE("a response without Content-Length ends with its connection but not with a reset") {
   World w(patient);
   const std::string head = "HTTP/1.1 200 OK\r\n\r\n";
   w.caches([&](const http::Message&) { return w.sent() == 1 ? head + "half" : ok("whole"); });
@@ -398,7 +413,7 @@
   REQUIRE(w.until([&] { return w.sent() == 1; }));
   run_for(w.base.get(), 20);
   Peer& asked = w.last_asked();
-  SUBCASE("an end") {
+  SUBCASE("end of connection") {
     asked.say_now(" and half");
     asked.break_off(Peer::End::Half);
     REQUIRE(w.until([&] { return client.look(), !client.answers.empty() || client.closed; }));
@@ -410,9 +425,9 @@
     asked.break_off(Peer::End::Reset);
     REQUIRE(w.until([&] { return client.look(), !client.answers.empty() || client.closed; }));
     REQUIRE(client.answers.size() == 1);
-    CHECK(client.answers[0].body == "whole"); // asked for elsewhere
+    CHECK(client.answers[0].body == "whole"); // retried at another endpoint
   }
-  SUBCASE("more of it and a reset at once") {
+  SUBCASE("more of the body together with a reset") {
     asked.say_now(" and more");
     asked.break_off(Peer::End::Reset);
     REQUIRE(w.until([&] { return client.look(), !client.answers.empty() || client.closed; }));
@@ -421,16 +436,17 @@
   }
 }
 
-// guards: the same, long after the head went out: the client has to be able to tell
-TEST_CASE("an answer without length that is reset long after its head was passed on is no whole answer") {
+// The same after the head was forwarded: the client must be able to detect that the response is
+// incomplete.
+TEST_CASE("a response without Content-Length that is reset after its head was forwarded is incomplete") {
   World w(patient);
   const std::string part(1 << 20, 'p');
   w.caches([&](const http::Message&) { return "HTTP/1.1 200 OK\r\n\r\n" + part; });
   Client client = w.client();
   std::string request = patient_get("/k/1", "r1");
   bool old = false;
-  SUBCASE("to a client that knows chunks") {}
-  SUBCASE("to one that does not") { old = true; }
+  SUBCASE("to a client that supports chunked encoding") {}
+  SUBCASE("to a client that does not") { old = true; }
   if (old) request.replace(request.find("HTTP/1.1"), 8, "HTTP/1.0");
   client.send(request);
   REQUIRE(w.until([&] { return client.come() == part.size(); }));
@@ -443,8 +459,8 @@
 
 // ---- discovery ----
 
-// guards: state lost between two reads, on any of the three sides
-TEST_CASE("request, answer and list that come a byte at a time read the same") {
+// Guards against parser state lost between two reads on any of the three sides.
+TEST_CASE("requests and responses and endpoint lists are parsed correctly one byte at a time") {
   World w(patient);
   REQUIRE(w.until([&] { return w.watched(); }));
   w.caches(kSilent);
@@ -460,7 +476,7 @@
     turn(), turn();
   }
   REQUIRE(w.until([&] { return w.sent() == 1; }));
-  CHECK(w.two.seen.size() == 1); // the other one drains
+  CHECK(w.two.seen.size() == 1); // the other cache is draining
   for (const char c : ok("value")) {
     w.two.say_now(std::string(1, c));
     turn(), turn();
@@ -469,9 +485,8 @@
   CHECK(client.answers[0].body == "value");
 }
 
-// guards: a half-told change that is believed, or one that is lost with its connection
-TEST_CASE(
-    "a change that breaks off in the middle: the whole list that follows counts, and nothing before it") {
+// Guards against applying a truncated update, and against losing an update with its connection.
+TEST_CASE("a truncated update is ignored and the following snapshot is used") {
   World w;
   REQUIRE(w.until([&] { return w.watched(); }));
   const std::string change = ok(node_list(8, false, {endpoint("s-1", w.one.address, "terminating")}).dump());
@@ -484,7 +499,7 @@
     w.discovery.say_now(change.substr(0, change.size() - 1));
     w.discovery.break_off(Peer::End::Fin);
   }
-  SUBCASE("by a reset, and the node does drain") {
+  SUBCASE("by a reset while the server is draining") {
     drains = true;
     w.discovery.say_now(change.substr(0, change.size() / 2));
     w.discovery.break_off(Peer::End::Reset);
@@ -496,8 +511,8 @@
   CHECK(w.one.seen.empty() == drains);
 }
 
-// guards: a drain that is never heard, as the watch fell silent before it
-TEST_CASE("a watch that falls silent: a drain is heard in time on the one that is opened anew") {
+// Guards against a drain that is never received because the watch stopped responding before it.
+TEST_CASE("a watch that stops responding: a drain is received in time on the next watch") {
   World w;
   REQUIRE(w.until([&] { return w.watched(); }));
   const double silent_at = loop::now_ms();
@@ -507,23 +522,23 @@
                ? ok(node_list(9, true, w.all(drains ? "terminating" : "in_service")).dump())
                : std::string();
   };
-  SUBCASE("at once") {}
+  SUBCASE("before the first byte") {}
   SUBCASE("in the middle of a line") { w.discovery.say_now("HTTP/1.1 200 OK\r\nContent-Le"); }
-  drains = true; // and the open watch says nothing of it
+  drains = true; // not reported on the open watch
   const auto anew = [&] { return w.discovery.seen.back().target.find("since=9&") != std::string::npos; };
   CHECK((w.until(anew) || w.until(anew)));
-  CHECK(loop::now_ms() - silent_at < 12000); // 2 s after the wait is over
+  CHECK(loop::now_ms() - silent_at < 12000); // 2 s after the end of the wait
   Client client = w.client();
   for (int i = 0; i < 20; ++i)
     CHECK(client.ask(get("/k/" + std::to_string(i), std::to_string(i))).status == 200);
   CHECK(w.one.seen.empty());
 }
 
-// ---- the router's own times ----
+// ---- the router's own timeouts ----
 
 namespace {
 
-// The client's side alone, with times of its own.
+// The downstream listener without a router, with its own timeouts.
 struct Door {
   explicit Door(const std::function<void(downstream::ListenerOptions&)>& change) {
     config = config::parse(config_json("127.0.0.1:1", nullptr).dump(), &no_environment);
@@ -547,7 +562,7 @@
         downstream::Rules{config.names, config.settings, {}, false}, std::move(calls));
   }
   bool until(const std::function<bool()>& done) { return run_until(base.get(), done); }
-  void refuse() { // whatever is a whole answer
+  void refuse() { // a rejection is the simplest complete response
     proxy::ClientResponse answer{proxy::ClientResponse::Kind::Rejected,
                                  {{}, body_buffers::BufferBudget::Reservation(bytes)},
                                  "",
@@ -570,24 +585,24 @@
 
 } // namespace
 
-// guards: a request that was read and lost, as the connection's time was over in the same moment
-TEST_CASE("a request that comes as its connection has rested for long enough: it is answered") {
+// Guards against a request that is read and lost because the idle timeout expired at the same moment.
+TEST_CASE("a request that arrives as the idle timeout of its connection expires is answered") {
   Door d([](downstream::ListenerOptions& o) { o.idle_ms = 60, o.write_ms = 40; });
   Raw client(d.listener->port(), get("/k/1", "r1"));
   REQUIRE(d.until([&] { return d.asked.size() == 1; }));
   d.refuse();
   REQUIRE(d.until([&] { return client.look(), client.answers.size() == 1; }));
-  pass_ms(80); // its time is over, and the loop has not seen it
+  pass_ms(80); // the idle timeout has expired, but the event loop has not run
   client.send(get("/k/1", "r2"));
   REQUIRE(d.until([&] { return client.look(), d.asked.size() == 2 || client.closed; }));
   REQUIRE(d.asked.size() == 2);
   d.refuse();
   CHECK(d.until([&] { return client.look(), client.answers.size() == 2; }));
-  CHECK(d.until([&] { return client.look(), client.closed; })); // the next rest has the same time
+  CHECK(d.until([&] { return client.look(), client.closed; })); // the idle timeout applies again
 }
 
-// guards: the same with the first request of a connection
-TEST_CASE("a first request that comes as its connection has been silent for long enough: it is answered") {
+// The same for the first request of a connection.
+TEST_CASE("a first request that arrives as the request timeout of its connection expires is answered") {
   Door d([](downstream::ListenerOptions& o) { o.request_ms = 60; });
   Raw client(d.listener->port()), silent(d.listener->port());
   REQUIRE(d.until([&] { return d.listener->connections() == 2; }));
@@ -598,11 +613,12 @@
   d.refuse();
   CHECK(d.until([&] { return client.look(), client.answers.size() == 1; }));
   CHECK(d.until([&] { return silent.look(), silent.closed; }));
-  CHECK(d.until(
-      [&] { return d.listener->connections() == 1; })); // told the end, it is waited for no longer than that
+  // The silent client's connection is shut for sending; the router waits for its end no longer than that
+  // timeout.
+  CHECK(d.until([&] { return d.listener->connections() == 1; }));
 }
 
-// ---- a started program ----
+// ---- the program as a separate process ----
 
 namespace {
 
@@ -617,7 +633,7 @@
   std::vector<Json> all(const std::string& first) {
     return {endpoint("s-1", one.address, first), endpoint("s-2", two.address)};
   }
-  std::string change(int index, const std::string& first) { // of the first alone
+  std::string change(int index, const std::string& first) { // updates only the first cache
     return ok(node_list(index, false, {endpoint("s-1", one.address, first)}).dump());
   }
   static bool watched(const Peer& who, int index) {
@@ -633,7 +649,7 @@
     return until([&] { return client.look(), client.closed; });
   }
   int port() { return program->port(); }
-  std::set<std::string> sent_on() const { // ids
+  std::set<std::string> sent_on() const {
     std::set<std::string> ids;
     for (const Peer* peer : {&one, &two})
       for (const auto& seen : peer->seen) ids.emplace(seen.header("x-request-id"));
@@ -654,7 +670,8 @@
   std::unique_ptr<Program> program;
 };
 
-// As long as the platform waits: the drain begins 1.5 s after SIGTERM, and the process ends 2.1 s later.
+// Uses all the time that the platform grants: draining begins 1.5 s after SIGTERM, and the process exits 2.1
+// s later.
 void longest(Json& file) {
   for (auto& c : file["settings"]["classes"]) c["give_up"] = 3000;
 }
@@ -664,8 +681,8 @@
 
 } // namespace
 
-// guards: requests lost with the connection that a router closes as it ends
-TEST_CASE("SIGTERM together with requests that nobody has read: all of them are answered") {
+// Guards against requests lost with a connection that the router closes at shutdown.
+TEST_CASE("SIGTERM together with unread requests: all of them are answered") {
   Started s;
   Raw kept(s.port(), get("/k/1", "r1")), half_sent(s.port(), get("/k/1", "r2")),
       rests(s.port(), get("/k/1", "r3"));
@@ -681,7 +698,7 @@
   s.program->go_on();
   CHECK(s.answered(kept, 2));
   CHECK(s.answered(fresh));
-  CHECK(s.closed(rests)); // the drain: half a request is kept beyond it
+  CHECK(s.closed(rests)); // draining has begun: only connections with an incomplete request are kept
   half_sent.send(other_half(rest));
   REQUIRE(s.answered(half_sent, 2));
   CHECK(half_sent.answers[1].status == 200);
@@ -691,11 +708,11 @@
   for (const Raw* client : {&kept, &fresh}) CHECK(client->answers.back().status == 200);
 }
 
-// guards: connections that the kernel had taken, reset with the listening socket
-TEST_CASE("connections that wait to be accepted as the listening socket closes: all are served") {
+// Guards against connections that the kernel has accepted and that are reset with the listening socket.
+TEST_CASE("connections in the accept queue when the listening socket closes are served") {
   double behind_ms = 0;
   SUBCASE("as accepting ends") { behind_ms = 600; }
-  SUBCASE("as accepting ends and the drain begins, both at once") { behind_ms = 1600; }
+  SUBCASE("as accepting ends and draining begins at the same time") { behind_ms = 1600; }
   Started s(longest);
   s.program->signal(SIGTERM);
   REQUIRE(s.until([&] { return s.program->says("graceful-shutdown"); }));
@@ -712,9 +729,9 @@
   CHECK(s.ends());
 }
 
-// guards: connections in the queue reset for want of a descriptor, while others rest
+// Guards against queued connections reset for lack of a descriptor while idle connections hold some.
 TEST_CASE(
-    "the listening socket closes as descriptors are short: who waits is accepted in place of who rests") {
+    "the listening socket closes without free descriptors: idle clients are closed to accept waiting ones") {
   Started s;
   std::vector<std::unique_ptr<Raw>> rest, wait;
   for (int i = 0; i < 8; ++i) {
@@ -725,7 +742,7 @@
   REQUIRE(s.until([&] { return s.program->says("graceful-shutdown"); }));
   s.program->hold();
   pass_ms(600);
-  s.program->limit_descriptors(static_cast<rlim_t>(s.program->descriptors())); // not one more
+  s.program->limit_descriptors(static_cast<rlim_t>(s.program->descriptors())); // none is free
   for (int i = 0; i < 3; ++i)
     wait.push_back(std::make_unique<Raw>(s.port(), get("/k/1", "w" + std::to_string(i))));
   s.program->go_on();
@@ -738,9 +755,11 @@
   CHECK(s.ends());
 }
 
-// guards: requests read and dropped at the drain; requests sent on behind a connection's end
+// Guards against requests that are read and dropped as draining starts, and against forwarding requests
+// behind the last response of a connection.
 TEST_CASE(
-    "clients that rest until the router ends: a request that meets the drain is answered, none behind it") {
+    "idle clients at shutdown: a request that arrives as draining starts is answered and none behind it is "
+    "forwarded") {
   Started s(longest);
   std::vector<std::unique_ptr<Raw>> meet, rest;
   for (int i = 0; i < 5; ++i) {
@@ -753,7 +772,7 @@
   s.program->signal(SIGTERM);
   REQUIRE(s.until([&] { return s.program->says("graceful-shutdown"); }));
   s.program->hold();
-  pass_ms(1600); // the drain is due, and has not begun
+  pass_ms(1600); // draining is due but has not begun
   for (std::size_t i = 0; i < meet.size(); ++i) meet[i]->send(get("/k/2", "meets" + std::to_string(i)));
   s.program->go_on();
   const double went_on = loop::now_ms() - told;
@@ -765,7 +784,7 @@
   }
   for (auto& client : meet) {
     const bool answered = s.answered(*client, 2);
-    s.program->says(""); // reads what it has said
+    s.program->says(""); // reads the output
     INFO(s.program->text);
     REQUIRE(answered);
     CHECK(client->answers[1].status == 200);
@@ -777,9 +796,10 @@
   CHECK(s.sent_on().count("behind") == 0);
 }
 
-// guards: a router that never ends, or ends with requests unanswered, as its clients go on
+// Guards against a router that never exits, or that exits with unanswered requests, while its clients
+// continue to send.
 TEST_CASE(
-    "clients that never stop sending after SIGTERM: what was sent on is answered, and the router ends") {
+    "clients that continue sending after SIGTERM: forwarded requests are answered and the router exits") {
   Started s;
   std::vector<std::unique_ptr<Raw>> clients;
   std::vector<std::size_t> sent(8, 0);
@@ -789,7 +809,8 @@
   const auto go_on = [&] {
     for (std::size_t i = 0; i < sent.size(); ++i) {
       clients[i]->look();
-      if (clients[i]->answers.size() < sent[i]) continue; // also on one that was told to end
+      // Sends also after a response with Connection: close.
+      if (clients[i]->answers.size() < sent[i]) continue;
       clients[i]->send(get("/k/" + std::to_string(i), std::to_string(i) + "-" + std::to_string(sent[i])));
       ++sent[i];
       ++answers;
@@ -803,7 +824,7 @@
   const double told = loop::now_ms();
   CHECK(s.until(go_on));
   CHECK(s.program->code == 0);
-  CHECK(loop::now_ms() - told < 3700); // the platform kills then; what it allows itself is 2.6 s
+  CHECK(loop::now_ms() - told < 3700); // then the platform kills the process; the router's own limit is 2.6 s
   const auto ids = s.sent_on();
   for (std::size_t i = 0; i < sent.size(); ++i) {
     REQUIRE(s.closed(*clients[i]));
@@ -812,8 +833,9 @@
   }
 }
 
-// guards: a drain that is missed while the watch moves to another discovery
-TEST_CASE("SIGHUP and a drain in the same moment: the node gets nothing more, whoever told it") {
+// Guards against a drain that is missed while the watch moves to another discovery.
+TEST_CASE(
+    "SIGHUP together with a drain: the server receives no more requests whichever discovery reported it") {
   Started s;
   std::string told;
   Peer next(s.base.get(),
@@ -823,10 +845,10 @@
     s.program->rewrite(s.config.dump());
     s.program->signal(SIGHUP);
   };
-  SUBCASE("the old discovery tells, the new one is silent") {
+  SUBCASE("the old discovery reports it and the new one is silent") {
     bool first = false;
-    SUBCASE("the list lies there first") { first = true; }
-    SUBCASE("the signal comes first") {}
+    SUBCASE("the list arrives first") { first = true; }
+    SUBCASE("the signal arrives first") {}
     s.program->hold();
     if (first) s.discovery.say_now(s.change(8, "terminating"));
     moves();
@@ -835,7 +857,7 @@
     REQUIRE(s.until([&] { return Started::watched(s.discovery, 8); }));
     REQUIRE(s.until([&] { return s.program->says("reload-discovery-moves"); }));
   }
-  SUBCASE("the new one tells, the old one something else") {
+  SUBCASE("the new discovery reports it and the old one reports the opposite") {
     bool old_first = false;
     SUBCASE("the old one first") { old_first = true; }
     SUBCASE("the new one first") {}
@@ -848,13 +870,13 @@
     s.program->go_on();
     REQUIRE(s.until([&] { return s.program->says("discovery-connected"); }));
   }
-  SUBCASE("the new one tells in a change") {
+  SUBCASE("the new discovery reports it in an update") {
     told = ok(node_list(3, true, s.all("in_service")).dump());
     moves();
     REQUIRE(s.until([&] { return Started::watched(next, 3); }));
     s.program->hold();
     next.say_now(s.change(4, "terminating"));
-    s.program->signal(SIGHUP); // once more
+    s.program->signal(SIGHUP); // a second reload
     s.program->go_on();
     REQUIRE(s.until([&] { return Started::watched(next, 4); }));
   }
@@ -868,8 +890,9 @@
   CHECK(s.one.seen.empty());
 }
 
-// guards: a list that is lost with a drain, as the router ends: kept connections are served on
-TEST_CASE("SIGTERM and a drain in the same moment: what is still served goes elsewhere") {
+// Guards against losing a list with a drain during shutdown, while requests on kept connections are still
+// served.
+TEST_CASE("SIGTERM together with a drain: later requests go to another server") {
   Started s;
   Raw client(s.port(), get("/k/1", "r"));
   REQUIRE(s.answered(client));
@@ -881,7 +904,7 @@
   REQUIRE(s.until([&] { return Started::watched(s.discovery, 8); }));
   for (std::size_t i = 1; i < 10; ++i) {
     client.send(get("/k/" + std::to_string(i), std::to_string(i)));
-    if (!s.answered(client, i + 1)) break; // it was ended between two
+    if (!s.answered(client, i + 1)) break; // the router closed the connection between two requests
     CHECK(client.answers[i].status == 200);
   }
   CHECK(client.answers.size() > 1);
@@ -889,9 +912,10 @@
   CHECK(s.ends());
 }
 
-// guards: a client that waits for nobody, or is served twice
+// Guards against a client that waits for a process that no longer exists, or that is served twice.
 TEST_CASE(
-    "killed as a connection waits to be accepted: its client sees it at once, the next process serves it") {
+    "killed with a connection in the accept queue: its client is notified immediately and the next process "
+    "serves it") {
   Started s;
   const int port = s.port();
   s.program->hold();
@@ -906,14 +930,16 @@
   const std::size_t calls = s.discovery.seen.size();
   Program again({"serve"}, s.config);
   REQUIRE(s.until([&] { return again.port() == port; }));
-  REQUIRE(s.until([&] { return s.discovery.seen.size() > calls + 1; })); // it has heard its list, and watches
+  REQUIRE(s.until([&] { return s.discovery.seen.size() > calls + 1; })); // it has its list and watches
   Raw once_more(port, get("/k/1", "r1"));
   REQUIRE(s.answered(once_more));
   CHECK(once_more.answers[0].status == 200);
 }
 
-// guards: a router deaf to drains and to its operators, or with a full CPU, as clients hold all descriptors
-TEST_CASE("clients hold all that they may: discovery, the second address and a node keep their descriptors") {
+// Guards against a router that receives no drains, does not answer its operators or uses a full CPU
+// because clients hold all descriptors.
+TEST_CASE(
+    "clients hold all the descriptors they may: discovery and the control address and a server keep theirs") {
   const int control = free_port();
   Started s([&](Json& file) {
     file["limits"]["sockets"] = 64;
@@ -921,7 +947,7 @@
   });
   s.program->limit_descriptors(64);
   std::vector<std::unique_ptr<Raw>> crowd;
-  for (int i = 0; i < 120; ++i) { // idle, half and whole ones
+  for (int i = 0; i < 120; ++i) { // without, with an incomplete and with a complete request
     const std::string text = get("/k/" + std::to_string(i), "c" + std::to_string(i));
     crowd.push_back(std::make_unique<Raw>(s.port(), i % 3 == 0 ? "" : i % 3 == 1 ? half(text) : text));
   }
@@ -944,8 +970,8 @@
   CHECK(s.one.seen.size() == before);
 }
 
-// guards: a full CPU for as long as a request waits whose client has sent much behind it
-TEST_CASE("much unread behind a request that waits costs no CPU, and the request is answered") {
+// Guards against a full CPU for as long as a request waits whose client has sent much behind it.
+TEST_CASE("unread bytes behind a waiting request use no CPU and the request is answered") {
   Started s([](Json& file) { patient(file); });
   s.one.script = s.two.script = kSilent;
   Raw client(s.port(), patient_get("/k/1", "r1"));
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -1,6 +1,7 @@
-// What the router hears of discovery while that is slow, silent, broken or wrong: the program itself against a scripted
-// discovery. The order of events is forced: an answer is sent once a further call has come, a stopped process finds all of
-// its sockets full. Times are upper bounds of the rules, measured from the event that they name.
+// What the router receives from a discovery that is slow, silent, disconnected or wrong: the program as a
+// separate process against a scripted discovery. The order of events is forced: an answer is sent after a
+// further call has arrived, or while the process is stopped. Times are the upper bounds that the protocol
+// sets, measured from the event that they name.
 #include <doctest/doctest.h>
 #include <signal.h>
 
@@ -19,9 +20,9 @@
 
 constexpr int kFirstIndex = 7;
 constexpr int kDrainIndex = 8;
-constexpr double kHeardMs = 6000;       // for a change, after a call that failed or fell silent
-constexpr double kReloadHeardMs = 4000; // for a change, after SIGHUP named another discovery
-constexpr double kAnswerHeardMs = 1000; // for a sound answer on a call that is open
+constexpr double kHeardMs = 6000;       // limit for a change after a call that failed or stopped responding
+constexpr double kReloadHeardMs = 4000; // limit for a change after SIGHUP with another discovery
+constexpr double kAnswerHeardMs = 1000; // limit for a valid answer on an open call
 constexpr int kLongPollMs = 1000;
 
 std::size_t count_of(const std::string& what, const std::string& text) {
@@ -30,7 +31,7 @@
   return count;
 }
 
-// Lists that were dropped as stale, by the program's log.
+// Number of lists that the program's log reports as stale.
 std::size_t stale_lists(const std::string& log) {
   std::istringstream lines(log);
   std::size_t count = 0;
@@ -42,7 +43,7 @@
   return count;
 }
 
-// Two servers, one discovery, and the program between them and its clients.
+// Two servers, a discovery and the program as a separate process.
 struct Fleet {
   explicit Fleet(const std::function<void(Json&)>& change = [](Json&) {}) {
     config = config_json(discovery.address, servers(kFirstIndex, first));
@@ -50,7 +51,8 @@
     change(config);
   }
 
-  // One of the two is in service: whoever obeys the list sends all requests there, and whoever does not, elsewhere.
+  // Exactly one of the two is in service, so that requests to the other one show that the list was not
+  // applied.
   Json servers(int index, const Peer& in_service) {
     const auto state = [&](const Peer& server) {
       return &server == &in_service ? "in_service" : "terminating";
@@ -63,7 +65,7 @@
   std::string drain() { return list(kDrainIndex, second); } // of the first server
   static std::string nothing_new(int index) { return ok(node_list(index, false, {}).dump()); }
 
-  // Starts the program and waits for its first call, which stays unanswered.
+  // Starts the program and waits for its first call, which is not answered.
   void start() {
     program = std::make_unique<Program>(std::vector<std::string>{"serve"}, config);
     REQUIRE(until([&] { return program->port() != 0 && !discovery.calls.empty(); }));
@@ -80,11 +82,12 @@
   bool until(const std::function<bool()>& done, double within_ms = kHeardMs + 1000) {
     const double end = loop::now_ms() + within_ms;
     run_until(base.get(), [&] { return done() || loop::now_ms() >= end; });
-    program->says(""); // reads what it has written
+    program->says(""); // reads the output
     return done();
   }
 
-  // The router watches on from `index`, asked for within `within_ms` of `begun_ms`: what was told with it is in force.
+  // Waits until the router requests changes since `index`, which shows that the list with this index is
+  // applied. Fails if that takes longer than `within_ms` after `begun_ms`.
   bool hears(const ScriptedDiscovery& from, int index, double begun_ms, double within_ms) {
     const auto watches_on = [&] {
       return std::any_of(from.calls.begin(), from.calls.end(),
@@ -92,16 +95,16 @@
     };
     const bool heard = until(watches_on, begun_ms + within_ms - loop::now_ms());
     INFO(program->text);
-    CHECK_MESSAGE(heard, "index " << index << " not heard within " << within_ms << " ms");
+    CHECK_MESSAGE(heard, "index " << index << " not applied within " << within_ms << " ms");
     return heard;
   }
 
-  // The drain of the first server was heard in time, and is obeyed.
+  // Checks that the drain of the first server is received in time and applied.
   void check_drain(const ScriptedDiscovery& from, double begun_ms, double within_ms) {
     if (hears(from, kDrainIndex, begun_ms, within_ms)) check_served_by(second);
   }
 
-  // Requests with different keys, one after another: all are answered, and by this server alone.
+  // Sends requests with different keys sequentially and checks that all are answered, only by this server.
   void check_served_by(const Peer& server) {
     constexpr std::size_t kRequests = 20;
     const Peer& other = &server == &first ? second : first;
@@ -112,7 +115,7 @@
     CHECK(other.seen.size() == before_other);
   }
 
-  // Sends one request and waits for its status; 0: none came.
+  // Sends one request and waits for its status. 0: no response.
   int status_of(Raw& client) {
     const std::string number = std::to_string(++requests);
     return answer_to(client, get("/k/" + number, "r" + number));
@@ -128,7 +131,7 @@
     return client.answers.size() > before ? client.answers.back().status : 0;
   }
 
-  // Names `next` as the discovery, and waits until the program has logged the reload.
+  // Configures `next` as the discovery, sends SIGHUP and waits until the program has logged the reload.
   void reload(const ScriptedDiscovery& next) {
     const std::size_t before = count_of("reload-discovery-", program->text);
     config["discovery"] = next.address;
@@ -151,17 +154,17 @@
 
 } // namespace
 
-// ---- calls in doubt: a second one beside the first ----
+// ---- calls that may be dead: a second call in parallel ----
 
-// guards: a list that comes slowly thrown away, over and over
-TEST_CASE("an answer that stops in the middle until a second call is open: its rest is taken") {
+// Guards against a slow list that is discarded again and again.
+TEST_CASE("an answer that stalls until a second call is open: its remainder is accepted") {
   Fleet f;
   std::size_t call = 0;
-  SUBCASE("the whole list of a new process") { f.start(); }
+  SUBCASE("the full list for a new process") { f.start(); }
   SUBCASE("a long poll") { call = f.start_watch(); }
   f.discovery.reply_part(call, first_half(f.drain()));
   REQUIRE(f.until([&] { return f.discovery.calls.size() >= call + 2; }));
-  run_for(f.base.get(), 50); // enough for the loop to hear of a close
+  run_for(f.base.get(), 50); // long enough for the event loop to detect a close
   CHECK(f.discovery.is_open(call));
   f.discovery.reply(call, second_half(f.drain()));
   f.check_drain(f.discovery, loop::now_ms(), kAnswerHeardMs);
@@ -169,9 +172,8 @@
   CHECK(f.discovery.most_open_connections <= 2);
 }
 
-// guards: failures one after another that add up to more than the time for a change
-TEST_CASE(
-    "a watch falls silent, so does the next call, the one after it is reset: a drain is in force in 6 s") {
+// Guards against consecutive failures that add up to more than the time limit for a change.
+TEST_CASE("a watch and the next call stop responding and the third is reset: a drain is applied within 6 s") {
   Fleet f;
   const std::size_t watch = f.start_watch();
   const double silent_at = f.discovery.calls[watch].asked_at_ms;
@@ -184,8 +186,8 @@
   CHECK(f.discovery.most_open_connections <= 2);
 }
 
-// guards: an answer that comes on and on and never ends, taken for a live call
-TEST_CASE("an answer that comes a byte at a time and never ends: a second call is opened beside it") {
+// Guards against an endless answer taken for a live call.
+TEST_CASE("an endless answer of single bytes: a second call is opened in parallel") {
   Fleet f;
   const std::size_t watch = f.start_watch();
   const double begun_at = f.discovery.calls[watch].asked_at_ms;
@@ -194,7 +196,7 @@
     return f.until([&] { return f.discovery.reply_part(watch, " "), done(); }, within_ms);
   };
   REQUIRE(trickle_until([&] { return f.discovery.calls.size() > watch + 1; }, kHeardMs));
-  const double some_turns_end = loop::now_ms() + 50; // enough for the loop to hear of a close
+  const double some_turns_end = loop::now_ms() + 50; // long enough for the event loop to detect a close
   trickle_until([&] { return loop::now_ms() >= some_turns_end; }, kHeardMs);
   CHECK(f.discovery.is_open(watch));
   f.discovery.reply(watch + 1, f.drain());
@@ -203,7 +205,7 @@
 
 namespace {
 
-// A discovery that answers each call, and tells each change, later than it should.
+// A discovery that answers each call and reports each change with a fixed delay.
 class LateDiscovery {
  public:
   LateDiscovery(Fleet& fleet, double late_ms) : fleet_(fleet), late_ms_(late_ms) {
@@ -242,8 +244,10 @@
 
 } // namespace
 
-// guards: calls given up just before their answer comes; connections that pile up at a discovery which is slow already
-TEST_CASE("a discovery that answers each call 0.8 s late: changes are heard, on two connections at most") {
+// Guards against calls that are given up just before their answer arrives, and against connections that
+// accumulate at a discovery which is already slow.
+TEST_CASE(
+    "a discovery that answers each call 0.8 s late: changes are received over at most two connections") {
   Fleet f;
   LateDiscovery late(f, 800);
   f.start();
@@ -258,10 +262,11 @@
   CHECK(f.discovery.most_open_connections <= 2);
 }
 
-// ---- pauses ----
+// ---- backoff ----
 
-// guards: pauses that grow beyond what a drain may take, while discovery could be reached again
-TEST_CASE("discovery closes 12 connections in a row: it is asked again within 150 ms of the last") {
+// Guards against a backoff longer than the time limit for a drain although discovery could be reached
+// again.
+TEST_CASE("discovery closes 12 connections in a row: the next call follows within 150 ms of the last close") {
   constexpr std::size_t kCloses = 12;
   constexpr double kAskedAgainMs = 150;
   Fleet f;
@@ -284,9 +289,9 @@
   f.check_drain(f.discovery, f.discovery.calls[watch + 1].asked_at_ms, kAnswerHeardMs);
 }
 
-// guards: the same with a discovery that refuses connections
+// The same with a discovery that refuses connections.
 TEST_CASE(
-    "discovery is not there for a while: it is asked within 150 ms, heard within 250 ms of listening again") {
+    "discovery is down: a call arrives within 150 ms of its return and an update is applied within 250 ms") {
   constexpr int kRounds = 10;
   constexpr double kAskedAgainMs = 150, kHeardAgainMs = 250;
   Fleet f;
@@ -302,7 +307,7 @@
     const std::size_t watch = restarted.calls.size() - 1;
     restarted.stop_listening();
     restarted.reset(watch);
-    run_for(f.base.get(), 400 + 20 * round); // so that it comes back at all points of a pause
+    run_for(f.base.get(), 400 + 20 * round); // so that discovery returns at different points of the backoff
     restarted.listen();
     const double listens_at = loop::now_ms();
     REQUIRE(f.until([&] { return restarted.calls.size() > watch + 1; }));
@@ -318,8 +323,8 @@
   CHECK(worst_heard_ms < kHeardAgainMs);
 }
 
-// guards: a loop of calls that keeps discovery and the router busy with nothing
-TEST_CASE("long polls that are answered at once with nothing: at most 40 calls in any second") {
+// Guards against a loop of calls that keeps discovery and the router busy without effect.
+TEST_CASE("long polls answered immediately without changes: at most 40 calls in any second") {
   Fleet f;
   f.discovery.on_call = [&](std::size_t call) {
     const bool whole = f.discovery.calls[call].asks_for_whole_list();
@@ -334,19 +339,19 @@
 
 // ---- SIGHUP ----
 
-// guards: a watch that has fallen silent kept for its full time, though operators name its discovery once more
-TEST_CASE(
-    "SIGHUP names the discovery whose long poll is open: it is asked anew at once, beside the open call") {
+// Guards against keeping a watch that no longer responds for its full timeout although operators have
+// named its discovery again.
+TEST_CASE("SIGHUP to the current discovery opens a new call in parallel with the open long poll") {
   constexpr double kAskedAnewMs = 500;
   Fleet f;
   const std::size_t watch = f.start_watch();
   ScriptedDiscovery other(f.base.get());
   SUBCASE("the same address") {}
-  SUBCASE("another address, and back") {
+  SUBCASE("another address and back") {
     f.reload(other);
     REQUIRE(f.until([&] { return !other.calls.empty(); }));
   }
-  REQUIRE(f.discovery.calls.size() == watch + 1); // the long poll is still the last call there
+  REQUIRE(f.discovery.calls.size() == watch + 1); // the long poll is still the last call
   f.reload(f.discovery);
   const double logged_at = loop::now_ms();
   REQUIRE(f.until([&] { return f.discovery.calls.size() > watch + 1; }));
@@ -357,8 +362,9 @@
   CHECK(f.discovery.most_open_connections <= 2);
 }
 
-// guards: a drain that only the new discovery knows, heard later than operators count on
-TEST_CASE("SIGHUP to a discovery that leaves its first two calls unanswered: its drain is in force in 4 s") {
+// Guards against a drain that only the new discovery knows and that is received later than operators rely
+// on.
+TEST_CASE("SIGHUP to a discovery that does not answer its first two calls: its drain is applied within 4 s") {
   Fleet f;
   f.start_watch();
   ScriptedDiscovery next(f.base.get()), third(f.base.get());
@@ -372,7 +378,7 @@
     }
   };
   SUBCASE("one SIGHUP") {}
-  SUBCASE("several in quick succession: what the last one names counts") {
+  SUBCASE("several in quick succession: the last one applies") {
     f.reload(f.discovery);
     f.reload(next);
     f.reload(third);
@@ -386,7 +392,7 @@
 
 // ---- a new process ----
 
-// guards: requests to a server of the configuration's list that has been drained or removed since
+// Guards against requests to a server of the configured list that has been drained or removed since.
 TEST_CASE("a new process does not serve from its known list while discovery may still answer") {
   Fleet f;
   f.start();
@@ -396,15 +402,15 @@
     CHECK(f.status_of(client) == 503);
   }
   CHECK(f.first.seen.empty());
-  f.discovery.reply(0, f.drain()); // only now: all of the requests have been answered
+  f.discovery.reply(0, f.drain()); // after all of the requests have been answered
   REQUIRE(f.hears(f.discovery, kDrainIndex, loop::now_ms(), kAnswerHeardMs));
   CHECK(f.readiness() == 200);
   f.check_served_by(f.second);
 }
 
-// guards: a router that never serves, as discovery is down when it starts
+// Guards against a router that never serves because discovery is down when it starts.
 TEST_CASE(
-    "a new process whose discovery stays silent: it is not ready at once, and serves from its known list "
+    "a new process whose discovery stays silent: it is not ready immediately and serves from its known list "
     "within 3 s") {
   constexpr double kServesMs = 3000;
   Fleet f;
@@ -417,10 +423,12 @@
   f.check_served_by(f.first);
 }
 
-// ---- a drain and requests that lie in the router's sockets together ----
+// ---- a drain and requests that are in the router's sockets at the same time ----
 
-// guards: requests sent to a server that discovery has drained already, as they are read before its answer
-TEST_CASE("a drain and 100 requests that a held-up process finds together: none goes to the drained server") {
+// Guards against requests to a server that discovery has already drained because they are read before its
+// answer.
+TEST_CASE(
+    "a drain and 100 requests that a paused process reads together: none is sent to the drained server") {
   constexpr int kRounds = 5;
   constexpr std::size_t kClients = 50, kRequestsEach = 2;
   Fleet f;
@@ -431,7 +439,7 @@
     REQUIRE(f.status_of(*clients.back()) == 200);
   }
   Peer* in_service = &f.first;
-  std::size_t answers = 1; // of each client
+  std::size_t answers = 1; // per client
   for (int index = kDrainIndex; index < kDrainIndex + kRounds; ++index) {
     Peer& drained = *in_service;
     in_service = &drained == &f.first ? &f.second : &f.first;
@@ -458,10 +466,10 @@
   }
 }
 
-// ---- what is asked for, and what is taken ----
+// ---- what is requested and what is accepted ----
 
-// guards: the whole list asked for by each of many routers, as a discovery restarts
-TEST_CASE("a long poll whose connection breaks or falls silent: changes are asked for, then the whole list") {
+// Guards against requests for the full list by each of many routers when a discovery restarts.
+TEST_CASE("a long poll that fails or stops responding: changes are requested and then the full list") {
   Fleet f;
   const std::size_t watch = f.start_watch();
   CHECK(f.discovery.calls[watch].waits_for(kLongPollMs));
@@ -480,8 +488,9 @@
   f.check_drain(f.discovery, failed_at, kHeardMs);
 }
 
-// guards: a drain undone by an older list; a discovery that starts anew never believed
-TEST_CASE("a list with a lower index than was told before is stale, and the third in a row is taken") {
+// Guards against a drain that an older list undoes, and against never accepting a discovery that restarted
+// its index.
+TEST_CASE("a list with a lower index than before is stale and the third in a row is accepted") {
   constexpr int kLowerIndex = 3;
   Fleet f;
   std::size_t call = f.start_watch();
@@ -491,7 +500,7 @@
     REQUIRE(f.until([&] { return f.discovery.calls.size() > call + 1; }));
     CHECK(stale_lists(f.program->text) == stale);
     CHECK_FALSE(f.discovery.calls.back().asks_for_changes_since(kLowerIndex));
-    f.check_served_by(f.first); // only the stale list drains it
+    f.check_served_by(f.first); // which only the stale list drains
     call = f.discovery.calls.size() - 1;
   }
   f.discovery.reply(call, lower);
@@ -500,9 +509,9 @@
   f.check_served_by(f.second);
 }
 
-// guards: a list lost, a router without servers, or one that asks no more, after an answer of no use
-TEST_CASE(
-    "an answer that is of no use: it is logged, the last list stays in force, the next answer is heard") {
+// Guards against a lost list, a router without servers or one that makes no more calls after an unusable
+// answer.
+TEST_CASE("an unusable answer is logged and the last list stays in force until the next answer") {
   constexpr std::size_t kMiB = 1 << 20;
   Fleet f;
   const std::size_t watch = f.start_watch();
@@ -510,7 +519,7 @@
   bool closes = false, whole_list_follows = true;
   SUBCASE("not HTTP") { answer = "SMTP ready\r\n\r\n"; }
   SUBCASE("not JSON") { answer = ok("{\"index\":8,\"snapshot\":true,\"endpoints\":[}"); }
-  SUBCASE("cut off in the middle") {
+  SUBCASE("truncated in the middle") {
     answer = first_half(f.drain());
     closes = true;
   }
@@ -518,7 +527,7 @@
     answer = "HTTP/1.1 200 OK\r\n";
     while (answer.size() < kMiB) answer += "X-Filler: abcdefghijklmnopqrstuvwxyz\r\n";
   }
-  SUBCASE("a body announced over 8 MiB") {
+  SUBCASE("a Content-Length over 8 MiB") {
     answer = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(8 * kMiB + 1) + "\r\n\r\n{";
   }
   SUBCASE("a chunked body that grows beyond 8 MiB") {
@@ -528,7 +537,7 @@
   }
   SUBCASE("a stale index") {
     answer = f.list(kFirstIndex - 1, f.second);
-    whole_list_follows = false; // changes would do
+    whole_list_follows = false; // requesting changes is sufficient
   }
   SUBCASE("a status of 500") { answer = status(500); }
   const std::size_t logged_before = f.program->text.size();
@@ -549,15 +558,15 @@
   CHECK(loop::now_ms() - failed_at < kHeardMs);
 }
 
-// guards: 300 routers that send to draining servers for up to 2 s after an outage of discovery: a call for the whole list that
-// was made in the outage is never answered, and no other one was open
-TEST_CASE("an outage of discovery: a change that it has as it returns is in force at once") {
+// Guards against 300 routers that send to draining servers for up to 2 s after an outage of discovery: a
+// call for the full list made during the outage is never answered, and no other call was open.
+TEST_CASE("a change that discovery reports when it returns from an outage is applied immediately") {
   constexpr double kGraceMs = 250;
   Fleet f;
-  SUBCASE("of a router that watches") { f.start_watch(); }
-  SUBCASE("of a router that is started in it, with a list of its own") { f.start(); }
+  SUBCASE("for a router that watches") { f.start_watch(); }
+  SUBCASE("for a router that starts during the outage with a configured list") { f.start(); }
   const std::size_t before = f.discovery.calls.size();
-  // It lasts for some calls, and ends in the moment in which one more has come.
+  // The outage lasts for some calls and ends when one more call has arrived.
   REQUIRE(f.until([&] { return f.discovery.calls.size() >= before + 3; }, 15000));
   const std::string drain = f.drain();
   std::size_t answered = 0;
--- a/tests/net/endpoint_table_test.cpp
+++ b/tests/net/endpoint_table_test.cpp
@@ -1,4 +1,5 @@
-// The route table: what of a message from discovery counts where parts of it are damaged, and whose number is whose.
+// The endpoint table: which parts of a damaged message from discovery are applied, and how ID collisions are
+// resolved.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -52,7 +53,7 @@
   return found->entry.state;
 }
 
-// What the decision module is told of a server: the last entry with its number.
+// The state of a server in a list for the balancer: that of the last entry with its ID.
 std::optional<ServerState> told_of(const EndpointList& list, const std::string& name) {
   std::optional<ServerState> state;
   for (const Server& server : list.servers) {
@@ -61,7 +62,8 @@
   return state;
 }
 
-// A server as a follower of the whole protocol would know it: fed with each list, as router and module are.
+// Applies every list that the table returns, as the router and the balancer do, and compares the result with
+// the table.
 class Follower {
  public:
   void take(const EndpointList& list) {
@@ -83,7 +85,7 @@
 
 endpoints::EndpointTable table_of(const std::vector<Json>& endpoints) {
   endpoints::EndpointTable table({"a", "b"}, {"cache", "origin"}, true);
-  table.apply(node_list(3, kWhole, endpoints).dump()); // as discovery sends it: numbers without a sign
+  table.apply(node_list(3, kWhole, endpoints).dump()); // as text, from which numbers are parsed as unsigned
   return table;
 }
 
@@ -91,7 +93,8 @@
   return table_of({endpoint("x", "127.0.0.1:1"), endpoint("y", "127.0.0.1:2")});
 }
 
-// Two names with one number, the lesser first; found by search: a birthday among 2^17 names.
+// Two names with the same ID, the lesser first. Found by search: a collision is likely among 2^17 names
+// (birthday problem).
 const std::pair<std::string, std::string>& names_with_one_number() {
   static const auto found = [] {
     std::map<ServerId, std::string> taken;
@@ -104,7 +107,7 @@
   return found;
 }
 
-// Damage of one entry, and what is left of it.
+// Entries whose server can't be identified.
 std::vector<Json> unreadable_entries() {
   return {Json(nullptr),
           Json(7),
@@ -131,7 +134,7 @@
 
 } // namespace
 
-TEST_CASE("the route table takes whole lists and changes") {
+TEST_CASE("the endpoint table applies snapshots and updates") {
   endpoints::EndpointTable table({"a", "b"}, {"cache", "origin"});
   CHECK_FALSE(table.usable());
   auto list = table.apply(node_list(3, true, {endpoint("x", "127.0.0.1:1"), endpoint("y", "127.0.0.1:2")}));
@@ -146,12 +149,13 @@
       node_list(5, false, {endpoint("x", "", "terminated"), endpoint("y", "127.0.0.1:2", "odd")}));
   REQUIRE(list.servers.size() == 2);
   CHECK(list.servers[0].state == ServerState::Gone);
-  CHECK(list.servers[1].state == ServerState::Draining); // an unknown word: nothing new goes there
+  CHECK(list.servers[1].state == ServerState::Draining); // an unknown status is treated as draining
   CHECK(table.targets().size() == 1);
   CHECK_FALSE(table.usable());
 }
 
-TEST_CASE("a message with a damaged envelope changes nothing") { // guards: half-applied lists
+// Guards against partially applied lists.
+TEST_CASE("a message with a damaged envelope is rejected without effect") {
   endpoints::EndpointTable table = table_of({endpoint("x", "127.0.0.1:1")});
   const Json sound = node_list(4, kWhole, {endpoint("z", "127.0.0.1:1")});
   for (const std::string& text : {std::string("<html>"),
@@ -182,8 +186,8 @@
   }
 }
 
-// guards: a table that is emptied by a discovery that writes no entry as it should
-TEST_CASE("a whole list none of whose entries is sound changes nothing") {
+// Guards against an empty table when discovery writes every entry wrongly.
+TEST_CASE("a snapshot without any valid entry is rejected without effect") {
   for (const auto& entries :
        {std::vector<Json>{endpoint("z", "nowhere")}, std::vector<Json>{Json{{"name", "x"}}},
         std::vector<Json>{endpoint("x", "nowhere"), Json(nullptr)}, unreadable_entries()}) {
@@ -195,15 +199,15 @@
     CHECK(table.index() == 3);
     CHECK(state_of(table, "x") == ServerState::Ready);
     CHECK(table.told() == told);
-    CHECK(table.dropped_entries() == 0); // the message is refused whole, none of its entries by itself
+    CHECK(table.dropped_entries() == 0); // the message is rejected as a whole, not its entries
   }
   endpoints::EndpointTable table = table_of({endpoint("x", "127.0.0.1:1")});
-  table.apply(node_list(4, kWhole, {})); // a list that has none says so
+  table.apply(node_list(4, kWhole, {})); // an empty list is valid
   CHECK(table.targets().empty());
 }
 
-// These two were refused whole before: the sound entry counts now, and the damaged one is told by the counter.
-TEST_CASE("the sound entries beside a damaged one count") {
+// Such a message is accepted: the valid entry is applied and the damaged one is counted.
+TEST_CASE("the valid entries beside a damaged one are applied") {
   for (const Json& damaged : {endpoint("y", "nowhere"), Json{{"name", "y"}}}) {
     endpoints::EndpointTable table = table_of({endpoint("x", "127.0.0.1:1")});
     const auto list = table.apply(node_list(4, kWhole, {endpoint("z", "127.0.0.1:1"), damaged}));
@@ -215,8 +219,8 @@
   }
 }
 
-// guards: drains that no process hears, as long as any other entry is damaged
-TEST_CASE("a drain beside a damaged entry is heard") {
+// Guards against drains that no process applies as long as any other entry is damaged.
+TEST_CASE("a drain beside a damaged entry is applied") {
   std::vector<Json> damaged = unreadable_entries();
   for (const Json& entry : doubtful_entries("unknown")) damaged.push_back(entry);
   damaged.push_back(with(endpoint("y", "127.0.0.1:2"), "weight", nullptr));
@@ -247,7 +251,7 @@
   }
 }
 
-TEST_CASE("entries that can't be read are dropped and counted") {
+TEST_CASE("unreadable entries are dropped and counted") {
   for (const bool whole : {kWhole, kChanges}) {
     endpoints::EndpointTable table = table_of_two();
     std::vector<Json> entries = unreadable_entries();
@@ -255,14 +259,14 @@
     const auto list = table.apply(node_list(4, whole, entries));
     CHECK(list.servers.size() == 1);
     CHECK(target(table, "x").address == "127.0.0.1:7");
-    CHECK((find(table, "y") == nullptr) == whole); // the whole list doesn't name it, changes leave it
+    CHECK((find(table, "y") == nullptr) == whole); // absent from a snapshot; unaffected by an update
     CHECK(table.dropped_entries() == unreadable_entries().size());
     table.apply(node_list(5, kChanges, {Json(nullptr)}));
     CHECK(table.dropped_entries() == unreadable_entries().size() + 1);
   }
 }
 
-TEST_CASE("a drain counts whatever else of its entry is damaged") {
+TEST_CASE("a drain is applied whatever else of its entry is damaged") {
   const Json drain = endpoint("x", "127.0.0.1:1", "terminating");
   const std::vector<Json> damaged = {without(drain, "address"),
                                      with(drain, "address", nullptr),
@@ -280,7 +284,7 @@
       REQUIRE_NOTHROW(table.apply(node_list(4, whole, {entry, endpoint("y", "127.0.0.1:2")})));
       REQUIRE(find(table, "x") != nullptr);
       CHECK(state_of(table, "x") == ServerState::Draining);
-      CHECK(target(table, "x").address == "127.0.0.1:1"); // the last sound one
+      CHECK(target(table, "x").address == "127.0.0.1:1"); // the last valid address
       CHECK(table.dropped_entries() == 0);
       const Json gone = with(entry, "status", "terminated");
       REQUIRE_NOTHROW(table.apply(node_list(5, whole, {gone, endpoint("y", "127.0.0.1:2")})));
@@ -290,8 +294,8 @@
   }
 }
 
-// guards: drains unheard where discovery writes one field of every entry wrongly
-TEST_CASE("drains count in a whole list every entry of which has a damaged field") {
+// Guards against ignored drains when discovery writes one field of every entry wrongly.
+TEST_CASE("drains are applied from a snapshot with a damaged field in every entry") {
   endpoints::EndpointTable table = table_of_two();
   REQUIRE_NOTHROW(table.apply(node_list(4, kWhole,
                                         {with(endpoint("x", "127.0.0.1:1", "terminating"), "weight", nullptr),
@@ -300,7 +304,7 @@
   CHECK(state_of(table, "y") == ServerState::Ready);
 }
 
-TEST_CASE("an entry of a known server without status or address: nothing new is sent there") {
+TEST_CASE("a known server whose entry has no status or address is treated as draining") {
   for (const bool whole : {kWhole, kChanges}) {
     for (const Json& entry : doubtful_entries("x")) {
       CAPTURE(entry.dump());
@@ -310,10 +314,10 @@
       REQUIRE(find(table, "x") != nullptr);
       CHECK(state_of(table, "x") == ServerState::Draining);
       CHECK(told_of(list, "x") == ServerState::Draining);
-      CHECK(target(table, "x").address == "127.0.0.1:1"); // the last sound one
+      CHECK(target(table, "x").address == "127.0.0.1:1"); // the last valid address
       CHECK(table.dropped_entries() == 0);
       table.apply(node_list(5, kChanges, {endpoint("x", "127.0.0.1:5")}));
-      CHECK(state_of(table, "x") == ServerState::Ready); // a sound entry ends it
+      CHECK(state_of(table, "x") == ServerState::Ready); // after a valid entry
       CHECK(target(table, "x").address == "127.0.0.1:5");
     }
   }
@@ -331,7 +335,7 @@
   }
 }
 
-TEST_CASE("optional fields that can't be read are as they were last, else the defaults") {
+TEST_CASE("unreadable optional fields keep their last value or the default") {
   Json last = endpoint("x", "127.0.0.1:1", "in_service", "origin");
   last["zone"] = "b";
   last["group"] = 5;
@@ -376,7 +380,7 @@
   }
 }
 
-TEST_CASE("a weight that no server can have is the default") {
+TEST_CASE("an invalid weight is replaced by the default") {
   for (const double weight : {-1.0, std::nan(""), std::numeric_limits<double>::infinity(),
                               -std::numeric_limits<double>::infinity()}) {
     CAPTURE(weight);
@@ -386,7 +390,7 @@
   }
 }
 
-TEST_CASE("of an entry that is repeated in one message the last one counts") {
+TEST_CASE("the last of several entries with the same name in a message applies") {
   const Json serving = endpoint("x", "127.0.0.1:1");
   const Json draining = endpoint("x", "127.0.0.1:1", "terminating");
   const Json gone = endpoint("x", "127.0.0.1:1", "terminated");
@@ -399,7 +403,7 @@
       if (whole) message["endpoints"].push_back(endpoint("y", "127.0.0.1:2"));
       const auto list = table.apply(message);
       std::set<ServerId> ids;
-      for (const Server& server : list.servers) CHECK(ids.insert(server.id).second); // each told once
+      for (const Server& server : list.servers) CHECK(ids.insert(server.id).second); // each ID appears once
       follower.take(list);
       if (whole) CHECK(follower.agrees(table));
       return told_of(list, "x");
@@ -412,19 +416,19 @@
     CHECK(find(table, "x") == nullptr);
     CHECK(play(7, {gone, draining}) == ServerState::Draining);
     CHECK(state_of(table, "x") == ServerState::Draining);
-    // It is known from the entry before, or no longer known as that ended it.
+    // The server is known from the previous entry, or unknown because the previous entry terminated it.
     CHECK(play(8, {serving, without(serving, "status")}) == ServerState::Draining);
     CHECK(play(9, {gone, without(serving, "status")}).value_or(ServerState::Gone) == ServerState::Gone);
     CHECK(find(table, "x") == nullptr);
   }
 }
 
-TEST_CASE("a server that a whole list names as terminated is not there") {
+TEST_CASE("a server that a snapshot reports as terminated is absent") {
   endpoints::EndpointTable table = table_of_two();
   const auto list = table.apply(
       node_list(4, kWhole, {endpoint("x", "127.0.0.1:1", "terminated"), endpoint("y", "127.0.0.1:2")}));
   CHECK(find(table, "x") == nullptr);
-  CHECK_FALSE(told_of(list, "x").has_value()); // a whole list ends what it does not name
+  CHECK_FALSE(told_of(list, "x").has_value()); // a snapshot removes servers that it does not contain
   CHECK(told_of(list, "y") == ServerState::Ready);
   CHECK(table.told().find("\"x\"") == std::string::npos);
 }
@@ -437,11 +441,11 @@
   CHECK(told_of(list, "z").value_or(ServerState::Gone) == ServerState::Gone);
   CHECK(told_of(list, "w") == ServerState::Draining);
   table.apply(node_list(5, kChanges, {endpoint("w", "nowhere")}));
-  CHECK(state_of(table, "w") == ServerState::Draining); // there is no address that it could be sent to
+  CHECK(state_of(table, "w") == ServerState::Draining); // it has no valid address
   CHECK(table.targets().size() == 3);
 }
 
-TEST_CASE("a draining server may move") {
+TEST_CASE("a draining server may change its address") {
   endpoints::EndpointTable table = table_of_two();
   for (const bool whole : {kChanges, kWhole}) {
     table.apply(node_list(4, kChanges, {endpoint("x", "127.0.0.1:1", "terminating")}));
@@ -453,9 +457,9 @@
   }
 }
 
-// ---- two names with one number ----
+// ---- two servers with the same ID ----
 
-TEST_CASE("a drain of either of two names with one number is heard, and is not the other's") {
+TEST_CASE("a drain of either of two servers with the same ID is applied only to that server") {
   const auto& [lesser, greater] = names_with_one_number();
   for (const bool whole : {kWhole, kChanges}) {
     for (const bool swapped : {false, true}) {
@@ -475,13 +479,13 @@
             entries = swapped ? std::vector{stays_entry, drain} : std::vector{drain, stays_entry};
           follower.take(table.apply(node_list(5, whole, entries)));
           CHECK(follower.agrees(table));
-          CHECK(state_of(table, stays) == ServerState::Ready); // it has the number now
+          CHECK(state_of(table, stays) == ServerState::Ready); // it holds the ID now
           CHECK(state_of(table, drained) == std::nullopt);
-          // And what is told to another process makes the same table there.
+          // The serialized table gives the same table in another process.
           endpoints::EndpointTable next({"a", "b"}, {"cache", "origin"});
           next.apply(table.told());
           CHECK(state_of(next, stays) == ServerState::Ready);
-          // The one that stays drains too: nobody with this number is in service.
+          // The remaining server drains too: none with this ID is in service.
           follower.take(table.apply(node_list(6, kChanges, {endpoint(stays, "127.0.0.1:1", status)})));
           CHECK(follower.agrees(table));
           CHECK_FALSE(table.usable());
@@ -496,7 +500,7 @@
   }
 }
 
-TEST_CASE("a drain of an unknown name leaves the one alone that has its number") {
+TEST_CASE("a drain of an unknown server does not affect a known one with the same ID") {
   const auto& [lesser, greater] = names_with_one_number();
   for (const auto& [unknown, known] : {std::pair(lesser, greater), std::pair(greater, lesser)}) {
     for (const char* status : {"terminating", "terminated"}) {
@@ -511,27 +515,27 @@
   }
 }
 
-TEST_CASE("the lesser of two names in service has the number, and the other once it is gone") {
+TEST_CASE("of two servers in service the lesser name holds the ID and the other one after its end") {
   const auto& [lesser, greater] = names_with_one_number();
   endpoints::EndpointTable table = table_of({endpoint(greater, "127.0.0.1:2")});
   table.apply(node_list(4, kChanges, {endpoint(lesser, "127.0.0.1:1")}));
   CHECK(table.targets().size() == 1);
   CHECK(state_of(table, lesser) == ServerState::Ready);
-  table.apply(node_list(5, kChanges, {endpoint(greater, "127.0.0.1:9")})); // told while the other has it
+  table.apply(node_list(5, kChanges, {endpoint(greater, "127.0.0.1:9")})); // while the other holds the ID
   CHECK(state_of(table, lesser) == ServerState::Ready);
   const auto list = table.apply(node_list(6, kChanges, {endpoint(lesser, "", "terminated")}));
   CHECK(told_of(list, greater) == ServerState::Ready);
   CHECK(target(table, greater).address == "127.0.0.1:9");
-  // A whole list that names but one of them ends the other.
+  // A snapshot that contains only one of them removes the other.
   table.apply(node_list(7, kChanges, {endpoint(lesser, "127.0.0.1:1")}));
   table.apply(node_list(8, kWhole, {endpoint(lesser, "127.0.0.1:1")}));
   table.apply(node_list(9, kChanges, {endpoint(lesser, "", "terminated")}));
   CHECK(table.targets().empty());
 }
 
-// ---- what is told to another process ----
+// ---- serialization for another process ----
 
-TEST_CASE("what is told on is what counts here, damaged entries as they were understood") {
+TEST_CASE("the serialized table contains the applied state including that of damaged entries") {
   endpoints::EndpointTable table = table_of_two();
   table.apply(node_list(4, kChanges,
                         {without(endpoint("x", "127.0.0.1:1"), "status"),
@@ -547,10 +551,10 @@
   CHECK(table.told().find("\"extra\":\"kept\"") != std::string::npos);
 }
 
-// ---- answers that are too old ----
+// ---- stale answers ----
 
-TEST_CASE(
-    "an answer from before what is known is stale and changes nothing") { // guards: a drain that is undone
+// Guards against undoing a drain.
+TEST_CASE("an answer with a lower index than known is stale and has no effect") {
   for (const bool whole : {kWhole, kChanges}) {
     endpoints::EndpointTable table = table_of({endpoint("x", "127.0.0.1:1", "terminating")});
     const Json old = node_list(2, whole, {endpoint("x", "127.0.0.1:1")});
@@ -560,7 +564,7 @@
     CHECK(table.index() == 3);
     CHECK(state_of(table, "x") == ServerState::Draining);
     CHECK_NOTHROW(table.apply(old, 2));
-    CHECK_NOTHROW(table.apply(old)); // another discovery counts from where it likes
+    CHECK_NOTHROW(table.apply(old)); // another discovery may use lower indexes
     CHECK(state_of(table, "x") == ServerState::Ready);
   }
 }
--- a/tests/net/fleet_size_test.cpp
+++ b/tests/net/fleet_size_test.cpp
@@ -1,5 +1,6 @@
-// What must hold with thousands of servers as with a few: the cost of a change of the list, and the sum of what many
-// routers send to one server in slow start. The program itself, before a scripted discovery and scripted servers.
+// Properties that must hold for fleets of any size: the CPU time for a change of the list, and the total of
+// requests that many routers send to one server in slow start. The program as a separate process, with a
+// scripted discovery and scripted servers.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -26,9 +27,9 @@
 
 std::string name_of(std::size_t server) { return "s-" + std::to_string(server); }
 
-// ---- the cost of a change ----
+// ---- CPU time for a change ----
 
-// One router and a list of so many servers, which nobody asks.
+// One router and a list of `count` servers that receive no requests.
 class ListedServers {
  public:
   explicit ListedServers(std::size_t count) {
@@ -41,9 +42,9 @@
     tell(node_list(kFirstIndex, true, all));
   }
 
-  // The CPU time of the process for each change of one server, over so many of them.
+  // The average CPU time of the process for a change of one server.
   double cpu_ms_of_change(int changes) {
-    tell(node_list(index_ + 1, false, {})); // the whole list has been worked off then
+    tell(node_list(index_ + 1, false, {})); // on return the initial list has been processed
     const double before = program_->use().cpu_ms;
     for (int i = 0; i < changes; ++i) tell(node_list(index_ + 1, false, {change(i)}));
     return (program_->use().cpu_ms - before) / changes;
@@ -52,7 +53,7 @@
  private:
   static constexpr const char* kNowhere = "127.0.0.1:9";
 
-  // A drain, a start anew, an end and a new server in turn.
+  // Cycles through a drain, a restart, a removal and a new server.
   Json change(int number) {
     const std::size_t at = static_cast<std::size_t>(number / 4) * 7 % names_.size();
     switch (number % 4) {
@@ -66,7 +67,7 @@
       default: names_[at] = "n-" + std::to_string(number); return endpoint(names_[at], kNowhere);
     }
   }
-  // Answers the open call, and waits for the next one: what was told is in force then.
+  // Answers the open call and waits for the next one, which shows that the list is applied.
   void tell(const Json& list) {
     index_ = list["index"].get<int>();
     discovery_.reply(discovery_.calls.size() - 1, ok(list.dump()));
@@ -83,16 +84,16 @@
   int index_ = 0;
 };
 
-// ---- the sum in slow start ----
+// ---- total load in slow start ----
 
 constexpr std::size_t kRouters = 12, kServers = 128;
-constexpr std::size_t kRequests = 60, kOfPopularKey = 15; // at each router, in each part
+constexpr std::size_t kRequests = 60, kOfPopularKey = 15; // per router in each phase
 constexpr const char* kApart = "apart";
-constexpr std::int64_t kPoints = 64;           // of a server on the ring
-constexpr double kMultiple = 4, kStart = 0.32; // as the settings say
+constexpr std::int64_t kPoints = 64;           // per server on the ring
+constexpr double kMultiple = 4, kStart = 0.32; // set in the settings
 
-// Routers as a tier has them, each with an agent of discovery; of their servers one stands apart, all others are one and
-// the same peer.
+// The routers of a tier, each with its own discovery. One server is observed; all others are the same
+// scripted server.
 class Tier {
  public:
   Tier() {
@@ -100,7 +101,7 @@
     find_popular_key();
   }
 
-  // The server that stands apart starts anew, cold, and all routers are told.
+  // Restarts the observed server with an empty cache and notifies all routers.
   void restart_server() {
     started_ms_ = loop::now_ms();
     ++index_;
@@ -108,8 +109,8 @@
   }
   void restart_routers() { start_routers(); }
 
-  // Each router gets its requests, one after another; a quarter are of the popular key. How many did the server that stands
-  // apart get?
+  // Sends each router its requests sequentially, a quarter of them for the popular key. Returns how many
+  // reached the observed server.
   std::size_t ask() {
     const std::size_t before = apart_.seen.size();
     std::vector<std::unique_ptr<Raw>> clients;
@@ -128,12 +129,12 @@
     return apart_.seen.size() - before;
   }
 
-  // What one server may be sent in slow start while all routers get the requests of one part, if its capacity is twice
-  // what a server of this fleet gets on average.
+  // The requests that one server may receive in slow start during one phase, if its capacity is twice the
+  // average load of a server of this fleet.
   static double allowed() {
     const double mean = static_cast<double>(kRouters * kRequests) / kServers;
     const double budget = kMultiple * kStart * 2 * mean;
-    return budget + 3 * std::sqrt(budget) + 3; // the slack of the rule for few requests
+    return budget + 3 * std::sqrt(budget) + 3; // with the rule's tolerance for small numbers of requests
   }
 
  private:
@@ -152,20 +153,21 @@
       config["settings"]["balancers"] = kRouters;
       Json& obligations = config["settings"]["obligations"];
       obligations["start_capacity"] = kStart;
-      obligations["warm_after"] = 600'000; // cold for all of the test, on any machine
+      obligations["warm_after"] = 600'000; // cold during the whole test, even on a slow machine
       obligations["fall_multiple"] = kMultiple;
       routers_[i]->program = std::make_unique<Program>(std::vector<std::string>{"serve"}, config);
     }
     tell_all();
   }
-  // Every router serves, and has read the list as it is now.
+  // Waits until every router serves and has applied the current list.
   void tell_all() {
     for (const auto& router : routers_) {
       REQUIRE(until([&] { return tell(router->discovery), router->program->port() != 0; }));
       REQUIRE(until([&] { return tell(router->discovery); }));
     }
   }
-  // Answers what waits for something newer; true once the router waits for what is newer than the present list.
+  // Answers all calls except those that wait for changes after the current list. True if the router waits for
+  // such changes.
   bool tell(ScriptedDiscovery& discovery) {
     bool told = false;
     for (std::size_t i = 0; i < discovery.calls.size(); ++i) {
@@ -180,11 +182,10 @@
     for (std::size_t i = 1; i < kServers; ++i) all.push_back(endpoint(name_of(i), others_.address));
     all.push_back(endpoint(kApart, apart_.address));
     all.back()["since_ms"] = started_ms_;
-    all.push_back(
-        endpoint("origin", origin_.address, "in_service", "origin")); // a miss would cost a request there
+    all.push_back(endpoint("origin", origin_.address, "in_service", "origin")); // serves cache misses
     return node_list(index_, true, all);
   }
-  // A key whose first candidate is the server that stands apart, by the ring that all routers have.
+  // Finds a key whose first candidate is the observed server, by the same ring that the routers use.
   void find_popular_key() {
     struct Member {
       placement::RingWeight seat;
@@ -204,7 +205,7 @@
 
   router::BasePtr base_ = router::make_base();
   Peer others_{base_.get(),
-               [this](const http::Message& m) { // the popular key is held where it is asked for first, alone
+               [this](const http::Message& m) { // only the observed server holds the popular key
                  return m.target == "/k/" + popular_ ? kMiss : ok("v of " + m.target);
                }};
   Peer apart_{base_.get(), [](const http::Message& m) { return ok("v of " + m.target); }};
@@ -218,26 +219,28 @@
 
 } // namespace
 
-// guards: each change copied and walked the whole list, and held a process with a small share of a core past the grace
-TEST_CASE("a change of one server costs no more CPU in a list of 3,200 servers than in one of 200") {
+// Guards against copying and traversing the whole list for each change, which delayed a process with a
+// small share of a core beyond its grace period.
+TEST_CASE("a change of one server uses no more CPU with 3200 servers than with 200") {
   constexpr int kChanges = 40;
   const double few = ListedServers(200).cpu_ms_of_change(kChanges);
   const double many = ListedServers(3200).cpu_ms_of_change(kChanges);
   MESSAGE("CPU of a change: " << few << " ms and " << many << " ms");
-  CHECK(many < 3 * few); // 16 times the servers; the rest is for the machine
+  CHECK(many < 3 * few); // for 16 times the servers; the factor allows for noise of the machine
 }
 
-// guards: slow start let through a share of what came, so that a popular key overloaded its server
-TEST_CASE("a popular key whose server starts anew: 12 routers together send it no more than it can do") {
+// Guards against a slow start that admits a share of the incoming requests, so that a popular key
+// overloads its server.
+TEST_CASE("a popular key whose server restarts: 12 routers together stay within its slow-start capacity") {
   Tier tier;
   const std::size_t warm = tier.ask();
-  CHECK(warm > kRouters * kOfPopularKey / 2); // as what it is asked for while it is warm
+  CHECK(warm > kRouters * kOfPopularKey / 2); // a warm server receives most requests for the popular key
   tier.restart_server();
   const std::size_t cold = tier.ask();
-  tier.restart_routers(); // they have seen nothing yet
+  tier.restart_routers(); // without any observations
   const std::size_t cold_and_new = tier.ask();
-  MESSAGE("sent warm " << warm << ", cold " << cold << ", by new routers " << cold_and_new << "; allowed "
-                       << Tier::allowed());
+  MESSAGE("requests warm " << warm << ", cold " << cold << ", by new routers " << cold_and_new << "; allowed "
+                           << Tier::allowed());
   CHECK(static_cast<double>(cold) < Tier::allowed());
   CHECK(static_cast<double>(cold_and_new) < Tier::allowed());
 }
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -1,4 +1,4 @@
-// The parser and the writer: how bytes are cut, what is rejected and what must not be taken for a message.
+// The HTTP parser and writer: split input, rejected input and input that must not be taken for a message.
 #include <doctest/doctest.h>
 
 #include "http/parser.h"
@@ -16,7 +16,8 @@
 
 } // namespace
 
-TEST_CASE("a request is the same however its bytes are cut") { // guards: state kept between reads
+// Guards against parser state lost between reads.
+TEST_CASE("a request is parsed the same however its bytes are split") {
   const std::string text =
       "\r\nPUT /a/b?x=1 HTTP/1.1\r\nHost: h\r\nX-Request-ID:  9b \r\ntransfer-encoding: Chunked\r\n\r\n"
       "3;ext=1\r\nabc\r\n0A\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\nGET /";
@@ -30,18 +31,19 @@
       used += n;
     }
     REQUIRE(parser.done());
-    CHECK(text.substr(used) == "GET /"); // the next request's bytes stay
+    CHECK(text.substr(used) == "GET /"); // the bytes of the next request are not consumed
     const Message message = parser.take();
     CHECK(message.method == "PUT");
     CHECK(message.target == "/a/b?x=1");
     CHECK(message.header("x-request-id") == "9b");
     CHECK(message.body == "abc0123456789");
     CHECK(message.keep_alive);
-    CHECK_FALSE(parser.begun()); // ready for the next
+    CHECK_FALSE(parser.begun()); // ready for the next message
   }
 }
 
-TEST_CASE("what is no HTTP is malformed") { // guards: smuggling, header injection, forged lengths
+// Guards against request smuggling, header injection and forged lengths.
+TEST_CASE("invalid HTTP is rejected as malformed") {
   const std::string head = "GET / HTTP/1.1\r\n";
   for (const std::string& bad : {
            std::string("GET /\r\n\r\n"),
@@ -69,7 +71,8 @@
   CHECK(fault(head + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nab") == Fault::Malformed);
 }
 
-TEST_CASE("header and body have their caps, and the caps themselves pass") { // guards: memory
+// Guards against unbounded memory use.
+TEST_CASE("headers and bodies up to the size limits are accepted and longer ones rejected") {
   const std::string head = "PUT / HTTP/1.1\r\n";
   const auto with_body = [&](std::size_t n) {
     return head + "Content-Length: " + std::to_string(n) + "\r\n\r\n" + std::string(n, 'x');
@@ -77,7 +80,7 @@
   CHECK(parse(with_body(kMaxBody)).done());
   CHECK(fault(with_body(kMaxBody + 1)) == Fault::BodyTooLarge);
   CHECK(fault(head + "Transfer-Encoding: chunked\r\n\r\nFFFFFFF\r\n") == Fault::BodyTooLarge);
-  CHECK(fault("GET /" + std::string(kMaxHeader, 'a')) == Fault::HeaderTooLarge); // no line end in sight
+  CHECK(fault("GET /" + std::string(kMaxHeader, 'a')) == Fault::HeaderTooLarge); // without a line end
   std::string many = head;
   while (many.size() <= kMaxHeader) many += "A: b\r\n";
   CHECK(fault(many) == Fault::HeaderTooLarge);
@@ -85,7 +88,8 @@
         Fault::BodyTooLarge);
 }
 
-TEST_CASE("how a response ends") { // guards: a cut answer must not pass for a whole one
+// Guards against taking a truncated response as complete.
+TEST_CASE("the end of a response is detected") {
   Parser until_close = parse("HTTP/1.1 200 OK\r\n\r\nabc", Kind::Response);
   CHECK_FALSE(until_close.done());
   CHECK(until_close.end_of_input());
@@ -108,7 +112,8 @@
   }
 }
 
-TEST_CASE("what is written can be read again") { // guards: framing
+// Guards against framing errors.
+TEST_CASE("written messages can be parsed again") {
   Parser request = parse(write_request("PUT", "/a?b", "h:1", {{"X-A", "b"}}, "body"));
   REQUIRE(request.done());
   CHECK(request.message().header("host") == "h:1");
@@ -119,7 +124,8 @@
   CHECK_FALSE(response.message().keep_alive);
 }
 
-TEST_CASE("a body in the smallest of chunks comes whole") { // guards: good answers cut by the header's cap
+// Guards against valid responses truncated by the size limit for headers.
+TEST_CASE("a body in chunks of one byte is received completely") {
   const std::string body(8000, 'x');
   std::string text = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   for (const char c : body) text.append("1\r\n").append(1, c).append("\r\n");
@@ -132,7 +138,8 @@
   CHECK(endless.fault() == Fault::HeaderTooLarge);
 }
 
-TEST_CASE("a target in the form for proxies is its path") { // guards: good requests answered 400
+// Guards against answering 400 to valid requests.
+TEST_CASE("a request target in absolute form is reduced to its path") {
   const auto target = [](const std::string& text) {
     Parser parser = parse("GET " + text + " HTTP/1.1\r\nHost: h\r\n\r\n");
     return parser.done() ? parser.take().target : "fault";
@@ -144,8 +151,8 @@
     CHECK(target(text) == "fault");
 }
 
-TEST_CASE(
-    "every form of a message, cut in two at every position, reads the same") { // guards: state lost at a cut
+// Guards against parser state lost at a split.
+TEST_CASE("every form of a message split at every position is parsed the same") {
   struct Form {
     Kind kind;
     std::string text, body, rest;
--- a/tests/net/parts_test.cpp
+++ b/tests/net/parts_test.cpp
@@ -1,4 +1,4 @@
-// The parts that need no sockets: configuration, endpoint table, slots, timers, codecs.
+// Components that need no sockets: configuration, endpoint table, slot map, timers, codecs, endpoint file.
 #include <doctest/doctest.h>
 #include <sys/resource.h>
 #include <sys/stat.h>
@@ -21,7 +21,7 @@
 using fernward::AttemptResult;
 using fernward::ServerState;
 
-TEST_CASE("a faulty configuration is told by its key") { // guards: one line naming the key
+TEST_CASE("an invalid configuration is rejected with one line that names the key") {
   const auto message = [](const std::function<void(Json&)>& change) -> std::string {
     Json file = config_json("127.0.0.1:8500", nullptr);
     change(file);
@@ -63,7 +63,7 @@
   CHECK_THROWS_WITH_AS(config::load(&no_environment), "NODE_CONFIG: is not set", config::Error);
 }
 
-TEST_CASE("the environment goes before the file") {
+TEST_CASE("environment variables override the configuration file") {
   const auto environment = [](const char* name) -> const char* {
     return std::string(name) == "NODE_LISTEN" ? "127.0.0.9:70" : nullptr;
   };
@@ -73,8 +73,8 @@
   CHECK(config.seed == 0x8c1f30d27a5be964ull);
 }
 
-TEST_CASE("a file read again: its discovery goes first, and only that may change") {
-  static std::string path; // the environment of a program that was started with all its variables
+TEST_CASE("on reload the file overrides the environment for discovery and only discovery may change") {
+  static std::string path; // the environment of a program that was started with all of its variables set
   const auto environment = [](const char* name) -> const char* {
     const std::string variable = name;
     return variable == "NODE_CONFIG"      ? path.c_str()
@@ -106,12 +106,13 @@
   unlink(name);
 }
 
-TEST_CASE("numbers depend on the name alone, and two names never share a target") { // guards: id collisions
-  CHECK(endpoints::id_of("s-5be2a07c") == 1166140301u); // the same at every router and version
+// Guards against ID collisions.
+TEST_CASE("IDs depend only on the name and two names with the same ID give one endpoint") {
+  CHECK(endpoints::id_of("s-5be2a07c") == 1166140301u); // must be the same for all routers and versions
   CHECK(endpoints::index_of("b", {"a", "b"}) == 1);
   CHECK(endpoints::index_of("c", {"a", "b"}) >= 2);
   CHECK(endpoints::index_of("c", {"a", "b"}) == endpoints::index_of("c", {"a", "b"}));
-  // Two names that share a number, found by search: a birthday among 2^17 names.
+  // Two names with the same ID, found by search: a collision is likely among 2^17 names (birthday problem).
   std::map<fernward::ServerId, std::string> taken;
   std::string first, second;
   for (int i = 0; second.empty(); ++i) {
@@ -130,7 +131,8 @@
   }
 }
 
-TEST_CASE("a handle that was kept too long finds nothing") { // guards: answers on reused slots
+// Guards against responses delivered to a reused slot.
+TEST_CASE("a handle to a removed slot finds nothing") {
   loop::SlotMap<int> slots(2);
   const auto first = slots.add(1);
   const auto second = slots.add(2);
@@ -139,14 +141,14 @@
   slots.remove(first);
   const auto third = slots.add(3);
   CHECK(third != first);
-  CHECK(third < (1ull << 52)); // as the module's ids must be
+  CHECK(third < (1ull << 52)); // the balancer's limit for IDs
   CHECK(slots.find(first) == nullptr);
   CHECK(*slots.find(second) == 2);
   CHECK(*slots.find(third) == 3);
   CHECK(slots.size() == 2);
 }
 
-TEST_CASE("timers fire in order, and not once cancelled") {
+TEST_CASE("timers fire in order and canceled ones never") {
   const auto base = router::make_base();
   loop::TimerQueue timers(base.get());
   std::string order;
@@ -156,7 +158,7 @@
   auto inner = timers.at(now + 15, [&] { order += 'y'; });
   timers.at(now + 10, [&] {
     order += 'a';
-    timers.cancel(inner); // from within another
+    timers.cancel(inner); // from within another timer
     timers.at(now + 10, [&] { order += 'b'; });
   });
   timers.cancel(cancelled);
@@ -165,7 +167,7 @@
   CHECK(order == "abc");
 }
 
-TEST_CASE("what is not urgent runs with the first timer of its span, at its end without one, or not at all") {
+TEST_CASE("a deferrable timer runs with the first timer in its interval or at the end of the interval") {
   const auto base = router::make_base();
   loop::TimerQueue timers(base.get());
   const double now = loop::now_ms();
@@ -181,7 +183,7 @@
   CHECK(run_until(base.get(), [&] { return timers.size() == 0; }));
   CHECK(first >= now + 100);
   CHECK(first < now + 5000);
-  CHECK(inner > first); // with a later wake, and it need not wait for its own end
+  CHECK(inner > first); // runs with a later timer, before the end of its own interval
   CHECK(inner < now + 5000);
   CHECK_FALSE(cancelled_ran);
   timers.within(now, now + 500, [&] { alone = loop::now_ms(); });
@@ -189,12 +191,12 @@
   CHECK(alone >= now + 500);
 }
 
-// guards: a heap that loses its order, or an id that cancels the timer of another
-TEST_CASE("thousands of timers, most of them cancelled: the rest fire in order, each once") {
+// Guards against a heap that loses its order, and against an ID that cancels another timer.
+TEST_CASE("thousands of timers with most canceled: the others fire in order and once") {
   const auto base = router::make_base();
   loop::TimerQueue timers(base.get());
   std::mt19937 draw(11);
-  std::vector<std::pair<double, int>> fired; // when it was due, and its number
+  std::vector<std::pair<double, int>> fired; // due time and number
   std::map<int, double> due;
   std::vector<std::pair<loop::TimerQueue::TimerId, int>> ids;
   const double now = loop::now_ms();
@@ -203,7 +205,7 @@
     ids.emplace_back(timers.at(when, [&fired, when, i] { fired.emplace_back(when, i); }), i);
     due[i] = when;
     if (draw() % 8 == 0) continue;
-    const std::size_t one = draw() % ids.size(); // perhaps one that is cancelled already
+    const std::size_t one = draw() % ids.size(); // may be canceled already
     auto timer = ids[one].first;
     timers.cancel(timer);
     due.erase(ids[one].second);
@@ -215,7 +217,7 @@
   CHECK(std::is_sorted(fired.begin(), fired.end()));
 }
 
-TEST_CASE("what the response of an endpoint means") {
+TEST_CASE("responses of an endpoint are classified by status and X-Not-Processed") {
   const auto result = [](int code, const char* not_processed) {
     http::Message answer;
     answer.status = code;
@@ -226,18 +228,18 @@
   CHECK(result(404, "") == AttemptResult::CacheMiss);
   CHECK(result(503, "1") == AttemptResult::Overloaded);
   CHECK(result(504, "1") == AttemptResult::Overloaded);
-  CHECK(result(503, "") == AttemptResult::Error); // without the word it may have run
+  CHECK(result(503, "") == AttemptResult::Error); // without X-Not-Processed the request may have run
   CHECK(result(500, "1") == AttemptResult::Error);
   CHECK(result(301, "") == AttemptResult::Error);
   CHECK(result(429, "") == AttemptResult::Error);
-  CHECK(result(400, "") == AttemptResult::InvalidRequest); // the request's fault: no other would take it
+  CHECK(result(400, "") == AttemptResult::InvalidRequest); // no other endpoint would accept it either
 }
 
-TEST_CASE("load reports stand in the order of the settings") {
+TEST_CASE("load reports are returned in the order of the settings") {
   const std::vector<std::string> fields = {"eps", "latency_ms", "queue"};
   CHECK(upstream::parse_report("queue=3, latency_ms=12.5,x9=1", fields) == std::vector<float>{-1, 12.5, 3});
   CHECK(upstream::parse_report("", fields).empty());
-  // guards: a damaged report that steers requests by the part of it that can be read
+  // Guards against balancing by the readable part of a damaged report.
   for (const char* bad :
        {"queue=3,latency_ms=x", "queue=3,noise", "queue=3,queue=4", "queue=1e30", "queue=-1"}) {
     CAPTURE(bad);
@@ -246,7 +248,7 @@
   CHECK(upstream::parse_report("queue=nan,eps=-1,latency_ms=1e,=,,", fields).empty());
 }
 
-TEST_CASE("what a client's headers become") {
+TEST_CASE("client headers are decoded into a request") {
   const auto config = config::parse(config_json("127.0.0.1:1", nullptr).dump(), &no_environment);
   const auto decode = [&](const std::string& text) {
     http::Parser parser(http::Kind::Request);
@@ -257,11 +259,13 @@
   CHECK(read.status == 0);
   CHECK(read.call.path == "/api/7f?q=a/b");
   CHECK(read.call.expected_work_ms == doctest::Approx(12.5));
-  CHECK(read.call.key == decode(get("/other/7f", "r2")).call.key); // the path's last part, not the query's
+  // The key is the last segment of the path without the query.
+  CHECK(read.call.key == decode(get("/other/7f", "r2")).call.key);
   CHECK(read.call.key != decode(get("/api/80", "r2")).call.key);
   CHECK(decode(get("/api/", "r2")).call.key == 0);
   CHECK(read.call.tenant == 0);
-  CHECK(decode(get("/a", "r", "X-Cost: lots\r\n")).call.expected_work_ms == 0); // a hint: a bad one is none
+  // X-Cost is a hint: an invalid value is ignored.
+  CHECK(decode(get("/a", "r", "X-Cost: lots\r\n")).call.expected_work_ms == 0);
   CHECK(decode("GET /a HTTP/1.1\r\nX-Request-ID: i\r\nX-Priority-Class: read\r\n\r\n").call.timeout_ms ==
         2000);
   const auto timeout = [&](const std::string& value) {
@@ -276,8 +280,8 @@
   }
 }
 
-// guards: a process that any list, any file can end
-TEST_CASE("what is nested a million deep is refused like other noise") {
+// Guards against a process that any list or file can crash.
+TEST_CASE("JSON nested two million levels deep is rejected") {
   const std::string deep = std::string(2000000, '[') + std::string(2000000, ']');
   endpoints::EndpointTable table({}, {}, true);
   table.apply(node_list(1, true, {endpoint("s-1", "127.0.0.1:1")}));
@@ -292,7 +296,7 @@
   CHECK_THROWS_AS(config::parse(file, &no_environment), config::Error);
 }
 
-TEST_CASE("the number of open requests is a number that a table can have") {
+TEST_CASE("open_cap must be a valid table size") {
   for (const char* value : {"0", "0.5", "-1", "1e300", "\"many\"", "[]"}) {
     Json file = config_json("127.0.0.1:1", nullptr);
     file["settings"]["limits"]["open_cap"] = Json::parse(value);
@@ -304,8 +308,9 @@
   CHECK(config::parse(file.dump(), &no_environment).limits.open_cap == 20000);
 }
 
-// guards: a list that is never read, as its one look met a moment without descriptors; a pipe that is waited for
-TEST_CASE("a node file that could not be read is read once it can be, what is no file is told") {
+// Guards against a list that is never read because there were no descriptors at the only attempt, and
+// against blocking on a pipe.
+TEST_CASE("an endpoint file is read once it becomes readable and a pipe is not waited for") {
   const router::BasePtr base = router::make_base();
   loop::TimerQueue deadlines(base.get());
   char folder[] = "/tmp/fernward-test-XXXXXX";
@@ -313,7 +318,7 @@
   const std::string path = std::string(folder) + "/nodes.json";
   int taken = 0;
   const auto take = [&taken](const std::string&) { return static_cast<std::uint64_t>(++taken); };
-  SUBCASE("no descriptor at the first look") {
+  SUBCASE("no descriptor at the first read") {
     std::ofstream(path) << "[]";
     rlimit usual{};
     REQUIRE(getrlimit(RLIMIT_NOFILE, &usual) == 0);
@@ -327,7 +332,7 @@
   }
   SUBCASE("a pipe") {
     REQUIRE(mkfifo(path.c_str(), 0600) == 0);
-    alarm(20); // it would be waited for without end
+    alarm(20); // otherwise a blocking open would never return
     const endpoints::EndpointFileWatch watch(deadlines, path, take);
     alarm(0);
     CHECK(taken == 0);
--- a/tests/net/peers.h
+++ b/tests/net/peers.h
@@ -1,4 +1,4 @@
-// Scripted peers on loopback sockets, all in one event loop with the router under test.
+// Scripted servers and clients on loopback sockets. All run in the event loop of the router under test.
 #pragma once
 
 #include <event2/listener.h>
@@ -31,7 +31,7 @@
 const std::string kMiss = status(404);
 const std::string kTurnedAway = status(503, "X-Not-Processed: 1\r\n");
 
-// Runs the loop until `done` holds; false after ten seconds, far more than any story takes.
+// Runs the event loop until the condition holds. Returns false after 10 s, far longer than any test needs.
 inline bool run_until(event_base* base, const std::function<bool()>& done) {
   const double end = loop::now_ms() + 10000;
   const loop::EventPtr tick(event_new(
@@ -51,7 +51,8 @@
 
 constexpr std::uint64_t kMostBody = 64 << 20;
 
-// A server that answers each request by its script: bytes to send, or nothing. "!" in front: then close.
+// A server that answers each request with the bytes that its script returns; an empty string sends nothing. A
+// leading "!" is not sent: it closes the connection after the bytes that follow it.
 class Peer {
  public:
   using Script = std::function<std::string(const http::Message&)>;
@@ -71,16 +72,16 @@
   }
   Peer(const Peer&) = delete;
 
-  void say(const std::string& text) { // on the connection of the last request
+  void say(const std::string& text) { // on the connection of the last request, from the event loop
     if (last_ != nullptr && last_->io != nullptr) send(last_, text);
   }
   void say_now(
-      const std::string& text) { // it lies in the other side's socket on return, before any loop runs
+      const std::string& text) { // on return the bytes are in the peer's socket, before any event loop runs
     if (last_ == nullptr || last_->io == nullptr) return;
     [[maybe_unused]] const auto n =
         ::send(bufferevent_getfd(last_->io.get()), text.data(), text.size(), MSG_NOSIGNAL);
   }
-  enum class End { Fin, Reset, Half }; // half: nothing more is sent, what comes is still read
+  enum class End { Fin, Reset, Half }; // WriteShutdown: no more is sent, still read
   void break_off(End how) {            // all connections
     for (const auto& link : links_) {
       if (link->io == nullptr) continue;
@@ -93,7 +94,7 @@
       link->io.reset();
     }
   }
-  void hang_up() { // at once: libevent would close the sockets from the loop only
+  void hang_up() { // immediately: libevent closes sockets only from its loop
     for (const auto& link : links_) {
       if (link->io != nullptr) shutdown(bufferevent_getfd(link->io.get()), SHUT_RDWR);
     }
@@ -107,7 +108,7 @@
       bufferevent_trigger(link->io.get(), EV_READ, BEV_TRIG_DEFER_CALLBACKS);
     }
   }
-  void refuse() { // from now on connections are refused
+  void refuse() { // closes all connections; new ones are refused
     evconnlistener_free(std::exchange(listener_, nullptr));
     hang_up();
   }
@@ -118,22 +119,22 @@
   }
 
   Script script;
-  Script early;              // what is said as soon as a head has come, before its body; none: nothing
-  bool stopped = false;      // reads nothing that comes from now on
-  std::size_t body_come = 0; // of the request that comes
+  Script early;              // if set: sent when a request's head is complete, before its body
+  bool stopped = false;      // further bytes are not read
+  std::size_t body_come = 0; // of the request being received
   std::string address;
   std::vector<http::Message> seen;
   int connections = 0;
-  double last_at = 0;  // when it was asked last
-  double begun_at = 0; // and when the first byte of that request came
-  bool whole = true;   // for scripts: what they said last was a whole answer
+  double last_at = 0;  // when the last request was complete
+  double begun_at = 0; // when the first byte of that request was received
+  bool whole = true;   // for scripts: whether their last response was complete
 
  private:
   struct Link {
     Peer* peer;
     loop::BuffereventPtr io;
-    bool ends = false;     // once all is written
-    bool answered = false; // early
+    bool ends = false;     // closes when all output is written
+    bool answered = false; // the early response was sent
     double begun_at = 0;
     http::Parser parser{http::Kind::Request, kMostBody};
   };
@@ -184,7 +185,7 @@
       bufferevent_write(link->io.get(), bytes.data(), bytes.size());
       return;
     }
-    if (bytes.size() > 4096) { // more than a socket takes at once
+    if (bytes.size() > 4096) { // may exceed what the socket accepts in one write
       link->ends = true;
       bufferevent_write(link->io.get(), bytes.data(), bytes.size());
       return;
@@ -199,10 +200,10 @@
   Link* last_ = nullptr;
 };
 
-// A client: one connection, the answers as they come.
+// A client with one connection. Responses are collected in the order of their arrival.
 class Client {
  public:
-  // receives: the size of its socket's buffer, where it matters.
+  // receives: size of the socket's receive buffer in bytes; 0 keeps the system's default.
   Client(event_base* base, int port, int receives = 0)
       : base_(base), io_(loop::make_bufferevent(base, socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0))) {
     const int fd = bufferevent_getfd(io_.get());
@@ -229,15 +230,16 @@
     io_.reset();
   }
   void stop_reading() {
-    bufferevent_setwatermark(io_.get(), EV_READ, 0, 1024); // else libevent's buffer would take a good part
+    // Without a watermark, libevent's buffer would take a large part of the response.
+    bufferevent_setwatermark(io_.get(), EV_READ, 0, 1024);
     bufferevent_disable(io_.get(), EV_READ);
   }
   void read_on() {
     bufferevent_setwatermark(io_.get(), EV_READ, 0, 0);
     bufferevent_enable(io_.get(), EV_READ);
   }
-  std::size_t come() const { return parser_.message().body.size(); } // of an answer that is not whole
-  // Sends and waits for one answer more; a status of 0: none came.
+  std::size_t come() const { return parser_.message().body.size(); } // of a response that is incomplete
+  // Sends the text and waits for one more response. Status 0: none was received.
   http::Message ask(const std::string& text) {
     const std::size_t before = answers.size();
     send(text);
@@ -309,14 +311,14 @@
 }
 inline const char* no_environment(const char*) { return nullptr; }
 
-// A router between a discovery, two caches and an origin, all scripted.
+// A router with scripted peers: discovery, two caches and an origin.
 struct World {
   explicit World(const std::function<void(Json&)>& change = [](Json&) {}) {
     Json file = config_json(discovery.address, node_list(7, true, all()));
     change(file);
     first_list = file["known"];
     router = std::make_unique<router::Router>(config::parse(file.dump(), &no_environment), base.get());
-    if (!first_list.is_null()) until([this] { return watched(); }); // nothing is sent before
+    if (!first_list.is_null()) until([this] { return watched(); }); // the router sends no requests before
   }
   std::vector<Json> all(const std::string& state = "in_service") {
     return {endpoint("s-1", one.address, state), endpoint("s-2", two.address),
@@ -325,9 +327,9 @@
   bool until(const std::function<bool()>& done) { return run_until(base.get(), done); }
   Client client() { return Client(base.get(), router->port()); }
   std::size_t sent() const { return one.seen.size() + two.seen.size() + origin.seen.size(); }
-  Peer& last_asked() { return one.last_at > two.last_at ? one : two; } // of the caches
+  Peer& last_asked() { return one.last_at > two.last_at ? one : two; }
   void caches(const Peer::Script& script) { one.script = two.script = script; }
-  // Discovery tells; true once the router watches on from there.
+  // Discovery answers the open watch. True when the router has opened the next watch.
   bool tell(const Json& list) {
     if (!until([this] { return watched(); })) return false;
     const std::size_t before = discovery.seen.size();
@@ -342,7 +344,7 @@
   Peer discovery{base.get(), [this](const http::Message& m) {
                    return m.target == "/v1/endpoints" ? ok(first_list.dump()) : std::string();
                  }};
-  Json first_list; // the one that the router is started with; discovery tells the same
+  Json first_list; // known to the router at its start; discovery returns the same list
   Peer one{base.get(), [](const http::Message& m) { return ok("from cache " + m.target); }};
   Peer two{base.get(), [](const http::Message& m) { return ok("from cache " + m.target); }};
   Peer origin{base.get(), [](const http::Message& m) { return ok("from origin " + m.target); }};
--- a/tests/net/program.h
+++ b/tests/net/program.h
@@ -1,4 +1,4 @@
-// The program as it is started in service, and what it says.
+// Runs the program as a child process and collects its output.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -21,13 +21,14 @@
 
 namespace fernward::tests {
 
-// System calls that a program is refused, as in a container whose filter does not know them.
+// System calls that fail with `error` in a program, as in a container whose seccomp filter does not know
+// them.
 struct Refused {
   std::vector<long> calls;
   int error = 0;
 };
 
-// For this process and what it executes; needs no rights.
+// Applies to this process and the programs that it executes; needs no privileges.
 inline bool refuse_calls(const Refused& refused) {
   std::vector<sock_filter> filter = {BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(seccomp_data, nr))};
   for (const long call : refused.calls) {
@@ -40,7 +41,7 @@
          prctl(PR_SET_SECCOMP, SECCOMP_MODE_FILTER, &program) == 0;
 }
 
-// A started program and what it has written to standard output and error.
+// A running program and what it has written to standard output and standard error.
 class Program {
  public:
   Program(const std::vector<std::string>& words, const Json& config,
@@ -79,7 +80,7 @@
   Program(const Program&) = delete;
 
   void signal(int number) { kill(pid_, number); }
-  void hold() { // nothing runs in it on return; what comes for it waits
+  void hold() { // on return the process is stopped; its sockets still receive
     kill(pid_, SIGSTOP);
     int status = 0;
     REQUIRE(waitpid(pid_, &status, WUNTRACED) == pid_);
@@ -90,7 +91,7 @@
   struct Use {
     double cpu_ms = 0, wakes = 0;
   };
-  Use use() const { // since its start
+  Use use() const { // since the process started
     const std::string proc = "/proc/" + std::to_string(pid_);
     Use u;
     std::ifstream(proc + "/schedstat") >> u.cpu_ms;
@@ -101,7 +102,7 @@
     }
     return u;
   }
-  std::size_t descriptors() const { // that it holds
+  std::size_t descriptors() const {
     const std::filesystem::directory_iterator open("/proc/" + std::to_string(pid_) + "/fd");
     return static_cast<std::size_t>(std::distance(begin(open), end(open)));
   }
@@ -111,15 +112,15 @@
     limit.rlim_cur = most;
     REQUIRE(prlimit(pid_, RLIMIT_NOFILE, &limit, nullptr) == 0);
   }
-  void limit_files(rlim_t most) { // the bytes of each that it writes
+  void limit_files(rlim_t most) { // bytes of each file that the program writes
     const rlimit limit{most, RLIM_INFINITY};
     REQUIRE(prlimit(pid_, RLIMIT_FSIZE, &limit, nullptr) == 0);
   }
-  void stop_reading() { // what it says, through the smallest of pipes
+  void stop_reading() { // no longer reads the output; the pipe is reduced to its minimum size
     reads_ = false;
     REQUIRE(fcntl(out_, F_SETPIPE_SZ, 4096) >= 0);
   }
-  bool ended() { // its exit code is then in `code`, 128 and more for a signal
+  bool ended() { // sets the exit code; 128 plus the signal's number if a signal ended the process
     int status = 0;
     if (pid_ > 0 && waitpid(pid_, &status, WNOHANG) == pid_) {
       code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
@@ -132,7 +133,7 @@
     read_on();
     return text.find(what) != std::string::npos;
   }
-  int port() { // 0 until it serves
+  int port() { // 0 until the program listens
     read_on();
     const auto line = text.find("listening name="), at = text.find(" port=", line);
     if (line == std::string::npos || at == std::string::npos || text.find('\n', at) == std::string::npos)
@@ -155,7 +156,8 @@
   bool reads_ = true;
 };
 
-// Below what the system deals out by itself: there another test's client could have it before the router does.
+// Draws below the system's ephemeral port range: from that range, another test's client could get the port
+// before the router binds it.
 inline int free_port() {
   static std::mt19937 draw(std::random_device{}());
   for (;;) {
@@ -171,7 +173,7 @@
   }
 }
 
-// A folder of a test's own.
+// A temporary folder, removed by the destructor.
 struct Folder {
   Folder() {
     char name[] = "/tmp/fernward-test-XXXXXX";
--- a/tests/net/program_test.cpp
+++ b/tests/net/program_test.cpp
@@ -1,4 +1,4 @@
-// The program as it is started in service: its command line, its configuration, its signals, its limits.
+// The program as a separate process: its command line, configuration, signals and limits.
 #include <doctest/doctest.h>
 #include <signal.h>
 #include <sys/syscall.h>
@@ -19,7 +19,7 @@
   return run_until(base.get(), [&] { return program.ended(); });
 }
 
-struct Service { // scripted peers for a started program
+struct Service { // scripted peers for a program under test
   router::BasePtr base = router::make_base();
   Peer discovery{base.get(), [this](const http::Message& m) {
                    return m.target == "/v1/endpoints" ? ok(list().dump()) : std::string();
@@ -27,7 +27,7 @@
   Peer cache{base.get(), [](const http::Message& m) { return ok("v of " + m.target); }};
   Json list() { return node_list(1, true, {endpoint("s-1", cache.address)}); }
   Json config() { return config_json(discovery.address, list()); }
-  // Once it serves by a list, discovery's or its own: nothing is sent before.
+  // Waits until the program is ready, by discovery's list or its own. It forwards no requests before.
   int port(Program& program) {
     run_until(base.get(), [&] { return program.port() != 0; });
     run_until(base.get(), [&] { return ready(program); });
@@ -59,7 +59,7 @@
   CHECK(run({"check-config"}, sound).first == 0);
   Json faulty = sound;
   faulty["settings"]["limits"]["max_attempts"] = "five";
-  for (const char* command : {"check-config", "serve"}) { // one line that names the key
+  for (const char* command : {"check-config", "serve"}) { // each prints one line that names the key
     const auto [code, text] = run({command}, faulty);
     CHECK(code == 1);
     CHECK(text.find("settings.limits.max_attempts") != std::string::npos);
@@ -68,7 +68,7 @@
   CHECK(run({"serve"}, "{").first == 1);
 }
 
-TEST_CASE("an address that is taken ends the start with a word about it") {
+TEST_CASE("a listening address in use prevents the start and is named in the error") {
   Service s;
   Json config = s.config();
   config["listen"] = s.cache.address;
@@ -78,7 +78,8 @@
   CHECK(program.text.find("listen") != std::string::npos);
 }
 
-TEST_CASE("SIGTERM: all that was taken is answered, then it ends with 0") { // guards: planned restarts
+// Guards against requests lost in a planned restart.
+TEST_CASE("SIGTERM: all accepted requests are answered and the program exits with 0") {
   Service s;
   s.cache.script = [](const http::Message&) { return std::string(); };
   Program program({"serve"}, s.config());
@@ -95,8 +96,9 @@
   CHECK(client.answers[0].body == "in time");
 }
 
-// guards: a restart that sends all of its clients elsewhere at once, while it may still serve them
-TEST_CASE("SIGTERM: who keeps a connection is served on it for a while, and is told in time") {
+// Guards against a restart that moves all of its clients to other routers at once while it can still serve
+// them.
+TEST_CASE("SIGTERM: kept connections are served for a while and closed in time") {
   Service s;
   Program program({"serve"}, s.config());
   Client client(s.base.get(), s.port(program)), rests(s.base.get(), program.port());
@@ -105,12 +107,13 @@
   const double begun = loop::now_ms();
   program.signal(SIGTERM);
   REQUIRE(s.until([&] { return program.says("graceful-shutdown"); }));
-  CHECK(client.ask("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").status == 503); // nobody new is to come
+  // Not ready, so that new clients use other routers.
+  CHECK(client.ask("GET /ready HTTP/1.1\r\nHost: h\r\n\r\n").status == 503);
   run_for(s.base.get(), 800);
   CHECK(client.ask(get("/k/2", "r3")).body == "v of /k/2");
   CHECK_FALSE(rests.closed);
   s.cache.script = [](const http::Message&) { return std::string(); };
-  client.send(get("/k/3", "r4")); // its node never answers: it still gets its answer before the end
+  client.send(get("/k/3", "r4")); // the server never responds: the client still gets an error before the exit
   REQUIRE(s.until([&] { return program.ended(); }));
   CHECK(program.code == 0);
   CHECK(loop::now_ms() - begun < 2600 + 300);
@@ -119,11 +122,12 @@
   CHECK(s.until([&] { return rests.closed; }));
 }
 
-// guards: a router that ends on SIGHUP, loses its list with the old discovery, or takes a faulty file
-TEST_CASE("SIGHUP: the watch moves to the new discovery, all else stays") {
+// Guards against a router that exits on SIGHUP, loses its list with the old discovery or accepts an
+// invalid file.
+TEST_CASE("SIGHUP: the watch moves to the new discovery and nothing else changes") {
   Service s;
   Peer other(s.base.get(), [](const http::Message& m) { return ok("other's " + m.target); });
-  bool up = false; // the new discovery is silent at first
+  bool up = false; // the new discovery does not answer at first
   Peer next(s.base.get(), [&](const http::Message& m) {
     return up && m.target == "/v1/endpoints" ? ok(node_list(3, true, {endpoint("s-2", other.address)}).dump())
                                              : std::string();
@@ -134,7 +138,7 @@
   Client client(s.base.get(), s.port(program)), waiting(s.base.get(), program.port());
   CHECK(client.ask(get("/k/1", "r1")).body == "v of /k/1");
 
-  program.rewrite(config.dump().substr(1)); // faulty: nothing changes
+  program.rewrite(config.dump().substr(1)); // invalid: nothing changes
   program.signal(SIGHUP);
   REQUIRE(s.until([&] { return program.says("reload-refused why=\"NODE_CONFIG"); }));
   config["discovery"] = "nowhere";
@@ -154,15 +158,15 @@
   CHECK(program.says("reload-needs-restart key=settings.limits.max_attempts"));
   s.discovery.refuse();
   REQUIRE(s.until([&] { return program.says("discovery-ended code=connect-failed"); }));
-  s.cache.say(ok("in time")); // to the request that was out all the while
+  s.cache.say(ok("in time")); // for the request that was active during the reloads
   REQUIRE(s.until([&] { return !waiting.answers.empty(); }));
   CHECK(waiting.answers[0].body == "in time");
   s.cache.script = [](const http::Message& m) { return ok("v of " + m.target); };
-  CHECK(client.ask(get("/k/1", "r4")).body == "v of /k/1"); // the list stands without any discovery
+  CHECK(client.ask(get("/k/1", "r4")).body == "v of /k/1"); // the list stays in force without any discovery
 
   up = true;
   REQUIRE(s.until([&] { return program.says("address=" + next.address); }));
-  CHECK(client.ask(get("/k/1", "r5")).body == "other's /k/1"); // a whole list: s-1 is gone
+  CHECK(client.ask(get("/k/1", "r5")).body == "other's /k/1"); // a snapshot: s-1 is removed
   CHECK_FALSE(client.closed);
   program.signal(SIGHUP);
   program.signal(SIGTERM);
@@ -170,8 +174,9 @@
   CHECK(program.code == 0);
 }
 
-// That nothing is sent by the known list before, while discovery may still answer, is shown in discovery_test.cpp.
-TEST_CASE("killed and started again it serves from the known list within 3 s, discovery silent") {
+// discovery_test.cpp checks that nothing is sent by the known list earlier, while discovery may still
+// answer.
+TEST_CASE("restarted after SIGKILL with a silent discovery it serves from the known list within 3 s") {
   Service s;
   s.discovery.script = [](const http::Message&) { return std::string(); };
   Json config = s.config();
@@ -182,19 +187,20 @@
     CHECK(loop::now_ms() - started < 3000);
     CHECK(client.ask("GET /ready HTTP/1.1\r\n\r\n").status == 200);
     CHECK(client.ask(get("/k/1", std::to_string(life))).body == "v of /k/1");
-    config["listen"] = "127.0.0.1:" + std::to_string(program.port()); // the same address again
+    // The next process uses the same address.
+    config["listen"] = "127.0.0.1:" + std::to_string(program.port());
     program.signal(SIGKILL);
     REQUIRE(s.until([&] { return program.ended(); }));
     CHECK(program.code == 128 + SIGKILL);
   }
 }
 
-TEST_CASE(
-    "out of descriptors it goes on serving, and does not spin on accept") { // guards: a full CPU, a crash
+// Guards against a full CPU and a crash.
+TEST_CASE("without free descriptors it continues to serve and does not spin on accept") {
   Service s;
   Program program({"serve"}, s.config());
   const int port = s.port(program);
-  program.limit_descriptors(24); // far fewer than it was promised
+  program.limit_descriptors(24); // far fewer than configured
   Client first(s.base.get(), port);
   CHECK(first.ask(get("/k/1", "a")).status == 200);
   {
@@ -202,7 +208,7 @@
     for (int i = 0; i < 60; ++i) crowd.push_back(std::make_unique<Client>(s.base.get(), port));
     REQUIRE(s.until([&] { return program.says("descriptors-refused"); }));
     run_for(s.base.get(), 300);
-    program.port(); // reads on
+    program.port(); // reads the output
     std::size_t lines = 0;
     for (auto at = program.text.find("refused by"); at != std::string::npos;
          at = program.text.find("refused by", at + 1)) {
@@ -211,30 +217,30 @@
     CHECK(lines < 50);
     CHECK(first.ask(get("/k/1", "b")).status == 200);
   }
-  Client after(s.base.get(), port); // the crowd has left
+  Client after(s.base.get(), port); // the other clients have disconnected
   CHECK(after.ask(get("/k/1", "c")).status == 200);
   program.signal(SIGTERM);
   REQUIRE(s.until([&] { return program.ended(); }));
   CHECK(program.code == 0);
 }
 
-// guards: requests lost because others hold what the router reckoned with
-TEST_CASE("descriptors taken from it from outside: every request is answered, also those to come") {
+// Guards against requests lost because the router can't open the descriptors that it expected to have.
+TEST_CASE("a lowered descriptor limit: all requests are answered including later ones") {
   Service s;
-  Program program({"serve"}, s.config()); // 256 of them
+  Program program({"serve"}, s.config()); // with 256 descriptors
   const int port = s.port(program);
   std::vector<std::unique_ptr<Client>> clients;
   int number = 0, unanswered = 0;
-  const auto ask = [&](std::size_t most) { // on new connections; they are kept
+  const auto ask = [&](std::size_t most) { // on new connections, which stay open
     for (std::size_t i = 0; i < most; ++i) {
       clients.push_back(std::make_unique<Client>(s.base.get(), port));
       unanswered += clients.back()->ask(get("/k/1", std::to_string(number++))).status != 200;
     }
   };
   ask(20);
-  program.limit_descriptors(static_cast<rlim_t>(program.descriptors())); // not one more
+  program.limit_descriptors(static_cast<rlim_t>(program.descriptors())); // none is free
   ask(60);
-  program.limit_descriptors(20); // even fewer than it holds
+  program.limit_descriptors(20); // fewer than it holds
   ask(60);
   CHECK(unanswered == 0);
   program.limit_descriptors(256);
@@ -246,7 +252,7 @@
   CHECK(program.code == 0);
 }
 
-TEST_CASE("256 descriptors and 20 cache nodes: all is served, and the limit kept") {
+TEST_CASE("256 descriptors and 20 caches: all requests are served within the limit") {
   Service s;
   std::vector<std::unique_ptr<Peer>> caches;
   std::vector<Json> list;
@@ -285,10 +291,10 @@
   }
   CHECK(unanswered == 0);
   CHECK(most <= 256);
-  CHECK(most > 150); // the places that the other side leaves are used
+  CHECK(most > 150); // descriptors that the other side does not need are used
 }
 
-TEST_CASE("SIGHUP and SIGTERM while an answer passes: it comes to its end, and so does the program") {
+TEST_CASE("SIGHUP and SIGTERM while a response is forwarded: it is completed and the program exits") {
   Service s;
   const std::string value(3 << 20, 'v');
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(value.size()) + "\r\n\r\n";
@@ -298,12 +304,12 @@
   Client client(s.base.get(), s.port(program)), idle(s.base.get(), program.port());
   client.send(get("/k/1", "r1"));
   REQUIRE(s.until([&] { return client.come() == 2 << 20; }));
-  config["limits"]["answer_bytes"] = 1; // holds until the next start
+  config["limits"]["answer_bytes"] = 1; // takes effect only after a restart
   program.rewrite(config.dump());
   program.signal(SIGHUP);
   REQUIRE(s.until([&] { return program.says("reload-needs-restart key=limits.answer_bytes"); }));
   program.signal(SIGTERM);
-  REQUIRE(s.until([&] { return idle.closed; })); // as the listening socket is
+  REQUIRE(s.until([&] { return idle.closed; })); // by then the listening socket is closed too
   CHECK_FALSE(program.ended());
   s.cache.say(value.substr(2 << 20));
   REQUIRE(s.until([&] { return client.closed; }));
@@ -313,8 +319,9 @@
   CHECK(program.code == 0);
 }
 
-// guards: a refused call taken for the end of the node's connection: the answer was cut off while its node still gave
-TEST_CASE("a system that refuses to splice: an answer that passes comes whole all the same") {
+// Guards against a rejected call taken for the end of the server's connection, which truncated the
+// response while the server was still sending.
+TEST_CASE("a system that rejects splice: forwarded responses are complete") {
   const std::string value(3 << 20, 'v');
   const std::size_t first = 1 << 20;
   for (const int error : {EINVAL, ENOSYS, EPERM}) {
@@ -325,9 +332,10 @@
     s.cache.script = [&](const http::Message&) { return head + value.substr(0, first); };
     Program program({"serve"}, s.config(), {}, {{SYS_splice, SYS_sendfile, SYS_tee}, error});
     Client client(s.base.get(), s.port(program));
-    for (const char* id : {"r1", "r2"}) { // the one that finds out, and one after it
+    for (const char* id : {"r1", "r2"}) { // the request that detects the rejected call and one after it
       client.send(get("/k/1", id));
-      // Its client has taken all: what comes next finds nothing before it and goes from socket to socket.
+      // The client has read everything: the following bytes have nothing buffered before them and are
+      // spliced.
       REQUIRE(s.until([&] { return client.come() == first; }));
       s.cache.say(value.substr(first));
       const std::size_t before = client.answers.size();
@@ -342,28 +350,29 @@
   }
 }
 
-// guards: a router that stops with whoever reads its log
-TEST_CASE("a log that nobody reads holds up no request") {
+// Guards against a router that blocks when the reader of its log does.
+TEST_CASE("a log pipe that is not read does not block requests") {
   Service s;
   Program program({"serve"}, s.config());
   const int port = s.port(program);
   program.stop_reading();
   int served = 0;
-  for (int i = 0; i < 400; ++i) { // a line each, far more than the pipe holds
+  for (int i = 0; i < 400; ++i) { // each logs a line, far more than the pipe holds
     Client client(s.base.get(), port);
     served += client.ask(get("/k/" + std::to_string(i), "r" + std::to_string(i))).status == 200;
   }
   CHECK(served == 400);
 }
 
-// guards: a process that ends where a file may not grow
-TEST_CASE("a limit on the size of files: bodies that need one are passed on without, and the program lives") {
+// Guards against a process that a failing write to a file ends.
+TEST_CASE(
+    "a limit on the file size: bodies that need a file are streamed without one and the program continues") {
   Service s;
   Folder folder;
   Json config = s.config();
   config["limits"]["memory_mb"] = 16; // 256 KiB of a body are kept in memory
   config["limits"]["body_folder"] = folder.path;
-  config["settings"]["extra"] = {{"mode", "through"}}; // its one node takes writes
+  config["settings"]["extra"] = {{"mode", "through"}}; // the only server accepts writes
   Program program({"serve"}, config);
   Client client(s.base.get(), s.port(program));
   program.limit_files(100000);
@@ -374,7 +383,7 @@
   CHECK_FALSE(program.ended());
 }
 
-// ---- other deployments than the one in service ----
+// ---- other deployments ----
 
 namespace {
 
@@ -385,13 +394,13 @@
 
 } // namespace
 
-TEST_CASE("deployments with other times, sizes and classes start, serve, give up in time and end") {
+TEST_CASE("deployments with other timeouts and sizes and classes start and serve and time out and exit") {
   const std::vector<Deployment> all = {
-      {"aims of 20 ms",
+      {"latency objectives of 20 ms",
        [](Json& f) {
          for (auto& c : f["settings"]["classes"]) c["aim"] = 20, c["give_up"] = 50;
        }},
-      {"give-ups of 30 s",
+      {"timeouts of 30 s",
        [](Json& f) {
          for (auto& c : f["settings"]["classes"]) c["aim"] = 15000, c["give_up"] = 30000;
        }},
@@ -407,7 +416,7 @@
        [](Json& f) {
          f["settings"]["extra"] = {{"mode", "through"}};
        }},
-      {"one class, nothing allowed",
+      {"one class and nothing allowed",
        [](Json& f) {
          f["settings"]["classes"] =
              Json::array({{{"name", "read"}, {"give_up", 1000}, {"repeat", "unsafe"}}});
@@ -428,7 +437,7 @@
          for (int i = 0; i < 1000; ++i)
            f["known"]["endpoints"].push_back(endpoint("x-" + std::to_string(i), address));
        }},
-      {"a second address", [](Json& f) { f["limits"]["sockets"] = 64, f["control"] = "127.0.0.1:0"; }}};
+      {"a control address", [](Json& f) { f["limits"]["sockets"] = 64, f["control"] = "127.0.0.1:0"; }}};
   for (const Deployment& d : all) {
     CAPTURE(d.what);
     Service s;
@@ -445,18 +454,19 @@
       answered += status != 0;
     }
     CHECK(answered == 20);
-    CHECK(served >= 1); // a busy machine may be late for an aim of 20 ms
-    // Its node falls silent: answered by its own time, or at the end at the latest.
+    CHECK(served >= 1); // a busy machine may miss a latency objective of 20 ms
+    // The server stops responding: the request is answered at its timeout, or at the latest before the exit.
     s.cache.script = [](const http::Message&) { return std::string(); };
     const std::size_t before = s.cache.seen.size();
-    client.send(
-        "GET /k/s HTTP/1.1\r\nX-Request-ID: silent\r\nX-Priority-Class: read\r\n\r\n"); // for as long as its class
+    // Without X-Timeout-Ms the timeout of its class applies.
+    client.send("GET /k/s HTTP/1.1\r\nX-Request-ID: silent\r\nX-Priority-Class: read\r\n\r\n");
     REQUIRE(s.until([&] { return s.cache.seen.size() > before || client.answers.size() > 20; }));
     program.signal(SIGTERM);
     const double told = loop::now_ms();
     REQUIRE(s.until([&] { return program.ended(); }));
     CHECK(program.code == 0);
-    CHECK(loop::now_ms() - told < 4200); // the platform kills after 3.7 s; the rest is a busy machine's
+    // The platform kills after 3.7 s; the remainder allows for a busy machine.
+    CHECK(loop::now_ms() - told < 4200);
     REQUIRE(s.until([&] { return client.answers.size() == 21 || client.closed; }));
     REQUIRE(client.answers.size() == 21);
     CHECK(client.answers.back().status >= 500);
--- a/tests/net/raw_client.h
+++ b/tests/net/raw_client.h
@@ -1,4 +1,4 @@
-// A client by plain system calls, for the order of events to be forced.
+// A client that uses system calls directly, so that a test can force the order of events.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -18,7 +18,8 @@
 
 namespace fernward::tests {
 
-// What it sends and does lies in the router's sockets on return, whether or not a loop runs.
+// On return from send(), close() and reset() their effect is in the router's socket, whether or not an event
+// loop runs.
 class Raw {
  public:
   explicit Raw(int port, const std::string& text = "") : fd_(socket(AF_INET, SOCK_STREAM, 0)) {
@@ -33,7 +34,7 @@
   ~Raw() { leave(); }
   Raw(const Raw&) = delete;
 
-  void send(const std::string& text) { // all of it, or as much as the sockets take
+  void send(const std::string& text) { // all of it, or as much as the socket buffers accept
     for (std::size_t at = 0; at < text.size();) {
       const auto n = ::send(fd_, text.data() + at, text.size() - at, MSG_NOSIGNAL | MSG_DONTWAIT);
       if (n <= 0) return;
@@ -47,7 +48,7 @@
     loop::reset_on_close(fd_);
     leave();
   }
-  // What has come; the parser holds an answer that is not whole.
+  // Reads what has arrived. The parser keeps an incomplete response.
   void look() {
     char bytes[65536];
     for (;;) {
@@ -68,8 +69,8 @@
     }
   }
   std::vector<http::Message> answers;
-  std::string told;                    // as it came
-  bool closed = false, broken = false; // broken: by a reset
+  std::string told;                    // all bytes, unparsed
+  bool closed = false, broken = false; // broken: the connection was reset
 
  private:
   int fd_;
--- a/tests/net/scripted_discovery.h
+++ b/tests/net/scripted_discovery.h
@@ -1,5 +1,5 @@
-// A discovery service whose every step a test decides: it keeps all calls in the order they came and answers the one
-// that the test names, at the moment and with the bytes that the test chooses.
+// A discovery service that a test controls step by step. It records all calls in the order of their arrival
+// and answers the call that the test names, at the moment and with the bytes that the test chooses.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -22,9 +22,9 @@
 
 class ScriptedDiscovery {
  public:
-  // One request of the router, in the order in which they came.
+  // One request of the router.
   struct Call {
-    std::size_t connection; // its number, in the order of accepting
+    std::size_t connection; // number in the order of accepting
     std::string target;
     double asked_at_ms;
     bool answered = false;
@@ -38,7 +38,7 @@
     }
   };
 
-  // Port 0: any free one.
+  // Port 0: any free port.
   explicit ScriptedDiscovery(event_base* base, int port = 0) : base_(base), port_(port) {
     listen();
     address = "127.0.0.1:" + std::to_string(port_);
@@ -47,13 +47,14 @@
   ScriptedDiscovery(const ScriptedDiscovery&) = delete;
   ScriptedDiscovery& operator=(const ScriptedDiscovery&) = delete;
 
-  // Sends an answer. As much as the socket takes lies in the router's on return, before any loop runs.
+  // Sends an answer. On return, as much as the socket accepts is in the router's socket, before any event
+  // loop runs.
   void reply(std::size_t call, const std::string& bytes) {
     calls.at(call).answered = true;
     reply_part(call, bytes);
   }
 
-  // Sends a part of an answer; the rest may follow by reply() or never.
+  // Sends a part of an answer. The remainder may follow by reply() or never.
   void reply_part(std::size_t call, const std::string& bytes) { send(connection_of(call), bytes); }
 
   void close(std::size_t call) { close_connection(calls.at(call).connection); }
@@ -67,7 +68,7 @@
     connection.io.reset();
   }
 
-  // From now on connections are refused; those which are open stay so.
+  // New connections are refused; open ones stay open.
   void stop_listening() {
     if (listener_ != nullptr) evconnlistener_free(std::exchange(listener_, nullptr));
   }
@@ -87,7 +88,7 @@
     port_ = ntohs(where.sin_port);
   }
 
-  // The router holds the call's connection open, and so does this side.
+  // Both sides hold the call's connection open.
   bool is_open(std::size_t call) const { return is_open(*connections_.at(calls.at(call).connection)); }
 
   std::size_t open_connections() const {
@@ -103,7 +104,7 @@
         calls.begin(), calls.end(), [](const Call& call) { return call.asks_for_whole_list(); }));
   }
 
-  // The most calls that came within any second.
+  // Maximum number of calls received within any period of one second.
   std::size_t most_calls_in_a_second() const {
     constexpr double kSecondMs = 1000;
     std::size_t most = 0, first = 0;
@@ -117,8 +118,8 @@
   std::string address;
   std::vector<Call> calls;
   std::size_t most_open_connections = 0;
-  std::function<void(std::size_t call)> on_call;             // as soon as it has come
-  std::function<void(std::size_t connection)> on_connection; // as soon as it is accepted
+  std::function<void(std::size_t call)> on_call;             // when a call is complete
+  std::function<void(std::size_t connection)> on_connection; // when a connection is accepted
 
  private:
   static constexpr int kBacklog = 64;
@@ -126,7 +127,7 @@
   struct Connection {
     ScriptedDiscovery* discovery;
     std::size_t number;
-    loop::BuffereventPtr io; // none once it is closed
+    loop::BuffereventPtr io; // null when closed
     http::Parser parser{http::Kind::Request};
   };
 
--- a/tests/net/settings_faults_test.cpp
+++ b/tests/net/settings_faults_test.cpp
@@ -1,5 +1,6 @@
-// A deployment's settings with one fault each, on the program as it is started: it ends with 1 and one line that names the
-// key. Guards: a router that starts on nonsense, or crashes on it, and an operator who can't tell which key is at fault.
+// Settings with one fault each, given to the program as a separate process: it exits with 1 and prints one
+// line that names the key. Guards against a router that starts or crashes with invalid settings, and against
+// errors that don't name the invalid key.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 
 namespace {
 
-// Other classes, effects and limits than the tests' usual ones.
+// Valid settings with other classes, features and limits than in the other tests.
 Json variant() {
   return Json::parse(R"({"balancers": 5, "me": 2, "my_zone": 1, "dcs": ["quay", "hill"], "tick": 10,
     "kinds": ["small", "large", "store"], "over_share_worth": 0.3,
@@ -35,7 +36,7 @@
     "resize": {"settle": 1000, "ledger_multiple": 2, "second_holder": 0.1}})");
 }
 
-// `/classes/0/give_up` as the program names it: settings.classes[0].give_up
+// The program's name for a JSON pointer: settings.classes[0].give_up for `/classes/0/give_up`.
 std::string named(const std::string& path) {
   std::string name = "settings";
   for (std::size_t at = 0; at < path.size();) {
@@ -76,7 +77,7 @@
   refused(settings, path);
 }
 
-// `told`: the key that the line names, where that is the list and not its entry.
+// `expected_path`: the path that the error names, if that is the list and not its entry; empty: `path`.
 void refused_with(const std::string& path, const std::vector<Json>& values, const std::string& told = "") {
   for (const Json& value : values) {
     Json settings = variant();
@@ -93,9 +94,10 @@
 
 } // namespace
 
-TEST_CASE("settings of another deployment are taken, also without what may be left out") {
+TEST_CASE("settings of another deployment are accepted also without optional keys") {
   CHECK(checked(variant()).first == 0);
-  // With defaults: docs/operators/config.md and README.md; a list of kinds, zones or tenants may be empty.
+  // These keys have defaults, see docs/operators/config.md and README.md. A list of kinds, zones or tenants
+  // may be empty.
   for (const char* path : {"/me",
                            "/my_zone",
                            "/dcs",
@@ -145,7 +147,7 @@
   }
 }
 
-TEST_CASE("a key of the settings that is needed and is not there is named") {
+TEST_CASE("a missing required key of the settings is named in the error") {
   for (const char* path : {"/balancers", "/classes/0/name", "/classes/0/give_up", "/classes/0/repeat",
                            "/classes/1/repeat", "/classes/2/give_up", "/parties/1/name", "/extra/origin_kind",
                            "/limits", "/limits/max_attempts", "/obligations"}) {
@@ -157,7 +159,7 @@
   refused_with("/classes", {nullptr, Json::array()});
 }
 
-TEST_CASE("a key of the settings with the wrong type, or out of its range, is named") {
+TEST_CASE("a key of the settings with a wrong type or a value out of range is named in the error") {
   const std::vector<Json> no_amount = {-0.5, 1e301}, no_share = {-0.1, 1.5};
   for (const char* path :
        {"/tick", "/classes/0/give_up", "/classes/0/aim", "/classes/0/aim_stretch", "/classes/0/worth",
@@ -172,11 +174,11 @@
     refused_with(path, no_share);
   }
   for (const char* path :
-       {"/balancers", "/classes/0/max_attempts", "/limits/max_attempts"}) { // counts from 1 on
+       {"/balancers", "/classes/0/max_attempts", "/limits/max_attempts"}) { // counts of at least 1
     refused_with(path, kNoNumber);
     refused_with(path, {0, -1, 2.5, 4294967296.0, 1e301});
   }
-  for (const char* path : {"/my_zone", "/extra/origin_kind"}) { // places in a list
+  for (const char* path : {"/my_zone", "/extra/origin_kind"}) { // indexes into a list
     refused_with(path, kNoNumber);
     refused_with(path, {-1, 0.5, 3, 4294967295.0, 4294967296.0, 1e301});
   }
@@ -205,7 +207,7 @@
   }
   for (const char* path : {"/dcs", "/kinds", "/telemetry/columns"})
     refused_with(path + std::string("/0"), kNoWord, path);
-  for (const char* path : {"/classes/1/name", "/parties/1/name"}) { // none, and that of the one before
+  for (const char* path : {"/classes/1/name", "/parties/1/name"}) { // empty, or the previous entry's name
     refused_with(path, {"", path[1] == 'c' ? "glance" : "desk"});
   }
 }
