--- a/tests/net/stories_test.cpp
+++ b/tests/net/stories_test.cpp
@@ -1,5 +1,5 @@
-// Stories of the router over loopback sockets against scripted peers: one for each failure that was met or
-// that the protocol warns of. No story needs tight timing.
+// Tests of the router over loopback sockets against scripted peers, one for each failure that was observed or
+// that the protocol warns of. No test depends on tight timing.
 #include <doctest/doctest.h>
 
 #include <sys/resource.h>
@@ -8,7 +8,8 @@
 
 #include "peers.h"
 
-// In place of the C library's, for libevent's calls too: a want of this machine's that no limit of a process brings about.
+// Replaces the C library's connect(), also for libevent: simulates shortages of this machine that no process
+// limit can produce.
 static int connect_fails = 0;
 extern "C" int connect(int fd, const sockaddr* to, socklen_t size) {
   if (connect_fails != 0) {
@@ -22,7 +23,7 @@
 using namespace fernward::tests;
 using fernward::AttemptResult;
 
-TEST_CASE("a hit: what was asked is passed on unchanged, and so is what was answered") {
+TEST_CASE("cache hit: request and response are forwarded unchanged") {
   World w;
   w.caches(
       [](const http::Message&) { return ok("value", "Content-Type: text/x\r\nX-Server-Load: queue=1\r\n"); });
@@ -41,7 +42,8 @@
   CHECK(std::stoi(std::string(seen.header("x-timeout-ms"))) > 0);
 }
 
-TEST_CASE("a miss goes to the origin, on connections that are used again") { // guards: a connection a request
+// Guards against a new connection for each request.
+TEST_CASE("a cache miss is fetched from the origin over reused connections") {
   World w;
   w.caches([](const http::Message&) { return kMiss; });
   Client client = w.client();
@@ -55,10 +57,10 @@
   CHECK(w.two.connections <= 1);
 }
 
-TEST_CASE("a write goes to the origin, with its key and its body") {
+TEST_CASE("a write is sent to the origin with its idempotency key and body") {
   World w;
   Client client = w.client();
-  const std::string value("v\0\r\n\xff", 5); // any bytes
+  const std::string value("v\0\r\n\xff", 5); // arbitrary bytes
   CHECK(client.ask(put("/k/1", "w1", value)).body == "from origin /k/1");
   REQUIRE(w.origin.seen.size() == 1);
   CHECK(w.origin.seen[0].method == "PUT");
@@ -67,10 +69,11 @@
   CHECK(w.one.seen.size() + w.two.seen.size() == 0);
 }
 
-TEST_CASE("what never ran is asked elsewhere: refused connections and requests turned away") {
+// A refused connection and a response with X-Not-Processed both show that the request did not run.
+TEST_CASE("a request that was not processed is retried at another endpoint") {
   World w;
   SUBCASE("refused") { w.one.refuse(); }
-  SUBCASE("turned away") {
+  SUBCASE("not processed") {
     w.one.script = [](const http::Message&) { return kTurnedAway; };
   }
   Client client = w.client();
@@ -78,9 +81,10 @@
     CHECK(client.ask(get("/k/" + std::to_string(i), std::to_string(i))).status == 200);
 }
 
-TEST_CASE("a write whose connection breaks after it was sent is not refused as if it had not run") {
-  World
-      w; // keyed, dropped by all: it may be repeated, and a refusal is harmless, but nothing is served of it
+TEST_CASE("a write whose connection closes after sending is not answered as not processed") {
+  // The class is keyed and the key is known to all endpoints: the write may be retried and a rejection does
+  // no harm, but no response may be served.
+  World w;
   w.origin.script = [](const http::Message&) { return std::string("!"); };
   Client client = w.client();
   const auto answer = client.ask(put("/k/1", "w1", "v"));
@@ -89,7 +93,8 @@
   for (const auto& seen : w.origin.seen) CHECK(seen.header("idempotency-key") == "k-w1");
 }
 
-TEST_CASE("an answer that was cut off is never passed on") { // guards: invented or shortened values
+// Guards against invented or shortened values.
+TEST_CASE("a truncated response is never forwarded") {
   World w;
   const Peer::Script cut = [](const http::Message&) {
     return std::string("!HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
@@ -100,11 +105,11 @@
   const auto answer = client.ask(get("/k/1", "r1"));
   CHECK(answer.status >= 500);
   CHECK(answer.body.find("half") == std::string::npos);
-  CHECK_FALSE(answer.header("retry-after").empty()); // given up on: when to come back
+  CHECK_FALSE(answer.header("retry-after").empty());
 }
 
-TEST_CASE(
-    "a pooled connection that its target has closed is not written to") { // guards: resets of what could run
+// Guards against resets of requests that a new connection would serve.
+TEST_CASE("an idle connection that its server has closed is not reused") {
   World w;
   Client client = w.client();
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
@@ -112,11 +117,11 @@
   w.one.hang_up();
   w.two.hang_up();
   CHECK(client.ask(get("/k/1", "r2")).status == 200);
-  CHECK(w.sent() == before + 1); // one attempt sufficed
+  CHECK(w.sent() == before + 1); // a single attempt
 }
 
-TEST_CASE(
-    "bytes that nobody asked for end an idle connection") { // guards: answers handed to the wrong request
+// Guards against responses delivered to the wrong request.
+TEST_CASE("unexpected bytes close an idle connection") {
   World w;
   Client client = w.client();
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
@@ -126,7 +131,9 @@
   CHECK(client.ask(get("/k/1", "r2")).body == "from cache /k/1");
 }
 
-TEST_CASE("a draining target gets nothing new, and its idle connections end") { // guards: the third rule
+// Guards against requests to a server after discovery has reported it as draining (the third protocol
+// rule).
+TEST_CASE("a draining server receives no new requests and its idle connections are closed") {
   World w;
   Client client = w.client();
   for (int i = 0; i < 20; ++i) client.ask(get("/k/" + std::to_string(i), std::to_string(i)));
@@ -139,20 +146,21 @@
   CHECK(w.one.seen.size() == before);
 }
 
-TEST_CASE("a watch is asked again at once, from the version it told") { // guards: a watch that lapses
+// Guards against a gap between two watches.
+TEST_CASE("the next watch starts immediately from the received index") {
   World w;
   REQUIRE(w.tell(node_list(9, false, {})));
   CHECK(w.discovery.seen.back().target.find("since=9&") != std::string::npos);
   CHECK(w.discovery.connections == 1);
 }
 
-TEST_CASE("damaged discovery: the last list stays, and the whole one is asked for") {
+TEST_CASE("a damaged discovery answer: the last list stays in force and a snapshot is requested") {
   World w;
   REQUIRE(w.until([&] { return w.watched(); }));
   SUBCASE("not JSON") { w.discovery.say(ok("<html>")); }
   SUBCASE("not HTTP") { w.discovery.say("garbage\r\n\r\n"); }
-  SUBCASE("a status") { w.discovery.say(status(500)); }
-  SUBCASE("cut off") { w.discovery.say("!HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"); }
+  SUBCASE("an error status") { w.discovery.say(status(500)); }
+  SUBCASE("truncated body") { w.discovery.say("!HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"); }
   const std::size_t before = w.discovery.seen.size();
   REQUIRE(w.until([&] { return w.discovery.seen.size() > before; }));
   CHECK(w.discovery.seen[before].target == "/v1/endpoints");
@@ -160,9 +168,10 @@
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
 }
 
-TEST_CASE("not ready before there is a usable list, then ready") {
+TEST_CASE("the router is not ready until it has a usable endpoint list") {
   World w([](Json& file) { file["known"] = node_list(1, true, {}); });
-  w.discovery.script = [](const http::Message&) { return std::string(); }; // silent at first
+  // Discovery does not answer at first.
+  w.discovery.script = [](const http::Message&) { return std::string(); };
   Client client = w.client();
   CHECK(client.ask("GET /ready HTTP/1.1\r\n\r\n").status == 503);
   REQUIRE(w.until([&] { return !w.discovery.seen.empty(); }));
@@ -171,7 +180,8 @@
   CHECK(client.ask("GET /ready HTTP/1.1\r\n\r\n").status == 200);
 }
 
-TEST_CASE("silence everywhere: the client is told in time when to come back") { // guards: the first rule
+// Guards against a client request that is not answered in time (the first protocol rule).
+TEST_CASE("no server responds: the client receives 503 with Retry-After before its deadline passes") {
   World w;
   w.caches([](const http::Message&) { return std::string(); });
   w.origin.script = [](const http::Message&) { return std::string(); };
@@ -180,11 +190,13 @@
   const auto answer = client.ask(get("/k/1", "r1"));
   CHECK(answer.status == 503);
   CHECK(std::stod("0" + std::string(answer.header("retry-after"))) > 0);
-  CHECK(loop::now_ms() - asked < 2070); // its deadline, the grace and the slack on sockets
+  CHECK(loop::now_ms() - asked < 2070); // the deadline, the grace period and the tolerance for sockets
 }
 
-TEST_CASE("a client that leaves takes its attempt along") { // guards: exchanges and connections that leak
-  World w([](Json& file) { // so patient that only the client's leaving can end it in the time of a test
+// Guards against leaked requests and connections.
+TEST_CASE("a client disconnect cancels its attempt") {
+  // Timeouts so long that only the client's disconnect can end the request during the test.
+  World w([](Json& file) {
     file["settings"]["classes"][0]["aim"] = file["settings"]["classes"][0]["give_up"] = 100000;
   });
   w.caches([](const http::Message&) { return std::string(); });
@@ -194,17 +206,18 @@
   REQUIRE(w.until([&] { return w.sent() > 0; }));
   CHECK(w.router->driver().unanswered_requests() == 1);
   client.leave();
-  CHECK(w.until([&] { return w.one.open() + w.two.open() == 0; })); // an answer was due: never pooled
+  CHECK(w.until([&] { return w.one.open() + w.two.open() == 0; })); // a response was outstanding: not pooled
   CHECK(w.router->driver().unanswered_requests() == 0);
   CHECK(w.router->driver().attempts_in_flight() == 0);
 }
 
-// Found on a day of few routers: one whose loop had stood still read a request, sent it on, and only then read that its
-// client had gone, 0.3 s before.
-TEST_CASE("a client that has left by the time its request is read: nothing is sent on for it") {
+// Found in a simulation with few routers: a router whose event loop had been blocked read a request,
+// forwarded it, and only then read that the client had disconnected 0.3 s before.
+TEST_CASE("a request whose client has disconnected before it is read is not forwarded") {
   World w;
   const std::string far_behind = get("/k/2", "r2", "X-Pad: " + std::string(15000, 'p') + "\r\n");
-  const auto leave = [&](const std::string& bytes, bool reset) { // all of it before the router's loop turns
+  // Everything is in the socket before the router's event loop runs.
+  const auto leave = [&](const std::string& bytes, bool reset) {
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in where{};
     where.sin_family = AF_INET;
@@ -215,21 +228,21 @@
     if (reset) loop::reset_on_close(fd);
     close(fd);
   };
-  SUBCASE("its end came with the request") { leave(get("/k/1", "r1"), false); }
+  SUBCASE("the end of the connection arrives with the request") { leave(get("/k/1", "r1"), false); }
   SUBCASE("a reset") { leave(get("/k/1", "r1"), true); }
-  SUBCASE("its end stands behind more than is read ahead") {
+  SUBCASE("the end is behind more bytes than the router reads ahead") {
     leave(get("/k/1", "r1") + far_behind + far_behind + far_behind, false);
   }
-  SUBCASE("its end came with a write") { leave(put("/k/1", "r1", "value"), false); }
+  SUBCASE("the end of the connection arrives with a write") { leave(put("/k/1", "r1", "value"), false); }
   Client after = w.client();
-  for (int i = 0; i < 3; ++i) { // what came before these has been worked on
+  for (int i = 0; i < 3; ++i) { // afterwards the router has handled everything that was received before
     CHECK(after.ask("GET /ready HTTP/1.1\r\n\r\n").status == 200);
   }
   CHECK(w.sent() == 0);
-  CHECK(after.ask(get("/k/3", "r3")).status == 200); // and nobody else is held up by it
+  CHECK(after.ask(get("/k/3", "r3")).status == 200); // other clients are not delayed
 }
 
-TEST_CASE("two requests in one write are answered in their order") {
+TEST_CASE("two pipelined requests are answered in order") {
   World w;
   Client client = w.client();
   client.send(get("/k/1", "r1") + get("/k/2", "r2"));
@@ -238,7 +251,7 @@
   CHECK(client.answers.at(1).body == "from cache /k/2");
 }
 
-TEST_CASE("bad input is answered, ends the connection and goes no further") {
+TEST_CASE("an invalid request is rejected and closes the connection without being forwarded") {
   World w;
   const auto request = [](const std::string& headers) { return "GET /k HTTP/1.1\r\n" + headers + "\r\n"; };
   const std::vector<std::pair<std::string, int>> table = {
@@ -247,7 +260,7 @@
       {request("X-Request-ID: r\r\nX-Priority-Class: unheard-of\r\n"), 400},
       {request("X-Request-ID: r\r\nX-Priority-Class: read\r\nX-Timeout-Ms: soon\r\n"), 400},
       {"PUT /k HTTP/1.1\r\nX-Request-ID: r\r\nX-Priority-Class: book\r\nContent-Length: 1\r\n\r\nv",
-       400}, // no key
+       400}, // no idempotency key
       {request("X-Request-ID: r\r\nX-Request-ID: r\r\nX-Priority-Class: read\r\n"), 400},
       {request("X-Request-ID: r\r\nX-Priority-Class: read\r\nX-Priority-Class: book\r\n"), 400},
       {request("X-Request-ID: r\r\nX-Priority-Class: read\r\nX-Timeout-Ms: 5\r\nX-Timeout-Ms: 900\r\n"), 400},
@@ -269,7 +282,7 @@
   CHECK(w.sent() == 0);
 }
 
-TEST_CASE("a full exchange table sheds by itself, with advice") {
+TEST_CASE("requests over the limit of active requests are shed with Retry-After") {
   World w([](Json& file) { file["settings"]["limits"]["open_cap"] = 1; });
   w.caches([](const http::Message&) { return std::string(); });
   Client first = w.client(), second = w.client();
@@ -280,8 +293,9 @@
   CHECK_FALSE(answer.header("retry-after").empty());
 }
 
-TEST_CASE("a full table of client connections makes room among the idle") { // guards: locked-out clients
-  World w([](Json& file) { file["limits"]["sockets"] = 64; });              // 9 client connections
+// Guards against clients that can't connect.
+TEST_CASE("a full table of client connections closes idle ones for new clients") {
+  World w([](Json& file) { file["limits"]["sockets"] = 64; }); // 9 client connections
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 30; ++i) {
     clients.push_back(std::make_unique<Client>(w.base.get(), w.router->port()));
@@ -289,8 +303,8 @@
   }
 }
 
-// guards: connections that are never used again, in all the places that clients may have
-TEST_CASE("clients that ask once and keep the connection leave room for those to come") {
+// Guards against connections that are never used again and occupy every place that clients may have.
+TEST_CASE("clients that keep a connection after one request don't lock out new clients") {
   World w([](Json& file) { file["limits"]["sockets"] = 128; }); // clients hold at most 42 for requests
   Client regular = w.client();
   std::vector<std::unique_ptr<Client>> kept;
@@ -301,7 +315,7 @@
       kept.push_back(std::make_unique<Client>(w.base.get(), w.router->port()));
       served += kept.back()->ask(get("/k/1", std::to_string(i))).status == 200;
     } else {
-      ++unsent; // it has no connection left to send it on
+      ++unsent; // no connection is left to send it on
     }
     CHECK(regular.ask(get("/k/1", "regular" + std::to_string(i))).status == 200);
     run_for(w.base.get(), 2);
@@ -311,15 +325,17 @@
   CHECK_FALSE(regular.closed);
 }
 
-TEST_CASE(
-    "who comes often keeps the connection while a crowd passes") { // guards: those that rest a little longer
+// Guards against closing the connections of regular clients that were idle slightly longer than those of
+// new ones.
+TEST_CASE("frequently used connections stay open while many new clients connect") {
   World w([](Json& file) { file["limits"]["sockets"] = 64; });
   std::vector<std::unique_ptr<Client>> often, crowd;
   for (int i = 0; i < 4; ++i) often.push_back(std::make_unique<Client>(w.base.get(), w.router->port()));
   int number = 0, lost = 0;
   for (int round = 0; round < 12; ++round) {
     for (auto& client : often) CHECK(client->ask(get("/k/1", "o" + std::to_string(number++))).status == 200);
-    // As many as the table has places, between two requests of the others; they stay, or are told to go.
+    // Between two requests of the regular clients, more new clients than the table has places for. They stay
+    // connected until the router closes them.
     for (int i = 0; i < (round == 0 ? 0 : 25); ++i) {
       std::erase_if(crowd, [](const auto& c) { return c->closed; });
       crowd.push_back(std::make_unique<Client>(w.base.get(), w.router->port()));
@@ -330,22 +346,23 @@
   for (const auto& client : often) CHECK_FALSE(client->closed);
 }
 
-TEST_CASE("descriptors that clients hold beyond their share come back to the targets") {
-  World w([](Json& file) { file["limits"]["sockets"] = 64; }); // 40 places, 30 at most for one side
+TEST_CASE("descriptors that clients hold beyond their share are returned to upstream connections") {
+  World w([](Json& file) { file["limits"]["sockets"] = 64; }); // 40 connections, at most 30 for one side
   w.caches([](const http::Message&) { return std::string(); });
   w.origin.script = w.one.script;
   std::vector<std::unique_ptr<Client>> silent, busy;
   for (int i = 0; i < 30; ++i) silent.push_back(std::make_unique<Client>(w.base.get(), w.router->port()));
-  run_for(w.base.get(), 150); // long enough to see that they say nothing
+  run_for(w.base.get(), 150); // long enough to find that they send nothing
   CHECK(w.router->listener().connections() == 30);
-  for (int i = 0; i < 15; ++i) { // takes a client's place and a target's each
+  for (int i = 0; i < 15; ++i) { // each needs a downstream and an upstream connection
     busy.push_back(std::make_unique<Client>(w.base.get(), w.router->port()));
     busy.back()->send(get("/k/" + std::to_string(i), std::to_string(i)));
     CHECK(w.until([&] { return w.sent() == static_cast<std::size_t>(i + 1); }));
   }
 }
 
-TEST_CASE("the id of a request that another client waits for is refused") { // guards: answers mixed up
+// Guards against responses delivered to the wrong client.
+TEST_CASE("a request ID that is already active is rejected") {
   World w;
   w.caches([](const http::Message&) { return std::string(); });
   Client first = w.client(), second = w.client();
@@ -356,11 +373,12 @@
   REQUIRE(w.until([&] { return !first.answers.empty(); }));
   CHECK(first.answers[0].body == "of the first");
   w.caches([](const http::Message&) { return ok("v"); });
-  CHECK(w.client().ask(get("/k/2", "r1")).status == 200); // it is free again
+  CHECK(w.client().ask(get("/k/2", "r1")).status == 200); // the ID can be used again
 }
 
-// guards: bad clients that use up, five times over, the retries others need
-TEST_CASE("a request that a cache node rejects is not asked again") {
+// Guards against invalid requests that use up, at five attempts each, the retry budget that other clients
+// need.
+TEST_CASE("a request that a cache rejects with 400 is not retried") {
   World w;
   w.caches([](const http::Message&) { return status(400); });
   w.origin.script = [](const http::Message&) { return status(400); };
@@ -369,8 +387,8 @@
   CHECK(w.sent() == 1);
 }
 
-TEST_CASE(
-    "a client that says nothing, or half of something, is let go") { // guards: descriptors held for nothing
+// Guards against descriptors held by connections without a request.
+TEST_CASE("a client that sends nothing or an incomplete request is disconnected") {
   World w;
   const double begun = loop::now_ms();
   Client silent = w.client(), half = w.client(), second = w.client();
@@ -386,7 +404,7 @@
   CHECK(second.answers[1].status == 408);
 }
 
-TEST_CASE("hundreds of requests at once on a connection: a few are served, then it ends") {
+TEST_CASE("a connection with hundreds of pipelined requests serves a few and is closed") {
   World w;
   Client client = w.client();
   std::string all;
@@ -398,9 +416,9 @@
   CHECK(w.sent() <= 5);
 }
 
-TEST_CASE(
-    "requests that have not come whole are bounded all together") { // guards: a router killed for memory
-  World w([](Json& file) { file["limits"]["memory_mb"] = 8; });     // 1 MB for them
+// Guards against a router killed for its memory use.
+TEST_CASE("the memory of all incomplete requests together is limited") {
+  World w([](Json& file) { file["limits"]["memory_mb"] = 8; }); // 1 MB for them
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 40; ++i) {
     clients.push_back(std::make_unique<Client>(w.base.get(), w.router->port()));
@@ -414,15 +432,16 @@
   CHECK(shed() < 30);
 }
 
-TEST_CASE("silent connections give way to a client that asks") { // guards: clients locked out by a crowd
-  World w([](Json& file) { file["limits"]["sockets"] = 64; });   // 20 client connections
+// Guards against clients locked out by many silent connections.
+TEST_CASE("silent connections are closed in favor of a client that sends a request") {
+  World w([](Json& file) { file["limits"]["sockets"] = 64; }); // 20 client connections
   std::vector<std::unique_ptr<Client>> crowd;
   for (int i = 0; i < 30; ++i) crowd.push_back(std::make_unique<Client>(w.base.get(), w.router->port()));
   Client client = w.client();
   CHECK(client.ask(get("/k/1", "r1")).status == 200);
 }
 
-TEST_CASE("winding down: what was taken is answered, and each connection ends in time") {
+TEST_CASE("graceful shutdown: accepted requests are answered and all connections close in time") {
   World w;
   std::string held;
   w.caches([](const http::Message&) { return std::string(); });
@@ -432,7 +451,7 @@
   REQUIRE(w.until([&] { return w.sent() > 0; }));
   Peer& cache = w.one.seen.empty() ? w.two : w.one;
   w.router->begin_shutdown();
-  Client late = w.client(); // clients still come
+  Client late = w.client(); // new clients are still accepted
   CHECK(late.ask("GET /ready HTTP/1.1\r\n\r\n").status == 503);
   cache.say(ok("late"));
   REQUIRE(w.until([&] { return busy.closed && idle.closed && late.closed; }));
@@ -440,7 +459,7 @@
   CHECK(busy.answers[0].body == "late");
 }
 
-// ---- the pool of upstream connections on its own ----
+// ---- the upstream connection pool without a router ----
 
 namespace {
 
@@ -484,7 +503,7 @@
   figures::Figures figures{{"read"}};
   std::vector<AttemptResult> endings;
   proxy::AttemptCompletion last;
-  bool waits = true; // the request of every attempt
+  bool waits = true; // whether the requests of all attempts are still active
   int connections_seen = 0;
   Peer peer{base.get(), [](const http::Message&) { return ok("v"); }};
   std::unique_ptr<upstream::ConnectionPool> pool;
@@ -494,10 +513,12 @@
 
 } // namespace
 
-TEST_CASE("a connection that comes up after its target drained sends nothing") { // guards: the third rule
+// Guards against requests to a server after discovery has reported it as draining (the third protocol
+// rule).
+TEST_CASE("a connection established after its server began draining sends nothing") {
   PoolWorld w;
   REQUIRE(w.start(1) == Start::Started);
-  w.list("terminating"); // before the loop has seen the connection come up
+  w.list("terminating"); // before the event loop sees that the connection is established
   CHECK(run_until(w.base.get(), [&] { return !w.endings.empty(); }));
   CHECK(w.endings.at(0) == AttemptResult::ConnectFailed);
   CHECK(w.start(2) == Start::NoEndpoint);
@@ -505,9 +526,10 @@
   CHECK(w.peer.seen.empty());
 }
 
-// Found on full-size days: a booking was refused while its connection to the ledger came up, and written 33 ms later.
+// Found in full-size simulations: a write was rejected while its connection to the origin was being
+// established, and sent 33 ms later.
 TEST_CASE(
-    "a connection that comes up after its request had its final answer sends nothing, and serves the next") {
+    "a connection established after its request was answered sends nothing and serves the next request") {
   PoolWorld w;
   REQUIRE(w.start(1) == Start::Started);
   w.waits = false;
@@ -521,7 +543,7 @@
   CHECK(w.peer.connections == 1);
 }
 
-TEST_CASE("a connection that comes up after its attempt was given up sends nothing, and serves the next") {
+TEST_CASE("a connection established after its attempt was canceled serves the next one") {
   PoolWorld w;
   REQUIRE(w.start(1) == Start::Started);
   w.pool->cancel(1);
@@ -532,42 +554,43 @@
   CHECK(w.peer.connections == 1);
 }
 
-TEST_CASE(
-    "a given-up attempt's connection never serves another") { // guards: the late answer of the one before
+// Guards against the late response of the canceled attempt being taken for that of the next one.
+TEST_CASE("the connection of a canceled attempt is never reused") {
   PoolWorld w;
   w.peer.script = [](const http::Message&) { return std::string(); };
   REQUIRE(w.start(1) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.peer.seen.size() == 1; }));
   w.pool->cancel(1);
   CHECK(w.pool->connections() == 0);
-  CHECK(w.endings.empty()); // the driver knows
+  CHECK(w.endings.empty()); // a canceled attempt is not reported to the dispatcher
   REQUIRE(w.start(2) == Start::Started);
   CHECK(run_until(w.base.get(), [&] { return w.peer.connections == 2; }));
 }
 
-TEST_CASE(
-    "a connection that ended unnoticed is not written to") { // guards: resets where a new one would serve
+// Guards against resets where a new connection would succeed.
+TEST_CASE("a connection whose end has not been read yet is not reused") {
   PoolWorld w;
   REQUIRE(w.start(1) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
   w.peer.hang_up();
-  REQUIRE(w.start(2) == Start::Started); // before the loop has seen the end
+  REQUIRE(w.start(2) == Start::Started); // before the event loop sees the end of the connection
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 2; }));
   CHECK(w.endings[1] == AttemptResult::Ok);
   CHECK(w.peer.connections == 2);
 }
 
-// guards: requests written to connections that their target closed in silence; good ones closed for a bad
-// neighbour
+// Guards against requests written to connections that their server has dropped without notice, and against
+// closing the connections of other servers for it.
 TEST_CASE(
-    "a target that closes in silence after 300 ms of rest is found out, its neighbour keeps its "
-    "connections") {
+    "a server that drops idle connections after 300 ms is detected and another server's connections stay "
+    "open") {
   PoolWorld w;
   Peer neighbour(w.base.get(), [](const http::Message&) { return ok("v"); });
   w.table.apply(node_list(2, true, {endpoint("s-1", w.peer.address), endpoint("s-2", neighbour.address)}));
   w.pool->update_endpoints(w.table.targets());
-  double answered_at =
-      0; // the peer closes at the next request, as if it had closed before: nothing is seen till then
+  // The server closes its connection when the next request arrives, as if it had closed earlier: until then
+  // the pool can't detect it.
+  double answered_at = 0;
   w.peer.script = [&](const http::Message&) {
     const double rest = loop::now_ms() - std::exchange(answered_at, loop::now_ms());
     return rest < 300 || w.peer.seen.size() == 1 || w.peer.connections > w.connections_seen
@@ -589,26 +612,26 @@
     run_for(w.base.get(), 350);
     CHECK(ask("s-2") == AttemptResult::Ok);
   }
-  CHECK(ask("s-1") != AttemptResult::Ok); // the first after a rest of a second
+  CHECK(ask("s-1") != AttemptResult::Ok); // the first after an idle time of a second
   int resets = 0;
   for (int i = 0; i < 6; ++i) {
     run_for(w.base.get(), 320);
     resets += ask("s-1") == AttemptResult::Reset;
     CHECK(ask("s-2") == AttemptResult::Ok);
   }
-  MESSAGE("of 6 requests after a rest of 320 ms " << resets
-                                                  << " were written to a connection closed in silence");
+  MESSAGE("of 6 requests after an idle time of 320 ms "
+          << resets << " were written to a connection closed without notice");
   CHECK(resets <= 2);
   CHECK(w.pool->resets_after_idle() == static_cast<std::uint64_t>(resets) + 1);
   CHECK(w.peer.connections <= 7);
   CHECK(neighbour.connections == 1);
-  for (int i = 0; i < 3; ++i) { // after short rests the first one's connection is used on
+  for (int i = 0; i < 3; ++i) { // after short idle times the connection of the first server is reused
     const int before = w.peer.connections;
     run_for(w.base.get(), 50);
     CHECK(ask("s-1") == AttemptResult::Ok);
     CHECK(w.peer.connections == before);
   }
-  w.list("in_service", 5); // a new start: nothing is held against it
+  w.list("in_service", 5); // a restart: the detected idle limit is forgotten
   w.peer.script = [](const http::Message&) { return ok("v"); };
   CHECK(ask("s-1") == AttemptResult::Ok);
   const int before = w.peer.connections;
@@ -617,8 +640,8 @@
   CHECK(w.peer.connections == before);
 }
 
-TEST_CASE(
-    "an ending tells whether its connection had rested") { // guards: targets ejected for closed connections
+// Guards against ejecting a server that only closed an idle connection.
+TEST_CASE("an attempt result reports whether its connection was reused and how long it was idle") {
   PoolWorld w;
   REQUIRE(w.start(1) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
@@ -633,11 +656,11 @@
   CHECK(w.last.idle_ms < 5000);
 }
 
-// guards: requests to a process that has gone, or to a stranger at its old address
-TEST_CASE("a target that goes on at another address gets nothing new at the old one") {
+// Guards against requests to a process that has exited, or to a different process at its old address.
+TEST_CASE("a server that moved to another address receives no new requests at the old one") {
   PoolWorld w;
   Peer moved(w.base.get(), [](const http::Message&) { return ok("v"); });
-  SUBCASE("while a request is at work there") {
+  SUBCASE("while a request is active there") {
     w.peer.script = [](const http::Message&) { return std::string(); };
     REQUIRE(w.start(1) == Start::Started);
     REQUIRE(run_until(w.base.get(), [&] { return w.peer.seen.size() == 1; }));
@@ -646,7 +669,7 @@
     REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
     CHECK(w.endings[0] == AttemptResult::Ok);
   }
-  SUBCASE("while a connection there is coming up") {
+  SUBCASE("while a connection there is being established") {
     REQUIRE(w.start(1) == Start::Started);
     w.list("in_service", 0, moved.address);
     REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
@@ -660,7 +683,7 @@
   CHECK(moved.seen.size() == 1);
 }
 
-TEST_CASE("a target that was started anew gets nothing more on a connection to the process before") {
+TEST_CASE("connections to the previous incarnation of a server are not reused") {
   PoolWorld w;
   w.peer.script = [](const http::Message&) { return std::string(); };
   REQUIRE(w.start(1) == Start::Started);
@@ -674,8 +697,8 @@
   CHECK(w.peer.connections == 2);
 }
 
-// Its machine takes the first packet and says nothing: a queue of connections that is full looks the same.
-TEST_CASE("a connection that never comes up is given up in its time, and its place comes back") {
+// The server's machine drops the first packet without an answer; a full accept queue has the same effect.
+TEST_CASE("a connection attempt times out and returns its descriptor") {
   upstream::ConnectionPoolOptions options;
   options.connect_timeout_ms = 80;
   PoolWorld w(10, options);
@@ -704,7 +727,7 @@
   close(deaf);
 }
 
-TEST_CASE("a connection that comes up after its attempt was given up rests, and serves the next") {
+TEST_CASE("a connection established after its attempt was canceled stays idle for the next one") {
   PoolWorld w;
   REQUIRE(w.start(1) == Start::Started);
   w.pool->cancel(1);
@@ -717,8 +740,8 @@
   CHECK(w.peer.connections == 1);
 }
 
-// guards: sound targets ejected for what this machine lacks
-TEST_CASE("without a local port an attempt is moot, a target without a way to it could not be reached") {
+// Guards against ejecting healthy servers for a shortage on this machine.
+TEST_CASE("without a local port an attempt ends with LocalLimit and without a route with NoEndpoint") {
   PoolWorld w;
   connect_fails = EADDRNOTAVAIL;
   const Start no_port = w.start(1);
@@ -731,8 +754,8 @@
   CHECK(w.account->used(descriptors::Side::Upstream) == 0);
 }
 
-// guards: a booking that waits a minute for a node that is not there any more
-TEST_CASE("a target that takes nothing more of a body is given up, and never ran it") {
+// Guards against a write that waits a minute for a server that no longer exists.
+TEST_CASE("a server that stops reading a request body times out as not processed") {
   upstream::ConnectionPoolOptions options;
   options.silent_ms = 100;
   PoolWorld w(10, options);
@@ -758,28 +781,29 @@
   const double begun = loop::now_ms();
   REQUIRE(w.pool->start(1, endpoints::id_of("s-1"), call, loop::now_ms() + 60000) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
-  CHECK(w.endings[0] == AttemptResult::ConnectFailed); // its last byte never left
+  CHECK(w.endings[0] == AttemptResult::ConnectFailed); // the last byte of the body was never sent
   CHECK(loop::now_ms() - begun >= 100);
   CHECK(w.pool->connections() == 0);
   CHECK(w.peer.seen.empty());
 }
 
-// What a node says before it closes; whether the request may have run by then is the class's to judge.
-TEST_CASE("a node that closes at the worst moment: served elsewhere, or failed as its class says, once") {
+// The table lists what a server sends before it closes. Whether the request may have run by then, the
+// class decides.
+TEST_CASE("a server that closes its connection at any moment: retried or failed once as the class requires") {
   const std::string whole = ok("v");
   const std::vector<std::pair<const char*, std::string>> moments = {
-      {"at once", "!"},
+      {"on receipt", "!"},
       {"after 100", "!HTTP/1.1 100 Continue\r\n\r\n"},
       {"in the status line", "!HTTP/1.1 2"},
       {"between head and body", "!HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n"},
       {"before the last byte", "!HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nva"},
       {"before the last chunk", "!HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nv\r\n"},
-      {"with the answer whole", "!" + whole},
-      {"with bytes behind it", "!" + whole + "more"},
-      {"saying so", "!HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nv"}};
+      {"after the complete response", "!" + whole},
+      {"with bytes behind the response", "!" + whole + "more"},
+      {"with Connection: close", "!HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nv"}};
   for (const auto& [when, wire] : moments) {
     for (const char* cls : {"read", "book", "once"}) {
-      for (const bool rested : {false, true}) { // the first on its connection, or one that is used again
+      for (const bool rested : {false, true}) { // on a new or a reused connection
         CAPTURE(when);
         CAPTURE(cls);
         CAPTURE(rested);
@@ -811,7 +835,8 @@
           CHECK(answer.body == body);
           CHECK(w.sent() == before + (came_whole ? 1 : 2));
         } else {
-          CHECK(answer.status == 502); // it may have run: not sent again, and no word that it has not
+          // The request may have run: it is not retried and not reported as not processed.
+          CHECK(answer.status == 502);
           CHECK(w.sent() == before + 1);
         }
         CHECK(client.ask(text("r2")).status == 200);
@@ -822,7 +847,7 @@
   }
 }
 
-TEST_CASE("a full pool is told, not waited for") {
+TEST_CASE("a full connection pool reports LocalLimit instead of queueing") {
   PoolWorld w(1);
   w.peer.script = [](const http::Message&) { return std::string(); };
   REQUIRE(w.start(1) == Start::Started);
@@ -830,11 +855,12 @@
   REQUIRE(run_until(w.base.get(), [&] { return w.peer.seen.size() == 1; }));
   w.peer.say(ok("v"));
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
-  CHECK(w.start(3) == Start::Started); // on the same connection
+  CHECK(w.start(3) == Start::Started); // on the connection that is now idle
   CHECK(w.pool->opened() == 1);
 }
 
-TEST_CASE("out of descriptors an attempt is moot, not its target's fault") { // guards: sound targets ejected
+// Guards against ejecting healthy servers for a shortage on this machine.
+TEST_CASE("without a free descriptor an attempt ends with LocalLimit") {
   PoolWorld w;
   rlimit before{};
   REQUIRE(getrlimit(RLIMIT_NOFILE, &before) == 0);
@@ -846,7 +872,8 @@
   CHECK(w.start(2) == Start::Started);
 }
 
-TEST_CASE("a silent break is a reset, as it may have run, and an early answer ends the connection") {
+// A close without a response is reported as a reset because the request may have run.
+TEST_CASE("a close without a response is a reset and bytes behind a response close the connection") {
   PoolWorld w;
   w.peer.script = [](const http::Message&) { return std::string("!"); };
   REQUIRE(w.start(1) == Start::Started);
@@ -856,21 +883,24 @@
   REQUIRE(w.start(2) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 2; }));
   CHECK(w.endings[1] == AttemptResult::Ok);
-  CHECK(w.pool->connections() == 0); // bytes behind the answer: not pooled
+  CHECK(w.pool->connections() == 0); // bytes followed the response: not pooled
 }
 
-// guards: spoilt answers told as breaks, which eject sound targets, or their connections used again
-TEST_CASE("an answer that can't be read is an error, and its connection is not used again") {
+// Guards against malformed responses reported as resets, which eject healthy servers, and against reuse of
+// their connections.
+TEST_CASE("a malformed response is an error and its connection is not reused") {
   PoolWorld w;
   std::string spoilt;
   SUBCASE("noise") { spoilt = "\x01\x02\x03 noise\r\n\r\n"; }
-  SUBCASE("a head that never ends") { spoilt = "HTTP/1.1 200 OK\r\nA: " + std::string(70000, 'a'); }
-  SUBCASE("a length below zero") { spoilt = "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello"; }
+  SUBCASE("a header without end") { spoilt = "HTTP/1.1 200 OK\r\nA: " + std::string(70000, 'a'); }
+  SUBCASE("a negative Content-Length") { spoilt = "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello"; }
   SUBCASE("another protocol") { spoilt = "HTTP/1.1 101 Switching\r\n\r\n"; }
-  SUBCASE("two lengths") {
+  SUBCASE("two Content-Length headers") {
     spoilt = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!";
   }
-  SUBCASE("three gigabytes") { spoilt = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello"; }
+  SUBCASE("a Content-Length of 3 GB") {
+    spoilt = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello";
+  }
   w.peer.script = [&](const http::Message&) { return spoilt; };
   REQUIRE(w.start(1) == Start::Started);
   REQUIRE(run_until(w.base.get(), [&] { return w.endings.size() == 1; }));
@@ -878,7 +908,8 @@
   CHECK(w.pool->connections() == 0);
 }
 
-TEST_CASE("a load report that can't be read is dropped, its answer is served") { // guards: good answers lost
+// Guards against lost valid responses.
+TEST_CASE("a malformed load report is ignored and the response is forwarded") {
   World w;
   w.caches([](const http::Message&) {
     return "HTTP/1.1 103 Early\r\nA: b\r\n\r\n" + ok("value", "X-Server-Load: \x01\x7f=\x02\xff\r\n");
@@ -887,7 +918,8 @@
   CHECK(w.sent() == 1);
 }
 
-TEST_CASE("nothing stays of a target that is gone") { // guards: memory that grows with each new cache node
+// Guards against memory that grows with each new cache.
+TEST_CASE("the pool keeps no state of a removed server") {
   PoolWorld w;
   w.peer.script = [](const http::Message&) { return std::string(); };
   REQUIRE(w.start(1) == Start::Started);
@@ -899,7 +931,8 @@
   CHECK(w.pool->pooled_endpoints() == 0);
 }
 
-TEST_CASE("a spoilt answer of the origin is asked for again, and the client served") { // guards: lost worth
+// Guards against requests that fail although a retry succeeds.
+TEST_CASE("a malformed response of the origin is retried and the client served") {
   World w;
   w.caches([](const http::Message&) { return kMiss; });
   w.origin.script = [&](const http::Message& m) {
@@ -913,8 +946,8 @@
   CHECK(w.origin.seen.size() == 20);
 }
 
-TEST_CASE(
-    "a request that the module passes over is answered as failed at its deadline") { // guards: the first rule
+// Guards against a client request that is never answered (the first protocol rule).
+TEST_CASE("a request that the balancer ignores fails at its deadline") {
   struct Clients : proxy::DownstreamConnections {
     void send_response(loop::Handle, proxy::ClientResponse response) override {
       kinds.push_back(response.kind);
@@ -936,7 +969,7 @@
                                   config.settings, w.bytes, {});
   driver.attach(clients, *w.pool);
   proxy::ClientRequest call;
-  call.class_index = 99; // the module knows no such class, and says nothing
+  call.class_index = 99; // unknown to the balancer, which then makes no decision
   call.timeout_ms = 50;
   REQUIRE(driver.open_request(1, call) != 0);
   CHECK(run_until(w.base.get(), [&] { return driver.unanswered_requests() == 0; }));
@@ -944,8 +977,8 @@
   CHECK(clients.kinds[0] == proxy::ClientResponse::Kind::Failed);
 }
 
-TEST_CASE(
-    "a crowd of half-written requests keeps no whole one out") { // guards: places held by what never becomes whole
+// Guards against connection places held by requests that never become complete.
+TEST_CASE("many incomplete requests do not lock out a complete one") {
   World w([](Json& file) { file["limits"]["sockets"] = 96; });
   std::vector<std::unique_ptr<Client>> crowd;
   for (int i = 0; i < 150; ++i) {
@@ -957,6 +990,6 @@
     Client client = w.client();
     const double begun = loop::now_ms();
     CHECK(client.ask(get("/k/" + std::to_string(i), "r" + std::to_string(i))).status == 200);
-    CHECK(loop::now_ms() - begun < 1800); // sooner than the crowd's time is over
+    CHECK(loop::now_ms() - begun < 1800); // before the incomplete requests time out
   }
 }
--- a/tests/net/uploads_test.cpp
+++ b/tests/net/uploads_test.cpp
@@ -1,4 +1,4 @@
-// Stories of requests with long bodies: where they are kept, and what is sent once more.
+// Requests with long bodies: where the bodies are stored, and which requests are retried.
 #include <doctest/doctest.h>
 #include <signal.h>
 #include <sys/resource.h>
@@ -37,13 +37,14 @@
     char name[] = "/tmp/fernward-bodies-XXXXXX";
     path = mkdtemp(name);
   }
-  ~Folder() { rmdir(path.c_str()); } // which works where nothing is left in it
+  ~Folder() { rmdir(path.c_str()); } // fails if files are left in it
   std::string path;
 };
 
 enum class Where { Memory, File, Passing };
 
-// A body of 400 KB is kept in memory of 64 MB or more, else in a file where there is a folder, else not at all.
+// A body of 400 KB is stored in memory if the limit is 64 MB or more, otherwise in a file if there is a
+// folder, otherwise it is only streamed.
 struct Uploads {
   explicit Uploads(
       Where where, std::function<void(Json&)> change = [](Json&) {})
@@ -55,7 +56,7 @@
               {{"name", "once"}, {"aim", 900}, {"give_up", 2000}, {"repeat", "unsafe"}, {"worth", 1}});
           change(file);
         }) {}
-  // All of it was given back, and no file has a name.
+  // Waits until all memory, files and attempts are released.
   bool clean() {
     return w.until([&] {
       return w.router->kept().memory_bytes() + w.router->kept().file_bytes() +
@@ -74,7 +75,7 @@
 
 } // namespace
 
-TEST_CASE("a long body reaches its target byte for byte, wherever it is kept") {
+TEST_CASE("a long body reaches its server byte for byte wherever it is stored") {
   const std::string whole = value_of(6 * kMb);
   for (const Where where : {Where::Memory, Where::File, Where::Passing}) {
     Uploads u(where);
@@ -104,7 +105,7 @@
         CHECK(answer.body == "from origin /k/1");
         CHECK(answer.keep_alive);
         CHECK(client.ask(get("/k/2", id + "-next")).status ==
-              200); // the next request's bytes were not touched
+              200); // the bytes of the next request are intact
         REQUIRE(u.w.origin.seen.size() == before + 1);
         CHECK(is_whole(u.w.origin, before, value));
         CHECK(u.w.origin.seen[before].header("idempotency-key") == "k-" + id);
@@ -114,12 +115,13 @@
   }
 }
 
-// guards: a booking sent twice, or given up although it could be sent again
-TEST_CASE("a target that dies: what is sent once more follows the class, the key's window and what is kept") {
+// Guards against a write that is sent twice, or that fails although it could be retried.
+TEST_CASE(
+    "a server that closes its connection: retries depend on the class and the window and the stored body") {
   struct Row {
     Where where;
     const char* cls;
-    bool half; // it dies after half of the body: the request has not run; else after all of it
+    bool half; // closes after half of the body, so that the request has not run; otherwise after all of it
     int attempts;
   };
   for (const Row& row : std::initializer_list<Row>{
@@ -151,12 +153,12 @@
     REQUIRE(client.answers.size() == 1);
     CHECK((client.answers[0].status == 200) == (row.attempts == 2));
     CHECK(u.w.origin.connections == row.attempts);
-    for (const auto& m : u.w.origin.seen) CHECK((m.body == value)); // never a part of it
+    for (const auto& m : u.w.origin.seen) CHECK((m.body == value)); // never a partial body
     CHECK(u.clean());
   }
 }
 
-TEST_CASE("a key whose window has passed is not sent again") {
+TEST_CASE("a write is not retried after its idempotency window") {
   Uploads u(Where::File, [](Json& file) { file["settings"]["classes"][1]["window"] = 100; });
   const std::string value = value_of(400000);
   u.w.origin.script = [](const http::Message&) { return std::string(); };
@@ -170,7 +172,8 @@
   CHECK(u.w.origin.seen.size() == 1);
 }
 
-TEST_CASE("faults of the disk: the body still gets there, once") { // guards: a full disk that stops bookings
+// Guards against a full disk that blocks writes.
+TEST_CASE("disk failures: the body is still sent exactly once") {
   const std::string value = value_of(2 * kMb);
   rlimit before{};
   REQUIRE(getrlimit(RLIMIT_FSIZE, &before) == 0);
@@ -179,9 +182,9 @@
   Where where = Where::File;
   std::string elsewhere;
   SUBCASE("no folder") { elsewhere = "/nonexistent/folder"; }
-  SUBCASE("no folder that can be written to") { elsewhere = "/proc"; }
-  SUBCASE("full at once") { limited = true; }
-  SUBCASE("the folder goes away while a body is in it") { gone = again = true; }
+  SUBCASE("a folder without write access") { elsewhere = "/proc"; }
+  SUBCASE("no space left") { limited = true; }
+  SUBCASE("the folder is removed while a body is in it") { gone = again = true; }
   Uploads u(where, [&](Json& file) {
     file["limits"]["body_folder_mb"] = 64;
     if (!elsewhere.empty()) file["limits"]["body_folder"] = elsewhere;
@@ -189,25 +192,25 @@
   int asked = 0;
   if (again)
     u.w.origin.script = [&](const http::Message&) { return ++asked == 1 ? std::string("!") : ok("stored"); };
-  if (limited) { // of the first file a part fits, a write comes back short
+  if (limited) { // the first file is written partly: one write is short
     const rlimit little{700001, before.rlim_max};
     REQUIRE(setrlimit(RLIMIT_FSIZE, &little) == 0);
   }
   Client client = u.w.client();
   client.send(head_of("r1", announced(value.size())) + value.substr(0, kMb));
   REQUIRE(u.w.until([&] { return u.w.origin.body_come > 500000; }));
-  if (gone) CHECK(rmdir(u.folder.path.c_str()) == 0); // nothing in it has a name
+  if (gone) CHECK(rmdir(u.folder.path.c_str()) == 0); // possible because the files in it are unlinked
   client.send(value.substr(kMb));
   u.w.until([&] { return !client.answers.empty() || client.closed; });
   setrlimit(RLIMIT_FSIZE, &before);
   REQUIRE(client.answers.size() == 1);
   CHECK(client.answers[0].status == 200);
-  CHECK(u.w.origin.seen.size() == (again ? 2 : 1)); // from the file that has no folder any more
+  CHECK(u.w.origin.seen.size() == (again ? 2 : 1)); // the retry reads the file, whose folder no longer exists
   for (const auto& m : u.w.origin.seen) CHECK((m.body == value));
   CHECK(u.clean());
 }
 
-TEST_CASE("a client that stops in the middle of a body that flows: the request never becomes whole") {
+TEST_CASE("a client that disconnects in the middle of a streamed body: the request is never completed") {
   for (const Where where : {Where::File, Where::Passing}) {
     Uploads u(where);
     {
@@ -221,30 +224,27 @@
   }
 }
 
-TEST_CASE("a body that does not come in time is answered so, and its attempt ends") {
+TEST_CASE("a body that is not received in time is answered with 408 and its attempt ends") {
   Uploads u(Where::Passing);
   Client client = u.w.client();
   const double begun = loop::now_ms();
   client.send(head_of("r1", announced(kMb)) + value_of(100000));
   REQUIRE(u.w.until([&] { return !client.answers.empty(); }));
   CHECK(client.answers[0].status == 408);
-  CHECK(loop::now_ms() - begun >
-        2000 + 100000 / 256.0 - 100); // longer than for a short one, as much has come
+  CHECK(loop::now_ms() - begun > 2000 + 100000 / 256.0 - 100); // the time limit grows with the bytes received
   CHECK(u.w.until([&] { return u.w.origin.open() == 0 && client.closed; }));
   CHECK(u.w.origin.seen.empty());
   CHECK(u.clean());
 }
 
-TEST_CASE("a target that answers before the body is out") {
+TEST_CASE("a server that responds before the body is sent") {
   Uploads u(Where::Passing);
   const std::string value = value_of(4 * kMb);
   std::string said;
   int status = 0;
-  SUBCASE("413: the request is at fault") { said = http::write_response(413, {}, "", true), status = 502; }
-  SUBCASE("turned away, and what has gone can't be had again") { said = kTurnedAway, status = 503; }
-  SUBCASE("200, for a request that it does not have: never passed on") {
-    said = ok("invented"), status = 503;
-  }
+  SUBCASE("413: the request is invalid") { said = http::write_response(413, {}, "", true), status = 502; }
+  SUBCASE("not processed and the sent part of the body is not stored") { said = kTurnedAway, status = 503; }
+  SUBCASE("200 for an incomplete request: never forwarded") { said = ok("invented"), status = 503; }
   u.w.origin.early = [&](const http::Message&) { return said; };
   u.w.origin.stopped = false;
   Client client = u.w.client();
@@ -259,7 +259,8 @@
   CHECK(u.clean());
 }
 
-TEST_CASE("a target that reads slowly stops the reading from the client") { // guards: memory
+// Guards against unbounded memory use.
+TEST_CASE("a server that reads slowly pauses reading from the client") {
   Uploads u(Where::Passing);
   const std::string value = value_of(8 * kMb);
   u.w.origin.stopped = true;
@@ -268,7 +269,7 @@
   REQUIRE(u.w.until([&] { return u.w.origin.connections == 1; }));
   run_for(u.w.base.get(), 300);
   CHECK(u.w.router->bytes().held() > 0);
-  CHECK(u.w.router->bytes().peak_held() < kMb); // of 8, and of 4 that all may take
+  CHECK(u.w.router->bytes().peak_held() < kMb); // of 8 MB; the limit for all requests is 4 MB
   u.w.origin.read_on();
   REQUIRE(u.w.until([&] { return !client.answers.empty() || client.closed; }));
   REQUIRE(client.answers.size() == 1);
@@ -277,14 +278,14 @@
   CHECK(u.clean());
 }
 
-TEST_CASE("who asks before sending a long body is told to go on, once it is admitted") {
+TEST_CASE("a client with Expect: 100-continue may send its body once the request is admitted") {
   Uploads u(Where::Passing);
   const std::string value = value_of(400000);
   Client client = u.w.client();
   client.send(head_of("r1", announced(value.size()) + "Expect: 100-continue\r\n"));
   run_for(u.w.base.get(), 50);
   CHECK(client.answers.empty());
-  CHECK(client.ask(value).status == 200); // the interim answer is none
+  CHECK(client.ask(value).status == 200); // the interim response is not counted as one
   CHECK(is_whole(u.w.origin, 0, value));
   Client wrong = u.w.client();
   CHECK(wrong.ask(head_of("r2", announced(value.size()) + "Expect: 100-continue\r\n", "unheard-of")).status ==
@@ -294,8 +295,8 @@
   CHECK(u.w.origin.seen.size() == 1);
 }
 
-TEST_CASE(
-    "a head that takes 2 s and a body at 64 kB a second are an honest client's") { // guards: 408 for slow lines
+// Guards against answering 408 to clients on slow links.
+TEST_CASE("a header that takes 2 s and a body at 64 kB per second are accepted") {
   World w;
   const std::string body = value_of(96 << 10), short_body = value_of(60 << 10);
   for (const std::string& what : {short_body, body}) {
