--- a/src/model/arrivals.cpp
+++ b/src/model/arrivals.cpp
@@ -81,8 +81,9 @@
 
 double Arrivals::rate(double now) const { return spec_.load.rate_per_s * shape(now) * factor(now); }
 
-// A Poisson process whose rate changes: candidates at the highest rate of each stretch between two changes,
-// of which those stay that the shape allows. At a change it begins anew, as it has no memory.
+// A Poisson process with a varying rate, by thinning: candidates are drawn at the maximum rate of each period
+// between two rate changes and accepted with the probability that the shape gives. Drawing starts again at
+// each change, which is correct because the process is memoryless.
 std::optional<double> Arrivals::next_time() {
   while (now_ < spec_.duration_ms) {
     const auto change = std::upper_bound(changes_.begin(), changes_.end(), now_);
--- a/src/model/aside.h
+++ b/src/model/aside.h
@@ -1,6 +1,6 @@
-// Which nodes missed for a request: once the origin has answered it, they store the value.
+// Records which nodes had a cache miss for a try: they store the object once the origin has answered.
 //
-// Bounded: what is not fetched is forgotten after the longest time that a client waits.
+// Bounded: entries that are not fetched are removed after `retention_ms`, the longest client timeout.
 #pragma once
 
 #include <array>
@@ -14,7 +14,7 @@
 
 class Aside {
  public:
-  struct Places { // the first two that missed
+  struct Places { // the first two nodes with a miss
     std::array<MachineId, 2> machines{};
     std::uint32_t count = 0;
   };
@@ -22,7 +22,7 @@
   explicit Aside(double forget_ms) : forget_ms_(forget_ms) {}
 
   void missed(double now, TryId try_id, MachineId machine);
-  Places fetched(double now, TryId try_id); // and forgets them
+  Places fetched(double now, TryId try_id); // returns and removes the nodes of the try
   std::size_t size() const { return missed_.size(); }
 
  private:
--- a/src/model/clients.cpp
+++ b/src/model/clients.cpp
@@ -8,12 +8,13 @@
 namespace {
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
-constexpr double kSlackMs = 50; // beyond the routers' grace: an answer on its way still counts
-constexpr double kStopMin = 200, kStopMax = 400; // new connections go on coming to a stopping router
+constexpr double kSlackMs = 50; // added to the routers' grace: a response that is in transit still counts
+constexpr double kStopMin = 200,
+                 kStopMax = 400; // time until a stopping router gets no new connections, in ms
 
 } // namespace
 
-// ---- the front ----
+// ---- front balancer ----
 
 Front::Front(const Spec& spec, const Plan& plan)
     : spec_(spec.front),
@@ -32,7 +33,7 @@
 void Front::up(double now, RouterId router) {
   Seen& seen = seen_[router];
   if (now < seen.until && seen.until != kForever) {
-    seen.until = kForever; // back before it was noticed
+    seen.until = kForever; // recovered before the failure was detected
   } else if (seen.until != kForever) {
     seen = {now + draw_uniform(0, spec_.ready_every_ms, engine_), kForever};
   }
@@ -64,7 +65,7 @@
     if (const auto own = turn(now, in_zone_[client_zone], next_[client_zone], false)) return own;
   }
   if (const auto other = turn(now, all_, next_of_all_, false)) return other;
-  return turn(now, all_, next_of_all_, true); // it has to ask somebody
+  return turn(now, all_, next_of_all_, true); // no router is usable: send to any
 }
 
 // ---- requests ----
@@ -94,7 +95,7 @@
   start.deadline = std::min(start.due + patience, drawn.at + drawn.give_up_ms);
   if (spec_.classes[drawn.cls].repeat == Idempotency::WithKey) start.repeat_key = drawn.request;
   open.waiting = true;
-  // A final answer within the grace is still one, though it earns nothing: the client hears it.
+  // A final response within the grace still ends the try, although it earns nothing.
   open.deadline = start.deadline + spec_.routers.grace_to_answer_ms + kSlackMs;
   open.leaves_at = kForever;
   if (draw_chance(habits.leave_share, habits_)) {
--- a/src/model/discovery.cpp
+++ b/src/model/discovery.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
-constexpr std::size_t kChanges = 4096; // kept for those who ask for changes; older ones get the whole list
+constexpr std::size_t kChanges =
+    4096; // stored changes; an agent that needs older ones gets the complete list
 
 } // namespace
 
@@ -30,10 +31,10 @@
     case Why::Left: after = draw_uniform(spec_.notice_min_ms, spec_.notice_max_ms, notice_); break;
     case Why::Silent: after = draw_uniform(spec_.silent_min_ms, spec_.silent_max_ms, notice_); break;
   }
-  // The list is renewed at whole periods.
+  // The list is updated at multiples of the period.
   double at =
       spec_.period_ms > 0 ? std::ceil((now + after) / spec_.period_ms) * spec_.period_ms : now + after;
-  // Whatever makes it look at the machine, it finds what is true then.
+  // When an earlier change is already due sooner, the list shows the latest state at that time.
   if (const auto known = coming_.find(machine); known != coming_.end()) at = std::min(at, known->second.at);
   coming_[machine] = {at, {machine, state, started_at, 0}};
 }
@@ -82,11 +83,11 @@
     changes_.push_back(entry);
     it = coming_.erase(it);
   }
-  // Lists come in order: one that would be quicker waits for those before it.
+  // Lists are delivered in order: a list with a shorter delay waits for the earlier ones.
   for (auto& way : passing_) way.push_back({now + draw_uniform(0, spec_.spread_ms, spread_), index_});
 }
 
-// What every agent has long had need not be told as a change.
+// Folds the oldest changes, which every agent has received, into the base list.
 void Discovery::trim() {
   const std::uint64_t all_have = *std::min_element(agents_.begin(), agents_.end());
   while (changes_.size() > kChanges && changes_.front().index <= all_have) {
@@ -108,7 +109,7 @@
 Discovery::List Discovery::list_between(std::uint64_t index, std::optional<std::uint64_t> since) const {
   List list;
   list.index = index;
-  // Of a list whose first half alone was folded into the base, the changes are no longer whole.
+  // If only a part of a list's changes was folded into the base, the stored changes are incomplete.
   list.whole = !since || *since < base_index_ || *since > list.index;
   std::map<MachineId, Entry> entries;
   if (list.whole) entries = base_;
--- a/src/model/discovery.h
+++ b/src/model/discovery.h
@@ -1,7 +1,8 @@
-// Discovery's list and what has come of it to each router's agent: late, as lists or changes, or not at all.
+// Discovery's endpoint list, and the version that each router's agent has received: delayed, and none during
+// an outage. An agent provides it as a complete list or as the changes since a version.
 //
-// The caller tells what is true of the machines; the list has it after a while, and each agent later still.
-// An agent answers for its router at once with what it has.
+// The caller reports the actual state of the machines. The list contains it after a delay, and each agent
+// receives it after a further delay. An agent answers its router immediately with the version that it has.
 #pragma once
 
 #include <cstdint>
@@ -22,31 +23,31 @@
     MachineId machine = 0;
     ServerState state = ServerState::Ready;
     double started_at = -1;  // below 0: before the run
-    std::uint64_t index = 0; // of the list that had it first
+    std::uint64_t index = 0; // of the first list that contained this state
   };
   struct List {
     std::uint64_t index = 0;
-    bool whole = true; // machines that are not in it are gone; else: changes alone
+    bool whole = true; // true: machines that are not in the list are gone; false: it contains only changes
     std::vector<Entry> entries;
   };
-  enum class Why { Added, Left, Silent }; // how soon it is noticed
+  enum class Why { Added, Left, Silent }; // determines the delay until the list shows the change
 
-  // The list begins with the machines that are in service at the start, and the origin.
+  // The initial list contains the machines that are in service at the start, and the origin.
   Discovery(const Spec& spec, const Plan& plan);
 
-  // The truth about a machine. A later word about it goes before one that the list has not had yet.
+  // Reports the actual state of a machine. It replaces an earlier change that the list does not show yet.
   void change(double now, MachineId machine, ServerState state, double started_at, Why why);
-  void outage(double now, bool on); // nothing comes to the agents meanwhile, then all of it
+  void outage(double now, bool on); // agents receive nothing during an outage and all updates after it
 
   void advance(double now);
-  double next() const; // infinity: never
+  double next() const; // when advance() must be called; infinity: never
 
   std::uint64_t index(RouterId router) const {
     return agents_[router];
-  } // what its agent has, after advance()
-  // What the agent has that is newer than `since` (none: everything).
+  } // the index that its agent has, as of the last advance()
+  // The agent's entries that are newer than `since`; all of them if `since` is empty.
   List list(RouterId router, std::optional<std::uint64_t> since) const;
-  // The whole list as it was at `index`, which an agent has had.
+  // The complete list at `index`, an index that an agent has had.
   List list_at(std::uint64_t index) const { return list_between(index, std::nullopt); }
 
  private:
@@ -54,7 +55,7 @@
     double at = 0;
     Entry entry;
   };
-  struct Passing { // a list on its way to an agent
+  struct Passing { // a list in transit to an agent
     double at = 0;
     std::uint64_t index = 0;
   };
@@ -65,13 +66,13 @@
 
   DiscoverySpec spec_;
   Engine notice_, spread_;
-  std::map<MachineId, Coming> coming_; // by machine
+  std::map<MachineId, Coming> coming_; // changes that the list does not contain yet
   std::uint64_t index_ = 1;
-  std::map<MachineId, Entry> base_; // as of base_index_; `changes_` are newer
+  std::map<MachineId, Entry> base_; // the list at base_index_; changes_ holds what is newer
   std::uint64_t base_index_ = 1;
   std::deque<Entry> changes_;
   std::vector<std::uint64_t> agents_;
-  std::vector<std::deque<Passing>> passing_; // to each agent
+  std::vector<std::deque<Passing>> passing_; // by agent
   bool out_ = false;
 };
 
--- a/src/model/keys.cpp
+++ b/src/model/keys.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::uint64_t kRankBits = 24;
-constexpr std::uint64_t kHotRanks = (1ull << kRankBits) - 1;     // the topmost ranks belong to hot keys
-constexpr std::uint64_t kPhase = 1, kChangePhase = 2, kSize = 3; // what a number is mixed for
+constexpr std::uint64_t kHotRanks = (1ull << kRankBits) - 1;     // ranks from here downwards are hot keys
+constexpr std::uint64_t kPhase = 1, kChangePhase = 2, kSize = 3; // purpose of a hash
 
 std::vector<double> weights(const KeySpec& keys) {
   std::vector<double> all;
@@ -36,7 +36,7 @@
 std::uint64_t Keys::key(std::uint32_t rank, double now) const {
   std::uint64_t passed = 0;
   if (spec_.drift_per_s > 0 && now > 0) {
-    // Each rank passes on at its own moments, evenly spread.
+    // Each rank is reassigned at its own times; the phases of the ranks are uniformly distributed.
     passed = static_cast<std::uint64_t>(now / 1000 * spec_.drift_per_s + unit(mix(seed_, rank, kPhase)));
   }
   return (passed << kRankBits | rank) + 1;
--- a/src/model/keys.h
+++ b/src/model/keys.h
@@ -1,7 +1,8 @@
-// Which keys are asked for, how large their objects are and when they change.
+// The keys that clients request, the sizes of their objects and the times at which they change.
 //
-// A key's number holds its rank (24 bits, from 0) and how often its rank has passed to a new key; it is never
-// 0. All of this follows from the seed and the key alone, so that every side of a run agrees without asking.
+// A key consists of its rank (24 bits, from 0) and the number of times that the rank was reassigned to a new
+// key; it is never 0. Everything follows from the seed and the key alone, so that all parts of a run agree
+// without communication.
 #pragma once
 
 #include <boost/random/discrete_distribution.hpp>
@@ -17,15 +18,15 @@
   explicit Keys(const Spec& spec);
 
   std::uint64_t draw(double now, Engine& engine);
-  std::uint64_t key(std::uint32_t rank, double now) const; // that bears the rank now
+  std::uint64_t key(std::uint32_t rank, double now) const; // the key that has the rank at time `now`
   double size_bytes(std::uint64_t key) const;
-  // Has it changed at the origin between the two times?
+  // Whether the object changed at the origin between the two times.
   bool changed(std::uint64_t key, double from, double to) const;
-  // Was it, when the run began, among the keys that the nodes then held (OriginSpec::warm_hits)?
+  // Whether the nodes held the key when the run began (OriginSpec::initial_hit_ratio).
   bool held_at_start(std::uint64_t key) const;
   std::uint32_t warm_ranks() const { return warm_ranks_; }
 
-  // A key that nobody asks for until event `number` makes it hot.
+  // A key that is not requested until event `number` makes it hot.
   static std::uint64_t hot_key(std::uint32_t number);
   static std::uint32_t rank_of(std::uint64_t key);
 
--- a/src/model/memory.cpp
+++ b/src/model/memory.cpp
@@ -20,7 +20,7 @@
 }
 
 void Memory::store(double now, std::uint64_t key, double bytes) {
-  drop(key); // its size may be another, and its place in the order is the newest
+  drop(key); // the new object may have another size, and it becomes the newest
   const double size = bytes + overhead_;
   if (!(size <= capacity_)) return;
   auto& by_use = objects_.get<ByUse>();
@@ -28,7 +28,7 @@
     held_ -= by_use.front().bytes;
     by_use.pop_front();
   }
-  if (by_use.empty()) held_ = 0; // sums of fractions leave crumbs
+  if (by_use.empty()) held_ = 0; // discards accumulated rounding errors
   by_use.push_back({key, now, size});
   held_ += size;
 }
--- a/src/model/memory.h
+++ b/src/model/memory.h
@@ -1,4 +1,5 @@
-// What a cache node keeps: objects up to a number of bytes; the longest unused (or kept) is dropped first.
+// The memory of a cache node: stores objects up to a size limit; evicts the least recently used (Lru) or the
+// oldest object (Fifo) first.
 #pragma once
 
 #include <boost/multi_index/hashed_index.hpp>
@@ -16,9 +17,9 @@
  public:
   Memory(double bytes, Evict evict, double expire_ms, double overhead_bytes);
 
-  // When the object was stored, if it is held and has not expired. A look counts as a use.
+  // The time at which the object was stored; nullopt if it is absent or has expired. Counts as a use.
   std::optional<double> find(double now, std::uint64_t key);
-  // An object larger than the whole memory is not kept.
+  // An object larger than the capacity is not stored.
   void store(double now, std::uint64_t key, double bytes);
   void drop(std::uint64_t key);
   void clear();
@@ -35,11 +36,12 @@
   struct ByUse {};
   struct ByKey {};
   using Objects = boost::multi_index_container<
-      Object, boost::multi_index::indexed_by<
-                  boost::multi_index::sequenced<boost::multi_index::tag<ByUse>>, // the next to go in front
-                  boost::multi_index::hashed_unique<
-                      boost::multi_index::tag<ByKey>,
-                      boost::multi_index::member<Object, std::uint64_t, &Object::key>>>>;
+      Object,
+      boost::multi_index::indexed_by<
+          boost::multi_index::sequenced<boost::multi_index::tag<ByUse>>, // the next to be evicted is first
+          boost::multi_index::hashed_unique<
+              boost::multi_index::tag<ByKey>,
+              boost::multi_index::member<Object, std::uint64_t, &Object::key>>>>;
 
   double capacity_;
   Evict evict_;
--- a/src/model/meter.h
+++ b/src/model/meter.h
@@ -1,4 +1,4 @@
-// The sum of what came within the last so many milliseconds, in steps of a 32nd of that time.
+// The sum of the amounts added within a sliding time window, with a resolution of 1/32 of the window.
 #pragma once
 
 #include <array>
--- a/src/model/network.h
+++ b/src/model/network.h
@@ -1,4 +1,4 @@
-// Delays between the parties, and who can reach whom.
+// The network between clients, routers and machines: delays, datagram losses, partitions, silent machines.
 #pragma once
 
 #include <optional>
@@ -13,24 +13,24 @@
  public:
   Network(const Spec& spec, const Plan& plan);
 
-  // Steps that concern the network, Silence and Return of machines among them; others are passed over.
+  // Applies steps that affect the network, including Silence and Return; ignores all others.
   void apply(const Step& step);
 
-  // One way, with this message's jitter.
+  // One-way delays in ms, with the jitter of one message.
   double between(std::uint32_t from_zone, std::uint32_t to_zone);
   double with_client(std::uint32_t client_zone, std::uint32_t router_zone);
-  // A datagram between two routers; none: it is lost.
+  // The delay in ms of a datagram between two routers; nullopt: it is lost.
   std::optional<double> datagram(RouterId from, RouterId to);
-  bool twice(RouterId from, RouterId to); // is the next datagram to be carried twice?
+  bool twice(RouterId from, RouterId to); // whether the next datagram is duplicated
 
-  // Do messages pass? Neither is silent and no cut lies between them.
+  // Whether messages pass: neither side is silent and no partition separates them.
   bool passes(RouterId router, MachineId machine) const;
   bool routers_pass(RouterId from, RouterId to) const;
   bool heard(MachineId machine) const { return !silent_machines_[machine]; }
   bool reachable(RouterId router) const { return !silent_routers_[router]; } // for clients and discovery
 
  private:
-  // What is left to chance once the network's own share and each loss that is on have had theirs.
+  // Probability that a datagram is unaffected by the network's own share and by each enabled loss step.
   double spared(double own, double LossStep::*share, RouterId from, RouterId to) const;
   double base(std::uint32_t from, std::uint32_t to) const { return delay_[from * zones_ + to]; }
 
@@ -39,7 +39,7 @@
   std::vector<double> usual_, delay_; // by pair of zones
   std::vector<std::uint32_t> machine_zone_, router_zone_;
   std::vector<char> silent_machines_, silent_routers_;
-  std::vector<CutStep> cuts_; // that are on
+  std::vector<CutStep> cuts_; // the enabled ones
   std::vector<LossStep> losses_;
   Engine jitter_, datagrams_, copies_;
 };
--- a/src/model/node.cpp
+++ b/src/model/node.cpp
@@ -9,12 +9,13 @@
 namespace {
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
-constexpr double kWarmthSteps = 64; // in which a cold node's capacity rises
-constexpr double kWarmthWork = 0.5; // by requests: it is warm after this share of what it could do meanwhile
-// Chance alone pushes nobody over: so many deviations of the number of requests, and so many requests, are
-// let pass.
+constexpr double kWarmthSteps = 64; // number of steps in which a cold node's capacity rises
+constexpr double kWarmthWork =
+    0.5; // WarmUpMode::Requests: share of the work possible in warm_up_ms that warms a node
+// Random variation alone must not overload a node: this many standard deviations of the number of requests,
+// and as many requests, are added to the limit.
 constexpr double kTipChance = 3;
-constexpr std::size_t kLeases = 4096; // fetches that a node keeps in mind
+constexpr std::size_t kLeases = 4096; // fetches that a node tracks
 
 } // namespace
 
@@ -131,8 +132,9 @@
   }
 }
 
-// All work that reaches a cold node counts, also what it turns away. Its bound is what settings say of a node
-// of its age: routers are not told of a neighbour.
+// All work that reaches a cold node counts, including rejected work. The limit is the capacity that the
+// routers' settings imply for a node of its age. A neighbour does not lower it, because routers are not
+// notified of neighbours.
 void Node::on_arrival(double now, const Attempt& attempt, Acts& acts) {
   if (warm_ || !(kind_.tip_ms > 0)) return;
   work_.add(now, attempt.work_ms);
@@ -148,7 +150,7 @@
 
 // ---- work ----
 
-// Noted as work begins, not at the door: what is turned away has had no effect and may come again.
+// Recorded when work starts, not on arrival: a rejected write has had no effect and may be repeated.
 bool Node::repeated(double now, const Attempt& a) {
   if (!a.write || a.repeat_key == 0 || a.cls >= world_.spec.classes.size()) return false;
   const ClassSpec& cls = world_.spec.classes[a.cls];
@@ -183,14 +185,14 @@
     memory_.drop(key);
     return false;
   }
-  // Whichever node the routers ask for a key is the one that they asked before the run, so it is the one that
-  // held it: the memory is filled as keys are asked for the first time, until it is full.
+  // The node that the routers ask for a key is assumed to be the one that they asked before the run, so it is
+  // the one that held the key. The memory is filled as keys are requested for the first time, until full.
   if (!(unfilled_ > 0) || !world_.keys.held_at_start(key)) return false;
   if (kind_.expire_ms > 0 && now >= kind_.expire_ms * unit(mix(world_.spec.seed, key, place_.id)))
     return false;
   if (world_.keys.changed(key, 0, now)) return false;
-  // As many of the keys that nobody has asked for yet are gone as nodes of the beginning are, and the same
-  // ones whoever is asked: a fleet that shrinks would else lose only what was asked for.
+  // The lost share of the unrequested keys equals the share of initial nodes that have terminated, and the
+  // same keys are lost whichever node is asked. Otherwise a shrinking fleet would lose only requested keys.
   if (const Beginning* b = world_.beginning;
       b != nullptr && unit(mix(world_.spec.seed, key, 0x6c6f7374)) * b->nodes < b->lost)
     return false;
@@ -200,7 +202,7 @@
   return true;
 }
 
-// The first miss of a key takes a lease: its asker fetches; the others are told that a fetch is out.
+// The first miss of a key takes a lease: its router fetches the object. Others get Pending until it expires.
 Ending Node::missed(double now, std::uint64_t key) {
   while (!lease_order_.empty() && (lease_order_.front().until <= now || lease_order_.size() >= kLeases)) {
     const auto found = leases_.find(lease_order_.front().key);
--- a/src/model/origin.cpp
+++ b/src/model/origin.cpp
@@ -9,7 +9,7 @@
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
 
-// As many places as its capacity and service time ask for; the last one may be a part of a core.
+// Capacity times service time (Little's law) gives the number of cores; it may have a fraction.
 double cores(const OriginSpec& o) { return o.capacity_per_s * o.time_ms / 1000; }
 
 } // namespace
@@ -22,7 +22,7 @@
                .waiting = static_cast<std::uint32_t>(
                    std::ceil(spec.origin.capacity_per_s * spec.origin.queue_ms / 1000)),
                .connections = spec.origin.connections,
-               .handshake_ms = 0, // its front takes the handshakes: they cost time, not capacity
+               .handshake_ms = 0, // its front end does the handshakes: they cost time but no capacity
                .error_rate = spec.origin.error_rate,
                .drops_expired = spec.origin.drops_expired,
                .on_cancel = OnCancel::Keep,
--- a/src/model/origin.h
+++ b/src/model/origin.h
@@ -1,4 +1,4 @@
-// The slow store behind the caches: answers reads, carries out writes, goes on with work nobody waits for.
+// The slow store behind the caches: answers reads, executes writes, and completes even cancelled work.
 #pragma once
 
 #include "model/meter.h"
@@ -11,9 +11,9 @@
  public:
   Origin(const Spec& spec, const Machine& machine, Repeats& repeats);
 
-  // Its capacity is this share of the usual from now on; 0: it stalls.
+  // Sets the capacity to this share of the configured one from now on; 0: the origin stalls.
   void slow(double now, double share, Acts& acts);
-  void fall(double now, double down_ms, Acts& acts); // and comes back by itself
+  void fall(double now, double down_ms, Acts& acts); // stops the origin, which recovers by itself
 
  private:
   void begin(double now, Held& held) override;
--- a/src/model/plan.cpp
+++ b/src/model/plan.cpp
@@ -96,7 +96,7 @@
     }
   }
 
-  // ---- picks ----
+  // ---- selection ----
 
   template <typename Id>
   std::vector<Id> part_of(std::vector<Id> all, std::optional<std::uint32_t> count, double share,
@@ -109,7 +109,7 @@
     std::size_t wanted = count ? *count : static_cast<std::size_t>(std::llround(share * size));
     if (!count) wanted = std::max<std::size_t>(wanted, 1);
     wanted = std::min(wanted, all.size());
-    if (random) { // the first `wanted` of a shuffle
+    if (random) { // partial Fisher-Yates shuffle of the first `wanted`
       for (std::size_t i = 0; i < wanted; ++i) {
         boost::random::uniform_int_distribution<std::size_t> at(i, all.size() - 1);
         std::swap(all[i], all[at(picks_)]);
@@ -380,9 +380,9 @@
   const Spec& spec_;
   Engine picks_;
   Plan plan_;
-  std::vector<bool> in_service_; // as the events so far leave it
-  std::uint32_t number_ = 0;     // of the event that is being taken apart
-  double until_ = 0;             // when it ends, for its mark
+  std::vector<bool> in_service_; // by machine, after the events planned so far
+  std::uint32_t number_ = 0;     // of the event that is being planned
+  double until_ = 0;             // when that event ends, for its mark
 };
 
 } // namespace
--- a/src/model/plan.h
+++ b/src/model/plan.h
@@ -1,6 +1,7 @@
-// A Spec made definite: every machine with its number and speed, every event as single steps at times.
+// The plan of a run, made from a Spec: every machine with its number and speed, every event as timed steps.
 //
-// All picks and draws that a scenario leaves to the seed are made here, once: both drivers play the same.
+// All selections and draws that a scenario leaves to the seed are made here, once, so that both drivers run
+// the same plan.
 #pragma once
 
 #include <cstdint>
@@ -13,16 +14,16 @@
 namespace fernward::model {
 
 // Machines are numbered from 0: the groups' nodes in order (each group's `count`, then its `standby`), then
-// the origin where there is one, then the machines that replace others.
+// the origin if there is one, then the machines that replace others.
 struct Machine {
   MachineId id = 0;
-  std::string name;        // as discovery lists it, and the routers' number follows from it
-  std::uint32_t group = 0; // the origin: one beyond the groups
+  std::string name;        // as discovery lists it; the routers derive the endpoint's number from it
+  std::uint32_t group = 0; // of the origin: the index after the last group
   std::uint32_t kind = 0;  // the origin: origin_kind()
   std::uint32_t zone = 0, cell = 0;
-  MachineId address_of = 0; // the machine whose address it has: its own number unless it replaces one
+  MachineId address_of = 0; // the machine whose address it uses: itself unless it replaces another
   double speed = 1;         // of a core, drawn
-  double weight = 1;        // as discovery tells it
+  double weight = 1;        // as published by discovery
   bool at_start = false;    // in service when the run begins
 };
 
@@ -32,42 +33,42 @@
   std::uint32_t zone = 0;
 };
 
-// ---- steps; those of one time are carried out in order ----
+// ---- steps; steps with the same time are executed in order ----
 
 struct NodeStep {
   enum class What { Start, Drain, End, Silence, Return, Neighbour, Bad };
   MachineId machine = 0;
   What what = What::Start;
-  double share = 0;                  // Neighbour: taken from now on. Bad: of the answers from now on
+  double share = 0;                  // from now on. Neighbour: used capacity. Bad: of the responses
   BadAnswer kind = BadAnswer::Error; // Bad
 };
 struct RouterStep {
   enum class What { Kill, Term, Start, Reload, Silence, Return, Pause, Wake };
   RouterId router = 0;
   What what = What::Kill;
-  // Term: it is started this long after its end; below 0: never. (A Kill has its own Start.).
+  // Term: the router is started this long after its exit; below 0: never. A Kill has its own Start step.
   double down_ms = 0;
 };
-struct CutStep {         // messages between a member of `a` and one of `b` are lost while the cut is on
+struct CutStep {         // messages between a member of `a` and one of `b` are lost while it is enabled
   std::uint32_t cut = 0; // its number
   bool on = false;
   std::vector<MachineId> machines_a, machines_b;
   std::vector<RouterId> routers_a, routers_b;
   bool one_way = false; // from `a` to `b`, between routers
 };
-struct LossStep { // of the datagrams that these routers send or get, while it is on
+struct LossStep { // affects the datagrams that these routers send or receive, while it is enabled
   std::uint32_t number = 0;
   bool on = false;
   double share = 0, twice = 0;
   std::vector<RouterId> routers;
 };
-struct LieStep { // what the routers' datagrams say is made false while it is on
+struct LieStep { // the routers' datagrams hold false values while it is enabled
   std::uint32_t number = 0;
   bool on = false;
   LyingRouter how;
   std::vector<RouterId> routers;
 };
-struct LinkStep { // the delay between two zones is this times its usual
+struct LinkStep { // multiplies the default delay between two zones
   std::uint32_t from = 0, to = 0;
   double factor = 1;
 };
@@ -76,16 +77,16 @@
   What what = What::Down;
 };
 struct OriginStep {
-  enum class What { Speed, Fall }; // Speed: its capacity is this share from now on
+  enum class What { Speed, Fall }; // Speed: `factor` is the share of its capacity from now on
   What what = What::Speed;
   double factor = 1, down_ms = 0;
 };
-struct ZoneStep { // clients of the zone: 0 usual, 1 go to other zones, 2 are lost
+struct ZoneStep { // clients of the zone use its routers, use other zones, or are lost
   enum class What { Usual, Move, Lost };
   std::uint32_t zone = 0;
   What what = What::Usual;
 };
-struct MarkStep { // for reports: event `event` of the spec begins or ends here
+struct MarkStep { // for reports: event number `event` of the spec begins or ends
   std::uint32_t event = 0;
   bool begins = true;
 };
@@ -97,8 +98,8 @@
       what;
 };
 
-// Known before the run, as arrivals are drawn ahead.
-struct RateChange { // the rate is multiplied by this between the two times
+// Rate changes are part of the plan because arrivals are drawn in advance.
+struct RateChange { // the rate is multiplied by `factor` between the two times
   double from_ms = 0, to_ms = 0, factor = 1;
 };
 struct HotSpell {
@@ -109,15 +110,15 @@
 struct Plan {
   std::vector<Machine> machines; // by number
   std::vector<RouterPlace> routers;
-  MachineId origin = 0;    // machines.size() where there is none
+  MachineId origin = 0;    // without an origin: the number of the groups' machines
   std::vector<Step> steps; // in order of time
   std::vector<RateChange> rates;
   std::vector<HotSpell> hot;
-  std::vector<double> client_share; // of each zone, sums to 1
-  std::vector<std::uint32_t> idle;  // events that find nobody to happen to
+  std::vector<double> client_share; // by zone; the sum is 1
+  std::vector<std::uint32_t> idle;  // events whose selector matches no machine or router
 };
 
-// The spec must have no faults().
+// Requires that find_spec_errors() finds none.
 Plan make_plan(const Spec& spec);
 
 } // namespace fernward::model
--- a/src/model/processor.cpp
+++ b/src/model/processor.cpp
@@ -21,7 +21,7 @@
 void Processor::add(double now, std::uint32_t job, double work) {
   reach(now);
   const Job added{progress_ + work, job};
-  // Behind those of the same finish that came before: they are popped from the back.
+  // In front of jobs with the same finish: jobs are popped from the back, so earlier ones complete first.
   const auto place = std::lower_bound(jobs_.begin(), jobs_.end(), added,
                                       [](const Job& a, const Job& b) { return a.finish > b.finish; });
   jobs_.insert(place, added);
--- a/src/model/processor.h
+++ b/src/model/processor.h
@@ -1,4 +1,4 @@
-// Jobs that share a processor: all make progress at one rate, which may change at any time.
+// A processor-sharing queue: all jobs progress at the same rate, which may change at any time.
 #pragma once
 
 #include <cstdint>
@@ -8,29 +8,29 @@
 
 class Processor {
  public:
-  // Work that each job gets done in a millisecond, from `now` on.
+  // Sets the work done per millisecond for each job from `now` on.
   void set_rate(double now, double per_job);
   void add(double now, std::uint32_t job, double work);
-  double remove(double now, std::uint32_t job); // the work that is left of it; 0: there is no such job
+  double remove(double now, std::uint32_t job); // returns its remaining work; 0 if there is no such job
 
   std::size_t jobs() const { return jobs_.size(); }
-  double next() const; // when the next job is done at the present rate; infinity: none will be
-  // The job that is done at next(), which the caller has reached.
+  double next() const; // completion time of the next job at the current rate; infinity: none completes
+  // Advances to next_completion_ms() and returns the job that completes then. Requires that there is one.
   std::uint32_t pop();
   // All work done so far, over all jobs.
   double done(double now) const;
 
  private:
   struct Job {
-    double finish; // on the clock of `progress_`
+    double finish; // value of work_per_job_ at which the job is complete
     std::uint32_t id;
   };
   void reach(double now);
 
   double at_ = 0, rate_ = 0;
-  double progress_ = 0; // work done for a job that has been here all the time
+  double progress_ = 0; // work done for a job that has been present since the beginning
   double done_ = 0;
-  std::vector<Job> jobs_; // the next to finish last
+  std::vector<Job> jobs_; // sorted by descending `finish`: the next to complete is last
 };
 
 } // namespace fernward::model
--- a/src/model/record.h
+++ b/src/model/record.h
@@ -1,20 +1,22 @@
-// What a run tells, from three sides: clients, nodes and the origin, and the fleet with its routers.
+// The records of a run, from three sides: the clients; the nodes and the origin; the fleet with its routers.
 //
-// Both drivers emit the same records to one Sink, in order of `at`: in virtual time exactly, on sockets as
-// they are seen. Nothing here is kept: a sink that must remember does so itself and
-// is bounded by what is open, not by the length of the run.
+// Both drivers emit the same records to one Sink, in order of `at`: exact in virtual time, as observed on
+// sockets. The records are not stored here. A sink that needs earlier records stores them itself; its memory
+// is bounded by the number of open requests, not by the length of the run.
 //
 //  - Times are milliseconds from the start of the run.
-//  - `request` numbers what was drawn, from 1; `attempt id`s number arrivals at machines, from 1. Both are
-//    unique within a run. `try_id` is the number behind X-Request-ID: new for each try of a client.
-//  - What a rule is judged by:
-//      one answer, no lost  Tried{taken} and Answered of the same try_id: exactly one by its deadline plus
-//                           the grace; a router that was killed meanwhile (RouterEvent) owes none.
-//      repeats              Arrived, AttemptEnded of the same try_id, against its class's repeat and window;
-//                           Answered{Refused} where an attempt ran or may have.
-//      drains               Told (or at_latest) and Arrived::sent_at of the same router and machine.
-//      cold nodes           NodeEvent{TippedOver, cold}: told_share of 2/3 and more is the routers' doing.
-//      genuine              Answered::genuine.
+//  - `request` numbers the drawn requests from 1; `attempt` numbers the arrivals at machines from 1. Both are
+//    unique within a run. `try_id` is the number in X-Request-ID and is new for each try of a client.
+//  - The records from which each rule is judged:
+//      one_response,         TrySent{accepted} and TryEnded of the same try_id: exactly one response by the
+//      no_lost_requests      deadline plus the grace; a router killed meanwhile (RouterEvent) owes none.
+//      safe_repeats          AttemptArrived and AttemptEnded of the same try_id, compared with the class's
+//                            idempotency and window; TryEnded{Rejected} where an attempt ran or may have run.
+//      drains_respected      EndpointNotified (or notified_at_latest_ms) and AttemptArrived::sent_at of the
+//                            same router and machine.
+//      cold_nodes_protected  NodeEvent{Overloaded, cold}: the routers are responsible if notified_share is
+//                            2/3 or more.
+//      genuine_bodies        TryEnded::genuine.
 #pragma once
 
 #include <cstdint>
@@ -29,71 +31,71 @@
 
 // ---- the client's side ----
 
-// A request that somebody means to make; emitted when it is due, whether or not the rig is on time.
+// A request of the workload; emitted when it is due, whether or not the load generator is on time.
 struct Drawn {
-  double at = 0; // intended send
+  double at = 0; // intended send time
   RequestNumber request = 0;
   std::uint32_t cls = 0, tenant = 0, zone = 0;
   std::uint64_t key = 0;
   bool write = false;
-  bool over_share = false;         // beyond its tenant's quota
-  double work_ms = 0, hint_ms = 0; // hint 0: none is given
+  bool over_share = false;         // above its tenant's quota
+  double work_ms = 0, hint_ms = 0; // hint_ms 0: the request has no cost hint
   double size_bytes = 0;
-  double worth = 0;      // with work, quota and counted_by in it
-  double aim_ms = 0;     // an answer this long after `at` earns the worth
-  double late_share = 0; // and after it this share, until
-  double give_up_ms = 0; // the client's patience over all tries
+  double worth = 0;      // includes the work, the quota and the weight basis
+  double aim_ms = 0;     // a response within this time from `at` earns the full weight
+  double late_share = 0; // a later response earns this share of it
+  double give_up_ms = 0; // the client's timeout over all tries
 };
 
 struct Tried { // one try: the router's machine has accepted its last byte, or will not
   double at = 0;
-  double due = 0;     // when it was meant to be sent
-  double late_ms = 0; // how much later than that the rig began to send it: its own fault, 0 in virtual time
+  double due = 0;     // intended send time
+  double late_ms = 0; // delay of the send caused by the load generator itself; 0 in virtual time
   RequestNumber request = 0;
   TryId try_id = 0;
-  std::uint32_t number = 0; // of the request's tries, from 0
+  std::uint32_t number = 0; // index among the tries of the request, from 0
   RouterId router = 0;
-  bool taken = false; // the router's machine accepted all of it: the router owes an answer
+  bool taken = false; // the router's machine accepted the complete request: the router owes a response
   bool new_connection = false;
-  double deadline = 0;          // absolute; the client waits no longer on this try
+  double deadline = 0;          // absolute time after which the client no longer waits for this try
   std::uint64_t repeat_key = 0; // Idempotency-Key, the same for all tries; 0: none
 };
 
 enum class Heard { // how a try ended for its client
   Served,
   Refused,     // 429, 503
-  Failed,      // any other whole answer
-  Broken,      // the connection ended without a whole answer
-  Unreachable, // no connection came up
+  Failed,      // any other complete response
+  Broken,      // the connection ended before a complete response
+  Unreachable, // no connection was established
   Silence,     // its deadline passed
-  Left,        // the client went away by itself
+  Left,        // the client abandoned it
 };
 
-struct Answered { // one for each try, and one more for each surplus answer
+struct Answered { // one for each try, and one more for each surplus response
   double at = 0;
   RequestNumber request = 0;
   TryId try_id = 0;
   RouterId router = 0;
   Heard heard = Heard::Served;
   double retry_after_ms = 0;
-  bool genuine = true;  // Served: the body is, byte for byte, one that a machine answered this try with
-  bool surplus = false; // the try had its end before
+  bool genuine = true;  // Served: the body is byte for byte one that a machine sent in response to this try
+  bool surplus = false; // the try had already ended
 };
 
-struct Closed { // the end of a request, one for each Drawn
+struct Closed { // the end of a request, one for each DrawnRequest
   double at = 0;
   RequestNumber request = 0;
-  Heard end = Heard::Served; // of the last try
+  Heard end = Heard::Served; // outcome of the last try
   std::uint32_t tries = 0;
   double latency_ms = 0; // from the intended send
-  double earned = 0;     // of the worth
+  double earned = 0;     // part of the priority weight that the response earned
 };
 
 // ---- machines (nodes and the origin) ----
 
-struct Arrived { // an attempt of which the last byte has come
+struct Arrived { // a machine has received the last byte of an attempt
   double at = 0;
-  double sent_at = 0; // its first byte left the router
+  double sent_at = 0; // when its first byte left the router
   AttemptId attempt = 0;
   MachineId machine = 0;
   TryId try_id = 0;
@@ -101,8 +103,8 @@
   std::uint32_t cls = 0;
   std::uint64_t key = 0, repeat_key = 0;
   bool write = false;
-  bool told = false; // the router had been told of the machine's present start, or it has none within the run
-  double work_ms = 0; // that it asks of this machine
+  bool told = false;  // the router was notified of the machine's latest start, or it did not start in the run
+  double work_ms = 0; // work that the attempt requires of this machine
 };
 
 struct Begun {
@@ -113,19 +115,19 @@
 
 enum class Ending {
   Hit,     // a read answered from memory, or by a node of a fleet without an origin
-  Miss,    // not in memory: the router goes to the origin
-  Pending, // the same while another fetch of the key is out
+  Miss,    // not in memory: the router sends the request to the origin
+  Pending, // a miss while another fetch of the key is in progress
   Fetched, // the origin answered a read
-  Written, // a write was carried out
-  Repeat,  // a repeat of a keyed write: dropped, answered as the first
+  Written, // a write was executed
+  Repeat,  // a repeat of a keyed write: not executed, answered like the first one
   Error,
-  Full,     // turned away, never ran: no room
-  Draining, // the same as the node drains
-  Overdue,  // the same as its time was up
-  Dropped,  // nobody waited for it any more: not begun, or stopped
-  Lost,     // the machine ended with it
+  Full,     // rejected without running: the queue is full
+  Draining, // rejected without running: the node is draining
+  Overdue,  // rejected without running: its deadline has passed
+  Dropped,  // cancelled by the router: not started, or stopped
+  Lost,     // the machine terminated before the attempt ended
 };
-// Did it, or may it have, had an effect?
+// Whether an attempt with this outcome had an effect or may have had one.
 inline bool may_have_run(Ending e) {
   return !(e == Ending::Full || e == Ending::Draining || e == Ending::Overdue || e == Ending::Miss ||
            e == Ending::Pending);
@@ -137,16 +139,16 @@
   MachineId machine = 0;
   Ending ending = Ending::Hit;
   bool begun = false;
-  bool wanted = true;                  // somebody still waited for it
-  double waited_ms = 0, worked_ms = 0; // time before it began; work it took, on a standard core
+  bool wanted = true;                  // the router still waited for it
+  double waited_ms = 0, worked_ms = 0; // time before it started; work done for it, on a standard core
 };
 
-struct LoadSample { // every ReportSpec::period_ms or so, and not less often than each second
+struct LoadSample { // about every ReportSpec::period_ms, at least once a second
   double at = 0;
   MachineId machine = 0;
   std::uint32_t in_work = 0, waiting = 0, connections = 0;
-  double used = 0;     // share of the present capacity, since the last sample
-  double capacity = 1; // share of the whole that it has at present (cold start, neighbour, crowding)
+  double used = 0;     // used share of the available capacity since the last sample
+  double capacity = 1; // available share of the full capacity (slow start, neighbour, congestion)
   double memory_bytes = 0;
   double new_connections = 0; // since the last sample
 };
@@ -156,8 +158,8 @@
   double at = 0;
   MachineId machine = 0;
   What what = What::Started;
-  bool cold = false;     // TippedOver
-  double told_share = 0; // TippedOver: of the work that pushed it, from routers that knew of its start
+  bool cold = false;     // Overloaded
+  double told_share = 0; // Overloaded: share of the work that came from routers notified of its start
 };
 
 // ---- routers and the fleet ----
@@ -169,39 +171,40 @@
   What what = What::Started;
 };
 
-// What a router that shares says and holds, once a second; virtual time alone: on sockets its log and figures
-// have it.
+// State of a router with sharing enabled, once a second. Emitted in virtual time only: on sockets the
+// router's log and statistics hold the same values.
 struct Shared {
   double at = 0;
   RouterId router = 0;
-  double living = 0, heard = 0; // routers; those others whose word counts now
-  double demand = 0, limit = 0; // of its own, at the origin
-  double part = 0;              // that follows from what is shared; 0: nothing does
+  double living = 0, heard = 0; // living routers; other routers whose reports are valid now
+  double demand = 0, limit = 0; // its own demand and limit at the origin
+  double part = 0;              // part that follows from shared reports; 0: none
 };
 
-struct Told { // discovery wrote this to the router; Cached: it started with it
+struct Told { // discovery sent this state to the router; cached: the router loaded it at its start
   double at = 0;
   RouterId router = 0;
   MachineId machine = 0;
   ServerState state = ServerState::Ready;
   double started_at = 0; // the machine's last start; below 0: before the run
   bool cached = false;
-  bool deemed = false; // not written to it, but it counts as told: DiscoverySpec::at_latest_ms have passed
+  bool deemed = false; // not sent, but counts as notified: DiscoverySpec::notified_at_latest_ms have passed
 };
 
 struct Mark {
   double at = 0;
-  std::uint32_t event = 0; // of Spec::events
+  std::uint32_t event = 0; // index in Spec::events
   bool begins = true;
 };
 
-struct RouterLog { // a line of the decision module, or of the router's standard error where it is kept
+struct
+    RouterLog { // a log line of the decision module, or of the router's standard error where it is captured
   double at = 0;
   RouterId router = 0;
   const char* text = ""; // valid during the call
 };
 
-// Takes records as they come; the ones it has no use for it leaves as they are.
+// Receives records as they are emitted. The default implementations ignore them.
 class Sink {
  public:
   virtual ~Sink() = default;
--- a/src/model/repeats.cpp
+++ b/src/model/repeats.cpp
@@ -7,7 +7,7 @@
 bool Repeats::seen(double now, std::uint64_t group, std::uint64_t repeat_key, double window_ms) {
   while (!order_.empty() && (order_.front().until <= now || order_.size() >= most_)) {
     const auto found = until_.find(order_.front().key);
-    // A later note of the same key has a place of its own in the order.
+    // A later entry of the same key has its own position in the order.
     if (found != until_.end() && found->second <= order_.front().until) until_.erase(found);
     order_.pop_front();
   }
--- a/src/model/repeats.h
+++ b/src/model/repeats.h
@@ -1,6 +1,6 @@
-// Keyed writes that were carried out lately, by the machines that discard repeats together.
+// The idempotency keys of recently started writes, by group of machines that drop duplicates together.
 //
-// Bounded: a key is forgotten when its window is over, and the oldest one where there are too many.
+// Bounded: a key is removed after its window, and the oldest one when there are more than `max_keys`.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
  public:
   explicit Repeats(std::size_t most = 1u << 18) : most_(most) {}
 
-  // True: it was begun within the window, by a machine of that group. Else it is noted as begun now.
+  // True: a machine of the group started this write within the window. Otherwise records it as started now.
   bool seen(double now, std::uint64_t group, std::uint64_t repeat_key, double window_ms);
   std::size_t size() const { return until_.size(); }
 
@@ -29,7 +29,7 @@
   std::deque<Noted> order_;
 };
 
-// The machines that discard a class's repeats together, as a number.
+// Number of the group of machines that drop duplicates of a class together.
 std::uint64_t repeat_group(IdempotencyScope scope, const Machine& machine);
 
 } // namespace fernward::model
--- a/src/model/rng.cpp
+++ b/src/model/rng.cpp
@@ -13,7 +13,7 @@
 
 double unit_of(Engine& engine) { return boost::random::uniform_01<double>()(engine); }
 
-// Boost's log-normal wants the mean and deviation of the normal behind it.
+// Boost's log-normal is parameterized by the mean and deviation of the underlying normal distribution.
 double lognormal(double mean, double cv, Engine& engine) {
   const double variance = std::log1p(cv * cv);
   return boost::random::lognormal_distribution<double>(std::log(mean) - variance / 2,
@@ -31,7 +31,7 @@
 
 Engine stream(std::uint64_t seed, std::string_view name, std::uint64_t number) {
   const std::uint64_t named = XXH3_64bits_withSeed(name.data(), name.size(), seed);
-  // The generator's own stream is chosen as well as its state: two consumers can't run into one another.
+  // Selects the generator's stream as well as its state, so that two consumers' sequences can't overlap.
   return Engine(mix(named, number, 1), mix(named, number, 2));
 }
 
--- a/src/model/rng.h
+++ b/src/model/rng.h
@@ -1,5 +1,6 @@
-// Random numbers: one seed for a run, one named stream for each consumer, so that a new consumer shifts no
-// draw of another. pcg64 with Boost.Random's distributions gives the same draws with every standard library.
+// Random numbers: one seed for a run and one named stream for each consumer, so that a new consumer does not
+// change the draws of others. pcg64 with Boost.Random's distributions gives the same draws with every
+// standard library.
 #pragma once
 
 #include <cstdint>
@@ -12,18 +13,18 @@
 
 using Engine = pcg64;
 
-// `name` says what is drawn ("arrivals", "work"), `number` for which of many (a node, a router).
+// `name` identifies what is drawn ("arrivals", "work"), `number` the node or router that it is drawn for.
 Engine stream(std::uint64_t seed, std::string_view name, std::uint64_t number = 0);
 
-// Draws of one quantity; a mean of 0 gives 0.
+// Draws a value from the distribution; a mean of 0 gives 0.
 double draw(const Spread& spread, Engine& engine);
 double draw_uniform(double from, double to, Engine& engine);
 double draw_exponential(double mean, Engine& engine);
-// Mean 1, standard deviation `cv`; log-normal.
+// Draws a log-normal factor with mean 1 and standard deviation `cv`.
 double draw_factor(double cv, Engine& engine);
-bool draw_chance(double share, Engine& engine); // draws nothing where the share is 0 or 1
+bool draw_chance(double share, Engine& engine); // uses no random number for 0 or 1
 
-// A number that depends on its arguments alone, evenly spread.
+// A uniformly distributed hash of the arguments.
 std::uint64_t mix(std::uint64_t a, std::uint64_t b, std::uint64_t c = 0);
 double unit(std::uint64_t mixed); // in [0, 1)
 
--- a/src/model/settings.cpp
+++ b/src/model/settings.cpp
@@ -34,7 +34,8 @@
   s.max_attempts = r.max_attempts;
   s.event_interval_ms = r.tick_ms;
   s.resize = r.resize;
-  // The routers are told what holds for every kind: the slowest warm-up, the least share, the shortest time.
+  // The routers have one value for all kinds, so each setting is the strictest one: the slowest warm-up, the
+  // smallest initial capacity, the lowest overload multiple and the shortest time to an overload failure.
   s.slow_start_min_capacity = 1;
   for (const NodeKind& kind : spec.kinds) {
     if (kind.report.on) {
--- a/src/model/spec.cpp
+++ b/src/model/spec.cpp
@@ -30,7 +30,8 @@
       share(at("nodes", i, "weight_error"), g.weight_error, 0.9);
       nodes += g.count;
     }
-    if (!spec_.nodes.empty() && nodes == 0) fault("nodes", "no node is in service at the start");
+    if (!spec_.nodes.empty() && nodes == 0)
+      fault("nodes", "no node is in service at the start; at least one group needs a count above 0");
     if (spec_.origin.on) origin();
     routers();
     rest();
@@ -65,7 +66,7 @@
   void zone(const std::string& path, std::size_t index) { below(path, index, spec_.zones.size(), "zone"); }
   void ordered(const std::string& path, double least, double most) {
     amount(path, least);
-    if (!(least <= most)) fault(path, "the least is above the most");
+    if (!(least <= most)) fault(path, "the minimum is above the maximum");
   }
   void spread(const std::string& path, const Spread& s) {
     positive(path + ".mean", s.mean);
@@ -93,8 +94,8 @@
     positive(path + ".period_ms", r.period_ms);
     amount(path + ".delay_ms", r.delay_ms);
     share(path + ".noise", r.noise);
-    if (r.fields.empty()) fault(path + ".fields", "a report without fields");
-    if (r.fields.size() > 4) fault(path + ".fields", "more than four fields");
+    if (r.fields.empty()) fault(path + ".fields", "the report has no fields; expected 1 to 4");
+    if (r.fields.size() > 4) fault(path + ".fields", "the report has more than 4 fields");
   }
 
   void kind(std::size_t i, const NodeKind& k) {
@@ -125,7 +126,7 @@
     amount(path("handshake_trips"), k.handshake_trips);
     positive(path("idle_ms"), k.idle_ms);
     report(path("report"), k.report);
-    // The routers know of one set of fields.
+    // The routers' settings have one list of fields for all kinds.
     if (k.report.on != spec_.kinds.front().report.on ||
         k.report.fields != spec_.kinds.front().report.fields) {
       fault(path("report.fields"), "all kinds must report the same fields");
@@ -187,7 +188,7 @@
     share("discovery.congestion.refused_share", c.refused_share);
     share("discovery.congestion.silent_share", c.silent_share);
     if (c.piece_interval_ms > 0 && c.piece_size_bytes == 0) {
-      fault("discovery.congestion.piece_interval_ms", "says nothing without piece_size");
+      fault("discovery.congestion.piece_interval_ms", "has no effect without piece_size");
     }
   }
 
@@ -232,7 +233,8 @@
       amount(path("worth"), c.worth);
       if (c.repeat == Idempotency::WithKey) positive(path("window_ms"), c.window_ms);
     }
-    if (!spec_.classes.empty() && !(sum > 0)) fault("classes", "no class has a share of the requests");
+    if (!spec_.classes.empty() && !(sum > 0))
+      fault("classes", "the shares of all classes are 0; at least one must be above 0");
     double usage = 0;
     for (std::size_t i = 0; i < spec_.tenants.size(); ++i) {
       const TenantSpec& t = spec_.tenants[i];
@@ -241,7 +243,8 @@
       amount(at("tenants", i, "quota_per_s"), t.quota_per_s);
       usage += t.share * t.usage;
     }
-    if (!spec_.tenants.empty() && !(usage > 0)) fault("tenants", "none of them sends anything");
+    if (!spec_.tenants.empty() && !(usage > 0))
+      fault("tenants", "no tenant sends any requests; one needs a share and a usage above 0");
     const KeySpec& k = spec_.keys;
     if (k.count == 0 || k.count > kMostKeys) fault("keys.count", "must be from 1 to 4194304");
     amount("keys.zipf", k.zipf);
@@ -325,9 +328,10 @@
             picks(path, what.a, "a");
             picks(path, what.b, "b");
             if (what.carries == CutWhat::Datagrams) need_sharing(path("carries"));
-            // A connection whose one way is dead has no answers either.
+            // If one direction of a connection fails, the other direction gets no responses either.
             if (what.carries == CutWhat::All && what.one_way)
-              fault(path("one_way"), "connections have no single way: a cut of all messages goes both ways");
+              fault(path("one_way"),
+                    "must be false when the event carries all messages: a cut connection is cut both ways");
           } else if constexpr (std::is_same_v<T, LoseDatagrams>) {
             share(path("twice"), what.twice);
             need_sharing(path("what"));
--- a/src/model/station.cpp
+++ b/src/model/station.cpp
@@ -8,9 +8,9 @@
 namespace fernward::model {
 namespace {
 
-constexpr double kSmooth = 0.2; // weight of a new sample in the reported means
+constexpr double kSmooth = 0.2; // weight of a new sample in the reported moving averages
 constexpr double kForever = std::numeric_limits<double>::infinity();
-constexpr std::size_t kReadings = 64; // kept for a delay of many periods
+constexpr std::size_t kReadings = 64; // enough for a report delay of many periods
 
 } // namespace
 
@@ -40,7 +40,7 @@
   return true;
 }
 
-// It gives no acts, so nothing that is due by now may be passed over: it counts from the latest moment seen.
+// Has no list for actions, so it must not advance time past anything due: it uses the latest time seen.
 void Station::disconnect(double) {
   if (connections_ > 0) --connections_;
   refresh(now_);
@@ -62,7 +62,7 @@
 
 void Station::arrive(double now, const Attempt& attempt, Acts& acts) {
   reach(now, acts);
-  if (phase_ != Phase::Off) on_arrival(now_, attempt, acts); // may push it over
+  if (phase_ != Phase::Off) on_arrival(now_, attempt, acts); // may overload the machine and stop it
   const std::uint32_t slot = take_slot();
   Held& held = held_[slot];
   held.attempt = attempt;
@@ -205,7 +205,7 @@
 
 void Station::advance(double now, Acts& acts) { reach(now, acts); }
 
-// Everything that is due by `now`, in order.
+// Processes everything that is due by `now`, in order of time.
 void Station::reach(double now, Acts& acts) {
   while (true) {
     const double job = phase_ == Phase::Off ? kForever : processor_.next(), own = next_change();
@@ -242,7 +242,7 @@
     next_reading_ = std::max(next_reading_, now);
     return;
   }
-  // Nothing has changed since now_: of a long rest the last readings are enough.
+  // Nothing has changed since now_, so after a long idle time only the last readings are taken.
   const double behind = now - next_reading_ - period * static_cast<double>(kReadings);
   if (behind > 0) next_reading_ += std::ceil(behind / period) * period;
   for (; next_reading_ <= now; next_reading_ += period) read(next_reading_);
@@ -260,7 +260,7 @@
   read_done_ = done;
   read_capacity_ = capacity;
   Reading reading{at, {}};
-  if (readings_.size() >= kReadings) { // its storage is used again
+  if (readings_.size() >= kReadings) { // reuses the storage of the oldest reading
     reading.fields = std::move(readings_.front().fields);
     reading.fields.clear();
     readings_.pop_front();
@@ -294,7 +294,7 @@
 }
 
 LoadSample Station::sample(double now) {
-  now_ = std::max(now_, std::min(now, next())); // as above
+  now_ = std::max(now_, std::min(now, next())); // has no list for actions either; see disconnect()
   refresh(now_);
   const double done = processor_.done(now_);
   LoadSample s;
--- a/src/model/station.h
+++ b/src/model/station.h
@@ -1,12 +1,12 @@
-// A machine that works on attempts: what cache nodes and the origin have in common.
+// A machine that processes attempts: the common base of cache nodes and the origin.
 //
-// The caller tells what happens at `now` and gets Acts to carry out, each with the moment at which it took
-// place (at `now` or since the last call). It calls advance() when next() has come, or later: on sockets a
-// little later does no harm, as acts are worked out for the moments at which they were due. Every attempt
-// that arrives gets exactly one Answered act, at the latest at end(). Times advance only; a call with an
-// earlier `now` counts as the latest one seen.
+// The caller reports what happens at `now` and receives ServerActions to execute, each with the time at which
+// it took place (at `now` or since the last call). It calls advance() at next_due_ms() or later. On sockets a
+// small delay is harmless, because actions are computed for the times at which they were due. Every attempt
+// that arrives gets exactly one Answered action, at the latest from terminate(). Time never goes back: a call
+// with an earlier `now` is treated as made at the latest time seen.
 //
-// Bounds: `places` + `waiting` attempts and `connections` connections are held at most.
+// Bounds: at most `max_active` + `max_queued` attempts and `max_connections` connections are held.
 #pragma once
 
 #include <cstdint>
@@ -23,34 +23,34 @@
 
 using ConnectionId = std::uint64_t;
 
-struct Attempt {    // as it arrives
+struct Attempt {    // an attempt as it arrives
   AttemptId id = 0; // not 0
   std::uint32_t cls = 0;
   std::uint64_t key = 0, repeat_key = 0;
   bool write = false;
-  bool told = true;   // see record.h, Arrived
-  double work_ms = 0; // that a hit takes; the origin draws its own
+  bool told = true;   // see AttemptArrived in the records
+  double work_ms = 0; // work of the request; the origin draws its own
   double size_bytes = 0;
-  double deadline = 0; // when the router stops waiting; 0: not known
+  double deadline = 0; // when the router stops waiting; 0: unknown
 };
 
 struct Act {
   enum class What {
-    Began,      // work on attempt `id`
+    Began,      // work on attempt `id` has started
     Answered,   // attempt `id` has ended
-    Connected,  // the handshake of connection `id` is done: what came on it may be worked on
-    Warm,       // the node has its whole capacity
-    TippedOver, // it is down: everything held has ended with Ending::Lost
-    Fell,       // the same of the origin, which comes back by itself
-    Returned,   // and has come back
+    Connected,  // the handshake of connection `id` is complete: attempts on it may be processed
+    Warm,       // the node has its full capacity
+    TippedOver, // the node has failed from overload: all its attempts have ended with ServerOutcome::Lost
+    Fell,       // the origin has failed in the same way; it recovers by itself
+    Returned,   // the origin has recovered
   };
   double at = 0;
   What what = What::Began;
   std::uint64_t id = 0;
-  Ending ending = Ending::Hit; // Answered, with the next four
+  Ending ending = Ending::Hit; // Answered, with the next four members
   bool begun = false, wanted = true;
   double waited_ms = 0, worked_ms = 0;
-  bool cold = false; // TippedOver, with the next
+  bool cold = false; // Overloaded, with the next member
   double told_share = 0;
 };
 using Acts = std::vector<Act>;
@@ -68,29 +68,29 @@
   std::size_t in_work() const { return in_work_; }
   std::size_t waiting() const { return queue_.size(); }
 
-  // A connection that reaches the machine. False: refused, it does not run or its table is full.
+  // A connection reaches the machine. False: refused, as the machine is not running or its table is full.
   bool connect(double now, ConnectionId id, Acts& acts);
-  void disconnect(double now); // any one that connect() accepted
+  void disconnect(double now); // closes any one connection that connect() accepted
   void arrive(double now, const Attempt& attempt, Acts& acts);
-  void cancel(double now, AttemptId id, Acts& acts); // nobody waits for it any more
+  void cancel(double now, AttemptId id, Acts& acts); // the router no longer waits for the attempt
 
   virtual void start(double now, Acts& acts);
   void drain(double now, Acts& acts);
-  void end(double now, Acts& acts); // what it holds is lost, its connections are gone
+  void end(double now, Acts& acts); // the process ends: its attempts are lost, its connections closed
 
-  double next() const; // when advance() has something to do; infinity: never
+  double next() const; // when advance() must be called; infinity: never
   void advance(double now, Acts& acts);
 
-  // The load report that an answer would carry now, in the order of ReportSpec::fields; empty: none.
+  // The load report that a response would carry now, in the order of ReportSpec::fields; empty: none.
   void report(double now, std::vector<float>& fields);
-  // For records; `at` and `machine` are set.
+  // The state since the last sample, for the records; `at` and `machine` are set.
   LoadSample sample(double now);
 
  protected:
   struct Held {
     Attempt attempt;
     double came_at = 0, began_at = 0, work = 0;
-    Ending ending = Ending::Hit; // that it will have when its work is done
+    Ending ending = Ending::Hit; // outcome once its work is done
     bool in_use = false, begun = false, wanted = true, handshake = false;
   };
   struct Limits {
@@ -104,20 +104,20 @@
 
   Station(MachineId machine, const Limits& limits, std::uint64_t seed);
 
-  // Work on it begins: sets `work` and `ending`.
+  // Called when work on an item starts: sets its `work` and `outcome`.
   virtual void begin(double now, Held& held) = 0;
   virtual void on_arrival(double, const Attempt&, Acts&) {}
   virtual void finished(double, Held&) {}
-  // The share of the whole capacity that can be had now.
+  // The share of the full capacity that is available now.
   virtual double capacity(double now) const = 0;
-  // Changes of capacity that come by themselves.
+  // When the capacity next changes by itself (see on_capacity_change()); infinity: never.
   virtual double next_change() const;
   virtual void change(double, Acts&) {}
   virtual void ended() {}
   virtual double other_report(double) { return 0; }
   virtual double memory_bytes() const { return 0; }
 
-  void refresh(double now); // the capacity may be another
+  void refresh(double now); // call after every change that may affect the capacity
   void lose_all(double now, Acts& acts);
   double seen() const { return now_; }
   double work_done() const { return processor_.done(now_); }
@@ -149,13 +149,13 @@
   std::size_t in_work_ = 0;
   std::uint32_t connections_ = 0;
 
-  // Reports: figures since the last reading, and readings that can't be read yet.
+  // Reports: values since the last reading, and the recent readings, some of them not available yet.
   double next_reading_ = 0, served_ = 0, errors_ = 0, latency_ = 0, qps_ = 0, eps_ = 0;
-  double read_done_ = 0, read_capacity_ = 0; // work done and capacity gone by, at the last reading
+  double read_done_ = 0, read_capacity_ = 0; // work done and integral of the capacity at the last reading
   std::deque<Reading> readings_;
 
-  // For samples.
-  double capacity_ = 0, capacity_at_ = 0, capacity_sum_ = 0; // present share; its integral
+  // State of sample().
+  double capacity_ = 0, capacity_at_ = 0, capacity_sum_ = 0; // current share, since when; its integral
   double sampled_done_ = 0, sampled_capacity_ = 0;
   std::uint32_t new_connections_ = 0;
 };
