--- a/tests/model/load_test.cpp
+++ b/tests/model/load_test.cpp
@@ -1,4 +1,4 @@
-// What clients ask and how they go about it.
+// The requests that are drawn, and the clients' tries, retries and earned weights.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -12,7 +12,7 @@
 using namespace fernward::model;
 using namespace fernward::model::test;
 
-TEST_CASE("requests come in the shares that the spec gives, and beyond a quota are worth little") {
+TEST_CASE("drawn requests have the configured shares and a low weight above the quota") {
   Spec spec = plain_spec({Shape::Exponential, 80, 0});
   spec.duration_ms = 100000;
   spec.load.rate_per_s = 500;
@@ -60,26 +60,27 @@
   CHECK(tenants[0] / all == doctest::Approx(3.0 / 7).epsilon(0.03));
   CHECK((of_u - over) / 100 == doctest::Approx(50).epsilon(0.02));
   CHECK(hot / hot_reads == doctest::Approx(0.25).epsilon(0.05));
-  CHECK(drifted / 5000 == doctest::Approx(0.95).epsilon(0.06));   // nearly each rank has passed on in 95 s
-  CHECK(hint_off / hints == doctest::Approx(0.158).epsilon(0.1)); // the mean of a normal's size, at 0.198
+  CHECK(drifted / 5000 == doctest::Approx(0.95).epsilon(0.06)); // nearly every rank is reassigned in 95 s
+  CHECK(hint_off / hints ==
+        doctest::Approx(0.158).epsilon(0.1)); // mean absolute value of a normal with deviation 0.198
 }
 
-TEST_CASE("clients come again as their class, their habits and Retry-After allow") {
+TEST_CASE("clients retry as their class and settings and Retry-After allow") {
   const struct {
     fernward::Idempotency repeat;
     Heard heard;
     double after, retry_after, heed;
-    double least, most; // when the next try starts after the first one's end; 0: there is none
+    double least, most; // time from the end of the first try to the start of the next one; 0: no retry
   } cases[] = {
       {fernward::Idempotency::Idempotent, Heard::Failed, 100, 0, 1, 50, 150},
       {fernward::Idempotency::Idempotent, Heard::Refused, 100, 400, 1, 400, 400},
       {fernward::Idempotency::Idempotent, Heard::Refused, 100, 400, 0, 50, 150},
       {fernward::Idempotency::Idempotent, Heard::Refused, 100, 4000, 1, 700,
-       700}, // as long as clients ever heed it
+       700}, // the maximum that clients wait for Retry-After
       {fernward::Idempotency::Idempotent, Heard::Served, 100, 0, 1, 0, 0},
-      {fernward::Idempotency::Idempotent, Heard::Refused, 1460, 0, 1, 0, 0}, // it would come too late
+      {fernward::Idempotency::Idempotent, Heard::Refused, 1460, 0, 1, 0, 0}, // the retry would start too late
       {fernward::Idempotency::WithKey, Heard::Broken, 100, 0, 1, 50, 150},
-      {fernward::Idempotency::WithKey, Heard::Broken, 860, 0, 1, 0, 0}, // the window is over
+      {fernward::Idempotency::WithKey, Heard::Broken, 860, 0, 1, 0, 0}, // the idempotency window has ended
       {fernward::Idempotency::WithKey, Heard::Refused, 800, 0, 1, 50, 150},
       {fernward::Idempotency::NonIdempotent, Heard::Broken, 100, 0, 1, 0, 0},
       {fernward::Idempotency::NonIdempotent, Heard::Unreachable, 100, 0, 1, 50, 150},
@@ -119,7 +120,7 @@
   }
 }
 
-TEST_CASE("an answer earns by its time from the intended send, and leaving ends a request") {
+TEST_CASE("a response earns weight by its time from the intended send and abandoning ends a request") {
   Spec spec = plain_spec({Shape::Fixed, 10, 0});
   spec.clients.leave_share = 1;
   Clients clients(spec);
@@ -133,7 +134,7 @@
   for (const auto& c : cases) {
     ++drawn.request;
     acts.clear();
-    clients.open(0, drawn, acts); // meant for 0, whenever it is sent
+    clients.open(0, drawn, acts); // intended for 0, regardless of when it is sent
     const TryId id = std::get<TryStart>(acts.at(0).what).try_id;
     acts.clear();
     clients.heard(c.at, id, Heard::Served, 0, acts);
--- a/tests/model/property_test.cpp
+++ b/tests/model/property_test.cpp
@@ -1,4 +1,5 @@
-// What must hold whatever happens in whatever order: nothing is lost, everything ends once, bounds are kept.
+// Properties that hold for every sequence of operations: no attempt or request is lost, each ends exactly
+// once, and all bounds are kept.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -20,9 +21,9 @@
 
 namespace {
 
-// What a station was given and what came back.
+// The state that a server must have after its operations and actions.
 struct Ledger {
-  std::map<AttemptId, int> open; // arrived, not ended
+  std::map<AttemptId, int> open; // arrived but not ended
   std::set<ConnectionId> shaking;
   std::uint32_t connections = 0;
   double last = 0;
@@ -47,7 +48,7 @@
         case Act::What::Connected: RC_ASSERT(shaking.erase(act.id) == 1); break;
         case Act::What::TippedOver: ++tipped; [[fallthrough]];
         case Act::What::Fell:
-          RC_ASSERT(open.size() <= 1); // the one that pushed it, whose answer follows
+          RC_ASSERT(open.size() <= 1); // only the attempt that caused the overload, which ends next
           connections = 0;
           shaking.clear();
           break;
@@ -58,7 +59,7 @@
   }
 };
 
-struct Deed { // one thing that happens to a station, `wait` after the one before
+struct Deed { // one operation, `delay_ms` after the previous one
   int what = 0;
   double wait = 0;
   std::uint64_t pick = 0;
@@ -75,7 +76,7 @@
                       });
 }
 
-// What happens to any station: arrivals (0 to 5), connections, cancels, its life.
+// The operations of every server: arrivals (0 to 5), connections, cancels, drain.
 void common(Station& station, const Deed& deed, double now, Ledger& book, std::uint64_t& ids, Acts& acts) {
   switch (deed.what) {
     case 6:
@@ -99,7 +100,7 @@
       if (!book.open.empty())
         station.cancel(now, std::next(book.open.begin(), deed.pick % book.open.size())->first, acts);
       return;
-    case 10: return station.cancel(now, deed.pick + 1000000, acts); // one that never came
+    case 10: return station.cancel(now, deed.pick + 1000000, acts); // an unknown attempt
     case 11: return station.advance(now + 200, acts);
     case 12:
       if (deed.pick % 3 == 0) station.drain(now, acts);
@@ -159,7 +160,7 @@
 
 } // namespace
 
-TEST_CASE("a node: every attempt ends once, no bound is passed") {
+TEST_CASE("on a node every attempt ends once and no bound is exceeded") {
   CHECK(rc::check([] {
     Spec spec = crowded_spec(*rc::gen::arbitrary<bool>());
     NodeKind& kind = spec.kinds[0];
@@ -212,7 +213,7 @@
   }));
 }
 
-TEST_CASE("the origin: every attempt ends once, no bound is passed, it comes back after a fall") {
+TEST_CASE("on the origin every attempt ends once and no bound is exceeded and it recovers from failures") {
   CHECK(rc::check([] {
     const Spec spec = crowded_spec(true);
     const Plan plan = make_plan(spec);
@@ -241,14 +242,14 @@
       RC_ASSERT(origin.connections() <= 5);
     }
     origin.slow(now, 1, acts);
-    origin.advance(now + 10000, acts); // a second's work and a fall are long over
+    origin.advance(now + 10000, acts); // enough for all its work and its recovery
     book.take(acts, now + 10000);
     RC_ASSERT(book.open.empty());
     RC_ASSERT(origin.phase() == Phase::Up);
   }));
 }
 
-TEST_CASE("a memory holds what a plain list would") {
+TEST_CASE("the object cache holds the same objects as a simple list") {
   CHECK(rc::check([] {
     const bool lru = *rc::gen::arbitrary<bool>();
     const double expire = *rc::gen::element(0.0, 30.0);
@@ -257,7 +258,7 @@
       std::uint64_t key;
       double at, size;
     };
-    std::list<Object> plain; // the next to go in front
+    std::list<Object> plain; // the next to be evicted is first
     double now = 0;
     for (const Deed& deed : *deeds(8)) {
       now += deed.wait / 4;
@@ -292,7 +293,7 @@
   }));
 }
 
-TEST_CASE("clients: every request ends once, one try at a time, no more tries than allowed, none too late") {
+TEST_CASE("every client request ends once and has one try at a time within its limits of number and time") {
   CHECK(rc::check([] {
     Spec spec = plain_spec({Shape::Fixed, 1, 0});
     spec.clients.retries = *rc::gen::element(0.0, 0.5, 2.0);
@@ -320,7 +321,7 @@
           RC_ASSERT(++s.tries <= 3);
           RC_ASSERT(start->deadline <= start->drawn.at + 200);
           RC_ASSERT(Clients::request_of(start->try_id) == start->drawn.request);
-          // One that may have run comes again only where its class allows it.
+          // A request that may have run is retried only if its class allows it.
           if (s.may_have_run) RC_ASSERT(spec.classes[0].repeat != fernward::Idempotency::NonIdempotent);
           s.out = start->try_id;
         } else if (const auto* over = std::get_if<TryOver>(&act.what)) {
@@ -350,7 +351,7 @@
         const RequestNumber request = deed.pick % requests + 1;
         Seen& s = seen[request];
         const auto how = static_cast<Heard>(deed.pick % 5);
-        // The one that is out, or one that is over.
+        // The active try, or one that has ended.
         const TryId id = s.out != 0 && deed.what < 7 ? s.out : request << 4;
         const bool was_out = s.out == id;
         if (was_out) s.out = 0;
@@ -366,7 +367,7 @@
   }));
 }
 
-TEST_CASE("discovery: changes add up to the whole list, and in the end each agent knows what is true") {
+TEST_CASE("discovery changes add up to the complete list and each agent finally has the actual state") {
   CHECK(rc::check([] {
     Spec spec = plain_spec({Shape::Fixed, 1, 0});
     spec.nodes[0].count = 3;
@@ -395,7 +396,7 @@
         }
       }
       index[r] = list.index;
-      // The same as from the beginning.
+      // The accumulated changes equal the complete list.
       std::map<MachineId, std::pair<fernward::ServerState, double>> whole;
       for (const auto& e : discovery.list(r, std::nullopt).entries)
         whole[e.machine] = {e.state, e.started_at};
@@ -432,14 +433,13 @@
   }));
 }
 
-TEST_CASE(
-    "a node that was there before the run holds what was asked of it, up to its memory, a new one nothing") {
+TEST_CASE("an initial node holds requested objects up to its memory and a restarted one holds nothing") {
   Spec spec = plain_spec({Shape::Fixed, 1, 0});
   spec.origin.on = true;
   spec.origin.warm_hits = 0.8;
   spec.keys.count = 100;
   spec.keys.size = {Shape::Fixed, 100, 0};
-  spec.kinds[0].memory_bytes = 1640; // ten objects
+  spec.kinds[0].memory_bytes = 1640; // room for ten objects
   const Plan plan = make_plan(spec);
   const Keys keys(spec);
   Repeats repeats;
@@ -457,14 +457,14 @@
     node.advance(at + 9, acts);
     return acts.back().ending;
   };
-  CHECK(ask(keys.key(99, 0)) == Ending::Miss); // nobody asked for it
+  CHECK(ask(keys.key(99, 0)) == Ending::Miss); // not requested before the run
   CHECK(ask(keys.key(99, 0)) == Ending::Pending);
   for (std::uint32_t rank = 0; rank < 10; ++rank) CHECK(ask(keys.key(rank, 0)) == Ending::Hit);
   CHECK(node.memory().objects() == 10);
-  CHECK(ask(keys.key(11, 0)) == Ending::Miss); // it was full
+  CHECK(ask(keys.key(11, 0)) == Ending::Miss); // the memory is full
   node.store(1000, keys.key(11, 0));
   CHECK(ask(keys.key(11, 0)) == Ending::Hit);
-  CHECK(ask(keys.key(0, 0)) == Ending::Miss); // the longest unused made room
+  CHECK(ask(keys.key(0, 0)) == Ending::Miss); // the least recently used object was evicted
   Acts acts;
   node.end(2000, acts);
   node.start(2000, acts);
@@ -472,7 +472,7 @@
   CHECK(ask(keys.key(1, 0)) == Ending::Miss);
 }
 
-TEST_CASE("what is kept of requests is forgotten in time") {
+TEST_CASE("pending fills and idempotency keys are removed after their time") {
   Aside aside(1000);
   Repeats repeats(1000), small(10);
   for (std::uint64_t i = 0; i < 5000; ++i) {
@@ -482,7 +482,7 @@
     small.seen(now, 0, i + 1, 50);
     if (i % 10 == 0) {
       CHECK(repeats.seen(now + 0.5, 0, i + 1, 50));
-      CHECK_FALSE(repeats.seen(now + 0.5, 1, i + 1, 50)); // another group does not know of it
+      CHECK_FALSE(repeats.seen(now + 0.5, 1, i + 1, 50)); // another group has no entry of it
     }
   }
   CHECK(aside.size() <= 1001);
--- a/tests/model/rng_test.cpp
+++ b/tests/model/rng_test.cpp
@@ -6,17 +6,18 @@
 
 using namespace fernward::model;
 
-TEST_CASE("streams: the same name gives the same draws, another name or number others") {
+TEST_CASE("random streams repeat for the same name and differ for another name or number") {
   Engine a = stream(7, "arrivals"), b = stream(7, "arrivals"), c = stream(7, "work"),
          d = stream(7, "work", 1);
   CHECK(a() == b());
   CHECK(stream(7, "arrivals")() != c());
   CHECK(stream(7, "work")() != d());
   CHECK(stream(8, "work")() != stream(7, "work")());
-  CHECK(stream(7, "arrivals")() == 11290736221996528046ull); // the same on every machine and library
+  CHECK(stream(7, "arrivals")() ==
+        11290736221996528046ull); // must not depend on the platform or the standard library
 }
 
-TEST_CASE("spreads: mean and deviation are the ones asked for") {
+TEST_CASE("drawn values have the requested mean and coefficient of variation") {
   const struct {
     Spread spread;
     double mean, cv;
--- a/tests/model/scenario_test.cpp
+++ b/tests/model/scenario_test.cpp
@@ -1,4 +1,4 @@
-// Specs that can't be played, and what a plan makes of those that can.
+// Errors of invalid specs, and the plan, network and front balancer of valid ones.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -30,7 +30,7 @@
 
 } // namespace
 
-TEST_CASE("what can't be played is named by its member") {
+TEST_CASE("an error of a spec has the path of its member") {
   CHECK(faults(two_zones()).empty());
   const struct {
     const char* path;
@@ -114,12 +114,13 @@
     const auto found = faults(spec);
     REQUIRE_FALSE(found.empty());
     CHECK(found[0].path == c.path);
-    CHECK((found.size() == 1 || found[0].path == "zones")); // without which much else is not there
+    CHECK((found.size() == 1 ||
+           found[0].path == "zones")); // without zones all references to them are errors too
     CHECK_FALSE(found[0].why.empty());
   }
 }
 
-TEST_CASE("a plan numbers machines as said, picks by the seed, and undoes what ends") {
+TEST_CASE("a plan numbers machines in order and selects by the seed and reverts events that end") {
   Spec spec = two_zones();
   const NodePick half{{}, {}, {}, {}, {}, 0.5, true};
   spec.events = {{1000, "drain", DrainNodes{half, 2000, 1000}},
@@ -161,7 +162,7 @@
   }
   CHECK(drained.size() == 4);
   for (const MachineId id : drained) CHECK((plan.machines[id].at_start && started.count(id) == 1));
-  CHECK(started.size() == 9); // 4 that were drained, 4 on standby, 1 that replaces another
+  CHECK(started.size() == 9); // 4 drained ones, 4 on standby, 1 replacement
   CHECK(neighbour.size() >= 6);
   for (const auto& [id, share] : neighbour) CHECK(share == 0);
   CHECK(silent.empty());
@@ -179,7 +180,7 @@
   CHECK(drained_there != drained);
 }
 
-TEST_CASE("messages pass where nothing is silent or cut, and delays are those of the zones") {
+TEST_CASE("messages pass unless a side is silent or partitioned and delays are those of the zones") {
   Spec spec = two_zones();
   spec.network.jitter = 0;
   spec.network.links = {{1, 0, 30}};
@@ -207,7 +208,7 @@
   CHECK(net.passes(3, 0));
 }
 
-TEST_CASE("faults between routers: one way, all messages of a side, losses on top of the network's, pauses") {
+TEST_CASE("router partitions and datagram losses and pauses affect exactly the selected traffic") {
   Spec spec = two_zones();
   spec.routers.sharing.on = true;
   spec.events = {{1000, "", CutRouters{{{0}, {}, {}}, {{1, 2}, {}, {}}, true, CutWhat::Datagrams, 2000}},
@@ -235,8 +236,8 @@
   CHECK_FALSE(net.routers_pass(0, 2));
   CHECK(net.routers_pass(1, 0));
   CHECK(net.routers_pass(0, 3));
-  CHECK(net.passes(0, 6)); // datagrams alone
-  until(3500);             // by zones: 0 and 1 from 2 and 3, with the machines there
+  CHECK(net.passes(0, 6)); // only datagrams are affected
+  until(3500);             // partition by zones: routers 0 and 1 from 2 and 3 and the machines there
   CHECK(net.routers_pass(0, 1));
   CHECK_FALSE(net.routers_pass(0, 2));
   CHECK_FALSE(net.routers_pass(3, 1));
@@ -258,7 +259,7 @@
   CHECK((steps[1].router == 2 && steps[1].what == RouterStep::What::Wake));
 }
 
-TEST_CASE("the front sends to a dead router until it notices, and to other zones where its own has none") {
+TEST_CASE("the front balancer uses a dead router until detection and other zones if its own has no router") {
   Spec spec = two_zones();
   spec.front.notice_ms = 1000;
   const Plan plan = make_plan(spec);
--- a/tests/model/station_test.cpp
+++ b/tests/model/station_test.cpp
@@ -1,4 +1,4 @@
-// What a node and the origin do one thing at a time: figures that can be worked out by hand.
+// A node and the origin under single operations, checked against results calculated by hand.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -40,7 +40,7 @@
     a.repeat_key = repeat_key;
     return a;
   }
-  // How attempt `id` ended, once all that is due by `now` is done.
+  // The action that ended attempt `id`, after processing everything due by `now`; nullopt: it has not ended.
   std::optional<Act> end_of(Station& station, AttemptId id, double now) {
     station.advance(now, acts);
     for (const Act& act : acts) {
@@ -48,7 +48,7 @@
     }
     return std::nullopt;
   }
-  // How long an attempt that arrives at `now` takes; it is waited for up to `most` ms.
+  // Response time in ms of an attempt that arrives at `now`; -1 if it takes longer than `max_wait_ms`.
   double took(Station& station, double now, double work = 10, double most = 1e6) {
     const Attempt a = attempt(work);
     station.arrive(now, a, acts);
@@ -78,7 +78,7 @@
 
 } // namespace
 
-TEST_CASE("capacity: neighbour, crowding and shared cores make work slower as said") {
+TEST_CASE("work slows down with a neighbour and with congestion and with shared cores as configured") {
   Spec spec = spec_of(2, 4);
   spec.kinds[0].crowded_at = 1;
   spec.kinds[0].crowded_loss = 0.5;
@@ -88,25 +88,25 @@
   node.neighbour(1e7, 0.6, rig.acts);
   CHECK(rig.took(node, 1e7) == doctest::Approx(25));
   node.neighbour(2e7, 0, rig.acts);
-  // Four on two cores: half the speed each, and 1 + 0.5 x (4 / 2 - 1) times as long.
+  // Four attempts on two cores: each at half speed, and 1 + 0.5 x (4 / 2 - 1) times as long.
   const double at = 3e7;
   for (int i = 0; i < 4; ++i) node.arrive(at, rig.attempt(10), rig.acts);
   CHECK_FALSE(rig.end_of(node, rig.ids, at + 29.9));
   CHECK(rig.end_of(node, rig.ids, at + 30.1));
 }
 
-TEST_CASE("a started node is cold and gets warm, by time or sooner by work") {
+TEST_CASE("a started node warms up with time or sooner with work") {
   for (const WarmBy by : {WarmBy::Time, WarmBy::Requests}) {
     Spec spec = spec_of();
     spec.kinds[0].warm_by = by;
     Rig rig(spec);
     Node& node = *rig.nodes[0];
     node.end(0, rig.acts);
-    CHECK(rig.took(node, 1, 10, 5) == 0); // it does not run: lost at once
+    CHECK(rig.took(node, 1, 10, 5) == 0); // not running: lost at once
     node.start(1000, rig.acts);
     CHECK(rig.took(node, 1000, 0.5, 5) == doctest::Approx(2).epsilon(0.03));
     CHECK(node.cold(1500));
-    if (by == WarmBy::Requests) { // half a warm-up's work makes it warm
+    if (by == WarmBy::Requests) { // half of the work possible during the warm-up suffices
       for (double at = 1010; at < 1700; at += 5) node.arrive(at, rig.attempt(5), rig.acts);
       node.advance(1990, rig.acts);
       CHECK_FALSE(node.cold(1990));
@@ -121,23 +121,23 @@
   }
 }
 
-TEST_CASE("a cold node sent too much falls over and tells by whom, a warm one does not") {
+TEST_CASE("an overloaded cold node fails and reports the notified share while a warm one stays up") {
   struct Case {
     double told, neighbour;
   };
   for (const auto& [told, neighbour] : {Case{1, 0}, Case{0.25, 0}, Case{1, 0.5}}) {
     Spec spec = spec_of();
-    spec.kinds[0].warm_ms = 1e6; // its capacity stays a quarter meanwhile
+    spec.kinds[0].warm_ms = 1e6; // the capacity stays at a quarter during the test
     spec.kinds[0].tip_multiple = 4;
     spec.kinds[0].tip_ms = 1000;
     Rig rig(spec);
     Node& node = *rig.nodes[0];
     double sent = 0;
-    for (int i = 0; i < 300; ++i) node.arrive(i, rig.attempt(10), rig.acts); // warm: turns away, stays
+    for (int i = 0; i < 300; ++i) node.arrive(i, rig.attempt(10), rig.acts); // warm: rejects, stays up
     CHECK(node.phase() == Phase::Up);
     node.end(500, rig.acts);
     node.start(1000, rig.acts);
-    node.neighbour(1000, neighbour, rig.acts); // which routers are not told of
+    node.neighbour(1000, neighbour, rig.acts); // routers are not notified of it, so the limit stays
     rig.acts.clear();
     for (int i = 0; node.phase() == Phase::Up && i < 1000; ++i) {
       Attempt a = rig.attempt(10);
@@ -145,18 +145,18 @@
       node.arrive(1000 + i, a, rig.acts);
       sent += 10;
     }
-    // 4 x 0.25 of a core for a second, 100 requests; 3 x 10 + 3 are left to chance.
+    // 4 x 0.25 of a core for a second is 100 requests; 3 x 10 + 3 more are the margin for random variation.
     CHECK(sent == doctest::Approx(1340).epsilon(0.01));
     const auto tipped = std::find_if(rig.acts.begin(), rig.acts.end(),
                                      [](const Act& a) { return a.what == Act::What::TippedOver; });
     REQUIRE(tipped != rig.acts.end());
     CHECK(tipped->cold);
     CHECK(tipped->told_share == doctest::Approx(told).epsilon(0.1));
-    CHECK(rig.took(node, 5000) == 0); // down for good
+    CHECK(rig.took(node, 5000) == 0); // does not recover
   }
 }
 
-TEST_CASE("connections: a handshake is work, the table has an end and a full one costs capacity") {
+TEST_CASE("connections cost handshake work and a full table refuses more and costs capacity") {
   Spec spec = spec_of();
   spec.kinds[0].connections = 4;
   spec.kinds[0].handshake_ms = 2;
@@ -165,7 +165,7 @@
   Node& node = *rig.nodes[0];
   for (ConnectionId id = 1; id <= 4; ++id) CHECK(node.connect(0, id, rig.acts));
   CHECK_FALSE(node.connect(0, 5, rig.acts));
-  node.advance(15.9, rig.acts); // four handshakes on a core that works at half its speed
+  node.advance(15.9, rig.acts); // four handshakes on a core at half speed
   CHECK(rig.acts.empty());
   node.advance(16.1, rig.acts);
   CHECK(rig.acts.size() == 4);
@@ -175,7 +175,7 @@
   CHECK(node.sample(2e7).new_connections == 4);
 }
 
-TEST_CASE("reports are as old as said, hold the said fields and are off by the said noise") {
+TEST_CASE("load reports have the configured delay and fields and noise") {
   Spec spec = spec_of();
   spec.kinds[0].report = {
       true, 100, 250, 0, {LoadReportField::Queue, LoadReportField::LatencyMs, LoadReportField::Inflight}};
@@ -204,7 +204,7 @@
   CHECK(std::sqrt(squares / 2000 - mean * mean) == doctest::Approx(20).epsilon(0.05));
 }
 
-TEST_CASE("work nobody waits for, and work whose time is up, ends as the kind says") {
+TEST_CASE("cancelled work and expired work end as the node kind is configured") {
   const struct {
     OnCancel on_cancel;
     bool drops;
@@ -234,16 +234,16 @@
   }
 }
 
-TEST_CASE("a repeat of a keyed write is dropped within the window and by those that drop together") {
+TEST_CASE("a duplicate keyed write is dropped within the window and the group of its scope") {
   const struct {
     fernward::IdempotencyScope scope;
     double window, kind_window, after;
-    std::size_t node; // that gets the repeat; the first write goes to node 0
+    std::size_t node; // receives the repeat; the first write goes to node 0
     Ending ending;
   } cases[] = {{fernward::IdempotencyScope::All, 1000, -1, 500, 3, Ending::Repeat},
                {fernward::IdempotencyScope::All, 1000, -1, 1500, 0, Ending::Written},
                {fernward::IdempotencyScope::All, 1000, 200, 500, 0,
-                Ending::Written}, // the nodes forget sooner than said
+                Ending::Written}, // the nodes' own window is shorter than the class's
                {fernward::IdempotencyScope::Zone, 1000, -1, 500, 1, Ending::Repeat},
                {fernward::IdempotencyScope::Zone, 1000, -1, 500, 3, Ending::Written},
                {fernward::IdempotencyScope::Cell, 1000, -1, 500, 1, Ending::Written},
@@ -266,7 +266,7 @@
     rig.nodes[c.node]->arrive(c.after, again, rig.acts);
     CHECK(rig.end_of(*rig.nodes[c.node], again.id, c.after + 20)->ending == c.ending);
   }
-  // What was turned away has not run: it may come again.
+  // A rejected write has not run: it may be repeated.
   Spec spec = spec_of(1, 1, 0);
   spec.classes[0].repeat = fernward::Idempotency::WithKey;
   Rig rig(spec);
@@ -278,14 +278,14 @@
   CHECK(rig.end_of(*rig.nodes[0], again.id, 40)->ending == Ending::Written);
 }
 
-TEST_CASE("the origin: capacity, cost of a write, slow, stalled, overrun and back") {
+TEST_CASE("the origin has its capacity and write cost and can be slow or stalled or overloaded and recover") {
   Spec spec = spec_of();
   spec.origin.on = true;
   spec.origin.capacity_per_s = 20;
-  spec.origin.time_ms = 100; // two at once
+  spec.origin.time_ms = 100; // two attempts at once
   spec.origin.time_cv = 0;
   spec.origin.write_multiple = 3;
-  spec.origin.queue_ms = 1000; // twenty may wait
+  spec.origin.queue_ms = 1000; // twenty attempts may be queued
   spec.origin.fall_multiple = 2;
   spec.origin.fall_ms = 1000;
   spec.origin.down_ms = 5000;
@@ -305,7 +305,7 @@
   CHECK_FALSE(rig.end_of(origin, stalled.id, 3e7 + 60000));
   origin.slow(3e7 + 60000, 1, rig.acts);
   CHECK(rig.end_of(origin, stalled.id, 3e7 + 60101));
-  // 40 within a second are twice its capacity: one more and it falls; 22 have a place.
+  // 40 requests within a second are twice its capacity: it fails at the next one. It can hold 22.
   rig.acts.clear();
   int full = 0, lost = 0;
   for (int i = 0; i < 41; ++i) origin.arrive(4e7, rig.attempt(1), rig.acts);
@@ -320,7 +320,7 @@
   CHECK(rig.took(origin, 4e7 + 6000) == doctest::Approx(100));
 }
 
-TEST_CASE("copies go void: at their time, when the object changes, when it is written") {
+TEST_CASE("a cached copy is invalid after it expires or the object changes or a write") {
   Spec spec = spec_of();
   spec.origin.on = true;
   spec.origin.warm_hits = 0;
@@ -345,5 +345,5 @@
     node.make_void(key);
     CHECK_FALSE(hit(key, now + 1500));
   }
-  CHECK(changed == doctest::Approx(400 * 0.45).epsilon(0.15)); // half of the keys in a second
+  CHECK(changed == doctest::Approx(400 * 0.45).epsilon(0.15)); // half of the keys change in a second
 }
--- a/tests/model/support.h
+++ b/tests/model/support.h
@@ -1,4 +1,4 @@
-// Small fleets for the tests, and what they need of a station's acts.
+// Small fleets for the tests, and the conversion of drawn requests to attempts.
 #pragma once
 
 #include <vector>
@@ -8,7 +8,7 @@
 
 namespace fernward::model::test {
 
-// One zone, one node of one core, no origin, no handshakes; work as said.
+// One zone, one node with one core, no origin, no handshakes; `work` is the work of the only class.
 inline Spec plain_spec(const Spread& work) {
   Spec spec;
   spec.duration_ms = 1e12;
--- a/tests/model/theory_test.cpp
+++ b/tests/model/theory_test.cpp
@@ -1,4 +1,5 @@
-// The model against results that nobody here wrote. Seeds are fixed: each passes or fails for good.
+// The model compared with known results of queueing and caching theory. Seeds are fixed, so the results are
+// reproducible.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -16,10 +17,10 @@
 namespace {
 
 struct Queue {
-  double wait_ms = 0, stay_ms = 0, lost = 0; // means; share turned away
+  double wait_ms = 0, stay_ms = 0, lost = 0; // means; rejected share
 };
 
-// Arrivals as the lab draws them before a node as the lab plays it.
+// Sends the lab's drawn requests to the lab's model of a node.
 Queue play(const Spec& spec, std::uint64_t requests) {
   const Plan plan = make_plan(spec);
   Keys keys(spec);
@@ -36,7 +37,8 @@
     came[drawn.request % came.size()] = drawn.at;
     node.arrive(drawn.at, attempt_of(drawn), acts);
     for (const Act& act : acts) {
-      if (act.what != Act::What::Answered || i < requests / 20) continue; // the first ones fill it
+      if (act.what != Act::What::Answered || i < requests / 20)
+        continue; // the first 5% are the warm-up of the queue
       all += 1;
       if (act.ending == Ending::Full) {
         sum.lost += 1;
@@ -65,7 +67,7 @@
 
 } // namespace
 
-TEST_CASE("a node with exponential work waits as M/M/1 and M/M/c do, and loses as M/M/c/c does") {
+TEST_CASE("exponential work has the waiting time of M/M/c and the loss of M/M/c/c") {
   const struct {
     std::uint32_t cores;
     double load;
@@ -83,7 +85,7 @@
   }
 }
 
-TEST_CASE("a node with other work waits as Pollaczek and Khinchine say") {
+TEST_CASE("other work distributions have the waiting time of the Pollaczek-Khinchine formula") {
   const struct {
     Spread work;
     double load;
@@ -98,14 +100,14 @@
   }
 }
 
-TEST_CASE("cores that are shared evenly: the mean stay depends on the load alone (M/G/1-PS)") {
+TEST_CASE("with processor sharing the mean response time depends only on the load (M/G/1-PS)") {
   Spec spec = plain_spec({Shape::LogNormal, 10, 1.5});
   spec.kinds[0].places = 1u << 20;
   spec.load.rate_per_s = 60;
   CHECK(off(play(spec, 300000).stay_ms, 10 / (1 - 0.6)) < 0.03);
 }
 
-TEST_CASE("the memory's hit ratio under Zipf is Che's") {
+TEST_CASE("the hit ratio under a Zipf distribution matches Che's approximation") {
   const struct {
     double zipf, offset;
     std::uint32_t objects;
@@ -120,7 +122,7 @@
     double whole = 0;
     for (std::uint32_t r = 0; r < spec.keys.count; ++r) p.push_back(rank_weight(spec.keys, r));
     for (const double w : p) whole += w;
-    // The characteristic time: that in which as many different keys are asked for as there is room.
+    // The characteristic time: the time in which as many different keys are requested as fit into the memory.
     double low = 0, high = 1e9;
     for (int i = 0; i < 200; ++i) {
       const double t = (low + high) / 2;
@@ -149,7 +151,7 @@
   }
 }
 
-TEST_CASE("arrivals are Poisson at their rate (Kolmogorov and Smirnov, 1%)") {
+TEST_CASE("arrivals are a Poisson process with the configured rate (Kolmogorov-Smirnov test at 1%)") {
   const struct {
     LoadShape shape;
     bool spike;
@@ -167,7 +169,7 @@
     const Plan plan = make_plan(spec);
     Keys keys(spec);
     Arrivals arrivals(spec, plan, keys);
-    // The rate's integral, in which arrivals come one a unit on average, wherever they are.
+    // The integral of the rate. On this time scale the mean gap between arrivals is 1 everywhere.
     std::vector<double> until{0};
     for (int ms = 0; ms < 100000; ++ms) until.push_back(until.back() + arrivals.rate(ms + 0.5) / 1000);
     const auto turned = [&](double at) {
