--- a/src/model/clients.cpp
+++ b/src/model/clients.cpp
@@ -9,8 +9,8 @@
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
 constexpr double kSlackMs = 50; // added to the routers' grace: a response that is in transit still counts
-constexpr double kStopMin = 200,
-                 kStopMax = 400; // time until a stopping router gets no new connections, in ms
+// Time in ms until a stopping router gets no new connections.
+constexpr double kStopMin = 200, kStopMax = 400;
 
 } // namespace
 
@@ -95,7 +95,7 @@
   start.deadline = std::min(start.due + patience, drawn.at + drawn.give_up_ms);
   if (spec_.classes[drawn.cls].repeat == Idempotency::WithKey) start.repeat_key = drawn.request;
   open.waiting = true;
-  // A final response within the grace still ends the try, although it earns nothing.
+  // A final response that arrives after the deadline but within the grace still ends the try.
   open.deadline = start.deadline + spec_.routers.grace_to_answer_ms + kSlackMs;
   open.leaves_at = kForever;
   if (draw_chance(habits.leave_share, habits_)) {
--- a/src/model/discovery.cpp
+++ b/src/model/discovery.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
-constexpr std::size_t kChanges =
-    4096; // stored changes; an agent that needs older ones gets the complete list
+// Limit of stored changes that all agents have; a router that needs older ones gets the complete list.
+constexpr std::size_t kChanges = 4096;
 
 } // namespace
 
--- a/src/model/node.cpp
+++ b/src/model/node.cpp
@@ -10,8 +10,8 @@
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
 constexpr double kWarmthSteps = 64; // number of steps in which a cold node's capacity rises
-constexpr double kWarmthWork =
-    0.5; // WarmUpMode::Requests: share of the work possible in warm_up_ms that warms a node
+// WarmUpMode::Requests: a node is warm after this share of the work that it could do in warm_up_ms.
+constexpr double kWarmthWork = 0.5;
 // Random variation alone must not overload a node: this many standard deviations of the number of requests,
 // and as many requests, are added to the limit.
 constexpr double kTipChance = 3;
--- a/src/model/spec.h
+++ b/src/model/spec.h
@@ -95,8 +95,7 @@
   double idle_ms = 15000;           // an idle connection is closed after this
   bool drops_expired = false;       // work is not started after its deadline
   OnCancel on_cancel = OnCancel::Keep;
-  double repeat_window_ms =
-      -1; // time during which repeats of a keyed write are dropped; below 0: the class's window
+  double repeat_window_ms = -1; // repeats of a keyed write are dropped this long; below 0: the class's window
   ReportSpec report;
 };
 
@@ -238,9 +237,8 @@
   std::uint32_t count = 20000; // at most 4,194,304
   double zipf = 1;             // the key of rank r (from 1) is drawn in proportion to (r + offset)^-zipf
   double offset = 0;
-  double drift_per_s = 0; // share of the ranks that are reassigned to a new key in a second
-  double changes_per_s =
-      0; // share of the keys that change at the origin in a second, which invalidates copies
+  double drift_per_s = 0;   // share of the ranks that are reassigned to a new key in a second
+  double changes_per_s = 0; // share of the keys that change at the origin in a second: copies become invalid
   Spread size{Shape::LogNormal, 4000, 0.8};
 };
 
@@ -256,7 +254,7 @@
 
 enum class Backoff { Fixed, Exponential };
 struct ClientSpec {
-  double retries = 1; // mean number of retries of a client; 0.4: four requests in ten may be retried once
+  double retries = 1; // mean limit of retries per request; 0.4: four requests in ten may be retried once
   Backoff backoff = Backoff::Fixed;
   double backoff_ms = 100; // the wait is 0.5 to 1.5 times this; Exponential: doubled with each try
   double heed = 1;         // share of the clients that wait for Retry-After (up to max_retry_after_ms)
@@ -345,8 +343,7 @@
   CutWhat carries = CutWhat::Datagrams;
   double until_ms = 0;
 };
-struct
-    LoseDatagrams { // affects datagrams sent or received by the routers, in addition to the network's losses
+struct LoseDatagrams { // affects datagrams to and from these routers, in addition to the network's losses
   RouterPick who;
   double share = 0.2, twice = 0; // shares of the datagrams that are lost and that are duplicated
   double until_ms = 0;
