--- a/lab/check/checker.cpp
+++ b/lab/check/checker.cpp
@@ -11,10 +11,12 @@
 using namespace fernward::model;
 
 constexpr std::size_t kBreachesTold = 5;
-constexpr double kRememberMs = 5000;  // a try beyond its answer, for attempts that come late
-constexpr double kEarlyMs = 1000;     // on sockets a node may see an attempt before its try is told
-constexpr double kTellerSlackMs = 50; // an answer is heard later than it was given; the clients grant as much
-constexpr double kAfterTermMs = 700;  // what comes later to a router that is to end, it need not answer
+constexpr double kRememberMs = 5000; // a client try is kept this long after its response, for late attempts
+constexpr double kEarlyMs =
+    1000; // on sockets a node may receive an attempt before its client try is recorded
+constexpr double kTellerSlackMs =
+    50; // clients receive a response after it was sent; they allow the same delay
+constexpr double kAfterTermMs = 700; // requests that arrive later after SIGTERM need no response
 constexpr double kTippedByRouters = 2.0 / 3;
 
 std::string ms(double value) {
@@ -43,14 +45,14 @@
 
 const char* rule_text(Rule rule) {
   switch (rule) {
-    case Rule::OneAnswer: return "exactly one final answer for each request that a router took";
-    case Rule::NoLost: return "no request without an answer in time";
-    case Rule::Repeats: return "no attempt or refusal beyond what the class allows";
-    case Rule::Drains: return "nothing new to a draining or gone node after the grace";
-    case Rule::ColdNodes: return "no cold node pushed over";
-    case Rule::Genuine: return "served only with what a node made for the request";
-    case Rule::Alive: return "no router crashes";
-    case Rule::Accounts: return "the lab followed each request to its end";
+    case Rule::OneAnswer: return "exactly one final response for each request that a router accepted";
+    case Rule::NoLost: return "no request without a response in time";
+    case Rule::Repeats: return "no attempt or rejection that the request class forbids";
+    case Rule::Drains: return "no new attempt to a draining or removed node after the grace period";
+    case Rule::ColdNodes: return "no cold node overloaded until it failed";
+    case Rule::Genuine: return "served only with responses that a node produced for the request";
+    case Rule::Alive: return "no router process crashed";
+    case Rule::Accounts: return "the lab recorded each request until it was closed";
   }
   return "";
 }
@@ -77,7 +79,7 @@
   judged(Rule::Drains, spec.holds.rules.drains);
   judged(Rule::ColdNodes, spec.holds.rules.cold_nodes);
   judged(Rule::Genuine, spec.holds.rules.genuine);
-  // Few machines ever take another's address.
+  // Only few machines ever use the address of another, so the sharers are stored per machine.
   std::unordered_map<MachineId, std::vector<MachineId>> by_address;
   for (const Machine& m : plan.machines) by_address[m.address_of].push_back(m.id);
   for (const auto& [address, machines] : by_address) {
@@ -113,21 +115,22 @@
   return requests_.size() + tries_.size() + out_.size() + answered_.size() + early_.size() + closed_.size();
 }
 
-// ---- the client's side ----
+// ---- clients ----
 
 void Checker::on(const Drawn& d) {
   for (auto& m : meters_) m->on(d);
   for (auto& m : standard_) m->on(d);
   forget(d.at);
   if (!requests_.emplace(d.request, Request{d.cls, 0}).second) {
-    breach(Rule::Accounts, d.at, "request " + number(d.request) + " was drawn twice");
+    breach(Rule::Accounts, d.at, "request " + number(d.request) + " was generated twice");
   }
 }
 
 void Checker::on(const Tried& t) {
   const auto request = requests_.find(t.request);
   if (request == requests_.end()) {
-    return breach(Rule::Accounts, t.at, "a try of request " + number(t.request) + ", which is not open");
+    return breach(Rule::Accounts, t.at,
+                  "a client try of request " + number(t.request) + ", which is not open");
   }
   ++request->second.open_tries;
   Try& entry = tries_[t.try_id];
@@ -150,8 +153,8 @@
   }
 }
 
-// Does the router owe an answer to what it took? Not once it was killed or silenced; one that is told to end owes
-// what came up to 700 ms later.
+// Whether the router must respond to an accepted client try. It need not after it was killed, paused or cut
+// off. After SIGTERM it must respond to what arrives within the next 700 ms.
 bool Checker::owed(const Try& t, double until) const {
   if (!t.taken || t.router >= routers_.size()) return false;
   const RouterState& r = routers_[t.router];
@@ -163,7 +166,7 @@
   const auto found = tries_.find(a.try_id);
   if (found == tries_.end() || found->second.answered || a.surplus) {
     return breach(Rule::OneAnswer, a.at,
-                  router_name(a.router) + " answered request " + number(a.request) + " once more");
+                  router_name(a.router) + " answered request " + number(a.request) + " more than once");
   }
   Try& t = found->second;
   t.answered = true;
@@ -173,11 +176,12 @@
   if (const auto request = requests_.find(t.request); request != requests_.end()) {
     --request->second.open_tries;
   }
-  const std::string what = "request " + number(a.request) + " that " + router_name(t.router) + " took ";
-  // The router counts the client's time from when the request came, and its answer has the way back before it: from far
-  // away it may still be coming when the client has stopped listening.
+  const std::string what = "request " + number(a.request) + " that " + router_name(t.router) + " accepted ";
+  // The router measures the client's timeout from the arrival of the request, and its response then needs the
+  // network delay back to the client. To a distant client a response may be in transit when the client stops
+  // waiting.
   double back = t.at - t.due;
-  for (const TimedEvent& e : spec_.events) { // a link that turned slow meanwhile holds it up longer
+  for (const TimedEvent& e : spec_.events) { // a link that became slow in the meantime adds delay
     const auto* slow = std::get_if<SlowLink>(&e.what);
     if (slow == nullptr || e.at_ms > a.at || (slow->until_ms > 0 && slow->until_ms < t.at)) continue;
     back = std::max(back, (t.at - t.due) * slow->factor);
@@ -187,8 +191,8 @@
   if ((a.heard == Heard::Silence || a.heard == Heard::Broken) && !on_its_way && owed(t, a.at)) {
     breach(Rule::NoLost, a.at,
            what +
-               (a.heard == Heard::Silence ? "had no answer"
-                                          : "had its connection ended without a whole answer") +
+               (a.heard == Heard::Silence ? "received no response"
+                                          : "had its connection closed before the response was complete") +
                ", " + ms(a.at - t.at) + " after it was sent");
   }
   const bool answer = a.heard == Heard::Served || a.heard == Heard::Refused || a.heard == Heard::Failed;
@@ -197,7 +201,7 @@
     breach(Rule::NoLost, a.at, what + "was answered " + ms(a.at - t.deadline) + " after its deadline");
   }
   if (a.heard == Heard::Served && !a.genuine) {
-    breach(Rule::Genuine, a.at, what + "was served with something that no node made for it");
+    breach(Rule::Genuine, a.at, what + "was served with a response that no node produced for it");
   }
   if (a.heard == Heard::Refused) check_refusal(a.at, t);
 }
@@ -207,7 +211,7 @@
   for (auto& m : standard_) m->on(c);
   const auto found = requests_.find(c.request);
   if (found == requests_.end() || found->second.closed) {
-    return breach(Rule::Accounts, c.at, "request " + number(c.request) + " was closed, and is not open");
+    return breach(Rule::Accounts, c.at, "request " + number(c.request) + " was closed but is not open");
   }
   found->second.closed = true;
   closed_.emplace_back(c.at, c.request);
@@ -220,7 +224,7 @@
     const auto found = requests_.find(request);
     if (found == requests_.end()) continue;
     if (found->second.open_tries > 0) {
-      breach(Rule::Accounts, at, "request " + number(request) + " was closed while a try is open");
+      breach(Rule::Accounts, at, "request " + number(request) + " was closed while a client try is open");
     }
     requests_.erase(found);
   }
@@ -235,7 +239,7 @@
     answered_.pop_front();
     const auto found = tries_.find(id);
     if (found == tries_.end()) continue;
-    // Attempts still out end by themselves; nothing more is concluded from them.
+    // Attempts that are still in flight end later; their ends are no longer checked.
     for (const Attempt& attempt : found->second.attempts) {
       if (attempt.out) out_.erase(attempt.id);
     }
@@ -255,7 +259,7 @@
   return false;
 }
 
-// What a refusal promises: a further try does no harm.
+// A rejection promises that the client may safely send the request again.
 void Checker::check_refusal(double at, const Try& t) {
   const ClassSpec& cls = spec_.classes[t.cls];
   if (cls.repeat == Idempotency::Idempotent ||
@@ -264,7 +268,7 @@
   for (const Attempt& attempt : t.attempts) {
     if (!attempt.counts()) continue;
     return breach(Rule::Repeats, at,
-                  router_name(t.router) + " refused request " + number(t.request) + " (" + cls.name +
+                  router_name(t.router) + " rejected request " + number(t.request) + " (" + cls.name +
                       ") that may have run on " + name(attempt.machine));
   }
 }
@@ -275,11 +279,11 @@
                            ") to " + name(a.machine);
   const bool final = t.heard == Heard::Served || t.heard == Heard::Refused || t.heard == Heard::Failed;
   if (t.answered && final && a.sent_at > t.answered_at + slack_ms_) {
-    breach(Rule::Repeats, a.at, what + " " + ms(a.sent_at - t.answered_at) + " after its final answer");
+    breach(Rule::Repeats, a.at, what + " " + ms(a.sent_at - t.answered_at) + " after its final response");
   }
   if (t.attempts.size() >= spec_.routers.max_attempts) {
     breach(Rule::Repeats, a.at,
-           what + ", which is attempt " + number(t.attempts.size() + 1) + " of " +
+           what + ", which is attempt " + number(t.attempts.size() + 1) + " of at most " +
                number(spec_.routers.max_attempts) + " allowed");
   }
   if (cls.repeat == Idempotency::Idempotent) return;
@@ -288,17 +292,18 @@
     const std::string but = " though it may have run on " + name(earlier.machine);
     if (cls.repeat == Idempotency::NonIdempotent) return breach(Rule::Repeats, a.at, what + but);
     if (!same_group(cls, earlier.machine, a.machine)) {
-      return breach(Rule::Repeats, a.at, what + but + ", which does not drop its repeats");
+      return breach(Rule::Repeats, a.at, what + but + ", which is outside the idempotency scope");
     }
     if (a.sent_at > earlier.sent_at + cls.window_ms + slack_ms_) {
       return breach(Rule::Repeats, a.at,
                     what + but + " " + ms(a.sent_at - earlier.sent_at) +
-                        " before, and repeats are dropped for " + ms(cls.window_ms));
+                        " before, and the idempotency window is " + ms(cls.window_ms));
     }
   }
 }
 
-// A machine that took another's address is meant by those who know the other one only.
+// A router that knows only the previous machine at an address may reach the machine that uses the address
+// now, so the notices of all machines that share the address count.
 void Checker::check_drain(const Arrived& a) {
   if (a.router >= routers_.size() || a.machine >= plan_.machines.size()) return;
   const List* latest = nullptr;
@@ -314,10 +319,11 @@
     if (look(other)) return;
   }
   const std::string what = router_name(a.router) + " sent an attempt to " + name(a.machine);
-  if (!latest) return breach(Rule::Drains, a.at, what + ", which its list never named");
+  if (!latest) return breach(Rule::Drains, a.at, what + ", which was never in its endpoint list");
   const double late = a.sent_at - latest->at;
   if (late > spec_.routers.drain_grace_ms + slack_ms_) {
-    breach(Rule::Drains, a.at, what + " " + ms(late) + " after it was told that it drains or is gone");
+    breach(Rule::Drains, a.at,
+           what + " " + ms(late) + " after it was notified that the node drains or was removed");
   }
 }
 
@@ -326,7 +332,8 @@
   check_drain(a);
   const auto found = tries_.find(a.try_id);
   if (found != tries_.end()) return take_attempt(a, found->second);
-  // Late on its way, it says nothing; sent just now, it is for a try that is about to be told, or for none.
+  // An attempt that was sent long ago may belong to a try that was already removed: it is ignored. One sent
+  // recently belongs to a try that will be recorded soon, or to none, which is a violation.
   if (a.at - a.sent_at < kRememberMs / 2) early_.push_back({a, {}});
 }
 
@@ -370,7 +377,8 @@
   char share[32];
   std::snprintf(share, sizeof share, "%.0f%%", e.told_share * 100);
   breach(Rule::ColdNodes, e.at,
-         name(e.machine) + " was pushed over while cold, " + share + " of it by routers that knew");
+         name(e.machine) + " was overloaded while cold, " + share +
+             " of the load from routers that were notified");
 }
 
 // ---- routers ----
@@ -386,7 +394,7 @@
       break;
     case RouterEvent::What::Ready:
     case RouterEvent::What::Reloaded: break;
-    case RouterEvent::What::Woke: // it reads what it was told meanwhile
+    case RouterEvent::What::Woke: // it now reads the notifications that arrived while it was paused
       for (MachineId m = 0; m < plan_.machines.size(); ++m) {
         List& l = list(e.router, m);
         if (l.at >= r.down_at) l.at = e.at;
@@ -394,7 +402,7 @@
       [[fallthrough]];
     case RouterEvent::What::Returned:
       r.down = false;
-      r.down_at = e.at; // what was taken in its silence may have been lost with the connection
+      r.down_at = e.at; // what arrived while it was cut off may have been lost with the connection
       break;
     case RouterEvent::What::Killed:
     case RouterEvent::What::Silent:
@@ -415,12 +423,12 @@
   if (t.router >= routers_.size() || t.machine >= plan_.machines.size()) return;
   List& l = list(t.router, t.machine);
   const bool in_service = t.state == ServerState::Ready;
-  // Told again of what it knows, its time does not begin anew.
+  // A repeated notification of the same state doesn't restart the grace period.
   if (l.named && l.in_service == in_service) return;
   l = {t.at, true, in_service};
 }
 
-// ---- the end ----
+// ---- end of the run ----
 
 Findings Checker::finish(bool whole) {
   forget(std::numeric_limits<double>::infinity());
--- a/lab/check/checker.h
+++ b/lab/check/checker.h
@@ -1,7 +1,9 @@
-// Finds broken rules in the records of a run, from all three sides, and measures what the scenario bounds.
+// Checks the records of a run (of clients, machines and routers) for violated rules, and measures the metrics
+// that the scenario bounds.
 //
-// Each rule is judged by what really happened, not by what a router says; where the records leave room, the router
-// gets the benefit. Memory: routers x machines, what is open, and what ended within the last seconds.
+// Each rule is checked against what the emulated clients and machines recorded, not against reports of a
+// router. Where the records are ambiguous, no violation is reported. Memory is proportional to routers x
+// machines, plus the open requests and those that ended within the last seconds.
 #pragma once
 
 #include <array>
@@ -16,14 +18,14 @@
 namespace fernward::lab {
 
 enum class Rule {
-  OneAnswer, // exactly one final answer for each try that a router took
-  NoLost,    // none without one in time
-  Repeats,   // no attempt or refusal beyond what the class allows
-  Drains,    // nothing new to a draining or gone node after the grace
-  ColdNodes, // none pushed over
-  Genuine,   // served with what a machine made for this request
-  Alive,     // no router crashes
-  Accounts,  // the lab itself: each request that was drawn is closed once
+  OneAnswer, // exactly one final response for each client try that a router accepted
+  NoLost,    // no accepted client try without a response in time
+  Repeats,   // no attempt or rejection that the idempotency of the class forbids
+  Drains,    // no new attempt to a draining or removed node after the grace period
+  ColdNodes, // no cold node that routers overload until it fails
+  Genuine,   // each served response was produced by a machine for this request
+  Alive,     // no router process crashes
+  Accounts,  // consistency of the lab itself: each generated request is closed exactly once
 };
 inline constexpr std::size_t kRules = 8;
 
@@ -34,34 +36,36 @@
 
 struct RuleFinding {
   Rule rule = Rule::OneAnswer;
-  bool judged = true; // false: switched off by the scenario
+  bool judged = true; // false: disabled by the scenario
   std::uint64_t breaches = 0;
-  std::vector<Breach> first; // of them, a few
+  std::vector<Breach> first; // the first few violations
   bool kept() const { return !judged || breaches == 0; }
 };
 
 struct BoundFinding {
   std::string what;
   model::Metric metric = model::Metric::Service;
-  std::optional<double> at_least, at_most, value; // no value: nothing to measure, so it does not hold
+  std::optional<double> at_least, at_most, value; // no value: nothing was measured, so the bound fails
   bool kept = false;
 };
 
 struct Findings {
   std::array<RuleFinding, kRules> rules;
   std::vector<BoundFinding> bounds;
-  // The service of the whole run, its worst 10 s, worst class and worst tenant; the score by the scenario's weights.
+  // Service is the share of the requests' weight that was served: of the run, of its worst 10 s, of its worst
+  // class and of its worst tenant. The score is their average by the scenario's weights.
   double whole = 1, worst_window = 1, worst_class = 1, worst_tenant = 1, score = 1;
   bool kept() const;
 };
 
 const char* rule_name(Rule rule);
-const char* rule_text(Rule rule); // a sentence for people
+const char* rule_text(Rule rule); // a sentence for reports
 
+// Receives the records of one run in order of time. finish() is called once, after the last record.
 class Checker : public model::Sink {
  public:
-  // `slack_ms` is granted to every time limit: none but a tick in virtual time, 50 on sockets. `spec` and `plan`
-  // outlive it.
+  // `slack_ms` is added to every time limit: one tick of the decision module in virtual time, 50 ms on
+  // sockets. `spec` and `plan` must outlive the checker.
   Checker(const model::Spec& spec, const model::Plan& plan, double slack_ms);
   ~Checker() override;
 
@@ -77,10 +81,11 @@
   void on(const model::RouterEvent& event) override;
   void on(const model::Told& told) override;
 
-  // `whole`: the run went on until all was answered; one that was stopped leaves requests open.
+  // `whole`: the run continued until all requests were closed. A run that was stopped leaves requests open,
+  // which is then no violation.
   Findings finish(bool whole = true);
 
-  std::size_t remembers() const; // entries of all tables that grow and shrink
+  std::size_t remembers() const; // entries in all tables whose size changes during a run
 
  private:
   struct Attempt {
@@ -99,20 +104,20 @@
     model::Heard heard = model::Heard::Silence;
     std::vector<Attempt> attempts;
   };
-  struct Early { // an attempt whose try has not been told yet
+  struct Early { // an attempt that arrived at a machine before the record of its client try
     model::Arrived arrived;
     std::optional<model::Ending> ending;
   };
   struct Request {
     std::uint32_t cls = 0, open_tries = 0;
-    bool closed = false; // its tries and their ends may be told a moment later
+    bool closed = false; // the records of its tries and their ends may arrive shortly after
   };
   struct RouterState {
     bool down = false;
-    double down_at = -1; // its last end by force, or silence; below 0: never
+    double down_at = -1; // when it was last killed, paused or cut off, or when it returned; below 0: never
     double term_at = -1, ended_at = -1;
   };
-  struct List { // what a router was told of a machine
+  struct List { // what a router was last notified of a machine
     double at = -1;
     bool named = false, in_service = false;
   };
@@ -139,16 +144,16 @@
   std::unordered_map<model::RequestNumber, Request> requests_;
   std::unordered_map<model::TryId, Try> tries_;
   std::unordered_map<model::AttemptId, model::TryId> out_;
-  std::deque<Early> early_;                                    // in order of time
-  std::deque<std::pair<double, model::RequestNumber>> closed_; // requests, to be forgotten
-  std::deque<std::pair<double, model::TryId>> answered_;       // to be forgotten, in order of time
+  std::deque<Early> early_;                                    // ordered by time
+  std::deque<std::pair<double, model::RequestNumber>> closed_; // requests to be removed, ordered by time
+  std::deque<std::pair<double, model::TryId>> answered_;       // tries to be removed, ordered by time
   std::vector<RouterState> routers_;
   std::vector<List> lists_;
-  std::vector<std::vector<model::MachineId>> at_address_; // by machine: all that have had its address
+  std::vector<std::vector<model::MachineId>> at_address_; // by machine: the others that have used its address
   std::vector<std::unique_ptr<Meter>> meters_, standard_;
 };
 
-// Passes records on to several sinks, in order.
+// Forwards each record to several sinks, in order.
 class Tee : public model::Sink {
  public:
   explicit Tee(std::vector<model::Sink*> sinks) : sinks_(std::move(sinks)) {}
--- a/lab/check/meter.cpp
+++ b/lab/check/meter.cpp
@@ -12,15 +12,16 @@
 
 using namespace fernward::model;
 
-constexpr double kStepMs = 1000;             // by which a sliding window moves
-constexpr std::size_t kMostWindows = 100000; // incomplete ones: more are closed as they are
+constexpr double kStepMs = 1000; // step of the sliding window
+constexpr std::size_t kMostWindows =
+    100000; // beyond it the oldest steps are completed with requests still open
 
 struct Asked {
   double at = 0, worth = 0;
   std::uint32_t cls = 0, tenant = 0;
 };
 
-// Follows the requests that a bound speaks of.
+// Base of meters that observe the requests selected by a bound: its class, tenant and time interval.
 class RequestMeter : public Meter {
  public:
   RequestMeter(const Spec& spec, const Bound& bound)
@@ -73,7 +74,7 @@
   Worth sum_;
 };
 
-// The least served class or tenant.
+// Service of the class or tenant with the lowest service.
 class WorstOfMeter final : public RequestMeter {
  public:
   WorstOfMeter(const Spec& spec, const Bound& bound)
@@ -131,7 +132,8 @@
   Latency latency_;
 };
 
-// Cuts the time into steps and gives each, in order, once it is over and all its requests have ended.
+// Divides the time into steps and completes them in order. A step is complete once its time is over and all
+// requests generated in it have ended.
 class SteppedMeter : public RequestMeter {
  public:
   SteppedMeter(const Spec& spec, const Bound& bound, double step_ms)
@@ -142,7 +144,7 @@
   }
 
  protected:
-  virtual void complete(std::uint64_t number, const Worth& worth) = 0; // numbered from bound_.from_ms on
+  virtual void complete(std::uint64_t number, const Worth& worth) = 0; // number 0 begins at bound_.from_ms
   virtual std::optional<double> result() = 0;
   const double step_ms_;
 
@@ -199,11 +201,11 @@
     if (window_.size() == steps_) look();
   }
   std::optional<double> result() override {
-    if (!least_) look(); // shorter than a window: the whole of it
+    if (!least_) look(); // the run is shorter than a window: use all of it
     return least_;
   }
   void look() {
-    Worth sum; // anew each time: a running sum would drift
+    Worth sum; // summed again each time, because a running sum would accumulate rounding errors
     for (const Worth& w : window_) {
       sum.asked += w.asked;
       sum.earned += w.earned;
@@ -229,7 +231,7 @@
   std::optional<double> result() override {
     return any_ ? std::optional(static_cast<double>(recovered_) * step_ms_) : std::nullopt;
   }
-  std::uint64_t recovered_ = 0; // windows until the last bad one was over
+  std::uint64_t recovered_ = 0; // number of windows up to the end of the last one below the level
   bool any_ = false;
 };
 
@@ -270,7 +272,8 @@
   using Sink::on;
   void on(const Arrived& a) override {
     if (a.machine != origin_ || a.write || (bound_.cls && *bound_.cls != a.cls)) return;
-    const double begin = bound_.from_ms / 4; // connections and limits come up first
+    const double begin =
+        bound_.from_ms / 4; // the baseline skips the first quarter: connections and limits build up
     if (a.at >= begin && a.at < bound_.from_ms) ++before_;
     if (a.at < bound_.from_ms || a.at >= to_ms_) return;
     window_.push_back(a.at);
@@ -286,7 +289,7 @@
   const Bound bound_;
   const MachineId origin_;
   const double to_ms_;
-  std::deque<double> window_; // arrivals of the last second
+  std::deque<double> window_; // arrivals within the last second
   std::uint64_t before_ = 0;
   std::size_t peak_ = 0;
 };
@@ -338,7 +341,7 @@
   double handshakes_ = 0;
 };
 
-std::string plain_share(double share) { // of a definition, not measured: 99%
+std::string plain_share(double share) { // for configured shares such as 99%, without trailing zeros
   char text[32];
   std::snprintf(text, sizeof text, "%.6g%%", share * 100);
   return text;
@@ -399,11 +402,11 @@
     case Metric::LatencyMs: text = "latency, " + plain_share(b.quantile) + " within"; break;
     case Metric::OriginPerS: text = "requests to the origin"; break;
     case Metric::OriginPeakPerS: text = "requests to the origin in the worst second"; break;
-    case Metric::FetchSurge: text = "fetches in the worst second, beside the steady rate"; break;
+    case Metric::FetchSurge: text = "origin reads in the worst second, relative to the steady rate"; break;
     case Metric::HitRatio: text = "hit ratio"; break;
-    case Metric::HandshakesPerRequest: text = "new connections to machines for each request"; break;
+    case Metric::HandshakesPerRequest: text = "new connections to machines per request"; break;
     case Metric::RecoveryMs:
-      text = "until each " + shown(b.window_ms) + " is served to " + plain_share(b.level);
+      text = "until the service of each " + shown(b.window_ms) + " reaches " + plain_share(b.level);
       break;
   }
   if (b.cls && *b.cls < spec.classes.size()) text += ", class " + spec.classes[*b.cls].name;
--- a/lab/check/meter.h
+++ b/lab/check/meter.h
@@ -1,6 +1,6 @@
-// One figure that a scenario bounds (model::Bound), measured while the run goes on.
+// Measures one metric that a scenario bounds (model::Bound) while the run is in progress.
 //
-// Memory: what is open, and the windows that are not yet complete.
+// Memory is proportional to the open requests and the windows that are not yet complete.
 #pragma once
 
 #include <deque>
@@ -15,19 +15,20 @@
 
 namespace fernward::lab {
 
+// Receives the records of one run in order of time.
 class Meter : public model::Sink {
  public:
-  // After the run's last record; none: there was nothing to measure.
+  // To be called after the last record of the run; nullopt: there was nothing to measure.
   virtual std::optional<double> value() = 0;
 };
 
-// `spec` outlives it.
+// `spec` must outlive the meter.
 std::unique_ptr<Meter> make_meter(const model::Spec& spec, const model::Plan& plan,
                                   const model::Bound& bound);
 
-// "service of class lookup from 5s", as the scenario's author would say it.
+// A readable description, such as "service, class lookup, from 5s".
 std::string bound_text(const model::Spec& spec, const model::Bound& bound);
-// The value in the bound's own unit: "93.1%", "412ms", "80.3/s".
+// The value in the unit of the metric: "93.1%", "412ms", "80.3/s".
 std::string metric_text(model::Metric metric, double value);
 
 } // namespace fernward::lab
