--- a/lab/stats/figures.cpp
+++ b/lab/stats/figures.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::size_t kMostSlices = 1024, kFewestSlices = 64;
-constexpr std::size_t kMostMachineSlices = std::size_t{1} << 22; // of all machines together
+constexpr std::size_t kMostMachineSlices = std::size_t{1} << 22; // sum over all machines
 
 std::size_t slice_limit(std::size_t machines) {
   return std::clamp(kMostMachineSlices / std::max<std::size_t>(1, machines), kFewestSlices, kMostSlices);
@@ -40,9 +40,10 @@
 }
 
 void merge_named(std::vector<Named>& into, const std::vector<Named>& from) {
-  if (into.size() != from.size()) throw std::invalid_argument("the runs are of different scenarios");
+  if (into.size() != from.size()) throw std::invalid_argument("the runs to merge have different scenarios");
   for (std::size_t i = 0; i < into.size(); ++i) {
-    if (into[i].name != from[i].name) throw std::invalid_argument("the runs are of different scenarios");
+    if (into[i].name != from[i].name)
+      throw std::invalid_argument("the runs to merge have different scenarios");
     into[i].tally.merge(from[i].tally);
   }
 }
@@ -100,9 +101,10 @@
 void Figures::merge(Figures other) {
   while (width_ms < other.width_ms) widen();
   while (other.width_ms < width_ms) other.widen();
-  if (width_ms != other.width_ms) throw std::invalid_argument("the runs' slices don't fit together");
+  if (width_ms != other.width_ms)
+    throw std::invalid_argument("the slice widths of the runs are not multiples by a power of two");
   if (machines.size() != other.machines.size()) {
-    throw std::invalid_argument("the runs are of different fleets");
+    throw std::invalid_argument("the runs to merge have different numbers of machines");
   }
   merge_named(classes, other.classes);
   merge_named(tenants, other.tenants);
@@ -175,7 +177,7 @@
   if (tried.router < figures_.routers.size()) ++figures_.routers[tried.router].tally.tries;
 }
 
-// A router is judged by its tries: a request may go to several.
+// Router statistics count client tries, because a request may go to several routers.
 void Collector::on(const model::Answered& a) {
   if (a.surplus || a.router >= figures_.routers.size()) return;
   Tally& t = figures_.routers[a.router].tally;
@@ -219,7 +221,7 @@
 }
 
 void Collector::on(const model::LoadSample& sample) {
-  // It tells of the time before it; as the run begins there is none.
+  // A sample covers the time before it. The sample at the start of the run covers none.
   const double before = sample.at - 1;
   slice(before).handshakes += sample.new_connections;
   if (before < 0) return;
@@ -234,7 +236,7 @@
 }
 
 Figures Collector::take() {
-  // Events that never came are none; those that go on have no end of their own.
+  // Events that never began are removed. Events without an end last until the end of the run.
   std::erase_if(figures_.marks, [](const MarkFigure& m) { return m.from_ms < 0; });
   for (MarkFigure& m : figures_.marks) {
     if (m.to_ms < m.from_ms) m.to_ms = figures_.duration_ms;
@@ -270,7 +272,7 @@
   const json& latency = j.at("latency");
   const auto bins = latency.at("bins").get<std::vector<std::pair<int, std::uint64_t>>>();
   if (!t.latency.restore(bins, latency.at("sum").get<double>())) {
-    throw std::invalid_argument("a latency lies outside the histogram");
+    throw std::invalid_argument("a latency bin is outside the histogram's range");
   }
   return t;
 }
@@ -359,7 +361,7 @@
       MachineFigures machine{m.at("name").get<std::string>(), {}};
       const json &used = m.at("used"), &samples = m.at("samples"), &attempts = m.at("attempts");
       if (used.size() != f.slices.size() || samples.size() != used.size() || attempts.size() != used.size()) {
-        throw std::invalid_argument("a machine's figures don't fit the slices");
+        throw std::invalid_argument("the lengths of a machine's series differ from the number of slices");
       }
       for (std::size_t i = 0; i < used.size(); ++i) {
         machine.slices.push_back(
--- a/lab/stats/figures.h
+++ b/lab/stats/figures.h
@@ -1,8 +1,8 @@
-// What a run measured: totals, a series over time, and the load of each machine. Plain data that can be added to
-// other runs' of the same scenario, saved and loaded.
+// Statistics of a run: totals, a time series, and the load of each machine. Plain data that can be merged
+// with that of other runs of the same scenario, saved and loaded.
 //
-// A request counts in the slice in which it was drawn, whatever becomes of it. Memory is bounded: there are at most
-// so many slices, and in a longer run they grow wider.
+// A request counts in the time slice in which it was generated, whatever its outcome. Memory is bounded: the
+// number of slices is limited, and in a longer run the slices become wider.
 #pragma once
 
 #include <array>
@@ -18,14 +18,14 @@
 
 namespace fernward::lab {
 
-inline constexpr std::size_t kHeards = 7; // alternatives of model::Heard
+inline constexpr std::size_t kHeards = 7; // number of enumerators of model::Heard
 extern const std::array<const char*, kHeards> kHeardNames;
 
 struct Tally {
   std::uint64_t drawn = 0, in_aim = 0, tries = 0;
-  std::array<std::uint64_t, kHeards> ends{}; // of requests, by their last try
-  double asked = 0, earned = 0;              // worth
-  Latency latency;                           // of what was served
+  std::array<std::uint64_t, kHeards> ends{}; // requests by the outcome of their last client try
+  double asked = 0, earned = 0;              // priority weight, of generated requests and as served
+  Latency latency;                           // of served requests
 
   std::uint64_t served() const { return ends[static_cast<std::size_t>(model::Heard::Served)]; }
   std::uint64_t refused() const { return ends[static_cast<std::size_t>(model::Heard::Refused)]; }
@@ -37,10 +37,11 @@
 
 struct Slice {
   Tally tally;
-  std::uint64_t attempts = 0;                // that reached a machine
-  std::uint64_t fetches = 0, writes = 0;     // of these at the origin
-  std::uint64_t hits = 0, misses = 0;        // of reads at caches; a pending one is a miss
-  std::uint64_t turned_away = 0, errors = 0; // by machines
+  std::uint64_t attempts = 0;            // that arrived at a machine
+  std::uint64_t fetches = 0, writes = 0; // those of them at the origin: reads and writes
+  std::uint64_t hits = 0,
+                misses = 0; // of reads at caches; a read that waits for a pending value counts as a miss
+  std::uint64_t turned_away = 0, errors = 0; // attempts that machines rejected, or answered with an error
   double handshakes = 0;
   void merge(const Slice& other);
 };
@@ -51,8 +52,8 @@
 };
 
 struct MachineSlice {
-  float used = 0;            // sum of the samples' shares of the present capacity
-  std::uint32_t samples = 0; // of it
+  float used = 0;            // sum over the samples of the used share of the present capacity
+  std::uint32_t samples = 0; // number of these samples
   std::uint32_t attempts = 0;
 };
 
@@ -68,22 +69,23 @@
 
 struct Figures {
   std::string scenario, title;
-  double duration_ms = 0, width_ms = 1000; // of a slice
+  double duration_ms = 0, width_ms = 1000; // width_ms: of a slice
   std::uint32_t runs = 1;
   std::vector<Slice> slices;
   std::vector<Named> classes, tenants, zones, routers;
   std::vector<MachineFigures> machines;
   std::vector<MarkFigure> marks;
-  std::uint32_t origin = 0; // of the machines; their number where there is none
+  std::uint32_t origin = 0; // index in `machines`; the number of machines if there is no origin
 
-  Slice whole() const; // all slices together
-  void widen();        // pairs of slices become one
-  // Adds another run's. Throws std::invalid_argument where it is of another fleet.
+  Slice whole() const; // sum of all slices
+  void widen();        // merges each pair of adjacent slices
+  // Adds the statistics of another run. Throws std::invalid_argument if it has another scenario or fleet.
   void merge(Figures other);
 };
 
-double hit_ratio(const Slice& slice); // 0 without reads
+double hit_ratio(const Slice& slice); // 0 if there were no reads
 
+// Collects the statistics of one run from its records, which come in order of time.
 class Collector : public model::Sink {
  public:
   Collector(const model::Spec& spec, const model::Plan& plan);
@@ -98,7 +100,7 @@
   void on(const model::LoadSample& sample) override;
   void on(const model::Mark& mark) override;
 
-  Figures take(); // what was collected, once the run is over
+  Figures take(); // to be called once, after the run
   std::size_t remembers() const { return open_.size(); }
 
  private:
@@ -107,7 +109,7 @@
     std::uint32_t cls = 0, tenant = 0, zone = 0, router = 0;
     bool tried = false;
   };
-  std::size_t index(double at); // of its slice, which is made if need be
+  std::size_t index(double at); // index of the slice of this time, which is created if needed
   Slice& slice(double at) { return figures_.slices[index(at)]; }
   MachineSlice& machine_slice(double at, model::MachineId machine);
   template <typename Count>
@@ -118,7 +120,7 @@
   std::unordered_map<model::RequestNumber, Open> open_;
 };
 
-// Files. load throws std::invalid_argument with what is wrong.
+// File format. figures_from throws std::invalid_argument with a description of the fault.
 nlohmann::json to_json(const Figures& figures);
 Figures figures_from(const nlohmann::json& json);
 
--- a/lab/stats/format.h
+++ b/lab/stats/format.h
@@ -1,4 +1,4 @@
-// Text by a printf pattern, for what storms report: 511 characters at most, the rest is left out.
+// Formats text by a printf pattern, for the reports of storms. The result is truncated to 511 characters.
 #pragma once
 
 #include <cstdarg>
--- a/lab/stats/latency.cpp
+++ b/lab/stats/latency.cpp
@@ -22,7 +22,7 @@
   if (count_ == 0) return 0;
   const double wanted = share * static_cast<double>(count_);
   double before = 0;
-  for (int bin = -1; bin <= kBins; ++bin) { // with what lies below and above the axis
+  for (int bin = -1; bin <= kBins; ++bin) { // includes underflow and overflow
     const auto here = static_cast<double>(histogram_.at(bin));
     if (here > 0 && before + here >= wanted) {
       const double low = bin < 0 ? kLeast : histogram_.axis().value(bin);
--- a/lab/stats/latency.h
+++ b/lab/stats/latency.h
@@ -1,5 +1,5 @@
-// Latencies in a histogram of fixed size: a logarithmic axis, 128 bins a decade from 0.05 ms to 500 s, so that a
-// quantile is right within 2%. Merges with any other.
+// A latency histogram of fixed size: a logarithmic axis with 128 bins per decade from 0.05 ms to 500 s, which
+// keeps the error of a quantile below 2%. Any two histograms can be merged.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -21,12 +21,13 @@
 
   std::uint64_t count() const { return count_; }
   double mean() const { return count_ > 0 ? sum_ / static_cast<double>(count_) : 0; }
-  double quantile(double share) const; // 0 without any
+  double quantile(double share) const; // in ms; 0 if the histogram is empty
 
-  // For files: the bins that are not empty, by number, with their counts.
+  // For files: number and count of each bin that is not empty. -1 and the last number are underflow and
+  // overflow.
   std::vector<std::pair<int, std::uint64_t>> bins() const;
   double sum() const { return sum_; }
-  // False: a bin that there is not.
+  // Replaces the contents. Returns false if a bin number doesn't exist.
   bool restore(const std::vector<std::pair<int, std::uint64_t>>& bins, double sum);
 
  private:
