--- a/lab/driver.h
+++ b/lab/driver.h
@@ -1,4 +1,5 @@
-// The seam between experiments and what plays a scenario: in virtual time (lab/virtual/) or on sockets.
+// Interface between experiments and the drivers that run a scenario: in virtual time (lab/virtual/) or on
+// sockets (lab/rig/).
 #pragma once
 
 #include <cstdint>
@@ -18,33 +19,34 @@
 
 struct RouterCost {
   model::RouterId router = 0;
-  double cpu_s = 0;          // virtual time: of its decisions alone
+  double cpu_s = 0;          // virtual time: of its decision module only
   double peak_memory_mb = 0; // 0: not measured
   std::uint32_t peak_sockets = 0;
-  std::uint64_t datagrams = 0, datagram_bytes = 0; // that it sent to others of its tier
+  std::uint64_t datagrams = 0, datagram_bytes = 0; // sent to other routers of its tier
 };
 
-// What a run cost and whether it counts. A run that is void says nothing about the routers.
+// Resource use and validity of a run. A void run must not be used to assess the routers.
 struct RunInfo {
   bool is_void = false;
-  std::vector<std::string> why_void; // the rig was late, a process of the rig died, ...
-  bool stopped = false;              // asked to stop before its end
-  double played_ms = 0;              // of the scenario
-  double wall_s = 0, cpu_s = 0;      // of the rig, without routers
+  std::vector<std::string> why_void; // such as: the rig was late, a process of the rig ended
+  bool stopped = false;              // stopped on request before its end
+  double played_ms = 0;              // scenario time that was run
+  double wall_s = 0, cpu_s = 0;      // of the rig, excluding routers
   double peak_memory_mb = 0;         // of the rig
-  Quantiles lateness_ms;             // of sends against their due time; 0 in virtual time
-  Quantiles answer_lateness_ms;      // sockets: of the stand-ins' answers against theirs
-  double load_cpu_s = 0;             // sockets: of the sending side alone
+  Quantiles lateness_ms;             // of sends, relative to their due times; 0 in virtual time
+  Quantiles answer_lateness_ms;      // sockets: of the emulated servers' responses, relative to theirs
+  double load_cpu_s = 0;             // sockets: of the load generator only
   std::vector<RouterCost> routers;
-  std::uint64_t events = 0; // virtual time: worked off
+  std::uint64_t events = 0; // virtual time: number of processed events
 };
 
 struct RunControl {
-  std::stop_token stop;                        // the run ends early, cleanly, when asked
-  std::function<void(double now_ms)> progress; // called now and then, from the run's own thread; may be empty
+  std::stop_token stop;                        // requests that the run end early, with a clean shutdown
+  std::function<void(double now_ms)> progress; // called at intervals from the run's own thread; may be empty
 };
 
-// One run at a time. `spec` must have no faults(); throws std::runtime_error where a run can't begin.
+// Runs scenarios, one at a time. `spec` must have no faults(). Throws std::runtime_error if a run can't be
+// started.
 class Driver {
  public:
   virtual ~Driver() = default;
--- a/lab/experiment/many.h
+++ b/lab/experiment/many.h
@@ -1,4 +1,5 @@
-// Many runs on several cores. Results come in the order of the runs, whichever is done first.
+// Executes many runs on several cores. Results are stored by the index of the run, so their order doesn't
+// depend on which run ends first.
 #pragma once
 
 #include <atomic>
@@ -11,9 +12,10 @@
 
 namespace fernward::lab {
 
-// Calls work(i) for each i below `count`, on `jobs` threads (at least one), and done(n) after each, n being how many
-// are over; done is called by one thread at a time. Of work that throws, the first in order is thrown again once all
-// threads have ended. After a stop no further work begins.
+// Calls work(i) for each i below `count`, on `jobs` threads (at least one), and done(n) after each, where n
+// is the number of finished calls. done is called by one thread at a time. If calls of work throw, the
+// exception with the lowest index is rethrown once all threads have ended. After a stop request no further
+// call begins.
 inline void many(std::size_t count, unsigned jobs, std::stop_token stop,
                  const std::function<void(std::size_t)>& work, const std::function<void(std::size_t)>& done) {
   std::atomic<std::size_t> next = 0;
--- a/lab/experiment/play.cpp
+++ b/lab/experiment/play.cpp
@@ -107,12 +107,13 @@
 Findings findings_from(const json& j) {
   Findings f;
   const json& rules = j.at("rules");
-  if (rules.size() != kRules) throw std::invalid_argument("it judges other rules than this program knows");
+  if (rules.size() != kRules)
+    throw std::invalid_argument("its list of rules differs from that of this program");
   for (std::size_t i = 0; i < kRules; ++i) {
     RuleFinding& r = f.rules[i];
     r.rule = static_cast<Rule>(i);
     if (rules[i].at("rule") != rule_name(r.rule)) {
-      throw std::invalid_argument("it judges other rules than this program knows");
+      throw std::invalid_argument("its list of rules differs from that of this program");
     }
     rules[i].at("judged").get_to(r.judged);
     rules[i].at("breaches").get_to(r.breaches);
@@ -123,7 +124,7 @@
   for (const json& b : j.at("bounds")) {
     const int metric = b.at("metric").get<int>();
     if (metric < 0 || metric > static_cast<int>(model::Metric::RecoveryMs)) {
-      throw std::invalid_argument("it bounds what this program does not measure");
+      throw std::invalid_argument("a bound has a metric that is unknown to this program");
     }
     f.bounds.push_back({b.at("what").get<std::string>(), static_cast<model::Metric>(metric),
                         optional_from(b.at("at_least")), optional_from(b.at("at_most")),
@@ -182,9 +183,10 @@
 Result result_from(const json& j) {
   try {
     if (!j.is_object() || j.value("format", "") != kFormat) {
-      throw std::invalid_argument("is not a run of the lab");
+      throw std::invalid_argument("is not a run file of fernward-lab");
     }
-    if (j.at("version") != kVersion) throw std::invalid_argument("was written by another version of the lab");
+    if (j.at("version") != kVersion)
+      throw std::invalid_argument("was written in another version of the file format");
     Result r;
     j.at("driver").get_to(r.driver);
     j.at("seed").get_to(r.seed);
--- a/lab/experiment/summary.cpp
+++ b/lab/experiment/summary.cpp
@@ -71,7 +71,8 @@
 }
 
 Paired compare(const std::vector<double>& a, const std::vector<double>& b) {
-  if (a.size() != b.size() || a.empty()) throw std::invalid_argument("pairs of runs are needed");
+  if (a.size() != b.size() || a.empty())
+    throw std::invalid_argument("a comparison needs one or more pairs of runs");
   Paired p;
   p.pairs = a.size();
   const auto n = static_cast<double>(a.size());
--- a/lab/experiment/summary.h
+++ b/lab/experiment/summary.h
@@ -1,4 +1,4 @@
-// The figures by which runs are set side by side.
+// The summary values by which runs are compared.
 #pragma once
 
 #include <array>
@@ -10,8 +10,8 @@
 namespace fernward::lab {
 
 struct Column {
-  const char* name; // for tables
-  const char* key;  // for files
+  const char* name; // heading in tables
+  const char* key;  // key in files
   bool more_is_better;
   double (*of)(const Result&);
   std::string (*text)(double);
@@ -27,7 +27,7 @@
   std::size_t pairs = 0;
   double mean_a = 0, mean_b = 0, mean = 0;
   double low = 0,
-         high = 0; // of the mean; equal to it where there is one pair alone, which says nothing of chance
+         high = 0; // interval of the mean; equal to it for a single pair, which can't show random variation
   enum class Says { Higher, Lower, Nothing } says = Says::Nothing;
 };
 Paired compare(const std::vector<double>& a, const std::vector<double>& b);
