--- a/lab/commands/check.cpp
+++ b/lab/commands/check.cpp
@@ -1,4 +1,4 @@
-// fernward-lab check: are these scenarios sound? fernward-lab keys: what may stand in one.
+// fernward-lab check: validates scenario files. fernward-lab keys: prints the reference of their keys.
 #include <cstdio>
 
 #include "lab/commands/command.h"
@@ -6,11 +6,12 @@
 namespace fernward::lab {
 
 int check_command(const Arguments& arguments) {
-  cxxopts::Options options("fernward-lab check", "Read scenarios and name every fault; nothing is started");
-  options.add_options()("driver", "virtual or sockets: what a machine can offer differs",
+  cxxopts::Options options("fernward-lab check",
+                           "Validate scenarios and print every fault; nothing is started");
+  options.add_options()("driver", "virtual or sockets: they support different scenarios",
                         cxxopts::value<std::string>()->default_value("virtual"))(
-      "write", "Print the scenario whole, every value given, its base included")(
-      "set", "KEY=VALUE, such as load.rate=820/s or kinds[fast].cores=8; may be given again",
+      "write", "Print the complete scenario with every value, including those of its base")(
+      "set", "KEY=VALUE, such as load.rate=820/s or kinds[fast].cores=8; may be repeated",
       cxxopts::value<std::vector<std::string>>()->default_value(""))(
       "scenario", "", cxxopts::value<std::vector<std::string>>());
   options.parse_positional({"scenario"});
--- a/lab/commands/command.h
+++ b/lab/commands/command.h
@@ -1,6 +1,7 @@
-// The sub-commands of fernward-lab and what they share.
+// The sub-commands of fernward-lab and their shared functions.
 //
-// Exit codes: 0 well; 1 a fault in a scenario, a broken rule, a missed bound or a void run; 2 wrong usage.
+// Exit codes: 0 success; 1 a fault in a scenario, a violated rule, a missed bound or a void run; 2 wrong
+// usage.
 #pragma once
 
 #include <functional>
@@ -44,35 +45,35 @@
 
 enum class DriverKind { Virtual, Sockets };
 
-struct Playing { // what the options of run, sweep and compare say alike
+struct Playing { // the options that run, sweep, compare and storm have in common
   DriverKind driver = DriverKind::Virtual;
-  std::string program; // sockets: the router
+  std::string program; // sockets: the router's program
   RouterRole role = RouterRole::Platform;
   bool unlimited = false;
-  std::string logs; // sockets: the folder for what routers say
+  std::string logs; // sockets: the folder for the routers' logs
   Offer offer() const { return driver == DriverKind::Virtual ? offer_virtual() : offer_sockets(); }
 };
 void add_playing(cxxopts::Options& options);
-// `side`: of compare, "a" or "b": its own options go before the common ones.
+// `side`: "a" or "b" for compare, whose options for one side override the common ones.
 Playing playing_of(const cxxopts::ParseResult& parsed, const std::string& side = "");
 
 std::unique_ptr<Driver> make_driver(const Playing& playing);
 double slack_of(const Playing& playing, const model::Spec& spec);
 const char* driver_name(const Playing& playing);
 
-// Reads and checks. Faults are printed, and the second is false.
+// Reads and validates a scenario. If it has faults they are printed, and the second value is false.
 std::pair<Scenario, bool> load_scenario(const std::string& path, const std::vector<std::string>& settings,
                                         const Playing& playing);
-bool print_faults(const Scenario& scenario); // are there any?
+bool print_faults(const Scenario& scenario); // returns whether there are any
 
-std::string shipped_router(); // the `fernward` beside this program, or the one on the PATH
+std::string shipped_router(); // the `fernward` in the folder of this program, or the one on the PATH
 
-// ---- while runs go on ----
+// ---- during runs ----
 
-// Ctrl-C and SIGTERM ask for a stop; a second one ends the program at once.
+// SIGINT (Ctrl-C) and SIGTERM request a stop; a second signal ends the program at once.
 std::stop_token stop_on_signals();
 
-// A line that is written over and over, where standard error is a terminal.
+// A status line that is overwritten with each update; only shown if standard error is a terminal.
 class Progress {
  public:
   Progress();
@@ -84,7 +85,7 @@
   std::size_t shown_ = 0;
 };
 
-// A table with its columns lined up; the first column to the left.
+// A table with aligned columns: the first to the left, the others to the right.
 std::string table_text(const std::vector<std::vector<std::string>>& rows);
 
 } // namespace fernward::lab
--- a/lab/commands/compare.cpp
+++ b/lab/commands/compare.cpp
@@ -1,4 +1,4 @@
-// fernward-lab compare: two settings or two programs over the same seeds, in pairs.
+// fernward-lab compare: compares two settings or two programs by pairs of runs with the same seeds.
 #include <cmath>
 #include <cstdio>
 #include <nlohmann/json.hpp>
@@ -17,9 +17,9 @@
   Playing playing;
   model::Spec spec;
   std::vector<Row> rows;          // by seed
-  std::vector<char> counts, kept; // not void; every rule kept
+  std::vector<char> counts, kept; // by seed: the run is valid; no rule was violated
   std::vector<std::vector<BoundFinding>> bounds;
-  std::vector<std::string> why; // a run is void, else empty
+  std::vector<std::string> why; // by seed: why the run is void, else empty
 };
 
 std::string signed_text(const Column& column, double value) {
@@ -37,7 +37,7 @@
   return (p.says == Paired::Says::Higher) == more_is_better ? "B is better" : "B is worse";
 }
 
-// What the scenario bounds, on both sides: in how many runs it holds, its mean and its worst value.
+// Prints each bound of the scenario for both sides: its mean and worst value, and in how many runs it holds.
 void bounds_table(const Side& a, const Side& b, const std::vector<std::size_t>& pairs,
                   nlohmann::json& saved) {
   const std::size_t count = std::min(a.bounds[pairs.front()].size(), b.bounds[pairs.front()].size());
@@ -77,23 +77,23 @@
 int compare_command(const Arguments& arguments) {
   cxxopts::Options options(
       "fernward-lab compare",
-      "Play a scenario two ways, A and B, over the same seeds, and say whether B is better. "
-      "Ends with 1 where a run was void or broke a rule");
+      "Run a scenario with two configurations, A and B, over the same seeds, and report whether B is better. "
+      "The exit code is 1 if a run was void or violated a rule");
   add_playing(options);
   const auto list = [] { return cxxopts::value<std::vector<std::string>>(); };
-  options.add_options()("a,set-a", "KEY=VALUE for A alone; may be given again", list())(
-      "b,set-b", "KEY=VALUE for B alone; may be given again", list())("program-a", "sockets: the router of A",
-                                                                      cxxopts::value<std::string>())(
-      "program-b", "sockets: the router of B", cxxopts::value<std::string>())(
-      "driver-a", "In place of --driver for A", cxxopts::value<std::string>())(
-      "driver-b", "In place of --driver for B", cxxopts::value<std::string>())(
-      "role-a", "In place of --role for A", cxxopts::value<std::string>())(
-      "role-b", "In place of --role for B", cxxopts::value<std::string>())(
+  options.add_options()("a,set-a", "KEY=VALUE for A only; may be repeated", list())(
+      "b,set-b", "KEY=VALUE for B only; may be repeated", list())(
+      "program-a", "sockets: the router program of A", cxxopts::value<std::string>())(
+      "program-b", "sockets: the router program of B", cxxopts::value<std::string>())(
+      "driver-a", "Overrides --driver for A", cxxopts::value<std::string>())(
+      "driver-b", "Overrides --driver for B", cxxopts::value<std::string>())(
+      "role-a", "Overrides --role for A", cxxopts::value<std::string>())("role-b", "Overrides --role for B",
+                                                                         cxxopts::value<std::string>())(
       "seeds", "1..8 or 1,4,9", cxxopts::value<std::string>()->default_value("1..8"))(
-      "jobs", "Runs at once in virtual time; 0: one for each core",
+      "jobs", "Concurrent runs in virtual time; 0: one per core",
       cxxopts::value<unsigned>()->default_value("0"))("out", "A folder for compare.json",
                                                       cxxopts::value<std::string>())(
-      "set", "KEY=VALUE for both; may be given again", list())("scenario", "", list());
+      "set", "KEY=VALUE for both; may be repeated", list())("scenario", "", list());
   options.parse_positional({"scenario"});
   options.positional_help("SCENARIO");
   const auto parsed = parse(options, arguments);
@@ -111,8 +111,9 @@
     }
     if (parsed.count("program-" + name) > 0) {
       if (side->playing.driver == DriverKind::Virtual) {
-        throw UsageError("--" + name +
-                         "-program is for --driver sockets: virtual time has its own decisions");
+        throw UsageError(
+            "--" + name +
+            "-program requires --driver sockets: virtual time uses the built-in decision module");
       }
       side->playing.program = parsed["program-" + name].as<std::string>();
     }
@@ -135,7 +136,7 @@
   unsigned jobs = parsed["jobs"].as<unsigned>();
   if (jobs == 0) jobs = std::max(1u, std::thread::hardware_concurrency());
   if (a.playing.driver == DriverKind::Sockets || b.playing.driver == DriverKind::Sockets)
-    jobs = 1; // two at once would make one another late
+    jobs = 1; // concurrent runs on sockets would delay each other
 
   const std::stop_token stop = stop_on_signals();
   {
@@ -144,7 +145,8 @@
         seeds.size() * 2, jobs, stop,
         [&](std::size_t i) {
           const std::size_t seed = i / 2;
-          // A B, then B A: what changes about the machine meanwhile meets both.
+          // The order alternates (A B, then B A), so that slow changes of the machine affect both sides
+          // alike.
           Side& side = (i % 2 == 0) == (seed % 2 == 0) ? a : b;
           model::Spec spec = side.spec;
           spec.seed = seeds[seed];
--- a/lab/commands/cost.cpp
+++ b/lab/commands/cost.cpp
@@ -1,5 +1,5 @@
-// fernward-lab cost: what the router costs beside a bare relay of bytes, the table of docs/performance.md.
-// fernward-lab relay: that relay by itself.
+// fernward-lab cost: the CPU cost of the router compared with a plain byte relay, the table of
+// docs/performance.md. fernward-lab relay: runs that relay alone.
 #include <algorithm>
 #include <cstdio>
 
@@ -15,11 +15,11 @@
   return values[values.size() / 2];
 }
 
-// "14,200,1000"; the delimiter of cxxopts is taken, see command.h.
+// "14,200,1000" is parsed here, because the list delimiter of cxxopts has another use, see command.h.
 std::vector<std::uint32_t> counts_of(const cxxopts::ParseResult& parsed, const std::string& option) {
   std::vector<std::uint32_t> counts;
   for (const std::uint64_t count : parse_seeds(parsed[option].as<std::string>())) {
-    if (count == 0 || count > 1'000'000) throw UsageError("--" + option + " takes counts from 1 to 1000000");
+    if (count == 0 || count > 1'000'000) throw UsageError("--" + option + " needs counts from 1 to 1000000");
     counts.push_back(static_cast<std::uint32_t>(count));
   }
   return counts;
@@ -28,17 +28,19 @@
 } // namespace
 
 int cost_command(const Arguments& arguments) {
-  cxxopts::Options options("fernward-lab cost",
-                           "CPU of a request through the router, beside a bare relay of bytes, both at once "
-                           "before the same stand-ins. Ends with 1 where a run was void");
+  cxxopts::Options options(
+      "fernward-lab cost",
+      "CPU per request of the router, compared with a plain byte relay that runs at the same time "
+      "in front of the same emulated servers. The exit code is 1 if a run was void");
   options.add_options()("program",
-                        "The router; without it the `fernward` beside this program, or on the PATH",
+                        "The router; default: the `fernward` in the folder of this program, or on the PATH",
                         cxxopts::value<std::string>())(
       "targets", "Cache nodes", cxxopts::value<std::string>()->default_value("14,200,1000"))(
-      "keys", "Keys, all asked for alike", cxxopts::value<std::string>()->default_value("100,10000"))(
-      "rate", "Requests a second, of both together", cxxopts::value<double>()->default_value("2000"))(
-      "seconds", "Measured in each run", cxxopts::value<double>()->default_value("5"))(
-      "rounds", "Runs of each; the median is told", cxxopts::value<int>()->default_value("3"));
+      "keys", "Number of keys, requested with equal probability",
+      cxxopts::value<std::string>()->default_value("100,10000"))(
+      "rate", "Requests per second, for both together", cxxopts::value<double>()->default_value("2000"))(
+      "seconds", "Measured seconds of each run", cxxopts::value<double>()->default_value("5"))(
+      "rounds", "Runs of each row; the median is printed", cxxopts::value<int>()->default_value("3"));
   const auto parsed = parse(options, arguments);
   const int rounds = parsed["rounds"].as<int>();
   if (rounds < 1 || rounds > 1000) throw UsageError("--rounds must be from 1 to 1000");
@@ -82,11 +84,11 @@
 int relay_command(const Arguments& arguments) {
   cxxopts::Options options(
       "fernward-lab relay",
-      "A bare relay of bytes: each connection is joined to one of its own towards a target, in "
-      "turn. Without --listen it takes address and cache nodes from the file that NODE_CONFIG "
-      "names, as a router would. SIGTERM ends it");
+      "A plain byte relay: each client connection gets its own connection to a target, chosen in "
+      "turn. Without --listen it reads its address and the cache nodes from the file named by "
+      "NODE_CONFIG, as a router does. SIGTERM ends it");
   options.add_options()("listen", "An address, such as 127.0.0.1:7001", cxxopts::value<std::string>())(
-      "target", "An address; may be given again", cxxopts::value<std::vector<std::string>>());
+      "target", "An address; may be repeated", cxxopts::value<std::vector<std::string>>());
   const auto parsed = parse(options, arguments);
   const bool listens = parsed.count("listen") > 0, has_target = parsed.count("target") > 0;
   if (listens != has_target) throw UsageError("--listen and --target go together");
--- a/lab/commands/run.cpp
+++ b/lab/commands/run.cpp
@@ -1,4 +1,4 @@
-// fernward-lab run: one scenario, once. fernward-lab report: the page of a run that was kept.
+// fernward-lab run: runs one scenario once. fernward-lab report: rebuilds the report of a saved run.
 #include <cstdio>
 
 #include "lab/commands/command.h"
@@ -8,11 +8,12 @@
 namespace fernward::lab {
 
 int run_command(const Arguments& arguments) {
-  cxxopts::Options options("fernward-lab run", "Play one scenario, judge it and measure it");
+  cxxopts::Options options("fernward-lab run",
+                           "Run one scenario, check its rules and bounds, and print its statistics");
   add_playing(options);
-  options.add_options()("seed", "In place of the scenario's own", cxxopts::value<std::string>())(
+  options.add_options()("seed", "Overrides the seed of the scenario", cxxopts::value<std::string>())(
       "out", "A folder for run.json, seconds.csv, machines.csv, scenario.toml and report.html",
-      cxxopts::value<std::string>())("set", "KEY=VALUE, such as load.rate=820/s; may be given again",
+      cxxopts::value<std::string>())("set", "KEY=VALUE, such as load.rate=820/s; may be repeated",
                                      cxxopts::value<std::vector<std::string>>())(
       "scenario", "", cxxopts::value<std::vector<std::string>>());
   options.parse_positional({"scenario"});
@@ -52,13 +53,13 @@
 }
 
 int report_command(const Arguments& arguments) {
-  cxxopts::Options options("fernward-lab report", "Draw the page of a run again, from its run.json");
-  options.add_options()("out", "The folder; without it the one of run.json", cxxopts::value<std::string>())(
-      "run", "", cxxopts::value<std::vector<std::string>>());
+  cxxopts::Options options("fernward-lab report", "Rebuild the report of a run from its run.json");
+  options.add_options()("out", "The folder for the report; default: the folder of run.json",
+                        cxxopts::value<std::string>())("run", "", cxxopts::value<std::vector<std::string>>());
   options.parse_positional({"run"});
   options.positional_help("RUN.JSON");
   const auto parsed = parse(options, arguments);
-  if (parsed.count("run") != 1) throw UsageError("one run.json is wanted");
+  if (parsed.count("run") != 1) throw UsageError("expected exactly one run.json");
   const std::filesystem::path path = parsed["run"].as<std::vector<std::string>>().front();
   const Result result = load_result(path);
   const std::filesystem::path folder = parsed.count("out") > 0
--- a/lab/commands/storm.cpp
+++ b/lab/commands/storm.cpp
@@ -1,4 +1,5 @@
-// fernward-lab storm: storms drawn from seeds, played and judged; one made smaller; one played again from its file.
+// fernward-lab storm: generates storms from seeds, runs and checks them; shrinks one, or replays one from its
+// file.
 #include <algorithm>
 #include <cstdio>
 #include <filesystem>
@@ -18,7 +19,7 @@
 namespace fs = std::filesystem;
 
 constexpr std::uint32_t kMostLeftOut = 1000;
-constexpr double kBesideCalmMs = 2000, kBesideFaultsMs = 5000; // of storms in real time
+constexpr double kBesideCalmMs = 2000, kBesideFaultsMs = 5000; // phases of a storm that runs in real time
 
 std::string read_text(const std::string& path) {
   std::ifstream in(path);
@@ -43,7 +44,7 @@
   }
 }
 
-// Plays a file; where it names an oracle, that must say what the file says.
+// Runs the storm of a file. If the file names an oracle, the verdict of that oracle must match the file.
 int replay(const storm::Rig& rig, const std::string& path, std::uint32_t times, std::stop_token stop) {
   const auto expected = storm::expected_of(read_text(path));
   const Scenario scenario = read_scenario_file(path);
@@ -87,7 +88,8 @@
     return kBad;
   }
   const std::size_t number = static_cast<std::size_t>(oracle - storm::oracles().data());
-  // Where chance has a part in it, a cut must not bring it to where chance alone would do.
+  // If the oracle depends on chance, a cut must keep enough distance from the limit that chance alone can't
+  // reach it.
   const double least = oracle->sure == storm::Sure::Always ? 1 : (1 + first.verdicts[number].distance) / 2;
   const storm::Shrunk small = storm::shrink(
       spec,
@@ -97,7 +99,7 @@
         return v.broken() && v.distance >= least ? v.distance : 0;
       },
       plays);
-  // As its file has it, so that what is written is what was played.
+  // Runs the storm as it is read back from its text, so that the written file is what was run.
   const Scenario again = read_scenario(scenario_text(small.spec), "shrunk");
   if (print_faults(again)) return kBad;
   const storm::Outcome last = storm::play(rig, again.spec, stop);
@@ -111,7 +113,7 @@
   return last.broken(*oracle) ? kWell : kBad;
 }
 
-// Storms small enough for real time, each played on sockets and beside that in virtual time.
+// Runs storms that are short enough for real time on sockets, and compares each with runs in virtual time.
 int play_besides(const storm::Besides& besides, std::uint64_t first, std::uint64_t storms,
                  const storm::Size& size, double most_s, const std::string& out, std::stop_token stop) {
   std::vector<storm::Pair> pairs;
@@ -121,7 +123,7 @@
   for (std::uint64_t seed = first; pairs.size() < storms && !stop.stop_requested(); ++seed) {
     const model::Spec spec = storm::draw(seed, {}, size);
     if (spec.duration_ms > 1000 * most_s) {
-      if (++long_ones > kMostLeftOut) throw UsageError("--most-seconds leaves no storm");
+      if (++long_ones > kMostLeftOut) throw UsageError("--most-seconds is too short: no storm is left");
       continue;
     }
     storm::Pair pair = storm::play_beside(besides, spec, stop);
@@ -141,32 +143,35 @@
 } // namespace
 
 int storm_command(const Arguments& arguments) {
-  cxxopts::Options options("fernward-lab storm", "Draw storms from seeds, play them and judge them");
+  cxxopts::Options options("fernward-lab storm",
+                           "Generate storms from seeds, run them and check them by oracles");
   add_playing(options);
   options.add_options()("first", "The first seed", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "storms", "How many, each from the next seed", cxxopts::value<std::uint64_t>()->default_value("200"))(
-      "most-routers", "Of a storm", cxxopts::value<std::uint32_t>()->default_value("300"))(
-      "most-nodes", "Of a storm", cxxopts::value<std::uint32_t>()->default_value("200"))(
-      "most-rate", "Requests a second of a storm", cxxopts::value<double>()->default_value("250"))(
-      "jobs", "Storms at once; 0: one for each core", cxxopts::value<unsigned>()->default_value("0"))(
-      "out", "A folder for the page and a scenario for each of the worst; of --shrink and --write a file",
-      cxxopts::value<std::string>())("shrink", "Make a storm's file smaller while its oracle is broken",
+      "storms", "Number of storms, with consecutive seeds",
+      cxxopts::value<std::uint64_t>()->default_value("200"))(
+      "most-routers", "Routers of a storm, at most", cxxopts::value<std::uint32_t>()->default_value("300"))(
+      "most-nodes", "Nodes of a storm, at most", cxxopts::value<std::uint32_t>()->default_value("200"))(
+      "most-rate", "Requests per second of a storm, at most", cxxopts::value<double>()->default_value("250"))(
+      "jobs", "Concurrent storms; 0: one per core", cxxopts::value<unsigned>()->default_value("0"))(
+      "out",
+      "A folder for the report and a scenario for each of the worst storms; for --shrink and --write a file",
+      cxxopts::value<std::string>())("shrink",
+                                     "Reduce the storm of a file as long as its oracle stays broken",
                                      cxxopts::value<std::string>())(
-      "oracle", "That --shrink follows; without it the one that the file names",
-      cxxopts::value<std::string>())("plays", "That --shrink may take",
-                                     cxxopts::value<std::uint32_t>()->default_value("400"))(
-      "write", "Write the storm of --first as a scenario, and play nothing")(
-      "replay", "Play a storm's file; it must come out as it says", cxxopts::value<std::string>())(
-      "beside", "On sockets, each storm beside so many plays of it in virtual time; 0: alone",
+      "oracle", "The oracle for --shrink; default: the one named in the file", cxxopts::value<std::string>())(
+      "plays", "Runs that --shrink may use", cxxopts::value<std::uint32_t>()->default_value("400"))(
+      "write", "Write the storm of --first as a scenario, without running it")(
+      "replay", "Run the storm of a file; the verdict must match the file", cxxopts::value<std::string>())(
+      "beside", "On sockets: compare each storm with this many runs of it in virtual time; 0: none",
       cxxopts::value<std::uint32_t>()->default_value("0"))(
-      "tries", "--beside: plays on sockets of a storm, while they are void",
+      "tries", "--beside: attempts to run a storm on sockets while its runs are void",
       cxxopts::value<std::uint32_t>()->default_value("3"))(
-      "records", "--beside: a folder for the records of both sides, a line each",
-      cxxopts::value<std::string>()->default_value(""))(
-      "most-seconds", "--beside: longer storms are left out", cxxopts::value<double>()->default_value("30"))(
-      "planted", "A defect put into the routers of virtual time, to see what finds it",
+      "records", "--beside: a folder for the records of both drivers, one per line",
+      cxxopts::value<std::string>()->default_value(""))("most-seconds", "--beside: longer storms are skipped",
+                                                        cxxopts::value<double>()->default_value("30"))(
+      "planted", "A defect injected into the routers of virtual time, to test which oracle finds it",
       cxxopts::value<std::string>()->default_value("none"))(
-      "times", "That --replay plays it", cxxopts::value<std::uint32_t>()->default_value("1"));
+      "times", "Number of runs of --replay", cxxopts::value<std::uint32_t>()->default_value("1"));
   const auto parsed = parse(options, arguments);
   const Playing playing = playing_of(parsed);
   const auto stop = stop_on_signals();
@@ -180,7 +185,7 @@
     throw UsageError("--planted must be one of " + known);
   }
   const auto defect = static_cast<Planted>(planted - kPlantedNames.begin());
-  if (defect != Planted::None && !rig.exact) throw UsageError("--planted is for --driver virtual");
+  if (defect != Planted::None && !rig.exact) throw UsageError("--planted requires --driver virtual");
   rig.driver = [&playing, defect] {
     return playing.driver == DriverKind::Virtual ? make_virtual_driver(defect) : make_driver(playing);
   };
@@ -195,14 +200,15 @@
   season.size.most_nodes = parsed["most-nodes"].as<std::uint32_t>();
   season.size.most_rate = parsed["most-rate"].as<double>();
   if (season.size.most_routers < 3 || season.size.most_nodes < 6) {
-    throw UsageError("a storm has 3 routers and 6 nodes at least");
+    throw UsageError("--most-routers must be 3 or more and --most-nodes 6 or more");
   }
   if (!(season.size.most_rate >= 10)) throw UsageError("--most-rate must be 10 or more");
   const std::string out = parsed.count("out") > 0 ? parsed["out"].as<std::string>() : "";
   if (const auto plays = parsed["beside"].as<std::uint32_t>(); plays > 0) {
-    if (rig.exact) throw UsageError("--beside is for --driver sockets");
-    if (plays < 2) throw UsageError("--beside takes two plays at least, as one shows no chance");
-    if (season.size.most_routers > 8) throw UsageError("--beside takes --most-routers 8 at most");
+    if (rig.exact) throw UsageError("--beside requires --driver sockets");
+    if (plays < 2)
+      throw UsageError("--beside must be 2 or more, because one run can't show random variation");
+    if (season.size.most_routers > 8) throw UsageError("--beside allows --most-routers 8 at most");
     season.size.calm_ms = kBesideCalmMs;
     season.size.faults_ms = kBesideFaultsMs;
     season.size.skew = 1;
--- a/lab/commands/support.cpp
+++ b/lab/commands/support.cpp
@@ -38,7 +38,7 @@
   if (const std::size_t dots = text.find(".."); dots != std::string::npos) {
     const std::uint64_t first = seed_of(text.substr(0, dots)), last = seed_of(text.substr(dots + 2));
     if (last < first || last - first >= kMostSeeds)
-      throw UsageError("seeds " + text + " are none or too many");
+      throw UsageError("seeds " + text + " are an empty or too long range");
     for (std::uint64_t seed = first; seed <= last; ++seed) seeds.push_back(seed);
     return seeds;
   }
@@ -54,12 +54,12 @@
 void add_playing(cxxopts::Options& options) {
   options.add_options()("driver", "virtual: in virtual time; sockets: real routers on loopback",
                         cxxopts::value<std::string>()->default_value("virtual"))(
-      "program", "sockets: the router; without it the `fernward` beside this program, or on the PATH",
-      cxxopts::value<std::string>())("unlimited-memory", "sockets: routers over their memory are left alone")(
-      "logs", "sockets: a folder for what the routers say", cxxopts::value<std::string>())(
+      "program", "sockets: the router; default: the `fernward` in the folder of this program, or on the PATH",
+      cxxopts::value<std::string>())("unlimited-memory", "sockets: do not check the memory limit of routers")(
+      "logs", "sockets: a folder for the logs of the routers", cxxopts::value<std::string>())(
       "role",
-      "sockets: how routers are told: platform (JSON), application (its file) or sidecar (beside a program "
-      "that does "
+      "sockets: how routers are configured: platform (JSON), application (its file) or sidecar (next to a "
+      "program that does "
       "nothing)",
       cxxopts::value<std::string>()->default_value("platform"));
 }
@@ -85,7 +85,8 @@
   playing.unlimited = parsed.count("unlimited-memory") > 0;
   if (parsed.count("logs") > 0) playing.logs = parsed["logs"].as<std::string>();
   if (parsed.count("program") > 0) {
-    if (playing.driver == DriverKind::Virtual && !own) throw UsageError("--program is for --driver sockets");
+    if (playing.driver == DriverKind::Virtual && !own)
+      throw UsageError("--program requires --driver sockets");
     playing.program = parsed["program"].as<std::string>();
   } else if (playing.driver == DriverKind::Sockets) {
     playing.program = shipped_router();
@@ -137,10 +138,10 @@
 std::stop_token stop_on_signals() {
   struct sigaction action {};
   action.sa_handler = &ask_to_stop;
-  action.sa_flags = static_cast<int>(SA_RESETHAND); // the second one ends the program
+  action.sa_flags = static_cast<int>(SA_RESETHAND); // a second signal ends the program
   sigaction(SIGINT, &action, nullptr);
   sigaction(SIGTERM, &action, nullptr);
-  // A handler may set a flag and no more; this thread makes a stop of it.
+  // A signal handler may only set a flag; this thread turns the flag into a stop request.
   static std::stop_source source;
   static std::jthread watch([](std::stop_token over) {
     while (!over.stop_requested() && asked_to_stop == 0) {
--- a/lab/commands/sweep.cpp
+++ b/lab/commands/sweep.cpp
@@ -1,4 +1,4 @@
-// fernward-lab sweep: a scenario over values of a key and over seeds, on several cores.
+// fernward-lab sweep: runs a scenario for several values of keys and for several seeds, on several cores.
 #include <chrono>
 #include <cstdio>
 #include <fstream>
@@ -20,7 +20,7 @@
   std::vector<std::string> values;
 };
 
-// "load.rate=200/s,400/s": commas part the values, but not within brackets or quotes.
+// "load.rate=200/s,400/s": commas separate the values, except within brackets or quotes.
 Vary vary_of(const std::string& text) {
   const std::size_t equals = text.find('=');
   if (equals == std::string::npos || equals == 0) throw UsageError("--vary must be KEY=VALUE,VALUE,...");
@@ -39,7 +39,7 @@
   return vary;
 }
 
-struct Point { // values of the varied keys
+struct Point { // one combination of values of the varied keys
   std::vector<std::string> settings;
   std::string text;
   model::Spec spec;
@@ -55,7 +55,7 @@
         p.settings.push_back(vary.key + "=" + value);
         p.text += (p.text.empty() ? "" : " ") + vary.key + "=" + value;
         next.push_back(std::move(p));
-        if (next.size() > kMostRuns) throw UsageError("more than 100,000 runs");
+        if (next.size() > kMostRuns) throw UsageError("the sweep has more than 100,000 runs");
       }
     }
     points = std::move(next);
@@ -73,16 +73,16 @@
 int sweep_command(const Arguments& arguments) {
   cxxopts::Options options(
       "fernward-lab sweep",
-      "Play a scenario for each value of a key and each seed. Ends with 1 where a run was "
-      "void or broke a rule; bounds that don't hold are counted in the table alone");
+      "Run a scenario for each value of a key and each seed. The exit code is 1 if a run was "
+      "void or violated a rule; missed bounds are only counted in the table");
   add_playing(options);
-  options.add_options()("vary", "KEY=VALUE,VALUE,...; given again, every pair of values is played",
+  options.add_options()("vary", "KEY=VALUE,VALUE,...; if repeated, every combination of values is run",
                         cxxopts::value<std::vector<std::string>>())(
       "seeds", "1..8, 3 or 1,4,9", cxxopts::value<std::string>()->default_value("1..4"))(
-      "jobs", "Runs at once in virtual time; 0: one for each core",
+      "jobs", "Concurrent runs in virtual time; 0: one per core",
       cxxopts::value<unsigned>()->default_value("0"))("out", "A folder for sweep.csv and sweep.json",
                                                       cxxopts::value<std::string>())(
-      "set", "KEY=VALUE for all runs; may be given again", cxxopts::value<std::vector<std::string>>())(
+      "set", "KEY=VALUE for all runs; may be repeated", cxxopts::value<std::vector<std::string>>())(
       "scenario", "", cxxopts::value<std::vector<std::string>>());
   options.parse_positional({"scenario"});
   options.positional_help("SCENARIO");
@@ -97,12 +97,12 @@
       varied.push_back(vary_of(text));
   }
   std::vector<Point> points = points_of(varied);
-  if (points.size() * seeds.size() > kMostRuns) throw UsageError("more than 100,000 runs");
+  if (points.size() * seeds.size() > kMostRuns) throw UsageError("the sweep has more than 100,000 runs");
   unsigned jobs = parsed["jobs"].as<unsigned>();
   if (jobs == 0) jobs = std::max(1u, std::thread::hardware_concurrency());
-  if (playing.driver == DriverKind::Sockets) jobs = 1; // two at once would make one another late
+  if (playing.driver == DriverKind::Sockets) jobs = 1; // concurrent runs on sockets would delay each other
 
-  // Every point is read before the first run.
+  // All points are validated before the first run.
   bool sound = true;
   for (Point& point : points) {
     std::vector<std::string> settings;
@@ -182,7 +182,7 @@
       csv += "\n";
       saved.push_back(std::move(entry));
       voids += run.is_void ? 1 : 0;
-      if (run.is_void) continue; // it says nothing
+      if (run.is_void) continue; // void runs are not part of the means
       kept += run.rules_kept ? 1 : 0;
       hold += run.bounds_hold ? 1 : 0;
       for (std::size_t i = 0; i < kColumns; ++i) mean[i] += run.row[i];
--- a/lab/commands/try.cpp
+++ b/lab/commands/try.cpp
@@ -1,4 +1,5 @@
-// fernward-lab try: the first run of someone new. Real routers before a small emulated fleet, for a few seconds.
+// fernward-lab try: a first demonstration. Runs real routers in front of a small emulated fleet for a few
+// seconds.
 #include <cstdio>
 #include <filesystem>
 
@@ -13,14 +14,15 @@
 int try_command(const Arguments& arguments) {
   cxxopts::Options options(
       "fernward-lab try",
-      "See routers at work: two of them before six emulated cache nodes and a slow origin, on "
-      "this machine's loopback addresses");
-  options.add_options()("seconds", "How long clients ask", cxxopts::value<double>()->default_value("6"))(
-      "program", "The router; without it the `fernward` beside this program, or on the PATH",
+      "Demonstration: two routers in front of six emulated cache nodes and a slow origin, on "
+      "the loopback addresses of this machine");
+  options.add_options()("seconds", "How long clients send requests",
+                        cxxopts::value<double>()->default_value("6"))(
+      "program", "The router; default: the `fernward` in the folder of this program, or on the PATH",
       cxxopts::value<std::string>())("out", "The folder for the report",
                                      cxxopts::value<std::string>()->default_value("fernward-try"))(
-      "keep", "Leave routers and fleet running, and print a line for curl")(
-      "unlimited-memory", "Routers over their memory are left alone");
+      "keep", "Keep routers and fleet running after the load, and print a command for curl")(
+      "unlimited-memory", "Do not check the memory limit of routers");
   const auto parsed = parse(options, arguments);
   const double seconds = parsed["seconds"].as<double>();
   if (!(seconds >= 1 && seconds <= 3600)) throw UsageError("--seconds must be from 1 to 3600");
@@ -41,7 +43,7 @@
   std::string address;
   rig.on_ready = [&](const std::vector<std::string>& addresses) {
     if (!addresses.empty()) address = addresses.front();
-    std::printf("%zu routers are ready; clients ask for %.0f s\n", addresses.size(), seconds);
+    std::printf("%zu routers are ready; clients send requests for %.0f s\n", addresses.size(), seconds);
     std::fflush(stdout);
   };
   RunControl control;
@@ -51,7 +53,8 @@
     if (!keep) return;
     const Tally t = figures.whole().tally;
     std::printf(
-        "\n%llu requests: %llu served, %llu refused, %llu failed\n\nThe fleet stays up. Ask it:\n\n"
+        "\n%llu requests: %llu served, %llu refused, %llu failed\n\nThe fleet keeps running. To send it a "
+        "request:\n\n"
         "  curl -i -H 'X-Request-ID: '$(date +%%s%%N) -H 'X-Priority-Class: %s' -H 'X-Tenant-Id: %s' "
         "-H 'X-Timeout-Ms: 1000' http://%s/api/7f3a9c21\n\nCtrl-C ends it and writes the report.\n",
         static_cast<unsigned long long>(t.drawn), static_cast<unsigned long long>(t.served()),
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -1,4 +1,4 @@
-// fernward-lab: an emulated fleet, experiments and reports. Only the command line is here.
+// fernward-lab: an emulated fleet, experiments and reports. This file contains only the command line.
 #include <cstdio>
 
 #include "lab/commands/command.h"
@@ -22,17 +22,17 @@
 
 int main(int argc, char** argv) {
   return arguments::run(
-      "fernward-lab", "an emulated fleet before real or simulated routers",
-      {{"try", "see routers at work before a small emulated fleet", &lab::try_command},
-       {"check", "read scenarios and name every fault", &lab::check_command},
-       {"run", "play one scenario, judge it and measure it", &lab::run_command},
-       {"sweep", "play it for values of a key and for many seeds", &lab::sweep_command},
-       {"compare", "play it two ways over the same seeds: which is better?", &lab::compare_command},
-       {"storm", "faults drawn from seeds, judged by oracles, and made smaller", &lab::storm_command},
-       {"report", "draw the page of a run again", &lab::report_command},
+      "fernward-lab", "an emulated fleet behind real or simulated routers",
+      {{"try", "demonstrate routers in front of a small emulated fleet", &lab::try_command},
+       {"check", "validate scenarios and print every fault", &lab::check_command},
+       {"run", "run one scenario, check it and print its statistics", &lab::run_command},
+       {"sweep", "run it for several values of a key and many seeds", &lab::sweep_command},
+       {"compare", "compare two configurations over the same seeds", &lab::compare_command},
+       {"storm", "generate faults from seeds, check them by oracles, shrink them", &lab::storm_command},
+       {"report", "rebuild the report of a run", &lab::report_command},
        {"keys", "print every key of a scenario", &lab::keys_command},
-       {"cost", "what the router costs beside a bare relay of bytes", &lab::cost_command},
-       {"relay", "that relay by itself", &lab::relay_command},
+       {"cost", "measure the CPU cost of the router against a plain byte relay", &lab::cost_command},
+       {"relay", "run that relay alone", &lab::relay_command},
        {"version", "print the version", &version_command}},
       {argv + 1, argv + argc});
 }
