--- a/lab/cost/cost.cpp
+++ b/lab/cost/cost.cpp
@@ -42,7 +42,7 @@
     if (a.heard == model::Heard::Served && a.at >= from && a.at < to && a.router < served.size())
       ++served[a.router];
   }
-  double from = 1e18, to = 1e18; // known before the records of that time come
+  double from = 1e18, to = 1e18; // set before the records of that time arrive
   std::array<std::uint64_t, 2> served{};
 };
 
@@ -68,7 +68,7 @@
     }
   };
   result.info = make_rig_driver(rig)->run(spec_of(options), answers);
-  if (answers.to > 1e17) throw std::runtime_error("the run ended before its cost was measured");
+  if (answers.to > 1e17) throw std::runtime_error("the run ended before the measured interval was complete");
   result.router.requests = answers.served[kRouter];
   result.relay.requests = answers.served[kRelay];
   return result;
--- a/lab/cost/cost.h
+++ b/lab/cost/cost.h
@@ -1,5 +1,6 @@
-// CPU of a request through `fernward serve` and through a bare relay, side by side in one run: the same fleet, clients
-// dealt to the two in turn. Each request is a read that some node holds, so that one attempt serves it.
+// Measures the CPU time per request of `fernward serve` and of a plain byte relay in the same run. Both
+// forward to the same fleet, and clients are assigned to the two in turn. Each request is a read that a node
+// has cached, so that one attempt serves it.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +15,12 @@
   std::string program = "fernward";
   std::vector<std::string> relay; // the command of the relay (lab/relay: relay_as_router)
   std::uint32_t targets = 14, keys = 100;
-  double rate_per_s = 2000; // of both together
+  double rate_per_s = 2000; // for both together
   double warm_s = 3, measured_s = 5;
   std::uint64_t seed = 1;
 };
 
-struct Cost { // of one of the two
+struct Cost { // of the router or of the relay
   double cpu_s = 0;
   std::uint64_t requests = 0;
   double memory_mb = 0;
