--- a/bench/checking.cpp
+++ b/bench/checking.cpp
@@ -1,4 +1,5 @@
-// What checking an application's file costs beside parsing it alone, for a file of many nodes.
+// Measures the time to read and validate an application's configuration file, compared with parsing it only,
+// for a file with many nodes.
 //
 //   fernward-checking --nodes 9900 --rounds 15
 #include <algorithm>
@@ -28,9 +29,9 @@
 } // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("fernward-checking", "checking a large file, beside parsing it");
-  options.add_options()("nodes", "in the file", cxxopts::value<int>()->default_value("9900"))(
-      "rounds", "the median is told", cxxopts::value<int>()->default_value("15"));
+  cxxopts::Options options("fernward-checking", "validate a large file, compared with parsing it");
+  options.add_options()("nodes", "nodes in the file", cxxopts::value<int>()->default_value("9900"))(
+      "rounds", "repetitions; the median is printed", cxxopts::value<int>()->default_value("15"));
   const auto args = options.parse(argc, argv);
   std::string text =
       "name = \"big\"\nlisten = \"127.0.0.1:7070\"\n[limits]\nsockets = 60000\nmemory = \"4096MiB\"\n"
--- a/bench/choosing.cpp
+++ b/bench/choosing.cpp
@@ -1,5 +1,6 @@
-// CPU of the decisions: of a read from its arrival to its answer, by the number of caches, in steady times and while
-// keys move; and of a list that changes much. Times are CPU of this thread; each figure is the median of its rounds.
+// Measures the CPU time of the decision module by the number of caches: for a read from its arrival to its
+// response, in a steady state and while keys move between caches; and for an endpoint list with many changes.
+// Times are CPU time of this thread; each figure is the median of its rounds.
 #include <algorithm>
 #include <cstdio>
 #include <cxxopts.hpp>
@@ -40,14 +41,15 @@
  public:
   explicit Router(bool resize) : balancer_(settings(resize), 7) {}
 
-  double list(std::uint32_t caches) { // CPU in us
+  double list(std::uint32_t caches) { // returns CPU time in us
     const EndpointList list{EndpointListKind::Full, fleet(caches)};
     const double before = cpu_us();
     actions_.clear();
     balancer_.on_event(now_, list, actions_);
     return cpu_us() - before;
   }
-  // Reads one after another, a few open at once, a tenth of them misses; CPU in us of each.
+  // Handles reads one after another, of which about a tenth miss at each cache. Returns the CPU time in us
+  // per read.
   double read(std::size_t count, std::uint64_t keys) {
     const double before = cpu_us();
     for (std::size_t i = 0; i < count; ++i) {
@@ -58,7 +60,7 @@
       r.key = 1 + draw % (1 + draw % keys);
       r.deadline = now_ + 1000;
       on(r);
-      for (int step = 0; step < 6 && server_ != 0; ++step) { // to its end
+      for (int step = 0; step < 6 && server_ != 0; ++step) { // until the request ends
         const ServerId at = server_;
         const bool miss = at != 1000000 && draw % 10 == 0;
         AttemptOutcome e{r.id,
@@ -73,7 +75,7 @@
         on(e);
       }
       attempt_ = 0;
-      if (i % 100 == 99) on(TimerFired{0}); // the tick
+      if (i % 100 == 99) on(TimerFired{0}); // the periodic tick
     }
     return (cpu_us() - before) / static_cast<double>(count);
   }
@@ -99,10 +101,11 @@
 } // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("fernward-choosing", "CPU of the decisions by the size of the fleet");
-  options.add_options()("rounds", "of each figure", cxxopts::value<int>()->default_value("9"))(
-      "reads", "in a round", cxxopts::value<std::size_t>()->default_value("20000"))("h,help",
-                                                                                    "Print this help");
+  cxxopts::Options options("fernward-choosing", "CPU time of the decision module by the size of the fleet");
+  options.add_options()("rounds", "repetitions of each measurement",
+                        cxxopts::value<int>()->default_value("9"))(
+      "reads", "reads per round", cxxopts::value<std::size_t>()->default_value("20000"))("h,help",
+                                                                                         "Print this help");
   try {
     const auto parsed = options.parse(argc, argv);
     if (parsed.count("help") > 0) return std::printf("%s\n", options.help().c_str()), 0;
@@ -123,7 +126,8 @@
         settled.push_back(b.read(reads, 20000));
         grown.push_back(b.list(nodes));
         moving.push_back(
-            b.read(std::min<std::size_t>(reads, 14000), 20000)); // one each ms: within half of the time
+            b.read(std::min<std::size_t>(reads, 14000),
+                   20000)); // at one read per ms this takes less than half of the resize interval
       }
       std::printf("%5u nodes  %6.2f | %6.2f | %6.2f || %8.0f | %8.0f\n", nodes, median(off), median(settled),
                   median(moving), median(first), median(grown));
--- a/bench/discovery/propagation.h
+++ b/bench/discovery/propagation.h
@@ -1,4 +1,4 @@
-// How long changes take from discovery to each router.
+// Measures how long changes take from discovery to each router.
 #pragma once
 
 #include <cstddef>
@@ -8,26 +8,29 @@
 
 namespace fernward::bench::discovery {
 
-/// The period in which discovery answers nothing. A change that a router has only after it counts from its end.
+/// The period in which discovery sends no responses. The delay of a change that a router receives only after
+/// the outage counts from the end of the outage, if the change was made before that.
 struct Outage {
   double begins_ms = 0;
   double ends_ms = 0;
 };
 
-/// Records when each router has each change.
+/// Records when each router has received each change.
 class Propagation {
  public:
   explicit Propagation(std::size_t routers) : next_change_(routers, 0) {}
 
   void set_outage(Outage outage) { outage_ = outage; }
   void changed(Index index, double now_ms) { changes_.push_back({index, now_ms}); }
-  /// The router has everything up to `index`. It may be told so more than once: the first time counts.
+  /// Records that the router has received everything up to `index`. Repeated calls are allowed: the first one
+  /// counts.
   void router_has(std::size_t router, Index index, double now_ms);
-  /// The run has ended: what routers still lack is counted as if they had it now. Returns how many changes that are.
+  /// To be called at the end of the run. Changes that a router has not received count as received now.
+  /// Returns the number of such pairs of change and router.
   std::size_t finish(double now_ms);
 
   std::size_t changes() const { return changes_.size(); }
-  /// One for each change and router.
+  /// One delay for each change and router.
   const std::vector<double>& delays_ms() const { return delays_ms_; }
 
  private:
@@ -40,7 +43,7 @@
 
   Outage outage_;
   std::vector<Change> changes_;
-  std::vector<std::size_t> next_change_; // by router: the first that it lacks
+  std::vector<std::size_t> next_change_; // by router: the first change that it has not received
   std::vector<double> delays_ms_;
 };
 
--- a/bench/discovery/registry.cpp
+++ b/bench/discovery/registry.cpp
@@ -20,7 +20,7 @@
   return name;
 }
 
-/// Nothing listens there: routers without clients do not connect to servers.
+/// No process listens at these addresses: routers without clients do not connect to servers.
 std::string server_address(std::size_t server) {
   return "127.1." + std::to_string(server / 250) + "." + std::to_string(server % 250 + 1) + ":7070";
 }
--- a/bench/discovery/registry.h
+++ b/bench/discovery/registry.h
@@ -1,4 +1,4 @@
-// The endpoints that the emulated discovery service knows, with an index that grows by one with each change.
+// The endpoints of the emulated discovery service, with an index that grows by one with each change.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +10,7 @@
 
 using Index = std::uint64_t;
 
-/// The endpoints and the history of their changes, rendered as the bodies of discovery's answers.
+/// The endpoints and the history of their changes, rendered as the bodies of discovery responses.
 class Registry {
  public:
   /// All servers are in service at first.
@@ -19,12 +19,12 @@
   Index index() const { return index_; }
   std::size_t servers() const { return servers_.size(); }
 
-  /// Sets a server's status, which counts as one change. Returns the index that has it.
+  /// Sets a server's status, which counts as one change. Returns the index of the change.
   Index set_terminating(std::size_t server, bool terminating);
 
   /// The body with all endpoints. Valid until the next change.
   const std::string& snapshot();
-  /// The body with the endpoints that changed after `since`; none if `since` is the present index.
+  /// The body with the endpoints that changed after `since`; no endpoints if `since` is the current index.
   std::string changes_after(Index since) const;
 
  private:
--- a/bench/discovery/router_process.cpp
+++ b/bench/discovery/router_process.cpp
@@ -20,7 +20,7 @@
 
 using Json = nlohmann::json;
 
-constexpr auto kTerminationTimeout = std::chrono::seconds(5); // orderly ends take 4 s at most
+constexpr auto kTerminationTimeout = std::chrono::seconds(5); // a graceful shutdown takes 4 s at most
 constexpr auto kTerminationPoll = std::chrono::milliseconds(20);
 constexpr int kExitNotStarted = 127;
 
@@ -49,10 +49,10 @@
   return path;
 }
 
-/// In the child, between fork and exec: only calls that are safe there.
+/// Runs in the child between fork and exec, so it makes only async-signal-safe calls.
 [[noreturn]] void execute(const char* program, char* const* arguments, char* const* environment,
                           pid_t parent) {
-  prctl(PR_SET_PDEATHSIG, SIGKILL); // no router outlives the measurement
+  prctl(PR_SET_PDEATHSIG, SIGKILL); // the kernel kills the router if the benchmark ends first
   if (getppid() != parent) _exit(kExitNotStarted);
   const int nowhere = open("/dev/null", O_WRONLY | O_CLOEXEC);
   dup2(nowhere, STDOUT_FILENO);
--- a/bench/discovery/router_process.h
+++ b/bench/discovery/router_process.h
@@ -1,4 +1,4 @@
-// One `fernward serve` process: its start, what the kernel says of it, and its end.
+// One `fernward serve` process: its start, its resource use as the kernel reports it, and its end.
 #pragma once
 
 #include <sys/types.h>
@@ -9,16 +9,16 @@
 
 namespace fernward::bench::discovery {
 
-/// What a router is started with.
+/// Options for starting a router.
 struct RouterOptions {
   std::string program;
   std::string name;
-  std::string discovery; // address
+  std::string discovery; // address of its discovery service
   std::uint64_t seed = 1;
   std::filesystem::path folder; // for its configuration and its temporary files; must exist
 };
 
-/// Ends the process, by its id, where it is destroyed.
+/// Owns the process. The destructor terminates it by its process id.
 class RouterProcess {
  public:
   /// Throws std::runtime_error if the process cannot be started.
@@ -27,12 +27,13 @@
   RouterProcess(RouterProcess&& other) noexcept;
   RouterProcess& operator=(RouterProcess&&) = delete;
 
-  /// Looks whether the process has ended by itself.
+  /// Returns whether the process is running; reaps it if it has ended.
   bool running();
-  /// On the CPU so far, user and system, all threads.
+  /// CPU time so far, user and system, of all current threads.
   double cpu_ms() const;
   double peak_rss_mb() const;
-  /// Asks it to end in an orderly way; the destructor waits for that, and kills it where it takes too long.
+  /// Sends SIGTERM for a graceful shutdown. The destructor waits for the end, and kills the process after a
+  /// timeout.
   void terminate();
 
  private:
--- a/bench/discovery/server.cpp
+++ b/bench/discovery/server.cpp
@@ -17,7 +17,7 @@
 constexpr double kDefaultTimeoutMs = 3000;
 constexpr std::string_view kPath = "/v1/endpoints";
 
-/// The number behind "?name=" or "&name=" of a request's target.
+/// The number after "?name=" or "&name=" in the request target.
 std::optional<std::uint64_t> query_number(std::string_view target, std::string_view name) {
   const std::string key = std::string(name) + "=";
   for (std::size_t at = target.find_first_of("?&"); at != std::string_view::npos;
@@ -137,7 +137,7 @@
   deadlines_.cancel(call.timeout);
   waiting_.erase(id);
   queue_.push_back({id, call.since, loop::now_ms()});
-  // Not at once: the caller may be in the middle of the connection that would be written to.
+  // Not synchronously: the caller may be using the connection that would be written to.
   if (work_done_ == 0 && !outage_) work_done_ = deadlines_.at(loop::now_ms(), [this] { work(); });
 }
 
@@ -145,7 +145,8 @@
   while (!waiting_.empty()) enqueue(waiting_.begin()->first);
 }
 
-// Answers what is done by now. Work begins when the work before was done, whatever the timer's delay.
+// Sends the responses that are finished by now. The work on a call begins when the previous work was
+// finished, not when the timer fires, so that timer delays don't reduce the capacity.
 void Server::work() {
   work_done_ = 0;
   while (!queue_.empty() && !outage_) {
@@ -180,9 +181,10 @@
 
 void Server::write_answer(const QueuedCall& queued, const Answer& answer) {
   const auto call = calls_.find(queued.call);
-  if (call == calls_.end()) return; // given up
+  if (call == calls_.end()) return; // the router closed the connection
   Connection& connection = *connections_.at(call->second.connection);
-  if (loop::peer_ended(bufferevent_getfd(connection.stream.get()))) return; // and its event is about to come
+  if (loop::peer_ended(bufferevent_getfd(connection.stream.get())))
+    return; // the end-of-connection event follows
   forget_call(connection);
   RouterCounters& counters = counters_of(connection);
   ++(queued.since ? counters.long_polls_answered : counters.snapshots_answered);
--- a/bench/discovery/server.h
+++ b/bench/discovery/server.h
@@ -1,4 +1,5 @@
-// The emulated discovery service: snapshots and long polls for many routers, with bounded capacity and with faults.
+// The emulated discovery service: snapshots and long polls for many routers, with bounded capacity and with
+// faults.
 #pragma once
 
 #include <event2/listener.h>
@@ -20,49 +21,50 @@
 
 namespace fernward::bench::discovery {
 
-/// What discovery can do in a second; 0: no limit.
+/// Capacity of discovery per second; 0: no limit.
 struct Capacity {
   double answers_per_second = 0;
   double bytes_per_second = 0;
 };
 
-/// What discovery saw of one router.
+/// Counters of discovery for one router.
 struct RouterCounters {
   std::uint64_t snapshots_answered = 0;
   std::uint64_t long_polls_answered = 0;
   std::uint64_t calls = 0;
-  std::uint64_t calls_given_up = 0;      // the router closed the connection before the answer
-  std::uint64_t closed_without_call = 0; // connections that it closed after, or amid, an answer
+  std::uint64_t calls_given_up = 0;      // the router closed the connection before the response
+  std::uint64_t closed_without_call = 0; // connections that the router closed after or during a response
   std::uint64_t connections_made = 0;
   std::size_t connections_open = 0;
   std::size_t most_connections_open = 0;
   std::uint64_t bytes_written = 0;
 };
 
-/// One service with a listening port for each router, so that it knows which router calls.
+/// One service with a listening port for each router, which identifies the calling router.
 class Server {
  public:
   Server(event_base* base, loop::TimerQueue& deadlines, Registry& registry, Propagation& propagation,
          std::size_t routers);
 
-  /// The address that this router is to be given for discovery.
+  /// The discovery address to configure for this router.
   const std::string& address_for(std::size_t router) const { return ports_[router].address; }
 
-  /// Calls are answered in turn from now on; the work of a call that was given up is still spent.
+  /// Sets the capacity. Calls are answered in order of arrival; an abandoned call still uses its share of
+  /// capacity.
   void set_capacity(Capacity capacity) { capacity_ = capacity; }
-  /// All open long polls that lack the last change become due.
+  /// Queues responses to all waiting long polls. To be called after each change of the registry.
   void registry_changed();
-  /// Between these two connections come up and calls are read, and none is answered.
+  /// During an outage connections are accepted and calls are read, but none is answered.
   void begin_outage();
   void end_outage();
   void reset_all_connections();
-  /// The long polls that are open now are never answered; their connections stay open.
+  /// Makes all currently open long polls silent: they are never answered, and their connections stay open.
   void silence_open_long_polls();
 
-  /// Counts from now on.
+  /// Resets the counters; connections that are open stay counted.
   void clear_counters();
   const RouterCounters& counters(std::size_t router) const { return ports_[router].counters; }
-  /// Each router has a long poll open.
+  /// Whether each router has a long poll open.
   bool all_routers_wait() const;
   double longest_queueing_ms() const { return longest_queueing_ms_; }
 
@@ -86,13 +88,13 @@
     ConnectionId id = 0;
     loop::BuffereventPtr stream;
     http::Parser parser{http::Kind::Request};
-    CallId call = 0; // 0: none is open
+    CallId call = 0; // 0: no call is open
     bool silent = false;
-    Index written_index = 0; // of the answer that is being written
+    Index written_index = 0; // index of the response that is being written; 0: none
   };
   struct Call {
     ConnectionId connection = 0;
-    std::optional<Index> since; // none: all endpoints are asked for
+    std::optional<Index> since; // nullopt: a snapshot is requested
     loop::TimerQueue::TimerId timeout = 0;
   };
   struct QueuedCall {
@@ -130,12 +132,12 @@
   std::vector<Port> ports_;
   std::unordered_map<ConnectionId, std::unique_ptr<Connection>> connections_;
   std::unordered_map<CallId, Call> calls_;
-  std::map<CallId, ConnectionId> waiting_; // long polls without news, the oldest first
-  std::deque<QueuedCall> queue_;           // calls that are due, with those given up meanwhile
-  std::optional<Answer> in_work_;          // to the first of the queue
+  std::map<CallId, ConnectionId> waiting_; // long polls without changes to report, the oldest first
+  std::deque<QueuedCall> queue_;           // calls to answer, including those abandoned meanwhile
+  std::optional<Answer> in_work_;          // response to the first call of the queue
   Capacity capacity_;
   bool outage_ = false;
-  double free_at_ms_ = 0; // when the work on the call before was done
+  double free_at_ms_ = 0; // when the work on the previous call was done
   loop::TimerQueue::TimerId work_done_ = 0;
   double longest_queueing_ms_ = 0;
   ConnectionId last_connection_ = 0;
--- a/bench/discovery_fleet.cpp
+++ b/bench/discovery_fleet.cpp
@@ -1,10 +1,11 @@
-// What a fleet of routers costs discovery, and how soon the routers have its changes: real `fernward serve` processes
-// on loopback before one emulated discovery service, without clients. Times of faults and changes count from the moment
-// at which every router has a long poll open, as do all figures; discovery's capacity is unlimited until then.
+// Measures the load of a router fleet on discovery, and how soon the routers receive changes: real `fernward
+// serve` processes on loopback use one emulated discovery service, without clients. Times of faults and
+// changes, and all figures, count from the moment at which every router has a long poll open; until then the
+// capacity of discovery is unlimited.
 //
 //   fernward_bench_discovery_fleet --program build/fernward --routers 300 --servers 3200 --changes-per-second 1
 //
-// docs/notes/discovery.md has the runs that are compared, and their figures.
+// docs/notes/discovery.md lists the compared runs and their figures.
 #include <event2/event.h>
 #include <signal.h>
 #include <unistd.h>
@@ -40,12 +41,14 @@
 namespace loop = fernward::loop;
 
 constexpr double kMsPerSecond = 1000;
-constexpr double kAllowedDelayMs = 6250; // of a change: 6 s until it counts as told, and the 250 ms of grace
-constexpr double kQuietEndMs = 7000; // no changes at the end, so that each can be had within what is allowed
+constexpr double kAllowedDelayMs =
+    6250; // of a change: 6 s until the router counts as notified, and the grace period of 250 ms
+constexpr double kQuietEndMs =
+    7000; // no changes at the end, so that each can arrive within the allowed delay
 constexpr double kStartIntervalMs = 5;     // between the starts of two processes
-constexpr double kStartTimeoutMs = 60000;  // for all of them to wait for changes
-constexpr double kSettleMs = 1000;         // after that, before anything is counted
-constexpr double kLatenessIntervalMs = 10; // how often the loop's lateness is looked at
+constexpr double kStartTimeoutMs = 60000;  // until all routers have a long poll open
+constexpr double kSettleMs = 1000;         // after that, before counting begins
+constexpr double kLatenessIntervalMs = 10; // between two samples of the event loop's lateness
 
 struct Options {
   std::string program;
@@ -54,7 +57,7 @@
   double seconds = 0;
   std::uint64_t seed = 0;
   Capacity capacity;
-  double all_snapshots_seconds = 0; // 0: capacity is given as such
+  double all_snapshots_seconds = 0; // 0: the capacity options apply
   std::optional<double> outage_at;
   double outage_seconds = 0;
   std::optional<double> reset_at;
@@ -67,31 +70,34 @@
   return parsed[name].as<double>();
 }
 
-/// Throws cxxopts' exceptions, and std::invalid_argument. Nothing where help was asked for.
+/// Throws cxxopts' exceptions, and std::invalid_argument. Returns nullopt if help was requested.
 std::optional<Options> parse(int argc, char** argv) {
   const auto number = [](const char* fallback) { return cxxopts::value<double>()->default_value(fallback); };
   const auto count = [](const char* fallback) {
     return cxxopts::value<std::size_t>()->default_value(fallback);
   };
-  cxxopts::Options options("fernward_bench_discovery_fleet", "What a fleet of routers costs discovery");
+  cxxopts::Options options("fernward_bench_discovery_fleet",
+                           "Measure the load of a router fleet on discovery");
   options.add_options()("program", "The router's program", cxxopts::value<std::string>());
   options.add_options()("routers", "Processes", count("30"));
-  options.add_options()("servers", "Endpoints that discovery has", count("200"));
-  options.add_options()("seconds", "Of the run, once all routers wait for changes", number("30"));
-  options.add_options()("seed", "Of the choice of servers and of the routers",
+  options.add_options()("servers", "Number of endpoints in discovery", count("200"));
+  options.add_options()("seconds", "Duration of the run, once all routers wait for changes", number("30"));
+  options.add_options()("seed", "Seed for the choice of servers and for the routers",
                         cxxopts::value<std::uint64_t>()->default_value("1"));
   options.add_options()("answers-per-second", "Capacity of discovery; 0: no limit", number("0"));
   options.add_options()("bytes-per-second", "Capacity of discovery; 0: no limit", number("0"));
   options.add_options()(
       "all-snapshots-seconds",
-      "Sets --bytes-per-second: so long take snapshots for all routers in turn; 0: does not", number("0"));
+      "Sets --bytes-per-second so that snapshots for all routers in turn take this long; 0: unset",
+      number("0"));
   options.add_options()("outage-at", "Second at which discovery stops answering", cxxopts::value<double>());
-  options.add_options()("outage-seconds", "How long it does", number("8"));
+  options.add_options()("outage-seconds", "Duration of the outage", number("8"));
   options.add_options()("reset-at", "Second at which all connections are reset", cxxopts::value<double>());
-  options.add_options()("silent-at", "Second at which all open long polls fall silent",
+  options.add_options()("silent-at", "Second at which all open long polls become silent",
                         cxxopts::value<double>());
-  options.add_options()("changes-per-second", "A server turns terminating, or in service again", number("1"));
-  options.add_options()("help", "This text");
+  options.add_options()("changes-per-second",
+                        "Changes per second: a server becomes terminating, or in service again", number("1"));
+  options.add_options()("help", "Print this help");
   const auto parsed = options.parse(argc, argv);
   if (parsed.count("help") > 0) {
     std::printf("%s\n", options.help().c_str());
@@ -117,7 +123,7 @@
   return result;
 }
 
-/// A folder for the routers' files, removed at the end.
+/// A folder for the routers' files. The destructor removes it.
 class TemporaryFolder {
  public:
   TemporaryFolder() {
@@ -140,7 +146,7 @@
   std::filesystem::path path_;
 };
 
-/// The values of one figure, one for each router.
+/// Minimum, median and maximum of a figure over the routers.
 struct Spread {
   double least = 0, median = 0, most = 0;
 };
@@ -178,13 +184,14 @@
     }
   }
 
-  /// False if it was interrupted or a router ended.
+  /// Returns false if it was interrupted, a router ended, or the routers did not become ready in time.
   bool run() {
     started_at_ms_ = loop::now_ms();
     watch_lateness();
     start_router();
     event_base_dispatch(base_.get());
-    for (RouterProcess& router : processes_) router.terminate(); // all together, then each is waited for
+    for (RouterProcess& router : processes_)
+      router.terminate(); // all are signalled first, then each is waited for
     processes_.clear();
     return finished_;
   }
@@ -208,7 +215,7 @@
     options_.capacity.bytes_per_second = static_cast<double>(bytes) / options_.all_snapshots_seconds;
   }
 
-  // The emulated discovery shares the machine with the routers: a run in which it was late itself says little.
+  // The emulated discovery shares the machine with the routers: if it was late itself, the run is unreliable.
   void watch_lateness() {
     const double due_ms = loop::now_ms() + kLatenessIntervalMs;
     deadlines_.at(due_ms, [this, due_ms] {
@@ -230,7 +237,8 @@
     constexpr double kPollMs = 50;
     if (!all_routers_run()) return fail("a router has ended by itself");
     if (server_.all_routers_wait()) return after(kSettleMs, [this] { begin(); });
-    if (loop::now_ms() - started_at_ms_ > kStartTimeoutMs) return fail("the routers did not come up in time");
+    if (loop::now_ms() - started_at_ms_ > kStartTimeoutMs)
+      return fail("the routers did not open their long polls in time");
     after(kPollMs, [this] { wait_until_settled(); });
   }
 
@@ -265,7 +273,8 @@
     after(begins_in_ms + length_ms, [this] { server_.end_outage(); });
   }
 
-  // By the plan and not by when the change before was made, so that a late loop makes no fewer changes.
+  // Scheduled from the planned time of the previous change, not the actual one, so that a late event loop
+  // doesn't reduce the number of changes.
   void plan_change_after(double change_before_ms) {
     if (options_.changes_per_second <= 0) return;
     const double due_ms = change_before_ms + kMsPerSecond / options_.changes_per_second;
@@ -276,7 +285,7 @@
     });
   }
 
-  // A server turns terminating with every other change, and is in service again with the next.
+  // Changes alternate: a server becomes terminating, and with the next change it is in service again.
   void change() {
     const bool terminates = !terminating_server_;
     if (terminates) terminating_server_ = random_() % options_.servers;
--- a/bench/passing.cpp
+++ b/bench/passing.cpp
@@ -1,17 +1,18 @@
-// CPU per request and per MB passed on, of several programs in one run: the router and bare relays, each a process
-// of its own between the same node and the same clients. They take turns, so that what else the machine does falls
-// on all alike; a figure is the median of the rounds.
+// Measures the CPU time per request and per forwarded MB of several programs in one run: routers and plain
+// relays, each a process of its own between the same node and the same clients. They take turns, so that
+// other load on the machine affects all alike; each figure is the median of the rounds.
 //
 //   fernward-passing --router build/fernward --relay build/bench/fernward-relay --sizes 1024,65536,409600,5242880
 //
-// With --latency one client asks for the first size, one request after the other, straight at the node and through each
-// program: what each adds to the direct way, beside what the first relay adds. --sidecar PROGRAM adds a router beside an
-// application.
+// With --latency one client requests the first size, one request after the other, directly from the node and
+// through each program. The output is the latency that each adds to the direct path, relative to the first
+// relay. --sidecar PROGRAM adds a router that runs as the sidecar of an application.
 //
 //   fernward-passing --latency --router build/fernward --sidecar build/fernward --relay build/bench/fernward-relay
 //
-// With --slow N the router has 32 MB and 1,024 descriptors, and N clients ask for the first size and do not read: what
-// it holds is counted while 200 others ask.
+// With --slow N the router has 32 MB and 1,024 descriptors, and N clients request the first size and do not
+// read. The memory and descriptors that the router holds are measured while another client sends 200
+// requests.
 //
 //   fernward-passing --router build/fernward --slow 200 --sizes 409600
 #include <arpa/inet.h>
@@ -76,7 +77,7 @@
   return port;
 }
 
-// Reads up to the end of a head; the bytes behind it stay in `text`. False: the other side has ended.
+// Reads up to the end of a message head; the bytes after it stay in `text`. Returns false if the peer closed.
 bool read_head(int fd, std::string& text, std::string& head) {
   for (;;) {
     if (const auto end = text.find("\r\n\r\n"); end != std::string::npos) {
@@ -91,7 +92,7 @@
   }
 }
 
-// ---- the node: GET /SIZE/anything is answered with that many bytes ----
+// ---- the node: responds to GET /SIZE/anything with that many bytes ----
 
 void serve(int fd, const std::string& value) {
   const int on = 1;
@@ -122,7 +123,7 @@
   close(fd);
 }
 
-// ---- the clients: one request at a time each ----
+// ---- the clients: each has one request in flight ----
 
 struct Load {
   std::atomic<std::uint64_t> left{0}, failed{0}, next{1};
@@ -146,17 +147,17 @@
         "GET /" + std::to_string(size) + "/" + id + " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id +
         "\r\nX-Priority-Class: read\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 20000\r\n\r\n";
     if (send(fd, request.data(), request.size(), MSG_NOSIGNAL) < 0 || !read_head(fd, text, head)) {
-      fail("the connection ended");
+      fail("the connection closed before a response");
     }
     load.failed += head.compare(0, 12, "HTTP/1.1 200") != 0;
     const auto length = head.find("Content-Length: ");
-    if (length == std::string::npos) fail("an answer without a length");
+    if (length == std::string::npos) fail("a response has no Content-Length");
     std::size_t due = std::strtoul(head.c_str() + length + std::strlen("Content-Length: "), nullptr, 10);
     due -= text.size();
     text.clear();
     while (due > 0) {
       const ssize_t n = recv(fd, bytes.data(), std::min(due, bytes.size()), 0);
-      if (n <= 0) fail("an answer was cut off");
+      if (n <= 0) fail("a response was truncated");
       due -= static_cast<std::size_t>(n);
     }
     if (us != nullptr) {
@@ -167,7 +168,7 @@
   close(fd);
 }
 
-// ---- the programs between them ----
+// ---- the programs between node and clients ----
 
 struct Program {
   std::string name;
@@ -234,7 +235,7 @@
   return path;
 }
 
-double cpu_ms(pid_t pid) { // on the CPU so far, to the nanosecond
+double cpu_ms(pid_t pid) { // CPU time so far, with nanosecond resolution
   std::ifstream file("/proc/" + std::to_string(pid) + "/schedstat");
   double ns = 0;
   if (!(file >> ns)) fail("no /proc/PID/schedstat");
@@ -246,7 +247,7 @@
   return values.empty() ? 0 : values[values.size() / 2];
 }
 
-// ---- CPU ----
+// ---- CPU time ----
 
 void measure_cpu(const std::vector<Program>& programs, const std::vector<std::size_t>& sizes,
                  const cxxopts::ParseResult& args) {
@@ -256,7 +257,7 @@
     const double mb = static_cast<double>(size) / (1 << 20);
     const double turn = std::min(args["requests"].as<double>(), args["mb"].as<double>() / mb);
     std::vector<std::vector<double>> per_request(programs.size()), ratio(programs.size());
-    for (int round = -1; round < args["rounds"].as<int>(); ++round) { // the first warms up
+    for (int round = -1; round < args["rounds"].as<int>(); ++round) { // the first round is a warm-up
       for (std::size_t i = 0; i < programs.size(); ++i) {
         Load load;
         load.left = static_cast<std::uint64_t>(round < 0 ? turn / 10 + 1 : turn);
@@ -289,7 +290,7 @@
                      const cxxopts::ParseResult& args) {
   programs.insert(programs.begin(), {"direct", 0, node});
   std::vector<std::vector<double>> us(programs.size()), added(programs.size()), ratio(programs.size());
-  for (int round = -1; round < args["rounds"].as<int>(); ++round) { // the first warms up
+  for (int round = -1; round < args["rounds"].as<int>(); ++round) { // the first round is a warm-up
     std::vector<double> medians;
     for (const Program& program : programs) {
       Load load;
@@ -315,7 +316,8 @@
 
 // ---- clients that do not read ----
 
-double figure(const std::string& path, const std::string& name) { // of a line "name: figure" or "name figure"
+double figure(const std::string& path,
+              const std::string& name) { // the number in a line "name: number" or "name number"
   std::ifstream file(path);
   for (std::string line; std::getline(file, line);) {
     if (const auto at = line.find(name); at != std::string::npos) {
@@ -334,7 +336,8 @@
   return n;
 }
 
-// What the kernel holds for the sockets that the filter names: received and not read, written and not taken.
+// Bytes in the kernel's buffers of the sockets that match the filter: received but not read, and written but
+// not sent or acknowledged.
 double kernel_mb(const std::string& filter) {
   FILE* out = popen(("ss -tmnHO '" + filter + "'").c_str(), "r");
   if (out == nullptr) fail("no ss");
@@ -392,19 +395,22 @@
 } // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("fernward-passing", "CPU of passing answers on, beside bare relays");
+  cxxopts::Options options("fernward-passing",
+                           "CPU time of forwarding responses, compared with plain relays");
   options.add_options()("router", "program", cxxopts::value<std::vector<std::string>>()->default_value(""))(
       "relay", "program", cxxopts::value<std::string>()->default_value(""))(
-      "ways", "of the relay", cxxopts::value<std::vector<std::string>>()->default_value("bufferevent"))(
-      "sizes", "of answers",
+      "ways", "methods of the relay",
+      cxxopts::value<std::vector<std::string>>()->default_value("bufferevent"))(
+      "sizes", "response sizes in bytes",
       cxxopts::value<std::vector<std::size_t>>()->default_value("1024,65536,409600,5242880"))(
-      "clients", "at once", cxxopts::value<int>()->default_value("4"))(
-      "rounds", "each program has one turn in each", cxxopts::value<int>()->default_value("5"))(
-      "mb", "passed on in a turn", cxxopts::value<double>()->default_value("200"))(
-      "requests", "at most in a turn", cxxopts::value<double>()->default_value("20000"))(
-      "latency", "what each adds to the direct way")("sidecar", "program, run beside an application",
-                                                     cxxopts::value<std::string>()->default_value(""))(
-      "slow", "clients that do not read", cxxopts::value<int>()->default_value("0"));
+      "clients", "concurrent clients", cxxopts::value<int>()->default_value("4"))(
+      "rounds", "rounds, with one turn of each program per round", cxxopts::value<int>()->default_value("5"))(
+      "mb", "MB forwarded per turn", cxxopts::value<double>()->default_value("200"))(
+      "requests", "requests per turn, at most", cxxopts::value<double>()->default_value("20000"))(
+      "latency", "measure the latency that each program adds")(
+      "sidecar", "program, run as the sidecar of an application",
+      cxxopts::value<std::string>()->default_value(""))("slow", "number of clients that do not read",
+                                                        cxxopts::value<int>()->default_value("0"));
   const auto args = options.parse(argc, argv);
   const int slow = args["slow"].as<int>();
   signal(SIGPIPE, SIG_IGN);
@@ -453,11 +459,11 @@
     measure_cpu(programs, sizes, args);
   }
   for (const Program& program : programs) {
-    kill(program.pid, SIGTERM); // a sidecar takes its own along
+    kill(program.pid, SIGTERM); // a sidecar terminates its own processes
     if (program.name.find("sidecar") == std::string::npos) kill(program.pid, SIGKILL);
     waitpid(program.pid, nullptr, 0);
   }
   for (const std::string& file : files) unlink(file.c_str());
   std::fflush(stdout);
-  std::_Exit(0); // the node's threads wait for ever
+  std::_Exit(0); // the threads of the node never end
 }
--- a/bench/relay.cpp
+++ b/bench/relay.cpp
@@ -1,5 +1,6 @@
-// The bare relay that the router is measured beside: each client's connection is joined to one of its own towards
-// a single target, and bytes go to and fro unread. Three ways to move them, see docs/notes/bodies.md.
+// A plain byte relay as the baseline for measurements of the router: each client connection gets its own
+// connection to a single target, and bytes are forwarded in both directions without parsing. There are three
+// methods to move them, see docs/notes/bodies.md.
 //
 //   fernward-relay --listen 127.0.0.1:7001 --target 127.0.0.1:7002 --way bufferevent|block|splice
 #include <event2/buffer.h>
@@ -22,7 +23,7 @@
 
 namespace {
 
-constexpr std::size_t kWindow = 256 * 1024; // waits for a side that reads slowly
+constexpr std::size_t kWindow = 256 * 1024; // most bytes buffered for a peer that reads slowly
 constexpr std::size_t kBlock = 64 * 1024;
 
 event_base* base = nullptr;
@@ -42,7 +43,7 @@
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-// ---- bufferevents, whose chains are moved ----
+// ---- bufferevents: buffer chains are moved without copying ----
 
 struct Buffered {
   bufferevent* io = nullptr;
@@ -77,9 +78,9 @@
   }
 }
 
-// ---- own reads and writes: through a block of memory, or through a pipe ----
+// ---- direct reads and writes: through a memory block, or through a pipe by splice ----
 
-struct Half { // from one socket to the other
+struct Half { // one direction, from one socket to the other
   int from = -1, to = -1;
   int pipe[2] = {-1, -1};
   evbuffer* waits = nullptr;
@@ -103,7 +104,7 @@
   }
 };
 
-// False: the pair has ended.
+// Returns false if the pair of connections has ended.
 bool move_block(Half& h) {
   for (;;) {
     const ssize_t n = recv(h.from, block, kBlock, 0);
@@ -137,7 +138,7 @@
         splice(h.pipe[0], nullptr, h.to, nullptr, h.piped, SPLICE_F_MOVE | SPLICE_F_NONBLOCK);
     if (sent < 0 && errno != EAGAIN) return false;
     if (sent > 0) h.piped -= static_cast<std::size_t>(sent);
-    if (h.piped > 0) { // the pipe is full, or the other side is: it goes on when that side takes more
+    if (h.piped > 0) { // the receiving socket is full: continue when it is writable again
       event_del(h.readable);
       event_add(h.writable, nullptr);
       return true;
@@ -197,7 +198,7 @@
 } // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("fernward-relay", "a bare relay, to measure beside");
+  cxxopts::Options options("fernward-relay", "a plain byte relay, as a baseline for measurements");
   options.add_options()("listen", "address", cxxopts::value<std::string>())("target", "address",
                                                                             cxxopts::value<std::string>())(
       "way", "bufferevent, block or splice", cxxopts::value<std::string>()->default_value("bufferevent"));
@@ -207,7 +208,8 @@
     way = args["way"].as<std::string>();
     if (!fernward::config::parse_address(args["listen"].as<std::string>(), where) ||
         !fernward::config::parse_address(args["target"].as<std::string>(), target)) {
-      std::fprintf(stderr, "fernward-relay: no address of the form 127.0.0.1:7001\n");
+      std::fprintf(stderr,
+                   "fernward-relay: --listen and --target must be addresses such as 127.0.0.1:7001\n");
       return 2;
     }
   } catch (const std::exception& error) {
--- a/bench/sharing.cpp
+++ b/bench/sharing.cpp
@@ -1,6 +1,7 @@
-// CPU of what routers share, by the size of the tier: of a round, of a datagram that comes, and of the view that is made of
-// what was heard. All routers of a tier run in virtual time and one thread, so that none finds its tables in the caches.
-// Times are CPU of this thread; each figure is the median of its rounds.
+// Measures the CPU time of the gossip between routers by the size of the tier: of a periodic tick, of a
+// received datagram, and of computing the view from the received state. All routers of a tier run in virtual
+// time in one thread, so that the tables of a router are not in the CPU's caches when it runs. Times are CPU
+// time of this thread; each figure is the median of its rounds.
 #include <algorithm>
 #include <cstdio>
 #include <cxxopts.hpp>
@@ -33,7 +34,8 @@
     ticks = takes = views = {};
   }
 
-  // One round of every router, all that comes of it, and every router's view.
+  // Runs one period: a tick of every router, the delivery of all resulting datagrams, and every router's
+  // view.
   void period() {
     now_ += kPeriodMs;
     const double began = cpu_us();
@@ -76,9 +78,12 @@
 } // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("fernward-sharing", "CPU of what routers share by the size of the tier");
-  options.add_options()("rounds", "of each figure", cxxopts::value<int>()->default_value("9"))(
-      "periods", "in a round", cxxopts::value<int>()->default_value("200"))("h,help", "Print this help");
+  cxxopts::Options options("fernward-sharing",
+                           "CPU time of the gossip between routers by the size of the tier");
+  options.add_options()("rounds", "repetitions of each measurement",
+                        cxxopts::value<int>()->default_value("9"))(
+      "periods", "gossip periods per round", cxxopts::value<int>()->default_value("200"))("h,help",
+                                                                                          "Print this help");
   try {
     const auto parsed = options.parse(argc, argv);
     if (parsed.count("help") > 0) return std::printf("%s\n", options.help().c_str()), 0;
--- a/bench/timing.h
+++ b/bench/timing.h
@@ -1,4 +1,4 @@
-// What benches measure by.
+// Time measurement for the benchmarks.
 #pragma once
 
 #include <algorithm>
@@ -7,14 +7,14 @@
 
 namespace fernward::bench {
 
-// Of this thread, in microseconds.
+// CPU time of this thread, in microseconds.
 inline double cpu_us() {
   timespec t{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
   return static_cast<double>(t.tv_sec) * 1e6 + static_cast<double>(t.tv_nsec) / 1e3;
 }
 
-// `values`: at least one.
+// `values` must not be empty.
 inline double median(std::vector<double> values) {
   std::sort(values.begin(), values.end());
   return values[values.size() / 2];
