--- a/lab/commands/cost.cpp
+++ b/lab/commands/cost.cpp
@@ -15,7 +15,8 @@
   return values[values.size() / 2];
 }
 
-// "14,200,1000" is parsed here, because the list delimiter of cxxopts has another use, see command.h.
+// "14,200,1000" is parsed here, because arguments.h sets the list delimiter of cxxopts to a control
+// character.
 std::vector<std::uint32_t> counts_of(const cxxopts::ParseResult& parsed, const std::string& option) {
   std::vector<std::uint32_t> counts;
   for (const std::uint64_t count : parse_seeds(parsed[option].as<std::string>())) {
