--- a/bench/choosing.cpp
+++ b/bench/choosing.cpp
@@ -48,8 +48,7 @@
     balancer_.on_event(now_, list, actions_);
     return cpu_us() - before;
   }
-  // Handles reads one after another, of which about a tenth miss at each cache. Returns the CPU time in us
-  // per read.
+  // Handles reads one after another; about a tenth miss in every cache. Returns the CPU time in us per read.
   double read(std::size_t count, std::uint64_t keys) {
     const double before = cpu_us();
     for (std::size_t i = 0; i < count; ++i) {
