--- a/bench/passing.cpp
+++ b/bench/passing.cpp
@@ -336,8 +336,8 @@
   return n;
 }
 
-// Bytes in the kernel's buffers of the sockets that match the filter: received but not read, and written but
-// not sent or acknowledged.
+// Size of the kernel's buffers, in MB, of the sockets that match the filter: data that is received but not
+// read, and data that is written but not yet acknowledged.
 double kernel_mb(const std::string& filter) {
   FILE* out = popen(("ss -tmnHO '" + filter + "'").c_str(), "r");
   if (out == nullptr) fail("no ss");
--- a/lab/check/checker.cpp
+++ b/lab/check/checker.cpp
@@ -378,7 +378,7 @@
   std::snprintf(share, sizeof share, "%.0f%%", e.told_share * 100);
   breach(Rule::ColdNodes, e.at,
          name(e.machine) + " was overloaded while cold, " + share +
-             " of the load from routers that were notified");
+             " of the load from routers notified of its start");
 }
 
 // ---- routers ----
@@ -402,7 +402,7 @@
       [[fallthrough]];
     case RouterEvent::What::Returned:
       r.down = false;
-      r.down_at = e.at; // what arrived while it was cut off may have been lost with the connection
+      r.down_at = e.at; // what arrived while it was silent may have been lost with the connection
       break;
     case RouterEvent::What::Killed:
     case RouterEvent::What::Silent:
--- a/lab/check/checker.h
+++ b/lab/check/checker.h
@@ -114,7 +114,7 @@
   };
   struct RouterState {
     bool down = false;
-    double down_at = -1; // when it was last killed, paused or cut off, or when it returned; below 0: never
+    double down_at = -1; // last killed, paused or made silent, or returned; below 0: never
     double term_at = -1, ended_at = -1;
   };
   struct List { // what a router was last notified of a machine
