--- a/tests/lab/support.h
+++ b/tests/lab/support.h
@@ -1,4 +1,4 @@
-// A raw socket to a party of the lab, for its tests: blocking, with a time after which nothing is expected any more.
+// A raw TCP client for the tests of the lab. Calls block, each up to a timeout.
 #pragma once
 
 #include <poll.h>
@@ -16,7 +16,7 @@
 
 class Raw {
  public:
-  // `wait_ms`: for the connection to come up.
+  // Waits up to `wait_ms` for the connection to be established.
   explicit Raw(const sockaddr_in& to, int wait_ms = 5000)
       : fd_(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
     if (connect(fd_, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0) up_ = true;
@@ -31,13 +31,14 @@
   Raw& operator=(const Raw&) = delete;
 
   bool up() const { return up_; }
-  int error() const { return error_; } // of the connection; 0: it is up, or never came up
+  int error() const { return error_; } // errno of connect(); 0 if connected or timed out
   void send(const std::string& text) {
     [[maybe_unused]] const auto n = ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL);
   }
 
   enum class End { Open, Closed, Reset };
-  // What has come within the time, until the connection ended or `enough` of it came.
+  // Returns the bytes received within `wait_ms`. Returns earlier when a response is complete or malformed,
+  // when the connection ends, or when `is_complete` returns true.
   std::string read(
       int wait_ms, const std::function<bool()>& enough = [] { return false; }) {
     std::string got;
@@ -58,7 +59,7 @@
     }
     return got;
   }
-  // One answer; none: it did not come whole within the time.
+  // Sends `text` and returns one response, or nothing if it is incomplete after `wait_ms`.
   std::optional<http::Message> ask(const std::string& text, int wait_ms = 5000) {
     send(text);
     read(wait_ms);
