--- a/tests/lab/check/meter_test.cpp
+++ b/tests/lab/check/meter_test.cpp
@@ -1,4 +1,4 @@
-// What a scenario bounds, measured on short runs whose figures can be counted by hand.
+// The metrics that a scenario bounds, on short runs whose expected values can be counted by hand.
 #include <doctest/doctest.h>
 
 #include <nlohmann/json.hpp>
@@ -11,8 +11,9 @@
 
 namespace {
 
-// A request a second for 30 s, of classes 0 and 1 and tenants 0 and 1 in turn. Those drawn from 10 s to 15 s fail,
-// the others are served after 100 ms; each asks the origin once and has a hit or (every fourth) a miss.
+// One request per second for 30 s, alternating between classes 0 and 1 and tenants 0 and 1. Requests drawn
+// from 10 s to 15 s are refused, the others are served after 100 ms. Each request has one attempt at the
+// origin, which ends as a hit or, for every fourth request, as a miss.
 void play(Sink& sink) {
   for (std::uint64_t n = 0; n < 30; ++n) {
     const double at = static_cast<double>(n) * 1000 + 500;
@@ -71,7 +72,7 @@
 
 } // namespace
 
-TEST_CASE("meters measure what they say") {
+TEST_CASE("each metric has the value counted by hand") {
   Bound small_tenant = bound(Metric::Service), second_class = bound(Metric::Refused),
         ten = bound(Metric::WorstWindow), five = ten, recovery = bound(Metric::RecoveryMs, 8000),
         never = bound(Metric::RecoveryMs, 11000, 14000), always = bound(Metric::RecoveryMs, 20000),
@@ -88,7 +89,7 @@
       {bound(Metric::Service), 25.0 / 30},
       {bound(Metric::Service, 10000, 15000), 0},
       {bound(Metric::Service, 15000), 1},
-      {small_tenant, 13.0 / 15}, // 11 and 13 fail
+      {small_tenant, 13.0 / 15}, // requests 11 and 13 fail
       {bound(Metric::WorstTenant), 12.0 / 15},
       {bound(Metric::WorstClass), 12.0 / 15},
       {second_class, 2.0 / 15},
@@ -114,7 +115,7 @@
   CHECK(measure(latency) == doctest::Approx(100).epsilon(0.02));
 }
 
-TEST_CASE("a bound that is missed, and one with nothing to measure, do not hold") {
+TEST_CASE("a missed bound and a bound without measurements do not hold") {
   Spec spec = small_spec();
   spec.duration_ms = 30000;
   Bound held = bound(Metric::Service), missed = held, nothing = bound(Metric::HitRatio, 29900);
@@ -135,7 +136,7 @@
   CHECK(f.score == doctest::Approx((25.0 / 30 + 0.5) / 2));
 }
 
-TEST_CASE("figures add up, survive a file, merge, and stay bounded") {
+TEST_CASE("figures are correct after a merge or a JSON round trip and stay bounded in size") {
   Spec spec = small_spec();
   spec.duration_ms = 30000;
   const Plan plan = make_plan(spec);
@@ -164,7 +165,7 @@
   back.widen();
   CHECK(back.slices.size() == 15);
   CHECK(back.whole().tally.drawn == 60);
-  one.merge(back); // of another width
+  one.merge(back); // its slices have a different width
   CHECK(one.whole().tally.drawn == 90);
   Figures other = one;
   other.classes[0].name = "else";
@@ -173,7 +174,7 @@
   broken["slices"][0]["tally"]["latency"]["bins"] = {{99999, 1}};
   CHECK_THROWS(figures_from(broken));
 
-  // A run of eleven days keeps no more slices than one of an hour.
+  // A run of eleven days keeps no more slices than a run of an hour.
   Collector daily(spec, plan);
   for (double at = 0; at < 1e9; at += 5e5) {
     LoadSample l;
@@ -185,7 +186,7 @@
   CHECK(long_run.width_ms > 9e5);
 }
 
-TEST_CASE("latency quantiles are right within 2%") {
+TEST_CASE("latency quantiles are within 2% of the exact values") {
   Latency all, part;
   for (int i = 1; i <= 10000; ++i) (i % 2 == 0 ? all : part).add(i * 0.1);
   all.merge(part);
@@ -193,6 +194,6 @@
     CHECK(all.quantile(share) == doctest::Approx(share * 1000).epsilon(0.02));
   }
   CHECK(Latency().quantile(0.5) == 0);
-  all.add(1e9); // beyond the axis
+  all.add(1e9); // beyond the largest bin
   CHECK(all.quantile(1) == doctest::Approx(500e3));
 }
--- a/tests/lab/check/rules_test.cpp
+++ b/tests/lab/check/rules_test.cpp
@@ -1,4 +1,5 @@
-// Each rule is kept by a sound router and seen to be broken by a bad one: a table of short runs, told by hand.
+// Tables of short runs, written as records by hand: each rule holds for a correct router and is broken by a
+// faulty one. Guards against a rule that reports correct behavior or misses a fault.
 #include <doctest/doctest.h>
 
 #include <functional>
@@ -12,7 +13,7 @@
 
 using Run = std::function<void(Script&)>;
 
-// How often each rule was broken.
+// Returns the number of breaches of each rule.
 std::array<std::uint64_t, kRules> breaches(const Run& run, bool whole = true) {
   Script script;
   run(script);
@@ -35,7 +36,7 @@
 constexpr auto kGone = ServerState::Gone;
 using What = RouterEvent::What;
 
-// One request of a class with two attempts: the first ends as said, and the second comes to `machine`.
+// One request with two attempts: the first ends with `first_ending`, then the second arrives at `machine`.
 Run twice(std::uint32_t cls, Ending first, MachineId machine, double second_at = 200) {
   return [=](Script& s) {
     s.drawn(0, 1, cls).tried(0, 1).arrived(10, 1, 1, 0, cls).ended(100, 1, first);
@@ -43,7 +44,7 @@
     s.answered(second_at + 60, 1).closed(second_at + 60, 1);
   };
 }
-// The same with the first attempt still out.
+// The same, but the second attempt arrives while the first is still open.
 Run both_out(std::uint32_t cls, MachineId machine) {
   return [=](Script& s) {
     s.drawn(0, 1, cls).tried(0, 1).arrived(10, 1, 1, 0, cls).arrived(20, 2, 1, machine, cls);
@@ -67,46 +68,48 @@
 
 } // namespace
 
-TEST_CASE("runs that keep every rule") {
+TEST_CASE("runs that keep every rule have no breach") {
   const struct {
     const char* what;
     Run run;
   } cases[] = {
       {"a plain request", twice(0, Ending::Miss, 3)},
-      {"a safe request may run twice at once", both_out(0, 2)},
-      {"a keyed one too, within its group", both_out(1, 2)},
-      {"within its zone", both_out(2, 1)},
-      {"turned away, it never ran", twice(4, Ending::Full, 2)},
-      {"refused after it was turned away", refused_after(4, Ending::Draining)},
-      {"keyed for all, it may be refused though it ran", refused_after(1, Ending::Error)},
-      {"repeated within the window", twice(1, Ending::Error, 2, 900)},
-      {"a router that was killed owes nothing",
+      {"a safe request may run twice concurrently", both_out(0, 2)},
+      {"a request with an idempotency key may run twice, within its scope", both_out(1, 2)},
+      {"with an idempotency key for a zone, twice within the zone", both_out(2, 1)},
+      {"an unsafe request is retried after a node rejected it unprocessed", twice(4, Ending::Full, 2)},
+      {"refused after a draining node rejected it", refused_after(4, Ending::Draining)},
+      {"with an idempotency key for all nodes, refused although it may have run",
+       refused_after(1, Ending::Error)},
+      {"retried within the idempotency window", twice(1, Ending::Error, 2, 900)},
+      {"a killed router owes no response",
        one_try([](Script& s) { s.router(100, 0, What::Killed); }, Heard::Broken, 101)},
-      {"an answer that is still on its long way back",
+      {"a response still on a slow path back",
        [](Script& s) {
          s.drawn(0, 1)
              .tried(60, 1, 0, true, 60)
              .answered(1570, 1, Heard::Silence)
              .closed(1570, 1, Heard::Silence, 0);
        }},
-      {"nor does a silent one", one_try([](Script& s) { s.router(100, 0, What::Silent); }, Heard::Silence)},
-      {"nor one that was silent meanwhile",
+      {"a silent router owes no response",
+       one_try([](Script& s) { s.router(100, 0, What::Silent); }, Heard::Silence)},
+      {"a router that was silent during the try owes no response",
        one_try([](Script& s) { s.router(100, 0, What::Silent).router(900, 0, What::Returned); },
                Heard::Broken, 950)},
-      {"what it never took",
+      {"a try that the router did not accept",
        [](Script& s) {
          s.drawn(0, 1)
              .tried(0, 1, 0, false)
              .answered(5, 1, Heard::Unreachable)
              .closed(5, 1, Heard::Unreachable, 0);
        }},
-      {"a client that leaves", one_try(nothing, Heard::Left, 300)},
-      {"taken long after SIGTERM",
+      {"a client that disconnects", one_try(nothing, Heard::Left, 300)},
+      {"accepted long after SIGTERM",
        [](Script& s) {
          s.router(0, 0, What::Term).drawn(800, 1).tried(800, 1).router(900, 0, What::Ended);
          s.answered(901, 1, Heard::Broken).closed(901, 1, Heard::Broken, 0);
        }},
-      {"sent within the grace",
+      {"sent to a draining node within the grace period",
        [](Script& s) {
          s.told(100, 0, 0, kDraining)
              .drawn(300, 1)
@@ -115,26 +118,27 @@
              .ended(350, 1, Ending::Hit);
          s.answered(360, 1).closed(360, 1);
        }},
-      {"back in service",
+      {"sent to a node that is ready again",
        [](Script& s) {
          s.told(100, 0, 0, kGone).told(600, 0, 0, kReady).drawn(900, 1).tried(900, 1).arrived(910, 1, 1, 0);
          s.ended(920, 1, Ending::Hit).answered(930, 1).closed(930, 1);
        }},
-      {"the successor at the address, asked by one that does not know yet",
+      {"sent to the replacement at the address by a router not yet notified",
        [](Script& s) {
          s.drawn(6000, 1).tried(6000, 1).arrived(6010, 1, 1, 4).ended(6020, 1, Ending::Hit);
          s.answered(6030, 1).closed(6030, 1);
        }},
-      {"a warm node falls over", [](Script& s) { s.tipped(100, 0, false, 1); }},
-      {"a cold one by routers that could not know", [](Script& s) { s.tipped(100, 0, true, 0.6); }},
-      {"an attempt that its node saw before the client's side told of the try",
+      {"a warm node is overloaded until it fails", [](Script& s) { s.tipped(100, 0, false, 1); }},
+      {"a cold node fails under load from routers not notified of its start",
+       [](Script& s) { s.tipped(100, 0, true, 0.6); }},
+      {"an attempt recorded by the node before the client records the try",
        [](Script& s) {
          s.drawn(0, 1, 4).arrived(5, 1, 1, 0, 4).ended(6, 1, Ending::Full).tried(7, 1);
          s.arrived(20, 2, 1, 1, 4).ended(30, 2, Ending::Hit).answered(40, 1).closed(40, 1);
        }},
-      {"closed a moment before its try and its end are told",
+      {"closed just before its try and its end are recorded",
        [](Script& s) { s.drawn(0, 1).closed(50, 1).tried(51, 1, 0, false).answered(51, 1, Heard::Silence); }},
-      {"an attempt that came late on its way",
+      {"an attempt delayed by the network beyond the retention of its try",
        [](Script& s) {
          s.drawn(0, 1).tried(0, 1).answered(50, 1).closed(50, 1).drawn(9000, 2).tried(9000, 2);
          s.answered(9050, 2).closed(9050, 2);
@@ -153,7 +157,7 @@
   }
 }
 
-TEST_CASE("runs that break one rule") {
+TEST_CASE("runs that break one rule have breaches of that rule only") {
   const struct {
     const char* what;
     Rule rule;
@@ -161,7 +165,7 @@
   } cases[] = {
       {"answered twice", Rule::OneAnswer,
        [](Script& s) { s.drawn(0, 1).tried(0, 1).answered(50, 1).closed(50, 1).answered(60, 1); }},
-      {"a surplus answer, as the lab marks it", Rule::OneAnswer,
+      {"an answer that the lab marked as surplus", Rule::OneAnswer,
        [](Script& s) {
          s.drawn(0, 1).tried(0, 1).answered(50, 1).closed(50, 1);
          Answered a;
@@ -170,37 +174,38 @@
          s.checker.on(a);
        }},
       {"no answer by the deadline", Rule::NoLost, one_try(nothing, Heard::Silence)},
-      {"ended without a whole answer", Rule::NoLost, one_try(nothing, Heard::Broken, 300)},
-      {"answered after the grace", Rule::NoLost, one_try(nothing, Heard::Failed, 1700)},
-      {"killed before it took the request, not after", Rule::NoLost,
+      {"ended without a complete response", Rule::NoLost, one_try(nothing, Heard::Broken, 300)},
+      {"answered after the grace period", Rule::NoLost, one_try(nothing, Heard::Failed, 1700)},
+      {"killed before it accepted the request, not after", Rule::NoLost,
        [](Script& s) {
          s.router(0, 0, What::Killed).router(100, 0, What::Started).drawn(200, 1).tried(200, 1);
          s.answered(1760, 1, Heard::Silence).closed(1760, 1, Heard::Silence, 0);
        }},
-      {"taken soon after SIGTERM", Rule::NoLost,
+      {"accepted soon after SIGTERM", Rule::NoLost,
        [](Script& s) {
          s.router(0, 0, What::Term).drawn(600, 1).tried(600, 1).router(900, 0, What::Ended);
          s.answered(901, 1, Heard::Broken).closed(901, 1, Heard::Broken, 0);
        }},
-      {"unsafe, sent again after an error", Rule::Repeats, twice(4, Ending::Error, 0)},
-      {"unsafe, sent again after the node was lost", Rule::Repeats, twice(4, Ending::Lost, 0)},
-      {"unsafe, sent again, the first one seen before its try", Rule::Repeats,
+      {"unsafe, retried after an error", Rule::Repeats, twice(4, Ending::Error, 0)},
+      {"unsafe, retried after the node was lost", Rule::Repeats, twice(4, Ending::Lost, 0)},
+      {"unsafe, retried, the first attempt recorded before its try", Rule::Repeats,
        [](Script& s) {
          s.drawn(0, 1, 4).arrived(5, 1, 1, 0, 4).ended(6, 1, Ending::Error).tried(7, 1);
          s.arrived(20, 2, 1, 1, 4).ended(30, 2, Ending::Hit).answered(40, 1).closed(40, 1);
        }},
-      {"unsafe, a second copy", Rule::Repeats, both_out(4, 0)},
-      {"unsafe, refused though it ran", Rule::Repeats, refused_after(4, Ending::Hit)},
-      {"keyed in a zone, refused though it may have run", Rule::Repeats, refused_after(2, Ending::Error)},
-      {"keyed in a zone, repeated in another", Rule::Repeats, both_out(2, 2)},
-      {"keyed in a cell, repeated in another", Rule::Repeats, both_out(3, 1)},
-      {"keyed, repeated after its window", Rule::Repeats, twice(1, Ending::Error, 0, 1200)},
-      {"unsafe, sent before it was refused and seen after", Rule::Repeats,
+      {"unsafe, a second concurrent attempt", Rule::Repeats, both_out(4, 0)},
+      {"unsafe, refused although it ran", Rule::Repeats, refused_after(4, Ending::Hit)},
+      {"idempotency key for a zone, refused although it may have run", Rule::Repeats,
+       refused_after(2, Ending::Error)},
+      {"idempotency key for a zone, repeated in another", Rule::Repeats, both_out(2, 2)},
+      {"idempotency key for a cell, repeated in another", Rule::Repeats, both_out(3, 1)},
+      {"idempotency key, retried after its window", Rule::Repeats, twice(1, Ending::Error, 0, 1200)},
+      {"unsafe, sent before it was refused and arrived after", Rule::Repeats,
        [](Script& s) {
          s.drawn(0, 1, 4).tried(0, 1).answered(50, 1, Heard::Refused).closed(50, 1, Heard::Refused, 0);
          s.arrived(51, 1, 1, 0, 4).ended(80, 1, Ending::Hit);
        }},
-      {"sent after its final answer", Rule::Repeats,
+      {"sent after its final response", Rule::Repeats,
        [](Script& s) {
          s.drawn(0, 1)
              .tried(0, 1)
@@ -217,9 +222,9 @@
                .ended(10.0 * static_cast<double>(i) + 5, i, Ending::Full);
          s.answered(100, 1).closed(100, 1);
        }},
-      {"for a request that never was", Rule::Repeats,
+      {"an attempt for an unknown request", Rule::Repeats,
        [](Script& s) { s.arrived(100, 1, 77, 0).ended(110, 1, Ending::Hit); }},
-      {"to a draining node after the grace", Rule::Drains,
+      {"sent to a draining node after the grace period", Rule::Drains,
        [](Script& s) {
          s.told(100, 0, 0, kDraining)
              .drawn(350, 1)
@@ -228,7 +233,7 @@
              .ended(410, 1, Ending::Hit);
          s.answered(420, 1).closed(420, 1);
        }},
-      {"told again that it is gone, the time goes on", Rule::Drains,
+      {"a later notification that it is gone does not restart the grace period", Rule::Drains,
        [](Script& s) {
          s.told(100, 0, 0, kDraining)
              .told(350, 0, 0, kGone)
@@ -237,12 +242,12 @@
              .arrived(402, 1, 1, 0);
          s.ended(410, 1, Ending::Hit).answered(420, 1).closed(420, 1);
        }},
-      {"to the address of one that is gone", Rule::Drains,
+      {"sent to the address of a node that is gone", Rule::Drains,
        [](Script& s) {
          s.told(5600, 0, 1, kGone).drawn(6000, 1).tried(6000, 1).arrived(6010, 1, 1, 4);
          s.ended(6020, 1, Ending::Hit).answered(6030, 1).closed(6030, 1);
        }},
-      {"a restarted router knows its own list only", Rule::Drains,
+      {"a restarted router may use only the endpoints listed since its start", Rule::Drains,
        [](Script& s) {
          s.router(100, 0, What::Killed).router(200, 0, What::Started).told(200, 0, 2, kReady);
          s.drawn(300, 1)
@@ -252,14 +257,15 @@
              .answered(330, 1)
              .closed(330, 1);
        }},
-      {"pushed over by those who knew", Rule::ColdNodes, [](Script& s) { s.tipped(100, 0, true, 0.7); }},
-      {"served with something else", Rule::Genuine,
+      {"a cold node fails under load from routers notified of its start", Rule::ColdNodes,
+       [](Script& s) { s.tipped(100, 0, true, 0.7); }},
+      {"served with another value", Rule::Genuine,
        [](Script& s) { s.drawn(0, 1).tried(0, 1).answered(50, 1, Heard::Served, false).closed(50, 1); }},
       {"a crash", Rule::Alive, [](Script& s) { s.router(100, 1, What::Crashed); }},
       {"closed twice", Rule::Accounts,
        [](Script& s) { s.drawn(0, 1).tried(0, 1).answered(50, 1).closed(50, 1).closed(51, 1); }},
       {"never closed", Rule::Accounts, [](Script& s) { s.drawn(0, 1).tried(0, 1).answered(50, 1); }},
-      {"closed while a try is open", Rule::Accounts,
+      {"a request closed while a try is open", Rule::Accounts,
        [](Script& s) {
          s.drawn(0, 1).tried(0, 1).closed(40, 1).drawn(1100, 2).answered(1101, 1).closed(1102, 2);
        }},
@@ -271,7 +277,7 @@
   }
 }
 
-TEST_CASE("no record of an answer at all") {
+TEST_CASE("a request without any answer record breaks two rules") {
   const Run run = [](Script& s) { s.drawn(0, 1).tried(0, 1); };
   auto expected = only(Rule::OneAnswer);
   expected[static_cast<std::size_t>(Rule::Accounts)] = 1;
@@ -279,7 +285,7 @@
   CHECK(breaches(run, false) == std::array<std::uint64_t, kRules>{}); // the run was stopped
 }
 
-TEST_CASE("a rule that is switched off is not judged, and the rest still is") {
+TEST_CASE("a disabled rule is not judged and the others still are") {
   Spec spec = small_spec();
   spec.holds.rules.no_lost = false;
   const Plan plan = make_plan(spec);
@@ -290,10 +296,10 @@
   CHECK_FALSE(findings.kept());
 }
 
-TEST_CASE("what is remembered is bounded by what is open, not by the length") {
+TEST_CASE("the checker's state is bounded by the open requests and not by the run length") {
   Script s;
   std::size_t most = 0;
-  for (std::uint64_t n = 1; n <= 200000; ++n) { // 1,000 a second for 200 s
+  for (std::uint64_t n = 1; n <= 200000; ++n) { // 1,000 requests per second for 200 s
     const auto at = static_cast<double>(n);
     s.drawn(at, n).tried(at, n).arrived(at + 1, n, n, 0);
     if (n > 50) s.ended(at, n - 50, Ending::Hit).answered(at, n - 50).closed(at, n - 50);
--- a/tests/lab/check/support.h
+++ b/tests/lab/check/support.h
@@ -1,4 +1,4 @@
-// A small fleet and a run told record by record.
+// A small fleet, and a builder that passes the records of a run to the checker one by one.
 #pragma once
 
 #include "lab/check/checker.h"
@@ -8,8 +8,9 @@
 using namespace fernward::model;
 using fernward::ServerState;
 
-// Two zones, nodes 0 and 1 in the first (cells 0 and 1), 2 in the second, the origin is 3; node 1 is replaced by
-// machine 4 at 5 s. Classes: 0 safe, 1 keyed for all, 2 keyed within a zone, 3 keyed within a cell, 4 unsafe.
+// Two zones: nodes 0 and 1 in the first (cells 0 and 1), node 2 in the second; the origin is machine 3.
+// Machine 4 replaces node 1 at 5 s. Classes: 0 safe, 1 with an idempotency key valid at all nodes, 2 within a
+// zone, 3 within a cell, 4 unsafe.
 inline Spec small_spec() {
   Spec s;
   s.name = "small";
@@ -45,7 +46,9 @@
   return s;
 }
 
-// Tells a run. Times are absolute; what is not given is well.
+// Builds a run: each method passes one record to the checker. Times are absolute, in milliseconds. The
+// defaults describe a run that keeps every rule. At the start all routers have started and list all initial
+// machines as ready.
 class Script {
  public:
   explicit Script(double slack_ms = 50)
