--- a/tests/lab/bad_router/main.cpp
+++ b/tests/lab/bad_router/main.cpp
@@ -1,5 +1,5 @@
-// fernward-bad-router FAULT: started as a router is (NODE_CONFIG), it serves as a plain one would, save for one fault.
-// Blocking sockets, a thread a connection: for short runs only.
+// fernward-bad-router FAULT: a minimal router with one deliberate fault. It is started like a router
+// (NODE_CONFIG). It uses blocking sockets and one thread per connection, so it is for short runs only.
 #include <arpa/inet.h>
 #include <signal.h>
 #include <sys/socket.h>
@@ -29,20 +29,20 @@
 
 constexpr const char* kFaults =
     "honest       none\n"
-    "hasty        none, but a connection is closed as soon as its second request is there, unread\n"
-    "twice        every third answer is sent twice\n"
-    "lose         every third request's connection is closed without an answer\n"
-    "silent       every third request is never answered\n"
-    "forge        every third read is answered with a value that no machine made\n"
-    "swap         every third read is answered with the value made for the one before\n"
-    "alter        every third request goes on under another path\n"
-    "repeat       a keyed write is sent again a second and a half later\n"
-    "refuse       a write that has run is answered as refused\n"
-    "drained      discovery is heard and not heeded: nodes that drain are sent on to\n"
-    "flood        the node that started last is sent thirty copies of every read\n"
+    "hasty        none, but a connection is closed unread when its second request arrives\n"
+    "twice        every third response is sent twice\n"
+    "lose         every third request's connection is closed without a response\n"
+    "silent       every third request gets no response\n"
+    "forge        every third read is answered with a value that no server returned\n"
+    "swap         every third read is answered with the value of the previous read\n"
+    "alter        every third request is forwarded with a different path\n"
+    "repeat       a write with an idempotency key is sent again 1.5 s later\n"
+    "refuse       a write that was processed is answered as refused\n"
+    "drained      discovery updates are ignored: requests still go to draining nodes\n"
+    "flood        the node started last receives thirty copies of every read\n"
     "hang         SIGTERM is ignored\n"
-    "crash        the tenth request ends the process\n"
-    "shout        a datagram of 300 bytes goes to every peer\n";
+    "crash        the process exits at the tenth request\n"
+    "shout        a datagram of 300 bytes is sent to every peer\n";
 
 class Fd {
  public:
@@ -67,7 +67,7 @@
   return true;
 }
 
-// A whole message from a connection; `behind` keeps what came after it.
+// Receives one complete message; `unread` keeps the bytes received after it.
 std::optional<http::Message> receive(int fd, http::Kind kind, std::string& behind) {
   http::Parser parser(kind);
   for (;;) {
@@ -150,7 +150,7 @@
     }
   }
 
-  // Of the nodes in use; `key` tells which.
+  // Selects by the hash of `key` among the usable endpoints: the origins, or the caches.
   std::string target(const std::string& key, bool origin) {
     const std::lock_guard lock(mutex_);
     std::vector<std::string> found;
@@ -195,7 +195,7 @@
       if (third && is("silent")) continue;
       if (!send_all(client, answer)) return;
       if (third && is("twice")) {
-        usleep(50000); // the first one has come: this is not the rest of it
+        usleep(50000); // lets the first response arrive, so that the copy is not taken for its end
         send_all(client, answer);
       }
     }
@@ -281,7 +281,7 @@
   std::ifstream file(path == nullptr ? "" : path);
   json config = json::parse(file, nullptr, false);
   if (config.is_discarded()) {
-    std::fprintf(stderr, "fernward-bad-router: no NODE_CONFIG\n");
+    std::fprintf(stderr, "fernward-bad-router: NODE_CONFIG does not name a readable JSON file\n");
     return 1;
   }
   return BadRouter(fault, std::move(config)).serve();
