--- a/tests/lab/caught/caught_test.cpp
+++ b/tests/lab/caught/caught_test.cpp
@@ -1,5 +1,5 @@
-// Routers that break one rule on purpose, on sockets: the lab's own checks find it, and find nothing with good ones.
-// Judged on which rules were broken, never on times.
+// Routers on sockets that break one rule on purpose. Guards against a check of the lab that misses its fault,
+// or that reports a correct router. Asserts which rules were broken, never times.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -16,8 +16,8 @@
 RigOptions options(const std::string& fault) {
   RigOptions o;
   o.program = FERNWARD_PROGRAM;
-  o.late_p99_ms = o.late_p999_ms = 1e9; // the machine of the tests may be busy
-  o.check_memory = false;               // sanitizers take their own
+  o.late_p99_ms = o.late_p999_ms = 1e9; // the test machine may be busy
+  o.check_memory = false;               // sanitizers use memory of their own
   if (!fault.empty()) o.programs.assign(2, {{FERNWARD_BAD_ROUTER, fault}, false});
   return o;
 }
@@ -54,12 +54,12 @@
 
 } // namespace
 
-TEST_CASE("what a bad router does wrong is found by the rule that forbids it") {
+TEST_CASE("a faulty router breaks the rule for its fault and no other") {
   const struct {
-    const char* fault; // empty: fernward itself
+    const char* fault; // empty: fernward
     void (*prepare)(model::Spec&);
-    std::vector<Rule> broken; // all of these
-    bool only = true;         // and no other
+    std::vector<Rule> broken; // each must be broken
+    bool only = true;         // no other rule may be broken
   } cases[] = {
       {"", nothing, {}},
       {"", drain_half, {}},
@@ -68,12 +68,12 @@
       {"lose", nothing, {Rule::NoLost}},
       {"silent", nothing, {Rule::NoLost}},
       {"forge", nothing, {Rule::Genuine}},
-      {"swap", nothing, {Rule::Genuine}, false}, // the answers that it gave away are missing elsewhere
+      {"swap", nothing, {Rule::Genuine}, false}, // the swapped responses are missing for other requests
       {"repeat", nothing, {Rule::Repeats}},
-      {"refuse", unsafe_writes, {Rule::Repeats}, false}, // the ledger is slow for so many writes
+      {"refuse", unsafe_writes, {Rule::Repeats}, false}, // the origin is slow for so many writes
       {"drained", drain_half, {Rule::Drains}},
-      {"flood", start_one, {Rule::ColdNodes}, false}, // its copies are more than a request may have
-      {"crash", nothing, {Rule::Alive}, false},       // with what it had taken
+      {"flood", start_one, {Rule::ColdNodes}, false}, // the copies exceed the attempt limit of a request
+      {"crash", nothing, {Rule::Alive}, false},       // the requests it had accepted are lost
   };
   for (const auto& c : cases) {
     const std::string fault = c.fault;
