--- a/tests/lab/commands/commands_test.cpp
+++ b/tests/lab/commands/commands_test.cpp
@@ -1,4 +1,4 @@
-// fernward-lab as a user runs it.
+// The command line of fernward-lab: exit codes, messages and the files that it writes.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <signal.h>
@@ -49,7 +49,7 @@
 
 } // namespace
 
-TEST_CASE("wrong usage ends with 2 and a word on what is wrong, faults in files end with 1 and their place") {
+TEST_CASE("usage errors exit with 2 and a reason and file errors exit with 1 and a position") {
   const struct {
     std::string arguments;
     int code;
@@ -99,14 +99,14 @@
   }
 }
 
-TEST_CASE("a run is judged, kept, and drawn again, a missed bound ends with 1") {
+TEST_CASE("a saved run reproduces its results and report and a missed bound exits with 1") {
   const Folder folder;
   const Said good = lab("run --seed 7 --set duration=3s --out " + folder / "a" + " " + kFleet);
   INFO(good.out << good.err);
   CHECK(good.code == 0);
   CHECK(good.has("GOOD"));
   CHECK(good.has("report: " + folder / "a/report.html"));
-  // The scenario that is left plays the very same run.
+  // The saved scenario reproduces the same run.
   CHECK(lab("run --out " + folder / "b" + " " + folder / "a/scenario.toml").code == 0);
   auto a = nlohmann::json::parse(text_of(folder / "a/run.json"));
   auto b = nlohmann::json::parse(text_of(folder / "b/run.json"));
@@ -130,7 +130,7 @@
   CHECK(bad.has("BAD: 1 bound does not hold"));
 }
 
-TEST_CASE("sweeps say the same with one job and with four, comparisons see what is there and no more") {
+TEST_CASE("a sweep is the same with one and four jobs and a comparison reports only real differences") {
   const Folder folder;
   const std::string sweep = "sweep --set duration=2s --vary load.rate=100/s,300/s --seeds 1..3 ";
   const Said one = lab(sweep + "--jobs 1 --out " + folder / "one" + " " + kFleet);
@@ -152,16 +152,14 @@
   CHECK(single.has("says nothing of chance"));
 }
 
-TEST_CASE(
-    "the first run: routers on sockets, what became of the requests, and a report, Ctrl-C ends what is "
-    "kept") {
+TEST_CASE("the try command writes a report and with --keep leaves the fleet running until SIGINT") {
   const Folder folder;
   const Said said = lab("try --seconds 2 --unlimited-memory --out " + folder / "out");
   INFO(said.out << said.err);
   CHECK(said.has("2 routers are ready"));
   CHECK(said.has("served"));
   CHECK(said.has("report: " + folder / "out/report.html"));
-  // A busy machine makes the rig late, and that is said; nothing else may be wrong.
+  // On a busy machine the rig may be late, which makes the run VOID; no rule may be broken.
   CHECK((said.code == 0 || said.has("VOID")));
   CHECK_FALSE(said.has("BROKEN"));
 
@@ -182,7 +180,7 @@
   REQUIRE(at != std::string::npos);
   const std::string address = text.substr(at + 7, text.find('/', at + 7) - at - 7);
   CHECK(address.starts_with("127."));
-  // As curl would: a raw request through the shell's own sockets.
+  // A raw request through the sockets of bash, as curl would send it.
   const std::string ask =
       "bash -c 'exec 3<>/dev/tcp/" + address.substr(0, address.find(':')) + "/" +
       address.substr(address.find(':') + 1) +
