--- a/tests/lab/discovery/crowded_test.cpp
+++ b/tests/lab/discovery/crowded_test.cpp
@@ -1,5 +1,6 @@
-// A fleet of real routers before one crowded discovery server: none may send to a node after it was told, or could have
-// been told for long, that the node drains or is gone.
+// Router processes that use one congested discovery server. No router may send to a node after it was
+// notified that the node drains or is gone, or after the time by which it should have been notified. Guards
+// against a router that misses updates while discovery is congested, down or moving.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -15,11 +16,11 @@
 
 namespace {
 
-constexpr double kSocketsSlackMs = 50;   // as `fernward-lab run` grants
+constexpr double kSocketsSlackMs = 50;   // as in `fernward-lab run`
 constexpr double kLeastServed = 0.9;     // of all requests
-constexpr std::size_t kLeastDrained = 8; // nodes that a router hears of: nine drain
+constexpr std::size_t kLeastDrained = 8; // per router; nine nodes drain in the scenario
 
-// The checker, which also counts what there was to be judged.
+// A checker that also counts the records, to show that the run exercised the rule.
 class Observer : public lab::Checker {
  public:
   Observer(const model::Spec& spec, const model::Plan& plan)
@@ -41,7 +42,7 @@
     Checker::on(event);
   }
 
-  std::size_t least_drained() const { // nodes that each router was told to drain, at the least
+  std::size_t least_drained() const { // the smallest number of nodes that any router was notified to drain
     return std::min_element(drained_.begin(), drained_.end(),
                             [](const auto& a, const auto& b) { return a.size() < b.size(); })
         ->size();
@@ -52,23 +53,23 @@
   std::size_t started() const { return started_; }
 
  private:
-  std::vector<std::set<model::MachineId>> drained_; // by router
-  std::vector<std::size_t> heard_;                  // words that were written to it, by router
+  std::vector<std::set<model::MachineId>> drained_; // per router
+  std::vector<std::size_t> heard_;                  // notifications written to each router
   std::size_t closed_ = 0, served_ = 0, started_ = 0;
 };
 
 lab::RigOptions options() {
   lab::RigOptions o;
   o.program = FERNWARD_PROGRAM;
-  o.late_p99_ms = o.late_p999_ms = 1e9; // the machine of the tests may be busy
-  o.check_memory = false;               // sanitizers take their own
+  o.late_p99_ms = o.late_p999_ms = 1e9; // the test machine may be busy
+  o.check_memory = false;               // sanitizers use memory of their own
   return o;
 }
 
 } // namespace
 
 TEST_CASE(
-    "30 routers before a crowded discovery that is out for a while and moves send nothing to drained nodes") {
+    "30 routers send nothing to drained nodes while discovery is congested and has an outage and moves") {
   const std::string path = std::string(FERNWARD_SOURCE_DIR) + "/scenarios/crowded-discovery.toml";
   const lab::Scenario scenario = lab::read_scenario_file(path, lab::offer_sockets());
   REQUIRE(scenario.sound());
@@ -83,7 +84,7 @@
   for (const lab::Breach& breach : drains.first) MESSAGE(breach.at_ms << " ms: " << breach.what);
   CHECK(drains.breaches == 0);
 
-  // There was something to be judged.
+  // The run exercised the rule.
   CHECK(static_cast<double>(observer.served()) >= kLeastServed * static_cast<double>(observer.closed()));
   CHECK(observer.closed() > 10000);
   CHECK(observer.least_drained() >= kLeastDrained);
