--- a/tests/lab/peers/agents_test.cpp
+++ b/tests/lab/peers/agents_test.cpp
@@ -1,4 +1,6 @@
-// Discovery as a router's agent tells it, on raw sockets.
+// The discovery agents of the lab on raw sockets: lists, watches, outages, moves and congestion, and the time
+// at which the lab records a router as notified. Guards against a wrong time, by which the rule on drains
+// would be judged wrongly.
 #include <doctest/doctest.h>
 
 #include <nlohmann/json.hpp>
@@ -27,7 +29,7 @@
   return get("?since=" + list["index"].dump() + "&timeout_ms=" + std::to_string(wait_ms));
 }
 
-// When each version of what is said of a machine counted as told to router 0, by the records since the last call.
+// Returns the records since the last call by which router 0 counts as notified of a state of `machine`.
 std::vector<model::Told> told_of(Stand& stand, model::MachineId machine) {
   std::vector<model::Told> found;
   for (const auto& told : stand.records<model::Told>()) {
@@ -38,19 +40,19 @@
 
 } // namespace
 
-TEST_CASE("the whole list, and a watch that is told of changes alone") {
+TEST_CASE("a first call returns the full list and a watch returns changes only") {
   Stand stand;
   Raw agent(stand.addresses->agent(0, 0));
   const json whole = list_of(agent.ask(get("")));
   CHECK(whole["snapshot"] == true);
-  CHECK(whole["endpoints"].size() == 7); // six nodes and the origin; none on standby
+  CHECK(whole["endpoints"].size() == 7); // six nodes and the origin; no standby node
   CHECK(whole["endpoints"][0]["status"] == "in_service");
   CHECK(whole["endpoints"][0]["since_ms"] == 0);
   CHECK(whole["endpoints"][0]["address"] == rig::text_of(stand.machine(0, 0)));
   CHECK(list_of(Raw(stand.addresses->agent(1, 0)).ask(get("")))["endpoints"][0]["address"] ==
-        rig::text_of(stand.machine(0, 1))); // each router has addresses of its own
+        rig::text_of(stand.machine(0, 1))); // each router sees addresses of its own
 
-  agent.send(since(whole, 5000)); // it waits
+  agent.send(since(whole, 5000)); // a long poll
   CHECK(agent.read(100).empty());
   stand.node(2, NodeStep::What::Drain);
   const json draining = list_of(agent.ask(""));
@@ -63,11 +65,11 @@
   const json gone = list_of(agent.ask(since(draining, 5000)));
   REQUIRE(gone["endpoints"].size() == 1);
   CHECK(gone["endpoints"][0]["status"] == "terminated");
-  const json none = list_of(agent.ask(since(gone, 50))); // nothing new within the time
+  const json none = list_of(agent.ask(since(gone, 50))); // no change within the timeout
   CHECK(none["endpoints"].empty());
   CHECK(none["index"] == gone["index"]);
   CHECK(list_of(agent.ask(get("")))["endpoints"].size() == 6);
-  // A version that is not known gets the whole list; what is no such call gets 404.
+  // An unknown index gets the full list; any other path gets 404.
   CHECK(list_of(agent.ask(get("?since=999999&timeout_ms=5000")))["snapshot"] == true);
   CHECK(agent.ask("GET /v1/other HTTP/1.1\r\nHost: d\r\n\r\n")->status == 404);
 
@@ -81,7 +83,7 @@
   CHECK_FALSE(told.back().deemed);
 }
 
-TEST_CASE("down it is silent, then it tells what it missed") {
+TEST_CASE("discovery is silent while down and then reports the changes made meanwhile") {
   Stand stand;
   stand.happen(DiscoveryStep{DiscoveryStep::What::Down});
   stand.node(1, NodeStep::What::End);
@@ -93,7 +95,7 @@
   CHECK(list_of(agent.ask(""))["endpoints"].size() == 6);
 }
 
-TEST_CASE("it moves: the new address answers, the old one ends") {
+TEST_CASE("when discovery moves the new address answers and the old one closes") {
   Stand stand;
   Raw before(stand.addresses->agent(0, 0));
   list_of(before.ask(get("")));
@@ -107,8 +109,7 @@
   CHECK(Raw(stand.addresses->agent(0, 0)).error() == ECONNREFUSED);
 }
 
-TEST_CASE(
-    "a router that does not ask counts as told all the same, one that starts begins with its last list") {
+TEST_CASE("a router that does not poll is assumed to be notified and a starting router has the last list") {
   Stand stand([](model::Spec& spec) { spec.discovery.at_latest_ms = 600; });
   CHECK(stand.known[0]["endpoints"].size() == 7);
   const double at = stand.clock.now();
@@ -120,10 +121,10 @@
     }
     return !deemed.empty() && deemed.back().state == ServerState::Gone;
   }));
-  CHECK(deemed.back().at >= at + 500); // it was last seen to be abreast some time before
+  CHECK(deemed.back().at >= at + 500); // counted from when the router was last known to be up to date
 }
 
-TEST_CASE("each change counts as told by its own time, not with the first one that a router missed") {
+TEST_CASE("each missed change is assumed to be notified at its own time") {
   Stand stand([](model::Spec& spec) { spec.discovery.at_latest_ms = 600; });
   stand.node(1, NodeStep::What::Drain);
   usleep(400000);
@@ -139,7 +140,7 @@
   CHECK(second[0].at >= first[0].at + 350);
 }
 
-TEST_CASE("what comes in an outage counts as told only some time after its end") {
+TEST_CASE("a change during an outage is assumed to be notified only after the outage ends") {
   Stand stand([](model::Spec& spec) { spec.discovery.at_latest_ms = 400; });
   stand.happen(DiscoveryStep{DiscoveryStep::What::Down});
   stand.node(1, NodeStep::What::Drain);
@@ -153,14 +154,14 @@
   CHECK(told.back().at >= back + 400);
 }
 
-TEST_CASE("a router that does not know discovery's new address can be told of nothing until it is reloaded") {
+TEST_CASE("a router without the new address of discovery is not notified until it is reloaded") {
   Stand stand([](model::Spec& spec) {
     spec.discovery.at_latest_ms = 1000;
     spec.discovery.reload_at_latest_ms = 300;
   });
   stand.happen(DiscoveryStep{DiscoveryStep::What::MoveBegins});
   stand.happen(DiscoveryStep{DiscoveryStep::What::OldEnds});
-  usleep(50000); // it is seen that discovery is out of reach
+  usleep(50000); // lets the fleet notice that discovery is unreachable
   stand.node(1, NodeStep::What::Drain);
   usleep(1200000);
   CHECK(told_of(stand, 1).empty());
@@ -170,10 +171,10 @@
   REQUIRE(until([&] { return !(told = told_of(stand, 1)).empty(); }));
   CHECK(told.back().deemed);
   CHECK(told.back().at >= reloaded + 300);
-  CHECK(told.back().at < reloaded + 900); // and not after at_latest
+  CHECK(told.back().at < reloaded + 900); // by reload_at_latest_ms, not at_latest_ms
 }
 
-TEST_CASE("a crowded discovery answers all routers in turn, in pieces") {
+TEST_CASE("a congested discovery answers all routers in turn and in pieces") {
   Stand stand([](model::Spec& spec) {
     spec.discovery.congestion.answers_per_second = 5;
     spec.discovery.congestion.piece_size_bytes = 100;
@@ -185,12 +186,13 @@
   CHECK(first.read(100).empty());
   second.send(get(""));
   const json whole = list_of(first.ask(""));
-  // 200 ms for its turn, and more than ten pieces at 10 ms.
+  // 200 ms for its turn, and more than ten pieces at intervals of 10 ms.
   CHECK(stand.clock.now() >= asked + 290);
   list_of(second.ask(""));
   CHECK(stand.clock.now() >= asked + 490);
 
-  // A change counts as told when all of it has been written, though the last watch has just been answered.
+  // A change counts as notified when it is completely written, even if the previous watch was answered just
+  // before.
   const json none = list_of(first.ask(since(whole, 1)));
   told_of(stand, 2);
   stand.node(2, NodeStep::What::Drain);
@@ -203,7 +205,7 @@
   CHECK_FALSE(told[0].deemed);
 }
 
-TEST_CASE("capacity spent on a call that is given up is lost, that of one that had no turn yet is not") {
+TEST_CASE("an abandoned call uses up its capacity only if its turn had begun") {
   Stand stand([](model::Spec& spec) { spec.discovery.congestion.answers_per_second = 4; });
   const double asked = stand.clock.now();
   {
@@ -218,7 +220,7 @@
   CHECK(stand.clock.now() < asked + 730);
 }
 
-TEST_CASE("a crowded discovery counts as within reach: what waits too long counts as told") {
+TEST_CASE("a congested discovery is reachable so that a call that waits too long counts as notified") {
   Stand stand([](model::Spec& spec) {
     spec.discovery.at_latest_ms = 400;
     spec.discovery.congestion.answers_per_second = 0.1;
@@ -233,7 +235,7 @@
   CHECK(told.back().at >= at + 400);
 }
 
-TEST_CASE("some calls are refused by 503 or a closed connection, some long polls are never answered") {
+TEST_CASE("a congested discovery refuses calls by 503 or close and leaves some long polls unanswered") {
   Stand refusing([](model::Spec& spec) { spec.discovery.congestion.refused_share = 1; });
   int refused = 0, closed = 0;
   for (int i = 0; i < 40; ++i) {
@@ -254,6 +256,6 @@
   silent.node(2, NodeStep::What::Drain);
   CHECK(agent.read(300).empty());
   CHECK(agent.end == Raw::End::Open);
-  // A call that finds news as it comes is answered.
+  // A call that finds a change on arrival is answered.
   CHECK(list_of(Raw(silent.addresses->agent(0, 0)).ask(since(whole, 100)))["endpoints"].size() == 1);
 }
--- a/tests/lab/peers/datagrams_test.cpp
+++ b/tests/lab/peers/datagrams_test.cpp
@@ -1,4 +1,5 @@
-// The net between routers.
+// The simulated network for gossip datagrams between routers: addresses, loss, duplicates, size limit and
+// corruption.
 #include <doctest/doctest.h>
 
 #include "gossip/fleet.h"
@@ -9,7 +10,7 @@
 
 namespace {
 
-class Port { // a router's own socket for datagrams
+class Port { // the gossip socket of a router
  public:
   explicit Port(const sockaddr_in& where) : fd_(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0)) {
     REQUIRE(bind(fd_, reinterpret_cast<const sockaddr*>(&where), sizeof where) == 0);
@@ -20,7 +21,8 @@
   void send(const sockaddr_in& to, const std::string& bytes) const {
     sendto(fd_, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to);
   }
-  // Those that come within the time, each with its sender's address in front.
+  // Returns up to `max_count` datagrams received within `wait_ms`, each prefixed with its sender's address
+  // and a space.
   std::vector<std::string> receive(std::size_t most, double wait_ms) const {
     std::vector<std::string> all;
     until(
@@ -44,7 +46,7 @@
 
 } // namespace
 
-TEST_CASE("datagrams come from the sender's address, to one or to all, lost, twice, too long, cut") {
+TEST_CASE("datagrams arrive from the sender's address and faults lose or duplicate or reject them") {
   const struct {
     const char* what;
     double loss, twice;
@@ -69,12 +71,12 @@
     const auto came = one.receive(c.come + 1, 300);
     REQUIRE(came.size() == c.come);
     for (const auto& bytes : came) CHECK(bytes == rig::text_of(stand.addresses->peer(1, 0)) + " " + text);
-    CHECK(zero.receive(1, 20).empty()); // nothing comes back
+    CHECK(zero.receive(1, 20).empty()); // nothing is returned to the sender
     CHECK(stand.voids.all().size() == (c.bytes > 256 ? 1 : 0));
   }
 }
 
-TEST_CASE("a liar's datagrams come well formed and false, and true again when it is over") {
+TEST_CASE("corrupted datagrams are well formed but false and correct again after the fault") {
   Stand stand([](model::Spec& spec) {
     spec.network.datagram_min_ms = spec.network.datagram_max_ms = 0;
     spec.routers.sharing.on = true;
@@ -84,7 +86,7 @@
   gossip::Fleet liar(0, 3, 5, {}, 1), third(2, 3, 5, {}, 2);
   const gossip::Own own{2, 3};
   std::vector<gossip::Fleet::Out> out;
-  // What router 1 makes of a datagram of router 0 that has heard of router 2.
+  // The datagram that router 1 receives from router 0 after router 0 received one from router 2.
   const auto heard = [&](double now) {
     out.clear();
     third.tick(now, own, out);
@@ -98,7 +100,7 @@
     return membership::decode(came[0].substr(came[0].find(' ') + 1)).value();
   };
   const auto demand =
-      [](const membership::Datagram& d) { // of its sender, as a router that knows nobody else has it
+      [](const membership::Datagram& d) { // the sender's demand, as a router without other reports decodes it
         gossip::Facts facts(1, 3, 1);
         std::vector<gossip::Facts::Told> told;
         facts.read(0, 0, d.facts.substr(0, 2 + static_cast<std::size_t>(d.facts[1])), told);
--- a/tests/lab/peers/machines_test.cpp
+++ b/tests/lab/peers/machines_test.cpp
@@ -1,4 +1,4 @@
-// The stand-in nodes and origin on raw sockets: what each kind of fault looks like to a router.
+// The simulated nodes and origin on raw sockets: how each kind of fault appears to a router.
 #include <doctest/doctest.h>
 
 #include "stand.h"
@@ -11,14 +11,14 @@
 
 namespace {
 
-constexpr std::uint64_t kHeld = 1;        // the most popular key: every node held it before the run
-constexpr std::uint64_t kUnknown = 19999; // the least popular one: nobody holds it
+constexpr std::uint64_t kHeld = 1;        // the most popular key: cached by every node before the run
+constexpr std::uint64_t kUnknown = 19999; // the least popular key: cached by no node
 
 int status_of(const std::optional<http::Message>& answer) { return answer ? answer->status : 0; }
 
 } // namespace
 
-TEST_CASE("hit, miss, pending, fetched, stored, written, void") {
+TEST_CASE("each cache outcome has its status and x-cache-status header") {
   Stand stand;
   Raw node(stand.machine(0)), origin(stand.machine(stand.plan.origin));
   const auto hit = node.ask(stand.request(kHeld));
@@ -37,17 +37,17 @@
   const auto pending = node.ask(asked);
   REQUIRE(status_of(pending) == 404);
   CHECK(pending->header("x-cache-status") == "pending");
-  CHECK(status_of(origin.ask(asked)) == 200); // for the request that missed: the node stores it
+  CHECK(status_of(origin.ask(asked)) == 200); // the fetch for the missed request: the node stores the value
   CHECK(status_of(node.ask(stand.request(kUnknown))) == 200);
 
-  CHECK(status_of(node.ask(stand.request(kUnknown, true))) == 404); // writes go to the origin
+  CHECK(status_of(node.ask(stand.request(kUnknown, true))) == 404); // only the origin accepts writes
   CHECK(status_of(origin.ask(stand.request(kUnknown, true))) == 200);
-  CHECK(status_of(node.ask(stand.request(kUnknown))) == 404); // which drops the copies
+  CHECK(status_of(node.ask(stand.request(kUnknown))) == 404); // the write invalidates the cached copies
   CHECK(until([&] { return !node.ask(stand.request(kHeld))->header("x-server-load").empty(); }));
   CHECK(stand.voids.all().empty());
 }
 
-TEST_CASE("what no client sent is answered with 400 and voids the run, without an id, 404") {
+TEST_CASE("a request that no client sent gets 400 and voids the run and one without an id gets 404") {
   const struct {
     const char* what;
     std::string (*change)(std::string);
@@ -65,11 +65,11 @@
     Raw node(stand.machine(0));
     CHECK(status_of(node.ask(c.change(stand.request(kHeld)))) == c.status);
     CHECK(stand.voids.all().size() == (c.status == 400 ? 1 : 0));
-    CHECK(status_of(node.ask(stand.request(kHeld))) == 200); // the connection goes on
+    CHECK(status_of(node.ask(stand.request(kHeld))) == 200); // the connection is still usable
   }
 }
 
-TEST_CASE("bad answers: what each kind looks like") {
+TEST_CASE("each kind of bad response has its defect on the wire") {
   const struct {
     BadAnswer kind;
     std::function<bool(Raw&, Stand&)> looks;
@@ -106,7 +106,7 @@
   }
 }
 
-TEST_CASE("a node that drains turns away, one that has ended refuses, one that comes back is empty") {
+TEST_CASE("a draining node rejects and an ended node refuses connections and a restarted node is empty") {
   Stand stand;
   Raw node(stand.machine(0));
   REQUIRE(status_of(node.ask(stand.request(kHeld))) == 200);
@@ -122,8 +122,8 @@
   CHECK(status_of(Raw(stand.machine(0)).ask(stand.request(kHeld))) == 404);
 }
 
-TEST_CASE("a machine that replaces another answers at its address") {
-  Stand stand([](model::Spec& spec) { // the plan has the other machine; the test says when
+TEST_CASE("a replacement machine answers at the address of the one it replaces") {
+  Stand stand([](model::Spec& spec) { // adds the replacement to the plan; the test triggers it
     spec.events.push_back({500000, "", model::ReplaceNodes{{{0}, {}, {}, {}, {}}, 300}});
   });
   const auto next = static_cast<model::MachineId>(stand.plan.machines.size() - 1);
@@ -137,20 +137,21 @@
   CHECK(came[0].machine == next);
 }
 
-TEST_CASE("a silent machine says nothing, what was lost resets when it is back, what was not goes on") {
+TEST_CASE("a silent machine does not respond and on return resets only connections that lost data") {
   Stand stand;
   Raw used(stand.machine(0)), idle(stand.machine(0));
   REQUIRE(status_of(used.ask(stand.request(kHeld))) == 200);
   REQUIRE(status_of(idle.ask(stand.request(kHeld))) == 200);
   stand.node(0, NodeStep::What::Silence);
-  // Lost, and so never read: back after a long time, the lab would not know it any more.
+  // The request is lost and must never be read: after a long silence the lab would no longer know its id, and
+  // an unknown id voids the run.
   std::string lost = stand.request(kHeld);
   lost.replace(lost.find("ID: ") + 4, 4, "zzzz");
   used.send(lost);
   CHECK(used.read(300).empty());
   CHECK(used.end == Raw::End::Open);
   const Raw fresh(stand.machine(0), 300);
-  CHECK_FALSE(fresh.up()); // neither up nor refused
+  CHECK_FALSE(fresh.up()); // neither connected nor refused
   CHECK(fresh.error() == 0);
   stand.node(0, NodeStep::What::Return);
   used.read(5000);
@@ -160,7 +161,7 @@
   CHECK(status_of(Raw(stand.machine(0)).ask(stand.request(kHeld))) == 200);
 }
 
-TEST_CASE("a cut lies between the two sides alone") {
+TEST_CASE("a cut affects only traffic between its two sides") {
   Stand stand;
   stand.happen(model::CutStep{1, true, {0}, {}, {}, {0}}); // machine 0 and router 0
   CHECK_FALSE(Raw(stand.machine(0, 0), 300).up());
@@ -170,7 +171,7 @@
   CHECK(status_of(Raw(stand.machine(0, 0)).ask(stand.request(kHeld))) == 200);
 }
 
-TEST_CASE("a full table of connections turns away, and has room again when one has left") {
+TEST_CASE("a node at its connection limit rejects and accepts again after a connection closes") {
   Stand stand([](model::Spec& spec) { spec.kinds[0].connections = 1; });
   auto first = std::make_unique<Raw>(stand.machine(0));
   REQUIRE(status_of(first->ask(stand.request(kHeld))) == 200);
@@ -182,7 +183,7 @@
   CHECK(until([&] { return status_of(Raw(stand.machine(0)).ask(stand.request(kHeld))) == 200; }));
 }
 
-TEST_CASE("a connection at rest is closed, one on which an answer is due is not") {
+TEST_CASE("an idle connection is closed but not one that waits for a response") {
   Stand stand([](model::Spec& spec) { spec.kinds[0].idle_ms = spec.origin.idle_ms = 1000; });
   stand.happen(OriginStep{OriginStep::What::Speed, 0, 0});
   Raw node(stand.machine(0)), origin(stand.machine(stand.plan.origin));
@@ -197,7 +198,7 @@
   CHECK(origin.parser.done());
 }
 
-TEST_CASE("the origin falls and comes back, a request that is given up ends once") {
+TEST_CASE("the origin crashes and recovers and an abandoned request ends once") {
   Stand stand;
   Raw before(stand.machine(stand.plan.origin));
   REQUIRE(status_of(before.ask(stand.request(kHeld))) == 200);
--- a/tests/lab/peers/stand.h
+++ b/tests/lab/peers/stand.h
@@ -1,4 +1,4 @@
-// A fleet of stand-ins as a router sees it, with the test in the router's place.
+// A fleet of simulated servers on sockets, with discovery; the test acts as the router.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,8 @@
 namespace fernward::tests {
 
 struct Stand {
-  // Delays are cut to nothing, so that what is waited for is the fleet's doing.
+  // Sets network, handshake and discovery delays close to zero, so that a wait in a test depends on the fleet
+  // alone.
   explicit Stand(const std::function<void(model::Spec&)>& change = [](model::Spec&) {}) {
     rig::TrialFleet fleet;
     fleet.seconds = 600;
@@ -38,7 +39,7 @@
     fleet_->begin();
   }
 
-  // The request of a new try, as a router passes it on.
+  // Returns the request of a new try, as a router forwards it.
   std::string request(std::uint64_t key, bool write = false) {
     last_try = 16 * ++requests_;
     rig::TryFacts facts;
@@ -57,7 +58,7 @@
     if (write) headers.push_back({"Idempotency-Key", repeat});
     return http::write_request(write ? "PUT" : "GET", rig::path_of(key), "node", headers, body);
   }
-  // Something happens now, at no time that the test could miss.
+  // Applies an event at the current time, before returning, so that the test cannot run ahead of it.
   template <typename What>
   void happen(const What& what) {
     fleet_->happen({clock.now(), what});
@@ -66,7 +67,7 @@
   sockaddr_in machine(model::MachineId m, model::RouterId r = 0) const { return addresses->machine(r, m); }
 
   template <typename What>
-  std::vector<What> records() { // that came since the last call, of one kind
+  std::vector<What> records() { // records of one kind since the last call
     std::vector<rig::Record> all;
     tape.take(all);
     std::vector<What> found;
