--- a/tests/lab/process/guardian_test.cpp
+++ b/tests/lab/process/guardian_test.cpp
@@ -1,4 +1,5 @@
-// Nothing that the lab starts outlives it, however it ends.
+// The guardian process: it starts the programs of the lab and ends them with the lab, however the lab ends.
+// Guards against processes and directories left behind by a crashed or killed lab.
 #include "lab/process/guardian.h"
 
 #include <doctest/doctest.h>
@@ -26,7 +27,7 @@
   std::string path;
 };
 
-// A zombie that nobody reaps here is as good as gone.
+// A zombie counts as gone: the test does not reap it.
 bool gone(pid_t pid) {
   if (kill(pid, 0) != 0) return true;
   std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
@@ -46,7 +47,7 @@
 
 std::optional<rig::ProgramNews> next(rig::Guardian& guardian) { return guardian.news(5000); }
 
-pid_t number_in(const std::string& path) { // 0: not there yet
+pid_t number_in(const std::string& path) { // 0: not written yet
   std::ifstream file(path);
   pid_t pid = 0;
   file >> pid;
@@ -55,7 +56,7 @@
 
 } // namespace
 
-TEST_CASE("a program is started as asked, and its end is told with what it used") {
+TEST_CASE("a program starts as configured and its end is reported with its CPU time") {
   Directory directory;
   rig::Guardian guardian("");
   const std::string path = directory.path + "/out";
@@ -68,9 +69,9 @@
   } cases[] = {
       {"echo $LAB_WORD; exit 3", 0, 3, "heather\n"},
       {"ulimit -n", 77, 0, "77\n"},
-      {"ls /proc/self/fd | wc -l", 0, 0, "4\n"}, // its three and that of ls itself: nothing of the lab's
+      {"ls /proc/self/fd | wc -l", 0, 0, "4\n"}, // the three standard ones and one of ls: none inherited
       {"trap '' HUP; kill -HUP $$; echo on", 0, 0, "on\n"},
-      {"kill -TERM $$; echo on", 0, -1, ""}}; // the guardian's own deafness is not inherited
+      {"kill -TERM $$; echo on", 0, -1, ""}}; // signals ignored by the guardian are not ignored here
   for (const auto& c : cases) {
     CAPTURE(c.script);
     REQUIRE(ftruncate(output, 0) == 0);
@@ -100,7 +101,7 @@
   CHECK(WEXITSTATUS(ended->status) == 127);
 }
 
-TEST_CASE("at its end the guardian kills what is left, what that had started, and removes the directory") {
+TEST_CASE("the guardian ends by killing programs and their children and removing the directory") {
   Directory directory;
   const std::string inner = directory.path + "/run";
   std::filesystem::create_directory(inner);
@@ -108,7 +109,7 @@
   pid_t pid = 0;
   {
     rig::Guardian guardian(inner);
-    // It hears nothing, and has a child that hears nothing.
+    // The program and its child ignore signals.
     guardian.start(shell("trap '' TERM INT HUP; sleep 600 & echo $! > " + child + "; wait; sleep 600"));
     const auto began = next(guardian);
     REQUIRE(began);
@@ -127,14 +128,14 @@
   CHECK_FALSE(std::filesystem::exists(inner));
 }
 
-TEST_CASE("the lab is killed outright: all of it goes") {
+TEST_CASE("programs and the guardian end when the lab is killed by SIGKILL") {
   for (const bool guardian_too : {false, true}) {
     CAPTURE(guardian_too);
     Directory directory;
     const std::string inner = directory.path + "/run", pids = directory.path + "/pids";
     std::filesystem::create_directory(inner);
     const pid_t lab = fork();
-    if (lab == 0) { // a lab of its own, that never comes to its end
+    if (lab == 0) { // a separate lab process that never ends by itself
       rig::Guardian guardian(inner);
       guardian.start(shell("sleep 600"));
       const auto began = next(guardian);
@@ -146,7 +147,7 @@
     pid_t program = 0, guardian = 0;
     std::ifstream(pids) >> program >> guardian;
     CHECK_FALSE(gone(program));
-    if (guardian_too) kill(guardian, SIGKILL); // then the programs go by themselves
+    if (guardian_too) kill(guardian, SIGKILL); // the programs must end without the guardian
     kill(lab, SIGKILL);
     waitpid(lab, nullptr, 0);
     CHECK(until([&] { return gone(program) && gone(guardian); }, 5000));
@@ -154,7 +155,7 @@
   }
 }
 
-TEST_CASE("a guardian that has died is noticed") {
+TEST_CASE("the death of the guardian is detected") {
   rig::Guardian guardian("");
   guardian.start(shell("sleep 600"));
   REQUIRE(next(guardian));
