--- a/tests/lab/report/report_test.cpp
+++ b/tests/lab/report/report_test.cpp
@@ -1,4 +1,4 @@
-// Runs judged through the seam, set side by side, saved, and drawn.
+// Runs through the Driver interface: judged, compared in pairs, saved and reported.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -30,7 +30,7 @@
   return s.spec;
 }
 
-// Tells what a driver would, without a fleet.
+// Sends the records of one served request, without a fleet.
 class Told : public Driver {
  public:
   explicit Told(RunInfo info) : info_(std::move(info)) {}
@@ -86,7 +86,7 @@
 
 } // namespace
 
-TEST_CASE("a run counts when it is whole and in time, whatever the routers did") {
+TEST_CASE("a run counts unless it is void or stopped and a missed bound makes it bad") {
   const model::Spec spec = small();
   RunInfo fine, late, stopped;
   late.is_void = true;
@@ -120,7 +120,7 @@
   CHECK(summary_text(r).find("MISSED  service: 100.00%, wanted at least 110.00%") != std::string::npos);
 }
 
-TEST_CASE("virtual time says the same twice, and a saved run says the same again") {
+TEST_CASE("two runs in virtual time give equal results also after saving and loading") {
   const model::Spec spec = small();
   const auto once = [&] { return play(*make_virtual_driver(), "virtual", spec, virtual_slack(spec)); };
   const Result first = once(), second = once();
@@ -143,7 +143,7 @@
   CHECK_THROWS(result_from(nlohmann::json::array()));
 }
 
-TEST_CASE("files of a run: a page with its plots in it, tables, and the run itself") {
+TEST_CASE("the files of a run are a page with embedded plots and tables and the saved run") {
   const Folder folder;
   model::Spec spec = small();
   spec.title = "<b>a title</b>";
@@ -156,7 +156,7 @@
   CHECK(times(page, "</svg>") == 6);
   CHECK(page.find("&lt;b&gt;a title") != std::string::npos);
   CHECK(page.find("<b>a title") == std::string::npos);
-  CHECK(page.find("http://") == page.find("http://www.w3.org")); // nothing to be fetched
+  CHECK(page.find("http://") == page.find("http://www.w3.org")); // the page loads nothing from the network
   CHECK(times(text_of(folder.path / "out/seconds.csv"), "\n") == r.figures.slices.size() + 1);
   const Result back = load_result(folder.path / "out/run.json");
   CHECK(back.figures.whole().tally.drawn == r.figures.whole().tally.drawn);
@@ -167,7 +167,7 @@
                        std::runtime_error);
   CHECK_THROWS(write_files(r, folder.path / "broken.json" / "below a file"));
 
-  // Without gnuplot, or with one that fails, the page says so and the figures are there.
+  // If gnuplot is missing or fails, the page reports it and still has the figures.
   for (const char* program : {"/nowhere/gnuplot", "/bin/false", "/bin/true"}) {
     const Plots none = draw_plots(r.figures, program);
     CHECK(none.plots.empty());
@@ -179,7 +179,7 @@
   }
 }
 
-TEST_CASE("paired differences: the interval is Student's, one pair says nothing") {
+TEST_CASE("a paired difference has Student's confidence interval and needs more than one pair") {
   // Differences 1, 2, 3, 4, 5: mean 3, deviation 1.5811, t(4, 97.5%) = 2.7764.
   const Paired p = compare({0, 0, 0, 0, 0}, {1, 2, 3, 4, 5});
   CHECK(p.mean == doctest::Approx(3));
@@ -192,7 +192,7 @@
   CHECK_THROWS(compare({1, 2}, {1}));
 }
 
-TEST_CASE("many runs: each once, results in order, the first fault in order, no further work after a stop") {
+TEST_CASE("many runs are each done once with results and failures in order until a stop request") {
   for (const unsigned jobs : {1u, 4u}) {
     std::vector<int> done(100);
     std::size_t last = 0;
