--- a/tests/lab/rig/rig_test.cpp
+++ b/tests/lab/rig/rig_test.cpp
@@ -1,4 +1,4 @@
-// Short runs on sockets, judged on counts and never on times.
+// Short runs on sockets, checked by counts and never by times, since the test machine may be busy.
 #include "lab/rig/rig.h"
 
 #include <doctest/doctest.h>
@@ -21,7 +21,7 @@
 
 namespace {
 
-// Follows each try and each attempt to its end.
+// Tracks each try and each attempt to its end.
 struct Ledger : rig::Counts {
   using rig::Counts::on;
   void on(const model::Drawn& d) override {
@@ -61,7 +61,7 @@
     return static_cast<int>(std::count_if(router_events.begin(), router_events.end(),
                                           [&](const auto& e) { return e.what == what; }));
   }
-  void sound() const { // whatever the routers do, the rig's own books are right
+  void sound() const { // the rig's own records are consistent, whatever the routers do
     CHECK(drawn > 0);
     CHECK(closed == drawn);
     CHECK(std::all_of(ends_of.begin(), ends_of.end(), [](const auto& e) { return e.second == 1; }));
@@ -84,8 +84,8 @@
 lab::RigOptions options(const std::string& fault = "") {
   lab::RigOptions o;
   o.program = FERNWARD_PROGRAM;
-  o.late_p99_ms = o.late_p999_ms = 1e9; // the machine of the tests may be busy
-  o.check_memory = false;               // sanitizers take their own
+  o.late_p99_ms = o.late_p999_ms = 1e9; // the test machine may be busy
+  o.check_memory = false;               // sanitizers use memory of their own
   if (!fault.empty()) o.programs.assign(2, {{FERNWARD_BAD_ROUTER, fault}, false});
   return o;
 }
@@ -104,7 +104,7 @@
   return lab::make_rig_driver(how)->run(spec, ledger);
 }
 
-// Directories of runs that are left, and processes that work with one of them.
+// Counts the run directories left in `directory` and the processes whose configuration is in one of them.
 std::size_t left_behind(const std::string& directory) {
   std::size_t count = 0;
   for ([[maybe_unused]] const auto& entry : std::filesystem::directory_iterator(directory)) ++count;
@@ -119,7 +119,7 @@
 
 } // namespace
 
-TEST_CASE("a calm run: every request is followed to its one end, on all sides") {
+TEST_CASE("in a run without faults every request ends exactly once at client and router and server") {
   Ledger ledger;
   const auto info = play(spec_of(3, 150), ledger, options());
   CAPTURE(ledger.said);
@@ -140,7 +140,7 @@
   }
 }
 
-TEST_CASE("routers are killed, ended and moved, nodes come and go") {
+TEST_CASE("router and node and discovery events are recorded and no request record is lost") {
   using What = RouterEvent::What;
   const struct {
     const char* event;
@@ -165,7 +165,7 @@
   }
 }
 
-TEST_CASE("a bad router's faults stand in the records") {
+TEST_CASE("the fault of each bad router is visible in the records") {
   const struct {
     const char* fault;
     std::function<bool(const Ledger&, const lab::RunInfo&)> shows;
@@ -202,25 +202,25 @@
   }
 }
 
-TEST_CASE("clients keep connections or not, rest on some, leave, and come again") {
+TEST_CASE("client settings for connections and disconnects and retries take effect") {
   const struct {
     const char* habit;
     std::function<void(model::Spec&)> change;
     std::function<bool(const Ledger&, const lab::RunInfo&)> shows;
   } cases[] = {
       {"kept", [](model::Spec&) {}, [](const Ledger& l, const auto&) { return l.fresh < l.tried / 2; }},
-      {"new each time", [](model::Spec& s) { s.clients.keep_connections = false; },
+      {"new for each request", [](model::Spec& s) { s.clients.keep_connections = false; },
        [](const Ledger& l, const auto&) { return l.fresh == l.tried && l.owed.empty(); }},
       {"resting", [](model::Spec& s) { s.clients.resting = 40; },
        [](const Ledger&, const auto& i) { return i.routers[0].peak_sockets > 40; }},
       {"leaving", [](model::Spec& s) { s.clients.leave_share = 1; },
        [](const Ledger& l, const auto&) { return l.by_heard[static_cast<std::size_t>(Heard::Left)] > 0; }},
-      {"again and again",
+      {"retrying after refusal",
        [](model::Spec& s) {
          s.clients.retries = 3;
          s.clients.heed = 0;
          s.clients.backoff_ms = 50;
-         s.routers.open_cap = 1; // most are refused
+         s.routers.open_cap = 1; // most requests are refused
        },
        [](const Ledger& l, const auto&) { return l.tried > l.drawn && l.owed.empty(); }},
   };
@@ -238,7 +238,7 @@
   }
 }
 
-TEST_CASE("a router that does not heed a drain is seen to send on") {
+TEST_CASE("attempts that a router sends to draining nodes are recorded") {
   model::Spec spec = spec_of(5, 100);
   model::NodePick half;
   half.share = 0.5;
@@ -255,7 +255,7 @@
   CHECK(std::count_if(ledger.arrivals.begin(), ledger.arrivals.end(), late) > 10);
 }
 
-TEST_CASE("a cold node that is sent far too much falls over, and its pushers knew of its start") {
+TEST_CASE("a cold node overloaded by routers notified of its start fails and the share is recorded") {
   model::Spec spec = spec_of(6, 150, "");
   spec.classes[0].work.mean = 100;
   spec.kinds[0].warm_ms = 5000;
@@ -273,7 +273,7 @@
   CHECK(fell->told_share > 2.0 / 3);
 }
 
-TEST_CASE("a router that hangs is killed in the end, one that can't start ends the run with what it said") {
+TEST_CASE("a router that ignores SIGTERM is killed and one that cannot start ends the run with its error") {
   Ledger ledger;
   model::Spec spec = spec_of(6, 50);
   model::RouterPick first;
@@ -283,7 +283,7 @@
   ledger.sound();
   CHECK(ledger.said.find("has not ended after SIGTERM") != std::string::npos);
   CHECK(ledger.seen(RouterEvent::What::Term) == 1);
-  CHECK(ledger.seen(RouterEvent::What::Killed) >= 1); // and at the end of the run both of them
+  CHECK(ledger.seen(RouterEvent::What::Killed) >= 1); // at the end of the run both routers are killed
   CHECK(ledger.seen(RouterEvent::What::Started) == 3);
   CHECK(info.wall_s < 30);
   lab::RigOptions absent = options();
@@ -292,10 +292,10 @@
                        std::runtime_error);
 }
 
-TEST_CASE("a run that was late is void and says so, one that is asked to stop ends") {
+TEST_CASE("a late run is void with a reason and a run stops on request") {
   Ledger ledger;
   lab::RigOptions strict = options();
-  strict.late_p99_ms = 0; // nobody is this punctual
+  strict.late_p99_ms = 0; // every run is later than this
   const auto info = play(spec_of(1, 50), ledger, strict);
   CHECK(info.is_void);
   REQUIRE_FALSE(info.why_void.empty());
@@ -312,7 +312,7 @@
   CHECK(stopped.played_ms < 60000);
 }
 
-TEST_CASE("nothing stays behind: the lab killed outright, told to end, and with routers that hang") {
+TEST_CASE("no process or directory is left after the lab gets SIGKILL or SIGINT or SIGTERM") {
   for (const int number : {SIGKILL, SIGINT, SIGTERM}) {
     CAPTURE(number);
     char name[] = "/tmp/fernward-test-XXXXXX";
@@ -324,7 +324,7 @@
             nullptr);
       _exit(127);
     }
-    // A directory and two routers.
+    // One directory and two routers.
     REQUIRE(until([&] { return left_behind(directory) >= 3; }));
     usleep(300000);
     kill(lab, number);
@@ -335,7 +335,7 @@
   }
 }
 
-TEST_CASE("routers that share, one of them stopped for a while: on sockets as in virtual time") {
+TEST_CASE("sharing routers with one of them paused behave on sockets as in virtual time") {
   model::Spec spec = spec_of(5, 100);
   spec.routers.sharing.on = true;
   spec.routers.sharing.period_ms = 100;
@@ -354,12 +354,12 @@
   for (const Ledger* ledger : {&sockets, &virtually}) {
     CHECK(ledger->seen(RouterEvent::What::Paused) == 1);
     CHECK(ledger->seen(RouterEvent::What::Woke) == 1);
-    // Nobody is answered by a process that stands still.
+    // A paused process answers nobody, so the bound leaves room for its requests.
     CHECK(ledger->ends[static_cast<std::size_t>(Heard::Served)] > ledger->drawn * 8 / 10);
   }
   REQUIRE(info.routers.size() == 2);
   for (std::size_t r = 0; r < 2;
-       ++r) { // a datagram's size does not depend on the clock, their number hardly does
+       ++r) { // the size of datagrams does not depend on timing, and their number hardly does
     CHECK(info.routers[r].datagrams > 30);
     CHECK(static_cast<double>(info.routers[r].datagrams) ==
           doctest::Approx(static_cast<double>(beside.routers[r].datagrams)).epsilon(0.35));
