--- a/tests/lab/shared/shared_test.cpp
+++ b/tests/lab/shared/shared_test.cpp
@@ -1,4 +1,5 @@
-// What the parts of the rig share.
+// The types shared by the parts of the rig: bodies, ids of tries, record merging, addresses, lateness, event
+// loop.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -17,7 +18,7 @@
 using namespace fernward;
 using namespace fernward::tests;
 
-TEST_CASE("a body tells what it was made for, and any byte that is not as made is found") {
+TEST_CASE("a body encodes what it was made for and any changed byte is detected") {
   const rig::Bodies bodies(5), others(6);
   const rig::BodyFacts facts{16 * 7, 3, 2, 99};
   for (const double size : {0.0, 200.0, 4000.0, 1e9, -1.0, std::nan("")}) {
@@ -42,7 +43,7 @@
   CHECK_FALSE(bodies.read(""));
 }
 
-TEST_CASE("ids lead back to their tries, tries are forgotten after their time") {
+TEST_CASE("ids decode to their tries and tries are removed after their retention time") {
   rig::Tries tries(0x1234567890abcdefull, 1000);
   for (const model::TryId id : {16ull, 17ull, 1ull << 40, ~0ull}) {
     const std::string text = tries.id(id);
@@ -61,7 +62,7 @@
   CHECK(tries.find(17));
 }
 
-TEST_CASE("records of several threads come out in order of time, equal ones as they came") {
+TEST_CASE("records of several threads are merged in order of time") {
   struct Order : model::Sink {
     void on(const model::Begun& b) override { seen.push_back({b.at, b.attempt}); }
     void on(const model::RouterLog& l) override { text = l.text; }
@@ -81,14 +82,14 @@
   merger.release(1100);
   CHECK(std::is_sorted(order.seen.begin(), order.seen.end(),
                        [](const auto& a, const auto& b) { return a.first < b.first; }));
-  CHECK(order.seen.back().first == 1000); // the rest is held back
+  CHECK(order.seen.back().first == 1000); // later records are still held
   CHECK(order.text == "a line");
   merger.release_all();
   CHECK(order.seen.size() == 2000);
   CHECK(merger.held() == 0);
 }
 
-TEST_CASE("two runs have different addresses, every party has its own") {
+TEST_CASE("two runs have different addresses and each participant has its own") {
   const rig::Addresses a(3, 300), b(3, 300);
   std::set<std::string> all;
   std::size_t count = 0;
@@ -107,7 +108,7 @@
   CHECK(all.size() == count);
 }
 
-TEST_CASE("percentiles are never better than what was measured") {
+TEST_CASE("percentiles are never below the measured values") {
   rig::Lateness lateness;
   CHECK(lateness.quantiles().max == 0);
   for (int i = 1; i <= 1000; ++i) lateness.add(i / 100.0);
@@ -121,7 +122,7 @@
   CHECK(none.quantiles().p99 == 0);
 }
 
-TEST_CASE("what other threads post is done in the loop, in order") {
+TEST_CASE("functions posted by other threads run in the loop in order") {
   rig::Clock clock;
   rig::Loop loop(clock);
   std::vector<int> done;
