--- a/tests/lab/storm/beside_test.cpp
+++ b/tests/lab/storm/beside_test.cpp
@@ -1,4 +1,5 @@
-// A storm on sockets beside virtual time: the arithmetic, plays that are void, and one small storm on real processes.
+// Storms on sockets compared with virtual time: the arithmetic, void runs, and one small storm on real
+// processes.
 #include "lab/storm/beside.h"
 
 #include <doctest/doctest.h>
@@ -37,7 +38,7 @@
   return make_virtual_driver(Planted::None, chance);
 }
 
-// Says of its first plays that they were late.
+// Reports its first runs as void because of lateness.
 class Late : public Driver {
  public:
   explicit Late(int& left) : left_(left) {}
@@ -56,7 +57,7 @@
   return all[static_cast<std::size_t>(storm::find_oracle(name) - storm::oracles().data())];
 }
 
-struct Asked : model::Sink { // what clients ask, and when attempts come to machines
+struct Asked : model::Sink { // the requests of clients, and the arrival times of attempts
   using model::Sink::on;
   void on(const model::Drawn& d) override { drawn.push_back({d.at, static_cast<double>(d.key), d.work_ms}); }
   void on(const model::Arrived& a) override { arrived.push_back(a.at); }
@@ -67,7 +68,7 @@
 
 } // namespace
 
-TEST_CASE("the bound is four deviations of one more play and what is granted") {
+TEST_CASE("the bound is four deviations of one more run plus the tolerance") {
   const storm::Chance chance = storm::chance_of({0.8, 0.9, 1.0});
   CHECK(chance.mean == doctest::Approx(0.9));
   CHECK(chance.deviation == doctest::Approx(0.1));
@@ -77,7 +78,7 @@
   CHECK(storm::distance(chance, 0.9 + four + 0.01, 0.01) == doctest::Approx(1));
   CHECK(storm::distance(chance, 0.9 - (four + 0.01) / 2, 0.01) == doctest::Approx(0.5));
   CHECK(storm::distance(chance, 0.9, 0) == doctest::Approx(0));
-  // Plays that are all alike leave only what is granted; without that anything else is beyond.
+  // If all runs are equal, the bound is the tolerance alone; with tolerance 0 any difference is beyond it.
   const storm::Chance none = storm::chance_of({1, 1, 1, 1});
   CHECK(none.deviation == 0);
   CHECK(storm::distance(none, 0.99, 0.01) == doctest::Approx(1));
@@ -86,7 +87,7 @@
   CHECK(storm::chance_of({}).plays == 0);
 }
 
-TEST_CASE("other chance has the same requests and faults, and the usual one is the seed's") {
+TEST_CASE("another chance variant has the same requests and faults and variant 0 is the default") {
   const model::Spec spec = small_storm();
   Asked usual, again, other, third;
   make_virtual_driver()->run(spec, usual);
@@ -104,13 +105,13 @@
   CHECK(other.arrived != third.arrived);
 }
 
-TEST_CASE("a void play is told and tried again, at most as often as asked") {
+TEST_CASE("a void run is reported and repeated at most as often as configured") {
   int left = 2;
   storm::Besides besides{[&] { return std::make_unique<Late>(left); }, in_virtual, 4, 3};
   const storm::Pair third = storm::play_beside(besides, small_storm());
   CHECK(third.judged);
   CHECK(third.voided.size() == 2);
-  CHECK(third.agrees()); // the same driver on both sides
+  CHECK(third.agrees()); // both sides use the same driver
   left = 9;
   const storm::Pair never = storm::play_beside(besides, small_storm());
   CHECK_FALSE(never.judged);
@@ -124,7 +125,7 @@
   CHECK(storm::agreement_of({third}).well());
 }
 
-TEST_CASE("what is beyond the bound, or breaks a sure oracle on one side, is not well") {
+TEST_CASE("a figure beyond the bound or a sure oracle broken on one side fails the agreement") {
   storm::Pair apart;
   apart.judged = true;
   apart.figures = {{{"service", 0.8, 0.01}, {0.9, 0.01, 0.88, 0.92, 16}, 2},
@@ -133,7 +134,7 @@
   storm::Agreement a = storm::agreement_of({apart});
   CHECK(a.agree == 0);
   CHECK(a.worst == 2);
-  CHECK(a.wide == 1); // four deviations and a point
+  CHECK(a.wide == 1); // four deviations plus a tolerance of one point exceed 5 points
   CHECK(a.worst_points == doctest::Approx(10));
   CHECK_FALSE(a.well());
   apart.furthest = 0.5;
@@ -145,8 +146,8 @@
   CHECK_FALSE(a.well());
 }
 
-// Judged on what holds however busy the machine is: never on service or times.
-TEST_CASE("a small storm on real processes: the same requests, and rules that no lateness breaks") {
+// Checks only what holds on a busy machine: never service or times.
+TEST_CASE("a small storm on real processes keeps the rules that do not depend on lateness") {
   storm::Besides besides;
   besides.sockets = [] {
     RigOptions options;
--- a/tests/lab/storm/oracles_test.cpp
+++ b/tests/lab/storm/oracles_test.cpp
@@ -1,4 +1,4 @@
-// Each oracle on evidence told by hand: runs that are beyond its bound, and runs that look alike and are not.
+// Each oracle on evidence written by hand: runs beyond its bound, and similar runs that are within it.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -14,7 +14,8 @@
 
 namespace {
 
-// Two zones, two classes, 8 nodes, 3 routers, 100 requests a second for 50 s; a stall of the origin from 5 to 8 s.
+// Two zones, two classes, 8 nodes, 3 routers, 100 requests per second for 50 s. The origin stalls from 5 s to
+// 8 s.
 model::Spec spec_of_hand() {
   model::Spec s;
   s.name = "hand";
@@ -49,7 +50,7 @@
     calm = well();
     seen = well();
   }
-  // 50 requests in each step, all served: 24 of them in the west, 4 of them writes.
+  // 50 requests in each step, all served: 24 of them in the west zone, 4 of them writes.
   Seen well() const {
     Seen s;
     const auto steps = static_cast<std::size_t>(spec.duration_ms / storm::kStepMs) + 1;
@@ -69,7 +70,7 @@
     s.work.connections = 200;
     return s;
   }
-  // Of the group (-1: of the whole) this share is served in the span.
+  // Sets the share of requests served from `from_ms` to `to_ms` for a group (-1: for all requests).
   Hand& served(int group, double from_ms, double to_ms, double share) {
     const auto first = static_cast<std::size_t>(from_ms / storm::kStepMs),
                last = static_cast<std::size_t>(to_ms / storm::kStepMs);
@@ -99,8 +100,7 @@
 } // namespace
 
 TEST_CASE(
-    "every oracle has a name of its own, says what must hold and how sure it is, and keeps a run that is "
-    "well") {
+    "every oracle has a unique name and texts on its rule and reason and accepts a run without faults") {
   Hand hand;
   hand.four = hand.well();
   for (const storm::Oracle& o : storm::oracles()) {
@@ -116,7 +116,7 @@
   CHECK(storm::find_oracle("luck") == nullptr);
 }
 
-TEST_CASE("a broken rule is broken for its oracle alone, further for more breaches") {
+TEST_CASE("a breached rule breaks its oracle only and with a distance that grows with the breaches") {
   Hand hand;
   auto& rule = hand.findings.rules[static_cast<std::size_t>(Rule::Drains)];
   rule.breaches = 1;
@@ -131,29 +131,29 @@
   CHECK_FALSE(hand.says("drains").judged);
 }
 
-TEST_CASE("service that does not come back is metastable, what comes back late or by chance is not") {
+TEST_CASE("service that does not recover is metastable unlike late recovery or random loss") {
   const double due = 8000 + storm::settle_ms(spec_of_hand());
   REQUIRE(due + 8000 < 50000);
   CHECK(Hand().served(-1, due, 50000, 0.6).says("metastable").broken());
-  // It must stay: a relapse counts.
+  // A later relapse counts too.
   CHECK(Hand().served(-1, 40000, 48000, 0.5).says("metastable").broken());
   CHECK_FALSE(Hand().served(-1, 5000, due - 500, 0).says("metastable").broken());
-  // A few of 400 are within chance.
+  // A loss of a few of 400 requests is within random variation.
   CHECK_FALSE(Hand().served(-1, due, 50000, 0.96).says("metastable").broken());
   Hand without;
   without.calm.reset();
   CHECK_FALSE(without.says("metastable").judged);
 }
 
-TEST_CASE("nobody is blamed where a fleet that knows everything would lose too") {
-  SUBCASE("nodes that can't do what is asked") {
+TEST_CASE("metastable is not judged where even an ideal fleet would lose requests") {
+  SUBCASE("nodes without enough capacity for the load") {
     model::Spec s = spec_of_hand();
     s.events.push_back({6000, "", model::KillNodes{{{0, 1, 2, 3, 4, 5, 6}, {}, {}, {}, {}, 1, false}}});
     Hand hand(s);
     CHECK(storm::used_after(hand.spec, hand.plan) == doctest::Approx(100 * 0.05 / 4));
     CHECK_FALSE(hand.served(-1, 30000, 50000, 0.5).says("metastable").judged);
   }
-  SUBCASE("an origin that can't fill caches that were emptied") {
+  SUBCASE("an origin without enough capacity to refill emptied caches") {
     model::Spec s = spec_of_hand();
     s.events = {{6000, "", model::RestartNodes{{}, 1000}}};
     s.origin.capacity_per_s = 30;
@@ -163,18 +163,19 @@
   }
 }
 
-TEST_CASE("caches are full again later the more was lost and the less the origin can spare") {
+TEST_CASE("caches refill more slowly the more was lost and the less spare capacity the origin has") {
   model::Spec s = spec_of_hand();
   CHECK(storm::refill_ms(s, 0, 10) == 0);
   const double some = storm::refill_ms(s, 0.5, 10), all = storm::refill_ms(s, 1, 10);
   CHECK(some < all);
   CHECK(all < storm::refill_ms(s, 1, 40));
   CHECK(std::isinf(storm::refill_ms(s, 1, 80)));
-  s.routers.resize.transition_ms = 5000; // fetches below twice the steady rate: that is what there is
+  // During a resize, fetches are kept below twice the steady rate, which limits the refill.
+  s.routers.resize.transition_ms = 5000;
   CHECK(storm::refill_ms(s, 1, 10) > all);
 }
 
-TEST_CASE("many routers that serve less than four would do not add up") {
+TEST_CASE("many routers that serve less than four routers would break adds-up") {
   Hand hand;
   hand.four = hand.well();
   CHECK_FALSE(hand.served(-1, 10000, 12000, 0.8).says("adds-up").broken());
@@ -186,18 +187,19 @@
 }
 
 TEST_CASE(
-    "a zone or class without service while others are served starves, a lost zone, and all together, do "
-    "not") {
+    "a zone or class without service while others are served breaks starves unlike a lost zone or a full "
+    "outage") {
   CHECK(Hand().served(1, 20000, 26000, 0).says("starves").broken());
-  CHECK_FALSE(Hand().served(1, 20000, 22000, 0).says("starves").broken()); // not for long
+  CHECK_FALSE(Hand().served(1, 20000, 22000, 0).says("starves").broken()); // too short
   CHECK_FALSE(Hand().served(1, 20000, 26000, 0.3).says("starves").broken());
   CHECK_FALSE(Hand().served(0, 20000, 26000, 0).served(1, 20000, 26000, 0).says("starves").broken());
-  // Writes go down with the origin.
+  // Writes fail together with the origin.
   CHECK_FALSE(Hand().served(3, 5000, 11000, 0).says("starves").broken());
   model::Spec s = spec_of_hand();
   s.events = {{20000, "", model::LostZone{1, 26000, false}}};
   CHECK_FALSE(Hand(s).served(1, 20000, 26000, 0).says("starves").broken());
-  // What is worth least is refused first where there is not enough for the others either, and only there.
+  // The class with the lowest priority weight may be refused first if capacity is short for the others too,
+  // and only then.
   CHECK(Hand().served(2, 40000, 46000, 0).served(3, 40000, 46000, 0.5).says("starves").broken());
   s.events.clear();
   s.classes[1].worth = 3;
@@ -206,8 +208,8 @@
 }
 
 TEST_CASE(
-    "parts that come to more than the limits, and a count that stays wrong, are seen, while one lies neither "
-    "is judged") {
+    "limit shares above the limits and a lasting wrong router count are found but not judged with a corrupt "
+    "router") {
   model::Spec s = spec_of_hand();
   s.routers.sharing.on = true;
   const auto held = [](double at, double parts, double least) {
@@ -216,13 +218,13 @@
   Hand hand(s);
   hand.seen.held = {held(20000, 30, 3), held(40000, 40, 2)};
   hand.seen.held.push_back(held(40500, 30, 3));
-  hand.seen.held.back().limits = 10; // cut just now
+  hand.seen.held.back().limits = 10; // the limit was lowered just now
   CHECK_FALSE(hand.says("parts").broken());
   CHECK_FALSE(hand.says("living").broken());
   hand.seen.held.push_back(held(41000, 50, 1));
   CHECK(hand.says("parts").broken());
   CHECK(hand.says("living").broken());
-  hand.seen.held.back().at = 20000; // too early for the count
+  hand.seen.held.back().at = 20000; // the router count may still be wrong this early
   CHECK_FALSE(hand.says("living").broken());
   s.events.push_back({19000, "", model::LyingRouter{}});
   std::get<model::LyingRouter>(s.events.back().what).until_ms = 19500;
@@ -231,7 +233,7 @@
   CHECK_FALSE(lied.says("parts").broken());
 }
 
-TEST_CASE("work that grows beyond its bound is seen") {
+TEST_CASE("attempts and connections beyond their bounds are found") {
   Hand hand;
   hand.seen.work.at_caches = 2 * 4000;
   CHECK_FALSE(hand.says("attempts").broken());
@@ -243,7 +245,8 @@
   CHECK_FALSE(hand.says("connections").judged);
 }
 
-TEST_CASE("one router that goes on with what all others withdrew is alone, unless it could not be told") {
+TEST_CASE(
+    "a router that still uses an endpoint all others removed is found unless it could not be notified") {
   const auto alone = [](const std::vector<model::TimedEvent>& events, double sent_at, bool tell_it) {
     model::Spec s = spec_of_hand();
     s.events = events;
@@ -264,8 +267,8 @@
     return watch.take().alone;
   };
   CHECK(alone({}, 15000, false) == 1);
-  CHECK(alone({}, 12000, false) == 0); // the news may be on its way
-  CHECK(alone({}, 15000, true) == 0);  // it knows too: the rule on drains judges it
+  CHECK(alone({}, 12000, false) == 0); // the update may still be under way
+  CHECK(alone({}, 15000, true) == 0);  // it was notified too: the rule on drains judges this
   CHECK(alone({{9000, "", model::DiscoveryOutage{14000}}}, 15000, false) == 0);
   CHECK(alone({{9000, "", model::DiscoveryMove{0, 2000}}}, 15000, false) == 0);
 }
--- a/tests/lab/storm/storm_test.cpp
+++ b/tests/lab/storm/storm_test.cpp
@@ -1,4 +1,4 @@
-// Drawing, coverage, shrinking and the play of storms.
+// Storms: drawing from a seed, coverage of fault pairs, shrinking, runs, and the oracles on planted defects.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -31,7 +31,7 @@
 
 } // namespace
 
-TEST_CASE("storms are sound as files, come again from their seed, and most of them are small") {
+TEST_CASE("storms are valid as files and reproducible from their seed and mostly small") {
   std::uint32_t small = 0, large = 0, alone = 0;
   constexpr std::uint32_t kDraws = 600;
   for (std::uint64_t seed = 1; seed <= kDraws; ++seed) {
@@ -50,7 +50,7 @@
     CHECK(nodes <= 200);
     small += routers < 8;
     large += routers >= 200;
-    // All that faults take away is given back, but for routers that stay away, in time for a look at what follows.
+    // Every fault ends, except that of routers that stay away, early enough to observe the recovery.
     const double last = storm::last_end(spec);
     if (last < spec.duration_ms) {
       CHECK(last + storm::settle_ms(spec) + 4000 <= spec.duration_ms);
@@ -63,8 +63,8 @@
   CHECK(alone < kDraws / 10);
 }
 
-TEST_CASE("the drawing leans to pairs of faults that were seldom open together") {
-  // A request in each step of 50 ms at each stage, in place of a run.
+TEST_CASE("drawing prefers pairs of faults that were rarely active together") {
+  // Instead of a run, each storm has one request at each stage every 50 ms.
   const auto fewest = [](bool leans) {
     storm::Coverage seen;
     for (std::uint64_t seed = 1; seed <= 1500; ++seed) {
@@ -85,7 +85,7 @@
   CHECK(with >= 8);
 }
 
-TEST_CASE("a pair counts at the stages that a request was at while both were open") {
+TEST_CASE("a fault pair counts at the stages with a request while both faults were active") {
   model::Spec spec = storm::draw(1, {});
   spec.events = {{1000, "", model::OriginStall{3000}}, {2000, "", model::HotKey{0.2, 4000}}};
   storm::StageWatch watch(spec, 7);
@@ -107,11 +107,11 @@
   CHECK(seen.least() == 0);
 }
 
-TEST_CASE("shrinking leaves what the oracle needs, and nothing that it does not") {
+TEST_CASE("shrinking keeps what the oracle needs and nothing else") {
   std::uint32_t shrunk = 0;
   for (std::uint64_t seed = 1; seed <= 400 && shrunk < 12; ++seed) {
     const model::Spec spec = storm::draw(seed, {});
-    // Broken where a node is drained while there are two routers and three nodes.
+    // Broken if a node is drained in a fleet of at least two routers and three nodes.
     const auto broken = [](const model::Spec& s) {
       const bool drained = std::any_of(s.events.begin(), s.events.end(), [](const model::TimedEvent& e) {
         return std::holds_alternative<model::DrainNodes>(e.what);
@@ -133,7 +133,7 @@
   CHECK(shrunk == 12);
 }
 
-TEST_CASE("a season gives the same whoever plays it, and a storm's file its verdicts ten times") {
+TEST_CASE("a season does not depend on the number of jobs and a storm file repeats its verdicts ten times") {
   storm::Season season;
   const storm::Size tiny{4, 7, 12};
   season.size = tiny;
@@ -167,14 +167,14 @@
   }
 }
 
-TEST_CASE("a file's first lines say what is expected, what they can't say is refused") {
+TEST_CASE("the first lines of a storm file give the expected verdict and invalid ones are rejected") {
   CHECK_FALSE(storm::expected_of("title = \"a calm day\"\n"));
   CHECK_FALSE(storm::expected_of("# a note\ntitle = \"# oracle: drains\"\n"));
   CHECK_THROWS_AS(storm::expected_of("# oracle: luck\n"), std::invalid_argument);
   CHECK_THROWS_AS(storm::expected_of("# oracle: drains\n# verdict: perhaps\n"), std::invalid_argument);
 }
 
-TEST_CASE("a run that goes on and on is ended, and that is what is said of it") {
+TEST_CASE("a run without an end is stopped and breaks the oracle ends") {
   struct Endless : Driver {
     RunInfo run(const model::Spec&, model::Sink&, const RunControl& control) override {
       RunInfo info;
@@ -189,9 +189,8 @@
   CHECK_FALSE(out.is_void);
 }
 
-TEST_CASE(
-    "each defect that is planted is found by the oracle that it is for, in a storm that is well without it") {
-  // The first seed of each; docs/notes/storms.md says how many storms it took.
+TEST_CASE("each planted defect is found by its oracle in a storm that passes without the defect") {
+  // The first seed that finds each defect; docs/notes/storms.md lists how many storms were needed.
   const struct {
     Planted planted;
     const char* found_by;
@@ -218,7 +217,7 @@
     const storm::Oracle& found_by = oracle(c.found_by);
     INFO(with.verdicts[static_cast<std::size_t>(&found_by - storm::oracles().data())].what);
     CHECK(with.broken(found_by));
-    // That sure ones keep what is well is seen in the fixed seeds.
+    // The runs of fixed seeds show that sure oracles accept a correct fleet.
     if (found_by.sure == storm::Sure::Mostly) {
       CHECK_FALSE(storm::play(in_virtual_time(), spec).broken(found_by));
     }
