--- a/tests/lab/virtual/fleets.h
+++ b/tests/lab/virtual/fleets.h
@@ -1,11 +1,12 @@
-// Fleets for the tests of the driver in virtual time.
+// Fleets for the tests of the virtual time driver.
 #pragma once
 
 #include "model/spec.h"
 
 namespace fernward::lab::test {
 
-// Four zones, 14 nodes of two kinds, 4 routers, a slow origin: `rate` requests a second for `seconds`.
+// Four zones, nodes of two kinds (14 by default), 4 routers by default and a slow origin. Clients send
+// `rate_per_s` requests per second for `seconds`.
 inline model::Spec ports(double rate, double seconds, std::uint32_t nodes = 14, std::uint32_t routers = 4) {
   using namespace model;
   Spec s;
@@ -40,7 +41,7 @@
     }
     s.routers.groups.push_back({z, routers / zones});
   }
-  const double fleet = 0.5 * (1.5 + 1) * 4 * nodes; // cores of speed 1
+  const double fleet = 0.5 * (1.5 + 1) * 4 * nodes; // in cores of speed 1
   s.origin.capacity_per_s = 0.4 * rate;
   s.origin.time_ms = 110;
   s.keys.count = 20000 * std::max(1u, nodes / 14);
--- a/tests/lab/virtual/memory_test.cpp
+++ b/tests/lab/virtual/memory_test.cpp
@@ -1,5 +1,6 @@
-// The memory of a run and the work of a minute are bounded by the fleet, not by the run's length. Counts live
-// bytes, so it is a program of its own.
+// The memory of a run and the events per minute are bounded by the fleet, not by the length of the run.
+// Guards against state and timers that faults leave behind. It is a separate program because it replaces
+// operator new to count bytes.
 #include <malloc.h>
 
 #include <cstdio>
@@ -36,7 +37,7 @@
 
 using namespace fernward::model;
 
-// Three minutes in which every 20 s the same things go wrong, so that whatever they leave behind adds up.
+// Three minutes with the same faults every 20 s, so that anything they leave behind accumulates.
 Spec troubled() {
   Spec spec = fernward::lab::test::ports(410, 180);
   spec.clients.leave_share = 0.05;
@@ -59,8 +60,8 @@
 
 int main() {
   struct Minute {
-    std::size_t most = 0; // live bytes
-    int looks = 0;        // one in so many events
+    std::size_t most = 0; // maximum of live bytes
+    int looks = 0;        // progress is called once per fixed number of events
   };
   std::map<int, Minute> minutes;
   fernward::lab::RunControl control;
@@ -72,11 +73,11 @@
   Sink nothing;
   fernward::lab::make_virtual_driver()->run(troubled(), nothing, control);
   for (const auto& [number, m] : minutes)
-    std::printf("minute %d: %zu bytes, %d looks\n", number, m.most, m.looks);
-  // Wake-ups that bring on others would show as work before they show as memory.
-  // The first minute fills what is kept for use again.
+    std::printf("minute %d: at most %zu bytes, %d progress calls\n", number, m.most, m.looks);
+  // Timers that start further timers would increase the number of events before they increase memory.
+  // The first minute is skipped: it fills the memory that is kept for reuse.
   const Minute first = minutes[1], last = minutes[2];
   const bool bounded = last.looks > 0 && last.most < first.most * 5 / 4 && last.looks < first.looks * 23 / 20;
-  std::printf("%s\n", bounded ? "bounded" : "it grows");
+  std::printf("%s\n", bounded ? "bounded" : "memory or events per minute grow with the run");
   return bounded ? 0 : 1;
 }
--- a/tests/lab/virtual/pace.cpp
+++ b/tests/lab/virtual/pace.cpp
@@ -1,4 +1,5 @@
-// How fast virtual time runs: pace RATE SECONDS NODES ROUTERS. Prints times real time, and what was served.
+// Measures the speed of a run in virtual time. Arguments: RATE SECONDS NODES ROUTERS, all optional. Prints
+// the speed as a multiple of real time, and the outcomes of the requests.
 #include <cstdio>
 #include <cstdlib>
 
@@ -33,10 +34,10 @@
   const auto info = fernward::lab::make_virtual_driver()->run(spec, sum);
   double decisions = 0;
   for (const auto& r : info.routers) decisions += r.cpu_s;
-  std::printf("played %.0f s in %.2f s of CPU: %.0f times real time; of it decisions %.2f s; %.1f MB\n",
+  std::printf("ran %.0f s in %.2f s of CPU: %.0f times real time; decisions %.2f s of it; %.1f MB\n",
               info.played_ms / 1000, info.cpu_s + decisions, info.played_ms / 1000 / (info.cpu_s + decisions),
               decisions, info.peak_memory_mb);
-  std::printf("%llu requests, %llu events, %.2f us a request; service %.4f, mean %.1f ms, attempts %.3f\n",
+  std::printf("%llu requests, %llu events, %.2f us per request; service %.4f, mean %.1f ms, attempts %.3f\n",
               static_cast<unsigned long long>(sum.drawn), static_cast<unsigned long long>(info.events),
               (info.cpu_s + decisions) * 1e6 / static_cast<double>(sum.drawn), sum.earned / sum.asked,
               sum.latency / static_cast<double>(sum.drawn),
--- a/tests/lab/virtual/sharing_test.cpp
+++ b/tests/lab/virtual/sharing_test.cpp
@@ -1,4 +1,4 @@
-// What routers share, and faults between them, in virtual time.
+// Sharing between routers, and faults of the network between them, in virtual time.
 #include <doctest/doctest.h>
 #include <xxhash.h>
 
@@ -49,7 +49,8 @@
       most = std::max(most, it->second);
     return most;
   }
-  // Of all routers that share, summed for each second; the mean and the most of these between two times.
+  // Sums the limits of all sharing routers for each second; returns the mean and the maximum of the sums from
+  // `from_ms` to `to_ms`.
   std::pair<double, double> limits(double from, double to) const {
     std::map<double, double> sums;
     for (const Shared& s : seen) {
@@ -73,7 +74,7 @@
   double asked = 0, earned = 0;
   std::uint64_t hash = 0;
   std::set<AttemptId> at_origin;
-  std::map<int, std::size_t> peak; // held there, by second
+  std::map<int, std::size_t> peak; // most open attempts at the origin, by second
   std::map<RouterId, std::multiset<double>> sent_at;
   std::map<TryId, RouterId> taken;
   std::map<RouterId, int> silences;
@@ -104,7 +105,7 @@
 
 } // namespace
 
-TEST_CASE("what is not switched on changes nothing, and says nothing") {
+TEST_CASE("disabled sharing changes no result and sends no datagram") {
   Spec spec = test::ports(410, 6);
   Watch plain, off;
   run(spec, plain);
@@ -117,7 +118,7 @@
   for (const RouterCost& r : info.routers) CHECK(r.datagrams == 0);
 }
 
-TEST_CASE("routers cut from one another: each side counts its own, and all hold what all held before") {
+TEST_CASE("with routers partitioned each side counts its own and the sum of limits does not grow") {
   for (const std::uint64_t seed : {1, 2, 3}) {
     CAPTURE(seed);
     Watch cut;
@@ -126,12 +127,12 @@
     const double before = cut.limits(5000, 10000).first, most = cut.limits(11000, 25000).second;
     CHECK(before > 20);
     CHECK(most < 1.25 * before + 2);
-    CHECK(static_cast<double>(cut.most_work(11, 25)) < 1.25 * before + 2); // as the origin counts them
+    CHECK(static_cast<double>(cut.most_work(11, 25)) < 1.25 * before + 2); // as counted at the origin
     CHECK(cut.range(5000, 10000, kAll, heard) == std::pair(3.0, 3.0));
     CHECK(cut.range(23000, 25000, kAll, living) == std::pair(2.0, 2.0));
     CHECK(cut.range(23000, 25000, kAll, heard) == std::pair(1.0, 1.0));
     CHECK(cut.range(28000, 30000, kAll, living) == std::pair(4.0, 4.0));
-    for (const RouterCost& r : info.routers) { // some 8 a second, and twice that while others are doubted
+    for (const RouterCost& r : info.routers) { // about 8 per second, twice that while suspecting others
       CHECK(r.datagrams > 150);
       CHECK(r.datagrams < 600);
       CHECK(r.datagram_bytes > 40 * r.datagrams);
@@ -139,17 +140,17 @@
   }
 }
 
-TEST_CASE("lost datagrams: half of them lost and doubled hide nobody, all of them leave each router alone") {
+TEST_CASE("half of the datagrams lost or duplicated hides no router and all of them lost isolates each") {
   Watch half, none;
   run(tier(24, 1, LoseDatagrams{{}, 0.5, 0.5, 0}), half);
   CHECK(half.range(12000, 24000, kAll, heard).first == 3);
   run(tier(30, 1, LoseDatagrams{{}, 1, 0, 25000}), none);
   CHECK(none.range(23000, 25000, kAll, heard).second == 0);
-  CHECK(none.range(23000, 25000, kAll, part).second == 0); // it learns alone
+  CHECK(none.range(23000, 25000, kAll, part).second == 0); // an isolated router learns its limit alone
   CHECK(none.range(28000, 30000, kAll, heard).first == 3);
 }
 
-TEST_CASE("a router that stands still sends nothing, and what waited is there when it goes on") {
+TEST_CASE("a paused router sends nothing and handles the waiting requests when it resumes") {
   for (const double ms : {300.0, 9000.0}) {
     CAPTURE(ms);
     Watch pause;
@@ -161,14 +162,15 @@
     CHECK(pause.events[RouterEvent::What::Paused] == std::vector{10000.0});
     CHECK(pause.events[RouterEvent::What::Woke] == std::vector{10000.0 + ms});
     CHECK(between(10000, 10000 + ms) == 0);
-    if (ms < 1000) { // within the clients' patience: all that waited is served
+    if (ms < 1000) { // shorter than the clients' timeout: all waiting requests are served
       CHECK(between(10299.9, 10310) > 5);
       CHECK(pause.silences[0] == 0);
       CHECK(pause.range(10000, 24000, kOthers, living).first == 4);
     } else {
       CHECK(pause.silences[0] > 0);
       CHECK(pause.range(16000, 19000, kOthers, living) == std::pair(3.0, 3.0));
-      CHECK(pause.range(19500, 24000, {0}, living).first == 4); // it judges nobody by what it missed
+      // The router does not suspect others because of the datagrams that it missed.
+      CHECK(pause.range(19500, 24000, {0}, living).first == 4);
     }
     CHECK(pause.range(23000, 24000, kAll, living).first == 4);
     CHECK(pause.earned / pause.asked > 0.95);
@@ -176,7 +178,7 @@
 }
 
 TEST_CASE(
-    "a router that lies about its demand and limit moves the others' parts no further than truth does") {
+    "a router with false demand and limit changes the others' limit shares no more than a correct one") {
   for (const Claim limit : {Claim::Least, Claim::Most}) {
     Watch truth, lie;
     run(tier(24, 1, LyingRouter{these({0}), Claim::Most, limit, false, false, 24000}, 23000), truth);
@@ -189,6 +191,7 @@
   }
   Watch accuser;
   run(tier(24, 1, LyingRouter{these({0}), Claim::Least, Claim::Least, false, true, 20000}), accuser);
-  CHECK(accuser.range(10000, 20000, kOthers, living).first == 4); // what each says itself goes before
+  // A router's own report has precedence over reports about it.
+  CHECK(accuser.range(10000, 20000, kOthers, living).first == 4);
   CHECK(accuser.range(22000, 24000, kOthers, living).first == 4);
 }
--- a/tests/lab/virtual/virtual_test.cpp
+++ b/tests/lab/virtual/virtual_test.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-// Follows everything from its beginning to its end.
+// Tracks each request, try and attempt from its beginning to its end, and hashes all records.
 struct Book : Sink {
   struct TryBook {
     Tried tried;
@@ -47,7 +47,7 @@
     note(c.at, 4, c.request, static_cast<std::uint64_t>(c.end), c.latency_ms);
     ++closed[c.request];
     earned += c.earned;
-    // By when it was asked: what of a second's worth was earned.
+    // Earned and possible value, by the second in which the request was drawn.
     auto& second = seconds[static_cast<int>(drawn[c.request].at / 1000)];
     second.first += c.earned, second.second += drawn[c.request].worth;
   }
@@ -123,7 +123,7 @@
   std::map<std::pair<RouterId, MachineId>, double> unwanted;
   std::map<int, std::pair<double, double>> seconds;
   double asked = 0, earned = 0, last = 0, new_links = 0, sampled_at = -1;
-  std::uint32_t links = 0, most_links = 0; // of all machines at once
+  std::uint32_t links = 0, most_links = 0; // of all machines at one sample time
   int late_sends = 0, told_gone = 0, taken = 0, surplus = 0, hot = 0;
   bool in_order = true;
   std::uint64_t hash = 0;
@@ -152,7 +152,7 @@
 
 } // namespace
 
-TEST_CASE("the same spec gives the same records, to the last bit, another seed others") {
+TEST_CASE("the same spec gives bit-identical records and another seed gives others") {
   Spec spec = test::ports(410, 8);
   spec.events = {event(2000, KillNodes{{{}, {}, {}, {}, 2, 1, true}}),
                  event(3000, RestartRouters{{{}, {}, 2}, RouterEnd::Kill, 1000, 0, 0}),
@@ -167,7 +167,7 @@
   CHECK(a.drawn.size() > 3000);
 }
 
-TEST_CASE("what one setting changes shifts no draw of another: the same requests come") {
+TEST_CASE("a change of one setting does not shift the random draws of others: requests stay the same") {
   Spec spec = test::ports(410, 4);
   Book a, b;
   run(spec, a);
@@ -182,7 +182,7 @@
   }
 }
 
-TEST_CASE("what happens to the fleet is seen by the routers and counted by the records") {
+TEST_CASE("each event of the fleet takes effect at the routers and in the records") {
   using NodeWhat = NodeEvent::What;
   using RouterWhat = RouterEvent::What;
   const NodePick two{{}, {}, {}, {}, 2, 1, true}, half{{}, {}, {}, {}, {}, 0.5, true};
@@ -214,14 +214,14 @@
        [](const Book& b) {
          return b.router_events.at(RouterWhat::Killed) == 4 && b.heard.count(Heard::Broken) > 0;
        }},
-      {"routers told to end", RestartRouters{all, RouterEnd::Term, 1000, 1, 4000},
+      {"routers terminated", RestartRouters{all, RouterEnd::Term, 1000, 1, 4000},
        [](const Book& b) {
          return b.router_events.at(RouterWhat::Ended) == 4 && b.router_events.at(RouterWhat::Started) == 8 &&
                 b.heard.count(Heard::Broken) == 0;
        }},
       {"reload", ReloadRouters{all},
        [](const Book& b) { return b.router_events.at(RouterWhat::Reloaded) == 4; }},
-      {"discovery out", DiscoveryOutage{8000}, [](const Book& b) { return b.told_gone == 0; }},
+      {"discovery outage", DiscoveryOutage{8000}, [](const Book& b) { return b.told_gone == 0; }},
       {"discovery moves", DiscoveryMove{1000, 300},
        [](const Book& b) { return b.router_events.at(RouterWhat::Reloaded) == 4; }},
       {"origin stalls", OriginStall{5000}, [](const Book& b) { return b.service(3, 5) < b.service(0, 2); }},
@@ -253,9 +253,10 @@
   }
 }
 
-// A router takes what turns away the first request of a connection for short of places, not of room. Routers in virtual
-// time were never told that it was the first.
-TEST_CASE("an origin that turns away the first request of a connection is said to refuse further ones") {
+// If a server rejects the first request of a connection, a router concludes that the server is short of
+// connections, not of capacity. Guards against virtual time not telling its routers that a request is the
+// first of its connection, as once happened.
+TEST_CASE("an origin that rejects the first request of a connection is logged as refusing connections") {
   struct Says : Sink {
     void on(const RouterLog& l) override {
       refuses += std::string(l.text).find("origin refuses further connections") != std::string::npos;
@@ -273,10 +274,10 @@
   }
 }
 
-// As src/router/router.cpp does it: a fleet on sockets ended seconds later than one in virtual time before.
+// The same shutdown as in src/router/router.cpp. Guards against a difference between the two: a fleet on
+// sockets once ended seconds later than the same fleet in virtual time.
 TEST_CASE(
-    "a router told to end serves kept connections on for half of its time, and ends sooner where none is "
-    "kept") {
+    "a terminated router serves kept connections for half of its shutdown time and ends sooner without any") {
   struct Ends : Sink {
     void on(const Tried& t) override { tries[t.try_id] = t; }
     void on(const Answered& a) override {
@@ -296,7 +297,7 @@
     spec.events = {event(3000, RestartRouters{{}, RouterEnd::Term, 1000, 0, 0})};
     double longest = 0;
     for (const ClassSpec& c : spec.classes) longest = std::max(longest, c.give_up_ms);
-    const double half = (longest + 600) / 2; // less than 1.5 s here
+    const double half = (longest + 600) / 2; // below 1.5 s here
     Ends keeps, anew;
     make_virtual_driver()->run(spec, keeps);
     CHECK(keeps.kept > 100);
@@ -308,7 +309,7 @@
     CHECK(anew.kept == 0);
     CHECK(anew.ended.size() == 4);
     CHECK(anew.ended.front() < 3000 + half);
-    // What clients kept neither side can close while nothing passes.
+    // Neither side can close the kept connections while no data passes between them.
     Ends cut;
     RouterPick first;
     first.routers = {0};
@@ -321,7 +322,7 @@
   }
 }
 
-TEST_CASE("nodes on standby come cold into service, and a shrunk fleet grows again") {
+TEST_CASE("standby nodes start cold and a fleet that shrank grows again") {
   Spec spec = test::ports(410, 16);
   spec.nodes[0].standby = 3;
   spec.events = {event(1000, StartNodes{{{}, 0, {}, {}, {}, 1, true}}),
@@ -334,14 +335,15 @@
   CHECK(book.late_sends == 0);
 }
 
-TEST_CASE("machines that close resting connections early, and routers with few places, are played") {
+TEST_CASE("machines that close idle connections early and routers with few sockets are simulated") {
   Spec spec = test::ports(100, 20);
   Book usual, early, few;
   run(spec, usual);
   for (NodeKind& kind : spec.kinds) kind.idle_ms = 40;
   run(spec, early);
   spec = test::ports(410, 10);
-  spec.routers.sockets = 64; // 40 places: 20 for clients, who would need about 11, and one link for each node
+  // 40 places: 20 for clients, who would need about 11, and one connection for each node.
+  spec.routers.sockets = 64;
   run(spec, few);
   CHECK(early.new_links > 3 * usual.new_links);
   CHECK(early.service() > usual.service() - 0.03);
@@ -349,14 +351,14 @@
   CHECK(few.service() > 0.9);
 }
 
-TEST_CASE("a wide fleet runs: 1,000 nodes and 64 routers") {
+TEST_CASE("a fleet of 1000 nodes and 64 routers runs") {
   Book book;
   run(test::ports(29000, 0.3, 1000, 64), book);
   CHECK(book.at_machine.size() > 500);
   CHECK(book.service() > 0.9);
 }
 
-TEST_CASE("a run that is asked to stop ends soon, and says so") {
+TEST_CASE("a run ends soon after a stop request and is marked as stopped") {
   Book book;
   std::stop_source stop;
   RunControl control;
