--- a/lab/lies/liar.cpp
+++ b/lab/lies/liar.cpp
@@ -7,10 +7,10 @@
 
 using gossip::What;
 
-constexpr std::size_t kAccused = 3;    // in a datagram
-constexpr std::size_t kMostWords = 8;  // beside the router's own: facts must have room
-constexpr std::size_t kFactsRoom = 90; // bytes; a true datagram has up to 128 (shared/fleet.cpp)
-constexpr std::uint16_t kLater = 1000; // words by which a false stamp is ahead of the true one
+constexpr std::size_t kAccused = 3;    // in one datagram
+constexpr std::size_t kMostWords = 8;  // in addition to the router's own stamp: space must remain for facts
+constexpr std::size_t kFactsRoom = 90; // bytes; a correct datagram has up to 128 (gossip/fleet.cpp)
+constexpr std::uint16_t kLater = 1000; // updates by which a false stamp is ahead of the true one
 
 double extreme(model::Claim claim, What what) {
   const auto& q = gossip::kQuantities[static_cast<std::size_t>(what)];
@@ -29,7 +29,7 @@
     if (who < heard_.size()) heard_[who] = std::max(heard_[who], stamp);
   };
   for (const membership::Word& word : d->words) know(word.who, word.stamp);
-  // Read as by a router that has heard nothing yet: every fact of the datagram is told.
+  // Read by an empty table, so that every fact of the datagram is reported.
   std::vector<gossip::Facts::Told> told;
   gossip::Facts(self_, heard_.size(), seed_).read(now, self_, d->facts, told);
   for (const auto& fact : told) know(fact.owner, fact.stamp);
--- a/lab/lies/liar.h
+++ b/lab/lies/liar.h
@@ -1,7 +1,8 @@
-// Makes a router's datagrams false, and leaves them well formed: valid checksums, true stamps of its own.
+// Puts false facts into a router's gossip datagrams. The datagrams stay well formed: their checksums are
+// valid, and the router's own stamps are true.
 //
-//  - Units: milliseconds on the caller's clock. Ownership: plain values; a table of one entry a router.
-//  - What it knows of others (their stamps) it has from the datagrams that it spoils.
+//  - Units: milliseconds on the caller's clock. Ownership: plain values; one table entry for each router.
+//  - The stamps of other routers are learned from the datagrams that pass through corrupt().
 #pragma once
 
 #include <cstdint>
@@ -19,10 +20,12 @@
  public:
   Liar(model::RouterId self, std::size_t routers, std::uint64_t seed);
 
-  // `number`: of the event that makes it lie; the last one goes.
+  // Starts false facts as `fault` specifies. `event_number` identifies the scenario event; the latest event
+  // wins.
   void tell(const model::LyingRouter& how, std::uint32_t number) { how_ = how, by_ = number, lies_ = true; }
   void stop(std::uint32_t number) { lies_ = lies_ && by_ != number; }
-  // What goes out in place of `bytes`. What can't be read, or comes while it does not lie, stays as it is.
+  // Returns the datagram to send in place of `bytes`. An undecodable datagram, or any datagram while no fault
+  // is active, is returned unchanged.
   std::string spoil(double now, std::string_view bytes);
 
  private:
@@ -33,8 +36,8 @@
   model::LyingRouter how_;
   std::uint32_t by_ = 0;
   bool lies_ = false;
-  std::vector<gossip::Stamp> heard_; // by router: its latest known stamp; none: {}
-  std::size_t turn_ = 0;             // whom it accuses next
+  std::vector<gossip::Stamp> heard_; // by router: its latest known stamp; {}: none
+  std::size_t turn_ = 0;             // the router to accuse next
   std::uint64_t said_ = 0;
 };
 
