--- a/lab/limiters/contender.h
+++ b/lab/limiters/contender.h
@@ -1,4 +1,5 @@
-// What a limiter looks like to the comparison: that of concurrency::OriginConcurrencyLimiter, for others in its place.
+// The interface of a limiter in the comparison, owned by one router or shared by all. It is that of
+// concurrency::OriginConcurrencyLimiter, so that other limiters can take its place.
 #pragma once
 
 #include <cstdint>
@@ -23,19 +24,22 @@
   virtual double crowding(double now, double out) const = 0;
 };
 
-enum class Waiting { Leave, AtAim, CoDel }; // which waiting room stands before it
+// The queue of requests before the limiter. OriginQueue: concurrency::OriginRequestQueue. UntilDeadline: by
+// priority, requests wait until their deadline.
+enum class Waiting { Leave, AtAim, CoDel };
 
 struct Entry {
   std::string name, source;
   Waiting waiting;
-  bool leaves_out_stuck; // attempts stuck on a silent connection take no room
-  bool hears_queue;      // the server tells how many wait there
+  bool leaves_out_stuck; // attempts stuck on a silent connection do not count as in flight
+  bool hears_queue;      // receives the server's reports of its queue length
   std::function<std::unique_ptr<Contender>(double nodes)> make;
 };
 
 const std::vector<Entry>& entries();
 
-// All routers together hold one gate of this many attempts: what is best possible for one that knows the server.
+// A fixed limit of `limit` attempts, shared by all routers: the best possible result for a limiter that knows
+// the server's capacity.
 std::unique_ptr<Contender> fixed(double limit);
 
 } // namespace fernward::limiters
--- a/lab/limiters/main.cpp
+++ b/lab/limiters/main.cpp
@@ -1,4 +1,4 @@
-// fernward-limiters: how limiters fare under the same loads, as a table in Markdown.
+// fernward-limiters: compares limiters under the same loads and prints a Markdown table.
 #include <algorithm>
 #include <boost/math/distributions/students_t.hpp>
 #include <cmath>
@@ -14,9 +14,10 @@
 
 namespace {
 
-constexpr double kLevels[] = {1, 1.5, 2, 3, 4, 6}; // attempts at once for each core, of the best possible
-constexpr double kBackShare = 0.9;                 // of the best possible service: recovered
-constexpr double kBackSeconds = 3;                 // for so long
+// Concurrent attempts per core of the fixed limits; the best result of them is the reference.
+constexpr double kLevels[] = {1, 1.5, 2, 3, 4, 6};
+constexpr double kBackShare = 0.9; // of the reference's goodput: counts as recovered
+constexpr double kBackSeconds = 3; // which must hold this long
 
 struct Mean {
   std::vector<double> values;
@@ -49,7 +50,8 @@
   return asked > 0 ? good / asked : 1;
 }
 
-// Seconds until the service is back at what is best possible, and stays for a while; the rest of the run if never.
+// Seconds until goodput has returned to kRecoveredShare of the reference for kRecoveredSeconds; the remaining
+// run time if it never does.
 double recovered(const Load& load, const Outcome& o, const Outcome& best) {
   const double wanted = kBackShare * share(best, load.seconds - 15, load.seconds);
   double s = load.recover_from;
@@ -73,7 +75,7 @@
   std::vector<T> some;
   for (const std::string& name : split(names)) {
     const auto it = std::find_if(all.begin(), all.end(), [&](const T& x) { return x.name == name; });
-    if (it == all.end()) throw std::runtime_error("there is no '" + name + "'");
+    if (it == all.end()) throw std::runtime_error("there is no load or limiter '" + name + "'");
     some.push_back(*it);
   }
   return some;
@@ -81,13 +83,15 @@
 
 int run(int argc, char** argv) {
   cxxopts::Options options("fernward-limiters", "Compares limiters under the same loads in virtual time.");
-  options.add_options()("loads", "some of the loads, separated by commas",
+  options.add_options()("loads", "loads to run, separated by commas; default: all",
                         cxxopts::value<std::string>()->default_value(""))(
-      "limiters", "some of the limiters", cxxopts::value<std::string>()->default_value(""))(
-      "routers", "how many routers", cxxopts::value<std::string>()->default_value("1,4,64,1000"))(
-      "seeds", "how many seeds", cxxopts::value<unsigned>()->default_value("20"))(
-      "first-seed", "the first of them", cxxopts::value<unsigned>()->default_value("1"))(
-      "jobs", "threads", cxxopts::value<unsigned>()->default_value("4"))("list", "name loads and limiters")(
+      "limiters", "limiters to run, separated by commas; default: all",
+      cxxopts::value<std::string>()->default_value(""))(
+      "routers", "numbers of routers, separated by commas",
+      cxxopts::value<std::string>()->default_value("1,4,64,1000"))(
+      "seeds", "number of seeds", cxxopts::value<unsigned>()->default_value("20"))(
+      "first-seed", "first seed", cxxopts::value<unsigned>()->default_value("1"))(
+      "jobs", "threads", cxxopts::value<unsigned>()->default_value("4"))("list", "list loads and limiters")(
       "help", "this");
   const auto given = options.parse(argc, argv);
   if (given.count("help") != 0) return std::puts(options.help().c_str()), 0;
@@ -102,9 +106,10 @@
   for (const std::string& text : split(given["routers"].as<std::string>())) {
     const auto routers = static_cast<unsigned>(std::stoul(text));
     std::printf(
-        "\n%u router%s, %u seeds\n\n| load | limiter | goodput of the best | of all asked | peak held for "
-        "each core | "
-        "seconds to recover | refused | attempts for each request | cores busy | late "
+        "\n%u router%s, %u seeds\n\n| load | limiter | goodput relative to the best | share of offered "
+        "weight | peak held per "
+        "core | "
+        "seconds to recover | rejected | attempts per request | cores busy | late "
         "|\n|---|---|---|---|---|---|---|---|---|---|\n",
         routers, routers == 1 ? "" : "s", seeds);
     for (const Load& load : wanted_loads) {
@@ -149,7 +154,7 @@
         if (!c.recover.values.empty())
           std::snprintf(recover, sizeof recover, "%.1f ± %.1f", c.recover.mean(), c.recover.half_interval());
         char falls[32] = "";
-        if (load.fall_multiple > 0) std::snprintf(falls, sizeof falls, ", %.2f falls", c.falls.mean());
+        if (load.fall_multiple > 0) std::snprintf(falls, sizeof falls, ", %.2f failures", c.falls.mean());
         std::printf(
             "| %s | %s | %.3f ± %.3f | %.3f | %.1f ± %.1f%s | %s | %.3f ± %.3f | %.2f | %.2f | %.3f |\n",
             load.name.c_str(), wanted[i].name.c_str(), c.good.mean(), c.good.half_interval(), c.share.mean(),
--- a/lab/limiters/rivals.cpp
+++ b/lab/limiters/rivals.cpp
@@ -1,4 +1,5 @@
-// The limiters that are compared. Each follows its source's idea in a few lines; none is used by the router.
+// The limiters that are compared. Each is a short version of its source's algorithm. The router uses none of
+// these classes.
 #include <algorithm>
 #include <cmath>
 
@@ -10,7 +11,8 @@
 using concurrency::AttemptEnding;
 using concurrency::AttemptSample;
 
-// Below one a limit is a pace, as in the router: else the least limits of many routers bury a small server.
+// A limit below one is a sending rate, as in the router: with a minimum of one attempt each, many routers
+// together would overload a small server.
 bool paced(double limit, double now, double sent_at, double recent_ms, std::uint32_t out) {
   if (limit < 1) return out == 0 && (now - sent_at) * 1.5 * limit >= recent_ms;
   return out < limit;
@@ -21,7 +23,8 @@
          s.outcome == AttemptEnding::TimedOut || s.elapsed_ms > s.latency_objective_ms;
 }
 
-// What the router had before: cut where answers pass half of the class's aim.
+// The router's previous limiter: reduces the limit when responses take longer than half of the class's
+// latency objective.
 class Today final : public Contender {
  public:
   explicit Today(double) {}
@@ -76,7 +79,7 @@
   concurrency::OriginConcurrencyLimiter limiter_;
 };
 
-// Those that keep a limit and the response time alone.
+// Base of limiters whose state is the limit and response times only.
 class Plain : public Contender {
  public:
   explicit Plain(double limit) : limit_(limit) {}
@@ -100,9 +103,9 @@
   double limit_, recent_ms_ = 0, sent_at_ = kNever, least_ = 1;
 };
 
-// Brakmo, O'Malley, Peterson, "TCP Vegas" (1994), as Netflix's concurrency-limits has it: the queue is what of the
-// limit exceeds what the least response time would need; a few may stand in it. The least is looked for anew now
-// and then.
+// Brakmo, O'Malley, Peterson, "TCP Vegas" (1994), as implemented in Netflix's concurrency-limits: the
+// estimated queue is the part of the limit beyond what the minimum response time requires; a short queue is
+// allowed. The minimum is reset periodically.
 class Vegas final : public Plain {
  public:
   explicit Vegas(double nodes) : Plain(std::max(1.0, 20 / nodes)) {}
@@ -133,8 +136,8 @@
   double least_ms_ = 0, seen_ = 0;
 };
 
-// Netflix concurrency-limits, Gradient2Limit: a slow mean of the response time over the present one, with half as
-// much again tolerated, and room for a queue of four.
+// Netflix concurrency-limits, Gradient2Limit: the ratio of the long-term mean response time to the present
+// one, with a tolerance of 1.5 and an allowed queue of four.
 class Gradient2 final : public Plain {
  public:
   explicit Gradient2(double nodes) : Plain(std::max(1.0, 20 / nodes)) {}
@@ -152,7 +155,8 @@
   double long_ms_ = 0, seen_ = 0;
 };
 
-// Chiu, Jain (1989), as Netflix's AIMDLimit: one more while it is used, nine tenths at each refusal or late answer.
+// Chiu, Jain (1989), as in Netflix's AIMDLimit: adds one while the limit is in use, and multiplies by 0.9 at
+// each rejection, timeout or late response.
 class Aimd final : public Plain {
  public:
   explicit Aimd(double nodes) : Plain(std::max(1.0, 20 / nodes)) {}
@@ -189,14 +193,15 @@
 
 const std::vector<Entry>& entries() {
   static const std::vector<Entry> all = {
-      {"none", "no limit at all", Waiting::Leave, false, false, [](double) { return fixed(1e9); }},
-      {"today", "cut at half of the aim; waits until the aim", Waiting::AtAim, false, false, make<Today>},
-      {"codel", "today's limit, CoDel before it", Waiting::CoDel, false, false, make<Today>},
+      {"none", "no limit", Waiting::Leave, false, false, [](double) { return fixed(1e9); }},
+      {"today", "reduced at half of the latency objective; queues until the objective", Waiting::AtAim, false,
+       false, make<Today>},
+      {"codel", "the limit of today, with a CoDel queue", Waiting::CoDel, false, false, make<Today>},
       {"vegas", "TCP Vegas", Waiting::Leave, false, false, make<Vegas>},
       {"gradient2", "Netflix Gradient2", Waiting::Leave, false, false, make<Gradient2>},
-      {"aimd", "AIMD on refusals and late answers", Waiting::Leave, false, false, make<Aimd>},
+      {"aimd", "AIMD on rejections and late responses", Waiting::Leave, false, false, make<Aimd>},
       {"fernward", "src/concurrency", Waiting::Leave, true, false, make<Ours>},
-      {"fernward+queue", "the same, where the server tells its queue", Waiting::Leave, true, true,
+      {"fernward+queue", "the same, with reports of the server's queue length", Waiting::Leave, true, true,
        make<Ours>},
   };
   return all;
--- a/lab/limiters/server.h
+++ b/lab/limiters/server.h
@@ -1,5 +1,5 @@
-// One server: cores shared by the requests in its slots, a waiting room, loss of efficiency when crowded, a fall when
-// overrun. Virtual time; work in ms of one core.
+// A simulated server: cores shared by the requests in its slots, a bounded queue, lower efficiency when
+// congested, and failure under overload. Times are virtual milliseconds; work is in milliseconds of one core.
 #pragma once
 
 #include <cstdint>
@@ -12,12 +12,12 @@
 
 struct ServerSpec {
   double cores = 8;
-  double slots_per_core = 4; // requests in work at once
-  double queue_per_core = 3; // waiting; beyond it requests are turned away
-  double thrash = 0.05;      // efficiency lost for each request a core holds beyond `thrash_at`
+  double slots_per_core = 4; // requests processed at once
+  double queue_per_core = 3; // queued requests; beyond it requests are rejected
+  double thrash = 0.05;      // efficiency lost for each request a core holds beyond `efficiency_loss_from`
   double thrash_at = 4;
-  bool drops_expired = false; // one whose time is up is not begun
-  double fall_multiple = 0;   // sent this many times its capacity for `fall_ms` it falls; 0: never
+  bool drops_expired = false; // a request whose deadline has passed is not started
+  double fall_multiple = 0; // fails when sent this many times its capacity for `overload_window_ms`; 0: never
   double fall_ms = 2000, down_ms = 4000;
 };
 
@@ -28,11 +28,12 @@
 
   enum class Taken { Begun, Waits, TurnedAway, Down };
   Taken arrives(double now, Job job, double work_ms, double expires);
-  // Ends what is done by `now`; appends the jobs. An expired one that is dropped comes back in `dropped`.
+  // Completes the work finished by `now` and appends its jobs to `done`. Expired jobs that were not started
+  // are appended to `dropped`.
   void advance(double now, std::vector<Job>& done, std::vector<Job>& dropped);
-  double next_end() const;               // when the next is done, as things stand
-  void speed(double now, double factor); // of each core; 1 at the start
-  // The fall: true once, when it happens; everything held is lost and is appended.
+  double next_end() const;               // with the present jobs; infinity: none
+  void speed(double now, double factor); // factor of each core; 1 at the start
+  // Fails when overloaded: returns true once, and appends all held jobs to `lost`.
   bool falls(double now, std::vector<Job>& lost);
   bool down(double now) const { return now < down_until_; }
 
@@ -47,16 +48,16 @@
     Job job;
     double work, expires;
   };
-  double rate() const; // work of one running job done per ms
+  double rate() const; // work done on one running job per ms
   void pass(double now);
   void begin(Held h) { running_.push({served_ + h.work, h.job}); }
 
   ServerSpec spec_;
-  double speed_ = 1, at_ = 0, served_ = 0; // served_: work done on each running job since the beginning
+  double speed_ = 1, at_ = 0, served_ = 0; // work_per_job_: cumulative work done on each running job
   using End = std::pair<double, Job>;
   std::priority_queue<End, std::vector<End>, std::greater<>> running_;
   std::deque<Held> waiting_;
-  std::deque<std::pair<double, double>> sent_; // time, work: of the last `fall_ms`
+  std::deque<std::pair<double, double>> sent_; // time and work of the last `overload_window_ms`
   double sent_work_ = 0, down_until_ = -1;
 };
 
--- a/lab/limiters/world.cpp
+++ b/lab/limiters/world.cpp
@@ -20,15 +20,15 @@
 
 using concurrency::AttemptEnding;
 
-constexpr double kWayMs = 1;      // there and back
-constexpr double kTickMs = 100;   // a router looks at its queue at least this often
-constexpr double kReportMs = 150; // a server's word on its queue is as old as this
+constexpr double kWayMs = 1;    // network round trip, added to the result's way back; attempts arrive at once
+constexpr double kTickMs = 100; // a router checks its queue at least this often
+constexpr double kReportMs = 150; // least interval between reports of the server's queue length
 constexpr double kWriteShare = 0.05;
 constexpr unsigned kMostAttempts = 5;
-constexpr double kPatience = 4; // times the response time lately after which an attempt is overdue
+constexpr double kPatience = 4; // multiple of the mean response time after which an attempt is overdue
 constexpr double kMostAdviceMs = 1500;
 
-// A draw of its own for each concern, so that what one limiter does shifts no other draw.
+// A separate random stream for each concern, so that one limiter's decisions do not change the other draws.
 struct Streams {
   explicit Streams(std::uint64_t seed) : come(seed, 2), work(seed, 3), fault(seed, 4), client(seed, 5) {}
   pcg64 come, work, fault, client;
@@ -37,7 +37,7 @@
 
 struct Try { // one request at one router
   std::uint32_t request = 0, router = 0;
-  double end_at = 0, gone_at = 0; // the aim has passed; the client has gone
+  double end_at = 0, gone_at = 0; // the objective has passed; the client has given up
   unsigned attempts = 0, out = 0;
   bool over = false, queued = false;
 };
@@ -47,7 +47,7 @@
   bool write = false, good = false;
 };
 struct Attempt {
-  std::uint32_t id = 0; // of its try
+  std::uint32_t id = 0; // index into tries_
   double sent_at = 0;
   bool out = true, silent = false, reset = false, stuck = false;
 };
@@ -74,8 +74,8 @@
   bool operator>(const Event& o) const { return at != o.at ? at > o.at : order > o.order; }
 };
 
-// Facebook's form of CoDel for servers ("Fail at Scale", 2015): the newest goes first, and where the queue has not
-// been empty for long, one may wait a short time only.
+// Facebook's CoDel variant for servers ("Fail at Scale", 2015): last in, first out, and a shorter maximum
+// waiting time while the queue has not been empty for some time.
 class CoDel {
  public:
   void add(double now, std::uint64_t id, double needed_by) {
@@ -170,7 +170,7 @@
   }
 
   void come_next(double from) {
-    // Thinning, so that a change of the load is met at its second.
+    // Poisson arrivals by thinning, so that load changes take effect at once.
     double when = from;
     constexpr double kMost = 4;
     do {
@@ -218,7 +218,7 @@
     come_next(now_);
     Request q;
     q.first_at = now_;
-    // Work differs fivefold; the service time is spread around it.
+    // Expected work varies by a factor of five between requests; the service time varies around it.
     const double part = std::exp(Streams::unit(random_.work) * std::log(5.0)) / (4 / std::log(5.0));
     const double noise =
         draw_.sigma > 0 ? std::exp(boost::random::normal_distribution<double>(0, draw_.sigma)(random_.work) -
@@ -254,7 +254,7 @@
     enqueue(id);
   }
 
-  // The router's final answer other than a value: the client may come again.
+  // The router's final response without a value. The client may retry.
   void conclude(std::uint32_t id) {
     Try& t = tries_[id];
     Router& r = routers_[t.router];
@@ -274,7 +274,7 @@
 
   // ---- a router ----
 
-  // A closed loop: what may be out, each for a response time.
+  // Little's law: the limit divided by the mean response time.
   static double turns_per_ms(const Router& r) {
     return r.recent_ms > 0 ? r.limiter->limit() / r.recent_ms : 0;
   }
@@ -454,8 +454,8 @@
 
   double crowding(const Router& r) const { return r.limiter->crowding(now_, r.out + r.waits); }
 
-  // Overdue beside what was sent later and has been answered: its connection is at fault. Another copy may go out,
-  // and the limiter is told, so that it can leave the attempt out of its account.
+  // Checks an overdue attempt. If an attempt sent later has been answered, its connection is assumed stuck. A
+  // hedged request may be sent, and limiters with excludes_stuck do not count the stuck attempt as in flight.
   void stuck(std::uint32_t n) {
     Attempt& a = attempts_[n];
     Try& t = tries_[a.id];
--- a/lab/limiters/world.h
+++ b/lab/limiters/world.h
@@ -1,5 +1,5 @@
-// Routers, each with a limiter of its own, before one server; clients that come whether or not they are answered and
-// try again. Virtual time from one seed.
+// Simulates routers, each with its own limiter, in front of one server. Clients form an open loop (they
+// arrive whether or not earlier requests are answered) and retry. Runs in virtual time from one seed.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +10,19 @@
 namespace fernward::limiters {
 
 struct Outcome {
-  double asked = 0, good = 0; // worth; within the aim, counted from the first try
-  double refused = 0;         // share of requests that got no answer in time and were told so
-  double peak = 0, held = 0;  // requests at the server for each core: the most, the mean
-  double busy = 0;            // share of the cores' time that was used while clients came
-  double late = 0;            // answers after the aim, for each request
+  double asked = 0, good = 0; // priority weight; served: within the latency objective from the first try on
+  double refused = 0;         // share of requests that were rejected in the end, without a response in time
+  double peak = 0, held = 0;  // requests at the server for each core
+  double busy = 0;            // share of the cores' time in use while clients arrived
+  double late = 0;            // responses after the latency objective, for each request
   double falls = 0;
   double attempts = 0;                       // for each request
-  std::vector<double> asked_by_s, good_by_s; // by the second of the first try
+  std::vector<double> asked_by_s, good_by_s; // by second of the first try
 };
 
 Outcome play(const Load& load, std::uint64_t seed, unsigned routers, const Entry& entry);
 
-// The same with one gate of `limit` attempts for all.
+// The same with one fixed limit of `limit_per_core` attempts for each core, shared by all routers.
 Outcome play_fixed(const Load& load, std::uint64_t seed, unsigned routers, double limit_per_core);
 
 } // namespace fernward::limiters
