--- a/lab/storm/beside.cpp
+++ b/lab/storm/beside.cpp
@@ -13,17 +13,17 @@
 namespace {
 
 constexpr double kDeviations = 4;
-// What the model leaves out: parsing, the kernel's queues, a process that takes its time to start.
+// Allowances for what the model omits: parsing, the kernel's queues, the start-up time of a process.
 constexpr double kGrantedService = 0.01;
 constexpr double kGrantedHits = 0.02;
-constexpr double kGrantedReads = 0.01; // for each request
-constexpr double kWide = 0.05;         // a bound beyond this says little of the model
+constexpr double kGrantedReads = 0.01; // per request
+constexpr double kWide = 0.05;         // a larger bound says little about the model
 
 std::string verdict_text(const Verdict& v) {
   return !v.judged ? "-" : v.broken() ? format("BROKEN %.2f", v.distance) : format("kept %.2f", v.distance);
 }
 
-// What a play's records are told to: its reads, and lines where they are kept.
+// Receives a run's records: counts its reads, and writes text records if a folder is given.
 struct Hearing {
   Hearing(const std::string& folder, const std::string& name, Reads& reads) : tee({}) {
     std::vector<Sink*> sinks = {&reads};
@@ -82,7 +82,7 @@
   for (const Group& g : out.seen.groups) {
     if (g.by != Group::By::Class) continue;
     const Cell cell = over(g.series, 0, spec.duration_ms);
-    // One request more or less is no difference where there are few.
+    // A difference of one request is allowed, which matters in small classes.
     all.push_back({spec.classes[g.number].name, cell.service(), kGrantedService + 1 / requests(cell)});
   }
   const double read = static_cast<double>(std::max<std::uint64_t>(reads.hits + reads.misses, 1));
@@ -161,7 +161,7 @@
                    s.from_ms / 1000, s.to_ms / 1000);
   }
   for (const std::string& why : pair.voided) text += "  void: " + why + "\n";
-  if (!pair.judged) return text + "  nothing to compare\n";
+  if (!pair.judged) return text + "  no valid run on sockets to compare\n";
   text +=
       format("  %-10s %8s %8s %9s %8s %8s\n", "", "sockets", "virtual", "deviation", "granted", "distance");
   for (const Compared& c : pair.figures) {
@@ -179,9 +179,9 @@
     text += format("  %s: sockets %s (%s), virtual %s (%s)\n", oracles()[i].name, verdict_text(here).c_str(),
                    here.what.c_str(), verdict_text(there).c_str(), there.what.c_str());
   }
-  text += format("  sure oracles: %zu of %zu kept on both sides", kept, judged);
-  if (pair.chance_broke > 0) text += format("; broken by %zu plays in virtual time", pair.chance_broke);
-  return text + format("; sends late p99 %.2f ms; distance %.2f\n", pair.late_p99_ms, pair.furthest);
+  text += format("  certain oracles: %zu of %zu kept on both sides", kept, judged);
+  if (pair.chance_broke > 0) text += format("; broken in %zu runs in virtual time", pair.chance_broke);
+  return text + format("; send delay p99 %.2f ms; distance %.2f\n", pair.late_p99_ms, pair.furthest);
 }
 
 Agreement agreement_of(const std::vector<Pair>& pairs) {
@@ -212,9 +212,9 @@
 
 std::string agreement_text(const Agreement& a) {
   return format(
-      "%u of %u storms agree, %u with a bound beyond 5 points; distance %.2f on average, %.2f at most; "
-      "service apart by %.2f points, %.2f "
-      "at most; %u void, %u broke a sure oracle\n",
+      "%u of %u storms agree, %u with a bound over 5 points; distance mean %.2f, max %.2f; "
+      "service difference %.2f points mean, %.2f "
+      "max; %u void, %u broke a certain oracle\n",
       a.agree, a.judged, a.wide, a.mean, a.worst, a.mean_points, a.worst_points, a.voided, a.broke);
 }
 
--- a/lab/storm/beside.h
+++ b/lab/storm/beside.h
@@ -1,8 +1,9 @@
-// A storm on sockets beside the same storm in virtual time: what differs, and how much of that chance does.
+// Compares a storm on sockets with the same storm in virtual time, and estimates how much of the difference
+// is chance.
 //
-// Chance is measured, not guessed: virtual time plays the same machines, requests and faults several times, and draws
-// anew what sockets would not repeat either. A figure of sockets agrees within four deviations of those plays and what is
-// granted to the model beside them.
+// Chance is measured: the same machines, requests and faults run several times in virtual time, and what
+// sockets would not repeat either is redrawn for each run. A figure from sockets agrees if it lies within
+// four standard deviations of those runs, plus an allowance for what the model omits.
 #pragma once
 
 #include <cstdint>
@@ -16,26 +17,28 @@
 
 namespace fernward::lab::storm {
 
-// ---- arithmetic ----
+// ---- statistics ----
 
-struct Chance { // of a figure, over plays that differ by chance alone
+struct Chance { // of a figure, over runs that differ by chance only
   double mean = 0, deviation = 0, least = 0, most = 0;
   std::size_t plays = 0;
 };
 Chance chance_of(const std::vector<double>& values);
-// How far `seen` is from the plays; 1 is the bound. One more play lies as far from their mean as the mean itself may be off.
-double bound(const Chance& chance, double granted); // how far off agrees
+// The largest deviation from the mean that still agrees. It includes the uncertainty of the mean itself: one
+// further run deviates from the estimated mean by sqrt(1 + 1/n) standard deviations.
+double bound(const Chance& chance, double granted);
+// Deviation of `value` from the runs' mean, in units of the allowed deviation: 1 and more disagrees.
 double distance(const Chance& chance, double seen, double granted);
 
-// ---- one play's figures ----
+// ---- figures of one run ----
 
 struct Figure {
   std::string name;
   double value = 0;
-  double granted = 0; // to the model, beside chance
+  double granted = 0; // for what the model omits, in addition to chance
 };
 
-// Hits and fetches, which oracles do not need.
+// Counts hits, misses and origin reads, which the oracles do not need.
 class Reads : public model::Sink {
  public:
   using model::Sink::on;
@@ -43,15 +46,15 @@
   std::uint64_t hits = 0, misses = 0, fetched = 0;
 };
 
-// The same figures in the same order for each play of a spec: service, of the whole and of each class; hits of reads that
-// a cache took; reads that the ledger's origin answered, and attempts at caches, for each request.
+// The same figures in the same order for each run of a spec: service overall and by class; the hit ratio of
+// reads at caches; reads answered by the origin, and attempts at caches, per request.
 std::vector<Figure> figures_of(const model::Spec& spec, const Outcome& out, const Reads& reads);
 
-// ---- pairs ----
+// ---- comparisons ----
 
 struct Compared {
   Figure sockets;
-  Chance chance; // of virtual time
+  Chance chance; // of the runs in virtual time
   double distance = 0;
 };
 
@@ -60,33 +63,33 @@
   model::Spec spec;
   std::vector<Verdict> in_virtual, on_sockets; // by oracle
   std::vector<Compared> figures;
-  double furthest = 0;             // of the figures
-  std::size_t chance_broke = 0;    // plays in virtual time that broke a sure oracle
-  std::vector<std::string> voided; // why, of each play on sockets that says nothing
-  bool judged = false;             // one play on sockets says something
+  double furthest = 0;             // of all figures
+  std::size_t chance_broke = 0;    // runs in virtual time that broke a certain oracle
+  std::vector<std::string> voided; // the reason of each void run on sockets
+  bool judged = false;             // one run on sockets is valid
   double late_p99_ms = 0;
 
   bool agrees() const { return judged && furthest < 1; }
-  bool breaks(Sure sure) const; // an oracle of that kind, on either side
+  bool breaks(Sure sure) const; // an oracle of that confidence, on either side
 };
 
-struct Besides { // who plays, and how often
+struct Besides { // the drivers, and the numbers of runs
   MakeDriver sockets;
-  std::function<std::unique_ptr<Driver>(std::uint64_t chance)> in_virtual; // 0: as the seed has it
-  std::uint32_t plays = 16;                                                // further ones in virtual time
-  std::uint32_t tries = 3;                                                 // on sockets, while they are void
-  std::string records = {}; // a folder for records of the first play in virtual time and of sockets
+  std::function<std::unique_ptr<Driver>(std::uint64_t chance)> in_virtual; // 0: as drawn by the seed
+  std::uint32_t plays = 16; // in virtual time, in addition to the first
+  std::uint32_t tries = 3;  // repeated on sockets while runs are void
+  std::string records = {}; // for records of the first virtual run and the socket runs; empty: none
 };
 Pair play_beside(const Besides& besides, const model::Spec& spec, std::stop_token stop = {});
 
-// ---- what is told ----
+// ---- reports ----
 
 std::string pair_text(const Pair& pair);
 struct Agreement {
-  std::uint32_t judged = 0, agree = 0, voided = 0, broke = 0; // broke: a sure oracle, on either side
-  double mean = 0, worst = 0;                                 // of the furthest figures
-  std::uint32_t wide = 0;                   // storms that chance alone moves by more than 5 points
-  double mean_points = 0, worst_points = 0; // of the whole's service, 0.01 each
+  std::uint32_t judged = 0, agree = 0, voided = 0, broke = 0; // broken: a certain oracle, on either side
+  double mean = 0, worst = 0;                                 // of each comparison's max_distance
+  std::uint32_t wide = 0;                   // storms whose allowed deviation of service exceeds 5 points
+  double mean_points = 0, worst_points = 0; // of overall service, in percentage points
   bool well() const { return judged > 0 && agree == judged && voided == 0 && broke == 0; }
 };
 Agreement agreement_of(const std::vector<Pair>& pairs);
--- a/lab/storm/coverage.h
+++ b/lab/storm/coverage.h
@@ -1,4 +1,5 @@
-// Which two faults were open at once, and at which stage of a request. The drawing leans to the pairs seen least. Pure.
+// Records which pairs of faults were open at once, and at which stage of a request. New storms are drawn with
+// a preference for the pairs covered least. Pure.
 #pragma once
 
 #include <map>
@@ -9,17 +10,17 @@
 namespace fernward::lab::storm {
 
 enum class Stage : std::uint8_t {
-  First,   // a client's first try comes to a router
-  Further, // one that follows a refusal or a failure
+  First,   // a client's first try reaches a router
+  Further, // a further try, after a rejection or failure
   Cache,   // an attempt reaches a cache node
-  Origin,  // or the origin
-  Answer,  // a try has its end
+  Origin,  // an attempt reaches the origin
+  Answer,  // a try ends
   Count
 };
 constexpr std::size_t kStages = static_cast<std::size_t>(Stage::Count);
 extern const std::array<const char*, kStages> kStageNames;
 
-// The stages met while each set of kinds was open, of one run.
+// Records, for one run, the stages that occurred while each set of faults was open.
 class StageWatch : public model::Sink {
  public:
   StageWatch(const model::Spec& spec, model::MachineId origin);
@@ -32,18 +33,18 @@
   }
   void on(const model::Answered& a) override { met(a.at, Stage::Answer); }
 
-  using Open = std::uint32_t;                                          // a bit for each kind
-  const std::map<Open, std::uint8_t>& stages() const { return seen_; } // a bit for each stage
+  using Open = std::uint32_t;                                          // one bit for each kind
+  const std::map<Open, std::uint8_t>& stages() const { return seen_; } // one bit for each stage
 
  private:
   void met(double at, Stage stage);
 
-  std::vector<std::pair<double, int>> changes_; // in order of time: kind + 1 opens, -(kind + 1) closes
+  std::vector<std::pair<double, int>> changes_; // by time: kind + 1 opens, -(kind + 1) closes
   std::size_t next_ = 0;
   std::array<int, kKinds> count_{};
   model::MachineId origin_;
   Open open_ = 0;
-  std::uint8_t* now_ = nullptr; // of seen_
+  std::uint8_t* now_ = nullptr; // points into stages_by_fault_set_
   std::map<Open, std::uint8_t> seen_;
 };
 static_assert(kKinds <= 32);
@@ -53,12 +54,12 @@
   void add(const StageWatch& run);
   void merge(const Coverage& other);
 
-  // Storms in which both were open at once, with a request at that stage.
+  // Storms in which both were open at once while a request was at that stage.
   std::uint64_t at(Kind a, Kind b, Stage stage) const {
     return seen_[index(a, b)][static_cast<std::size_t>(stage)];
   }
   std::uint64_t pair(Kind a, Kind b) const { return pairs_[index(a, b)]; } // at any stage
-  std::uint64_t least() const; // of all pairs of two different kinds
+  std::uint64_t least() const; // the minimum over all pairs of different kinds
 
  private:
   static std::size_t index(Kind a, Kind b) {
--- a/lab/storm/draw.cpp
+++ b/lab/storm/draw.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-// What routers are granted beyond what they are told late and nodes that are cold: their limits halve what they believe
-// in 4 s, and a node that was left out is tried again within about as long.
+// Allowance for the routers beyond the delays of discovery and the warm-up of nodes: their limits halve an
+// estimate in 4 s, and an ejected node is tried again within about the same time.
 constexpr double kGrantedMs = 8000;
-constexpr double kTailMs = 8000; // measured after that
-constexpr double kLeanTo = 0.75; // of the storms begin with a pair seldom seen
-constexpr int kLooks = 12;       // pairs looked at for it
+constexpr double kTailMs = 8000; // observed after that
+constexpr double kLeanTo = 0.75; // share of storms that begin with a rarely covered pair
+constexpr int kLooks = 12;       // pairs considered for it
 
 bool needs_zones(Kind k) { return k == Kind::CutZones || k == Kind::LostZone || k == Kind::SlowLink; }
 
@@ -42,12 +42,12 @@
   double unit() { return draw_uniform(0, 1, engine_); }
   double between(double from, double to) { return draw_uniform(from, to, engine_); }
   bool chance(double share) { return unit() < share; }
-  std::uint32_t whole(std::uint32_t from, std::uint32_t to) { // both may come
+  std::uint32_t whole(std::uint32_t from, std::uint32_t to) { // inclusive
     return std::min(to, from + static_cast<std::uint32_t>(unit() * (to - from + 1)));
   }
   Kind any_kind() { return static_cast<Kind>(whole(0, kKinds - 1)); }
 
-  // ---- which faults ----
+  // ---- fault kinds ----
 
   void kinds(const Coverage& seen) {
     Kind a = any_kind(), b = any_kind();
@@ -98,7 +98,7 @@
       kind.on_cancel = static_cast<OnCancel>(whole(0, 2));
       kind.drops_expired = chance(0.3);
       kind.report.period_ms = between(50, 400);
-      kind.report.delay_ms = between(10, 800); // reports come late
+      kind.report.delay_ms = between(10, 800); // load reports are delayed
       kind.report.on = true;
       spec_.kinds.push_back(kind);
     }
@@ -115,7 +115,7 @@
         if (g.count > 0) spec_.nodes.push_back(g);
       }
     }
-    for (std::uint32_t k = kinds; k-- > 1;) { // a small fleet may have none of a kind
+    for (std::uint32_t k = kinds; k-- > 1;) { // a small fleet may have no node of a kind
       if (std::none_of(spec_.nodes.begin(), spec_.nodes.end(),
                        [&](const NodeGroup& g) { return g.kind == k; })) {
         spec_.kinds.erase(spec_.kinds.begin() + k);
@@ -125,7 +125,7 @@
     for (const NodeGroup& g : spec_.nodes) nodes_ += g.count;
   }
 
-  // ---- what is asked of it ----
+  // ---- the load ----
 
   void load() {
     double power = 0;
@@ -228,7 +228,7 @@
       r.resize.transition_ms = between(2000, 10000);
       r.resize.second_replica_share = chance(0.5) ? 0.3 : 0;
     }
-    DiscoverySpec& d = spec_.discovery; // lists are late by a fifth to one and a half times the usual
+    DiscoverySpec& d = spec_.discovery; // discovery delays are 0.2 to 1.5 times the defaults
     const double late = between(0.2, 1.5);
     for (double* t : {&d.add_min_ms, &d.add_max_ms, &d.notice_min_ms, &d.notice_max_ms, &d.silent_min_ms,
                       &d.silent_max_ms, &d.spread_ms}) {
@@ -237,9 +237,9 @@
     spec_.front.notice_ms = between(300, 2500);
   }
 
-  // ---- what happens ----
+  // ---- the faults ----
 
-  // Nodes for what another event gives back: none is in two such events.
+  // Picks nodes for a fault that a separate event undoes. No node is part of two such faults.
   std::vector<MachineId> part_of_free(double share) {
     std::vector<MachineId> some;
     if (free_.empty() && taken_ == 0) {
@@ -263,7 +263,7 @@
     if (chance(0.2)) p.zone = spec_.nodes[whole(0, static_cast<std::uint32_t>(spec_.nodes.size()) - 1)].zone;
     return p;
   }
-  std::vector<RouterId> some_of_them(double share) { // of the routers, one at least and not all
+  std::vector<RouterId> some_of_them(double share) { // of the routers: at least one, but not all
     const std::uint32_t wanted = std::clamp(static_cast<std::uint32_t>(share * routers_), 1u, routers_ - 1);
     const std::uint32_t first = whole(0, routers_ - 1);
     std::vector<RouterId> some;
@@ -283,7 +283,7 @@
     spec_.events.push_back({std::round(at), label, std::move(what)});
   }
 
-  // Up to `most` of those that nothing replaces yet.
+  // Picks at most the share `max_share` of the nodes that no other such fault has picked.
   template <typename Event>
   void begin_anew(double at, Event what, double most, double lasts) {
     what.who.nodes = part_of_free(between(0.05, most));
@@ -299,7 +299,7 @@
       case Kind::KillRouters: {
         const double down = chance(0.1) && routers_ > 4 ? 0 : lasts;
         RouterPick who = some_routers();
-        if (down == 0) who.share = between(0.05, 0.3); // they stay away
+        if (down == 0) who.share = between(0.05, 0.3); // they are not restarted
         return add(at, RestartRouters{who, RouterEnd::Kill, down, 0, 0});
       }
       case Kind::RestartRouters:
@@ -329,7 +329,7 @@
         return add(at, n);
       }
       case Kind::SilentNodes: return add(at, SilentNodes{some_nodes(), until});
-      // Of those that nothing replaces, as a machine that was replaced does not come back.
+      // Only nodes that are not replaced elsewhere, as a replaced machine does not return.
       case Kind::ColdNodes: return begin_anew(at, RestartNodes{}, 0.6, lasts);
       case Kind::ReplacedNodes: return begin_anew(at, ReplaceNodes{}, 0.3, lasts);
       case Kind::DrainedNodes: {
@@ -368,7 +368,7 @@
         CutRouters cut;
         cut.a.routers = some_of_them(between(0.1, 0.6));
         cut.carries = chance(0.3) ? CutWhat::All : CutWhat::Datagrams;
-        cut.one_way = cut.carries == CutWhat::Datagrams && chance(0.4); // connections have no single way
+        cut.one_way = cut.carries == CutWhat::Datagrams && chance(0.4); // connections can't be cut one way
         cut.until_ms = until;
         return add(at, cut);
       }
@@ -391,7 +391,7 @@
 
   void faults() {
     const double part = size_.whole ? 1 : 0.5;
-    // The first two are open at once.
+    // The first two faults overlap.
     const double together = size_.calm_ms + between(0.2, 0.7) * size_.faults_ms;
     for (std::size_t i = 0; i < kinds_.size(); ++i) {
       double at = i < 2 ? together - between(0, 0.2) * size_.faults_ms
@@ -405,13 +405,13 @@
   }
 
   void finish() {
-    // Faults that stay have no end to settle from.
+    // Permanent faults have no end, so they do not count.
     double last = 0;
     spec_.duration_ms = 1e6;
     for (const Span& s : spans_of(spec_)) {
       if (s.to_ms < 1e6) last = std::max(last, s.to_ms);
     }
-    // What finds nobody is no fault.
+    // Events without targets are removed.
     auto idle = make_plan(spec_).idle;
     std::sort(idle.rbegin(), idle.rend());
     idle.erase(std::unique(idle.begin(), idle.end()), idle.end());
--- a/lab/storm/draw.h
+++ b/lab/storm/draw.h
@@ -1,8 +1,9 @@
-// A storm drawn from a seed: a fleet, its load and settings, and faults that overlap. Pure.
+// Draws a storm from a seed: a fleet, its load and settings, and overlapping faults. Pure.
 //
-// The same seed and coverage give the same storm. What faults take away is given back before the end, so that what a
-// fleet can do afterwards is what it could do before, but for routers that stay away. Sizes are skewed: half of the
-// storms have fewer than six routers and are over in a few thousand requests; two in a hundred have 200 and more.
+// The same seed and coverage give the same storm. Faults are undone before the end, so that the fleet's
+// capacity afterwards equals that before, except for routers that are not restarted. Sizes are skewed: half
+// of the storms have fewer than six routers and a few thousand requests; two in a hundred have 200 routers or
+// more.
 #pragma once
 
 #include "lab/storm/coverage.h"
@@ -10,19 +11,20 @@
 
 namespace fernward::lab::storm {
 
-struct Size { // a storm's bounds
+struct Size { // limits of a storm
   std::uint32_t most_routers = 300, most_nodes = 200;
-  double most_rate = 250;   // requests a second
-  double calm_ms = 3000;    // before the first fault
-  double faults_ms = 10000; // in which faults begin
-  double skew = 4;          // 4: most storms are small; 1: sizes lie evenly between the bounds
-  bool whole = true;        // false: settled soon, for real time: short spans, a short tail
+  double most_rate = 250;   // requests per second
+  double calm_ms = 3000;    // without faults, at the start
+  double faults_ms = 10000; // after that: the period in which faults begin
+  double skew = 4;          // 4: most storms are small; 1: sizes are log-uniform between the limits
+  bool whole = true;        // false: short faults and a short tail, for runs in real time
 };
 
 model::Spec draw(std::uint64_t seed, const Coverage& seen, const Size& size = {});
 
-// From the end of the last fault, by when service must be back, as far as that is the routers' doing alone: how late
-// discovery tells, how long nodes are cold, and what routers are granted. Without the caches' contents: see refill_ms.
+// Time from the end of the last fault until service must have recovered, as far as it depends on the routers:
+// the delays of discovery, the warm-up of nodes, and an allowance for the routers. Excludes refilling caches:
+// see refill_ms.
 double settle_ms(const model::Spec& spec);
 
 } // namespace fernward::lab::storm
--- a/lab/storm/faults.cpp
+++ b/lab/storm/faults.cpp
@@ -59,7 +59,7 @@
   return count;
 }
 
-// Until the nodes named are started again.
+// Returns when the given nodes are started again; the end of the run if they are not.
 double started_again(const Spec& spec, double at, const std::vector<MachineId>& nodes) {
   double back = spec.duration_ms;
   for (const TimedEvent& e : spec.events) {
@@ -75,7 +75,7 @@
 }
 
 double end_of(const Spec& spec, const TimedEvent& e) {
-  constexpr double kReloadMs = 500; // one that is told a file anew: nothing is taken away
+  constexpr double kReloadMs = 500; // a reload: no capacity is removed
   return std::visit(
       [&](const auto& what) {
         using T = std::decay_t<decltype(what)>;
--- a/lab/storm/faults.h
+++ b/lab/storm/faults.h
@@ -1,7 +1,7 @@
-// The kinds of fault that a storm is made of, and when each is open. Pure.
+// The kinds of fault in a storm, and the period during which each is open. Pure.
 //
-// A fault is open from its begin until what it did is undone: a node that is killed, until it is started again; a list
-// that is late, until it has come. Times are milliseconds from the start of the run.
+// A fault is open from its start until its effect is undone: a killed node until it is restarted, a delayed
+// endpoint list until it has arrived. Times are milliseconds from the start of the run.
 #pragma once
 
 #include <array>
@@ -16,12 +16,12 @@
 enum class Kind : std::uint8_t {
   KillRouters,
   RestartRouters,
-  UpgradeRouters, // one batch after the other
+  UpgradeRouters, // in batches, one after another
   ReloadRouters,
   CutZones,
   CutNodes,
   DiscoveryOutage,
-  DiscoveryMove, // a part of the fleet keeps the list as it was until it is reloaded
+  DiscoveryMove, // some routers keep the old list until they are reloaded
   SlowNodes,
   SilentNodes,
   ColdNodes,
@@ -45,16 +45,16 @@
 constexpr std::size_t kKinds = static_cast<std::size_t>(Kind::Count);
 extern const std::array<const char*, kKinds> kKindNames;
 
-// None: what undoes another fault (nodes started again).
+// nullopt: an event that undoes another fault (restarted nodes).
 std::optional<Kind> kind_of(const model::Happening& what);
 
 struct Span {
   Kind kind = Kind::KillRouters;
-  std::uint32_t event = 0; // of Spec::events
+  std::uint32_t event = 0; // index into Spec::events
   double from_ms = 0, to_ms = 0;
 };
 std::vector<Span> spans_of(const model::Spec& spec);
-// When the last fault has ended and all that it took away is back; 0 without faults.
+// When the last fault has ended and its effect is undone; 0 without faults.
 double last_end(const model::Spec& spec);
 
 } // namespace fernward::lab::storm
--- a/lab/storm/lines.cpp
+++ b/lab/storm/lines.cpp
@@ -27,7 +27,7 @@
 } // namespace
 
 Lines::Lines(const std::string& path) : file_(std::fopen(path.c_str(), "w"), &std::fclose) {
-  if (!file_) throw std::runtime_error(path + " can't be written");
+  if (!file_) throw std::runtime_error(path + " can't be opened for writing");
 }
 
 void Lines::on(const Drawn& d) {
--- a/lab/storm/lines.h
+++ b/lab/storm/lines.h
@@ -1,4 +1,5 @@
-// A run's records as text, a line each: what one request went through on either driver is found by its numbers.
+// Writes a run's records as text, one line each. The request, try and attempt numbers in the lines allow
+// following one request on either driver.
 #pragma once
 
 #include <cstdio>
@@ -11,7 +12,7 @@
 
 class Lines : public model::Sink {
  public:
-  explicit Lines(const std::string& path); // throws std::runtime_error where it can't be written
+  explicit Lines(const std::string& path); // throws std::runtime_error if the file can't be opened
 
   using model::Sink::on;
   void on(const model::Drawn& d) override;
--- a/lab/storm/oracles.cpp
+++ b/lab/storm/oracles.cpp
@@ -16,49 +16,52 @@
 
 namespace {
 
-// Bounds, all of them here.
-constexpr double kBackTo = 0.98;            // of the calm figure, metastability
-constexpr double kCalmFrom = 0.95;          // a fleet that serves less on a calm day is too small
-constexpr double kWindowMs = 6000;          // that must be back, each
-constexpr double kNodesFullFrom = 0.7;      // of what nodes can do: from there on some loss is nobody's fault
-constexpr double kOriginFullFrom = 0.7;     // the same of the origin
-constexpr double kNoise = 4;                // standard deviations that chance is granted
-constexpr double kPaceOf = 0.8;             // of that multiple, which is what routers give out
-constexpr double kAddsUp = 0.03;            // of the service, many routers behind four
-constexpr double kStarvedMs = 4000;         // a group without any service while the rest has half of its own
-constexpr std::uint32_t kStarvedLeast = 40; // requests, for that to be seen
-constexpr double kShortFrom = 0.75;         // of the others: with less there is too little for all
+// The bounds of all oracles.
+constexpr double kBackTo = 0.98;        // metastable: share of the fault-free service
+constexpr double kCalmFrom = 0.95;      // a fleet that serves less without faults is too small to judge
+constexpr double kWindowMs = 6000;      // each such window must have recovered
+constexpr double kNodesFullFrom = 0.7;  // of the nodes' capacity: beyond it some loss is expected
+constexpr double kOriginFullFrom = 0.7; // the same for the origin
+constexpr double kNoise = 4;            // standard deviations allowed for chance
+constexpr double kPaceOf = 0.8;         // share of origin_load_multiple that routers use
+constexpr double kAddsUp = 0.03;        // by which many routers may serve less than four
+// Window without service for a group while the others get at least half of theirs.
+constexpr double kStarvedMs = 4000;
+constexpr std::uint32_t kStarvedLeast = 40; // requests in the window, for a judgement
+constexpr double kShortFrom = 0.75;         // service of the others: below this, capacity is short for all
 constexpr double kPartsBeside =
-    1.5; // sum of the parts beside the sum of the limits, as old words differ from new ones
-constexpr double kLivingBeside = 0.1;  // of the routers, or one, that a count may be off by
-constexpr double kFactsGoneMs = 12000; // a fact counts for nothing after that
-constexpr double kAttemptsATry = 2.2;  // at caches, on the whole: retries and copies are a minority
+    1.5; // sum of shared parts over sum of limits: routers act on updates of different age
+constexpr double kLivingBeside = 0.1;  // error allowed in a count: this share of the routers, at least one
+constexpr double kFactsGoneMs = 12000; // after this a fact has expired
+constexpr double kAttemptsATry = 2.2;  // at caches, on average: retries and hedged requests are a minority
 constexpr double kConnectionsARequest = 2.5;
 
 Verdict unjudged(std::string why) { return {false, 0, std::move(why)}; }
 
-// Broken once is beyond the bound, and often is further.
+// One breach violates the bound; the distance grows with the logarithm of their number.
 template <Rule rule>
 Verdict of_rule(const Evidence& e) {
   const RuleFinding& f = e.findings.rules[static_cast<std::size_t>(rule)];
-  if (!f.judged) return unjudged("switched off");
+  if (!f.judged) return unjudged("disabled in the scenario");
   if (f.breaches == 0) return {};
   return {true, 1 + std::log2(static_cast<double>(f.breaches)),
-          format("%llu times; first at %.0f ms: ", static_cast<unsigned long long>(f.breaches),
+          format("%llu breaches; first at %.0f ms: ", static_cast<unsigned long long>(f.breaches),
                  f.first.front().at_ms) +
               f.first.front().what};
 }
 
 Verdict ends(const Evidence& e) {
   if (!e.seen.endless) return {};
-  return {true, 2, format("at %.0f ms more had been done than it can ask for", e.seen.endless_at)};
+  return {true, 2,
+          format("ended at %.0f ms: more events or time than the run can require", e.seen.endless_at)};
 }
 
-// Chance in the service of a window: as of so many requests that are served or not.
+// Allowance for chance in the service of a window, from the binomial distribution of served requests.
 double chance(const Cell& cell, double service) {
   if (cell.drawn == 0) return 1;
   const double p = std::clamp(service, 0.02, 0.98);
-  // Losses come in bursts, and a class that is worth more weighs more: as if there were a quarter as many.
+  // Losses come in bursts, and classes have different priority weights. Both raise the variance, so only a
+  // quarter of the requests count.
   return kNoise * std::sqrt(p * (1 - p) / (0.25 * cell.drawn));
 }
 
@@ -69,32 +72,34 @@
 }
 
 Verdict metastable(const Evidence& e) {
-  if (!e.calm) return unjudged("no calm run beside it");
+  if (!e.calm) return unjudged("no fault-free reference run");
   if (e.seen.endless) return unjudged("the run was ended");
   const double ended = last_end(e.spec);
   const double calm = over(e.calm->whole, ended, e.spec.duration_ms).service();
-  if (calm < kCalmFrom) return unjudged(format("it serves %.1f%% on a calm day", 100 * calm));
+  if (calm < kCalmFrom) return unjudged(format("only %.1f%% service without faults", 100 * calm));
   const double used = used_after(e.spec, e.plan);
   if (used > kNodesFullFrom)
-    return unjudged(format("nodes are asked for %.0f%% of what they can do", 100 * used));
+    return unjudged(format("offered work is %.0f%% of the nodes' capacity", 100 * used));
   const double refill = refill_ms(e.spec, lost_contents(e.plan), steady_at_origin(e));
   const double from = ended + settle_ms(e.spec) + refill;
-  if (!(from + kWindowMs <= e.spec.duration_ms)) return unjudged("caches are not full again before its end");
+  if (!(from + kWindowMs <= e.spec.duration_ms))
+    return unjudged("caches can't be refilled before the run ends");
   Verdict worst;
   for (double at = std::ceil(from / kStepMs) * kStepMs; at + kWindowMs <= e.spec.duration_ms; at += kStepMs) {
     const Cell now = over(e.seen.whole, at, at + kWindowMs);
     const double least = kBackTo * calm - chance(now, calm);
     const double distance = (calm - now.service()) / std::max(1e-9, calm - least);
     if (now.drawn == 0 || distance <= worst.distance) continue;
-    worst = {true, distance,
-             format("%.1f%% from %.0f ms on, %.0f ms after the last fault; calm %.1f%%, bound %.1f%%",
-                    100 * now.service(), at, at - ended, 100 * calm, 100 * least)};
+    worst = {
+        true, distance,
+        format("%.1f%% from %.0f ms on, %.0f ms after the last fault; without faults %.1f%%, bound %.1f%%",
+               100 * now.service(), at, at - ended, 100 * calm, 100 * least)};
   }
   return worst;
 }
 
 Verdict adds_up(const Evidence& e) {
-  if (!e.four) return unjudged("too few routers to set beside four");
+  if (!e.four) return unjudged("too few routers to compare with four");
   if (e.seen.endless || e.four->endless) return unjudged("the run was ended");
   const Cell many = over(e.seen.whole, 0, e.spec.duration_ms),
              four = over(e.four->whole, 0, e.spec.duration_ms);
@@ -104,7 +109,7 @@
           format("%.1f%%, with four routers %.1f%%", 100 * many.service(), 100 * four.service())};
 }
 
-// Faults that take a zone's service whatever routers do.
+// Whether a fault reduces the zone's service regardless of what routers do.
 bool zone_struck(const Evidence& e, std::uint32_t zone, double from, double to) {
   for (const TimedEvent& event : e.spec.events) {
     const bool met = std::visit(
@@ -139,7 +144,7 @@
   return "tenant " + spec.tenants[g.number].name;
 }
 
-// Writes and misses need the origin, so that a class of writes falls with it.
+// Writes and misses need the origin, so a class of writes fails with it.
 bool origin_struck(const Evidence& e, double from, double to) {
   return std::any_of(e.spec.events.begin(), e.spec.events.end(), [&](const TimedEvent& event) {
     const bool origin =
@@ -158,7 +163,7 @@
   });
 }
 
-// Is the class worth less than all others? Such requests are refused first where there is not enough for all.
+// Whether the class has the lowest priority weight. Its requests are rejected first when capacity is short.
 bool worth_least(const Spec& spec, std::uint32_t cls) {
   return spec.classes.size() > 1 && std::all_of(spec.classes.begin(), spec.classes.end(), [&](const auto& c) {
            return &c == &spec.classes[cls] || c.worth > spec.classes[cls].worth;
@@ -185,7 +190,7 @@
           (static_cast<double>(all.served) - own.served) / (static_cast<double>(all.drawn) - own.drawn);
       const double served = static_cast<double>(own.served) / own.drawn;
       if (others < 0.5) continue;
-      // Beyond the bound where it gets less than a twentieth of what the others get.
+      // Broken if the group's service is below a twentieth of the others'.
       const double distance = 0.05 * others / std::max(served, 0.005);
       if (distance <= worst.distance) continue;
       if (g.by == Group::By::Zone && zone_struck(e, g.number, from, to)) continue;
@@ -207,7 +212,7 @@
           format(" at %.0f ms, %.0f ms after all others had withdrawn it", e.seen.alone_at, e.seen.alone_ms)};
 }
 
-// Has a router lied, or been told lies that still count?
+// Whether a router sends false facts, or false facts may not have expired yet.
 bool lied_to(const Evidence& e, double at) {
   return std::any_of(e.spec.events.begin(), e.spec.events.end(), [&](const TimedEvent& event) {
     const auto* liar = std::get_if<LyingRouter>(&event.what);
@@ -222,18 +227,18 @@
   for (std::size_t i = 0; i < e.seen.held.size(); ++i) {
     const Held& h = e.seen.held[i];
     if (!h.all_parts || h.limits <= 0 || h.routers < 2 || lied_to(e, h.at)) continue;
-    // A limit that was cut just now is still believed for as long as a fact may be: a part is never more than was held.
+    // A limit that was just reduced is used by others until the fact expires, so the highest recent sum is
+    // the reference.
     double most = h.limits;
     for (std::size_t j = i; j-- > 0 && e.seen.held[j].at >= h.at - kFactsGoneMs;) {
       most = std::max(most, e.seen.held[j].limits);
     }
     const double distance = h.parts / most / kPartsBeside;
     if (distance <= worst.distance) continue;
-    worst = {
-        true, distance,
-        format(
-            "at %.0f ms %u routers had parts of %.1f together, and limits of %.1f within what a fact lives",
-            h.at, h.routers, h.parts, most)};
+    worst = {true, distance,
+             format("at %.0f ms the shared parts of %u routers sum to %.1f, their limits to %.1f within a "
+                    "fact's lifetime",
+                    h.at, h.routers, h.parts, most)};
   }
   return worst;
 }
@@ -248,7 +253,7 @@
     const double distance = off / (1 + std::max(1.0, kLivingBeside * h.up));
     if (distance <= worst.distance) continue;
     worst = {true, distance,
-             format("at %.0f ms %u routers run, and are counted as %.0f to %.0f", h.at, h.up, h.least_living,
+             format("at %.0f ms %u routers run, but are counted as %.0f to %.0f", h.at, h.up, h.least_living,
                     h.most_living)};
   }
   return worst;
@@ -258,13 +263,13 @@
   const Work& w = e.seen.work;
   if (w.tries < 200) return unjudged("too few tries");
   const double each = static_cast<double>(w.at_caches) / static_cast<double>(w.tries);
-  return {true, each / kAttemptsATry, format("%.2f attempts at caches a try", each)};
+  return {true, each / kAttemptsATry, format("%.2f attempts at caches per try", each)};
 }
 
 Verdict bounded_connections(const Evidence& e) {
   const Work& w = e.seen.work;
   if (w.tries < 200) return unjudged("too few tries");
-  // Each router needs one to each node and a few to the origin, whatever is asked.
+  // Each router needs one to each node and a few to the origin, whatever the load.
   const double base =
       4.0 * static_cast<double>(e.plan.routers.size()) * static_cast<double>(e.plan.machines.size());
   const double bound = base + kConnectionsARequest * 0.4 * static_cast<double>(w.tries);
@@ -274,7 +279,7 @@
 
 } // namespace
 
-// ---- bounds from the model ----
+// ---- bounds computed from the model ----
 
 double lost_contents(const Plan& plan) {
   std::set<MachineId> lost;
@@ -290,13 +295,14 @@
 double refill_ms(const Spec& spec, double lost_share, double steady_per_s) {
   if (!spec.origin.on || lost_share <= 0) return 0;
   double spare = kOriginFullFrom * spec.origin.capacity_per_s - steady_per_s;
-  // Where the routers are told to keep fetches below a multiple of the steady rate, no more is to be had of it.
+  // If settings limit fetches to a multiple of the steady rate, the rest of the origin's capacity is
+  // unavailable.
   const ResizeSettings& resize = spec.routers.resize;
   if (resize.transition_ms > 0 && resize.origin_load_multiple > 0) {
     spare = std::min(spare, (kPaceOf * resize.origin_load_multiple - 1) * steady_per_s);
   }
   if (spare <= 0) return std::numeric_limits<double>::infinity();
-  // Ranks in bands of like popularity: how many, and the rate of each.
+  // Groups key ranks into bands of similar popularity: the number of keys and the relative rate of each.
   double sum = 0;
   std::vector<std::pair<double, double>> bands;
   for (std::uint32_t rank = 1; rank <= spec.keys.count;) {
@@ -306,12 +312,12 @@
     sum += many * p;
     rank += many;
   }
-  // `seen`: as long as the keys were asked for while all that was missed was fetched at once. It passes more slowly
-  // where the origin can't fetch as fast as keys are missed.
+  // `effective_s`: the time for which keys have been requested if each miss is fetched at once. It advances
+  // more slowly while the origin can't fetch as fast as keys are missed.
   constexpr double kDt = 0.1;
   double seen = 0;
   for (double t = 0; t < 120; t += kDt) {
-    double missed = 0; // a second
+    double missed = 0; // per second
     for (const auto& [many, p] : bands) {
       const double rate = spec.load.rate_per_s * p / sum;
       missed += lost_share * many * rate * std::exp(-rate * seen);
@@ -351,39 +357,43 @@
       {"one-answer", "exactly one final answer for each request that a router took", Sure::Always,
        "counted by request on both sides", &of_rule<Rule::OneAnswer>},
       {"no-lost", "no request without an answer in time", Sure::Always,
-       "counted by request; what a dead router took is not owed", &of_rule<Rule::NoLost>},
-      {"repeats", "no attempt or refusal beyond what the class allows", Sure::Always,
-       "each attempt is seen where it arrives", &of_rule<Rule::Repeats>},
-      {"drains", "nothing new to a draining or gone node after the grace", Sure::Always,
-       "against the moment at which that router was told", &of_rule<Rule::Drains>},
-      {"cold-nodes", "no cold node pushed over", Sure::Mostly,
-       "routers that know may together send too much by chance of a few heavy requests",
+       "counted by request; requests accepted by a router that died are excluded", &of_rule<Rule::NoLost>},
+      {"repeats", "no attempt or rejection beyond what the class allows", Sure::Always,
+       "each attempt is recorded where it arrives", &of_rule<Rule::Repeats>},
+      {"drains", "no new attempt to a draining or gone node after the grace period", Sure::Always,
+       "measured from the time at which that router was notified", &of_rule<Rule::Drains>},
+      {"cold-nodes", "no cold node overloaded", Sure::Mostly,
+       "notified routers may together send too much if a few expensive requests coincide",
        &of_rule<Rule::ColdNodes>},
-      {"genuine", "served only with what a node made for the request", Sure::Always, "every byte is compared",
-       &of_rule<Rule::Genuine>},
-      {"alive", "no router crashes", Sure::Always, "seen by who started it", &of_rule<Rule::Alive>},
+      {"genuine", "each served response is the one a node made for the request", Sure::Always,
+       "every byte is compared", &of_rule<Rule::Genuine>},
+      {"alive", "no router crashes", Sure::Always, "observed by the process that started it",
+       &of_rule<Rule::Alive>},
       {"accounts", "the lab followed each request to its end", Sure::Always,
-       "a fault of the lab's, not of a router's", &of_rule<Rule::Accounts>},
-      {"ends", "a run ends, with no more done than it can ask for", Sure::Always,
-       "a bound on events, ten times above what storms come to", &ends},
-      {"metastable", "after the last fault service is back to 98% of the calm figure in time, for good",
-       Sure::Mostly, "chance is granted four deviations, and lost caches the time that the origin needs",
+       "a defect of the lab, not of a router", &of_rule<Rule::Accounts>},
+      {"ends", "a run ends, without more events than it can require", Sure::Always,
+       "the bound on events is ten times what storms need", &ends},
+      {"metastable",
+       "after the last fault service recovers in time to 98% of the fault-free figure, and stays there",
+       Sure::Mostly,
+       "chance is allowed four deviations, and lost caches the time that the origin needs to refill them",
        &metastable},
       {"adds-up", "many routers serve as well as four would in the same storm, within 3 points", Sure::Mostly,
        "faults that pick a share of the routers can't pick the same", &adds_up},
-      {"starves", "no zone, class or tenant goes without while the others are served", Sure::Mostly,
-       "classes lean on the origin and on nodes differently", &starves},
+      {"starves", "no zone, class or tenant is left unserved while the others are served", Sure::Mostly,
+       "classes depend differently on the origin and on nodes", &starves},
       {"alone", "nothing is sent to a node that all other routers withdrew", Sure::Mostly,
-       "news may still be on its way to one; routers that could not be told are let off", &alone},
+       "an update may still be under way to one router; routers that could not be notified are excluded",
+       &alone},
       {"parts",
-       "the parts of the ledger's limit that routers hold come to 1.5 times the sum of their limits at most",
-       Sure::Mostly, "words that are under way differ from those that count", &parts_add_up},
-      {"living", "when faults are over each router counts those that run, but for one or a tenth",
-       Sure::Mostly, "lost datagrams may make one doubt another for a while", &counts_living},
-      {"attempts", "at most 2.2 attempts at caches a try, over the whole run", Sure::Mostly,
-       "bad enough storms ask for more", &bounded_attempts},
-      {"connections", "new connections stay below one a request, beside those that routers need for a start",
-       Sure::Mostly, "nodes that close early, and answers that break, cost one each", &bounded_connections},
+       "the routers' shared parts of the origin limit sum to at most 1.5 times the sum of their limits",
+       Sure::Mostly, "updates under way differ from those already applied", &parts_add_up},
+      {"living", "after the faults each router's count of living routers is right within one or a tenth",
+       Sure::Mostly, "lost datagrams may make one router suspect another for a while", &counts_living},
+      {"attempts", "at most 2.2 attempts at caches per try, over the complete run", Sure::Mostly,
+       "severe storms require more", &bounded_attempts},
+      {"connections", "new connections stay below one per request, plus those that routers need at the start",
+       Sure::Mostly, "nodes that close early, and broken responses, cost one each", &bounded_connections},
   };
   return all;
 }
--- a/lab/storm/oracles.h
+++ b/lab/storm/oracles.h
@@ -1,8 +1,9 @@
-// The oracles: each judges one thing by the records of a run, says how far from its bound the run was, and how sure it is
-// that a run beyond the bound is the routers' fault. Pure: evidence in, verdicts out.
+// Oracles: each checks one requirement against the records of a run, reports the distance from its bound, and
+// states how confident it is that a violation is a defect of the routers. Pure functions from evidence to
+// verdicts.
 //
-// A distance of 1 and more is beyond the bound; 0 is as well as can be. What an oracle can't judge in a storm it says so
-// of, and is counted apart: it is neither kept nor broken.
+// A distance of 1 or more violates the bound; 0 is the best possible. If an oracle can't judge a storm, its
+// verdict says why and counts as neither kept nor broken.
 #pragma once
 
 #include <array>
@@ -16,8 +17,10 @@
 namespace fernward::lab::storm {
 
 enum class Sure {
-  Always, // a run beyond the bound is a defect of the program or of the oracle
-  Mostly // chance and what the model leaves out may do it: told with its distance, never a verdict of CI by itself
+  Always, // a violation is a defect of the program or of the oracle
+  // Chance or a simplification of the model may cause a violation: it is reported with its distance, and
+  // never fails CI by itself.
+  Mostly
 };
 
 struct Evidence {
@@ -26,13 +29,13 @@
   Findings findings;
   Seen seen;
   std::optional<Seen> calm; // the same fleet, seed and load without faults
-  std::optional<Seen> four; // the same storm before four routers
+  std::optional<Seen> four; // the same storm with four routers
 };
 
 struct Verdict {
   bool judged = true;
   double distance = 0;
-  std::string what; // of what was seen, in a line; why not where it was not judged
+  std::string what; // the observation in one line; if not judged, the reason
   bool broken() const { return judged && distance >= 1; }
 };
 
@@ -40,22 +43,24 @@
   const char* name;
   const char* says; // what must hold
   Sure sure;
-  const char* because; // of how sure it is
+  const char* because; // for the confidence
   Verdict (*judge)(const Evidence& e);
 };
 const std::vector<Oracle>& oracles();
-const Oracle* find_oracle(const std::string& name); // nullptr: there is none of that name
+const Oracle* find_oracle(const std::string& name); // nullptr: unknown name
 
-std::vector<Verdict> judge(const Evidence& e); // of each oracle, in order
+std::vector<Verdict> judge(const Evidence& e); // one for each oracle, in the order of oracles()
 
-// ---- bounds that are worked out from the model ----
+// ---- bounds computed from the model ----
 
-// How long after the last fault the origin has to fetch again what was lost with caches, as fast as it can beside its
-// steady work; infinite where it never can. `steady_per_s`: fetches and writes that reach it on a calm day, in fetches.
+// Time after the last fault that the origin needs to refill the caches with its spare capacity; infinite if
+// that never suffices. `steady_fetches_per_s`: the origin's load without faults, fetches and writes, in units
+// of one fetch.
 double refill_ms(const model::Spec& spec, double lost_share, double steady_per_s);
-// Share of the caches' contents that faults threw away, each node's counted once.
+// Share of the caches' contents lost through faults, each node counted once.
 double lost_contents(const model::Plan& plan);
-// Work that is asked beside what all nodes can do when the last fault has ended; above 1 everybody must lose.
+// Offered work relative to the capacity of the nodes in service after the last fault; above 1 losses are
+// inevitable.
 double used_after(const model::Spec& spec, const model::Plan& plan);
 
 } // namespace fernward::lab::storm
--- a/lab/storm/page.cpp
+++ b/lab/storm/page.cpp
@@ -29,7 +29,7 @@
 
 using Number = unsigned long long;
 
-// The darker the fewer.
+// The colour class of a cell: less coverage is darker.
 const char* shade(std::uint64_t seen) {
   return seen == 0 ? "c0" : seen < 20 ? "c1" : seen < 100 ? "c2" : "c3";
 }
@@ -38,7 +38,8 @@
 
 std::string sum_text(const Sum& sum) {
   std::string out = format(
-      "%llu storms, %llu requests, %.0f s played; each pair of faults open at once in %llu storms at least\n",
+      "%llu storms, %llu requests, %.0f s simulated; each pair of faults open at once in at least %llu "
+      "storms\n",
       Number{sum.storms}, Number{sum.requests}, sum.played_s, Number{sum.coverage.least()});
   out += format("slowest: seed %llu, %.1f s\n", Number{sum.slowest_seed}, sum.slowest_s);
   out +=
@@ -67,7 +68,7 @@
          "dcfce7}"
          "p.s{color:#606060}</style>\n";
   out << "<h1>" << sum.storms << " storms, seeds from " << season.first_seed << "</h1>\n<p>" << sum.requests
-      << " requests in " << format("%.0f", sum.played_s) << " s of the storms' own time.</p>\n";
+      << " requests in " << format("%.0f", sum.played_s) << " s of storm time.</p>\n";
   out << "<h2>Oracles</h2>\n<table><tr><th>oracle<th>what must "
          "hold<th>sure<th>judged<th>broken<th>furthest<th>first seed\n";
   for (std::size_t i = 0; i < sum.oracles.size(); ++i) {
@@ -79,8 +80,8 @@
         << "\n";
   }
   out << "</table>\n<h2>Faults open at once</h2>\n<p class=s>In how many storms a request met both, at the "
-         "stage where that was "
-         "seldom seen least; all stages in the title of a cell. Red: never.</p>\n<table class=p><tr><th>";
+         "stage that was "
+         "covered least; all stages in the title of a cell. Red: never.</p>\n<table class=p><tr><th>";
   for (std::size_t b = 0; b < kKinds; ++b) out << "<th class=v>" << kKindNames[b];
   for (std::size_t a = 0; a < kKinds; ++a) {
     out << "\n<tr><th>" << kKindNames[a];
--- a/lab/storm/page.h
+++ b/lab/storm/page.h
@@ -1,5 +1,5 @@
-// What is left of a season of storms: a page with the oracles, the table of fault pairs and the worst storms; and for each
-// storm that is worth a look a scenario file that names its oracle.
+// Reports of a campaign of storms: a text summary, an HTML page with the oracles, the coverage of fault pairs
+// and the worst storms, and scenario files that name the oracle a storm has broken.
 #pragma once
 
 #include <optional>
@@ -12,13 +12,14 @@
 std::string sum_text(const Sum& sum); // for a terminal
 std::string page_html(const Sum& sum, const Season& season);
 
-// A scenario file with its oracle in the first lines: "# oracle: NAME" and "# verdict: broken" or "kept".
+// The first lines of such a scenario file: "# oracle: NAME" and "# verdict: broken" or "# verdict: kept".
 struct Expected {
   const Oracle* oracle = nullptr;
   bool broken = true;
 };
 std::string storm_text(const model::Spec& spec, const Expected& expected, const std::string& note);
-// What such a file expects; none: it says nothing of the kind. Throws std::invalid_argument for an oracle that is unknown.
+// The verdict that such a file expects; nullopt if it names no oracle. Throws std::invalid_argument for an
+// unknown oracle or verdict.
 std::optional<Expected> expected_of(const std::string& file_text);
 
 } // namespace fernward::lab::storm
--- a/lab/storm/shrink.cpp
+++ b/lab/storm/shrink.cpp
@@ -29,7 +29,7 @@
   return count;
 }
 
-// Calls what(NodePick&) and what(RouterPick&) for each of the event's.
+// Calls visit_pick(NodePick&) or visit_pick(RouterPick&) for each pick of the event.
 template <typename Do>
 void each_pick(Happening& event, Do what) {
   std::visit(
@@ -41,7 +41,8 @@
       event);
 }
 
-// What a cut left behind that can't be played: events past the end, and those that find nobody.
+// Removes what can't run after a reduction: events past the end, and events without targets. False: the spec
+// is invalid.
 bool mend(Spec& spec) {
   std::erase_if(spec.events, [&](const TimedEvent& e) { return e.at_ms >= spec.duration_ms; });
   for (TimedEvent& e : spec.events) {
@@ -60,7 +61,8 @@
   return true;
 }
 
-// Leaves `keep(number)` of the nodes; picks by number follow.
+// Keeps the nodes for which `keep(number)` is true, and renumbers picks by number. False: fewer than two
+// remain.
 template <typename Keep>
 bool keep_nodes(Spec& spec, Keep keep) {
   std::vector<std::optional<MachineId>> now(total(spec));
@@ -149,7 +151,7 @@
   return true;
 }
 
-// Its nodes and routers come to the first one, its faults are dropped.
+// Moves the last zone's nodes and routers to the first zone, and removes its faults.
 bool drop_last_zone(Spec& spec) {
   if (spec.zones.size() < 2) return false;
   const auto gone = static_cast<std::uint32_t>(spec.zones.size() - 1);
@@ -202,7 +204,7 @@
  private:
   bool used_up() const { return out_.plays >= most_; }
 
-  // Takes the cut where the storm still breaks.
+  // Accepts the reduction if the storm still breaks the oracle.
   template <typename Cut>
   bool attempt(Cut cut) {
     if (used_up()) return false;
@@ -236,7 +238,7 @@
         return s.duration_ms >= kLeastMs;
       })) {}
     }
-    // All of it earlier.
+    // Moves all events earlier.
     while (attempt([](Spec& s) {
       double first = s.duration_ms;
       for (const TimedEvent& e : s.events) first = std::min(first, e.at_ms);
@@ -310,7 +312,7 @@
         return true;
       });
     }
-    // Settings at their defaults.
+    // Sets settings back to their defaults.
     const Spec usual;
     const auto back = [&](auto member) {
       attempt([&](Spec& s) {
--- a/lab/storm/shrink.h
+++ b/lab/storm/shrink.h
@@ -1,8 +1,9 @@
-// Makes a storm smaller while the same oracle still says that it is broken. Pure but for `broken`, which plays.
+// Reduces a storm while the same oracle still reports it as broken. Pure except for `distance_of`, which runs
+// storms.
 //
-// Tried in turn, the largest cuts first, until nothing helps or the plays are used up: fewer faults, shorter faults, a
-// shorter run, fewer routers, nodes, zones, classes and tenants, less load, and settings back at their defaults. A storm
-// that breaks another oracle alone is not taken: shrinking follows one defect.
+// Reductions are tried in turn, the largest first, until none succeeds or `max_runs` is reached: fewer
+// faults, shorter faults, a shorter run, fewer routers, nodes, zones, classes and tenants, less load, and
+// default settings. A storm that breaks only another oracle is not accepted: shrinking follows one defect.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +15,10 @@
 
 struct Shrunk {
   model::Spec spec;
-  std::uint32_t plays = 0, cuts = 0; // cuts that were taken
+  std::uint32_t plays = 0, cuts = 0; // reductions: those that were accepted
 };
 
-// `broken(spec)`: the oracle's distance where it is beyond its bound, else below 1.
+// `distance_of(spec)`: the oracle's distance if it is broken, else a value below 1.
 Shrunk shrink(const model::Spec& spec, const std::function<double(const model::Spec&)>& broken,
               std::uint32_t most_plays = 400);
 
--- a/lab/storm/storm.cpp
+++ b/lab/storm/storm.cpp
@@ -15,12 +15,12 @@
 namespace {
 
 constexpr std::uint64_t kBatch = 64;
-constexpr std::uint64_t kLook = 4096;     // events between two calls of RunControl::progress in virtual time
-constexpr double kBeyondEndMs = 120000;   // no run has anything to do so long after its last request
-constexpr double kNewsMs = 2000;          // beyond discovery's own delays, for news that one has not had
-constexpr std::uint32_t kManyRouters = 6; // from there on a storm is set beside one with four
+constexpr std::uint64_t kLook = 4096;   // events between two calls of RunControl::progress in virtual time
+constexpr double kBeyondEndMs = 120000; // no run has work left this long after its last request
+constexpr double kNewsMs = 2000; // allowed beyond discovery's own delays for an update to reach a router
+constexpr std::uint32_t kManyRouters = 6; // from this number on also run with four routers
 
-// Ten times what storms come to: each request and each of its tries, and what goes on for every router and machine.
+// Ten times what storms need: events for each request and try, and periodic work of each router and machine.
 std::uint64_t most_events(const Spec& spec, const Plan& plan) {
   double factor = 1;
   for (const RateChange& r : plan.rates) factor *= std::max(1.0, r.factor);
@@ -39,7 +39,7 @@
   RunInfo info;
 };
 
-// `stages` and `hears` may be nullptr.
+// `stages` and `record_sink` may be nullptr.
 Run run(const Rig& rig, const Spec& spec, const Plan& plan, StageWatch* stages, Sink* hears,
         std::stop_token stop) {
   Checker checker(spec, plan, rig.exact ? virtual_slack(spec) : kSocketsSlackMs);
@@ -98,7 +98,7 @@
     ++groups[g].count;
     ++dealt;
   }
-  // A reload that goes round takes as long as before.
+  // A rolling reload takes as long as before.
   for (TimedEvent& e : four.events) {
     if (auto* move = std::get_if<DiscoveryMove>(&e.what))
       move->reload_after_ms *= all / static_cast<double>(dealt);
@@ -191,7 +191,7 @@
     if (count.broken++ == 0) count.first_seed = seed;
     sum.worst.push_back({seed, i, v, spec});
   }
-  // What is surely a defect goes before what may be one.
+  // Certain oracles are listed before statistical ones.
   const auto before = [](const Told& a, const Told& b) {
     const Sure x = storm::oracles()[a.oracle].sure, y = storm::oracles()[b.oracle].sure;
     if (x != y) return x < y;
@@ -199,7 +199,7 @@
     return a.seed < b.seed;
   };
   std::sort(sum.worst.begin(), sum.worst.end(), before);
-  // Of each oracle's, else one that is broken often hides the others' storms.
+  // Limited for each oracle, as otherwise an often broken oracle would displace the others' storms.
   std::vector<std::size_t> kept(storm::oracles().size());
   std::erase_if(sum.worst, [&](const Told& t) { return ++kept[t.oracle] > most; });
 }
--- a/lab/storm/watch.cpp
+++ b/lab/storm/watch.cpp
@@ -48,7 +48,7 @@
     if (const auto* o = std::get_if<DiscoveryOutage>(&e.what)) {
       outages_.emplace_back(e.at_ms, o->until_ms > 0 ? o->until_ms : spec.duration_ms);
     }
-    if (const auto* m = std::get_if<DiscoveryMove>(&e.what)) { // each until it is reloaded
+    if (const auto* m = std::get_if<DiscoveryMove>(&e.what)) { // each router until it is reloaded
       for (RouterId r = 0; r < plan.routers.size(); ++r) {
         unheard_until_[r] = std::max(unheard_until_[r], e.at_ms + m->reload_after_ms * (r + 1));
       }
@@ -100,10 +100,10 @@
   if (a.machine >= believers_.size() || a.router >= up_.size()) return;
   const std::size_t own = std::size_t{a.router} * believers_.size() + a.machine;
   if (believers_[a.machine] != 1 || !believed_[own]) return;
-  if (std::count(up_.begin(), up_.end(), 1) < 3) return; // of two, neither is "everybody else"
+  if (std::count(up_.begin(), up_.end(), 1) < 3) return; // with two routers there is no majority
   const double alone = a.sent_at - withdrawn_at_[a.machine];
   if (alone < withdrawn_ms_) return;
-  for (RouterId r = 0; r < up_.size(); ++r) { // one that hears nothing may be wrong about it, too
+  for (RouterId r = 0; r < up_.size(); ++r) { // a router that misses updates may itself be wrong
     if (up_[r] && (silent_[r] || excused(r, withdrawn_at_[a.machine], a.sent_at))) return;
   }
   ++seen_.alone;
@@ -113,7 +113,7 @@
   seen_.alone_what = plan_.routers[a.router].name + " sent to " + plan_.machines[a.machine].name;
 }
 
-// Could the router not be told, for a while between the two?
+// Whether the router could not be notified for some time between `from` and `to`.
 bool Watch::excused(RouterId router, double from, double to) const {
   if (unheard_until_[router] + withdrawn_ms_ > from) return true;
   return std::any_of(outages_.begin(), outages_.end(),
@@ -126,7 +126,7 @@
   believed = in_service ? 1 : 0;
   const std::uint32_t before = believers_[machine];
   believers_[machine] = in_service ? before + 1 : before - 1;
-  // The first to hear of a start is not the last to hear of an end.
+  // The first router notified of a start is not the last one notified of an end.
   if (in_service || before == 2) withdrawn_at_[machine] = now;
 }
 
--- a/lab/storm/watch.h
+++ b/lab/storm/watch.h
@@ -1,5 +1,6 @@
-// What the oracles judge by, of one run: worth asked and earned in steps of half a second, of the whole and of each zone,
-// class and tenant; work done for it; what nobody but one router believed. Memory: the run's steps and what is open.
+// Collects the observations of one run for the oracles: offered and served priority weight in steps of half a
+// second, overall and by zone, class and tenant; the work done; attempts to nodes that only one router still
+// has in service. Memory: the steps of the run and the open requests.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +15,7 @@
 constexpr double kStepMs = 500;
 
 struct Cell {
-  double asked = 0, earned = 0; // worth
+  double asked = 0, earned = 0; // priority weight
   std::uint32_t drawn = 0, served = 0;
   void add(const Cell& other) {
     asked += other.asked;
@@ -25,41 +26,42 @@
   double service() const { return asked > 0 ? earned / asked : 1; }
 };
 
-using Series = std::vector<Cell>;                              // by step; a request counts where it was drawn
-Cell over(const Series& series, double from_ms, double to_ms); // steps that begin within
+using Series = std::vector<Cell>; // by step; a request counts in the step of its arrival
+Cell over(const Series& series, double from_ms, double to_ms); // the steps that begin in [from_ms, to_ms)
 
-struct Group { // of requests
+struct Group { // of requests with the same zone, class or tenant
   enum class By { Zone, Class, Tenant } by = By::Zone;
   std::uint32_t number = 0;
   Series series;
 };
 
 struct Work {
-  std::uint64_t requests = 0, tries = 0; // tries that a router took
+  std::uint64_t requests = 0, tries = 0; // tries: accepted by a router
   std::uint64_t at_caches = 0, at_origin = 0, writes = 0;
   double connections = 0;
 };
 
-// What routers that share hold, at one moment.
+// The state of the routers that share an origin limit by gossip, at one time.
 struct Held {
   double at = 0;
-  std::uint32_t routers = 0, up = 0;        // that said something; whose process runs
-  double least_living = 0, most_living = 0; // that one of them counts
-  double limits = 0, parts = 0;             // at the origin, of all; parts: as far as they have one
-  bool all_parts = false;                   // each has one
+  std::uint32_t routers = 0, up = 0;        // that reported; whose process runs
+  double least_living = 0, most_living = 0; // living routers as counted by one of them
+  double limits = 0, parts = 0;             // at the origin, summed; parts: of those that have one
+  bool all_parts = false;                   // each reporting router has a shared part
 };
 
 struct Seen {
   Series whole;
-  std::vector<Held> held; // once a second, where routers share
+  std::vector<Held> held; // once a second, if routers share
   std::vector<Group> groups;
   Work work;
-  // Attempts to a node that every other router in service had been told for `withdrawn_ms` that it is gone or drains,
-  // from one that could have been told, and how long after that the latest went out.
+  // Attempts to a node that all other running routers had known for `min_withdrawn_ms` to be gone or
+  // draining, from a router that could have been notified; and the longest time after the withdrawal at which
+  // one was sent.
   std::uint64_t alone = 0;
   double alone_ms = 0, alone_at = 0;
   std::string alone_what;
-  bool endless = false; // more was done than the run can ask for: it was ended
+  bool endless = false; // more events occurred than the run can require, so it was ended
   double endless_at = 0;
 };
 
@@ -82,7 +84,7 @@
  private:
   struct Open {
     std::uint32_t step = 0, zone = 0, cls = 0, tenant = 0;
-    bool over = false; // beyond its tenant's quota: it is promised nothing
+    bool over = false; // beyond its tenant's quota: no service is guaranteed
   };
   template <typename Do>
   void each(const Open& open, Do what);
@@ -94,12 +96,12 @@
   const double withdrawn_ms_;
   Seen seen_;
   std::unordered_map<model::RequestNumber, Open> open_;
-  std::vector<char> up_;       // routers
-  std::vector<char> silent_;   // those that are cut off from everything, for now
-  std::vector<char> believed_; // by router and machine
+  std::vector<char> up_;       // by router
+  std::vector<char> silent_;   // by router: currently cut off from everything
+  std::vector<char> believed_; // by router and machine: the router has it in service
   std::vector<std::uint32_t> believers_;
-  std::vector<double> withdrawn_at_;  // by machine: when fewer than two were left that believed it in service
-  std::vector<double> unheard_until_; // by router: it could not be told before this
+  std::vector<double> withdrawn_at_;  // by machine: when fewer than two routers still had it in service
+  std::vector<double> unheard_until_; // by router: it could not be notified before this time
   std::vector<std::pair<double, double>> outages_;
 };
 
