--- a/lab/virtual/agenda.h
+++ b/lab/virtual/agenda.h
@@ -1,4 +1,4 @@
-// What is due when, and tables of numbered slots whose storage is used again.
+// The event queue of the simulation, and tables of numbered slots whose storage is reused.
 #pragma once
 
 #include <algorithm>
@@ -12,12 +12,12 @@
 namespace fernward::lab {
 
 using Handle =
-    std::uint64_t; // generation << 20 | slot: below 2^52, never 0; one that is out of date finds nothing
+    std::uint64_t; // generation << 20 | slot: below 2^52, never 0; an outdated handle finds nothing
 
 template <typename T>
 class Table {
  public:
-  Handle add() { // a value as new
+  Handle add() { // default-initializes the value
     std::uint32_t at;
     if (free_.empty()) {
       at = static_cast<std::uint32_t>(entries_.size());
@@ -47,7 +47,7 @@
     --used_;
   }
   std::size_t size() const { return used_; }
-  // visit(handle, value) for each in use; it may remove, and must not add.
+  // Calls visit(handle, value) for each slot in use. It may remove entries, but must not add any.
   template <typename Visit>
   void each(Visit visit) {
     for (std::size_t at = 0; at < entries_.size(); ++at) {
@@ -69,25 +69,25 @@
   std::size_t used_ = 0;
 };
 
-enum class Due : std::uint32_t { // `number` and `handle` as said
-  Arrival,                       // the next request is drawn
-  Clients,                       // a time of theirs has come
-  Step,                          // number: of the plan's steps
+enum class Due : std::uint32_t { // with the meaning of `number` and `handle`, where used
+  Arrival,                       // the next request of the clients
+  Clients,                       // a timer of the client model
+  Step,                          // number: index into the plan's steps
   Station,                       // number: machine
   Discovery,
   Sample,
-  RequestAtRouter,   // handle: try
-  AnswerAtClient,    // handle: try
-  GoneAtRouter,      // number: router, handle: try's exchange
-  BrokenAtClient,    // handle: try
-  RouterStart,       // number: router
-  RouterTimer,       // number: router, handle: token, life
-  RouterStops,       // number: router: it takes no more connections
-  RouterDrains,      // number: router: it serves kept connections no more
-  RouterEnds,        // number: router: its time is over
-  LinkRested,        // number: router, handle: link, life: its rest; it has rested as long as it may
-  Guard,             // handle: exchange
-  AttemptTimeout,    // handle: attempt
+  RequestAtRouter, // handle: try
+  AnswerAtClient,  // handle: try
+  GoneAtRouter,    // number: router, handle: try's exchange
+  BrokenAtClient,  // handle: try
+  RouterStart,     // number: router
+  RouterTimer,     // number: router, handle: token, incarnation
+  RouterStops,     // number: router: it accepts no more connections
+  RouterDrains,    // number: router: it no longer serves kept connections
+  RouterEnds,      // number: router: its shutdown time is over
+  LinkRested,      // number: router, handle: link, incarnation: its idle period; its idle timeout has expired
+  Guard,           // handle: exchange
+  AttemptTimeout,  // handle: attempt
   ConnectAtMachine,  // handle: link
   ConnectedAtRouter, // handle: link
   RefusedAtRouter,   // handle: link
@@ -96,19 +96,19 @@
   AnswerAtRouter,    // handle: arrival
   CloseAtMachine,    // handle: link
   ResetAtRouter,     // handle: link
-  MachineCloses,     // handle: link, which the machine closes if it has rested so long
-  ClosedAtRouter,    // handle: link: the machine closed it in good order
-  RouterRound,       // number: router, life: its next words to the others
+  MachineCloses,     // handle: link: the machine closes it if it is still idle
+  ClosedAtRouter,    // handle: link: the machine closed it without an error
+  RouterRound,       // number: router, incarnation: its next gossip round
   DatagramAtRouter,  // number: router, handle: datagram
 };
 
-// What comes soon lies in a heap; what comes within seconds in buckets, as most of it (time-outs of what is
-// answered long before) has lost its meaning when its bucket is opened; the rest in a heap of its own.
+// Near events are in a heap. Events within seconds are in buckets, because most of them (timeouts of requests
+// that are answered long before) are obsolete when their bucket is opened. Later events are in a second heap.
 class Agenda {
  public:
   struct Entry {
     double at;
-    std::uint64_t order; // of those at one time: the first added goes first
+    std::uint64_t order; // among events at the same time, in order of insertion
     std::uint64_t handle;
     std::uint32_t number;
     std::uint32_t life : 26;
@@ -116,7 +116,7 @@
     Due what() const { return static_cast<Due>(code); }
   };
 
-  // `at` is not negative and not before what was popped last.
+  // `at` must not be negative, nor earlier than the event popped last.
   void add(double at, Due what, std::uint32_t number, std::uint64_t handle, std::uint32_t life) {
     const Entry entry{at,     next_order_++,    handle,
                       number, life & kMostLife, static_cast<std::uint32_t>(what) & 63};
@@ -130,7 +130,7 @@
     }
   }
 
-  // The next of those that still mean something, as told by keep(entry). False: there is none.
+  // Removes the next event for which is_current(entry) is true. False: there is none.
   template <typename Keep>
   bool pop(Entry& entry, Keep keep) {
     while (near_.empty()) {
@@ -152,7 +152,7 @@
   static constexpr std::size_t kBuckets = 1024;
   struct Later {
     bool operator()(const Entry& a, const Entry& b) const {
-      // As whole numbers: times are not negative, and this is most of what the loop does.
+      // Compared as integers, which is valid for non-negative times, as this is most of the loop's work.
       const auto x = std::bit_cast<std::uint64_t>(a.at), y = std::bit_cast<std::uint64_t>(b.at);
       return x > y || (x == y && a.order > b.order);
     }
@@ -161,7 +161,7 @@
 
   static std::size_t bucket(double at) { return static_cast<std::size_t>(at / kBucketMs) % kBuckets; }
 
-  // The one that begins at the horizon, which moves behind it.
+  // Opens the bucket that begins at the horizon, and moves the horizon to its end.
   template <typename Keep>
   void open_bucket(Keep keep) {
     auto& entries = buckets_[bucket(horizon_)];
@@ -177,7 +177,7 @@
   }
 
   Heap near_, far_;
-  double horizon_ = 0; // a whole number of buckets; all before it lies in near_
+  double horizon_ = 0; // a multiple of kBucketMs; all earlier events are in near_events_
   std::array<std::vector<Entry>, kBuckets> buckets_;
   std::size_t in_buckets_ = 0;
   std::uint64_t next_order_ = 0;
--- a/lab/virtual/planted.cpp
+++ b/lab/virtual/planted.cpp
@@ -2,7 +2,7 @@
 
 namespace fernward::lab {
 namespace {
-constexpr std::uint32_t kForgiven = 3; // failures, before NeverForgives
+constexpr std::uint32_t kForgiven = 3; // of a node, before NeverReadmits ejects it
 }
 
 void Defect::settings(Settings& settings) {
--- a/lab/virtual/planted.h
+++ b/lab/virtual/planted.h
@@ -1,5 +1,5 @@
-// Defects put into the routers of virtual time on purpose, to see that what judges runs finds them. The product has none
-// of this: it stands between the balancer and the network half that the lab plays.
+// Defects injected into the routers of virtual time, to verify that the checks of runs find them. The product
+// contains none of this: the injector sits between the balancer and the simulated network half.
 #pragma once
 
 #include <array>
@@ -14,18 +14,18 @@
 
 enum class Planted : std::uint8_t {
   None,
-  ForgetsStarts,  // a merge that forgets the incarnation: a node started again counts as the old, warm one
-  ColdByRouter,   // a cold node's allowance is what the fleet's is, for each router
-  DeafToDrains,   // news of a node that drains or went is passed over
-  NeverForgives,  // a judgement that never ends: a node that failed thrice is left out for good
-  UncountedRetry, // an attempt that failed is sent again, and nobody counts it
-  SafeWrites,     // each class is taken for one that may be repeated
-  LostPlace,      // a lease that never ends: a place at the origin is not given back after a time-out
-  NoReuse,        // a connection for each attempt
-  Spins,          // a timer that sets itself for now, from the first node on that goes
-  SilentEnd,      // no answer where no server is left to ask
-  StarvesLast,    // the last class is turned away as soon as two requests are open
-  DoublePart,     // the part of the origin's limit is counted twice
+  ForgetsStarts,  // ignores the incarnation: a restarted node counts as the old, warm one
+  ColdByRouter,   // each router applies the fleet's allowance for a cold node
+  DeafToDrains,   // ignores updates about draining or gone nodes
+  NeverForgives,  // a node that failed three times is ejected permanently
+  UncountedRetry, // a failed attempt is resent without being counted
+  SafeWrites,     // treats every class as idempotent
+  LostPlace,      // an origin slot is not released after a timeout
+  NoReuse,        // a new connection for each attempt
+  Spins,          // a timer that re-arms itself without delay, from the first withdrawn node on
+  SilentEnd,      // no response when no server is left
+  StarvesLast,    // rejects the last class while more than two requests are open
+  DoublePart,     // counts the shared part of the origin's limit twice
   Count
 };
 inline constexpr std::size_t kPlanted = static_cast<std::size_t>(Planted::Count);
@@ -41,15 +41,15 @@
   bool any() const { return what_ != Planted::None; }
 
   void settings(Settings& settings);
-  void restart(); // the process is another
-  // What the module is told in the event's place; false: nothing. `origin`: its kind, -1: there is none.
+  void restart(); // a new process has started
+  // Modifies the event before it reaches the balancer; false: drop it. `origin_kind`: -1: there is no origin.
   bool tell(Event& event, std::int32_t origin);
-  // In place of an answer to a request that just came; true: it is refused unseen.
+  // Whether to reject a new request before it reaches the balancer.
   bool refuses(const Request& request, std::size_t open, std::size_t classes) const;
 
  private:
   Planted what_;
-  double warmer_ms_ = 0; // than it is, ColdByRouter takes a cold node for
+  double warmer_ms_ = 0; // WarmUpPerRouter assumes that a cold node started this much earlier
   std::unordered_map<ServerId, std::uint32_t> failed_;
   std::unordered_set<ServerId> origins_;
 };
--- a/lab/virtual/router.cpp
+++ b/lab/virtual/router.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-constexpr std::size_t kReserved = 24; // descriptors for all but client and egress connections
-constexpr double kIdleShare = 0.7;    // of the time after which the machine closes, as the settings say
-constexpr double kUnixMs = 1.7e12;    // of the wall's clock, as the run begins
-constexpr std::uint64_t kSpins = ~std::uint64_t{0}; // planted: the token of a timer that sets itself
-constexpr std::uint64_t kTimedShare = 16;           // one decision in so many is timed
+constexpr std::size_t kReserved = 24; // descriptors for other uses than client and upstream connections
+constexpr double kIdleShare = 0.7;    // share of the machine's configured idle timeout
+constexpr double kUnixMs = 1.7e12;    // wall clock at the start of the run
+constexpr std::uint64_t kSpins = ~std::uint64_t{0}; // token of the timer of PlantedDefect::TimerLoop
+constexpr std::uint64_t kTimedShare = 16;           // one in this many decisions is timed
 
 std::size_t places(const model::Spec& spec) {
   return std::max<std::size_t>(spec.routers.sockets, kReserved + 16) - kReserved;
@@ -51,7 +51,7 @@
          });
 }
 
-// ---- life ----
+// ---- life cycle ----
 
 void Router::start() {
   ++life_;
@@ -66,7 +66,8 @@
   fleet_ = std::make_unique<gossip::Fleet>(
       static_cast<gossip::Id>(place_.id), routers_, gossip::incarnation_at(kUnixMs + now()),
       membership::Rules{sharing.period_ms, sharing.asked}, seed, static_cast<std::uint8_t>(place_.zone));
-  // Processes that start as the run begins did not start at one moment.
+  // Processes that start at the beginning of the run have different round phases, as if they had started
+  // independently.
   const double first = life_ > 1 ? 0 : sharing.period_ms * static_cast<double>(seed % 1024) / 1024;
   world_.at(now() + first, Due::RouterRound, place_.id, 0, life_);
 }
@@ -99,7 +100,7 @@
 
 void Router::drain() { drained_ = true; }
 
-// ---- what happens: other routers (as src/gossip_transport/link.cpp) ----
+// ---- events: other routers (as src/gossip_transport/link.cpp) ----
 
 void Router::round() {
   if (fleet_ == nullptr) return;
@@ -115,7 +116,7 @@
   speak();
   if (heard_) return;
   heard_ = fleet_->view(clock()).heard > 0;
-  if (heard_) word(); // one that comes back need not wait for the next round
+  if (heard_) word(); // a returning router does not wait for the next round
 }
 
 void Router::speak() {
@@ -144,7 +145,7 @@
   return said;
 }
 
-// ---- what happens: clients ----
+// ---- events: clients ----
 
 void Router::request(Handle client, const model::TryStart& start) {
   const Waiting waiting{client, start};
@@ -163,7 +164,7 @@
   x.router = place_.id;
   x.client = waiting.client;
   x.start = start;
-  // X-Timeout-Ms is in whole milliseconds, and counts from here.
+  // X-Timeout-Ms is an integer of milliseconds, and counts from here.
   x.deadline = now() + std::max(1.0, std::floor(start.deadline - start.due));
   world_.at(x.deadline + spec_.routers.grace_to_answer_ms / 2, Due::Guard, place_.id, id, life_);
   ++unanswered_;
@@ -173,7 +174,7 @@
   request.id = id;
   request.class_index = start.drawn.cls;
   request.tenant = start.drawn.tenant;
-  request.key = model::mix(start.drawn.key, 0) | 1; // as a hash of its name
+  request.key = model::mix(start.drawn.key, 0) | 1; // in place of the hash of its name
   request.deadline = x.deadline + kRouterEpoch;
   request.expected_work_ms = start.drawn.hint_ms;
   request.write = start.drawn.write;
@@ -193,7 +194,7 @@
   pump();
 }
 
-// The last guard: the module answers earlier.
+// The final guard against a missing response. The balancer normally answers earlier.
 void Router::guard(Handle exchange) {
   if (defect_.is(Planted::SilentEnd)) return;
   const Exchange* x = world_.exchanges().find(exchange);
@@ -204,7 +205,7 @@
   pump();
 }
 
-// ---- what happens: discovery ----
+// ---- events: discovery ----
 
 void Router::list(const model::Discovery::List& list, bool cached) {
   fernward::EndpointList told;
@@ -231,7 +232,7 @@
   }
   for (model::MachineId m = 0; m < known_.size(); ++m) {
     if (before[m].state == ServerState::Gone) continue;
-    // Those of a machine that was started again lead to the process before.
+    // Idle links to a restarted machine belong to its previous process.
     const bool again = known_[m].started_at != before[m].started_at;
     if (!free_[m].empty() && (!in_service(m) || again)) close_free(m);
     if (known_[m].state == ServerState::Gone || again) rests_.forget(m);
@@ -241,17 +242,17 @@
   pump();
 }
 
-// ---- what happens: links ----
+// ---- events: links ----
 
 void Router::linked(Handle link) {
   Link* l = world_.links().find(link);
   if (l == nullptr || l->closed) return;
   l->up = true;
-  if (!in_service(l->machine)) return lost(link, true); // withdrawn meanwhile: nothing new goes there
+  if (!in_service(l->machine)) return lost(link, true); // withdrawn meanwhile: no new attempts are sent there
   if (const Handle attempt = l->attempt; attempt != 0) {
     RouterAttempt& a = *world_.attempts().find(attempt);
     const Exchange* x = world_.exchanges().find(a.exchange);
-    if (x == nullptr || x->over) { // its final answer may say that it never ran: it is not sent
+    if (x == nullptr || x->over) { // already answered, possibly as not executed: it must not be sent
       l->attempt = 0;
       rest(link, *l);
       end_attempt(attempt, AttemptResult::Abandoned, {});
@@ -287,7 +288,7 @@
 void Router::closed_by_machine(Handle link) {
   Link* l = world_.links().find(link);
   if (l == nullptr || l->closed) return;
-  if (l->attempt != 0) return lost(link, false); // it crossed a request
+  if (l->attempt != 0) return lost(link, false); // the close crossed a request
   close_link(link, *l);
 }
 
@@ -326,7 +327,7 @@
   if (l != nullptr && !l->closed && l->attempt == 0 && l->rest == rest) close_link(link, *l);
 }
 
-// What its request came to, for the next ones that find a link at rest.
+// Records whether reuse after the idle time succeeded, for the estimate of safe idle times.
 void Router::learn(const Link& l, bool reset) {
   if (known_[l.machine].state == ServerState::Gone) return;
   if (l.rested_ms < 0) return rests_.on_first_use(now(), l.machine, reset);
@@ -345,7 +346,8 @@
   for (const Handle link : links) close_link(link, *world_.links().find(link));
 }
 
-// The newest free one that is up and has not rested too long, else one that is coming up.
+// Returns the most recent idle link that is established and not idle for too long, else one that is still
+// connecting; 0: none.
 Handle Router::reusable(model::MachineId machine) {
   using Use = idle_connections::IdleLifetimeEstimator::Reuse;
   auto& free = free_[machine];
@@ -355,7 +357,7 @@
       if (l.up != up) continue;
       if (up) {
         const Use use = rests_.decide_reuse(now(), machine, now() - l.rests_since);
-        if (use == Use::Refused) break; // those before it have rested longer
+        if (use == Use::Refused) break; // earlier entries have been idle longer
         l.rested_ms = now() - l.rests_since;
         l.trial = use == Use::Trial;
       }
@@ -367,7 +369,8 @@
   return 0;
 }
 
-// A place for a connection. Clients at rest give way at once and are not counted; links at rest are asked to.
+// Acquires a descriptor for a connection. Idle client connections give way at once and are not counted; idle
+// links are closed when needed.
 descriptors::DescriptorBudget::Lease Router::room(descriptors::Side side) {
   using Needs = descriptors::DescriptorBudget::Eviction;
   for (;;) {
@@ -388,7 +391,7 @@
   return false;
 }
 
-// ---- the module ----
+// ---- the balancer ----
 
 void Router::pump() {
   if (pumping_) return;
@@ -515,7 +518,8 @@
   pump();
 }
 
-// Stops waiting for an attempt. Its link is closed, as an answer is due on it, unless nothing was sent yet.
+// Stops waiting for an attempt. Its link is closed, because a response is outstanding on it, unless the link
+// was not established yet.
 void Router::stop(Handle attempt, AttemptResult result) {
   const RouterAttempt* a = world_.attempts().find(attempt);
   if (a == nullptr) return;
@@ -547,7 +551,7 @@
   drop_if_done(a.exchange);
 }
 
-// Planted: the same again, past the module.
+// PlantedDefect::UncountedRetry: resends the attempt without the balancer.
 bool Router::send_again(const RouterAttempt& a, AttemptResult result) {
   constexpr std::uint32_t kMost = 4;
   Exchange* x = world_.exchanges().find(a.exchange);
--- a/lab/virtual/router.h
+++ b/lab/virtual/router.h
@@ -1,8 +1,9 @@
-// A router process in virtual time: fernward::Balancer, and of the network half what the decisions can see:
-// which outcome is told when, connections that are kept and close after a rest, tables that are full, the
-// last guard.
+// A router process in virtual time: fernward::Balancer, and the part of the network half that is visible to
+// its decisions: when outcomes are reported, idle connections and their timeouts, full tables, and the final
+// deadline guard.
 //
-// It follows src/proxy/request_dispatcher.cpp and src/upstream/connection_pool.cpp; where those change, this changes with them.
+// It mirrors src/proxy/request_dispatcher.cpp and src/upstream/connection_pool.cpp, and must change with
+// them.
 #pragma once
 
 #include <boost/container/small_vector.hpp>
@@ -27,23 +28,23 @@
 
 namespace fernward::lab {
 
-// A connection from a router to a machine. It is in the table until both ends know that it has ended.
+// A connection from a router to a machine. It stays in the table until both ends know that it has ended.
 struct Link {
   model::RouterId router = 0;
   model::MachineId machine = 0;
-  std::uint32_t machine_life = 0; // of the process that accepted it
-  bool up = false;                // for the router
-  bool accepted = false;          // counts in the machine's table
-  bool stuck = false;             // a message on it was lost: it resets when the way is free again
-  bool closed = false;            // by the router
-  Handle attempt = 0;             // of the router's, that has it now
-  Handle arrival = 0;             // of the machine's, that has it now
-  bool gone = false;              // closed by the machine
-  std::uint32_t rest = 0;         // number of its present or last rest
-  double rested_ms = -1;          // before its present request; below 0: that is its first
-  bool trial = false;             // it had rested longer than is believed safe
+  std::uint32_t machine_life = 0; // of the process that accepted the connection
+  bool up = false;                // as seen by the router
+  bool accepted = false;          // counted by the machine as a connection
+  bool stuck = false;     // a message was lost: the connection resets once the network passes messages again
+  bool closed = false;    // by the router
+  Handle attempt = 0;     // the router's attempt that uses it; 0: none
+  Handle arrival = 0;     // the machine's attempt that uses it; 0: none
+  bool gone = false;      // closed by the machine
+  std::uint32_t rest = 0; // number of its present or last idle period
+  double rested_ms = -1;  // idle time before its present request; below 0: first request
+  bool trial = false;     // it was idle for longer than is estimated to be safe
   double opened_at = 0, rests_since = 0, machine_rests_since = 0;
-  double to_machine_at = 0, to_router_at = 0; // the latest message's arrival: none overtakes another
+  double to_machine_at = 0, to_router_at = 0; // the latest message's arrival: messages stay in order
 };
 
 struct Exchange {
@@ -51,7 +52,7 @@
   Handle client = 0; // its try
   model::TryStart start;
   double deadline = 0;
-  boost::container::small_vector<Handle, 6> attempts; // by number; 0: has ended
+  boost::container::small_vector<Handle, 6> attempts; // by attempt number; 0: ended
   std::uint32_t out = 0;
   bool over = false;
 };
@@ -64,25 +65,26 @@
   Handle link = 0;
   double sent_at = 0, deadline = 0;
   bool written = false;
-  std::uint32_t again = 0; // planted: so often it was sent again
+  std::uint32_t again = 0; // by PlantedDefect::UncountedRetry
 };
 
-struct Machines {                        // the numbers that routers know machines by
-  std::vector<fernward::Server> entries; // by machine; state and start are those of the list
+struct Machines {                        // the server identities by which routers know machines
+  std::vector<fernward::Server> entries; // by machine; state and start time come from the endpoint list
   std::unordered_map<fernward::ServerId, model::MachineId> by_id;
 };
 
-// What a router asks of the world around it.
+// The operations that a router needs from its environment. Implemented by VirtualWorld, which owns the
+// routers.
 class Surroundings {
  public:
   virtual ~Surroundings() = default;
   virtual double now() const = 0;
   virtual void at(double time, Due what, std::uint32_t number, std::uint64_t handle, std::uint32_t life) = 0;
-  virtual void connect(Handle link) = 0;  // its end comes by linked(), refused() or lost()
-  virtual void write(Handle attempt) = 0; // on its link
-  virtual void close(Handle link) = 0;    // the router is done with it
+  virtual void connect(Handle link) = 0;  // completes with on_connected() or on_connection_lost()
+  virtual void write(Handle attempt) = 0; // sends the attempt on its link
+  virtual void close(Handle link) = 0;    // by the router
   virtual void answer(Handle client, model::Heard heard, double retry_after_ms) = 0;
-  virtual bool waits(Handle client) = 0; // it has not given up
+  virtual bool waits(Handle client) = 0; // the client has not given up
   virtual void taken(Handle client, Handle exchange) = 0;
   virtual void log(model::RouterId router, const char* text) = 0;
   virtual void datagram(model::RouterId from, model::RouterId to, std::string bytes) = 0;
@@ -97,38 +99,39 @@
          std::size_t routers, Surroundings& world, Planted planted);
 
   bool runs() const { return balancer_ != nullptr; }
-  bool accepts() const { return runs() && !stopped_; } // new connections
+  bool accepts() const { return runs() && !stopped_; } // accepts new connections
   bool stopping() const { return stopping_; }
   std::uint32_t life() const { return life_; }
-  bool ready() const; // it has a list with a node in service
+  bool ready() const; // its endpoint list has a node in service
 
-  // ---- life ----
+  // ---- life cycle ----
   void start();
-  void die();            // its exchanges, attempts and links are gone; the caller tells the other ends
+  void die();            // the caller removes its exchanges, attempts and links, and notifies their peers
   void stop_accepting(); // some time after SIGTERM
-  void drain();          // later: kept connections are not served any more
-  bool keeps() const { return runs() && !drained_; } // its connections to clients, after an answer
+  void drain();          // later: kept connections are no longer served
+  bool keeps() const { return runs() && !drained_; } // keeps connections to clients after a response
   void wind_down();                                  // SIGTERM
   bool finished() const { return stopped_ && unanswered_ == 0 && door_.empty(); }
 
-  // ---- what happens ----
+  // ---- events ----
   void request(Handle client, const model::TryStart& start);
   void client_gone(Handle exchange);
   void list(const model::Discovery::List& list, bool cached);
   void linked(Handle link);
-  void lost(Handle link, bool refused); // refused, timed out in its making, or reset
+  void lost(Handle link, bool refused); // refused, timed out while connecting, or reset
   void closed_by_machine(Handle link);
-  enum class Ends { KeepsLink, ClosesLink, Unbegun }; // Unbegun: closed before any of the answer came
+  // What happens to the link with the response. ClosedUnanswered: closed before any part of it arrived.
+  enum class Ends { KeepsLink, ClosesLink, Unbegun };
   void answered(Handle attempt, fernward::AttemptResult result, std::vector<float> report, Ends how);
   void attempt_timeout(Handle attempt);
   void connect_timeout(Handle link);
   void guard(Handle exchange);
   void timer(std::uint64_t token);
   void rested(Handle link, std::uint32_t rest);
-  void round(); // of what routers share
+  void round(); // of the gossip between routers
   void datagram(model::RouterId from, const std::string& bytes);
 
-  // ---- for records and others ----
+  // ---- state for records ----
   std::uint64_t list_index() const { return list_index_; } // 0: none since its start
   struct Known {
     ServerState state = ServerState::Gone;
@@ -138,7 +141,7 @@
   double cpu_s() const { return cpu_s_; }
   std::size_t peak_links() const { return peak_links_; }
   std::uint64_t decisions() const { return decisions_; }
-  std::optional<model::Shared> shared(); // none: it shares nothing
+  std::optional<model::Shared> shared(); // nullopt: it shares nothing
 
  private:
   void enqueue(fernward::Event event) { events_.push_back(std::move(event)); }
@@ -161,15 +164,15 @@
   bool in_service(model::MachineId machine) const { return known_[machine].state == ServerState::Ready; }
   Handle reusable(model::MachineId machine);
   descriptors::DescriptorBudget::Lease room(descriptors::Side side);
-  bool let_go(); // of a link at rest
+  bool let_go(); // false: there is no idle link
   void learn(const Link& l, bool reset);
   void rest(Handle link, Link& l);
   void close_link(Handle link, Link& l);
   void close_free(model::MachineId machine);
   double now() const { return world_.now(); }
-  double clock() const; // that the policy and the fleet see
-  void speak();         // what fleet_ has to say
-  void word();          // what follows from it for the balancer
+  double clock() const; // as seen by the policy and the gossip
+  void speak();
+  void word(); // passes its consequences to the balancer
 
   const model::Spec& spec_;
   const model::RouterPlace place_;
@@ -184,40 +187,39 @@
   std::vector<fernward::Action> actions_;
   bool pumping_ = false;
   bool stopping_ = false, stopped_ = false, drained_ = false;
-  const std::size_t routers_; // of the tier
+  const std::size_t routers_; // in the tier
   gossip::Uses uses_;
   std::unique_ptr<gossip::Fleet> fleet_;
   std::vector<gossip::Fleet::Out> out_;
-  bool heard_ = false;                    // anybody, since its start
-  std::size_t unanswered_ = 0, open_ = 0; // exchanges: without an answer; in the table
+  bool heard_ = false;                    // from any peer, since its start
+  std::size_t unanswered_ = 0, open_ = 0; // exchanges without a response, and all in the table
   struct Waiting {
     Handle client;
     model::TryStart start;
   };
   void open(const Waiting& waiting, descriptors::DescriptorBudget::Lease place);
-  std::deque<Waiting> door_; // connections that the full table leaves in the kernel's queue
+  std::deque<Waiting> door_; // connections left in the kernel's queue while the descriptor table is full
 
-  std::vector<Known> known_; // by machine; outlives the process as its last list
+  std::vector<Known> known_; // by machine; survives a restart as the cached list
   std::uint64_t list_index_ = 0;
-  std::vector<std::vector<Handle>> free_; // links by machine, the newest last
+  std::vector<std::vector<Handle>> free_; // idle links by machine, the most recent last
   struct Rest {
     double since;
     Handle link;
   };
-  std::deque<Rest> resting_; // in order of time; entries of links that are in use again are void
+  std::deque<Rest> resting_; // by time; entries of links that are in use again are obsolete
   bool at_rest(const Rest& rest);
   idle_connections::IdleLifetimeEstimator rests_;
   descriptors::DescriptorBudget account_;
-  std::unordered_map<Handle, descriptors::DescriptorBudget::Lease>
-      places_; // of links and exchanges that wait
+  std::unordered_map<Handle, descriptors::DescriptorBudget::Lease> places_; // of links and open exchanges
   std::size_t peak_links_ = 0;
   double cpu_s_ = 0;
   std::uint64_t decisions_ = 0;
 };
 
-// No rest of a link is longer.
+// The longest time for which a router keeps a link idle.
 double router_idle_ms(const model::Spec& spec);
-// The clock that routers see begins here: far enough for every start before the run to lie in its past.
+// Offset of the clock that routers see. It is large enough for every start before the run to lie in the past.
 inline constexpr double kRouterEpoch = 1e9;
 
 } // namespace fernward::lab
--- a/lab/virtual/virtual.cpp
+++ b/lab/virtual/virtual.cpp
@@ -33,7 +33,7 @@
     for (const RouterCost& router : info.routers) info.cpu_s -= router.cpu_s;
     rusage usage{};
     if (getrusage(RUSAGE_SELF, &usage) == 0) {
-      info.peak_memory_mb = static_cast<double>(usage.ru_maxrss) / 1024; // of the whole process
+      info.peak_memory_mb = static_cast<double>(usage.ru_maxrss) / 1024; // of the complete process
     }
     return info;
   }
--- a/lab/virtual/virtual.h
+++ b/lab/virtual/virtual.h
@@ -1,6 +1,7 @@
-// The driver in virtual time: the scenario with fernward::Balancer in place of the router processes.
+// The driver in virtual time: runs a scenario with fernward::Balancer in place of router processes.
 //
-// Byte-identical records for the same spec. One thread; several drivers may run in threads of their own.
+// Records are byte-identical for the same spec. A driver uses one thread; several drivers may run in separate
+// threads.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +12,9 @@
 
 namespace fernward::lab {
 
-// `chance`: 0 plays a spec as its seed has it. Others play the same machines, requests and faults, and draw anew what a
-// run in real time would not repeat either: work of attempts, delays, discovery, what routers draw, and which node holds which key.
+// `variation`: 0 runs a spec as its seed determines. Other values keep the machines, requests and faults, and
+// redraw what a run in real time would not repeat either: work of attempts, delays, discovery, the routers'
+// random choices, and the assignment of keys to nodes.
 std::unique_ptr<Driver> make_virtual_driver(Planted planted = Planted::None, std::uint64_t chance = 0);
 
 } // namespace fernward::lab
--- a/lab/virtual/world.cpp
+++ b/lab/virtual/world.cpp
@@ -14,15 +14,16 @@
 namespace {
 
 constexpr double kSampleMs = 1000;
-constexpr double kLeaveMs = 30000;    // work that machines still do then is left alone
-constexpr std::uint64_t kLook = 4096; // at the control, once in so many events
+constexpr double kLeaveMs = 30000;    // machines' work left after this time is not awaited
+constexpr std::uint64_t kLook = 4096; // events between two checks of the run control
 
-// `salt`: which node holds which key is chance too, as the program hashes keys and names by itself.
+// `salt`: varies the assignment of keys to nodes, which is also left to chance, as the program hashes keys
+// and names.
 Machines make_machines(const model::Plan& plan, std::uint64_t salt) {
   Machines all;
   for (const model::Machine& m : plan.machines) {
     fernward::Server server;
-    // Another number where two names share one, so that no machine stands in for another.
+    // On a hash collision another identity is used, so that each machine has its own.
     std::uint64_t hash = XXH3_64bits_withSeed(m.name.data(), m.name.size(), salt);
     while (all.by_id.count(static_cast<fernward::ServerId>(hash)) > 0) ++hash;
     server.id = static_cast<fernward::ServerId>(hash);
@@ -86,7 +87,7 @@
 void World::run(const RunControl& control, RunInfo& info) {
   for (std::uint32_t i = 0; i < plan_.steps.size(); ++i) at(plan_.steps[i].at_ms, Due::Step, i, 0, 0);
   at(0, Due::Sample, 0, 0, 0);
-  // Each router begins with the list as it was.
+  // Each router starts with the cached list.
   for (const auto& router : routers_) router_starts(static_cast<RouterId>(&router - routers_.data()));
   draw_next();
   Agenda::Entry due;
@@ -100,7 +101,7 @@
       }
     }
     now_ = due.at;
-    // After the last answer only the machines' work is left, and steps that nobody sees.
+    // After the last response only work at the machines and steps without effect on clients are left.
     const bool answered = done_drawing_ && clients_.open_requests() == 0 && now_ >= spec_.duration_ms;
     if (answered && (arrived_.size() == 0 || now_ > spec_.duration_ms + kLeaveMs)) break;
     work_off(due);
@@ -150,7 +151,7 @@
       return draw_next();
     }
     case Due::Clients:
-      if (due.at != clients_wake_) return; // an earlier time was set, and then this one once more
+      if (due.at != clients_wake_) return; // obsolete: the timer was set to another time meanwhile
       clients_wake_ = kForever;
       clients_.advance(now_, client_acts_);
       return client_acts();
--- a/lab/virtual/world.h
+++ b/lab/virtual/world.h
@@ -1,5 +1,5 @@
-// The world in virtual time: clients, machines, network and discovery around the routers, worked off in order
-// of time. It decides nothing that the model does not.
+// The simulation in virtual time: clients, machines, network and discovery around the routers. Events are
+// processed in order of time. All behaviour comes from the model.
 #pragma once
 
 #include <limits>
@@ -22,20 +22,21 @@
 namespace fernward::lab {
 
 inline constexpr double kForever = std::numeric_limits<double>::infinity();
-double longest_give_up(const model::Spec& spec); // of its classes
+double longest_give_up(const model::Spec& spec); // the longest of its classes
 
 class World : public Surroundings {
  public:
-  // `spec` and `sink` outlive it; `spec` has no faults().
+  // `spec` and `sink` must outlive it; faults(spec) must be empty.
   World(const model::Spec& spec, model::Sink& sink, Planted planted = Planted::None)
       : World(spec, sink, planted, spec) {}
-  // The same plan and requests as `asked` has, which differs in its seed alone; the rest by chance as `spec` draws it.
+  // Takes the plan and requests from `plan_spec`, and draws everything else from `spec`. The two differ only
+  // in the seed.
   World(const model::Spec& spec, model::Sink& sink, Planted planted, const model::Spec& asked);
 
-  // Until all is answered, or the control asks to stop.
+  // Runs until all requests are answered, or until `control` requests a stop.
   void run(const RunControl& control, RunInfo& info);
 
-  // ---- for the routers ----
+  // ---- RouterEnvironment ----
   double now() const override { return now_; }
   void at(double time, Due what, std::uint32_t number, std::uint64_t handle, std::uint32_t life) override {
     agenda_.add(time < now_ ? now_ : time, what, number, handle, life);
@@ -56,10 +57,10 @@
   struct Try {
     model::TryStart start;
     model::RouterId router = 0;
-    std::uint32_t life = 0; // of the router that took it
+    std::uint32_t life = 0; // of the router that accepted it
     bool new_connection = false, over = false, taken = false;
-    bool came = false;     // to its router, or never will
-    bool answered = false; // the answer is on its way
+    bool came = false;     // at its router, or never will
+    bool answered = false; // the response is under way
     Handle exchange = 0;
     model::Heard heard = model::Heard::Served;
     double retry_after_ms = 0;
@@ -82,13 +83,13 @@
   };
   struct Pause { // of a router's process
     bool on = false;
-    std::vector<Agenda::Entry> due;         // what waits for it, in order
-    std::vector<model::RouterStep> signals; // the same
+    std::vector<Agenda::Entry> due;         // events held for it, in order
+    std::vector<model::RouterStep> signals; // signals held for it, in order
   };
-  struct Place { // a machine's present state, beside its station
+  struct Place { // a machine's state in addition to its server model
     std::uint32_t life = 0;
     double started_at = -1;
-    double wakes_at = 0; // a Due::Station is on the agenda for then
+    double wakes_at = 0; // the time of its EventKind::MachineTimer in the queue
     double bad_share = 0;
     model::BadAnswer bad = model::BadAnswer::Error;
   };
@@ -167,15 +168,15 @@
   std::vector<std::unique_ptr<model::Station>> stations_;
   std::vector<Place> places_;
   std::vector<std::unique_ptr<Router>> routers_;
-  std::vector<std::uint32_t> kept_; // clients' connections at rest, by router
-  std::vector<char> stuck_;         // by router: it has connections to clients that nothing passes on
-  std::vector<double> down_ms_;     // of a router that is to end: until it is started again; below 0: never
+  std::vector<std::uint32_t> kept_; // idle connections of clients, by router
+  std::vector<char> stuck_;         // by router: it has client connections that pass no messages
+  std::vector<double> down_ms_;     // by terminating router: delay until it is restarted; below 0: never
   std::vector<Pause> pauses_;       // by router
   Table<Datagram> datagrams_;
-  std::map<model::RouterId, lies::Liar> liars_;     // that were ever told to lie
+  std::map<model::RouterId, lies::Liar> liars_;     // of routers with false facts, past or present
   std::vector<RouterCost> spoken_;                  // by router: its datagrams
-  std::vector<char> moved_;                         // routers that follow discovery at its new address
-  std::unordered_map<model::TryId, Handle> by_try_; // those whose client still waits
+  std::vector<char> moved_;                         // by router: it uses discovery's new address
+  std::unordered_map<model::TryId, Handle> by_try_; // tries whose client still waits
   std::optional<model::Drawn> next_;
   model::Acts acts_;
   model::ClientActs client_acts_;
--- a/lab/virtual/world_clients.cpp
+++ b/lab/virtual/world_clients.cpp
@@ -1,4 +1,4 @@
-// The world's clients: tries on their way to routers, and answers on their way back.
+// The clients: tries under way to routers, and responses under way back.
 #include "lab/virtual/world.h"
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 }
 
 void World::client_acts() {
-  // What is done about an act may bring on others, which are added behind.
+  // Executing an action may append further actions.
   for (std::size_t i = 0; i < client_acts_.size(); ++i) {
     const model::ClientAct act = client_acts_[i];
     if (const auto* start = std::get_if<model::TryStart>(&act.what)) start_try(*start);
@@ -38,7 +38,7 @@
   Try& t = *tries_.find(client);
   t.start = start;
   by_try_[start.try_id] = client;
-  if (!router) { // nobody can be asked: the client hears nothing
+  if (!router) { // no router is available: the client gets no response
     t.came = true;
     model::Tried tried;
     tried.at = now_;
@@ -63,12 +63,12 @@
 void World::request_at_router(Handle client) {
   Try* t = tries_.find(client);
   if (t == nullptr) return;
-  if (t->over) { // the client went before it came up
+  if (t->over) { // the client gave up before the request arrived
     tries_.remove(client);
     return;
   }
   Router& router = *routers_[t->router];
-  // A kept connection leads to the process that it was made with; a new one to whichever listens.
+  // A kept connection leads to the process that accepted it; a new one to the process that listens now.
   const bool open = t->new_connection ? router.accepts() : router.runs() && router.life() == t->life;
   const bool reachable = network_.reachable(t->router);
   if (!open && !t->new_connection && reachable) return send_anew(client, *t);
@@ -86,7 +86,7 @@
   tried.repeat_key = t->start.repeat_key;
   tried.taken = reachable && open;
   sink_.on(tried);
-  if (!reachable) return; // silence
+  if (!reachable) return; // the client gets no response
   if (!open) {
     t->heard = Heard::Unreachable;
     at(now_ + back, Due::AnswerAtClient, 0, client, 0);
@@ -94,15 +94,15 @@
   }
   t->taken = true;
   t->life = router.life();
-  const model::TryStart start = t->start; // the table may move
+  const model::TryStart start = t->start; // copied, as the table may reallocate
   router.request(client, start);
   check_end(tried.router);
 }
 
-// The router closed the connection before it read the request: the client sends it once more, on a new one.
+// The router closed the connection before it read the request: the client resends it on a new one.
 void World::send_anew(Handle client, Try& t) {
   const std::uint32_t zone = t.start.drawn.zone;
-  double way = network_.with_client(zone, plan_.routers[t.router].zone); // until it hears of that
+  double way = network_.with_client(zone, plan_.routers[t.router].zone); // until the client detects the close
   t.router = front_.pick(now_, zone).value_or(t.router);
   t.new_connection = true;
   for (int i = 0; i < 3; ++i) way += network_.with_client(zone, plan_.routers[t.router].zone);
@@ -123,7 +123,7 @@
     tries_.remove(client);
     return;
   }
-  if (!network_.reachable(t->router)) return; // the client hears nothing
+  if (!network_.reachable(t->router)) return; // the client gets no response
   t->heard = heard;
   t->retry_after_ms = retry_after_ms;
   t->answered = true;
@@ -153,7 +153,7 @@
   client_acts();
 }
 
-// The client waits no longer: it closes its connection.
+// The client stops waiting and closes its connection.
 void World::over(const model::TryOver& over) {
   const auto found = by_try_.find(over.try_id);
   if (found == by_try_.end()) return;
@@ -161,7 +161,7 @@
   by_try_.erase(found);
   Try& t = *tries_.find(client);
   t.over = true;
-  if (!t.came) { // the client went before any router had it
+  if (!t.came) { // the client gave up before the request reached a router
     model::Tried tried;
     tried.at = now_;
     tried.due = t.start.due;
@@ -185,7 +185,7 @@
     at(now_ + network_.with_client(t.start.drawn.zone, plan_.routers[t.router].zone), Due::GoneAtRouter,
        t.router, t.exchange, t.life);
   }
-  // One that has not come to its router yet is looked at there.
+  // A try that has not reached its router yet is removed there.
   if (t.came) tries_.remove(client);
 }
 
--- a/lab/virtual/world_machines.cpp
+++ b/lab/virtual/world_machines.cpp
@@ -1,4 +1,4 @@
-// The world's machines, and the connections between them and the routers.
+// The machines, and the connections between routers and machines.
 #include "lab/virtual/world.h"
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr double kSlowBytesMs = 2500; // by which BadAnswer::SlowBytes is late
+constexpr double kSlowBytesMs = 2500; // delay of a BadAnswer::SlowBytes response
 
 } // namespace
 
@@ -65,7 +65,8 @@
   at(to_machine(l), Due::AttemptAtMachine, l.router, attempt, 0);
 }
 
-// The router is done with it; the machine hears of that later, or by itself where no message passes.
+// The router closes the link. The machine is notified later, or closes after its idle timeout if no message
+// passes.
 void World::close(Handle link) {
   Link& l = *links_.find(link);
   l.closed = true;
@@ -90,12 +91,12 @@
   station_acts(machine);
 }
 
-// It has rested there as long as the machine lets it. The router hears of it; what it writes meanwhile is
-// answered by a reset.
+// The machine's idle timeout has expired and it closes the link. The router is notified; a request that it
+// sends meanwhile is answered with a reset.
 void World::machine_closes(Handle link) {
   Link* l = links_.find(link);
   if (l == nullptr || !l->accepted || l->arrival != 0 || l->machine_life != places_[l->machine].life) return;
-  if (now_ - l->machine_rests_since < idle_ms(l->machine)) return; // it was in use meanwhile
+  if (now_ - l->machine_rests_since < idle_ms(l->machine)) return; // it was used meanwhile
   l->accepted = false;
   l->gone = true;
   stations_[l->machine]->disconnect(now_);
@@ -111,7 +112,7 @@
 
 void World::reset_at_router(Handle link) {
   Link* l = links_.find(link);
-  if (l == nullptr || l->closed) return; // its CloseAtMachine is on the way
+  if (l == nullptr || l->closed) return; // its CloseAtMachine event is under way
   const RouterId router = l->router;
   if (!network_.passes(router, l->machine)) {
     l->stuck = true;
@@ -121,7 +122,7 @@
   check_end(router);
 }
 
-// The machine's side of its connections is gone. Where a message passes, the routers hear of it.
+// The machine's side of its connections is gone. Routers are notified by a reset if messages pass.
 void World::reset_links(MachineId machine, bool only_stuck) {
   links_.each([&](Handle link, Link& l) {
     if (l.machine != machine || (only_stuck && !l.stuck)) return;
@@ -138,7 +139,7 @@
   });
 }
 
-// A silence or a cut is over: connections on which something was lost reset.
+// A silence or network partition is over: connections that lost a message reset.
 void World::free_ways() {
   for (MachineId m = 0; m < stations_.size(); ++m) reset_links(m, true);
 }
@@ -192,7 +193,7 @@
     case What::Return:
       event(m, NodeEvent::What::Returned, false, 0);
       free_ways();
-      // An origin that has fallen meanwhile stays on the list, and comes back without a word of its own.
+      // An origin that failed meanwhile stays on the list, and returns without a separate update.
       if (runs || m == plan_.origin)
         discovery_.change(now_, m, ServerState::Ready, place.started_at, Why::Added);
       break;
@@ -211,17 +212,17 @@
 
 void World::attempt_at_machine(Handle attempt) {
   const RouterAttempt* a = attempts_.find(attempt);
-  if (a == nullptr) return; // given up: the link's end follows
+  if (a == nullptr) return; // abandoned: the link's close follows
   Link* l = links_.find(a->link);
   if (!network_.passes(a->router, a->machine)) {
     l->stuck = true;
     return;
   }
-  if (l->gone) { // what comes on a connection that the machine has closed is answered by a reset
+  if (l->gone) { // a request on a connection that the machine has closed is answered with a reset
     at(to_router(*l), Due::ResetAtRouter, l->router, a->link, 0);
     return;
   }
-  if (!l->accepted || l->machine_life != places_[a->machine].life) return; // its reset is on the way
+  if (!l->accepted || l->machine_life != places_[a->machine].life) return; // its reset is under way
   const Exchange& x = *exchanges_.find(a->exchange);
   const model::Drawn& drawn = x.start.drawn;
   const MachineId machine = a->machine;
@@ -242,7 +243,7 @@
   work.key = drawn.key;
   work.repeat_key = x.start.repeat_key;
   work.write = drawn.write;
-  // Told of its present start, as far as that lies within the run.
+  // Whether the router knows of the machine's present start; starts before the run count as known.
   const auto& known = routers_[a->router]->known(machine);
   work.told = places_[machine].started_at < 0 || known.started_at >= places_[machine].started_at;
   work.work_ms = drawn.work_ms * model::draw_factor(spec_.classes[drawn.cls].attempt_noise, noise_);
@@ -298,7 +299,7 @@
                           model::Discovery::Why::Left);
         discovery();
         break;
-      case Act::What::Fell: // the list keeps it: it comes back under the same name
+      case Act::What::Fell: // stays on the list: it returns under the same name
         event(machine, NodeEvent::What::Ended, false, 0);
         reset_links(machine, false);
         ++places_[machine].life;
@@ -331,7 +332,7 @@
   if (l != nullptr && l->arrival == act.id) {
     l->arrival = 0;
     l->machine_rests_since = now_;
-    // Else the router closes it sooner.
+    // Otherwise the router closes the link first.
     const double idle = idle_ms(machine);
     if (idle < router_idle_ms(spec_)) at(now_ + idle, Due::MachineCloses, l->router, a.link, 0);
   }
@@ -350,7 +351,8 @@
     default: break;
   }
   const bool written = act.ending == Ending::Written || (act.ending == Ending::Error && act.begun);
-  if (a.write && written && spec_.origin.on && machine == plan_.origin) { // the origin drops the copies
+  if (a.write && written && spec_.origin.on &&
+      machine == plan_.origin) { // the origin invalidates cached copies
     for (MachineId m = 0; m < plan_.machines.size(); ++m) {
       if (model::Node* n = node(m)) n->make_void(a.key);
     }
@@ -368,9 +370,9 @@
     case Ending::Draining:
     case Ending::Overdue: a.result = AttemptResult::Overloaded; break;
     case Ending::Dropped:
-    case Ending::Lost: return arrived_.remove(act.id); // no answer: the link's end tells
+    case Ending::Lost: return arrived_.remove(act.id); // no response: the router notices when the link ends
   }
-  // Nobody is there to read it, or no way leads there.
+  // The router has closed the link, or messages do not pass.
   if (l == nullptr || l->closed || !network_.passes(a.router, machine)) {
     if (l != nullptr && !l->closed) l->stuck = true;
     return arrived_.remove(act.id);
@@ -382,7 +384,7 @@
   at(to_router(*l) + late, Due::AnswerAtRouter, a.router, act.id, 0);
 }
 
-// What a router makes of a bad answer.
+// Sets what the router observes of a bad response.
 void World::spoil(Arrival& arrival, double& late) {
   switch (places_[arrival.machine].bad) {
     case model::BadAnswer::Error: arrival.result = AttemptResult::Error; break;
--- a/lab/virtual/world_routers.cpp
+++ b/lab/virtual/world_routers.cpp
@@ -1,4 +1,4 @@
-// The world's routers: their lives, and what discovery tells them.
+// The routers: start, shutdown, pauses, datagrams, and updates from discovery.
 #include "lab/virtual/world.h"
 
 #include <algorithm>
@@ -13,10 +13,11 @@
 
 namespace {
 
-constexpr double kAcceptOnMs = 500; // a router takes connections for this long after SIGTERM
-constexpr double kFinishMs = 600;   // and what they brought gets this long beyond its deadline
-constexpr double kServeOnMs = 1500; // kept connections are served on for half of the time, but no longer
-constexpr double kStartMs = 30;     // from a router's start until it listens
+constexpr double kAcceptOnMs = 500; // a router accepts connections for this long after SIGTERM
+constexpr double kFinishMs = 600;   // allowance beyond the deadline of requests accepted then
+constexpr double kServeOnMs =
+    1500; // kept connections are served for half of the shutdown time, at most this long
+constexpr double kStartMs = 30; // from a router's start until it listens
 
 } // namespace
 
@@ -52,7 +53,7 @@
   using What = model::RouterStep::What;
   Router& router = *routers_[step.router];
   if (pauses_[step.router].on && (step.what == What::Term || step.what == What::Reload)) {
-    pauses_[step.router].signals.push_back(step); // delivered as it goes on
+    pauses_[step.router].signals.push_back(step); // delivered when the process resumes
     return;
   }
   switch (step.what) {
@@ -78,7 +79,7 @@
     }
     case What::Start: return at(now_ + kStartMs, Due::RouterStart, step.router, 0, 0);
     case What::Reload:
-      moved_[step.router] = 1; // one that does not run starts with the new configuration
+      moved_[step.router] = 1; // a stopped router starts with the new configuration later
       if (!router.runs()) return;
       event(step.router, RouterEvent::What::Reloaded);
       return tell(step.router);
@@ -98,7 +99,8 @@
   }
 }
 
-// It ends with its last connection: those that clients keep, and those with an answer on its way, are open until it drains.
+// A stopping router ends with its last connection. Connections kept by clients, and those with a response
+// under way, stay open until it drains.
 void World::check_end(RouterId router) {
   const Router& r = *routers_[router];
   if (!r.runs() || !r.stopping() || !r.finished()) return;
@@ -110,7 +112,7 @@
   router_dies(router, RouterEvent::What::Ended);
 }
 
-// Its process is gone: connections reset on both sides.
+// The process is gone: connections reset on both sides.
 void World::router_dies(RouterId router, RouterEvent::What how) {
   pauses_[router].on = false;
   pauses_[router].signals.clear();
@@ -143,7 +145,7 @@
     l.attempt = 0;
     close(link);
   });
-  // What waited for a process that stood still meets what is there now: nothing.
+  // Events held for a paused process are processed without it.
   for (const Agenda::Entry& due : std::exchange(pauses_[router].due, {})) work_off(due);
   const double down = std::exchange(down_ms_[router], -1);
   if (how == RouterEvent::What::Ended && down >= 0)
@@ -152,12 +154,13 @@
 
 // ---- pauses ----
 
-// The process stands still: its kernel goes on to take what comes, and it is all there when the process goes on.
+// The process is paused. Its kernel keeps accepting connections and data, which are available when the
+// process resumes.
 void World::pause(RouterId router) {
   if (pauses_[router].on) return;
   pauses_[router].on = true;
   event(router, RouterEvent::What::Paused);
-  front_.down(now_, router); // it asks whether the router is ready, and hears nothing
+  front_.down(now_, router); // its readiness checks get no response
 }
 
 void World::wake(RouterId router) {
@@ -173,7 +176,7 @@
   for (const model::RouterStep& signal : std::exchange(pause.signals, {})) router_step(signal);
 }
 
-// True: it is for a process that stands still, and is kept.
+// Keeps the event if it is for a paused process. True: it was kept.
 bool World::waits_for_router(const Agenda::Entry& due) {
   switch (due.what()) {
     case Due::RequestAtRouter:
@@ -235,7 +238,7 @@
   const std::uint64_t has = r.list_index();
   if (!hears_discovery(router) || (has != 0 && discovery_.index(router) == has)) return;
   const auto list = discovery_.list(router, has == 0 ? std::nullopt : std::optional(has));
-  if (list.whole) { // what it no longer holds is gone
+  if (list.whole) { // machines missing from the list are gone
     std::vector<char> listed(plan_.machines.size());
     for (const auto& entry : list.entries) listed[entry.machine] = 1;
     for (MachineId m = 0; m < listed.size(); ++m) {
