--- a/lab/scenario/names.cpp
+++ b/lab/scenario/names.cpp
@@ -45,7 +45,7 @@
   return number;
 }
 
-// GROUP-i, numbered as model/plan.h says.
+// Finds node GROUP-i; nodes are numbered as described in model/plan.h.
 std::optional<std::uint32_t> find_node(const std::string& name, const model::Spec& spec) {
   const std::size_t dash = name.rfind('-');
   if (dash == std::string::npos) return std::nullopt;
--- a/lab/scenario/names.h
+++ b/lab/scenario/names.h
@@ -1,4 +1,4 @@
-// What the names in a scenario file stand for: zones, kinds, nodes, ...
+// Resolves the names in a scenario file (zones, kinds, nodes, ...) to indexes in the Spec, and back.
 #pragma once
 
 #include "model/spec.h"
@@ -16,7 +16,8 @@
 inline constexpr toml_document::Table kTenants{6};
 } // namespace tables
 
-class SpecNames : public toml_document::Names { // the Spec outlives it
+// Names of the entries of a Spec. The Spec must outlive it.
+class SpecNames : public toml_document::Names {
  public:
   explicit SpecNames(const model::Spec& spec) : spec_(spec) {}
   std::optional<std::uint32_t> find(toml_document::Table table, const std::string& name) const override;
--- a/lab/scenario/read.cpp
+++ b/lab/scenario/read.cpp
@@ -22,7 +22,7 @@
   describe(reader, scenario.spec);
   const std::set<std::string> broken = reader.close();
   for (Fault& fault : scenario.faults) {
-    if (fault.at.file.empty()) fault.at.file = file; // a part that no file gives
+    if (fault.at.file.empty()) fault.at.file = file; // the fault lies in a part that no file contains
   }
   if (scenario.spec.name.empty()) scenario.spec.name = std::filesystem::path(file).stem().string();
   check_sound(scenario, file, offer, broken);
@@ -37,7 +37,7 @@
   Fault& fault = scenario.faults.emplace_back();
   fault.at.file = path.string();
   fault.key = "(file)";
-  fault.why = "can't be read, or is over 1 MiB";
+  fault.why = "can't be read, or is larger than 1 MiB";
   return scenario;
 }
 
--- a/lab/scenario/read.h
+++ b/lab/scenario/read.h
@@ -1,8 +1,8 @@
-// Scenario files: TOML with units written out, read whole. Every fault is found, not the first alone, and named by
-// file, line, column and key, before anything starts.
+// Reads scenario files: TOML in which values carry their units. A file is read completely before a run
+// starts, and all faults are reported, not only the first, each with file, line, column and key.
 //
-// A file may build on another: `base = "fleet.toml"` (relative to it) supplies what the file leaves out, table by
-// table. A list that the file gives replaces the base's list.
+// A file may extend another: `base = "fleet.toml"` (a path relative to the file) supplies the keys that the
+// file omits, table by table. A list in the file replaces the list of the base.
 #pragma once
 
 #include <filesystem>
@@ -19,20 +19,20 @@
 using toml_document::Loader;
 using toml_document::Position;
 
-// What the machine can offer to a run; more is a fault.
+// Limits on the size of a run. A scenario that exceeds them is faulty.
 struct Offer {
   double rate_per_s = 200000;
   std::uint32_t nodes = 10000, routers = 1024;
-  std::uint32_t sharing_routers = 1024; // where routers.sharing is on
-  bool congestion = false; // discovery's calls are played one by one, so that they can wait in turn
+  std::uint32_t sharing_routers = 1024; // maximum where routers.sharing is on
+  bool congestion = false;              // discovery calls are simulated one by one, so that they can queue
 };
-Offer offer_virtual();
-Offer offer_sockets(); // 20,000 requests a second from one core
+Offer offer_virtual(); // in virtual time
+Offer offer_sockets(); // on sockets: 20,000 requests a second from one core
 
 struct Scenario {
-  model::Spec spec; // may be played where `faults` is empty
+  model::Spec spec; // may be run only if `faults` is empty
   toml_document::Faults faults;
-  toml_document::Places places; // of what the file gives, by the Spec's member
+  toml_document::Places places; // positions of the values in the file, by member path of the Spec
 
   bool sound() const { return faults.empty(); }
 };
@@ -41,13 +41,15 @@
                        const Loader& load = {});
 Scenario read_scenario_file(const std::filesystem::path& path, const Offer& offer = {});
 
-// Sets single values, "load.rate=820/s" or "kinds[fast].cores=8", and checks the whole anew.
+// Sets single values, such as "load.rate=820/s" or "kinds[fast].cores=8", and checks the scenario again.
+// Errors are added to `scenario.faults`.
 void set_values(Scenario& scenario, const std::vector<std::string>& settings, const Offer& offer = {});
 
-// The whole Spec as a file without a base, every value given. read_scenario gives the same Spec back.
+// The complete Spec as a file without a base, with every value written out. read_scenario returns the same
+// Spec.
 std::string scenario_text(const model::Spec& spec);
 
-// All keys with units, defaults and meaning, as Markdown.
+// The reference of all keys with their units, defaults and meanings, as Markdown.
 std::string key_reference();
 
 } // namespace fernward::lab
--- a/lab/scenario/schema.cpp
+++ b/lab/scenario/schema.cpp
@@ -50,7 +50,7 @@
     "slow-link",      "cut-routers",      "lose-datagrams", "pause-routers", "lying-router"};
 static_assert(kEvents.size() == std::variant_size_v<Happening>);
 
-// The unit of a bound's at_least and at_most.
+// Returns the unit of at_least and at_most of a bound.
 Unit unit_of(Metric metric) {
   switch (metric) {
     case Metric::LatencyMs:
@@ -476,7 +476,7 @@
   if (e.label.empty()) e.label = kEvents[e.what.index()];
 }
 
-// ---- what must hold ----
+// ---- rules and bounds ----
 
 void bound(Visitor& v, Bound& b) {
   pick(v, "metric", b.metric, kMetrics, "what is bounded", true);
--- a/lab/scenario/schema.h
+++ b/lab/scenario/schema.h
@@ -1,8 +1,8 @@
-// The keys of a scenario file: one description of a Spec that the reader, the writer, the setter of single values
-// and the reference all walk. See notation/visitor.h.
+// The schema of scenario files: one description of a Spec that the reader, the writer, the setter of single
+// values and the key reference visit. See toml_document/visitor.h.
 //
-// Members are named as in model/spec.h. References to other tables (a zone, a class) are positions in the Spec and
-// names in the file; they point to tables that are described before them.
+// Members have the names of model/spec.h. References to other tables (a zone, a class) are indexes in the
+// Spec and names in the file; a referenced table is described before the references to it.
 #pragma once
 
 #include "lab/scenario/names.h"
@@ -18,10 +18,11 @@
 using toml_document::Word;
 using toml_document::Words;
 
-// The whole of it. The variants of events are described through event(), one at a time, for those who need no Spec.
+// Describes the complete Spec. Callers without a Spec describe the event kinds one at a time with
+// describe_event().
 void describe(Visitor& visitor, model::Spec& spec);
 
-Words event_words(); // in the order of model::Happening's alternatives
+Words event_words(); // in the order of the alternatives of model::Happening
 model::Happening event_of(std::size_t word);
 void describe_event(Visitor& visitor, model::Happening& what);
 
--- a/lab/scenario/set.cpp
+++ b/lab/scenario/set.cpp
@@ -1,4 +1,4 @@
-// Single values set from the command line.
+// Sets single values of a Spec from the command line.
 #include <algorithm>
 
 #include "lab/scenario/read.h"
@@ -11,7 +11,7 @@
 
 using namespace toml_document;
 
-// "kinds[fast].cores" -> kinds, [fast], cores: an index is a step of its own.
+// "kinds[fast].cores" -> kinds, [fast], cores: an index is a component of its own.
 std::vector<std::string> steps_of(const std::string& path) {
   std::vector<std::string> steps{""};
   for (const char c : path) {
@@ -26,13 +26,14 @@
   return steps;
 }
 
+// Visits a Spec and sets the one value at `path`.
 class Setter : public Visitor {
  public:
   Setter(const model::Spec& spec, const std::string& path, const toml::node& value)
       : names_(spec), steps_(steps_of(path)), value_(value) {}
 
   bool found = false;
-  toml_document::Why why; // it could not be set
+  toml_document::Why why; // why the value could not be set; no text: it could
 
   void amount(const char* member, double& value, Unit unit, const char*, Word word) override {
     leaf(member, value, [&](const toml::node& n) { return take_amount(n, unit, word, why); });
@@ -52,7 +53,7 @@
   void flag(const char* member, bool& value, const char*) override {
     leaf(member, value, [&](const toml::node& n) { return take_flag(n, why); });
   }
-  // What an event is can't be changed: its other keys would not fit.
+  // The kind of an event can't be changed: its other keys would not fit.
   void choice(const char* member, std::size_t& value, Words words, bool needed, const char*) override {
     if (needed && hit(member)) {
       found = true;
@@ -77,7 +78,7 @@
       --off_;
     } else {
       --depth_;
-      if (steps_[depth_].starts_with('[')) --depth_; // with the list's own name
+      if (steps_[depth_].starts_with('[')) --depth_; // also leaves the name of the list
     }
   }
   std::size_t list(const char*, std::size_t size, const char*) override { return size; }
@@ -130,8 +131,8 @@
   const SpecNames names_;
   const std::vector<std::string> steps_;
   const toml::node& value_;
-  std::size_t depth_ = 0; // steps that match so far
-  std::size_t off_ = 0;   // parts entered that are off the path
+  std::size_t depth_ = 0; // components that match so far
+  std::size_t off_ = 0;   // nested parts entered that are not on the path
 };
 
 } // namespace
@@ -161,7 +162,7 @@
     if (!setter.found) fault("there is no such key in this scenario");
     if (!setter.why.text.empty()) fault(setter.why.text);
   }
-  // What was sound may not be any more; what was not, has its faults already.
+  // A consistent scenario may have become inconsistent; a faulty one has its faults already.
   if (scenario.sound() && !settings.empty()) {
     const auto places = std::move(scenario.places);
     scenario.places = {};
--- a/lab/scenario/sound.cpp
+++ b/lab/scenario/sound.cpp
@@ -11,8 +11,8 @@
 
 using namespace fernward::model;
 
-constexpr double kMostSteps = 2e6;        // that a scenario's events may come to
-constexpr std::size_t kMostEvents = 1000; // in a file
+constexpr double kMostSteps = 2e6;        // single steps of all events together
+constexpr std::size_t kMostEvents = 1000; // per file
 constexpr std::size_t kLongestName = 64;
 
 std::string parent(const std::string& path) {
@@ -35,12 +35,13 @@
     load();
     unused();
     bounds();
-    // Only a fleet that can be played has a plan, and only one of a known size is worth making.
+    // A plan exists only for a valid fleet, and is built only if its size is within the limits.
     if (scenario_.faults.empty()) idle_events();
   }
 
  private:
-  // Of what was given whole; where values are broken, what is missing or left over says nothing.
+  // Adds a fault, unless it may be a consequence of a value that could not be parsed: then a missing or an
+  // unused entry proves nothing.
   void add(const std::string& path, std::string why) {
     if (!broken_.empty()) {
       if (!scenario_.places.contains(path) || broken_.contains(path)) return;
@@ -50,7 +51,7 @@
     }
     scenario_.faults.push_back({place(path), key_of(path), std::move(why), "sense"});
   }
-  // Of the member or, where the file leaves it out, of the table that it would stand in.
+  // The position of the member or, if the file omits it, of the table that would contain it.
   Position place(std::string path) const {
     while (!path.empty()) {
       const auto found = scenario_.places.find(path);
@@ -74,9 +75,9 @@
       if (name.empty()) {
         add(path, "must not be empty");
       } else if (!seen.insert(name).second) {
-        add(path, "\"" + name + "\" is the name of an earlier one too");
+        add(path, "\"" + name + "\" is already the name of an earlier one");
       } else if (name.size() > kLongestName || !std::all_of(name.begin(), name.end(), wire_character)) {
-        add(path, "must be up to 64 letters, digits, '-', '_' or '.', as it goes on the wire");
+        add(path, "must be up to 64 letters, digits, '-', '_' or '.', as it is sent on the wire");
       }
     }
   }
@@ -91,10 +92,10 @@
     names_of("classes", spec_.classes);
     names_of("tenants", spec_.tenants);
     for (std::size_t i = 0; i < spec_.kinds.size(); ++i) {
-      if (spec_.kinds[i].name == kOriginKindName) add(at("kinds", i, "name"), "is the origin's own");
+      if (spec_.kinds[i].name == kOriginKindName) add(at("kinds", i, "name"), "is reserved for the origin");
     }
     for (std::size_t i = 0; i < spec_.nodes.size(); ++i) {
-      if (spec_.nodes[i].name == kOriginKindName) add(at("nodes", i, "name"), "is the origin's own");
+      if (spec_.nodes[i].name == kOriginKindName) add(at("nodes", i, "name"), "is reserved for the origin");
     }
   }
 
@@ -115,7 +116,7 @@
     }
     if (spec_.discovery.congestion.on() && !offer_.congestion) {
       add("discovery.congestion",
-          "is played on sockets only: in virtual time every change arrives by itself");
+          "is supported on sockets only: in virtual time every change is delivered separately");
     }
     if (spec_.events.size() > kMostEvents) add("events", "more than 1000 events");
     double steps = 0;
@@ -131,7 +132,7 @@
       }
       steps += each * spells;
       if (steps > kMostSteps) {
-        add(at("events", i, "what"), "the events up to this one come to more than 2,000,000 single steps");
+        add(at("events", i, "what"), "the events up to this one have more than 2,000,000 single steps");
         break;
       }
     }
@@ -142,8 +143,8 @@
   void load() {
     const double peak = peak_rate(spec_);
     if (peak > offer_.rate_per_s) {
-      add("load.rate_per_s", "comes to " + toml_document::quantity_text(Unit::Rate, std::ceil(peak)) +
-                                 " at its highest, and this machine can offer " +
+      add("load.rate_per_s", "reaches " + toml_document::quantity_text(Unit::Rate, std::ceil(peak)) +
+                                 " at its peak, and this machine can offer " +
                                  toml_document::quantity_text(Unit::Rate, offer_.rate_per_s));
     }
     for (std::size_t i = 0; i < spec_.classes.size(); ++i) {
@@ -153,14 +154,14 @@
     for (const TenantSpec& t : spec_.tenants) shares += t.share;
     if (shares > 1.001) {
       add("tenants",
-          "their shares come to " + toml_document::number_text(std::round(shares * 1000) / 10) + "%");
+          "the sum of their shares is " + toml_document::number_text(std::round(shares * 1000) / 10) + "%");
     }
     if (spec_.clients.resting > spec_.routers.sockets) {
-      add("clients.resting", "is more than a router's sockets");
+      add("clients.resting", "exceeds the sockets of a router");
     }
   }
 
-  // ---- what is left over, which is a slip of the pen more often than meant ----
+  // ---- unused entries, which are more often a typing error than intended ----
 
   void unused() {
     std::vector<bool> kind(spec_.kinds.size()), zone(spec_.zones.size());
@@ -200,11 +201,11 @@
     std::sort(plan.idle.begin(), plan.idle.end());
     plan.idle.erase(std::unique(plan.idle.begin(), plan.idle.end()), plan.idle.end());
     for (const std::uint32_t i : plan.idle) {
-      add(at("events", i, "what"), "finds no node or router that it could happen to at that time");
+      add(at("events", i, "what"), "finds no node or router that it can apply to at that time");
     }
   }
 
-  // ---- what must hold ----
+  // ---- rules and bounds ----
 
   void bounds() {
     for (std::size_t i = 0; i < spec_.holds.bounds.size(); ++i) {
@@ -216,17 +217,18 @@
       const bool fleet = b.metric == Metric::OriginPerS || b.metric == Metric::OriginPeakPerS ||
                          b.metric == Metric::FetchSurge || b.metric == Metric::HitRatio ||
                          b.metric == Metric::HandshakesPerRequest;
-      if (fleet && b.tenant) add(path("tenant"), "machines don't know whose request it is");
+      if (fleet && b.tenant) add(path("tenant"), "machines don't know the tenant of a request");
       if (b.metric == Metric::HandshakesPerRequest && b.cls) add(path("cls"), "connections have no class");
       if ((b.metric == Metric::WorstClass && b.cls) || (b.metric == Metric::WorstTenant && b.tenant)) {
-        add(path(b.metric == Metric::WorstClass ? "cls" : "tenant"), "the worst of one is that one");
+        add(path(b.metric == Metric::WorstClass ? "cls" : "tenant"),
+            "cannot be combined with this metric: the worst of one is that one");
       }
       if (b.metric == Metric::FetchSurge && b.from_ms <= 0) {
-        add(path("from_ms"), "must be above 0: what comes before it is the steady rate");
+        add(path("from_ms"), "must be above 0: the rate before it is the steady rate");
       }
       if (b.tenant && *b.tenant < spec_.tenants.size()) {
         const TenantSpec& t = spec_.tenants[*b.tenant];
-        if (!(t.share * t.usage > 0)) add(path("tenant"), "this tenant sends nothing");
+        if (!(t.share * t.usage > 0)) add(path("tenant"), "this tenant sends no requests");
       }
       if ((b.metric == Metric::HitRatio || b.metric == Metric::OriginPerS ||
            b.metric == Metric::OriginPeakPerS || b.metric == Metric::FetchSurge) &&
@@ -252,7 +254,7 @@
   double shape = 1;
   if (l.shape == LoadShape::Ramp) shape = std::max(1.0, l.ramp_to);
   if (l.shape == LoadShape::Day) shape = 1 + l.swing;
-  // Spikes that overlap multiply: their highest is at the begin of one of them.
+  // The factors of overlapping spikes multiply, and their product is highest at the start of one of them.
   double spikes = 1;
   for (const TimedEvent& at : spec.events) {
     if (!std::holds_alternative<LoadSpike>(at.what)) continue;
--- a/lab/scenario/sound.h
+++ b/lab/scenario/sound.h
@@ -1,4 +1,4 @@
-// What can't be played although each value reads well: faults that show when values are seen together.
+// Checks of the scenario as a whole: faults of values that are valid alone but inconsistent with one another.
 #pragma once
 
 #include <set>
@@ -8,12 +8,12 @@
 
 namespace fernward::lab {
 
-// Adds to scenario.faults. `broken`: members whose values could not be read and stand at their defaults; nothing
-// is concluded from those.
+// Adds the faults found to scenario.faults. `broken`: members whose values could not be parsed and still have
+// their defaults; no fault is derived from those.
 void check_sound(Scenario& scenario, const std::string& file, const Offer& offer,
                  const std::set<std::string>& broken);
 
-// The highest rate of the load, spikes included.
+// The highest request rate of the load per second, spikes included.
 double peak_rate(const model::Spec& spec);
 
 } // namespace fernward::lab
--- a/lab/scenario/write.cpp
+++ b/lab/scenario/write.cpp
@@ -1,4 +1,4 @@
-// A Spec as a scenario file, and the reference of all keys: two more walks through the schema.
+// Writes a Spec as a scenario file, and the reference of all keys. Both visit the schema.
 #include "toml_document/writer.h"
 
 #include "lab/scenario/read.h"
@@ -31,7 +31,7 @@
   const Row which_nodes = rows_of(model::KillNodes{}), which_routers = rows_of(model::ReloadRouters{});
   for (Row& row : top.children) {
     if (row.key == "events")
-      row.children.resize(3); // at, label, what: each kind has its own keys beside them
+      row.children.resize(3); // at, label, what; the other keys depend on the kind of event
   }
   std::string out =
       "### Top of the file\n\n| key | written as | default | meaning |\n| --- | --- | --- | --- |\n";
@@ -41,7 +41,7 @@
   for (std::size_t i = 0; i < event_words().size(); ++i) {
     Row event = rows_of(event_of(i));
     for (Row& row : event.children) {
-      if (row.is_leaf) continue; // which nodes or routers: told once, below
+      if (row.is_leaf) continue; // the keys that select nodes or routers are listed once, below
       row.written = row.key == "routers" || row.doc.find("router") != std::string::npos ? "routers, see below"
                                                                                         : "nodes, see below";
       row.is_leaf = true;
