--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
-constexpr double kWakeMs = 1;        // clients that give up are looked at no more often
-constexpr double kReadyEveryMs = 20; // a starting router is asked
+constexpr double kWakeMs = 1;        // client timeouts are processed no more often than this
+constexpr double kReadyEveryMs = 20; // interval between readiness probes of a starting router
 constexpr double kReadyWaitMs = 1000;
-constexpr double kRestAgainMs = 500; // a connection that is to rest is made anew
+constexpr double kRestAgainMs = 500; // until a closed idle connection is opened again
 constexpr double kAtOnceMs = 0.02;
 
 double thread_cpu_s() {
@@ -28,7 +28,7 @@
   return static_cast<double>(at.tv_sec) + static_cast<double>(at.tv_nsec) * 1e-9;
 }
 
-// A reset that came behind the other side's end: it had closed before the request was read.
+// Whether a reset followed the end of the peer's data: the peer had closed before it read the request.
 bool reset_behind(int fd) {
   int error = 0;
   socklen_t size = sizeof error;
@@ -128,7 +128,7 @@
   });
 }
 
-// What is done about an act may bring on others, which are added behind.
+// Processing an action may append further actions, which are processed in the same pass.
 void Load::acts() {
   if (acting_) return;
   acting_ = true;
@@ -151,11 +151,11 @@
 void Load::start_try(const model::TryStart& start) {
   const auto router = front_.pick(now(), start.drawn.zone);
   const Handle handle = tries_.add();
-  if (handle == 0) return stage_.voids.add("more open tries than the lab can hold");
+  if (handle == 0) return stage_.voids.add("too many open tries: the lab's table is full");
   Try& t = *tries_.find(handle);
   t.start = start;
   by_try_[start.try_id] = handle;
-  if (!router) return told(t, false, false, 0); // nobody can be asked: the client hears nothing
+  if (!router) return told(t, false, false, 0); // no router is available: the client receives no response
   ++info_.tries;
   t.router = *router;
   t.routed = true;
@@ -163,10 +163,10 @@
   Connection* c = kept(*router);
   t.planned = start.due + way(t);
   if (c == nullptr) {
-    t.planned += 2 * way(t); // the connection's own round trip
+    t.planned += 2 * way(t); // the round trip of the TCP handshake
     c = connect(*router);
   }
-  if (c == nullptr) return; // out of descriptors, which voids the run
+  if (c == nullptr) return; // out of descriptors, which makes the run void
   t.connection = c->self;
   c->request = handle;
   c->due = c->written = false;
@@ -174,16 +174,17 @@
   loop_.at(t.planned, [this, handle] { send(handle); });
 }
 
-// Its time has come. A connection that is not up yet is no fault of the rig's.
+// Sends a try that is due. If its connection is not established yet, the delay does not count as lateness of
+// the rig.
 void Load::send(Handle handle) {
   Try* t = tries_.find(handle);
   if (t == nullptr || t->over) return;
   Connection* c = connections_.find(t->connection);
   if (c == nullptr) return;
   c->due = true;
-  if (c->frozen) return; // held back: its client hears nothing
+  if (c->frozen) return; // held back: the client receives no response
   if (c->requests > 0 && !c->stream->quiet()) {
-    // Closed between requests while this one was on its way: the client sends it once more.
+    // The router closed the idle connection while this request was on its way: the client sends it again.
     c->request = 0;
     drop(*c);
     c = connect(t->router);
@@ -207,7 +208,7 @@
   c.before = std::exchange(c.last, t.start.try_id);
   const double late = std::max(0.0, now() - due);
   if (!t.told) lateness_.add(late);
-  // A broken one is read as such: nothing was taken.
+  // On a broken connection nothing was accepted; the close is processed by on_closed().
   const bool taken = c.stream->send(text);
   if (!t.told) told(t, taken, fresh, late);
 }
@@ -229,7 +230,7 @@
   stage_.tape.add(tried);
 }
 
-// The client waits no longer: it closes its connection, which the router sees a way later.
+// The client no longer waits: it closes its connection, which the router sees after the one-way delay.
 void Load::over(const model::TryOver& over) {
   const auto found = by_try_.find(over.try_id);
   if (found == by_try_.end()) return;
@@ -258,7 +259,7 @@
   });
 }
 
-// The answer has left the router: the client hears it a way later.
+// The response has left the router: the client receives it after the one-way delay.
 void Load::answered(Handle handle, const Heard& heard) {
   Try* t = tries_.find(handle);
   if (t == nullptr || t->answered) return;
@@ -268,8 +269,8 @@
 
 void Load::end_try(Handle handle, const Heard& heard) {
   Try* t = tries_.find(handle);
-  if (t == nullptr || t->over) return;     // its client has gone: over() sees to the rest
-  if (!t->told) told(*t, false, false, 0); // it was held back all the time
+  if (t == nullptr || t->over) return;     // its client no longer waits: cancel_try() removes the try
+  if (!t->told) told(*t, false, false, 0); // it was held back and never sent
   by_try_.erase(t->start.try_id);
   model::Answered answered;
   answered.at = now();
@@ -323,7 +324,7 @@
 
 void Load::came_up(Connection& c) {
   c.up_at = now();
-  if (c.frozen) return c.stream->pause(); // the machine is silent: it did not come up
+  if (c.frozen) return c.stream->pause(); // the machine is silent: the connection counts as not established
   if (c.asks_ready) {
     if (ready_by_connect_[c.router]) {
       const RouterId router = c.router;
@@ -356,7 +357,7 @@
     const bool asked = t != nullptr && c.written;
     const Heard heard = hear(stage_.bodies, answer, asked ? t->start.try_id : c.last);
     if (!asked || (heard.made_for != 0 && heard.made_for == c.before)) {
-      // Nobody asked, or it was made for the request before: one answer too many.
+      // A response without a request, or one to the previous request: it is surplus.
       surplus(c, heard);
       if (!asked) return drop(c);
       continue;
@@ -400,15 +401,17 @@
     c.request = 0;
     return drop(c);
   }
-  const bool whole = error == 0 && c.written && c.parser.end_of_input(); // an answer without a length
+  // A response without a Content-Length ends with the connection.
+  const bool whole = error == 0 && c.written && c.parser.end_of_input();
   if (whole) {
     const Heard heard = hear(stage_.bodies, c.parser.take(), t->start.try_id);
     answered(handle, heard);
   } else if (!c.stream->is_up()) {
-    if (!t->told || t->resent) told(*t, false, true, 0); // what was sent first was not taken after all
+    // What was sent on the first connection was not accepted after all.
+    if (!t->told || t->resent) told(*t, false, true, 0);
     answered(handle, {model::Heard::Unreachable, 0, true, 0});
   } else if (!c.written && t->planned > now()) {
-    // It ended while the request was on its way: send() finds out.
+    // The connection closed while the request was on its way: send() uses the replacement.
     t->connection = 0;
     Connection* next = connect(t->router);
     c.request = 0;
@@ -420,7 +423,7 @@
   } else {
     const bool crossed = !c.some_came && (error != 0 || reset_behind(c.stream->fd()));
     if (crossed && !t->resent && c.written && c.requests > 1) {
-      // The router closed it between requests without having read this one.
+      // The router closed the idle connection without having read this request: the client sends it again.
       Connection* next = connect(t->router);
       c.request = 0;
       if (next != nullptr) {
@@ -446,12 +449,12 @@
   later(kRestAgainMs, [this, router] { keep_resting(router); });
 }
 
-// It is free for another request.
+// Makes the connection available for another request, or closes it.
 void Load::rest(Connection& c) {
   if (!stage_.spec.clients.keep_connections || c.frozen) return drop(c);
   c.due = c.written = false;
   auto& kept = sides_[c.router].kept;
-  if (kept.size() > 64 && kept.size() > 2 * connections_.size()) { // most of those below have ended
+  if (kept.size() > 64 && kept.size() > 2 * connections_.size()) { // most of the older entries are closed
     std::erase_if(kept, [this](Handle h) { return connections_.find(h) == nullptr; });
   }
   kept.push_back(c.self);
@@ -518,7 +521,7 @@
   calls_.ready(router);
 }
 
-// Further connections that stay open without a request.
+// Opens the connections that clients hold open idle to a router.
 void Load::keep_resting(RouterId router) {
   Side& side = sides_[router];
   while (side.ready && side.resting < stage_.spec.clients.resting) {
@@ -540,7 +543,8 @@
   }
 }
 
-// Nothing passes between clients and the router's machine. What was lost meanwhile resets when it is back.
+// Starts or ends a silence: nothing passes between clients and the router's machine. Connections on which
+// data was lost are reset when the machine is reachable again.
 void Load::silence(RouterId router, bool on) {
   using What = model::RouterEvent::What;
   stage_.tape.add(model::RouterEvent{now(), router, on ? What::Silent : What::Returned});
--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -1,8 +1,9 @@
-// The open-loop clients of a run, in one loop of a thread of their own.
+// The open-loop clients of a run, in an event loop on a thread of their own.
 //
-// A request is sent when it was meant to be sent, whatever became of those before; times count from then. How much
-// later the rig itself was is measured for each try. Clients are dealt over the routers by the model's plain front,
-// which asks a starting router whether it is ready and notices a dead one late.
+// A request is sent at its intended time, whatever the outcome of earlier requests; latencies count from the
+// intended time. For each try the delay that the rig itself added is measured. The front balancer of the
+// model distributes clients over the routers: it probes a starting router for readiness and detects a dead
+// one with a delay.
 #pragma once
 
 #include <atomic>
@@ -27,31 +28,33 @@
 namespace fernward::rig {
 
 struct LoadInfo {
-  lab::Quantiles lateness_ms; // of sends against their due time
+  lab::Quantiles lateness_ms; // of sends, relative to their due times
   double cpu_s = 0;
-  std::uint64_t tries = 0, connections = 0; // made
+  std::uint64_t tries = 0, connections = 0; // totals started
 };
 
+// Created, started and stopped by one thread; its clients run in its own thread.
 class Load {
  public:
-  struct Calls {                                // from the load's thread
+  struct Calls {                                // called on the load's thread
     std::function<void(model::RouterId)> ready; // the router has answered /ready with 200
-    std::function<void()> done;                 // all requests are drawn and have ended
+    std::function<void()> done;                 // all requests have arrived and ended
   };
-  // `ready_by_connect`: routers that know no /ready count as ready once they take a connection.
+  // `ready_by_connect`, by router: 1 for a router without /ready, which counts as ready once it accepts a
+  // connection.
   Load(const Stage& stage, Calls calls, std::vector<char> ready_by_connect);
-  ~Load(); // as stop()
+  ~Load(); // calls stop()
   Load(const Load&) = delete;
   Load& operator=(const Load&) = delete;
 
-  // From the thread that made it.
-  void open();                                         // the loop runs
-  void begin();                                        // the clock has begun: clients come
-  void router_started(model::RouterId router);         // it is asked whether it is ready
+  // To be called from the thread that created it.
+  void open();                                         // starts the loop
+  void begin();                                        // the clock has started: requests arrive from now on
+  void router_started(model::RouterId router);         // starts probing it for readiness
   void router_stopping(model::RouterId router);        // it was sent SIGTERM
-  void router_down(model::RouterId router);            // its process has ended
-  void router_pauses(model::RouterId router, bool on); // it stands still, or goes on
-  void finish(); // no further requests are drawn; those that are open end as they do
+  void router_down(model::RouterId router);            // its process has ended, or was killed
+  void router_pauses(model::RouterId router, bool on); // it was stopped with SIGSTOP, or continued
+  void finish(); // starts no further requests; active ones continue to their ends
   LoadInfo stop();
 
  private:
@@ -60,11 +63,11 @@
     model::TryStart start;
     model::RouterId router = 0;
     bool routed = false;
-    bool told = false;     // its Tried record is out
-    bool over = false;     // the client has heard an end, or waits no longer
+    bool told = false;     // its model::Tried record is written
+    bool over = false;     // the client has a response, or no longer waits
     bool resent = false;   // its first connection was closed between requests
-    bool answered = false; // on its way to the client
-    double planned = 0;    // run time at which its first byte is due at the router
+    bool answered = false; // the response is on its way to the client
+    double planned = 0;    // run time (ms) at which its first byte is due at the router
     Handle connection = 0;
   };
   struct Connection final : Stream::User {
@@ -77,21 +80,21 @@
     model::RouterId router = 0;
     std::unique_ptr<Stream> stream;
     http::Parser parser{http::Kind::Response};
-    bool frozen = false;  // the router's machine is silent: nothing is read
-    bool resting = false; // held open without a request
+    bool frozen = false;  // the router's machine is silent: nothing is read from the connection
+    bool resting = false; // held open idle, never used for a request
     bool asks_ready = false;
-    bool due = false; // the time of its request has come
+    bool due = false; // the send time of its request has passed
     bool written = false;
-    bool some_came = false; // of the present answer
-    Handle request = 0;     // the try that has it
-    bool abandoned = false; // its client has gone while the router's machine was silent
+    bool some_came = false; // bytes of the current response were received
+    Handle request = 0;     // the try that uses the connection
+    bool abandoned = false; // its client cancelled while the router's machine was silent
     std::uint32_t requests = 0;
-    model::TryId last = 0, before = 0; // the latest two
+    model::TryId last = 0, before = 0; // the latest two tries sent on it
     double up_at = 0;
   };
-  struct Side { // a router's
+  struct Side { // state of one router
     bool runs = false, ready = false;
-    std::vector<Handle> kept; // connections at rest, the newest last
+    std::vector<Handle> kept; // idle connections, the newest last
     std::uint32_t life = 0;
     std::uint32_t resting = 0;
   };
@@ -128,7 +131,7 @@
 
   double way(const Try& t);
   double now() const { return loop_.now(); }
-  // Some time after now on a clock that may not have begun.
+  // Runs `task` after `ms`, also before the run's clock has started.
   void later(double ms, std::function<void()> what) { loop_.after(ms, std::move(what)); }
 
   const Stage& stage_;
@@ -143,7 +146,7 @@
   std::vector<Side> sides_;
   loop::SlotMap<Try> tries_;
   loop::SlotMap<Connection> connections_;
-  std::unordered_map<model::TryId, Handle> by_try_; // those whose client still waits
+  std::unordered_map<model::TryId, Handle> by_try_; // tries whose clients still wait
   std::optional<model::Drawn> next_;
   model::ClientActs acts_;
   bool acting_ = false, finishing_ = false, done_ = false;
--- a/lab/load/wire.h
+++ b/lab/load/wire.h
@@ -1,4 +1,4 @@
-// A client's request and what it makes of an answer, on the wire.
+// The HTTP form of a client's request, and how a client interprets a response.
 #pragma once
 
 #include <string>
@@ -10,17 +10,19 @@
 
 namespace fernward::rig {
 
-// The bytes of a try. `wait_ms`: how long the client will wait from its sending on.
+// The request bytes of a try. `wait_ms`: how long the client waits for the response, counted from the send.
 std::string request_text(const model::Spec& spec, const Tries& tries, const model::TryStart& start,
                          double wait_ms);
 TryFacts facts_of(const model::TryStart& start);
 
+// A response as the client sees it.
 struct Heard {
   model::Heard heard = model::Heard::Failed;
   double retry_after_ms = 0;
   bool genuine = true;
-  model::TryId made_for = 0; // of a Served body that a machine made; 0: none did
+  model::TryId made_for = 0; // the try for which a machine made the served body; 0: no machine made it
 };
+// `try_id`: the try that the response should belong to; a body made for another one is not genuine.
 Heard hear(const Bodies& bodies, const http::Message& answer, model::TryId try_id);
 
 } // namespace fernward::rig
