--- a/lab/peers/agents.cpp
+++ b/lab/peers/agents.cpp
@@ -21,8 +21,8 @@
 
 namespace {
 
-constexpr double kMostWaitMs = 60000; // for one call
-constexpr double kGoesOnMs = 200;     // a watch goes on if the next call comes within this
+constexpr double kMostWaitMs = 60000; // limit for one call
+constexpr double kGoesOnMs = 200;     // a watch continues if the next call arrives within this time
 constexpr double kSweepMs = 25;
 constexpr int kBacklog = 64;
 
@@ -64,7 +64,7 @@
     side.congestion = model::stream(stage.spec.seed, "discovery congestion", r);
     side.had.resize(stage.plan.machines.size());
     side.counted.resize(stage.plan.machines.size());
-    note(side.had, discovery_.list(0, std::nullopt)); // the list as it was before the run
+    note(side.had, discovery_.list(0, std::nullopt)); // the list before the run
   }
 }
 
@@ -165,7 +165,7 @@
   return true;
 }
 
-// Answers a call, unless it is to wait or nothing is said at all.
+// Responds to a call, unless it has to wait for a change or the router's agent is silent.
 void Agents::serve(Call& call) {
   if (!call.ask || call.ask->progress != Progress::Held || silent(call.router)) return;
   const std::uint64_t index = discovery_.index(call.router);
@@ -184,7 +184,7 @@
   return http::write_response(200, {{"Content-Type", "application/json"}}, body, true);
 }
 
-// The whole of the answer has been written.
+// The response has been written completely.
 void Agents::answered(Call& call) {
   Side& side = sides_[call.router];
   if (call.ask->since) side.watch_ended_at = now();
@@ -198,7 +198,7 @@
   read_call(call);
 }
 
-// ---- the crowded server ----
+// ---- the congested server ----
 
 AnswerQueue::Calls::State Agents::state(Handle handle) {
   const Call* call = calls_.find(handle);
@@ -209,7 +209,7 @@
 std::optional<std::string> Agents::make_answer(Handle handle) {
   Call* call = calls_.find(handle);
   if (call == nullptr) return std::nullopt;
-  if (silent(call->router)) { // asks anew when discovery is back
+  if (silent(call->router)) { // served again when discovery has recovered
     call->ask->progress = Progress::Held;
     return std::nullopt;
   }
@@ -222,7 +222,7 @@
   if (is_last) answered(call);
 }
 
-// ---- what is told ----
+// ---- notifications ----
 
 void Agents::note(std::vector<Known>& into, const Discovery::List& list) const {
   if (list.whole) std::fill(into.begin(), into.end(), Known());
@@ -238,7 +238,7 @@
   }
   const std::vector<Known> before = side.counted;
   note(side.counted, list);
-  if (list.whole && !cached) { // what it no longer holds is gone
+  if (list.whole && !cached) { // endpoints that a snapshot omits are gone
     std::vector<char> listed(before.size());
     for (const auto& entry : list.entries) listed[entry.machine] = 1;
     for (MachineId m = 0; m < listed.size(); ++m) {
@@ -280,7 +280,7 @@
   side.runs = true;
   side.counted_index = 0;
   side.news.clear();
-  side.news_index = 0; // all that discovery has is news to it
+  side.news_index = 0; // a new process knows no version yet
   note_news(router);
   side.moves = moves_;
   side.reloaded_at = -kNever;
@@ -288,7 +288,7 @@
   note_reach(router);
   side.watch_ended_at = -1e9;
   Discovery::List known;
-  known.index = 0; // whatever discovery tells is newer
+  known.index = 0; // any version from discovery is newer
   for (MachineId m = 0; m < side.had.size(); ++m) {
     if (side.had[m].state != ServerState::Gone) {
       known.entries.push_back({m, side.had[m].state, side.had[m].started_at, 0});
@@ -304,7 +304,7 @@
   note_reach(router);
 }
 
-// ---- what happens ----
+// ---- changes and steps ----
 
 void Agents::begin() {
   advance();
@@ -353,12 +353,12 @@
   }
 }
 
-// After SIGHUP a router reads its file again, and in it discovery's address.
+// After SIGHUP a router reads its configuration file again, including discovery's address.
 void Agents::reloaded(RouterId router) {
   Side& side = sides_[router];
   if (!side.runs || side.moves == moves_) return;
   side.moves = moves_;
-  note_reach(router); // within reach again by the reload at the latest
+  note_reach(router); // discovery is reachable again by the reload at the latest
   side.reloaded_at = now();
 }
 
@@ -375,7 +375,7 @@
   }
 }
 
-// What has come to a router's agent goes to the calls that wait for it.
+// Serves the waiting calls of a router whose agent has received a new version.
 void Agents::spread(RouterId router) {
   Side& side = sides_[router];
   note_news(router);
@@ -415,7 +415,7 @@
   }
 }
 
-// When the router counts as told of it at the latest.
+// The latest time at which the router counts as notified of the version.
 double Agents::counts_at(const Side& side, const News& news) const {
   const model::DiscoverySpec& spec = stage_.spec.discovery;
   const double at_latest = std::max(news.came_at, side.reachable_since) + spec.at_latest_ms;
@@ -424,7 +424,7 @@
   return was_to_be_read_anew ? std::min(at_latest, side.reloaded_at + spec.reload_at_latest_ms) : at_latest;
 }
 
-// A router that does not ask, or has no answer, counts as told all the same, in the end.
+// A router that sends no call, or receives no response, counts as notified once the limit has passed.
 void Agents::sweep() {
   const double at = now();
   for (RouterId r = 0; r < sides_.size(); ++r) {
--- a/lab/peers/agents.h
+++ b/lab/peers/agents.h
@@ -1,15 +1,18 @@
-// Discovery as the routers see it: an agent on each router's own machine, which answers at once with what discovery
-// has sent it, and says nothing while discovery is down or its machine is cut off. Where the scenario has
-// `discovery.congestion`, the calls of all routers are answered by one crowded server instead (answer_queue.h).
+// Discovery as the routers see it: an agent on each router's machine, which responds at once with the latest
+// endpoint list that discovery has sent to it, and does not respond while discovery is down or its machine is
+// cut off. With `discovery.congestion` in the scenario, one congested server responds to the calls of all
+// routers instead (response_queue.h).
 //
-// What a router counts as told of is recorded when
-//  - it has been written to the router in full;
-//  - it comes between two calls of one watch (not with congestion: the next call has to wait for its turn);
-//  - DiscoverySpec::at_latest_ms has passed since the router could have been told of it, whatever became of its
-//    calls: they may have failed, been refused, been given up, fallen silent or still wait for their turn;
-//  - DiscoverySpec::reload_at_latest_ms has passed since the SIGHUP that told it of discovery's new address.
-// The last two begin anew when discovery comes back from an outage, or the router's machine from a cut: until then it
-// could not have been told.
+// A router counts as notified of a change, and the notification is recorded, when
+//  - the change has been written to the router completely;
+//  - it arrives between two calls of one watch (not with congestion: there the next call has to queue);
+//  - DiscoverySpec::at_latest_ms has passed since the router could have been notified, whatever happened to
+//    its calls: they may have failed, been rejected, been cancelled, received no response, or still be
+//    queued;
+//  - DiscoverySpec::reload_at_latest_ms has passed since the SIGHUP after which it reads discovery's new
+//    address.
+// The last two periods start again when discovery recovers from an outage, or the router's machine from a
+// cut: until then the router could not have been notified.
 #pragma once
 
 #include <deque>
@@ -32,6 +35,7 @@
 
 namespace fernward::rig {
 
+// The discovery agents of all routers. Owned by the simulated fleet, and used on its loop's thread.
 class Agents final : private AnswerQueue::Calls {
  public:
   Agents(const Stage& stage, Loop& loop, model::Network& network);
@@ -40,22 +44,24 @@
   Agents& operator=(const Agents&) = delete;
 
   void open();                         // listens; throws std::runtime_error
-  void begin();                        // the run has begun
-  void apply(const model::Step& step); // that the network has taken note of already
+  void begin();                        // the run has started
+  void apply(const model::Step& step); // a step that is already applied to the network
   void change(model::MachineId machine, ServerState state, double started_at, model::Discovery::Why why);
 
-  // A router's process is started now: its list as it had it last, for `known`; it counts as told of it.
+  // A router's process is about to start. Returns the last list that was delivered to it, for the `known` key
+  // of its configuration; the router counts as notified of that list.
   nlohmann::json router_starts(model::RouterId router);
   void router_ended(model::RouterId router);
 
-  // The start of the machine that the router counts as told of; below 0: before the run, or none.
+  // The start time of the machine as the router was last notified of it; below 0: before the run, or never
+  // notified.
   double told_start(model::RouterId router, model::MachineId machine) const {
     return sides_[router].counted[machine].started_at;
   }
 
  private:
   using Handle = loop::Handle;
-  struct Door {
+  struct Door { // the listening socket of one router's agent at one of discovery's addresses
     Agents* all = nullptr;
     model::RouterId router = 0;
     std::uint32_t moves = 0;
@@ -63,15 +69,15 @@
     loop::EventPtr accepts;
   };
   enum class Progress {
-    Held,         // it waits for news, or for discovery to come back
-    Queued,       // its answer waits to be made, or for its turn to be sent
-    NeverAnswered // a long poll that falls silent
+    Held,         // it waits for a change, or for discovery to recover
+    Queued,       // its response waits to be made or to be sent
+    NeverAnswered // a long poll that never receives a response
   };
   struct Ask {
     std::optional<std::uint64_t> since;
-    double until = 0; // wall clock
+    double until = 0; // wall clock, ms
     Progress progress = Progress::Held;
-    model::Discovery::List answer; // that is being sent
+    model::Discovery::List answer; // the list that is being sent
   };
   struct Call final : Stream::User {
     void bytes(std::string_view got) override { all->read(*this, got); }
@@ -85,30 +91,30 @@
     http::Parser parser{http::Kind::Request};
     std::string behind;
     std::optional<Ask> ask;
-    loop::TimerQueue::TimerId ticket = 0; // of a watch that waits
+    loop::TimerQueue::TimerId ticket = 0; // of a waiting watch
   };
   struct Known {
     ServerState state = ServerState::Gone;
     double started_at = -1;
   };
   static constexpr double kNever = std::numeric_limits<double>::infinity();
-  struct News { // a version of the list that the router does not count as told of yet
+  struct News { // a version of the list of which the router does not count as notified yet
     std::uint64_t index = 0;
     double came_at = 0;
   };
-  struct Side { // a router's
+  struct Side { // state of one router
     bool runs = false;
-    std::vector<Known> had; // written to it
+    std::vector<Known> had; // endpoints as written to it
     std::uint64_t had_index = 0;
-    std::vector<Known> counted; // that it counts as told of
+    std::vector<Known> counted; // endpoints of which it counts as notified
     std::uint64_t counted_index = 0;
-    std::deque<News> news;           // in order
-    std::uint64_t news_index = 0;    // the latest that was put there
-    std::uint32_t moves = 0;         // it knows discovery's address after this many moves
-    double reachable_since = kNever; // discovery, from this router; kNever: it is out of reach
-    double reloaded_at = -kNever;    // it was told of another address
-    double watch_ended_at = -1e9;    // run time of the last answer to a watch
-    model::Engine congestion;        // draws what becomes of its calls
+    std::deque<News> news;           // in order of their indexes
+    std::uint64_t news_index = 0;    // the latest index added to it
+    std::uint32_t moves = 0;         // the discovery address that it uses, as the number of moves so far
+    double reachable_since = kNever; // since when the router can reach discovery; kNever: it can't
+    double reloaded_at = -kNever;    // when it last read a new discovery address
+    double watch_ended_at = -1e9;    // run time of the last response to a watch
+    model::Engine congestion;        // random stream for the outcomes of its calls
   };
 
   static void acceptable(int, short, void* door);
@@ -116,7 +122,7 @@
   void accept(const Door& door);
   void read(Call& call, std::string_view got);
   void read_call(Call& call);
-  bool refuse(Call& call); // false: the call is taken
+  bool refuse(Call& call); // whether the call was failed; false: it is to be served
   void serve(Call& call);
   std::string answer_text(Call& call);
   void answered(Call& call);
@@ -145,8 +151,8 @@
   model::Network& network_;
   model::Discovery discovery_;
   bool down_ = false;
-  std::uint32_t moves_ = 0;        // addresses that it has left for another
-  std::uint32_t oldest_moves_ = 0; // the oldest of them that still answers
+  std::uint32_t moves_ = 0;        // number of discovery's moves to another address so far
+  std::uint32_t oldest_moves_ = 0; // the oldest address that still responds, as a number of moves
   loop::TimerQueue::TimerId wake_ = 0;
   std::vector<std::unique_ptr<Door>> doors_;
   loop::SlotMap<Call> calls_;
--- a/lab/peers/answer_queue.cpp
+++ b/lab/peers/answer_queue.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr double kSilentRetryMs = 20; // how soon a call that nothing may be sent to is looked at again
+constexpr double kSilentRetryMs = 20; // interval between checks of a silent call
 
 double cost_ms(double amount, double per_second) { return per_second > 0 ? 1000 * amount / per_second : 0; }
 
@@ -20,7 +20,8 @@
   make_next();
 }
 
-// A server that is late for its own timer works on from the time that was planned, so that its capacity is exact.
+// Times advance from the planned time, not from the time at which a late timer fires, so that the capacity is
+// exact.
 void AnswerQueue::make_next() {
   while (!waiting_.empty() && calls_.state(waiting_.front()) == Calls::State::Closed) waiting_.pop_front();
   making_ = !waiting_.empty();
@@ -58,7 +59,7 @@
   });
 }
 
-// The first in turn whose next piece may go out. Answers to calls that were given up are dropped.
+// Takes the first response whose next piece may be sent. Responses to closed calls are dropped.
 std::optional<AnswerQueue::Answer> AnswerQueue::take_due(double now) {
   std::erase_if(sending_, [&](const Answer& a) { return calls_.state(a.call) == Calls::State::Closed; });
   for (auto answer = sending_.begin(); answer != sending_.end(); ++answer) {
@@ -89,7 +90,7 @@
     answer.due = loop::now_ms() + kSilentRetryMs;
     sending_.push_back(std::move(answer));
   }
-  // What was asked for while the piece was sent has started to send by itself where nothing else did.
+  // A call made while the piece was sent may already have started the next one.
   if (!on_wire_) send_next();
 }
 
--- a/lab/peers/answer_queue.h
+++ b/lab/peers/answer_queue.h
@@ -1,7 +1,7 @@
-// The answers of one crowded discovery server: made one after another at a fixed rate, then sent in pieces that take
-// turns at a fixed bandwidth.
+// The responses of one congested discovery server: they are made one after another at a fixed rate, then sent
+// in pieces, in round-robin order, at a fixed bandwidth.
 //
-// Capacity that was spent on a call that is given up meanwhile is not given back.
+// Capacity spent on a call that is cancelled meanwhile is not recovered.
 #pragma once
 
 #include <deque>
@@ -15,17 +15,18 @@
 
 namespace fernward::rig {
 
+// Used on its loop's thread only.
 class AnswerQueue {
  public:
   using Handle = loop::Handle;
 
-  // The calls that wait for answers.
+  // The calls that wait for responses.
   class Calls {
    public:
-    enum class State { Open, Silent, Closed }; // Silent: nothing may be sent to it now
+    enum class State { Open, Silent, Closed }; // Silent: nothing may be sent to the caller now
 
     virtual State state(Handle call) = 0;
-    // Its answer as of now, headers included; none: the call no longer waits for one.
+    // The response as of now, headers included; none: the call no longer waits for one.
     virtual std::optional<std::string> make_answer(Handle call) = 0;
     virtual void send_piece(Handle call, std::string_view piece, bool is_last) = 0;
 
@@ -33,7 +34,7 @@
     ~Calls() = default;
   };
 
-  // `spec` and `calls` outlive it.
+  // `spec` and `calls` must outlive it.
   AnswerQueue(const model::CongestionSpec& spec, Loop& loop, Calls& calls)
       : spec_(spec), loop_(loop), calls_(calls) {}
 
@@ -44,7 +45,7 @@
     Handle call = 0;
     std::string bytes;
     std::size_t sent = 0;
-    double due = 0; // the next piece goes out at this time or later
+    double due = 0; // earliest time of the next piece
   };
 
   void make_next();
@@ -57,12 +58,12 @@
   const model::CongestionSpec& spec_;
   Loop& loop_;
   Calls& calls_;
-  std::deque<Handle> waiting_;    // for their answers to be made; the first is being made where `making_`
-  std::deque<Answer> sending_;    // in turn
-  std::optional<Answer> on_wire_; // whose next piece is being sent
+  std::deque<Handle> waiting_;    // calls without responses; if `making_`, the first response is being made
+  std::deque<Answer> sending_;    // responses to send, in round-robin order
+  std::optional<Answer> on_wire_; // the response of which a piece is being sent
   bool making_ = false;
-  double made_at_ = 0, sent_at_ = 0;    // when the present answer is made, the present piece sent
-  loop::TimerQueue::TimerId pause_ = 0; // until the next piece is due
+  double made_at_ = 0, sent_at_ = 0;    // when the current response is made, the current piece sent
+  loop::TimerQueue::TimerId pause_ = 0; // fires when the next piece is due
 };
 
 } // namespace fernward::rig
--- a/lab/peers/datagrams.cpp
+++ b/lab/peers/datagrams.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::size_t kMostBytes = 256;
-constexpr std::size_t kMostOnTheirWay = 1 << 16; // further ones are lost, as a net loses them
+constexpr std::size_t kMostOnTheirWay = 1 << 16; // further datagrams are lost, as in a network
 
 } // namespace
 
@@ -50,7 +50,8 @@
   port.all = this;
   port.fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (port.fd < 0 || bind(port.fd, reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0) {
-    throw std::runtime_error("cannot bind " + text_of(where) + ": " + std::strerror(errno));
+    throw std::runtime_error("cannot bind a datagram socket to " + text_of(where) + ": " +
+                             std::strerror(errno));
   }
   port.reads.reset(event_new(loop_.base(), port.fd, EV_READ | EV_PERSIST, &Datagrams::readable, &port));
   event_add(port.reads.get(), nullptr);
@@ -101,7 +102,8 @@
       if (!network_.routers_pass(from, to)) return;
       const std::size_t routers = stage_.plan.routers.size();
       const sockaddr_in where = stage_.addresses.peer_listen(to);
-      // From the receiver's name for the sender. A router that does not listen refuses it: that tells nothing here.
+      // Sent from the address that the receiver knows the sender by. A router that does not listen refuses
+      // it, which needs no action here.
       const ssize_t gone = sendto(ports_[to * routers + from].fd, bytes.data(), bytes.size(), MSG_DONTWAIT,
                                   reinterpret_cast<const sockaddr*>(&where), sizeof where);
       if (gone >= 0) ++delivered_;
--- a/lab/peers/datagrams.h
+++ b/lab/peers/datagrams.h
@@ -1,7 +1,7 @@
-// The net between routers: datagrams that come late, twice, out of order or not at all.
+// The network between routers: datagrams are delayed, duplicated, reordered or lost.
 //
-// A router sends to the address that its file names for a peer; what comes there goes on to that peer's own socket,
-// from the address that the peer's file names for the sender.
+// A router sends to the address that its configuration names for a peer. A datagram received there is
+// forwarded to the socket of that peer, from the address that the peer's configuration names for the sender.
 #pragma once
 
 #include <map>
@@ -16,33 +16,34 @@
 
 namespace fernward::rig {
 
-// Each pair of routers takes a port of its own. Routers that do not share are to send nothing; ports that would find
-// out are kept for up to this many.
+// Each pair of routers has a port of its own. Routers that do not share must not send datagrams; up to this
+// many routers have ports that would detect it.
 inline constexpr std::size_t kMostIdleDatagramRouters = 64;
 inline bool has_datagram_ports(const model::Spec& spec, const model::Plan& plan) {
   return spec.routers.sharing.on || plan.routers.size() <= kMostIdleDatagramRouters;
 }
 
+// Owned by the simulated fleet, and used on its loop's thread.
 class Datagrams {
  public:
   Datagrams(const Stage& stage, Loop& loop, model::Network& network);
   ~Datagrams();
 
   void open();                         // throws std::runtime_error
-  void apply(const model::Step& step); // who lies from now on; what is lost and cut is the network's
+  void apply(const model::Step& step); // starts and stops corruption; the network applies loss and cuts
   std::uint64_t sent() const { return sent_; }
   struct Spoken {
     std::uint64_t datagrams = 0, bytes = 0;
   };
-  const std::vector<Spoken>& spoken() const { return spoken_; } // by router, what it sent
+  const std::vector<Spoken>& spoken() const { return spoken_; } // by router, what it has sent
   std::uint64_t delivered() const { return delivered_; }
   std::size_t on_their_way() const { return on_their_way_; }
 
  private:
   struct Port {
     Datagrams* all = nullptr;
-    model::RouterId owner = 0; // whose file names this address
-    model::RouterId other = 0; // whom it stands for
+    model::RouterId owner = 0; // the router whose configuration names this address
+    model::RouterId other = 0; // the peer that the address stands for
     bool everybody = false;
     int fd = -1;
     loop::EventPtr reads;
@@ -56,9 +57,9 @@
   const Stage& stage_;
   Loop& loop_;
   model::Network& network_;
-  std::map<model::RouterId, lab::lies::Liar> liars_; // that were ever told to lie
+  std::map<model::RouterId, lab::lies::Liar> liars_; // routers for which a corruption was ever configured
   std::vector<Spoken> spoken_;
-  std::vector<Port> ports_; // by owner and other, then one for everybody by owner
+  std::vector<Port> ports_; // by owner and peer, then one per owner that reaches all peers
   std::uint64_t sent_ = 0, delivered_ = 0;
   std::size_t on_their_way_ = 0;
 };
--- a/lab/peers/fleet.h
+++ b/lab/peers/fleet.h
@@ -1,4 +1,4 @@
-// The stand-ins of a run, in one loop of a thread of their own.
+// The simulated peers of the routers in a run, in an event loop on a thread of their own.
 #pragma once
 
 #include <atomic>
@@ -13,31 +13,32 @@
 namespace fernward::rig {
 
 struct FleetInfo {
-  lab::Quantiles lateness_ms; // of answers against their due time
+  lab::Quantiles lateness_ms; // of responses, relative to their due times
   double cpu_s = 0;
   std::uint64_t attempts = 0, datagrams = 0;
   std::vector<Datagrams::Spoken> spoken; // by router
 };
 
+// Created, started and stopped by one thread; everything else runs in its own thread.
 class Fleet {
  public:
   explicit Fleet(const Stage& stage);
-  ~Fleet(); // as stop()
+  ~Fleet(); // calls stop()
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  // These are called by the thread that made it.
-  void open();                                          // listens, then serves; throws std::runtime_error
-  void begin();                                         // the clock has begun
+  // To be called from the thread that created it.
+  void open();  // listens and starts serving; throws std::runtime_error
+  void begin(); // the clock has started
   nlohmann::json router_starts(model::RouterId router); // see Agents
   void router_ended(model::RouterId router);
-  void happen(const model::Step& step); // now, beside what the plan holds
-  std::size_t attempts();               // held at present
+  void happen(const model::Step& step); // applies a step now, in addition to those of the plan
+  std::size_t attempts();               // active now
   FleetInfo stop();                     // ends the thread and closes everything
 
  private:
   template <typename Result>
-  Result ask(std::function<Result()> what); // done in the loop; waits for it
+  Result ask(std::function<Result()> what); // runs it in the loop and waits for the result
   void apply(const model::Step& step);
 
   const Stage& stage_;
--- a/lab/peers/machines.cpp
+++ b/lab/peers/machines.cpp
@@ -23,10 +23,10 @@
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
 constexpr double kSampleMs = 1000;
-constexpr double kSweepMs = 250;   // how often connections at rest are looked at
-constexpr double kAtOnceMs = 0.02; // what is due within this is done now
+constexpr double kSweepMs = 250;   // interval between checks for expired idle connections
+constexpr double kAtOnceMs = 0.02; // actions due within this time are performed at once
 constexpr int kBacklog = 512;
-constexpr std::size_t kMostBehind = 128 * 1024; // of a router that does not wait for answers
+constexpr std::size_t kMostBehind = 128 * 1024; // from a router that does not wait for responses
 
 void reset_fd(int fd) {
   const linger at_once{1, 0};
@@ -62,7 +62,7 @@
   for (Door& d : doors_) set_door(d, Door::State::Closed);
 }
 
-// ---- doors ----
+// ---- listeners ----
 
 void Machines::open() {
   const std::size_t places = stage_.plan.machines.size();
@@ -83,7 +83,7 @@
 
 void Machines::set_doors(MachineId machine) {
   const MachineId place = stage_.plan.machines[machine].address_of;
-  if (owner_[place] != machine) return; // another machine has its address by now
+  if (owner_[place] != machine) return; // another machine owns the address now
   for (RouterId r = 0; r < stage_.plan.routers.size(); ++r) {
     const bool off = stations_[machine]->phase() == model::Phase::Off;
     set_door(door(r, place), !network_.passes(r, machine) ? Door::State::Plugged
@@ -96,7 +96,7 @@
   if (d.state == state) return;
   d.state = state;
   d.accepts.reset();
-  // What came while nothing was taken resets: the other side takes it for up.
+  // Connections queued while none were accepted are reset: the peer regards them as established.
   for (int fd = -1; d.fd >= 0 && (fd = accept4(d.fd, nullptr, nullptr, SOCK_CLOEXEC)) >= 0;) reset_fd(fd);
   for (const int fd : d.plugs) close(fd);
   d.plugs.clear();
@@ -118,7 +118,8 @@
   event_add(d.accepts.get(), nullptr);
 }
 
-// A queue that is full drops what asks for a connection, as a machine that is not there: no answer ever comes.
+// Fills the backlog of a listener. A full backlog drops connection requests without a response, as an
+// unreachable machine does.
 void Machines::plug(Door& d) {
   listen(d.fd, 0);
   const sockaddr_in where = stage_.addresses.machine(d.router, d.place);
@@ -174,7 +175,7 @@
   const MachineId machine = c->machine;
   if (stations_[machine]->connect(now(), connection, acts_)) {
     c->accepted = true;
-  } else { // its table is full, or it has just ended
+  } else { // its connection table is full, or it has just ended
     c->turned_away = c->up = true;
     c->up_at = to_router(*c, now());
     send_on(*c);
@@ -187,7 +188,7 @@
   c.behind.append(got);
   if (c.behind.size() > kMostBehind) {
     stage_.voids.add("router " + stage_.plan.routers[c.router].name +
-                     " sends requests ahead of their answers");
+                     " pipelines requests without waiting for responses");
     c.behind.clear();
   }
   read_request(c);
@@ -200,7 +201,7 @@
   if (c.parser.fault() != http::Fault::None) {
     c.parser = http::Parser(http::Kind::Request);
     c.behind.clear();
-    stage_.voids.add("router " + stage_.plan.routers[c.router].name + " sent what is no request to " +
+    stage_.voids.add("router " + stage_.plan.routers[c.router].name + " sent a malformed HTTP request to " +
                      stage_.plan.machines[c.machine].name);
     return refuse(c, 400);
   }
@@ -212,7 +213,7 @@
   send_on(c);
 }
 
-// None: it is answered with the status.
+// Returns the request, or none: then the response is the error `status`.
 std::optional<Machines::Request> Machines::take(const Connection& c, const http::Message& message,
                                                 int& status) {
   Request request;
@@ -238,7 +239,7 @@
     request.facts = *known;
     if (same) return request;
   } else if (stage_.visitors) {
-    request.try_id = hash_of(id) | 1ull << 63; // no try of the lab's own
+    request.try_id = hash_of(id) | 1ull << 63; // not a try of the lab's clients
     request.facts.write = message.method == "PUT";
     request.facts.key = hash_of(message.target) >> 8;
     request.facts.work_ms = stage_.spec.classes.front().work.mean;
@@ -252,7 +253,7 @@
   return std::nullopt;
 }
 
-// The request goes on its way once the connection is up for the router.
+// Schedules the arrival of the request once the router sees the connection as established.
 void Machines::send_on(Connection& c) {
   if (!c.request || !c.up || c.on_its_way) return;
   c.on_its_way = true;
@@ -280,7 +281,7 @@
   }
   const MachineId machine = c->machine;
   const Handle handle = arrivals_.add();
-  if (handle == 0) return stage_.voids.add("more attempts at once than the lab can hold");
+  if (handle == 0) return stage_.voids.add("too many active attempts: the lab's table is full");
   Arrival& arrival = *arrivals_.find(handle);
   arrival.number = ++arrived_;
   arrival.machine = machine;
@@ -320,10 +321,10 @@
   acts(machine);
 }
 
-// The router has closed it, or ended its sending: that gives up what it asked for.
+// The router has closed the connection, or its sending side: this cancels the active request.
 void Machines::closed(Connection& c) {
   const Handle handle = c.self;
-  // What it would not have sent yet, had the connection taken its time to come up, never goes.
+  // A request that would not have been sent yet, had the handshake taken its simulated time, is never sent.
   if (c.request && (!c.up || c.up_at > now())) c.request.reset();
   c.stream.reset();
   loop_.at(to_machine(c, now()), [this, handle] { gone_at_machine(handle); });
@@ -348,7 +349,7 @@
   connections_.remove(connection);
 }
 
-// The machine's side of its connections is gone. Where a message passes, the routers hear of it.
+// Closes the machine's side of its connections. Routers that messages reach are notified with a reset.
 void Machines::reset_links(MachineId machine, bool only_stuck) {
   connections_.each([&](Handle handle, Connection& c) {
     if (c.machine != machine || (only_stuck && !c.stuck)) return;
@@ -357,7 +358,7 @@
       if (c.arrival != 0) stations_[machine]->cancel(now(), c.arrival, acts_);
     }
     c.accepted = false;
-    c.life = std::numeric_limits<std::uint32_t>::max(); // of no process any more
+    c.life = std::numeric_limits<std::uint32_t>::max(); // of no incarnation any more
     if (!passes(c)) {
       c.stuck = true;
       return;
@@ -368,8 +369,8 @@
   acts(machine);
 }
 
-// Silences or cuts have begun or ended: what can't be heard is not read, and where a message was lost the
-// connection resets once the way is free.
+// A silence or cut has started or ended: connections over a cut path are not read, and those on which a
+// message was lost are reset once the path is restored.
 void Machines::ways_changed() {
   for (MachineId m = 0; m < stations_.size(); ++m) set_doors(m);
   connections_.each([&](Handle, Connection& c) {
@@ -378,8 +379,7 @@
     if (frozen == c.frozen) return;
     c.frozen = frozen;
     if (frozen) return c.stream->pause();
-    if (!c.stream->quiet())
-      c.stuck = true; // it was written to meanwhile: that is lost, and nobody reads it now
+    if (!c.stream->quiet()) c.stuck = true; // data written to it meanwhile is lost and stays unread
     if (!c.stuck) c.stream->resume();
   });
   for (MachineId m = 0; m < stations_.size(); ++m) reset_links(m, true);
@@ -399,7 +399,7 @@
   loop_.after(kSweepMs, [this] { close_resting(); });
 }
 
-// ---- answers ----
+// ---- responses ----
 
 void Machines::refuse(Connection& c, int status) {
   Script script;
@@ -436,7 +436,7 @@
       c->stuck = true;
       return;
     }
-    if (over) { // an answer that was cut short, or one after which the connection ends
+    if (over) { // a truncated response, or one after which the connection closes
       if (c->accepted) stations_[c->machine]->disconnect(now());
       return connections_.remove(connection);
     }
@@ -450,7 +450,7 @@
   read_request(*c);
 }
 
-// ---- stations ----
+// ---- server models ----
 
 void Machines::begin() {
   sample();
@@ -551,7 +551,7 @@
     case What::Return:
       event(m, NodeEvent::What::Returned);
       ways_changed();
-      // An origin that has fallen meanwhile stays on the list, and comes back without a word of its own.
+      // An origin that has failed meanwhile stays on the list, and recovers without a change of the list.
       if (runs || is_origin(m)) calls_.changed(m, ServerState::Ready, place.started_at, Why::Added);
       break;
     case What::Neighbour:
@@ -566,7 +566,8 @@
   acts(m);
 }
 
-// Carries out what a station wants. What is done about an act may add others; these are worked off in the same turn.
+// Performs the actions that a server model requests. An action may append others, which are performed in the
+// same pass.
 void Machines::acts(MachineId machine) {
   if (acting_) return;
   acting_ = true;
@@ -595,7 +596,7 @@
         ++places_[machine].life;
         calls_.changed(machine, ServerState::Gone, places_[machine].started_at, model::Discovery::Why::Left);
         break;
-      case Act::What::Fell: // the list keeps it: it comes back under the same name
+      case Act::What::Fell: // stays on the list, as it recovers under the same name
         event(machine, NodeEvent::What::Ended);
         set_doors(machine);
         reset_links(machine, false);
@@ -642,7 +643,7 @@
     default: break;
   }
   const bool written = act.ending == Ending::Written || (act.ending == Ending::Error && act.begun);
-  if (a.write && written && is_origin(machine)) { // the origin drops the copies
+  if (a.write && written && is_origin(machine)) { // a write at the origin invalidates the cached copies
     for (const auto& m : stage_.plan.machines) {
       if (model::Node* n = node(m.id)) n->make_void(a.key);
     }
--- a/lab/peers/machines.h
+++ b/lab/peers/machines.h
@@ -1,9 +1,9 @@
-// Stand-in cache nodes and the origin: the model's stations behind real sockets.
+// Simulated cache nodes and the origin: the server models behind real sockets.
 //
-// Each router reaches each machine at an address of its own, so that a way can be cut between the two alone. A
-// message is held for its delay on the way, both ways; a connection's first request waits for the handshake. A machine
-// that is off refuses connections; one that no message reaches takes none at all (its listening socket's queue is
-// full), and what is written to its open connections stays unread.
+// Each router reaches each machine at a separate address, so that the path between just these two can be cut.
+// Each message is delayed by the one-way delay of its direction; the first request of a connection waits for
+// the handshake. A machine that is off refuses connections. A machine that is unreachable accepts none (the
+// backlog of its listening socket is full), and data written to its open connections stays unread.
 #pragma once
 
 #include <functional>
@@ -27,29 +27,30 @@
 namespace fernward::rig {
 
 struct MachineCalls {
-  // Whether discovery has something new to tell of a machine.
+  // The state of a machine has changed, which discovery reports to the routers.
   std::function<void(model::MachineId, ServerState, double started_at, model::Discovery::Why)> changed;
-  // The start of a machine that a router counts as told of; below 0: one before the run.
+  // The start time of a machine as a router was last notified of it; below 0: before the run.
   std::function<double(model::RouterId, model::MachineId)> told_start;
 };
 
+// All machines of a run. Owned by the simulated fleet, and used on its loop's thread.
 class Machines {
  public:
   Machines(const Stage& stage, Loop& loop, model::Network& network, MachineCalls calls);
   ~Machines();
 
   void open();  // listens; throws std::runtime_error
-  void begin(); // the run has begun
-  // A step that the network has taken note of already.
+  void begin(); // the run has started
+  // A step that is already applied to the network.
   void apply(const model::Step& step);
 
-  std::size_t attempts() const { return arrivals_.size(); } // held at present
+  std::size_t attempts() const { return arrivals_.size(); } // active now
   std::uint64_t arrived() const { return arrived_; }
-  const Lateness& lateness() const { return lateness_; } // of answers, against their due time
+  const Lateness& lateness() const { return lateness_; } // of responses, relative to their due times
 
  private:
   using Handle = loop::Handle;
-  struct Request { // that has come whole
+  struct Request { // a complete request
     model::TryId try_id = 0;
     TryFacts facts;
     double sent_at = 0, read_at = 0, wait_ms = 0;
@@ -62,24 +63,24 @@
     Handle self = 0;
     model::RouterId router = 0;
     model::MachineId machine = 0;
-    std::uint32_t life = 0;         // of the process that took it
-    std::unique_ptr<Stream> stream; // null: the router has closed it, the machine has not heard of that yet
+    std::uint32_t life = 0;         // incarnation of the machine that accepted it
+    std::unique_ptr<Stream> stream; // null: closed by the router; the close is on its way to the machine
     http::Parser parser{http::Kind::Request};
-    std::string behind;    // bytes of the next request
-    bool accepted = false; // counts in the machine's table
-    bool up = false;       // the handshake is done
+    std::string behind;    // received bytes of the next request
+    bool accepted = false; // occupies a slot of the machine's connection table
+    bool up = false;       // the handshake is complete
     bool turned_away = false;
-    bool stuck = false;  // a message on it was lost: it resets when the way is free again
-    bool frozen = false; // no message passes: it is not read
-    double up_at = 0;    // for the router
+    bool stuck = false;  // a message was lost: reset when the path is restored
+    bool frozen = false; // no message passes: nothing is read from it
+    double up_at = 0;    // as seen by the router
     double first_byte_at = -1, rested_at = 0;
-    double to_machine_at = 0, to_router_at = 0; // the latest message's arrival: none overtakes another
-    std::optional<Request> request;             // on its way
-    bool on_its_way = false;                    // its arrival is scheduled
-    Handle arrival = 0;                         // the attempt that the machine has
-    bool answering = false;                     // some of its answer is still to be written
+    double to_machine_at = 0, to_router_at = 0; // arrival of the latest message: messages are not reordered
+    std::optional<Request> request;             // on its way to the machine
+    bool on_its_way = false;                    // the arrival of the request is scheduled
+    Handle arrival = 0;                         // the attempt that the machine processes
+    bool answering = false;                     // part of the response is still to be written
   };
-  struct Arrival {
+  struct Arrival { // an attempt that a machine processes
     model::AttemptId number = 0;
     model::MachineId machine = 0;
     Handle connection = 0;
@@ -88,7 +89,7 @@
     bool write = false;
     double size_bytes = 0;
   };
-  struct Place {
+  struct Place { // state of one machine
     std::uint32_t life = 0;
     double started_at = -1;
     double wakes_at = 0;
@@ -96,8 +97,8 @@
     double bad_share = 0;
     model::BadAnswer bad = model::BadAnswer::Error;
   };
-  struct Door { // the listening socket of an address, as one router sees it
-    enum class State { Closed, Open, Plugged };
+  struct Door { // the listening socket for one router at one machine's address
+    enum class State { Closed, Open, Plugged }; // Blocked: its backlog is kept full
     Machines* all = nullptr;
     model::RouterId router = 0;
     model::MachineId place = 0;
@@ -107,7 +108,7 @@
     std::vector<int> plugs;
   };
 
-  // ---- doors ----
+  // ---- listeners ----
   static void acceptable(int, short, void* door);
   void accept(Door& door);
   Door& door(model::RouterId router, model::MachineId place);
@@ -133,12 +134,12 @@
   double to_machine(Connection& c, double from);
   double to_router(Connection& c, double from);
 
-  // ---- answers ----
+  // ---- responses ----
   void say(Connection& c, double due, Script script);
   void write(Handle connection, const std::shared_ptr<const Script>& script, std::size_t piece, double due);
   void refuse(Connection& c, int status);
 
-  // ---- stations ----
+  // ---- server models ----
   void node_step(const model::NodeStep& step);
   void acts(model::MachineId machine);
   void attempt_ended(model::MachineId machine, const model::Act& act);
@@ -163,7 +164,7 @@
   model::Engine noise_, bad_;
   std::vector<std::unique_ptr<model::Station>> stations_;
   std::vector<Place> places_;
-  std::vector<model::MachineId> owner_; // of an address, by the number of its first machine
+  std::vector<model::MachineId> owner_; // current owner of each address, by the number of its first machine
   std::vector<Door> doors_;
   loop::SlotMap<Connection> connections_;
   loop::SlotMap<Arrival> arrivals_;
--- a/lab/peers/replies.cpp
+++ b/lab/peers/replies.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kSlowMs = 2500; // by which SlowBytes is late, in so many steps
+constexpr double kSlowMs = 2500; // time over which SlowBytes sends a response, in kSlowSteps pieces
 constexpr int kSlowSteps = 5;
 constexpr std::size_t kTooLarge = http::kMaxBody * 16;
 
