--- a/lab/shared/addresses.cpp
+++ b/lab/shared/addresses.cpp
@@ -11,8 +11,8 @@
 namespace fernward::rig {
 namespace {
 
-constexpr std::uint32_t kFirstNet = 64, kNets = 180; // 127.64/16 on
-constexpr std::size_t kFirst = 256;                  // of the numbers in a /16: the first 256 are kept free
+constexpr std::uint32_t kFirstNet = 64, kNets = 180; // from 127.64/16 on
+constexpr std::size_t kFirst = 256;                  // the first 256 addresses of a /16 stay unused
 constexpr std::size_t kNumbers = 65000;
 constexpr std::uint16_t kRouterPort = 7000, kMachinePort = 7070, kPeerListenPort = 7946, kPeersAllPort = 7947,
                         kPeerPort = 7950, kAgentPort = 8500, kMarkPort = 6999;
@@ -48,7 +48,7 @@
     mark.sin_addr.s_addr = htonl(net_ | 1);
     held_ = listen_at(mark, 1);
     if (held_ < 0) continue;
-    // Free of others too: somebody may listen on these ports at every address.
+    // Another program may listen on one of these ports at all addresses: then the /16 can't be used.
     for (const std::uint16_t port : {kRouterPort, kMachinePort, kAgentPort}) {
       const int fd = held_ < 0 ? -1 : listen_at(at(0, port), 1);
       if (fd >= 0) {
@@ -59,7 +59,7 @@
       }
     }
   }
-  if (held_ < 0) throw std::runtime_error("the lab found no free addresses in 127/8");
+  if (held_ < 0) throw std::runtime_error("the lab found no free /16 network in 127/8");
 }
 
 Addresses::~Addresses() {
--- a/lab/shared/addresses.h
+++ b/lab/shared/addresses.h
@@ -1,7 +1,7 @@
-// The addresses of a run: every party has its own in 127/8, as each router sees it.
+// The addresses of a run: for each router, every peer has an address of its own in 127/8.
 //
-// A run takes a /16 that no other run holds, until it ends however it ends: what marks it as taken is a listening
-// socket.
+// A run reserves a /16 that no other run uses. The reservation is a listening socket, so that it is released
+// however the run ends.
 #pragma once
 
 #include <netinet/in.h>
@@ -23,9 +23,9 @@
   sockaddr_in router(model::RouterId router) const;                           // where clients connect
   sockaddr_in machine(model::RouterId seen_by, model::MachineId place) const; // Machine::address_of
   sockaddr_in agent(model::RouterId router, std::uint32_t moves) const;   // discovery, after so many moves
-  sockaddr_in peer_listen(model::RouterId router) const;                  // datagrams to a router
-  sockaddr_in peer(model::RouterId seen_by, model::RouterId other) const; // and from it to another one
-  sockaddr_in peers_all(model::RouterId seen_by) const;                   // or to all others
+  sockaddr_in peer_listen(model::RouterId router) const;                  // where a router receives datagrams
+  sockaddr_in peer(model::RouterId seen_by, model::RouterId other) const; // where it sends those for one peer
+  sockaddr_in peers_all(model::RouterId seen_by) const;                   // or for all peers
 
  private:
   sockaddr_in at(std::size_t number, std::uint16_t port) const;
@@ -36,7 +36,7 @@
 };
 
 std::string text_of(const sockaddr_in& address); // "127.77.1.4:7070"
-// A listening socket, non-blocking; -1 with errno.
+// Returns a non-blocking listening socket, or -1 with errno set.
 int listen_at(const sockaddr_in& address, int backlog);
 
 } // namespace fernward::rig
--- a/lab/shared/body.h
+++ b/lab/shared/body.h
@@ -1,5 +1,6 @@
-// The values that stand-ins answer with. Each bears what it was made for and a tag that only this run can make, so
-// that a client can tell a body that a machine made for its try from any other without asking anybody.
+// The response bodies of simulated servers. A body contains the try, attempt, machine and key that it was
+// made for and a tag that only this run can compute, so that a client can verify without shared state that a
+// machine made the body for its try.
 #pragma once
 
 #include <cstddef>
@@ -23,9 +24,9 @@
  public:
   explicit Bodies(std::uint64_t secret) : secret_(secret) {}
 
-  // `size` bytes; no fewer than the facts take, no more than a body may hold.
+  // Returns `size` bytes, but at least the length of the metadata and at most the body limit.
   std::string make(const BodyFacts& facts, double size) const;
-  // What it was made for; none: some byte of it is not as made.
+  // Returns the metadata; none: at least one byte differs from the body that encode() returns.
   std::optional<BodyFacts> read(std::string_view body) const;
 
  private:
@@ -33,7 +34,7 @@
   std::uint64_t secret_;
 };
 
-// A value that a client writes, as bytes that follow from its try.
+// The value that a client writes, derived from its try.
 std::string written_value(model::TryId try_id, double size);
 
 } // namespace fernward::rig
--- a/lab/shared/clock.h
+++ b/lab/shared/clock.h
@@ -1,4 +1,4 @@
-// The time of a run on sockets: milliseconds since clients began to arrive, the same for all threads.
+// The time of a run on sockets: milliseconds since requests began to arrive, the same for all threads.
 #pragma once
 
 #include <algorithm>
@@ -12,11 +12,11 @@
  public:
   void begin() { begun_at_ = loop::now_ms(); }
   bool begun() const { return begun_at_ > 0; }
-  double now() const { // 0 until it begins
+  double now() const { // 0 until it starts
     const double begun_at = begun_at_;
     return begun_at > 0 ? std::max(0.0, loop::now_ms() - begun_at) : 0;
   }
-  // The wall's clock (Unix milliseconds) at that time of a run that has begun.
+  // Converts a time of a started run to wall clock time (Unix milliseconds).
   double wall(double at) const { return begun_at_ + at; }
 
  private:
--- a/lab/shared/lateness.cpp
+++ b/lab/shared/lateness.cpp
@@ -19,9 +19,9 @@
 }
 
 lab::Quantiles Lateness::quantiles() const {
-  // The upper edge of the bin in which the share is reached: never better than it was.
+  // Returns the upper edge of the bin that reaches the share: the result is never below the true quantile.
   const auto at = [this](double share) {
-    double sum = bins_.at(-1), wanted = share * count_; // what was not late at all lies under the axis
+    double sum = bins_.at(-1), wanted = share * count_; // values without lateness lie in the underflow bin
     if (sum >= wanted) return 0.0;
     for (int i = 0; i < static_cast<int>(kBins); ++i) {
       sum += bins_.at(i);
--- a/lab/shared/lateness.h
+++ b/lab/shared/lateness.h
@@ -1,4 +1,4 @@
-// How late something was done, as percentiles: a histogram on a logarithmic axis, a microsecond to a minute.
+// Percentiles of lateness: a histogram with a logarithmic axis from a microsecond to a minute.
 #pragma once
 
 #include <boost/histogram.hpp>
--- a/lab/shared/loop.cpp
+++ b/lab/shared/loop.cpp
@@ -9,12 +9,12 @@
 
 Loop::Loop(const Clock& clock) : clock_(clock) {
   event_config* config = event_config_new();
-  event_config_set_flag(config,
-                        EVENT_BASE_FLAG_PRECISE_TIMER); // the rig's lateness is measured in fractions of a ms
+  // The rig's lateness is measured in fractions of a millisecond.
+  event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
   base_.reset(event_base_new_with_config(config));
   event_config_free(config);
   wake_fd_ = eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
-  if (base_ == nullptr || wake_fd_ < 0) throw std::runtime_error("the lab: no event loop");
+  if (base_ == nullptr || wake_fd_ < 0) throw std::runtime_error("the lab cannot create an event loop");
   deadlines_ = std::make_unique<loop::TimerQueue>(base_.get());
   wake_.reset(event_new(base_.get(), wake_fd_, EV_READ | EV_PERSIST, &Loop::woken, this));
   event_add(wake_.get(), nullptr);
--- a/lab/shared/loop.h
+++ b/lab/shared/loop.h
@@ -1,4 +1,4 @@
-// One event loop of one thread, with its deadlines, and a way for other threads to have something done in it.
+// The event loop of one thread with its timers. Other threads can run tasks in it.
 #pragma once
 
 #include <event2/event.h>
@@ -23,7 +23,8 @@
 
   void run(); // until stop()
 
-  // From any thread; done in the loop, in the order of the calls. What was posted after stop() is not done.
+  // From any thread: runs the task in the loop, in the order of the calls. A task added after stop() is not
+  // run.
   void post(std::function<void()> what);
   void stop();
 
@@ -43,8 +44,8 @@
   struct BaseFree {
     void operator()(event_base* base) const { event_base_free(base); }
   };
-  // Under load thousands of deadlines lie within a millisecond: those of a tenth of it are done in one turn, as each
-  // turn costs as much as what is done in it.
+  // Under load thousands of timers expire within a millisecond. Those within a tenth of a millisecond run in
+  // one iteration of the loop, as an iteration costs as much as the work in it.
   static double on_grid(double wall) { return std::ceil(wall * kTurnsPerMs) / kTurnsPerMs; }
   static constexpr double kTurnsPerMs = 10;
   static void woken(int fd, short, void* self);
--- a/lab/shared/stage.h
+++ b/lab/shared/stage.h
@@ -1,4 +1,4 @@
-// What all parts of a run share. It outlives them; they work in threads of their own.
+// The objects that all parts of a run share. They outlive those parts, which run on threads of their own.
 #pragma once
 
 #include <algorithm>
@@ -15,10 +15,10 @@
 
 namespace fernward::rig {
 
-// Why the run says nothing about the routers.
+// The reasons why a run is void, that is, why its results are not valid for the routers.
 class Voids {
  public:
-  void add(std::string why) { // from any thread; the first ones are enough
+  void add(std::string why) { // from any thread; keeps the first ones only
     const std::lock_guard lock(mutex_);
     if (all_.size() < kMost && std::find(all_.begin(), all_.end(), why) == all_.end())
       all_.push_back(std::move(why));
@@ -34,6 +34,7 @@
   std::vector<std::string> all_;
 };
 
+// Everything that a part of the run refers to.
 struct Stage {
   const model::Spec& spec;
   const model::Plan& plan;
@@ -43,7 +44,7 @@
   Tries& tries;
   Tape& tape;
   Voids& voids;
-  bool visitors = false; // requests that no client of the lab sent are served too, and no fault
+  bool visitors = false; // requests of other clients are served too, and do not make the run void
 
   const model::NodeKind* kind_of(model::MachineId machine) const { // null: the origin
     const std::uint32_t kind = plan.machines[machine].kind;
--- a/lab/shared/stream.cpp
+++ b/lab/shared/stream.cpp
@@ -43,7 +43,7 @@
   auto stream = std::make_unique<Stream>(base, fd, user);
   stream->up_ = false;
   event_del(stream->reads_.get());
-  // Whatever it says at once, the loop tells: a refusal stays in SO_ERROR or is found by asking again.
+  // The result is reported from the loop in any case: a refusal stays in SO_ERROR or shows in getpeername().
   const int said = ::connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to);
   if (said != 0 && errno != EINPROGRESS) shutdown(fd, SHUT_RDWR);
   event_add(stream->writes_.get(), nullptr);
@@ -84,7 +84,7 @@
 void Stream::readable(int, short, void* self) { static_cast<Stream*>(self)->read_event(); }
 void Stream::writable(int, short, void* self) { static_cast<Stream*>(self)->write_event(); }
 
-// The calls of the user come last: the stream may be gone after them.
+// Handler calls come last, as the handler may destroy the stream.
 void Stream::read_event() {
   thread_local std::array<char, kRead> buffer;
   const ssize_t got = recv(fd_, buffer.data(), buffer.size(), MSG_DONTWAIT);
@@ -112,7 +112,7 @@
   }
   const ssize_t sent = ::send(fd_, unsent_.data(), unsent_.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
   if (sent < 0 && !would_block(errno)) {
-    unsent_.clear(); // the end is read
+    unsent_.clear(); // the close is detected by the read event
     return;
   }
   unsent_.erase(0, sent < 0 ? 0 : static_cast<std::size_t>(sent));
--- a/lab/shared/stream.h
+++ b/lab/shared/stream.h
@@ -1,6 +1,6 @@
-// A connected or connecting TCP socket in a loop: bytes out at once where the kernel takes them, bytes in as they
-// come. Thinner than a bufferevent: a message costs one call of the kernel each way, and the moment at which its last
-// byte went is known.
+// A connected or connecting TCP socket in an event loop. Data is written at once as far as the kernel accepts
+// it, and passed on as it is received. It does less than a bufferevent: a message takes one system call in
+// each direction, and the time at which its last byte was written is known.
 #pragma once
 
 #include <event2/event.h>
@@ -16,32 +16,33 @@
 
 class Stream {
  public:
-  // Its user may destroy the stream in any of these calls; nothing of it is touched afterwards.
+  // Callbacks. The handler may destroy the stream in any of them; the stream is not accessed afterwards.
   class User {
    public:
-    virtual void up() {}                          // a connecting stream is up
+    virtual void up() {}                          // a connecting stream is connected
     virtual void bytes(std::string_view got) = 0; // valid during the call
-    virtual void end(int error) = 0;              // 0: the other side ended its sending. Called once
+    virtual void end(int error) = 0;              // 0: the peer closed its sending side. Called once
    protected:
     ~User() = default;
   };
 
-  Stream(event_base* base, int fd, User& user); // an accepted socket, which it owns
-  // Null: out of descriptors. Whether it comes up is told from the loop.
+  Stream(event_base* base, int fd, User& user); // takes ownership of an accepted socket
+  // Returns null if out of descriptors. The outcome of the connection attempt is reported from the loop.
   static std::unique_ptr<Stream> connect(event_base* base, const sockaddr_in& to, User& user);
   ~Stream();
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
   bool is_up() const { return up_; }
-  // False: the connection is broken; its end is told from the loop. What the kernel does not take waits here.
+  // False: the connection is broken; its close is reported from the loop. Data that the kernel does not
+  // accept is buffered here.
   bool send(std::string_view bytes);
   bool all_sent() const { return unsent_.empty(); }
-  void pause(); // reads nothing: what comes stays with the kernel
+  void pause(); // stops reading: received data stays in the kernel
   void resume();
-  bool quiet() const;    // nothing has come that was not read, not even an end
-  void finish();         // no more will be sent
-  void reset_on_close(); // its end resets the connection
+  bool quiet() const;    // no unread data has been received, nor an end of data
+  void finish();         // closes the sending side
+  void reset_on_close(); // closing it sends a reset
   int fd() const { return fd_; }
 
  private:
--- a/lab/shared/tape.h
+++ b/lab/shared/tape.h
@@ -1,4 +1,4 @@
-// Records on their way from a thread that sees things happen to the one that feeds the sink.
+// Transfers records from the threads that produce them to the one that passes them to the sink.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 namespace fernward::rig {
 
-struct OwnedLog { // a RouterLog that keeps its text
+struct OwnedLog { // a RouterLog that owns its text
   double at = 0;
   model::RouterId router = 0;
   std::string text;
@@ -28,7 +28,7 @@
     const std::lock_guard lock(mutex_);
     records_.push_back(std::move(record));
   }
-  void take(std::vector<Record>& into) { // swaps: `into` must be empty
+  void take(std::vector<Record>& into) { // swaps: `records` must be empty
     const std::lock_guard lock(mutex_);
     records_.swap(into);
   }
@@ -38,22 +38,23 @@
   std::vector<Record> records_;
 };
 
-// Puts the records of several tapes in order of time and hands them to the sink.
+// Sorts the records of several buffers by time and passes them to the sink.
 //
-// Bounded by the rate: what is older than `hold_ms` goes out. A record that comes later still is handed on at once.
+// Records older than `reorder_window_ms` are passed on, so the queue is bounded by the record rate. A record
+// that arrives later than that is passed on at once.
 class Merger {
  public:
   Merger(model::Sink& sink, double hold_ms) : sink_(sink), hold_ms_(hold_ms) {}
 
   void take(Tape& tape);
-  void release(double now); // what is older than the hold
+  void release(double now); // passes on records older than the window
   void release_all();
   std::size_t held() const { return waiting_.size(); }
 
  private:
   struct Waiting {
     double at;
-    std::uint64_t number; // equal times in the order of their coming
+    std::uint64_t number; // order of arrival, for equal times
     Record record;
   };
   struct Later {
--- a/lab/shared/tries.cpp
+++ b/lab/shared/tries.cpp
@@ -8,10 +8,10 @@
 namespace fernward::rig {
 namespace {
 
-// Odd, so that multiplication can be undone: two tries never share an id.
+// Odd, so that the multiplication is invertible: two tries never share an id.
 constexpr std::uint64_t kSpread = 0x9e3779b97f4a7c15ull;
 constexpr std::uint64_t inverse_of(std::uint64_t odd) {
-  std::uint64_t x = odd; // Newton: each step doubles the bits that are right
+  std::uint64_t x = odd; // Newton's method: each step doubles the number of correct bits
   for (int i = 0; i < 6; ++i) x *= 2 - odd * x;
   return x;
 }
--- a/lab/shared/tries.h
+++ b/lab/shared/tries.h
@@ -1,7 +1,8 @@
-// What each try of a client is, so that the machines know what an attempt asks of them, and a request that no client
-// sent is found. The load writes it, the machines read it, each in a thread of its own.
+// The properties of each try of a client, by which machines know the work of an attempt and detect a request
+// that no client sent. The load generator adds tries and the machines look them up, each on a thread of its
+// own.
 //
-// Bounded by the tries of the last seconds: one is forgotten when no attempt of it can still come.
+// Bounded by the tries of the last seconds: a try is removed when no attempt for it can arrive any more.
 #pragma once
 
 #include <cstdint>
@@ -27,7 +28,8 @@
 
 class Tries {
  public:
-  // Room for `expected` tries is made ahead: to make it in a run would hold up both threads for milliseconds.
+  // Reserves space for `expected` tries: growing the table during a run would block both threads for
+  // milliseconds.
   Tries(std::uint64_t secret, double keep_ms, std::size_t expected = 0) : secret_(secret), keep_ms_(keep_ms) {
     facts_.reserve(expected);
   }
@@ -35,7 +37,7 @@
   void note(double now, model::TryId try_id, const TryFacts& facts);
   std::optional<TryFacts> find(model::TryId try_id);
 
-  // X-Request-ID: sixteen hexadecimal digits that tell nothing of the order.
+  // X-Request-ID: sixteen hexadecimal digits that do not reveal the order of tries.
   std::string id(model::TryId try_id) const;
   std::optional<model::TryId> number(std::string_view id) const;
 
