--- a/lab/process/guardian.cpp
+++ b/lab/process/guardian.cpp
@@ -25,14 +25,13 @@
 
 using messages::Signal;
 
-constexpr int kEndMs =
-    5000; // for what was killed to be gone; a process that the kernel holds is given up then
+constexpr int kEndMs = 5000; // time for killed processes to end; one that the kernel blocks is abandoned then
 
 double seconds(const timeval& t) {
   return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_usec) / 1e6;
 }
 
-// ---- in the guardian's process ----
+// ---- in the supervisor process ----
 
 class Keeper {
  public:
@@ -50,7 +49,7 @@
   }
 
  private:
-  bool read() { // false: the lab is gone
+  bool read() { // false: the lab has ended
     int output = -1;
     bool ended = false;
     const std::string packet = messages::receive_packet(socket_, output, ended);
@@ -63,7 +62,7 @@
   void launch(const ProgramStart& start, int output) {
     const pid_t keeper = getpid();
     const loop::BlockedSignals
-        blocked; // the keeper ignores some: one that is sent to the program at once is not lost
+        blocked; // the supervisor ignores some signals: one sent to the program immediately must not be lost
     const pid_t pid = fork();
     if (pid == 0) become(start, output, keeper);
     ProgramNews news;
@@ -73,7 +72,7 @@
     if (pid < 0) {
       news.status = 127 << 8;
     } else {
-      setpgid(pid, pid); // in both processes: whichever comes first
+      setpgid(pid, pid); // in both processes, as either may run first
       programs_[pid] = start.id;
     }
     tell(news);
@@ -82,8 +81,9 @@
   [[noreturn]] static void become(const ProgramStart& start, int output, pid_t keeper) {
     setpgid(0, 0);
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != keeper) _exit(127); // it died before it could take us along
-    loop::BlockedSignals::deliver_by_default({SIGINT, SIGTERM, SIGHUP, SIGPIPE}); // what is ignored stays so
+    if (getppid() != keeper) _exit(127); // it died before PR_SET_PDEATHSIG took effect
+    // Signals that are ignored would stay ignored after exec.
+    loop::BlockedSignals::deliver_by_default({SIGINT, SIGTERM, SIGHUP, SIGPIPE});
     if (start.descriptors > 0) {
       const rlimit most{start.descriptors, start.descriptors};
       setrlimit(RLIMIT_NOFILE, &most);
@@ -127,7 +127,7 @@
     for (pid_t pid; (pid = wait4(-1, &status, WNOHANG, &usage)) > 0;) {
       const auto found = programs_.find(pid);
       if (found == programs_.end()) continue;
-      kill(-pid, SIGKILL); // what it started itself goes with it
+      kill(-pid, SIGKILL); // also kills the processes that it started
       ProgramNews news;
       news.id = found->second;
       news.pid = pid;
@@ -165,8 +165,9 @@
   sigset_t children;
   sigemptyset(&children);
   sigaddset(&children, SIGCHLD);
-  sigprocmask(SIG_SETMASK, &children, nullptr); // the lab's own mask is of no use here
-  // Whatever the lab has open is not ours to hold, above all where somebody waits for its end.
+  sigprocmask(SIG_SETMASK, &children, nullptr); // replaces the signal mask inherited from the lab
+  // Closes the descriptors inherited from the lab: a reader that waits for the end of one must not wait for
+  // this process.
   const int kept = fcntl(socket, F_DUPFD_CLOEXEC, 3);
   close_range(kept + 1, ~0u, 0);
   for (int fd = 0; fd < kept; ++fd) close(fd);
@@ -178,12 +179,13 @@
 
 } // namespace
 
-// ---- in the lab's ----
+// ---- in the lab's process ----
 
 Guardian::Guardian(const std::string& directory) {
   int ends[2];
   if (socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0, ends) != 0) {
-    throw std::runtime_error(std::string("the lab's guardian: ") + std::strerror(errno));
+    throw std::runtime_error(std::string("the lab's process supervisor cannot be started: ") +
+                             std::strerror(errno));
   }
   pid_ = fork();
   if (pid_ == 0) {
@@ -194,7 +196,8 @@
   socket_ = ends[0];
   if (pid_ < 0) {
     close(socket_);
-    throw std::runtime_error(std::string("the lab's guardian: ") + std::strerror(errno));
+    throw std::runtime_error(std::string("the lab's process supervisor cannot be started: ") +
+                             std::strerror(errno));
   }
 }
 
--- a/lab/process/guardian.h
+++ b/lab/process/guardian.h
@@ -1,9 +1,9 @@
-// A process beside the lab that starts the lab's programs and outlives it for as long as it takes to end them.
+// A supervisor process that starts the lab's programs, and outlives the lab until it has ended them.
 //
-// Each program runs in a process group of its own, with its standard output and error where the lab wants them, and
-// dies with the guardian. When the lab ends, or is killed, or its Guardian is destroyed, the guardian kills every
-// group that is left, removes the lab's directory and ends. It stays out of the terminal's process group, so that
-// Ctrl-C meets the lab alone.
+// Each program runs in its own process group, with its standard output and error redirected as the lab
+// requests, and is killed if the supervisor dies. When the lab ends, is killed, or destroys its
+// ProcessSupervisor, the supervisor kills every remaining group, removes the lab's directory and exits. It is
+// not in the terminal's process group, so that Ctrl-C reaches only the lab.
 //
 // Create it before the lab starts threads; use it from one thread.
 #pragma once
@@ -18,9 +18,9 @@
 namespace fernward::rig {
 
 struct ProgramStart {
-  std::uint32_t id = 0;                 // the caller's
+  std::uint32_t id = 0;                 // chosen by the caller
   std::vector<std::string> command;     // the program, found as execvp does, and its arguments
-  std::vector<std::string> environment; // NAME=value, on top of the lab's own
+  std::vector<std::string> environment; // NAME=value, added to the lab's own environment
   std::uint32_t descriptors = 0;        // RLIMIT_NOFILE; 0: the lab's
   int output = -1;                      // standard output and error; the caller keeps its descriptor
 };
@@ -28,25 +28,25 @@
 struct ProgramNews {
   std::uint32_t id = 0;
   pid_t pid = 0;
-  bool ended = false; // else: started
-  int status = 0;     // as waitpid tells it
+  bool ended = false; // false: started
+  int status = 0;     // as returned by waitpid
   double cpu_s = 0;
 };
 
 class Guardian {
  public:
-  // `directory` is removed at the end with all that is in it; empty: none.
+  // `directory` is removed at the end with its contents; empty: none.
   explicit Guardian(const std::string& directory); // throws std::runtime_error
-  ~Guardian();                                     // returns once everything is gone
+  ~Guardian(); // returns when the programs have ended and the directory is removed
   Guardian(const Guardian&) = delete;
   Guardian& operator=(const Guardian&) = delete;
 
-  void start(const ProgramStart& start);     // its ProgramNews follow
-  void signal(std::uint32_t id, int number); // to the program; SIGKILL: to its whole group
-  // The next news, where there are any; waits up to `wait_ms` for them.
+  void start(const ProgramStart& start);     // its events follow
+  void signal(std::uint32_t id, int number); // to the program; SIGKILL: to its process group
+  // Returns the next event, if any; waits up to `wait_ms` for one.
   std::optional<ProgramNews> news(int wait_ms = 0);
-  bool lives() const { return !lost_; } // false: the guardian itself is gone
-  int fd() const { return socket_; }    // readable: there are news
+  bool lives() const { return !lost_; } // false: the supervisor process has ended
+  int fd() const { return socket_; }    // readable when there are events
   pid_t pid() const { return pid_; }
 
  private:
--- a/lab/process/messages.cpp
+++ b/lab/process/messages.cpp
@@ -24,7 +24,7 @@
   for (const auto& text : all) put(into, text);
 }
 
-struct Reader { // both ends are one program: a packet that does not fit is a fault, not an attack
+struct Reader { // both ends are the same program: a malformed packet is a bug, not an attack
   std::string_view rest;
   bool ok = true;
 
--- a/lab/process/messages.h
+++ b/lab/process/messages.h
@@ -1,4 +1,4 @@
-// What the lab and its guardian say to one another, one message a packet.
+// The messages between the lab and its process supervisor, one per packet.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
   int number = 0;
 };
 
-std::string pack(const ProgramStart& start); // without `output`, which travels as a descriptor
+std::string pack(const ProgramStart& start); // without `output`, which is passed as a descriptor
 std::string pack(const Signal& signal);
 std::optional<ProgramStart> start_of(const std::string& packet);
 std::optional<Signal> signal_of(const std::string& packet);
 
 bool send_packet(int socket, const std::string& packet, int descriptor); // -1: none
-// Empty: nothing is there (`ended` false) or the other side is gone.
+// Returns an empty packet if none is available (`closed` is false) or the peer has closed.
 std::string receive_packet(int socket, int& descriptor, bool& ended);
 
 } // namespace fernward::rig::messages
--- a/lab/process/watch.cpp
+++ b/lab/process/watch.cpp
@@ -29,7 +29,7 @@
   return 0;
 }
 
-// schedstat counts nanoseconds of each thread; stat would count ticks of ten milliseconds.
+// schedstat counts nanoseconds per thread; stat has a resolution of only ten milliseconds.
 double cpu_s(pid_t pid) {
   std::error_code fault;
   double sum = 0;
--- a/lab/process/watch.h
+++ b/lab/process/watch.h
@@ -1,4 +1,4 @@
-// What /proc tells of a process that runs.
+// Statistics of a running process, from /proc.
 #pragma once
 
 #include <sys/types.h>
@@ -7,9 +7,9 @@
 
 namespace fernward::rig {
 
-double memory_mb(pid_t pid);          // resident; 0: it is gone
-double peak_memory_mb(pid_t pid);     // the most since it was started; 0: it is gone
-double cpu_s(pid_t pid);              // used so far by all its threads; 0: it is gone
-std::uint32_t descriptors(pid_t pid); // open
+double memory_mb(pid_t pid);          // resident; 0: no such process
+double peak_memory_mb(pid_t pid);     // peak resident size since its start; 0: no such process
+double cpu_s(pid_t pid);              // used so far by all its threads; 0: no such process
+std::uint32_t descriptors(pid_t pid); // number of open descriptors
 
 } // namespace fernward::rig
