--- a/lab/relay/relay.cpp
+++ b/lab/relay/relay.cpp
@@ -23,7 +23,7 @@
 namespace {
 
 constexpr int kBacklog = 512;
-constexpr std::size_t kMostWaiting = 256 * 1024; // towards a side that reads slowly
+constexpr std::size_t kMostWaiting = 256 * 1024; // buffered towards a side that reads slowly
 
 sockaddr_in address_of(const std::string& text) {
   sockaddr_in address{};
@@ -35,7 +35,7 @@
  public:
   Relay(event_base* base, const std::string& listen, const std::vector<std::string>& targets) : base_(base) {
     for (const auto& target : targets) targets_.push_back(address_of(target));
-    if (targets_.empty()) throw std::runtime_error("relay: no targets");
+    if (targets_.empty()) throw std::runtime_error("relay: the list of targets is empty");
     sockaddr_in where = address_of(listen);
     listener_ = evconnlistener_new_bind(base, &Relay::accepted, this,
                                         LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
@@ -99,7 +99,7 @@
     bufferevent* from = static_cast<Side*>(which)->other->io;
     if ((bufferevent_get_enabled(from) & EV_READ) == 0) bufferevent_enable(from, EV_READ);
   }
-  // One side has ended: what has come from it still goes out, then both are closed.
+  // One side has closed: data received from it is still written to the other, then both are closed.
   static void changed(bufferevent* io, short what, void* which) {
     if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
     auto* side = static_cast<Side*>(which);
@@ -146,7 +146,7 @@
   std::ifstream file(path == nullptr ? "" : path);
   const auto config = nlohmann::json::parse(file, nullptr, false);
   if (config.is_discarded() || !config.contains("listen") || !config.contains("known")) {
-    std::fprintf(stderr, "relay: NODE_CONFIG names no file with `listen` and `known`\n");
+    std::fprintf(stderr, "relay: NODE_CONFIG must name a JSON file with `listen` and `known`\n");
     return 1;
   }
   std::vector<std::string> targets;
--- a/lab/relay/relay.h
+++ b/lab/relay/relay.h
@@ -1,5 +1,6 @@
-// What it costs to carry a request's bytes through a process with libevent and nothing else: connections are taken,
-// each is connected to one target of a list in turn, and bytes are moved both ways until one side ends.
+// A minimal TCP relay on libevent, to measure the cost of forwarding a request's bytes through a process.
+// Each accepted connection is connected to one target of a list, round robin, and bytes are forwarded in both
+// directions until one side closes.
 #pragma once
 
 #include <string>
@@ -7,11 +8,12 @@
 
 namespace fernward::rig {
 
-// Runs until SIGTERM or SIGINT; returns the process's exit code. Addresses as "127.0.0.1:7070".
+// Runs until SIGTERM or SIGINT and returns the exit code of the process. Addresses have the form
+// "127.0.0.1:7070".
 int relay(const std::string& listen, const std::vector<std::string>& targets);
 
-// The same in the place of a router: `listen` and the cache nodes in service of `known` from the file that NODE_CONFIG
-// names.
+// The same in place of a router: takes `listen` and the cache nodes of `known` that are in service from the
+// file that NODE_CONFIG names.
 int relay_as_router();
 
 } // namespace fernward::rig
