--- a/lab/rig/config.cpp
+++ b/lab/rig/config.cpp
@@ -147,7 +147,7 @@
   app_config::App app;
   app.name = stage.plan.routers[router].name;
   app.listen = text_of(stage.addresses.router(router));
-  app.seed = seed >> 1; // TOML's whole numbers have a sign
+  app.seed = seed >> 1; // TOML integers are signed
   app.fleet.zones.clear();
   for (const auto& z : spec.zones) app.fleet.zones.push_back(z.name);
   app.fleet.zone = zone;
@@ -190,7 +190,7 @@
   app.limits.open = spec.routers.open_cap;
   app.limits.grace_ms = spec.routers.grace_to_answer_ms;
   for (const LoadReportField field : s.load_report_fields) {
-    // What the router does not read has a place all the same.
+    // A field that the router does not use still occupies a position.
     app.reports.fields.push_back(std::min(static_cast<std::size_t>(field), std::size_t{6}));
   }
   app.tier.routers = s.router_count;
--- a/lab/rig/rig.cpp
+++ b/lab/rig/rig.cpp
@@ -23,13 +23,13 @@
 namespace {
 
 constexpr double kTickMs = 10;
-constexpr double kHoldMs = 100;              // a record that comes within this of another is put in order
-constexpr std::size_t kMostHeld = 2'000'000; // records that wait for a sink that is too slow
+constexpr double kHoldMs = 100;              // records that arrive within this time of one another are sorted
+constexpr std::size_t kMostHeld = 2'000'000; // limit of records queued for a sink that is too slow
 constexpr double kProgressMs = 100;
-constexpr double kSettleMs = 3000;  // for what the machines still work on after the last answer
-constexpr double kOverrunMs = 5000; // beyond the longest give-up time; the run has to be over by then
-constexpr double kLateMs = 5000;    // how long after its client's time an attempt may still come
-constexpr rlim_t kSpare = 2000;     // descriptors for connections, at the least
+constexpr double kSettleMs = 3000;  // limit for attempts that are still active after the last response
+constexpr double kOverrunMs = 5000; // after the longest client timeout; the run must have ended by then
+constexpr double kLateMs = 5000;    // how long after its client's timeout an attempt may still arrive
+constexpr rlim_t kSpare = 2000;     // minimum number of descriptors for connections
 
 std::string make_directory() {
   const char* where = std::getenv("TMPDIR");
@@ -39,7 +39,8 @@
   return path;
 }
 
-// Every pair of a router and a machine has a listening socket of its own, and so have most pairs of routers.
+// Raises the descriptor limit. Each pair of a router and a machine needs a listening socket, and so do most
+// pairs of routers.
 void need_descriptors(const model::Spec& spec, const model::Plan& plan) {
   const std::size_t routers = plan.routers.size();
   const std::size_t pairs = has_datagram_ports(spec, plan) ? routers * routers : 0;
@@ -49,17 +50,17 @@
   files.rlim_cur = files.rlim_max;
   setrlimit(RLIMIT_NOFILE, &files);
   if (files.rlim_max != RLIM_INFINITY && files.rlim_max < need) {
-    throw std::runtime_error("this fleet takes " + std::to_string(need) +
-                             " descriptors on sockets; the system grants " + std::to_string(files.rlim_max));
+    throw std::runtime_error("this fleet needs " + std::to_string(need) +
+                             " descriptors on sockets; the system allows " + std::to_string(files.rlim_max));
   }
 }
 
 std::uint64_t secret() {
-  std::random_device device; // nobody can make a body of this run's but the run
+  std::random_device device; // only this run can make its response bodies
   return static_cast<std::uint64_t>(device()) << 32 | device();
 }
 
-// That are remembered at once, about.
+// The approximate number of tries that are retained at the same time.
 std::size_t expected_tries(const model::Spec& spec, const model::Plan& plan) {
   double most = 1;
   for (const auto& change : plan.rates) most = std::max(most, change.factor);
@@ -84,6 +85,7 @@
   return static_cast<double>(usage.ru_maxrss) / 1024;
 }
 
+// One run on sockets, from the start of its processes to their end.
 class Run {
  public:
   Run(const model::Spec& spec, model::Sink& sink, const lab::RunControl& control,
@@ -157,7 +159,7 @@
     settle();
   }
 
-  // What the machines still have in hand ends too, as far as it does so soon.
+  // Waits for attempts that are still active on the machines, up to a limit.
   void settle() {
     if (over_) return;
     const bool waited = clock_.now() - *answered_at_ > kSettleMs;
@@ -180,7 +182,7 @@
     merger_.take(tape_);
     if (clock_.begun()) merger_.release(clock_.now());
     if (merger_.held() > kMostHeld) {
-      voids_.add("records come faster than they are taken");
+      voids_.add("records are produced faster than the sink consumes them");
       end();
     }
     const double now = clock_.now();
@@ -202,7 +204,7 @@
     }
     if (!routers_.guarded()) end();
     if (!answered_at_ && now > spec_.duration_ms + longest_give_up(spec_) + kOverrunMs) {
-      voids_.add("the run did not come to its end");
+      voids_.add("the run did not end in time: requests are still open");
       end();
     }
     if (!over_) loop_.after(kTickMs, [this] { tick(); });
@@ -226,7 +228,7 @@
       info.routers[r].datagram_bytes = fleet.spoken[r].bytes;
     }
     late(load.lateness_ms, "requests were sent");
-    late(fleet.lateness_ms, "the stand-ins' answers were sent");
+    late(fleet.lateness_ms, "the simulated responses were sent");
     info.why_void = voids_.all();
     info.is_void = !info.why_void.empty();
   }
@@ -254,7 +256,7 @@
   const lab::RigOptions& options_;
   const model::Plan plan_;
   const std::string directory_;
-  Guardian guardian_; // before any thread, after all others at the end
+  Guardian guardian_; // forks before any thread starts, and is destroyed after all members below
   Clock clock_;
   Addresses addresses_;
   Bodies bodies_;
@@ -279,8 +281,7 @@
   explicit RigDriver(lab::RigOptions options) : options_(std::move(options)) {}
   lab::RunInfo run(const model::Spec& spec, model::Sink& sink, const lab::RunControl& control) override {
     if (spec.routers.sharing.on && options_.role != lab::RouterRole::Platform)
-      throw std::runtime_error(
-          "routers.sharing: routers share where they are told by the platform's file alone");
+      throw std::runtime_error("routers.sharing: only routers configured by the platform's file share");
     return Run(spec, sink, control, options_).play();
   }
 
--- a/lab/rig/rig.h
+++ b/lab/rig/rig.h
@@ -1,8 +1,8 @@
-// The driver on sockets: the scenario against real router processes on this machine's loopback addresses.
+// The driver on sockets: runs a scenario against real router processes on loopback addresses of this machine.
 //
-// The same model as in virtual time, driven by the wall's clock, behind HTTP/1.1. The rig measures its own lateness: a
-// run in which sends or answers were later than the bounds below is void. Whatever becomes of the lab, no process,
-// port or file of a run stays behind (lab/process/guardian.h).
+// It uses the same model as in virtual time, driven by the wall clock and behind HTTP/1.1. The rig measures
+// its own lateness: a run in which requests or responses were sent later than the limits below is void.
+// However the lab ends, no process, port or file of a run is left behind (lab/process/supervisor.h).
 #pragma once
 
 #include <functional>
@@ -16,31 +16,34 @@
 
 struct RouterProgram {
   std::vector<std::string> command; // the program and its arguments
-  bool ready_by_connect = false;    // it knows no /ready: it is ready once it takes connections
+  bool ready_by_connect = false;    // it has no /ready: it is ready once it accepts connections
 };
 
-struct RouterUse { // of a router process that runs
+struct RouterUse { // resource usage of a running router process
   model::RouterId router = 0;
   double cpu_s = 0, memory_mb = 0;
   std::uint32_t descriptors = 0;
 };
 
-// How a router is started and told: by the platform's JSON, or by an application's file, alone or beside an application
-// that does nothing.
+// How a router is started and configured: by the platform's JSON; by an application's file; or by an
+// application's file as the sidecar of an application that does nothing.
 enum class RouterRole { Platform, Application, Sidecar };
 
 struct RigOptions {
   std::string program = "fernward"; // started as `program serve`, or as the role says
   RouterRole role = RouterRole::Platform;
-  std::vector<RouterProgram> programs; // by router, where it is not that
-  std::string log_directory;           // r0.log, ... with what the routers say; empty: nowhere
-  double late_p99_ms = 5;              // a run is void beyond this, for sends and for stand-ins' answers
+  std::vector<RouterProgram> programs; // by router; an empty command: `program`
+  std::string log_directory;           // for r0.log, ... with the output of the routers; empty: no logs
+  // Limits of the lateness of requests and of simulated responses; beyond them the run is void.
+  double late_p99_ms = 5;
   double late_p999_ms = 100;
-  double ready_ms = 30000;  // clients come once all routers are ready, or after this
-  bool check_memory = true; // a router over its memory_mb is killed; off for builds with sanitizers
-  // After the last answer the fleet and the routers stay until the control's stop; requests of others are served too.
+  double ready_ms = 30000;  // requests start when all routers are ready, or after this time
+  bool check_memory = true; // kill a router that exceeds its memory_mb; disabled for builds with sanitizers
+  // After the last response the fleet and the routers keep running until the control's stop is requested;
+  // requests of other clients are served too.
   bool keep = false;
-  std::function<void(const std::vector<std::string>& addresses)> on_ready; // the routers', as clients connect
+  // Called with the routers' client addresses when requests start.
+  std::function<void(const std::vector<std::string>& addresses)> on_ready;
   std::function<void(double now_ms, const std::vector<RouterUse>& uses)> on_second;
 };
 
--- a/lab/rig/routers.cpp
+++ b/lab/rig/routers.cpp
@@ -21,11 +21,11 @@
 
 namespace {
 
-constexpr double kWatchMs = 200;         // how often a router's memory is looked at
-constexpr std::size_t kMostLines = 2000; // of a router, as records
+constexpr double kWatchMs = 200;         // interval between samples of the routers' memory
+constexpr std::size_t kMostLines = 2000; // limit of log lines of a router that become records
 constexpr std::size_t kMostLine = 1000;
-constexpr std::size_t kMostFile = 4u << 20; // of its log
-constexpr std::size_t kTail = 2000;         // kept of what it said last
+constexpr std::size_t kMostFile = 4u << 20; // limit of its log file
+constexpr std::size_t kTail = 2000;         // length of the retained last output
 constexpr double kLeastWordMs = 3000, kWordSlackMs = 700;
 
 std::string reason(int status) {
@@ -94,7 +94,7 @@
                 : router_toml(stage_, router.id, moves_, model::mix(stage_.spec.seed, router.id, router.life),
                               directory_));
   file.close();
-  // In one go: a router that reads it at this moment finds the old one or the new one.
+  // Replaced atomically: a router that reads the file now finds either the old or the new version.
   std::error_code fault;
   std::filesystem::rename(path + ".new", path, fault);
   if (!file || fault) stage_.voids.add("cannot write " + path);
@@ -109,13 +109,14 @@
   router.start_after_ms = -1;
   router.pid = 0;
   ++router.life;
-  event(r, RouterEvent::What::Started); // before what the new process counts as told of from its start
+  // Recorded before the notifications that the new process has from its start.
+  event(r, RouterEvent::What::Started);
   router.config =
       router_json(stage_, r, moves_, model::mix(stage_.spec.seed, r, router.life), fleet_.router_starts(r));
   write_config(router);
   int ends[2] = {-1, -1};
   if (pipe2(ends, O_CLOEXEC | O_NONBLOCK) != 0) return stage_.voids.add("the lab is out of descriptors");
-  fcntl(ends[1], F_SETFL, 0); // the router's own end waits, as a file would
+  fcntl(ends[1], F_SETFL, 0); // the router's end is blocking, as a file is
   ProgramStart start;
   start.id = r;
   const bool own = r < options_.programs.size() && !options_.programs[r].command.empty();
@@ -128,7 +129,7 @@
   } else if (options_.role == lab::RouterRole::Application) {
     start.command = {options_.program, "serve", "--config", file};
   } else {
-    // Told to end, the application does so well, as the exit code is the sidecar's.
+    // On SIGTERM the application exits with 0, as its exit code becomes that of the sidecar.
     start.command = {options_.program,
                      "sidecar",
                      "--config",
@@ -168,7 +169,7 @@
   stage_.tape.add(RouterEvent{loop_.now(), router, what});
 }
 
-// ---- what becomes of them ----
+// ---- events and steps ----
 
 void Routers::news() {
   while (const auto news = guardian_.news()) {
@@ -181,7 +182,7 @@
   }
   if (guardian_.lives()) return;
   news_event_.reset();
-  stage_.voids.add("the lab's guardian has died, and the routers with it");
+  stage_.voids.add("the lab's process supervisor has died, and the routers with it");
 }
 
 void Routers::ended(RouterId r, const ProgramNews& news) {
@@ -219,7 +220,7 @@
   load_.router_down(router.id);
 }
 
-// What comes meanwhile waits in the kernel, signals too.
+// Stops or continues the process. Data and signals that arrive meanwhile wait in the kernel.
 void Routers::pause(Router& router, bool on) {
   if (!router.runs || router.killed || router.paused == on) return;
   router.paused = on;
@@ -277,7 +278,7 @@
       case What::Pause:
       case What::Wake: return pause(router, what->what == What::Pause);
       case What::Silence:
-      case What::Return: return; // the net's doing
+      case What::Return: return; // applied by the network
     }
   }
 }
@@ -290,7 +291,7 @@
   }
 }
 
-// ---- what they use ----
+// ---- resource usage ----
 
 void Routers::watch() {
   for (Router& router : routers_) {
@@ -299,9 +300,8 @@
     router.cost.peak_memory_mb = std::max(router.cost.peak_memory_mb, peak_memory_mb(router.pid));
     router.cost.peak_sockets = std::max(router.cost.peak_sockets, descriptors(router.pid));
     if (!options_.check_memory || memory <= stage_.spec.routers.memory_mb || router.killed) continue;
-    say(router,
-        "the lab: the router holds " + std::to_string(static_cast<int>(memory)) + " MB and is killed");
-    guardian_.signal(router.id, SIGKILL); // it has crashed, as far as anybody can tell
+    say(router, "the lab: the router uses " + std::to_string(static_cast<int>(memory)) + " MB and is killed");
+    guardian_.signal(router.id, SIGKILL); // recorded as a crash, not as a planned kill
   }
   loop_.after(kWatchMs, [this] { watch(); });
 }
@@ -321,7 +321,7 @@
   return all;
 }
 
-// ---- what they say ----
+// ---- output ----
 
 void Routers::readable(int, short, void* router) {
   auto* found = static_cast<Router*>(router);
@@ -334,7 +334,7 @@
   router.output = -1;
 }
 
-// All of it is read, whether it is kept or not: a router that can't write its log would stand still.
+// Reads all output, even if it is not kept: a router that can't write its log would block.
 void Routers::read_output(Router& router) {
   std::array<char, 16384> buffer;
   while (router.output >= 0) {
--- a/lab/rig/routers.h
+++ b/lab/rig/routers.h
@@ -1,4 +1,5 @@
-// The router processes of a run: started, told of what comes, killed, started again, and ended within bounds.
+// The router processes of a run: starts, reconfigures, signals, kills and restarts them, and ends them within
+// a time limit.
 #pragma once
 
 #include <functional>
@@ -16,20 +17,21 @@
 
 namespace fernward::rig {
 
+// Used on the thread of `loop`.
 class Routers {
  public:
-  // All of them outlive it. `directory` takes the configuration files.
+  // All arguments must outlive it. `directory`: where the configuration files are written.
   Routers(const Stage& stage, Loop& loop, Guardian& guardian, Fleet& fleet, Load& load,
           const lab::RigOptions& options, std::string directory);
   ~Routers();
 
   void start_all();
-  void begin();         // the clock has begun: the plan's steps are carried out
-  void end();           // SIGTERM to all; SIGKILL to those that hang
-  bool running() const; // any of them
+  void begin();         // the clock has started: schedules the steps of the plan
+  void end();           // sends SIGTERM to all, and SIGKILL to those that do not end in time
+  bool running() const; // whether any router runs
   bool guarded() const { return guardian_.lives(); }
 
-  // A router that ended before it was ever ready: what it said. Empty: none.
+  // The error of a router that ended before it was ever ready, with its last output; empty: none.
   const std::string& false_start() const { return false_start_; }
   void is_ready(model::RouterId router);
   bool all_ready() const;
@@ -39,15 +41,15 @@
 
  private:
   struct Router {
-    pid_t pid = 0; // 0: not known yet
+    pid_t pid = 0; // 0: not known yet, or not running
     bool runs = false, ready = false, ever_ready = false;
     bool killed = false, asked_to_end = false, paused = false;
     bool start_when_ended = false;
-    double start_after_ms = -1; // of its end by SIGTERM; below 0: it stays away
+    double start_after_ms = -1; // delay of the restart after it ended by SIGTERM; below 0: no restart
     std::uint32_t life = 0;
     nlohmann::json config;
     lab::RouterCost cost;
-    // What it says.
+    // Its output.
     int output = -1;
     loop::EventPtr output_event;
     std::string line, tail;
@@ -72,7 +74,7 @@
   void read_output(Router& router);
   void close_output(Router& router);
   void say(Router& router, std::string line);
-  double last_word_ms() const; // from SIGTERM to SIGKILL
+  double last_word_ms() const; // time between SIGTERM and SIGKILL
 
   const Stage& stage_;
   Loop& loop_;
--- a/lab/rig/trial.cpp
+++ b/lab/rig/trial.cpp
@@ -1,4 +1,5 @@
-// fernward-rig: the driver on sockets by itself, with a fleet made from a few numbers. For trials of the rig.
+// fernward-rig: runs the driver on sockets alone, with a fleet built from a few parameters. For trials of the
+// rig.
 #include <csignal>
 #include <cstdio>
 #include <cxxopts.hpp>
@@ -14,7 +15,7 @@
 
 using namespace fernward;
 
-std::stop_source stopping; // NOLINT: a signal handler has nothing else to reach it by
+std::stop_source stopping; // NOLINT: a signal handler can access it only as a global
 void interrupted(int) { stopping.request_stop(); }
 
 void print(const lab::RunInfo& info, rig::Counts& counts) {
@@ -54,8 +55,8 @@
     std::printf("%8.0f router %u %s\n", e.at, e.router, kRouter[static_cast<int>(e.what)]);
   }
   for (const auto& t : counts.told) {
-    std::printf("%8.0f router %u told: machine %u %s%s\n", t.at, t.router, t.machine,
-                kState[static_cast<int>(t.state)], t.deemed ? " (deemed)" : "");
+    std::printf("%8.0f router %u notified: machine %u %s%s\n", t.at, t.router, t.machine,
+                kState[static_cast<int>(t.state)], t.deemed ? " (assumed)" : "");
   }
 }
 
@@ -63,20 +64,21 @@
 
 int main(int argc, char** argv) {
   if (argc > 1 && std::string(argv[1]) == "relay") return rig::relay_as_router();
-  cxxopts::Options options("fernward-rig", "The lab's driver on sockets, by itself");
+  cxxopts::Options options("fernward-rig", "The lab's driver on sockets, alone");
   options.add_options()("program", "The router", cxxopts::value<std::string>()->default_value("fernward"))(
       "nodes", "Cache nodes", cxxopts::value<std::uint32_t>()->default_value("6"))(
       "routers", "Routers", cxxopts::value<std::uint32_t>()->default_value("2"))(
       "rate", "Requests a second", cxxopts::value<double>()->default_value("200"))(
-      "seconds", "How long", cxxopts::value<double>()->default_value("5"))(
+      "seconds", "Duration, s", cxxopts::value<double>()->default_value("5"))(
       "seed", "Seed", cxxopts::value<std::uint64_t>()->default_value("1"))(
       "work", "Mean work of a request, ms", cxxopts::value<double>()->default_value("20"))(
       "sockets", "Descriptors of a router", cxxopts::value<std::uint32_t>()->default_value("1024"))(
-      "event", "Something that happens", cxxopts::value<std::string>()->default_value(""))(
-      "no-origin", "Nodes serve whatever comes")("relay", "The relay in the place of the routers")(
+      "event", "Event in the middle of the run", cxxopts::value<std::string>()->default_value(""))(
+      "no-origin", "Run without an origin: nodes serve all requests")(
+      "relay", "Run the byte relay in place of the routers")(
       "logs", "Directory for the routers' logs", cxxopts::value<std::string>()->default_value(""))(
-      "keep", "Stay until Ctrl-C")("events", "Print what happened")("virtual", "In virtual time instead")(
-      "h,help", "Print this help");
+      "keep", "Keep running until Ctrl-C")("events", "Print all events")(
+      "virtual", "Run in virtual time instead")("h,help", "Print this help");
   try {
     const auto given = options.parse(argc, argv);
     if (given.count("help") > 0) {
--- a/lab/rig/trial.h
+++ b/lab/rig/trial.h
@@ -1,4 +1,4 @@
-// Small fleets and a sink that counts, for trials and tests of the rig.
+// Small fleets and a counting sink, for trials and tests of the rig.
 #pragma once
 
 #include <algorithm>
@@ -52,7 +52,8 @@
   return spec;
 }
 
-// "kill", "term", "hup", ...: one of the things that can happen, in the middle of the run.
+// Adds the event called `name` ("kill-router", "drain", "stall", ...) in the middle of the run; throws
+// std::invalid_argument if there is no such event.
 inline void add_event(model::Spec& spec, const std::string& name) {
   if (name.empty()) return;
   const double half = spec.duration_ms / 2, later = spec.duration_ms * 0.8;
@@ -84,7 +85,7 @@
   for (const auto& [word, kind] : kBad) {
     if (name == word) return add(model::BadAnswers{one, 0.5, later, kind});
   }
-  throw std::invalid_argument("nothing is called " + name);
+  throw std::invalid_argument("there is no trial event called " + name);
 }
 
 struct Counts : model::Sink {
