--- a/lab/report/files.cpp
+++ b/lab/report/files.cpp
@@ -81,7 +81,7 @@
 }
 
 std::string verdict_text(const Result& r) {
-  if (r.info.is_void) return "VOID: the run says nothing about the routers";
+  if (r.info.is_void) return "VOID: the results are not valid for the routers";
   if (r.info.stopped) return "STOPPED before its end";
   std::size_t rules = 0, bounds = 0;
   for (const RuleFinding& f : r.findings.rules) rules += f.kept() ? 0 : 1;
@@ -102,7 +102,7 @@
   out += r.figures.scenario;
   if (!r.figures.title.empty()) out.append(": ").append(r.figures.title);
   out += '\n';
-  print(out, "%.1f s %s, played in %.1f s; seed %llu\n\n", r.info.played_ms / 1000,
+  print(out, "%.1f s %s, run in %.1f s; seed %llu\n\n", r.info.played_ms / 1000,
         sockets ? "on sockets" : "of virtual time", r.info.wall_s, static_cast<unsigned long long>(r.seed));
   const auto line = [&](const char* what, std::uint64_t n) {
     print(out, "  %-12s %10llu   %6.2f%%\n", what, static_cast<unsigned long long>(n), share(n, t.drawn));
@@ -170,7 +170,7 @@
   if (!in) throw std::runtime_error(path.string() + " can't be read");
   try {
     return result_from(nlohmann::json::parse(in));
-  } catch (const std::exception& error) { // the parser's own, or what is missing
+  } catch (const std::exception& error) { // a parse error, or a missing key
     throw std::runtime_error(path.string() + ": " + error.what());
   }
 }
--- a/lab/report/html.cpp
+++ b/lab/report/html.cpp
@@ -94,7 +94,8 @@
 std::string events(const Figures& f) {
   if (f.marks.empty()) return "";
   std::string out =
-      "<h2>Events</h2>\n<p class=note>The numbers stand above the plots.</p>\n<table><tr><th></th>"
+      "<h2>Events</h2>\n<p class=note>The numbers refer to the marks above the "
+      "plots.</p>\n<table><tr><th></th>"
       "<th class=l>event</th><th>from</th><th>to</th></tr>\n";
   for (std::size_t i = 0; i < f.marks.size(); ++i) {
     const MarkFigure& m = f.marks[i];
@@ -124,13 +125,13 @@
 std::string lab(const Result& r) {
   const RunInfo& i = r.info;
   std::string out = "<h2>The lab itself</h2>\n<p>" +
-                    html_escaped(format("%.1f s were played in %.1f s with %.1f s of CPU and %.0f MB.",
+                    html_escaped(format("The run of %.1f s took %.1f s with %.1f s of CPU and %.0f MB.",
                                         i.played_ms / 1000, i.wall_s, i.cpu_s, i.peak_memory_mb)) +
                     "</p>\n";
   if (r.driver != "virtual") {
     out += "<table><tr><th class=l>lateness</th><th>50%</th><th>99%</th><th>99.9%</th><th>most</th></tr>\n";
     for (const auto& [what, q] :
-         {std::pair("of sends", &i.lateness_ms), {"of machines' answers", &i.answer_lateness_ms}}) {
+         {std::pair("of sends", &i.lateness_ms), {"of machines' responses", &i.answer_lateness_ms}}) {
       out += "<tr>" + left(what);
       for (const double value : {q->p50, q->p99, q->p999, q->max}) out += cell(format("%.2f ms", value));
       out += "</tr>\n";
@@ -181,7 +182,7 @@
   out += verdict(r) + cards(r, all);
   if (!plots.fault.empty()) {
     out += "<p class=note>There are no plots: " + html_escaped(plots.fault) +
-           ". The figures stand in seconds.csv, machines.csv and run.json beside this page; "
+           ". The figures are in seconds.csv, machines.csv and run.json beside this page; "
            "<code>fernward-lab report run.json</code> draws it again.</p>\n";
   }
   for (const Plot& plot : plots.plots) {
@@ -193,7 +194,8 @@
          tallies("By clients' zone", r.figures.zones, true) + tallies("By router", r.figures.routers, false);
   out += lab(r);
   out +=
-      "<h2>The scenario</h2>\n<p class=note>As a file of its own, every value given: it plays this run "
+      "<h2>The scenario</h2>\n<p class=note>As a standalone file with every value written out; it repeats "
+      "this run "
       "again.</p>\n"
       "<pre>" +
       html_escaped(r.scenario) + "</pre>\n</body></html>\n";
--- a/lab/report/html.h
+++ b/lab/report/html.h
@@ -1,4 +1,4 @@
-// One self-contained page about a run.
+// A self-contained HTML page about a run.
 #pragma once
 
 #include <string>
--- a/lab/report/plots.cpp
+++ b/lab/report/plots.cpp
@@ -26,11 +26,11 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::chrono::seconds kPatience{60};
-constexpr std::size_t kNamedRows =
-    48; // of the heat map; with more machines every other name is left out, or more
+// Rows of the heat map with names; with more machines only every second, third, ... name is written.
+constexpr std::size_t kNamedRows = 48;
 constexpr int kWidth = 980;
 
-class Folder { // gone when its owner is
+class Folder { // a temporary folder, removed by its destructor
  public:
   Folder() {
     const char* where = std::getenv("TMPDIR");
@@ -57,7 +57,7 @@
   return text.str();
 }
 
-// Runs the program on the script within the folder; what went wrong, or nothing.
+// Runs the program on the script in the folder; returns the error, or an empty string.
 std::string run(const std::string& program, const fs::path& folder) {
   posix_spawn_file_actions_t files;
   posix_spawn_file_actions_init(&files);
@@ -87,7 +87,7 @@
   return program + " failed: " + said.substr(0, 400);
 }
 
-// The axis of time, in a unit that fits.
+// The time axis, in a unit that suits the duration.
 struct Time {
   double per_unit = 1000;
   const char* name = "seconds";
@@ -111,24 +111,25 @@
         time_(all_ms_) {
     data();
     add("outcomes", "Requests by outcome",
-        "each second's requests by what became of them; in time: within the class's aim", 250, outcomes());
-    add("service", "Service", "worth answered in time over worth asked, of the requests drawn in each second",
+        "the requests of each second by outcome; in time: within the class's latency objective (aim)", 250,
+        outcomes());
+    add("service", "Service",
+        "priority weight (worth) of the requests of each second that were served in time, as a share of all",
         190, service());
-    add("latency", "Latency over time", "of served requests, from the intended send", 260, latency());
+    add("latency", "Latency over time", "of served requests, from the intended send time", 260, latency());
     add("percentiles", "Latency by percentile",
         "of the whole run; the share of requests that is slower shrinks "
         "tenfold with each large step to the right",
         280, percentiles());
     const int rows = static_cast<int>(f_.machines.size());
-    add("load", "Load by machine",
-        "share of the machine's present capacity that is in use; white: not in service",
+    add("load", "Load by machine", "share of the machine's current capacity in use; white: not in service",
         std::clamp(90 + 15 * rows, 190, 900), load());
     add("origin", "Requests to the origin", "fetches and writes, and the caches' hit ratio", 240, origin());
     std::ofstream(folder_ / "script") << script_.str();
   }
 
   std::vector<Plot> plots;
-  std::vector<std::string> names; // of the files, as the plots
+  std::vector<std::string> names; // names of the plot files, in the order of `plots`
 
  private:
   template <typename F>
@@ -139,7 +140,7 @@
       row(out, f_.slices[i]);
       out << "\n";
     }
-    // The last step needs an end.
+    // The last step of the curve needs an end point.
     if (!f_.slices.empty()) {
       out << all_ms_ / time_.per_unit;
       row(out, f_.slices.back());
@@ -198,7 +199,7 @@
     }
   }
 
-  // Each event as a band or a line, with its number in the page's list.
+  // gnuplot commands that mark each event as a band or a line, with its number in the page's list.
   std::string marks(bool dark) const {
     std::ostringstream out;
     const char* colour = dark ? "#ffffff" : "#606060";
@@ -313,12 +314,12 @@
 Plots draw_plots(const Figures& figures, const std::string& program) {
   Plots drawn;
   if (figures.slices.empty()) {
-    drawn.fault = "nothing happened in this run";
+    drawn.fault = "the run has no data to plot";
     return drawn;
   }
   const Folder folder;
   if (folder.path().empty()) {
-    drawn.fault = "there is no room for temporary files";
+    drawn.fault = "no temporary folder can be created";
     return drawn;
   }
   Script script(figures, folder.path());
@@ -326,10 +327,10 @@
   if (!drawn.fault.empty()) return drawn;
   for (std::size_t i = 0; i < script.plots.size(); ++i) {
     std::string svg = text_of(folder.path() / script.names[i]);
-    // Inlined in a page, it is no document of its own.
+    // Within a page the SVG must not have a document prolog.
     const std::size_t begin = svg.find("<svg");
     if (begin == std::string::npos) {
-      drawn.fault = program + " drew nothing";
+      drawn.fault = program + " wrote no SVG";
       drawn.plots.clear();
       return drawn;
     }
--- a/lab/report/plots.h
+++ b/lab/report/plots.h
@@ -14,10 +14,10 @@
 
 struct Plots {
   std::vector<Plot> plots;
-  std::string fault; // there are none: gnuplot is missing, or what it said
+  std::string fault; // why there are no plots: gnuplot is missing, or its output
 };
 
-// Runs `program` in a folder of its own, which it removes. Never longer than a minute.
+// Runs `program` in a temporary folder, which is removed afterwards. Takes a minute at most.
 Plots draw_plots(const Figures& figures, const std::string& program = "gnuplot");
 
 } // namespace fernward::lab
