--- a/bench/checking.cpp
+++ b/bench/config_validation.cpp
@@ -14,16 +14,16 @@
 namespace {
 
 template <typename F>
-double median_ms(int rounds, F what) {
-  std::vector<double> times;
+double median_ms(int rounds, F action) {
+  std::vector<double> durations_ms;
   for (int i = 0; i < rounds; ++i) {
-    const auto begun = std::chrono::steady_clock::now();
-    what();
-    times.push_back(
-        std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begun).count());
+    const auto started_at = std::chrono::steady_clock::now();
+    action();
+    durations_ms.push_back(
+        std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - started_at).count());
   }
-  std::sort(times.begin(), times.end());
-  return times[times.size() / 2];
+  std::sort(durations_ms.begin(), durations_ms.end());
+  return durations_ms[durations_ms.size() / 2];
 }
 
 } // namespace
@@ -32,26 +32,27 @@
   cxxopts::Options options("fernward-checking", "validate a large file, compared with parsing it");
   options.add_options()("nodes", "nodes in the file", cxxopts::value<int>()->default_value("9900"))(
       "rounds", "repetitions; the median is printed", cxxopts::value<int>()->default_value("15"));
-  const auto args = options.parse(argc, argv);
+  const auto parsed_options = options.parse(argc, argv);
   std::string text =
       "name = \"big\"\nlisten = \"127.0.0.1:7070\"\n[limits]\nsockets = 60000\nmemory = \"4096MiB\"\n"
       "[classes.any]\ngive_up = \"1s\"\nrepeat = \"safe\"\n";
-  for (int i = 0; i < args["nodes"].as<int>(); ++i) {
+  for (int i = 0; i < parsed_options["nodes"].as<int>(); ++i) {
     text += "[fleet.nodes.node-" + std::to_string(i) + "]\naddress = \"10." + std::to_string(i / 65536) +
             "." + std::to_string(i / 256 % 256) + "." + std::to_string(i % 256) + ":7070\"\nweight = 1.5\n";
   }
-  const int rounds = args["rounds"].as<int>();
-  const double parsed = median_ms(rounds, [&] {
-    fernward::toml_document::Faults faults;
+  const int rounds = parsed_options["rounds"].as<int>();
+  const double parse_ms = median_ms(rounds, [&] {
+    fernward::toml_document::Diagnostics faults;
     fernward::toml_document::Layers layers;
     fernward::toml_document::parse_layers(text, "big.toml", "include", nullptr, faults, layers);
   });
-  bool sound = false;
-  const double checked = median_ms(
-      rounds, [&] { sound = fernward::app_config::read(text, "big.toml", nullptr, nullptr).sound(); });
+  bool valid = false;
+  const double check_ms = median_ms(rounds, [&] {
+    valid = fernward::app_config::parse_config(text, "big.toml", nullptr, nullptr).valid();
+  });
   std::printf(
       "| file | sound | parsed, ms | read and checked, ms | ratio |\n| --- | --- | --- | --- | --- |\n");
-  std::printf("| %zu KB | %s | %.1f | %.1f | %.2f |\n", text.size() / 1000, sound ? "yes" : "no", parsed,
-              checked, checked / parsed);
-  return sound ? 0 : 1;
+  std::printf("| %zu KB | %s | %.1f | %.1f | %.2f |\n", text.size() / 1000, valid ? "yes" : "no", parse_ms,
+              check_ms, check_ms / parse_ms);
+  return valid ? 0 : 1;
 }
--- a/bench/timing.h
+++ b/bench/cpu_timing.h
@@ -8,7 +8,7 @@
 namespace fernward::bench {
 
 // CPU time of this thread, in microseconds.
-inline double cpu_us() {
+inline double thread_cpu_us() {
   timespec t{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
   return static_cast<double>(t.tv_sec) * 1e6 + static_cast<double>(t.tv_nsec) / 1e3;
--- a/bench/discovery/registry.cpp
+++ b/bench/discovery/endpoint_registry.cpp
@@ -1,14 +1,14 @@
-#include "discovery/registry.h"
+#include "discovery/endpoint_registry.h"
 
 #include <algorithm>
 
 namespace fernward::bench::discovery {
 namespace {
 
-constexpr Index kFirstIndex = 41;
+constexpr RegistryIndex kFirstIndex = 41;
 constexpr std::size_t kGroups = 16;
 
-std::string body_start(Index index, bool snapshot) {
+std::string body_start(RegistryIndex index, bool snapshot) {
   return "{\"index\":" + std::to_string(index) + ",\"snapshot\":" + (snapshot ? "true" : "false") +
          ",\"endpoints\":[";
 }
@@ -27,31 +27,31 @@
 
 } // namespace
 
-Registry::Registry(std::size_t servers) : index_(kFirstIndex), servers_(servers) {
-  for (std::size_t i = 0; i < servers; ++i) {
-    servers_[i].before_status =
+EndpointRegistry::EndpointRegistry(std::size_t server_count) : index_(kFirstIndex), servers_(server_count) {
+  for (std::size_t i = 0; i < server_count; ++i) {
+    servers_[i].json_before_status =
         "{\"name\":\"" + server_name(i) + "\",\"address\":\"" + server_address(i) +
         "\",\"zone\":\"a\",\"type\":\"cache\",\"group\":" + std::to_string(i % kGroups) + ",\"status\":\"";
-    servers_[i].after_status = "\",\"weight\":1.0,\"since_ms\":0}";
+    servers_[i].json_after_status = "\",\"weight\":1.0,\"since_ms\":0}";
   }
 }
 
-Index Registry::set_terminating(std::size_t server, bool terminating) {
+RegistryIndex EndpointRegistry::set_terminating(std::size_t server, bool terminating) {
   servers_[server].terminating = terminating;
   ++index_;
-  history_.push_back({index_, server});
+  change_history_.push_back({index_, server});
   return index_;
 }
 
-void Registry::append_entry(std::string& body, std::size_t server) const {
+void EndpointRegistry::append_entry(std::string& body, std::size_t server) const {
   if (body.back() != '[') body += ',';
-  const Server& entry = servers_[server];
-  body += entry.before_status;
+  const ServerEntry& entry = servers_[server];
+  body += entry.json_before_status;
   body += entry.terminating ? "terminating" : "in_service";
-  body += entry.after_status;
+  body += entry.json_after_status;
 }
 
-const std::string& Registry::snapshot() {
+const std::string& EndpointRegistry::snapshot() {
   if (snapshot_index_ == index_) return snapshot_;
   snapshot_ = body_start(index_, true);
   for (std::size_t i = 0; i < servers_.size(); ++i) append_entry(snapshot_, i);
@@ -60,9 +60,10 @@
   return snapshot_;
 }
 
-std::string Registry::changes_after(Index since) const {
+std::string EndpointRegistry::changes_after(RegistryIndex since) const {
   std::vector<std::size_t> changed;
-  for (auto change = history_.rbegin(); change != history_.rend() && change->index > since; ++change) {
+  for (auto change = change_history_.rbegin(); change != change_history_.rend() && change->index > since;
+       ++change) {
     changed.push_back(change->server);
   }
   std::sort(changed.begin(), changed.end());
--- a/bench/discovery/propagation.h
+++ b/bench/discovery/propagation_recorder.h
@@ -4,7 +4,7 @@
 #include <cstddef>
 #include <vector>
 
-#include "discovery/registry.h"
+#include "discovery/endpoint_registry.h"
 
 namespace fernward::bench::discovery {
 
@@ -16,34 +16,34 @@
 };
 
 /// Records when each router has received each change.
-class Propagation {
+class PropagationRecorder {
  public:
-  explicit Propagation(std::size_t routers) : next_change_(routers, 0) {}
+  explicit PropagationRecorder(std::size_t routers) : next_unreceived_change_(routers, 0) {}
 
   void set_outage(Outage outage) { outage_ = outage; }
-  void changed(Index index, double now_ms) { changes_.push_back({index, now_ms}); }
+  void record_change(RegistryIndex index, double now_ms) { changes_.push_back({index, now_ms}); }
   /// Records that the router has received everything up to `index`. Repeated calls are allowed: the first one
   /// counts.
-  void router_has(std::size_t router, Index index, double now_ms);
+  void record_receipt(std::size_t router, RegistryIndex index, double now_ms);
   /// To be called at the end of the run. Changes that a router has not received count as received now.
   /// Returns the number of such pairs of change and router.
   std::size_t finish(double now_ms);
 
-  std::size_t changes() const { return changes_.size(); }
+  std::size_t change_count() const { return changes_.size(); }
   /// One delay for each change and router.
   const std::vector<double>& delays_ms() const { return delays_ms_; }
 
  private:
   struct Change {
-    Index index;
-    double at_ms;
+    RegistryIndex index;
+    double changed_at_ms;
   };
 
-  double delay_ms(const Change& change, double had_at_ms) const;
+  double propagation_delay_ms(const Change& change, double received_at_ms) const;
 
   Outage outage_;
   std::vector<Change> changes_;
-  std::vector<std::size_t> next_change_; // by router: the first change that it has not received
+  std::vector<std::size_t> next_unreceived_change_; // by router: the first change that it has not received
   std::vector<double> delays_ms_;
 };
 
--- a/bench/discovery/router_process.cpp
+++ b/bench/discovery/router_process.cpp
@@ -41,22 +41,25 @@
 }
 
 std::string write_config(const RouterOptions& options) {
-  const Json config = {{"name", options.name},           {"listen", "127.0.0.1:0"},
-                       {"discovery", options.discovery}, {"seed", hexadecimal(options.seed)},
-                       {"limits", {{"sockets", 256}}},   {"settings", settings()}};
+  const Json config = {{"name", options.router_name},
+                       {"listen", "127.0.0.1:0"},
+                       {"discovery", options.discovery_address},
+                       {"seed", hexadecimal(options.seed)},
+                       {"limits", {{"sockets", 256}}},
+                       {"settings", settings()}};
   std::string path = (options.folder / "config.json").string();
   std::ofstream(path) << config.dump();
   return path;
 }
 
 /// Runs in the child between fork and exec, so it makes only async-signal-safe calls.
-[[noreturn]] void execute(const char* program, char* const* arguments, char* const* environment,
-                          pid_t parent) {
+[[noreturn]] void exec_router(const char* program, char* const* arguments, char* const* environment,
+                              pid_t parent) {
   prctl(PR_SET_PDEATHSIG, SIGKILL); // the kernel kills the router if the benchmark ends first
   if (getppid() != parent) _exit(kExitNotStarted);
-  const int nowhere = open("/dev/null", O_WRONLY | O_CLOEXEC);
-  dup2(nowhere, STDOUT_FILENO);
-  dup2(nowhere, STDERR_FILENO);
+  const int null_device = open("/dev/null", O_WRONLY | O_CLOEXEC);
+  dup2(null_device, STDOUT_FILENO);
+  dup2(null_device, STDERR_FILENO);
   execve(program, arguments, environment);
   _exit(kExitNotStarted);
 }
@@ -73,16 +76,16 @@
   const pid_t parent = getpid();
   pid_ = fork();
   if (pid_ < 0) throw std::runtime_error("cannot start " + options.program);
-  if (pid_ == 0) execute(program.c_str(), arguments.data(), environment.data(), parent);
+  if (pid_ == 0) exec_router(program.c_str(), arguments.data(), environment.data(), parent);
 }
 
 RouterProcess::RouterProcess(RouterProcess&& other) noexcept : pid_(std::exchange(other.pid_, 0)) {}
 
 RouterProcess::~RouterProcess() {
   terminate();
-  const auto give_up_at = std::chrono::steady_clock::now() + kTerminationTimeout;
+  const auto kill_at = std::chrono::steady_clock::now() + kTerminationTimeout;
   while (running()) {
-    if (std::chrono::steady_clock::now() > give_up_at) kill(pid_, SIGKILL);
+    if (std::chrono::steady_clock::now() > kill_at) kill(pid_, SIGKILL);
     std::this_thread::sleep_for(kTerminationPoll);
   }
 }
@@ -101,23 +104,23 @@
   const std::filesystem::path threads = "/proc/" + std::to_string(pid_) + "/task";
   double nanoseconds = 0;
   for (const auto& thread : std::filesystem::directory_iterator(threads)) {
-    double of_thread = 0;
-    std::ifstream(thread.path() / "schedstat") >> of_thread;
-    nanoseconds += of_thread;
+    double thread_nanoseconds = 0;
+    std::ifstream(thread.path() / "schedstat") >> thread_nanoseconds;
+    nanoseconds += thread_nanoseconds;
   }
   return nanoseconds / kNanosecondsPerMs;
 }
 
-double RouterProcess::peak_rss_mb() const {
+double RouterProcess::peak_resident_mb() const {
   constexpr double kKilobytesPerMb = 1024;
-  const std::string name = "VmHWM:";
+  const std::string field_name = "VmHWM:";
   std::ifstream status("/proc/" + std::to_string(pid_) + "/status");
   for (std::string line; std::getline(status, line);) {
-    if (line.compare(0, name.size(), name) == 0) {
-      return std::strtod(line.c_str() + name.size(), nullptr) / kKilobytesPerMb;
+    if (line.compare(0, field_name.size(), field_name) == 0) {
+      return std::strtod(line.c_str() + field_name.size(), nullptr) / kKilobytesPerMb;
     }
   }
-  throw std::runtime_error("no " + name + " of process " + std::to_string(pid_));
+  throw std::runtime_error("no " + field_name + " of process " + std::to_string(pid_));
 }
 
 } // namespace fernward::bench::discovery
--- a/bench/discovery/router_process.h
+++ b/bench/discovery/router_process.h
@@ -12,8 +12,8 @@
 /// Options for starting a router.
 struct RouterOptions {
   std::string program;
-  std::string name;
-  std::string discovery; // address of its discovery service
+  std::string router_name;
+  std::string discovery_address; // address of its discovery service
   std::uint64_t seed = 1;
   std::filesystem::path folder; // for its configuration and its temporary files; must exist
 };
@@ -31,7 +31,7 @@
   bool running();
   /// CPU time so far, user and system, of all current threads.
   double cpu_ms() const;
-  double peak_rss_mb() const;
+  double peak_resident_mb() const;
   /// Sends SIGTERM for a graceful shutdown. The destructor waits for the end, and kills the process after a
   /// timeout.
   void terminate();
--- a/bench/discovery_fleet.cpp
+++ b/bench/discovery_fleet.cpp
@@ -24,44 +24,44 @@
 #include <string>
 #include <vector>
 
-#include "discovery/propagation.h"
-#include "discovery/registry.h"
+#include "discovery/discovery_server.h"
+#include "discovery/endpoint_registry.h"
+#include "discovery/propagation_recorder.h"
 #include "discovery/router_process.h"
-#include "discovery/server.h"
 #include "loop/timer_queue.h"
 
 namespace {
 
-using fernward::bench::discovery::Capacity;
-using fernward::bench::discovery::Propagation;
-using fernward::bench::discovery::Registry;
+using fernward::bench::discovery::DiscoveryCapacity;
+using fernward::bench::discovery::DiscoveryServer;
+using fernward::bench::discovery::EndpointRegistry;
+using fernward::bench::discovery::PropagationRecorder;
 using fernward::bench::discovery::RouterCounters;
 using fernward::bench::discovery::RouterProcess;
-using fernward::bench::discovery::Server;
 namespace loop = fernward::loop;
 
 constexpr double kMsPerSecond = 1000;
 constexpr double kAllowedDelayMs =
     6250; // of a change: 6 s until the router counts as notified, and the grace period of 250 ms
-constexpr double kQuietEndMs =
+constexpr double kFinalPeriodWithoutChangesMs =
     7000; // no changes at the end, so that each can arrive within the allowed delay
-constexpr double kStartIntervalMs = 5;     // between the starts of two processes
-constexpr double kStartTimeoutMs = 60000;  // until all routers have a long poll open
-constexpr double kSettleMs = 1000;         // after that, before counting begins
-constexpr double kLatenessIntervalMs = 10; // between two samples of the event loop's lateness
+constexpr double kStartIntervalMs = 5;           // between the starts of two processes
+constexpr double kStartTimeoutMs = 60000;        // until all routers have a long poll open
+constexpr double kSettleTimeMs = 1000;           // after that, before counting begins
+constexpr double kLatenessSampleIntervalMs = 10; // between two samples of the event loop's lateness
 
-struct Options {
+struct BenchmarkOptions {
   std::string program;
-  std::size_t routers = 0;
-  std::size_t servers = 0;
-  double seconds = 0;
+  std::size_t router_count = 0;
+  std::size_t server_count = 0;
+  double duration_s = 0;
   std::uint64_t seed = 0;
-  Capacity capacity;
-  double all_snapshots_seconds = 0; // 0: the capacity options apply
-  std::optional<double> outage_at;
-  double outage_seconds = 0;
-  std::optional<double> reset_at;
-  std::optional<double> silent_at;
+  DiscoveryCapacity capacity;
+  double all_snapshots_s = 0; // 0: the capacity options apply
+  std::optional<double> outage_at_s;
+  double outage_duration_s = 0;
+  std::optional<double> reset_at_s;
+  std::optional<double> silent_at_s;
   double changes_per_second = 0;
 };
 
@@ -71,7 +71,7 @@
 }
 
 /// Throws cxxopts' exceptions, and std::invalid_argument. Returns nullopt if help was requested.
-std::optional<Options> parse(int argc, char** argv) {
+std::optional<BenchmarkOptions> parse_options(int argc, char** argv) {
   const auto number = [](const char* fallback) { return cxxopts::value<double>()->default_value(fallback); };
   const auto count = [](const char* fallback) {
     return cxxopts::value<std::size_t>()->default_value(fallback);
@@ -103,21 +103,21 @@
     std::printf("%s\n", options.help().c_str());
     return std::nullopt;
   }
-  Options result;
+  BenchmarkOptions result;
   result.program = parsed["program"].as<std::string>();
-  result.routers = parsed["routers"].as<std::size_t>();
-  result.servers = parsed["servers"].as<std::size_t>();
-  result.seconds = parsed["seconds"].as<double>();
+  result.router_count = parsed["routers"].as<std::size_t>();
+  result.server_count = parsed["servers"].as<std::size_t>();
+  result.duration_s = parsed["seconds"].as<double>();
   result.seed = parsed["seed"].as<std::uint64_t>();
-  result.capacity.answers_per_second = parsed["answers-per-second"].as<double>();
+  result.capacity.responses_per_second = parsed["answers-per-second"].as<double>();
   result.capacity.bytes_per_second = parsed["bytes-per-second"].as<double>();
-  result.all_snapshots_seconds = parsed["all-snapshots-seconds"].as<double>();
-  result.outage_at = optional_number(parsed, "outage-at");
-  result.outage_seconds = parsed["outage-seconds"].as<double>();
-  result.reset_at = optional_number(parsed, "reset-at");
-  result.silent_at = optional_number(parsed, "silent-at");
+  result.all_snapshots_s = parsed["all-snapshots-seconds"].as<double>();
+  result.outage_at_s = optional_number(parsed, "outage-at");
+  result.outage_duration_s = parsed["outage-seconds"].as<double>();
+  result.reset_at_s = optional_number(parsed, "reset-at");
+  result.silent_at_s = optional_number(parsed, "silent-at");
   result.changes_per_second = parsed["changes-per-second"].as<double>();
-  if (result.routers < 1 || result.servers < 1) {
+  if (result.router_count < 1 || result.server_count < 1) {
     throw std::invalid_argument("routers and servers must be 1 or more");
   }
   return result;
@@ -147,39 +147,39 @@
 };
 
 /// Minimum, median and maximum of a figure over the routers.
-struct Spread {
-  double least = 0, median = 0, most = 0;
+struct RouterSpread {
+  double min = 0, median = 0, max = 0;
 };
 
-Spread spread_of(std::vector<double> values) {
+RouterSpread compute_spread(std::vector<double> values) {
   if (values.empty()) return {};
   std::sort(values.begin(), values.end());
   return {values.front(), values[values.size() / 2], values.back()};
 }
 
-double quantile(const std::vector<double>& sorted, double share) {
+double quantile(const std::vector<double>& sorted, double fraction) {
   if (sorted.empty()) return 0;
   return sorted[std::min(sorted.size() - 1,
-                         static_cast<std::size_t>(share * static_cast<double>(sorted.size())))];
+                         static_cast<std::size_t>(fraction * static_cast<double>(sorted.size())))];
 }
 
-struct BaseFree {
+struct EventBaseDeleter {
   void operator()(event_base* base) const { event_base_free(base); }
 };
 
-class Measurement {
+class FleetMeasurement {
  public:
-  explicit Measurement(Options options)
+  explicit FleetMeasurement(BenchmarkOptions options)
       : options_(std::move(options)),
         base_(event_base_new()),
-        deadlines_(base_.get()),
-        registry_(options_.servers),
-        propagation_(options_.routers),
+        timers_(base_.get()),
+        registry_(options_.server_count),
+        propagation_(options_.router_count),
         random_(options_.seed),
-        server_(base_.get(), deadlines_, registry_, propagation_, options_.routers) {
+        server_(base_.get(), timers_, registry_, propagation_, options_.router_count) {
     set_capacity();
     for (const int number : {SIGINT, SIGTERM}) {
-      signals_.emplace_back(evsignal_new(base_.get(), number, &Measurement::interrupted, this));
+      signals_.emplace_back(evsignal_new(base_.get(), number, &FleetMeasurement::on_interrupt, this));
       event_add(signals_.back().get(), nullptr);
     }
   }
@@ -187,59 +187,62 @@
   /// Returns false if it was interrupted, a router ended, or the routers did not become ready in time.
   bool run() {
     started_at_ms_ = loop::now_ms();
-    watch_lateness();
+    sample_lateness();
     start_router();
     event_base_dispatch(base_.get());
     for (RouterProcess& router : processes_)
       router.terminate(); // all are signalled first, then each is waited for
     processes_.clear();
-    return finished_;
+    return completed_;
   }
 
  private:
-  static void interrupted(int, short, void* self) {
+  static void on_interrupt(int, short, void* self) {
     std::fprintf(stderr, "fernward_bench_discovery_fleet: interrupted\n");
-    event_base_loopbreak(static_cast<Measurement*>(self)->base_.get());
+    event_base_loopbreak(static_cast<FleetMeasurement*>(self)->base_.get());
   }
 
-  void after(double ms, std::function<void()> what) { deadlines_.at(loop::now_ms() + ms, std::move(what)); }
+  void run_after(double delay_ms, std::function<void()> action) {
+    timers_.run_at(loop::now_ms() + delay_ms, std::move(action));
+  }
 
-  void fail(const char* why) {
-    std::fprintf(stderr, "fernward_bench_discovery_fleet: %s\n", why);
+  void fail(const char* reason) {
+    std::fprintf(stderr, "fernward_bench_discovery_fleet: %s\n", reason);
     event_base_loopbreak(base_.get());
   }
 
   void set_capacity() {
-    if (options_.all_snapshots_seconds <= 0) return;
-    const std::size_t bytes = options_.routers * registry_.snapshot().size();
-    options_.capacity.bytes_per_second = static_cast<double>(bytes) / options_.all_snapshots_seconds;
+    if (options_.all_snapshots_s <= 0) return;
+    const std::size_t bytes = options_.router_count * registry_.snapshot().size();
+    options_.capacity.bytes_per_second = static_cast<double>(bytes) / options_.all_snapshots_s;
   }
 
   // The emulated discovery shares the machine with the routers: if it was late itself, the run is unreliable.
-  void watch_lateness() {
-    const double due_ms = loop::now_ms() + kLatenessIntervalMs;
-    deadlines_.at(due_ms, [this, due_ms] {
+  void sample_lateness() {
+    const double due_ms = loop::now_ms() + kLatenessSampleIntervalMs;
+    timers_.run_at(due_ms, [this, due_ms] {
       lateness_ms_.push_back(loop::now_ms() - due_ms);
-      watch_lateness();
+      sample_lateness();
     });
   }
 
   void start_router() {
     const std::size_t router = processes_.size();
-    if (router == options_.routers) return wait_until_settled();
+    if (router == options_.router_count) return wait_until_settled();
     const std::string name = "router-" + std::to_string(router);
     processes_.emplace_back(fernward::bench::discovery::RouterOptions{
         options_.program, name, server_.address_for(router), random_(), folder_.make_subfolder(name)});
-    after(kStartIntervalMs, [this] { start_router(); });
+    run_after(kStartIntervalMs, [this] { start_router(); });
   }
 
   void wait_until_settled() {
     constexpr double kPollMs = 50;
     if (!all_routers_run()) return fail("a router has ended by itself");
-    if (server_.all_routers_wait()) return after(kSettleMs, [this] { begin(); });
+    if (server_.all_routers_have_long_poll())
+      return run_after(kSettleTimeMs, [this] { begin_measurement(); });
     if (loop::now_ms() - started_at_ms_ > kStartTimeoutMs)
       return fail("the routers did not open their long polls in time");
-    after(kPollMs, [this] { wait_until_settled(); });
+    run_after(kPollMs, [this] { wait_until_settled(); });
   }
 
   bool all_routers_run() {
@@ -247,71 +250,71 @@
                        [](RouterProcess& router) { return router.running(); });
   }
 
-  void begin() {
-    start_seconds_ = (loop::now_ms() - started_at_ms_) / kMsPerSecond;
+  void begin_measurement() {
+    startup_s_ = (loop::now_ms() - started_at_ms_) / kMsPerSecond;
     lateness_ms_.clear();
     server_.clear_counters();
     server_.set_capacity(options_.capacity);
-    for (const RouterProcess& router : processes_) cpu_ms_at_begin_.push_back(router.cpu_ms());
-    if (options_.outage_at) plan_outage(*options_.outage_at * kMsPerSecond);
-    if (options_.reset_at) {
-      after(*options_.reset_at * kMsPerSecond, [this] { server_.reset_all_connections(); });
+    for (const RouterProcess& router : processes_) cpu_at_begin_ms_.push_back(router.cpu_ms());
+    if (options_.outage_at_s) schedule_outage(*options_.outage_at_s * kMsPerSecond);
+    if (options_.reset_at_s) {
+      run_after(*options_.reset_at_s * kMsPerSecond, [this] { server_.reset_all_connections(); });
     }
-    if (options_.silent_at) {
-      after(*options_.silent_at * kMsPerSecond, [this] { server_.silence_open_long_polls(); });
+    if (options_.silent_at_s) {
+      run_after(*options_.silent_at_s * kMsPerSecond, [this] { server_.silence_open_long_polls(); });
     }
-    last_change_at_ms_ = loop::now_ms() + options_.seconds * kMsPerSecond - kQuietEndMs;
-    plan_change_after(loop::now_ms());
-    after(options_.seconds * kMsPerSecond, [this] { end(); });
+    last_change_at_ms_ = loop::now_ms() + options_.duration_s * kMsPerSecond - kFinalPeriodWithoutChangesMs;
+    schedule_change_after(loop::now_ms());
+    run_after(options_.duration_s * kMsPerSecond, [this] { end_measurement(); });
   }
 
-  void plan_outage(double begins_in_ms) {
-    const double length_ms = options_.outage_seconds * kMsPerSecond;
-    const double begins_ms = loop::now_ms() + begins_in_ms;
+  void schedule_outage(double delay_until_outage_ms) {
+    const double length_ms = options_.outage_duration_s * kMsPerSecond;
+    const double begins_ms = loop::now_ms() + delay_until_outage_ms;
     propagation_.set_outage({begins_ms, begins_ms + length_ms});
-    after(begins_in_ms, [this] { server_.begin_outage(); });
-    after(begins_in_ms + length_ms, [this] { server_.end_outage(); });
+    run_after(delay_until_outage_ms, [this] { server_.begin_outage(); });
+    run_after(delay_until_outage_ms + length_ms, [this] { server_.end_outage(); });
   }
 
   // Scheduled from the planned time of the previous change, not the actual one, so that a late event loop
   // doesn't reduce the number of changes.
-  void plan_change_after(double change_before_ms) {
+  void schedule_change_after(double previous_change_ms) {
     if (options_.changes_per_second <= 0) return;
-    const double due_ms = change_before_ms + kMsPerSecond / options_.changes_per_second;
+    const double due_ms = previous_change_ms + kMsPerSecond / options_.changes_per_second;
     if (due_ms > last_change_at_ms_) return;
-    deadlines_.at(due_ms, [this, due_ms] {
-      change();
-      plan_change_after(due_ms);
+    timers_.run_at(due_ms, [this, due_ms] {
+      make_change();
+      schedule_change_after(due_ms);
     });
   }
 
   // Changes alternate: a server becomes terminating, and with the next change it is in service again.
-  void change() {
-    const bool terminates = !terminating_server_;
-    if (terminates) terminating_server_ = random_() % options_.servers;
-    propagation_.changed(registry_.set_terminating(*terminating_server_, terminates), loop::now_ms());
-    if (!terminates) terminating_server_.reset();
-    server_.registry_changed();
+  void make_change() {
+    const bool terminating = !terminating_server_;
+    if (terminating) terminating_server_ = random_() % options_.server_count;
+    propagation_.record_change(registry_.set_terminating(*terminating_server_, terminating), loop::now_ms());
+    if (!terminating) terminating_server_.reset();
+    server_.queue_waiting_long_polls();
   }
 
-  void end() {
+  void end_measurement() {
     if (!all_routers_run()) return fail("a router has ended by itself");
-    const std::size_t missing = propagation_.finish(loop::now_ms());
-    print_setting();
+    const std::size_t unreceived_changes = propagation_.finish(loop::now_ms());
+    print_configuration();
     print_routers();
-    print_changes(missing);
-    finished_ = true;
+    print_changes(unreceived_changes);
+    completed_ = true;
     event_base_loopbreak(base_.get());
   }
 
-  void print_setting() {
+  void print_configuration() {
     std::printf("%zu routers, %zu servers, snapshot of %zu bytes, %.0f s after a start of %.1f s\n",
-                options_.routers, options_.servers, registry_.snapshot().size(), options_.seconds,
-                start_seconds_);
+                options_.router_count, options_.server_count, registry_.snapshot().size(),
+                options_.duration_s, startup_s_);
     std::printf(
         "capacity: %.0f answers/s, %.0f bytes/s (0: no limit); longest time in discovery's queue %.0f ms\n",
-        options_.capacity.answers_per_second, options_.capacity.bytes_per_second,
-        server_.longest_queueing_ms());
+        options_.capacity.responses_per_second, options_.capacity.bytes_per_second,
+        server_.max_queueing_ms());
     std::sort(lateness_ms_.begin(), lateness_ms_.end());
     double load[1] = {0};
     getloadavg(load, 1);
@@ -321,39 +324,39 @@
 
   void print_routers() const {
     std::printf("| of each router | min | median | max |\n| --- | --- | --- | --- |\n");
-    print_counter("snapshots answered", [](const RouterCounters& c) { return c.snapshots_answered; });
-    print_counter("long polls answered", [](const RouterCounters& c) { return c.long_polls_answered; });
-    print_counter("calls", [](const RouterCounters& c) { return c.calls; });
-    print_counter("calls given up", [](const RouterCounters& c) { return c.calls_given_up; });
+    print_counter("snapshots answered", [](const RouterCounters& c) { return c.snapshots_sent; });
+    print_counter("long polls answered", [](const RouterCounters& c) { return c.long_poll_responses; });
+    print_counter("calls", [](const RouterCounters& c) { return c.calls_received; });
+    print_counter("calls given up", [](const RouterCounters& c) { return c.calls_abandoned; });
     print_counter("closed without a call open",
                   [](const RouterCounters& c) { return c.closed_without_call; });
-    print_counter("connections made", [](const RouterCounters& c) { return c.connections_made; });
-    print_counter("most connections open", [](const RouterCounters& c) { return c.most_connections_open; });
+    print_counter("connections made", [](const RouterCounters& c) { return c.connections_accepted; });
+    print_counter("most connections open", [](const RouterCounters& c) { return c.max_connections_open; });
     print_counter("bytes of answers", [](const RouterCounters& c) { return c.bytes_written; });
     std::vector<double> cpu_ms, rss_mb;
     for (std::size_t i = 0; i < processes_.size(); ++i) {
-      cpu_ms.push_back(processes_[i].cpu_ms() - cpu_ms_at_begin_[i]);
-      rss_mb.push_back(processes_[i].peak_rss_mb());
+      cpu_ms.push_back(processes_[i].cpu_ms() - cpu_at_begin_ms_[i]);
+      rss_mb.push_back(processes_[i].peak_resident_mb());
     }
-    print_spread("CPU, ms", spread_of(cpu_ms), 1);
-    print_spread("peak RSS, MB", spread_of(rss_mb), 1);
+    print_spread("CPU, ms", compute_spread(cpu_ms), 1);
+    print_spread("peak RSS, MB", compute_spread(rss_mb), 1);
   }
 
   template <typename Counter>
   void print_counter(const char* name, Counter counter) const {
     std::vector<double> values;
-    for (std::size_t i = 0; i < options_.routers; ++i) {
+    for (std::size_t i = 0; i < options_.router_count; ++i) {
       values.push_back(static_cast<double>(counter(server_.counters(i))));
     }
-    print_spread(name, spread_of(values), 0);
+    print_spread(name, compute_spread(values), 0);
   }
 
-  static void print_spread(const char* name, const Spread& spread, int decimals) {
-    std::printf("| %s | %.*f | %.*f | %.*f |\n", name, decimals, spread.least, decimals, spread.median,
-                decimals, spread.most);
+  static void print_spread(const char* name, const RouterSpread& spread, int decimals) {
+    std::printf("| %s | %.*f | %.*f | %.*f |\n", name, decimals, spread.min, decimals, spread.median,
+                decimals, spread.max);
   }
 
-  void print_changes(std::size_t missing) const {
+  void print_changes(std::size_t unreceived_changes) const {
     std::vector<double> delays = propagation_.delays_ms();
     std::sort(delays.begin(), delays.end());
     const auto late =
@@ -361,37 +364,37 @@
     std::printf(
         "\n%zu changes, %zu with each router counted: median %.0f ms, p99 %.0f ms, worst %.0f ms; "
         "%td over %.0f ms, %zu not there at the end\n",
-        propagation_.changes(), delays.size(), quantile(delays, 0.5), quantile(delays, 0.99),
-        quantile(delays, 1), late, kAllowedDelayMs, missing);
+        propagation_.change_count(), delays.size(), quantile(delays, 0.5), quantile(delays, 0.99),
+        quantile(delays, 1), late, kAllowedDelayMs, unreceived_changes);
   }
 
-  Options options_;
-  std::unique_ptr<event_base, BaseFree> base_;
-  loop::TimerQueue deadlines_;
-  Registry registry_;
-  Propagation propagation_;
+  BenchmarkOptions options_;
+  std::unique_ptr<event_base, EventBaseDeleter> base_;
+  loop::TimerQueue timers_;
+  EndpointRegistry registry_;
+  PropagationRecorder propagation_;
   std::mt19937_64 random_;
-  Server server_;
+  DiscoveryServer server_;
   TemporaryFolder folder_;
   std::vector<RouterProcess> processes_;
   std::vector<loop::EventPtr> signals_;
-  std::vector<double> cpu_ms_at_begin_;
+  std::vector<double> cpu_at_begin_ms_;
   std::vector<double> lateness_ms_;
   std::optional<std::size_t> terminating_server_;
   double started_at_ms_ = 0;
-  double start_seconds_ = 0;
+  double startup_s_ = 0;
   double last_change_at_ms_ = 0;
-  bool finished_ = false;
+  bool completed_ = false;
 };
 
 } // namespace
 
 int main(int argc, char** argv) {
   try {
-    const auto options = parse(argc, argv);
+    const auto options = parse_options(argc, argv);
     if (!options) return 0;
     signal(SIGPIPE, SIG_IGN);
-    return Measurement(*options).run() ? 0 : 1;
+    return FleetMeasurement(*options).run() ? 0 : 1;
   } catch (const cxxopts::exceptions::exception& error) {
     std::fprintf(stderr, "fernward_bench_discovery_fleet: %s\n", error.what());
     return 2;
--- a/bench/passing.cpp
+++ b/bench/forwarding.cpp
@@ -46,12 +46,12 @@
 
 constexpr const char* kHost = "127.0.0.1";
 
-[[noreturn]] void fail(const std::string& what) {
-  std::fprintf(stderr, "fernward-passing: %s\n", what.c_str());
+[[noreturn]] void fail(const std::string& message) {
+  std::fprintf(stderr, "fernward-passing: %s\n", message.c_str());
   std::exit(1);
 }
 
-sockaddr_in address(int port) {
+sockaddr_in loopback_address(int port) {
   sockaddr_in where{};
   where.sin_family = AF_INET;
   where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
@@ -59,11 +59,11 @@
   return where;
 }
 
-int listen_on(int& port) {
+int listen_on_loopback(int& port) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const int on = 1;
   setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  sockaddr_in where = address(port);
+  sockaddr_in where = loopback_address(port);
   socklen_t size = sizeof where;
   if (bind(fd, reinterpret_cast<sockaddr*>(&where), size) != 0 || listen(fd, 128) != 0) fail("cannot listen");
   getsockname(fd, reinterpret_cast<sockaddr*>(&where), &size);
@@ -73,7 +73,7 @@
 
 int free_port() {
   int port = 0;
-  close(listen_on(port));
+  close(listen_on_loopback(port));
   return port;
 }
 
@@ -94,75 +94,79 @@
 
 // ---- the node: responds to GET /SIZE/anything with that many bytes ----
 
-void serve(int fd, const std::string& value) {
+void serve_node_connection(int fd, const std::string& body_bytes) {
   const int on = 1;
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   std::string text, head;
   while (read_head(fd, text, head)) {
     std::size_t size = std::strtoul(head.c_str() + std::strlen("GET /"), nullptr, 10);
-    std::string start = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(size) + "\r\n\r\n";
-    iovec parts[2] = {{start.data(), start.size()}, {const_cast<char*>(value.data()), size}};
-    std::size_t left = start.size() + size;
-    while (left > 0) {
+    std::string response_head = "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(size) + "\r\n\r\n";
+    iovec parts[2] = {{response_head.data(), response_head.size()},
+                      {const_cast<char*>(body_bytes.data()), size}};
+    std::size_t unsent_bytes = response_head.size() + size;
+    while (unsent_bytes > 0) {
       msghdr message{};
       message.msg_iov = parts;
       message.msg_iovlen = 2;
       const ssize_t n = sendmsg(fd, &message, MSG_NOSIGNAL);
       if (n <= 0) break;
-      left -= static_cast<std::size_t>(n);
-      auto gone = static_cast<std::size_t>(n);
+      unsent_bytes -= static_cast<std::size_t>(n);
+      auto sent_bytes = static_cast<std::size_t>(n);
       for (iovec& part : parts) {
-        const std::size_t of_this = std::min(gone, part.iov_len);
-        part.iov_base = static_cast<char*>(part.iov_base) + of_this;
-        part.iov_len -= of_this;
-        gone -= of_this;
+        const std::size_t sent_of_part = std::min(sent_bytes, part.iov_len);
+        part.iov_base = static_cast<char*>(part.iov_base) + sent_of_part;
+        part.iov_len -= sent_of_part;
+        sent_bytes -= sent_of_part;
       }
     }
-    if (left > 0) break;
+    if (unsent_bytes > 0) break;
   }
   close(fd);
 }
 
 // ---- the clients: each has one request in flight ----
 
-struct Load {
-  std::atomic<std::uint64_t> left{0}, failed{0}, next{1};
+struct RequestLoad {
+  std::atomic<std::uint64_t> remaining{0}, failed_count{0}, next_request_id{1};
 };
 
-void ask(int port, std::size_t size, Load& load, std::vector<double>* us = nullptr) {
+void send_requests(int port, std::size_t size, RequestLoad& load,
+                   std::vector<double>* latencies_us = nullptr) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const sockaddr_in where = address(port);
-  const int on = 1;
-  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-  if (connect(fd, reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0) fail("cannot connect");
+  const sockaddr_in server_address = loopback_address(port);
+  const int enable = 1;
+  setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &enable, sizeof enable);
+  if (connect(fd, reinterpret_cast<const sockaddr*>(&server_address), sizeof server_address) != 0)
+    fail("cannot connect");
   std::vector<char> bytes(256 * 1024);
   std::string text, head;
   for (;;) {
-    std::uint64_t left = load.left.load();
-    while (left > 0 && !load.left.compare_exchange_weak(left, left - 1)) {}
-    if (left == 0) break;
-    const auto begun = std::chrono::steady_clock::now();
-    const std::string id = std::to_string(load.next++);
+    std::uint64_t remaining = load.remaining.load();
+    while (remaining > 0 && !load.remaining.compare_exchange_weak(remaining, remaining - 1)) {}
+    if (remaining == 0) break;
+    const auto started_at = std::chrono::steady_clock::now();
+    const std::string id = std::to_string(load.next_request_id++);
     const std::string request =
         "GET /" + std::to_string(size) + "/" + id + " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id +
         "\r\nX-Priority-Class: read\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 20000\r\n\r\n";
     if (send(fd, request.data(), request.size(), MSG_NOSIGNAL) < 0 || !read_head(fd, text, head)) {
       fail("the connection closed before a response");
     }
-    load.failed += head.compare(0, 12, "HTTP/1.1 200") != 0;
+    load.failed_count += head.compare(0, 12, "HTTP/1.1 200") != 0;
     const auto length = head.find("Content-Length: ");
     if (length == std::string::npos) fail("a response has no Content-Length");
-    std::size_t due = std::strtoul(head.c_str() + length + std::strlen("Content-Length: "), nullptr, 10);
-    due -= text.size();
+    std::size_t remaining_bytes =
+        std::strtoul(head.c_str() + length + std::strlen("Content-Length: "), nullptr, 10);
+    remaining_bytes -= text.size();
     text.clear();
-    while (due > 0) {
-      const ssize_t n = recv(fd, bytes.data(), std::min(due, bytes.size()), 0);
+    while (remaining_bytes > 0) {
+      const ssize_t n = recv(fd, bytes.data(), std::min(remaining_bytes, bytes.size()), 0);
       if (n <= 0) fail("a response was truncated");
-      due -= static_cast<std::size_t>(n);
+      remaining_bytes -= static_cast<std::size_t>(n);
     }
-    if (us != nullptr) {
-      us->push_back(
-          std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begun).count());
+    if (latencies_us != nullptr) {
+      latencies_us->push_back(
+          std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - started_at).count());
     }
   }
   close(fd);
@@ -170,7 +174,7 @@
 
 // ---- the programs between node and clients ----
 
-struct Program {
+struct BenchedProgram {
   std::string name;
   pid_t pid = 0;
   int port = 0;
@@ -191,19 +195,19 @@
   return pid;
 }
 
-std::string write_config(int port, int node, int nobody, bool small) {
-  const auto at = [](int p) { return std::string(kHost) + ":" + std::to_string(p); };
+std::string write_config(int port, int node_port, int unused_port, bool small) {
+  const auto address_text = [](int p) { return std::string(kHost) + ":" + std::to_string(p); };
   const nlohmann::json file = {
       {"name", "bench"},
-      {"listen", at(port)},
-      {"discovery", at(nobody)},
+      {"listen", address_text(port)},
+      {"discovery", address_text(unused_port)},
       {"limits", {{"sockets", small ? 1024 : 256}, {"memory_mb", small ? 32 : 64}}},
       {"known",
        {{"index", 1},
         {"snapshot", true},
         {"endpoints",
          {{{"name", "s-1"},
-           {"address", at(node)},
+           {"address", address_text(node_port)},
            {"zone", "a"},
            {"type", "cache"},
            {"group", 1},
@@ -224,11 +228,11 @@
   return path;
 }
 
-std::string write_setup(int port, int node) {
+std::string write_application_config(int port, int node_port) {
   char path[] = "/tmp/fernward-passing-XXXXXX";
   close(mkstemp(path));
   std::ofstream(path) << "name = \"bench\"\nlisten = \"" << kHost << ":" << port
-                      << "\"\n[fleet.nodes.s-1]\naddress = \"" << kHost << ":" << node
+                      << "\"\n[fleet.nodes.s-1]\naddress = \"" << kHost << ":" << node_port
                       << "\"\n[classes.read]\ngive_up = \"20s\"\nrepeat = \"safe\"\n"
                          "[tenants.acme]\nshare = 1\nquota = \"100000/s\"\n[limits]\nsockets = 256\n"
                          "memory = \"64MiB\"\n[application]\nruntime_folder = \"/tmp\"\n";
@@ -249,29 +253,33 @@
 
 // ---- CPU time ----
 
-void measure_cpu(const std::vector<Program>& programs, const std::vector<std::size_t>& sizes,
-                 const cxxopts::ParseResult& args) {
+void measure_cpu(const std::vector<BenchedProgram>& programs, const std::vector<std::size_t>& sizes,
+                 const cxxopts::ParseResult& parsed_options) {
   std::printf(
       "| answers | program | us a request | ms a MB | beside the first |\n| --- | --- | --- | --- | --- |\n");
   for (const std::size_t size : sizes) {
     const double mb = static_cast<double>(size) / (1 << 20);
-    const double turn = std::min(args["requests"].as<double>(), args["mb"].as<double>() / mb);
+    const double requests_per_turn =
+        std::min(parsed_options["requests"].as<double>(), parsed_options["mb"].as<double>() / mb);
     std::vector<std::vector<double>> per_request(programs.size()), ratio(programs.size());
-    for (int round = -1; round < args["rounds"].as<int>(); ++round) { // the first round is a warm-up
+    for (int round = -1; round < parsed_options["rounds"].as<int>();
+         ++round) { // the first round is a warm-up
       for (std::size_t i = 0; i < programs.size(); ++i) {
-        Load load;
-        load.left = static_cast<std::uint64_t>(round < 0 ? turn / 10 + 1 : turn);
-        load.next = static_cast<std::uint64_t>(round + 2) << 32;
-        const auto asked = static_cast<double>(load.left.load());
-        const double before = cpu_ms(programs[i].pid);
+        RequestLoad load;
+        load.remaining =
+            static_cast<std::uint64_t>(round < 0 ? requests_per_turn / 10 + 1 : requests_per_turn);
+        load.next_request_id = static_cast<std::uint64_t>(round + 2) << 32;
+        const auto request_count = static_cast<double>(load.remaining.load());
+        const double cpu_before_ms = cpu_ms(programs[i].pid);
         std::vector<std::thread> clients;
-        for (int c = 0; c < args["clients"].as<int>(); ++c) {
-          clients.emplace_back([&load, size, port = programs[i].port] { ask(port, size, load); });
+        for (int c = 0; c < parsed_options["clients"].as<int>(); ++c) {
+          clients.emplace_back([&load, size, port = programs[i].port] { send_requests(port, size, load); });
         }
         for (std::thread& client : clients) client.join();
-        if (load.failed > 0) fail(programs[i].name + ": " + std::to_string(load.failed) + " not served");
+        if (load.failed_count > 0)
+          fail(programs[i].name + ": " + std::to_string(load.failed_count) + " not served");
         if (round < 0) continue;
-        per_request[i].push_back((cpu_ms(programs[i].pid) - before) / asked);
+        per_request[i].push_back((cpu_ms(programs[i].pid) - cpu_before_ms) / request_count);
         ratio[i].push_back(per_request[i].back() / per_request[0].back());
       }
     }
@@ -286,38 +294,42 @@
 
 // ---- latency ----
 
-void measure_latency(std::vector<Program> programs, int node, std::size_t size,
-                     const cxxopts::ParseResult& args) {
-  programs.insert(programs.begin(), {"direct", 0, node});
-  std::vector<std::vector<double>> us(programs.size()), added(programs.size()), ratio(programs.size());
-  for (int round = -1; round < args["rounds"].as<int>(); ++round) { // the first round is a warm-up
-    std::vector<double> medians;
-    for (const Program& program : programs) {
-      Load load;
-      load.left = 2000;
-      load.next = static_cast<std::uint64_t>(round + 2) << 32;
+void measure_latency(std::vector<BenchedProgram> programs, int node_port, std::size_t size,
+                     const cxxopts::ParseResult& parsed_options) {
+  programs.insert(programs.begin(), {"direct", 0, node_port});
+  std::vector<std::vector<double>> latencies_us(programs.size()), added_us(programs.size()),
+      ratio(programs.size());
+  for (int round = -1; round < parsed_options["rounds"].as<int>(); ++round) { // the first round is a warm-up
+    std::vector<double> round_medians_us;
+    for (const BenchedProgram& program : programs) {
+      RequestLoad load;
+      load.remaining = 2000;
+      load.next_request_id = static_cast<std::uint64_t>(round + 2) << 32;
       std::vector<double> times;
-      ask(program.port, size, load, &times);
-      if (load.failed > 0) fail(program.name + ": " + std::to_string(load.failed) + " not served");
-      medians.push_back(median(times));
+      send_requests(program.port, size, load, &times);
+      if (load.failed_count > 0)
+        fail(program.name + ": " + std::to_string(load.failed_count) + " not served");
+      round_medians_us.push_back(median(times));
     }
     for (std::size_t i = 0; i < programs.size() && round >= 0; ++i) {
-      us[i].push_back(medians[i]);
-      added[i].push_back(medians[i] - medians[0]);
-      if (i > 0) ratio[i].push_back((medians[i] - medians[0]) / (medians[1] - medians[0]));
+      latencies_us[i].push_back(round_medians_us[i]);
+      added_us[i].push_back(round_medians_us[i] - round_medians_us[0]);
+      if (i > 0)
+        ratio[i].push_back((round_medians_us[i] - round_medians_us[0]) /
+                           (round_medians_us[1] - round_medians_us[0]));
     }
   }
   std::printf("| way | median, us | added, us | added, beside the first |\n| --- | --- | --- | --- |\n");
   for (std::size_t i = 0; i < programs.size(); ++i) {
-    std::printf("| %s | %.0f | %.0f | %.2f |\n", programs[i].name.c_str(), median(us[i]), median(added[i]),
-                median(ratio[i]));
+    std::printf("| %s | %.0f | %.0f | %.2f |\n", programs[i].name.c_str(), median(latencies_us[i]),
+                median(added_us[i]), median(ratio[i]));
   }
 }
 
 // ---- clients that do not read ----
 
-double figure(const std::string& path,
-              const std::string& name) { // the number in a line "name: number" or "name number"
+double read_number(const std::string& path,
+                   const std::string& name) { // the number in a line "name: number" or "name number"
   std::ifstream file(path);
   for (std::string line; std::getline(file, line);) {
     if (const auto at = line.find(name); at != std::string::npos) {
@@ -327,7 +339,7 @@
   fail("no " + name + " in " + path);
 }
 
-std::size_t descriptors(pid_t pid) {
+std::size_t open_descriptors(pid_t pid) {
   std::size_t n = 0;
   for ([[maybe_unused]] const auto& entry :
        std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/fd")) {
@@ -338,58 +350,59 @@
 
 // Size of the kernel's buffers, in MB, of the sockets that match the filter: data that is received but not
 // read, and data that is written but not yet acknowledged.
-double kernel_mb(const std::string& filter) {
-  FILE* out = popen(("ss -tmnHO '" + filter + "'").c_str(), "r");
-  if (out == nullptr) fail("no ss");
+double kernel_buffer_mb(const std::string& filter) {
+  FILE* ss_output = popen(("ss -tmnHO '" + filter + "'").c_str(), "r");
+  if (ss_output == nullptr) fail("no ss");
   double bytes = 0;
   char line[1024];
-  while (std::fgets(line, sizeof line, out) != nullptr) {
+  while (std::fgets(line, sizeof line, ss_output) != nullptr) {
     const std::string_view text(line);
-    for (const char* mark : {"skmem:(r", ",w"}) {
-      if (const auto at = text.find(mark); at != std::string_view::npos) {
-        bytes += std::strtod(line + at + std::strlen(mark), nullptr);
+    for (const char* field_prefix : {"skmem:(r", ",w"}) {
+      if (const auto at = text.find(field_prefix); at != std::string_view::npos) {
+        bytes += std::strtod(line + at + std::strlen(field_prefix), nullptr);
       }
     }
   }
-  pclose(out);
+  pclose(ss_output);
   return bytes / (1 << 20);
 }
 
-void measure_slow(const Program& program, int node, std::size_t size, int count) {
+void measure_slow_readers(const BenchedProgram& program, int node_port, std::size_t size, int reader_count) {
   const std::string status = "/proc/" + std::to_string(program.pid) + "/status";
-  const double rss = figure(status, "VmRSS") / 1024;
-  std::vector<int> slow;
-  for (int i = 0; i < count; ++i) {
-    const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), little = 4096;
-    setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &little, sizeof little);
-    const sockaddr_in where = address(program.port);
+  const double rss_before_mb = read_number(status, "VmRSS") / 1024;
+  std::vector<int> reader_fds;
+  for (int i = 0; i < reader_count; ++i) {
+    const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), receive_buffer_bytes = 4096;
+    setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &receive_buffer_bytes, sizeof receive_buffer_bytes);
+    const sockaddr_in where = loopback_address(program.port);
     if (connect(fd, reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0) fail("cannot connect");
     const std::string id = "slow" + std::to_string(i);
     const std::string text = "GET /" + std::to_string(size) + "/" + id +
                              " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id +
                              "\r\nX-Priority-Class: read\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 20000\r\n\r\n";
     if (send(fd, text.data(), text.size(), MSG_NOSIGNAL) < 0) fail("cannot send");
-    slow.push_back(fd);
+    reader_fds.push_back(fd);
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(500));
-  Load load;
-  load.left = 200;
-  load.next = 1;
-  const auto begun = std::chrono::steady_clock::now();
-  ask(program.port, 1024, load);
+  RequestLoad load;
+  load.remaining = 200;
+  load.next_request_id = 1;
+  const auto started_at = std::chrono::steady_clock::now();
+  send_requests(program.port, 1024, load);
   const double ms =
-      std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begun).count();
-  const double to_clients = kernel_mb("sport = :" + std::to_string(program.port));
-  const double from_node = kernel_mb("dport = :" + std::to_string(node));
+      std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - started_at).count();
+  const double client_side_mb = kernel_buffer_mb("sport = :" + std::to_string(program.port));
+  const double node_side_mb = kernel_buffer_mb("dport = :" + std::to_string(node_port));
   std::printf(
       "| slow readers | answers | memory before, MB | with them | most | the kernel's, towards clients and "
       "from the node, MB "
       "| descriptors | 200 others: ms, not served |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n");
-  std::printf("| %d | %zu | %.1f | %.1f | %.1f | %.1f, %.1f | %zu | %.0f, %llu |\n", count, size, rss,
-              figure(status, "VmRSS") / 1024, figure(status, "VmHWM") / 1024, to_clients, from_node,
-              descriptors(program.pid), ms, static_cast<unsigned long long>(load.failed.load()));
-  for (const int fd : slow) close(fd);
+  std::printf("| %d | %zu | %.1f | %.1f | %.1f | %.1f, %.1f | %zu | %.0f, %llu |\n", reader_count, size,
+              rss_before_mb, read_number(status, "VmRSS") / 1024, read_number(status, "VmHWM") / 1024,
+              client_side_mb, node_side_mb, open_descriptors(program.pid), ms,
+              static_cast<unsigned long long>(load.failed_count.load()));
+  for (const int fd : reader_fds) close(fd);
 }
 
 } // namespace
@@ -411,54 +424,56 @@
       "sidecar", "program, run as the sidecar of an application",
       cxxopts::value<std::string>()->default_value(""))("slow", "number of clients that do not read",
                                                         cxxopts::value<int>()->default_value("0"));
-  const auto args = options.parse(argc, argv);
-  const int slow = args["slow"].as<int>();
+  const auto parsed_options = options.parse(argc, argv);
+  const int slow_readers = parsed_options["slow"].as<int>();
   signal(SIGPIPE, SIG_IGN);
 
-  const auto sizes = args["sizes"].as<std::vector<std::size_t>>();
-  const std::string value(*std::max_element(sizes.begin(), sizes.end()), 'v');
-  int node = 0;
-  const int listener = listen_on(node);
-  std::thread([listener, &value] {
+  const auto sizes = parsed_options["sizes"].as<std::vector<std::size_t>>();
+  const std::string body_bytes(*std::max_element(sizes.begin(), sizes.end()), 'v');
+  int node_port = 0;
+  const int listener = listen_on_loopback(node_port);
+  std::thread([listener, &body_bytes] {
     for (int fd; (fd = accept4(listener, nullptr, nullptr, SOCK_CLOEXEC)) >= 0;) {
-      std::thread([fd, &value] { serve(fd, value); }).detach();
+      std::thread([fd, &body_bytes] { serve_node_connection(fd, body_bytes); }).detach();
     }
   }).detach();
 
-  std::vector<Program> programs;
+  std::vector<BenchedProgram> programs;
   std::vector<std::string> files;
-  const auto at = [](int port) { return std::string(kHost) + ":" + std::to_string(port); };
-  if (const std::string relay = args["relay"].as<std::string>(); !relay.empty()) {
-    for (const std::string& way : args["ways"].as<std::vector<std::string>>()) {
+  const auto address_text = [](int port) { return std::string(kHost) + ":" + std::to_string(port); };
+  if (const std::string relay = parsed_options["relay"].as<std::string>(); !relay.empty()) {
+    for (const std::string& method : parsed_options["ways"].as<std::vector<std::string>>()) {
       const int port = free_port();
-      programs.push_back({"relay " + way,
-                          start({relay, "--listen", at(port), "--target", at(node), "--way", way}, ""),
+      programs.push_back({"relay " + method,
+                          start({relay, "--listen", address_text(port), "--target", address_text(node_port),
+                                 "--way", method},
+                                ""),
                           port});
     }
   }
-  for (const std::string& router : args["router"].as<std::vector<std::string>>()) {
+  for (const std::string& router : parsed_options["router"].as<std::vector<std::string>>()) {
     if (router.empty()) continue;
     const int port = free_port();
-    files.push_back(write_config(port, node, free_port(), slow > 0));
+    files.push_back(write_config(port, node_port, free_port(), slow_readers > 0));
     programs.push_back({router, start({router, "serve"}, files.back()), port});
   }
-  if (const std::string sidecar = args["sidecar"].as<std::string>(); !sidecar.empty()) {
+  if (const std::string sidecar = parsed_options["sidecar"].as<std::string>(); !sidecar.empty()) {
     const int port = free_port();
-    files.push_back(write_setup(port, node));
+    files.push_back(write_application_config(port, node_port));
     programs.push_back({sidecar + " sidecar",
                         start({sidecar, "sidecar", "--config", files.back(), "--", "/bin/sleep", "1000"}, ""),
                         port});
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(500));
 
-  if (args.count("latency") > 0) {
-    measure_latency(programs, node, sizes.front(), args);
-  } else if (slow > 0) {
-    measure_slow(programs.back(), node, sizes.front(), slow);
+  if (parsed_options.count("latency") > 0) {
+    measure_latency(programs, node_port, sizes.front(), parsed_options);
+  } else if (slow_readers > 0) {
+    measure_slow_readers(programs.back(), node_port, sizes.front(), slow_readers);
   } else {
-    measure_cpu(programs, sizes, args);
+    measure_cpu(programs, sizes, parsed_options);
   }
-  for (const Program& program : programs) {
+  for (const BenchedProgram& program : programs) {
     kill(program.pid, SIGTERM); // a sidecar terminates its own processes
     if (program.name.find("sidecar") == std::string::npos) kill(program.pid, SIGKILL);
     waitpid(program.pid, nullptr, 0);
--- a/examples/embed.cpp
+++ b/examples/embed.cpp
@@ -9,11 +9,11 @@
 int main() {
   using namespace fernward;
   Settings settings;
-  ClassSettings reads;
-  reads.latency_objective_ms = 200;
-  reads.client_timeout_ms = 1000;
-  reads.idempotency = Idempotency::Idempotent;
-  settings.classes = {reads};
+  ClassSettings read_class;
+  read_class.latency_objective_ms = 200;
+  read_class.client_timeout_ms = 1000;
+  read_class.idempotency = Idempotency::Idempotent;
+  settings.classes = {read_class};
   settings.max_attempts = 3;
 
   Balancer balancer(settings, 1);
@@ -22,9 +22,9 @@
 
   EndpointList list;
   for (ServerId id = 1; id <= 4; ++id) {
-    Server cache;
-    cache.id = id;
-    list.servers.push_back(cache);
+    Server server;
+    server.id = id;
+    list.servers.push_back(server);
   }
   balancer.on_event(now, list, actions);
 
@@ -38,13 +38,13 @@
     const auto* send = std::get_if<Send>(&action);
     if (send == nullptr) continue;
     std::printf("request %llu goes to cache %u\n", static_cast<unsigned long long>(send->id), send->server);
-    AttemptOutcome answer; // the report that follows the response of the cache
-    answer.id = send->id;
-    answer.server = send->server;
-    answer.elapsed_ms = 12;
-    answer.request_ended = true;
-    std::vector<Action> more;
-    balancer.on_event(now + 12, answer, more);
+    AttemptOutcome outcome; // the report that follows the response of the cache
+    outcome.id = send->id;
+    outcome.server = send->server;
+    outcome.elapsed_ms = 12;
+    outcome.request_ended = true;
+    std::vector<Action> next_actions;
+    balancer.on_event(now + 12, outcome, next_actions);
     return 0;
   }
   return 1;
--- a/include/fernward/balancer.h
+++ b/include/fernward/balancer.h
@@ -37,11 +37,11 @@
 enum class LoadReportSource { Responses, HealthChecks, Never };
 /// Meaning of a load report value. Inflight and Queue are counts of requests, LatencyMs is in milliseconds;
 /// the others are ignored.
-enum class LoadReportField { Inflight, Queue, Util, LatencyMs, Qps, Eps, Other };
+enum class LoadReportField { Inflight, Queue, Utilization, LatencyMs, RequestRate, ErrorRate, Other };
 /// How endpoint lists arrive. Push: unsolicited. Poll: only after a WatchEndpoints action.
 enum class DiscoveryMode { Push, Poll };
 /// Meaning of server weights. Live weights change continuously, so they do not affect the hash ring.
-enum class WeightKind { Off, Nominal, Rough, Live };
+enum class WeightKind { Off, Nominal, Approximate, Live };
 
 /// Settings of one request class.
 struct ClassSettings {
@@ -50,9 +50,9 @@
   /// How long the client waits in total, over all its own attempts; 0: unknown.
   double client_timeout_ms = 0;
   /// The latency objective is extended by this factor times Request::expected_work_ms.
-  double objective_per_work = 0;
+  double objective_work_factor = 0;
   /// Share of the full value, 0 to 1, that a response after the latency objective still has.
-  double late_value_share = 0;
+  double late_response_value_share = 0;
   /// Value of a response relative to those of other classes.
   double priority_weight = 1;
   Idempotency idempotency = Idempotency::NonIdempotent;
@@ -126,12 +126,13 @@
   ResizeSettings resize;
 
   /// Attempts allowed per request of this class.
-  std::uint32_t max_attempts_of(std::uint32_t cls) const {
-    const std::uint32_t own = cls < classes.size() ? classes[cls].max_attempts : 0;
-    return own > 0 && own < max_attempts ? own : max_attempts;
+  std::uint32_t max_attempts_for_class(std::uint32_t class_index) const {
+    const std::uint32_t class_max_attempts =
+        class_index < classes.size() ? classes[class_index].max_attempts : 0;
+    return class_max_attempts > 0 && class_max_attempts < max_attempts ? class_max_attempts : max_attempts;
   }
-  bool may_hedge_class(std::uint32_t cls) const {
-    return may_hedge && (cls >= classes.size() || classes[cls].may_hedge);
+  bool may_hedge_class(std::uint32_t class_index) const {
+    return may_hedge && (class_index >= classes.size() || classes[class_index].may_hedge);
   }
 };
 
@@ -368,7 +369,7 @@
     double observed_at = 0;
   };
   /// Appends one observation for each cache in service.
-  void outlier_observations(std::vector<OutlierObservation>& to) const;
+  void outlier_observations(std::vector<OutlierObservation>& observations) const;
 
   /// Handles one event that occurs at clock time `now` (ms) and appends the resulting actions.
   void on_event(double now, const Event& event, std::vector<Action>& actions);
--- a/lab/check/meter.h
+++ b/lab/check/bound_meter.h
@@ -11,24 +11,24 @@
 #include <vector>
 
 #include "model/plan.h"
-#include "model/record.h"
+#include "model/records.h"
 
 namespace fernward::lab {
 
 // Receives the records of one run in order of time.
-class Meter : public model::Sink {
+class BoundMeter : public model::Sink {
  public:
   // To be called after the last record of the run; nullopt: there was nothing to measure.
   virtual std::optional<double> value() = 0;
 };
 
 // `spec` must outlive the meter.
-std::unique_ptr<Meter> make_meter(const model::Spec& spec, const model::Plan& plan,
-                                  const model::Bound& bound);
+std::unique_ptr<BoundMeter> make_meter(const model::Spec& spec, const model::Plan& plan,
+                                       const model::Bound& bound);
 
 // A readable description, such as "service, class lookup, from 5s".
-std::string bound_text(const model::Spec& spec, const model::Bound& bound);
+std::string bound_description(const model::Spec& spec, const model::Bound& bound);
 // The value in the unit of the metric: "93.1%", "412ms", "80.3/s".
-std::string metric_text(model::Metric metric, double value);
+std::string metric_value_text(model::Metric metric, double value);
 
 } // namespace fernward::lab
--- /dev/null
+++ b/lab/check/rule_checker.cpp
@@ -0,0 +1,503 @@
+#include "lab/check/rule_checker.h"
+
+#include <algorithm>
+#include <cmath>
+#include <cstdio>
+#include <limits>
+
+namespace fernward::lab {
+namespace {
+
+using namespace fernward::model;
+
+constexpr std::size_t kMaxStoredViolations = 5;
+constexpr double kAnsweredTryRetentionMs =
+    5000; // a client try is kept this long after its response, for late attempts
+constexpr double kMaxRecordDelayMs =
+    1000; // on sockets a node may receive an attempt before its client try is recorded
+constexpr double kClientDelaySlackMs =
+    50; // clients receive a response after it was sent; they allow the same delay
+constexpr double kAcceptAfterTermMs = 700; // requests that arrive later after SIGTERM need no response
+constexpr double kNotifiedShareThreshold = 2.0 / 3;
+
+std::string milliseconds_text(double value) {
+  char text[32];
+  std::snprintf(text, sizeof text, "%.0f ms", value);
+  return text;
+}
+
+std::string number_text(std::uint64_t value) { return std::to_string(value); }
+
+} // namespace
+
+const char* rule_name(Rule rule) {
+  switch (rule) {
+    case Rule::OneFinalResponse: return "one-answer";
+    case Rule::NoLostRequest: return "no-lost";
+    case Rule::SafeRepeats: return "repeats";
+    case Rule::NoTrafficAfterDrain: return "drains";
+    case Rule::NoColdOverload: return "cold-nodes";
+    case Rule::GenuineResponses: return "genuine";
+    case Rule::NoRouterCrash: return "alive";
+    case Rule::RequestAccounting: return "accounts";
+  }
+  return "";
+}
+
+const char* rule_description(Rule rule) {
+  switch (rule) {
+    case Rule::OneFinalResponse: return "exactly one final response for each request that a router accepted";
+    case Rule::NoLostRequest: return "no request without a response in time";
+    case Rule::SafeRepeats: return "no attempt or rejection that the request class forbids";
+    case Rule::NoTrafficAfterDrain:
+      return "no new attempt to a draining or removed node after the grace period";
+    case Rule::NoColdOverload: return "no cold node overloaded until it failed";
+    case Rule::GenuineResponses: return "served only with responses that a node produced for the request";
+    case Rule::NoRouterCrash: return "no router process crashed";
+    case Rule::RequestAccounting: return "the lab recorded each request until it was closed";
+  }
+  return "";
+}
+
+bool CheckResult::passed() const {
+  return std::all_of(rules.begin(), rules.end(),
+                     [](const RuleResult& rule_result) { return rule_result.passed(); }) &&
+         std::all_of(bounds.begin(), bounds.end(), [](const BoundResult& b) { return b.passed; });
+}
+
+RuleChecker::RuleChecker(const Spec& spec, const Plan& plan, double slack_ms)
+    : spec_(spec),
+      plan_(plan),
+      slack_ms_(slack_ms),
+      routers_(plan.routers.size()),
+      machine_notices_(plan.routers.size() * plan.machines.size()),
+      address_sharers_(plan.machines.size()) {
+  for (std::size_t i = 0; i < kRuleCount; ++i) result_.rules[i].rule = static_cast<Rule>(i);
+  const auto judged = [&](Rule rule, bool on) { result_.rules[static_cast<std::size_t>(rule)].enabled = on; };
+  judged(Rule::OneFinalResponse, spec.expectations.rules.one_response);
+  judged(Rule::NoLostRequest, spec.expectations.rules.no_lost_requests);
+  judged(Rule::SafeRepeats, spec.expectations.rules.safe_repeats);
+  judged(Rule::NoTrafficAfterDrain, spec.expectations.rules.drains_respected);
+  judged(Rule::NoColdOverload, spec.expectations.rules.cold_nodes_protected);
+  judged(Rule::GenuineResponses, spec.expectations.rules.genuine_bodies);
+  // Only few machines ever use the address of another, so the sharers are stored per machine.
+  std::unordered_map<MachineId, std::vector<MachineId>> by_address;
+  for (const PlannedMachine& m : plan.machines) by_address[m.address_of].push_back(m.id);
+  for (const auto& [address, machines] : by_address) {
+    for (const MachineId m : machines) {
+      std::copy_if(machines.begin(), machines.end(), std::back_inserter(address_sharers_[m]),
+                   [&](MachineId other) { return other != m; });
+    }
+  }
+  for (const Bound& b : spec.expectations.bounds) bound_meters_.push_back(make_meter(spec, plan, b));
+  for (const Metric m : {Metric::Service, Metric::WorstWindow, Metric::WorstClass, Metric::WorstTenant}) {
+    Bound bound;
+    bound.metric = m;
+    score_meters_.push_back(make_meter(spec, plan, bound));
+  }
+}
+
+RuleChecker::~RuleChecker() = default;
+
+void RuleChecker::add_violation(Rule rule, double at_ms, std::string description) {
+  RuleResult& finding = result_.rules[static_cast<std::size_t>(rule)];
+  ++finding.violation_count;
+  if (finding.first_violations.size() < kMaxStoredViolations)
+    finding.first_violations.push_back({at_ms, std::move(description)});
+}
+
+std::string RuleChecker::machine_name(MachineId machine) const {
+  return machine < plan_.machines.size() ? plan_.machines[machine].name : "machine " + number_text(machine);
+}
+std::string RuleChecker::router_name(RouterId router) const {
+  return router < plan_.routers.size() ? plan_.routers[router].name : "router " + number_text(router);
+}
+
+std::size_t RuleChecker::table_entries() const {
+  return requests_.size() + tries_.size() + attempts_in_flight_.size() + answered_tries_.size() +
+         unmatched_attempts_.size() + closed_requests_.size();
+}
+
+// ---- clients ----
+
+void RuleChecker::on(const DrawnRequest& d) {
+  for (auto& m : bound_meters_) m->on(d);
+  for (auto& m : score_meters_) m->on(d);
+  expire_entries(d.at);
+  if (!requests_.emplace(d.request, RequestState{d.cls, 0}).second) {
+    add_violation(Rule::RequestAccounting, d.at,
+                  "request " + number_text(d.request) + " was generated twice");
+  }
+}
+
+void RuleChecker::on(const TrySent& t) {
+  const auto request = requests_.find(t.request);
+  if (request == requests_.end()) {
+    return add_violation(Rule::RequestAccounting, t.at,
+                         "a client try of request " + number_text(t.request) + ", which is not open");
+  }
+  ++request->second.open_tries;
+  ClientTryState& entry = tries_[t.try_id];
+  entry.request = t.request;
+  entry.router = t.router;
+  entry.class_index = request->second.class_index;
+  entry.sent_at_ms = t.at;
+  entry.due_ms = t.scheduled_at;
+  entry.deadline_ms = t.deadline;
+  entry.accepted = t.accepted;
+  for (auto it = unmatched_attempts_.begin(); it != unmatched_attempts_.end();) {
+    if (it->arrival.try_id != t.try_id) {
+      ++it;
+      continue;
+    }
+    const UnmatchedAttempt early = *it;
+    it = unmatched_attempts_.erase(it);
+    add_attempt(early.arrival, entry);
+    if (early.outcome) end_attempt(early.arrival.attempt, *early.outcome);
+  }
+}
+
+// Whether the router must respond to an accepted client try. It need not after it was killed, paused or cut
+// off. After SIGTERM it must respond to what arrives within the next 700 ms.
+bool RuleChecker::response_required(const ClientTryState& client_try, double until_ms) const {
+  if (!client_try.accepted || client_try.router >= routers_.size()) return false;
+  const RouterState& r = routers_[client_try.router];
+  if (r.down || (r.down_at_ms >= client_try.sent_at_ms && r.down_at_ms <= until_ms)) return false;
+  return !(r.ended_at_ms >= client_try.sent_at_ms && r.term_at_ms >= 0 &&
+           client_try.sent_at_ms > r.term_at_ms + kAcceptAfterTermMs);
+}
+
+void RuleChecker::on(const TryEnded& a) {
+  const auto found = tries_.find(a.try_id);
+  if (found == tries_.end() || found->second.answered || a.surplus) {
+    return add_violation(
+        Rule::OneFinalResponse, a.at,
+        router_name(a.router) + " answered request " + number_text(a.request) + " more than once");
+  }
+  ClientTryState& t = found->second;
+  t.answered = true;
+  t.answered_at_ms = a.at;
+  t.outcome = a.outcome;
+  answered_tries_.emplace_back(a.at, a.try_id);
+  if (const auto request = requests_.find(t.request); request != requests_.end()) {
+    --request->second.open_tries;
+  }
+  const std::string what =
+      "request " + number_text(a.request) + " that " + router_name(t.router) + " accepted ";
+  // The router measures the client's timeout from the arrival of the request, and its response then needs the
+  // network delay back to the client. To a distant client a response may be in transit when the client stops
+  // waiting.
+  double return_delay_ms = t.sent_at_ms - t.due_ms;
+  for (const TimedEvent& e : spec_.events) { // a link that became slow in the meantime adds delay
+    const auto* slow_link = std::get_if<SlowLink>(&e.what);
+    if (slow_link == nullptr || e.at_ms > a.at ||
+        (slow_link->until_ms > 0 && slow_link->until_ms < t.sent_at_ms))
+      continue;
+    return_delay_ms = std::max(return_delay_ms, (t.sent_at_ms - t.due_ms) * slow_link->factor);
+  }
+  const double latest_receipt_ms =
+      t.deadline_ms + (t.sent_at_ms - t.due_ms) + return_delay_ms + spec_.routers.response_grace_ms;
+  const bool response_in_transit = a.outcome == TryOutcome::TimedOut && latest_receipt_ms > a.at;
+  if ((a.outcome == TryOutcome::TimedOut || a.outcome == TryOutcome::ConnectionLost) &&
+      !response_in_transit && response_required(t, a.at)) {
+    add_violation(Rule::NoLostRequest, a.at,
+                  what +
+                      (a.outcome == TryOutcome::TimedOut
+                           ? "received no response"
+                           : "had its connection closed before the response was complete") +
+                      ", " + milliseconds_text(a.at - t.sent_at_ms) + " after it was sent");
+  }
+  const bool answer =
+      a.outcome == TryOutcome::Served || a.outcome == TryOutcome::Rejected || a.outcome == TryOutcome::Failed;
+  const double latest = t.deadline_ms + spec_.routers.response_grace_ms + kClientDelaySlackMs + slack_ms_;
+  if (answer && a.at > latest) {
+    add_violation(Rule::NoLostRequest, a.at,
+                  what + "was answered " + milliseconds_text(a.at - t.deadline_ms) + " after its deadline");
+  }
+  if (a.outcome == TryOutcome::Served && !a.genuine) {
+    add_violation(Rule::GenuineResponses, a.at,
+                  what + "was served with a response that no node produced for it");
+  }
+  if (a.outcome == TryOutcome::Rejected) check_refusal(a.at, t);
+}
+
+void RuleChecker::on(const RequestEnded& c) {
+  for (auto& m : bound_meters_) m->on(c);
+  for (auto& m : score_meters_) m->on(c);
+  const auto found = requests_.find(c.request);
+  if (found == requests_.end() || found->second.closed) {
+    return add_violation(Rule::RequestAccounting, c.at,
+                         "request " + number_text(c.request) + " was closed but is not open");
+  }
+  found->second.closed = true;
+  closed_requests_.emplace_back(c.at, c.request);
+}
+
+void RuleChecker::expire_entries(double now_ms) {
+  while (!closed_requests_.empty() && closed_requests_.front().first + kMaxRecordDelayMs < now_ms) {
+    const auto [at, request] = closed_requests_.front();
+    closed_requests_.pop_front();
+    const auto found = requests_.find(request);
+    if (found == requests_.end()) continue;
+    if (found->second.open_tries > 0) {
+      add_violation(Rule::RequestAccounting, at,
+                    "request " + number_text(request) + " was closed while a client try is open");
+    }
+    requests_.erase(found);
+  }
+  while (!unmatched_attempts_.empty() &&
+         unmatched_attempts_.front().arrival.at + kMaxRecordDelayMs < now_ms) {
+    const AttemptArrived& arrival = unmatched_attempts_.front().arrival;
+    add_violation(Rule::SafeRepeats, arrival.at,
+                  router_name(arrival.router) + " sent an attempt to " + machine_name(arrival.machine) +
+                      " for no open request");
+    unmatched_attempts_.pop_front();
+  }
+  while (!answered_tries_.empty() && answered_tries_.front().first + kAnsweredTryRetentionMs < now_ms) {
+    const TryId id = answered_tries_.front().second;
+    answered_tries_.pop_front();
+    const auto found = tries_.find(id);
+    if (found == tries_.end()) continue;
+    // Attempts that are still in flight end later; their ends are no longer checked.
+    for (const AttemptState& attempt : found->second.attempts) {
+      if (attempt.in_flight) attempts_in_flight_.erase(attempt.id);
+    }
+    tries_.erase(found);
+  }
+}
+
+// ---- machines ----
+
+bool RuleChecker::same_idempotency_scope(const ClassSpec& cls, MachineId a, MachineId b) const {
+  const PlannedMachine &x = plan_.machines[a], &y = plan_.machines[b];
+  switch (cls.idempotency_scope) {
+    case IdempotencyScope::All: return true;
+    case IdempotencyScope::Zone: return x.zone == y.zone;
+    case IdempotencyScope::Cell: return x.cell == y.cell;
+  }
+  return false;
+}
+
+// A rejection promises that the client may safely send the request again.
+void RuleChecker::check_refusal(double at_ms, const ClientTryState& client_try) {
+  const ClassSpec& cls = spec_.classes[client_try.class_index];
+  if (cls.idempotency == Idempotency::Idempotent ||
+      (cls.idempotency == Idempotency::WithKey && cls.idempotency_scope == IdempotencyScope::All))
+    return;
+  for (const AttemptState& attempt : client_try.attempts) {
+    if (!attempt.may_have_effect()) continue;
+    return add_violation(Rule::SafeRepeats, at_ms,
+                         router_name(client_try.router) + " rejected request " +
+                             number_text(client_try.request) + " (" + cls.name + ") that may have run on " +
+                             machine_name(attempt.machine_id));
+  }
+}
+
+void RuleChecker::check_attempt(const AttemptArrived& arrival, const ClientTryState& client_try) {
+  const ClassSpec& cls = spec_.classes[client_try.class_index];
+  const std::string event_text = router_name(arrival.router) + " sent request " +
+                                 number_text(client_try.request) + " (" + cls.name + ") to " +
+                                 machine_name(arrival.machine);
+  const bool final_response = client_try.outcome == TryOutcome::Served ||
+                              client_try.outcome == TryOutcome::Rejected ||
+                              client_try.outcome == TryOutcome::Failed;
+  if (client_try.answered && final_response && arrival.sent_at > client_try.answered_at_ms + slack_ms_) {
+    add_violation(Rule::SafeRepeats, arrival.at,
+                  event_text + " " + milliseconds_text(arrival.sent_at - client_try.answered_at_ms) +
+                      " after its final response");
+  }
+  if (client_try.attempts.size() >= spec_.routers.max_attempts) {
+    add_violation(Rule::SafeRepeats, arrival.at,
+                  event_text + ", which is attempt " + number_text(client_try.attempts.size() + 1) +
+                      " of at most " + number_text(spec_.routers.max_attempts) + " allowed");
+  }
+  if (cls.idempotency == Idempotency::Idempotent) return;
+  for (const AttemptState& earlier : client_try.attempts) {
+    if (!earlier.may_have_effect()) continue;
+    const std::string earlier_run_text = " though it may have run on " + machine_name(earlier.machine_id);
+    if (cls.idempotency == Idempotency::NonIdempotent)
+      return add_violation(Rule::SafeRepeats, arrival.at, event_text + earlier_run_text);
+    if (!same_idempotency_scope(cls, earlier.machine_id, arrival.machine)) {
+      return add_violation(Rule::SafeRepeats, arrival.at,
+                           event_text + earlier_run_text + ", which is outside the idempotency scope");
+    }
+    if (arrival.sent_at > earlier.sent_at_ms + cls.idempotency_window_ms + slack_ms_) {
+      return add_violation(
+          Rule::SafeRepeats, arrival.at,
+          event_text + earlier_run_text + " " + milliseconds_text(arrival.sent_at - earlier.sent_at_ms) +
+              " before, and the idempotency window is " + milliseconds_text(cls.idempotency_window_ms));
+    }
+  }
+}
+
+// A router that knows only the previous machine at an address may reach the machine that uses the address
+// now, so the notices of all machines that share the address count.
+void RuleChecker::check_drain(const AttemptArrived& arrival) {
+  if (arrival.router >= routers_.size() || arrival.machine >= plan_.machines.size()) return;
+  const MachineNotice* latest = nullptr;
+  const auto is_in_service = [&](MachineId machine) {
+    const MachineNotice& notice = machine_notice(arrival.router, machine);
+    if (!notice.listed) return false;
+    if (notice.in_service) return true;
+    if (!latest || notice.notified_at_ms > latest->notified_at_ms) latest = &notice;
+    return false;
+  };
+  if (is_in_service(arrival.machine)) return;
+  for (const MachineId other : address_sharers_[arrival.machine]) {
+    if (is_in_service(other)) return;
+  }
+  const std::string event_text =
+      router_name(arrival.router) + " sent an attempt to " + machine_name(arrival.machine);
+  if (!latest)
+    return add_violation(Rule::NoTrafficAfterDrain, arrival.at,
+                         event_text + ", which was never in its endpoint list");
+  const double delay_ms = arrival.sent_at - latest->notified_at_ms;
+  if (delay_ms > spec_.routers.drain_grace_ms + slack_ms_) {
+    add_violation(Rule::NoTrafficAfterDrain, arrival.at,
+                  event_text + " " + milliseconds_text(delay_ms) +
+                      " after it was notified that the node drains or was removed");
+  }
+}
+
+void RuleChecker::on(const AttemptArrived& a) {
+  for (auto& m : bound_meters_) m->on(a);
+  check_drain(a);
+  const auto found = tries_.find(a.try_id);
+  if (found != tries_.end()) return add_attempt(a, found->second);
+  // An attempt that was sent long ago may belong to a try that was already removed: it is ignored. One sent
+  // recently belongs to a try that will be recorded soon, or to none, which is a violation.
+  if (a.at - a.sent_at < kAnsweredTryRetentionMs / 2) unmatched_attempts_.push_back({a, {}});
+}
+
+void RuleChecker::add_attempt(const AttemptArrived& arrival, ClientTryState& client_try) {
+  check_attempt(arrival, client_try);
+  client_try.attempts.push_back({arrival.attempt, arrival.machine, arrival.sent_at, true, false});
+  attempts_in_flight_.emplace(arrival.attempt, arrival.try_id);
+  if (client_try.answered && client_try.outcome == TryOutcome::Rejected)
+    check_refusal(arrival.at, client_try);
+}
+
+void RuleChecker::on(const AttemptEnded& e) {
+  for (auto& m : bound_meters_) m->on(e);
+  end_attempt(e.attempt, e.outcome);
+}
+
+void RuleChecker::end_attempt(AttemptId id, ServerOutcome ending) {
+  const auto found = attempts_in_flight_.find(id);
+  if (found == attempts_in_flight_.end()) {
+    for (UnmatchedAttempt& early : unmatched_attempts_) {
+      if (early.arrival.attempt == id) early.outcome = ending;
+    }
+    return;
+  }
+  const auto t = tries_.find(found->second);
+  attempts_in_flight_.erase(found);
+  if (t == tries_.end()) return;
+  for (AttemptState& attempt : t->second.attempts) {
+    if (attempt.id != id) continue;
+    attempt.in_flight = false;
+    attempt.may_have_run = model::may_have_run(ending);
+  }
+}
+
+void RuleChecker::on(const LoadSample& s) {
+  for (auto& m : bound_meters_) m->on(s);
+}
+
+void RuleChecker::on(const NodeEvent& e) {
+  if (e.what != NodeEvent::What::Overloaded || !e.cold) return;
+  if (e.notified_share < kNotifiedShareThreshold - 1e-9) return;
+  char share[32];
+  std::snprintf(share, sizeof share, "%.0f%%", e.notified_share * 100);
+  add_violation(Rule::NoColdOverload, e.at,
+                machine_name(e.machine) + " was overloaded while cold, " + share +
+                    " of the load from routers notified of its start");
+}
+
+// ---- routers ----
+
+void RuleChecker::on(const RouterEvent& e) {
+  if (e.router >= routers_.size()) return;
+  RouterState& r = routers_[e.router];
+  switch (e.what) {
+    case RouterEvent::What::Started:
+      r.down = false;
+      r.term_at_ms = -1;
+      for (MachineId m = 0; m < plan_.machines.size(); ++m) machine_notice(e.router, m) = {};
+      break;
+    case RouterEvent::What::Ready:
+    case RouterEvent::What::Reloaded: break;
+    case RouterEvent::What::Resumed: // it now reads the notifications that arrived while it was paused
+      for (MachineId m = 0; m < plan_.machines.size(); ++m) {
+        MachineNotice& l = machine_notice(e.router, m);
+        if (l.notified_at_ms >= r.down_at_ms) l.notified_at_ms = e.at;
+      }
+      [[fallthrough]];
+    case RouterEvent::What::Returned:
+      r.down = false;
+      r.down_at_ms = e.at; // what arrived while it was silent may have been lost with the connection
+      break;
+    case RouterEvent::What::Killed:
+    case RouterEvent::What::Silent:
+    case RouterEvent::What::Paused:
+      r.down = true;
+      r.down_at_ms = e.at;
+      break;
+    case RouterEvent::What::Term: r.term_at_ms = e.at; break;
+    case RouterEvent::What::Ended: r.ended_at_ms = e.at; break;
+    case RouterEvent::What::Crashed:
+      r.ended_at_ms = e.at;
+      add_violation(Rule::NoRouterCrash, e.at, router_name(e.router) + " crashed");
+      break;
+  }
+}
+
+void RuleChecker::on(const EndpointNotified& t) {
+  if (t.router >= routers_.size() || t.machine >= plan_.machines.size()) return;
+  MachineNotice& l = machine_notice(t.router, t.machine);
+  const bool in_service = t.state == ServerState::Ready;
+  // A repeated notification of the same state doesn't restart the grace period.
+  if (l.listed && l.in_service == in_service) return;
+  l = {t.at, true, in_service};
+}
+
+// ---- end of the run ----
+
+CheckResult RuleChecker::finish(bool run_complete) {
+  expire_entries(std::numeric_limits<double>::infinity());
+  if (run_complete) {
+    for (const auto& [id, t] : tries_) {
+      if (!t.answered && t.accepted) {
+        add_violation(Rule::OneFinalResponse, t.sent_at_ms,
+                      router_name(t.router) + " never answered request " + number_text(t.request));
+      }
+    }
+    for (const auto& [id, request] : requests_) {
+      add_violation(Rule::RequestAccounting, 0, "request " + number_text(id) + " was never closed");
+    }
+  }
+  for (std::size_t i = 0; i < bound_meters_.size(); ++i) {
+    const Bound& bound = spec_.expectations.bounds[i];
+    BoundResult bound_result{bound_description(spec_, bound), bound.metric, bound.at_least, bound.at_most,
+                             bound_meters_[i]->value(),       false};
+    bound_result.passed = bound_result.value && (!bound.at_least || *bound_result.value >= *bound.at_least) &&
+                          (!bound.at_most || *bound_result.value <= *bound.at_most);
+    result_.bounds.push_back(std::move(bound_result));
+  }
+  result_.overall_service = score_meters_[0]->value().value_or(1);
+  result_.worst_window_service = score_meters_[1]->value().value_or(1);
+  result_.worst_class_service = score_meters_[2]->value().value_or(1);
+  result_.worst_tenant_service = score_meters_[3]->value().value_or(1);
+  const Expectations& score_weights = spec_.expectations;
+  const double total_weight = score_weights.overall_weight + score_weights.worst_window_weight +
+                              score_weights.worst_class_weight + score_weights.worst_tenant_weight;
+  result_.score = total_weight > 0 ? (score_weights.overall_weight * result_.overall_service +
+                                      score_weights.worst_window_weight * result_.worst_window_service +
+                                      score_weights.worst_class_weight * result_.worst_class_service +
+                                      score_weights.worst_tenant_weight * result_.worst_tenant_service) /
+                                         total_weight
+                                   : result_.overall_service;
+  return std::move(result_);
+}
+
+} // namespace fernward::lab
--- a/lab/commands/check.cpp
+++ b/lab/commands/check.cpp
@@ -20,15 +20,15 @@
   if (parsed.count("scenario") == 0) throw UsageError("no scenario");
   const std::string driver = parsed["driver"].as<std::string>();
   if (driver != "virtual" && driver != "sockets") throw UsageError("--driver must be virtual or sockets");
-  Playing playing;
-  playing.driver = driver == "virtual" ? DriverKind::Virtual : DriverKind::Sockets;
+  DriverOptions driver_options;
+  driver_options.driver = driver == "virtual" ? DriverKind::Virtual : DriverKind::Sockets;
   std::vector<std::string> settings;
   if (parsed.count("set") > 0) settings = parsed["set"].as<std::vector<std::string>>();
-  int code = kWell;
+  int code = kSuccess;
   for (const std::string& path : parsed["scenario"].as<std::vector<std::string>>()) {
-    const auto [scenario, sound] = load_scenario(path, settings, playing);
-    if (!sound) {
-      code = kBad;
+    const auto [scenario, valid] = load_scenario(path, settings, driver_options);
+    if (!valid) {
+      code = kFailure;
     } else if (parsed.count("write") > 0) {
       std::printf("%s", scenario_text(scenario.spec).c_str());
     } else {
@@ -42,7 +42,7 @@
   cxxopts::Options options("fernward-lab keys", "Print every key of a scenario, as Markdown");
   parse(options, arguments);
   std::printf("%s", key_reference().c_str());
-  return kWell;
+  return kSuccess;
 }
 
 } // namespace fernward::lab
--- a/lab/commands/command.h
+++ b/lab/commands/command.h
@@ -12,16 +12,16 @@
 #include <vector>
 
 #include "arguments/arguments.h"
-#include "lab/experiment/play.h"
+#include "lab/experiment/run_experiment.h"
 #include "lab/rig/rig.h"
 #include "lab/scenario/read.h"
 
 namespace fernward::lab {
 
 using arguments::Arguments;
-using arguments::kBad;
-using arguments::kUsage;
-using arguments::kWell;
+using arguments::kFailure;
+using arguments::kSuccess;
+using arguments::kUsageFailure;
 using arguments::parse;
 using arguments::UsageError;
 
@@ -45,28 +45,30 @@
 
 enum class DriverKind { Virtual, Sockets };
 
-struct Playing { // the options that run, sweep, compare and storm have in common
+struct DriverOptions { // the options that run, sweep, compare and storm have in common
   DriverKind driver = DriverKind::Virtual;
   std::string program; // sockets: the router's program
   RouterRole role = RouterRole::Platform;
-  bool unlimited = false;
-  std::string logs; // sockets: the folder for the routers' logs
-  Offer offer() const { return driver == DriverKind::Virtual ? offer_virtual() : offer_sockets(); }
+  bool skip_memory_check = false;
+  std::string log_folder; // sockets: the folder for the routers' logs
+  RunLimits driver_offer() const {
+    return driver == DriverKind::Virtual ? virtual_run_limits() : socket_run_limits();
+  }
 };
-void add_playing(cxxopts::Options& options);
+void add_driver_options(cxxopts::Options& options);
 // `side`: "a" or "b" for compare, whose options for one side override the common ones.
-Playing playing_of(const cxxopts::ParseResult& parsed, const std::string& side = "");
+DriverOptions parse_driver_options(const cxxopts::ParseResult& parsed, const std::string& side = "");
 
-std::unique_ptr<Driver> make_driver(const Playing& playing);
-double slack_of(const Playing& playing, const model::Spec& spec);
-const char* driver_name(const Playing& playing);
+std::unique_ptr<Driver> make_driver(const DriverOptions& driver_options);
+double slack_ms_of(const DriverOptions& driver_options, const model::Spec& spec);
+const char* driver_name(const DriverOptions& driver_options);
 
 // Reads and validates a scenario. If it has faults they are printed, and the second value is false.
 std::pair<Scenario, bool> load_scenario(const std::string& path, const std::vector<std::string>& settings,
-                                        const Playing& playing);
+                                        const DriverOptions& driver_options);
 bool print_faults(const Scenario& scenario); // returns whether there are any
 
-std::string shipped_router(); // the `fernward` in the folder of this program, or the one on the PATH
+std::string default_router_program(); // the `fernward` in the folder of this program, or the one on the PATH
 
 // ---- during runs ----
 
@@ -74,15 +76,15 @@
 std::stop_token stop_on_signals();
 
 // A status line that is overwritten with each update; only shown if standard error is a terminal.
-class Progress {
+class ProgressLine {
  public:
-  Progress();
-  ~Progress();
+  ProgressLine();
+  ~ProgressLine();
   void show(const std::string& text);
 
  private:
   bool terminal_;
-  std::size_t shown_ = 0;
+  std::size_t shown_length_ = 0;
 };
 
 // A table with aligned columns: the first to the left, the others to the right.
--- a/lab/commands/compare.cpp
+++ b/lab/commands/compare.cpp
@@ -5,69 +5,73 @@
 #include <thread>
 
 #include "lab/commands/command.h"
-#include "lab/experiment/many.h"
+#include "lab/experiment/run_parallel.h"
 #include "lab/experiment/summary.h"
 #include "lab/report/files.h"
 
 namespace fernward::lab {
 namespace {
 
-struct Side {
+struct ComparedSide {
   std::vector<std::string> settings;
-  Playing playing;
+  DriverOptions driver_options;
   model::Spec spec;
-  std::vector<Row> rows;          // by seed
-  std::vector<char> counts, kept; // by seed: the run is valid; no rule was violated
-  std::vector<std::vector<BoundFinding>> bounds;
-  std::vector<std::string> why; // by seed: why the run is void, else empty
+  std::vector<SummaryRow> rows;          // by seed
+  std::vector<char> valid, rules_passed; // by seed: the run is valid; no rule was violated
+  std::vector<std::vector<BoundResult>> bounds;
+  std::vector<std::string> void_reasons; // by seed: why the run is void, else empty
 };
 
-std::string signed_text(const Column& column, double value) {
-  return (value < 0 ? "-" : "+") + column.text(std::fabs(value));
+std::string signed_text(const SummaryColumn& column, double value) {
+  return (value < 0 ? "-" : "+") + column.format_value(std::fabs(value));
 }
 
-std::string ratio(const Paired& p) {
+std::string ratio_text(const PairedComparison& comparison) {
   char text[32];
-  std::snprintf(text, sizeof text, "%.3f", p.mean_b / p.mean_a);
-  return p.mean_a > 0 ? text : "-";
+  std::snprintf(text, sizeof text, "%.3f", comparison.mean_b / comparison.mean_a);
+  return comparison.mean_a > 0 ? text : "-";
 }
 
-std::string says(const Paired& p, bool more_is_better) {
-  if (p.says == Paired::Says::Nothing) return "no difference seen";
-  return (p.says == Paired::Says::Higher) == more_is_better ? "B is better" : "B is worse";
+std::string difference_text(const PairedComparison& comparison, bool more_is_better) {
+  if (comparison.direction == PairedComparison::Direction::Undetermined) return "no difference seen";
+  return (comparison.direction == PairedComparison::Direction::Higher) == more_is_better ? "B is better"
+                                                                                         : "B is worse";
 }
 
 // Prints each bound of the scenario for both sides: its mean and worst value, and in how many runs it holds.
-void bounds_table(const Side& a, const Side& b, const std::vector<std::size_t>& pairs,
-                  nlohmann::json& saved) {
-  const std::size_t count = std::min(a.bounds[pairs.front()].size(), b.bounds[pairs.front()].size());
+void print_bounds_table(const ComparedSide& a, const ComparedSide& b,
+                        const std::vector<std::size_t>& valid_pairs, nlohmann::json& json_output) {
+  const std::size_t count =
+      std::min(a.bounds[valid_pairs.front()].size(), b.bounds[valid_pairs.front()].size());
   if (count == 0) return;
   std::vector<std::vector<std::string>> table{
       {"bound", "A: mean", "worst", "holds", "B: mean", "worst", "holds"}};
   for (std::size_t i = 0; i < count; ++i) {
-    const BoundFinding& first = a.bounds[pairs.front()][i];
-    std::vector<std::string> row{first.what};
-    nlohmann::json entry = {{"what", first.what}};
-    for (const Side* side : {&a, &b}) {
-      double sum = 0, worst = first.at_most ? -1e300 : 1e300;
-      std::size_t measured = 0, kept = 0;
+    const BoundResult& first_result = a.bounds[valid_pairs.front()][i];
+    std::vector<std::string> row{first_result.description};
+    nlohmann::json entry = {{"what", first_result.description}};
+    for (const ComparedSide* side : {&a, &b}) {
+      double sum = 0, worst = first_result.at_most ? -1e300 : 1e300;
+      std::size_t measured_count = 0, passed_count = 0;
       std::vector<double> values;
-      for (const std::size_t seed : pairs) {
-        const BoundFinding& f = side->bounds[seed][i];
-        kept += f.kept ? 1 : 0;
+      for (const std::size_t seed : valid_pairs) {
+        const BoundResult& f = side->bounds[seed][i];
+        passed_count += f.passed ? 1 : 0;
         if (!f.value) continue;
-        ++measured;
+        ++measured_count;
         sum += *f.value;
-        worst = first.at_most ? std::max(worst, *f.value) : std::min(worst, *f.value);
+        worst = first_result.at_most ? std::max(worst, *f.value) : std::min(worst, *f.value);
         values.push_back(*f.value);
       }
-      row.push_back(measured > 0 ? metric_text(first.metric, sum / static_cast<double>(measured)) : "-");
-      row.push_back(measured > 0 ? metric_text(first.metric, worst) : "-");
-      row.push_back(std::to_string(kept) + " of " + std::to_string(pairs.size()));
-      entry[side == &a ? "a" : "b"] = {{"values", values}, {"kept", kept}};
+      row.push_back(measured_count > 0
+                        ? metric_value_text(first_result.metric, sum / static_cast<double>(measured_count))
+                        : "-");
+      row.push_back(measured_count > 0 ? metric_value_text(first_result.metric, worst) : "-");
+      row.push_back(std::to_string(passed_count) + " of " + std::to_string(valid_pairs.size()));
+      entry[side == &a ? "a" : "b"] = {{"values", values}, {"kept", passed_count}};
     }
     table.push_back(std::move(row));
-    saved["bounds"].push_back(std::move(entry));
+    json_output["bounds"].push_back(std::move(entry));
   }
   std::printf("%s\n", table_text(table).c_str());
 }
@@ -79,7 +83,7 @@
       "fernward-lab compare",
       "Run a scenario with two configurations, A and B, over the same seeds, and report whether B is better. "
       "The exit code is 1 if a run was void or violated a rule");
-  add_playing(options);
+  add_driver_options(options);
   const auto list = [] { return cxxopts::value<std::vector<std::string>>(); };
   options.add_options()("a,set-a", "KEY=VALUE for A only; may be repeated", list())(
       "b,set-b", "KEY=VALUE for B only; may be repeated", list())(
@@ -100,136 +104,147 @@
   if (parsed.count("scenario") != 1) throw UsageError("one scenario is wanted");
   const std::string path = parsed["scenario"].as<std::vector<std::string>>().front();
   const auto seeds = parse_seeds(parsed["seeds"].as<std::string>());
-  Side a, b;
-  for (Side* side : {&a, &b}) {
+  ComparedSide a, b;
+  for (ComparedSide* side : {&a, &b}) {
     const std::string name = side == &a ? "a" : "b";
-    side->playing = playing_of(parsed, name);
+    side->driver_options = parse_driver_options(parsed, name);
     if (parsed.count("set") > 0) side->settings = parsed["set"].as<std::vector<std::string>>();
     if (parsed.count("set-" + name) > 0) {
-      const auto own = parsed["set-" + name].as<std::vector<std::string>>();
-      side->settings.insert(side->settings.end(), own.begin(), own.end());
+      const auto own_settings = parsed["set-" + name].as<std::vector<std::string>>();
+      side->settings.insert(side->settings.end(), own_settings.begin(), own_settings.end());
     }
     if (parsed.count("program-" + name) > 0) {
-      if (side->playing.driver == DriverKind::Virtual) {
+      if (side->driver_options.driver == DriverKind::Virtual) {
         throw UsageError(
             "--" + name +
             "-program requires --driver sockets: virtual time uses the built-in decision module");
       }
-      side->playing.program = parsed["program-" + name].as<std::string>();
+      side->driver_options.program = parsed["program-" + name].as<std::string>();
     }
     side->rows.resize(seeds.size());
-    side->counts.resize(seeds.size());
-    side->kept.resize(seeds.size());
-    side->why.resize(seeds.size());
+    side->valid.resize(seeds.size());
+    side->rules_passed.resize(seeds.size());
+    side->void_reasons.resize(seeds.size());
     side->bounds.resize(seeds.size());
   }
-  if (a.settings == b.settings && a.playing.program == b.playing.program &&
-      a.playing.driver == b.playing.driver && a.playing.role == b.playing.role) {
+  if (a.settings == b.settings && a.driver_options.program == b.driver_options.program &&
+      a.driver_options.driver == b.driver_options.driver && a.driver_options.role == b.driver_options.role) {
     throw UsageError(
         "A and B are alike: give --set-a, --set-b, --program-a, --program-b, --driver-b or --role-b");
   }
-  for (Side* side : {&a, &b}) {
-    auto [scenario, sound] = load_scenario(path, side->settings, side->playing);
-    if (!sound) return kBad;
+  for (ComparedSide* side : {&a, &b}) {
+    auto [scenario, valid_scenario] = load_scenario(path, side->settings, side->driver_options);
+    if (!valid_scenario) return kFailure;
     side->spec = std::move(scenario.spec);
   }
   unsigned jobs = parsed["jobs"].as<unsigned>();
   if (jobs == 0) jobs = std::max(1u, std::thread::hardware_concurrency());
-  if (a.playing.driver == DriverKind::Sockets || b.playing.driver == DriverKind::Sockets)
+  if (a.driver_options.driver == DriverKind::Sockets || b.driver_options.driver == DriverKind::Sockets)
     jobs = 1; // concurrent runs on sockets would delay each other
 
   const std::stop_token stop = stop_on_signals();
   {
-    Progress progress;
-    many(
+    ProgressLine progress;
+    run_parallel(
         seeds.size() * 2, jobs, stop,
         [&](std::size_t i) {
           const std::size_t seed = i / 2;
           // The order alternates (A B, then B A), so that slow changes of the machine affect both sides
           // alike.
-          Side& side = (i % 2 == 0) == (seed % 2 == 0) ? a : b;
+          ComparedSide& side = (i % 2 == 0) == (seed % 2 == 0) ? a : b;
           model::Spec spec = side.spec;
           spec.seed = seeds[seed];
-          const auto driver = make_driver(side.playing);
+          const auto driver = make_driver(side.driver_options);
           RunControl control;
           control.stop = stop;
-          const Result r =
-              play(*driver, driver_name(side.playing), spec, slack_of(side.playing, spec), control);
-          side.rows[seed] = row_of(r);
-          side.bounds[seed] = r.findings.bounds;
-          side.counts[seed] = !r.info.is_void && !r.info.stopped;
-          if (!r.info.why_void.empty()) side.why[seed] = r.info.why_void.front();
-          side.kept[seed] = std::all_of(r.findings.rules.begin(), r.findings.rules.end(),
-                                        [](const RuleFinding& f) { return f.kept(); });
+          const ExperimentResult result = run_experiment(*driver, driver_name(side.driver_options), spec,
+                                                         slack_ms_of(side.driver_options, spec), control);
+          side.rows[seed] = summary_row(result);
+          side.bounds[seed] = result.check_result.bounds;
+          side.valid[seed] = !result.info.is_void && !result.info.stopped;
+          if (!result.info.void_reasons.empty()) side.void_reasons[seed] = result.info.void_reasons.front();
+          side.rules_passed[seed] =
+              std::all_of(result.check_result.rules.begin(), result.check_result.rules.end(),
+                          [](const RuleResult& f) { return f.passed(); });
         },
-        [&](std::size_t over) {
-          progress.show(std::to_string(over) + " of " + std::to_string(seeds.size() * 2) + " runs");
+        [&](std::size_t finished_runs) {
+          progress.show(std::to_string(finished_runs) + " of " + std::to_string(seeds.size() * 2) + " runs");
         });
   }
 
   for (std::size_t i = 0; i < seeds.size(); ++i) {
-    for (const Side* side : {&a, &b}) {
-      if (side->why[i].empty()) continue;
+    for (const ComparedSide* side : {&a, &b}) {
+      if (side->void_reasons[i].empty()) continue;
       std::fprintf(stderr, "void: seed %llu of %s: %s\n", static_cast<unsigned long long>(seeds[i]),
-                   side == &a ? "A" : "B", side->why[i].c_str());
+                   side == &a ? "A" : "B", side->void_reasons[i].c_str());
     }
   }
-  std::vector<std::size_t> pairs;
-  std::size_t broken_a = 0, broken_b = 0;
+  std::vector<std::size_t> valid_pairs;
+  std::size_t violated_runs_a = 0, violated_runs_b = 0;
   for (std::size_t i = 0; i < seeds.size(); ++i) {
-    if (!a.counts[i] || !b.counts[i]) continue;
-    pairs.push_back(i);
-    broken_a += a.kept[i] ? 0 : 1;
-    broken_b += b.kept[i] ? 0 : 1;
+    if (!a.valid[i] || !b.valid[i]) continue;
+    valid_pairs.push_back(i);
+    violated_runs_a += a.rules_passed[i] ? 0 : 1;
+    violated_runs_b += b.rules_passed[i] ? 0 : 1;
   }
-  if (pairs.empty()) {
+  if (valid_pairs.empty()) {
     std::printf("VOID: no pair of runs counts\n");
-    return kBad;
+    return kFailure;
   }
   std::vector<std::vector<std::string>> table{{"", "A", "B", "B - A", "95% interval", "B / A", ""}};
-  nlohmann::json saved = {{"seeds", seeds}, {"pairs", pairs.size()}, {"a", a.settings}, {"b", b.settings}};
-  Paired first;
-  for (std::size_t c = 0; c < kColumns; ++c) {
-    std::vector<double> of_a, of_b;
-    for (const std::size_t i : pairs) {
-      of_a.push_back(a.rows[i][c]);
-      of_b.push_back(b.rows[i][c]);
+  nlohmann::json json_output = {
+      {"seeds", seeds}, {"pairs", valid_pairs.size()}, {"a", a.settings}, {"b", b.settings}};
+  PairedComparison score_comparison;
+  for (std::size_t column_index = 0; column_index < kSummaryColumnCount; ++column_index) {
+    std::vector<double> values_a, values_b;
+    for (const std::size_t i : valid_pairs) {
+      values_a.push_back(a.rows[i][column_index]);
+      values_b.push_back(b.rows[i][column_index]);
     }
-    const Column& column = columns()[c];
-    const Paired p = compare(of_a, of_b);
-    if (c == 0) first = p;
-    const std::string interval =
-        p.pairs > 1 ? signed_text(column, p.low) + " to " + signed_text(column, p.high) : "-";
-    table.push_back({column.name, column.text(p.mean_a), column.text(p.mean_b), signed_text(column, p.mean),
-                     interval, ratio(p), p.pairs > 1 ? says(p, column.more_is_better) : ""});
-    saved["figures"][column.key] = {
-        {"a", of_a}, {"b", of_b}, {"mean", p.mean}, {"low", p.low}, {"high", p.high}};
+    const SummaryColumn& column = summary_columns()[column_index];
+    const PairedComparison comparison = compare_pairs(values_a, values_b);
+    if (column_index == 0) score_comparison = comparison;
+    const std::string interval = comparison.pair_count > 1
+                                     ? signed_text(column, comparison.confidence_low) + " to " +
+                                           signed_text(column, comparison.confidence_high)
+                                     : "-";
+    table.push_back({column.name, column.format_value(comparison.mean_a),
+                     column.format_value(comparison.mean_b), signed_text(column, comparison.mean_difference),
+                     interval, ratio_text(comparison),
+                     comparison.pair_count > 1 ? difference_text(comparison, column.higher_is_better) : ""});
+    json_output["figures"][column.key] = {{"a", values_a},
+                                          {"b", values_b},
+                                          {"mean", comparison.mean_difference},
+                                          {"low", comparison.confidence_low},
+                                          {"high", comparison.confidence_high}};
   }
   std::printf("%s\n", table_text(table).c_str());
-  bounds_table(a, b, pairs, saved);
+  print_bounds_table(a, b, valid_pairs, json_output);
   const std::string seeds_text =
-      std::to_string(pairs.size()) + (pairs.size() == 1 ? " pair" : " pairs") + " of runs";
+      std::to_string(valid_pairs.size()) + (valid_pairs.size() == 1 ? " pair" : " pairs") + " of runs";
   std::string verdict;
-  if (pairs.size() == 1) {
+  if (valid_pairs.size() == 1) {
     verdict = "one pair of runs says nothing of chance: give more seeds";
   } else {
-    verdict = says(first, true) + " by the score: " + signed_text(columns()[0], first.mean) +
-              " (95% interval " + signed_text(columns()[0], first.low) + " to " +
-              signed_text(columns()[0], first.high) + ", " + seeds_text + ")";
+    verdict = difference_text(score_comparison, true) +
+              " by the score: " + signed_text(summary_columns()[0], score_comparison.mean_difference) +
+              " (95% interval " + signed_text(summary_columns()[0], score_comparison.confidence_low) +
+              " to " + signed_text(summary_columns()[0], score_comparison.confidence_high) + ", " +
+              seeds_text + ")";
   }
-  if (broken_a + broken_b > 0) {
-    verdict += "; rules were broken in " + std::to_string(broken_a) + " runs of A and " +
-               std::to_string(broken_b) + " of B";
+  if (violated_runs_a + violated_runs_b > 0) {
+    verdict += "; rules were broken in " + std::to_string(violated_runs_a) + " runs of A and " +
+               std::to_string(violated_runs_b) + " of B";
   }
-  if (pairs.size() < seeds.size()) {
-    verdict += "; " + std::to_string(seeds.size() - pairs.size()) + " pairs are void";
+  if (valid_pairs.size() < seeds.size()) {
+    verdict += "; " + std::to_string(seeds.size() - valid_pairs.size()) + " pairs are void";
   }
-  saved["verdict"] = verdict;
+  json_output["verdict"] = verdict;
   std::printf("%s\n", verdict.c_str());
   if (parsed.count("out") > 0) {
-    save_text(parsed["out"].as<std::string>(), "compare.json", saved.dump(1) + "\n");
+    save_text(parsed["out"].as<std::string>(), "compare.json", json_output.dump(1) + "\n");
   }
-  return broken_a + broken_b == 0 && pairs.size() == seeds.size() ? kWell : kBad;
+  return violated_runs_a + violated_runs_b == 0 && valid_pairs.size() == seeds.size() ? kSuccess : kFailure;
 }
 
 } // namespace fernward::lab
--- a/lab/commands/cost.cpp
+++ b/lab/commands/cost.cpp
@@ -17,7 +17,7 @@
 
 // "14,200,1000" is parsed here, because arguments.h sets the list delimiter of cxxopts to a control
 // character.
-std::vector<std::uint32_t> counts_of(const cxxopts::ParseResult& parsed, const std::string& option) {
+std::vector<std::uint32_t> parse_counts(const cxxopts::ParseResult& parsed, const std::string& option) {
   std::vector<std::uint32_t> counts;
   for (const std::uint64_t count : parse_seeds(parsed[option].as<std::string>())) {
     if (count == 0 || count > 1'000'000) throw UsageError("--" + option + " needs counts from 1 to 1000000");
@@ -48,29 +48,30 @@
   const double rate = parsed["rate"].as<double>(), seconds = parsed["seconds"].as<double>();
   if (!(rate >= 10 && rate <= 20000)) throw UsageError("--rate must be from 10 to 20000");
   if (!(seconds >= 2 && seconds <= 600)) throw UsageError("--seconds must be from 2 to 600");
-  const auto key_counts = counts_of(parsed, "keys");
+  const auto key_counts = parse_counts(parsed, "keys");
   bool is_void = false;
   std::printf(
       "| targets | keys | router, us | relay, us | ratio | least to most | router's memory, MB |\n"
       "| --- | --- | --- | --- | --- | --- | --- |\n");
-  for (const std::uint32_t targets : counts_of(parsed, "targets")) {
+  for (const std::uint32_t targets : parse_counts(parsed, "targets")) {
     for (const std::uint32_t keys : key_counts) {
       std::vector<double> router, relay, ratio, memory;
       for (int round = 0; round < rounds; ++round) {
         CostOptions cost;
-        cost.program = parsed.count("program") > 0 ? parsed["program"].as<std::string>() : shipped_router();
-        cost.relay = {"/proc/self/exe", "relay"};
-        cost.targets = targets;
-        cost.keys = keys;
+        cost.router_program =
+            parsed.count("program") > 0 ? parsed["program"].as<std::string>() : default_router_program();
+        cost.relay_command_line = {"/proc/self/exe", "relay"};
+        cost.target_count = targets;
+        cost.key_count = keys;
         cost.rate_per_s = rate;
         cost.measured_s = seconds;
         cost.seed = static_cast<std::uint64_t>(round) + 1;
         const CostResult result = measure_cost(cost);
-        for (const auto& why : result.info.why_void) std::fprintf(stderr, "void: %s\n", why.c_str());
+        for (const auto& why : result.info.void_reasons) std::fprintf(stderr, "void: %s\n", why.c_str());
         is_void = is_void || result.info.is_void;
-        router.push_back(result.router.us());
-        relay.push_back(result.relay.us());
-        ratio.push_back(result.ratio());
+        router.push_back(result.router.cpu_us_per_request());
+        relay.push_back(result.relay.cpu_us_per_request());
+        ratio.push_back(result.router_to_relay_ratio());
         memory.push_back(result.router.memory_mb);
       }
       std::printf("| %u | %u | %.0f | %.0f | %.2f | %.2f to %.2f | %.1f |\n", targets, keys, median(router),
@@ -79,7 +80,7 @@
       std::fflush(stdout);
     }
   }
-  return is_void ? kBad : kWell;
+  return is_void ? kFailure : kSuccess;
 }
 
 int relay_command(const Arguments& arguments) {
--- a/lab/commands/storm.cpp
+++ b/lab/commands/storm.cpp
@@ -8,18 +8,18 @@
 #include <thread>
 
 #include "lab/commands/command.h"
-#include "lab/storm/beside.h"
-#include "lab/storm/page.h"
 #include "lab/storm/shrink.h"
-#include "lab/virtual/virtual.h"
+#include "lab/storm/socket_comparison.h"
+#include "lab/storm/storm_report.h"
+#include "lab/virtual/virtual_driver.h"
 
 namespace fernward::lab {
 namespace {
 
 namespace fs = std::filesystem;
 
-constexpr std::uint32_t kMostLeftOut = 1000;
-constexpr double kBesideCalmMs = 2000, kBesideFaultsMs = 5000; // phases of a storm that runs in real time
+constexpr std::uint32_t kMaxSkippedStorms = 1000;
+constexpr double kRealTimeCalmMs = 2000, kRealTimeFaultsMs = 5000; // phases of a storm that runs in real time
 
 std::string read_text(const std::string& path) {
   std::ifstream in(path);
@@ -33,111 +33,118 @@
   if (!out.flush()) throw std::runtime_error(path.string() + " can't be written");
 }
 
-void print_verdicts(const storm::Outcome& out) {
-  for (std::size_t i = 0; i < out.verdicts.size(); ++i) {
-    const storm::Verdict& v = out.verdicts[i];
+void print_verdicts(const storm::StormOutcome& outcome) {
+  for (std::size_t i = 0; i < outcome.verdicts.size(); ++i) {
+    const storm::Verdict& verdict = outcome.verdicts[i];
     std::printf("%-12s %-8s %6.2f  %s\n", storm::oracles()[i].name,
-                v.broken() ? "BROKEN"
-                : v.judged ? "kept"
-                           : "-",
-                v.distance, v.what.c_str());
+                verdict.broken() ? "BROKEN"
+                : verdict.judged ? "kept"
+                                 : "-",
+                verdict.distance, verdict.description.c_str());
   }
 }
 
 // Runs the storm of a file. If the file names an oracle, the verdict of that oracle must match the file.
-int replay(const storm::Rig& rig, const std::string& path, std::uint32_t times, std::stop_token stop) {
-  const auto expected = storm::expected_of(read_text(path));
+int replay_file(const storm::RunSetup& rig, const std::string& path, std::uint32_t times,
+                std::stop_token stop) {
+  const auto expected = storm::parse_expected_verdict(read_text(path));
   const Scenario scenario = read_scenario_file(path);
-  if (print_faults(scenario)) return kBad;
-  bool well = true;
+  if (print_faults(scenario)) return kFailure;
+  bool all_match = true;
   for (std::uint32_t i = 0; i < times && !stop.stop_requested(); ++i) {
-    const storm::Outcome out = storm::play(rig, scenario.spec, stop);
-    if (stop.stop_requested()) return kBad;
-    if (i == 0) print_verdicts(out);
+    const storm::StormOutcome outcome = storm::execute(rig, scenario.spec, stop);
+    if (stop.stop_requested()) return kFailure;
+    if (i == 0) print_verdicts(outcome);
     if (expected) {
-      const bool as_said = out.broken(*expected->oracle) == expected->broken;
-      well &= as_said;
+      const bool matches_file = outcome.broken(*expected->oracle) == expected->broken;
+      all_match &= matches_file;
       std::printf("%s: %s is %s%s\n", path.c_str(), expected->oracle->name,
-                  out.broken(*expected->oracle) ? "broken" : "kept",
-                  as_said ? "" : ", and the file says otherwise");
+                  outcome.broken(*expected->oracle) ? "broken" : "kept",
+                  matches_file ? "" : ", and the file says otherwise");
     } else {
-      const storm::Oracle* broken = out.broken();
-      well &= broken == nullptr || broken->sure != storm::Sure::Always;
+      const storm::Oracle* broken = outcome.broken();
+      all_match &= broken == nullptr || broken->confidence != storm::Confidence::Certain;
     }
   }
-  return well ? kWell : kBad;
+  return all_match ? kSuccess : kFailure;
 }
 
-int shrink_file(const storm::Rig& rig, const std::string& path, const std::string& wanted,
-                const std::string& out_path, std::uint32_t plays, std::stop_token stop) {
-  const auto expected = storm::expected_of(read_text(path));
+int shrink_file(const storm::RunSetup& rig, const std::string& path, const std::string& oracle_name,
+                const std::string& out_path, std::uint32_t max_runs, std::stop_token stop) {
+  const auto expected = storm::parse_expected_verdict(read_text(path));
   const Scenario scenario = read_scenario_file(path);
-  if (print_faults(scenario)) return kBad;
+  if (print_faults(scenario)) return kFailure;
   const model::Spec& spec = scenario.spec;
-  const storm::Outcome first = storm::play(rig, spec, stop);
-  print_verdicts(first);
-  const storm::Oracle* oracle = !wanted.empty() ? storm::find_oracle(wanted)
-                                : expected      ? expected->oracle
-                                                : first.broken();
+  const storm::StormOutcome initial_outcome = storm::execute(rig, spec, stop);
+  print_verdicts(initial_outcome);
+  const storm::Oracle* oracle = !oracle_name.empty() ? storm::find_oracle(oracle_name)
+                                : expected           ? expected->oracle
+                                                     : initial_outcome.broken();
   if (oracle == nullptr) {
-    std::printf("%s\n", wanted.empty() ? "no oracle is broken" : "there is no such oracle");
-    return kBad;
+    std::printf("%s\n", oracle_name.empty() ? "no oracle is broken" : "there is no such oracle");
+    return kFailure;
   }
-  if (!first.broken(*oracle)) {
+  if (!initial_outcome.broken(*oracle)) {
     std::printf("%s is not broken\n", oracle->name);
-    return kBad;
+    return kFailure;
   }
-  const std::size_t number = static_cast<std::size_t>(oracle - storm::oracles().data());
+  const std::size_t oracle_index = static_cast<std::size_t>(oracle - storm::oracles().data());
   // If the oracle depends on chance, a cut must keep enough distance from the limit that chance alone can't
   // reach it.
-  const double least = oracle->sure == storm::Sure::Always ? 1 : (1 + first.verdicts[number].distance) / 2;
-  const storm::Shrunk small = storm::shrink(
+  const double min_distance = oracle->confidence == storm::Confidence::Certain
+                                  ? 1
+                                  : (1 + initial_outcome.verdicts[oracle_index].distance) / 2;
+  const storm::ShrinkResult shrunk_storm = storm::shrink(
       spec,
       [&](const model::Spec& s) {
         if (stop.stop_requested()) return 0.0;
-        const storm::Verdict v = storm::play(rig, s, stop).verdicts[number];
-        return v.broken() && v.distance >= least ? v.distance : 0;
+        const storm::Verdict v = storm::execute(rig, s, stop).verdicts[oracle_index];
+        return v.broken() && v.distance >= min_distance ? v.distance : 0;
       },
-      plays);
+      max_runs);
   // Runs the storm as it is read back from its text, so that the written file is what was run.
-  const Scenario again = read_scenario(scenario_text(small.spec), "shrunk");
-  if (print_faults(again)) return kBad;
-  const storm::Outcome last = storm::play(rig, again.spec, stop);
-  std::printf("\n%u plays, %u cuts: %u routers, %u nodes, %zu events, %.1f s\n", small.plays, small.cuts,
-              storm::routers_of(small.spec), storm::nodes_of(small.spec), small.spec.events.size(),
-              small.spec.duration_ms / 1000);
-  print_verdicts(last);
-  write_text(out_path,
-             storm::storm_text(again.spec, {oracle, last.broken(*oracle)}, last.verdicts[number].what));
+  const Scenario reread_scenario = read_scenario(scenario_text(shrunk_storm.spec), "shrunk");
+  if (print_faults(reread_scenario)) return kFailure;
+  const storm::StormOutcome final_outcome = storm::execute(rig, reread_scenario.spec, stop);
+  std::printf("\n%u plays, %u cuts: %u routers, %u nodes, %zu events, %.1f s\n", shrunk_storm.runs,
+              shrunk_storm.reductions, storm::router_count(shrunk_storm.spec),
+              storm::node_count(shrunk_storm.spec), shrunk_storm.spec.events.size(),
+              shrunk_storm.spec.duration_ms / 1000);
+  print_verdicts(final_outcome);
+  write_text(out_path, storm::storm_file_text(reread_scenario.spec, {oracle, final_outcome.broken(*oracle)},
+                                              final_outcome.verdicts[oracle_index].description));
   std::printf("written: %s\n", out_path.c_str());
-  return last.broken(*oracle) ? kWell : kBad;
+  return final_outcome.broken(*oracle) ? kSuccess : kFailure;
 }
 
 // Runs storms that are short enough for real time on sockets, and compares each with runs in virtual time.
-int play_besides(const storm::Besides& besides, std::uint64_t first, std::uint64_t storms,
-                 const storm::Size& size, double most_s, const std::string& out, std::stop_token stop) {
-  std::vector<storm::Pair> pairs;
-  std::uint32_t long_ones = 0;
-  const fs::path folder(out);
-  if (!out.empty()) fs::create_directories(folder);
-  for (std::uint64_t seed = first; pairs.size() < storms && !stop.stop_requested(); ++seed) {
-    const model::Spec spec = storm::draw(seed, {}, size);
-    if (spec.duration_ms > 1000 * most_s) {
-      if (++long_ones > kMostLeftOut) throw UsageError("--most-seconds is too short: no storm is left");
+int compare_storms_with_virtual_time(const storm::ComparisonSetup& besides, std::uint64_t first_seed,
+                                     std::uint64_t storm_count, const storm::StormLimits& size,
+                                     double max_seconds, const std::string& out_folder,
+                                     std::stop_token stop) {
+  std::vector<storm::StormComparison> pairs;
+  std::uint32_t skipped_storms = 0;
+  const fs::path folder(out_folder);
+  if (!out_folder.empty()) fs::create_directories(folder);
+  for (std::uint64_t seed = first_seed; pairs.size() < storm_count && !stop.stop_requested(); ++seed) {
+    const model::Spec spec = storm::draw_storm(seed, {}, size);
+    if (spec.duration_ms > 1000 * max_seconds) {
+      if (++skipped_storms > kMaxSkippedStorms)
+        throw UsageError("--most-seconds is too short: no storm is left");
       continue;
     }
-    storm::Pair pair = storm::play_beside(besides, spec, stop);
-    if (stop.stop_requested()) return kBad;
-    std::printf("%s", storm::pair_text(pair).c_str());
+    storm::StormComparison pair = storm::compare_with_sockets(besides, spec, stop);
+    if (stop.stop_requested()) return kFailure;
+    std::printf("%s", storm::comparison_text(pair).c_str());
     std::fflush(stdout);
-    if (!out.empty() && (!pair.agrees() || pair.breaks(storm::Sure::Always)))
+    if (!out_folder.empty() && (!pair.agrees() || pair.has_broken(storm::Confidence::Certain)))
       write_text(folder / (spec.name + ".toml"), scenario_text(spec));
     pairs.push_back(std::move(pair));
   }
   const storm::Agreement agreement = storm::agreement_of(pairs);
-  std::printf("%u longer than %.0f s were left out\n%s", long_ones, most_s,
+  std::printf("%u longer than %.0f s were left out\n%s", skipped_storms, max_seconds,
               storm::agreement_text(agreement).c_str());
-  return agreement.well() ? kWell : kBad;
+  return agreement.all_agree() ? kSuccess : kFailure;
 }
 
 } // namespace
@@ -145,7 +152,7 @@
 int storm_command(const Arguments& arguments) {
   cxxopts::Options options("fernward-lab storm",
                            "Generate storms from seeds, run them and check them by oracles");
-  add_playing(options);
+  add_driver_options(options);
   options.add_options()("first", "The first seed", cxxopts::value<std::uint64_t>()->default_value("1"))(
       "storms", "Number of storms, with consecutive seeds",
       cxxopts::value<std::uint64_t>()->default_value("200"))(
@@ -173,87 +180,95 @@
       cxxopts::value<std::string>()->default_value("none"))(
       "times", "Number of runs of --replay", cxxopts::value<std::uint32_t>()->default_value("1"));
   const auto parsed = parse(options, arguments);
-  const Playing playing = playing_of(parsed);
+  const DriverOptions driver_options = parse_driver_options(parsed);
   const auto stop = stop_on_signals();
-  storm::Rig rig;
-  rig.exact = playing.driver == DriverKind::Virtual;
-  const std::string wanted = parsed["planted"].as<std::string>();
-  const auto planted = std::find(kPlantedNames.begin(), kPlantedNames.end(), wanted);
-  if (planted == kPlantedNames.end()) {
+  storm::RunSetup rig;
+  rig.virtual_time = driver_options.driver == DriverKind::Virtual;
+  const std::string defect_name = parsed["planted"].as<std::string>();
+  const auto planted_name = std::find(kPlantedDefectNames.begin(), kPlantedDefectNames.end(), defect_name);
+  if (planted_name == kPlantedDefectNames.end()) {
     std::string known;
-    for (const char* name : kPlantedNames) known += std::string(known.empty() ? "" : ", ") + name;
+    for (const char* name : kPlantedDefectNames) known += std::string(known.empty() ? "" : ", ") + name;
     throw UsageError("--planted must be one of " + known);
   }
-  const auto defect = static_cast<Planted>(planted - kPlantedNames.begin());
-  if (defect != Planted::None && !rig.exact) throw UsageError("--planted requires --driver virtual");
-  rig.driver = [&playing, defect] {
-    return playing.driver == DriverKind::Virtual ? make_virtual_driver(defect) : make_driver(playing);
+  const auto defect = static_cast<PlantedDefect>(planted_name - kPlantedDefectNames.begin());
+  if (defect != PlantedDefect::None && !rig.virtual_time)
+    throw UsageError("--planted requires --driver virtual");
+  rig.make_driver = [&driver_options, defect] {
+    return driver_options.driver == DriverKind::Virtual ? make_virtual_driver(defect)
+                                                        : make_driver(driver_options);
   };
 
   if (parsed.count("replay") > 0) {
-    return replay(rig, parsed["replay"].as<std::string>(), parsed["times"].as<std::uint32_t>(), stop);
+    return replay_file(rig, parsed["replay"].as<std::string>(), parsed["times"].as<std::uint32_t>(), stop);
   }
-  storm::Season season;
-  season.first_seed = parsed["first"].as<std::uint64_t>();
-  season.storms = parsed["storms"].as<std::uint64_t>();
-  season.size.most_routers = parsed["most-routers"].as<std::uint32_t>();
-  season.size.most_nodes = parsed["most-nodes"].as<std::uint32_t>();
-  season.size.most_rate = parsed["most-rate"].as<double>();
-  if (season.size.most_routers < 3 || season.size.most_nodes < 6) {
+  storm::Campaign storm_series;
+  storm_series.first_seed = parsed["first"].as<std::uint64_t>();
+  storm_series.storms = parsed["storms"].as<std::uint64_t>();
+  storm_series.limits.max_routers = parsed["most-routers"].as<std::uint32_t>();
+  storm_series.limits.max_nodes = parsed["most-nodes"].as<std::uint32_t>();
+  storm_series.limits.max_rate_per_s = parsed["most-rate"].as<double>();
+  if (storm_series.limits.max_routers < 3 || storm_series.limits.max_nodes < 6) {
     throw UsageError("--most-routers must be 3 or more and --most-nodes 6 or more");
   }
-  if (!(season.size.most_rate >= 10)) throw UsageError("--most-rate must be 10 or more");
-  const std::string out = parsed.count("out") > 0 ? parsed["out"].as<std::string>() : "";
-  if (const auto plays = parsed["beside"].as<std::uint32_t>(); plays > 0) {
-    if (rig.exact) throw UsageError("--beside requires --driver sockets");
-    if (plays < 2)
+  if (!(storm_series.limits.max_rate_per_s >= 10)) throw UsageError("--most-rate must be 10 or more");
+  const std::string out_path = parsed.count("out") > 0 ? parsed["out"].as<std::string>() : "";
+  if (const auto comparison_runs = parsed["beside"].as<std::uint32_t>(); comparison_runs > 0) {
+    if (rig.virtual_time) throw UsageError("--beside requires --driver sockets");
+    if (comparison_runs < 2)
       throw UsageError("--beside must be 2 or more, because one run can't show random variation");
-    if (season.size.most_routers > 8) throw UsageError("--beside allows --most-routers 8 at most");
-    season.size.calm_ms = kBesideCalmMs;
-    season.size.faults_ms = kBesideFaultsMs;
-    season.size.skew = 1;
-    season.size.whole = false;
-    const storm::Besides besides{
-        rig.driver, [](std::uint64_t chance) { return make_virtual_driver(Planted::None, chance); }, plays,
-        std::max(1u, parsed["tries"].as<std::uint32_t>()), parsed["records"].as<std::string>()};
-    if (!besides.records.empty()) fs::create_directories(besides.records);
-    return play_besides(besides, season.first_seed, season.storms, season.size,
-                        parsed["most-seconds"].as<double>(), out, stop);
+    if (storm_series.limits.max_routers > 8) throw UsageError("--beside allows --most-routers 8 at most");
+    storm_series.limits.fault_free_ms = kRealTimeCalmMs;
+    storm_series.limits.fault_begin_window_ms = kRealTimeFaultsMs;
+    storm_series.limits.size_exponent = 1;
+    storm_series.limits.full_duration = false;
+    const storm::ComparisonSetup besides{
+        rig.make_driver,
+        [](std::uint64_t chance) { return make_virtual_driver(PlantedDefect::None, chance); },
+        comparison_runs, std::max(1u, parsed["tries"].as<std::uint32_t>()),
+        parsed["records"].as<std::string>()};
+    if (!besides.record_folder.empty()) fs::create_directories(besides.record_folder);
+    return compare_storms_with_virtual_time(besides, storm_series.first_seed, storm_series.storms,
+                                            storm_series.limits, parsed["most-seconds"].as<double>(),
+                                            out_path, stop);
   }
   if (parsed.count("shrink") > 0) {
     const std::string path = parsed["shrink"].as<std::string>();
     return shrink_file(rig, path, parsed.count("oracle") > 0 ? parsed["oracle"].as<std::string>() : "",
-                       out.empty() ? path + ".small.toml" : out, parsed["plays"].as<std::uint32_t>(), stop);
+                       out_path.empty() ? path + ".small.toml" : out_path,
+                       parsed["plays"].as<std::uint32_t>(), stop);
   }
   if (parsed.count("write") > 0) {
-    const model::Spec spec = storm::draw(season.first_seed, {}, season.size);
-    const std::string path = out.empty() ? spec.name + ".toml" : out;
+    const model::Spec spec = storm::draw_storm(storm_series.first_seed, {}, storm_series.limits);
+    const std::string path = out_path.empty() ? spec.name + ".toml" : out_path;
     write_text(path, scenario_text(spec));
     std::printf("written: %s\n", path.c_str());
-    return kWell;
+    return kSuccess;
   }
   const unsigned jobs = parsed["jobs"].as<unsigned>();
-  season.jobs = !rig.exact ? 1 : jobs > 0 ? jobs : std::max(1u, std::thread::hardware_concurrency());
-  storm::Sum sum;
+  storm_series.jobs = !rig.virtual_time ? 1
+                      : jobs > 0        ? jobs
+                                        : std::max(1u, std::thread::hardware_concurrency());
+  storm::CampaignSummary summary;
   {
-    Progress progress;
-    season.progress = [&](const storm::Sum& so_far) {
-      progress.show(std::to_string(so_far.storms) + " of " + std::to_string(season.storms) + " storms");
+    ProgressLine progress;
+    storm_series.progress = [&](const storm::CampaignSummary& so_far) {
+      progress.show(std::to_string(so_far.storms) + " of " + std::to_string(storm_series.storms) + " storms");
     };
-    sum = storm::play(rig, season, stop);
+    summary = storm::execute(rig, storm_series, stop);
   }
-  std::printf("%s", storm::sum_text(sum).c_str());
-  if (!out.empty()) {
-    fs::create_directories(out);
-    write_text(fs::path(out) / "storms.html", storm::page_html(sum, season));
-    for (const storm::Told& t : sum.worst) {
-      const storm::Oracle& o = storm::oracles()[t.oracle];
-      write_text(fs::path(out) / (std::string(o.name) + "-" + std::to_string(t.seed) + ".toml"),
-                 storm::storm_text(t.spec, {&o, true}, t.verdict.what));
+  std::printf("%s", storm::summary_text(summary).c_str());
+  if (!out_path.empty()) {
+    fs::create_directories(out_path);
+    write_text(fs::path(out_path) / "storms.html", storm::report_html(summary, storm_series));
+    for (const storm::BrokenStorm& t : summary.worst_storms) {
+      const storm::Oracle& o = storm::oracles()[t.oracle_index];
+      write_text(fs::path(out_path) / (std::string(o.name) + "-" + std::to_string(t.seed) + ".toml"),
+                 storm::storm_file_text(t.spec, {&o, true}, t.verdict.description));
     }
-    std::printf("report: %s\n", (fs::path(out) / "storms.html").string().c_str());
+    std::printf("report: %s\n", (fs::path(out_path) / "storms.html").string().c_str());
   }
-  return sum.broken(storm::Sure::Always) || !sum.voids.empty() ? kBad : kWell;
+  return summary.has_broken(storm::Confidence::Certain) || !summary.void_runs.empty() ? kFailure : kSuccess;
 }
 
 } // namespace fernward::lab
--- a/lab/commands/support.cpp
+++ b/lab/commands/support.cpp
@@ -11,16 +11,16 @@
 
 #include "lab/commands/command.h"
 #include "lab/rig/rig.h"
-#include "lab/virtual/virtual.h"
+#include "lab/virtual/virtual_driver.h"
 
 namespace fernward::lab {
 namespace {
 
-constexpr std::size_t kMostSeeds = 10000;
+constexpr std::size_t kMaxSeeds = 10000;
 
-volatile sig_atomic_t asked_to_stop = 0;
+volatile sig_atomic_t stop_requested_by_signal = 0;
 
-void ask_to_stop(int) { asked_to_stop = 1; }
+void request_stop_on_signal(int) { stop_requested_by_signal = 1; }
 
 std::uint64_t seed_of(const std::string& text) {
   std::uint64_t seed = 0;
@@ -37,7 +37,7 @@
   std::vector<std::uint64_t> seeds;
   if (const std::size_t dots = text.find(".."); dots != std::string::npos) {
     const std::uint64_t first = seed_of(text.substr(0, dots)), last = seed_of(text.substr(dots + 2));
-    if (last < first || last - first >= kMostSeeds)
+    if (last < first || last - first >= kMaxSeeds)
       throw UsageError("seeds " + text + " are an empty or too long range");
     for (std::uint64_t seed = first; seed <= last; ++seed) seeds.push_back(seed);
     return seeds;
@@ -51,7 +51,7 @@
   return seeds;
 }
 
-void add_playing(cxxopts::Options& options) {
+void add_driver_options(cxxopts::Options& options) {
   options.add_options()("driver", "virtual: in virtual time; sockets: real routers on loopback",
                         cxxopts::value<std::string>()->default_value("virtual"))(
       "program", "sockets: the router; default: the `fernward` in the folder of this program, or on the PATH",
@@ -64,102 +64,102 @@
       cxxopts::value<std::string>()->default_value("platform"));
 }
 
-Playing playing_of(const cxxopts::ParseResult& parsed, const std::string& side) {
-  Playing playing;
-  const auto given = [&](const std::string& option) {
+DriverOptions parse_driver_options(const cxxopts::ParseResult& parsed, const std::string& side) {
+  DriverOptions driver_options;
+  const auto option_value = [&](const std::string& option) {
     const std::string own = option + "-" + side;
     return parsed[!side.empty() && parsed.count(own) > 0 ? own : option].as<std::string>();
   };
-  const bool own = !side.empty() && parsed.count("driver-" + side) > 0;
-  const std::string driver = given("driver"), role = given("role");
+  const bool has_own_driver = !side.empty() && parsed.count("driver-" + side) > 0;
+  const std::string driver = option_value("driver"), role = option_value("role");
   if (role != "platform" && role != "application" && role != "sidecar") {
     throw UsageError("--role must be platform, application or sidecar, not \"" + role + "\"");
   }
-  playing.role = role == "platform"      ? RouterRole::Platform
-                 : role == "application" ? RouterRole::Application
-                                         : RouterRole::Sidecar;
+  driver_options.role = role == "platform"      ? RouterRole::Platform
+                        : role == "application" ? RouterRole::Application
+                                                : RouterRole::Sidecar;
   if (driver != "virtual" && driver != "sockets") {
     throw UsageError("--driver must be virtual or sockets, not \"" + driver + "\"");
   }
-  playing.driver = driver == "virtual" ? DriverKind::Virtual : DriverKind::Sockets;
-  playing.unlimited = parsed.count("unlimited-memory") > 0;
-  if (parsed.count("logs") > 0) playing.logs = parsed["logs"].as<std::string>();
+  driver_options.driver = driver == "virtual" ? DriverKind::Virtual : DriverKind::Sockets;
+  driver_options.skip_memory_check = parsed.count("unlimited-memory") > 0;
+  if (parsed.count("logs") > 0) driver_options.log_folder = parsed["logs"].as<std::string>();
   if (parsed.count("program") > 0) {
-    if (playing.driver == DriverKind::Virtual && !own)
+    if (driver_options.driver == DriverKind::Virtual && !has_own_driver)
       throw UsageError("--program requires --driver sockets");
-    playing.program = parsed["program"].as<std::string>();
-  } else if (playing.driver == DriverKind::Sockets) {
-    playing.program = shipped_router();
+    driver_options.program = parsed["program"].as<std::string>();
+  } else if (driver_options.driver == DriverKind::Sockets) {
+    driver_options.program = default_router_program();
   }
-  return playing;
+  return driver_options;
 }
 
-std::string shipped_router() {
+std::string default_router_program() {
   std::error_code error;
-  const auto self = std::filesystem::read_symlink("/proc/self/exe", error);
+  const auto program_path = std::filesystem::read_symlink("/proc/self/exe", error);
   if (!error) {
-    const auto beside = self.parent_path() / "fernward";
-    if (std::filesystem::exists(beside, error)) return beside.string();
+    const auto sibling_path = program_path.parent_path() / "fernward";
+    if (std::filesystem::exists(sibling_path, error)) return sibling_path.string();
   }
   return "fernward";
 }
 
-std::unique_ptr<Driver> make_driver(const Playing& playing) {
-  if (playing.driver == DriverKind::Virtual) return make_virtual_driver();
+std::unique_ptr<Driver> make_driver(const DriverOptions& driver_options) {
+  if (driver_options.driver == DriverKind::Virtual) return make_virtual_driver();
   RigOptions options;
-  options.program = playing.program;
-  options.log_directory = playing.logs;
-  options.check_memory = !playing.unlimited;
-  options.role = playing.role;
+  options.program = driver_options.program;
+  options.log_directory = driver_options.log_folder;
+  options.enforce_memory_limit = !driver_options.skip_memory_check;
+  options.role = driver_options.role;
   return make_rig_driver(std::move(options));
 }
 
-double slack_of(const Playing& playing, const model::Spec& spec) {
-  return playing.driver == DriverKind::Virtual ? virtual_slack(spec) : kSocketsSlackMs;
+double slack_ms_of(const DriverOptions& driver_options, const model::Spec& spec) {
+  return driver_options.driver == DriverKind::Virtual ? virtual_time_slack_ms(spec) : kSocketsSlackMs;
 }
 
-const char* driver_name(const Playing& playing) {
-  return playing.driver == DriverKind::Virtual ? "virtual" : "sockets";
+const char* driver_name(const DriverOptions& driver_options) {
+  return driver_options.driver == DriverKind::Virtual ? "virtual" : "sockets";
 }
 
 bool print_faults(const Scenario& scenario) {
-  for (const Fault& fault : scenario.faults) std::fprintf(stderr, "%s\n", fault.text().c_str());
-  return !scenario.sound();
+  for (const Diagnostic& fault : scenario.faults) std::fprintf(stderr, "%s\n", fault.to_string().c_str());
+  return !scenario.is_valid();
 }
 
 std::pair<Scenario, bool> load_scenario(const std::string& path, const std::vector<std::string>& settings,
-                                        const Playing& playing) {
-  Scenario scenario = read_scenario_file(path, playing.offer());
-  if (scenario.sound()) set_values(scenario, settings, playing.offer());
-  const bool sound = !print_faults(scenario);
-  return {std::move(scenario), sound};
+                                        const DriverOptions& driver_options) {
+  Scenario scenario = read_scenario_file(path, driver_options.driver_offer());
+  if (scenario.is_valid()) set_values(scenario, settings, driver_options.driver_offer());
+  const bool valid = !print_faults(scenario);
+  return {std::move(scenario), valid};
 }
 
 std::stop_token stop_on_signals() {
   struct sigaction action {};
-  action.sa_handler = &ask_to_stop;
+  action.sa_handler = &request_stop_on_signal;
   action.sa_flags = static_cast<int>(SA_RESETHAND); // a second signal ends the program
   sigaction(SIGINT, &action, nullptr);
   sigaction(SIGTERM, &action, nullptr);
   // A signal handler may only set a flag; this thread turns the flag into a stop request.
   static std::stop_source source;
-  static std::jthread watch([](std::stop_token over) {
-    while (!over.stop_requested() && asked_to_stop == 0) {
+  static std::jthread signal_thread([](std::stop_token stop) {
+    while (!stop.stop_requested() && stop_requested_by_signal == 0) {
       std::this_thread::sleep_for(std::chrono::milliseconds(20));
     }
-    if (asked_to_stop != 0) source.request_stop();
+    if (stop_requested_by_signal != 0) source.request_stop();
   });
   return source.get_token();
 }
 
-Progress::Progress() : terminal_(isatty(STDERR_FILENO) == 1) {}
-Progress::~Progress() {
-  if (shown_ > 0) std::fprintf(stderr, "\r%*s\r", static_cast<int>(shown_), "");
+ProgressLine::ProgressLine() : terminal_(isatty(STDERR_FILENO) == 1) {}
+ProgressLine::~ProgressLine() {
+  if (shown_length_ > 0) std::fprintf(stderr, "\r%*s\r", static_cast<int>(shown_length_), "");
 }
-void Progress::show(const std::string& text) {
+void ProgressLine::show(const std::string& text) {
   if (!terminal_) return;
-  std::fprintf(stderr, "\r%-*s", static_cast<int>(shown_), text.c_str());
-  shown_ = std::max(shown_, text.size());
+  std::fprintf(stderr, "\r%-*s", static_cast<int>(shown_length_), text.c_str());
+  shown_length_ = std::max(shown_length_, text.size());
   std::fflush(stderr);
 }
 
@@ -172,8 +172,8 @@
   std::string out;
   for (const auto& row : rows) {
     for (std::size_t i = 0; i < row.size(); ++i) {
-      const std::string space(widths[i] - row[i].size(), ' ');
-      out += i == 0 ? row[i] + space : "  " + space + row[i];
+      const std::string padding(widths[i] - row[i].size(), ' ');
+      out += i == 0 ? row[i] + padding : "  " + padding + row[i];
     }
     while (!out.empty() && out.back() == ' ') out.pop_back();
     out += '\n';
--- a/lab/commands/try.cpp
+++ b/lab/commands/try.cpp
@@ -26,20 +26,20 @@
   const auto parsed = parse(options, arguments);
   const double seconds = parsed["seconds"].as<double>();
   if (!(seconds >= 1 && seconds <= 3600)) throw UsageError("--seconds must be from 1 to 3600");
-  Scenario scenario = read_scenario(kTryScenario, "try.toml", offer_sockets());
+  Scenario scenario = read_scenario(kTryScenario, "try.toml", socket_run_limits());
   if (!print_faults(scenario)) {
     char duration[48];
     std::snprintf(duration, sizeof duration, "duration=%.0fms", seconds * 1000);
-    set_values(scenario, {duration}, offer_sockets());
+    set_values(scenario, {duration}, socket_run_limits());
   }
-  if (print_faults(scenario)) return kBad;
+  if (print_faults(scenario)) return kFailure;
   const model::Spec& spec = scenario.spec;
 
   const bool keep = parsed.count("keep") > 0;
   RigOptions rig;
-  rig.program = parsed.count("program") > 0 ? parsed["program"].as<std::string>() : shipped_router();
-  rig.check_memory = parsed.count("unlimited-memory") == 0;
-  rig.keep = keep;
+  rig.program = parsed.count("program") > 0 ? parsed["program"].as<std::string>() : default_router_program();
+  rig.enforce_memory_limit = parsed.count("unlimited-memory") == 0;
+  rig.keep_running = keep;
   std::string address;
   rig.on_ready = [&](const std::vector<std::string>& addresses) {
     if (!addresses.empty()) address = addresses.front();
@@ -49,25 +49,27 @@
   RunControl control;
   control.stop = stop_on_signals();
   const auto driver = make_rig_driver(rig);
-  const auto quiet = [&](const Figures& figures) {
+  const auto print_totals = [&](const RunStats& figures) {
     if (!keep) return;
-    const Tally t = figures.whole().tally;
+    const RequestStats totals = figures.total().request_stats;
     std::printf(
         "\n%llu requests: %llu served, %llu refused, %llu failed\n\nThe fleet keeps running. To send it a "
         "request:\n\n"
         "  curl -i -H 'X-Request-ID: '$(date +%%s%%N) -H 'X-Priority-Class: %s' -H 'X-Tenant-Id: %s' "
         "-H 'X-Timeout-Ms: 1000' http://%s/api/7f3a9c21\n\nCtrl-C ends it and writes the report.\n",
-        static_cast<unsigned long long>(t.drawn), static_cast<unsigned long long>(t.served()),
-        static_cast<unsigned long long>(t.refused()), static_cast<unsigned long long>(t.failed()),
+        static_cast<unsigned long long>(totals.drawn), static_cast<unsigned long long>(totals.served()),
+        static_cast<unsigned long long>(totals.refused()), static_cast<unsigned long long>(totals.failed()),
         spec.classes.front().name.c_str(), spec.tenants.front().name.c_str(), address.c_str());
     std::fflush(stdout);
   };
-  const Result result = play(*driver, "sockets", spec, kSocketsSlackMs, control, quiet);
+  const ExperimentResult result =
+      run_experiment(*driver, "sockets", spec, kSocketsSlackMs, control, print_totals);
   std::printf("\n%s", summary_text(result).c_str());
-  const Written written = write_files(result, parsed["out"].as<std::string>());
-  std::printf("report: %s\n", std::filesystem::absolute(written.report).c_str());
-  if (!written.without_plots.empty()) std::printf("it has no plots: %s\n", written.without_plots.c_str());
-  return result.good() ? kWell : kBad;
+  const ReportFiles written_files = write_files(result, parsed["out"].as<std::string>());
+  std::printf("report: %s\n", std::filesystem::absolute(written_files.report).c_str());
+  if (!written_files.without_plots.empty())
+    std::printf("it has no plots: %s\n", written_files.without_plots.c_str());
+  return result.passed() ? kSuccess : kFailure;
 }
 
 } // namespace fernward::lab
--- a/lab/cost/cost.h
+++ b/lab/cost/cost.h
@@ -12,25 +12,27 @@
 namespace fernward::lab {
 
 struct CostOptions {
-  std::string program = "fernward";
-  std::vector<std::string> relay; // the command of the relay (lab/relay: relay_as_router)
-  std::uint32_t targets = 14, keys = 100;
+  std::string router_program = "fernward";
+  std::vector<std::string> relay_command_line; // the command of the relay (lab/relay: relay_as_router)
+  std::uint32_t target_count = 14, key_count = 100;
   double rate_per_s = 2000; // for both together
-  double warm_s = 3, measured_s = 5;
+  double warm_up_s = 3, measured_s = 5;
   std::uint64_t seed = 1;
 };
 
-struct Cost { // of the router or of the relay
+struct ProgramCost { // of the router or of the relay
   double cpu_s = 0;
   std::uint64_t requests = 0;
   double memory_mb = 0;
   std::uint32_t descriptors = 0;
-  double us() const { return requests > 0 ? cpu_s * 1e6 / static_cast<double>(requests) : 0; }
+  double cpu_us_per_request() const { return requests > 0 ? cpu_s * 1e6 / static_cast<double>(requests) : 0; }
 };
 struct CostResult {
-  Cost router, relay;
+  ProgramCost router, relay;
   RunInfo info;
-  double ratio() const { return relay.us() > 0 ? router.us() / relay.us() : 0; }
+  double router_to_relay_ratio() const {
+    return relay.cpu_us_per_request() > 0 ? router.cpu_us_per_request() / relay.cpu_us_per_request() : 0;
+  }
 };
 
 CostResult measure_cost(const CostOptions& options); // throws std::runtime_error
--- a/lab/driver.h
+++ b/lab/driver.h
@@ -8,16 +8,16 @@
 #include <string>
 #include <vector>
 
-#include "model/record.h"
+#include "model/records.h"
 #include "model/spec.h"
 
 namespace fernward::lab {
 
-struct Quantiles {
+struct LatenessQuantiles {
   double p50 = 0, p99 = 0, p999 = 0, max = 0;
 };
 
-struct RouterCost {
+struct RouterResourceUse {
   model::RouterId router = 0;
   double cpu_s = 0;          // virtual time: of its decision module only
   double peak_memory_mb = 0; // 0: not measured
@@ -28,16 +28,16 @@
 // Resource use and validity of a run. A void run must not be used to assess the routers.
 struct RunInfo {
   bool is_void = false;
-  std::vector<std::string> why_void; // such as: the rig was late, a process of the rig ended
-  bool stopped = false;              // stopped on request before its end
-  double played_ms = 0;              // scenario time that was run
-  double wall_s = 0, cpu_s = 0;      // of the rig, excluding routers
-  double peak_memory_mb = 0;         // of the rig
-  Quantiles lateness_ms;             // of sends, relative to their due times; 0 in virtual time
-  Quantiles answer_lateness_ms;      // sockets: of the emulated servers' responses, relative to theirs
-  double load_cpu_s = 0;             // sockets: of the load generator only
-  std::vector<RouterCost> routers;
-  std::uint64_t events = 0; // virtual time: number of processed events
+  std::vector<std::string> void_reasons; // such as: the rig was late, a process of the rig ended
+  bool stopped = false;                  // stopped on request before its end
+  double scenario_elapsed_ms = 0;        // scenario time that was run
+  double wall_s = 0, cpu_s = 0;          // of the rig, excluding routers
+  double peak_memory_mb = 0;             // of the rig
+  LatenessQuantiles send_lateness_ms;    // of sends, relative to their due times; 0 in virtual time
+  LatenessQuantiles answer_lateness_ms;  // sockets: of the emulated servers' responses, relative to theirs
+  double load_generator_cpu_s = 0;       // sockets: of the load generator only
+  std::vector<RouterResourceUse> routers;
+  std::uint64_t simulated_events = 0; // virtual time: number of processed events
 };
 
 struct RunControl {
--- a/lab/experiment/many.h
+++ b/lab/experiment/run_parallel.h
@@ -16,30 +16,31 @@
 // is the number of finished calls. done is called by one thread at a time. If calls of work throw, the
 // exception with the lowest index is rethrown once all threads have ended. After a stop request no further
 // call begins.
-inline void many(std::size_t count, unsigned jobs, std::stop_token stop,
-                 const std::function<void(std::size_t)>& work, const std::function<void(std::size_t)>& done) {
-  std::atomic<std::size_t> next = 0;
+inline void run_parallel(std::size_t count, unsigned jobs, std::stop_token stop,
+                         const std::function<void(std::size_t)>& run_item,
+                         const std::function<void(std::size_t)>& on_finished) {
+  std::atomic<std::size_t> next_index = 0;
   std::mutex mutex;
-  std::size_t over = 0;
-  std::vector<std::exception_ptr> thrown(count);
-  const auto run = [&] {
-    for (std::size_t i = next++; i < count && !stop.stop_requested(); i = next++) {
+  std::size_t finished_count = 0;
+  std::vector<std::exception_ptr> exceptions(count);
+  const auto run_next_items = [&] {
+    for (std::size_t i = next_index++; i < count && !stop.stop_requested(); i = next_index++) {
       try {
-        work(i);
+        run_item(i);
       } catch (...) {
-        thrown[i] = std::current_exception();
+        exceptions[i] = std::current_exception();
       }
       const std::lock_guard lock(mutex);
-      done(++over);
+      on_finished(++finished_count);
     }
   };
   {
     std::vector<std::jthread> threads;
-    for (unsigned j = 1; j < jobs && j < count; ++j) threads.emplace_back(run);
-    run();
+    for (unsigned j = 1; j < jobs && j < count; ++j) threads.emplace_back(run_next_items);
+    run_next_items();
   }
-  for (const auto& fault : thrown) {
-    if (fault) std::rethrow_exception(fault);
+  for (const auto& exception : exceptions) {
+    if (exception) std::rethrow_exception(exception);
   }
 }
 
--- a/lab/experiment/summary.cpp
+++ b/lab/experiment/summary.cpp
@@ -24,74 +24,85 @@
   return text;
 }
 
-double share(std::uint64_t part, std::uint64_t of) {
-  return of > 0 ? static_cast<double>(part) / static_cast<double>(of) : 0;
+double share(std::uint64_t numerator, std::uint64_t denominator) {
+  return denominator > 0 ? static_cast<double>(numerator) / static_cast<double>(denominator) : 0;
 }
 
 } // namespace
 
-const std::array<Column, kColumns>& columns() {
-  static const std::array<Column, kColumns> all{{
-      {"score", "score", true, [](const Result& r) { return r.findings.score; }, percent},
-      {"service", "service", true, [](const Result& r) { return r.findings.whole; }, percent},
-      {"worst 10 s", "worst_window", true, [](const Result& r) { return r.findings.worst_window; }, percent},
-      {"worst tenant", "worst_tenant", true, [](const Result& r) { return r.findings.worst_tenant; },
+const std::array<SummaryColumn, kSummaryColumnCount>& summary_columns() {
+  static const std::array<SummaryColumn, kSummaryColumnCount> column_definitions{{
+      {"score", "score", true, [](const ExperimentResult& r) { return r.check_result.score; }, percent},
+      {"service", "service", true, [](const ExperimentResult& r) { return r.check_result.overall_service; },
        percent},
+      {"worst 10 s", "worst_window", true,
+       [](const ExperimentResult& r) { return r.check_result.worst_window_service; }, percent},
+      {"worst tenant", "worst_tenant", true,
+       [](const ExperimentResult& r) { return r.check_result.worst_tenant_service; }, percent},
       {"refused", "refused", false,
-       [](const Result& r) {
-         const Tally t = r.figures.whole().tally;
+       [](const ExperimentResult& r) {
+         const RequestStats t = r.stats.total().request_stats;
          return share(t.refused(), t.drawn);
        },
        percent},
       {"failed", "failed", false,
-       [](const Result& r) {
-         const Tally t = r.figures.whole().tally;
+       [](const ExperimentResult& r) {
+         const RequestStats t = r.stats.total().request_stats;
          return share(t.failed(), t.drawn);
        },
        percent},
-      {"p50", "p50_ms", false, [](const Result& r) { return r.figures.whole().tally.latency.quantile(0.5); },
+      {"p50", "p50_ms", false,
+       [](const ExperimentResult& r) {
+         return r.stats.total().request_stats.latency_histogram.quantile(0.5);
+       },
        milliseconds},
-      {"p99", "p99_ms", false, [](const Result& r) { return r.figures.whole().tally.latency.quantile(0.99); },
+      {"p99", "p99_ms", false,
+       [](const ExperimentResult& r) {
+         return r.stats.total().request_stats.latency_histogram.quantile(0.99);
+       },
        milliseconds},
-      {"hit ratio", "hit_ratio", true, [](const Result& r) { return hit_ratio(r.figures.whole()); }, percent},
+      {"hit ratio", "hit_ratio", true, [](const ExperimentResult& r) { return hit_ratio(r.stats.total()); },
+       percent},
       {"origin", "origin_per_s", false,
-       [](const Result& r) {
-         const Slice s = r.figures.whole();
-         return static_cast<double>(s.fetches + s.writes) * 1000 / r.figures.duration_ms;
+       [](const ExperimentResult& r) {
+         const TimeSlice s = r.stats.total();
+         return static_cast<double>(s.origin_reads + s.origin_writes) * 1000 / r.stats.duration_ms;
        },
        per_second},
   }};
-  return all;
+  return column_definitions;
 }
 
-Row row_of(const Result& result) {
-  Row row{};
-  for (std::size_t i = 0; i < kColumns; ++i) row[i] = columns()[i].of(result);
+SummaryRow summary_row(const ExperimentResult& result) {
+  SummaryRow row{};
+  for (std::size_t i = 0; i < kSummaryColumnCount; ++i) row[i] = summary_columns()[i].value(result);
   return row;
 }
 
-Paired compare(const std::vector<double>& a, const std::vector<double>& b) {
+PairedComparison compare_pairs(const std::vector<double>& a, const std::vector<double>& b) {
   if (a.size() != b.size() || a.empty())
     throw std::invalid_argument("a comparison needs one or more pairs of runs");
-  Paired p;
-  p.pairs = a.size();
-  const auto n = static_cast<double>(a.size());
+  PairedComparison comparison;
+  comparison.pair_count = a.size();
+  const auto pair_count = static_cast<double>(a.size());
   for (std::size_t i = 0; i < a.size(); ++i) {
-    p.mean_a += a[i] / n;
-    p.mean_b += b[i] / n;
-    p.mean += (b[i] - a[i]) / n;
+    comparison.mean_a += a[i] / pair_count;
+    comparison.mean_b += b[i] / pair_count;
+    comparison.mean_difference += (b[i] - a[i]) / pair_count;
   }
-  p.low = p.high = p.mean;
-  if (a.size() < 2) return p;
-  double squares = 0;
-  for (std::size_t i = 0; i < a.size(); ++i) squares += std::pow(b[i] - a[i] - p.mean, 2);
-  const double error = std::sqrt(squares / (n - 1) / n);
-  const double reach = boost::math::quantile(boost::math::students_t(n - 1), 0.975) * error;
-  p.low = p.mean - reach;
-  p.high = p.mean + reach;
-  if (p.low > 0) p.says = Paired::Says::Higher;
-  if (p.high < 0) p.says = Paired::Says::Lower;
-  return p;
+  comparison.confidence_low = comparison.confidence_high = comparison.mean_difference;
+  if (a.size() < 2) return comparison;
+  double sum_of_squares = 0;
+  for (std::size_t i = 0; i < a.size(); ++i)
+    sum_of_squares += std::pow(b[i] - a[i] - comparison.mean_difference, 2);
+  const double standard_error = std::sqrt(sum_of_squares / (pair_count - 1) / pair_count);
+  const double margin =
+      boost::math::quantile(boost::math::students_t(pair_count - 1), 0.975) * standard_error;
+  comparison.confidence_low = comparison.mean_difference - margin;
+  comparison.confidence_high = comparison.mean_difference + margin;
+  if (comparison.confidence_low > 0) comparison.direction = PairedComparison::Direction::Higher;
+  if (comparison.confidence_high < 0) comparison.direction = PairedComparison::Direction::Lower;
+  return comparison;
 }
 
 } // namespace fernward::lab
--- a/lab/experiment/summary.h
+++ b/lab/experiment/summary.h
@@ -5,31 +5,32 @@
 #include <string>
 #include <vector>
 
-#include "lab/experiment/play.h"
+#include "lab/experiment/run_experiment.h"
 
 namespace fernward::lab {
 
-struct Column {
+struct SummaryColumn {
   const char* name; // heading in tables
   const char* key;  // key in files
-  bool more_is_better;
-  double (*of)(const Result&);
-  std::string (*text)(double);
+  bool higher_is_better;
+  double (*value)(const ExperimentResult&);
+  std::string (*format_value)(double);
 };
-inline constexpr std::size_t kColumns = 10;
-const std::array<Column, kColumns>& columns();
+inline constexpr std::size_t kSummaryColumnCount = 10;
+const std::array<SummaryColumn, kSummaryColumnCount>& summary_columns();
 
-using Row = std::array<double, kColumns>;
-Row row_of(const Result& result);
+using SummaryRow = std::array<double, kSummaryColumnCount>;
+SummaryRow summary_row(const ExperimentResult& result);
 
 // Paired differences b - a over the same seeds, with the 95% confidence interval of their mean (Student's t).
-struct Paired {
-  std::size_t pairs = 0;
-  double mean_a = 0, mean_b = 0, mean = 0;
-  double low = 0,
-         high = 0; // interval of the mean; equal to it for a single pair, which can't show random variation
-  enum class Says { Higher, Lower, Nothing } says = Says::Nothing;
+struct PairedComparison {
+  std::size_t pair_count = 0;
+  double mean_a = 0, mean_b = 0, mean_difference = 0;
+  double confidence_low = 0,
+         confidence_high =
+             0; // interval of the mean; equal to it for a single pair, which can't show random variation
+  enum class Direction { Higher, Lower, Undetermined } direction = Direction::Undetermined;
 };
-Paired compare(const std::vector<double>& a, const std::vector<double>& b);
+PairedComparison compare_pairs(const std::vector<double>& a, const std::vector<double>& b);
 
 } // namespace fernward::lab
--- a/lab/limiters/loads.cpp
+++ b/lab/limiters/loads.cpp
@@ -8,115 +8,126 @@
 namespace fernward::limiters {
 namespace {
 
-std::function<double(double)> steady(double share) {
+std::function<double(double)> constant_load(double share) {
   return [share](double) { return share; };
 }
-std::function<double(double)> between(double from, double to, double in, double out) {
-  return [=](double t) { return t >= from && t < to ? in : out; };
+std::function<double(double)> step_function(double from, double to, double inside, double outside) {
+  return [=](double t) { return t >= from && t < to ? inside : outside; };
 }
 
 } // namespace
 
 const std::vector<Load>& loads() {
   static const std::vector<Load> all = {
-      {.name = "0.6", .what = "steady at 0.6 of the capacity", .offered = steady(0.6), .speed = steady(1)},
-      {.name = "0.9", .what = "steady at 0.9", .offered = steady(0.9), .speed = steady(1)},
-      {.name = "1.2", .what = "steady at 1.2", .offered = steady(1.2), .speed = steady(1)},
+      {.name = "0.6",
+       .description = "steady at 0.6 of the capacity",
+       .offered_share = constant_load(0.6),
+       .speed_factor = constant_load(1)},
+      {.name = "0.9",
+       .description = "steady at 0.9",
+       .offered_share = constant_load(0.9),
+       .speed_factor = constant_load(1)},
+      {.name = "1.2",
+       .description = "steady at 1.2",
+       .offered_share = constant_load(1.2),
+       .speed_factor = constant_load(1)},
       {.name = "spike",
-       .what = "0.7, three times as much for 10 s",
-       .offered = between(20, 30, 2.1, 0.7),
-       .speed = steady(1),
-       .recover_from = 30},
+       .description = "0.7, three times as much for 10 s",
+       .offered_share = step_function(20, 30, 2.1, 0.7),
+       .speed_factor = constant_load(1),
+       .recover_from_s = 30},
       {.name = "surge",
-       .what = "0.4, then 1.4 for 20 s, as after the loss of caches",
-       .offered = between(20, 40, 1.4, 0.4),
-       .speed = steady(1),
-       .recover_from = 40},
+       .description = "0.4, then 1.4 for 20 s, as after the loss of caches",
+       .offered_share = step_function(20, 40, 1.4, 0.4),
+       .speed_factor = constant_load(1),
+       .recover_from_s = 40},
       {.name = "fall",
-       .what = "0.7, then 4 for 10 s; the server fails when sent 2.5 times its capacity for 2 s",
-       .offered = between(20, 30, 4, 0.7),
-       .speed = steady(1),
-       .recover_from = 30,
-       .fall_multiple = 2.5},
+       .description = "0.7, then 4 for 10 s; the server fails when sent 2.5 times its capacity for 2 s",
+       .offered_share = step_function(20, 30, 4, 0.7),
+       .speed_factor = constant_load(1),
+       .recover_from_s = 30,
+       .overload_multiple = 2.5},
       {.name = "slower",
-       .what = "0.25; the server slows to a third permanently",
-       .offered = steady(0.25),
-       .speed = between(20, 1e9, 1.0 / 3, 1),
-       .recover_from = 20},
+       .description = "0.25; the server slows to a third permanently",
+       .offered_share = constant_load(0.25),
+       .speed_factor = step_function(20, 1e9, 1.0 / 3, 1),
+       .recover_from_s = 20},
       {.name = "slower-full",
-       .what = "0.6; the server slows to a third permanently",
-       .offered = steady(0.6),
-       .speed = between(20, 1e9, 1.0 / 3, 1),
-       .recover_from = 20},
+       .description = "0.6; the server slows to a third permanently",
+       .offered_share = constant_load(0.6),
+       .speed_factor = step_function(20, 1e9, 1.0 / 3, 1),
+       .recover_from_s = 20},
       {.name = "quicker",
-       .what = "0.9, then 2; the server speeds up threefold",
-       .offered = between(20, 1e9, 2, 0.9),
-       .speed = between(20, 1e9, 3, 1),
-       .recover_from = 20},
+       .description = "0.9, then 2; the server speeds up threefold",
+       .offered_share = step_function(20, 1e9, 2, 0.9),
+       .speed_factor = step_function(20, 1e9, 3, 1),
+       .recover_from_s = 20},
       {.name = "crowd",
-       .what = "1.5 for 20 s, then 0.8; routers restart at 10 s, during the overload",
-       .offered = between(0, 20, 1.5, 0.8),
-       .speed = steady(1),
-       .restart_at = 10,
-       .recover_from = 20},
+       .description = "1.5 for 20 s, then 0.8; routers restart at 10 s, during the overload",
+       .offered_share = step_function(0, 20, 1.5, 0.8),
+       .speed_factor = constant_load(1),
+       .restart_at_s = 10,
+       .recover_from_s = 20},
       {.name = "neighbour",
-       .what = "0.6; for 3 s in 7 another program uses 0.6 of the cores",
-       .offered = steady(0.6),
-       .speed = [](double t) { return std::fmod(t, 7) < 3 && t > 7 ? 0.4 : 1.0; }},
+       .description = "0.6; for 3 s in 7 another program uses 0.6 of the cores",
+       .offered_share = constant_load(0.6),
+       .speed_factor = [](double t) { return std::fmod(t, 7) < 3 && t > 7 ? 0.4 : 1.0; }},
       {.name = "silent",
-       .what = "0.6; a third of the attempts get no response",
-       .offered = steady(0.6),
-       .speed = steady(1),
-       .silent = 1.0 / 3},
+       .description = "0.6; a third of the attempts get no response",
+       .offered_share = constant_load(0.6),
+       .speed_factor = constant_load(1),
+       .silent_share = 1.0 / 3},
       {.name = "reset",
-       .what = "0.3; half of the responses end in a reset",
-       .offered = steady(0.3),
-       .speed = steady(1),
-       .reset = 0.5},
+       .description = "0.3; half of the responses end in a reset",
+       .offered_share = constant_load(0.3),
+       .speed_factor = constant_load(1),
+       .reset_share = 0.5},
       {.name = "tight",
-       .what = "0.8; the latency objective is 2.5 times the mean service time",
-       .offered = steady(0.8),
-       .speed = steady(1),
-       .aim = 2.5},
+       .description = "0.8; the latency objective is 2.5 times the mean service time",
+       .offered_share = constant_load(0.8),
+       .speed_factor = constant_load(1),
+       .objective_multiple = 2.5},
       {.name = "tight-silent",
-       .what = "0.6; the same, and a third of the attempts get no response",
-       .offered = steady(0.6),
-       .speed = steady(1),
-       .aim = 2.5,
-       .silent = 1.0 / 3},
+       .description = "0.6; the same, and a third of the attempts get no response",
+       .offered_share = constant_load(0.6),
+       .speed_factor = constant_load(1),
+       .objective_multiple = 2.5,
+       .silent_share = 1.0 / 3},
       {.name = "small",
-       .what = "1.2 on a server sized for at most four routers, whatever their number",
-       .offered = steady(1.2),
-       .speed = steady(1),
-       .small = true},
+       .description = "1.2 on a server sized for at most four routers, whatever their number",
+       .offered_share = constant_load(1.2),
+       .speed_factor = constant_load(1),
+       .small_server = true},
   };
   return all;
 }
 
-Draw draw(std::uint64_t seed, const Load& load, unsigned routers) {
+DrawnConditions draw_conditions(std::uint64_t seed, const Load& load, unsigned routers) {
   pcg64 random(seed, 1);
   const auto uniform = [&random](double a, double b) {
     return boost::random::uniform_real_distribution<double>(a, b)(random);
   };
-  const auto spread = [&uniform](double a, double b) { return std::exp(uniform(std::log(a), std::log(b))); };
-  Draw d;
-  const unsigned sized = load.small ? 4 : routers;
-  const double least = sized <= 1 ? 2 : sized <= 4 ? 4 : sized <= 64 ? 16 : 64;
-  d.server.cores = std::round(spread(least, 8 * least));
-  d.server.slots_per_core = std::round(uniform(1, 6));
-  d.server.queue_per_core = spread(1.2, 34);
-  d.server.thrash = uniform(0, 0.14);
-  d.server.thrash_at = uniform(3, 6.5);
-  d.server.drops_expired = uniform(0, 1) < 0.5;
-  d.server.fall_multiple = load.fall_multiple;
-  d.sigma = uniform(0, 1) < 0.4 ? 0 : uniform(0.3, 0.9);
-  d.write_work = uniform(1, 3);
-  d.tries = uniform(0, 1.5);
-  d.backoff_ms = spread(30, 240);
-  d.heed = uniform(0.8, 1);
-  d.doubling = uniform(0, 1) < 0.5;
-  d.hints = uniform(0, 1) < 0.5;
-  return d;
+  const auto log_uniform = [&uniform](double a, double b) {
+    return std::exp(uniform(std::log(a), std::log(b)));
+  };
+  DrawnConditions conditions;
+  const unsigned sizing_routers = load.small_server ? 4 : routers;
+  const double min_cores = sizing_routers <= 1 ? 2 : sizing_routers <= 4 ? 4 : sizing_routers <= 64 ? 16 : 64;
+  conditions.server.cores = std::round(log_uniform(min_cores, 8 * min_cores));
+  conditions.server.slots_per_core = std::round(uniform(1, 6));
+  conditions.server.queue_per_core = log_uniform(1.2, 34);
+  conditions.server.efficiency_loss = uniform(0, 0.14);
+  conditions.server.efficiency_loss_from = uniform(3, 6.5);
+  conditions.server.drops_expired = uniform(0, 1) < 0.5;
+  conditions.server.overload_multiple = load.overload_multiple;
+  conditions.service_time_sigma = uniform(0, 1) < 0.4 ? 0 : uniform(0.3, 0.9);
+  conditions.write_work_factor = uniform(1, 3);
+  conditions.mean_retries = uniform(0, 1.5);
+  conditions.backoff_ms = log_uniform(30, 240);
+  conditions.retry_after_share = uniform(0.8, 1);
+  conditions.exponential_backoff = uniform(0, 1) < 0.5;
+  conditions.has_work_hints = uniform(0, 1) < 0.5;
+  return conditions;
 }
 
 } // namespace fernward::limiters
--- a/lab/limiters/loads.h
+++ b/lab/limiters/loads.h
@@ -10,33 +10,33 @@
 namespace fernward::limiters {
 
 struct Load {
-  std::string name, what;
-  std::function<double(double)> offered; // by second: as a share of the server's initial capacity
-  std::function<double(double)> speed;   // by second: of the server, 1 at the start
-  double aim = 7.5;                      // latency objective as a multiple of a read's mean service time
+  std::string name, description;
+  std::function<double(double)> offered_share; // by second: as a share of the server's initial capacity
+  std::function<double(double)> speed_factor;  // by second: of the server, 1 at the start
+  double objective_multiple = 7.5; // latency objective as a multiple of a read's mean service time
   // Shares of attempts without any response, and of responses that end in a reset.
-  double silent = 0, reset = 0;
-  double faults_from = 10;
-  double restart_at = -1;   // when all routers restart with new state; below 0: never
-  double recover_from = -1; // start of the recovery time; below 0: not measured
-  double fall_multiple = 0;
-  bool small = false; // sizes the server for at most four routers, whatever their number
-  double seconds = 60;
+  double silent_share = 0, reset_share = 0;
+  double faults_from_s = 10;
+  double restart_at_s = -1;   // when all routers restart with new state; below 0: never
+  double recover_from_s = -1; // start of the recovery time; below 0: not measured
+  double overload_multiple = 0;
+  bool small_server = false; // sizes the server for at most four routers, whatever their number
+  double duration_s = 60;
 };
 
 const std::vector<Load>& loads();
 
 // The server and the client behaviour drawn from a seed.
-struct Draw {
+struct DrawnConditions {
   ServerSpec server;
-  double work_ms = 100;  // mean of a read
-  double sigma = 0;      // of the service time: lognormal; 0: exponential
-  double write_work = 1; // work of a write relative to a read
+  double mean_work_ms = 100;     // mean of a read
+  double service_time_sigma = 0; // of the service time: lognormal; 0: exponential
+  double write_work_factor = 1;  // work of a write relative to a read
   // Of clients. `retry_after_share`: the share of rejected tries after which they follow the retry advice.
-  double tries = 1, backoff_ms = 100, heed = 0.9;
-  bool doubling = false, hints = true;
+  double mean_retries = 1, backoff_ms = 100, retry_after_share = 0.9;
+  bool exponential_backoff = false, has_work_hints = true;
 };
 
-Draw draw(std::uint64_t seed, const Load& load, unsigned routers);
+DrawnConditions draw_conditions(std::uint64_t seed, const Load& load, unsigned routers);
 
 } // namespace fernward::limiters
--- a/lab/limiters/main.cpp
+++ b/lab/limiters/main.cpp
@@ -8,55 +8,59 @@
 #include <mutex>
 #include <thread>
 
-#include "world.h"
+#include "simulation.h"
 
 using namespace fernward::limiters;
 
 namespace {
 
 // Concurrent attempts per core of the fixed limits; the best result of them is the reference.
-constexpr double kLevels[] = {1, 1.5, 2, 3, 4, 6};
-constexpr double kBackShare = 0.9; // of the reference's goodput: counts as recovered
-constexpr double kBackSeconds = 3; // which must hold this long
+constexpr double kFixedLimitsPerCore[] = {1, 1.5, 2, 3, 4, 6};
+constexpr double kRecoveredShare = 0.9; // of the reference's goodput: counts as recovered
+constexpr double kRecoveredSeconds = 3; // which must hold this long
 
-struct Mean {
+struct Samples {
   std::vector<double> values;
   double mean() const {
     double sum = 0;
     for (const double v : values) sum += v;
     return values.empty() ? 0 : sum / static_cast<double>(values.size());
   }
-  double half_interval() const { // 95%
+  double confidence_half_width() const { // 95%
     if (values.size() < 2) return 0;
-    const double m = mean(), n = static_cast<double>(values.size());
-    double squares = 0;
-    for (const double v : values) squares += (v - m) * (v - m);
-    const boost::math::students_t t(n - 1);
-    return boost::math::quantile(t, 0.975) * std::sqrt(squares / (n - 1) / n);
+    const double sample_mean = mean(), count = static_cast<double>(values.size());
+    double squared_deviations = 0;
+    for (const double v : values) squared_deviations += (v - sample_mean) * (v - sample_mean);
+    const boost::math::students_t distribution(count - 1);
+    return boost::math::quantile(distribution, 0.975) * std::sqrt(squared_deviations / (count - 1) / count);
   }
 };
 
-struct Cell {
-  Mean good, peak, recover, refused, share, attempts, falls, busy, late;
+struct LimiterSamples {
+  Samples relative_goodput, peak_held_per_core, recovery_s, rejected_share, goodput_share,
+      attempts_per_request, overload_failures, busy_share, late_per_request;
 };
 
-double share(const Outcome& o, double from, double to) {
-  double asked = 0, good = 0;
-  for (auto s = static_cast<std::size_t>(from);
-       s < std::min(o.asked_by_s.size(), static_cast<std::size_t>(to)); ++s) {
-    asked += o.asked_by_s[s];
-    good += o.good_by_s[s];
+double goodput_share(const Outcome& outcome, double from_s, double to_s) {
+  double offered_weight = 0, served_weight = 0;
+  for (auto second = static_cast<std::size_t>(from_s);
+       second < std::min(outcome.offered_weight_by_s.size(), static_cast<std::size_t>(to_s)); ++second) {
+    offered_weight += outcome.offered_weight_by_s[second];
+    served_weight += outcome.served_weight_by_s[second];
   }
-  return asked > 0 ? good / asked : 1;
+  return offered_weight > 0 ? served_weight / offered_weight : 1;
 }
 
 // Seconds until goodput has returned to kRecoveredShare of the reference for kRecoveredSeconds; the remaining
 // run time if it never does.
-double recovered(const Load& load, const Outcome& o, const Outcome& best) {
-  const double wanted = kBackShare * share(best, load.seconds - 15, load.seconds);
-  double s = load.recover_from;
-  while (s + kBackSeconds <= load.seconds && share(o, s, s + kBackSeconds) < wanted) ++s;
-  return std::min(s, load.seconds) - load.recover_from;
+double recovery_time_s(const Load& load, const Outcome& outcome, const Outcome& best) {
+  const double required_goodput =
+      kRecoveredShare * goodput_share(best, load.duration_s - 15, load.duration_s);
+  double second = load.recover_from_s;
+  while (second + kRecoveredSeconds <= load.duration_s &&
+         goodput_share(outcome, second, second + kRecoveredSeconds) < required_goodput)
+    ++second;
+  return std::min(second, load.duration_s) - load.recover_from_s;
 }
 
 std::vector<std::string> split(const std::string& text) {
@@ -70,15 +74,15 @@
 }
 
 template <typename T>
-std::vector<T> chosen(const std::vector<T>& all, const std::string& names) {
+std::vector<T> select_by_name(const std::vector<T>& all, const std::string& names) {
   if (names.empty()) return all;
-  std::vector<T> some;
+  std::vector<T> selected;
   for (const std::string& name : split(names)) {
     const auto it = std::find_if(all.begin(), all.end(), [&](const T& x) { return x.name == name; });
     if (it == all.end()) throw std::runtime_error("there is no load or limiter '" + name + "'");
-    some.push_back(*it);
+    selected.push_back(*it);
   }
-  return some;
+  return selected;
 }
 
 int run(int argc, char** argv) {
@@ -93,17 +97,19 @@
       "first-seed", "first seed", cxxopts::value<unsigned>()->default_value("1"))(
       "jobs", "threads", cxxopts::value<unsigned>()->default_value("4"))("list", "list loads and limiters")(
       "help", "this");
-  const auto given = options.parse(argc, argv);
-  if (given.count("help") != 0) return std::puts(options.help().c_str()), 0;
-  if (given.count("list") != 0) {
-    for (const Load& l : loads()) std::printf("load %s: %s\n", l.name.c_str(), l.what.c_str());
-    for (const Entry& e : entries()) std::printf("limiter %s: %s\n", e.name.c_str(), e.source.c_str());
+  const auto arguments = options.parse(argc, argv);
+  if (arguments.count("help") != 0) return std::puts(options.help().c_str()), 0;
+  if (arguments.count("list") != 0) {
+    for (const Load& l : loads()) std::printf("load %s: %s\n", l.name.c_str(), l.description.c_str());
+    for (const LimiterEntry& e : limiter_entries())
+      std::printf("limiter %s: %s\n", e.name.c_str(), e.source.c_str());
     return 0;
   }
-  const auto wanted_loads = chosen(loads(), given["loads"].as<std::string>());
-  const auto wanted = chosen(entries(), given["limiters"].as<std::string>());
-  const unsigned seeds = given["seeds"].as<unsigned>(), first = given["first-seed"].as<unsigned>();
-  for (const std::string& text : split(given["routers"].as<std::string>())) {
+  const auto selected_loads = select_by_name(loads(), arguments["loads"].as<std::string>());
+  const auto selected_limiters = select_by_name(limiter_entries(), arguments["limiters"].as<std::string>());
+  const unsigned seeds = arguments["seeds"].as<unsigned>(),
+                 first_seed = arguments["first-seed"].as<unsigned>();
+  for (const std::string& text : split(arguments["routers"].as<std::string>())) {
     const auto routers = static_cast<unsigned>(std::stoul(text));
     std::printf(
         "\n%u router%s, %u seeds\n\n| load | limiter | goodput relative to the best | share of offered "
@@ -112,54 +118,60 @@
         "seconds to recover | rejected | attempts per request | cores busy | late "
         "|\n|---|---|---|---|---|---|---|---|---|---|\n",
         routers, routers == 1 ? "" : "s", seeds);
-    for (const Load& load : wanted_loads) {
-      std::vector<Cell> cells(wanted.size());
-      std::mutex lock;
-      unsigned next = 0;
-      const auto work = [&] {
+    for (const Load& load : selected_loads) {
+      std::vector<LimiterSamples> samples_by_limiter(selected_limiters.size());
+      std::mutex seed_mutex;
+      unsigned seeds_started = 0;
+      const auto run_seeds = [&] {
         while (true) {
-          std::unique_lock held(lock);
-          if (next >= seeds) return;
-          const std::uint64_t seed = first + next++;
-          held.unlock();
+          std::unique_lock seed_lock(seed_mutex);
+          if (seeds_started >= seeds) return;
+          const std::uint64_t seed = first_seed + seeds_started++;
+          seed_lock.unlock();
           Outcome best;
-          for (const double level : kLevels) {
-            Outcome o = play_fixed(load, seed, routers, level);
-            if (o.good > best.good) best = std::move(o);
+          for (const double limit_per_core : kFixedLimitsPerCore) {
+            Outcome o = simulate_fixed_limit(load, seed, routers, limit_per_core);
+            if (o.served_weight > best.served_weight) best = std::move(o);
           }
-          std::vector<Outcome> played;
-          for (const Entry& e : wanted) played.push_back(play(load, seed, routers, e));
-          held.lock();
-          for (std::size_t i = 0; i < played.size(); ++i) {
-            const Outcome& o = played[i];
-            Cell& c = cells[i];
-            c.good.values.push_back(o.good / best.good);
-            c.share.values.push_back(o.good / o.asked);
-            c.peak.values.push_back(o.peak);
-            c.refused.values.push_back(o.refused);
-            c.attempts.values.push_back(o.attempts);
-            c.falls.values.push_back(o.falls);
-            c.busy.values.push_back(o.busy);
-            c.late.values.push_back(o.late);
-            if (load.recover_from >= 0) c.recover.values.push_back(recovered(load, o, best));
+          std::vector<Outcome> outcomes;
+          for (const LimiterEntry& e : selected_limiters)
+            outcomes.push_back(simulate(load, seed, routers, e));
+          seed_lock.lock();
+          for (std::size_t i = 0; i < outcomes.size(); ++i) {
+            const Outcome& o = outcomes[i];
+            LimiterSamples& c = samples_by_limiter[i];
+            c.relative_goodput.values.push_back(o.served_weight / best.served_weight);
+            c.goodput_share.values.push_back(o.served_weight / o.offered_weight);
+            c.peak_held_per_core.values.push_back(o.peak_held_per_core);
+            c.rejected_share.values.push_back(o.rejected_share);
+            c.attempts_per_request.values.push_back(o.attempts_per_request);
+            c.overload_failures.values.push_back(o.overload_failures);
+            c.busy_share.values.push_back(o.busy_share);
+            c.late_per_request.values.push_back(o.late_per_request);
+            if (load.recover_from_s >= 0) c.recovery_s.values.push_back(recovery_time_s(load, o, best));
           }
         }
       };
       std::vector<std::jthread> threads;
-      for (unsigned j = 0; j < std::max(1u, given["jobs"].as<unsigned>()); ++j) threads.emplace_back(work);
+      for (unsigned j = 0; j < std::max(1u, arguments["jobs"].as<unsigned>()); ++j)
+        threads.emplace_back(run_seeds);
       threads.clear();
-      for (std::size_t i = 0; i < wanted.size(); ++i) {
-        const Cell& c = cells[i];
-        char recover[64] = "-";
-        if (!c.recover.values.empty())
-          std::snprintf(recover, sizeof recover, "%.1f ± %.1f", c.recover.mean(), c.recover.half_interval());
-        char falls[32] = "";
-        if (load.fall_multiple > 0) std::snprintf(falls, sizeof falls, ", %.2f failures", c.falls.mean());
+      for (std::size_t i = 0; i < selected_limiters.size(); ++i) {
+        const LimiterSamples& c = samples_by_limiter[i];
+        char recovery_text[64] = "-";
+        if (!c.recovery_s.values.empty())
+          std::snprintf(recovery_text, sizeof recovery_text, "%.1f ± %.1f", c.recovery_s.mean(),
+                        c.recovery_s.confidence_half_width());
+        char failures_text[32] = "";
+        if (load.overload_multiple > 0)
+          std::snprintf(failures_text, sizeof failures_text, ", %.2f failures", c.overload_failures.mean());
         std::printf(
             "| %s | %s | %.3f ± %.3f | %.3f | %.1f ± %.1f%s | %s | %.3f ± %.3f | %.2f | %.2f | %.3f |\n",
-            load.name.c_str(), wanted[i].name.c_str(), c.good.mean(), c.good.half_interval(), c.share.mean(),
-            c.peak.mean(), c.peak.half_interval(), falls, recover, c.refused.mean(),
-            c.refused.half_interval(), c.attempts.mean(), c.busy.mean(), c.late.mean());
+            load.name.c_str(), selected_limiters[i].name.c_str(), c.relative_goodput.mean(),
+            c.relative_goodput.confidence_half_width(), c.goodput_share.mean(), c.peak_held_per_core.mean(),
+            c.peak_held_per_core.confidence_half_width(), failures_text, recovery_text,
+            c.rejected_share.mean(), c.rejected_share.confidence_half_width(), c.attempts_per_request.mean(),
+            c.busy_share.mean(), c.late_per_request.mean());
       }
       std::fflush(stdout);
     }
@@ -172,8 +184,8 @@
 int main(int argc, char** argv) {
   try {
     return run(argc, argv);
-  } catch (const std::exception& fault) {
-    std::fprintf(stderr, "fernward-limiters: %s\n", fault.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "fernward-limiters: %s\n", error.what());
     return 2;
   }
 }
--- a/lab/limiters/server.cpp
+++ b/lab/limiters/server.cpp
@@ -5,76 +5,78 @@
 
 namespace fernward::limiters {
 
-double Server::rate() const {
-  const double n = static_cast<double>(running_.size());
-  if (n == 0) return 0;
-  const double over = std::max(0.0, held_per_core() - spec_.thrash_at);
-  return speed_ * std::min(1.0, spec_.cores / n) / (1 + spec_.thrash * over);
+double Server::work_rate() const {
+  const double running_jobs = static_cast<double>(running_.size());
+  if (running_jobs == 0) return 0;
+  const double excess_per_core = std::max(0.0, held_per_core() - spec_.efficiency_loss_from);
+  return speed_ * std::min(1.0, spec_.cores / running_jobs) / (1 + spec_.efficiency_loss * excess_per_core);
 }
 
-void Server::pass(double now) {
-  if (now <= at_) return;
-  served_ += (now - at_) * rate();
-  at_ = now;
+void Server::advance_to(double now) {
+  if (now <= now_) return;
+  work_per_job_ += (now - now_) * work_rate();
+  now_ = now;
 }
 
-Server::Taken Server::arrives(double now, Job job, double work_ms, double expires) {
-  pass(now);
-  if (down(now)) return Taken::Down;
-  if (spec_.fall_multiple > 0) {
-    sent_.emplace_back(now, work_ms);
-    sent_work_ += work_ms;
+Server::AdmissionResult Server::arrive(double now, Job job, double work_ms, double deadline) {
+  advance_to(now);
+  if (down(now)) return AdmissionResult::Down;
+  if (spec_.overload_multiple > 0) {
+    recent_arrivals_.emplace_back(now, work_ms);
+    recent_work_ms_ += work_ms;
   }
   if (static_cast<double>(running_.size()) < spec_.cores * spec_.slots_per_core) {
-    begin({job, work_ms, expires});
-    return Taken::Begun;
+    start({job, work_ms, deadline});
+    return AdmissionResult::Started;
   }
-  if (waiting() >= spec_.cores * spec_.queue_per_core) return Taken::TurnedAway;
-  waiting_.push_back({job, work_ms, expires});
-  return Taken::Waits;
+  if (waiting_count() >= spec_.cores * spec_.queue_per_core) return AdmissionResult::Rejected;
+  waiting_.push_back({job, work_ms, deadline});
+  return AdmissionResult::Queued;
 }
 
-double Server::next_end() const {
+double Server::next_completion_at() const {
   if (running_.empty()) return std::numeric_limits<double>::infinity();
-  return at_ + std::max(0.0, running_.top().first - served_) / rate();
+  return now_ + std::max(0.0, running_.top().first - work_per_job_) / work_rate();
 }
 
 void Server::advance(double now, std::vector<Job>& done, std::vector<Job>& dropped) {
-  pass(now);
-  while (!running_.empty() && running_.top().first <= served_ + 1e-9) {
+  advance_to(now);
+  while (!running_.empty() && running_.top().first <= work_per_job_ + 1e-9) {
     done.push_back(running_.top().second);
     running_.pop();
   }
   while (!waiting_.empty() && static_cast<double>(running_.size()) < spec_.cores * spec_.slots_per_core) {
-    const Held next = waiting_.front();
+    const HeldJob next_job = waiting_.front();
     waiting_.pop_front();
-    if (spec_.drops_expired && next.expires <= now) {
-      dropped.push_back(next.job);
+    if (spec_.drops_expired && next_job.deadline <= now) {
+      dropped.push_back(next_job.job);
     } else {
-      begin(next);
+      start(next_job);
     }
   }
 }
 
-void Server::speed(double now, double factor) {
-  pass(now);
+void Server::set_speed(double now, double factor) {
+  advance_to(now);
   speed_ = factor;
 }
 
-bool Server::falls(double now, std::vector<Job>& lost) {
-  if (spec_.fall_multiple <= 0) return false;
-  while (!sent_.empty() && sent_.front().first < now - spec_.fall_ms) {
-    sent_work_ -= sent_.front().second;
-    sent_.pop_front();
+bool Server::fail_if_overloaded(double now, std::vector<Job>& lost) {
+  if (spec_.overload_multiple <= 0) return false;
+  while (!recent_arrivals_.empty() && recent_arrivals_.front().first < now - spec_.overload_window_ms) {
+    recent_work_ms_ -= recent_arrivals_.front().second;
+    recent_arrivals_.pop_front();
   }
-  if (down(now) || sent_work_ <= spec_.fall_multiple * spec_.cores * speed_ * spec_.fall_ms) return false;
-  pass(now);
+  if (down(now) ||
+      recent_work_ms_ <= spec_.overload_multiple * spec_.cores * speed_ * spec_.overload_window_ms)
+    return false;
+  advance_to(now);
   down_until_ = now + spec_.down_ms;
   for (; !running_.empty(); running_.pop()) lost.push_back(running_.top().second);
-  for (const Held& h : waiting_) lost.push_back(h.job);
+  for (const HeldJob& held_job : waiting_) lost.push_back(held_job.job);
   waiting_.clear();
-  sent_.clear();
-  sent_work_ = 0;
+  recent_arrivals_.clear();
+  recent_work_ms_ = 0;
   return true;
 }
 
