--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -16,20 +16,20 @@
 namespace {
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
-constexpr double kWakeMs = 1;        // client timeouts are processed no more often than this
-constexpr double kReadyEveryMs = 20; // interval between readiness probes of a starting router
-constexpr double kReadyWaitMs = 1000;
-constexpr double kRestAgainMs = 500; // until a closed idle connection is opened again
-constexpr double kAtOnceMs = 0.02;
+constexpr double kMinClientTimerMs = 1;      // client timeouts are processed no more often than this
+constexpr double kReadyProbeIntervalMs = 20; // interval between readiness probes of a starting router
+constexpr double kReadyProbeTimeoutMs = 1000;
+constexpr double kReconnectIdleMs = 500; // until a closed idle connection is opened again
+constexpr double kImmediateMs = 0.02;
 
 double thread_cpu_s() {
-  timespec at{};
-  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &at);
-  return static_cast<double>(at.tv_sec) + static_cast<double>(at.tv_nsec) * 1e-9;
+  timespec cpu_time{};
+  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &cpu_time);
+  return static_cast<double>(cpu_time.tv_sec) + static_cast<double>(cpu_time.tv_nsec) * 1e-9;
 }
 
 // Whether a reset followed the end of the peer's data: the peer had closed before it read the request.
-bool reset_behind(int fd) {
+bool reset_after_close(int fd) {
   int error = 0;
   socklen_t size = sizeof error;
   return getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) == 0 && error != 0;
@@ -37,533 +37,547 @@
 
 } // namespace
 
-Load::Load(const Stage& stage, Calls calls, std::vector<char> ready_by_connect)
-    : stage_(stage),
-      calls_(std::move(calls)),
+LoadGenerator::LoadGenerator(const RunContext& context, Callbacks callbacks,
+                             std::vector<char> ready_by_connect)
+    : context_(context),
+      callbacks_(std::move(callbacks)),
       ready_by_connect_(std::move(ready_by_connect)),
-      loop_(stage.clock),
-      network_(stage.spec, stage.plan),
-      keys_(stage.spec),
-      arrivals_(stage.spec, stage.plan, keys_),
-      clients_(stage.spec),
-      front_(stage.spec, stage.plan),
-      sides_(stage.plan.routers.size()),
-      wakes_at_(kForever) {
-  ready_by_connect_.resize(sides_.size());
+      loop_(context.clock),
+      network_(context.spec, context.plan),
+      keys_(context.spec),
+      arrivals_(context.spec, context.plan, keys_),
+      clients_(context.spec),
+      front_balancer_(context.spec, context.plan),
+      router_states_(context.plan.routers.size()),
+      client_timer_at_(kForever) {
+  ready_by_connect_.resize(router_states_.size());
 }
 
-Load::~Load() { stop(); }
+LoadGenerator::~LoadGenerator() { stop(); }
 
-void Load::open() {
+void LoadGenerator::start_loop() {
   thread_ = std::thread([this] {
     pthread_setname_np(pthread_self(), "lab-load");
     loop_.run();
-    info_.cpu_s = thread_cpu_s();
+    summary_.cpu_s = thread_cpu_s();
   });
 }
 
-LoadInfo Load::stop() {
+LoadSummary LoadGenerator::stop() {
   if (thread_.joinable()) {
     loop_.stop();
     thread_.join();
-    info_.lateness_ms = lateness_.quantiles();
+    summary_.lateness_ms = lateness_.quantiles();
   }
-  return info_;
+  return summary_;
 }
 
-void Load::begin() {
-  loop_.post([this] {
-    for (const model::Step& step : stage_.plan.steps) loop_.at(step.at_ms, [this, &step] { apply(step); });
-    for (RouterId r = 0; r < sides_.size(); ++r) {
-      if (!sides_[r].ready) front_.down(0, r);
+void LoadGenerator::start_arrivals() {
+  loop_.run_in_loop([this] {
+    for (const model::Step& step : context_.plan.steps)
+      loop_.run_at(step.at_ms, [this, &step] { apply(step); });
+    for (RouterId router = 0; router < router_states_.size(); ++router) {
+      if (!router_states_[router].ready) front_balancer_.set_down(0, router);
     }
-    next_ = arrivals_.next();
-    draw();
-    check_done();
+    next_request_ = arrivals_.next();
+    start_due_requests();
+    check_finished();
   });
 }
 
-void Load::finish() {
-  loop_.post([this] {
+void LoadGenerator::stop_arrivals() {
+  loop_.run_in_loop([this] {
     finishing_ = true;
-    check_done();
+    check_finished();
   });
 }
 
 // ---- requests ----
 
-void Load::draw() {
-  while (next_ && !finishing_) {
-    if (next_->at > now() + kAtOnceMs) {
-      loop_.at(next_->at, [this] { draw(); });
+void LoadGenerator::start_due_requests() {
+  while (next_request_ && !finishing_) {
+    if (next_request_->at > now() + kImmediateMs) {
+      loop_.run_at(next_request_->at, [this] { start_due_requests(); });
       return;
     }
-    const model::Drawn drawn = *next_;
-    next_ = arrivals_.next();
-    stage_.tape.add(drawn);
-    clients_.open(drawn.at, drawn, acts_);
-    acts();
+    const model::DrawnRequest request = *next_request_;
+    next_request_ = arrivals_.next();
+    context_.records.add(request);
+    clients_.open(request.at, request, actions_);
+    process_actions();
   }
-  check_done();
-}
-
-void Load::check_done() {
-  const bool drawn = finishing_ || (!next_ && now() >= stage_.spec.duration_ms);
-  if (!drawn && !next_) return later(stage_.spec.duration_ms - now() + 1, [this] { check_done(); });
-  if (done_ || !drawn || clients_.open_requests() > 0) return;
-  done_ = true;
-  calls_.done();
-}
-
-void Load::wake_clients() {
-  const double next = std::max(clients_.next(), now() + kWakeMs);
-  if (next >= wakes_at_) return;
-  loop_.deadlines().cancel(wake_);
-  wakes_at_ = next;
-  wake_ = loop_.at(wakes_at_, [this] {
-    wake_ = 0;
-    wakes_at_ = kForever;
-    clients_.advance(now(), acts_);
-    acts();
+  check_finished();
+}
+
+void LoadGenerator::check_finished() {
+  const bool all_arrived = finishing_ || (!next_request_ && now() >= context_.spec.duration_ms);
+  if (!all_arrived && !next_request_)
+    return run_after(context_.spec.duration_ms - now() + 1, [this] { check_finished(); });
+  if (finished_ || !all_arrived || clients_.open_requests() > 0) return;
+  finished_ = true;
+  callbacks_.finished();
+}
+
+void LoadGenerator::schedule_client_timer() {
+  const double next = std::max(clients_.next_due_ms(), now() + kMinClientTimerMs);
+  if (next >= client_timer_at_) return;
+  loop_.timers().cancel(client_timer_);
+  client_timer_at_ = next;
+  client_timer_ = loop_.run_at(client_timer_at_, [this] {
+    client_timer_ = 0;
+    client_timer_at_ = kForever;
+    clients_.advance(now(), actions_);
+    process_actions();
   });
 }
 
 // Processing an action may append further actions, which are processed in the same pass.
-void Load::acts() {
-  if (acting_) return;
-  acting_ = true;
-  for (std::size_t i = 0; i < acts_.size(); ++i) {
-    const model::ClientAct act = acts_[i];
-    if (const auto* start = std::get_if<model::TryStart>(&act.what)) start_try(*start);
-    if (const auto* ended = std::get_if<model::TryOver>(&act.what)) over(*ended);
-    if (const auto* closed = std::get_if<model::Closed>(&act.what)) stage_.tape.add(*closed);
+void LoadGenerator::process_actions() {
+  if (processing_actions_) return;
+  processing_actions_ = true;
+  for (std::size_t i = 0; i < actions_.size(); ++i) {
+    const model::ClientAction action = actions_[i];
+    if (const auto* start = std::get_if<model::TryStart>(&action.what)) start_try(*start);
+    if (const auto* ended = std::get_if<model::TryCancelled>(&action.what)) cancel_try(*ended);
+    if (const auto* closed = std::get_if<model::RequestEnded>(&action.what)) context_.records.add(*closed);
   }
-  acts_.clear();
-  acting_ = false;
-  wake_clients();
-  if (clients_.open_requests() == 0 && (finishing_ || !next_)) check_done();
+  actions_.clear();
+  processing_actions_ = false;
+  schedule_client_timer();
+  if (clients_.open_requests() == 0 && (finishing_ || !next_request_)) check_finished();
 }
 
-double Load::way(const Try& t) {
-  return network_.with_client(t.start.drawn.zone, stage_.plan.routers[t.router].zone);
+double LoadGenerator::one_way_delay_ms(const Try& client_try) {
+  return network_.client_delay(client_try.start.drawn.zone, context_.plan.routers[client_try.router].zone);
 }
 
-void Load::start_try(const model::TryStart& start) {
-  const auto router = front_.pick(now(), start.drawn.zone);
+void LoadGenerator::start_try(const model::TryStart& start) {
+  const auto router = front_balancer_.pick(now(), start.drawn.zone);
   const Handle handle = tries_.add();
-  if (handle == 0) return stage_.voids.add("too many open tries: the lab's table is full");
-  Try& t = *tries_.find(handle);
-  t.start = start;
-  by_try_[start.try_id] = handle;
-  if (!router) return told(t, false, false, 0); // no router is available: the client receives no response
-  ++info_.tries;
-  t.router = *router;
-  t.routed = true;
-  stage_.tries.note(now(), start.try_id, facts_of(start));
-  Connection* c = kept(*router);
-  t.planned = start.due + way(t);
-  if (c == nullptr) {
-    t.planned += 2 * way(t); // the round trip of the TCP handshake
-    c = connect(*router);
+  if (handle == 0) return context_.void_reasons.add("too many open tries: the lab's table is full");
+  Try& new_try = *tries_.find(handle);
+  new_try.start = start;
+  pending_tries_[start.try_id] = handle;
+  if (!router)
+    return record_sent(new_try, false, false, 0); // no router is available: the client receives no response
+  ++summary_.tries;
+  new_try.router = *router;
+  new_try.routed = true;
+  context_.tries.add(now(), start.try_id, metadata_of(start));
+  Connection* connection = take_idle_connection(*router);
+  new_try.due_at_router = start.scheduled_at + one_way_delay_ms(new_try);
+  if (connection == nullptr) {
+    new_try.due_at_router += 2 * one_way_delay_ms(new_try); // the round trip of the TCP handshake
+    connection = connect(*router);
   }
-  if (c == nullptr) return; // out of descriptors, which makes the run void
-  t.connection = c->self;
-  c->request = handle;
-  c->due = c->written = false;
-  if (t.planned <= now() + kAtOnceMs) return send(handle);
-  loop_.at(t.planned, [this, handle] { send(handle); });
+  if (connection == nullptr) return; // out of descriptors, which makes the run void
+  new_try.connection = connection->self;
+  connection->request = handle;
+  connection->request_due = connection->request_written = false;
+  if (new_try.due_at_router <= now() + kImmediateMs) return send(handle);
+  loop_.run_at(new_try.due_at_router, [this, handle] { send(handle); });
 }
 
 // Sends a try that is due. If its connection is not established yet, the delay does not count as lateness of
 // the rig.
-void Load::send(Handle handle) {
-  Try* t = tries_.find(handle);
-  if (t == nullptr || t->over) return;
-  Connection* c = connections_.find(t->connection);
-  if (c == nullptr) return;
-  c->due = true;
-  if (c->frozen) return; // held back: the client receives no response
-  if (c->requests > 0 && !c->stream->quiet()) {
+void LoadGenerator::send(Handle handle) {
+  Try* client_try = tries_.find(handle);
+  if (client_try == nullptr || client_try->client_done) return;
+  Connection* connection = connections_.find(client_try->connection);
+  if (connection == nullptr) return;
+  connection->request_due = true;
+  if (connection->reading_paused) return; // held back: the client receives no response
+  if (connection->requests > 0 && !connection->stream->nothing_unread()) {
     // The router closed the idle connection while this request was on its way: the client sends it again.
-    c->request = 0;
-    drop(*c);
-    c = connect(t->router);
-    if (c == nullptr) return;
-    t->connection = c->self;
-    t->resent = true;
-    c->request = handle;
-    c->due = true;
+    connection->request = 0;
+    close_connection(*connection);
+    connection = connect(client_try->router);
+    if (connection == nullptr) return;
+    client_try->connection = connection->self;
+    client_try->resent = true;
+    connection->request = handle;
+    connection->request_due = true;
     return;
   }
-  if (c->stream->is_up()) write(*c, *t);
-}
-
-void Load::write(Connection& c, Try& t) {
-  const double due = std::max(t.planned, c.up_at);
-  const double wait = t.start.deadline - t.start.due;
-  const std::string text = request_text(stage_.spec, stage_.tries, t.start, wait);
-  const bool fresh = c.requests++ == 0;
-  c.written = true;
-  c.some_came = false;
-  c.before = std::exchange(c.last, t.start.try_id);
-  const double late = std::max(0.0, now() - due);
-  if (!t.told) lateness_.add(late);
+  if (connection->stream->is_connected()) write(*connection, *client_try);
+}
+
+void LoadGenerator::write(Connection& connection, Try& client_try) {
+  const double due = std::max(client_try.due_at_router, connection.connected_at);
+  const double wait_ms = client_try.start.deadline - client_try.start.scheduled_at;
+  const std::string request_bytes = request_text(context_.spec, context_.tries, client_try.start, wait_ms);
+  const bool is_first_request = connection.requests++ == 0;
+  connection.request_written = true;
+  connection.response_started = false;
+  connection.previous_try = std::exchange(connection.last_try, client_try.start.try_id);
+  const double late_ms = std::max(0.0, now() - due);
+  if (!client_try.recorded) lateness_.add(late_ms);
   // On a broken connection nothing was accepted; the close is processed by on_closed().
-  const bool taken = c.stream->send(text);
-  if (!t.told) told(t, taken, fresh, late);
-}
-
-void Load::told(Try& t, bool taken, bool new_connection, double late) {
-  t.told = true;
-  model::Tried tried;
-  tried.at = now();
-  tried.due = t.start.due;
-  tried.late_ms = late;
-  tried.request = t.start.drawn.request;
-  tried.try_id = t.start.try_id;
-  tried.number = t.start.number;
-  tried.router = t.router;
-  tried.taken = taken;
-  tried.new_connection = new_connection;
-  tried.deadline = t.start.deadline;
-  tried.repeat_key = t.start.repeat_key;
-  stage_.tape.add(tried);
+  const bool accepted = connection.stream->send(request_bytes);
+  if (!client_try.recorded) record_sent(client_try, accepted, is_first_request, late_ms);
+}
+
+void LoadGenerator::record_sent(Try& client_try, bool accepted, bool new_connection, double late_ms) {
+  client_try.recorded = true;
+  model::TrySent record;
+  record.at = now();
+  record.scheduled_at = client_try.start.scheduled_at;
+  record.send_delay_ms = late_ms;
+  record.request = client_try.start.drawn.request;
+  record.try_id = client_try.start.try_id;
+  record.number = client_try.start.number;
+  record.router = client_try.router;
+  record.accepted = accepted;
+  record.new_connection = new_connection;
+  record.deadline = client_try.start.deadline;
+  record.idempotency_key = client_try.start.idempotency_key;
+  context_.records.add(record);
 }
 
 // The client no longer waits: it closes its connection, which the router sees after the one-way delay.
-void Load::over(const model::TryOver& over) {
-  const auto found = by_try_.find(over.try_id);
-  if (found == by_try_.end()) return;
+void LoadGenerator::cancel_try(const model::TryCancelled& cancelled) {
+  const auto found = pending_tries_.find(cancelled.try_id);
+  if (found == pending_tries_.end()) return;
   const Handle handle = found->second;
-  by_try_.erase(found);
-  Try& t = *tries_.find(handle);
-  t.over = true;
-  if (!t.told) told(t, false, false, 0);
-  model::Answered answered;
-  answered.at = now();
-  answered.request = over.request;
-  answered.try_id = over.try_id;
-  answered.router = t.router;
-  answered.heard = over.heard;
-  stage_.tape.add(answered);
-  if (!t.routed) return tries_.remove(handle);
-  later(way(t), [this, handle] {
-    const Try* gone = tries_.find(handle);
-    if (gone == nullptr) return;
-    if (Connection* c = connections_.find(gone->connection)) {
-      c->request = 0;
-      c->abandoned = c->frozen;
-      if (!c->frozen) drop(*c);
+  pending_tries_.erase(found);
+  Try& client_try = *tries_.find(handle);
+  client_try.client_done = true;
+  if (!client_try.recorded) record_sent(client_try, false, false, 0);
+  model::TryEnded record;
+  record.at = now();
+  record.request = cancelled.request;
+  record.try_id = cancelled.try_id;
+  record.router = client_try.router;
+  record.outcome = cancelled.outcome;
+  context_.records.add(record);
+  if (!client_try.routed) return tries_.remove(handle);
+  run_after(one_way_delay_ms(client_try), [this, handle] {
+    const Try* cancelled_try = tries_.find(handle);
+    if (cancelled_try == nullptr) return;
+    if (Connection* connection = connections_.find(cancelled_try->connection)) {
+      connection->request = 0;
+      connection->abandoned = connection->reading_paused;
+      if (!connection->reading_paused) close_connection(*connection);
     }
     tries_.remove(handle);
   });
 }
 
 // The response has left the router: the client receives it after the one-way delay.
-void Load::answered(Handle handle, const Heard& heard) {
-  Try* t = tries_.find(handle);
-  if (t == nullptr || t->answered) return;
-  t->answered = true;
-  later(way(*t), [this, handle, heard] { end_try(handle, heard); });
-}
-
-void Load::end_try(Handle handle, const Heard& heard) {
-  Try* t = tries_.find(handle);
-  if (t == nullptr || t->over) return;     // its client no longer waits: cancel_try() removes the try
-  if (!t->told) told(*t, false, false, 0); // it was held back and never sent
-  by_try_.erase(t->start.try_id);
-  model::Answered answered;
-  answered.at = now();
-  answered.request = t->start.drawn.request;
-  answered.try_id = t->start.try_id;
-  answered.router = t->router;
-  answered.heard = heard.heard;
-  answered.retry_after_ms = heard.retry_after_ms;
-  answered.genuine = heard.genuine;
-  const TryId try_id = t->start.try_id;
-  Connection* c = connections_.find(t->connection);
+void LoadGenerator::deliver_response(Handle handle, const ClientResponse& response) {
+  Try* client_try = tries_.find(handle);
+  if (client_try == nullptr || client_try->response_in_transit) return;
+  client_try->response_in_transit = true;
+  run_after(one_way_delay_ms(*client_try), [this, handle, response] { finish_try(handle, response); });
+}
+
+void LoadGenerator::finish_try(Handle handle, const ClientResponse& response) {
+  Try* client_try = tries_.find(handle);
+  if (client_try == nullptr || client_try->client_done)
+    return; // its client no longer waits: cancel_try() removes the try
+  if (!client_try->recorded) record_sent(*client_try, false, false, 0); // it was held back and never sent
+  pending_tries_.erase(client_try->start.try_id);
+  model::TryEnded record;
+  record.at = now();
+  record.request = client_try->start.drawn.request;
+  record.try_id = client_try->start.try_id;
+  record.router = client_try->router;
+  record.outcome = response.outcome;
+  record.retry_after_ms = response.retry_after_ms;
+  record.genuine = response.genuine;
+  const TryId try_id = client_try->start.try_id;
+  Connection* connection = connections_.find(client_try->connection);
   tries_.remove(handle);
-  if (c != nullptr) {
-    c->request = 0;
-    rest(*c);
+  if (connection != nullptr) {
+    connection->request = 0;
+    make_idle(*connection);
   }
-  answered.surplus = !clients_.heard(now(), try_id, heard.heard, heard.retry_after_ms, acts_);
-  stage_.tape.add(answered);
-  acts();
+  record.surplus = !clients_.on_try_ended(now(), try_id, response.outcome, response.retry_after_ms, actions_);
+  context_.records.add(record);
+  process_actions();
 }
 
 // ---- connections ----
 
-Load::Connection* Load::kept(RouterId router) {
-  if (!stage_.spec.clients.keep_connections) return nullptr;
-  auto& kept = sides_[router].kept;
-  while (!kept.empty()) {
-    Connection* c = connections_.find(kept.back());
-    kept.pop_back();
-    if (c != nullptr && c->request == 0) return c;
+LoadGenerator::Connection* LoadGenerator::take_idle_connection(RouterId router) {
+  if (!context_.spec.clients.keep_connections) return nullptr;
+  auto& idle = router_states_[router].idle_connections;
+  while (!idle.empty()) {
+    Connection* connection = connections_.find(idle.back());
+    idle.pop_back();
+    if (connection != nullptr && connection->request == 0) return connection;
   }
   return nullptr;
 }
 
-Load::Connection* Load::connect(RouterId router) {
+LoadGenerator::Connection* LoadGenerator::connect(RouterId router) {
   const Handle handle = connections_.add();
-  Connection* c = connections_.find(handle);
-  if (c != nullptr) {
-    c->load = this;
-    c->self = handle;
-    c->router = router;
-    c->frozen = !network_.reachable(router);
-    c->stream = Stream::connect(loop_.base(), stage_.addresses.router(router), *c);
-    ++info_.connections;
-    if (c->stream != nullptr) return c;
+  Connection* connection = connections_.find(handle);
+  if (connection != nullptr) {
+    connection->generator = this;
+    connection->self = handle;
+    connection->router = router;
+    connection->reading_paused = !network_.reachable(router);
+    connection->stream = Stream::connect(loop_.base(), context_.addresses.router(router), *connection);
+    ++summary_.connections;
+    if (connection->stream != nullptr) return connection;
     connections_.remove(handle);
   }
-  stage_.voids.add("the lab is out of descriptors");
+  context_.void_reasons.add("the lab is out of descriptors");
   return nullptr;
 }
 
-void Load::came_up(Connection& c) {
-  c.up_at = now();
-  if (c.frozen) return c.stream->pause(); // the machine is silent: the connection counts as not established
-  if (c.asks_ready) {
-    if (ready_by_connect_[c.router]) {
-      const RouterId router = c.router;
-      drop(c);
-      return is_ready(router);
+void LoadGenerator::on_connected(Connection& connection) {
+  connection.connected_at = now();
+  if (connection.reading_paused)
+    return connection.stream->pause(); // the machine is silent: the connection counts as not established
+  if (connection.is_ready_probe) {
+    if (ready_by_connect_[connection.router]) {
+      const RouterId router = connection.router;
+      close_connection(connection);
+      return router_ready(router);
     }
-    c.stream->send("GET /ready HTTP/1.1\r\nHost: backend.local\r\nConnection: close\r\n\r\n");
+    connection.stream->send("GET /ready HTTP/1.1\r\nHost: backend.local\r\nConnection: close\r\n\r\n");
     return;
   }
-  Try* t = tries_.find(c.request);
-  if (t != nullptr && c.due && !t->over) write(c, *t);
-}
-
-void Load::read(Connection& c, std::string_view got) {
-  const Handle self = c.self;
-  while (!got.empty()) {
-    got.remove_prefix(c.parser.feed(got));
-    c.some_came = true;
-    if (c.parser.fault() != http::Fault::None) return ended(c, 0);
-    if (!c.parser.done()) return;
-    const http::Message answer = c.parser.take();
-    c.some_came = false;
-    if (c.asks_ready) {
-      const RouterId router = c.router;
-      drop(c);
-      if (answer.status == 200) is_ready(router);
+  Try* client_try = tries_.find(connection.request);
+  if (client_try != nullptr && connection.request_due && !client_try->client_done)
+    write(connection, *client_try);
+}
+
+void LoadGenerator::on_data(Connection& connection, std::string_view data) {
+  const Handle self = connection.self;
+  while (!data.empty()) {
+    data.remove_prefix(connection.parser.feed(data));
+    connection.response_started = true;
+    if (connection.parser.error() != http::ParseError::None) return on_closed(connection, 0);
+    if (!connection.parser.done()) return;
+    const http::Message message = connection.parser.take_message();
+    connection.response_started = false;
+    if (connection.is_ready_probe) {
+      const RouterId router = connection.router;
+      close_connection(connection);
+      if (message.status == 200) router_ready(router);
       return;
     }
-    Try* t = tries_.find(c.request);
-    const bool asked = t != nullptr && c.written;
-    const Heard heard = hear(stage_.bodies, answer, asked ? t->start.try_id : c.last);
-    if (!asked || (heard.made_for != 0 && heard.made_for == c.before)) {
+    Try* client_try = tries_.find(connection.request);
+    const bool has_request = client_try != nullptr && connection.request_written;
+    const ClientResponse response = parse_response(
+        context_.body_codec, message, has_request ? client_try->start.try_id : connection.last_try);
+    if (!has_request || (response.made_for != 0 && response.made_for == connection.previous_try)) {
       // A response without a request, or one to the previous request: it is surplus.
-      surplus(c, heard);
-      if (!asked) return drop(c);
+      record_surplus(connection, response);
+      if (!has_request) return close_connection(connection);
       continue;
     }
-    const Handle request = c.request;
-    c.written = false;
-    const bool more = !got.empty();
-    answered(request, heard);
-    if (!answer.keep_alive || more) {
-      if (more) {
-        c.parser.feed(got);
-        if (c.parser.done()) surplus(c, hear(stage_.bodies, c.parser.take(), c.last));
+    const Handle request = connection.request;
+    connection.request_written = false;
+    const bool has_more_data = !data.empty();
+    deliver_response(request, response);
+    if (!message.keep_alive || has_more_data) {
+      if (has_more_data) {
+        connection.parser.feed(data);
+        if (connection.parser.done())
+          record_surplus(connection, parse_response(context_.body_codec, connection.parser.take_message(),
+                                                    connection.last_try));
       }
-      Connection* still = connections_.find(self);
-      if (still == nullptr) return;
-      still->request = 0;
-      return drop(*still);
+      Connection* remaining = connections_.find(self);
+      if (remaining == nullptr) return;
+      remaining->request = 0;
+      return close_connection(*remaining);
     }
   }
 }
 
-void Load::surplus(const Connection& c, const Heard& heard) {
-  const TryId try_id = heard.made_for != 0 ? heard.made_for : c.last;
+void LoadGenerator::record_surplus(const Connection& connection, const ClientResponse& response) {
+  const TryId try_id = response.made_for != 0 ? response.made_for : connection.last_try;
   if (try_id == 0) return;
-  model::Answered answered;
-  answered.at = now();
-  answered.request = model::Clients::request_of(try_id);
-  answered.try_id = try_id;
-  answered.router = c.router;
-  answered.heard = heard.heard;
-  answered.retry_after_ms = heard.retry_after_ms;
-  answered.genuine = heard.genuine;
-  answered.surplus = true;
-  stage_.tape.add(answered);
-}
-
-void Load::ended(Connection& c, int error) {
-  const Handle handle = c.request;
-  Try* t = tries_.find(handle);
-  if (t == nullptr || t->over || t->answered) {
-    c.request = 0;
-    return drop(c);
+  model::TryEnded record;
+  record.at = now();
+  record.request = model::Clients::request_of(try_id);
+  record.try_id = try_id;
+  record.router = connection.router;
+  record.outcome = response.outcome;
+  record.retry_after_ms = response.retry_after_ms;
+  record.genuine = response.genuine;
+  record.surplus = true;
+  context_.records.add(record);
+}
+
+void LoadGenerator::on_closed(Connection& connection, int error) {
+  const Handle handle = connection.request;
+  Try* client_try = tries_.find(handle);
+  if (client_try == nullptr || client_try->client_done || client_try->response_in_transit) {
+    connection.request = 0;
+    return close_connection(connection);
   }
   // A response without a Content-Length ends with the connection.
-  const bool whole = error == 0 && c.written && c.parser.end_of_input();
-  if (whole) {
-    const Heard heard = hear(stage_.bodies, c.parser.take(), t->start.try_id);
-    answered(handle, heard);
-  } else if (!c.stream->is_up()) {
+  const bool complete = error == 0 && connection.request_written && connection.parser.end_of_input();
+  if (complete) {
+    const ClientResponse response =
+        parse_response(context_.body_codec, connection.parser.take_message(), client_try->start.try_id);
+    deliver_response(handle, response);
+  } else if (!connection.stream->is_connected()) {
     // What was sent on the first connection was not accepted after all.
-    if (!t->told || t->resent) told(*t, false, true, 0);
-    answered(handle, {model::Heard::Unreachable, 0, true, 0});
-  } else if (!c.written && t->planned > now()) {
+    if (!client_try->recorded || client_try->resent) record_sent(*client_try, false, true, 0);
+    deliver_response(handle, {model::TryOutcome::Unreachable, 0, true, 0});
+  } else if (!connection.request_written && client_try->due_at_router > now()) {
     // The connection closed while the request was on its way: send() uses the replacement.
-    t->connection = 0;
-    Connection* next = connect(t->router);
-    c.request = 0;
-    if (next != nullptr) {
-      t->connection = next->self;
-      t->resent = true;
-      next->request = handle;
+    client_try->connection = 0;
+    Connection* replacement = connect(client_try->router);
+    connection.request = 0;
+    if (replacement != nullptr) {
+      client_try->connection = replacement->self;
+      client_try->resent = true;
+      replacement->request = handle;
     }
   } else {
-    const bool crossed = !c.some_came && (error != 0 || reset_behind(c.stream->fd()));
-    if (crossed && !t->resent && c.written && c.requests > 1) {
+    const bool closed_before_read =
+        !connection.response_started && (error != 0 || reset_after_close(connection.stream->fd()));
+    if (closed_before_read && !client_try->resent && connection.request_written && connection.requests > 1) {
       // The router closed the idle connection without having read this request: the client sends it again.
-      Connection* next = connect(t->router);
-      c.request = 0;
-      if (next != nullptr) {
-        t->connection = next->self;
-        t->resent = true;
-        next->request = handle;
-        next->due = true;
+      Connection* replacement = connect(client_try->router);
+      connection.request = 0;
+      if (replacement != nullptr) {
+        client_try->connection = replacement->self;
+        client_try->resent = true;
+        replacement->request = handle;
+        replacement->request_due = true;
       }
     } else {
-      answered(handle, {model::Heard::Broken, 0, true, 0});
+      deliver_response(handle, {model::TryOutcome::ConnectionLost, 0, true, 0});
     }
   }
-  c.request = 0;
-  drop(c);
+  connection.request = 0;
+  close_connection(connection);
 }
 
-void Load::drop(Connection& c) {
-  const RouterId router = c.router;
-  const bool rested = c.resting;
-  connections_.remove(c.self);
-  if (!rested) return;
-  --sides_[router].resting;
-  later(kRestAgainMs, [this, router] { keep_resting(router); });
+void LoadGenerator::close_connection(Connection& connection) {
+  const RouterId router = connection.router;
+  const bool was_kept_idle = connection.kept_idle;
+  connections_.remove(connection.self);
+  if (!was_kept_idle) return;
+  --router_states_[router].kept_idle;
+  run_after(kReconnectIdleMs, [this, router] { open_idle_connections(router); });
 }
 
 // Makes the connection available for another request, or closes it.
-void Load::rest(Connection& c) {
-  if (!stage_.spec.clients.keep_connections || c.frozen) return drop(c);
-  c.due = c.written = false;
-  auto& kept = sides_[c.router].kept;
-  if (kept.size() > 64 && kept.size() > 2 * connections_.size()) { // most of the older entries are closed
-    std::erase_if(kept, [this](Handle h) { return connections_.find(h) == nullptr; });
+void LoadGenerator::make_idle(Connection& connection) {
+  if (!context_.spec.clients.keep_connections || connection.reading_paused)
+    return close_connection(connection);
+  connection.request_due = connection.request_written = false;
+  auto& idle = router_states_[connection.router].idle_connections;
+  if (idle.size() > 64 && idle.size() > 2 * connections_.size()) { // most of the older entries are closed
+    std::erase_if(idle, [this](Handle candidate) { return connections_.find(candidate) == nullptr; });
   }
-  kept.push_back(c.self);
+  idle.push_back(connection.self);
 }
 
 // ---- routers ----
 
-void Load::router_started(RouterId router) {
-  loop_.post([this, router] {
-    Side& side = sides_[router];
-    side.runs = true;
-    side.ready = false;
-    ++side.life;
-    ask_ready(router);
+void LoadGenerator::router_started(RouterId router) {
+  loop_.run_in_loop([this, router] {
+    RouterState& state = router_states_[router];
+    state.running = true;
+    state.ready = false;
+    ++state.incarnation;
+    probe_ready(router);
   });
 }
 
-void Load::router_stopping(RouterId router) {
-  loop_.post([this, router] { front_.stopping(now(), router); });
+void LoadGenerator::router_stopping(RouterId router) {
+  loop_.run_in_loop([this, router] { front_balancer_.set_stopping(now(), router); });
 }
 
-void Load::router_down(RouterId router) {
-  loop_.post([this, router] {
-    Side& side = sides_[router];
-    side.runs = side.ready = false;
-    side.kept.clear();
-    ++side.life;
-    if (stage_.clock.begun()) front_.down(now(), router);
+void LoadGenerator::router_ended(RouterId router) {
+  loop_.run_in_loop([this, router] {
+    RouterState& state = router_states_[router];
+    state.running = state.ready = false;
+    state.idle_connections.clear();
+    ++state.incarnation;
+    if (context_.clock.started()) front_balancer_.set_down(now(), router);
   });
 }
 
-void Load::router_pauses(RouterId router, bool on) {
-  loop_.post([this, router, on] {
-    if (!stage_.clock.begun()) return;
-    if (on) return front_.down(now(), router);
-    if (sides_[router].ready && network_.reachable(router)) front_.up(now(), router);
+void LoadGenerator::router_paused(RouterId router, bool paused) {
+  loop_.run_in_loop([this, router, paused] {
+    if (!context_.clock.started()) return;
+    if (paused) return front_balancer_.set_down(now(), router);
+    if (router_states_[router].ready && network_.reachable(router)) front_balancer_.set_up(now(), router);
   });
 }
 
-void Load::ask_ready(RouterId router) {
-  Side& side = sides_[router];
-  if (!side.runs || side.ready) return;
-  Connection* c = connect(router);
-  if (c == nullptr) return;
-  c->asks_ready = true;
-  c->frozen = false;
-  const Handle handle = c->self;
-  const std::uint32_t life = side.life;
-  later(kReadyWaitMs, [this, handle] {
-    if (Connection* slow = connections_.find(handle)) drop(*slow);
+void LoadGenerator::probe_ready(RouterId router) {
+  RouterState& state = router_states_[router];
+  if (!state.running || state.ready) return;
+  Connection* connection = connect(router);
+  if (connection == nullptr) return;
+  connection->is_ready_probe = true;
+  connection->reading_paused = false;
+  const Handle handle = connection->self;
+  const std::uint32_t incarnation = state.incarnation;
+  run_after(kReadyProbeTimeoutMs, [this, handle] {
+    if (Connection* unanswered = connections_.find(handle)) close_connection(*unanswered);
   });
-  later(kReadyEveryMs, [this, router, life] {
-    if (sides_[router].life == life) ask_ready(router);
+  run_after(kReadyProbeIntervalMs, [this, router, incarnation] {
+    if (router_states_[router].incarnation == incarnation) probe_ready(router);
   });
 }
 
-void Load::is_ready(RouterId router) {
-  Side& side = sides_[router];
-  if (!side.runs || side.ready) return;
-  side.ready = true;
-  stage_.tape.add(model::RouterEvent{now(), router, model::RouterEvent::What::Ready});
-  if (network_.reachable(router)) front_.up(now(), router);
-  keep_resting(router);
-  calls_.ready(router);
+void LoadGenerator::router_ready(RouterId router) {
+  RouterState& state = router_states_[router];
+  if (!state.running || state.ready) return;
+  state.ready = true;
+  context_.records.add(model::RouterEvent{now(), router, model::RouterEvent::What::Ready});
+  if (network_.reachable(router)) front_balancer_.set_up(now(), router);
+  open_idle_connections(router);
+  callbacks_.ready(router);
 }
 
 // Opens the connections that clients hold open idle to a router.
-void Load::keep_resting(RouterId router) {
-  Side& side = sides_[router];
-  while (side.ready && side.resting < stage_.spec.clients.resting) {
-    Connection* c = connect(router);
-    if (c == nullptr) return;
-    c->resting = true;
-    ++side.resting;
+void LoadGenerator::open_idle_connections(RouterId router) {
+  RouterState& state = router_states_[router];
+  while (state.ready && state.kept_idle < context_.spec.clients.idle_connections) {
+    Connection* connection = connect(router);
+    if (connection == nullptr) return;
+    connection->kept_idle = true;
+    ++state.kept_idle;
   }
 }
 
-void Load::apply(const model::Step& step) {
+void LoadGenerator::apply(const model::Step& step) {
   network_.apply(step);
-  if (const auto* zone = std::get_if<model::ZoneStep>(&step.what)) front_.zone(zone->zone, zone->what);
+  if (const auto* zone = std::get_if<model::ZoneStep>(&step.what))
+    front_balancer_.set_zone_state(zone->zone, zone->what);
   if (const auto* router = std::get_if<model::RouterStep>(&step.what)) {
     using What = model::RouterStep::What;
     if (router->what == What::Silence || router->what == What::Return) {
-      silence(router->router, router->what == What::Silence);
+      set_router_silent(router->router, router->what == What::Silence);
     }
   }
 }
 
 // Starts or ends a silence: nothing passes between clients and the router's machine. Connections on which
 // data was lost are reset when the machine is reachable again.
-void Load::silence(RouterId router, bool on) {
+void LoadGenerator::set_router_silent(RouterId router, bool silent) {
   using What = model::RouterEvent::What;
-  stage_.tape.add(model::RouterEvent{now(), router, on ? What::Silent : What::Returned});
-  if (on) {
-    front_.down(now(), router);
-  } else if (sides_[router].ready) {
-    front_.up(now(), router);
+  context_.records.add(model::RouterEvent{now(), router, silent ? What::Silent : What::Returned});
+  if (silent) {
+    front_balancer_.set_down(now(), router);
+  } else if (router_states_[router].ready) {
+    front_balancer_.set_up(now(), router);
   }
-  connections_.each([&](Handle, Connection& c) {
-    if (c.router != router || c.frozen == on) return;
-    c.frozen = on;
-    if (on) return c.stream->pause();
-    if (c.request != 0 || c.abandoned || !c.stream->quiet()) {
-      const Handle request = std::exchange(c.request, 0);
-      drop(c);
-      if (request != 0) answered(request, {model::Heard::Broken, 0, true, 0});
+  connections_.for_each([&](Handle, Connection& connection) {
+    if (connection.router != router || connection.reading_paused == silent) return;
+    connection.reading_paused = silent;
+    if (silent) return connection.stream->pause();
+    if (connection.request != 0 || connection.abandoned || !connection.stream->nothing_unread()) {
+      const Handle request = std::exchange(connection.request, 0);
+      close_connection(connection);
+      if (request != 0) deliver_response(request, {model::TryOutcome::ConnectionLost, 0, true, 0});
       return;
     }
-    c.stream->resume();
+    connection.stream->resume();
   });
 }
 
--- a/lab/load/wire.h
+++ b/lab/load/wire.h
@@ -5,24 +5,24 @@
 
 #include "http/message.h"
 #include "lab/shared/body.h"
-#include "lab/shared/tries.h"
+#include "lab/shared/try_registry.h"
 #include "model/clients.h"
 
 namespace fernward::rig {
 
 // The request bytes of a try. `wait_ms`: how long the client waits for the response, counted from the send.
-std::string request_text(const model::Spec& spec, const Tries& tries, const model::TryStart& start,
+std::string request_text(const model::Spec& spec, const TryRegistry& tries, const model::TryStart& start,
                          double wait_ms);
-TryFacts facts_of(const model::TryStart& start);
+TryMetadata metadata_of(const model::TryStart& start);
 
 // A response as the client sees it.
-struct Heard {
-  model::Heard heard = model::Heard::Failed;
+struct ClientResponse {
+  model::TryOutcome outcome = model::TryOutcome::Failed;
   double retry_after_ms = 0;
   bool genuine = true;
   model::TryId made_for = 0; // the try for which a machine made the served body; 0: no machine made it
 };
 // `try_id`: the try that the response should belong to; a body made for another one is not genuine.
-Heard hear(const Bodies& bodies, const http::Message& answer, model::TryId try_id);
+ClientResponse parse_response(const BodyCodec& body_codec, const http::Message& message, model::TryId try_id);
 
 } // namespace fernward::rig
--- a/lab/main.cpp
+++ b/lab/main.cpp
@@ -15,13 +15,13 @@
   cxxopts::Options options("fernward-lab version", "Print the version");
   arguments::parse(options, given);
   std::printf("fernward-lab %s\n", FERNWARD_VERSION);
-  return arguments::kWell;
+  return arguments::kSuccess;
 }
 
 } // namespace
 
 int main(int argc, char** argv) {
-  return arguments::run(
+  return arguments::run_command(
       "fernward-lab", "an emulated fleet behind real or simulated routers",
       {{"try", "demonstrate routers in front of a small emulated fleet", &lab::try_command},
        {"check", "validate scenarios and print every fault", &lab::check_command},
--- a/lab/peers/agents.cpp
+++ b/lab/peers/agents.cpp
@@ -21,12 +21,12 @@
 
 namespace {
 
-constexpr double kMostWaitMs = 60000; // limit for one call
-constexpr double kGoesOnMs = 200;     // a watch continues if the next call arrives within this time
-constexpr double kSweepMs = 25;
+constexpr double kMaxWaitMs = 60000; // limit for one call
+constexpr double kWatchGapMs = 200;  // a watch continues if the next call arrives within this time
+constexpr double kExpireIntervalMs = 25;
 constexpr int kBacklog = 64;
 
-std::string_view word(ServerState state) {
+std::string_view status_text(ServerState state) {
   switch (state) {
     case ServerState::Ready: return "in_service";
     case ServerState::Draining: return "terminating";
@@ -35,7 +35,7 @@
   return "terminated";
 }
 
-std::optional<std::uint64_t> parameter(std::string_view query, std::string_view name) {
+std::optional<std::uint64_t> query_parameter(std::string_view query, std::string_view name) {
   while (!query.empty()) {
     const auto next = query.find('&');
     const std::string_view item = query.substr(0, next);
@@ -52,112 +52,112 @@
 
 } // namespace
 
-Agents::Agents(const Stage& stage, Loop& loop, model::Network& network)
-    : stage_(stage),
+DiscoveryAgents::DiscoveryAgents(const RunContext& context, RunLoop& loop, model::Network& network)
+    : context_(context),
       loop_(loop),
       network_(network),
-      discovery_(stage.spec, stage.plan),
-      sides_(stage.plan.routers.size()),
-      queue_(stage.spec.discovery.congestion, loop, *this) {
-  for (RouterId r = 0; r < sides_.size(); ++r) {
-    Side& side = sides_[r];
-    side.congestion = model::stream(stage.spec.seed, "discovery congestion", r);
-    side.had.resize(stage.plan.machines.size());
-    side.counted.resize(stage.plan.machines.size());
-    note(side.had, discovery_.list(0, std::nullopt)); // the list before the run
+      discovery_(context.spec, context.plan),
+      views_(context.plan.routers.size()),
+      queue_(context.spec.discovery.congestion, loop, *this) {
+  for (RouterId router = 0; router < views_.size(); ++router) {
+    RouterView& view = views_[router];
+    view.congestion_random = model::stream(context.spec.seed, "discovery congestion", router);
+    view.delivered.resize(context.plan.machines.size());
+    view.notified.resize(context.plan.machines.size());
+    apply_list(view.delivered, discovery_.list(0, std::nullopt)); // the list before the run
   }
 }
 
-Agents::~Agents() {
-  for (const auto& door : doors_) {
-    door->accepts.reset();
-    if (door->fd >= 0) close(door->fd);
+DiscoveryAgents::~DiscoveryAgents() {
+  for (const auto& listener : listeners_) {
+    listener->accept_event.reset();
+    if (listener->fd >= 0) close(listener->fd);
   }
 }
 
 // ---- connections ----
 
-void Agents::open() {
-  for (RouterId r = 0; r < sides_.size(); ++r) listen(r, moves_);
-}
-
-void Agents::listen(RouterId router, std::uint32_t moves) {
-  auto door = std::make_unique<Door>();
-  door->all = this;
-  door->router = router;
-  door->moves = moves;
-  const sockaddr_in where = stage_.addresses.agent(router, moves);
-  door->fd = listen_at(where, kBacklog);
-  if (door->fd < 0) {
-    const std::string why = "cannot listen on " + text_of(where) + ": " + std::strerror(errno);
-    if (!stage_.clock.begun()) throw std::runtime_error(why);
-    return stage_.voids.add(why);
+void DiscoveryAgents::open() {
+  for (RouterId router = 0; router < views_.size(); ++router) listen(router, address_version_);
+}
+
+void DiscoveryAgents::listen(RouterId router, std::uint32_t address_version) {
+  auto listener = std::make_unique<Listener>();
+  listener->agents = this;
+  listener->router = router;
+  listener->address_version = address_version;
+  const sockaddr_in address = context_.addresses.discovery(router, address_version);
+  listener->fd = listen_at(address, kBacklog);
+  if (listener->fd < 0) {
+    const std::string error = "cannot listen on " + address_text(address) + ": " + std::strerror(errno);
+    if (!context_.clock.started()) throw std::runtime_error(error);
+    return context_.void_reasons.add(error);
   }
-  door->accepts.reset(
-      event_new(loop_.base(), door->fd, EV_READ | EV_PERSIST, &Agents::acceptable, door.get()));
-  event_add(door->accepts.get(), nullptr);
-  doors_.push_back(std::move(door));
+  listener->accept_event.reset(event_new(loop_.base(), listener->fd, EV_READ | EV_PERSIST,
+                                         &DiscoveryAgents::on_acceptable, listener.get()));
+  event_add(listener->accept_event.get(), nullptr);
+  listeners_.push_back(std::move(listener));
 }
 
-void Agents::acceptable(int, short, void* door) {
-  const auto* found = static_cast<const Door*>(door);
-  found->all->accept(*found);
+void DiscoveryAgents::on_acceptable(int, short, void* listener) {
+  const auto* found = static_cast<const Listener*>(listener);
+  found->agents->accept(*found);
 }
 
-void Agents::accept(const Door& door) {
-  const int fd = accept4(door.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+void DiscoveryAgents::accept(const Listener& listener) {
+  const int fd = accept4(listener.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (fd < 0) return;
   const Handle handle = calls_.add();
-  Call& call = *calls_.find(handle);
-  call.all = this;
+  DiscoveryCall& call = *calls_.find(handle);
+  call.agents = this;
   call.self = handle;
-  call.router = door.router;
-  call.moves = door.moves;
+  call.router = listener.router;
+  call.address_version = listener.address_version;
   call.stream = std::make_unique<Stream>(loop_.base(), fd, call);
 }
 
-void Agents::read(Call& call, std::string_view got) {
-  call.behind.append(got);
+void DiscoveryAgents::on_data(DiscoveryCall& call, std::string_view data) {
+  call.buffered.append(data);
   read_call(call);
 }
 
-void Agents::read_call(Call& call) {
-  if (call.ask || call.behind.empty()) return;
-  call.behind.erase(0, call.parser.feed(call.behind));
-  if (call.parser.fault() != http::Fault::None) return calls_.remove(call.self);
+void DiscoveryAgents::read_call(DiscoveryCall& call) {
+  if (call.pending || call.buffered.empty()) return;
+  call.buffered.erase(0, call.parser.feed(call.buffered));
+  if (call.parser.error() != http::ParseError::None) return calls_.remove(call.self);
   if (!call.parser.done()) return;
-  const http::Message message = call.parser.take();
+  const http::Message message = call.parser.take_message();
   const std::string_view target = message.target;
-  const auto mark = target.find('?');
-  if (message.method != "GET" || target.substr(0, mark) != "/v1/endpoints") {
+  const auto query_position = target.find('?');
+  if (message.method != "GET" || target.substr(0, query_position) != "/v1/endpoints") {
     call.stream->send(http::write_response(404, {}, "", true));
     return;
   }
   const std::string_view query =
-      mark == std::string_view::npos ? std::string_view() : target.substr(mark + 1);
-  Ask ask;
-  ask.since = parameter(query, "since");
-  const auto wait = parameter(query, "timeout_ms");
-  ask.until = loop::now_ms() + std::min(kMostWaitMs, wait ? static_cast<double>(*wait) : 0.0);
-  if (refuse(call)) return;
-  const bool is_held = ask.since && *ask.since == discovery_.index(call.router);
-  if (is_held &&
-      model::draw_chance(stage_.spec.discovery.congestion.silent_share, sides_[call.router].congestion))
-    ask.progress = Progress::NeverAnswered;
-  call.ask = ask;
-  if (ask.since) {
-    call.ticket = loop_.deadlines().at(ask.until, [this, handle = call.self] {
-      if (Call* waits = calls_.find(handle)) serve(*waits);
+      query_position == std::string_view::npos ? std::string_view() : target.substr(query_position + 1);
+  PendingRequest request;
+  request.since = query_parameter(query, "since");
+  const auto wait = query_parameter(query, "timeout_ms");
+  request.deadline = loop::now_ms() + std::min(kMaxWaitMs, wait ? static_cast<double>(*wait) : 0.0);
+  if (fail_by_congestion(call)) return;
+  const bool is_waiting = request.since && *request.since == discovery_.index(call.router);
+  if (is_waiting && model::draw_with_probability(context_.spec.discovery.congestion.silent_share,
+                                                 views_[call.router].congestion_random))
+    request.progress = Progress::NeverAnswered;
+  call.pending = request;
+  if (request.since) {
+    call.watch_timer = loop_.timers().run_at(request.deadline, [this, handle = call.self] {
+      if (DiscoveryCall* waiting_call = calls_.find(handle)) serve(*waiting_call);
     });
   }
   serve(call);
 }
 
-bool Agents::refuse(Call& call) {
-  if (silent(call.router)) return false;
-  model::Engine& engine = sides_[call.router].congestion;
-  if (!model::draw_chance(stage_.spec.discovery.congestion.refused_share, engine)) return false;
-  if (model::draw_chance(0.5, engine)) {
+bool DiscoveryAgents::fail_by_congestion(DiscoveryCall& call) {
+  if (is_silent(call.router)) return false;
+  model::Engine& random = views_[call.router].congestion_random;
+  if (!model::draw_with_probability(context_.spec.discovery.congestion.refused_share, random)) return false;
+  if (model::draw_with_probability(0.5, random)) {
     call.stream->send(http::write_response(503, {}, "", true));
   } else {
     calls_.remove(call.self);
@@ -166,186 +166,193 @@
 }
 
 // Responds to a call, unless it has to wait for a change or the router's agent is silent.
-void Agents::serve(Call& call) {
-  if (!call.ask || call.ask->progress != Progress::Held || silent(call.router)) return;
+void DiscoveryAgents::serve(DiscoveryCall& call) {
+  if (!call.pending || call.pending->progress != Progress::Waiting || is_silent(call.router)) return;
   const std::uint64_t index = discovery_.index(call.router);
-  const auto since = call.ask->since;
-  if (since && *since == index && loop::now_ms() < call.ask->until) return;
-  loop_.deadlines().cancel(call.ticket);
-  call.ask->progress = Progress::Queued;
-  if (stage_.spec.discovery.congestion.on()) return queue_.add(call.self);
-  call.stream->send(answer_text(call));
-  answered(call);
-}
-
-std::string Agents::answer_text(Call& call) {
-  call.ask->answer = discovery_.list(call.router, call.ask->since);
-  const std::string body = list_json(call.router, call.ask->answer).dump();
+  const auto since = call.pending->since;
+  if (since && *since == index && loop::now_ms() < call.pending->deadline) return;
+  loop_.timers().cancel(call.watch_timer);
+  call.pending->progress = Progress::Queued;
+  if (context_.spec.discovery.congestion.enabled()) return queue_.add(call.self);
+  call.stream->send(response_bytes(call));
+  response_sent(call);
+}
+
+std::string DiscoveryAgents::response_bytes(DiscoveryCall& call) {
+  call.pending->response = discovery_.list(call.router, call.pending->since);
+  const std::string body = list_json(call.router, call.pending->response).dump();
   return http::write_response(200, {{"Content-Type", "application/json"}}, body, true);
 }
 
 // The response has been written completely.
-void Agents::answered(Call& call) {
-  Side& side = sides_[call.router];
-  if (call.ask->since) side.watch_ended_at = now();
-  const Discovery::List list = std::move(call.ask->answer);
-  call.ask.reset();
-  if (list.index >= side.had_index) {
-    side.had_index = list.index;
-    note(side.had, list);
+void DiscoveryAgents::response_sent(DiscoveryCall& call) {
+  RouterView& view = views_[call.router];
+  if (call.pending->since) view.watch_ended_at = now();
+  const Discovery::List list = std::move(call.pending->response);
+  call.pending.reset();
+  if (list.index >= view.delivered_index) {
+    view.delivered_index = list.index;
+    apply_list(view.delivered, list);
   }
-  count(call.router, list, false, false);
+  record_notified(call.router, list, false, false);
   read_call(call);
 }
 
 // ---- the congested server ----
 
-AnswerQueue::Calls::State Agents::state(Handle handle) {
-  const Call* call = calls_.find(handle);
+ResponseQueue::PendingCalls::State DiscoveryAgents::state(Handle handle) {
+  const DiscoveryCall* call = calls_.find(handle);
   if (call == nullptr) return State::Closed;
-  return silent(call->router) ? State::Silent : State::Open;
+  return is_silent(call->router) ? State::Silent : State::Open;
 }
 
-std::optional<std::string> Agents::make_answer(Handle handle) {
-  Call* call = calls_.find(handle);
+std::optional<std::string> DiscoveryAgents::make_response(Handle handle) {
+  DiscoveryCall* call = calls_.find(handle);
   if (call == nullptr) return std::nullopt;
-  if (silent(call->router)) { // served again when discovery has recovered
-    call->ask->progress = Progress::Held;
+  if (is_silent(call->router)) { // served again when discovery has recovered
+    call->pending->progress = Progress::Waiting;
     return std::nullopt;
   }
-  return answer_text(*call);
+  return response_bytes(*call);
 }
 
-void Agents::send_piece(Handle handle, std::string_view piece, bool is_last) {
-  Call& call = *calls_.find(handle);
+void DiscoveryAgents::send_piece(Handle handle, std::string_view piece, bool is_last) {
+  DiscoveryCall& call = *calls_.find(handle);
   call.stream->send(piece);
-  if (is_last) answered(call);
+  if (is_last) response_sent(call);
 }
 
 // ---- notifications ----
 
-void Agents::note(std::vector<Known>& into, const Discovery::List& list) const {
-  if (list.whole) std::fill(into.begin(), into.end(), Known());
-  for (const auto& entry : list.entries) into[entry.machine] = {entry.state, entry.started_at};
+void DiscoveryAgents::apply_list(std::vector<EndpointState>& states, const Discovery::List& list) const {
+  if (list.complete) std::fill(states.begin(), states.end(), EndpointState());
+  for (const auto& entry : list.entries) states[entry.machine] = {entry.state, entry.started_at};
 }
 
-void Agents::count(RouterId router, const Discovery::List& list, bool cached, bool deemed) {
-  Side& side = sides_[router];
+void DiscoveryAgents::record_notified(RouterId router, const Discovery::List& list, bool cached,
+                                      bool assumed) {
+  RouterView& view = views_[router];
   if (!cached) {
-    if (list.index <= side.counted_index) return;
-    side.counted_index = list.index;
-    drop_told(side);
+    if (list.index <= view.notified_index) return;
+    view.notified_index = list.index;
+    drop_notified(view);
   }
-  const std::vector<Known> before = side.counted;
-  note(side.counted, list);
-  if (list.whole && !cached) { // endpoints that a snapshot omits are gone
-    std::vector<char> listed(before.size());
+  const std::vector<EndpointState> previous = view.notified;
+  apply_list(view.notified, list);
+  if (list.complete && !cached) { // endpoints that a snapshot omits are gone
+    std::vector<char> listed(previous.size());
     for (const auto& entry : list.entries) listed[entry.machine] = 1;
-    for (MachineId m = 0; m < listed.size(); ++m) {
-      if (listed[m] || before[m].state == ServerState::Gone) continue;
-      stage_.tape.add(model::Told{now(), router, m, ServerState::Gone, before[m].started_at, false, deemed});
+    for (MachineId machine = 0; machine < listed.size(); ++machine) {
+      if (listed[machine] || previous[machine].state == ServerState::Gone) continue;
+      context_.records.add(model::EndpointNotified{now(), router, machine, ServerState::Gone,
+                                                   previous[machine].started_at, false, assumed});
     }
   }
   for (const auto& entry : list.entries) {
-    stage_.tape.add(model::Told{now(), router, entry.machine, entry.state, entry.started_at, cached, deemed});
+    context_.records.add(model::EndpointNotified{now(), router, entry.machine, entry.state, entry.started_at,
+                                                 cached, assumed});
   }
 }
 
-void Agents::drop_told(Side& side) {
-  while (!side.news.empty() && side.news.front().index <= side.counted_index) side.news.pop_front();
+void DiscoveryAgents::drop_notified(RouterView& view) {
+  while (!view.pending_versions.empty() && view.pending_versions.front().index <= view.notified_index)
+    view.pending_versions.pop_front();
 }
 
-json Agents::endpoint(RouterId router, const Discovery::Entry& entry) const {
-  const model::Machine& m = stage_.plan.machines[entry.machine];
-  const bool origin = m.kind >= stage_.spec.kinds.size();
-  const double since = entry.started_at < 0 ? 0 : std::round(stage_.clock.wall(entry.started_at));
-  return {{"name", m.name},
-          {"address", text_of(stage_.addresses.machine(router, m.address_of))},
-          {"zone", stage_.spec.zones[m.zone].name},
-          {"type", origin ? model::kOriginKindName : stage_.spec.kinds[m.kind].name},
-          {"group", m.cell},
-          {"status", word(entry.state)},
-          {"weight", m.weight},
+json DiscoveryAgents::endpoint(RouterId router, const Discovery::Entry& entry) const {
+  const model::PlannedMachine& machine = context_.plan.machines[entry.machine];
+  const bool is_origin = machine.kind >= context_.spec.kinds.size();
+  const double since = entry.started_at < 0 ? 0 : std::round(context_.clock.wall_ms(entry.started_at));
+  return {{"name", machine.name},
+          {"address", address_text(context_.addresses.machine(router, machine.address_of))},
+          {"zone", context_.spec.zones[machine.zone].name},
+          {"type", is_origin ? model::kOriginKindName : context_.spec.kinds[machine.kind].name},
+          {"group", machine.cell},
+          {"status", status_text(entry.state)},
+          {"weight", machine.weight},
           {"since_ms", static_cast<std::int64_t>(since)}};
 }
 
-json Agents::list_json(RouterId router, const Discovery::List& list) const {
+json DiscoveryAgents::list_json(RouterId router, const Discovery::List& list) const {
   json endpoints = json::array();
   for (const auto& entry : list.entries) endpoints.push_back(endpoint(router, entry));
-  return {{"index", list.index}, {"snapshot", list.whole}, {"endpoints", std::move(endpoints)}};
-}
-
-json Agents::router_starts(RouterId router) {
-  Side& side = sides_[router];
-  side.runs = true;
-  side.counted_index = 0;
-  side.news.clear();
-  side.news_index = 0; // a new process knows no version yet
-  note_news(router);
-  side.moves = moves_;
-  side.reloaded_at = -kNever;
-  side.reachable_since = kNever;
-  note_reach(router);
-  side.watch_ended_at = -1e9;
+  return {{"index", list.index}, {"snapshot", list.complete}, {"endpoints", std::move(endpoints)}};
+}
+
+json DiscoveryAgents::router_started(RouterId router) {
+  RouterView& view = views_[router];
+  view.running = true;
+  view.notified_index = 0;
+  view.pending_versions.clear();
+  view.last_pending_index = 0; // a new process knows no version yet
+  add_pending_version(router);
+  view.address_version = address_version_;
+  view.reloaded_at = -kNever;
+  view.reachable_since = kNever;
+  update_reachability(router);
+  view.watch_ended_at = -1e9;
   Discovery::List known;
   known.index = 0; // any version from discovery is newer
-  for (MachineId m = 0; m < side.had.size(); ++m) {
-    if (side.had[m].state != ServerState::Gone) {
-      known.entries.push_back({m, side.had[m].state, side.had[m].started_at, 0});
+  for (MachineId machine = 0; machine < view.delivered.size(); ++machine) {
+    if (view.delivered[machine].state != ServerState::Gone) {
+      known.entries.push_back(
+          {machine, view.delivered[machine].state, view.delivered[machine].started_at, 0});
     }
   }
-  std::fill(side.counted.begin(), side.counted.end(), Known());
-  count(router, known, true, false);
+  std::fill(view.notified.begin(), view.notified.end(), EndpointState());
+  record_notified(router, known, true, false);
   return list_json(router, known);
 }
 
-void Agents::router_ended(RouterId router) {
-  sides_[router].runs = false;
-  note_reach(router);
+void DiscoveryAgents::router_ended(RouterId router) {
+  views_[router].running = false;
+  update_reachability(router);
 }
 
 // ---- changes and steps ----
 
-void Agents::begin() {
+void DiscoveryAgents::start_run() {
   advance();
-  sweep();
+  expire_pending_versions();
 }
 
-void Agents::change(MachineId machine, ServerState state, double started_at, Discovery::Why why) {
-  discovery_.change(now(), machine, state, started_at, why);
+void DiscoveryAgents::endpoint_changed(MachineId machine, ServerState state, double started_at,
+                                       Discovery::Cause reason) {
+  discovery_.change(now(), machine, state, started_at, reason);
   advance();
 }
 
-void Agents::apply(const model::Step& step) {
+void DiscoveryAgents::apply(const model::Step& step) {
   if (const auto* router = std::get_if<model::RouterStep>(&step.what)) {
-    if (router->what == model::RouterStep::What::Return) serve_all();
-    if (router->what == model::RouterStep::What::Reload) reloaded(router->router);
+    if (router->what == model::RouterStep::What::Return) serve_waiting_calls();
+    if (router->what == model::RouterStep::What::Reload) router_reloaded(router->router);
     return;
   }
-  const auto* found = std::get_if<model::DiscoveryStep>(&step.what);
-  if (found == nullptr) return;
+  const auto* discovery_step = std::get_if<model::DiscoveryStep>(&step.what);
+  if (discovery_step == nullptr) return;
   using What = model::DiscoveryStep::What;
-  switch (found->what) {
+  switch (discovery_step->what) {
     case What::Down:
     case What::Up:
-      down_ = found->what == What::Down;
-      discovery_.outage(now(), down_);
+      down_ = discovery_step->what == What::Down;
+      discovery_.set_outage(now(), down_);
       advance();
-      return serve_all();
+      return serve_waiting_calls();
     case What::MoveBegins:
-      ++moves_;
-      for (RouterId r = 0; r < sides_.size(); ++r) listen(r, moves_);
+      ++address_version_;
+      for (RouterId each_router = 0; each_router < views_.size(); ++each_router)
+        listen(each_router, address_version_);
       return;
     case What::OldEnds:
-      oldest_moves_ = moves_;
-      std::erase_if(doors_, [this](const auto& door) {
-        if (door->moves >= moves_) return false;
-        door->accepts.reset();
+      oldest_served_version_ = address_version_;
+      std::erase_if(listeners_, [this](const auto& door) {
+        if (door->address_version >= address_version_) return false;
+        door->accept_event.reset();
         close(door->fd);
         return true;
       });
-      calls_.each([this](Handle handle, Call& call) {
-        if (call.moves >= moves_) return;
+      calls_.for_each([this](Handle handle, DiscoveryCall& call) {
+        if (call.address_version >= address_version_) return;
         call.stream->reset_on_close();
         calls_.remove(handle);
       });
@@ -354,87 +361,89 @@
 }
 
 // After SIGHUP a router reads its configuration file again, including discovery's address.
-void Agents::reloaded(RouterId router) {
-  Side& side = sides_[router];
-  if (!side.runs || side.moves == moves_) return;
-  side.moves = moves_;
-  note_reach(router); // discovery is reachable again by the reload at the latest
-  side.reloaded_at = now();
+void DiscoveryAgents::router_reloaded(RouterId router) {
+  RouterView& view = views_[router];
+  if (!view.running || view.address_version == address_version_) return;
+  view.address_version = address_version_;
+  update_reachability(router); // discovery is reachable again by the reload at the latest
+  view.reloaded_at = now();
 }
 
-void Agents::advance() {
+void DiscoveryAgents::advance() {
   discovery_.advance(now());
-  for (RouterId r = 0; r < sides_.size(); ++r) spread(r);
-  const double next = discovery_.next();
-  loop_.deadlines().cancel(wake_);
+  for (RouterId router = 0; router < views_.size(); ++router) notify_watches(router);
+  const double next = discovery_.next_due_ms();
+  loop_.timers().cancel(advance_timer_);
   if (next < std::numeric_limits<double>::infinity()) {
-    wake_ = loop_.at(next, [this] {
-      wake_ = 0;
+    advance_timer_ = loop_.run_at(next, [this] {
+      advance_timer_ = 0;
       advance();
     });
   }
 }
 
 // Serves the waiting calls of a router whose agent has received a new version.
-void Agents::spread(RouterId router) {
-  Side& side = sides_[router];
-  note_news(router);
-  if (discovery_.index(router) <= side.counted_index) return;
-  calls_.each([&](Handle, Call& call) {
+void DiscoveryAgents::notify_watches(RouterId router) {
+  RouterView& view = views_[router];
+  add_pending_version(router);
+  if (discovery_.index(router) <= view.notified_index) return;
+  calls_.for_each([&](Handle, DiscoveryCall& call) {
     if (call.router == router) serve(call);
   });
-  const bool between = now() - side.watch_ended_at <= kGoesOnMs && !silent(router) && side.runs &&
-                       !stage_.spec.discovery.congestion.on();
-  if (between) count(router, discovery_.list(router, side.counted_index), false, false);
+  const bool between_watches = now() - view.watch_ended_at <= kWatchGapMs && !is_silent(router) &&
+                               view.running && !context_.spec.discovery.congestion.enabled();
+  if (between_watches) record_notified(router, discovery_.list(router, view.notified_index), false, false);
 }
 
-void Agents::serve_all() {
-  calls_.each([&](Handle, Call& call) { serve(call); });
+void DiscoveryAgents::serve_waiting_calls() {
+  calls_.for_each([&](Handle, DiscoveryCall& call) { serve(call); });
 }
 
-void Agents::note_news(RouterId router) {
-  Side& side = sides_[router];
+void DiscoveryAgents::add_pending_version(RouterId router) {
+  RouterView& view = views_[router];
   const std::uint64_t index = discovery_.index(router);
-  if (index <= side.news_index) return;
-  side.news_index = index;
-  side.news.push_back({index, now()});
-  drop_told(side);
+  if (index <= view.last_pending_index) return;
+  view.last_pending_index = index;
+  view.pending_versions.push_back({index, now()});
+  drop_notified(view);
 }
 
-bool Agents::reachable(RouterId router) const {
-  const Side& side = sides_[router];
-  return side.runs && !silent(router) && side.moves >= oldest_moves_;
+bool DiscoveryAgents::reachable(RouterId router) const {
+  const RouterView& view = views_[router];
+  return view.running && !is_silent(router) && view.address_version >= oldest_served_version_;
 }
 
-void Agents::note_reach(RouterId router) {
-  Side& side = sides_[router];
+void DiscoveryAgents::update_reachability(RouterId router) {
+  RouterView& view = views_[router];
   if (!reachable(router)) {
-    side.reachable_since = kNever;
-  } else if (side.reachable_since == kNever) {
-    side.reachable_since = now();
+    view.reachable_since = kNever;
+  } else if (view.reachable_since == kNever) {
+    view.reachable_since = now();
   }
 }
 
 // The latest time at which the router counts as notified of the version.
-double Agents::counts_at(const Side& side, const News& news) const {
-  const model::DiscoverySpec& spec = stage_.spec.discovery;
-  const double at_latest = std::max(news.came_at, side.reachable_since) + spec.at_latest_ms;
-  const bool was_to_be_read_anew =
-      news.came_at <= side.reloaded_at && side.reachable_since <= side.reloaded_at;
-  return was_to_be_read_anew ? std::min(at_latest, side.reloaded_at + spec.reload_at_latest_ms) : at_latest;
+double DiscoveryAgents::notified_at_latest(const RouterView& view, const PendingVersion& version) const {
+  const model::DiscoverySpec& spec = context_.spec.discovery;
+  const double at_latest = std::max(version.available_at, view.reachable_since) + spec.notified_at_latest_ms;
+  const bool covered_by_reload =
+      version.available_at <= view.reloaded_at && view.reachable_since <= view.reloaded_at;
+  return covered_by_reload ? std::min(at_latest, view.reloaded_at + spec.reload_notified_at_latest_ms)
+                           : at_latest;
 }
 
 // A router that sends no call, or receives no response, counts as notified once the limit has passed.
-void Agents::sweep() {
-  const double at = now();
-  for (RouterId r = 0; r < sides_.size(); ++r) {
-    Side& side = sides_[r];
-    note_reach(r);
-    while (!side.news.empty() && counts_at(side, side.news.front()) <= at) {
-      count(r, discovery_.list_at(side.news.front().index), false, true);
+void DiscoveryAgents::expire_pending_versions() {
+  const double now_ms = now();
+  for (RouterId router = 0; router < views_.size(); ++router) {
+    RouterView& view = views_[router];
+    update_reachability(router);
+    while (!view.pending_versions.empty() &&
+           notified_at_latest(view, view.pending_versions.front()) <= now_ms) {
+      record_notified(router, discovery_.list_at(view.pending_versions.front().index), false, true);
     }
   }
-  loop_.after(kSweepMs, [this] { sweep(); });
+  loop_.run_after(kExpireIntervalMs, [this] { expire_pending_versions(); });
 }
 
 } // namespace fernward::rig
--- a/lab/peers/datagrams.cpp
+++ b/lab/peers/datagrams.cpp
@@ -14,99 +14,102 @@
 
 namespace {
 
-constexpr std::size_t kMostBytes = 256;
-constexpr std::size_t kMostOnTheirWay = 1 << 16; // further datagrams are lost, as in a network
+constexpr std::size_t kMaxDatagramBytes = 256;
+constexpr std::size_t kMaxInTransit = 1 << 16; // further datagrams are lost, as in a network
 
 } // namespace
 
-Datagrams::Datagrams(const Stage& stage, Loop& loop, model::Network& network)
-    : stage_(stage), loop_(loop), network_(network), spoken_(stage.plan.routers.size()) {}
+DatagramRelay::DatagramRelay(const RunContext& context, RunLoop& loop, model::Network& network)
+    : context_(context), loop_(loop), network_(network), sent_by_router_(context.plan.routers.size()) {}
 
-Datagrams::~Datagrams() {
+DatagramRelay::~DatagramRelay() {
   for (Port& port : ports_) {
-    port.reads.reset();
+    port.read_event.reset();
     if (port.fd >= 0) close(port.fd);
   }
 }
 
-void Datagrams::open() {
-  const std::size_t routers = stage_.plan.routers.size();
+void DatagramRelay::open() {
+  const std::size_t routers = context_.plan.routers.size();
   ports_ = std::vector<Port>(routers * routers + routers);
   for (RouterId owner = 0; owner < routers; ++owner) {
-    for (RouterId other = 0; other < routers; ++other) {
-      Port& port = ports_[owner * routers + other];
+    for (RouterId peer = 0; peer < routers; ++peer) {
+      Port& port = ports_[owner * routers + peer];
       port.owner = owner;
-      port.other = other;
-      open(port, stage_.addresses.peer(owner, other));
+      port.peer = peer;
+      open(port, context_.addresses.peer(owner, peer));
     }
-    Port& all = ports_[routers * routers + owner];
-    all.owner = owner;
-    all.everybody = true;
-    open(all, stage_.addresses.peers_all(owner));
+    Port& broadcast_port = ports_[routers * routers + owner];
+    broadcast_port.owner = owner;
+    broadcast_port.broadcast = true;
+    open(broadcast_port, context_.addresses.all_peers(owner));
   }
 }
 
-void Datagrams::open(Port& port, const sockaddr_in& where) {
-  port.all = this;
+void DatagramRelay::open(Port& port, const sockaddr_in& address) {
+  port.relay = this;
   port.fd = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (port.fd < 0 || bind(port.fd, reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0) {
-    throw std::runtime_error("cannot bind a datagram socket to " + text_of(where) + ": " +
+  if (port.fd < 0 || bind(port.fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
+    throw std::runtime_error("cannot bind a datagram socket to " + address_text(address) + ": " +
                              std::strerror(errno));
   }
-  port.reads.reset(event_new(loop_.base(), port.fd, EV_READ | EV_PERSIST, &Datagrams::readable, &port));
-  event_add(port.reads.get(), nullptr);
+  port.read_event.reset(
+      event_new(loop_.base(), port.fd, EV_READ | EV_PERSIST, &DatagramRelay::on_readable, &port));
+  event_add(port.read_event.get(), nullptr);
 }
 
-void Datagrams::apply(const model::Step& step) {
-  if (const auto* lie = std::get_if<model::LieStep>(&step.what))
-    lab::lies::apply(liars_, *lie, stage_.plan.routers.size(), stage_.spec.seed);
+void DatagramRelay::apply(const model::Step& step) {
+  if (const auto* corruption = std::get_if<model::InconsistentRouterStep>(&step.what))
+    lab::lies::apply_step(corruptors_, *corruption, context_.plan.routers.size(), context_.spec.seed);
 }
 
-void Datagrams::readable(int, short, void* port) {
-  const auto* found = static_cast<const Port*>(port);
-  found->all->read(*found);
+void DatagramRelay::on_readable(int, short, void* port) {
+  const auto* receiving_port = static_cast<const Port*>(port);
+  receiving_port->relay->read(*receiving_port);
 }
 
-void Datagrams::read(const Port& port) {
+void DatagramRelay::read(const Port& port) {
   std::array<char, 2048> buffer;
-  for (ssize_t got; (got = recv(port.fd, buffer.data(), buffer.size(), MSG_TRUNC)) >= 0;) {
+  for (ssize_t received; (received = recv(port.fd, buffer.data(), buffer.size(), MSG_TRUNC)) >= 0;) {
     ++sent_;
-    const auto size = static_cast<std::size_t>(got);
-    ++spoken_[port.owner].datagrams;
-    spoken_[port.owner].bytes += size;
-    if (size > kMostBytes) {
-      stage_.voids.add("router " + stage_.plan.routers[port.owner].name + " sent a datagram of " +
-                       std::to_string(size) + " bytes; " + std::to_string(kMostBytes) + " are allowed");
+    const auto size = static_cast<std::size_t>(received);
+    ++sent_by_router_[port.owner].datagrams;
+    sent_by_router_[port.owner].bytes += size;
+    if (size > kMaxDatagramBytes) {
+      context_.void_reasons.add("router " + context_.plan.routers[port.owner].name + " sent a datagram of " +
+                                std::to_string(size) + " bytes; " + std::to_string(kMaxDatagramBytes) +
+                                " are allowed");
       continue;
     }
     std::string bytes(buffer.data(), size);
-    if (const auto liar = liars_.find(port.owner); liar != liars_.end())
-      bytes = liar->second.spoil(loop_.now(), bytes);
-    if (!port.everybody) {
-      carry(port.owner, port.other, bytes);
+    if (const auto corruptor = corruptors_.find(port.owner); corruptor != corruptors_.end())
+      bytes = corruptor->second.corrupt(loop_.now(), bytes);
+    if (!port.broadcast) {
+      forward(port.owner, port.peer, bytes);
       continue;
     }
-    for (const auto& router : stage_.plan.routers) {
-      if (router.id != port.owner) carry(port.owner, router.id, bytes);
+    for (const auto& router : context_.plan.routers) {
+      if (router.id != port.owner) forward(port.owner, router.id, bytes);
     }
   }
 }
 
-void Datagrams::carry(RouterId from, RouterId to, const std::string& bytes) {
-  for (int copies = network_.twice(from, to) ? 2 : 1; copies > 0; --copies) {
-    const auto way = network_.datagram(from, to);
-    if (!way || on_their_way_ >= kMostOnTheirWay) continue;
-    ++on_their_way_;
-    loop_.after(*way, [this, from, to, bytes] {
-      --on_their_way_;
-      if (!network_.routers_pass(from, to)) return;
-      const std::size_t routers = stage_.plan.routers.size();
-      const sockaddr_in where = stage_.addresses.peer_listen(to);
+void DatagramRelay::forward(RouterId from, RouterId to, const std::string& bytes) {
+  for (int copies = network_.draw_duplicate(from, to) ? 2 : 1; copies > 0; --copies) {
+    const auto delay_ms = network_.datagram_delay(from, to);
+    if (!delay_ms || in_transit_ >= kMaxInTransit) continue;
+    ++in_transit_;
+    loop_.run_after(*delay_ms, [this, from, to, bytes] {
+      --in_transit_;
+      if (!network_.routers_connected(from, to)) return;
+      const std::size_t routers = context_.plan.routers.size();
+      const sockaddr_in address = context_.addresses.peer_listen(to);
       // Sent from the address that the receiver knows the sender by. A router that does not listen refuses
       // it, which needs no action here.
-      const ssize_t gone = sendto(ports_[to * routers + from].fd, bytes.data(), bytes.size(), MSG_DONTWAIT,
-                                  reinterpret_cast<const sockaddr*>(&where), sizeof where);
-      if (gone >= 0) ++delivered_;
+      const ssize_t sent_size =
+          sendto(ports_[to * routers + from].fd, bytes.data(), bytes.size(), MSG_DONTWAIT,
+                 reinterpret_cast<const sockaddr*>(&address), sizeof address);
+      if (sent_size >= 0) ++delivered_;
     });
   }
 }
--- a/lab/peers/datagrams.h
+++ b/lab/peers/datagrams.h
@@ -9,59 +9,62 @@
 #include <string>
 #include <vector>
 
-#include "lab/lies/liar.h"
+#include "lab/lies/datagram_corruptor.h"
 #include "lab/shared/loop.h"
-#include "lab/shared/stage.h"
+#include "lab/shared/run_context.h"
 #include "model/network.h"
 
 namespace fernward::rig {
 
 // Each pair of routers has a port of its own. Routers that do not share must not send datagrams; up to this
 // many routers have ports that would detect it.
-inline constexpr std::size_t kMostIdleDatagramRouters = 64;
+inline constexpr std::size_t kMaxIdleDatagramRouters = 64;
 inline bool has_datagram_ports(const model::Spec& spec, const model::Plan& plan) {
-  return spec.routers.sharing.on || plan.routers.size() <= kMostIdleDatagramRouters;
+  return spec.routers.sharing.enabled || plan.routers.size() <= kMaxIdleDatagramRouters;
 }
 
 // Owned by the simulated fleet, and used on its loop's thread.
-class Datagrams {
+class DatagramRelay {
  public:
-  Datagrams(const Stage& stage, Loop& loop, model::Network& network);
-  ~Datagrams();
+  DatagramRelay(const RunContext& context, RunLoop& loop, model::Network& network);
+  ~DatagramRelay();
 
   void open();                         // throws std::runtime_error
   void apply(const model::Step& step); // starts and stops corruption; the network applies loss and cuts
   std::uint64_t sent() const { return sent_; }
-  struct Spoken {
+  struct SentCounts {
     std::uint64_t datagrams = 0, bytes = 0;
   };
-  const std::vector<Spoken>& spoken() const { return spoken_; } // by router, what it has sent
+  const std::vector<SentCounts>& sent_by_router() const {
+    return sent_by_router_;
+  } // by router, what it has sent
   std::uint64_t delivered() const { return delivered_; }
-  std::size_t on_their_way() const { return on_their_way_; }
+  std::size_t in_transit() const { return in_transit_; }
 
  private:
   struct Port {
-    Datagrams* all = nullptr;
+    DatagramRelay* relay = nullptr;
     model::RouterId owner = 0; // the router whose configuration names this address
-    model::RouterId other = 0; // the peer that the address stands for
-    bool everybody = false;
+    model::RouterId peer = 0;  // the peer that the address stands for
+    bool broadcast = false;
     int fd = -1;
-    loop::EventPtr reads;
+    loop::EventPtr read_event;
   };
 
-  static void readable(int, short, void* port);
-  void open(Port& port, const sockaddr_in& where);
+  static void on_readable(int, short, void* port);
+  void open(Port& port, const sockaddr_in& address);
   void read(const Port& port);
-  void carry(model::RouterId from, model::RouterId to, const std::string& bytes);
+  void forward(model::RouterId from, model::RouterId to, const std::string& bytes);
 
-  const Stage& stage_;
-  Loop& loop_;
+  const RunContext& context_;
+  RunLoop& loop_;
   model::Network& network_;
-  std::map<model::RouterId, lab::lies::Liar> liars_; // routers for which a corruption was ever configured
-  std::vector<Spoken> spoken_;
+  std::map<model::RouterId, lab::lies::DatagramCorruptor>
+      corruptors_; // routers for which a corruption was ever configured
+  std::vector<SentCounts> sent_by_router_;
   std::vector<Port> ports_; // by owner and peer, then one per owner that reaches all peers
   std::uint64_t sent_ = 0, delivered_ = 0;
-  std::size_t on_their_way_ = 0;
+  std::size_t in_transit_ = 0;
 };
 
 } // namespace fernward::rig
--- a/lab/peers/fleet.cpp
+++ b/lab/peers/fleet.cpp
@@ -9,92 +9,91 @@
 namespace {
 
 double thread_cpu_s() {
-  timespec at{};
-  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &at);
-  return static_cast<double>(at.tv_sec) + static_cast<double>(at.tv_nsec) * 1e-9;
+  timespec cpu_time{};
+  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &cpu_time);
+  return static_cast<double>(cpu_time.tv_sec) + static_cast<double>(cpu_time.tv_nsec) * 1e-9;
 }
 
 } // namespace
 
-Fleet::Fleet(const Stage& stage)
-    : stage_(stage),
-      loop_(stage.clock),
-      network_(stage.spec, stage.plan),
-      agents_(stage, loop_, network_),
-      machines_(stage, loop_, network_,
-                {[this](model::MachineId m, ServerState state, double started_at, model::Discovery::Why why) {
-                   agents_.change(m, state, started_at, why);
-                 },
-                 [this](model::RouterId r, model::MachineId m) { return agents_.told_start(r, m); }}),
-      datagrams_(stage, loop_, network_) {}
-
-Fleet::~Fleet() { stop(); }
-
-void Fleet::open() {
+SimulatedFleet::SimulatedFleet(const RunContext& context)
+    : context_(context),
+      loop_(context.clock),
+      network_(context.spec, context.plan),
+      agents_(context, loop_, network_),
+      machines_(context, loop_, network_,
+                {[this](model::MachineId m, ServerState state, double started_at,
+                        model::Discovery::Cause why) { agents_.endpoint_changed(m, state, started_at, why); },
+                 [this](model::RouterId r, model::MachineId m) { return agents_.notified_start(r, m); }}),
+      datagrams_(context, loop_, network_) {}
+
+SimulatedFleet::~SimulatedFleet() { stop(); }
+
+void SimulatedFleet::start() {
   machines_.open();
   agents_.open();
-  if (has_datagram_ports(stage_.spec, stage_.plan)) datagrams_.open();
+  if (has_datagram_ports(context_.spec, context_.plan)) datagrams_.open();
   thread_ = std::thread([this] {
     pthread_setname_np(pthread_self(), "lab-fleet");
     loop_.run();
-    info_.cpu_s = thread_cpu_s();
+    summary_.cpu_s = thread_cpu_s();
   });
 }
 
 template <typename Result>
-Result Fleet::ask(std::function<Result()> what) {
+Result SimulatedFleet::run_and_wait(std::function<Result()> what) {
   std::promise<Result> done;
-  loop_.post([&] { done.set_value(what()); });
+  loop_.run_in_loop([&] { done.set_value(what()); });
   return done.get_future().get();
 }
 
-void Fleet::begin() {
-  ask<bool>([this] {
-    for (const model::Step& step : stage_.plan.steps) {
-      loop_.at(step.at_ms, [this, &step] { apply(step); });
+void SimulatedFleet::start_run() {
+  run_and_wait<bool>([this] {
+    for (const model::Step& step : context_.plan.steps) {
+      loop_.run_at(step.at_ms, [this, &step] { apply(step); });
     }
-    agents_.begin();
-    machines_.begin();
+    agents_.start_run();
+    machines_.start_run();
     return true;
   });
 }
 
-void Fleet::apply(const model::Step& step) {
+void SimulatedFleet::apply(const model::Step& step) {
   network_.apply(step);
   agents_.apply(step);
   machines_.apply(step);
   datagrams_.apply(step);
 }
 
-void Fleet::happen(const model::Step& step) {
-  ask<bool>([&] {
+void SimulatedFleet::apply_now(const model::Step& step) {
+  run_and_wait<bool>([&] {
     apply(step);
     return true;
   });
 }
 
-nlohmann::json Fleet::router_starts(model::RouterId router) {
-  return ask<nlohmann::json>([&] { return agents_.router_starts(router); });
+nlohmann::json SimulatedFleet::router_started(model::RouterId router) {
+  return run_and_wait<nlohmann::json>([&] { return agents_.router_started(router); });
 }
 
-void Fleet::router_ended(model::RouterId router) {
-  loop_.post([this, router] { agents_.router_ended(router); });
+void SimulatedFleet::router_ended(model::RouterId router) {
+  loop_.run_in_loop([this, router] { agents_.router_ended(router); });
 }
 
-std::size_t Fleet::attempts() {
-  return ask<std::size_t>([this] { return machines_.attempts(); });
+std::size_t SimulatedFleet::attempts() {
+  return run_and_wait<std::size_t>([this] { return machines_.attempts(); });
 }
 
-FleetInfo Fleet::stop() {
+FleetSummary SimulatedFleet::stop() {
   if (thread_.joinable()) {
     loop_.stop();
     thread_.join();
-    info_.lateness_ms = machines_.lateness().quantiles();
-    info_.attempts = machines_.arrived();
-    info_.datagrams = datagrams_.delivered();
-    info_.spoken = datagrams_.spoken();
+    summary_.lateness_ms = machines_.lateness().quantiles();
+    summary_.attempts = machines_.arrived_count();
+    summary_.datagrams = datagrams_.delivered();
+    summary_.sent_by_router = datagrams_.sent_by_router();
   }
-  return info_;
+  return summary_;
 }
 
 } // namespace fernward::rig
--- a/lab/peers/fleet.h
+++ b/lab/peers/fleet.h
@@ -12,43 +12,43 @@
 
 namespace fernward::rig {
 
-struct FleetInfo {
-  lab::Quantiles lateness_ms; // of responses, relative to their due times
+struct FleetSummary {
+  lab::LatenessQuantiles lateness_ms; // of responses, relative to their due times
   double cpu_s = 0;
   std::uint64_t attempts = 0, datagrams = 0;
-  std::vector<Datagrams::Spoken> spoken; // by router
+  std::vector<DatagramRelay::SentCounts> sent_by_router; // by router
 };
 
 // Created, started and stopped by one thread; everything else runs in its own thread.
-class Fleet {
+class SimulatedFleet {
  public:
-  explicit Fleet(const Stage& stage);
-  ~Fleet(); // calls stop()
-  Fleet(const Fleet&) = delete;
-  Fleet& operator=(const Fleet&) = delete;
+  explicit SimulatedFleet(const RunContext& context);
+  ~SimulatedFleet(); // calls stop()
+  SimulatedFleet(const SimulatedFleet&) = delete;
+  SimulatedFleet& operator=(const SimulatedFleet&) = delete;
 
   // To be called from the thread that created it.
-  void open();  // listens and starts serving; throws std::runtime_error
-  void begin(); // the clock has started
-  nlohmann::json router_starts(model::RouterId router); // see Agents
+  void start();     // listens and starts serving; throws std::runtime_error
+  void start_run(); // the clock has started
+  nlohmann::json router_started(model::RouterId router); // see Agents
   void router_ended(model::RouterId router);
-  void happen(const model::Step& step); // applies a step now, in addition to those of the plan
-  std::size_t attempts();               // active now
-  FleetInfo stop();                     // ends the thread and closes everything
+  void apply_now(const model::Step& step); // applies a step now, in addition to those of the plan
+  std::size_t attempts();                  // active now
+  FleetSummary stop();                     // ends the thread and closes everything
 
  private:
   template <typename Result>
-  Result ask(std::function<Result()> what); // runs it in the loop and waits for the result
+  Result run_and_wait(std::function<Result()> task); // runs it in the loop and waits for the result
   void apply(const model::Step& step);
 
-  const Stage& stage_;
-  Loop loop_;
+  const RunContext& context_;
+  RunLoop loop_;
   model::Network network_;
-  Agents agents_;
-  Machines machines_;
-  Datagrams datagrams_;
+  DiscoveryAgents agents_;
+  SimulatedMachines machines_;
+  DatagramRelay datagrams_;
   std::thread thread_;
-  FleetInfo info_;
+  FleetSummary summary_;
 };
 
 } // namespace fernward::rig
--- a/lab/peers/machines.cpp
+++ b/lab/peers/machines.cpp
@@ -13,20 +13,20 @@
 namespace fernward::rig {
 
 using loop::Handle;
-using model::Act;
-using model::Ending;
 using model::MachineId;
 using model::NodeEvent;
 using model::RouterId;
+using model::ServerAction;
+using model::ServerOutcome;
 
 namespace {
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
 constexpr double kSampleMs = 1000;
-constexpr double kSweepMs = 250;   // interval between checks for expired idle connections
-constexpr double kAtOnceMs = 0.02; // actions due within this time are performed at once
+constexpr double kIdleCheckIntervalMs = 250; // interval between checks for expired idle connections
+constexpr double kImmediateMs = 0.02;        // actions due within this time are performed at once
 constexpr int kBacklog = 512;
-constexpr std::size_t kMostBehind = 128 * 1024; // from a router that does not wait for responses
+constexpr std::size_t kMaxBufferedBytes = 128 * 1024; // from a router that does not wait for responses
 
 void reset_fd(int fd) {
   const linger at_once{1, 0};
@@ -36,634 +36,667 @@
 
 } // namespace
 
-Machines::Machines(const Stage& stage, Loop& loop, model::Network& network, MachineCalls calls)
-    : stage_(stage),
+SimulatedMachines::SimulatedMachines(const RunContext& context, RunLoop& loop, model::Network& network,
+                                     MachineCallbacks callbacks)
+    : context_(context),
       loop_(loop),
       network_(network),
-      calls_(std::move(calls)),
-      keys_(stage.spec),
-      aside_(2 * longest_give_up(stage.spec) + 1000),
-      noise_(model::stream(stage.spec.seed, "attempt noise")),
-      bad_(model::stream(stage.spec.seed, "bad answers")),
-      places_(stage.plan.machines.size()) {
-  const model::Node::World shared{stage_.spec, keys_, repeats_, &beginning_};
-  for (const model::Machine& m : stage_.plan.machines) {
-    if (is_origin(m.id)) {
-      stations_.push_back(std::make_unique<model::Origin>(stage_.spec, m, repeats_));
+      callbacks_(std::move(callbacks)),
+      keys_(context.spec),
+      pending_fills_(2 * max_client_timeout_ms(context.spec) + 1000),
+      noise_random_(model::stream(context.spec.seed, "attempt noise")),
+      bad_answer_random_(model::stream(context.spec.seed, "bad answers")),
+      states_(context.plan.machines.size()) {
+  const model::CacheNode::FleetContext fleet_context{context_.spec, keys_, repeats_, &initial_nodes_};
+  for (const model::PlannedMachine& machine : context_.plan.machines) {
+    if (is_origin(machine.id)) {
+      stations_.push_back(std::make_unique<model::Origin>(context_.spec, machine, repeats_));
     } else {
-      stations_.push_back(std::make_unique<model::Node>(shared, m));
+      stations_.push_back(std::make_unique<model::CacheNode>(fleet_context, machine));
     }
-    places_[m.id].wakes_at = kForever;
-    owner_.push_back(m.id);
+    states_[machine.id].timer_at = kForever;
+    address_owner_.push_back(machine.id);
   }
 }
 
-Machines::~Machines() {
-  for (Door& d : doors_) set_door(d, Door::State::Closed);
+SimulatedMachines::~SimulatedMachines() {
+  for (Listener& target : listeners_) set_listener_state(target, Listener::State::Closed);
 }
 
 // ---- listeners ----
 
-void Machines::open() {
-  const std::size_t places = stage_.plan.machines.size();
-  doors_ = std::vector<Door>(stage_.plan.routers.size() * places);
-  for (std::size_t i = 0; i < doors_.size(); ++i) {
-    doors_[i].all = this;
-    doors_[i].router = static_cast<RouterId>(i / places);
-    doors_[i].place = static_cast<MachineId>(i % places);
+void SimulatedMachines::open() {
+  const std::size_t machine_count = context_.plan.machines.size();
+  listeners_ = std::vector<Listener>(context_.plan.routers.size() * machine_count);
+  for (std::size_t i = 0; i < listeners_.size(); ++i) {
+    listeners_[i].machines = this;
+    listeners_[i].router = static_cast<RouterId>(i / machine_count);
+    listeners_[i].address_owner = static_cast<MachineId>(i % machine_count);
   }
-  for (const model::Machine& m : stage_.plan.machines) {
-    if (m.at_start) set_doors(m.id);
+  for (const model::PlannedMachine& machine : context_.plan.machines) {
+    if (machine.at_start) update_listeners(machine.id);
   }
 }
 
-Machines::Door& Machines::door(RouterId router, MachineId place) {
-  return doors_[std::size_t{router} * stage_.plan.machines.size() + place];
+SimulatedMachines::Listener& SimulatedMachines::listener(RouterId router, MachineId address_owner) {
+  return listeners_[std::size_t{router} * context_.plan.machines.size() + address_owner];
 }
 
-void Machines::set_doors(MachineId machine) {
-  const MachineId place = stage_.plan.machines[machine].address_of;
-  if (owner_[place] != machine) return; // another machine owns the address now
-  for (RouterId r = 0; r < stage_.plan.routers.size(); ++r) {
-    const bool off = stations_[machine]->phase() == model::Phase::Off;
-    set_door(door(r, place), !network_.passes(r, machine) ? Door::State::Plugged
-                             : off                        ? Door::State::Closed
-                                                          : Door::State::Open);
+void SimulatedMachines::update_listeners(MachineId machine) {
+  const MachineId address_owner = context_.plan.machines[machine].address_of;
+  if (address_owner_[address_owner] != machine) return; // another machine owns the address now
+  for (RouterId router = 0; router < context_.plan.routers.size(); ++router) {
+    const bool is_off = stations_[machine]->phase() == model::ServerPhase::Off;
+    set_listener_state(listener(router, address_owner), !network_.is_connected(router, machine)
+                                                            ? Listener::State::Blocked
+                                                        : is_off ? Listener::State::Closed
+                                                                 : Listener::State::Open);
   }
 }
 
-void Machines::set_door(Door& d, Door::State state) {
-  if (d.state == state) return;
-  d.state = state;
-  d.accepts.reset();
+void SimulatedMachines::set_listener_state(Listener& target, Listener::State state) {
+  if (target.state == state) return;
+  target.state = state;
+  target.accept_event.reset();
   // Connections queued while none were accepted are reset: the peer regards them as established.
-  for (int fd = -1; d.fd >= 0 && (fd = accept4(d.fd, nullptr, nullptr, SOCK_CLOEXEC)) >= 0;) reset_fd(fd);
-  for (const int fd : d.plugs) close(fd);
-  d.plugs.clear();
-  if (state == Door::State::Closed) {
-    if (d.fd >= 0) close(d.fd);
-    d.fd = -1;
+  for (int fd = -1; target.fd >= 0 && (fd = accept4(target.fd, nullptr, nullptr, SOCK_CLOEXEC)) >= 0;)
+    reset_fd(fd);
+  for (const int fd : target.blocking_sockets) close(fd);
+  target.blocking_sockets.clear();
+  if (state == Listener::State::Closed) {
+    if (target.fd >= 0) close(target.fd);
+    target.fd = -1;
     return;
   }
-  const sockaddr_in where = stage_.addresses.machine(d.router, d.place);
-  if (d.fd < 0) d.fd = listen_at(where, kBacklog);
-  if (d.fd < 0) {
-    const std::string why = "cannot listen on " + text_of(where) + ": " + std::strerror(errno);
-    if (!stage_.clock.begun()) throw std::runtime_error(why);
-    return stage_.voids.add(why);
+  const sockaddr_in address = context_.addresses.machine(target.router, target.address_owner);
+  if (target.fd < 0) target.fd = listen_at(address, kBacklog);
+  if (target.fd < 0) {
+    const std::string error = "cannot listen on " + address_text(address) + ": " + std::strerror(errno);
+    if (!context_.clock.started()) throw std::runtime_error(error);
+    return context_.void_reasons.add(error);
   }
-  if (state == Door::State::Plugged) return plug(d);
-  listen(d.fd, kBacklog);
-  d.accepts.reset(event_new(loop_.base(), d.fd, EV_READ | EV_PERSIST, &Machines::acceptable, &d));
-  event_add(d.accepts.get(), nullptr);
+  if (state == Listener::State::Blocked) return block(target);
+  listen(target.fd, kBacklog);
+  target.accept_event.reset(
+      event_new(loop_.base(), target.fd, EV_READ | EV_PERSIST, &SimulatedMachines::on_acceptable, &target));
+  event_add(target.accept_event.get(), nullptr);
 }
 
 // Fills the backlog of a listener. A full backlog drops connection requests without a response, as an
 // unreachable machine does.
-void Machines::plug(Door& d) {
-  listen(d.fd, 0);
-  const sockaddr_in where = stage_.addresses.machine(d.router, d.place);
+void SimulatedMachines::block(Listener& target) {
+  listen(target.fd, 0);
+  const sockaddr_in address = context_.addresses.machine(target.router, target.address_owner);
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (fd < 0) return stage_.voids.add("out of descriptors");
-  [[maybe_unused]] const int said = ::connect(fd, reinterpret_cast<const sockaddr*>(&where), sizeof where);
-  d.plugs.push_back(fd);
+  if (fd < 0) return context_.void_reasons.add("out of descriptors");
+  [[maybe_unused]] const int ignored_result =
+      ::connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address);
+  target.blocking_sockets.push_back(fd);
 }
 
-void Machines::acceptable(int, short, void* d) {
-  auto* found = static_cast<Door*>(d);
-  found->all->accept(*found);
+void SimulatedMachines::on_acceptable(int, short, void* listener_argument) {
+  auto* accepting = static_cast<Listener*>(listener_argument);
+  accepting->machines->accept(*accepting);
 }
 
-void Machines::accept(Door& d) {
-  const int fd = accept4(d.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+void SimulatedMachines::accept(Listener& target) {
+  const int fd = accept4(target.fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
   if (fd < 0) {
-    if (errno == EMFILE || errno == ENFILE) stage_.voids.add("the lab is out of descriptors");
+    if (errno == EMFILE || errno == ENFILE) context_.void_reasons.add("the lab is out of descriptors");
     return;
   }
   const Handle handle = connections_.add();
   if (handle == 0) return reset_fd(fd);
-  Connection& c = *connections_.find(handle);
-  c.all = this;
-  c.self = handle;
-  c.router = d.router;
-  c.machine = owner_[d.place];
-  c.life = places_[c.machine].life;
-  c.rested_at = now();
-  c.stream = std::make_unique<Stream>(loop_.base(), fd, c);
-  loop_.at(to_machine(c, now()), [this, handle] { connect_at_machine(handle); });
+  Connection& connection = *connections_.find(handle);
+  connection.machines = this;
+  connection.self = handle;
+  connection.router = target.router;
+  connection.machine = address_owner_[target.address_owner];
+  connection.incarnation = states_[connection.machine].incarnation;
+  connection.idle_since = now();
+  connection.stream = std::make_unique<Stream>(loop_.base(), fd, connection);
+  loop_.run_at(arrival_at_machine(connection, now()), [this, handle] { connect_at_machine(handle); });
 }
 
 // ---- connections ----
 
-double Machines::to_machine(Connection& c, double from) {
-  const double way = network_.between(stage_.plan.routers[c.router].zone, zone_of(c.machine));
-  return c.to_machine_at = std::max(c.to_machine_at, from + way);
+double SimulatedMachines::arrival_at_machine(Connection& connection, double sent_at) {
+  const double delay_ms =
+      network_.zone_delay(context_.plan.routers[connection.router].zone, zone_of(connection.machine));
+  return connection.last_arrival_at_machine =
+             std::max(connection.last_arrival_at_machine, sent_at + delay_ms);
 }
 
-double Machines::to_router(Connection& c, double from) {
-  const double way = network_.between(zone_of(c.machine), stage_.plan.routers[c.router].zone);
-  return c.to_router_at = std::max(c.to_router_at, from + way);
+double SimulatedMachines::arrival_at_router(Connection& connection, double sent_at) {
+  const double delay_ms =
+      network_.zone_delay(zone_of(connection.machine), context_.plan.routers[connection.router].zone);
+  return connection.last_arrival_at_router = std::max(connection.last_arrival_at_router, sent_at + delay_ms);
 }
 
-void Machines::connect_at_machine(Handle connection) {
-  Connection* c = connections_.find(connection);
-  if (c == nullptr || c->stream == nullptr || !of_this_life(*c)) return;
-  if (!passes(*c)) {
-    c->stuck = true;
+void SimulatedMachines::connect_at_machine(Handle connection) {
+  Connection* found = connections_.find(connection);
+  if (found == nullptr || found->stream == nullptr || !of_current_incarnation(*found)) return;
+  if (!passes(*found)) {
+    found->message_lost = true;
     return;
   }
-  const MachineId machine = c->machine;
-  if (stations_[machine]->connect(now(), connection, acts_)) {
-    c->accepted = true;
+  const MachineId machine = found->machine;
+  if (stations_[machine]->connect(now(), connection, actions_)) {
+    found->accepted = true;
   } else { // its connection table is full, or it has just ended
-    c->turned_away = c->up = true;
-    c->up_at = to_router(*c, now());
-    send_on(*c);
+    found->rejected = found->established = true;
+    found->established_at = arrival_at_router(*found, now());
+    forward_request(*found);
   }
-  acts(machine);
+  process_actions(machine);
 }
 
-void Machines::read(Connection& c, std::string_view got) {
-  if (c.first_byte_at < 0 && !c.request && c.arrival == 0) c.first_byte_at = now();
-  c.behind.append(got);
-  if (c.behind.size() > kMostBehind) {
-    stage_.voids.add("router " + stage_.plan.routers[c.router].name +
-                     " pipelines requests without waiting for responses");
-    c.behind.clear();
+void SimulatedMachines::on_data(Connection& connection, std::string_view data) {
+  if (connection.first_byte_at < 0 && !connection.request && connection.attempt == 0)
+    connection.first_byte_at = now();
+  connection.buffered.append(data);
+  if (connection.buffered.size() > kMaxBufferedBytes) {
+    context_.void_reasons.add("router " + context_.plan.routers[connection.router].name +
+                              " pipelines requests without waiting for responses");
+    connection.buffered.clear();
   }
-  read_request(c);
-}
-
-void Machines::read_request(Connection& c) {
-  if (c.request || c.arrival != 0 || c.answering || c.behind.empty() || c.stream == nullptr) return;
-  if (c.first_byte_at < 0) c.first_byte_at = now();
-  c.behind.erase(0, c.parser.feed(c.behind));
-  if (c.parser.fault() != http::Fault::None) {
-    c.parser = http::Parser(http::Kind::Request);
-    c.behind.clear();
-    stage_.voids.add("router " + stage_.plan.routers[c.router].name + " sent a malformed HTTP request to " +
-                     stage_.plan.machines[c.machine].name);
-    return refuse(c, 400);
+  read_request(connection);
+}
+
+void SimulatedMachines::read_request(Connection& connection) {
+  if (connection.request || connection.attempt != 0 || connection.response_pending ||
+      connection.buffered.empty() || connection.stream == nullptr)
+    return;
+  if (connection.first_byte_at < 0) connection.first_byte_at = now();
+  connection.buffered.erase(0, connection.parser.feed(connection.buffered));
+  if (connection.parser.error() != http::ParseError::None) {
+    connection.parser = http::Parser(http::MessageKind::Request);
+    connection.buffered.clear();
+    context_.void_reasons.add("router " + context_.plan.routers[connection.router].name +
+                              " sent a malformed HTTP request to " +
+                              context_.plan.machines[connection.machine].name);
+    return send_error(connection, 400);
   }
-  if (!c.parser.done()) return;
+  if (!connection.parser.done()) return;
   int status = 0;
-  c.request = take(c, c.parser.take(), status);
-  c.first_byte_at = -1;
-  if (!c.request) return refuse(c, status);
-  send_on(c);
+  connection.request = parse_request(connection, connection.parser.take_message(), status);
+  connection.first_byte_at = -1;
+  if (!connection.request) return send_error(connection, status);
+  forward_request(connection);
 }
 
 // Returns the request, or none: then the response is the error `status`.
-std::optional<Machines::Request> Machines::take(const Connection& c, const http::Message& message,
-                                                int& status) {
+std::optional<SimulatedMachines::Request> SimulatedMachines::parse_request(const Connection& connection,
+                                                                           const http::Message& message,
+                                                                           int& status) {
   Request request;
-  request.sent_at = c.first_byte_at;
+  request.sent_at = connection.first_byte_at;
   request.read_at = now();
   request.wait_ms = 0;
-  const std::string_view wait = message.header("x-timeout-ms");
-  std::from_chars(wait.data(), wait.data() + wait.size(), request.wait_ms);
+  const std::string_view timeout = message.header("x-timeout-ms");
+  std::from_chars(timeout.data(), timeout.data() + timeout.size(), request.wait_ms);
   const std::string_view id = message.header("x-request-id");
   if (id.empty()) {
     status = 404;
     return std::nullopt;
   }
-  const auto number = stage_.tries.number(id);
-  const auto known = number ? stage_.tries.find(*number) : std::nullopt;
+  const auto number = context_.tries.try_id_of(id);
+  const auto known = number ? context_.tries.find(*number) : std::nullopt;
   if (known) {
-    const std::string repeat = known->repeat_key != 0 ? repeat_text(known->repeat_key) : "";
-    const bool same = message.method == (known->write ? "PUT" : "GET") &&
-                      message.target == path_of(known->key) && message.header("idempotency-key") == repeat &&
-                      message.body.size() == known->body_bytes &&
-                      (message.body.empty() || hash_of(message.body) == known->body_hash);
+    const std::string idempotency_key =
+        known->idempotency_key != 0 ? idempotency_key_text(known->idempotency_key) : "";
+    const bool matches =
+        message.method == (known->write ? "PUT" : "GET") && message.target == path_of(known->key) &&
+        message.header("idempotency-key") == idempotency_key && message.body.size() == known->body_bytes &&
+        (message.body.empty() || hash_of(message.body) == known->body_hash);
     request.try_id = *number;
-    request.facts = *known;
-    if (same) return request;
-  } else if (stage_.visitors) {
+    request.metadata = *known;
+    if (matches) return request;
+  } else if (context_.serve_foreign_requests) {
     request.try_id = hash_of(id) | 1ull << 63; // not a try of the lab's clients
-    request.facts.write = message.method == "PUT";
-    request.facts.key = hash_of(message.target) >> 8;
-    request.facts.work_ms = stage_.spec.classes.front().work.mean;
-    request.facts.size_bytes = keys_.size_bytes(request.facts.key);
+    request.metadata.write = message.method == "PUT";
+    request.metadata.key = hash_of(message.target) >> 8;
+    request.metadata.work_ms = context_.spec.classes.front().work.mean;
+    request.metadata.size_bytes = keys_.size_bytes(request.metadata.key);
     return request;
   }
-  stage_.voids.add("router " + stage_.plan.routers[c.router].name +
-                   " sent a request that no client sent: " + message.method + " " +
-                   message.target.substr(0, 64) + " id " + std::string(id.substr(0, 32)));
+  context_.void_reasons.add("router " + context_.plan.routers[connection.router].name +
+                            " sent a request that no client sent: " + message.method + " " +
+                            message.target.substr(0, 64) + " id " + std::string(id.substr(0, 32)));
   status = 400;
   return std::nullopt;
 }
 
 // Schedules the arrival of the request once the router sees the connection as established.
-void Machines::send_on(Connection& c) {
-  if (!c.request || !c.up || c.on_its_way) return;
-  c.on_its_way = true;
-  const double at = to_machine(c, std::max(c.request->read_at, c.up_at));
-  if (at <= now() + kAtOnceMs) return arrive(c.self);
-  loop_.at(at, [this, handle = c.self] { arrive(handle); });
-}
-
-void Machines::arrive(Handle connection) {
-  Connection* c = connections_.find(connection);
-  if (c == nullptr || !c->request || !of_this_life(*c)) return;
-  if (!passes(*c)) {
-    c->stuck = true;
+void SimulatedMachines::forward_request(Connection& connection) {
+  if (!connection.request || !connection.established || connection.request_in_transit) return;
+  connection.request_in_transit = true;
+  const double arrival_at =
+      arrival_at_machine(connection, std::max(connection.request->read_at, connection.established_at));
+  if (arrival_at <= now() + kImmediateMs) return request_arrived(connection.self);
+  loop_.run_at(arrival_at, [this, handle = connection.self] { request_arrived(handle); });
+}
+
+void SimulatedMachines::request_arrived(Handle connection) {
+  Connection* found = connections_.find(connection);
+  if (found == nullptr || !found->request || !of_current_incarnation(*found)) return;
+  if (!passes(*found)) {
+    found->message_lost = true;
     return;
   }
-  c->on_its_way = false;
-  const Request request = *std::exchange(c->request, std::nullopt);
-  if (c->turned_away) {
-    Reply full;
-    full.ending = Ending::Full;
-    Script script = reply(stage_.bodies, full, {});
+  found->request_in_transit = false;
+  const Request request = *std::exchange(found->request, std::nullopt);
+  if (found->rejected) {
+    ServerResponse full_response;
+    full_response.ending = ServerOutcome::Full;
+    ResponseScript script = make_script(context_.body_codec, full_response, {});
     script.close = true;
-    c->answering = true;
-    return say(*c, now(), std::move(script));
+    found->response_pending = true;
+    return send_response(*found, now(), std::move(script));
   }
-  const MachineId machine = c->machine;
-  const Handle handle = arrivals_.add();
-  if (handle == 0) return stage_.voids.add("too many active attempts: the lab's table is full");
-  Arrival& arrival = *arrivals_.find(handle);
-  arrival.number = ++arrived_;
-  arrival.machine = machine;
-  arrival.connection = connection;
-  arrival.try_id = request.try_id;
-  arrival.key = request.facts.key;
-  arrival.write = request.facts.write;
-  arrival.size_bytes = request.facts.size_bytes;
-  c->arrival = handle;
-  model::Attempt work;
-  work.id = handle;
-  work.cls = request.facts.cls;
-  work.key = request.facts.key;
-  work.repeat_key = request.facts.repeat_key;
-  work.write = request.facts.write;
-  const double started_at = places_[machine].started_at;
-  work.told = started_at < 0 || calls_.told_start(c->router, machine) >= started_at;
-  work.work_ms = request.facts.work_ms *
-                 model::draw_factor(stage_.spec.classes[request.facts.cls].attempt_noise, noise_);
-  work.size_bytes = request.facts.size_bytes;
-  work.deadline = request.wait_ms > 0 ? request.read_at + request.wait_ms : 0;
-  model::Arrived record;
+  const MachineId machine = found->machine;
+  const Handle handle = active_attempts_.add();
+  if (handle == 0) return context_.void_reasons.add("too many active attempts: the lab's table is full");
+  ActiveAttempt& active = *active_attempts_.find(handle);
+  active.number = ++arrived_count_;
+  active.machine = machine;
+  active.connection = connection;
+  active.try_id = request.try_id;
+  active.key = request.metadata.key;
+  active.write = request.metadata.write;
+  active.size_bytes = request.metadata.size_bytes;
+  found->attempt = handle;
+  model::ServerAttempt attempt;
+  attempt.id = handle;
+  attempt.cls = request.metadata.cls;
+  attempt.key = request.metadata.key;
+  attempt.idempotency_key = request.metadata.idempotency_key;
+  attempt.write = request.metadata.write;
+  const double started_at = states_[machine].started_at;
+  attempt.notified = started_at < 0 || callbacks_.notified_start(found->router, machine) >= started_at;
+  attempt.work_ms =
+      request.metadata.work_ms *
+      model::draw_factor(context_.spec.classes[request.metadata.cls].attempt_work_cv, noise_random_);
+  attempt.size_bytes = request.metadata.size_bytes;
+  attempt.deadline = request.wait_ms > 0 ? request.read_at + request.wait_ms : 0;
+  model::AttemptArrived record;
   record.at = now();
   record.sent_at = request.sent_at;
-  record.attempt = arrival.number;
+  record.attempt = active.number;
   record.machine = machine;
   record.try_id = request.try_id;
-  record.router = c->router;
-  record.cls = work.cls;
-  record.key = work.key;
-  record.repeat_key = work.repeat_key;
-  record.write = work.write;
-  record.told = work.told;
-  record.work_ms = work.work_ms;
-  stage_.tape.add(record);
-  stations_[machine]->arrive(now(), work, acts_);
-  acts(machine);
+  record.router = found->router;
+  record.cls = attempt.cls;
+  record.key = attempt.key;
+  record.idempotency_key = attempt.idempotency_key;
+  record.write = attempt.write;
+  record.notified = attempt.notified;
+  record.work_ms = attempt.work_ms;
+  context_.records.add(record);
+  stations_[machine]->arrive(now(), attempt, actions_);
+  process_actions(machine);
 }
 
 // The router has closed the connection, or its sending side: this cancels the active request.
-void Machines::closed(Connection& c) {
-  const Handle handle = c.self;
+void SimulatedMachines::on_closed(Connection& connection) {
+  const Handle handle = connection.self;
   // A request that would not have been sent yet, had the handshake taken its simulated time, is never sent.
-  if (c.request && (!c.up || c.up_at > now())) c.request.reset();
-  c.stream.reset();
-  loop_.at(to_machine(c, now()), [this, handle] { gone_at_machine(handle); });
+  if (connection.request && (!connection.established || connection.established_at > now()))
+    connection.request.reset();
+  connection.stream.reset();
+  loop_.run_at(arrival_at_machine(connection, now()), [this, handle] { closed_at_machine(handle); });
 }
 
-void Machines::gone_at_machine(Handle connection) {
-  const Connection* c = connections_.find(connection);
-  if (c == nullptr) return;
-  const MachineId machine = c->machine;
-  if (c->accepted && of_this_life(*c)) {
+void SimulatedMachines::closed_at_machine(Handle connection) {
+  const Connection* found = connections_.find(connection);
+  if (found == nullptr) return;
+  const MachineId machine = found->machine;
+  if (found->accepted && of_current_incarnation(*found)) {
     stations_[machine]->disconnect(now());
-    if (c->arrival != 0) stations_[machine]->cancel(now(), c->arrival, acts_);
+    if (found->attempt != 0) stations_[machine]->cancel(now(), found->attempt, actions_);
   }
   connections_.remove(connection);
-  acts(machine);
+  process_actions(machine);
 }
 
-void Machines::reset(Handle connection) {
-  Connection* c = connections_.find(connection);
-  if (c == nullptr) return;
-  if (c->stream != nullptr) c->stream->reset_on_close();
+void SimulatedMachines::reset(Handle connection) {
+  Connection* found = connections_.find(connection);
+  if (found == nullptr) return;
+  if (found->stream != nullptr) found->stream->reset_on_close();
   connections_.remove(connection);
 }
 
 // Closes the machine's side of its connections. Routers that messages reach are notified with a reset.
-void Machines::reset_links(MachineId machine, bool only_stuck) {
-  connections_.each([&](Handle handle, Connection& c) {
-    if (c.machine != machine || (only_stuck && !c.stuck)) return;
-    if (only_stuck && c.accepted && of_this_life(c)) {
+void SimulatedMachines::reset_connections(MachineId machine, bool only_message_lost) {
+  connections_.for_each([&](Handle handle, Connection& connection) {
+    if (connection.machine != machine || (only_message_lost && !connection.message_lost)) return;
+    if (only_message_lost && connection.accepted && of_current_incarnation(connection)) {
       stations_[machine]->disconnect(now());
-      if (c.arrival != 0) stations_[machine]->cancel(now(), c.arrival, acts_);
+      if (connection.attempt != 0) stations_[machine]->cancel(now(), connection.attempt, actions_);
     }
-    c.accepted = false;
-    c.life = std::numeric_limits<std::uint32_t>::max(); // of no incarnation any more
-    if (!passes(c)) {
-      c.stuck = true;
+    connection.accepted = false;
+    connection.incarnation = std::numeric_limits<std::uint32_t>::max(); // of no incarnation any more
+    if (!passes(connection)) {
+      connection.message_lost = true;
       return;
     }
-    c.stuck = false;
-    loop_.at(to_router(c, now()), [this, handle] { reset(handle); });
+    connection.message_lost = false;
+    loop_.run_at(arrival_at_router(connection, now()), [this, handle] { reset(handle); });
   });
-  acts(machine);
+  process_actions(machine);
 }
 
 // A silence or cut has started or ended: connections over a cut path are not read, and those on which a
 // message was lost are reset once the path is restored.
-void Machines::ways_changed() {
-  for (MachineId m = 0; m < stations_.size(); ++m) set_doors(m);
-  connections_.each([&](Handle, Connection& c) {
-    if (c.stream == nullptr) return;
-    const bool frozen = !passes(c);
-    if (frozen == c.frozen) return;
-    c.frozen = frozen;
-    if (frozen) return c.stream->pause();
-    if (!c.stream->quiet()) c.stuck = true; // data written to it meanwhile is lost and stays unread
-    if (!c.stuck) c.stream->resume();
+void SimulatedMachines::reachability_changed() {
+  for (MachineId machine = 0; machine < stations_.size(); ++machine) update_listeners(machine);
+  connections_.for_each([&](Handle, Connection& connection) {
+    if (connection.stream == nullptr) return;
+    const bool frozen = !passes(connection);
+    if (frozen == connection.reading_paused) return;
+    connection.reading_paused = frozen;
+    if (frozen) return connection.stream->pause();
+    if (!connection.stream->nothing_unread())
+      connection.message_lost = true; // data written to it meanwhile is lost and stays unread
+    if (!connection.message_lost) connection.stream->resume();
   });
-  for (MachineId m = 0; m < stations_.size(); ++m) reset_links(m, true);
-}
-
-void Machines::close_resting() {
-  const double at = now();
-  connections_.each([&](Handle handle, Connection& c) {
-    if (c.stream == nullptr || c.request || c.arrival != 0 || c.answering || !c.up) return;
-    if (c.rested_at + stage_.idle_ms(c.machine) > at) return;
-    if (c.accepted && of_this_life(c)) stations_[c.machine]->disconnect(at);
-    c.accepted = false;
-    if (passes(c)) return connections_.remove(handle);
-    c.stuck = true;
-    c.rested_at = kForever;
+  for (MachineId machine = 0; machine < stations_.size(); ++machine) reset_connections(machine, true);
+}
+
+void SimulatedMachines::close_idle_connections() {
+  const double now_ms = now();
+  connections_.for_each([&](Handle handle, Connection& connection) {
+    if (connection.stream == nullptr || connection.request || connection.attempt != 0 ||
+        connection.response_pending || !connection.established)
+      return;
+    if (connection.idle_since + context_.idle_ms(connection.machine) > now_ms) return;
+    if (connection.accepted && of_current_incarnation(connection))
+      stations_[connection.machine]->disconnect(now_ms);
+    connection.accepted = false;
+    if (passes(connection)) return connections_.remove(handle);
+    connection.message_lost = true;
+    connection.idle_since = kForever;
   });
-  loop_.after(kSweepMs, [this] { close_resting(); });
+  loop_.run_after(kIdleCheckIntervalMs, [this] { close_idle_connections(); });
 }
 
 // ---- responses ----
 
-void Machines::refuse(Connection& c, int status) {
-  Script script;
+void SimulatedMachines::send_error(Connection& connection, int status) {
+  ResponseScript script;
   script.pieces.push_back({0, http::write_response(status, {}, "", true)});
-  c.answering = true;
-  say(c, now(), std::move(script));
+  connection.response_pending = true;
+  send_response(connection, now(), std::move(script));
 }
 
-void Machines::say(Connection& c, double due, Script script) {
-  if (c.stream == nullptr) return;
-  if (!passes(c)) {
-    c.stuck = true;
+void SimulatedMachines::send_response(Connection& connection, double due, ResponseScript script) {
+  if (connection.stream == nullptr) return;
+  if (!passes(connection)) {
+    connection.message_lost = true;
     return;
   }
-  c.answering = true;
-  const auto shared = std::make_shared<const Script>(std::move(script));
-  write(c.self, shared, 0, to_router(c, due));
+  connection.response_pending = true;
+  const auto shared_script = std::make_shared<const ResponseScript>(std::move(script));
+  write(connection.self, shared_script, 0, arrival_at_router(connection, due));
 }
 
-void Machines::write(Handle connection, const std::shared_ptr<const Script>& script, std::size_t piece,
-                     double due) {
+void SimulatedMachines::write(Handle connection, const std::shared_ptr<const ResponseScript>& script,
+                              std::size_t piece, double due) {
   for (; piece < script->pieces.size() || script->close; ++piece) {
-    const bool over = piece >= script->pieces.size();
-    const double at = due + (!over       ? script->pieces[piece].after_ms
-                             : piece > 0 ? script->pieces.back().after_ms
-                                         : 0);
-    if (at > now() + kAtOnceMs) {
-      loop_.at(at, [this, connection, script, piece, due] { write(connection, script, piece, due); });
+    const bool is_end = piece >= script->pieces.size();
+    const double write_at = due + (!is_end     ? script->pieces[piece].after_ms
+                                   : piece > 0 ? script->pieces.back().after_ms
+                                               : 0);
+    if (write_at > now() + kImmediateMs) {
+      loop_.run_at(write_at,
+                   [this, connection, script, piece, due] { write(connection, script, piece, due); });
       return;
     }
-    Connection* c = connections_.find(connection);
-    if (c == nullptr || c->stream == nullptr || !of_this_life(*c)) return;
-    if (!passes(*c)) {
-      c->stuck = true;
+    Connection* found = connections_.find(connection);
+    if (found == nullptr || found->stream == nullptr || !of_current_incarnation(*found)) return;
+    if (!passes(*found)) {
+      found->message_lost = true;
       return;
     }
-    if (over) { // a truncated response, or one after which the connection closes
-      if (c->accepted) stations_[c->machine]->disconnect(now());
+    if (is_end) { // a truncated response, or one after which the connection closes
+      if (found->accepted) stations_[found->machine]->disconnect(now());
       return connections_.remove(connection);
     }
-    lateness_.add(now() - at);
-    c->stream->send(script->pieces[piece].bytes);
+    lateness_.add(now() - write_at);
+    found->stream->send(script->pieces[piece].bytes);
   }
-  Connection* c = connections_.find(connection);
-  if (c == nullptr || c->stream == nullptr || !script->stays) return;
-  c->answering = false;
-  c->rested_at = now();
-  read_request(*c);
+  Connection* found = connections_.find(connection);
+  if (found == nullptr || found->stream == nullptr || !script->reusable) return;
+  found->response_pending = false;
+  found->idle_since = now();
+  read_request(*found);
 }
 
 // ---- server models ----
 
-void Machines::begin() {
+void SimulatedMachines::start_run() {
   sample();
-  close_resting();
-  for (MachineId m = 0; m < stations_.size(); ++m) wake(m);
+  close_idle_connections();
+  for (MachineId machine = 0; machine < stations_.size(); ++machine) schedule_timer(machine);
 }
 
-void Machines::sample() {
-  for (MachineId m = 0; m < stations_.size(); ++m) {
-    stations_[m]->advance(now(), acts_);
-    acts(m);
-    if (stations_[m]->phase() != model::Phase::Off) stage_.tape.add(stations_[m]->sample(now()));
+void SimulatedMachines::sample() {
+  for (MachineId machine = 0; machine < stations_.size(); ++machine) {
+    stations_[machine]->advance(now(), actions_);
+    process_actions(machine);
+    if (stations_[machine]->phase() != model::ServerPhase::Off)
+      context_.records.add(stations_[machine]->sample(now()));
   }
-  loop_.after(kSampleMs, [this] { sample(); });
+  loop_.run_after(kSampleMs, [this] { sample(); });
 }
 
-void Machines::event(MachineId machine, NodeEvent::What what, bool cold, double told_share) {
-  stage_.tape.add(NodeEvent{now(), machine, what, cold, told_share});
+void SimulatedMachines::record_event(MachineId machine, NodeEvent::What what, bool cold,
+                                     double notified_share) {
+  context_.records.add(NodeEvent{now(), machine, what, cold, notified_share});
 }
 
-model::Node* Machines::node(MachineId machine) {
-  return is_origin(machine) ? nullptr : static_cast<model::Node*>(stations_[machine].get());
+model::CacheNode* SimulatedMachines::node(MachineId machine) {
+  return is_origin(machine) ? nullptr : static_cast<model::CacheNode*>(stations_[machine].get());
 }
 
-void Machines::wake(MachineId machine) {
-  Place& place = places_[machine];
-  const double next = stations_[machine]->next();
-  if (next >= place.wakes_at) return;
-  loop_.deadlines().cancel(place.wake);
-  place.wakes_at = next;
-  place.wake = loop_.at(next, [this, machine] {
-    places_[machine].wakes_at = kForever;
-    places_[machine].wake = 0;
-    stations_[machine]->advance(now(), acts_);
-    acts(machine);
+void SimulatedMachines::schedule_timer(MachineId machine) {
+  MachineState& state = states_[machine];
+  const double next = stations_[machine]->next_due_ms();
+  if (next >= state.timer_at) return;
+  loop_.timers().cancel(state.timer);
+  state.timer_at = next;
+  state.timer = loop_.run_at(next, [this, machine] {
+    states_[machine].timer_at = kForever;
+    states_[machine].timer = 0;
+    stations_[machine]->advance(now(), actions_);
+    process_actions(machine);
   });
 }
 
-void Machines::apply(const model::Step& step) {
-  if (const auto* which = std::get_if<model::NodeStep>(&step.what)) {
-    node_step(*which);
+void SimulatedMachines::apply(const model::Step& step) {
+  if (const auto* node_action = std::get_if<model::NodeStep>(&step.what)) {
+    node_step(*node_action);
   } else if (const auto* origin = std::get_if<model::OriginStep>(&step.what)) {
-    if (!stage_.spec.origin.on) return;
-    auto& station = static_cast<model::Origin&>(*stations_[stage_.plan.origin]);
+    if (!context_.spec.origin.enabled) return;
+    auto& station = static_cast<model::Origin&>(*stations_[context_.plan.origin]);
     if (origin->what == model::OriginStep::What::Fall) {
-      station.fall(now(), origin->down_ms, acts_);
+      station.fail(now(), origin->down_ms, actions_);
     } else {
-      station.slow(now(), origin->factor, acts_);
+      station.set_capacity_share(now(), origin->factor, actions_);
     }
-    acts(stage_.plan.origin);
-  } else if (std::get_if<model::CutStep>(&step.what) != nullptr) {
-    ways_changed();
+    process_actions(context_.plan.origin);
+  } else if (std::get_if<model::PartitionStep>(&step.what) != nullptr) {
+    reachability_changed();
   } else if (const auto* router = std::get_if<model::RouterStep>(&step.what)) {
     using What = model::RouterStep::What;
-    if (router->what == What::Silence || router->what == What::Return) ways_changed();
+    if (router->what == What::Silence || router->what == What::Return) reachability_changed();
   }
 }
 
-void Machines::node_step(const model::NodeStep& step) {
+void SimulatedMachines::node_step(const model::NodeStep& step) {
   using What = model::NodeStep::What;
-  using Why = model::Discovery::Why;
-  const MachineId m = step.machine;
-  model::Station& station = *stations_[m];
-  Place& place = places_[m];
-  const bool runs = station.phase() != model::Phase::Off;
+  using Why = model::Discovery::Cause;
+  const MachineId machine = step.machine;
+  model::ServerModel& station = *stations_[machine];
+  MachineState& state = states_[machine];
+  const bool running = station.phase() != model::ServerPhase::Off;
   switch (step.what) {
     case What::Start:
-      if (runs) return;
-      ++place.life;
-      place.started_at = now();
-      owner_[stage_.plan.machines[m].address_of] = m;
-      station.start(now(), acts_);
-      event(m, NodeEvent::What::Started, true);
-      set_doors(m);
-      calls_.changed(m, ServerState::Ready, place.started_at, Why::Added);
+      if (running) return;
+      ++state.incarnation;
+      state.started_at = now();
+      address_owner_[context_.plan.machines[machine].address_of] = machine;
+      station.start(now(), actions_);
+      record_event(machine, NodeEvent::What::Started, true);
+      update_listeners(machine);
+      callbacks_.changed(machine, ServerState::Ready, state.started_at, Why::Added);
       break;
     case What::Drain:
-      if (!runs) return;
-      station.drain(now(), acts_);
-      event(m, NodeEvent::What::Draining);
-      calls_.changed(m, ServerState::Draining, place.started_at, Why::Left);
+      if (!running) return;
+      station.drain(now(), actions_);
+      record_event(machine, NodeEvent::What::Draining);
+      callbacks_.changed(machine, ServerState::Draining, state.started_at, Why::Leaving);
       break;
     case What::End:
-      if (!runs) return;
-      station.end(now(), acts_);
-      event(m, NodeEvent::What::Ended);
-      acts(m);
-      set_doors(m);
-      reset_links(m, false);
-      ++place.life;
-      calls_.changed(m, ServerState::Gone, place.started_at, Why::Left);
+      if (!running) return;
+      station.terminate(now(), actions_);
+      record_event(machine, NodeEvent::What::Ended);
+      process_actions(machine);
+      update_listeners(machine);
+      reset_connections(machine, false);
+      ++state.incarnation;
+      callbacks_.changed(machine, ServerState::Gone, state.started_at, Why::Leaving);
       break;
     case What::Silence:
-      event(m, NodeEvent::What::Silent);
-      ways_changed();
-      calls_.changed(m, ServerState::Gone, place.started_at, Why::Silent);
+      record_event(machine, NodeEvent::What::Silent);
+      reachability_changed();
+      callbacks_.changed(machine, ServerState::Gone, state.started_at, Why::Silent);
       break;
     case What::Return:
-      event(m, NodeEvent::What::Returned);
-      ways_changed();
+      record_event(machine, NodeEvent::What::Returned);
+      reachability_changed();
       // An origin that has failed meanwhile stays on the list, and recovers without a change of the list.
-      if (runs || is_origin(m)) calls_.changed(m, ServerState::Ready, place.started_at, Why::Added);
+      if (running || is_origin(machine))
+        callbacks_.changed(machine, ServerState::Ready, state.started_at, Why::Added);
       break;
     case What::Neighbour:
-      if (model::Node* n = node(m)) n->neighbour(now(), step.share, acts_);
-      event(m, step.share > 0 ? NodeEvent::What::NeighbourOn : NodeEvent::What::NeighbourOff);
+      if (model::CacheNode* target = node(machine)) target->set_neighbour_share(now(), step.share, actions_);
+      record_event(machine,
+                   step.share > 0 ? NodeEvent::What::NeighbourStarted : NodeEvent::What::NeighbourStopped);
       break;
     case What::Bad:
-      place.bad_share = step.share;
-      place.bad = step.kind;
+      state.bad_share = step.share;
+      state.bad_kind = step.kind;
       return;
   }
-  acts(m);
+  process_actions(machine);
 }
 
 // Performs the actions that a server model requests. An action may append others, which are performed in the
 // same pass.
-void Machines::acts(MachineId machine) {
-  if (acting_) return;
-  acting_ = true;
-  for (std::size_t i = 0; i < acts_.size(); ++i) {
-    const Act act = acts_[i];
-    switch (act.what) {
-      case Act::What::Began:
-        if (const Arrival* a = arrivals_.find(act.id))
-          stage_.tape.add(model::Begun{act.at, a->number, machine});
+void SimulatedMachines::process_actions(MachineId machine) {
+  if (processing_actions_) return;
+  processing_actions_ = true;
+  for (std::size_t i = 0; i < actions_.size(); ++i) {
+    const ServerAction action = actions_[i];
+    switch (action.what) {
+      case ServerAction::What::Started:
+        if (const ActiveAttempt* attempt = active_attempts_.find(action.id))
+          context_.records.add(model::AttemptStarted{action.at, attempt->number, machine});
         break;
-      case Act::What::Answered: attempt_ended(machine, act); break;
-      case Act::What::Connected:
-        if (Connection* c = connections_.find(act.id)) {
-          const double trips = stage_.handshake_trips(machine);
-          const double way = network_.between(zone_of(machine), stage_.plan.routers[c->router].zone);
-          c->up = true;
-          c->up_at = c->to_router_at = std::max(c->to_router_at, act.at + way * (1 + 2 * trips));
-          send_on(*c);
+      case ServerAction::What::Answered: attempt_ended(machine, action); break;
+      case ServerAction::What::Connected:
+        if (Connection* connection = connections_.find(action.id)) {
+          const double round_trips = context_.handshake_trips(machine);
+          const double delay_ms =
+              network_.zone_delay(zone_of(machine), context_.plan.routers[connection->router].zone);
+          connection->established = true;
+          connection->established_at = connection->last_arrival_at_router =
+              std::max(connection->last_arrival_at_router, action.at + delay_ms * (1 + 2 * round_trips));
+          forward_request(*connection);
         }
         break;
-      case Act::What::Warm: event(machine, NodeEvent::What::Warm); break;
-      case Act::What::TippedOver:
-        event(machine, NodeEvent::What::TippedOver, act.cold, act.told_share);
-        set_doors(machine);
-        reset_links(machine, false);
-        ++places_[machine].life;
-        calls_.changed(machine, ServerState::Gone, places_[machine].started_at, model::Discovery::Why::Left);
+      case ServerAction::What::Warm: record_event(machine, NodeEvent::What::Warm); break;
+      case ServerAction::What::Overloaded:
+        record_event(machine, NodeEvent::What::Overloaded, action.cold, action.notified_share);
+        update_listeners(machine);
+        reset_connections(machine, false);
+        ++states_[machine].incarnation;
+        callbacks_.changed(machine, ServerState::Gone, states_[machine].started_at,
+                           model::Discovery::Cause::Leaving);
         break;
-      case Act::What::Fell: // stays on the list, as it recovers under the same name
-        event(machine, NodeEvent::What::Ended);
-        set_doors(machine);
-        reset_links(machine, false);
-        ++places_[machine].life;
+      case ServerAction::What::OriginFailed: // stays on the list, as it recovers under the same name
+        record_event(machine, NodeEvent::What::Ended);
+        update_listeners(machine);
+        reset_connections(machine, false);
+        ++states_[machine].incarnation;
         break;
-      case Act::What::Returned:
-        event(machine, NodeEvent::What::Started);
-        set_doors(machine);
+      case ServerAction::What::OriginRecovered:
+        record_event(machine, NodeEvent::What::Started);
+        update_listeners(machine);
         break;
     }
   }
-  acts_.clear();
-  acting_ = false;
-  wake(machine);
+  actions_.clear();
+  processing_actions_ = false;
+  schedule_timer(machine);
 }
 
-void Machines::attempt_ended(MachineId machine, const Act& act) {
-  const Arrival* found = arrivals_.find(act.id);
+void SimulatedMachines::attempt_ended(MachineId machine, const ServerAction& action) {
+  const ActiveAttempt* found = active_attempts_.find(action.id);
   if (found == nullptr) return;
-  const Arrival a = *found;
-  arrivals_.remove(act.id);
+  const ActiveAttempt attempt = *found;
+  active_attempts_.remove(action.id);
   model::AttemptEnded record;
-  record.at = act.at;
-  record.attempt = a.number;
+  record.at = action.at;
+  record.attempt = attempt.number;
   record.machine = machine;
-  record.ending = act.ending;
-  record.begun = act.begun;
-  record.wanted = act.wanted;
-  record.waited_ms = act.waited_ms;
-  record.worked_ms = act.worked_ms;
-  stage_.tape.add(record);
-
-  switch (act.ending) {
-    case Ending::Miss:
-    case Ending::Pending: aside_.missed(now(), a.try_id, machine); break;
-    case Ending::Fetched:
-      if (act.wanted) {
-        const auto places = aside_.fetched(now(), a.try_id);
-        for (std::uint32_t i = 0; i < places.count; ++i) {
-          if (model::Node* n = node(places.machines[i])) n->store(now(), a.key);
+  record.outcome = action.outcome;
+  record.started = action.started;
+  record.awaited = action.awaited;
+  record.queued_ms = action.queued_ms;
+  record.work_done_ms = action.work_done_ms;
+  context_.records.add(record);
+
+  switch (action.outcome) {
+    case ServerOutcome::Miss:
+    case ServerOutcome::Pending: pending_fills_.add_miss(now(), attempt.try_id, machine); break;
+    case ServerOutcome::Fetched:
+      if (action.awaited) {
+        const auto caches = pending_fills_.take(now(), attempt.try_id);
+        for (std::uint32_t i = 0; i < caches.count; ++i) {
+          if (model::CacheNode* cache = node(caches.machines[i])) cache->store(now(), attempt.key);
         }
       }
       break;
     default: break;
   }
-  const bool written = act.ending == Ending::Written || (act.ending == Ending::Error && act.begun);
-  if (a.write && written && is_origin(machine)) { // a write at the origin invalidates the cached copies
-    for (const auto& m : stage_.plan.machines) {
-      if (model::Node* n = node(m.id)) n->make_void(a.key);
+  const bool written =
+      action.outcome == ServerOutcome::Written || (action.outcome == ServerOutcome::Error && action.started);
+  if (attempt.write && written && is_origin(machine)) { // a write at the origin invalidates the cached copies
+    for (const auto& planned : context_.plan.machines) {
+      if (model::CacheNode* cache = node(planned.id)) cache->invalidate(attempt.key);
     }
   }
 
-  Connection* c = connections_.find(a.connection);
-  if (c == nullptr || c->arrival != act.id) return;
-  c->arrival = 0;
-  if (act.ending == Ending::Lost || act.ending == Ending::Dropped || !of_this_life(*c)) return;
-  Reply answer;
-  answer.ending = act.ending;
-  answer.write = a.write;
-  answer.made_for = {a.try_id, a.number, machine, a.key};
-  answer.size_bytes = a.size_bytes;
-  stations_[machine]->report(act.at, answer.report);
-  const auto& fields = stage_.report_of(machine).fields;
-  const Place& place = places_[machine];
-  say(*c, act.at,
-      model::draw_chance(place.bad_share, bad_) ? bad_reply(stage_.bodies, answer, fields, place.bad)
-                                                : reply(stage_.bodies, answer, fields));
+  Connection* connection = connections_.find(attempt.connection);
+  if (connection == nullptr || connection->attempt != action.id) return;
+  connection->attempt = 0;
+  if (action.outcome == ServerOutcome::Lost || action.outcome == ServerOutcome::Cancelled ||
+      !of_current_incarnation(*connection))
+    return;
+  ServerResponse response;
+  response.ending = action.outcome;
+  response.write = attempt.write;
+  response.made_for = {attempt.try_id, attempt.number, machine, attempt.key};
+  response.size_bytes = attempt.size_bytes;
+  stations_[machine]->report(action.at, response.report);
+  const auto& fields = context_.report_of(machine).fields;
+  const MachineState& state = states_[machine];
+  send_response(*connection, action.at,
+                model::draw_with_probability(state.bad_share, bad_answer_random_)
+                    ? make_bad_script(context_.body_codec, response, fields, state.bad_kind)
+                    : make_script(context_.body_codec, response, fields));
 }
 
 } // namespace fernward::rig
--- a/lab/peers/answer_queue.h
+++ b/lab/peers/response_queue.h
@@ -16,54 +16,54 @@
 namespace fernward::rig {
 
 // Used on its loop's thread only.
-class AnswerQueue {
+class ResponseQueue {
  public:
   using Handle = loop::Handle;
 
   // The calls that wait for responses.
-  class Calls {
+  class PendingCalls {
    public:
     enum class State { Open, Silent, Closed }; // Silent: nothing may be sent to the caller now
 
     virtual State state(Handle call) = 0;
     // The response as of now, headers included; none: the call no longer waits for one.
-    virtual std::optional<std::string> make_answer(Handle call) = 0;
+    virtual std::optional<std::string> make_response(Handle call) = 0;
     virtual void send_piece(Handle call, std::string_view piece, bool is_last) = 0;
 
    protected:
-    ~Calls() = default;
+    ~PendingCalls() = default;
   };
 
   // `spec` and `calls` must outlive it.
-  AnswerQueue(const model::CongestionSpec& spec, Loop& loop, Calls& calls)
+  ResponseQueue(const model::CongestionSpec& spec, RunLoop& loop, PendingCalls& calls)
       : spec_(spec), loop_(loop), calls_(calls) {}
 
   void add(Handle call);
 
  private:
-  struct Answer {
+  struct QueuedResponse {
     Handle call = 0;
     std::string bytes;
-    std::size_t sent = 0;
-    double due = 0; // earliest time of the next piece
+    std::size_t sent_bytes = 0;
+    double next_piece_at = 0; // earliest time of the next piece
   };
 
   void make_next();
-  void made();
+  void on_made();
   void send_next();
-  std::optional<Answer> take_due(double now);
-  void sent();
-  std::size_t piece_size(const Answer& answer) const;
+  std::optional<QueuedResponse> take_due(double now);
+  void on_piece_sent();
+  std::size_t piece_size(const QueuedResponse& response) const;
 
   const model::CongestionSpec& spec_;
-  Loop& loop_;
-  Calls& calls_;
-  std::deque<Handle> waiting_;    // calls without responses; if `making_`, the first response is being made
-  std::deque<Answer> sending_;    // responses to send, in round-robin order
-  std::optional<Answer> on_wire_; // the response of which a piece is being sent
+  RunLoop& loop_;
+  PendingCalls& calls_;
+  std::deque<Handle> waiting_; // calls without responses; if `making_`, the first response is being made
+  std::deque<QueuedResponse> sending_;       // responses to send, in round-robin order
+  std::optional<QueuedResponse> being_sent_; // the response of which a piece is being sent
   bool making_ = false;
-  double made_at_ = 0, sent_at_ = 0;    // when the current response is made, the current piece sent
-  loop::TimerQueue::TimerId pause_ = 0; // fires when the next piece is due
+  double made_at_ = 0, sent_at_ = 0; // when the current response is made, the current piece sent
+  loop::TimerQueue::TimerId next_piece_timer_ = 0; // fires when the next piece is due
 };
 
 } // namespace fernward::rig
--- a/lab/process/messages.h
+++ b/lab/process/messages.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "lab/process/guardian.h"
+#include "lab/process/supervisor.h"
 
 namespace fernward::rig::messages {
 
@@ -16,11 +16,11 @@
 
 std::string pack(const ProgramStart& start); // without `output`, which is passed as a descriptor
 std::string pack(const Signal& signal);
-std::optional<ProgramStart> start_of(const std::string& packet);
-std::optional<Signal> signal_of(const std::string& packet);
+std::optional<ProgramStart> parse_start(const std::string& packet);
+std::optional<Signal> parse_signal(const std::string& packet);
 
 bool send_packet(int socket, const std::string& packet, int descriptor); // -1: none
 // Returns an empty packet if none is available (`closed` is false) or the peer has closed.
-std::string receive_packet(int socket, int& descriptor, bool& ended);
+std::string receive_packet(int socket, int& descriptor, bool& closed);
 
 } // namespace fernward::rig::messages
--- a/lab/process/watch.cpp
+++ b/lab/process/proc_stats.cpp
@@ -1,4 +1,4 @@
-#include "lab/process/watch.h"
+#include "lab/process/proc_stats.h"
 
 #include <unistd.h>
 
@@ -10,19 +10,19 @@
 namespace fernward::rig {
 namespace {
 
-std::string proc(pid_t pid, const char* file) { return "/proc/" + std::to_string(pid) + "/" + file; }
+std::string proc_path(pid_t pid, const char* file) { return "/proc/" + std::to_string(pid) + "/" + file; }
 
 } // namespace
 
-double memory_mb(pid_t pid) {
-  std::ifstream file(proc(pid, "statm"));
+double resident_memory_mb(pid_t pid) {
+  std::ifstream file(proc_path(pid, "statm"));
   double size = 0, resident = 0;
   file >> size >> resident;
   return resident * static_cast<double>(sysconf(_SC_PAGESIZE)) / (1 << 20);
 }
 
 double peak_memory_mb(pid_t pid) {
-  std::ifstream file(proc(pid, "status"));
+  std::ifstream file(proc_path(pid, "status"));
   for (std::string line; std::getline(file, line);) {
     if (line.rfind("VmHWM:", 0) == 0) return std::strtod(line.c_str() + 6, nullptr) / 1024;
   }
@@ -30,10 +30,10 @@
 }
 
 // schedstat counts nanoseconds per thread; stat has a resolution of only ten milliseconds.
-double cpu_s(pid_t pid) {
-  std::error_code fault;
+double cpu_time_s(pid_t pid) {
+  std::error_code error;
   double sum = 0;
-  for (const auto& task : std::filesystem::directory_iterator(proc(pid, "task"), fault)) {
+  for (const auto& task : std::filesystem::directory_iterator(proc_path(pid, "task"), error)) {
     std::ifstream file(task.path() / "schedstat");
     double ns = 0;
     if (file >> ns) sum += ns / 1e9;
@@ -41,11 +41,11 @@
   return sum;
 }
 
-std::uint32_t descriptors(pid_t pid) {
-  std::error_code fault;
+std::uint32_t open_descriptors(pid_t pid) {
+  std::error_code error;
   std::uint32_t count = 0;
-  for (std::filesystem::directory_iterator it(proc(pid, "fd"), fault), end; !fault && it != end;
-       it.increment(fault)) {
+  for (std::filesystem::directory_iterator it(proc_path(pid, "fd"), error), end; !error && it != end;
+       it.increment(error)) {
     ++count;
   }
   return count;
--- a/lab/process/guardian.cpp
+++ b/lab/process/supervisor.cpp
@@ -1,4 +1,4 @@
-#include "lab/process/guardian.h"
+#include "lab/process/supervisor.h"
 
 #include <fcntl.h>
 #include <poll.h>
@@ -25,17 +25,18 @@
 
 using messages::Signal;
 
-constexpr int kEndMs = 5000; // time for killed processes to end; one that the kernel blocks is abandoned then
+constexpr int kKillTimeoutMs =
+    5000; // time for killed processes to end; one that the kernel blocks is abandoned then
 
-double seconds(const timeval& t) {
-  return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_usec) / 1e6;
+double seconds(const timeval& time) {
+  return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / 1e6;
 }
 
 // ---- in the supervisor process ----
 
-class Keeper {
+class SupervisorProcess {
  public:
-  Keeper(int socket, int children, const std::string& directory)
+  SupervisorProcess(int socket, int children, const std::string& directory)
       : socket_(socket), children_(children), directory_(directory) {}
 
   void run() {
@@ -53,60 +54,60 @@
     int output = -1;
     bool ended = false;
     const std::string packet = messages::receive_packet(socket_, output, ended);
-    if (const auto start = messages::start_of(packet)) launch(*start, output);
-    if (const auto signal = messages::signal_of(packet)) send(*signal);
+    if (const auto start = messages::parse_start(packet)) launch(*start, output);
+    if (const auto signal = messages::parse_signal(packet)) send(*signal);
     if (output >= 0) close(output);
     return !ended;
   }
 
   void launch(const ProgramStart& start, int output) {
-    const pid_t keeper = getpid();
+    const pid_t supervisor_pid = getpid();
     const loop::BlockedSignals
         blocked; // the supervisor ignores some signals: one sent to the program immediately must not be lost
     const pid_t pid = fork();
-    if (pid == 0) become(start, output, keeper);
-    ProgramNews news;
-    news.id = start.id;
-    news.pid = pid;
-    news.ended = pid < 0;
+    if (pid == 0) exec_program(start, output, supervisor_pid);
+    ProgramEvent event;
+    event.id = start.id;
+    event.pid = pid;
+    event.ended = pid < 0;
     if (pid < 0) {
-      news.status = 127 << 8;
+      event.status = 127 << 8;
     } else {
       setpgid(pid, pid); // in both processes, as either may run first
       programs_[pid] = start.id;
     }
-    tell(news);
+    send_event(event);
   }
 
-  [[noreturn]] static void become(const ProgramStart& start, int output, pid_t keeper) {
+  [[noreturn]] static void exec_program(const ProgramStart& start, int output, pid_t supervisor_pid) {
     setpgid(0, 0);
     prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (getppid() != keeper) _exit(127); // it died before PR_SET_PDEATHSIG took effect
+    if (getppid() != supervisor_pid) _exit(127); // it died before PR_SET_PDEATHSIG took effect
     // Signals that are ignored would stay ignored after exec.
     loop::BlockedSignals::deliver_by_default({SIGINT, SIGTERM, SIGHUP, SIGPIPE});
     if (start.descriptors > 0) {
-      const rlimit most{start.descriptors, start.descriptors};
-      setrlimit(RLIMIT_NOFILE, &most);
+      const rlimit limit{start.descriptors, start.descriptors};
+      setrlimit(RLIMIT_NOFILE, &limit);
     }
     const rlimit no_core{0, 0};
     setrlimit(RLIMIT_CORE, &no_core);
-    const int nothing = open("/dev/null", O_RDWR);
-    dup2(nothing, 0);
-    dup2(output >= 0 ? output : nothing, 1);
-    dup2(output >= 0 ? output : nothing, 2);
+    const int null_fd = open("/dev/null", O_RDWR);
+    dup2(null_fd, 0);
+    dup2(output >= 0 ? output : null_fd, 1);
+    dup2(output >= 0 ? output : null_fd, 2);
     close_range(3, ~0u, 0);
     for (const auto& variable : start.environment) {
-      const auto equals = variable.find('=');
-      if (equals != std::string::npos) {
-        setenv(variable.substr(0, equals).c_str(), variable.c_str() + equals + 1, 1);
+      const auto equals_position = variable.find('=');
+      if (equals_position != std::string::npos) {
+        setenv(variable.substr(0, equals_position).c_str(), variable.c_str() + equals_position + 1, 1);
       }
     }
-    std::vector<char*> words;
-    for (const auto& word : start.command) words.push_back(const_cast<char*>(word.c_str()));
-    words.push_back(nullptr);
-    execvp(words[0], words.data());
-    const std::string fault = start.command[0] + ": " + std::strerror(errno) + "\n";
-    [[maybe_unused]] const auto said = write(2, fault.data(), fault.size());
+    std::vector<char*> arguments;
+    for (const auto& argument : start.command) arguments.push_back(const_cast<char*>(argument.c_str()));
+    arguments.push_back(nullptr);
+    execvp(arguments[0], arguments.data());
+    const std::string error = start.command[0] + ": " + std::strerror(errno) + "\n";
+    [[maybe_unused]] const auto ignored_size = write(2, error.data(), error.size());
     _exit(127);
   }
 
@@ -128,24 +129,25 @@
       const auto found = programs_.find(pid);
       if (found == programs_.end()) continue;
       kill(-pid, SIGKILL); // also kills the processes that it started
-      ProgramNews news;
-      news.id = found->second;
-      news.pid = pid;
-      news.ended = true;
-      news.status = status;
-      news.cpu_s = seconds(usage.ru_utime) + seconds(usage.ru_stime);
+      ProgramEvent event;
+      event.id = found->second;
+      event.pid = pid;
+      event.ended = true;
+      event.status = status;
+      event.cpu_s = seconds(usage.ru_utime) + seconds(usage.ru_stime);
       programs_.erase(found);
-      tell(news);
+      send_event(event);
     }
   }
 
-  void tell(const ProgramNews& news) const {
-    [[maybe_unused]] const auto sent = ::send(socket_, &news, sizeof news, MSG_NOSIGNAL | MSG_DONTWAIT);
+  void send_event(const ProgramEvent& event) const {
+    [[maybe_unused]] const auto ignored_size =
+        ::send(socket_, &event, sizeof event, MSG_NOSIGNAL | MSG_DONTWAIT);
   }
 
   void finish() {
     for (const auto& [pid, id] : programs_) kill(-pid, SIGKILL);
-    for (int waited = 0; !programs_.empty() && waited < kEndMs; waited += 5) {
+    for (int waited = 0; !programs_.empty() && waited < kKillTimeoutMs; waited += 5) {
       collect();
       if (!programs_.empty()) usleep(5000);
     }
@@ -158,7 +160,7 @@
   std::map<pid_t, std::uint32_t> programs_;
 };
 
-[[noreturn]] void keep(int socket, const std::string& directory) {
+[[noreturn]] void run_supervisor(int socket, const std::string& directory) {
   setpgid(0, 0);
   prctl(PR_SET_NAME, "lab-guardian");
   for (const int number : {SIGINT, SIGTERM, SIGHUP, SIGPIPE}) ::signal(number, SIG_IGN);
@@ -168,12 +170,12 @@
   sigprocmask(SIG_SETMASK, &children, nullptr); // replaces the signal mask inherited from the lab
   // Closes the descriptors inherited from the lab: a reader that waits for the end of one must not wait for
   // this process.
-  const int kept = fcntl(socket, F_DUPFD_CLOEXEC, 3);
-  close_range(kept + 1, ~0u, 0);
-  for (int fd = 0; fd < kept; ++fd) close(fd);
-  const int nothing = open("/dev/null", O_RDWR);
-  while (dup(nothing) < 2) {}
-  Keeper(kept, signalfd(-1, &children, SFD_NONBLOCK | SFD_CLOEXEC), directory).run();
+  const int socket_copy = fcntl(socket, F_DUPFD_CLOEXEC, 3);
+  close_range(socket_copy + 1, ~0u, 0);
+  for (int fd = 0; fd < socket_copy; ++fd) close(fd);
+  const int null_fd = open("/dev/null", O_RDWR);
+  while (dup(null_fd) < 2) {}
+  SupervisorProcess(socket_copy, signalfd(-1, &children, SFD_NONBLOCK | SFD_CLOEXEC), directory).run();
   _exit(0);
 }
 
@@ -181,19 +183,19 @@
 
 // ---- in the lab's process ----
 
-Guardian::Guardian(const std::string& directory) {
-  int ends[2];
-  if (socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0, ends) != 0) {
+ProcessSupervisor::ProcessSupervisor(const std::string& directory) {
+  int sockets[2];
+  if (socketpair(AF_UNIX, SOCK_SEQPACKET | SOCK_CLOEXEC, 0, sockets) != 0) {
     throw std::runtime_error(std::string("the lab's process supervisor cannot be started: ") +
                              std::strerror(errno));
   }
   pid_ = fork();
   if (pid_ == 0) {
-    close(ends[0]);
-    keep(ends[1], directory);
+    close(sockets[0]);
+    run_supervisor(sockets[1], directory);
   }
-  close(ends[1]);
-  socket_ = ends[0];
+  close(sockets[1]);
+  socket_ = sockets[0];
   if (pid_ < 0) {
     close(socket_);
     throw std::runtime_error(std::string("the lab's process supervisor cannot be started: ") +
@@ -201,27 +203,28 @@
   }
 }
 
-Guardian::~Guardian() {
+ProcessSupervisor::~ProcessSupervisor() {
   close(socket_);
   int status = 0;
   while (waitpid(pid_, &status, 0) < 0 && errno == EINTR) {}
 }
 
-void Guardian::start(const ProgramStart& start) {
-  if (!messages::send_packet(socket_, messages::pack(start), start.output)) lost_ = true;
+void ProcessSupervisor::start(const ProgramStart& start) {
+  if (!messages::send_packet(socket_, messages::pack(start), start.output)) connection_lost_ = true;
 }
 
-void Guardian::signal(std::uint32_t id, int number) {
-  if (!messages::send_packet(socket_, messages::pack(Signal{id, number}), -1)) lost_ = true;
+void ProcessSupervisor::signal(std::uint32_t id, int number) {
+  if (!messages::send_packet(socket_, messages::pack(Signal{id, number}), -1)) connection_lost_ = true;
 }
 
-std::optional<ProgramNews> Guardian::news(int wait_ms) {
+std::optional<ProgramEvent> ProcessSupervisor::next_event(int wait_ms) {
   pollfd ready{socket_, POLLIN, 0};
   if (wait_ms > 0) poll(&ready, 1, wait_ms);
-  ProgramNews news;
-  const ssize_t got = recv(socket_, &news, sizeof news, MSG_DONTWAIT);
-  if (got == sizeof news) return news;
-  if (got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR)) lost_ = true;
+  ProgramEvent event;
+  const ssize_t received = recv(socket_, &event, sizeof event, MSG_DONTWAIT);
+  if (received == sizeof event) return event;
+  if (received == 0 || (received < 0 && errno != EAGAIN && errno != EWOULDBLOCK && errno != EINTR))
+    connection_lost_ = true;
   return std::nullopt;
 }
 
--- a/lab/process/guardian.h
+++ b/lab/process/supervisor.h
@@ -25,7 +25,7 @@
   int output = -1;                      // standard output and error; the caller keeps its descriptor
 };
 
-struct ProgramNews {
+struct ProgramEvent {
   std::uint32_t id = 0;
   pid_t pid = 0;
   bool ended = false; // false: started
@@ -33,26 +33,26 @@
   double cpu_s = 0;
 };
 
-class Guardian {
+class ProcessSupervisor {
  public:
   // `directory` is removed at the end with its contents; empty: none.
-  explicit Guardian(const std::string& directory); // throws std::runtime_error
-  ~Guardian(); // returns when the programs have ended and the directory is removed
-  Guardian(const Guardian&) = delete;
-  Guardian& operator=(const Guardian&) = delete;
+  explicit ProcessSupervisor(const std::string& directory); // throws std::runtime_error
+  ~ProcessSupervisor(); // returns when the programs have ended and the directory is removed
+  ProcessSupervisor(const ProcessSupervisor&) = delete;
+  ProcessSupervisor& operator=(const ProcessSupervisor&) = delete;
 
   void start(const ProgramStart& start);     // its events follow
   void signal(std::uint32_t id, int number); // to the program; SIGKILL: to its process group
   // Returns the next event, if any; waits up to `wait_ms` for one.
-  std::optional<ProgramNews> news(int wait_ms = 0);
-  bool lives() const { return !lost_; } // false: the supervisor process has ended
-  int fd() const { return socket_; }    // readable when there are events
+  std::optional<ProgramEvent> next_event(int wait_ms = 0);
+  bool alive() const { return !connection_lost_; } // false: the supervisor process has ended
+  int fd() const { return socket_; }               // readable when there are events
   pid_t pid() const { return pid_; }
 
  private:
   pid_t pid_ = -1;
   int socket_ = -1;
-  bool lost_ = false;
+  bool connection_lost_ = false;
 };
 
 } // namespace fernward::rig
--- a/lab/relay/relay.cpp
+++ b/lab/relay/relay.cpp
@@ -23,9 +23,9 @@
 namespace {
 
 constexpr int kBacklog = 512;
-constexpr std::size_t kMostWaiting = 256 * 1024; // buffered towards a side that reads slowly
+constexpr std::size_t kMaxBufferedBytes = 256 * 1024; // buffered towards a side that reads slowly
 
-sockaddr_in address_of(const std::string& text) {
+sockaddr_in parse_listen_address(const std::string& text) {
   sockaddr_in address{};
   if (!config::parse_address(text, address)) throw std::runtime_error("relay: no address: " + text);
   return address;
@@ -34,12 +34,12 @@
 class Relay {
  public:
   Relay(event_base* base, const std::string& listen, const std::vector<std::string>& targets) : base_(base) {
-    for (const auto& target : targets) targets_.push_back(address_of(target));
+    for (const auto& target : targets) targets_.push_back(parse_listen_address(target));
     if (targets_.empty()) throw std::runtime_error("relay: the list of targets is empty");
-    sockaddr_in where = address_of(listen);
-    listener_ = evconnlistener_new_bind(base, &Relay::accepted, this,
-                                        LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
-                                        kBacklog, reinterpret_cast<sockaddr*>(&where), sizeof where);
+    sockaddr_in listen_address = parse_listen_address(listen);
+    listener_ = evconnlistener_new_bind(
+        base, &Relay::on_accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
+        kBacklog, reinterpret_cast<sockaddr*>(&listen_address), sizeof listen_address);
     if (listener_ == nullptr) throw std::runtime_error("relay: cannot listen on " + listen);
   }
   ~Relay() {
@@ -50,67 +50,70 @@
 
  private:
   struct Pair;
-  struct Side {
+  struct PairEnd {
     Pair* pair = nullptr;
-    Side* other = nullptr;
+    PairEnd* other = nullptr;
     bufferevent* io = nullptr;
   };
   struct Pair {
-    Side client, target;
+    PairEnd client, target;
     Relay* relay = nullptr;
     ~Pair() {
-      for (const Side* side : {&client, &target}) {
+      for (const PairEnd* side : {&client, &target}) {
         if (side->io != nullptr) bufferevent_free(side->io);
       }
     }
   };
 
-  static void accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
+  static void on_accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
     auto* relay = static_cast<Relay*>(self);
-    const sockaddr_in& to = relay->targets_[relay->next_++ % relay->targets_.size()];
+    const sockaddr_in& target = relay->targets_[relay->next_++ % relay->targets_.size()];
     auto pair = std::make_unique<Pair>();
     loop::set_nodelay(fd);
     pair->client = {pair.get(), &pair->target,
                     bufferevent_socket_new(relay->base_, fd, BEV_OPT_CLOSE_ON_FREE)};
     pair->target = {pair.get(), &pair->client,
                     bufferevent_socket_new(relay->base_, -1, BEV_OPT_CLOSE_ON_FREE)};
-    for (Side* side : {&pair->client, &pair->target}) {
-      bufferevent_setcb(side->io, &Relay::pump, &Relay::drained, &Relay::changed, side);
+    for (PairEnd* side : {&pair->client, &pair->target}) {
+      bufferevent_setcb(side->io, &Relay::on_data, &Relay::on_output_drained, &Relay::on_event, side);
       bufferevent_enable(side->io, EV_READ | EV_WRITE);
     }
-    if (bufferevent_socket_connect(pair->target.io, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0)
+    if (bufferevent_socket_connect(pair->target.io, reinterpret_cast<const sockaddr*>(&target),
+                                   sizeof target) != 0)
       return;
     loop::set_nodelay(bufferevent_getfd(pair->target.io));
     pair->relay = relay;
     relay->pairs_.insert(pair.release());
   }
-  static void end(const Side* side) {
+  static void close_pair(const PairEnd* side) {
     Pair* pair = side->pair;
     pair->relay->pairs_.erase(pair);
     delete pair;
   }
-  static void pump(bufferevent* from, void* which) {
-    auto* side = static_cast<Side*>(which);
+  static void on_data(bufferevent* from, void* pair_end) {
+    auto* side = static_cast<PairEnd*>(pair_end);
     evbuffer* out = bufferevent_get_output(side->other->io);
     evbuffer_add_buffer(out, bufferevent_get_input(from));
-    if (evbuffer_get_length(out) > kMostWaiting) bufferevent_disable(from, EV_READ);
+    if (evbuffer_get_length(out) > kMaxBufferedBytes) bufferevent_disable(from, EV_READ);
   }
-  static void drained(bufferevent*, void* which) {
-    bufferevent* from = static_cast<Side*>(which)->other->io;
+  static void on_output_drained(bufferevent*, void* pair_end) {
+    bufferevent* from = static_cast<PairEnd*>(pair_end)->other->io;
     if ((bufferevent_get_enabled(from) & EV_READ) == 0) bufferevent_enable(from, EV_READ);
   }
   // One side has closed: data received from it is still written to the other, then both are closed.
-  static void changed(bufferevent* io, short what, void* which) {
-    if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
-    auto* side = static_cast<Side*>(which);
+  static void on_event(bufferevent* io, short events, void* pair_end) {
+    if ((events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
+    auto* side = static_cast<PairEnd*>(pair_end);
     bufferevent* other = side->other->io;
     evbuffer_add_buffer(bufferevent_get_output(other), bufferevent_get_input(io));
-    if (evbuffer_get_length(bufferevent_get_output(other)) == 0) return end(side);
+    if (evbuffer_get_length(bufferevent_get_output(other)) == 0) return close_pair(side);
     bufferevent_disable(io, EV_READ | EV_WRITE);
-    bufferevent_setcb(other, nullptr, &Relay::flushed, &Relay::gave_up, side->other);
+    bufferevent_setcb(other, nullptr, &Relay::on_flushed, &Relay::on_flush_failed, side->other);
+  }
+  static void on_flushed(bufferevent*, void* pair_end) { close_pair(static_cast<PairEnd*>(pair_end)); }
+  static void on_flush_failed(bufferevent*, short, void* pair_end) {
+    close_pair(static_cast<PairEnd*>(pair_end));
   }
-  static void flushed(bufferevent*, void* which) { end(static_cast<Side*>(which)); }
-  static void gave_up(bufferevent*, short, void* which) { end(static_cast<Side*>(which)); }
 
   event_base* base_;
   evconnlistener* listener_ = nullptr;
@@ -119,7 +122,7 @@
   std::unordered_set<Pair*> pairs_;
 };
 
-void stop(int, short, void* base) { event_base_loopbreak(static_cast<event_base*>(base)); }
+void on_stop_signal(int, short, void* base) { event_base_loopbreak(static_cast<event_base*>(base)); }
 
 } // namespace
 
@@ -129,8 +132,8 @@
   if (base == nullptr) return 1;
   try {
     const Relay relay(base.get(), listen, targets);
-    const loop::EventPtr term(evsignal_new(base.get(), SIGTERM, &stop, base.get()));
-    const loop::EventPtr interrupt(evsignal_new(base.get(), SIGINT, &stop, base.get()));
+    const loop::EventPtr term(evsignal_new(base.get(), SIGTERM, &on_stop_signal, base.get()));
+    const loop::EventPtr interrupt(evsignal_new(base.get(), SIGINT, &on_stop_signal, base.get()));
     event_add(term.get(), nullptr);
     event_add(interrupt.get(), nullptr);
     event_base_dispatch(base.get());
@@ -151,8 +154,9 @@
   }
   std::vector<std::string> targets;
   for (const auto& endpoint : config.at("known").at("endpoints")) {
-    const bool node = endpoint.value("type", "") != "origin" && endpoint.value("status", "") == "in_service";
-    if (node) targets.push_back(endpoint.value("address", ""));
+    const bool is_cache_in_service =
+        endpoint.value("type", "") != "origin" && endpoint.value("status", "") == "in_service";
+    if (is_cache_in_service) targets.push_back(endpoint.value("address", ""));
   }
   return relay(config.at("listen").get<std::string>(), targets);
 }
--- a/lab/report/files.h
+++ b/lab/report/files.h
@@ -5,30 +5,30 @@
 #include <filesystem>
 #include <string>
 
-#include "lab/experiment/play.h"
+#include "lab/experiment/run_experiment.h"
 
 namespace fernward::lab {
 
-struct Written {
+struct ReportFiles {
   std::filesystem::path report;
   std::string without_plots; // why the report has no plots; empty: it has plots
 };
 
 // Creates the folder. Throws std::runtime_error with the path and the error.
-Written write_files(const Result& result, const std::filesystem::path& folder);
+ReportFiles write_files(const ExperimentResult& result, const std::filesystem::path& folder);
 
 // Writes a file into a folder, which is created if it does not exist. Throws std::runtime_error with the path
 // and the error.
 void save_text(const std::filesystem::path& folder, const std::string& name, const std::string& text);
 
 // Reads run.json. Throws std::runtime_error with the path and the error.
-Result load_result(const std::filesystem::path& path);
+ExperimentResult load_result(const std::filesystem::path& path);
 
-std::string seconds_csv(const Figures& figures);
-std::string machines_csv(const Figures& figures);
+std::string seconds_csv(const RunStats& figures);
+std::string machines_csv(const RunStats& figures);
 
 // For terminals: requests served, refused and failed, broken rules, bounds and a verdict.
-std::string summary_text(const Result& result);
-std::string verdict_text(const Result& result); // one line
+std::string summary_text(const ExperimentResult& result);
+std::string verdict_text(const ExperimentResult& result); // one line
 
 } // namespace fernward::lab
--- a/lab/report/html.h
+++ b/lab/report/html.h
@@ -3,12 +3,12 @@
 
 #include <string>
 
-#include "lab/experiment/play.h"
+#include "lab/experiment/run_experiment.h"
 #include "lab/report/plots.h"
 
 namespace fernward::lab {
 
-std::string html_report(const Result& result, const Plots& plots);
+std::string html_report(const ExperimentResult& result, const Plots& plots);
 std::string html_escaped(const std::string& text);
 
 } // namespace fernward::lab
--- a/lab/report/plots.h
+++ b/lab/report/plots.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/stats/figures.h"
+#include "lab/stats/run_stats.h"
 
 namespace fernward::lab {
 
@@ -14,10 +14,10 @@
 
 struct Plots {
   std::vector<Plot> plots;
-  std::string fault; // why there are no plots: gnuplot is missing, or its output
+  std::string error; // why there are no plots: gnuplot is missing, or its output
 };
 
 // Runs `program` in a temporary folder, which is removed afterwards. Takes a minute at most.
-Plots draw_plots(const Figures& figures, const std::string& program = "gnuplot");
+Plots draw_plots(const RunStats& figures, const std::string& program = "gnuplot");
 
 } // namespace fernward::lab
--- a/lab/rig/config.h
+++ b/lab/rig/config.h
@@ -3,18 +3,18 @@
 
 #include <nlohmann/json.hpp>
 
-#include "lab/shared/stage.h"
+#include "lab/shared/run_context.h"
 
 namespace fernward::rig {
 
 nlohmann::json settings_json(const model::Spec& spec, const model::Plan& plan, model::RouterId router);
-nlohmann::json router_json(const Stage& stage, model::RouterId router, std::uint32_t moves,
+nlohmann::json router_json(const RunContext& context, model::RouterId router, std::uint32_t address_version,
                            std::uint64_t seed, nlohmann::json known);
 // The operators' file about what routers share (docs/operators/fleet.md).
 std::string fleet_toml(const model::SharingSpec& sharing);
 // The router's configuration as an application's file (src/app_config/); the node list comes from discovery
 // only.
-std::string router_toml(const Stage& stage, model::RouterId router, std::uint32_t moves, std::uint64_t seed,
-                        const std::string& runtime_folder);
+std::string router_toml(const RunContext& context, model::RouterId router, std::uint32_t address_version,
+                        std::uint64_t seed, const std::string& runtime_folder);
 
 } // namespace fernward::rig
--- a/lab/rig/rig.cpp
+++ b/lab/rig/rig.cpp
@@ -15,66 +15,69 @@
 #include "lab/load/load.h"
 #include "lab/peers/datagrams.h"
 #include "lab/peers/fleet.h"
-#include "lab/process/guardian.h"
+#include "lab/process/supervisor.h"
 #include "lab/rig/routers.h"
-#include "lab/shared/stage.h"
+#include "lab/shared/run_context.h"
 
 namespace fernward::rig {
 namespace {
 
-constexpr double kTickMs = 10;
-constexpr double kHoldMs = 100;              // records that arrive within this time of one another are sorted
-constexpr std::size_t kMostHeld = 2'000'000; // limit of records queued for a sink that is too slow
-constexpr double kProgressMs = 100;
-constexpr double kSettleMs = 3000;  // limit for attempts that are still active after the last response
-constexpr double kOverrunMs = 5000; // after the longest client timeout; the run must have ended by then
-constexpr double kLateMs = 5000;    // how long after its client's timeout an attempt may still arrive
-constexpr rlim_t kSpare = 2000;     // minimum number of descriptors for connections
+constexpr double kTickIntervalMs = 10;
+constexpr double kReorderWindowMs = 100; // records that arrive within this time of one another are sorted
+constexpr std::size_t kMaxQueuedRecords = 2'000'000; // limit of records queued for a sink that is too slow
+constexpr double kProgressIntervalMs = 100;
+constexpr double kMaxSettleMs = 3000;  // limit for attempts that are still active after the last response
+constexpr double kMaxOverrunMs = 5000; // after the longest client timeout; the run must have ended by then
+constexpr double kMaxAttemptDelayMs = 5000; // how long after its client's timeout an attempt may still arrive
+constexpr rlim_t kSpareDescriptors = 2000;  // minimum number of descriptors for connections
 
 std::string make_directory() {
-  const char* where = std::getenv("TMPDIR");
+  const char* temporary_directory = std::getenv("TMPDIR");
   std::string path =
-      std::string(where != nullptr && *where != '\0' ? where : "/tmp") + "/fernward-lab-XXXXXX";
+      std::string(temporary_directory != nullptr && *temporary_directory != '\0' ? temporary_directory
+                                                                                 : "/tmp") +
+      "/fernward-lab-XXXXXX";
   if (mkdtemp(path.data()) == nullptr) throw std::runtime_error("the lab cannot make a directory at " + path);
   return path;
 }
 
 // Raises the descriptor limit. Each pair of a router and a machine needs a listening socket, and so do most
 // pairs of routers.
-void need_descriptors(const model::Spec& spec, const model::Plan& plan) {
+void raise_descriptor_limit(const model::Spec& spec, const model::Plan& plan) {
   const std::size_t routers = plan.routers.size();
   const std::size_t pairs = has_datagram_ports(spec, plan) ? routers * routers : 0;
-  const rlim_t need = routers * plan.machines.size() * 2 + pairs + routers * 4 + kSpare;
-  rlimit files{};
-  getrlimit(RLIMIT_NOFILE, &files);
-  files.rlim_cur = files.rlim_max;
-  setrlimit(RLIMIT_NOFILE, &files);
-  if (files.rlim_max != RLIM_INFINITY && files.rlim_max < need) {
-    throw std::runtime_error("this fleet needs " + std::to_string(need) +
-                             " descriptors on sockets; the system allows " + std::to_string(files.rlim_max));
+  const rlim_t required = routers * plan.machines.size() * 2 + pairs + routers * 4 + kSpareDescriptors;
+  rlimit limit{};
+  getrlimit(RLIMIT_NOFILE, &limit);
+  limit.rlim_cur = limit.rlim_max;
+  setrlimit(RLIMIT_NOFILE, &limit);
+  if (limit.rlim_max != RLIM_INFINITY && limit.rlim_max < required) {
+    throw std::runtime_error("this fleet needs " + std::to_string(required) +
+                             " descriptors on sockets; the system allows " + std::to_string(limit.rlim_max));
   }
 }
 
-std::uint64_t secret() {
+std::uint64_t random_secret() {
   std::random_device device; // only this run can make its response bodies
   return static_cast<std::uint64_t>(device()) << 32 | device();
 }
 
 // The approximate number of tries that are retained at the same time.
 std::size_t expected_tries(const model::Spec& spec, const model::Plan& plan) {
-  double most = 1;
-  for (const auto& change : plan.rates) most = std::max(most, change.factor);
-  if (spec.load.shape == model::LoadShape::Ramp) most *= std::max(1.0, spec.load.ramp_to);
-  if (spec.load.shape == model::LoadShape::Day) most *= 1 + spec.load.swing;
-  const double kept_s = std::min(spec.duration_ms, longest_give_up(spec) + kLateMs) / 1000;
-  return static_cast<std::size_t>(std::min(1e6, spec.load.rate_per_s * most * kept_s * 1.2));
+  double peak_factor = 1;
+  for (const auto& change : plan.rate_changes) peak_factor = std::max(peak_factor, change.factor);
+  if (spec.load.shape == model::LoadShape::Ramp) peak_factor *= std::max(1.0, spec.load.ramp_to);
+  if (spec.load.shape == model::LoadShape::Day) peak_factor *= 1 + spec.load.swing;
+  const double retained_s =
+      std::min(spec.duration_ms, max_client_timeout_ms(spec) + kMaxAttemptDelayMs) / 1000;
+  return static_cast<std::size_t>(std::min(1e6, spec.load.rate_per_s * peak_factor * retained_s * 1.2));
 }
 
 double own_cpu_s() {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
-  const auto seconds = [](const timeval& t) {
-    return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_usec) / 1e6;
+  const auto seconds = [](const timeval& time) {
+    return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / 1e6;
   };
   return seconds(usage.ru_utime) + seconds(usage.ru_stime);
 }
@@ -86,169 +89,171 @@
 }
 
 // One run on sockets, from the start of its processes to their end.
-class Run {
+class SocketRun {
  public:
-  Run(const model::Spec& spec, model::Sink& sink, const lab::RunControl& control,
-      const lab::RigOptions& options)
+  SocketRun(const model::Spec& spec, model::Sink& sink, const lab::RunControl& control,
+            const lab::RigOptions& options)
       : spec_(spec),
         control_(control),
         options_(options),
         plan_(model::make_plan(spec)),
-        directory_((need_descriptors(spec, plan_), make_directory())),
-        guardian_(directory_),
+        directory_((raise_descriptor_limit(spec, plan_), make_directory())),
+        supervisor_(directory_),
         addresses_(plan_.routers.size(), plan_.machines.size()),
-        bodies_(secret()),
-        tries_(secret(), longest_give_up(spec) + kLateMs, expected_tries(spec, plan_)),
-        stage_{spec_, plan_, addresses_, clock_, bodies_, tries_, tape_, voids_, options.keep},
-        merger_(sink, kHoldMs),
+        body_codec_(random_secret()),
+        tries_(random_secret(), max_client_timeout_ms(spec) + kMaxAttemptDelayMs,
+               expected_tries(spec, plan_)),
+        context_{spec_,    plan_,         addresses_,          clock_, body_codec_, tries_,
+                 records_, void_reasons_, options.keep_running},
+        merger_(sink, kReorderWindowMs),
         loop_(clock_),
-        fleet_(stage_),
-        load_(stage_,
-              {[this](model::RouterId r) { loop_.post([this, r] { ready(r); }); },
-               [this] { loop_.post([this] { drawn_and_answered(); }); }},
-              by_connect(options)),
-        routers_(stage_, loop_, guardian_, fleet_, load_, options_, directory_) {}
+        fleet_(context_),
+        load_(context_,
+              {[this](model::RouterId r) { loop_.run_in_loop([this, r] { router_ready(r); }); },
+               [this] { loop_.run_in_loop([this] { all_answered(); }); }},
+              ready_by_connect_flags(options)),
+        routers_(context_, loop_, supervisor_, fleet_, load_, options_, directory_) {}
 
   lab::RunInfo play() {
     lab::RunInfo info;
-    const auto began = std::chrono::steady_clock::now();
-    const double cpu = own_cpu_s();
-    fleet_.open();
-    load_.open();
+    const auto started_at = std::chrono::steady_clock::now();
+    const double cpu_at_start_s = own_cpu_s();
+    fleet_.start();
+    load_.start_loop();
     routers_.start_all();
-    loop_.after(options_.ready_ms, [this] { begin(); });
+    loop_.run_after(options_.ready_timeout_ms, [this] { start(); });
     tick();
     loop_.run();
-    if (!fault_.empty()) throw std::runtime_error(fault_);
-    info.played_ms = played_ms_;
+    if (!error_.empty()) throw std::runtime_error(error_);
+    info.scenario_elapsed_ms = played_ms_;
     finish(info);
-    info.wall_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-    info.cpu_s = own_cpu_s() - cpu;
+    info.wall_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
+    info.cpu_s = own_cpu_s() - cpu_at_start_s;
     info.peak_memory_mb = own_peak_mb();
     return info;
   }
 
  private:
-  static std::vector<char> by_connect(const lab::RigOptions& options) {
-    std::vector<char> all;
-    for (const auto& program : options.programs) all.push_back(program.ready_by_connect ? 1 : 0);
-    return all;
+  static std::vector<char> ready_by_connect_flags(const lab::RigOptions& options) {
+    std::vector<char> flags;
+    for (const auto& program : options.programs_by_router) flags.push_back(program.ready_by_connect ? 1 : 0);
+    return flags;
   }
 
   // ---- the run's own loop ----
 
-  void ready(model::RouterId router) {
-    routers_.is_ready(router);
-    if (routers_.all_ready()) begin();
+  void router_ready(model::RouterId router) {
+    routers_.router_ready(router);
+    if (routers_.all_ready()) start();
   }
 
-  void begin() {
-    if (clock_.begun() || over_) return;
-    clock_.begin();
-    fleet_.begin();
-    load_.begin();
-    routers_.begin();
+  void start() {
+    if (clock_.started() || ended_) return;
+    clock_.start();
+    fleet_.start_run();
+    load_.start_arrivals();
+    routers_.start_steps();
     if (!options_.on_ready) return;
-    std::vector<std::string> where;
-    for (const auto& router : plan_.routers) where.push_back(text_of(addresses_.router(router.id)));
-    options_.on_ready(where);
+    std::vector<std::string> addresses;
+    for (const auto& router : plan_.routers) addresses.push_back(address_text(addresses_.router(router.id)));
+    options_.on_ready(addresses);
   }
 
-  void drawn_and_answered() {
+  void all_answered() {
     answered_at_ = clock_.now();
-    settle();
+    wait_for_attempts();
   }
 
   // Waits for attempts that are still active on the machines, up to a limit.
-  void settle() {
-    if (over_) return;
-    const bool waited = clock_.now() - *answered_at_ > kSettleMs;
-    if (fleet_.attempts() > 0 && !waited) {
-      loop_.after(kTickMs, [this] { settle(); });
+  void wait_for_attempts() {
+    if (ended_) return;
+    const bool waited_enough = clock_.now() - *answered_at_ > kMaxSettleMs;
+    if (fleet_.attempts() > 0 && !waited_enough) {
+      loop_.run_after(kTickIntervalMs, [this] { wait_for_attempts(); });
       return;
     }
     played_ms_ = clock_.now();
-    if (!options_.keep) end();
+    if (!options_.keep_running) end();
   }
 
   void end() {
-    if (over_) return;
-    over_ = true;
+    if (ended_) return;
+    ended_ = true;
     if (played_ms_ == 0) played_ms_ = clock_.now();
     loop_.stop();
   }
 
   void tick() {
-    merger_.take(tape_);
-    if (clock_.begun()) merger_.release(clock_.now());
-    if (merger_.held() > kMostHeld) {
-      voids_.add("records are produced faster than the sink consumes them");
+    merger_.add_from(records_);
+    if (clock_.started()) merger_.release(clock_.now());
+    if (merger_.queued() > kMaxQueuedRecords) {
+      void_reasons_.add("records are produced faster than the sink consumes them");
       end();
     }
     const double now = clock_.now();
-    if (control_.progress && loop::now_ms() - told_progress_ >= kProgressMs) {
-      told_progress_ = loop::now_ms();
+    if (control_.progress && loop::now_ms() - last_progress_at_ >= kProgressIntervalMs) {
+      last_progress_at_ = loop::now_ms();
       control_.progress(now);
     }
-    if (options_.on_second && clock_.begun() && now >= second_) {
-      options_.on_second(now, routers_.uses());
-      second_ = std::floor(now / 1000) * 1000 + 1000;
+    if (options_.on_second && clock_.started() && now >= next_second_ms_) {
+      options_.on_second(now, routers_.usage());
+      next_second_ms_ = std::floor(now / 1000) * 1000 + 1000;
     }
     if (control_.stop.stop_requested()) {
       stopped_ = !answered_at_;
       end();
     }
-    if (!routers_.false_start().empty() && !clock_.begun()) {
-      fault_ = routers_.false_start();
+    if (!routers_.startup_error().empty() && !clock_.started()) {
+      error_ = routers_.startup_error();
       end();
     }
-    if (!routers_.guarded()) end();
-    if (!answered_at_ && now > spec_.duration_ms + longest_give_up(spec_) + kOverrunMs) {
-      voids_.add("the run did not end in time: requests are still open");
+    if (!routers_.supervisor_alive()) end();
+    if (!answered_at_ && now > spec_.duration_ms + max_client_timeout_ms(spec_) + kMaxOverrunMs) {
+      void_reasons_.add("the run did not end in time: requests are still open");
       end();
     }
-    if (!over_) loop_.after(kTickMs, [this] { tick(); });
+    if (!ended_) loop_.run_after(kTickIntervalMs, [this] { tick(); });
   }
 
   // ---- the end ----
 
   void finish(lab::RunInfo& info) {
-    const LoadInfo load = load_.stop();
-    ending_loop();
-    const FleetInfo fleet = fleet_.stop();
-    merger_.take(tape_);
+    const LoadSummary load = load_.stop();
+    run_until_routers_end();
+    const FleetSummary fleet = fleet_.stop();
+    merger_.add_from(records_);
     merger_.release_all();
     info.stopped = stopped_;
-    info.lateness_ms = load.lateness_ms;
+    info.send_lateness_ms = load.lateness_ms;
     info.answer_lateness_ms = fleet.lateness_ms;
-    info.load_cpu_s = load.cpu_s;
+    info.load_generator_cpu_s = load.cpu_s;
     info.routers = routers_.costs();
-    for (std::size_t r = 0; r < fleet.spoken.size(); ++r) {
-      info.routers[r].datagrams = fleet.spoken[r].datagrams;
-      info.routers[r].datagram_bytes = fleet.spoken[r].bytes;
+    for (std::size_t router = 0; router < fleet.sent_by_router.size(); ++router) {
+      info.routers[router].datagrams = fleet.sent_by_router[router].datagrams;
+      info.routers[router].datagram_bytes = fleet.sent_by_router[router].bytes;
     }
-    late(load.lateness_ms, "requests were sent");
-    late(fleet.lateness_ms, "the simulated responses were sent");
-    info.why_void = voids_.all();
-    info.is_void = !info.why_void.empty();
+    check_lateness(load.lateness_ms, "requests were sent");
+    check_lateness(fleet.lateness_ms, "the simulated responses were sent");
+    info.void_reasons = void_reasons_.all();
+    info.is_void = !info.void_reasons.empty();
   }
 
-  void late(const lab::Quantiles& q, const char* what) {
-    if (q.p99 <= options_.late_p99_ms && q.p999 <= options_.late_p999_ms) return;
+  void check_lateness(const lab::LatenessQuantiles& lateness, const char* subject) {
+    if (lateness.p99 <= options_.max_late_p99_ms && lateness.p999 <= options_.max_late_p999_ms) return;
     char text[160];
-    std::snprintf(text, sizeof text, "%s late: p99 %.2f ms, p99.9 %.2f ms (at most %.0f and %.0f)", what,
-                  q.p99, q.p999, options_.late_p99_ms, options_.late_p999_ms);
-    voids_.add(text);
+    std::snprintf(text, sizeof text, "%s late: p99 %.2f ms, p99.9 %.2f ms (at most %.0f and %.0f)", subject,
+                  lateness.p99, lateness.p999, options_.max_late_p99_ms, options_.max_late_p999_ms);
+    void_reasons_.add(text);
   }
 
-  void ending_loop() {
-    routers_.end();
+  void run_until_routers_end() {
+    routers_.terminate_all();
     wait_for_routers();
     loop_.run();
   }
   void wait_for_routers() {
-    if (!routers_.running() || !routers_.guarded()) return loop_.stop();
-    loop_.after(kTickMs, [this] { wait_for_routers(); });
+    if (!routers_.any_running() || !routers_.supervisor_alive()) return loop_.stop();
+    loop_.run_after(kTickIntervalMs, [this] { wait_for_routers(); });
   }
 
   const model::Spec spec_;
@@ -256,33 +261,33 @@
   const lab::RigOptions& options_;
   const model::Plan plan_;
   const std::string directory_;
-  Guardian guardian_; // forks before any thread starts, and is destroyed after all members below
-  Clock clock_;
-  Addresses addresses_;
-  Bodies bodies_;
-  Tries tries_;
-  Tape tape_;
-  Voids voids_;
-  const Stage stage_;
-  Merger merger_;
-  Loop loop_;
-  Fleet fleet_;
-  Load load_;
-  Routers routers_;
+  ProcessSupervisor supervisor_; // forks before any thread starts, and is destroyed after all members below
+  RunClock clock_;
+  RunAddresses addresses_;
+  BodyCodec body_codec_;
+  TryRegistry tries_;
+  RecordBuffer records_;
+  VoidReasons void_reasons_;
+  const RunContext context_;
+  RecordMerger merger_;
+  RunLoop loop_;
+  SimulatedFleet fleet_;
+  LoadGenerator load_;
+  RouterProcesses routers_;
 
   std::optional<double> answered_at_;
-  double played_ms_ = 0, told_progress_ = 0, second_ = 0;
-  bool over_ = false, stopped_ = false;
-  std::string fault_;
+  double played_ms_ = 0, last_progress_at_ = 0, next_second_ms_ = 0;
+  bool ended_ = false, stopped_ = false;
+  std::string error_;
 };
 
 class RigDriver : public lab::Driver {
  public:
   explicit RigDriver(lab::RigOptions options) : options_(std::move(options)) {}
   lab::RunInfo run(const model::Spec& spec, model::Sink& sink, const lab::RunControl& control) override {
-    if (spec.routers.sharing.on && options_.role != lab::RouterRole::Platform)
+    if (spec.routers.sharing.enabled && options_.role != lab::RouterRole::Platform)
       throw std::runtime_error("routers.sharing: only routers configured by the platform's file share");
-    return Run(spec, sink, control, options_).play();
+    return SocketRun(spec, sink, control, options_).play();
   }
 
  private:
--- a/lab/rig/rig.h
+++ b/lab/rig/rig.h
@@ -19,7 +19,7 @@
   bool ready_by_connect = false;    // it has no /ready: it is ready once it accepts connections
 };
 
-struct RouterUse { // resource usage of a running router process
+struct RouterUsage { // resource usage of a running router process
   model::RouterId router = 0;
   double cpu_s = 0, memory_mb = 0;
   std::uint32_t descriptors = 0;
@@ -32,19 +32,20 @@
 struct RigOptions {
   std::string program = "fernward"; // started as `program serve`, or as the role says
   RouterRole role = RouterRole::Platform;
-  std::vector<RouterProgram> programs; // by router; an empty command: `program`
-  std::string log_directory;           // for r0.log, ... with the output of the routers; empty: no logs
+  std::vector<RouterProgram> programs_by_router; // by router; an empty command: `program`
+  std::string log_directory; // for r0.log, ... with the output of the routers; empty: no logs
   // Limits of the lateness of requests and of simulated responses; beyond them the run is void.
-  double late_p99_ms = 5;
-  double late_p999_ms = 100;
-  double ready_ms = 30000;  // requests start when all routers are ready, or after this time
-  bool check_memory = true; // kill a router that exceeds its memory_mb; disabled for builds with sanitizers
+  double max_late_p99_ms = 5;
+  double max_late_p999_ms = 100;
+  double ready_timeout_ms = 30000; // requests start when all routers are ready, or after this time
+  bool enforce_memory_limit =
+      true; // kill a router that exceeds its memory_mb; disabled for builds with sanitizers
   // After the last response the fleet and the routers keep running until the control's stop is requested;
   // requests of other clients are served too.
-  bool keep = false;
+  bool keep_running = false;
   // Called with the routers' client addresses when requests start.
   std::function<void(const std::vector<std::string>& addresses)> on_ready;
-  std::function<void(double now_ms, const std::vector<RouterUse>& uses)> on_second;
+  std::function<void(double now_ms, const std::vector<RouterUsage>& uses)> on_second;
 };
 
 std::unique_ptr<Driver> make_rig_driver(RigOptions options);
