--- a/lab/rig/routers.cpp
+++ b/lab/rig/routers.cpp
@@ -10,7 +10,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "lab/process/watch.h"
+#include "lab/process/proc_stats.h"
 #include "lab/rig/config.h"
 #include "model/rng.h"
 
@@ -21,349 +21,364 @@
 
 namespace {
 
-constexpr double kWatchMs = 200;         // interval between samples of the routers' memory
-constexpr std::size_t kMostLines = 2000; // limit of log lines of a router that become records
-constexpr std::size_t kMostLine = 1000;
-constexpr std::size_t kMostFile = 4u << 20; // limit of its log file
-constexpr std::size_t kTail = 2000;         // length of the retained last output
-constexpr double kLeastWordMs = 3000, kWordSlackMs = 700;
+constexpr double kUsageIntervalMs = 200; // interval between samples of the routers' memory
+constexpr std::size_t kMaxLines = 2000;  // limit of log lines of a router that become records
+constexpr std::size_t kMaxLineBytes = 1000;
+constexpr std::size_t kMaxLogFileBytes = 4u << 20; // limit of its log file
+constexpr std::size_t kLastOutputBytes = 2000;     // length of the retained last output
+constexpr double kMinTerminationMs = 3000, kTerminationSlackMs = 700;
 
-std::string reason(int status) {
+std::string exit_reason(int status) {
   if (WIFSIGNALED(status)) return "was ended by signal " + std::to_string(WTERMSIG(status));
   return "ended with code " + std::to_string(WEXITSTATUS(status));
 }
 
 } // namespace
 
-Routers::Routers(const Stage& stage, Loop& loop, Guardian& guardian, Fleet& fleet, Load& load,
-                 const lab::RigOptions& options, std::string directory)
-    : stage_(stage),
+RouterProcesses::RouterProcesses(const RunContext& context, RunLoop& loop, ProcessSupervisor& supervisor,
+                                 SimulatedFleet& fleet, LoadGenerator& load, const lab::RigOptions& options,
+                                 std::string directory)
+    : context_(context),
       loop_(loop),
-      guardian_(guardian),
+      supervisor_(supervisor),
       fleet_(fleet),
       load_(load),
       options_(options),
       directory_(std::move(directory)),
-      routers_(stage.plan.routers.size()) {
-  for (RouterId r = 0; r < routers_.size(); ++r) {
-    routers_[r].all = this;
-    routers_[r].id = r;
-    routers_[r].cost.router = r;
+      routers_(context.plan.routers.size()) {
+  for (RouterId router_id = 0; router_id < routers_.size(); ++router_id) {
+    routers_[router_id].owner = this;
+    routers_[router_id].id = router_id;
+    routers_[router_id].cost.router = router_id;
     if (options_.log_directory.empty()) continue;
     std::filesystem::create_directories(options_.log_directory);
-    const std::string path = options_.log_directory + "/" + stage.plan.routers[r].name + ".log";
-    routers_[r].file = open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
+    const std::string path = options_.log_directory + "/" + context.plan.routers[router_id].name + ".log";
+    routers_[router_id].file = open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
   }
-  news_event_.reset(event_new(
-      loop.base(), guardian.fd(), EV_READ | EV_PERSIST,
-      [](int, short, void* self) { static_cast<Routers*>(self)->news(); }, this));
-  event_add(news_event_.get(), nullptr);
+  process_event_.reset(event_new(
+      loop.base(), supervisor.fd(), EV_READ | EV_PERSIST,
+      [](int, short, void* self) { static_cast<RouterProcesses*>(self)->read_process_events(); }, this));
+  event_add(process_event_.get(), nullptr);
 }
 
-Routers::~Routers() {
+RouterProcesses::~RouterProcesses() {
   for (Router& router : routers_) {
     close_output(router);
     if (router.file >= 0) close(router.file);
   }
 }
 
-double Routers::last_word_ms() const {
-  return std::max(kLeastWordMs, longest_give_up(stage_.spec)) + kWordSlackMs;
+double RouterProcesses::termination_timeout_ms() const {
+  return std::max(kMinTerminationMs, max_client_timeout_ms(context_.spec)) + kTerminationSlackMs;
 }
 
 // ---- start ----
 
-void Routers::start_all() {
-  const model::SharingSpec& sharing = stage_.spec.routers.sharing;
-  if (sharing.on) {
+void RouterProcesses::start_all() {
+  const model::SharingSpec& sharing = context_.spec.routers.sharing;
+  if (sharing.enabled) {
     std::ofstream file(fleet_file(), std::ios::trunc);
     file << fleet_toml(sharing);
     file.close();
-    if (!file) stage_.voids.add("cannot write " + fleet_file());
+    if (!file) context_.void_reasons.add("cannot write " + fleet_file());
   }
-  for (RouterId r = 0; r < routers_.size(); ++r) start(r);
-  watch();
+  for (RouterId router = 0; router < routers_.size(); ++router) start(router);
+  sample_usage();
 }
 
-void Routers::write_config(Router& router) {
-  const bool json = options_.role == lab::RouterRole::Platform;
+void RouterProcesses::write_config(Router& router) {
+  const bool is_json = options_.role == lab::RouterRole::Platform;
   const std::string path =
-      directory_ + "/" + stage_.plan.routers[router.id].name + (json ? ".json" : ".toml");
+      directory_ + "/" + context_.plan.routers[router.id].name + (is_json ? ".json" : ".toml");
   std::ofstream file(path + ".new", std::ios::trunc);
-  file << (json ? router.config.dump()
-                : router_toml(stage_, router.id, moves_, model::mix(stage_.spec.seed, router.id, router.life),
-                              directory_));
+  file << (is_json ? router.config.dump()
+                   : router_toml(context_, router.id, address_version_,
+                                 model::hash_numbers(context_.spec.seed, router.id, router.incarnation),
+                                 directory_));
   file.close();
   // Replaced atomically: a router that reads the file now finds either the old or the new version.
-  std::error_code fault;
-  std::filesystem::rename(path + ".new", path, fault);
-  if (!file || fault) stage_.voids.add("cannot write " + path);
+  std::error_code error;
+  std::filesystem::rename(path + ".new", path, error);
+  if (!file || error) context_.void_reasons.add("cannot write " + path);
 }
 
-void Routers::start(RouterId r) {
-  Router& router = routers_[r];
-  if (router.runs || ending_) return;
-  const model::RouterPlace& place = stage_.plan.routers[r];
-  router.runs = true;
-  router.ready = router.killed = router.asked_to_end = router.start_when_ended = router.paused = false;
+void RouterProcesses::start(RouterId router_id) {
+  Router& router = routers_[router_id];
+  if (router.running || ending_) return;
+  const model::PlannedRouter& planned = context_.plan.routers[router_id];
+  router.running = true;
+  router.ready = router.killed = router.terminating = router.start_when_ended = router.paused = false;
   router.start_after_ms = -1;
   router.pid = 0;
-  ++router.life;
+  ++router.incarnation;
   // Recorded before the notifications that the new process has from its start.
-  event(r, RouterEvent::What::Started);
-  router.config =
-      router_json(stage_, r, moves_, model::mix(stage_.spec.seed, r, router.life), fleet_.router_starts(r));
+  record_event(router_id, RouterEvent::What::Started);
+  router.config = router_json(context_, router_id, address_version_,
+                              model::hash_numbers(context_.spec.seed, router_id, router.incarnation),
+                              fleet_.router_started(router_id));
   write_config(router);
-  int ends[2] = {-1, -1};
-  if (pipe2(ends, O_CLOEXEC | O_NONBLOCK) != 0) return stage_.voids.add("the lab is out of descriptors");
-  fcntl(ends[1], F_SETFL, 0); // the router's end is blocking, as a file is
-  ProgramStart start;
-  start.id = r;
-  const bool own = r < options_.programs.size() && !options_.programs[r].command.empty();
-  const std::string file = directory_ + "/" + place.name + ".toml";
-  if (own) {
-    start.command = options_.programs[r].command;
+  int pipe_fds[2] = {-1, -1};
+  if (pipe2(pipe_fds, O_CLOEXEC | O_NONBLOCK) != 0)
+    return context_.void_reasons.add("the lab is out of descriptors");
+  fcntl(pipe_fds[1], F_SETFL, 0); // the router's end is blocking, as a file is
+  ProgramStart program;
+  program.id = router_id;
+  const bool has_own_program = router_id < options_.programs_by_router.size() &&
+                               !options_.programs_by_router[router_id].command.empty();
+  const std::string file = directory_ + "/" + planned.name + ".toml";
+  if (has_own_program) {
+    program.command = options_.programs_by_router[router_id].command;
   } else if (options_.role == lab::RouterRole::Platform) {
-    start.command = {options_.program, "serve"};
-    if (stage_.spec.routers.sharing.on) start.command.insert(start.command.end(), {"--fleet", fleet_file()});
+    program.command = {options_.program, "serve"};
+    if (context_.spec.routers.sharing.enabled)
+      program.command.insert(program.command.end(), {"--fleet", fleet_file()});
   } else if (options_.role == lab::RouterRole::Application) {
-    start.command = {options_.program, "serve", "--config", file};
+    program.command = {options_.program, "serve", "--config", file};
   } else {
     // On SIGTERM the application exits with 0, as its exit code becomes that of the sidecar.
-    start.command = {options_.program,
-                     "sidecar",
-                     "--config",
-                     file,
-                     "--",
-                     "sh",
-                     "-c",
-                     "trap 'exit 0' TERM; while :; do sleep 1 & wait; done"};
+    program.command = {options_.program,
+                       "sidecar",
+                       "--config",
+                       file,
+                       "--",
+                       "sh",
+                       "-c",
+                       "trap 'exit 0' TERM; while :; do sleep 1 & wait; done"};
   }
-  start.environment = {"NODE_NAME=" + place.name, "NODE_LISTEN=" + text_of(stage_.addresses.router(r)),
-                       "NODE_DISCOVERY=" + text_of(stage_.addresses.agent(r, moves_)),
-                       "NODE_CONFIG=" + directory_ + "/" + place.name + ".json", "TMPDIR=" + directory_};
-  if (options_.role != lab::RouterRole::Platform) start.environment = {"TMPDIR=" + directory_};
-  start.descriptors = stage_.spec.routers.sockets;
-  start.output = ends[1];
-  guardian_.start(start);
-  close(ends[1]);
+  program.environment = {
+      "NODE_NAME=" + planned.name, "NODE_LISTEN=" + address_text(context_.addresses.router(router_id)),
+      "NODE_DISCOVERY=" + address_text(context_.addresses.discovery(router_id, address_version_)),
+      "NODE_CONFIG=" + directory_ + "/" + planned.name + ".json", "TMPDIR=" + directory_};
+  if (options_.role != lab::RouterRole::Platform) program.environment = {"TMPDIR=" + directory_};
+  program.descriptors = context_.spec.routers.max_sockets;
+  program.output = pipe_fds[1];
+  supervisor_.start(program);
+  close(pipe_fds[1]);
   close_output(router);
-  router.output = ends[0];
+  router.output = pipe_fds[0];
   router.output_event.reset(
-      event_new(loop_.base(), ends[0], EV_READ | EV_PERSIST, &Routers::readable, &router));
+      event_new(loop_.base(), pipe_fds[0], EV_READ | EV_PERSIST, &RouterProcesses::on_readable, &router));
   event_add(router.output_event.get(), nullptr);
-  load_.router_started(r);
+  load_.router_started(router_id);
 }
 
-void Routers::is_ready(RouterId router) { routers_[router].ready = routers_[router].ever_ready = true; }
+void RouterProcesses::router_ready(RouterId router) {
+  routers_[router].ready = routers_[router].ever_ready = true;
+}
 
-bool Routers::all_ready() const {
-  return std::all_of(routers_.begin(), routers_.end(), [](const Router& r) { return r.ready; });
+bool RouterProcesses::all_ready() const {
+  return std::all_of(routers_.begin(), routers_.end(), [](const Router& router) { return router.ready; });
 }
 
-bool Routers::running() const {
-  return std::any_of(routers_.begin(), routers_.end(), [](const Router& r) { return r.runs; });
+bool RouterProcesses::any_running() const {
+  return std::any_of(routers_.begin(), routers_.end(), [](const Router& router) { return router.running; });
 }
 
-void Routers::event(RouterId router, RouterEvent::What what) {
-  stage_.tape.add(RouterEvent{loop_.now(), router, what});
+void RouterProcesses::record_event(RouterId router, RouterEvent::What what) {
+  context_.records.add(RouterEvent{loop_.now(), router, what});
 }
 
 // ---- events and steps ----
 
-void Routers::news() {
-  while (const auto news = guardian_.news()) {
-    if (news->id >= routers_.size()) continue;
-    if (news->ended) {
-      ended(news->id, *news);
+void RouterProcesses::read_process_events() {
+  while (const auto event_data = supervisor_.next_event()) {
+    if (event_data->id >= routers_.size()) continue;
+    if (event_data->ended) {
+      process_ended(event_data->id, *event_data);
     } else {
-      routers_[news->id].pid = news->pid;
+      routers_[event_data->id].pid = event_data->pid;
     }
   }
-  if (guardian_.lives()) return;
-  news_event_.reset();
-  stage_.voids.add("the lab's process supervisor has died, and the routers with it");
+  if (supervisor_.alive()) return;
+  process_event_.reset();
+  context_.void_reasons.add("the lab's process supervisor has died, and the routers with it");
 }
 
-void Routers::ended(RouterId r, const ProgramNews& news) {
-  Router& router = routers_[r];
-  if (!router.runs) return;
+void RouterProcesses::process_ended(RouterId router_id, const ProgramEvent& event_data) {
+  Router& router = routers_[router_id];
+  if (!router.running) return;
   read_output(router);
-  router.runs = router.ready = false;
+  router.running = router.ready = false;
   router.pid = 0;
-  router.cost.cpu_s += news.cpu_s;
-  fleet_.router_ended(r);
-  load_.router_down(r);
-  const bool clean = WIFEXITED(news.status) && WEXITSTATUS(news.status) == 0;
-  if (!router.killed && !(router.asked_to_end && (clean || !ending_))) {
-    say(router, "the lab: the router " + reason(news.status));
-    event(r, RouterEvent::What::Crashed);
-    if (!router.ever_ready && false_start_.empty()) {
-      false_start_ = "router " + stage_.plan.routers[r].name + " " + reason(news.status) +
-                     " before it was ready: " + router.tail;
+  router.cost.cpu_s += event_data.cpu_s;
+  fleet_.router_ended(router_id);
+  load_.router_ended(router_id);
+  const bool clean_exit = WIFEXITED(event_data.status) && WEXITSTATUS(event_data.status) == 0;
+  if (!router.killed && !(router.terminating && (clean_exit || !ending_))) {
+    log_line(router, "the lab: the router " + exit_reason(event_data.status));
+    record_event(router_id, RouterEvent::What::Crashed);
+    if (!router.ever_ready && startup_error_.empty()) {
+      startup_error_ = "router " + context_.plan.routers[router_id].name + " " +
+                       exit_reason(event_data.status) + " before it was ready: " + router.last_output;
     }
-  } else if (router.asked_to_end && !router.killed && !ending_) {
-    event(r, RouterEvent::What::Ended);
+  } else if (router.terminating && !router.killed && !ending_) {
+    record_event(router_id, RouterEvent::What::Ended);
   }
   if (router.start_when_ended) {
-    start(r);
-  } else if (router.asked_to_end && router.start_after_ms >= 0) {
-    loop_.after(router.start_after_ms, [this, r] { start(r); });
+    start(router_id);
+  } else if (router.terminating && router.start_after_ms >= 0) {
+    loop_.run_after(router.start_after_ms, [this, router_id] { start(router_id); });
   }
 }
 
-void Routers::kill(Router& router) {
-  if (!router.runs || router.killed) return;
+void RouterProcesses::kill(Router& router) {
+  if (!router.running || router.killed) return;
   router.killed = true;
-  event(router.id, RouterEvent::What::Killed);
-  guardian_.signal(router.id, SIGKILL);
-  load_.router_down(router.id);
+  record_event(router.id, RouterEvent::What::Killed);
+  supervisor_.signal(router.id, SIGKILL);
+  load_.router_ended(router.id);
 }
 
 // Stops or continues the process. Data and signals that arrive meanwhile wait in the kernel.
-void Routers::pause(Router& router, bool on) {
-  if (!router.runs || router.killed || router.paused == on) return;
-  router.paused = on;
-  event(router.id, on ? RouterEvent::What::Paused : RouterEvent::What::Woke);
-  guardian_.signal(router.id, on ? SIGSTOP : SIGCONT);
-  load_.router_pauses(router.id, on);
+void RouterProcesses::pause(Router& router, bool paused) {
+  if (!router.running || router.killed || router.paused == paused) return;
+  router.paused = paused;
+  record_event(router.id, paused ? RouterEvent::What::Paused : RouterEvent::What::Resumed);
+  supervisor_.signal(router.id, paused ? SIGSTOP : SIGCONT);
+  load_.router_paused(router.id, paused);
 }
 
-void Routers::term(Router& router, double down_ms) {
-  if (!router.runs || router.killed || router.asked_to_end) return;
-  router.asked_to_end = true;
+void RouterProcesses::terminate(Router& router, double down_ms) {
+  if (!router.running || router.killed || router.terminating) return;
+  router.terminating = true;
   router.start_after_ms = down_ms;
-  if (!ending_) event(router.id, RouterEvent::What::Term);
-  guardian_.signal(router.id, SIGTERM);
+  if (!ending_) record_event(router.id, RouterEvent::What::Term);
+  supervisor_.signal(router.id, SIGTERM);
   if (!ending_) load_.router_stopping(router.id);
-  loop_.after(last_word_ms(), [this, r = router.id, life = router.life] {
-    Router& late = routers_[r];
-    if (!late.runs || late.life != life || late.killed) return;
-    say(late, "the lab: the router has not ended after SIGTERM and is killed");
-    late.start_when_ended = late.start_after_ms >= 0 && !ending_;
-    kill(late);
+  loop_.run_after(termination_timeout_ms(), [this, router_id = router.id, incarnation = router.incarnation] {
+    Router& hanging = routers_[router_id];
+    if (!hanging.running || hanging.incarnation != incarnation || hanging.killed) return;
+    log_line(hanging, "the lab: the router has not ended after SIGTERM and is killed");
+    hanging.start_when_ended = hanging.start_after_ms >= 0 && !ending_;
+    kill(hanging);
   });
 }
 
-void Routers::begin() {
-  begun_ = true;
-  for (const model::Step& s : stage_.plan.steps) loop_.at(s.at_ms, [this, &s] { step(s); });
+void RouterProcesses::start_steps() {
+  steps_started_ = true;
+  for (const model::Step& planned_step : context_.plan.steps)
+    loop_.run_at(planned_step.at_ms, [this, &planned_step] { apply_step(planned_step); });
 }
 
-void Routers::step(const model::Step& step) {
+void RouterProcesses::apply_step(const model::Step& step) {
   if (ending_) return;
   if (const auto* mark = std::get_if<model::MarkStep>(&step.what)) {
-    stage_.tape.add(model::Mark{loop_.now(), mark->event, mark->begins});
-  } else if (const auto* found = std::get_if<model::DiscoveryStep>(&step.what)) {
-    if (found->what != model::DiscoveryStep::What::MoveBegins) return;
-    ++moves_;
+    context_.records.add(model::EventMark{loop_.now(), mark->event, mark->begins});
+  } else if (const auto* discovery_step = std::get_if<model::DiscoveryStep>(&step.what)) {
+    if (discovery_step->what != model::DiscoveryStep::What::MoveBegins) return;
+    ++address_version_;
     for (Router& router : routers_) {
-      router.config["discovery"] = text_of(stage_.addresses.agent(router.id, moves_));
+      router.config["discovery"] = address_text(context_.addresses.discovery(router.id, address_version_));
       write_config(router);
     }
-  } else if (const auto* what = std::get_if<model::RouterStep>(&step.what)) {
+  } else if (const auto* router_step = std::get_if<model::RouterStep>(&step.what)) {
     using What = model::RouterStep::What;
-    Router& router = routers_[what->router];
-    switch (what->what) {
+    Router& router = routers_[router_step->router];
+    switch (router_step->what) {
       case What::Kill: return kill(router);
-      case What::Term: return term(router, what->down_ms);
+      case What::Term: return terminate(router, router_step->down_ms);
       case What::Start:
-        router.start_when_ended = router.runs && router.killed;
-        if (!router.runs) start(what->router);
+        router.start_when_ended = router.running && router.killed;
+        if (!router.running) start(router_step->router);
         return;
       case What::Reload:
-        if (!router.runs) return;
-        event(what->router, RouterEvent::What::Reloaded);
-        return guardian_.signal(what->router, SIGHUP);
+        if (!router.running) return;
+        record_event(router_step->router, RouterEvent::What::Reloaded);
+        return supervisor_.signal(router_step->router, SIGHUP);
       case What::Pause:
-      case What::Wake: return pause(router, what->what == What::Pause);
+      case What::Resume: return pause(router, router_step->what == What::Pause);
       case What::Silence:
       case What::Return: return; // applied by the network
     }
   }
 }
 
-void Routers::end() {
+void RouterProcesses::terminate_all() {
   ending_ = true;
   for (Router& router : routers_) {
     pause(router, false);
-    term(router, -1);
+    terminate(router, -1);
   }
 }
 
 // ---- resource usage ----
 
-void Routers::watch() {
+void RouterProcesses::sample_usage() {
   for (Router& router : routers_) {
-    if (router.pid == 0 || !router.runs) continue;
-    const double memory = memory_mb(router.pid);
+    if (router.pid == 0 || !router.running) continue;
+    const double memory = resident_memory_mb(router.pid);
     router.cost.peak_memory_mb = std::max(router.cost.peak_memory_mb, peak_memory_mb(router.pid));
-    router.cost.peak_sockets = std::max(router.cost.peak_sockets, descriptors(router.pid));
-    if (!options_.check_memory || memory <= stage_.spec.routers.memory_mb || router.killed) continue;
-    say(router, "the lab: the router uses " + std::to_string(static_cast<int>(memory)) + " MB and is killed");
-    guardian_.signal(router.id, SIGKILL); // recorded as a crash, not as a planned kill
+    router.cost.peak_sockets = std::max(router.cost.peak_sockets, open_descriptors(router.pid));
+    if (!options_.enforce_memory_limit || memory <= context_.spec.routers.memory_mb || router.killed)
+      continue;
+    log_line(router,
+             "the lab: the router uses " + std::to_string(static_cast<int>(memory)) + " MB and is killed");
+    supervisor_.signal(router.id, SIGKILL); // recorded as a crash, not as a planned kill
   }
-  loop_.after(kWatchMs, [this] { watch(); });
+  loop_.run_after(kUsageIntervalMs, [this] { sample_usage(); });
 }
 
-std::vector<lab::RouterCost> Routers::costs() const {
-  std::vector<lab::RouterCost> all;
-  for (const Router& router : routers_) all.push_back(router.cost);
-  return all;
+std::vector<lab::RouterResourceUse> RouterProcesses::costs() const {
+  std::vector<lab::RouterResourceUse> result;
+  for (const Router& router : routers_) result.push_back(router.cost);
+  return result;
 }
 
-std::vector<lab::RouterUse> Routers::uses() const {
-  std::vector<lab::RouterUse> all;
+std::vector<lab::RouterUsage> RouterProcesses::usage() const {
+  std::vector<lab::RouterUsage> result;
   for (const Router& router : routers_) {
-    if (!router.runs || router.pid == 0) continue;
-    all.push_back({router.id, cpu_s(router.pid), memory_mb(router.pid), descriptors(router.pid)});
+    if (!router.running || router.pid == 0) continue;
+    result.push_back(
+        {router.id, cpu_time_s(router.pid), resident_memory_mb(router.pid), open_descriptors(router.pid)});
   }
-  return all;
+  return result;
 }
 
 // ---- output ----
 
-void Routers::readable(int, short, void* router) {
-  auto* found = static_cast<Router*>(router);
-  found->all->read_output(*found);
+void RouterProcesses::on_readable(int, short, void* router) {
+  auto* readable_router = static_cast<Router*>(router);
+  readable_router->owner->read_output(*readable_router);
 }
 
-void Routers::close_output(Router& router) {
+void RouterProcesses::close_output(Router& router) {
   router.output_event.reset();
   if (router.output >= 0) close(router.output);
   router.output = -1;
 }
 
 // Reads all output, even if it is not kept: a router that can't write its log would block.
-void Routers::read_output(Router& router) {
+void RouterProcesses::read_output(Router& router) {
   std::array<char, 16384> buffer;
   while (router.output >= 0) {
-    const ssize_t got = read(router.output, buffer.data(), buffer.size());
-    if (got == 0) return close_output(router);
-    if (got < 0) return;
-    const auto size = static_cast<std::size_t>(got);
-    if (router.file >= 0 && router.file_bytes < kMostFile) {
+    const ssize_t received = read(router.output, buffer.data(), buffer.size());
+    if (received == 0) return close_output(router);
+    if (received < 0) return;
+    const auto size = static_cast<std::size_t>(received);
+    if (router.file >= 0 && router.file_bytes < kMaxLogFileBytes) {
       router.file_bytes += size;
-      [[maybe_unused]] const auto written = write(router.file, buffer.data(), size);
-      if (router.file_bytes >= kMostFile) dprintf(router.file, "\nthe lab: no more of this log is kept\n");
+      [[maybe_unused]] const auto ignored_size = write(router.file, buffer.data(), size);
+      if (router.file_bytes >= kMaxLogFileBytes)
+        dprintf(router.file, "\nthe lab: no more of this log is kept\n");
     }
     for (std::size_t i = 0; i < size; ++i) {
       if (buffer[i] != '\n') {
-        if (router.line.size() < kMostLine) router.line += buffer[i];
+        if (router.line.size() < kMaxLineBytes) router.line += buffer[i];
       } else if (!router.line.empty()) {
         std::string line;
         line.swap(router.line);
-        say(router, std::move(line));
+        log_line(router, std::move(line));
       }
     }
   }
 }
 
-void Routers::say(Router& router, std::string line) {
-  router.tail = (router.tail + line + "\n");
-  if (router.tail.size() > kTail) router.tail.erase(0, router.tail.size() - kTail);
-  if (++router.lines > kMostLines) return;
-  stage_.tape.add(OwnedLog{loop_.now(), router.id, std::move(line)});
+void RouterProcesses::log_line(Router& router, std::string line) {
+  router.last_output = (router.last_output + line + "\n");
+  if (router.last_output.size() > kLastOutputBytes)
+    router.last_output.erase(0, router.last_output.size() - kLastOutputBytes);
+  if (++router.lines > kMaxLines) return;
+  context_.records.add(BufferedRouterLog{loop_.now(), router.id, std::move(line)});
 }
 
 } // namespace fernward::rig
--- a/lab/scenario/sound.h
+++ b/lab/scenario/consistency.h
@@ -10,8 +10,8 @@
 
 // Adds the faults found to scenario.faults. `broken`: members whose values could not be parsed and still have
 // their defaults; no fault is derived from those.
-void check_sound(Scenario& scenario, const std::string& file, const Offer& offer,
-                 const std::set<std::string>& broken);
+void check_consistency(Scenario& scenario, const std::string& file, const RunLimits& limits,
+                       const std::set<std::string>& invalid);
 
 // The highest request rate of the load per second, spikes included.
 double peak_rate(const model::Spec& spec);
--- a/lab/scenario/names.cpp
+++ b/lab/scenario/names.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-struct About {
+struct TableDescription {
   const char *what, *written, *list, *hint;
 };
-constexpr std::array<About, 7> kAbout{
+constexpr std::array<TableDescription, 7> kTableDescriptions{
     {{"zone", "a zone's name", "zones", ""},
      {"kind of node", "a kind's name", "kinds", ""},
      {"group of nodes", "a group's name", "nodes", ""},
@@ -21,7 +21,9 @@
      {"class", "a class's name", "classes", ""},
      {"tenant", "a tenant's name", "tenants", ""}}};
 
-const About& about(Table table) { return kAbout.at(static_cast<std::size_t>(table)); }
+const TableDescription& description_of(Table table) {
+  return kTableDescriptions.at(static_cast<std::size_t>(table));
+}
 
 template <typename T>
 std::optional<std::uint32_t> find_name(const std::vector<T>& table, const std::string& name) {
@@ -32,13 +34,13 @@
 }
 
 template <typename T>
-std::vector<std::string> names(const std::vector<T>& table) {
-  std::vector<std::string> all;
-  for (const T& item : table) all.push_back(item.name);
-  return all;
+std::vector<std::string> names_of(const std::vector<T>& table) {
+  std::vector<std::string> result;
+  for (const T& item : table) result.push_back(item.name);
+  return result;
 }
 
-std::optional<std::uint32_t> whole_number(std::string_view text) {
+std::optional<std::uint32_t> parse_uint32(std::string_view text) {
   std::uint32_t number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (text.empty() || error != std::errc() || end != text.data() + text.size()) return std::nullopt;
@@ -47,27 +49,28 @@
 
 // Finds node GROUP-i; nodes are numbered as described in model/plan.h.
 std::optional<std::uint32_t> find_node(const std::string& name, const model::Spec& spec) {
-  const std::size_t dash = name.rfind('-');
-  if (dash == std::string::npos) return std::nullopt;
-  const auto number = whole_number(std::string_view(name).substr(dash + 1));
+  const std::size_t dash_position = name.rfind('-');
+  if (dash_position == std::string::npos) return std::nullopt;
+  const auto number = parse_uint32(std::string_view(name).substr(dash_position + 1));
   if (!number) return std::nullopt;
-  std::uint64_t first = 0;
-  for (const model::NodeGroup& g : spec.nodes) {
-    const std::uint64_t all = std::uint64_t{g.count} + g.standby;
-    if (g.name == name.substr(0, dash) && *number < all && first + *number < 0xffffffffu) {
-      return static_cast<std::uint32_t>(first + *number);
+  std::uint64_t first_of_group = 0;
+  for (const model::NodeGroup& group : spec.nodes) {
+    const std::uint64_t group_size = std::uint64_t{group.count} + group.standby;
+    if (group.name == name.substr(0, dash_position) && *number < group_size &&
+        first_of_group + *number < 0xffffffffu) {
+      return static_cast<std::uint32_t>(first_of_group + *number);
     }
-    first += all;
+    first_of_group += group_size;
   }
   return std::nullopt;
 }
 
 std::optional<std::uint32_t> find_router(const std::string& name, const model::Spec& spec) {
   if (!name.starts_with('r')) return std::nullopt;
-  std::uint64_t all = 0;
-  for (const model::RouterGroup& g : spec.routers.groups) all += g.count;
-  const auto number = whole_number(std::string_view(name).substr(1));
-  return number && *number < all ? number : std::nullopt;
+  std::uint64_t router_count = 0;
+  for (const model::RouterGroup& group : spec.routers.groups) router_count += group.count;
+  const auto number = parse_uint32(std::string_view(name).substr(1));
+  return number && *number < router_count ? number : std::nullopt;
 }
 
 } // namespace
@@ -87,36 +90,38 @@
 
 std::vector<std::string> SpecNames::known(Table table) const {
   switch (table) {
-    case tables::kZones: return names(spec_.zones);
-    case tables::kKinds: return names(spec_.kinds);
-    case tables::kGroups: return names(spec_.nodes);
-    case tables::kClasses: return names(spec_.classes);
-    case tables::kTenants: return names(spec_.tenants);
+    case tables::kZones: return names_of(spec_.zones);
+    case tables::kKinds: return names_of(spec_.kinds);
+    case tables::kGroups: return names_of(spec_.nodes);
+    case tables::kClasses: return names_of(spec_.classes);
+    case tables::kTenants: return names_of(spec_.tenants);
     default: return {};
   }
 }
 
 std::string SpecNames::name(Table table, std::uint32_t index) const {
-  const auto at = [&](const auto& items) { return index < items.size() ? items[index].name : std::string(); };
+  const auto name_at = [&](const auto& items) {
+    return index < items.size() ? items[index].name : std::string();
+  };
   switch (table) {
-    case tables::kZones: return at(spec_.zones);
-    case tables::kKinds: return at(spec_.kinds);
-    case tables::kGroups: return at(spec_.nodes);
-    case tables::kClasses: return at(spec_.classes);
-    case tables::kTenants: return at(spec_.tenants);
+    case tables::kZones: return name_at(spec_.zones);
+    case tables::kKinds: return name_at(spec_.kinds);
+    case tables::kGroups: return name_at(spec_.nodes);
+    case tables::kClasses: return name_at(spec_.classes);
+    case tables::kTenants: return name_at(spec_.tenants);
     case tables::kRouters: return std::string("r").append(std::to_string(index));
     case tables::kNodes:
-      for (const model::NodeGroup& g : spec_.nodes) {
-        if (index < g.count + g.standby) return g.name + "-" + std::to_string(index);
-        index -= g.count + g.standby;
+      for (const model::NodeGroup& group : spec_.nodes) {
+        if (index < group.count + group.standby) return group.name + "-" + std::to_string(index);
+        index -= group.count + group.standby;
       }
   }
   return "";
 }
 
-const char* SpecNames::what(Table table) const { return about(table).what; }
-const char* SpecNames::written(Table table) const { return about(table).written; }
-const char* SpecNames::list(Table table) const { return about(table).list; }
-const char* SpecNames::hint(Table table) const { return about(table).hint; }
+const char* SpecNames::what(Table table) const { return description_of(table).what; }
+const char* SpecNames::written(Table table) const { return description_of(table).written; }
+const char* SpecNames::list(Table table) const { return description_of(table).list; }
+const char* SpecNames::hint(Table table) const { return description_of(table).hint; }
 
 } // namespace fernward::lab
--- a/lab/scenario/read.h
+++ b/lab/scenario/read.h
@@ -15,35 +15,35 @@
 
 namespace fernward::lab {
 
-using toml_document::Fault;
-using toml_document::Loader;
+using toml_document::Diagnostic;
+using toml_document::FileLoader;
 using toml_document::Position;
 
 // Limits on the size of a run. A scenario that exceeds them is faulty.
-struct Offer {
+struct RunLimits {
   double rate_per_s = 200000;
   std::uint32_t nodes = 10000, routers = 1024;
   std::uint32_t sharing_routers = 1024; // maximum where routers.sharing is on
   bool congestion = false;              // discovery calls are simulated one by one, so that they can queue
 };
-Offer offer_virtual(); // in virtual time
-Offer offer_sockets(); // on sockets: 20,000 requests a second from one core
+RunLimits virtual_run_limits(); // in virtual time
+RunLimits socket_run_limits();  // on sockets: 20,000 requests a second from one core
 
 struct Scenario {
   model::Spec spec; // may be run only if `faults` is empty
-  toml_document::Faults faults;
-  toml_document::Places places; // positions of the values in the file, by member path of the Spec
+  toml_document::Diagnostics faults;
+  toml_document::Positions positions; // positions of the values in the file, by member path of the Spec
 
-  bool sound() const { return faults.empty(); }
+  bool is_valid() const { return faults.empty(); }
 };
 
-Scenario read_scenario(std::string_view text, const std::string& file, const Offer& offer = {},
-                       const Loader& load = {});
-Scenario read_scenario_file(const std::filesystem::path& path, const Offer& offer = {});
+Scenario read_scenario(std::string_view text, const std::string& file, const RunLimits& limits = {},
+                       const FileLoader& load = {});
+Scenario read_scenario_file(const std::filesystem::path& path, const RunLimits& limits = {});
 
 // Sets single values, such as "load.rate=820/s" or "kinds[fast].cores=8", and checks the scenario again.
 // Errors are added to `scenario.faults`.
-void set_values(Scenario& scenario, const std::vector<std::string>& settings, const Offer& offer = {});
+void set_values(Scenario& scenario, const std::vector<std::string>& settings, const RunLimits& limits = {});
 
 // The complete Spec as a file without a base, with every value written out. read_scenario returns the same
 // Spec.
--- a/lab/shared/addresses.cpp
+++ b/lab/shared/addresses.cpp
@@ -11,15 +11,15 @@
 namespace fernward::rig {
 namespace {
 
-constexpr std::uint32_t kFirstNet = 64, kNets = 180; // from 127.64/16 on
-constexpr std::size_t kFirst = 256;                  // the first 256 addresses of a /16 stay unused
-constexpr std::size_t kNumbers = 65000;
-constexpr std::uint16_t kRouterPort = 7000, kMachinePort = 7070, kPeerListenPort = 7946, kPeersAllPort = 7947,
-                        kPeerPort = 7950, kAgentPort = 8500, kMarkPort = 6999;
+constexpr std::uint32_t kFirstNetwork = 64, kNetworkCount = 180; // from 127.64/16 on
+constexpr std::size_t kFirstNumber = 256; // the first 256 addresses of a /16 stay unused
+constexpr std::size_t kNumbersPerPort = 65000;
+constexpr std::uint16_t kRouterPort = 7000, kMachinePort = 7070, kPeerListenPort = 7946, kAllPeersPort = 7947,
+                        kPeerPort = 7950, kAgentPort = 8500, kReservationPort = 6999;
 
 } // namespace
 
-std::string text_of(const sockaddr_in& address) {
+std::string address_text(const sockaddr_in& address) {
   char host[INET_ADDRSTRLEN] = "";
   inet_ntop(AF_INET, &address.sin_addr, host, sizeof host);
   return std::string(host) + ":" + std::to_string(ntohs(address.sin_port));
@@ -34,57 +34,63 @@
       listen(fd, backlog) == 0) {
     return fd;
   }
-  const int why = errno;
+  const int saved_errno = errno;
   close(fd);
-  errno = why;
+  errno = saved_errno;
   return -1;
 }
 
-Addresses::Addresses(std::size_t routers, std::size_t machines) : routers_(routers), machines_(machines) {
+RunAddresses::RunAddresses(std::size_t routers, std::size_t machines)
+    : routers_(routers), machines_(machines) {
   const auto start = static_cast<std::uint32_t>(getpid());
-  for (std::uint32_t i = 0; i < kNets && held_ < 0; ++i) {
-    net_ = 127u << 24 | (kFirstNet + (start + i) % kNets) << 16;
-    sockaddr_in mark = at(0, kMarkPort);
-    mark.sin_addr.s_addr = htonl(net_ | 1);
-    held_ = listen_at(mark, 1);
-    if (held_ < 0) continue;
+  for (std::uint32_t i = 0; i < kNetworkCount && reservation_fd_ < 0; ++i) {
+    network_ = 127u << 24 | (kFirstNetwork + (start + i) % kNetworkCount) << 16;
+    sockaddr_in reservation = address_at(0, kReservationPort);
+    reservation.sin_addr.s_addr = htonl(network_ | 1);
+    reservation_fd_ = listen_at(reservation, 1);
+    if (reservation_fd_ < 0) continue;
     // Another program may listen on one of these ports at all addresses: then the /16 can't be used.
     for (const std::uint16_t port : {kRouterPort, kMachinePort, kAgentPort}) {
-      const int fd = held_ < 0 ? -1 : listen_at(at(0, port), 1);
+      const int fd = reservation_fd_ < 0 ? -1 : listen_at(address_at(0, port), 1);
       if (fd >= 0) {
         close(fd);
-      } else if (held_ >= 0) {
-        close(held_);
-        held_ = -1;
+      } else if (reservation_fd_ >= 0) {
+        close(reservation_fd_);
+        reservation_fd_ = -1;
       }
     }
   }
-  if (held_ < 0) throw std::runtime_error("the lab found no free /16 network in 127/8");
+  if (reservation_fd_ < 0) throw std::runtime_error("the lab found no free /16 network in 127/8");
 }
 
-Addresses::~Addresses() {
-  if (held_ >= 0) close(held_);
+RunAddresses::~RunAddresses() {
+  if (reservation_fd_ >= 0) close(reservation_fd_);
 }
 
-sockaddr_in Addresses::at(std::size_t number, std::uint16_t port) const {
+sockaddr_in RunAddresses::address_at(std::size_t number, std::uint16_t port) const {
   sockaddr_in address{};
   address.sin_family = AF_INET;
-  address.sin_addr.s_addr = htonl(net_ | static_cast<std::uint32_t>(kFirst + number % kNumbers));
-  address.sin_port = htons(static_cast<std::uint16_t>(port + number / kNumbers));
+  address.sin_addr.s_addr =
+      htonl(network_ | static_cast<std::uint32_t>(kFirstNumber + number % kNumbersPerPort));
+  address.sin_port = htons(static_cast<std::uint16_t>(port + number / kNumbersPerPort));
   return address;
 }
 
-sockaddr_in Addresses::router(model::RouterId router) const { return at(router, kRouterPort); }
-sockaddr_in Addresses::machine(model::RouterId seen_by, model::MachineId place) const {
-  return at(std::size_t{seen_by} * machines_ + place, kMachinePort);
+sockaddr_in RunAddresses::router(model::RouterId router) const { return address_at(router, kRouterPort); }
+sockaddr_in RunAddresses::machine(model::RouterId seen_by, model::MachineId address_owner) const {
+  return address_at(std::size_t{seen_by} * machines_ + address_owner, kMachinePort);
 }
-sockaddr_in Addresses::agent(model::RouterId router, std::uint32_t moves) const {
-  return at(router, static_cast<std::uint16_t>(kAgentPort + moves));
+sockaddr_in RunAddresses::discovery(model::RouterId router, std::uint32_t address_version) const {
+  return address_at(router, static_cast<std::uint16_t>(kAgentPort + address_version));
 }
-sockaddr_in Addresses::peer_listen(model::RouterId router) const { return at(router, kPeerListenPort); }
-sockaddr_in Addresses::peers_all(model::RouterId seen_by) const { return at(seen_by, kPeersAllPort); }
-sockaddr_in Addresses::peer(model::RouterId seen_by, model::RouterId other) const {
-  return at(std::size_t{seen_by} * routers_ + other, kPeerPort);
+sockaddr_in RunAddresses::peer_listen(model::RouterId router) const {
+  return address_at(router, kPeerListenPort);
+}
+sockaddr_in RunAddresses::all_peers(model::RouterId seen_by) const {
+  return address_at(seen_by, kAllPeersPort);
+}
+sockaddr_in RunAddresses::peer(model::RouterId seen_by, model::RouterId other) const {
+  return address_at(std::size_t{seen_by} * routers_ + other, kPeerPort);
 }
 
 } // namespace fernward::rig
--- a/lab/shared/addresses.h
+++ b/lab/shared/addresses.h
@@ -13,29 +13,30 @@
 
 namespace fernward::rig {
 
-class Addresses {
+class RunAddresses {
  public:
-  Addresses(std::size_t routers, std::size_t machines); // throws std::runtime_error
-  ~Addresses();
-  Addresses(const Addresses&) = delete;
-  Addresses& operator=(const Addresses&) = delete;
-
-  sockaddr_in router(model::RouterId router) const;                           // where clients connect
-  sockaddr_in machine(model::RouterId seen_by, model::MachineId place) const; // Machine::address_of
-  sockaddr_in agent(model::RouterId router, std::uint32_t moves) const;   // discovery, after so many moves
+  RunAddresses(std::size_t routers, std::size_t machines); // throws std::runtime_error
+  ~RunAddresses();
+  RunAddresses(const RunAddresses&) = delete;
+  RunAddresses& operator=(const RunAddresses&) = delete;
+
+  sockaddr_in router(model::RouterId router) const;                                   // where clients connect
+  sockaddr_in machine(model::RouterId seen_by, model::MachineId address_owner) const; // Machine::address_of
+  sockaddr_in discovery(model::RouterId router,
+                        std::uint32_t address_version) const;             // discovery, after so many moves
   sockaddr_in peer_listen(model::RouterId router) const;                  // where a router receives datagrams
   sockaddr_in peer(model::RouterId seen_by, model::RouterId other) const; // where it sends those for one peer
-  sockaddr_in peers_all(model::RouterId seen_by) const;                   // or for all peers
+  sockaddr_in all_peers(model::RouterId seen_by) const;                   // or for all peers
 
  private:
-  sockaddr_in at(std::size_t number, std::uint16_t port) const;
+  sockaddr_in address_at(std::size_t number, std::uint16_t port) const;
 
   std::size_t routers_, machines_;
-  std::uint32_t net_ = 0; // the /16, in host order
-  int held_ = -1;
+  std::uint32_t network_ = 0; // the /16, in host order
+  int reservation_fd_ = -1;
 };
 
-std::string text_of(const sockaddr_in& address); // "127.77.1.4:7070"
+std::string address_text(const sockaddr_in& address); // "127.77.1.4:7070"
 // Returns a non-blocking listening socket, or -1 with errno set.
 int listen_at(const sockaddr_in& address, int backlog);
 
--- a/lab/shared/body.h
+++ b/lab/shared/body.h
@@ -9,28 +9,28 @@
 #include <string>
 #include <string_view>
 
-#include "model/record.h"
+#include "model/records.h"
 
 namespace fernward::rig {
 
-struct BodyFacts {
+struct BodyMetadata {
   model::TryId try_id = 0;
   model::AttemptId attempt = 0;
   model::MachineId machine = 0;
   std::uint64_t key = 0;
 };
 
-class Bodies {
+class BodyCodec {
  public:
-  explicit Bodies(std::uint64_t secret) : secret_(secret) {}
+  explicit BodyCodec(std::uint64_t secret) : secret_(secret) {}
 
   // Returns `size` bytes, but at least the length of the metadata and at most the body limit.
-  std::string make(const BodyFacts& facts, double size) const;
+  std::string encode(const BodyMetadata& metadata, double size) const;
   // Returns the metadata; none: at least one byte differs from the body that encode() returns.
-  std::optional<BodyFacts> read(std::string_view body) const;
+  std::optional<BodyMetadata> decode(std::string_view body) const;
 
  private:
-  std::uint64_t tag(const BodyFacts& facts, std::size_t size) const;
+  std::uint64_t compute_tag(const BodyMetadata& metadata, std::size_t size) const;
   std::uint64_t secret_;
 };
 
--- a/lab/shared/clock.h
+++ b/lab/shared/clock.h
@@ -8,19 +8,19 @@
 
 namespace fernward::rig {
 
-class Clock {
+class RunClock {
  public:
-  void begin() { begun_at_ = loop::now_ms(); }
-  bool begun() const { return begun_at_ > 0; }
+  void start() { started_at_ = loop::now_ms(); }
+  bool started() const { return started_at_ > 0; }
   double now() const { // 0 until it starts
-    const double begun_at = begun_at_;
-    return begun_at > 0 ? std::max(0.0, loop::now_ms() - begun_at) : 0;
+    const double started_at = started_at_;
+    return started_at > 0 ? std::max(0.0, loop::now_ms() - started_at) : 0;
   }
   // Converts a time of a started run to wall clock time (Unix milliseconds).
-  double wall(double at) const { return begun_at_ + at; }
+  double wall_ms(double run_time_ms) const { return started_at_ + run_time_ms; }
 
  private:
-  std::atomic<double> begun_at_ = 0;
+  std::atomic<double> started_at_ = 0;
 };
 
 } // namespace fernward::rig
--- a/lab/shared/lateness.cpp
+++ b/lab/shared/lateness.cpp
@@ -5,32 +5,34 @@
 namespace fernward::rig {
 namespace {
 
-constexpr double kLeast = 0.001, kMost = 60000;
+constexpr double kMinMs = 0.001, kMaxMs = 60000;
 constexpr unsigned kBins = 400; // each about 4.6% wide
 
 } // namespace
 
-Lateness::Lateness() : bins_(boost::histogram::make_histogram(Axis(kBins, kLeast, kMost))) {}
+LatenessHistogram::LatenessHistogram()
+    : bins_(boost::histogram::make_histogram(Axis(kBins, kMinMs, kMaxMs))) {}
 
-void Lateness::add(double ms) {
+void LatenessHistogram::add(double ms) {
   bins_(std::max(ms, 0.0));
   count_ += 1;
-  most_ = std::max(most_, ms);
+  max_ms_ = std::max(max_ms_, ms);
 }
 
-lab::Quantiles Lateness::quantiles() const {
+lab::LatenessQuantiles LatenessHistogram::quantiles() const {
   // Returns the upper edge of the bin that reaches the share: the result is never below the true quantile.
-  const auto at = [this](double share) {
-    double sum = bins_.at(-1), wanted = share * count_; // values without lateness lie in the underflow bin
-    if (sum >= wanted) return 0.0;
+  const auto quantile = [this](double share) {
+    double cumulative = bins_.at(-1),
+           target = share * count_; // values without lateness lie in the underflow bin
+    if (cumulative >= target) return 0.0;
     for (int i = 0; i < static_cast<int>(kBins); ++i) {
-      sum += bins_.at(i);
-      if (sum >= wanted) return std::min(bins_.axis().bin(i).upper(), most_);
+      cumulative += bins_.at(i);
+      if (cumulative >= target) return std::min(bins_.axis().bin(i).upper(), max_ms_);
     }
-    return most_;
+    return max_ms_;
   };
   if (!(count_ > 0)) return {};
-  return {at(0.5), at(0.99), at(0.999), most_};
+  return {quantile(0.5), quantile(0.99), quantile(0.999), max_ms_};
 }
 
 } // namespace fernward::rig
--- a/lab/shared/lateness.h
+++ b/lab/shared/lateness.h
@@ -7,17 +7,17 @@
 
 namespace fernward::rig {
 
-class Lateness {
+class LatenessHistogram {
  public:
-  Lateness();
+  LatenessHistogram();
   void add(double ms);
-  lab::Quantiles quantiles() const;
+  lab::LatenessQuantiles quantiles() const;
   double count() const { return count_; }
 
  private:
   using Axis = boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>;
   boost::histogram::histogram<std::tuple<Axis>> bins_;
-  double count_ = 0, most_ = 0;
+  double count_ = 0, max_ms_ = 0;
 };
 
 } // namespace fernward::rig
--- a/lab/shared/loop.h
+++ b/lab/shared/loop.h
@@ -14,49 +14,49 @@
 
 namespace fernward::rig {
 
-class Loop {
+class RunLoop {
  public:
-  explicit Loop(const Clock& clock); // throws std::runtime_error
-  ~Loop();
-  Loop(const Loop&) = delete;
-  Loop& operator=(const Loop&) = delete;
+  explicit RunLoop(const RunClock& clock); // throws std::runtime_error
+  ~RunLoop();
+  RunLoop(const RunLoop&) = delete;
+  RunLoop& operator=(const RunLoop&) = delete;
 
   void run(); // until stop()
 
   // From any thread: runs the task in the loop, in the order of the calls. A task added after stop() is not
   // run.
-  void post(std::function<void()> what);
+  void run_in_loop(std::function<void()> task);
   void stop();
 
   // From the loop's own thread.
   event_base* base() { return base_.get(); }
-  loop::TimerQueue& deadlines() { return *deadlines_; }
-  loop::TimerQueue::TimerId at(double run_time, std::function<void()> what) {
-    return deadlines_->at(on_grid(clock_.wall(run_time)), std::move(what));
+  loop::TimerQueue& timers() { return *timers_; }
+  loop::TimerQueue::TimerId run_at(double run_time_ms, std::function<void()> task) {
+    return timers_->run_at(round_up(clock_.wall_ms(run_time_ms)), std::move(task));
   }
-  loop::TimerQueue::TimerId after(double ms, std::function<void()> what) {
-    return deadlines_->at(on_grid(loop::now_ms() + ms), std::move(what));
+  loop::TimerQueue::TimerId run_after(double ms, std::function<void()> task) {
+    return timers_->run_at(round_up(loop::now_ms() + ms), std::move(task));
   }
   double now() const { return clock_.now(); }
-  const Clock& clock() const { return clock_; }
+  const RunClock& clock() const { return clock_; }
 
  private:
-  struct BaseFree {
+  struct BaseDeleter {
     void operator()(event_base* base) const { event_base_free(base); }
   };
   // Under load thousands of timers expire within a millisecond. Those within a tenth of a millisecond run in
   // one iteration of the loop, as an iteration costs as much as the work in it.
-  static double on_grid(double wall) { return std::ceil(wall * kTurnsPerMs) / kTurnsPerMs; }
-  static constexpr double kTurnsPerMs = 10;
-  static void woken(int fd, short, void* self);
-
-  const Clock& clock_;
-  std::unique_ptr<event_base, BaseFree> base_;
-  std::unique_ptr<loop::TimerQueue> deadlines_;
-  int wake_fd_ = -1;
-  loop::EventPtr wake_;
+  static double round_up(double wall_ms) { return std::ceil(wall_ms * kRoundsPerMs) / kRoundsPerMs; }
+  static constexpr double kRoundsPerMs = 10;
+  static void on_wakeup(int fd, short, void* self);
+
+  const RunClock& clock_;
+  std::unique_ptr<event_base, BaseDeleter> base_;
+  std::unique_ptr<loop::TimerQueue> timers_;
+  int wakeup_fd_ = -1;
+  loop::EventPtr wakeup_event_;
   std::mutex mutex_;
-  std::vector<std::function<void()>> posted_;
+  std::vector<std::function<void()>> pending_tasks_;
 };
 
 } // namespace fernward::rig
--- a/lab/shared/tape.h
+++ b/lab/shared/records.h
@@ -8,29 +8,30 @@
 #include <variant>
 #include <vector>
 
-#include "model/record.h"
+#include "model/records.h"
 
 namespace fernward::rig {
 
-struct OwnedLog { // a RouterLog that owns its text
+struct BufferedRouterLog { // a RouterLogLine that owns its text
   double at = 0;
   model::RouterId router = 0;
   std::string text;
 };
 
-using Record = std::variant<model::Drawn, model::Tried, model::Answered, model::Closed, model::Arrived,
-                            model::Begun, model::AttemptEnded, model::LoadSample, model::NodeEvent,
-                            model::RouterEvent, model::Told, model::Mark, OwnedLog>;
+using Record = std::variant<model::DrawnRequest, model::TrySent, model::TryEnded, model::RequestEnded,
+                            model::AttemptArrived, model::AttemptStarted, model::AttemptEnded,
+                            model::LoadSample, model::NodeEvent, model::RouterEvent, model::EndpointNotified,
+                            model::EventMark, BufferedRouterLog>;
 
-class Tape {
+class RecordBuffer {
  public:
   void add(Record record) { // from any thread
     const std::lock_guard lock(mutex_);
     records_.push_back(std::move(record));
   }
-  void take(std::vector<Record>& into) { // swaps: `records` must be empty
+  void swap_out(std::vector<Record>& records) { // swaps: `records` must be empty
     const std::lock_guard lock(mutex_);
-    records_.swap(into);
+    records_.swap(records);
   }
 
  private:
@@ -42,33 +43,34 @@
 //
 // Records older than `reorder_window_ms` are passed on, so the queue is bounded by the record rate. A record
 // that arrives later than that is passed on at once.
-class Merger {
+class RecordMerger {
  public:
-  Merger(model::Sink& sink, double hold_ms) : sink_(sink), hold_ms_(hold_ms) {}
+  RecordMerger(model::Sink& sink, double reorder_window_ms)
+      : sink_(sink), reorder_window_ms_(reorder_window_ms) {}
 
-  void take(Tape& tape);
+  void add_from(RecordBuffer& buffer);
   void release(double now); // passes on records older than the window
   void release_all();
-  std::size_t held() const { return waiting_.size(); }
+  std::size_t queued() const { return queue_.size(); }
 
  private:
-  struct Waiting {
+  struct QueuedRecord {
     double at;
     std::uint64_t number; // order of arrival, for equal times
     Record record;
   };
-  struct Later {
-    bool operator()(const Waiting& a, const Waiting& b) const {
+  struct OrderedAfter {
+    bool operator()(const QueuedRecord& a, const QueuedRecord& b) const {
       return a.at != b.at ? a.at > b.at : a.number > b.number;
     }
   };
-  void out();
+  void emit_earliest();
 
   model::Sink& sink_;
-  double hold_ms_;
-  std::uint64_t taken_ = 0;
+  double reorder_window_ms_;
+  std::uint64_t record_count_ = 0;
   std::vector<Record> batch_;
-  std::vector<Waiting> waiting_; // a heap
+  std::vector<QueuedRecord> queue_; // a heap
 };
 
 } // namespace fernward::rig
--- a/lab/shared/stage.h
+++ b/lab/shared/run_context.h
@@ -9,42 +9,44 @@
 #include "lab/shared/addresses.h"
 #include "lab/shared/body.h"
 #include "lab/shared/clock.h"
-#include "lab/shared/tape.h"
-#include "lab/shared/tries.h"
+#include "lab/shared/records.h"
+#include "lab/shared/try_registry.h"
 #include "model/plan.h"
 
 namespace fernward::rig {
 
 // The reasons why a run is void, that is, why its results are not valid for the routers.
-class Voids {
+class VoidReasons {
  public:
-  void add(std::string why) { // from any thread; keeps the first ones only
+  void add(std::string reason) { // from any thread; keeps the first ones only
     const std::lock_guard lock(mutex_);
-    if (all_.size() < kMost && std::find(all_.begin(), all_.end(), why) == all_.end())
-      all_.push_back(std::move(why));
+    if (reasons_.size() < kMaxReasons &&
+        std::find(reasons_.begin(), reasons_.end(), reason) == reasons_.end())
+      reasons_.push_back(std::move(reason));
   }
   std::vector<std::string> all() const {
     const std::lock_guard lock(mutex_);
-    return all_;
+    return reasons_;
   }
 
  private:
-  static constexpr std::size_t kMost = 16;
+  static constexpr std::size_t kMaxReasons = 16;
   mutable std::mutex mutex_;
-  std::vector<std::string> all_;
+  std::vector<std::string> reasons_;
 };
 
 // Everything that a part of the run refers to.
-struct Stage {
+struct RunContext {
   const model::Spec& spec;
   const model::Plan& plan;
-  const Addresses& addresses;
-  const Clock& clock;
-  Bodies& bodies;
-  Tries& tries;
-  Tape& tape;
-  Voids& voids;
-  bool visitors = false; // requests of other clients are served too, and do not make the run void
+  const RunAddresses& addresses;
+  const RunClock& clock;
+  BodyCodec& body_codec;
+  TryRegistry& tries;
+  RecordBuffer& records;
+  VoidReasons& void_reasons;
+  bool serve_foreign_requests =
+      false; // requests of other clients are served too, and do not make the run void
 
   const model::NodeKind* kind_of(model::MachineId machine) const { // null: the origin
     const std::uint32_t kind = plan.machines[machine].kind;
@@ -52,11 +54,11 @@
   }
   double idle_ms(model::MachineId machine) const {
     const model::NodeKind* kind = kind_of(machine);
-    return kind != nullptr ? kind->idle_ms : spec.origin.idle_ms;
+    return kind != nullptr ? kind->idle_timeout_ms : spec.origin.idle_timeout_ms;
   }
   double handshake_trips(model::MachineId machine) const {
     const model::NodeKind* kind = kind_of(machine);
-    return kind != nullptr ? kind->handshake_trips : spec.origin.handshake_trips;
+    return kind != nullptr ? kind->handshake_round_trips : spec.origin.handshake_round_trips;
   }
   const model::ReportSpec& report_of(model::MachineId machine) const {
     const model::NodeKind* kind = kind_of(machine);
@@ -64,10 +66,10 @@
   }
 };
 
-inline double longest_give_up(const model::Spec& spec) {
-  double longest = 0;
-  for (const auto& cls : spec.classes) longest = std::max(longest, cls.give_up_ms);
-  return longest;
+inline double max_client_timeout_ms(const model::Spec& spec) {
+  double max_timeout_ms = 0;
+  for (const auto& cls : spec.classes) max_timeout_ms = std::max(max_timeout_ms, cls.client_timeout_ms);
+  return max_timeout_ms;
 }
 
 } // namespace fernward::rig
--- a/lab/shared/stream.h
+++ b/lab/shared/stream.h
@@ -17,46 +17,46 @@
 class Stream {
  public:
   // Callbacks. The handler may destroy the stream in any of them; the stream is not accessed afterwards.
-  class User {
+  class Handler {
    public:
-    virtual void up() {}                          // a connecting stream is connected
-    virtual void bytes(std::string_view got) = 0; // valid during the call
-    virtual void end(int error) = 0;              // 0: the peer closed its sending side. Called once
+    virtual void on_connected() {}                   // a connecting stream is connected
+    virtual void on_data(std::string_view data) = 0; // valid during the call
+    virtual void on_closed(int error) = 0;           // 0: the peer closed its sending side. Called once
    protected:
-    ~User() = default;
+    ~Handler() = default;
   };
 
-  Stream(event_base* base, int fd, User& user); // takes ownership of an accepted socket
+  Stream(event_base* base, int fd, Handler& handler); // takes ownership of an accepted socket
   // Returns null if out of descriptors. The outcome of the connection attempt is reported from the loop.
-  static std::unique_ptr<Stream> connect(event_base* base, const sockaddr_in& to, User& user);
+  static std::unique_ptr<Stream> connect(event_base* base, const sockaddr_in& address, Handler& handler);
   ~Stream();
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  bool is_up() const { return up_; }
+  bool is_connected() const { return connected_; }
   // False: the connection is broken; its close is reported from the loop. Data that the kernel does not
   // accept is buffered here.
   bool send(std::string_view bytes);
   bool all_sent() const { return unsent_.empty(); }
   void pause(); // stops reading: received data stays in the kernel
   void resume();
-  bool quiet() const;    // no unread data has been received, nor an end of data
-  void finish();         // closes the sending side
-  void reset_on_close(); // closing it sends a reset
+  bool nothing_unread() const; // no unread data has been received, nor an end of data
+  void shutdown_write();       // closes the sending side
+  void reset_on_close();       // closing it sends a reset
   int fd() const { return fd_; }
 
  private:
-  static void readable(int, short, void* self);
-  static void writable(int, short, void* self);
-  void read_event();
-  void write_event();
+  static void on_readable(int, short, void* self);
+  static void on_writable(int, short, void* self);
+  void handle_readable();
+  void handle_writable();
 
   event_base* base_;
   int fd_;
-  User& user_;
-  bool up_;
+  Handler& handler_;
+  bool connected_;
   std::string unsent_;
-  loop::EventPtr reads_, writes_;
+  loop::EventPtr read_event_, write_event_;
 };
 
 } // namespace fernward::rig
--- a/lab/shared/tries.h
+++ b/lab/shared/try_registry.h
@@ -13,48 +13,49 @@
 #include <string_view>
 #include <unordered_map>
 
-#include "model/record.h"
+#include "model/records.h"
 
 namespace fernward::rig {
 
-struct TryFacts {
+struct TryMetadata {
   std::uint32_t cls = 0;
-  std::uint64_t key = 0, repeat_key = 0;
+  std::uint64_t key = 0, idempotency_key = 0;
   bool write = false;
   double work_ms = 0, size_bytes = 0;
   std::size_t body_bytes = 0;
   std::uint64_t body_hash = 0;
 };
 
-class Tries {
+class TryRegistry {
  public:
   // Reserves space for `expected` tries: growing the table during a run would block both threads for
   // milliseconds.
-  Tries(std::uint64_t secret, double keep_ms, std::size_t expected = 0) : secret_(secret), keep_ms_(keep_ms) {
-    facts_.reserve(expected);
+  TryRegistry(std::uint64_t secret, double retention_ms, std::size_t expected = 0)
+      : secret_(secret), retention_ms_(retention_ms) {
+    metadata_.reserve(expected);
   }
 
-  void note(double now, model::TryId try_id, const TryFacts& facts);
-  std::optional<TryFacts> find(model::TryId try_id);
+  void add(double now, model::TryId try_id, const TryMetadata& metadata);
+  std::optional<TryMetadata> find(model::TryId try_id);
 
   // X-Request-ID: sixteen hexadecimal digits that do not reveal the order of tries.
-  std::string id(model::TryId try_id) const;
-  std::optional<model::TryId> number(std::string_view id) const;
+  std::string request_id(model::TryId try_id) const;
+  std::optional<model::TryId> try_id_of(std::string_view request_id_text) const;
 
  private:
-  struct Noted {
+  struct AddedTry {
     double at;
     model::TryId try_id;
   };
   std::uint64_t secret_;
-  double keep_ms_;
+  double retention_ms_;
   std::mutex mutex_;
-  std::unordered_map<model::TryId, TryFacts> facts_;
-  std::deque<Noted> order_;
+  std::unordered_map<model::TryId, TryMetadata> metadata_;
+  std::deque<AddedTry> by_age_;
 };
 
 std::string path_of(std::uint64_t key); // "/api/" and sixteen hexadecimal digits
-std::string repeat_text(std::uint64_t repeat_key);
+std::string idempotency_key_text(std::uint64_t idempotency_key);
 std::uint64_t hash_of(std::string_view bytes);
 
 } // namespace fernward::rig
--- a/lab/stats/format.h
+++ b/lab/stats/format_text.h
@@ -7,7 +7,7 @@
 
 namespace fernward::lab {
 
-__attribute__((format(printf, 1, 2))) inline std::string format(const char* pattern, ...) {
+__attribute__((format(printf, 1, 2))) inline std::string format_text(const char* pattern, ...) {
   char text[512];
   va_list arguments;
   va_start(arguments, pattern);
--- a/lab/stats/latency.h
+++ b/lab/stats/latency_histogram.h
@@ -8,24 +8,24 @@
 
 namespace fernward::lab {
 
-class Latency {
+class LatencyHistogram {
  public:
-  Latency();
+  LatencyHistogram();
 
   void add(double ms) {
     histogram_(ms);
     ++count_;
     sum_ += ms;
   }
-  void merge(const Latency& other);
+  void merge(const LatencyHistogram& other);
 
   std::uint64_t count() const { return count_; }
   double mean() const { return count_ > 0 ? sum_ / static_cast<double>(count_) : 0; }
-  double quantile(double share) const; // in ms; 0 if the histogram is empty
+  double quantile(double fraction) const; // in ms; 0 if the histogram is empty
 
   // For files: number and count of each bin that is not empty. -1 and the last number are underflow and
   // overflow.
-  std::vector<std::pair<int, std::uint64_t>> bins() const;
+  std::vector<std::pair<int, std::uint64_t>> nonempty_bins() const;
   double sum() const { return sum_; }
   // Replaces the contents. Returns false if a bin number doesn't exist.
   bool restore(const std::vector<std::pair<int, std::uint64_t>>& bins, double sum);
--- a/lab/storm/coverage.h
+++ b/lab/storm/coverage.h
@@ -5,69 +5,75 @@
 #include <map>
 
 #include "lab/storm/faults.h"
-#include "model/record.h"
+#include "model/records.h"
 
 namespace fernward::lab::storm {
 
 enum class Stage : std::uint8_t {
-  First,   // a client's first try reaches a router
-  Further, // a further try, after a rejection or failure
-  Cache,   // an attempt reaches a cache node
-  Origin,  // an attempt reaches the origin
-  Answer,  // a try ends
+  FirstTry,   // a client's first try reaches a router
+  FurtherTry, // a further try, after a rejection or failure
+  Cache,      // an attempt reaches a cache node
+  Origin,     // an attempt reaches the origin
+  Response,   // a try ends
   Count
 };
-constexpr std::size_t kStages = static_cast<std::size_t>(Stage::Count);
-extern const std::array<const char*, kStages> kStageNames;
+constexpr std::size_t kStageCount = static_cast<std::size_t>(Stage::Count);
+extern const std::array<const char*, kStageCount> kStageNames;
 
 // Records, for one run, the stages that occurred while each set of faults was open.
-class StageWatch : public model::Sink {
+class FaultStageRecorder : public model::Sink {
  public:
-  StageWatch(const model::Spec& spec, model::MachineId origin);
-  StageWatch(StageWatch&&) = default;
-  StageWatch& operator=(StageWatch&&) = default;
+  FaultStageRecorder(const model::Spec& spec, model::MachineId origin);
+  FaultStageRecorder(FaultStageRecorder&&) = default;
+  FaultStageRecorder& operator=(FaultStageRecorder&&) = default;
   using model::Sink::on;
-  void on(const model::Tried& t) override { met(t.at, t.number == 0 ? Stage::First : Stage::Further); }
-  void on(const model::Arrived& a) override {
-    met(a.at, a.machine == origin_ ? Stage::Origin : Stage::Cache);
+  void on(const model::TrySent& record) override {
+    record_stage(record.at, record.number == 0 ? Stage::FirstTry : Stage::FurtherTry);
   }
-  void on(const model::Answered& a) override { met(a.at, Stage::Answer); }
+  void on(const model::AttemptArrived& record) override {
+    record_stage(record.at, record.machine == origin_ ? Stage::Origin : Stage::Cache);
+  }
+  void on(const model::TryEnded& record) override { record_stage(record.at, Stage::Response); }
 
-  using Open = std::uint32_t;                                          // one bit for each kind
-  const std::map<Open, std::uint8_t>& stages() const { return seen_; } // one bit for each stage
+  using FaultSet = std::uint32_t; // one bit for each kind
+  const std::map<FaultSet, std::uint8_t>& stages_by_fault_set() const {
+    return stages_by_fault_set_;
+  } // one bit for each stage
 
  private:
-  void met(double at, Stage stage);
+  void record_stage(double at, Stage stage);
 
   std::vector<std::pair<double, int>> changes_; // by time: kind + 1 opens, -(kind + 1) closes
-  std::size_t next_ = 0;
-  std::array<int, kKinds> count_{};
+  std::size_t next_change_ = 0;
+  std::array<int, kFaultKindCount> open_counts_{};
   model::MachineId origin_;
-  Open open_ = 0;
-  std::uint8_t* now_ = nullptr; // points into stages_by_fault_set_
-  std::map<Open, std::uint8_t> seen_;
+  FaultSet open_faults_ = 0;
+  std::uint8_t* current_stages_ = nullptr; // points into stages_by_fault_set_
+  std::map<FaultSet, std::uint8_t> stages_by_fault_set_;
 };
-static_assert(kKinds <= 32);
+static_assert(kFaultKindCount <= 32);
 
 class Coverage {
  public:
-  void add(const StageWatch& run);
+  void add(const FaultStageRecorder& run);
   void merge(const Coverage& other);
 
   // Storms in which both were open at once while a request was at that stage.
-  std::uint64_t at(Kind a, Kind b, Stage stage) const {
-    return seen_[index(a, b)][static_cast<std::size_t>(stage)];
+  std::uint64_t storms_at_stage(FaultKind a, FaultKind b, Stage stage) const {
+    return storms_by_stage_[pair_index(a, b)][static_cast<std::size_t>(stage)];
   }
-  std::uint64_t pair(Kind a, Kind b) const { return pairs_[index(a, b)]; } // at any stage
-  std::uint64_t least() const; // the minimum over all pairs of different kinds
+  std::uint64_t storms_with_pair(FaultKind a, FaultKind b) const {
+    return storms_by_pair_[pair_index(a, b)];
+  }                                             // at any stage
+  std::uint64_t min_storms_of_any_pair() const; // the minimum over all pairs of different kinds
 
  private:
-  static std::size_t index(Kind a, Kind b) {
-    const auto x = static_cast<std::size_t>(a), y = static_cast<std::size_t>(b);
-    return x < y ? x * kKinds + y : y * kKinds + x;
+  static std::size_t pair_index(FaultKind a, FaultKind b) {
+    const auto first = static_cast<std::size_t>(a), second = static_cast<std::size_t>(b);
+    return first < second ? first * kFaultKindCount + second : second * kFaultKindCount + first;
   }
-  std::array<std::array<std::uint64_t, kStages>, kKinds * kKinds> seen_{};
-  std::array<std::uint64_t, kKinds * kKinds> pairs_{};
+  std::array<std::array<std::uint64_t, kStageCount>, kFaultKindCount * kFaultKindCount> storms_by_stage_{};
+  std::array<std::uint64_t, kFaultKindCount * kFaultKindCount> storms_by_pair_{};
 };
 
 } // namespace fernward::lab::storm
--- a/lab/storm/draw.h
+++ b/lab/storm/draw.h
@@ -11,16 +11,16 @@
 
 namespace fernward::lab::storm {
 
-struct Size { // limits of a storm
-  std::uint32_t most_routers = 300, most_nodes = 200;
-  double most_rate = 250;   // requests per second
-  double calm_ms = 3000;    // without faults, at the start
-  double faults_ms = 10000; // after that: the period in which faults begin
-  double skew = 4;          // 4: most storms are small; 1: sizes are log-uniform between the limits
-  bool whole = true;        // false: short faults and a short tail, for runs in real time
+struct StormLimits { // limits of a storm
+  std::uint32_t max_routers = 300, max_nodes = 200;
+  double max_rate_per_s = 250;          // requests per second
+  double fault_free_ms = 3000;          // without faults, at the start
+  double fault_begin_window_ms = 10000; // after that: the period in which faults begin
+  double size_exponent = 4;  // 4: most storms are small; 1: sizes are log-uniform between the limits
+  bool full_duration = true; // false: short faults and a short tail, for runs in real time
 };
 
-model::Spec draw(std::uint64_t seed, const Coverage& seen, const Size& size = {});
+model::Spec draw_storm(std::uint64_t seed, const Coverage& coverage, const StormLimits& limits = {});
 
 // Time from the end of the last fault until service must have recovered, as far as it depends on the routers:
 // the delays of discovery, the warm-up of nodes, and an allowance for the routers. Excludes refilling caches:
--- a/lab/storm/faults.cpp
+++ b/lab/storm/faults.cpp
@@ -7,7 +7,7 @@
 
 using namespace fernward::model;
 
-const std::array<const char*, kKinds> kKindNames = {
+const std::array<const char*, kFaultKindCount> kFaultKindNames = {
     "kill-routers", "restart-routers",  "upgrade-routers", "reload-routers", "cut-zones",
     "cut-nodes",    "discovery-outage", "discovery-move",  "slow-nodes",     "silent-nodes",
     "cold-nodes",   "replaced-nodes",   "drained-nodes",   "killed-nodes",   "bad-answers",
@@ -15,66 +15,66 @@
     "load-spike",   "hot-key",          "cut-routers",     "lose-datagrams", "pause-routers",
     "lying-router"};
 
-std::optional<Kind> kind_of(const Happening& what) {
+std::optional<FaultKind> kind_of(const EventAction& event) {
   return std::visit(
-      [](const auto& e) -> std::optional<Kind> {
+      [](const auto& e) -> std::optional<FaultKind> {
         using T = std::decay_t<decltype(e)>;
         if constexpr (std::is_same_v<T, RestartRouters>) {
-          if (e.batch > 0 && e.over_ms > 0) return Kind::UpgradeRouters;
-          return e.how == RouterEnd::Kill ? Kind::KillRouters : Kind::RestartRouters;
+          if (e.batch > 0 && e.over_ms > 0) return FaultKind::UpgradeRouters;
+          return e.how == RouterEnd::Kill ? FaultKind::KillRouters : FaultKind::RestartRouters;
         }
-        if constexpr (std::is_same_v<T, ReloadRouters>) return Kind::ReloadRouters;
-        if constexpr (std::is_same_v<T, CutZones>) return Kind::CutZones;
-        if constexpr (std::is_same_v<T, CutNodes>) return Kind::CutNodes;
-        if constexpr (std::is_same_v<T, DiscoveryOutage>) return Kind::DiscoveryOutage;
-        if constexpr (std::is_same_v<T, DiscoveryMove>) return Kind::DiscoveryMove;
-        if constexpr (std::is_same_v<T, Neighbour>) return Kind::SlowNodes;
-        if constexpr (std::is_same_v<T, SilentNodes>) return Kind::SilentNodes;
-        if constexpr (std::is_same_v<T, RestartNodes>) return Kind::ColdNodes;
-        if constexpr (std::is_same_v<T, ReplaceNodes>) return Kind::ReplacedNodes;
-        if constexpr (std::is_same_v<T, DrainNodes>) return Kind::DrainedNodes;
-        if constexpr (std::is_same_v<T, KillNodes>) return Kind::KilledNodes;
-        if constexpr (std::is_same_v<T, BadAnswers>) return Kind::BadAnswers;
-        if constexpr (std::is_same_v<T, OriginStall>) return Kind::OriginStall;
-        if constexpr (std::is_same_v<T, OriginSlow>) return Kind::OriginSlow;
-        if constexpr (std::is_same_v<T, OriginFall>) return Kind::OriginFall;
-        if constexpr (std::is_same_v<T, LostZone>) return Kind::LostZone;
-        if constexpr (std::is_same_v<T, SlowLink>) return Kind::SlowLink;
-        if constexpr (std::is_same_v<T, LoadSpike>) return Kind::LoadSpike;
-        if constexpr (std::is_same_v<T, HotKey>) return Kind::HotKey;
-        if constexpr (std::is_same_v<T, CutRouters>) return Kind::CutRouters;
-        if constexpr (std::is_same_v<T, LoseDatagrams>) return Kind::LostDatagrams;
-        if constexpr (std::is_same_v<T, PauseRouters>) return Kind::PausedRouters;
-        if constexpr (std::is_same_v<T, LyingRouter>) return Kind::LyingRouter;
+        if constexpr (std::is_same_v<T, ReloadRouters>) return FaultKind::ReloadRouters;
+        if constexpr (std::is_same_v<T, PartitionZones>) return FaultKind::PartitionedZones;
+        if constexpr (std::is_same_v<T, PartitionNodes>) return FaultKind::PartitionedNodes;
+        if constexpr (std::is_same_v<T, DiscoveryOutage>) return FaultKind::DiscoveryOutage;
+        if constexpr (std::is_same_v<T, DiscoveryMove>) return FaultKind::DiscoveryMove;
+        if constexpr (std::is_same_v<T, NoisyNeighbour>) return FaultKind::SlowNodes;
+        if constexpr (std::is_same_v<T, SilentNodes>) return FaultKind::SilentNodes;
+        if constexpr (std::is_same_v<T, RestartNodes>) return FaultKind::ColdNodes;
+        if constexpr (std::is_same_v<T, ReplaceNodes>) return FaultKind::ReplacedNodes;
+        if constexpr (std::is_same_v<T, DrainNodes>) return FaultKind::DrainedNodes;
+        if constexpr (std::is_same_v<T, KillNodes>) return FaultKind::KilledNodes;
+        if constexpr (std::is_same_v<T, BadResponses>) return FaultKind::BadResponses;
+        if constexpr (std::is_same_v<T, OriginStall>) return FaultKind::OriginStall;
+        if constexpr (std::is_same_v<T, OriginSlow>) return FaultKind::OriginSlow;
+        if constexpr (std::is_same_v<T, OriginFall>) return FaultKind::OriginFailure;
+        if constexpr (std::is_same_v<T, ZoneOutage>) return FaultKind::LostZone;
+        if constexpr (std::is_same_v<T, SlowLink>) return FaultKind::SlowLink;
+        if constexpr (std::is_same_v<T, LoadSpike>) return FaultKind::LoadSpike;
+        if constexpr (std::is_same_v<T, HotKey>) return FaultKind::HotKey;
+        if constexpr (std::is_same_v<T, PartitionRouters>) return FaultKind::PartitionedRouters;
+        if constexpr (std::is_same_v<T, LoseDatagrams>) return FaultKind::LostDatagrams;
+        if constexpr (std::is_same_v<T, PauseRouters>) return FaultKind::PausedRouters;
+        if constexpr (std::is_same_v<T, InconsistentRouter>) return FaultKind::InconsistentRouter;
         return std::nullopt;
       },
-      what);
+      event);
 }
 
 namespace {
 
-std::uint32_t routers_of(const Spec& spec) {
+std::uint32_t count_routers(const Spec& spec) {
   std::uint32_t count = 0;
   for (const RouterGroup& g : spec.routers.groups) count += g.count;
   return count;
 }
 
 // Returns when the given nodes are started again; the end of the run if they are not.
-double started_again(const Spec& spec, double at, const std::vector<MachineId>& nodes) {
-  double back = spec.duration_ms;
+double restarted_at(const Spec& spec, double at, const std::vector<MachineId>& nodes) {
+  double restart_at = spec.duration_ms;
   for (const TimedEvent& e : spec.events) {
     const auto* start = std::get_if<StartNodes>(&e.what);
     if (start == nullptr || e.at_ms < at) continue;
     const auto& started = start->who.nodes;
-    const bool all = std::all_of(nodes.begin(), nodes.end(), [&](MachineId id) {
+    const bool includes_all = std::all_of(nodes.begin(), nodes.end(), [&](MachineId id) {
       return std::find(started.begin(), started.end(), id) != started.end();
     });
-    if (started.empty() || (all && !nodes.empty())) back = std::min(back, e.at_ms);
+    if (started.empty() || (includes_all && !nodes.empty())) restart_at = std::min(restart_at, e.at_ms);
   }
-  return back;
+  return restart_at;
 }
 
-double end_of(const Spec& spec, const TimedEvent& e) {
+double fault_end_ms(const Spec& spec, const TimedEvent& e) {
   constexpr double kReloadMs = 500; // a reload: no capacity is removed
   return std::visit(
       [&](const auto& what) {
@@ -86,11 +86,11 @@
           return what.down_ms > 0 ? e.at_ms + what.over_ms + what.down_ms : spec.duration_ms;
         }
         if constexpr (std::is_same_v<T, DrainNodes> || std::is_same_v<T, KillNodes>) {
-          return started_again(spec, e.at_ms, what.who.nodes);
+          return restarted_at(spec, e.at_ms, what.who.nodes);
         }
         if constexpr (std::is_same_v<T, OriginFall>) return e.at_ms + what.down_ms;
         if constexpr (std::is_same_v<T, DiscoveryMove>) {
-          return e.at_ms + std::max(what.old_stays_ms, what.reload_after_ms * routers_of(spec));
+          return e.at_ms + std::max(what.old_stays_ms, what.reload_after_ms * count_routers(spec));
         }
         return e.at_ms + kReloadMs;
       },
@@ -99,19 +99,19 @@
 
 } // namespace
 
-std::vector<Span> spans_of(const Spec& spec) {
-  std::vector<Span> spans;
+std::vector<FaultSpan> fault_spans(const Spec& spec) {
+  std::vector<FaultSpan> spans;
   for (std::uint32_t i = 0; i < spec.events.size(); ++i) {
     const auto kind = kind_of(spec.events[i].what);
-    if (kind) spans.push_back({*kind, i, spec.events[i].at_ms, end_of(spec, spec.events[i])});
+    if (kind) spans.push_back({*kind, i, spec.events[i].at_ms, fault_end_ms(spec, spec.events[i])});
   }
   return spans;
 }
 
-double last_end(const Spec& spec) {
-  double last = 0;
-  for (const Span& s : spans_of(spec)) last = std::max(last, s.to_ms);
-  return last;
+double last_fault_end_ms(const Spec& spec) {
+  double last_end_ms = 0;
+  for (const FaultSpan& s : fault_spans(spec)) last_end_ms = std::max(last_end_ms, s.to_ms);
+  return last_end_ms;
 }
 
 } // namespace fernward::lab::storm
--- a/lab/storm/faults.h
+++ b/lab/storm/faults.h
@@ -13,13 +13,13 @@
 
 namespace fernward::lab::storm {
 
-enum class Kind : std::uint8_t {
+enum class FaultKind : std::uint8_t {
   KillRouters,
   RestartRouters,
   UpgradeRouters, // in batches, one after another
   ReloadRouters,
-  CutZones,
-  CutNodes,
+  PartitionedZones,
+  PartitionedNodes,
   DiscoveryOutage,
   DiscoveryMove, // some routers keep the old list until they are reloaded
   SlowNodes,
@@ -28,33 +28,33 @@
   ReplacedNodes,
   DrainedNodes,
   KilledNodes,
-  BadAnswers,
+  BadResponses,
   OriginStall,
   OriginSlow,
-  OriginFall,
+  OriginFailure,
   LostZone,
   SlowLink,
   LoadSpike,
   HotKey,
-  CutRouters,
+  PartitionedRouters,
   LostDatagrams,
   PausedRouters,
-  LyingRouter,
+  InconsistentRouter,
   Count
 };
-constexpr std::size_t kKinds = static_cast<std::size_t>(Kind::Count);
-extern const std::array<const char*, kKinds> kKindNames;
+constexpr std::size_t kFaultKindCount = static_cast<std::size_t>(FaultKind::Count);
+extern const std::array<const char*, kFaultKindCount> kFaultKindNames;
 
 // nullopt: an event that undoes another fault (restarted nodes).
-std::optional<Kind> kind_of(const model::Happening& what);
+std::optional<FaultKind> kind_of(const model::EventAction& event);
 
-struct Span {
-  Kind kind = Kind::KillRouters;
+struct FaultSpan {
+  FaultKind kind = FaultKind::KillRouters;
   std::uint32_t event = 0; // index into Spec::events
   double from_ms = 0, to_ms = 0;
 };
-std::vector<Span> spans_of(const model::Spec& spec);
+std::vector<FaultSpan> fault_spans(const model::Spec& spec);
 // When the last fault has ended and its effect is undone; 0 without faults.
-double last_end(const model::Spec& spec);
+double last_fault_end_ms(const model::Spec& spec);
 
 } // namespace fernward::lab::storm
--- a/lab/storm/oracles.h
+++ b/lab/storm/oracles.h
@@ -11,56 +11,56 @@
 #include <string>
 #include <vector>
 
-#include "lab/check/checker.h"
-#include "lab/storm/watch.h"
+#include "lab/check/rule_checker.h"
+#include "lab/storm/storm_watch.h"
 
 namespace fernward::lab::storm {
 
-enum class Sure {
-  Always, // a violation is a defect of the program or of the oracle
+enum class Confidence {
+  Certain, // a violation is a defect of the program or of the oracle
   // Chance or a simplification of the model may cause a violation: it is reported with its distance, and
   // never fails CI by itself.
-  Mostly
+  Statistical
 };
 
 struct Evidence {
   const model::Spec& spec;
   const model::Plan& plan;
-  Findings findings;
-  Seen seen;
-  std::optional<Seen> calm; // the same fleet, seed and load without faults
-  std::optional<Seen> four; // the same storm with four routers
+  CheckResult findings;
+  Observations observed;
+  std::optional<Observations> fault_free;   // the same fleet, seed and load without faults
+  std::optional<Observations> four_routers; // the same storm with four routers
 };
 
 struct Verdict {
   bool judged = true;
   double distance = 0;
-  std::string what; // the observation in one line; if not judged, the reason
+  std::string description; // the observation in one line; if not judged, the reason
   bool broken() const { return judged && distance >= 1; }
 };
 
 struct Oracle {
   const char* name;
-  const char* says; // what must hold
-  Sure sure;
-  const char* because; // for the confidence
+  const char* requirement; // what must hold
+  Confidence confidence;
+  const char* confidence_reason; // for the confidence
   Verdict (*judge)(const Evidence& e);
 };
 const std::vector<Oracle>& oracles();
 const Oracle* find_oracle(const std::string& name); // nullptr: unknown name
 
-std::vector<Verdict> judge(const Evidence& e); // one for each oracle, in the order of oracles()
+std::vector<Verdict> judge_run(const Evidence& evidence); // one for each oracle, in the order of oracles()
 
 // ---- bounds computed from the model ----
 
 // Time after the last fault that the origin needs to refill the caches with its spare capacity; infinite if
 // that never suffices. `steady_fetches_per_s`: the origin's load without faults, fetches and writes, in units
 // of one fetch.
-double refill_ms(const model::Spec& spec, double lost_share, double steady_per_s);
+double refill_ms(const model::Spec& spec, double lost_share, double steady_fetches_per_s);
 // Share of the caches' contents lost through faults, each node counted once.
-double lost_contents(const model::Plan& plan);
+double lost_contents_share(const model::Plan& plan);
 // Offered work relative to the capacity of the nodes in service after the last fault; above 1 losses are
 // inevitable.
-double used_after(const model::Spec& spec, const model::Plan& plan);
+double utilization_after_faults(const model::Spec& spec, const model::Plan& plan);
 
 } // namespace fernward::lab::storm
--- a/lab/storm/shrink.cpp
+++ b/lab/storm/shrink.cpp
@@ -16,34 +16,34 @@
 
 namespace {
 
-constexpr double kLeastMs = 1000; // of a run
+constexpr double kMinDurationMs = 1000; // of a run
 
-std::uint32_t total(const Spec& spec) {
+std::uint32_t node_count(const Spec& spec) {
   std::uint32_t count = 0;
   for (const NodeGroup& g : spec.nodes) count += g.count + g.standby;
   return count;
 }
-std::uint32_t routers(const Spec& spec) {
+std::uint32_t router_count(const Spec& spec) {
   std::uint32_t count = 0;
   for (const RouterGroup& g : spec.routers.groups) count += g.count;
   return count;
 }
 
-// Calls visit_pick(NodePick&) or visit_pick(RouterPick&) for each pick of the event.
-template <typename Do>
-void each_pick(Happening& event, Do what) {
+// Calls visit_pick(NodeSelector&) or visit_pick(RouterSelector&) for each pick of the event.
+template <typename Visit>
+void for_each_pick(EventAction& event, Visit visit_pick) {
   std::visit(
       [&](auto& e) {
-        if constexpr (requires { e.who; }) what(e.who);
-        if constexpr (requires { e.nodes; }) what(e.nodes);
-        if constexpr (requires { e.routers; }) what(e.routers);
+        if constexpr (requires { e.who; }) visit_pick(e.who);
+        if constexpr (requires { e.nodes; }) visit_pick(e.nodes);
+        if constexpr (requires { e.routers; }) visit_pick(e.routers);
       },
       event);
 }
 
 // Removes what can't run after a reduction: events past the end, and events without targets. False: the spec
 // is invalid.
-bool mend(Spec& spec) {
+bool remove_invalid_events(Spec& spec) {
   std::erase_if(spec.events, [&](const TimedEvent& e) { return e.at_ms >= spec.duration_ms; });
   for (TimedEvent& e : spec.events) {
     std::visit(
@@ -53,11 +53,12 @@
         },
         e.what);
   }
-  if (!faults(spec).empty()) return false;
-  auto idle = make_plan(spec).idle;
-  std::sort(idle.rbegin(), idle.rend());
-  idle.erase(std::unique(idle.begin(), idle.end()), idle.end());
-  for (const std::uint32_t i : idle) spec.events.erase(spec.events.begin() + i);
+  if (!find_spec_errors(spec).empty()) return false;
+  auto events_without_targets = make_plan(spec).events_without_target;
+  std::sort(events_without_targets.rbegin(), events_without_targets.rend());
+  events_without_targets.erase(std::unique(events_without_targets.begin(), events_without_targets.end()),
+                               events_without_targets.end());
+  for (const std::uint32_t i : events_without_targets) spec.events.erase(spec.events.begin() + i);
   return true;
 }
 
@@ -65,52 +66,52 @@
 // remain.
 template <typename Keep>
 bool keep_nodes(Spec& spec, Keep keep) {
-  std::vector<std::optional<MachineId>> now(total(spec));
-  MachineId number = 0, left = 0;
+  std::vector<std::optional<MachineId>> new_numbers(node_count(spec));
+  MachineId number = 0, kept_count = 0;
   for (NodeGroup& g : spec.nodes) {
-    std::uint32_t stay = 0;
+    std::uint32_t kept = 0;
     for (std::uint32_t i = 0; i < g.count; ++i, ++number) {
       if (!keep(number)) continue;
-      now[number] = left++;
-      ++stay;
+      new_numbers[number] = kept_count++;
+      ++kept;
     }
     number += g.standby;
-    left += g.standby;
-    g.count = stay;
+    kept_count += g.standby;
+    g.count = kept;
   }
-  if (left < 2) return false;
+  if (kept_count < 2) return false;
   std::erase_if(spec.events, [&](TimedEvent& e) {
-    bool nobody = false;
-    each_pick(e.what, [&](auto& pick) {
-      if constexpr (std::is_same_v<std::decay_t<decltype(pick)>, NodePick>) {
+    bool no_target = false;
+    for_each_pick(e.what, [&](auto& pick) {
+      if constexpr (std::is_same_v<std::decay_t<decltype(pick)>, NodeSelector>) {
         if (pick.nodes.empty()) return;
         std::vector<MachineId> stay;
         for (const MachineId m : pick.nodes) {
-          if (m < now.size() && now[m]) stay.push_back(*now[m]);
+          if (m < new_numbers.size() && new_numbers[m]) stay.push_back(*new_numbers[m]);
         }
-        nobody |= stay.empty();
+        no_target |= stay.empty();
         pick.nodes = std::move(stay);
       }
     });
-    return nobody;
+    return no_target;
   });
   return true;
 }
 
-void drop_empty_groups(Spec& spec) {
+void remove_empty_groups(Spec& spec) {
   for (std::size_t g = spec.nodes.size(); g-- > 0;) {
     if (spec.nodes[g].count + spec.nodes[g].standby > 0) continue;
     spec.nodes.erase(spec.nodes.begin() + static_cast<std::ptrdiff_t>(g));
     std::erase_if(spec.events, [&](TimedEvent& e) {
-      bool gone = false;
-      each_pick(e.what, [&](auto& pick) {
-        if constexpr (std::is_same_v<std::decay_t<decltype(pick)>, NodePick>) {
+      bool target_removed = false;
+      for_each_pick(e.what, [&](auto& pick) {
+        if constexpr (std::is_same_v<std::decay_t<decltype(pick)>, NodeSelector>) {
           if (!pick.group) return;
-          gone |= *pick.group == g;
+          target_removed |= *pick.group == g;
           if (*pick.group > g) --*pick.group;
         }
       });
-      return gone;
+      return target_removed;
     });
   }
   for (std::uint32_t k = static_cast<std::uint32_t>(spec.kinds.size()); k-- > 0;) {
@@ -121,246 +122,250 @@
   }
 }
 
-bool scale_routers(Spec& spec, std::uint32_t wanted) {
-  const std::uint32_t all = routers(spec);
-  if (wanted == 0 || wanted >= all) return false;
-  for (std::uint32_t left = all - wanted; left > 0;) {
-    auto most =
+bool reduce_routers(Spec& spec, std::uint32_t target_count) {
+  const std::uint32_t current_count = router_count(spec);
+  if (target_count == 0 || target_count >= current_count) return false;
+  for (std::uint32_t excess = current_count - target_count; excess > 0;) {
+    auto largest_group =
         std::max_element(spec.routers.groups.begin(), spec.routers.groups.end(),
                          [](const RouterGroup& a, const RouterGroup& b) { return a.count < b.count; });
-    --most->count;
-    --left;
+    --largest_group->count;
+    --excess;
   }
   std::erase_if(spec.routers.groups, [](const RouterGroup& g) { return g.count == 0; });
   std::erase_if(spec.events, [&](TimedEvent& e) {
-    bool nobody = false;
-    const auto fewer = [&](auto& pick) {
-      if constexpr (std::is_same_v<std::decay_t<decltype(pick)>, RouterPick>) {
+    bool no_target = false;
+    const auto remove_routers = [&](auto& pick) {
+      if constexpr (std::is_same_v<std::decay_t<decltype(pick)>, RouterSelector>) {
         if (pick.routers.empty()) return;
-        std::erase_if(pick.routers, [&](RouterId r) { return r >= wanted; });
-        nobody |= pick.routers.empty();
+        std::erase_if(pick.routers, [&](RouterId r) { return r >= target_count; });
+        no_target |= pick.routers.empty();
       }
     };
-    each_pick(e.what, fewer);
-    if (auto* cut = std::get_if<CutRouters>(&e.what)) {
-      fewer(cut->a);
-      fewer(cut->b);
+    for_each_pick(e.what, remove_routers);
+    if (auto* cut = std::get_if<PartitionRouters>(&e.what)) {
+      remove_routers(cut->a);
+      remove_routers(cut->b);
     }
-    return nobody;
+    return no_target;
   });
   return true;
 }
 
 // Moves the last zone's nodes and routers to the first zone, and removes its faults.
-bool drop_last_zone(Spec& spec) {
+bool remove_last_zone(Spec& spec) {
   if (spec.zones.size() < 2) return false;
-  const auto gone = static_cast<std::uint32_t>(spec.zones.size() - 1);
+  const auto last_zone = static_cast<std::uint32_t>(spec.zones.size() - 1);
   std::erase_if(spec.events, [&](TimedEvent& e) {
     return std::visit(
         [&](auto& what) {
           using T = std::decay_t<decltype(what)>;
-          bool met = false;
-          if constexpr (std::is_same_v<T, CutZones>) {
-            std::erase(what.a, gone);
-            std::erase(what.b, gone);
-            met = what.a.empty() || what.b.empty();
-          } else if constexpr (std::is_same_v<T, LostZone>) {
-            met = what.zone == gone;
+          bool affected = false;
+          if constexpr (std::is_same_v<T, PartitionZones>) {
+            std::erase(what.a, last_zone);
+            std::erase(what.b, last_zone);
+            affected = what.a.empty() || what.b.empty();
+          } else if constexpr (std::is_same_v<T, ZoneOutage>) {
+            affected = what.zone == last_zone;
           } else if constexpr (std::is_same_v<T, SlowLink>) {
-            met = what.from == gone || what.to == gone;
+            affected = what.from == last_zone || what.to == last_zone;
           }
-          if constexpr (requires { what.who.zone; }) met |= what.who.zone == gone;
-          return met;
+          if constexpr (requires { what.who.zone; }) affected |= what.who.zone == last_zone;
+          return affected;
         },
         e.what);
   });
-  for (NodeGroup& g : spec.nodes) g.zone = g.zone == gone ? 0 : g.zone;
-  for (RouterGroup& g : spec.routers.groups) g.zone = g.zone == gone ? 0 : g.zone;
-  if (spec.origin.zone == gone) spec.origin.zone = 0;
-  std::erase_if(spec.network.links, [&](const ZoneLink& l) { return l.from == gone || l.to == gone; });
+  for (NodeGroup& g : spec.nodes) g.zone = g.zone == last_zone ? 0 : g.zone;
+  for (RouterGroup& g : spec.routers.groups) g.zone = g.zone == last_zone ? 0 : g.zone;
+  if (spec.origin.zone == last_zone) spec.origin.zone = 0;
+  std::erase_if(spec.network.links,
+                [&](const ZoneLink& l) { return l.from == last_zone || l.to == last_zone; });
   spec.zones.pop_back();
   return true;
 }
 
-class Shrinking {
+class Shrinker {
  public:
-  Shrinking(const Spec& spec, const std::function<double(const Spec&)>& broken, std::uint32_t most)
-      : broken_(broken), most_(most) {
-    out_.spec = spec;
+  Shrinker(const Spec& spec, const std::function<double(const Spec&)>& distance_of, std::uint32_t max_runs)
+      : distance_of_(distance_of), max_runs_(max_runs) {
+    result_.spec = spec;
   }
 
-  Shrunk run() {
-    std::uint32_t before = 0;
+  ShrinkResult run() {
+    std::uint32_t reductions_before = 0;
     do {
-      before = out_.cuts;
-      events();
-      shorter();
-      fleet();
-      rest();
-    } while (out_.cuts > before && !used_up());
-    return std::move(out_);
+      reductions_before = result_.reductions;
+      remove_events();
+      shorten();
+      shrink_fleet();
+      simplify_settings();
+    } while (result_.reductions > reductions_before && !runs_exhausted());
+    return std::move(result_);
   }
 
  private:
-  bool used_up() const { return out_.plays >= most_; }
+  bool runs_exhausted() const { return result_.runs >= max_runs_; }
 
   // Accepts the reduction if the storm still breaks the oracle.
-  template <typename Cut>
-  bool attempt(Cut cut) {
-    if (used_up()) return false;
-    Spec smaller = out_.spec;
-    if (!cut(smaller) || !mend(smaller)) return false;
-    ++out_.plays;
-    if (broken_(smaller) < 1) return false;
-    out_.spec = std::move(smaller);
-    ++out_.cuts;
+  template <typename Reduce>
+  bool try_reduction(Reduce reduce) {
+    if (runs_exhausted()) return false;
+    Spec smaller = result_.spec;
+    if (!reduce(smaller) || !remove_invalid_events(smaller)) return false;
+    ++result_.runs;
+    if (distance_of_(smaller) < 1) return false;
+    result_.spec = std::move(smaller);
+    ++result_.reductions;
     return true;
   }
 
-  void events() {
-    for (std::size_t part = std::max<std::size_t>(1, (out_.spec.events.size() + 1) / 2);; part = part / 2) {
-      for (std::size_t at = 0; at < out_.spec.events.size();) {
-        const bool went = attempt([&](Spec& s) {
-          const auto first = s.events.begin() + static_cast<std::ptrdiff_t>(at);
-          s.events.erase(first, first + static_cast<std::ptrdiff_t>(std::min(part, s.events.size() - at)));
+  void remove_events() {
+    for (std::size_t chunk = std::max<std::size_t>(1, (result_.spec.events.size() + 1) / 2);;
+         chunk = chunk / 2) {
+      for (std::size_t position = 0; position < result_.spec.events.size();) {
+        const bool removed = try_reduction([&](Spec& s) {
+          const auto first = s.events.begin() + static_cast<std::ptrdiff_t>(position);
+          s.events.erase(first,
+                         first + static_cast<std::ptrdiff_t>(std::min(chunk, s.events.size() - position)));
           return true;
         });
-        if (!went) at += part;
+        if (!removed) position += chunk;
       }
-      if (part <= 1) break;
+      if (chunk <= 1) break;
     }
   }
 
-  void shorter() {
+  void shorten() {
     for (const double share : {0.4, 0.7, 0.9}) {
-      while (attempt([&](Spec& s) {
+      while (try_reduction([&](Spec& s) {
         s.duration_ms = std::round(s.duration_ms * share);
-        return s.duration_ms >= kLeastMs;
+        return s.duration_ms >= kMinDurationMs;
       })) {}
     }
     // Moves all events earlier.
-    while (attempt([](Spec& s) {
-      double first = s.duration_ms;
-      for (const TimedEvent& e : s.events) first = std::min(first, e.at_ms);
-      const double less = std::floor(first / 2);
-      if (s.events.empty() || less < 200) return false;
+    while (try_reduction([](Spec& s) {
+      double first_event_ms = s.duration_ms;
+      for (const TimedEvent& e : s.events) first_event_ms = std::min(first_event_ms, e.at_ms);
+      const double shift_ms = std::floor(first_event_ms / 2);
+      if (s.events.empty() || shift_ms < 200) return false;
       for (TimedEvent& e : s.events) {
-        e.at_ms -= less;
+        e.at_ms -= shift_ms;
         std::visit(
             [&](auto& what) {
-              if constexpr (requires { what.until_ms; }) what.until_ms -= what.until_ms > 0 ? less : 0;
+              if constexpr (requires { what.until_ms; }) what.until_ms -= what.until_ms > 0 ? shift_ms : 0;
             },
             e.what);
       }
-      s.duration_ms -= less;
+      s.duration_ms -= shift_ms;
       return true;
     })) {}
-    for (std::size_t i = 0; i < out_.spec.events.size(); ++i) {
-      while (i < out_.spec.events.size() && attempt([&](Spec& s) {
-               bool cut = false;
+    for (std::size_t i = 0; i < result_.spec.events.size(); ++i) {
+      while (i < result_.spec.events.size() && try_reduction([&](Spec& s) {
+               bool reduced = false;
                const double at = s.events[i].at_ms;
                std::visit(
                    [&](auto& what) {
                      if constexpr (requires { what.until_ms; }) {
-                       const double lasts = what.until_ms - at;
-                       if (what.until_ms > 0 && lasts > 400) {
-                         what.until_ms = std::round(at + lasts / 2);
-                         cut = true;
+                       const double event_duration_ms = what.until_ms - at;
+                       if (what.until_ms > 0 && event_duration_ms > 400) {
+                         what.until_ms = std::round(at + event_duration_ms / 2);
+                         reduced = true;
                        }
                      }
                    },
                    s.events[i].what);
-               return cut;
+               return reduced;
              })) {}
     }
   }
 
-  void fleet() {
-    while (attempt([](Spec& s) { return scale_routers(s, routers(s) / 2); })) {}
-    while (attempt([](Spec& s) { return scale_routers(s, routers(s) - 1); })) {}
-    while (attempt([](Spec& s) {
-      const bool cut = total(s) > 2 && keep_nodes(s, [](MachineId m) { return m % 2 == 0; });
-      if (cut) {
+  void shrink_fleet() {
+    while (try_reduction([](Spec& s) { return reduce_routers(s, router_count(s) / 2); })) {}
+    while (try_reduction([](Spec& s) { return reduce_routers(s, router_count(s) - 1); })) {}
+    while (try_reduction([](Spec& s) {
+      const bool reduced = node_count(s) > 2 && keep_nodes(s, [](MachineId m) { return m % 2 == 0; });
+      if (reduced) {
         s.load.rate_per_s /= 2;
-        drop_empty_groups(s);
+        remove_empty_groups(s);
       }
-      return cut;
+      return reduced;
     })) {}
-    for (MachineId m = 0; m < total(out_.spec) && !used_up();) {
-      const bool went = attempt([&](Spec& s) {
-        const bool cut = total(s) > 2 && keep_nodes(s, [&](MachineId other) { return other != m; });
-        if (cut) drop_empty_groups(s);
-        return cut;
+    for (MachineId m = 0; m < node_count(result_.spec) && !runs_exhausted();) {
+      const bool removed = try_reduction([&](Spec& s) {
+        const bool reduced = node_count(s) > 2 && keep_nodes(s, [&](MachineId other) { return other != m; });
+        if (reduced) remove_empty_groups(s);
+        return reduced;
       });
-      if (!went) m += 1 + total(out_.spec) / 16;
+      if (!removed) m += 1 + node_count(result_.spec) / 16;
     }
-    while (attempt(&drop_last_zone)) {}
+    while (try_reduction(&remove_last_zone)) {}
   }
 
-  void rest() {
+  void simplify_settings() {
     for (const double share : {0.5, 0.8}) {
-      while (attempt([&](Spec& s) {
+      while (try_reduction([&](Spec& s) {
         s.load.rate_per_s = std::round(s.load.rate_per_s * share * 10) / 10;
         return s.load.rate_per_s >= 1;
       })) {}
     }
-    attempt([](Spec& s) { return std::exchange(s.tenants, {}).size() > 0; });
-    for (std::size_t c = out_.spec.classes.size(); c-- > 0;) {
-      attempt([&](Spec& s) {
+    try_reduction([](Spec& s) { return std::exchange(s.tenants, {}).size() > 0; });
+    for (std::size_t c = result_.spec.classes.size(); c-- > 0;) {
+      try_reduction([&](Spec& s) {
         if (s.classes.size() < 2 || c >= s.classes.size()) return false;
         s.classes.erase(s.classes.begin() + static_cast<std::ptrdiff_t>(c));
         return true;
       });
     }
     // Sets settings back to their defaults.
-    const Spec usual;
-    const auto back = [&](auto member) {
-      attempt([&](Spec& s) {
+    const Spec defaults;
+    const auto reset_setting = [&](auto member) {
+      try_reduction([&](Spec& s) {
         auto& value = member(s);
-        const auto& wanted = member(usual);
-        if (value == wanted) return false;
-        value = wanted;
+        const auto& default_value = member(defaults);
+        if (value == default_value) return false;
+        value = default_value;
         return true;
       });
     };
-    back([](auto& s) -> auto& { return s.clients.retries; });
-    back([](auto& s) -> auto& { return s.clients.leave_share; });
-    back([](auto& s) -> auto& { return s.clients.keep_connections; });
-    back([](auto& s) -> auto& { return s.clients.heed; });
-    back([](auto& s) -> auto& { return s.network.jitter; });
-    back([](auto& s) -> auto& { return s.network.cross_ms; });
-    back([](auto& s) -> auto& { return s.routers.tick_ms; });
-    back([](auto& s) -> auto& { return s.routers.max_attempts; });
-    back([](auto& s) -> auto& { return s.routers.may_duplicate; });
-    back([](auto& s) -> auto& { return s.routers.may_cancel; });
-    back([](auto& s) -> auto& { return s.routers.retry_advice; });
-    back([](auto& s) -> auto& { return s.routers.drain_grace_ms; });
-    back([](auto& s) -> auto& { return s.routers.resize.transition_ms; });
-    back([](auto& s) -> auto& { return s.routers.resize.second_replica_share; });
-    back([](auto& s) -> auto& { return s.origin.fall_multiple; });
-    back([](auto& s) -> auto& { return s.origin.crowded_loss; });
-    back([](auto& s) -> auto& { return s.front.notice_ms; });
-    back([](auto& s) -> auto& { return s.routers.sharing.on; });
-    back([](auto& s) -> auto& { return s.network.datagram_loss; });
-    attempt([](Spec& s) {
-      bool cut = false;
+    reset_setting([](auto& s) -> auto& { return s.clients.mean_max_retries; });
+    reset_setting([](auto& s) -> auto& { return s.clients.abandon_share; });
+    reset_setting([](auto& s) -> auto& { return s.clients.keep_connections; });
+    reset_setting([](auto& s) -> auto& { return s.clients.heed_retry_after_share; });
+    reset_setting([](auto& s) -> auto& { return s.network.jitter; });
+    reset_setting([](auto& s) -> auto& { return s.network.cross_zone_delay_ms; });
+    reset_setting([](auto& s) -> auto& { return s.routers.event_interval_ms; });
+    reset_setting([](auto& s) -> auto& { return s.routers.max_attempts; });
+    reset_setting([](auto& s) -> auto& { return s.routers.may_hedge; });
+    reset_setting([](auto& s) -> auto& { return s.routers.may_cancel; });
+    reset_setting([](auto& s) -> auto& { return s.routers.send_retry_after; });
+    reset_setting([](auto& s) -> auto& { return s.routers.drain_grace_ms; });
+    reset_setting([](auto& s) -> auto& { return s.routers.resize.transition_ms; });
+    reset_setting([](auto& s) -> auto& { return s.routers.resize.second_replica_share; });
+    reset_setting([](auto& s) -> auto& { return s.origin.overload_multiple; });
+    reset_setting([](auto& s) -> auto& { return s.origin.congestion_slowdown; });
+    reset_setting([](auto& s) -> auto& { return s.front.failure_detection_ms; });
+    reset_setting([](auto& s) -> auto& { return s.routers.sharing.enabled; });
+    reset_setting([](auto& s) -> auto& { return s.network.datagram_loss_share; });
+    try_reduction([](Spec& s) {
+      bool reduced = false;
       for (NodeKind& k : s.kinds) {
-        cut |= k.error_rate > 0 || k.crowded_loss > 0 || k.speed_cv > 0;
-        k.error_rate = k.crowded_loss = k.speed_cv = 0;
+        reduced |= k.error_rate > 0 || k.congestion_slowdown > 0 || k.speed_cv > 0;
+        k.error_rate = k.congestion_slowdown = k.speed_cv = 0;
       }
-      return cut;
+      return reduced;
     });
   }
 
-  const std::function<double(const Spec&)>& broken_;
-  const std::uint32_t most_;
-  Shrunk out_;
+  const std::function<double(const Spec&)>& distance_of_;
+  const std::uint32_t max_runs_;
+  ShrinkResult result_;
 };
 
 } // namespace
 
-Shrunk shrink(const Spec& spec, const std::function<double(const Spec&)>& broken, std::uint32_t most_plays) {
-  return Shrinking(spec, broken, most_plays).run();
+ShrinkResult shrink(const Spec& spec, const std::function<double(const Spec&)>& distance_of,
+                    std::uint32_t max_runs) {
+  return Shrinker(spec, distance_of, max_runs).run();
 }
 
 } // namespace fernward::lab::storm
--- a/lab/storm/shrink.h
+++ b/lab/storm/shrink.h
@@ -13,13 +13,13 @@
 
 namespace fernward::lab::storm {
 
-struct Shrunk {
+struct ShrinkResult {
   model::Spec spec;
-  std::uint32_t plays = 0, cuts = 0; // reductions: those that were accepted
+  std::uint32_t runs = 0, reductions = 0; // reductions: those that were accepted
 };
 
 // `distance_of(spec)`: the oracle's distance if it is broken, else a value below 1.
-Shrunk shrink(const model::Spec& spec, const std::function<double(const model::Spec&)>& broken,
-              std::uint32_t most_plays = 400);
+ShrinkResult shrink(const model::Spec& spec, const std::function<double(const model::Spec&)>& distance_of,
+                    std::uint32_t max_runs = 400);
 
 } // namespace fernward::lab::storm
--- a/lab/storm/storm.h
+++ b/lab/storm/storm.h
@@ -16,23 +16,23 @@
 
 using MakeDriver = std::function<std::unique_ptr<Driver>()>;
 
-struct Rig { // the drivers and their tolerances
-  MakeDriver driver;
-  bool exact = true;            // virtual time; else every time limit is extended by 50 ms
-  MakeDriver calm = {};         // for the reference runs, in virtual time; empty: `make_driver`
-  model::Sink* hears = nullptr; // also receives the records of the storm's own run; may be nullptr
+struct RunSetup { // the drivers and their tolerances
+  MakeDriver make_driver;
+  bool virtual_time = true;              // virtual time; else every time limit is extended by 50 ms
+  MakeDriver make_reference_driver = {}; // for the reference runs, in virtual time; empty: `make_driver`
+  model::Sink* record_sink = nullptr;    // also receives the records of the storm's own run; may be nullptr
 };
 
-struct Outcome {
+struct StormOutcome {
   std::vector<Verdict> verdicts; // in the order of oracles()
-  StageWatch stages;
-  Cell whole, calm;
+  FaultStageRecorder stages;
+  ServiceCounts overall, fault_free;
   std::uint64_t events = 0; // of all runs, reference runs included
-  Seen seen;                // of the storm's own run
-  double played_ms = 0, wall_s = 0, hit_ratio = 0;
-  double late_p99_ms = 0; // sockets: how late requests were sent
+  Observations observed;    // of the storm's own run
+  double duration_ms = 0, wall_s = 0, hit_ratio = 0;
+  double send_delay_p99_ms = 0; // sockets: how late requests were sent
   bool is_void = false;
-  std::string why_void;
+  std::string void_reason;
 
   // The broken oracle with the largest distance; certain oracles have precedence. nullptr: none is broken.
   const Oracle* broken() const;
@@ -40,47 +40,47 @@
 };
 
 // Runs `spec`, and the reference runs that oracles need: the same storm without faults and with four routers.
-Outcome play(const Rig& rig, const model::Spec& spec, std::stop_token stop = {});
+StormOutcome execute(const RunSetup& setup, const model::Spec& spec, std::stop_token stop = {});
 
 // The same storm with at most four routers.
-model::Spec with_four(const model::Spec& spec);
-std::uint32_t routers_of(const model::Spec& spec);
-std::uint32_t nodes_of(const model::Spec& spec);
+model::Spec with_four_routers(const model::Spec& spec);
+std::uint32_t router_count(const model::Spec& spec);
+std::uint32_t node_count(const model::Spec& spec);
 
-struct Told { // a storm that broke an oracle
+struct BrokenStorm { // a storm that broke an oracle
   std::uint64_t seed = 0;
-  std::size_t oracle = 0;
+  std::size_t oracle_index = 0;
   Verdict verdict;
   model::Spec spec;
 };
 
-struct Sum {
+struct CampaignSummary {
   std::uint64_t storms = 0, requests = 0, events = 0;
-  double played_s = 0, slowest_s = 0;
+  double simulated_s = 0, max_wall_s = 0;
   std::uint64_t slowest_seed = 0;
-  struct Count {
+  struct OracleCounts {
     std::uint64_t judged = 0, broken = 0;
-    double furthest = 0;
-    std::uint64_t first_seed = 0; // the first that broke it; 0: none
+    double max_distance = 0;
+    std::uint64_t first_broken_seed = 0; // the first that broke it; 0: none
   };
-  std::vector<Count> oracles;
+  std::vector<OracleCounts> counts_by_oracle;
   Coverage coverage;
-  std::vector<Told> worst; // by distance; at most `max_worst_per_oracle` for each oracle
-  std::vector<std::string> voids;
+  std::vector<BrokenStorm> worst_storms; // by distance; at most `max_worst_per_oracle` for each oracle
+  std::vector<std::string> void_runs;
 
-  bool broken(Sure sure) const;
+  bool has_broken(Confidence confidence) const;
 };
 
-struct Season {
+struct Campaign {
   std::uint64_t first_seed = 1, storms = 200;
-  Size size;
+  StormLimits limits;
   unsigned jobs = 1;
-  std::size_t worst = 100;                  // storms kept for each oracle
-  std::function<void(const Sum&)> progress; // called after each batch; may be empty
-  std::function<bool(const Sum&)> enough;   // true ends the campaign early; may be empty
+  std::size_t max_worst_per_oracle = 100;                  // storms kept for each oracle
+  std::function<void(const CampaignSummary&)> progress;    // called after each batch; may be empty
+  std::function<bool(const CampaignSummary&)> should_stop; // true ends the campaign early; may be empty
 };
 // Storms are drawn in batches that depend on the coverage of earlier batches, so that the same campaign gives
 // the same storms for any number of threads.
-Sum play(const Rig& rig, const Season& season, std::stop_token stop = {});
+CampaignSummary execute(const RunSetup& setup, const Campaign& campaign, std::stop_token stop = {});
 
 } // namespace fernward::lab::storm
--- a/lab/storm/page.h
+++ b/lab/storm/storm_report.h
@@ -9,17 +9,18 @@
 
 namespace fernward::lab::storm {
 
-std::string sum_text(const Sum& sum); // for a terminal
-std::string page_html(const Sum& sum, const Season& season);
+std::string summary_text(const CampaignSummary& summary); // for a terminal
+std::string report_html(const CampaignSummary& summary, const Campaign& campaign);
 
 // The first lines of such a scenario file: "# oracle: NAME" and "# verdict: broken" or "# verdict: kept".
-struct Expected {
+struct ExpectedVerdict {
   const Oracle* oracle = nullptr;
   bool broken = true;
 };
-std::string storm_text(const model::Spec& spec, const Expected& expected, const std::string& note);
+std::string storm_file_text(const model::Spec& spec, const ExpectedVerdict& expected,
+                            const std::string& note);
 // The verdict that such a file expects; nullopt if it names no oracle. Throws std::invalid_argument for an
 // unknown oracle or verdict.
-std::optional<Expected> expected_of(const std::string& file_text);
+std::optional<ExpectedVerdict> parse_expected_verdict(const std::string& file_text);
 
 } // namespace fernward::lab::storm
--- a/lab/virtual/world_machines.cpp
+++ b/lab/virtual/world_machines.cpp
@@ -1,5 +1,5 @@
 // The machines, and the connections between routers and machines.
-#include "lab/virtual/world.h"
+#include "lab/virtual/virtual_world.h"
 
 #include <algorithm>
 
@@ -7,420 +7,442 @@
 
 using fernward::AttemptResult;
 using fernward::ServerState;
-using model::Act;
-using model::Ending;
 using model::MachineId;
 using model::NodeEvent;
 using model::RouterId;
+using model::ServerAction;
+using model::ServerOutcome;
 
 namespace {
 
-constexpr double kSlowBytesMs = 2500; // delay of a BadAnswer::SlowBytes response
+constexpr double kSlowResponseDelayMs = 2500; // delay of a BadResponse::SlowBytes response
 
 } // namespace
 
-double World::to_machine(Link& link) {
-  const double way = network_.between(plan_.routers[link.router].zone, zone_of(link.machine));
-  return link.to_machine_at = std::max(link.to_machine_at, now_ + way);
+double VirtualWorld::next_arrival_at_machine(Link& link) {
+  const double delay_ms = network_.zone_delay(plan_.routers[link.router].zone, zone_of(link.machine));
+  return link.last_arrival_at_machine = std::max(link.last_arrival_at_machine, now_ + delay_ms);
 }
 
-double World::to_router(Link& link) {
-  const double way = network_.between(zone_of(link.machine), plan_.routers[link.router].zone);
-  return link.to_router_at = std::max(link.to_router_at, now_ + way);
+double VirtualWorld::next_arrival_at_router(Link& link) {
+  const double delay_ms = network_.zone_delay(zone_of(link.machine), plan_.routers[link.router].zone);
+  return link.last_arrival_at_router = std::max(link.last_arrival_at_router, now_ + delay_ms);
 }
 
-void World::connect(Handle link) {
-  Link& l = *links_.find(link);
-  if (!network_.passes(l.router, l.machine)) {
-    l.stuck = true;
+void VirtualWorld::connect(Handle link) {
+  Link& state = *links_.find(link);
+  if (!network_.is_connected(state.router, state.machine)) {
+    state.message_lost = true;
     return;
   }
-  at(to_machine(l), Due::ConnectAtMachine, l.router, link, 0);
+  schedule(next_arrival_at_machine(state), EventKind::ConnectAtMachine, state.router, link, 0);
 }
 
-void World::connect_at_machine(Handle link) {
-  Link* l = links_.find(link);
-  if (l == nullptr || l->closed) return;
-  if (!network_.passes(l->router, l->machine)) {
-    l->stuck = true;
+void VirtualWorld::on_connect_at_machine(Handle link) {
+  Link* state = links_.find(link);
+  if (state == nullptr || state->closed_by_router) return;
+  if (!network_.is_connected(state->router, state->machine)) {
+    state->message_lost = true;
     return;
   }
-  l->machine_life = places_[l->machine].life;
-  l->accepted = true;
-  const MachineId machine = l->machine;
-  if (!stations_[machine]->connect(now_, link, acts_)) {
-    l->accepted = false;
-    at(to_router(*l), Due::RefusedAtRouter, l->router, link, 0);
+  state->machine_incarnation = machine_states_[state->machine].incarnation;
+  state->accepted = true;
+  const MachineId machine = state->machine;
+  if (!server_models_[machine]->connect(now_, link, machine_actions_)) {
+    state->accepted = false;
+    schedule(next_arrival_at_router(*state), EventKind::RefusedAtRouter, state->router, link, 0);
   }
-  station_acts(machine);
+  execute_machine_actions(machine);
 }
 
-void World::write(Handle attempt) {
-  const RouterAttempt& a = *attempts_.find(attempt);
-  Link& l = *links_.find(a.link);
-  if (!network_.passes(l.router, l.machine)) {
-    l.stuck = true;
+void VirtualWorld::write(Handle attempt) {
+  const RouterAttempt& attempt_state = *attempts_.find(attempt);
+  Link& link = *links_.find(attempt_state.link);
+  if (!network_.is_connected(link.router, link.machine)) {
+    link.message_lost = true;
     return;
   }
-  at(to_machine(l), Due::AttemptAtMachine, l.router, attempt, 0);
+  schedule(next_arrival_at_machine(link), EventKind::AttemptAtMachine, link.router, attempt, 0);
 }
 
 // The router closes the link. The machine is notified later, or closes after its idle timeout if no message
 // passes.
-void World::close(Handle link) {
-  Link& l = *links_.find(link);
-  l.closed = true;
-  const bool passes = network_.passes(l.router, l.machine);
-  const double idle = idle_ms(l.machine);
-  at(passes ? to_machine(l) : now_ + idle, Due::CloseAtMachine, l.router, link, 0);
+void VirtualWorld::close(Handle link) {
+  Link& state = *links_.find(link);
+  state.closed_by_router = true;
+  const bool passes = network_.is_connected(state.router, state.machine);
+  const double idle_timeout_ms = machine_idle_timeout_ms(state.machine);
+  schedule(passes ? next_arrival_at_machine(state) : now_ + idle_timeout_ms, EventKind::CloseAtMachine,
+           state.router, link, 0);
 }
 
-void World::close_at_machine(Handle link) {
-  const Link* l = links_.find(link);
-  if (l == nullptr) return;
-  const MachineId machine = l->machine;
-  const Handle arrival = l->arrival;
-  if (l->accepted && l->machine_life == places_[machine].life) {
-    stations_[machine]->disconnect(now_);
-    if (const Arrival* a = arrived_.find(arrival)) {
-      (void)a;
-      stations_[machine]->cancel(now_, arrival, acts_);
+void VirtualWorld::on_close_at_machine(Handle link) {
+  const Link* state = links_.find(link);
+  if (state == nullptr) return;
+  const MachineId machine = state->machine;
+  const Handle arrival = state->arrival;
+  if (state->accepted && state->machine_incarnation == machine_states_[machine].incarnation) {
+    server_models_[machine]->disconnect(now_);
+    if (const MachineAttempt* machine_attempt = machine_attempts_.find(arrival)) {
+      (void)machine_attempt;
+      server_models_[machine]->cancel(now_, arrival, machine_actions_);
     }
   }
   links_.remove(link);
-  station_acts(machine);
+  execute_machine_actions(machine);
 }
 
 // The machine's idle timeout has expired and it closes the link. The router is notified; a request that it
 // sends meanwhile is answered with a reset.
-void World::machine_closes(Handle link) {
-  Link* l = links_.find(link);
-  if (l == nullptr || !l->accepted || l->arrival != 0 || l->machine_life != places_[l->machine].life) return;
-  if (now_ - l->machine_rests_since < idle_ms(l->machine)) return; // it was used meanwhile
-  l->accepted = false;
-  l->gone = true;
-  stations_[l->machine]->disconnect(now_);
-  if (!l->closed && network_.passes(l->router, l->machine)) {
-    at(to_router(*l), Due::ClosedAtRouter, l->router, link, 0);
+void VirtualWorld::close_idle_link(Handle link) {
+  Link* state = links_.find(link);
+  if (state == nullptr || !state->accepted || state->arrival != 0 ||
+      state->machine_incarnation != machine_states_[state->machine].incarnation)
+    return;
+  if (now_ - state->machine_idle_since < machine_idle_timeout_ms(state->machine))
+    return; // it was used meanwhile
+  state->accepted = false;
+  state->closed_by_machine = true;
+  server_models_[state->machine]->disconnect(now_);
+  if (!state->closed_by_router && network_.is_connected(state->router, state->machine)) {
+    schedule(next_arrival_at_router(*state), EventKind::ClosedAtRouter, state->router, link, 0);
   }
 }
 
-double World::idle_ms(MachineId machine) const {
-  if (spec_.origin.on && machine == plan_.origin) return spec_.origin.idle_ms;
-  return spec_.kinds[plan_.machines[machine].kind].idle_ms;
+double VirtualWorld::machine_idle_timeout_ms(MachineId machine) const {
+  if (spec_.origin.enabled && machine == plan_.origin) return spec_.origin.idle_timeout_ms;
+  return spec_.kinds[plan_.machines[machine].kind].idle_timeout_ms;
 }
 
-void World::reset_at_router(Handle link) {
-  Link* l = links_.find(link);
-  if (l == nullptr || l->closed) return; // its CloseAtMachine event is under way
-  const RouterId router = l->router;
-  if (!network_.passes(router, l->machine)) {
-    l->stuck = true;
+void VirtualWorld::reset_at_router(Handle link) {
+  Link* state = links_.find(link);
+  if (state == nullptr || state->closed_by_router) return; // its CloseAtMachine event is under way
+  const RouterId router = state->router;
+  if (!network_.is_connected(router, state->machine)) {
+    state->message_lost = true;
     return;
   }
-  routers_[router]->lost(link, false);
-  check_end(router);
+  routers_[router]->on_connection_lost(link, false);
+  terminate_if_finished(router);
 }
 
 // The machine's side of its connections is gone. Routers are notified by a reset if messages pass.
-void World::reset_links(MachineId machine, bool only_stuck) {
-  links_.each([&](Handle link, Link& l) {
-    if (l.machine != machine || (only_stuck && !l.stuck)) return;
-    if (l.accepted && l.machine_life == places_[machine].life && only_stuck)
-      stations_[machine]->disconnect(now_);
-    l.accepted = false;
-    if (l.closed) return;
-    if (!network_.passes(l.router, machine)) {
-      l.stuck = true;
+void VirtualWorld::reset_machine_links(MachineId machine, bool only_stuck) {
+  links_.for_each([&](Handle link, Link& state) {
+    if (state.machine != machine || (only_stuck && !state.message_lost)) return;
+    if (state.accepted && state.machine_incarnation == machine_states_[machine].incarnation && only_stuck)
+      server_models_[machine]->disconnect(now_);
+    state.accepted = false;
+    if (state.closed_by_router) return;
+    if (!network_.is_connected(state.router, machine)) {
+      state.message_lost = true;
       return;
     }
-    l.stuck = false;
-    at(to_router(l), Due::ResetAtRouter, l.router, link, 0);
+    state.message_lost = false;
+    schedule(next_arrival_at_router(state), EventKind::ResetAtRouter, state.router, link, 0);
   });
 }
 
 // A silence or network partition is over: connections that lost a message reset.
-void World::free_ways() {
-  for (MachineId m = 0; m < stations_.size(); ++m) reset_links(m, true);
+void VirtualWorld::reset_stuck_links() {
+  for (MachineId m = 0; m < server_models_.size(); ++m) reset_machine_links(m, true);
 }
 
 // ---- machines ----
 
-model::Node* World::node(MachineId machine) {
-  return spec_.origin.on && machine == plan_.origin ? nullptr
-                                                    : static_cast<model::Node*>(stations_[machine].get());
+model::CacheNode* VirtualWorld::node(MachineId machine) {
+  return spec_.origin.enabled && machine == plan_.origin
+             ? nullptr
+             : static_cast<model::CacheNode*>(server_models_[machine].get());
 }
 
-void World::event(MachineId machine, NodeEvent::What what, bool cold, double told_share) {
-  sink_.on(NodeEvent{now_, machine, what, cold, told_share});
+void VirtualWorld::record_event(MachineId machine, NodeEvent::What kind, bool cold, double notified_share) {
+  sink_.on(NodeEvent{now_, machine, kind, cold, notified_share});
 }
 
-void World::node_step(const model::NodeStep& step) {
+void VirtualWorld::apply_node_step(const model::NodeStep& step) {
   using What = model::NodeStep::What;
-  using Why = model::Discovery::Why;
-  const MachineId m = step.machine;
-  model::Station& station = *stations_[m];
-  Place& place = places_[m];
-  const bool runs = station.phase() != model::Phase::Off;
+  using Why = model::Discovery::Cause;
+  const MachineId machine = step.machine;
+  model::ServerModel& server_model = *server_models_[machine];
+  MachineState& state = machine_states_[machine];
+  const bool is_running = server_model.phase() != model::ServerPhase::Off;
   switch (step.what) {
     case What::Start:
-      if (runs) return;
-      ++place.life;
-      place.started_at = now_;
-      station.start(now_, acts_);
-      event(m, NodeEvent::What::Started, true, 0);
-      discovery_.change(now_, m, ServerState::Ready, now_, Why::Added);
+      if (is_running) return;
+      ++state.incarnation;
+      state.started_at = now_;
+      server_model.start(now_, machine_actions_);
+      record_event(machine, NodeEvent::What::Started, true, 0);
+      discovery_.change(now_, machine, ServerState::Ready, now_, Why::Added);
       break;
     case What::Drain:
-      if (!runs) return;
-      station.drain(now_, acts_);
-      event(m, NodeEvent::What::Draining, false, 0);
-      discovery_.change(now_, m, ServerState::Draining, place.started_at, Why::Left);
+      if (!is_running) return;
+      server_model.drain(now_, machine_actions_);
+      record_event(machine, NodeEvent::What::Draining, false, 0);
+      discovery_.change(now_, machine, ServerState::Draining, state.started_at, Why::Leaving);
       break;
     case What::End:
-      if (!runs) return;
-      station.end(now_, acts_);
-      event(m, NodeEvent::What::Ended, false, 0);
-      station_acts(m);
-      reset_links(m, false);
-      ++place.life;
-      discovery_.change(now_, m, ServerState::Gone, place.started_at, Why::Left);
+      if (!is_running) return;
+      server_model.terminate(now_, machine_actions_);
+      record_event(machine, NodeEvent::What::Ended, false, 0);
+      execute_machine_actions(machine);
+      reset_machine_links(machine, false);
+      ++state.incarnation;
+      discovery_.change(now_, machine, ServerState::Gone, state.started_at, Why::Leaving);
       break;
     case What::Silence:
-      event(m, NodeEvent::What::Silent, false, 0);
-      discovery_.change(now_, m, ServerState::Gone, place.started_at, Why::Silent);
+      record_event(machine, NodeEvent::What::Silent, false, 0);
+      discovery_.change(now_, machine, ServerState::Gone, state.started_at, Why::Silent);
       break;
     case What::Return:
-      event(m, NodeEvent::What::Returned, false, 0);
-      free_ways();
+      record_event(machine, NodeEvent::What::Returned, false, 0);
+      reset_stuck_links();
       // An origin that failed meanwhile stays on the list, and returns without a separate update.
-      if (runs || m == plan_.origin)
-        discovery_.change(now_, m, ServerState::Ready, place.started_at, Why::Added);
+      if (is_running || machine == plan_.origin)
+        discovery_.change(now_, machine, ServerState::Ready, state.started_at, Why::Added);
       break;
     case What::Neighbour:
-      if (model::Node* n = node(m)) n->neighbour(now_, step.share, acts_);
-      event(m, step.share > 0 ? NodeEvent::What::NeighbourOn : NodeEvent::What::NeighbourOff, false, 0);
+      if (model::CacheNode* cache_node = node(machine))
+        cache_node->set_neighbour_share(now_, step.share, machine_actions_);
+      record_event(machine,
+                   step.share > 0 ? NodeEvent::What::NeighbourStarted : NodeEvent::What::NeighbourStopped,
+                   false, 0);
       break;
     case What::Bad:
-      place.bad_share = step.share;
-      place.bad = step.kind;
+      state.bad_response_share = step.share;
+      state.bad_response = step.kind;
       return;
   }
-  station_acts(m);
-  discovery();
+  execute_machine_actions(machine);
+  advance_discovery();
 }
 
-void World::attempt_at_machine(Handle attempt) {
-  const RouterAttempt* a = attempts_.find(attempt);
-  if (a == nullptr) return; // abandoned: the link's close follows
-  Link* l = links_.find(a->link);
-  if (!network_.passes(a->router, a->machine)) {
-    l->stuck = true;
+void VirtualWorld::on_attempt_at_machine(Handle attempt) {
+  const RouterAttempt* attempt_state = attempts_.find(attempt);
+  if (attempt_state == nullptr) return; // abandoned: the link's close follows
+  Link* link = links_.find(attempt_state->link);
+  if (!network_.is_connected(attempt_state->router, attempt_state->machine)) {
+    link->message_lost = true;
     return;
   }
-  if (l->gone) { // a request on a connection that the machine has closed is answered with a reset
-    at(to_router(*l), Due::ResetAtRouter, l->router, a->link, 0);
+  if (link->closed_by_machine) { // a request on a connection that the machine has closed is answered with a reset
+    schedule(next_arrival_at_router(*link), EventKind::ResetAtRouter, link->router, attempt_state->link, 0);
     return;
   }
-  if (!l->accepted || l->machine_life != places_[a->machine].life) return; // its reset is under way
-  const Exchange& x = *exchanges_.find(a->exchange);
-  const model::Drawn& drawn = x.start.drawn;
-  const MachineId machine = a->machine;
-  const Handle handle = arrived_.add();
-  Arrival& arrival = *arrived_.find(handle);
-  arrival.number = ++attempts_seen_;
+  if (!link->accepted || link->machine_incarnation != machine_states_[attempt_state->machine].incarnation)
+    return; // its reset is under way
+  const Exchange& exchange = *exchanges_.find(attempt_state->exchange);
+  const model::DrawnRequest& drawn = exchange.start.drawn;
+  const MachineId machine = attempt_state->machine;
+  const Handle handle = machine_attempts_.add();
+  MachineAttempt& arrival = *machine_attempts_.find(handle);
+  arrival.attempt_number = ++attempt_count_;
   arrival.machine = machine;
-  arrival.router = a->router;
-  arrival.link = a->link;
+  arrival.router = attempt_state->router;
+  arrival.link = attempt_state->link;
   arrival.attempt = attempt;
-  arrival.try_id = x.start.try_id;
+  arrival.try_id = exchange.start.try_id;
   arrival.key = drawn.key;
   arrival.write = drawn.write;
-  l->arrival = handle;
-  model::Attempt work;
+  link->arrival = handle;
+  model::ServerAttempt work;
   work.id = handle;
   work.cls = drawn.cls;
   work.key = drawn.key;
-  work.repeat_key = x.start.repeat_key;
+  work.idempotency_key = exchange.start.idempotency_key;
   work.write = drawn.write;
   // Whether the router knows of the machine's present start; starts before the run count as known.
-  const auto& known = routers_[a->router]->known(machine);
-  work.told = places_[machine].started_at < 0 || known.started_at >= places_[machine].started_at;
-  work.work_ms = drawn.work_ms * model::draw_factor(spec_.classes[drawn.cls].attempt_noise, noise_);
+  const auto& known_state = routers_[attempt_state->router]->known_state(machine);
+  work.notified = machine_states_[machine].started_at < 0 ||
+                  known_state.started_at >= machine_states_[machine].started_at;
+  work.work_ms =
+      drawn.work_ms * model::draw_factor(spec_.classes[drawn.cls].attempt_work_cv, work_noise_engine_);
   work.size_bytes = drawn.size_bytes;
-  work.deadline = a->deadline;
-  model::Arrived record;
+  work.deadline = attempt_state->deadline;
+  model::AttemptArrived record;
   record.at = now_;
-  record.sent_at = a->sent_at;
-  record.attempt = arrival.number;
+  record.sent_at = attempt_state->sent_at;
+  record.attempt = arrival.attempt_number;
   record.machine = machine;
   record.try_id = arrival.try_id;
-  record.router = a->router;
+  record.router = attempt_state->router;
   record.cls = drawn.cls;
   record.key = drawn.key;
-  record.repeat_key = work.repeat_key;
+  record.idempotency_key = work.idempotency_key;
   record.write = drawn.write;
-  record.told = work.told;
+  record.notified = work.notified;
   record.work_ms = work.work_ms;
   sink_.on(record);
-  stations_[machine]->arrive(now_, work, acts_);
-  station_acts(machine);
+  server_models_[machine]->arrive(now_, work, machine_actions_);
+  execute_machine_actions(machine);
 }
 
-void World::station_acts(MachineId machine) {
-  for (std::size_t i = 0; i < acts_.size(); ++i) {
-    const Act act = acts_[i];
-    switch (act.what) {
-      case Act::What::Began:
-        if (const Arrival* a = arrived_.find(act.id)) sink_.on(model::Begun{act.at, a->number, machine});
+void VirtualWorld::execute_machine_actions(MachineId machine) {
+  for (std::size_t i = 0; i < machine_actions_.size(); ++i) {
+    const ServerAction action = machine_actions_[i];
+    switch (action.what) {
+      case ServerAction::What::Started:
+        if (const MachineAttempt* machine_attempt = machine_attempts_.find(action.id))
+          sink_.on(model::AttemptStarted{action.at, machine_attempt->attempt_number, machine});
         break;
-      case Act::What::Answered: attempt_ended(machine, act); break;
-      case Act::What::Connected:
-        if (Link* l = links_.find(act.id)) {
+      case ServerAction::What::Answered: on_attempt_ended(machine, action); break;
+      case ServerAction::What::Connected:
+        if (Link* link = links_.find(action.id)) {
           const auto& kinds = spec_.kinds;
-          const double trips = spec_.origin.on && machine == plan_.origin
-                                   ? spec_.origin.handshake_trips
-                                   : kinds[plan_.machines[machine].kind].handshake_trips;
-          const double way = network_.between(zone_of(machine), plan_.routers[l->router].zone);
-          l->to_router_at = std::max(l->to_router_at, now_ + way * (1 + 2 * trips));
-          if (network_.passes(l->router, machine)) {
-            at(l->to_router_at, Due::ConnectedAtRouter, l->router, act.id, 0);
+          const double handshake_trips = spec_.origin.enabled && machine == plan_.origin
+                                             ? spec_.origin.handshake_round_trips
+                                             : kinds[plan_.machines[machine].kind].handshake_round_trips;
+          const double delay_ms = network_.zone_delay(zone_of(machine), plan_.routers[link->router].zone);
+          link->last_arrival_at_router =
+              std::max(link->last_arrival_at_router, now_ + delay_ms * (1 + 2 * handshake_trips));
+          if (network_.is_connected(link->router, machine)) {
+            schedule(link->last_arrival_at_router, EventKind::ConnectedAtRouter, link->router, action.id, 0);
           } else {
-            l->stuck = true;
+            link->message_lost = true;
           }
         }
         break;
-      case Act::What::Warm: event(machine, NodeEvent::What::Warm, false, 0); break;
-      case Act::What::TippedOver:
-        event(machine, NodeEvent::What::TippedOver, act.cold, act.told_share);
-        reset_links(machine, false);
-        ++places_[machine].life;
-        discovery_.change(now_, machine, ServerState::Gone, places_[machine].started_at,
-                          model::Discovery::Why::Left);
-        discovery();
+      case ServerAction::What::Warm: record_event(machine, NodeEvent::What::Warm, false, 0); break;
+      case ServerAction::What::Overloaded:
+        record_event(machine, NodeEvent::What::Overloaded, action.cold, action.notified_share);
+        reset_machine_links(machine, false);
+        ++machine_states_[machine].incarnation;
+        discovery_.change(now_, machine, ServerState::Gone, machine_states_[machine].started_at,
+                          model::Discovery::Cause::Leaving);
+        advance_discovery();
+        break;
+      case ServerAction::What::OriginFailed: // stays on the list: it returns under the same name
+        record_event(machine, NodeEvent::What::Ended, false, 0);
+        reset_machine_links(machine, false);
+        ++machine_states_[machine].incarnation;
         break;
-      case Act::What::Fell: // stays on the list: it returns under the same name
-        event(machine, NodeEvent::What::Ended, false, 0);
-        reset_links(machine, false);
-        ++places_[machine].life;
+      case ServerAction::What::OriginRecovered:
+        record_event(machine, NodeEvent::What::Started, false, 0);
         break;
-      case Act::What::Returned: event(machine, NodeEvent::What::Started, false, 0); break;
     }
   }
-  acts_.clear();
-  const double next = std::max(now_, stations_[machine]->next());
-  if (next >= places_[machine].wakes_at) return;
-  places_[machine].wakes_at = next;
-  at(next, Due::Station, machine, 0, 0);
+  machine_actions_.clear();
+  const double next_timer_at = std::max(now_, server_models_[machine]->next_due_ms());
+  if (next_timer_at >= machine_states_[machine].timer_at) return;
+  machine_states_[machine].timer_at = next_timer_at;
+  schedule(next_timer_at, EventKind::MachineTimer, machine, 0, 0);
 }
 
-void World::attempt_ended(MachineId machine, const Act& act) {
-  Arrival* found = arrived_.find(act.id);
-  if (found == nullptr) return;
-  Arrival& a = *found;
+void VirtualWorld::on_attempt_ended(MachineId machine, const ServerAction& action) {
+  MachineAttempt* stored_attempt = machine_attempts_.find(action.id);
+  if (stored_attempt == nullptr) return;
+  MachineAttempt& machine_attempt = *stored_attempt;
   model::AttemptEnded record;
-  record.at = act.at;
-  record.attempt = a.number;
+  record.at = action.at;
+  record.attempt = machine_attempt.attempt_number;
   record.machine = machine;
-  record.ending = act.ending;
-  record.begun = act.begun;
-  record.wanted = act.wanted;
-  record.waited_ms = act.waited_ms;
-  record.worked_ms = act.worked_ms;
+  record.outcome = action.outcome;
+  record.started = action.started;
+  record.awaited = action.awaited;
+  record.queued_ms = action.queued_ms;
+  record.work_done_ms = action.work_done_ms;
   sink_.on(record);
-  Link* l = links_.find(a.link);
-  if (l != nullptr && l->arrival == act.id) {
-    l->arrival = 0;
-    l->machine_rests_since = now_;
+  Link* link = links_.find(machine_attempt.link);
+  if (link != nullptr && link->arrival == action.id) {
+    link->arrival = 0;
+    link->machine_idle_since = now_;
     // Otherwise the router closes the link first.
-    const double idle = idle_ms(machine);
-    if (idle < router_idle_ms(spec_)) at(now_ + idle, Due::MachineCloses, l->router, a.link, 0);
+    const double idle_timeout_ms = machine_idle_timeout_ms(machine);
+    if (idle_timeout_ms < max_link_idle_ms(spec_))
+      schedule(now_ + idle_timeout_ms, EventKind::MachineIdleTimeout, link->router, machine_attempt.link, 0);
   }
 
-  switch (act.ending) {
-    case Ending::Miss:
-    case Ending::Pending: aside_.missed(now_, a.try_id, machine); break;
-    case Ending::Fetched:
-      if (act.wanted) {
-        const auto places = aside_.fetched(now_, a.try_id);
-        for (std::uint32_t i = 0; i < places.count; ++i) {
-          if (model::Node* n = node(places.machines[i])) n->store(now_, a.key);
+  switch (action.outcome) {
+    case ServerOutcome::Miss:
+    case ServerOutcome::Pending: pending_fills_.add_miss(now_, machine_attempt.try_id, machine); break;
+    case ServerOutcome::Fetched:
+      if (action.awaited) {
+        const auto waiting_nodes = pending_fills_.take(now_, machine_attempt.try_id);
+        for (std::uint32_t i = 0; i < waiting_nodes.count; ++i) {
+          if (model::CacheNode* cache_node = node(waiting_nodes.machines[i]))
+            cache_node->store(now_, machine_attempt.key);
         }
       }
       break;
     default: break;
   }
-  const bool written = act.ending == Ending::Written || (act.ending == Ending::Error && act.begun);
-  if (a.write && written && spec_.origin.on &&
+  const bool written =
+      action.outcome == ServerOutcome::Written || (action.outcome == ServerOutcome::Error && action.started);
+  if (machine_attempt.write && written && spec_.origin.enabled &&
       machine == plan_.origin) { // the origin invalidates cached copies
     for (MachineId m = 0; m < plan_.machines.size(); ++m) {
-      if (model::Node* n = node(m)) n->make_void(a.key);
+      if (model::CacheNode* cache_node = node(m)) cache_node->invalidate(machine_attempt.key);
     }
   }
 
-  switch (act.ending) {
-    case Ending::Hit:
-    case Ending::Fetched:
-    case Ending::Written:
-    case Ending::Repeat: a.result = AttemptResult::Ok; break;
-    case Ending::Miss:
-    case Ending::Pending: a.result = AttemptResult::CacheMiss; break;
-    case Ending::Error: a.result = AttemptResult::Error; break;
-    case Ending::Full:
-    case Ending::Draining:
-    case Ending::Overdue: a.result = AttemptResult::Overloaded; break;
-    case Ending::Dropped:
-    case Ending::Lost: return arrived_.remove(act.id); // no response: the router notices when the link ends
+  switch (action.outcome) {
+    case ServerOutcome::Hit:
+    case ServerOutcome::Fetched:
+    case ServerOutcome::Written:
+    case ServerOutcome::Duplicate: machine_attempt.result = AttemptResult::Ok; break;
+    case ServerOutcome::Miss:
+    case ServerOutcome::Pending: machine_attempt.result = AttemptResult::CacheMiss; break;
+    case ServerOutcome::Error: machine_attempt.result = AttemptResult::Error; break;
+    case ServerOutcome::Full:
+    case ServerOutcome::Draining:
+    case ServerOutcome::Expired: machine_attempt.result = AttemptResult::Overloaded; break;
+    case ServerOutcome::Cancelled:
+    case ServerOutcome::Lost:
+      return machine_attempts_.remove(action.id); // no response: the router notices when the link ends
   }
   // The router has closed the link, or messages do not pass.
-  if (l == nullptr || l->closed || !network_.passes(a.router, machine)) {
-    if (l != nullptr && !l->closed) l->stuck = true;
-    return arrived_.remove(act.id);
+  if (link == nullptr || link->closed_by_router || !network_.is_connected(machine_attempt.router, machine)) {
+    if (link != nullptr && !link->closed_by_router) link->message_lost = true;
+    return machine_attempts_.remove(action.id);
   }
-  stations_[machine]->report(act.at, a.report);
-  double late = 0;
-  if (model::draw_chance(places_[machine].bad_share, bad_)) spoil(a, late);
-  if (late == kForever) return arrived_.remove(act.id);
-  at(to_router(*l) + late, Due::AnswerAtRouter, a.router, act.id, 0);
+  server_models_[machine]->report(action.at, machine_attempt.report);
+  double delay_ms = 0;
+  if (model::draw_with_probability(machine_states_[machine].bad_response_share, bad_response_engine_))
+    apply_bad_response(machine_attempt, delay_ms);
+  if (delay_ms == kInfiniteMs) return machine_attempts_.remove(action.id);
+  schedule(next_arrival_at_router(*link) + delay_ms, EventKind::ResponseAtRouter, machine_attempt.router,
+           action.id, 0);
 }
 
 // Sets what the router observes of a bad response.
-void World::spoil(Arrival& arrival, double& late) {
-  switch (places_[arrival.machine].bad) {
-    case model::BadAnswer::Error: arrival.result = AttemptResult::Error; break;
-    case model::BadAnswer::Garbage:
-    case model::BadAnswer::TooLarge:
+void VirtualWorld::apply_bad_response(MachineAttempt& arrival, double& late) {
+  switch (machine_states_[arrival.machine].bad_response) {
+    case model::BadResponse::Error: arrival.result = AttemptResult::Error; break;
+    case model::BadResponse::NotHttp:
+    case model::BadResponse::TooLarge:
       arrival.result = AttemptResult::Error;
-      arrival.ends = Router::Ends::ClosesLink;
+      arrival.connection_end = VirtualRouter::ConnectionEnd::Closed;
       arrival.report.clear();
       break;
-    case model::BadAnswer::CutOff:
-    case model::BadAnswer::EarlyClose:
+    case model::BadResponse::Truncated:
+    case model::BadResponse::EarlyClose:
       arrival.result = AttemptResult::Reset;
-      arrival.ends = places_[arrival.machine].bad == model::BadAnswer::CutOff ? Router::Ends::ClosesLink
-                                                                              : Router::Ends::Unbegun;
+      arrival.connection_end = machine_states_[arrival.machine].bad_response == model::BadResponse::Truncated
+                                   ? VirtualRouter::ConnectionEnd::Closed
+                                   : VirtualRouter::ConnectionEnd::ClosedUnanswered;
       arrival.report.clear();
       break;
-    case model::BadAnswer::NeverEnds: late = kForever; break;
-    case model::BadAnswer::WrongBody: break;
-    case model::BadAnswer::SlowBytes: late = kSlowBytesMs; break;
+    case model::BadResponse::NeverCompletes: late = kInfiniteMs; break;
+    case model::BadResponse::WrongBody: break;
+    case model::BadResponse::SlowBytes: late = kSlowResponseDelayMs; break;
   }
 }
 
-void World::answer_at_router(Handle handle) {
-  Arrival* a = arrived_.find(handle);
-  if (a == nullptr) return;
-  const Handle attempt = a->attempt;
-  const RouterId router = a->router;
-  const AttemptResult result = a->result;
-  const Router::Ends ends = a->ends;
-  const bool passes = network_.passes(router, a->machine);
-  if (Link* l = links_.find(a->link); l != nullptr && !passes) l->stuck = true;
-  std::vector<float> report = std::move(a->report);
-  arrived_.remove(handle);
+void VirtualWorld::deliver_response(Handle handle) {
+  MachineAttempt* machine_attempt = machine_attempts_.find(handle);
+  if (machine_attempt == nullptr) return;
+  const Handle attempt = machine_attempt->attempt;
+  const RouterId router = machine_attempt->router;
+  const AttemptResult result = machine_attempt->result;
+  const VirtualRouter::ConnectionEnd connection_end = machine_attempt->connection_end;
+  const bool passes = network_.is_connected(router, machine_attempt->machine);
+  if (Link* link = links_.find(machine_attempt->link); link != nullptr && !passes) link->message_lost = true;
+  std::vector<float> report = std::move(machine_attempt->report);
+  machine_attempts_.remove(handle);
   if (!passes || attempts_.find(attempt) == nullptr) return;
-  routers_[router]->answered(attempt, result, std::move(report), ends);
-  check_end(router);
+  routers_[router]->on_response(attempt, result, std::move(report), connection_end);
+  terminate_if_finished(router);
 }
 
 } // namespace fernward::lab
--- a/src/admin_overrides/endpoint_overrides.h
+++ b/src/admin_overrides/endpoint_overrides.h
@@ -49,13 +49,13 @@
   Result enable(double now_ms, const std::string& name);
 
   bool is_disabled(const std::string& name) const;
-  Server apply(const std::string& name, Server listed) const; // `listed` with its override
+  Server apply(const std::string& name, Server listed_server) const; // `listed` with its override
 
   std::vector<Override> snapshot() const; // all names; unlisted ones first, oldest first
   Override find(const std::string& name) const;
   // Replaces the overrides of the given names by those of another process. Other names are kept.
-  void adopt(const std::vector<Override>& overrides);
-  void adopt(const Override& other);
+  void merge(const std::vector<Override>& overrides);
+  void merge(const Override& remote);
 
   std::size_t size() const { return entries_.size(); } // names stored
 
@@ -65,17 +65,17 @@
     bool disabled = false;
     double enabled_at_ms = 0;
     bool in_unlisted = false;
-    std::list<std::string>::iterator unlisted; // valid if `in_unlisted`
+    std::list<std::string>::iterator unlisted_position; // valid if `in_unlisted`
   };
   Entry& find_or_add(const std::string& name);
-  void release(const std::string& name, Entry& entry);
-  void retain(Entry& entry);
-  void forget_oldest();
+  void track_if_unlisted(const std::string& name, Entry& entry);
+  void untrack_unlisted(Entry& entry);
+  void evict_oldest_unlisted();
 
   EndpointOverridesOptions options_;
   std::map<std::string, Entry> entries_;
-  std::list<std::string> unlisted_; // neither listed nor disabled, oldest first
-  std::size_t disabled_ = 0;
+  std::list<std::string> unlisted_names_; // neither listed nor disabled, oldest first
+  std::size_t disabled_count_ = 0;
 };
 
 } // namespace fernward::admin_overrides
--- a/src/app_config/app.h
+++ b/src/app_config/app.h
@@ -11,145 +11,148 @@
 
 namespace fernward::app_config {
 
-struct KindSetup { // a kind of node; its capacity is used to estimate the load on the origin
+struct NodeKindConfig { // a kind of node; its capacity is used to estimate the load on the origin
   std::string name;
-  double cores = 0, speed = 1; // cores 0: unknown; speed is that of one core
-  double memory_bytes = 0;     // available for cached values; 0: unknown
+  double cores = 0, core_speed = 1; // cores 0: unknown; speed is that of one core
+  double memory_bytes = 0;          // available for cached values; 0: unknown
 };
 
-struct NodeSetup {
+struct NodeConfig {
   std::string name, address;
   std::optional<std::uint32_t> zone, kind; // none: the default, see node_kind() for the kind
   double weight = 1;
 };
 
-struct FleetSetup {
+struct UpstreamFleetConfig {
   std::vector<std::string> zones{"here"};
-  std::optional<std::uint32_t> zone; // the zone of the router itself
-  std::vector<KindSetup> kinds;
-  std::optional<std::uint32_t> ledger; // the node kind of the origin; none: no origin
-  std::string discovery, file;         // sources of the endpoint list; both empty: `nodes`
-  std::vector<NodeSetup> nodes;
-  double delay_ms = 0; // one-way network delay to the farthest node
-  double warm_after_ms = 0, start_capacity = 1, tip_after_ms = 0;
-  std::size_t weights = 0; // how reliable the weights of the endpoint list are: a WeightKind
+  std::optional<std::uint32_t> own_zone; // the zone of the router itself
+  std::vector<NodeKindConfig> kinds;
+  std::optional<std::uint32_t> origin_kind;  // the node kind of the origin; none: no origin
+  std::string discovery_address, nodes_file; // sources of the endpoint list; both empty: `nodes`
+  std::vector<NodeConfig> nodes;
+  double max_one_way_delay_ms = 0; // one-way network delay to the farthest node
+  double slow_start_ms = 0, slow_start_min_capacity = 1, overload_failure_ms = 0;
+  std::size_t weight_kind = 0; // how reliable the weights of the endpoint list are: a WeightKind
 };
 
-struct ClassSetup {
+struct ClassConfig {
   std::string name;
-  double aim_ms = 0, give_up_ms = 0; // latency objective 0: the client timeout
-  double aim_stretch = 0, late_share = 0, worth = 1;
-  Idempotency repeat = Idempotency::Idempotent;
-  IdempotencyScope scope = IdempotencyScope::All;
-  double window_ms = 0;
-  std::optional<std::uint32_t> retries; // none: as many as attempts.max_attempts allows
-  std::optional<double> retry_for_ms;   // none: the idempotency window, if there is one
-  bool copies = true, write = false;
-  double traffic = 1; // share of the requests, relative to the other classes
+  double latency_objective_ms = 0, client_timeout_ms = 0; // latency objective 0: the client timeout
+  double objective_per_work = 0, late_value_share = 0, priority_weight = 1;
+  Idempotency idempotency = Idempotency::Idempotent;
+  IdempotencyScope idempotency_scope = IdempotencyScope::All;
+  double idempotency_window_ms = 0;
+  std::optional<std::uint32_t> max_retries; // none: as many as attempts.max_attempts allows
+  std::optional<double> retry_window_ms;    // none: the idempotency window, if there is one
+  bool may_hedge = true, is_write = false;
+  double traffic_share = 1; // share of the requests, relative to the other classes
 };
 
-struct TenantSetup {
+struct TenantConfig {
   std::string name;
-  double share = 0, quota_per_s = 0;
+  double service_share = 0, quota_per_s = 0;
 };
 
 enum class Method { Any, Get, Put };
 
-struct MapSetup { // class and tenant of a request without these headers; the first match applies
-  std::string path;
+struct RequestMapping { // class and tenant of a request without these headers; the first match applies
+  std::string path_prefix;
   Method method = Method::Any;
-  std::uint32_t cls = 0;
-  std::optional<std::uint32_t> tenant;
-  std::optional<double> timeout_ms;
+  std::uint32_t class_index = 0;
+  std::optional<std::uint32_t> tenant_index;
+  std::optional<double> client_timeout_ms;
 };
 
-struct AttemptSetup {
-  std::uint32_t most = 4;
-  bool cancel = true, copies = true;
-  double retry_after_ms = 1500; // the longest Retry-After; 0: none is sent
-  double connect_ms = 250, idle_ms = 10000;
+struct AttemptsConfig {
+  std::uint32_t max_attempts = 4;
+  bool may_cancel = true, may_hedge = true;
+  double max_retry_after_ms = 1500; // the longest Retry-After; 0: none is sent
+  double connect_timeout_ms = 250, idle_timeout_ms = 10000;
 };
 
-struct LimitSetup {
-  std::uint32_t sockets = 1024, memory_mb = 192;
-  std::optional<std::uint32_t> open; // none: see active_request_limit()
-  double grace_ms = 20;              // a response may arrive this long after the client timeout
-  double answer_bytes = 16 << 20, request_bytes = 64 << 10;
-  std::string body_folder;
-  std::uint32_t body_folder_mb = 64;
+struct LimitsConfig {
+  std::uint32_t max_descriptors = 1024, memory_mb = 192;
+  std::optional<std::uint32_t> max_active_requests; // none: see active_request_limit()
+  double response_grace_ms = 20; // a response may arrive this long after the client timeout
+  double max_response_bytes = 16 << 20, max_request_bytes = 64 << 10;
+  std::string spill_folder;
+  std::uint32_t spill_limit_mb = 64;
 };
 
-struct ReportSetup { // load reports carried by responses
+struct LoadReportsConfig { // load reports carried by responses
   std::vector<std::size_t> fields;
 };
 
-struct TierSetup {
-  std::uint32_t routers = 1;   // routers that send to the same nodes
-  double over_share_worth = 1; // weight factor of a request over its tenant's quota
-  double tick_ms = 1;
+struct TierConfig {
+  std::uint32_t router_count = 1; // routers that send to the same nodes
+  double over_quota_weight = 1;   // weight factor of a request over its tenant's quota
+  double event_interval_ms = 1;
 };
 
-struct ResizeSetup { // see ResizeSettings
-  double settle_ms = 0, ledger_multiple = 2, second_holder = 0;
+struct ResizeConfig { // see ResizeSettings
+  double transition_ms = 0, origin_load_multiple = 2, second_replica_share = 0;
 };
 
-struct LogSetup {
+struct LogConfig {
   std::size_t format = 0; // index of "text", "json"
-  double per_s = 100;
-  std::uint32_t burst = 300;
-  bool connections = true; // log a line for each connection that ends
+  double lines_per_s = 100;
+  std::uint32_t burst_lines = 300;
+  bool log_connections = true; // log a line for each connection that ends
 };
 
-struct ApplicationSetup {               // the application process that the sidecar starts
+struct ApplicationConfig {              // the application process that the sidecar starts
   std::vector<std::string> environment; // NAME=VALUE
   std::string address_variable = "FERNWARD_ADDRESS";
-  std::string runtime_folder; // for address claims; empty: the system's default
-  double ready_ms = 10000;    // until the router is ready
-  double stop_ms = 10000;     // until the application has ended
-  double restart_first_ms = 100, restart_most_ms = 10000;
+  std::string runtime_folder;             // for address claims; empty: the system's default
+  double router_ready_timeout_ms = 10000; // until the router is ready
+  double stop_timeout_ms = 10000;         // until the application has ended
+  double restart_backoff_min_ms = 100, restart_backoff_max_ms = 10000;
 };
 
-struct ExpectSetup { // the expected load, used only by checks
-  double rate_per_s = 0, work_ms = 0;
-  std::uint32_t keys = 0;
-  double zipf = 1, size_bytes = 0;
-  double ledger_per_s = 0;
+struct ExpectedLoad { // the expected load, used only by checks
+  double rate_per_s = 0, mean_work_ms = 0;
+  std::uint32_t key_count = 0;
+  double zipf_exponent = 1, mean_value_bytes = 0;
+  double origin_capacity_per_s = 0;
 };
 
-struct App {
-  std::string name, listen;
+struct AppConfig {
+  std::string name, listen_address;
   std::uint64_t seed = 0; // 0: drawn at startup
-  bool make_ids = false;
-  FleetSetup fleet;
-  std::vector<ClassSetup> classes;
-  std::vector<TenantSetup> tenants;
-  std::vector<MapSetup> map;
-  AttemptSetup attempts;
-  LimitSetup limits;
-  ReportSetup reports;
-  TierSetup tier;
-  ResizeSetup resize;
-  LogSetup log;
-  ApplicationSetup application;
-  ExpectSetup expect;
+  bool generate_request_ids = false;
+  UpstreamFleetConfig fleet;
+  std::vector<ClassConfig> classes;
+  std::vector<TenantConfig> tenants;
+  std::vector<RequestMapping> mappings;
+  AttemptsConfig attempts;
+  LimitsConfig limits;
+  LoadReportsConfig load_reports;
+  TierConfig tier;
+  ResizeConfig resize;
+  LogConfig log;
+  ApplicationConfig application;
+  ExpectedLoad expected_load;
 };
 
 // The index of the node's kind. Default: the first kind that is not the origin's.
-inline std::uint32_t kind_of(const FleetSetup& fleet, const NodeSetup& node) {
-  const std::uint32_t first = fleet.ledger && *fleet.ledger == 0 && fleet.kinds.size() > 1 ? 1 : 0;
-  return node.kind.value_or(first);
+inline std::uint32_t node_kind(const UpstreamFleetConfig& fleet, const NodeConfig& node) {
+  const std::uint32_t default_kind =
+      fleet.origin_kind && *fleet.origin_kind == 0 && fleet.kinds.size() > 1 ? 1 : 0;
+  return node.kind.value_or(default_kind);
 }
 
 // Memory of the process: with empty tables, per connection, and per active request without its body.
-inline constexpr double kBaseMb = 8, kConnectionKb = 6, kRequestKb = 2;
+inline constexpr double kBaseMemoryMb = 8, kConnectionMemoryKb = 6, kRequestMemoryKb = 2;
 
 // The limit of concurrent requests: the configured value, or 20,000, or fewer if the memory limit is lower.
-inline std::uint32_t open_of(const LimitSetup& l) {
-  if (l.open) return *l.open;
-  const double room_kb = (l.memory_mb - kBaseMb) * 1024 - l.sockets * kConnectionKb;
-  return static_cast<std::uint32_t>(room_kb < kRequestKb           ? 1
-                                    : room_kb > 20000 * kRequestKb ? 20000
-                                                                   : room_kb / kRequestKb);
+inline std::uint32_t active_request_limit(const LimitsConfig& limits) {
+  if (limits.max_active_requests) return *limits.max_active_requests;
+  const double available_kb =
+      (limits.memory_mb - kBaseMemoryMb) * 1024 - limits.max_descriptors * kConnectionMemoryKb;
+  return static_cast<std::uint32_t>(available_kb < kRequestMemoryKb ? 1
+                                    : available_kb > 20000 * kRequestMemoryKb
+                                        ? 20000
+                                        : available_kb / kRequestMemoryKb);
 }
 
 } // namespace fernward::app_config
--- a/src/app_config/explain.h
+++ b/src/app_config/explain.h
@@ -9,18 +9,18 @@
 
 namespace fernward::app_config {
 
-struct Value {
-  std::string key, value, from; // "app.toml:12:8", "NODE_LISTEN", "default"
+struct ExplainedValue {
+  std::string key, value, source; // "app.toml:12:8", "NODE_LISTEN", "default"
 };
-std::vector<Value> values(const Setup& setup);
+std::vector<ExplainedValue> explain_values(const LoadedConfig& setup);
 
 // Text with one paragraph per class.
-std::string behaviour(const App& app);
+std::string describe_behavior(const AppConfig& app);
 
 struct Change {
   std::string key, before, after; // empty: the key is absent
-  bool by_reload = false;         // false: the change needs a restart
+  bool reloadable = false;        // false: the change needs a restart
 };
-std::vector<Change> changes(const App& before, const App& after);
+std::vector<Change> compare(const AppConfig& before, const AppConfig& after);
 
 } // namespace fernward::app_config
--- a/src/app_config/host.h
+++ b/src/app_config/host_checks.h
@@ -7,6 +7,6 @@
 
 namespace fernward::app_config {
 
-void check_host(Setup& setup, const std::string& file); // adds to config.errors and config.warnings
+void check_host(LoadedConfig& config, const std::string& file); // adds to config.errors and config.warnings
 
 } // namespace fernward::app_config
--- a/src/app_config/keys.h
+++ b/src/app_config/keys.h
@@ -15,9 +15,9 @@
 } // namespace tables
 
 // Resolves the names defined in an AppConfig, which must outlive this object.
-class AppNames : public toml_document::Names {
+class AppConfigNames : public toml_document::Names {
  public:
-  explicit AppNames(const App& app) : app_(app) {}
+  explicit AppConfigNames(const AppConfig& app) : app_(app) {}
   std::optional<std::uint32_t> find(toml_document::Table table, const std::string& name) const override;
   std::string name(toml_document::Table table, std::uint32_t index) const override;
   std::vector<std::string> known(toml_document::Table table) const override;
@@ -26,18 +26,18 @@
   const char* list(toml_document::Table table) const override;
 
  private:
-  const App& app_;
+  const AppConfig& app_;
 };
 
-void describe(toml_document::Visitor& visitor, App& app);
+void describe(toml_document::Visitor& visitor, AppConfig& app);
 
 // Whether a reload can change the key; otherwise the change needs a restart. `key`: the key's path.
-bool reload_takes(const std::string& key);
+bool reloadable(const std::string& key);
 
-const char* repeat_word(Idempotency repeat);
-const char* scope_word(IdempotencyScope scope);
+const char* idempotency_word(Idempotency idempotency);
+const char* idempotency_scope_word(IdempotencyScope scope);
 const char* method_word(Method method);
-const char* weight_word(std::size_t weights);
-const char* field_word(std::size_t field);
+const char* weight_kind_word(std::size_t weight_kind);
+const char* load_report_field_word(std::size_t field);
 
 } // namespace fernward::app_config
--- a/src/app_config/ledger.h
+++ b/src/app_config/origin_load.h
@@ -11,17 +11,17 @@
 
 namespace fernward::app_config {
 
-struct LedgerLoad {
-  double share = 0;                                // of all requests, 0 to 1
-  double writes = 0, misses = 0, no_room = 0;      // parts of request_share
-  bool no_nodes = false;                           // the configured fleet has no caches
-  bool counts_memory = false, counts_work = false; // which estimates the file allows
+struct OriginLoad {
+  double request_share = 0;                                   // of all requests, 0 to 1
+  double write_share = 0, miss_share = 0, overflow_share = 0; // parts of request_share
+  bool no_cache_nodes = false;                                // the configured fleet has no caches
+  bool memory_known = false, work_known = false;              // which estimates the file allows
 };
 
 // All names in `app` must resolve. Nodes from discovery are unknown here and count as sufficient.
-LedgerLoad ledger_load(const App& app);
+OriginLoad estimate_origin_load(const AppConfig& app);
 
 // Hit ratio of an LRU cache of `cached_values` values when `key_count` keys are requested by Zipf's law.
-double lru_hits(std::uint32_t keys, double zipf, double held);
+double lru_hit_ratio(std::uint32_t key_count, double zipf_exponent, double cached_values);
 
 } // namespace fernward::app_config
--- a/src/app_config/read.h
+++ b/src/app_config/read.h
@@ -18,28 +18,29 @@
 
 namespace fernward::app_config {
 
-using Environment = const char* (*)(const char* name); // std::getenv, or a replacement in tests
-
-struct Setup {
-  App app;                                      // valid only without errors
-  toml_document::Faults faults;                 // severity error
-  toml_document::Faults warnings;               // severity warning: probably unintended
-  toml_document::Places places;                 // of values given in files, by AppConfig member
-  std::map<std::string, std::string> variables; // environment variables in effect, by member
-  std::vector<std::string> files;               // every file that was read
-  std::string profile;                          // the name of the active profile
-
-  bool sound() const { return faults.empty(); }
+using EnvironmentLookup = const char* (*)(const char* name); // std::getenv, or a replacement in tests
+
+struct LoadedConfig {
+  AppConfig app;                                            // valid only without errors
+  toml_document::Diagnostics errors;                        // severity error
+  toml_document::Diagnostics warnings;                      // severity warning: probably unintended
+  toml_document::Positions positions;                       // of values given in files, by AppConfig member
+  std::map<std::string, std::string> environment_variables; // environment variables in effect, by member
+  std::vector<std::string> files_read;                      // every file that was read
+  std::string active_profile;                               // the name of the active profile
+
+  bool valid() const { return errors.empty(); }
 };
 
 // Includes syntactic and semantic checks, but no checks against this host (see check_host()).
-Setup read(std::string_view text, const std::string& file, Environment environment,
-           const toml_document::Loader& load = toml_document::load_file);
-Setup read_file(const std::string& path, Environment environment);
+LoadedConfig parse_config(std::string_view text, const std::string& file, EnvironmentLookup environment,
+                          const toml_document::FileLoader& load = toml_document::load_file);
+LoadedConfig load_config(const std::string& path, EnvironmentLookup environment);
 
-toml_document::Fault unreadable(const std::string& path); // the error for a file that can't be read
+toml_document::Diagnostic unreadable_file(const std::string& path); // the error for a file that can't be read
 
 // The position of a member, or of the nearest enclosing table that is present, or the start of the file.
-toml_document::Position place_of(const Setup& setup, std::string member, const std::string& file);
+toml_document::Position member_position(const LoadedConfig& config, std::string member,
+                                        const std::string& file);
 
 } // namespace fernward::app_config
--- a/src/app_config/render.h
+++ b/src/app_config/render.h
@@ -8,6 +8,6 @@
 namespace fernward::app_config {
 
 // Keys unknown to the platform (map, nodes_file, ...) are included only if they are not at their defaults.
-nlohmann::json render(const App& app);
+nlohmann::json to_platform_json(const AppConfig& app);
 
 } // namespace fernward::app_config
--- a/src/app_config/schema.cpp
+++ b/src/app_config/schema.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 using nlohmann::ordered_json;
+using toml_document::SpecialValue;
 using toml_document::Table;
 using toml_document::Unit;
-using toml_document::Word;
 using toml_document::Words;
 
-const char* pattern_of(Unit unit) {
+const char* unit_pattern(Unit unit) {
   switch (unit) {
     case Unit::Time: return "^[0-9.eE+-]+ *(us|ms|s|min|h|d)$|^0$";
     case Unit::Bytes: return "^[0-9.eE+-]+ *(B|kB|MB|GB|KiB|MiB|GiB)$|^0$";
@@ -26,91 +26,96 @@
   }
 }
 
-class Schema : public toml_document::Visitor {
+class SchemaVisitor : public toml_document::Visitor {
  public:
-  explicit Schema(const toml_document::Names& names) : names_(names) { open_.push_back(object()); }
-  ordered_json whole() const { return open_.front(); }
+  explicit SchemaVisitor(const toml_document::Names& names) : names_(names) {
+    open_objects_.push_back(empty_object());
+  }
+  ordered_json document() const { return open_objects_.front(); }
 
-  void amount(const char* member, double& value, Unit unit, const char* doc, Word word) override {
-    ordered_json made;
+  void amount(const char* member, double& value, Unit unit, const char* doc, SpecialValue word) override {
+    ordered_json property;
     if (unit == Unit::Number) {
-      made = {{"type", "number"}, {"minimum", 0}};
+      property = {{"type", "number"}, {"minimum", 0}};
     } else if (unit == Unit::Share) {
-      made["anyOf"] = {{{"type", "number"}, {"minimum", 0}},
-                       {{"type", "string"}, {"pattern", pattern_of(unit)}}};
+      property["anyOf"] = {{{"type", "number"}, {"minimum", 0}},
+                           {{"type", "string"}, {"pattern", unit_pattern(unit)}}};
     } else {
-      made["anyOf"] = {{{"const", 0}}, {{"type", "string"}, {"pattern", pattern_of(unit)}}};
+      property["anyOf"] = {{{"const", 0}}, {{"type", "string"}, {"pattern", unit_pattern(unit)}}};
     }
-    if (word.text != nullptr) made["anyOf"].push_back({{"const", word.text}});
+    if (word.text != nullptr) property["anyOf"].push_back({{"const", word.text}});
     if (unit == Unit::Number) {
-      made["default"] = value;
+      property["default"] = value;
     } else {
-      made["default"] = toml_document::quantity_text(unit, value);
+      property["default"] = toml_document::format_quantity(unit, value);
     }
-    put(member, std::move(made), doc);
+    add_property(member, std::move(property), doc);
   }
   void count(const char* member, std::uint32_t& value, const char* doc, Unit unit) override {
     if (unit != Unit::Number) {
-      ordered_json made;
-      made["anyOf"] = {{{"const", 0}}, {{"type", "string"}, {"pattern", pattern_of(unit)}}};
-      made["default"] = toml_document::quantity_text(unit, value);
-      return put(member, std::move(made), doc);
+      ordered_json property;
+      property["anyOf"] = {{{"const", 0}}, {{"type", "string"}, {"pattern", unit_pattern(unit)}}};
+      property["default"] = toml_document::format_quantity(unit, value);
+      return add_property(member, std::move(property), doc);
     }
-    put(member, {{"type", "integer"}, {"minimum", 0}, {"maximum", 4294967295u}, {"default", value}}, doc);
+    add_property(member, {{"type", "integer"}, {"minimum", 0}, {"maximum", 4294967295u}, {"default", value}},
+                 doc);
   }
   void seed(const char* member, std::uint64_t& value, const char* doc) override {
-    put(member, {{"type", "integer"}, {"minimum", 0}, {"default", value}}, doc);
+    add_property(member, {{"type", "integer"}, {"minimum", 0}, {"default", value}}, doc);
   }
   void text(const char* member, std::string& value, bool needed, const char* doc) override {
-    ordered_json made = {{"type", "string"}};
-    if (!value.empty()) made["default"] = value;
-    put(member, std::move(made), doc, needed);
+    ordered_json property = {{"type", "string"}};
+    if (!value.empty()) property["default"] = value;
+    add_property(member, std::move(property), doc, needed);
   }
   void texts(const char* member, std::vector<std::string>& values, const char* doc) override {
-    ordered_json made = {{"type", "array"}, {"items", {{"type", "string"}}}};
-    if (!values.empty()) made["default"] = values;
-    put(member, std::move(made), doc);
+    ordered_json property = {{"type", "array"}, {"items", {{"type", "string"}}}};
+    if (!values.empty()) property["default"] = values;
+    add_property(member, std::move(property), doc);
   }
   void flag(const char* member, bool& value, const char* doc) override {
-    put(member, {{"type", "boolean"}, {"default", value}}, doc);
+    add_property(member, {{"type", "boolean"}, {"default", value}}, doc);
   }
   void choice(const char* member, std::size_t& value, Words words, bool needed, const char* doc) override {
-    ordered_json made = {{"enum", std::vector<std::string>(words.begin(), words.end())}};
-    if (!needed) made["default"] = words[value];
-    put(member, std::move(made), doc, needed);
+    ordered_json property = {{"enum", std::vector<std::string>(words.begin(), words.end())}};
+    if (!needed) property["default"] = words[value];
+    add_property(member, std::move(property), doc, needed);
   }
   void choices(const char* member, std::vector<std::size_t>&, Words words, const char* doc) override {
-    put(member,
+    add_property(
+        member,
         {{"type", "array"}, {"items", {{"enum", std::vector<std::string>(words.begin(), words.end())}}}},
         doc);
   }
   void ref(const char* member, std::uint32_t&, Table table, bool needed, const char* doc) override {
-    put(member, {{"type", "string"}}, std::string(doc) + " (" + names_.written(table) + ")", needed);
+    add_property(member, {{"type", "string"}}, std::string(doc) + " (" + names_.written(table) + ")", needed);
   }
   void refs(const char* member, std::vector<std::uint32_t>&, Table table, const char* doc) override {
-    put(member, {{"type", "array"}, {"items", {{"type", "string"}}}},
-        std::string(doc) + " (each " + names_.written(table) + ")");
+    add_property(member, {{"type", "array"}, {"items", {{"type", "string"}}}},
+                 std::string(doc) + " (each " + names_.written(table) + ")");
   }
-  bool present(const char*, bool) override { return without_default_ = true; }
-  void enter(const char* member, const char* doc) override { begin(member, doc, Kind::Table); }
+  bool present(const char*, bool) override { return omit_default_ = true; }
+  void enter(const char* member, const char* doc) override { push_object(member, doc, Kind::Table); }
   void leave() override {
-    ordered_json made = std::move(open_.back());
+    ordered_json property = std::move(open_objects_.back());
     const Frame frame = std::move(frames_.back());
-    open_.pop_back();
+    open_objects_.pop_back();
     frames_.pop_back();
-    if (frame.kind == Kind::List) made = {{"type", "array"}, {"items", std::move(made)}};
-    if (frame.kind == Kind::Named) made = {{"type", "object"}, {"additionalProperties", std::move(made)}};
-    put(frame.member.c_str(), std::move(made), frame.doc);
+    if (frame.kind == Kind::List) property = {{"type", "array"}, {"items", std::move(property)}};
+    if (frame.kind == Kind::Named)
+      property = {{"type", "object"}, {"additionalProperties", std::move(property)}};
+    add_property(frame.member.c_str(), std::move(property), frame.doc);
   }
   std::size_t list(const char* member, std::size_t, const char* doc) override {
-    next_ = {member, doc, Kind::List};
+    next_frame_ = {member, doc, Kind::List};
     return 1;
   }
   void item(const char*, std::size_t, const std::string&) override {
-    begin(next_.member.c_str(), next_.doc, next_.kind);
+    push_object(next_frame_.member.c_str(), next_frame_.doc, next_frame_.kind);
   }
   std::vector<std::string> named(const char* member, std::vector<std::string>, const char* doc) override {
-    next_ = {member, doc, Kind::Named};
+    next_frame_ = {member, doc, Kind::Named};
     return {"NAME"};
   }
 
@@ -120,63 +125,64 @@
     std::string member, doc;
     Kind kind = Kind::Table;
   };
-  static ordered_json object() {
+  static ordered_json empty_object() {
     return {{"type", "object"}, {"properties", ordered_json::object()}, {"additionalProperties", false}};
   }
-  void begin(const char* member, const std::string& doc, Kind kind) {
+  void push_object(const char* member, const std::string& doc, Kind kind) {
     frames_.push_back({member, doc, kind});
-    open_.push_back(object());
+    open_objects_.push_back(empty_object());
   }
-  void put(const char* member, ordered_json made, const std::string& doc, bool needed = false) {
-    if (std::exchange(without_default_, false)) made.erase("default");
-    made["description"] = doc;
+  void add_property(const char* member, ordered_json property, const std::string& doc, bool needed = false) {
+    if (std::exchange(omit_default_, false)) property.erase("default");
+    property["description"] = doc;
     const std::string key = toml_document::key_of(member);
-    open_.back()["properties"][key] = std::move(made);
-    if (needed) open_.back()["required"].push_back(key);
+    open_objects_.back()["properties"][key] = std::move(property);
+    if (needed) open_objects_.back()["required"].push_back(key);
   }
 
   const toml_document::Names& names_;
-  std::vector<ordered_json> open_;
+  std::vector<ordered_json> open_objects_;
   std::vector<Frame> frames_;
-  Frame next_;
-  bool without_default_ = false;
+  Frame next_frame_;
+  bool omit_default_ = false;
 };
 
 } // namespace
 
-ordered_json schema() {
-  App app;
-  const AppNames names(app);
-  Schema visitor(names);
+ordered_json json_schema() {
+  AppConfig app;
+  const AppConfigNames names(app);
+  SchemaVisitor visitor(names);
   describe(visitor, app);
-  const ordered_json whole = visitor.whole();
+  const ordered_json config_schema = visitor.document();
   // A profile has the same keys, none of them required.
-  ordered_json parts = whole["properties"];
-  ordered_json made = {{"$schema", "https://json-schema.org/draft/2020-12/schema"},
-                       {"title", "fernward: one application's router"},
-                       {"type", "object"}};
+  ordered_json properties = config_schema["properties"];
+  ordered_json document = {{"$schema", "https://json-schema.org/draft/2020-12/schema"},
+                           {"title", "fernward: one application's router"},
+                           {"type", "object"}};
   ordered_json profile = {
       {"type", "object"}, {"properties", ordered_json::object()}, {"additionalProperties", false}};
-  for (const auto& [key, value] : parts.items()) profile["properties"][key] = {{"$ref", "#/$defs/" + key}};
-  made["$defs"] = parts;
-  made["properties"] = profile["properties"];
-  made["properties"]["include"] = {
+  for (const auto& [key, value] : properties.items())
+    profile["properties"][key] = {{"$ref", "#/$defs/" + key}};
+  document["$defs"] = properties;
+  document["properties"] = profile["properties"];
+  document["properties"]["include"] = {
       {"anyOf", {{{"type", "string"}}, {{"type", "array"}, {"items", {{"type", "string"}}}}}},
       {"description", "files that supply what this one leaves out, the last one first"}};
-  made["properties"]["profile"] = {{"type", "string"}, {"description", "the profile that counts"}};
-  made["properties"]["profiles"] = {
+  document["properties"]["profile"] = {{"type", "string"}, {"description", "the profile that counts"}};
+  document["properties"]["profiles"] = {
       {"type", "object"},
       {"additionalProperties", profile},
       {"description", "keys that go behind this file's and before its includes'"}};
-  made["additionalProperties"] = false;
-  return made;
+  document["additionalProperties"] = false;
+  return document;
 }
 
-std::string reference() {
-  App app;
-  const AppNames names(app);
-  const toml_document::Row top =
-      toml_document::reference(names, [&](toml_document::Visitor& v) { describe(v, app); });
+std::string markdown_reference() {
+  AppConfig app;
+  const AppConfigNames names(app);
+  const toml_document::ReferenceRow top =
+      toml_document::build_reference(names, [&](toml_document::Visitor& v) { describe(v, app); });
   std::string out =
       "### Top of the file\n\n| key | written as | default | meaning |\n| --- | --- | --- | --- |\n";
   out +=
@@ -185,13 +191,13 @@
   out +=
       "| `profile` | text |  | the profile that counts: `[profiles.NAME]`, of this file or of one it "
       "includes |\n";
-  out += toml_document::leading(top);
-  toml_document::sections(top, "", out);
+  out += toml_document::top_level_rows(top);
+  toml_document::append_sections(top, "", out);
   return out;
 }
 
-const std::vector<Code>& codes() {
-  static const std::vector<Code> all{
+const std::vector<DiagnosticCode>& diagnostic_codes() {
+  static const std::vector<DiagnosticCode> codes{
       {"syntax", "no TOML: cut off, a quote left open, a key given twice"},
       {"unreadable", "the file can't be read, or is over 1 MiB"},
       {"include", "a file that it includes can't be read, or they go round"},
@@ -241,12 +247,13 @@
       {"secret-readable",
        "a variable that looks like a secret, in a file that others can read (not with `--elsewhere`)"},
       {"more", "over 200 faults: the rest is counted"}};
-  return all;
+  return codes;
 }
 
-std::string code_reference() {
+std::string markdown_code_reference() {
   std::string out = "| code | meaning |\n| --- | --- |\n";
-  for (const Code& code : codes()) out += std::string("| `") + code.code + "` | " + code.means + " |\n";
+  for (const DiagnosticCode& code : diagnostic_codes())
+    out += std::string("| `") + code.code + "` | " + code.meaning + " |\n";
   return out;
 }
 
--- a/src/app_config/schema.h
+++ b/src/app_config/schema.h
@@ -7,15 +7,15 @@
 
 namespace fernward::app_config {
 
-nlohmann::ordered_json schema();
-std::string reference();
+nlohmann::ordered_json json_schema();
+std::string markdown_reference();
 
 // Markdown table of all diagnostic codes and their meanings.
-std::string code_reference();
-struct Code {
+std::string markdown_code_reference();
+struct DiagnosticCode {
   const char* code;
-  const char* means;
+  const char* meaning;
 };
-const std::vector<Code>& codes();
+const std::vector<DiagnosticCode>& diagnostic_codes();
 
 } // namespace fernward::app_config
--- a/src/app_config/sound.h
+++ b/src/app_config/semantic_checks.h
@@ -10,6 +10,7 @@
 
 // Adds to config.errors and config.warnings. `invalid_members`: members whose values could not be read;
 // checks that depend on them are skipped.
-void check_sound(Setup& setup, const std::string& file, const std::set<std::string>& broken);
+void check_semantics(LoadedConfig& config, const std::string& file,
+                     const std::set<std::string>& invalid_members);
 
 } // namespace fernward::app_config
--- a/src/arguments/arguments.cpp
+++ b/src/arguments/arguments.cpp
@@ -6,13 +6,14 @@
 namespace fernward::arguments {
 namespace {
 
-int usage(std::FILE* out, const std::string& program, const std::string& about,
-          const std::vector<Command>& commands) {
-  std::fprintf(out, "%s: %s\n\nUsage: %s COMMAND [--help]\n\n", program.c_str(), about.c_str(),
+int print_usage(std::FILE* out, const std::string& program, const std::string& summary,
+                const std::vector<Command>& commands) {
+  std::fprintf(out, "%s: %s\n\nUsage: %s COMMAND [--help]\n\n", program.c_str(), summary.c_str(),
                program.c_str());
-  for (const Command& command : commands) std::fprintf(out, "  %-12s  %s\n", command.name, command.what);
+  for (const Command& command : commands)
+    std::fprintf(out, "  %-12s  %s\n", command.name, command.description);
   std::fprintf(out, "\nExit code: 0 success; 1 error; 2 usage error\n");
-  return out == stdout ? kWell : kUsage;
+  return out == stdout ? kSuccess : kUsageFailure;
 }
 
 } // namespace
@@ -25,7 +26,7 @@
     auto parsed = options.parse(static_cast<int>(argv.size()), argv.data());
     if (parsed.count("help") > 0) {
       std::printf("%s", options.help().c_str());
-      throw Help();
+      throw HelpPrinted();
     }
     if (!parsed.unmatched().empty()) throw UsageError("unexpected argument: " + parsed.unmatched().front());
     return parsed;
@@ -36,31 +37,32 @@
   }
 }
 
-int run(const std::string& program, const std::string& about, const std::vector<Command>& commands,
-        const Arguments& arguments) {
+int run_command(const std::string& program, const std::string& summary, const std::vector<Command>& commands,
+                const Arguments& arguments) {
   if (arguments.empty()) {
     std::fprintf(stderr, "%s: no command\n", program.c_str());
-    return usage(stderr, program, about, commands);
+    return print_usage(stderr, program, summary, commands);
   }
   const std::string& name = arguments.front();
-  if (name == "--help" || name == "-h" || name == "help") return usage(stdout, program, about, commands);
+  if (name == "--help" || name == "-h" || name == "help")
+    return print_usage(stdout, program, summary, commands);
   for (const Command& command : commands) {
     if (name != command.name) continue;
-    const std::string whole = program + " " + name;
+    const std::string full_name = program + " " + name;
     try {
       return command.run(Arguments(arguments.begin() + 1, arguments.end()));
-    } catch (const Help&) {
-      return kWell;
+    } catch (const HelpPrinted&) {
+      return kSuccess;
     } catch (const UsageError& error) {
-      std::fprintf(stderr, "%s: %s; see %s --help\n", whole.c_str(), error.what(), whole.c_str());
-      return kUsage;
+      std::fprintf(stderr, "%s: %s; see %s --help\n", full_name.c_str(), error.what(), full_name.c_str());
+      return kUsageFailure;
     } catch (const std::exception& error) {
-      std::fprintf(stderr, "%s: %s\n", whole.c_str(), error.what());
-      return kBad;
+      std::fprintf(stderr, "%s: %s\n", full_name.c_str(), error.what());
+      return kFailure;
     }
   }
   std::fprintf(stderr, "%s: there is no command \"%s\"\n", program.c_str(), name.c_str());
-  return usage(stderr, program, about, commands);
+  return print_usage(stderr, program, summary, commands);
 }
 
 } // namespace fernward::arguments
--- a/src/arguments/arguments.h
+++ b/src/arguments/arguments.h
@@ -12,12 +12,12 @@
 
 namespace fernward::arguments {
 
-inline constexpr int kWell = 0, kBad = 1, kUsage = 2;
+inline constexpr int kSuccess = 0, kFailure = 1, kUsageFailure = 2;
 
 struct UsageError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
-struct Help {}; // thrown after the requested help has been printed
+struct HelpPrinted {}; // thrown after the requested help has been printed
 
 using Arguments = std::vector<std::string>; // without the name of the subcommand
 
@@ -26,13 +26,13 @@
 
 struct Command {
   const char* name;
-  const char* what; // shown in the list of commands
+  const char* description; // shown in the list of commands
   int (*run)(const Arguments&);
 };
 
 // Runs the command named by the first of `arguments` and returns the exit code. `program` is used in
 // messages, `summary` in the list of commands.
-int run(const std::string& program, const std::string& about, const std::vector<Command>& commands,
-        const Arguments& arguments);
+int run_command(const std::string& program, const std::string& summary, const std::vector<Command>& commands,
+                const Arguments& arguments);
 
 } // namespace fernward::arguments
--- a/src/body_buffers/buffer_budget.cpp
+++ b/src/body_buffers/buffer_budget.cpp
@@ -5,16 +5,17 @@
 namespace fernward::body_buffers {
 
 BufferBudget::BufferBudget(const BufferBudgetOptions& options) : options_(options) {
-  const std::size_t holders = std::max<std::size_t>(options_.max_holders, 1);
-  options_.reserved_per_holder = std::min(options_.reserved_per_holder, options_.total_bytes / 2 / holders);
-  options_.max_per_holder = std::max(options_.max_per_holder, options_.reserved_per_holder);
-  shared_total_ = options_.total_bytes - options_.reserved_per_holder * holders;
+  const std::size_t holder_count = std::max<std::size_t>(options_.max_holders, 1);
+  options_.reserved_bytes_per_holder =
+      std::min(options_.reserved_bytes_per_holder, options_.total_bytes / 2 / holder_count);
+  options_.max_bytes_per_holder = std::max(options_.max_bytes_per_holder, options_.reserved_bytes_per_holder);
+  shared_total_bytes_ = options_.total_bytes - options_.reserved_bytes_per_holder * holder_count;
 }
 
-void BufferBudget::set_total(std::size_t total) {
-  const std::size_t own = options_.total_bytes - shared_total_;
-  options_.total_bytes = std::max(total, own);
-  shared_total_ = options_.total_bytes - own;
+void BufferBudget::set_total_bytes(std::size_t total_bytes) {
+  const std::size_t reserved_bytes = options_.total_bytes - shared_total_bytes_;
+  options_.total_bytes = std::max(total_bytes, reserved_bytes);
+  shared_total_bytes_ = options_.total_bytes - reserved_bytes;
 }
 
 BufferBudget::Reservation::Reservation(Reservation&& other) noexcept
@@ -34,24 +35,24 @@
   return *this;
 }
 
-void BufferBudget::Reservation::set(std::size_t bytes) {
+void BufferBudget::Reservation::set_bytes(std::size_t bytes) {
   if (budget_ == nullptr) return;
-  budget_->held_ -= bytes_;
-  budget_->shared_held_ -= beyond_reserved();
+  budget_->held_bytes_ -= bytes_;
+  budget_->shared_held_bytes_ -= bytes_beyond_reserved();
   bytes_ = bytes;
-  budget_->held_ += bytes_;
-  budget_->shared_held_ += beyond_reserved();
-  budget_->peak_held_ = std::max(budget_->peak_held_, budget_->held_);
+  budget_->held_bytes_ += bytes_;
+  budget_->shared_held_bytes_ += bytes_beyond_reserved();
+  budget_->peak_held_bytes_ = std::max(budget_->peak_held_bytes_, budget_->held_bytes_);
 }
 
 bool BufferBudget::Reservation::acquire(std::size_t bytes) {
   if (bytes == 0) return true;
-  if (budget_ == nullptr || bytes > budget_->free()) return false;
-  set(bytes_ + bytes);
+  if (budget_ == nullptr || bytes > budget_->free_bytes()) return false;
+  set_bytes(bytes_ + bytes);
   return true;
 }
 
-void BufferBudget::Reservation::release(std::size_t bytes) { set(bytes_ - std::min(bytes, bytes_)); }
+void BufferBudget::Reservation::release(std::size_t bytes) { set_bytes(bytes_ - std::min(bytes, bytes_)); }
 
 void BufferBudget::Reservation::merge(Reservation&& other) {
   if (this == &other || other.budget_ == nullptr) return;
@@ -59,49 +60,53 @@
   const std::size_t bytes = other.bytes_;
   other.release_all();
   other.budget_ = nullptr;
-  set(bytes_ + bytes);
+  set_bytes(bytes_ + bytes);
 }
 
 void BufferBudget::Reservation::release_all() {
-  set(0);
+  set_bytes(0);
   stop_waiting();
 }
 
-std::size_t BufferBudget::Reservation::window() const {
+std::size_t BufferBudget::Reservation::window_bytes() const {
   if (budget_ == nullptr) return 0;
   const auto& options = budget_->options_;
-  const auto share =
-      static_cast<std::size_t>(options.share_of_free * static_cast<double>(budget_->shared_free()));
-  return std::min(options.reserved_per_holder + share, options.max_per_holder);
+  const auto shared_window_bytes =
+      static_cast<std::size_t>(options.max_share_of_free * static_cast<double>(budget_->shared_free_bytes()));
+  return std::min(options.reserved_bytes_per_holder + shared_window_bytes, options.max_bytes_per_holder);
 }
 
-std::size_t BufferBudget::Reservation::available() const {
-  const std::size_t allowed = window();
-  if (allowed <= bytes_) return 0;
-  const std::size_t own =
-      budget_->options_.reserved_per_holder > bytes_ ? budget_->options_.reserved_per_holder - bytes_ : 0;
-  return std::min({allowed - bytes_, own + budget_->shared_free(), budget_->free()});
+std::size_t BufferBudget::Reservation::available_bytes() const {
+  const std::size_t max_held_bytes = window_bytes();
+  if (max_held_bytes <= bytes_) return 0;
+  const std::size_t unused_reserved_bytes = budget_->options_.reserved_bytes_per_holder > bytes_
+                                                ? budget_->options_.reserved_bytes_per_holder - bytes_
+                                                : 0;
+  return std::min(
+      {max_held_bytes - bytes_, unused_reserved_bytes + budget_->shared_free_bytes(), budget_->free_bytes()});
 }
 
-bool BufferBudget::Reservation::may_resume() const { return available() > 0 && bytes_ <= window() / 2; }
+bool BufferBudget::Reservation::may_resume() const {
+  return available_bytes() > 0 && bytes_ <= window_bytes() / 2;
+}
 
-void BufferBudget::Reservation::wait_for_bytes(std::uint64_t who) {
+void BufferBudget::Reservation::wait_for_bytes(std::uint64_t holder_id) {
   if (wait_position_ || budget_ == nullptr) return;
-  wait_position_ = budget_->waiting_.emplace(budget_->waiting_.end(), who, this);
+  wait_position_ = budget_->waiting_list_.emplace(budget_->waiting_list_.end(), holder_id, this);
 }
 
 void BufferBudget::Reservation::stop_waiting() {
   if (!wait_position_) return;
-  budget_->waiting_.erase(*wait_position_);
+  budget_->waiting_list_.erase(*wait_position_);
   wait_position_.reset();
 }
 
 std::optional<std::uint64_t> BufferBudget::next_resumable() {
-  for (const auto& [who, hold] : waiting_) {
-    if (!hold->may_resume()) continue;
-    const std::uint64_t found = who;
-    hold->stop_waiting();
-    return found;
+  for (const auto& [holder_id, reservation] : waiting_list_) {
+    if (!reservation->may_resume()) continue;
+    const std::uint64_t resumable_id = holder_id;
+    reservation->stop_waiting();
+    return resumable_id;
   }
   return std::nullopt;
 }
--- a/src/body_buffers/buffer_budget.h
+++ b/src/body_buffers/buffer_budget.h
@@ -17,10 +17,10 @@
 
 struct BufferBudgetOptions {
   std::size_t total_bytes = 24 << 20;
-  std::size_t max_holders = 1024;            // expected; at most half of the total is reserved for them
-  std::size_t reserved_per_holder = 4 << 10; // not available to other holders
-  std::size_t max_per_holder = 1 << 20;
-  double share_of_free = 1.0 / 16; // of the free shared bytes, that one holder may use
+  std::size_t max_holders = 1024;                  // expected; at most half of the total is reserved for them
+  std::size_t reserved_bytes_per_holder = 4 << 10; // not available to other holders
+  std::size_t max_bytes_per_holder = 1 << 20;
+  double max_share_of_free = 1.0 / 16; // of the free shared bytes, that one holder may use
 };
 
 class BufferBudget {
@@ -33,7 +33,7 @@
   class Reservation {
    public:
     Reservation() = default; // without a budget: holds no bytes and cannot acquire any
-    explicit Reservation(BufferBudget& account) : budget_(&account) {}
+    explicit Reservation(BufferBudget& budget) : budget_(&budget) {}
     Reservation(Reservation&& other) noexcept;
     Reservation& operator=(Reservation&& other) noexcept;
     ~Reservation() { release_all(); }
@@ -44,22 +44,23 @@
     void release_all();              // also stops waiting
     std::size_t bytes() const { return bytes_; }
 
-    std::size_t window() const;    // bytes that it may currently hold
-    std::size_t available() const; // bytes that it may acquire now
+    std::size_t window_bytes() const;    // bytes that it may currently hold
+    std::size_t available_bytes() const; // bytes that it may acquire now
     // Whether paused reading may resume: half of the window is free, so that reading does not pause again at
     // once.
     bool may_resume() const;
-    void wait_for_bytes(std::uint64_t who); // until next_resumable() returns `holder_id`, or stop_waiting()
+    void wait_for_bytes(
+        std::uint64_t holder_id); // until next_resumable() returns `holder_id`, or stop_waiting()
     void stop_waiting();
 
    private:
     friend class BufferBudget;
-    std::size_t beyond_reserved() const {
-      return budget_ != nullptr && bytes_ > budget_->options_.reserved_per_holder
-                 ? bytes_ - budget_->options_.reserved_per_holder
+    std::size_t bytes_beyond_reserved() const {
+      return budget_ != nullptr && bytes_ > budget_->options_.reserved_bytes_per_holder
+                 ? bytes_ - budget_->options_.reserved_bytes_per_holder
                  : 0;
     }
-    void set(std::size_t bytes);
+    void set_bytes(std::size_t bytes);
     BufferBudget* budget_ = nullptr;
     std::size_t bytes_ = 0;
     std::optional<std::list<std::pair<std::uint64_t, Reservation*>>::iterator> wait_position_;
@@ -71,22 +72,27 @@
 
   // Changes the total. Bytes already held and the reserved part of each holder stay as they are; the total
   // does not fall below the sum of the reserved parts.
-  void set_total(std::size_t total);
+  void set_total_bytes(std::size_t total_bytes);
 
-  std::size_t total() const { return options_.total_bytes; }
-  std::size_t held() const { return held_; }
-  std::size_t free() const { return options_.total_bytes - std::min(held_, options_.total_bytes); }
-  std::size_t reserved_per_holder() const { return options_.reserved_per_holder; }
-  std::size_t peak_held() const { return peak_held_; }
-  std::size_t waiting() const { return waiting_.size(); }
+  std::size_t total_bytes() const { return options_.total_bytes; }
+  std::size_t held_bytes() const { return held_bytes_; }
+  std::size_t free_bytes() const {
+    return options_.total_bytes - std::min(held_bytes_, options_.total_bytes);
+  }
+  std::size_t reserved_bytes_per_holder() const { return options_.reserved_bytes_per_holder; }
+  std::size_t peak_held_bytes() const { return peak_held_bytes_; }
+  std::size_t waiting_holders() const { return waiting_list_.size(); }
 
  private:
-  std::size_t shared_free() const { return shared_total_ > shared_held_ ? shared_total_ - shared_held_ : 0; }
+  std::size_t shared_free_bytes() const {
+    return shared_total_bytes_ > shared_held_bytes_ ? shared_total_bytes_ - shared_held_bytes_ : 0;
+  }
 
   BufferBudgetOptions options_;
-  std::size_t shared_total_ = 0;                           // total without the reserved parts
-  std::size_t held_ = 0, shared_held_ = 0, peak_held_ = 0; // shared: beyond the reserved parts
-  std::list<std::pair<std::uint64_t, Reservation*>> waiting_;
+  std::size_t shared_total_bytes_ = 0; // total without the reserved parts
+  std::size_t held_bytes_ = 0, shared_held_bytes_ = 0,
+              peak_held_bytes_ = 0; // shared: beyond the reserved parts
+  std::list<std::pair<std::uint64_t, Reservation*>> waiting_list_;
 };
 
 } // namespace fernward::body_buffers
--- a/src/body_buffers/response_buffering.cpp
+++ b/src/body_buffers/response_buffering.cpp
@@ -4,18 +4,19 @@
 
 namespace fernward::body_buffers {
 
-ResponseStep next_step(const ResponseBufferingLimits& rules, const ResponseProgress& facts) {
-  if (!within_size_limit(rules, std::max(facts.received_bytes, facts.announced_length.value_or(0))))
+ResponseStep next_response_step(const ResponseBufferingLimits& limits, const ResponseProgress& progress) {
+  if (!within_size_limit(limits, std::max(progress.received_bytes, progress.announced_bytes.value_or(0))))
     return ResponseStep::TooLarge;
-  if (facts.complete) return ResponseStep::Start;
-  if (facts.available == 0) return ResponseStep::Start;
-  if (facts.received_bytes == 0) return ResponseStep::Buffer; // only the head: the connection may still break
-  if (!facts.may_wait) return ResponseStep::Start;
-  const std::uint64_t holdable = std::min(rules.max_buffered_bytes, facts.window);
-  if (!facts.announced_length)
-    return facts.received_bytes >= holdable ? ResponseStep::Start : ResponseStep::Buffer;
-  if (*facts.announced_length <= holdable) return ResponseStep::Buffer;
-  return facts.received_bytes >= std::min<std::uint64_t>(rules.min_start_bytes, holdable)
+  if (progress.complete) return ResponseStep::Start;
+  if (progress.available_bytes == 0) return ResponseStep::Start;
+  if (progress.received_bytes == 0)
+    return ResponseStep::Buffer; // only the head: the connection may still break
+  if (!progress.within_buffering_time) return ResponseStep::Start;
+  const std::uint64_t bufferable_bytes = std::min(limits.max_buffered_bytes, progress.window_bytes);
+  if (!progress.announced_bytes)
+    return progress.received_bytes >= bufferable_bytes ? ResponseStep::Start : ResponseStep::Buffer;
+  if (*progress.announced_bytes <= bufferable_bytes) return ResponseStep::Buffer;
+  return progress.received_bytes >= std::min<std::uint64_t>(limits.min_start_bytes, bufferable_bytes)
              ? ResponseStep::Start
              : ResponseStep::Buffer;
 }
