--- a/src/body_buffers/response_buffering.h
+++ b/src/body_buffers/response_buffering.h
@@ -16,12 +16,12 @@
 };
 
 struct ResponseProgress {
-  std::optional<std::uint64_t> announced_length; // from the response head
-  std::uint64_t received_bytes = 0;              // of the body, all still buffered
+  std::optional<std::uint64_t> announced_bytes; // from the response head
+  std::uint64_t received_bytes = 0;             // of the body, all still buffered
   bool complete = false;
-  bool may_wait = false;     // the time is before buffering_deadline()
-  std::size_t window = 0;    // bytes of this response that may be buffered, see BufferBudget
-  std::size_t available = 0; // bytes that may be buffered beyond received_bytes
+  bool within_buffering_time = false; // the time is before buffering_deadline()
+  std::size_t window_bytes = 0;       // bytes of this response that may be buffered, see BufferBudget
+  std::size_t available_bytes = 0;    // bytes that may be buffered beyond received_bytes
 };
 
 enum class ResponseStep {
@@ -30,16 +30,18 @@
   TooLarge // fail the attempt
 };
 
-ResponseStep next_step(const ResponseBufferingLimits& rules, const ResponseProgress& facts);
+ResponseStep next_response_step(const ResponseBufferingLimits& limits, const ResponseProgress& progress);
 
 // Also to be checked after the response was started.
-inline bool within_size_limit(const ResponseBufferingLimits& rules, std::uint64_t come) {
-  return come <= rules.max_body_bytes;
+inline bool within_size_limit(const ResponseBufferingLimits& limits, std::uint64_t received_bytes) {
+  return received_bytes <= limits.max_body_bytes;
 }
 
 // Time at which buffering ends: halfway between the start of the attempt and its response deadline. A retry
 // started later would have less time than this attempt has taken, and the client must still receive all
 // bytes.
-inline double buffer_until(double sent_at, double wanted_by) { return sent_at + (wanted_by - sent_at) / 2; }
+inline double buffering_deadline(double sent_at, double response_deadline) {
+  return sent_at + (response_deadline - sent_at) / 2;
+}
 
 } // namespace fernward::body_buffers
--- a/src/body_buffers/retained_bodies.h
+++ b/src/body_buffers/retained_bodies.h
@@ -17,9 +17,9 @@
 
 struct RetentionLimits {
   std::uint64_t max_body_bytes = 64 << 10; // a longer body is rejected
-  std::uint64_t max_memory_per_body = 64 << 10;
+  std::uint64_t max_memory_bytes_per_body = 64 << 10;
   std::uint64_t max_memory_bytes = 8 << 20;    // of all bodies
-  std::uint64_t max_file_per_body = 0;         // 0: no folder
+  std::uint64_t max_file_bytes_per_body = 0;   // 0: no folder
   std::uint64_t max_file_bytes = 0;            // of all bodies
   std::size_t max_files = 8;                   // open at once; each uses a descriptor
   std::uint64_t stream_after_bytes = 64 << 10; // bytes of a streamed body received before its first attempt
@@ -49,11 +49,12 @@
 // `window_ms` since the first attempt, because servers forget the key after that time. The Balancer's
 // may_repeat (requests/request_state.h) does not consider the body; it also checks the key's scope and keeps
 // a margin of the window.
-bool may_send(const BodyAvailability& body, Idempotency repeat, double window_ms, const AttemptHistory& past);
+bool may_send(const BodyAvailability& body, Idempotency idempotency, double key_window_ms,
+              const AttemptHistory& history);
 
 class RetainedBodies {
  public:
-  explicit RetainedBodies(const RetentionLimits& rules) : limits_(rules) {}
+  explicit RetainedBodies(const RetentionLimits& limits) : limits_(limits) {}
   RetainedBodies(const RetainedBodies&) = delete;
   RetainedBodies& operator=(const RetainedBodies&) = delete;
 
@@ -62,7 +63,7 @@
   class Body {
    public:
     // Space for an announced length is reserved at once, so that only a file error can end the retention.
-    Body(RetainedBodies& keeper, std::optional<std::uint64_t> length);
+    Body(RetainedBodies& bodies, std::optional<std::uint64_t> announced_bytes);
     Body(const Body&) = delete;
     Body& operator=(const Body&) = delete;
     ~Body();
@@ -81,7 +82,7 @@
     // Whether an attempt may start. A body in memory must be complete first, so that a slow client does not
     // occupy a server connection. A longer body is streamed, as waiting for it would double its transfer
     // time.
-    bool may_stream(bool whole) const;
+    bool may_stream(bool complete) const;
     BodyAvailability availability() const;
     // Time that the complete body may take to arrive; grows with the bytes received.
     double receive_timeout_ms(double base_ms) const;
@@ -91,10 +92,10 @@
     bool fits_file(std::uint64_t bytes) const;
     void move_to_file();
 
-    RetainedBodies& all_;
-    std::optional<std::uint64_t> length_;
+    RetainedBodies& bodies_;
+    std::optional<std::uint64_t> announced_bytes_;
     Retention retention_ = Retention::Memory;
-    std::uint64_t received_bytes_ = 0, reserved_memory_ = 0, reserved_file_ = 0;
+    std::uint64_t received_bytes_ = 0, reserved_memory_bytes_ = 0, reserved_file_bytes_ = 0;
     std::uint64_t memory_bytes_ = 0, file_bytes_ = 0; // received
     bool consumed_ = false, too_long_ = false, has_file_ = false;
   };
--- a/src/commands/command.h
+++ b/src/commands/command.h
@@ -5,9 +5,9 @@
 
 namespace fernward::commands {
 
-int serve(const arguments::Arguments& given);        // run the router
-int check_config(const arguments::Arguments& given); // check the platform file named by NODE_CONFIG
-int config(const arguments::Arguments& given);       // create, check and explain an application's file
-int sidecar(const arguments::Arguments& given);      // run the router and its application
+int serve(const arguments::Arguments& args);        // run the router
+int check_config(const arguments::Arguments& args); // check the platform file named by NODE_CONFIG
+int config(const arguments::Arguments& args);       // create, check and explain an application's file
+int sidecar(const arguments::Arguments& args);      // run the router and its application
 
 } // namespace fernward::commands
--- a/src/commands/shared.h
+++ b/src/commands/common.h
@@ -10,12 +10,12 @@
 
 namespace fernward::commands {
 
-inline const char* environment(const char* name) { return std::getenv(name); }
+inline const char* environment_variable(const char* name) { return std::getenv(name); }
 
 // Prints each error on a line of standard error. Returns whether the configuration is valid.
-inline bool tell(const app_config::Setup& setup) {
-  for (const auto& fault : setup.faults) std::fprintf(stderr, "%s\n", fault.coded().c_str());
-  return setup.sound();
+inline bool print_errors(const app_config::LoadedConfig& config) {
+  for (const auto& error : config.errors) std::fprintf(stderr, "%s\n", error.to_string_with_code().c_str());
+  return config.valid();
 }
 
 // The value of --log-format; empty: use the format of the file. Throws UsageError.
--- a/src/concurrency/admission_controller.h
+++ b/src/concurrency/admission_controller.h
@@ -11,29 +11,29 @@
 // or beyond its tenant's quota. The caller counts choices and request rates, and calls on_tick() at a fixed
 // interval.
 struct AdmissionController {
-  std::vector<double> priority_values; // priority weight of a response, by priority
-  std::vector<double> priority_rates;  // recent requests, by priority; decayed with each tick
-  double shed_share = 0;               // share of the traffic to shed
-  double choices = 0;                  // recent choices; decayed with each tick
-  double choices_without_capacity = 0; // recent choices that found no cache with capacity
+  std::vector<double> priority_weights; // priority weight of a response, by priority
+  std::vector<double> priority_rates;   // recent requests, by priority; decayed with each tick
+  double shed_share = 0;                // share of the traffic to shed
+  double choices = 0;                   // recent choices; decayed with each tick
+  double choices_without_capacity = 0;  // recent choices that found no cache with capacity
 
   // `uniform_draw`: uniform in [0, 1). Sheds all requests of the lower weights and a random part of those
   // with the weight at the boundary.
-  bool admits(std::size_t priority, double draw) const {
-    const double value = priority_values[priority];
-    double lower = 0;
-    double equal = 0;
-    double higher = 0;
-    for (std::size_t i = 0; i < priority_values.size(); ++i) {
-      if (priority_values[i] < value) {
-        lower += priority_rates[i];
-      } else if (priority_values[i] == value) {
-        equal += priority_rates[i];
+  bool admits(std::size_t priority, double uniform_draw) const {
+    const double weight = priority_weights[priority];
+    double lower_rate = 0;
+    double equal_rate = 0;
+    double higher_rate = 0;
+    for (std::size_t i = 0; i < priority_weights.size(); ++i) {
+      if (priority_weights[i] < weight) {
+        lower_rate += priority_rates[i];
+      } else if (priority_weights[i] == weight) {
+        equal_rate += priority_rates[i];
       } else {
-        higher += priority_rates[i];
+        higher_rate += priority_rates[i];
       }
     }
-    return draw * equal >= shed_share * (lower + equal + higher) - lower;
+    return uniform_draw * equal_rate >= shed_share * (lower_rate + equal_rate + higher_rate) - lower_rate;
   }
 
   void on_tick() {
--- a/src/concurrency/connection_capacity_estimator.h
+++ b/src/concurrency/connection_capacity_estimator.h
@@ -39,12 +39,12 @@
 
   // A connection was refused while `in_flight` others were in use. `uniform_draw`: uniform in [0, 1), spreads
   // the trials of the routers over time.
-  void on_connection_refused(double now, std::uint32_t in_flight, double response_ms, double draw) {
+  void on_connection_refused(double now, std::uint32_t in_flight, double response_ms, double uniform_draw) {
     capacity_ = in_flight;
     const bool was_trial = std::exchange(trial_in_flight_, false);
     if (!was_trial && now < next_trial_at_) return; // one of several sent at the same time
     trial_interval_ms_ = std::max(response_ms, kMinTrialIntervalMs);
-    next_trial_at_ = now + trial_interval_ms_ * (0.5 + draw);
+    next_trial_at_ = now + trial_interval_ms_ * (0.5 + uniform_draw);
   }
 
   // A response was received on one of `in_use` connections.
--- a/src/concurrency/latency_baseline.h
+++ b/src/concurrency/latency_baseline.h
@@ -19,35 +19,39 @@
 
   // `work_ms` 0: unknown.
   double expected_ms(double work_ms, bool write) const {
-    const double by_work = work_ms > 0 && mean_work_ > 0 ? 1 + slope() * (work_ms / mean_work_ - 1) : 1;
-    return mean_ms_ * std::clamp(by_work, kMinWorkFactor, kMaxWorkFactor) * (write ? write_factor_ : 1);
+    const double work_factor =
+        work_ms > 0 && mean_work_hint_ > 0 ? 1 + work_slope() * (work_ms / mean_work_hint_ - 1) : 1;
+    return mean_ms_ * std::clamp(work_factor, kMinWorkFactor, kMaxWorkFactor) * (write ? write_factor_ : 1);
   }
 
   // Updates how latency depends on the work hint and on writing. Congested samples count too, as congestion
   // slows all requests alike. `slowdown`: latency / expected_ms(); `mean_slowdown`: its recent mean.
-  void learn_work_factors(double slowdown, double mean_slowdown, double work_ms, bool write) {
-    const double relative = std::min(slowdown / std::max(mean_slowdown, kMinMeanSlowdown), kMaxSample);
+  void update_work_factors(double slowdown, double mean_slowdown, double work_ms, bool write) {
+    const double relative_slowdown =
+        std::min(slowdown / std::max(mean_slowdown, kMinMeanSlowdown), kMaxSampleRatio);
     if (write) {
-      smooth(write_factor_, std::clamp(write_factor_ * relative, kMinWriteFactor, kMaxWriteFactor), kWeight);
+      update_moving_average(write_factor_,
+                            std::clamp(write_factor_ * relative_slowdown, kMinWriteFactor, kMaxWriteFactor),
+                            kSampleWeight);
     }
     if (write || work_ms <= 0) return;
-    if (mean_work_ == 0) mean_work_ = work_ms;
-    smooth(mean_work_, work_ms, kWeight);
-    const double work_deviation = std::clamp(work_ms / mean_work_ - 1, -1.0, kMaxSample);
-    const double latency = relative * (1 + slope() * work_deviation);
-    smooth(work_variance_, work_deviation * work_deviation, kWeight);
-    smooth(covariance_, work_deviation * (latency - 1), kWeight);
+    if (mean_work_hint_ == 0) mean_work_hint_ = work_ms;
+    update_moving_average(mean_work_hint_, work_ms, kSampleWeight);
+    const double work_deviation = std::clamp(work_ms / mean_work_hint_ - 1, -1.0, kMaxSampleRatio);
+    const double relative_latency = relative_slowdown * (1 + work_slope() * work_deviation);
+    update_moving_average(work_variance_, work_deviation * work_deviation, kSampleWeight);
+    update_moving_average(covariance_, work_deviation * (relative_latency - 1), kSampleWeight);
   }
 
-  void learn(double slowdown, double weight) {
-    mean_ms_ *= 1 + weight * (std::min(slowdown, kMaxSample) - 1);
+  void update_mean(double slowdown, double weight) {
+    mean_ms_ *= 1 + weight * (std::min(slowdown, kMaxSampleRatio) - 1);
   }
   void scale(double factor) { mean_ms_ *= factor; }
-  void start(double elapsed_ms) { mean_ms_ = elapsed_ms; }
+  void initialize(double elapsed_ms) { mean_ms_ = elapsed_ms; }
 
  private:
-  static constexpr double kWeight = 0.02; // weight of one response
-  static constexpr double kMaxSample = 5; // bound of one response, relative to the mean
+  static constexpr double kSampleWeight = 0.02; // weight of one response
+  static constexpr double kMaxSampleRatio = 5;  // bound of one response, relative to the mean
   static constexpr double kMinMeanSlowdown = 0.1;
   static constexpr double kMinWorkFactor = 0.1;
   static constexpr double kMaxWorkFactor = 10;
@@ -56,13 +60,13 @@
   static constexpr double kMinWorkVariance = 1e-3; // below it the hints carry no information
 
   // Slope of latency over work, both relative to their means.
-  double slope() const {
+  double work_slope() const {
     return work_variance_ > kMinWorkVariance ? std::clamp(covariance_ / work_variance_, 0.0, 1.0) : 0;
   }
 
   double mean_ms_ = 0;
   double write_factor_ = 1; // latency of a write / latency of a read
-  double mean_work_ = 0;
+  double mean_work_hint_ = 0;
   double work_variance_ = 0;
   double covariance_ = 0; // of work and latency
 };
--- a/src/concurrency/origin_concurrency_limiter.h
+++ b/src/concurrency/origin_concurrency_limiter.h
@@ -63,7 +63,7 @@
   double recent_latency_ms(double now) const;
   // Utilization relative to the point at which the limit decreases: 0: idle; above 1: the limit decreases.
   // `demand`: attempts in flight and waiting.
-  double utilization(double now, double wanted) const;
+  double utilization(double now, double demand) const;
 
  private:
   OriginConcurrencyLimiter(double router_count, double initial_limit);
@@ -73,24 +73,24 @@
     return baseline_.expected_ms(sample.work_ms, sample.write);
   }
   double tolerated_slowdown(double latency_objective_ms) const;
-  double late_share(double latency_objective_ms) const;
+  double late_objective_ratio(double latency_objective_ms) const;
   bool follows_fleet_latency(double now) const;
 
-  DecreaseReason on_refused(double now, const AttemptSample& sample);
-  bool shows_latency(double now, const AttemptSample& sample);
+  DecreaseReason on_rejected(double now, const AttemptSample& sample);
+  bool reflects_server_latency(double now, const AttemptSample& sample);
   void update_latency(double now, const AttemptSample& sample);
 
-  void learn(double now, const AttemptSample& sample, double slowdown);
+  void process_sample(double now, const AttemptSample& sample, double slowdown);
   void test_baseline(double slowdown);
-  void learn_baseline(const AttemptSample& sample, double slowdown);
-  void remember_uncrowded(double growth_bound);
+  void update_baseline(const AttemptSample& sample, double slowdown);
+  void update_uncongested(double growth_bound);
   void adjust(double now, const AttemptSample& sample, double slowdown, double growth_bound,
-              bool carries_more);
+              bool throughput_increased);
   bool decrease_if_late(double now, const AttemptSample& sample);
-  bool decrease_if_crowded(double now);
-  void ease(double excess_slowdown);
+  bool decrease_if_congested(double now);
+  void decrease_gradually(double excess_slowdown);
   void grow(const AttemptSample& sample);
-  void decrease(double now, double to);
+  void decrease(double now, double new_limit);
 
   double limit_;
   double initial_limit_;
@@ -100,27 +100,27 @@
 
   double latency_ms_ = 0;
   double latency_objective_ms_ = 0; // of the last sample that had one
-  double slowdown_ = 1;             // mean of latency / expected latency
-  double late_ = 0;                 // mean of latency / objective
-  double strain_ = 0;               // evidence of congestion, summed over samples
-  double samples_ = 0;              // up to kMaxSamples
-  double used_;                     // mean attempts in flight
-  double at_limit_ = 0;             // share of samples that were slow while the limit was used up
+  double mean_slowdown_ = 1;        // mean of latency / expected latency
+  double mean_objective_ratio_ = 0; // mean of latency / objective
+  double congestion_score_ = 0;     // evidence of congestion, summed over samples
+  double sample_count_ = 0;         // up to kMaxSamples
+  double mean_in_flight_;           // mean attempts in flight
+  double slow_at_limit_share_ = 0;  // share of samples that were slow while the limit was used up
 
   // Values while the server was not congested.
-  double uncrowded_limit_ = 0;
-  double uncrowded_used_ = 0;
+  double uncongested_limit_ = 0;
+  double uncongested_throughput_ = 0;
   double growth_share_ = 1; // share of full growth, by the distance of the slowdown from the growth bound
 
   // Test of the baseline after a decrease.
   bool testing_baseline_ = false;
-  double test_samples_ = 0;
-  double test_sum_ = 0;
+  double test_sample_count_ = 0;
+  double test_slowdown_sum_ = 0;
   double test_interval_ms_ = 4000;
 
-  double regrow_limit_; // after a decrease the limit grows fast up to this value
+  double fast_growth_limit_; // after a decrease the limit grows fast up to this value
   double decreased_at_ = kNever;
-  double decrease_settled_at_ = kNever;      // attempts sent earlier do not show the effect of the decrease
+  double decrease_effective_at_ = kNever;    // attempts sent earlier do not show the effect of the decrease
   double limit_before_connect_failures_ = 0; // 0: none since a response
   double last_answered_sent_at_ = kNever;    // send time of the latest sent attempt that was answered
   std::uint32_t consecutive_timeouts_ = 0;
@@ -133,9 +133,9 @@
   // This router's latency, reported to the other routers, and the latency reported by them.
   double recent_sum_ms_ = 0;
   double recent_count_ = 0;
-  double recent_at_ = kNever;
-  double fleet_latency_at_ = kNever; // last call that had a known latency
-  double fleet_heard_at_ = kNever;   // last call of set_fleet_latency()
+  double recent_updated_at_ = kNever;
+  double fleet_latency_known_at_ = kNever;    // last call that had a known latency
+  double fleet_latency_received_at_ = kNever; // last call of set_fleet_latency()
 };
 
 } // namespace fernward::concurrency
--- a/src/concurrency/origin_request_queue.h
+++ b/src/concurrency/origin_request_queue.h
@@ -28,11 +28,11 @@
 
   // `attempts_per_ms`: rate of attempts that this router may send to the origin; `response_time_ms`: from
   // sending an attempt to its response.
-  void set_service_rate(double turns_per_ms, double response_ms);
+  void set_service_rate(double attempts_per_ms, double response_time_ms);
 
   // False: not queued, as it would certainly be late, or the queue is full and no request in it may be
   // evicted for it, or the id is queued already. `deadline`: time by which the response is needed.
-  bool add(double now, Id id, double value, double deadline, bool write);
+  bool add(double now, Id id, double priority_weight, double deadline, bool write);
   // Removes and returns the next request of the kinds that may be sent.
   std::optional<Id> take(double now, bool may_read, bool may_write);
   // The request has ended. False: not queued.
@@ -52,16 +52,16 @@
   };
   using Position = std::pair<double, std::uint64_t>; // -priority_weight, then newest first
 
-  double wait_ms(std::size_t ahead) const;
-  bool is_late(double now, const Request& request, std::size_t ahead) const;
+  double wait_ms(std::size_t requests_ahead) const;
+  bool is_late(double now, const Request& request, std::size_t requests_ahead) const;
 
   std::size_t max_size_;
   std::map<Position, Request> requests_;
   std::unordered_map<Id, Position> positions_;
   std::vector<Id> evicted_;
-  std::uint64_t added_ = 0;
-  double turns_per_ms_ = 0;
-  double response_ms_ = 0;
+  std::uint64_t added_count_ = 0;
+  double attempts_per_ms_ = 0;
+  double response_time_ms_ = 0;
 };
 
 } // namespace fernward::concurrency
--- a/src/concurrency/retry_budget.h
+++ b/src/concurrency/retry_budget.h
@@ -21,7 +21,7 @@
 
   // An attempt ended, or this router rejected a request. `congested`: it indicated that a server or the fleet
   // is full (rejected, shed, over a limit, late because of queueing). `failed`: it had no usable result.
-  void on_attempt_ended(double now, bool crowded, bool failed = false);
+  void on_attempt_ended(double now, bool congested, bool failed = false);
 
   // Removes one attempt from the budget; false: none is available. `utilization`: of the target server, see
   // OriginConcurrencyLimiter; at 1 or more, hedged requests are denied and retries use only the part of the
@@ -38,14 +38,14 @@
  private:
   void advance(double now);
   double max_balance() const;
-  double max_hedges() const { return 1 + 9 * proven_capacity_; }
-
-  double proven_capacity_ = 0; // 0 at first: a retry storm may have caused the restart of the router
-  double crowded_share_ = 0;   // of recent attempts
-  double failed_share_ = 0;    // of recent attempts
-  double balance_ = 10;        // not 0: requests that would have earned it may already be in flight
-  double min_balance_ = 10;    // part of balance_ that is also earned under congestion
-  double hedges_ = 1;          // part of balance_ that hedged requests may use
+  double max_hedge_balance() const { return 1 + 9 * proven_capacity_; }
+
+  double proven_capacity_ = 0;     // 0 at first: a retry storm may have caused the restart of the router
+  double congested_share_ = 0;     // of recent attempts
+  double failed_share_ = 0;        // of recent attempts
+  double balance_ = 10;            // not 0: requests that would have earned it may already be in flight
+  double guaranteed_balance_ = 10; // part of balance_ that is also earned under congestion
+  double hedge_balance_ = 1;       // part of balance_ that hedged requests may use
   double advanced_at_ = kNever;
 };
 
--- a/src/concurrency/slow_attempt_tracker.h
+++ b/src/concurrency/slow_attempt_tracker.h
@@ -20,15 +20,17 @@
     slow_threshold_ms *= std::exp(kThresholdStep * ((elapsed_ms > slow_threshold_ms) - slow_share));
   }
   // A slow attempt that was not cancelled has ended.
-  void on_slow_attempt_ended(bool answered) { smooth(never_answered_share, !answered, kAnsweredWeight); }
-  bool expects_dead_attempts() const { return never_answered_share > kDeadAttemptsShare; }
+  void on_slow_attempt_ended(bool answered) {
+    update_moving_average(never_answered_share, !answered, kAnsweredWeight);
+  }
+  bool expects_unanswered_attempts() const { return never_answered_share > kUnansweredAttemptsShare; }
 
  private:
   static constexpr double kMinSlowShare = 0.05;
   static constexpr double kMaxSlowShare = 0.2;
   static constexpr double kThresholdStep = 0.05;
   static constexpr double kAnsweredWeight = 0.05; // weight of one slow attempt
-  static constexpr double kDeadAttemptsShare = 0.25;
+  static constexpr double kUnansweredAttemptsShare = 0.25;
 };
 
 } // namespace fernward::concurrency
--- a/src/config/address.cpp
+++ b/src/config/address.cpp
@@ -8,16 +8,16 @@
 
 namespace fernward::config {
 
-bool parse_address(const std::string& text, sockaddr_in& into) {
-  into = {};
-  into.sin_family = AF_INET;
+bool parse_address(const std::string& text, sockaddr_in& address) {
+  address = {};
+  address.sin_family = AF_INET;
   const auto colon = text.rfind(':');
   if (colon == std::string::npos) return false;
   std::uint16_t port = 0;
   const char* const end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data() + colon + 1, end, port);
-  into.sin_port = htons(port);
-  return inet_pton(AF_INET, text.substr(0, colon).c_str(), &into.sin_addr) == 1 && error == std::errc() &&
+  address.sin_port = htons(port);
+  return inet_pton(AF_INET, text.substr(0, colon).c_str(), &address.sin_addr) == 1 && error == std::errc() &&
          stop == end;
 }
 
--- a/src/config/address.h
+++ b/src/config/address.h
@@ -8,7 +8,7 @@
 
 namespace fernward::config {
 
-bool parse_address(const std::string& text, sockaddr_in& into); // IPv4 "host:port"; false: invalid
+bool parse_address(const std::string& text, sockaddr_in& address); // IPv4 "host:port"; false: invalid
 
 // The path of an address such as "unix:/run/app/router.sock"; none: another kind of address, or the path
 // exceeds the kernel's limit of 107 bytes.
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -8,56 +8,56 @@
 
 #include "config/address.h"
 #include "config/json.h"
-#include "config/read.h"
+#include "config/json_reader.h"
 
 namespace fernward::config {
 namespace {
 
-std::string from_environment(Lookup environment, const char* name) {
+std::string environment_value(EnvironmentLookup environment, const char* name) {
   const char* value = environment(name);
   return value == nullptr ? "" : value;
 }
 
-std::string address(const Part& file, const char* key, Lookup environment, const char* variable,
-                    bool file_first = false) {
-  std::string value = file_first ? file.word(key) : "";
-  if (value.empty()) value = from_environment(environment, variable);
-  const std::string named = file_first || value.empty() ? key : variable;
-  if (value.empty()) file.read(key, value);
+std::string required_address(const JsonObject& file, const char* key, EnvironmentLookup environment,
+                             const char* variable, bool prefer_file = false) {
+  std::string value = prefer_file ? file.string_or_empty(key) : "";
+  if (value.empty()) value = environment_value(environment, variable);
+  const std::string source_name = prefer_file || value.empty() ? key : variable;
+  if (value.empty()) file.read_optional(key, value);
   if (value.empty()) throw Error(std::string(key) + ": is missing (and so is " + variable + ")");
-  sockaddr_in where{};
-  if (!parse_address(value, where) && !(named == "listen" && unix_path(value)))
-    throw Error(named + ": \"" + value + "\" is not an address of the form 10.0.0.4:7070");
+  sockaddr_in parsed{};
+  if (!parse_address(value, parsed) && !(source_name == "listen" && unix_path(value)))
+    throw Error(source_name + ": \"" + value + "\" is not an address of the form 10.0.0.4:7070");
   return value;
 }
 
 // The listen address of the admin port; empty: no listener.
-std::string control_address(const Part& file, Lookup environment) {
-  std::string value = from_environment(environment, "NODE_CONTROL");
-  const char* named = value.empty() ? "control" : "NODE_CONTROL";
-  if (value.empty()) file.read("control", value);
-  sockaddr_in where{};
-  if (!value.empty() && !parse_address(value, where))
-    throw Error(std::string(named) + ": \"" + value + "\" is not an address of the form 10.0.0.4:7071");
+std::string read_control_address(const JsonObject& file, EnvironmentLookup environment) {
+  std::string value = environment_value(environment, "NODE_CONTROL");
+  const char* source_name = value.empty() ? "control" : "NODE_CONTROL";
+  if (value.empty()) file.read_optional("control", value);
+  sockaddr_in parsed{};
+  if (!value.empty() && !parse_address(value, parsed))
+    throw Error(std::string(source_name) + ": \"" + value + "\" is not an address of the form 10.0.0.4:7071");
   return value;
 }
 
 // The socket is in the platform's folder for this router, which both processes can access. Its name contains
 // the listen address, as two routers may share a folder.
-std::string handover_path(const Config& config, Lookup environment) {
-  const std::string folder = from_environment(environment, "TMPDIR");
-  if (config.control.empty() || folder.empty() || config.listen.ends_with(":0")) return "";
-  std::string name = config.listen;
+std::string make_hot_restart_path(const Config& config, EnvironmentLookup environment) {
+  const std::string folder = environment_value(environment, "TMPDIR");
+  if (config.control_address.empty() || folder.empty() || config.listen_address.ends_with(":0")) return "";
+  std::string name = config.listen_address;
   std::replace_if(
       name.begin(), name.end(), [](char c) { return c == ':' || c == '/'; }, '_');
   return folder + "/fernward-" + name + ".sock";
 }
 
-std::uint64_t seed_of(const Part& file) {
+std::uint64_t read_seed(const JsonObject& file) {
   const auto found = file.json.find("seed");
   if (found == file.json.end() || found->is_null()) return 1;
   if (found->is_number_unsigned()) return found->get<std::uint64_t>();
-  const std::string text = file.word("seed");
+  const std::string text = file.string_or_empty("seed");
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
   if (text.empty() || error != std::errc() || end != text.data() + text.size()) {
@@ -66,64 +66,64 @@
   return seed;
 }
 
-std::vector<Mapping> mappings(const Part& file) {
-  std::vector<Mapping> all;
-  for (const Part& entry : file.list("map")) {
-    Mapping& m = all.emplace_back();
-    entry.need("path", m.path);
-    entry.read("method", m.method);
-    entry.read("class", m.cls);
-    entry.read("tenant", m.tenant);
-    entry.range("timeout", m.timeout_ms);
+std::vector<Mapping> read_mappings(const JsonObject& file) {
+  std::vector<Mapping> result;
+  for (const JsonObject& entry : file.object_list("map")) {
+    Mapping& mapping = result.emplace_back();
+    entry.read_required("path", mapping.path_prefix);
+    entry.read_optional("method", mapping.method);
+    entry.read_optional("class", mapping.class_name);
+    entry.read_optional("tenant", mapping.tenant_name);
+    entry.read_range("timeout", mapping.client_timeout_ms);
   }
-  return all;
+  return result;
 }
 
-LogRules log_rules(const Part& part) {
-  LogRules rules;
-  rules.json = part.word("format") == "json";
-  part.read("connections", rules.connections);
-  part.range("per_second", rules.per_second);
-  part.range("burst", rules.burst);
-  return rules;
+LogSettings read_log_settings(const JsonObject& log_json) {
+  LogSettings settings;
+  settings.json = log_json.string_or_empty("format") == "json";
+  log_json.read_optional("connections", settings.log_connections);
+  log_json.read_range("per_second", settings.lines_per_s);
+  log_json.read_range("burst", settings.burst_lines);
+  return settings;
 }
 
-Config parse_file(const std::string& text, Lookup environment, bool again) {
-  Part file;
+Config parse_file(const std::string& text, EnvironmentLookup environment, bool reloading) {
+  JsonObject file;
   file.json = parse_json(text);
   if (file.json.is_discarded()) throw Error("NODE_CONFIG: the file is not JSON, or nested too deeply");
   if (!file.json.is_object()) throw Error("NODE_CONFIG: the file must contain a JSON object");
 
   Config config;
-  config.name = from_environment(environment, "NODE_NAME");
-  if (config.name.empty()) file.read("name", config.name);
+  config.name = environment_value(environment, "NODE_NAME");
+  if (config.name.empty()) file.read_optional("name", config.name);
   if (config.name.empty()) config.name = "fernward";
-  config.listen = address(file, "listen", environment, "NODE_LISTEN");
-  config.control = control_address(file, environment);
-  config.handover = handover_path(config, environment);
-  file.read("nodes_file", config.nodes_file);
-  file.read("nodes_fixed", config.nodes_fixed);
-  if (config.nodes_file.empty() && !config.nodes_fixed) {
-    config.discovery = address(file, "discovery", environment, "NODE_DISCOVERY", again);
+  config.listen_address = required_address(file, "listen", environment, "NODE_LISTEN");
+  config.control_address = read_control_address(file, environment);
+  config.hot_restart_path = make_hot_restart_path(config, environment);
+  file.read_optional("nodes_file", config.nodes_file);
+  file.read_optional("nodes_fixed", config.static_nodes);
+  if (config.nodes_file.empty() && !config.static_nodes) {
+    config.discovery_address = required_address(file, "discovery", environment, "NODE_DISCOVERY", reloading);
   }
-  config.map = mappings(file);
-  file.read("make_ids", config.make_ids);
-  config.log = log_rules(file.part("log"));
-  file.read("movable", config.movable);
-  config.seed = seed_of(file);
-  const Part limits = file.part("limits");
-  if (limits.json.contains("sockets")) limits.count("sockets", config.sockets);
-  if (limits.json.contains("memory_mb")) limits.count("memory_mb", config.memory_mb, 8);
-  if (limits.json.contains("answer_bytes")) limits.count("answer_bytes", config.answer_bytes, 1);
-  if (limits.json.contains("request_bytes")) limits.count("request_bytes", config.request_bytes, 1);
-  if (limits.json.contains("body_folder_mb")) limits.count("body_folder_mb", config.body_folder_mb, 1);
-  limits.read("body_folder", config.body_folder);
-  if (config.sockets < 64) throw Error("limits.sockets: must be 64 or more");
+  config.mappings = read_mappings(file);
+  file.read_optional("make_ids", config.generate_request_ids);
+  config.log = read_log_settings(file.optional_object("log"));
+  file.read_optional("movable", config.reloadable);
+  config.seed = read_seed(file);
+  const JsonObject limits = file.optional_object("limits");
+  if (limits.json.contains("sockets")) limits.read_count("sockets", config.max_descriptors);
+  if (limits.json.contains("memory_mb")) limits.read_count("memory_mb", config.memory_mb, 8);
+  if (limits.json.contains("answer_bytes")) limits.read_count("answer_bytes", config.max_response_bytes, 1);
+  if (limits.json.contains("request_bytes")) limits.read_count("request_bytes", config.max_request_bytes, 1);
+  if (limits.json.contains("body_folder_mb")) limits.read_count("body_folder_mb", config.spill_limit_mb, 1);
+  limits.read_optional("body_folder", config.spill_folder);
+  if (config.max_descriptors < 64) throw Error("limits.sockets: must be 64 or more");
   if (const auto known = file.json.find("known"); known != file.json.end() && !known->is_null()) {
     if (!known->is_object()) throw Error("known: must be an object");
-    config.known = *known;
+    config.known_endpoints = *known;
   }
-  const Part settings = file.needed_part("settings");
+  const JsonObject settings = file.required_object("settings");
   try {
     config.settings = parse_settings(settings.json);
     config.names = parse_names(settings.json);
@@ -134,13 +134,13 @@
   } catch (const std::invalid_argument& error) {
     throw Error(error.what());
   }
-  config.fixed = std::move(file.json);
-  for (const char* key : {"discovery", "known", "seed"}) config.fixed.erase(key);
+  config.static_keys = std::move(file.json);
+  for (const char* key : {"discovery", "known", "seed"}) config.static_keys.erase(key);
   return config;
 }
 
-std::string read_file(Lookup environment) {
-  const std::string path = from_environment(environment, "NODE_CONFIG");
+std::string read_file(EnvironmentLookup environment) {
+  const std::string path = environment_value(environment, "NODE_CONFIG");
   if (path.empty()) throw Error("NODE_CONFIG: is not set");
   std::ifstream file(path, std::ios::binary);
   if (!file) throw Error("NODE_CONFIG: cannot read " + path);
@@ -151,45 +151,48 @@
 
 } // namespace
 
-Config parse(const std::string& text, Lookup environment) { return parse_file(text, environment, false); }
-Config load(Lookup environment) { return parse_file(read_file(environment), environment, false); }
-Config reload(Lookup environment) { return parse_file(read_file(environment), environment, true); }
+Config parse(const std::string& text, EnvironmentLookup environment) {
+  return parse_file(text, environment, false);
+}
+Config load(EnvironmentLookup environment) { return parse_file(read_file(environment), environment, false); }
+Config reload(EnvironmentLookup environment) { return parse_file(read_file(environment), environment, true); }
 
 namespace {
 
 // Appends the new names of `next` to `current`. A name absent from `next` keeps its index but gets a leading
 // newline, which no header can carry. `source_index`: for each name of the result its index in `next`, or
 // none.
-std::vector<std::string> merged(const std::vector<std::string>& now, const std::vector<std::string>& next,
-                                std::vector<std::optional<std::size_t>>& place) {
-  std::vector<std::string> all;
-  for (const std::string& name : now) {
+std::vector<std::string> merge_names(const std::vector<std::string>& current,
+                                     const std::vector<std::string>& next,
+                                     std::vector<std::optional<std::size_t>>& source_index) {
+  std::vector<std::string> result;
+  for (const std::string& name : current) {
     const auto found = std::find(next.begin(), next.end(), name);
-    place.push_back(found == next.end()
-                        ? std::nullopt
-                        : std::optional<std::size_t>(static_cast<std::size_t>(found - next.begin())));
-    all.push_back(found == next.end() ? "\n" + name : name);
+    source_index.push_back(found == next.end()
+                               ? std::nullopt
+                               : std::optional<std::size_t>(static_cast<std::size_t>(found - next.begin())));
+    result.push_back(found == next.end() ? "\n" + name : name);
   }
   for (std::size_t i = 0; i < next.size(); ++i) {
-    if (std::find(now.begin(), now.end(), next[i]) != now.end()) continue;
+    if (std::find(current.begin(), current.end(), next[i]) != current.end()) continue;
     // A name that was removed before and returns gets its old index.
-    const auto back = std::find(all.begin(), all.end(), "\n\n" + next[i]);
-    if (back != all.end()) {
-      *back = next[i];
-      place[static_cast<std::size_t>(back - all.begin())] = i;
+    const auto restored = std::find(result.begin(), result.end(), "\n\n" + next[i]);
+    if (restored != result.end()) {
+      *restored = next[i];
+      source_index[static_cast<std::size_t>(restored - result.begin())] = i;
       continue;
     }
-    all.push_back(next[i]);
-    place.push_back(i);
+    result.push_back(next[i]);
+    source_index.push_back(i);
   }
-  for (std::string& name : all) {
+  for (std::string& name : result) {
     if (name.starts_with("\n\n")) name.erase(0, 1); // removed in an earlier reload
   }
-  return all;
+  return result;
 }
 
 // Whether a reload may change the key. `path`: a JSON pointer in the platform file.
-bool may_move(const std::string& path) {
+bool is_reloadable(const std::string& path) {
   for (const char* part :
        {"/map", "/make_ids", "/log", "/nodes_file", "/nodes_fixed", "/settings/classes", "/settings/parties",
         "/settings/limits/max_attempts", "/settings/limits/may_cancel", "/settings/limits/may_duplicate",
@@ -201,33 +204,34 @@
 
 } // namespace
 
-Config moved(const Config& now, Config next) {
-  for (const auto& change : nlohmann::json::diff(now.fixed, next.fixed)) {
+Config merge_reloaded(const Config& current, Config next) {
+  for (const auto& change : nlohmann::json::diff(current.static_keys, next.static_keys)) {
     std::string path = change.at("path").get<std::string>();
-    if (may_move(path)) continue;
+    if (is_reloadable(path)) continue;
     std::replace(path.begin(), path.end(), '/', '.');
     throw Error(path.substr(1) + ": holds until the next start");
   }
-  std::vector<std::optional<std::size_t>> place;
-  next.names.classes = merged(now.names.classes, next.names.classes, place);
+  std::vector<std::optional<std::size_t>> source_index;
+  next.names.classes = merge_names(current.names.classes, next.names.classes, source_index);
   std::vector<fernward::ClassSettings> classes;
-  for (std::size_t i = 0; i < place.size(); ++i) {
-    classes.push_back(place[i] ? next.settings.classes[*place[i]] : now.settings.classes[i]);
+  for (std::size_t i = 0; i < source_index.size(); ++i) {
+    classes.push_back(source_index[i] ? next.settings.classes[*source_index[i]]
+                                      : current.settings.classes[i]);
   }
   next.settings.classes = std::move(classes);
-  place.clear();
-  next.names.tenants = merged(now.names.tenants, next.names.tenants, place);
+  source_index.clear();
+  next.names.tenants = merge_names(current.names.tenants, next.names.tenants, source_index);
   std::vector<fernward::TenantSettings> tenants;
-  for (std::size_t i = 0; i < place.size(); ++i) {
-    tenants.push_back(place[i] ? next.settings.tenants[*place[i]] : fernward::TenantSettings());
+  for (std::size_t i = 0; i < source_index.size(); ++i) {
+    tenants.push_back(source_index[i] ? next.settings.tenants[*source_index[i]] : fernward::TenantSettings());
   }
   next.settings.tenants = std::move(tenants);
   return next;
 }
 
-std::vector<std::string> refused_changes(const Config& before, const Config& after) {
+std::vector<std::string> non_reloadable_changes(const Config& before, const Config& after) {
   std::vector<std::string> keys;
-  for (const auto& change : nlohmann::json::diff(before.fixed, after.fixed)) {
+  for (const auto& change : nlohmann::json::diff(before.static_keys, after.static_keys)) {
     std::string key = change.at("path").get<std::string>().substr(1);
     std::replace(key.begin(), key.end(), '/', '.');
     keys.push_back(std::move(key));
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -6,11 +6,11 @@
 
 namespace fernward::config {
 
-constexpr int kMostNested = 64; // valid lists and files need less than a tenth of it
+constexpr int kMaxNesting = 64; // valid lists and files need less than a tenth of it
 
 // Whether brackets are nested deeper than kMaxNesting; those within strings are ignored. This is a separate
 // pass over the text, as a parser callback for every value doubled the cost of a long list.
-inline bool too_deep(const std::string& text) {
+inline bool exceeds_max_nesting(const std::string& text) {
   int depth = 0;
   bool in_string = false;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -21,7 +21,7 @@
     } else if (c == '"') {
       in_string = true;
     } else if (c == '[' || c == '{') {
-      if (++depth > kMostNested) return true;
+      if (++depth > kMaxNesting) return true;
     } else if (c == ']' || c == '}') {
       --depth;
     }
@@ -32,7 +32,7 @@
 // Returns a discarded value if the text is not JSON or is nested deeper than kMaxNesting. Copying, printing
 // and destroying a value recurse for each level, so a few megabytes of brackets would exhaust the stack.
 inline nlohmann::json parse_json(const std::string& text) {
-  if (too_deep(text)) return {nlohmann::json::value_t::discarded};
+  if (exceeds_max_nesting(text)) return {nlohmann::json::value_t::discarded};
   return nlohmann::json::parse(text, nullptr, false);
 }
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -25,18 +25,18 @@
 };
 // Class and tenant of requests without these headers; the first matching entry applies.
 struct Mapping {
-  std::string path;        // prefix of the request's path
-  std::string method;      // empty: any
-  std::string cls, tenant; // empty: none
-  double timeout_ms = 0;   // 0: none
+  std::string path_prefix;             // prefix of the request's path
+  std::string method;                  // empty: any
+  std::string class_name, tenant_name; // empty: none
+  double client_timeout_ms = 0;        // 0: none
 };
 struct Limits {
   double connect_timeout_ms = 250;
-  double conn_idle_ms = 15000;
-  double grace_to_answer_ms = 20;
+  double idle_timeout_ms = 15000;
+  double response_grace_ms = 20;
   // After a report that a server drains or is removed, new attempts to it must stop within this time.
   double drain_grace_ms = 250;
-  double open_cap = 20000;
+  double max_active_requests = 20000;
 };
 Names parse_names(const nlohmann::json& json);
 Limits parse_limits(const nlohmann::json& json);
--- a/src/descriptors/client_admission.cpp
+++ b/src/descriptors/client_admission.cpp
@@ -55,12 +55,14 @@
   } else if (client.idle_at >= client.request_at) {
     const double idle_ms = now - client.idle_at;
     const double log_idle_ms = std::log(1 + idle_ms);
-    const bool second = client.requests == 2;
-    (second ? after_one_ : after_many_).on_return(idle_ms);
-    client.log_idle_ms = second ? log_idle_ms : client.log_idle_ms + (log_idle_ms - client.log_idle_ms) / 4;
-    log_usual_idle_ms_ =
-        usual_idle_known_ ? log_usual_idle_ms_ + (log_idle_ms - log_usual_idle_ms_) / 64 : log_idle_ms;
-    usual_idle_known_ = true;
+    const bool is_second_request = client.requests == 2;
+    (is_second_request ? return_after_one_ : return_after_many_).on_return(idle_ms);
+    client.mean_log_idle_ms = is_second_request
+                                  ? log_idle_ms
+                                  : client.mean_log_idle_ms + (log_idle_ms - client.mean_log_idle_ms) / 4;
+    mean_log_idle_ms_ =
+        mean_log_idle_known_ ? mean_log_idle_ms_ + (log_idle_ms - mean_log_idle_ms_) / 64 : log_idle_ms;
+    mean_log_idle_known_ = true;
   }
   client.previous_request_at = client.requests == 1 ? now : client.request_at;
   client.request_at = now;
@@ -92,10 +94,11 @@
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
   Client& client = it->second;
-  const bool idle = client.indexed && client.key.state >= State::IdleAfterOne;
+  const bool idle = client.in_eviction_order && client.eviction_key.state >= State::IdleAfterOne;
   const bool had_time_to_return = by == ClosedBy::Client || now - client.idle_at >= options_.min_idle_ms;
-  if (idle && had_time_to_return) (client.requests == 1 ? after_one_ : after_many_).on_no_return();
-  if (by == ClosedBy::Client && client.requests > 0 && !client.told_to_close) leavers_.count(now);
+  if (idle && had_time_to_return)
+    (client.requests == 1 ? return_after_one_ : return_after_many_).on_no_return();
+  if (by == ClosedBy::Client && client.requests > 0 && !client.close_announced) departure_rate_.count(now);
   if (client.requests > 0 && !client.lingering) --active_;
   remove(client);
   clients_.erase(it);
@@ -114,51 +117,55 @@
 
 // Extrapolates the current net rate of new clients.
 double ClientAdmission::time_until_full_ms(double now) const {
-  const double places = free_places();
-  if (places <= 0) return 0;
-  const double per_second = newcomers_.per_second(now) - leavers_.per_second(now);
-  return per_second <= 0 ? std::numeric_limits<double>::infinity() : places / per_second * 1000;
+  const double free_slots = free_client_slots();
+  if (free_slots <= 0) return 0;
+  const double per_second = arrival_rate_.per_second(now) - departure_rate_.per_second(now);
+  return per_second <= 0 ? std::numeric_limits<double>::infinity() : free_slots / per_second * 1000;
 }
 
 bool ClientAdmission::should_close_after_response(double now, Id id) {
   const auto it = clients_.find(id);
   if (it == clients_.end() || it->second.requests == 0) return false;
-  if (it->second.requests == 1) newcomers_.count(now);
-  it->second.told_to_close = may_close(now, it->second);
-  return it->second.told_to_close;
+  if (it->second.requests == 1) arrival_rate_.count(now);
+  it->second.close_announced = should_close(now, it->second);
+  return it->second.close_announced;
 }
 
-bool ClientAdmission::may_close(double now, const Client& client) const {
-  const double few = max_clients() / 4;
-  if (static_cast<double>(active_) <= few) return false;
+bool ClientAdmission::should_close(double now, const Client& client) const {
+  const double min_kept_clients = max_clients() / 4;
+  if (static_cast<double>(active_) <= min_kept_clients) return false;
   if (client.requests == 1) {
     // Some connections are kept whatever the estimate, as it could not be updated otherwise.
-    if (count(State::IdleAfterOne) < few && !under_pressure()) return false;
-    return after_one_.return_share < kLowReturnShare || time_until_full_ms(now) < after_one_.return_ms;
+    if (count(State::IdleAfterOne) < min_kept_clients && !under_pressure()) return false;
+    return return_after_one_.return_share < kLowReturnShare ||
+           time_until_full_ms(now) < return_after_one_.return_ms;
   }
   // Clients with one request are closed first. Only if these do not suffice and many other clients are idle,
   // the half of those that returns later is closed, or all of them if they no longer return.
-  if (free_places() + count(State::IdleAfterOne) >= max_clients() / 8 || count(State::IdleAfterMany) <= few) {
+  if (free_client_slots() + count(State::IdleAfterOne) >= max_clients() / 8 ||
+      count(State::IdleAfterMany) <= min_kept_clients) {
     return false;
   }
-  return after_many_.return_share < kLowReturnShare || client.log_idle_ms > log_usual_idle_ms_;
+  return return_after_many_.return_share < kLowReturnShare || client.mean_log_idle_ms > mean_log_idle_ms_;
 }
 
 std::optional<ClientAdmission::Id> ClientAdmission::expired_idle(double now) const {
-  const auto first = index_.lower_bound(Key{State::IdleAfterOne, -1, 0});
-  if (first == index_.end()) return std::nullopt;
-  const auto expired = [&](const Key& key) {
+  const auto first_idle = eviction_order_.lower_bound(EvictionKey{State::IdleAfterOne, -1, 0});
+  if (first_idle == eviction_order_.end()) return std::nullopt;
+  const auto expired = [&](const EvictionKey& key) {
     return now - clients_.at(key.id).idle_at >= options_.min_idle_ms;
   };
   // Frees capacity for new clients if many clients with one request are idle and do not return.
   const bool unlikely_to_return =
-      count(State::IdleAfterOne) >= max_clients() / 4 && after_one_.return_share < kLowReturnShare;
-  if (first->state == State::IdleAfterOne && (unlikely_to_return || under_pressure()) && expired(*first)) {
-    return first->id;
+      count(State::IdleAfterOne) >= max_clients() / 4 && return_after_one_.return_share < kLowReturnShare;
+  if (first_idle->state == State::IdleAfterOne && (unlikely_to_return || under_pressure()) &&
+      expired(*first_idle)) {
+    return first_idle->id;
   }
   if (!under_pressure()) return std::nullopt;
-  auto it = index_.lower_bound(Key{State::IdleAfterMany, -1, 0});
-  for (int tries = kMaxTries; it != index_.end() && tries > 0; --tries, ++it) {
+  auto it = eviction_order_.lower_bound(EvictionKey{State::IdleAfterMany, -1, 0});
+  for (int remaining_tries = kMaxTries; it != eviction_order_.end() && remaining_tries > 0;
+       --remaining_tries, ++it) {
     if (expired(*it)) return it->id;
   }
   return std::nullopt;
@@ -168,22 +175,22 @@
 
 void ClientAdmission::insert(Client& client, State state, double time, Id id) {
   remove(client);
-  client.key = {state, time, id};
+  client.eviction_key = {state, time, id};
   if (client.node.empty()) {
-    index_.insert(client.key);
+    eviction_order_.insert(client.eviction_key);
   } else {
-    client.node.value() = client.key;
-    index_.insert(std::move(client.node));
+    client.node.value() = client.eviction_key;
+    eviction_order_.insert(std::move(client.node));
   }
-  client.indexed = true;
+  client.in_eviction_order = true;
   ++counts_[static_cast<std::size_t>(state)];
 }
 
 void ClientAdmission::remove(Client& client) {
-  if (!client.indexed) return;
-  client.indexed = false;
-  --counts_[static_cast<std::size_t>(client.key.state)];
-  client.node = index_.extract(client.key);
+  if (!client.in_eviction_order) return;
+  client.in_eviction_order = false;
+  --counts_[static_cast<std::size_t>(client.eviction_key.state)];
+  client.node = eviction_order_.extract(client.eviction_key);
 }
 
 } // namespace fernward::descriptors
--- a/src/descriptors/client_admission.h
+++ b/src/descriptors/client_admission.h
@@ -73,34 +73,36 @@
   // its grace time, PartialRequest beyond its stall time, IdleAfterOne with the longest idle first,
   // IdleAfterMany. `may_evict(id)` returning false excludes a connection; after kMaxTries exclusions the
   // result is nullopt. No idle connection is selected while more connections are new than idle.
-  template <typename May>
-  std::optional<Id> select_for_eviction(double now, May may) const;
+  template <typename MayEvict>
+  std::optional<Id> select_for_eviction(double now, MayEvict may_evict) const;
 
   // A connection idle for min_idle_ms that may be closed: any under pressure; otherwise one of a client with
   // one request, if many of these are idle and few return. The caller may leave it open.
   std::optional<Id> expired_idle(double now) const;
   // Few places are free: expired_idle() should be called periodically.
-  bool under_pressure() const { return free_places() < max_clients() / 8; }
+  bool under_pressure() const { return free_client_slots() < max_clients() / 8; }
 
   std::size_t size() const { return clients_.size(); }
   std::size_t active() const { return active_; } // have sent a request, and are not lingering
-  double return_share() const { return after_one_.return_share; } // estimate for clients with one request
+  double return_share() const {
+    return return_after_one_.return_share;
+  } // estimate for clients with one request
 
  private:
   static constexpr int kMaxTries = 16;
 
   enum class State : unsigned char { Lingering, NoRequest, PartialRequest, IdleAfterOne, IdleAfterMany };
-  static constexpr std::size_t kStates = 5;
+  static constexpr std::size_t kStateCount = 5;
 
-  struct Key {
+  struct EvictionKey {
     State state;
     // Start of the state; PartialRequest: time of the last byte; IdleAfterMany: time of the last request but
     // one.
     double time;
     Id id;
-    auto operator<=>(const Key&) const = default;
+    auto operator<=>(const EvictionKey&) const = default;
   };
-  using Index = std::set<Key>;
+  using EvictionOrder = std::set<EvictionKey>;
 
   struct Client {
     unsigned requests = 0;
@@ -108,12 +110,12 @@
     double idle_at = 0;
     double request_at = 0;
     double previous_request_at = 0;
-    double log_idle_ms = 0; // mean
+    double mean_log_idle_ms = 0; // mean
     bool lingering = false;
-    bool indexed = false;
-    bool told_to_close = false;
-    Index::node_type node; // retained while not in the index, so that a request does not allocate
-    Key key{};
+    bool in_eviction_order = false;
+    bool close_announced = false;
+    EvictionOrder::node_type node; // retained while not in the index, so that a request does not allocate
+    EvictionKey eviction_key{};
   };
 
   // Estimate of whether and when idle clients return.
@@ -125,30 +127,32 @@
   };
 
   double max_clients() const { return static_cast<double>(options_.max_clients); }
-  double free_places() const { return max_clients() - static_cast<double>(active_); }
+  double free_client_slots() const { return max_clients() - static_cast<double>(active_); }
   double count(State state) const { return static_cast<double>(counts_[static_cast<std::size_t>(state)]); }
   double time_until_full_ms(double now) const;
-  bool may_close(double now, const Client& client) const;
+  bool should_close(double now, const Client& client) const;
   void insert(Client& client, State state, double time, Id id);
   void remove(Client& client);
 
   Options options_;
   std::unordered_map<Id, Client> clients_;
-  Index index_; // in the order of eviction
-  std::array<std::size_t, kStates> counts_{};
+  EvictionOrder eviction_order_; // in the order of eviction
+  std::array<std::size_t, kStateCount> counts_{};
   std::size_t active_ = 0;
-  EventRate newcomers_;
-  EventRate leavers_;
-  ReturnEstimate after_one_{0.4, 1000};  // unknown at first: a few are kept to measure it
-  ReturnEstimate after_many_{0.9, 1000}; // these clients have returned before
-  double log_usual_idle_ms_ = 0;         // mean of all clients with several requests
-  bool usual_idle_known_ = false;
+  EventRate arrival_rate_;
+  EventRate departure_rate_;
+  ReturnEstimate return_after_one_{0.4, 1000};  // unknown at first: a few are kept to measure it
+  ReturnEstimate return_after_many_{0.9, 1000}; // these clients have returned before
+  double mean_log_idle_ms_ = 0;                 // mean of all clients with several requests
+  bool mean_log_idle_known_ = false;
 };
 
-template <typename May>
-std::optional<ClientAdmission::Id> ClientAdmission::select_for_eviction(double now, May may) const {
-  int tries = kMaxTries;
-  for (auto it = index_.begin(); it != index_.end() && tries > 0; --tries) {
+template <typename MayEvict>
+std::optional<ClientAdmission::Id> ClientAdmission::select_for_eviction(double now,
+                                                                        MayEvict may_evict) const {
+  int remaining_tries = kMaxTries;
+  for (auto it = eviction_order_.begin(); it != eviction_order_.end() && remaining_tries > 0;
+       --remaining_tries) {
     // Many new connections must not displace idle ones: they soon send a request or can be evicted
     // themselves.
     if (it->state >= State::IdleAfterOne && count(State::NoRequest) + count(State::PartialRequest) >
@@ -156,16 +160,16 @@
       break;
     }
     if (it->state == State::NoRequest && now - it->time < options_.first_request_grace_ms) {
-      it = index_.lower_bound(Key{State::PartialRequest, -1, 0}); // later entries are newer
-      ++tries;
+      it = eviction_order_.lower_bound(EvictionKey{State::PartialRequest, -1, 0}); // later entries are newer
+      ++remaining_tries;
       continue;
     }
     if (it->state == State::PartialRequest && now - it->time < options_.request_stall_ms) {
-      it = index_.lower_bound(Key{State::IdleAfterOne, -1, 0});
-      ++tries;
+      it = eviction_order_.lower_bound(EvictionKey{State::IdleAfterOne, -1, 0});
+      ++remaining_tries;
       continue;
     }
-    if (may(it->id)) return it->id;
+    if (may_evict(it->id)) return it->id;
     ++it;
   }
   return std::nullopt;
--- a/src/descriptors/descriptor_budget.cpp
+++ b/src/descriptors/descriptor_budget.cpp
@@ -8,14 +8,14 @@
 
 constexpr double kMaxRecoverySeconds = 30; // bounds the power of two
 constexpr double kRefusalReportMs = 1000;
-constexpr std::size_t kMinBelievedTotal = 2; // otherwise no further descriptor would be tried
+constexpr std::size_t kMinExpectedTotal = 2; // otherwise no further descriptor would be tried
 
 } // namespace
 
 std::size_t DescriptorBudget::usable(double now) const {
-  if (believed_total_ >= total_) return total_;
-  const double seconds = std::clamp((now - refused_at_) / 1000, 0.0, kMaxRecoverySeconds);
-  return std::min(total_, believed_total_ + static_cast<std::size_t>(std::exp2(seconds) - 1));
+  if (expected_total_ >= total_) return total_;
+  const double seconds_since_refusal = std::clamp((now - refused_at_) / 1000, 0.0, kMaxRecoverySeconds);
+  return std::min(total_, expected_total_ + static_cast<std::size_t>(std::exp2(seconds_since_refusal) - 1));
 }
 
 DescriptorBudget::Eviction DescriptorBudget::required_eviction(double now, Side side) const {
@@ -23,10 +23,10 @@
   const Side other = side == Side::Downstream ? Side::Upstream : Side::Downstream;
   const std::size_t own_used = used(side);
   const std::size_t other_used = used(other);
-  if (own_used + std::max(other_used, reserved_of(usable_now)) < usable_now) return Eviction::None;
-  const bool reclaims =
-      own_used < fair_share_of(usable_now, side) && other_used > fair_share_of(usable_now, other);
-  return reclaims ? Eviction::OtherSide : Eviction::OwnSide;
+  if (own_used + std::max(other_used, reserved_descriptors(usable_now)) < usable_now) return Eviction::None;
+  const bool reclaims_other_side =
+      own_used < fair_share(usable_now, side) && other_used > fair_share(usable_now, other);
+  return reclaims_other_side ? Eviction::OtherSide : Eviction::OwnSide;
 }
 
 DescriptorBudget::Lease DescriptorBudget::acquire(double now, Side side) {
@@ -35,11 +35,11 @@
   return {this, side};
 }
 
-bool DescriptorBudget::on_refused(double now) {
-  const bool is_news = believed_total_ >= total_ || now - refused_at_ >= kRefusalReportMs;
-  believed_total_ = std::min(total_, std::max(used_[0] + used_[1], kMinBelievedTotal));
+bool DescriptorBudget::on_descriptor_refused(double now) {
+  const bool should_report = expected_total_ >= total_ || now - refused_at_ >= kRefusalReportMs;
+  expected_total_ = std::min(total_, std::max(used_[0] + used_[1], kMinExpectedTotal));
   refused_at_ = now;
-  return is_news;
+  return should_report;
 }
 
 } // namespace fernward::descriptors
--- a/src/descriptors/descriptor_budget.h
+++ b/src/descriptors/descriptor_budget.h
@@ -17,7 +17,7 @@
 // leases.
 class DescriptorBudget {
  public:
-  explicit DescriptorBudget(std::size_t total) : total_(total), believed_total_(total) {}
+  explicit DescriptorBudget(std::size_t total) : total_(total), expected_total_(total) {}
   DescriptorBudget(const DescriptorBudget&) = delete;
   DescriptorBudget& operator=(const DescriptorBudget&) = delete;
 
@@ -55,19 +55,19 @@
   // usable total falls to the number in use and recovers with time: by one descriptor after a second, then by
   // twice as many in each further second. Returns true for the first refusal, or if the last one was at least
   // a second ago.
-  bool on_refused(double now);
+  bool on_descriptor_refused(double now);
 
   // May be less than the number in use; then no descriptor is granted.
   void set_total(std::size_t total) {
-    if (believed_total_ >= total_) believed_total_ = total;
+    if (expected_total_ >= total_) expected_total_ = total;
     total_ = total;
   }
 
   std::size_t used(Side side) const { return used_[index(side)]; }
   std::size_t total() const { return total_; }
   std::size_t usable(double now) const; // part of the total that the system is expected to grant
-  static std::size_t reserved_of(std::size_t usable) { return usable / 4; }
-  static std::size_t fair_share_of(std::size_t usable, Side side) { // an odd one belongs to downstream
+  static std::size_t reserved_descriptors(std::size_t usable) { return usable / 4; }
+  static std::size_t fair_share(std::size_t usable, Side side) { // an odd one belongs to downstream
     return side == Side::Downstream ? usable - usable / 2 : usable / 2;
   }
 
@@ -75,7 +75,7 @@
   static std::size_t index(Side side) { return static_cast<std::size_t>(side); }
 
   std::size_t total_;
-  std::size_t believed_total_;
+  std::size_t expected_total_;
   std::array<std::size_t, 2> used_{};
   double refused_at_ = 0;
 };
@@ -84,7 +84,7 @@
 // see body_buffers/.
 class RequestBufferBudget {
  public:
-  explicit RequestBufferBudget(std::size_t total) : total_(total) {}
+  explicit RequestBufferBudget(std::size_t total) : total_bytes_(total) {}
   RequestBufferBudget(const RequestBufferBudget&) = delete;
   RequestBufferBudget& operator=(const RequestBufferBudget&) = delete;
 
@@ -95,7 +95,7 @@
     Lease(const Lease&) = delete;
     Lease& operator=(const Lease&) = delete;
     ~Lease() { set(0); }
-    void set(std::size_t bytes) { budget_->used_ += bytes - std::exchange(bytes_, bytes); }
+    void set(std::size_t bytes) { budget_->used_bytes_ += bytes - std::exchange(bytes_, bytes); }
     std::size_t bytes() const { return bytes_; }
 
    private:
@@ -103,13 +103,15 @@
     std::size_t bytes_ = 0;
   };
 
-  std::size_t used() const { return used_; }
-  void set_total(std::size_t total) { total_ = total; } // existing leases are unchanged
-  bool exceeded() const { return used_ > total_; }      // the caller must reject the next request that grows
+  std::size_t used_bytes() const { return used_bytes_; }
+  void set_total_bytes(std::size_t total) { total_bytes_ = total; } // existing leases are unchanged
+  bool exceeded() const {
+    return used_bytes_ > total_bytes_;
+  } // the caller must reject the next request that grows
 
  private:
-  std::size_t total_;
-  std::size_t used_ = 0;
+  std::size_t total_bytes_;
+  std::size_t used_bytes_ = 0;
 };
 
 } // namespace fernward::descriptors
--- a/src/discovery/subscription.cpp
+++ b/src/discovery/subscription.cpp
@@ -13,7 +13,7 @@
 // Jitter of a pause: processes that lost their connections together reconnect spread out. Jitter of a
 // timeout: the bounds below hold for the unreduced value.
 constexpr double kMinPauseShare = 0.5;
-constexpr double kMinPatienceShare = 0.8;
+constexpr double kMinTimeoutShare = 0.8;
 // A call may take this much longer in total than its silence timeout, however often bytes arrive.
 constexpr double kMaxReceiveMs = 1000;
 
@@ -22,24 +22,25 @@
 // over three calls in a row that are never answered, the first a long poll: the fourth call is sent by then,
 // and discovery answers it at once. If nothing has been answered for long, it holds over the call that is
 // open at that time and one more, whatever their outcome.
-constexpr SubscriptionRules kDefaults;
-constexpr double kThreeSilentMs = (1 + 2 + 4) * kDefaults.patience_ms;
-static_assert(kDefaults.poll_ms + kThreeSilentMs < 6000 - 250);
-static_assert(kThreeSilentMs < 4000 - 250);
-static_assert(2 * (kDefaults.max_patience_ms + kMaxReceiveMs) < 6000 - 250);
+constexpr SubscriptionSettings kDefaults;
+constexpr double kThreeTimeoutsMs = (1 + 2 + 4) * kDefaults.silence_timeout_ms;
+static_assert(kDefaults.long_poll_ms + kThreeTimeoutsMs < 6000 - 250);
+static_assert(kThreeTimeoutsMs < 4000 - 250);
+static_assert(2 * (kDefaults.max_silence_timeout_ms + kMaxReceiveMs) < 6000 - 250);
 
 // True for the 4th, the 16th and so on of overdue calls in a row: after some 5, 27 and 110 s.
-bool is_rare(std::uint32_t doubts) {
-  const bool is_power_of_two = std::has_single_bit(doubts);
-  return is_power_of_two && doubts > 1 && std::countr_zero(doubts) % 2 == 0;
+bool is_rare(std::uint32_t overdue_calls) {
+  const bool is_power_of_two = std::has_single_bit(overdue_calls);
+  return is_power_of_two && overdue_calls > 1 && std::countr_zero(overdue_calls) % 2 == 0;
 }
 
 } // namespace
 
-Subscription::Subscription(const SubscriptionRules& rules, std::uint64_t seed, std::optional<ListIndex> known)
-    : rules_(rules),
+Subscription::Subscription(const SubscriptionSettings& settings, std::uint64_t seed,
+                           std::optional<ListIndex> known_index)
+    : settings_(settings),
       random_(static_cast<std::minstd_rand::result_type>(seed ^ (seed >> 32))),
-      known_(known) {}
+      known_index_(known_index) {}
 
 double Subscription::jittered(double ms, double min_share) {
   return ms * std::uniform_real_distribution<double>(min_share, 1)(random_);
@@ -51,27 +52,30 @@
   return it == calls_.end() ? nullptr : &*it;
 }
 
-ListIndex Subscription::at_least(CallId id) {
+ListIndex Subscription::min_index(CallId id) {
   const Call* call = find(id);
-  return call != nullptr && call->since ? *call->since : last_index_;
+  return call != nullptr && call->since ? *call->since : last_answered_index_;
 }
 
 void Subscription::erase(CallId id) {
   std::erase_if(calls_, [id](const Call& call) { return call.id == id; });
 }
 
-bool Subscription::all_in_doubt(double now) const {
-  return std::all_of(calls_.begin(), calls_.end(), [now](const Call& call) { return call.doubt_at <= now; });
+bool Subscription::all_overdue(double now) const {
+  return std::all_of(calls_.begin(), calls_.end(),
+                     [now](const Call& call) { return call.overdue_at <= now; });
 }
 
 void Subscription::open(double now, Actions& actions) {
   Call call;
   call.id = ++last_call_;
-  const double grown = rules_.patience_ms * static_cast<double>(1u << std::min(doubts_, 16u));
-  call.patience_ms = jittered(std::min(grown, rules_.max_patience_ms), kMinPatienceShare);
+  const double timeout_ms =
+      settings_.silence_timeout_ms * static_cast<double>(1u << std::min(overdue_calls_, 16u));
+  call.silence_timeout_ms =
+      jittered(std::min(timeout_ms, settings_.max_silence_timeout_ms), kMinTimeoutShare);
   call.opened_at = now;
-  call.doubt_at = now + call.patience_ms;
-  call.limit_at = call.doubt_at + kMaxReceiveMs;
+  call.overdue_at = now + call.silence_timeout_ms;
+  call.answer_deadline = call.overdue_at + kMaxReceiveMs;
   calls_.push_back(call);
   actions.push_back(OpenConnection{call.id});
 }
@@ -81,39 +85,41 @@
 // lost the version that a call for changes starts from: the complete list is requested after such a call
 // failed, and occasionally beside an overdue one, rarely enough not to worsen an overload.
 bool Subscription::needs_full_list(const Call& call) const {
-  if (!known_ || resync_) return true;
-  if (failures() == 0) return !has_full_list_;
+  if (!known_index_ || needs_full_list_) return true;
+  if (failures() == 0) return !received_full_list_;
   if (failures() == 1) return false;
   if (changes_failed_) return true;
   const bool pending = std::any_of(calls_.begin(), calls_.end(), [&](const Call& other) {
-    return other.id != call.id && asks_for_changes(other);
+    return other.id != call.id && polls_for_changes(other);
   });
-  return pending && is_rare(doubts_);
-}
-
-void Subscription::ask(double now, Call& call, Actions& actions) {
-  const bool full = needs_full_list(call);
-  call.since = full ? std::nullopt : known_;
-  if (full) changes_failed_ = false;
-  call.wait_ms = failures() > 0 ? kNoWaitMs : rules_.poll_ms;
-  if (full) call.wait_ms = 0;
-  const bool first = call.asked_at == 0; // on its connection: the connect time counts towards the deadline
-  call.asked_at = now;
-  call.ask_at = 0;
-  const double silent_until = now + call.wait_ms + call.patience_ms;
-  call.limit_at = first ? call.limit_at + call.wait_ms : silent_until + kMaxReceiveMs;
-  call.doubt_at = std::min(silent_until, call.limit_at);
-  actions.push_back(Ask{call.id, call.since, call.wait_ms});
+  return pending && is_rare(overdue_calls_);
+}
+
+void Subscription::poll(double now, Call& call, Actions& actions) {
+  const bool full_list = needs_full_list(call);
+  call.since = full_list ? std::nullopt : known_index_;
+  if (full_list) changes_failed_ = false;
+  call.wait_ms = failures() > 0 ? kNoWaitMs : settings_.long_poll_ms;
+  if (full_list) call.wait_ms = 0;
+  const bool first_on_connection =
+      call.polled_at == 0; // on its connection: the connect time counts towards the deadline
+  call.polled_at = now;
+  call.next_poll_at = 0;
+  const double silence_ends_at = now + call.wait_ms + call.silence_timeout_ms;
+  call.answer_deadline =
+      first_on_connection ? call.answer_deadline + call.wait_ms : silence_ends_at + kMaxReceiveMs;
+  call.overdue_at = std::min(silence_ends_at, call.answer_deadline);
+  actions.push_back(Poll{call.id, call.since, call.wait_ms});
 }
 
 void Subscription::connected(double now, CallId id, Actions& actions) {
-  if (Call* call = find(id)) ask(now, *call, actions);
+  if (Call* call = find(id)) poll(now, *call, actions);
 }
 
-void Subscription::progressed(double now, CallId id) {
+void Subscription::received_data(double now, CallId id) {
   Call* call = find(id);
-  if (call == nullptr || call->asked_at == 0 || call->ask_at > 0) return;
-  call->doubt_at = std::min(now + call->patience_ms, call->limit_at);
+  if (call == nullptr || call->polled_at == 0 || call->next_poll_at > 0) return;
+  call->overdue_at = std::min(now + call->silence_timeout_ms, call->answer_deadline);
 }
 
 void Subscription::close_others(CallId kept, Actions& actions) {
@@ -125,28 +131,29 @@
 
 // Paces the polls of a discovery that returns empty answers without waiting.
 double Subscription::pause_after_empty(double now, const Call& call, const Answer& answer) {
-  const bool waited = call.wait_ms <= kNoWaitMs || now - call.asked_at >= call.wait_ms / 2;
+  const bool waited = call.wait_ms <= kNoWaitMs || now - call.polled_at >= call.wait_ms / 2;
   if (!call.since || *call.since != answer.index || waited) {
-    empty_in_a_row_ = 0;
+    consecutive_empty_answers_ = 0;
     return 0;
   }
-  const double grown = rules_.min_empty_ms * static_cast<double>(1u << std::min(empty_in_a_row_, 16u));
-  ++empty_in_a_row_;
-  return std::min(grown, rules_.max_empty_ms);
+  const double pause_ms = settings_.min_empty_answer_pause_ms *
+                          static_cast<double>(1u << std::min(consecutive_empty_answers_, 16u));
+  ++consecutive_empty_answers_;
+  return std::min(pause_ms, settings_.max_empty_answer_pause_ms);
 }
 
 void Subscription::answered(double now, CallId id, const Answer& answer, bool reusable, Actions& actions) {
   Call* call = find(id);
   if (call == nullptr) return;
-  const double pause = pause_after_empty(now, *call, answer);
-  known_ = answer.index;
-  last_index_ = answer.index;
-  has_full_list_ |= answer.complete;
-  resync_ = false;
+  const double pause_ms = pause_after_empty(now, *call, answer);
+  known_index_ = answer.index;
+  last_answered_index_ = answer.index;
+  received_full_list_ |= answer.complete;
+  needs_full_list_ = false;
   failures_ = 0;
-  doubts_ = 0;
-  pause_ms_ = 0;
-  reopen_at_ = now + pause;
+  overdue_calls_ = 0;
+  reconnect_pause_ms_ = 0;
+  reopen_at_ = now + pause_ms;
   close_others(id, actions);
   if (!reusable) {
     actions.push_back(CloseConnection{id});
@@ -154,40 +161,40 @@
     return tick(now, actions);
   }
   call = &calls_.front();
-  call->patience_ms = rules_.patience_ms;
-  if (pause == 0) return ask(now, *call, actions);
-  call->ask_at = now + pause;
-  call->doubt_at = kNever;
+  call->silence_timeout_ms = settings_.silence_timeout_ms;
+  if (pause_ms == 0) return poll(now, *call, actions);
+  call->next_poll_at = now + pause_ms;
+  call->overdue_at = kNever;
 }
 
 void Subscription::failed(double now, CallId id, Failure failure, Actions& actions) {
   const Call* call = find(id);
   if (call == nullptr) return;
-  changes_failed_ |= asks_for_changes(*call);
+  changes_failed_ |= polls_for_changes(*call);
   erase(id);
   ++failures_;
-  resync_ |= failure == Failure::Useless;
+  needs_full_list_ |= failure == Failure::InvalidAnswer;
   const double max_pause_ms =
-      failure == Failure::Disconnected ? rules_.max_pause_ms : rules_.max_useless_pause_ms;
-  pause_ms_ = std::clamp(2 * pause_ms_, rules_.first_pause_ms, max_pause_ms);
-  reopen_at_ = now + jittered(pause_ms_, kMinPauseShare);
+      failure == Failure::Disconnected ? settings_.max_reconnect_pause_ms : settings_.max_rejected_pause_ms;
+  reconnect_pause_ms_ = std::clamp(2 * reconnect_pause_ms_, settings_.min_reconnect_pause_ms, max_pause_ms);
+  reopen_at_ = now + jittered(reconnect_pause_ms_, kMinPauseShare);
   tick(now, actions);
 }
 
 void Subscription::refresh(double now, Actions& actions) {
-  for (Call& call : calls_) call.doubt_at = std::min(call.doubt_at, now);
+  for (Call& call : calls_) call.overdue_at = std::min(call.overdue_at, now);
   reopen_at_ = now;
-  const std::uint32_t doubts = doubts_;
+  const std::uint32_t overdue_calls = overdue_calls_;
   tick(now, actions);
-  doubts_ = std::max(doubts, 1u); // repeated refreshes do not lengthen the timeout
+  overdue_calls_ = std::max(overdue_calls, 1u); // repeated refreshes do not lengthen the timeout
 }
 
 void Subscription::tick(double now, Actions& actions) {
   for (Call& call : calls_) {
-    if (call.ask_at > 0 && call.ask_at <= now) ask(now, call, actions);
+    if (call.next_poll_at > 0 && call.next_poll_at <= now) poll(now, call, actions);
   }
-  if (!all_in_doubt(now) || now < reopen_at_) return;
-  if (!calls_.empty()) ++doubts_;
+  if (!all_overdue(now) || now < reopen_at_) return;
+  if (!calls_.empty()) ++overdue_calls_;
   if (calls_.size() > 1) close_one_of_two(now, actions);
   open(now, actions);
 }
@@ -197,21 +204,21 @@
 // as it is closer to its answer if calls are queued, unless it has waited for `abandon_after_ms`.
 void Subscription::close_one_of_two(double now, Actions& actions) {
   const Call& oldest = calls_.front();
-  const bool waited_long = now - std::max(oldest.opened_at, oldest.asked_at) >= rules_.abandon_ms;
-  const bool older = waited_long || (asks_for_changes(calls_.back()) && !asks_for_changes(oldest));
-  const CallId id = older ? calls_.front().id : calls_.back().id;
+  const bool waited_long = now - std::max(oldest.opened_at, oldest.polled_at) >= settings_.abandon_after_ms;
+  const bool close_oldest = waited_long || (polls_for_changes(calls_.back()) && !polls_for_changes(oldest));
+  const CallId id = close_oldest ? calls_.front().id : calls_.back().id;
   actions.push_back(CloseConnection{id});
   erase(id);
 }
 
-double Subscription::next() const {
-  double next = calls_.empty() ? reopen_at_ : 0;
-  for (const Call& call : calls_) next = std::max(next, call.doubt_at);
-  next = std::max(next, reopen_at_);
+double Subscription::next_tick_at() const {
+  double earliest = calls_.empty() ? reopen_at_ : 0;
+  for (const Call& call : calls_) earliest = std::max(earliest, call.overdue_at);
+  earliest = std::max(earliest, reopen_at_);
   for (const Call& call : calls_) {
-    if (call.ask_at > 0) next = std::min(next, call.ask_at);
+    if (call.next_poll_at > 0) earliest = std::min(earliest, call.next_poll_at);
   }
-  return next;
+  return earliest;
 }
 
 } // namespace fernward::discovery
--- a/src/downstream/closing.cpp
+++ b/src/downstream/closing.cpp
@@ -15,50 +15,50 @@
 
 namespace {
 
-constexpr double kPendingInputMs = 10; // for the event loop to process pending input
-constexpr double kWatchPlacesMs = 250; // while under pressure, without responses that trigger the check
-constexpr int kMostClosedAtOnce = 4;   // idle connections closed at a time under pressure
+constexpr double kPendingInputMs = 10;   // for the event loop to process pending input
+constexpr double kPressureCheckMs = 250; // while under pressure, without responses that trigger the check
+constexpr int kMaxClosedAtOnce = 4;      // idle connections closed at a time under pressure
 
 } // namespace
 
 // ---- eviction ----
 
 // No request is pending on the connection, not even unread in its socket.
-bool Listener::spareable(Handle handle) {
-  Connection* c = connections_.find(handle);
-  if (c == nullptr) return false;
-  if (c->state == Connection::State::Lingering) return true;
-  return loop::pending_input(c->io.get()).empty() &&
-         loop::peek(bufferevent_getfd(c->io.get())) != loop::Peek::Data;
+bool Listener::can_evict(Handle handle) {
+  Connection* connection = connections_.find(handle);
+  if (connection == nullptr) return false;
+  if (connection->state == Connection::State::Lingering) return true;
+  return loop::pending_input(connection->socket.get()).empty() &&
+         loop::peek(bufferevent_getfd(connection->socket.get())) != loop::Peek::Data;
 }
 
-bool Listener::let_go(const char* code) {
-  const auto spare =
-      clients_.select_for_eviction(now_ms(), [this](Handle handle) { return spareable(handle); });
-  if (!spare) return false;
-  close(*connections_.find(*spare), code);
+bool Listener::evict_connection(const char* close_code) {
+  const auto victim =
+      admission_.select_for_eviction(now_ms(), [this](Handle handle) { return can_evict(handle); });
+  if (!victim) return false;
+  close(*connections_.find(*victim), close_code);
   return true;
 }
 
 // Under descriptor pressure, closes connections that have been idle for long and are not expected to be
 // reused.
-void Listener::close_rested() {
+void Listener::close_expired_idle() {
   const double now = now_ms();
-  for (int i = 0; i < kMostClosedAtOnce; ++i) {
-    const auto id = clients_.expired_idle(now);
-    if (!id || !spareable(*id)) break;
+  for (int i = 0; i < kMaxClosedAtOnce; ++i) {
+    const auto id = admission_.expired_idle(now);
+    if (!id || !can_evict(*id)) break;
     close(*connections_.find(*id), "rested-long");
   }
-  watch_places();
+  watch_descriptor_pressure();
 }
 
 // When clients hold all the descriptors that they may, idle connections may see no response that would
 // trigger close_expired_idle(): so it is triggered by a timer.
-void Listener::watch_places() {
-  if (watch_ != 0 || stopped_ || !clients_.under_pressure()) return;
-  watch_ = deadlines_.at(now_ms() + kWatchPlacesMs, [this] {
-    watch_ = 0;
-    close_rested();
+void Listener::watch_descriptor_pressure() {
+  if (pressure_timer_ != 0 || stopped_ || !admission_.under_pressure()) return;
+  pressure_timer_ = timers_.run_at(now_ms() + kPressureCheckMs, [this] {
+    pressure_timer_ = 0;
+    close_expired_idle();
   });
 }
 
@@ -68,106 +68,119 @@
 // client closes as well: closing with unread input resets the connection, and a reset caused by a request
 // that crosses the close may destroy response bytes that the client has not read yet. Only a connection whose
 // descriptor is needed at once is closed without lingering, see evict_connection().
-void Listener::linger(Connection& c, const char* code) {
-  c.state = Connection::State::Lingering;
-  c.code = code;
-  clients_.on_lingering(now_ms(), c.self);
-  shutdown(bufferevent_getfd(c.io.get()), SHUT_WR);
-  limit(c, options_.linger_ms, code);
+void Listener::start_lingering(Connection& connection, const char* close_code) {
+  connection.state = Connection::State::Lingering;
+  connection.close_code = close_code;
+  admission_.on_lingering(now_ms(), connection.handle);
+  shutdown(bufferevent_getfd(connection.socket.get()), SHUT_WR);
+  start_timeout(connection, options_.linger_timeout_ms, close_code);
 }
 
-void Listener::connection_event(Connection& c, short what) {
-  if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
-  const bool reset = (what & BEV_EVENT_ERROR) != 0;
-  c.peer_closed = true;
-  switch (c.state) {
+void Listener::on_connection_event(Connection& connection, short events) {
+  if ((events & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
+  const bool reset = (events & BEV_EVENT_ERROR) != 0;
+  connection.peer_closed = true;
+  switch (connection.state) {
     case Connection::State::Waiting:
-    case Connection::State::Passing: {
-      const Handle exchange = std::exchange(c.exchange, 0);
-      if (c.inflow != nullptr) c.inflow->abort(); // its body is already being streamed
-      close(c, c.inflow != nullptr ? "request-cut" : "client-gone");
-      return calls_.gone(exchange);
+    case Connection::State::Streaming: {
+      const Handle active_request = std::exchange(connection.active_request, 0);
+      if (connection.streamed_body != nullptr)
+        connection.streamed_body->abort(); // its body is already being streamed
+      close(connection, connection.streamed_body != nullptr ? "request-cut" : "client-gone");
+      return callbacks_.client_disconnected(active_request);
     }
     case Connection::State::Closing:
-      if (reset) return close(c, "answer-cut");
+      if (reset) return close(connection, "answer-cut");
       return;
-    case Connection::State::Lingering: return close(c, c.code);
-    default: return close(c, c.parser.begun() ? "request-cut" : reset ? "reset" : "client-closed");
+    case Connection::State::Lingering: return close(connection, connection.close_code);
+    default:
+      return close(connection, connection.parser.has_started() ? "request-cut"
+                               : reset                         ? "reset"
+                                                               : "client-closed");
   }
 }
 
-void Listener::limit(Connection& c, double ms, const char* code) {
-  deadlines_.cancel(c.ticket);
-  c.ticket = deadlines_.at(now_ms() + ms, [this, handle = c.self, code] {
-    Connection* late = connections_.find(handle);
-    if (late == nullptr) return;
-    late->ticket = 0;
-    if (late->state == Connection::State::Closing && client_takes(*late))
-      return limit(*late, options_.write_ms / 4, code);
-    if (late->state == Connection::State::Reading && late->parser.begun()) {
+void Listener::start_timeout(Connection& connection, double timeout_ms, const char* close_code) {
+  timers_.cancel(connection.timer);
+  connection.timer = timers_.run_at(now_ms() + timeout_ms, [this, handle = connection.handle, close_code] {
+    Connection* timed_out = connections_.find(handle);
+    if (timed_out == nullptr) return;
+    timed_out->timer = 0;
+    if (timed_out->state == Connection::State::Closing && client_is_reading(*timed_out))
+      return start_timeout(*timed_out, options_.write_timeout_ms / 4, close_code);
+    if (timed_out->state == Connection::State::Reading && timed_out->parser.has_started()) {
       // The deadline of a body is extended while it arrives.
-      const double come = static_cast<double>(late->parser.message().body.size());
-      const double due = late->head_at + options_.body_ms + come / options_.body_rate;
-      if (late->head_at > 0 && now_ms() < due) return limit(*late, due - now_ms(), code);
-      return reply(*late, encode_fault(408, "too slow"), false, "request-timeout");
+      const double body_bytes = static_cast<double>(timed_out->parser.message().body.size());
+      const double body_due_at = timed_out->head_received_at + options_.short_body_timeout_ms +
+                                 body_bytes / options_.min_body_bytes_per_ms;
+      if (timed_out->head_received_at > 0 && now_ms() < body_due_at)
+        return start_timeout(*timed_out, body_due_at - now_ms(), close_code);
+      return send_short_response(*timed_out, encode_error(408, "too slow"), false, "request-timeout");
     }
-    if (late->state != Connection::State::Reading) return close(*late, code);
-    spareable(handle) ? linger(*late, code) : limit(*late, kPendingInputMs, code);
+    if (timed_out->state != Connection::State::Reading) return close(*timed_out, close_code);
+    can_evict(handle) ? start_lingering(*timed_out, close_code)
+                      : start_timeout(*timed_out, kPendingInputMs, close_code);
   });
 }
 
 // The idle time between requests counts from the last response, but the client has to read that response
 // first.
-void Listener::limit_rest(Connection& c, double when) {
-  deadlines_.cancel(c.ticket);
-  c.ticket = deadlines_.at(when, [this, handle = c.self] {
-    Connection* late = connections_.find(handle);
-    if (late == nullptr) return;
-    late->ticket = 0;
-    if (loop::pending_output(late->io.get()) > 0) {
-      return client_takes(*late) ? limit_rest(*late, now_ms() + options_.write_ms / 4)
-                                 : close(*late, "stalled");
+void Listener::start_idle_timeout(Connection& connection, double check_at) {
+  timers_.cancel(connection.timer);
+  connection.timer = timers_.run_at(check_at, [this, handle = connection.handle] {
+    Connection* timed_out = connections_.find(handle);
+    if (timed_out == nullptr) return;
+    timed_out->timer = 0;
+    if (loop::pending_output(timed_out->socket.get()) > 0) {
+      return client_is_reading(*timed_out)
+                 ? start_idle_timeout(*timed_out, now_ms() + options_.write_timeout_ms / 4)
+                 : close(*timed_out, "stalled");
     }
-    const double idle_at = late->answered_at + options_.idle_ms;
-    if (now_ms() < idle_at) return limit_rest(*late, idle_at);
+    const double idle_timeout_at = timed_out->responded_at + options_.idle_timeout_ms;
+    if (now_ms() < idle_timeout_at) return start_idle_timeout(*timed_out, idle_timeout_at);
     // A request that has just arrived is processed before its connection is closed.
-    spareable(handle) ? linger(*late, "idle") : limit_rest(*late, now_ms() + kPendingInputMs);
+    can_evict(handle) ? start_lingering(*timed_out, "idle")
+                      : start_idle_timeout(*timed_out, now_ms() + kPendingInputMs);
   });
 }
 
-void Listener::close(Connection& c, const char* code) {
-  log::routine("ingress-ended", {{"code", code}, {"requests", c.requests}, {"ms", now_ms() - c.opened_at}});
-  deadlines_.cancel(c.ticket);
-  deadlines_.cancel(c.end_check);
+void Listener::close(Connection& connection, const char* close_code) {
+  log::routine_line("ingress-ended", {{"code", close_code},
+                                      {"requests", connection.request_count},
+                                      {"ms", now_ms() - connection.opened_at}});
+  timers_.cancel(connection.timer);
+  timers_.cancel(connection.end_check_timer);
   // Clients that disconnect, or requested the close, free their descriptors by themselves.
-  const bool left = c.peer_closed || !c.keep_alive;
-  clients_.on_closed(
-      now_ms(), c.self,
-      left ? descriptors::ClientAdmission::ClosedBy::Client : descriptors::ClientAdmission::ClosedBy::Router);
-  connections_.remove(c.self);
-  resume();
-  if (stopped_ && connections_.size() == 0) calls_.emptied();
+  const bool closed_by_client = connection.peer_closed || !connection.keep_alive;
+  admission_.on_closed(now_ms(), connection.handle,
+                       closed_by_client ? descriptors::ClientAdmission::ClosedBy::Client
+                                        : descriptors::ClientAdmission::ClosedBy::Router);
+  connections_.remove(connection.handle);
+  resume_accepting();
+  if (stopped_ && connections_.size() == 0) callbacks_.all_connections_closed();
 }
 
 // ---- handover to a new process ----
 
 // Nothing of a request has been read, and no response is in the output buffer: all of the connection's state
 // is in its socket.
-bool Listener::rests(Connection& c) {
-  return c.state == Connection::State::Reading && !c.parser.begun() &&
-         loop::pending_input(c.io.get()).empty() && loop::pending_output(c.io.get()) == 0;
+bool Listener::is_idle(Connection& connection) {
+  return connection.state == Connection::State::Reading && !connection.parser.has_started() &&
+         loop::pending_input(connection.socket.get()).empty() &&
+         loop::pending_output(connection.socket.get()) == 0;
 }
 
-bool Listener::pass_on(Connection& c) {
-  if (!rests(c)) return false;
-  const int fd = bufferevent_getfd(c.io.get());
-  bufferevent_disable(c.io.get(), EV_READ | EV_WRITE); // else its event would outlive the descriptor
-  if (!pass_(fd, c.requests)) {
-    bufferevent_enable(c.io.get(), EV_READ | EV_WRITE);
+bool Listener::try_pass_connection(Connection& connection) {
+  if (!is_idle(connection)) return false;
+  const int fd = bufferevent_getfd(connection.socket.get());
+  bufferevent_disable(connection.socket.get(),
+                      EV_READ | EV_WRITE); // else its event would outlive the descriptor
+  if (!pass_connection_(fd, connection.request_count)) {
+    bufferevent_enable(connection.socket.get(), EV_READ | EV_WRITE);
     return false;
   }
-  bufferevent_setfd(c.io.get(), -1);
-  close(c, "passed-on");
+  bufferevent_setfd(connection.socket.get(), -1);
+  close(connection, "passed-on");
   return true;
 }
 
--- a/src/downstream/codec.cpp
+++ b/src/downstream/codec.cpp
@@ -11,98 +11,106 @@
 namespace fernward::downstream {
 namespace {
 
-constexpr std::size_t kMaxId = 128;
+constexpr std::size_t kMaxIdBytes = 128;
 
-bool whole_ms(std::string_view text, double& value) { // digits only: no sign, point or exponent
+bool parse_milliseconds(std::string_view text, double& value) { // digits only: no sign, point or exponent
   std::uint64_t ms = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), ms);
   value = static_cast<double>(ms);
   return error == std::errc() && end == text.data() + text.size();
 }
 
-bool number(std::string_view text, double& value) {
+bool parse_non_negative_number(std::string_view text, double& value) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   return error == std::errc() && end == text.data() + text.size() && std::isfinite(value) && value >= 0;
 }
 
 // The key is the last path segment. Its hash is the same at every router; 0 means that there is no key.
-std::uint64_t key_of(std::string_view target) {
+std::uint64_t placement_key(std::string_view target) {
   const std::string_view path = target.substr(0, target.find('?'));
-  const std::string_view last = path.substr(path.rfind('/') + 1);
-  return last.empty() ? 0 : std::max<std::uint64_t>(1, endpoints::hash_of(std::string(last)));
+  const std::string_view last_segment = path.substr(path.rfind('/') + 1);
+  return last_segment.empty() ? 0 : std::max<std::uint64_t>(1, endpoints::hash_of(std::string(last_segment)));
 }
 
-const config::Mapping kNothing;
+const config::Mapping kNoMapping;
 
-const config::Mapping& mapping_of(const http::Message& request, const std::vector<config::Mapping>& map) {
-  for (const config::Mapping& m : map) {
-    if (request.target.starts_with(m.path) && (m.method.empty() || m.method == request.method)) return m;
+const config::Mapping& mapping_of(const http::Message& request,
+                                  const std::vector<config::Mapping>& mappings) {
+  for (const config::Mapping& mapping : mappings) {
+    if (request.target.starts_with(mapping.path_prefix) &&
+        (mapping.method.empty() || mapping.method == request.method))
+      return mapping;
   }
-  return kNothing;
+  return kNoMapping;
 }
 
 // The header, or the configured default if it is empty.
-std::string_view or_else(std::string_view header, const std::string& otherwise) {
-  return header.empty() ? std::string_view(otherwise) : header;
+std::string_view header_or_default(std::string_view header, const std::string& default_value) {
+  return header.empty() ? std::string_view(default_value) : header;
 }
 
 } // namespace
 
-Decoded decode(http::Message request, const Rules& rules) {
+DecodedRequest decode(http::Message request, const RequestRules& rules) {
   const config::Names& names = rules.names;
-  Decoded out;
-  const auto fault = [&out](int status, const char* why) {
-    out.status = status;
-    out.why = why;
-    return out;
+  DecodedRequest decoded;
+  const auto reject = [&decoded](int status, const char* reason) {
+    decoded.status = status;
+    decoded.reason = reason;
+    return decoded;
   };
-  if (request.method != "GET" && request.method != "PUT") return fault(405, "method");
+  if (request.method != "GET" && request.method != "PUT") return reject(405, "method");
   // With two values, another parser of this request could use the other one.
   for (const char* name :
        {"x-request-id", "x-priority-class", "x-timeout-ms", "x-tenant-id", "idempotency-key"}) {
-    if (request.count(name) > 1) return fault(400, "a header twice");
+    if (request.header_count(name) > 1) return reject(400, "a header twice");
   }
-  proxy::ClientRequest& call = out.call;
-  call.write = request.method == "PUT";
-  call.id = request.header("x-request-id");
-  if (call.id.empty() && !rules.make_ids) return fault(400, "no X-Request-ID");
-  if (!call.id.empty() && (call.id.size() > kMaxId || !http::is_token(call.id)))
-    return fault(400, "X-Request-ID");
-  const config::Mapping& unsaid = mapping_of(request, rules.map);
-  const auto cls = std::find(names.classes.begin(), names.classes.end(),
-                             or_else(request.header("x-priority-class"), unsaid.cls));
-  if (cls == names.classes.end()) return fault(400, "unknown X-Priority-Class");
-  call.class_index = static_cast<std::uint32_t>(cls - names.classes.begin());
-  const fernward::ClassSettings& class_settings = rules.settings.classes[call.class_index];
-  call.idempotency_key = request.header("idempotency-key");
-  if (call.write && class_settings.idempotency == fernward::Idempotency::WithKey &&
-      call.idempotency_key.empty()) {
-    return fault(400, "no Idempotency-Key");
+  proxy::ClientRequest& client_request = decoded.request;
+  client_request.is_write = request.method == "PUT";
+  client_request.id = request.header("x-request-id");
+  if (client_request.id.empty() && !rules.generate_ids) return reject(400, "no X-Request-ID");
+  if (!client_request.id.empty() &&
+      (client_request.id.size() > kMaxIdBytes || !http::is_token(client_request.id)))
+    return reject(400, "X-Request-ID");
+  const config::Mapping& defaults = mapping_of(request, rules.mappings);
+  const auto found_class =
+      std::find(names.classes.begin(), names.classes.end(),
+                header_or_default(request.header("x-priority-class"), defaults.class_name));
+  if (found_class == names.classes.end()) return reject(400, "unknown X-Priority-Class");
+  client_request.class_index = static_cast<std::uint32_t>(found_class - names.classes.begin());
+  const fernward::ClassSettings& class_settings = rules.settings.classes[client_request.class_index];
+  client_request.idempotency_key = request.header("idempotency-key");
+  if (client_request.is_write && class_settings.idempotency == fernward::Idempotency::WithKey &&
+      client_request.idempotency_key.empty()) {
+    return reject(400, "no Idempotency-Key");
   }
   // An unknown tenant gets the index after the last one, and has no share.
-  call.tenant = static_cast<std::uint32_t>(std::find(names.tenants.begin(), names.tenants.end(),
-                                                     or_else(request.header("x-tenant-id"), unsaid.tenant)) -
-                                           names.tenants.begin());
-  call.timeout_ms = unsaid.timeout_ms > 0 ? unsaid.timeout_ms : class_settings.client_timeout_ms;
-  const bool has_wait = request.has("x-timeout-ms");
-  const std::string_view wait = request.header("x-timeout-ms");
-  if (has_wait && !whole_ms(wait, call.timeout_ms)) return fault(400, "X-Timeout-Ms");
+  client_request.tenant = static_cast<std::uint32_t>(
+      std::find(names.tenants.begin(), names.tenants.end(),
+                header_or_default(request.header("x-tenant-id"), defaults.tenant_name)) -
+      names.tenants.begin());
+  client_request.timeout_ms =
+      defaults.client_timeout_ms > 0 ? defaults.client_timeout_ms : class_settings.client_timeout_ms;
+  const bool has_timeout = request.has_header("x-timeout-ms");
+  const std::string_view timeout_text = request.header("x-timeout-ms");
+  if (has_timeout && !parse_milliseconds(timeout_text, client_request.timeout_ms))
+    return reject(400, "X-Timeout-Ms");
   if (class_settings.client_timeout_ms > 0)
-    call.timeout_ms = std::min(call.timeout_ms, class_settings.client_timeout_ms);
-  call.timeout_ms = std::min(call.timeout_ms, 3600e3);
+    client_request.timeout_ms = std::min(client_request.timeout_ms, class_settings.client_timeout_ms);
+  client_request.timeout_ms = std::min(client_request.timeout_ms, 3600e3);
   double cost_us = 0;
-  if (number(request.header("x-cost"), cost_us))
-    call.expected_work_ms = cost_us / 1000; // a hint: a malformed one is ignored
-  call.key = key_of(request.target);
-  call.path = std::move(request.target);
-  call.body = std::move(request.body);
-  return out;
+  if (parse_non_negative_number(request.header("x-cost"), cost_us))
+    client_request.expected_work_ms = cost_us / 1000; // a hint: a malformed one is ignored
+  client_request.placement_key = placement_key(request.target);
+  client_request.path = std::move(request.target);
+  client_request.body = std::move(request.body);
+  return decoded;
 }
 
 namespace {
 
-std::string served_head(const std::string& content_type, http::Framing framing, std::uint64_t length,
-                        bool keep_alive) {
+std::string encode_served_head(const std::string& content_type, http::Framing framing, std::uint64_t length,
+                               bool keep_alive) {
   std::vector<http::Header> headers;
   if (!content_type.empty()) headers.push_back({"Content-Type", content_type});
   return http::write_response_head(200, headers, framing, length, keep_alive);
@@ -110,17 +118,18 @@
 
 } // namespace
 
-std::string encode(const proxy::ClientResponse& answer, bool keep_alive) {
-  switch (answer.kind) {
+std::string encode(const proxy::ClientResponse& response, bool keep_alive) {
+  switch (response.kind) {
     case proxy::ClientResponse::Kind::Served:
-      return served_head(answer.content_type, http::Framing::Length, answer.body.buffer.size(), keep_alive);
-    case proxy::ClientResponse::Kind::Rejected: return encode_shed(answer.retry_after_ms, keep_alive);
+      return encode_served_head(response.content_type, http::Framing::Length, response.body.buffer.size(),
+                                keep_alive);
+    case proxy::ClientResponse::Kind::Rejected: return encode_shed(response.retry_after_ms, keep_alive);
     default: return http::write_response(502, {}, "failed\n", keep_alive);
   }
 }
 
-std::string encode(const proxy::ResponseHead& opening, http::Framing framing, bool keep_alive) {
-  return served_head(opening.content_type, framing, opening.length.value_or(0), keep_alive);
+std::string encode(const proxy::ResponseHead& head, http::Framing framing, bool keep_alive) {
+  return encode_served_head(head.content_type, framing, head.length.value_or(0), keep_alive);
 }
 
 std::string encode_shed(double retry_after_ms, bool keep_alive) {
@@ -133,10 +142,10 @@
   return http::write_response(503, headers, "shed\n", keep_alive);
 }
 
-std::string encode_fault(int status, const char* why) {
+std::string encode_error(int status, const char* reason) {
   std::vector<http::Header> headers;
   if (status == 405) headers.push_back({"Allow", "GET, PUT"});
-  return http::write_response(status, headers, std::string(why) + "\n", false);
+  return http::write_response(status, headers, std::string(reason) + "\n", false);
 }
 
 } // namespace fernward::downstream
--- a/src/downstream/codec.h
+++ b/src/downstream/codec.h
@@ -11,24 +11,24 @@
 namespace fernward::downstream {
 
 // What requests are validated against.
-struct Rules {
+struct RequestRules {
   config::Names names;
   fernward::Settings settings;
-  std::vector<config::Mapping> map; // defaults for missing headers, by path and method
-  bool make_ids = false;            // accept requests without an id: the caller generates one
+  std::vector<config::Mapping> mappings; // defaults for missing headers, by path and method
+  bool generate_ids = false;             // accept requests without an id: the caller generates one
 };
 
-struct Decoded {
+struct DecodedRequest {
   int status = 0; // 0: `request` is valid; else the error status, explained by `reason`
-  const char* why = "";
-  proxy::ClientRequest call;
+  const char* reason = "";
+  proxy::ClientRequest request;
 };
-Decoded decode(http::Message request, const Rules& rules);
+DecodedRequest decode(http::Message request, const RequestRules& rules);
 
 // Encodes the head of a served response (the caller sends its body), and any other response completely.
-std::string encode(const proxy::ClientResponse& answer, bool keep_alive);
-std::string encode(const proxy::ResponseHead& opening, http::Framing framing, bool keep_alive);
+std::string encode(const proxy::ClientResponse& response, bool keep_alive);
+std::string encode(const proxy::ResponseHead& head, http::Framing framing, bool keep_alive);
 std::string encode_shed(double retry_after_ms, bool keep_alive);
-std::string encode_fault(int status, const char* why);
+std::string encode_error(int status, const char* reason);
 
 } // namespace fernward::downstream
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -24,32 +24,34 @@
 namespace {
 
 constexpr double kAcceptPauseMs = 50; // out of descriptors: the event loop must not spin on accept()
-constexpr int kBacklog = 512;
-constexpr ev_ssize_t kMostWritten = 256 * 1024; // per event
+constexpr int kListenBacklog = 512;
+constexpr ev_ssize_t kMaxSingleWriteBytes = 256 * 1024; // per event
 
 } // namespace
 
-Listener::Listener(event_base* base, loop::TimerQueue& deadlines, descriptors::DescriptorBudget& account,
-                   descriptors::RequestBufferBudget& buffers, body_buffers::BufferBudget& bytes,
-                   proxy::BodyStores& bodies, figures::Figures& figures, const ListenerOptions& options,
-                   Rules rules, ListenerCalls calls)
+Listener::Listener(event_base* base, loop::TimerQueue& timers,
+                   descriptors::DescriptorBudget& descriptor_budget,
+                   descriptors::RequestBufferBudget& request_buffers,
+                   body_buffers::BufferBudget& buffer_budget, proxy::BodyStores& body_stores,
+                   figures::RouterStats& figures, const ListenerOptions& options, RequestRules rules,
+                   ListenerCallbacks callbacks)
     : base_(base),
-      deadlines_(deadlines),
-      account_(account),
-      buffers_(buffers),
-      bytes_(bytes),
-      bodies_(bodies),
+      timers_(timers),
+      descriptor_budget_(descriptor_budget),
+      request_buffers_(request_buffers),
+      buffer_budget_(buffer_budget),
+      body_stores_(body_stores),
       figures_(figures),
-      clients_(options.clients),
+      admission_(options.admission),
       options_(options),
       rules_(std::move(rules)),
-      calls_(std::move(calls)),
-      connections_(account.total()) {
+      callbacks_(std::move(callbacks)),
+      connections_(descriptor_budget.total()) {
   listen();
   // Generated ids must differ between restarts of a router: servers may remember earlier ids.
-  std::random_device draw;
+  std::random_device random_source;
   char prefix[32];
-  std::snprintf(prefix, sizeof prefix, "r%08x%08x-", draw(), draw());
+  std::snprintf(prefix, sizeof prefix, "r%08x%08x-", random_source(), random_source());
   id_prefix_ = prefix;
 }
 
@@ -60,194 +62,199 @@
 namespace {
 
 // Whether a socket path is left over from a crash: nobody accepts connections on it.
-bool left_behind(const sockaddr_un& where) {
+bool is_stale_socket(const sockaddr_un& address) {
   const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (fd < 0) return false;
-  const int failed = connect(fd, reinterpret_cast<const sockaddr*>(&where), sizeof where);
-  const int fault = errno;
+  const int connect_result = connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address);
+  const int connect_error = errno;
   ::close(fd);
-  return failed != 0 && fault == ECONNREFUSED;
+  return connect_result != 0 && connect_error == ECONNREFUSED;
 }
 
 } // namespace
 
 void Listener::listen() {
-  sockaddr_in where{};
-  sockaddr_un path{};
-  const auto at = config::unix_path(options_.address);
-  if (at) {
-    path.sun_family = AF_UNIX;
-    std::memcpy(path.sun_path, at->c_str(), at->size() + 1);
-    if (left_behind(path)) ::unlink(path.sun_path);
-  } else if (!config::parse_address(options_.address, where)) {
+  sockaddr_in ipv4_address{};
+  sockaddr_un unix_address{};
+  const auto unix_path = config::unix_path(options_.address);
+  if (unix_path) {
+    unix_address.sun_family = AF_UNIX;
+    std::memcpy(unix_address.sun_path, unix_path->c_str(), unix_path->size() + 1);
+    if (is_stale_socket(unix_address)) ::unlink(unix_address.sun_path);
+  } else if (!config::parse_address(options_.address, ipv4_address)) {
     throw std::runtime_error("listen: invalid address, expected IPv4 address and port or unix:PATH: " +
                              options_.address);
   }
-  unsigned reuse = at ? 0u : unsigned{LEV_OPT_REUSEABLE};
-  if (!at && options_.share_port) reuse |= unsigned{LEV_OPT_REUSEABLE_PORT};
-  if (options_.listening >= 0) {
-    listener_.reset(
-        evconnlistener_new(base_, &Listener::accepted, this, LEV_OPT_CLOSE_ON_FREE, 0, options_.listening));
+  unsigned reuse_flags = unix_path ? 0u : unsigned{LEV_OPT_REUSEABLE};
+  if (!unix_path && options_.share_port) reuse_flags |= unsigned{LEV_OPT_REUSEABLE_PORT};
+  if (options_.inherited_fd >= 0) {
+    listener_.reset(evconnlistener_new(base_, &Listener::on_accepted, this, LEV_OPT_CLOSE_ON_FREE, 0,
+                                       options_.inherited_fd));
   } else {
     listener_.reset(evconnlistener_new_bind(
-        base_, &Listener::accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | reuse, kBacklog,
-        at ? reinterpret_cast<sockaddr*>(&path) : reinterpret_cast<sockaddr*>(&where),
-        at ? static_cast<int>(sizeof path) : static_cast<int>(sizeof where)));
+        base_, &Listener::on_accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_CLOSE_ON_EXEC | reuse_flags,
+        kListenBacklog,
+        unix_path ? reinterpret_cast<sockaddr*>(&unix_address) : reinterpret_cast<sockaddr*>(&ipv4_address),
+        unix_path ? static_cast<int>(sizeof unix_address) : static_cast<int>(sizeof ipv4_address)));
   }
   if (listener_ == nullptr) {
     throw std::runtime_error("listen: cannot listen on " + options_.address + ": " + std::strerror(errno));
   }
-  if (at) unix_path_ = *at;
-  evconnlistener_set_error_cb(listener_.get(), &Listener::accept_failed);
+  if (unix_path) unix_path_ = *unix_path;
+  evconnlistener_set_error_cb(listener_.get(), &Listener::on_accept_failed);
 }
 
-void Listener::change(Rules rules) { rules_ = std::move(rules); }
+void Listener::update_rules(RequestRules rules) { rules_ = std::move(rules); }
 
-int Listener::listening() const { return listener_ == nullptr ? -1 : evconnlistener_get_fd(listener_.get()); }
+int Listener::listening_fd() const {
+  return listener_ == nullptr ? -1 : evconnlistener_get_fd(listener_.get());
+}
 
 int Listener::port() const {
-  sockaddr_in where{};
-  socklen_t size = sizeof where;
-  getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&where), &size);
-  return where.sin_family == AF_INET ? ntohs(where.sin_port) : 0;
+  sockaddr_in address{};
+  socklen_t size = sizeof address;
+  getsockname(evconnlistener_get_fd(listener_.get()), reinterpret_cast<sockaddr*>(&address), &size);
+  return address.sin_family == AF_INET ? ntohs(address.sin_port) : 0;
 }
 
 // ---- accepting connections ----
 
-void Listener::accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-  static_cast<Listener*>(self)->accept(fd);
+void Listener::on_accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
+  static_cast<Listener*>(self)->accept_connection(fd);
 }
 
-void Listener::accept_failed(evconnlistener*, void* self) {
-  const int fault = EVUTIL_SOCKET_ERROR();
+void Listener::on_accept_failed(evconnlistener*, void* self) {
+  const int error = EVUTIL_SOCKET_ERROR();
   auto* const listener = static_cast<Listener*>(self);
-  if (fault == EMFILE || fault == ENFILE) { // fewer descriptors are available than the budget assumed
+  if (error == EMFILE || error == ENFILE) { // fewer descriptors are available than the budget assumed
     const double now = now_ms();
-    if (listener->account_.on_refused(now)) {
-      log::line("descriptors-refused",
-                {{"in_use", listener->account_.usable(now)}, {"of", listener->account_.total()}});
+    if (listener->descriptor_budget_.on_descriptor_refused(now)) {
+      log::line("descriptors-refused", {{"in_use", listener->descriptor_budget_.usable(now)},
+                                        {"of", listener->descriptor_budget_.total()}});
     }
-    if (listener->let_go("table-full")) return; // the event loop accepts again
+    if (listener->evict_connection("table-full")) return; // the event loop accepts again
   }
-  log::line("accept-failed", {{"why", std::strerror(fault)}});
-  listener->pause(kAcceptPauseMs);
+  log::line("accept-failed", {{"why", std::strerror(error)}});
+  listener->pause_accepting(kAcceptPauseMs);
 }
 
-void Listener::pause(double ms) {
-  if (stopped_ || paused_) return;
-  paused_ = true;
+void Listener::pause_accepting(double ms) {
+  if (stopped_ || accepting_paused_) return;
+  accepting_paused_ = true;
   evconnlistener_disable(listener_.get());
-  resume_ = deadlines_.at(now_ms() + ms, [this] {
-    resume_ = 0;
-    paused_ = false;
-    if (!may_accept()) return pause(kAcceptPauseMs);
-    if (!held_) evconnlistener_enable(listener_.get());
+  resume_timer_ = timers_.run_at(now_ms() + ms, [this] {
+    resume_timer_ = 0;
+    accepting_paused_ = false;
+    if (!can_accept()) return pause_accepting(kAcceptPauseMs);
+    if (!accepting_held_) evconnlistener_enable(listener_.get());
   });
 }
 
-void Listener::resume() {
-  deadlines_.cancel(resume_);
-  if (!paused_ || stopped_) return;
-  paused_ = false;
-  if (!held_) evconnlistener_enable(listener_.get());
+void Listener::resume_accepting() {
+  timers_.cancel(resume_timer_);
+  if (!accepting_paused_ || stopped_) return;
+  accepting_paused_ = false;
+  if (!accepting_held_) evconnlistener_enable(listener_.get());
 }
 
 // Reserves a descriptor for a new connection: an unused one, one that upstream connections hold beyond their
 // share, or that of an evicted client connection.
-descriptors::DescriptorBudget::Lease Listener::place_for_connection() {
-  using Needs = descriptors::DescriptorBudget::Eviction;
+descriptors::DescriptorBudget::Lease Listener::reserve_descriptor() {
+  using Eviction = descriptors::DescriptorBudget::Eviction;
   const double now = now_ms();
   for (;;) { // each iteration closes one connection
-    const Needs needs = account_.required_eviction(now, descriptors::Side::Downstream);
-    if (needs == Needs::None) return account_.acquire(now, descriptors::Side::Downstream);
-    if (needs == Needs::OtherSide && calls_.recall()) continue;
-    if (!let_go("table-full")) return {};
+    const Eviction eviction = descriptor_budget_.required_eviction(now, descriptors::Side::Downstream);
+    if (eviction == Eviction::None) return descriptor_budget_.acquire(now, descriptors::Side::Downstream);
+    if (eviction == Eviction::OtherSide && callbacks_.evict_upstream_connection()) continue;
+    if (!evict_connection("table-full")) return {};
   }
 }
 
-void Listener::accept(int fd) {
-  descriptors::DescriptorBudget::Lease place = place_for_connection();
-  if (!place) { // only during shutdown: otherwise accepting is paused before
-    const std::string text = encode_shed(options_.shed_retry_ms, false);
+void Listener::accept_connection(int fd) {
+  descriptors::DescriptorBudget::Lease descriptor = reserve_descriptor();
+  if (!descriptor) { // only during shutdown: otherwise accepting is paused before
+    const std::string text = encode_shed(options_.shed_retry_after_ms, false);
     [[maybe_unused]] const auto sent = ::send(fd, text.data(), text.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     ::close(fd);
-    log::routine("ingress-ended", {{"code", "table-full"}, {"requests", 0}, {"ms", 0}});
-    return pause(kAcceptPauseMs);
+    log::routine_line("ingress-ended", {{"code", "table-full"}, {"requests", 0}, {"ms", 0}});
+    return pause_accepting(kAcceptPauseMs);
   }
-  Connection& c = join(fd, std::move(place));
-  limit(c, options_.request_ms, "silent");
-  if (!may_accept()) pause(kAcceptPauseMs); // further connections stay in the kernel's queue
+  Connection& connection = add_connection(fd, std::move(descriptor));
+  start_timeout(connection, options_.request_timeout_ms, "silent");
+  if (!can_accept()) pause_accepting(kAcceptPauseMs); // further connections stay in the kernel's queue
 }
 
-Listener::Connection& Listener::join(int fd, descriptors::DescriptorBudget::Lease place) {
+Listener::Connection& Listener::add_connection(int fd, descriptors::DescriptorBudget::Lease descriptor) {
   const double now = now_ms();
-  const Handle handle = connections_.add(buffers_, bytes_, bodies_.retained.limits().max_body_bytes);
-  Connection& c = *connections_.find(handle);
+  const Handle handle =
+      connections_.add(request_buffers_, buffer_budget_, body_stores_.retained.limits().max_body_bytes);
+  Connection& connection = *connections_.find(handle);
   evutil_make_socket_nonblocking(fd);
   loop::set_nodelay(fd);
-  loop::limit_unsent(fd, options_.unsent_bytes);
-  c.listener = this;
-  c.self = handle;
-  c.place = std::move(place);
-  c.io = loop::make_bufferevent(base_, fd);
-  c.opened_at = now;
-  clients_.on_accepted(now, handle);
-  bufferevent_setcb(c.io.get(), &Listener::readable, &Listener::written, &Listener::changed, &c);
-  bufferevent_setwatermark(c.io.get(), EV_READ, 0, kMostInput);
-  bufferevent_set_max_single_write(c.io.get(), kMostWritten);
-  bufferevent_enable(c.io.get(), EV_READ | EV_WRITE);
-  return c;
+  loop::limit_unsent_bytes(fd, options_.max_unsent_bytes);
+  connection.listener = this;
+  connection.handle = handle;
+  connection.descriptor = std::move(descriptor);
+  connection.socket = loop::make_bufferevent(base_, fd);
+  connection.opened_at = now;
+  admission_.on_accepted(now, handle);
+  bufferevent_setcb(connection.socket.get(), &Listener::on_readable, &Listener::on_writable,
+                    &Listener::on_event, &connection);
+  bufferevent_setwatermark(connection.socket.get(), EV_READ, 0, kMaxReadAheadBytes);
+  bufferevent_set_max_single_write(connection.socket.get(), kMaxSingleWriteBytes);
+  bufferevent_enable(connection.socket.get(), EV_READ | EV_WRITE);
+  return connection;
 }
 
-bool Listener::may_accept() {
+bool Listener::can_accept() {
   const double now = now_ms();
-  return account_.required_eviction(now, descriptors::Side::Downstream) !=
+  return descriptor_budget_.required_eviction(now, descriptors::Side::Downstream) !=
              descriptors::DescriptorBudget::Eviction::OwnSide ||
-         clients_.select_for_eviction(now, [this](Handle handle) { return spareable(handle); });
+         admission_.select_for_eviction(now, [this](Handle handle) { return can_evict(handle); });
 }
 
 // ---- hot restart ----
 
-void Listener::hold(bool held) {
-  held_ = held;
-  if (listener_ == nullptr || paused_) return;
-  held ? evconnlistener_disable(listener_.get()) : evconnlistener_enable(listener_.get());
+void Listener::hold_accepting(bool hold) {
+  accepting_held_ = hold;
+  if (listener_ == nullptr || accepting_paused_) return;
+  hold ? evconnlistener_disable(listener_.get()) : evconnlistener_enable(listener_.get());
 }
 
-void Listener::hand_over(Pass pass) {
-  pass_ = std::move(pass);
+void Listener::hand_over(PassConnection pass_connection) {
+  pass_connection_ = std::move(pass_connection);
   stopped_ = true;
-  deadlines_.cancel(resume_);
-  deadlines_.cancel(watch_);
+  timers_.cancel(resume_timer_);
+  timers_.cancel(pressure_timer_);
   listener_.reset(); // the process that shares the socket continues to accept
   unix_path_.clear();
-  connections_.each([this](Handle, Connection& c) { pass_on(c); });
-  if (connections_.size() == 0) calls_.emptied();
+  connections_.for_each([this](Handle, Connection& connection) { try_pass_connection(connection); });
+  if (connections_.size() == 0) callbacks_.all_connections_closed();
 }
 
-void Listener::pass_no_more() {
-  if (!pass_) return;
-  pass_ = nullptr;
+void Listener::cancel_handover() {
+  if (!pass_connection_) return;
+  pass_connection_ = nullptr;
   draining_ = true;
 }
 
-bool Listener::adopt(int fd, unsigned requests) {
-  descriptors::DescriptorBudget::Lease place = place_for_connection();
-  if (!place) {
+bool Listener::adopt(int fd, unsigned request_count) {
+  descriptors::DescriptorBudget::Lease descriptor = reserve_descriptor();
+  if (!descriptor) {
     ::close(fd);
-    log::routine("ingress-ended", {{"code", "table-full"}, {"requests", requests}, {"ms", 0}});
+    log::routine_line("ingress-ended", {{"code", "table-full"}, {"requests", request_count}, {"ms", 0}});
     return false;
   }
-  Connection& c = join(fd, std::move(place));
-  c.requests = requests;
-  if (requests == 0) {
-    limit(c, options_.request_ms, "silent");
+  Connection& connection = add_connection(fd, std::move(descriptor));
+  connection.request_count = request_count;
+  if (request_count == 0) {
+    start_timeout(connection, options_.request_timeout_ms, "silent");
     return true;
   }
-  c.answered_at = now_ms();
-  clients_.on_request_complete(c.answered_at, c.self);
-  clients_.on_idle(c.answered_at, c.self);
-  limit_rest(c, c.answered_at + options_.idle_ms);
+  connection.responded_at = now_ms();
+  admission_.on_request_complete(connection.responded_at, connection.handle);
+  admission_.on_idle(connection.responded_at, connection.handle);
+  start_idle_timeout(connection, connection.responded_at + options_.idle_timeout_ms);
   return true;
 }
 
@@ -258,32 +265,33 @@
 void Listener::stop_accepting() {
   if (listener_ == nullptr) return;
   // Accepts the connections in the kernel's queue: closing the listening socket would reset them.
-  const int listening = evconnlistener_get_fd(listener_.get());
+  const int socket_fd = evconnlistener_get_fd(listener_.get());
   for (;;) {
-    const int fd = accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    const int fd = accept4(socket_fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd >= 0) {
-      accept(fd);
-    } else if ((errno != EMFILE && errno != ENFILE) || !let_go("table-full")) {
+      accept_connection(fd);
+    } else if ((errno != EMFILE && errno != ENFILE) || !evict_connection("table-full")) {
       break; // out of descriptors, idle connections are evicted as before
     }
   }
-  deadlines_.cancel(resume_);
-  deadlines_.cancel(watch_);
+  timers_.cancel(resume_timer_);
+  timers_.cancel(pressure_timer_);
   listener_.reset();
   if (!unix_path_.empty()) ::unlink(unix_path_.c_str());
   unix_path_.clear();
   stopped_ = true; // from now on the last connection to close ends the shutdown
-  if (connections_.size() == 0) calls_.emptied();
+  if (connections_.size() == 0) callbacks_.all_connections_closed();
 }
 
 void Listener::stop() {
   stop_accepting();
-  connections_.each([this](Handle, Connection& c) {
-    if (c.state != Connection::State::Reading || c.parser.begun() || loop::pending_output(c.io.get()) > 0)
+  connections_.for_each([this](Handle, Connection& connection) {
+    if (connection.state != Connection::State::Reading || connection.parser.has_started() ||
+        loop::pending_output(connection.socket.get()) > 0)
       return;
-    if (spareable(c.self)) linger(c, "stopping");
+    if (can_evict(connection.handle)) start_lingering(connection, "stopping");
   });
-  if (connections_.size() == 0) calls_.emptied();
+  if (connections_.size() == 0) callbacks_.all_connections_closed();
 }
 
 } // namespace fernward::downstream
--- a/src/downstream/listener.h
+++ b/src/downstream/listener.h
@@ -13,7 +13,7 @@
 #include "descriptors/client_admission.h"
 #include "descriptors/descriptor_budget.h"
 #include "downstream/codec.h"
-#include "figures/figures.h"
+#include "figures/router_stats.h"
 #include "http/parser.h"
 #include "loop/net.h"
 #include "loop/slot_map.h"
@@ -25,41 +25,41 @@
 
 struct ListenerOptions {
   std::string address;     // IPv4 address and port, or "unix:PATH"
-  int listening = -1;      // an inherited listening descriptor to use; below 0: none
+  int inherited_fd = -1;   // an inherited listening descriptor to use; below 0: none
   bool share_port = false; // another process of this router may listen on the same port
-  descriptors::ClientAdmissionOptions clients;
+  descriptors::ClientAdmissionOptions admission;
   // A request with a body up to this size is forwarded once it is complete. Longer bodies are streamed, see
   // proxy/request_body.h.
-  std::size_t short_body = 64 * 1024;
-  int unsent_bytes = 64 * 1024; // per connection: unsent response bytes that the kernel accepts
-  double idle_ms = 120000;      // between requests
+  std::size_t max_short_body_bytes = 64 * 1024;
+  int max_unsent_bytes = 64 * 1024; // per connection: unsent response bytes that the kernel accepts
+  double idle_timeout_ms = 120000;  // between requests
   // For a head to arrive completely; for the first one, counted from the start of the connection.
-  double request_ms = 2600;
+  double request_timeout_ms = 2600;
   // For a short body, counted from the head on, in addition to its transmission time at
   // min_body_bytes_per_ms.
-  double body_ms = 1000;
-  double body_rate = 48;
-  double write_ms = 5000;      // without the client reading any of a response
-  double linger_ms = 500;      // for the client to read the last response and close
-  double shed_retry_ms = 1000; // Retry-After of responses sent because a limit was reached
+  double short_body_timeout_ms = 1000;
+  double min_body_bytes_per_ms = 48;
+  double write_timeout_ms = 5000;    // without the client reading any of a response
+  double linger_timeout_ms = 500;    // for the client to read the last response and close
+  double shed_retry_after_ms = 1000; // Retry-After of responses sent because a limit was reached
 };
 
 // Callbacks from the listener to the router.
-struct ListenerCalls {
+struct ListenerCallbacks {
   // Returns the handle of the active request. 0: too many requests, or no endpoint list yet.
-  std::function<loop::Handle(loop::Handle client, proxy::ClientRequest)> open;
+  std::function<loop::Handle(loop::Handle client, proxy::ClientRequest)> open_request;
   // Whether a client waits for a response to a request with this id.
-  std::function<bool(const std::string& id)> is_open;
+  std::function<bool(const std::string& id)> is_waiting_for;
   // The last byte of the body arrived after open_request().
-  std::function<void(loop::Handle exchange)> whole;
-  std::function<void(loop::Handle exchange)> gone;
-  std::function<bool()> ready;
+  std::function<void(loop::Handle active_request)> body_complete;
+  std::function<void(loop::Handle active_request)> client_disconnected;
+  std::function<bool()> is_ready;
   // The last connection was closed after the listener had stopped.
-  std::function<void()> emptied;
+  std::function<void()> all_connections_closed;
   // Closes a free upstream connection to release its descriptor. False: none is free.
-  std::function<bool()> recall;
+  std::function<bool()> evict_upstream_connection;
   // The client has read part of a streamed response, and more can be written.
-  std::function<void(loop::Handle exchange)> drained;
+  std::function<void(loop::Handle active_request)> response_drained;
 };
 
 // Accepts client connections, decodes their requests, and sends the responses. Owned by the router.
@@ -74,88 +74,92 @@
 class Listener : public proxy::DownstreamConnections {
  public:
   // Throws std::runtime_error if it cannot listen on the address. All references must outlive the listener.
-  Listener(event_base* base, loop::TimerQueue& deadlines, descriptors::DescriptorBudget& account,
-           descriptors::RequestBufferBudget& buffers, body_buffers::BufferBudget& bytes,
-           proxy::BodyStores& bodies, figures::Figures& figures, const ListenerOptions& options, Rules rules,
-           ListenerCalls calls);
+  Listener(event_base* base, loop::TimerQueue& timers, descriptors::DescriptorBudget& descriptor_budget,
+           descriptors::RequestBufferBudget& request_buffers, body_buffers::BufferBudget& buffer_budget,
+           proxy::BodyStores& body_stores, figures::RouterStats& figures, const ListenerOptions& options,
+           RequestRules rules, ListenerCallbacks callbacks);
   ~Listener() override;
 
   // Validates requests against `rules` from now on. No class may have been removed.
-  void change(Rules rules);
+  void update_rules(RequestRules rules);
 
-  void send_response(loop::Handle client, proxy::ClientResponse answer) override;
+  void send_response(loop::Handle client, proxy::ClientResponse response) override;
   bool is_connected(loop::Handle client) override;
-  bool start_response(loop::Handle client, proxy::ResponseHead opening) override;
+  bool start_response(loop::Handle client, proxy::ResponseHead response_head) override;
   std::size_t writable_bytes(loop::Handle client) override;
-  void write(loop::Handle client, std::string_view bytes, loop::IoBuffer& block) override;
-  bool splice_from(loop::Handle client, int socket, std::size_t most, loop::IoBuffer& block,
-                   loop::Received& received, std::size_t& bytes) override;
-  void end_response(loop::Handle client, bool whole) override;
+  void write(loop::Handle client, std::string_view bytes, loop::IoBuffer& io_buffer) override;
+  bool splice_from(loop::Handle client, int socket, std::size_t max_bytes, loop::IoBuffer& io_buffer,
+                   loop::ReceiveResult& received, std::size_t& bytes) override;
+  void end_response(loop::Handle client, bool complete) override;
   // Closes the connection that is the best candidate for eviction, with `close_code` in the log. False: none
   // can be closed.
-  bool let_go(const char* code);
+  bool evict_connection(const char* close_code);
 
   // Graceful shutdown has begun: /ready answers 503, and new requests must be answered before `deadline`.
-  void ends_by(double by) { ends_by_ = by; }
+  void set_shutdown_deadline(double deadline) { shutdown_deadline_ = deadline; }
   void stop_accepting(); // accepts the pending connections, then closes the listening socket
   void drain();          // from now on each response announces the end of its connection
   void stop();           // like stop_accepting(), and also closes idle connections
 
   // ---- hot restart ----
   // The listening descriptor; below 0: the listener has stopped.
-  int listening() const;
+  int listening_fd() const;
   // While held, accepts nothing: new connections stay in the kernel's queue, for the process that shares the
   // socket.
-  void hold(bool held);
+  void hold_accepting(bool hold);
   // From now on nothing is accepted, and each connection is passed to the new process as soon as it is idle.
   // `pass_connection` takes the descriptor. If it returns false, the descriptor remains the caller's: the
   // connection stays here, and ends with its next response once cancel_handover() was called.
-  using Pass = std::function<bool(int fd, unsigned requests)>;
-  void hand_over(Pass pass);
+  using PassConnection = std::function<bool(int fd, unsigned requests)>;
+  void hand_over(PassConnection pass_connection);
   // The new process is gone: the remaining connections stay here and end with their next response.
-  void pass_no_more();
+  void cancel_handover();
   // Takes a connection passed by the old process, on which `request_count` requests were served. False: no
   // descriptor was available, and the connection was closed.
-  bool adopt(int fd, unsigned requests);
+  bool adopt(int fd, unsigned request_count);
 
   int port() const; // 0 for a Unix socket
-  std::size_t connections() const { return connections_.size(); }
+  std::size_t connection_count() const { return connections_.size(); }
 
  private:
-  static constexpr std::size_t kMostInput = 16 * 1024; // of input buffered ahead of the current request
+  static constexpr std::size_t kMaxReadAheadBytes =
+      16 * 1024; // of input buffered ahead of the current request
 
   struct Connection {
-    Connection(descriptors::RequestBufferBudget& buffers, body_buffers::BufferBudget& bytes,
-               std::uint64_t most_body)
-        : request(buffers), out(bytes), parser(http::Kind::Request, most_body) {}
+    Connection(descriptors::RequestBufferBudget& request_buffers, body_buffers::BufferBudget& buffer_budget,
+               std::uint64_t max_body_bytes)
+        : request_buffer(request_buffers),
+          unsent_response(buffer_budget),
+          parser(http::MessageKind::Request, max_body_bytes) {}
     Listener* listener = nullptr;
-    loop::Handle self = 0;
-    descriptors::DescriptorBudget::Lease place;
-    descriptors::RequestBufferBudget::Lease request; // bytes of an incomplete request
-    body_buffers::BufferBudget::Reservation out;     // response bytes in the output buffer
-    loop::BuffereventPtr io;
+    loop::Handle handle = 0;
+    descriptors::DescriptorBudget::Lease descriptor;
+    descriptors::RequestBufferBudget::Lease request_buffer;  // bytes of an incomplete request
+    body_buffers::BufferBudget::Reservation unsent_response; // response bytes in the output buffer
+    loop::BuffereventPtr socket;
     http::Parser parser;
-    std::shared_ptr<proxy::RequestBody> inflow; // a long body that is arriving; else null
-    std::optional<proxy::ClientRequest> call;   // its request, until it is forwarded
-    figures::Figures::Taken taken_request;      // until the final response
-    double begun_at = 0;                        // when that body started to arrive
-    enum class State { Reading, Waiting, Passing, Closing, Lingering } state = State::Reading;
-    loop::Handle exchange = 0;                     // in Waiting and Streaming; else 0
+    std::shared_ptr<proxy::RequestBody> streamed_body;       // a long body that is arriving; else null
+    std::optional<proxy::ClientRequest> pending_request;     // its request, until it is forwarded
+    figures::RouterStats::RequestTracker request_statistics; // until the final response
+    double body_started_at = 0;                              // when that body started to arrive
+    enum class State { Reading, Waiting, Streaming, Closing, Lingering } state = State::Reading;
+    loop::Handle active_request = 0;               // in Waiting and Streaming; else 0
     http::Framing framing = http::Framing::Length; // of a streamed response
-    bool old = false;                              // version of the request
-    bool stays = true;                             // keep the connection after a streamed response
+    bool is_http_1_0 = false;                      // version of the request
+    bool keep_after_response = true;               // keep the connection after a streamed response
     // Body bytes of a streamed response; those that had left the output buffer at the last check.
-    std::uint64_t passed = 0, taken = 0;
-    double taken_at = 0;  // when the output buffer was last seen to shrink
-    std::size_t left = 0; // bytes of a complete response in the output buffer at the last check
-    double head_at = 0;   // when the head of a request with a short body was complete; else 0
-    bool keep_alive = true, continued = false, peer_closed = false;
-    unsigned requests = 0, pipelined = 0; // pipelined: consecutive ones
-    std::size_t drained = 0;              // bytes discarded after the last response
-    double opened_at = 0, answered_at = 0;
-    loop::TimerQueue::TimerId ticket = 0;
-    loop::TimerQueue::TimerId end_check = 0; // polls for the client's disconnect while reading is paused
-    const char* code = "";
+    std::uint64_t streamed_bytes = 0, sent_bytes = 0;
+    double last_sent_at = 0;            // when the output buffer was last seen to shrink
+    std::size_t last_pending_bytes = 0; // bytes of a complete response in the output buffer at the last check
+    double head_received_at = 0;        // when the head of a request with a short body was complete; else 0
+    bool keep_alive = true, continue_sent = false, peer_closed = false;
+    unsigned request_count = 0, pipelined_requests = 0; // pipelined: consecutive ones
+    std::size_t discarded_bytes = 0;                    // bytes discarded after the last response
+    double opened_at = 0, responded_at = 0;
+    loop::TimerQueue::TimerId timer = 0;
+    loop::TimerQueue::TimerId end_check_timer =
+        0; // polls for the client's disconnect while reading is paused
+    const char* close_code = "";
   };
   struct ListenerFree {
     void operator()(evconnlistener* l) const { evconnlistener_free(l); }
@@ -163,79 +167,84 @@
 
   // ---- listener.cpp: the listening socket and new connections ----
   void listen(); // throws std::runtime_error
-  static void accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self);
-  static void accept_failed(evconnlistener*, void* self);
-  void pause(double ms); // accepts nothing for this time
-  void resume();
+  static void on_accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self);
+  static void on_accept_failed(evconnlistener*, void* self);
+  void pause_accepting(double ms); // accepts nothing for this time
+  void resume_accepting();
   // An empty lease if all descriptors are in use and no connection can be evicted.
-  descriptors::DescriptorBudget::Lease place_for_connection();
-  void accept(int fd);
-  Connection& join(int fd, descriptors::DescriptorBudget::Lease place);
-  bool may_accept(); // whether a descriptor is available for one more connection
+  descriptors::DescriptorBudget::Lease reserve_descriptor();
+  void accept_connection(int fd);
+  Connection& add_connection(int fd, descriptors::DescriptorBudget::Lease descriptor);
+  bool can_accept(); // whether a descriptor is available for one more connection
 
   // ---- requests.cpp: reading requests ----
-  static void readable(bufferevent*, void* c);
-  static void written(bufferevent*, void* c);
-  static void changed(bufferevent*, short what, void* c);
-  void read(Connection& c); // processes the input as far as the connection's state permits
-  void pause_reading(Connection& c);
-  void read_on(Connection& c);
-  void look_for_end(Connection& c);
-  void go_ahead(Connection& c);                      // answers Expect: 100-continue
-  void handle(Connection& c, http::Message request); // a complete request
-  Decoded decode(http::Message request);
-  bool admit(Connection& c, Decoded& decoded, bool whole); // false: it has been rejected
-  void open(Connection& c, proxy::ClientRequest call);     // forwards the request to the router
-  void turn_away(Connection& c, int status, const char* text, const char* code);
-  void begin_body(Connection& c);
-  void read_body(Connection& c);
-  void flow(Connection& c); // once the body is complete or may be streamed
-  void limit_body(Connection& c);
+  static void on_readable(bufferevent*, void* context);
+  static void on_writable(bufferevent*, void* context);
+  static void on_event(bufferevent*, short events, void* context);
+  void read_input(Connection& connection); // processes the input as far as the connection's state permits
+  void pause_reading(Connection& connection);
+  void resume_reading(Connection& connection);
+  void schedule_end_check(Connection& connection);
+  void send_continue(Connection& connection);                         // answers Expect: 100-continue
+  void handle_request(Connection& connection, http::Message request); // a complete request
+  DecodedRequest decode(http::Message request);
+  bool admit(Connection& connection, DecodedRequest& decoded, bool complete); // false: it has been rejected
+  void open_request(Connection& connection,
+                    proxy::ClientRequest request); // forwards the request to the router
+  void reject(Connection& connection, int status, const char* text, const char* close_code);
+  void start_streamed_body(Connection& connection);
+  void read_streamed_body(Connection& connection);
+  void forward_request(Connection& connection); // once the body is complete or may be streamed
+  void start_body_timeout(Connection& connection);
 
   // ---- responses.cpp: writing responses ----
-  void drop_body(Connection& c);
-  bool connection_stays(Connection& c, const char*& code);
-  void reply(Connection& c, const std::string& text, bool keep_alive, const char* code);
-  void replied(Connection& c, bool keep_alive, const char* code); // sets the state after a response
-  void settle_output(Connection& c);                              // returns sent bytes to the buffer budget
-  void limit_taking(Connection& c);
-  bool client_takes(Connection& c); // it has recently read some of a response
-  void flushed(Connection& c);      // the output buffer is empty, or below its watermark
+  void abort_body(Connection& connection);
+  bool decide_keep_alive(Connection& connection, const char*& close_code);
+  void send_short_response(Connection& connection, const std::string& text, bool keep_alive,
+                           const char* close_code);
+  void on_response_written(Connection& connection, bool keep_alive,
+                           const char* close_code); // sets the state after a response
+  void release_sent_bytes(Connection& connection);  // returns sent bytes to the buffer budget
+  void start_write_timeout(Connection& connection);
+  bool client_is_reading(Connection& connection); // it has recently read some of a response
+  void on_output_drained(Connection& connection); // the output buffer is empty, or below its watermark
 
   // ---- closing.cpp: timeouts and the end of connections ----
-  bool spareable(loop::Handle handle); // no request is pending on it
-  void close_rested();
-  void watch_places();
-  void linger(Connection& c, const char* code); // shuts down sending, and waits for the client to close
-  void connection_event(Connection& c, short what);
-  void limit(Connection& c, double ms, const char* code); // closes it with this code
-  void limit_rest(Connection& c, double when);            // closes it after idle_timeout_ms
-  void close(Connection& c, const char* code);
-  bool rests(Connection& c);   // between requests, with empty buffers
-  bool pass_on(Connection& c); // to the new process; false: the connection stays here
+  bool can_evict(loop::Handle handle); // no request is pending on it
+  void close_expired_idle();
+  void watch_descriptor_pressure();
+  void start_lingering(Connection& connection,
+                       const char* close_code); // shuts down sending, and waits for the client to close
+  void on_connection_event(Connection& connection, short events);
+  void start_timeout(Connection& connection, double timeout_ms,
+                     const char* close_code);                       // closes it with this code
+  void start_idle_timeout(Connection& connection, double check_at); // closes it after idle_timeout_ms
+  void close(Connection& connection, const char* close_code);
+  bool is_idle(Connection& connection);             // between requests, with empty buffers
+  bool try_pass_connection(Connection& connection); // to the new process; false: the connection stays here
 
   event_base* base_;
-  loop::TimerQueue& deadlines_;
-  descriptors::DescriptorBudget& account_;
-  descriptors::RequestBufferBudget& buffers_;
-  body_buffers::BufferBudget& bytes_;
-  proxy::BodyStores& bodies_;
-  figures::Figures& figures_;
-  loop::IoBuffer block_;
-  descriptors::ClientAdmission clients_;
+  loop::TimerQueue& timers_;
+  descriptors::DescriptorBudget& descriptor_budget_;
+  descriptors::RequestBufferBudget& request_buffers_;
+  body_buffers::BufferBudget& buffer_budget_;
+  proxy::BodyStores& body_stores_;
+  figures::RouterStats& figures_;
+  loop::IoBuffer io_buffer_;
+  descriptors::ClientAdmission admission_;
   ListenerOptions options_;
-  Rules rules_;
-  ListenerCalls calls_;
-  std::uint64_t ids_made_ = 0;
+  RequestRules rules_;
+  ListenerCallbacks callbacks_;
+  std::uint64_t generated_ids_ = 0;
   std::string id_prefix_;
   loop::SlotMap<Connection> connections_;
   loop::Pipe pipe_;
   std::unique_ptr<evconnlistener, ListenerFree> listener_;
   std::string unix_path_; // to be removed at the end; empty: none
-  bool draining_ = false, paused_ = false, stopped_ = false, held_ = false;
-  double ends_by_ = 0; // 0: no shutdown is in progress
-  Pass pass_;          // null: no handover is in progress
-  loop::TimerQueue::TimerId resume_ = 0, watch_ = 0;
+  bool draining_ = false, accepting_paused_ = false, stopped_ = false, accepting_held_ = false;
+  double shutdown_deadline_ = 0;   // 0: no shutdown is in progress
+  PassConnection pass_connection_; // null: no handover is in progress
+  loop::TimerQueue::TimerId resume_timer_ = 0, pressure_timer_ = 0;
 };
 
 } // namespace fernward::downstream
--- a/src/downstream/requests.cpp
+++ b/src/downstream/requests.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::size_t kMostDrained = 256 * 1024; // read from a client whose request was rejected
-constexpr unsigned kMostPipelined = 2;           // consecutive requests received before the previous response
+constexpr std::size_t kMaxDiscardedBytes = 256 * 1024; // read from a client whose request was rejected
+constexpr unsigned kMaxPipelinedRequests = 2; // consecutive requests received before the previous response
 // An attempt that starts 0.1 s or more after its client disconnected counts as a fault.
 constexpr double kClientEndCheckMs = 50;
 
@@ -22,257 +22,280 @@
 
 // ---- requests ----
 
-void Listener::readable(bufferevent*, void* c) {
-  auto* connection = static_cast<Connection*>(c);
-  connection->listener->read(*connection);
+void Listener::on_readable(bufferevent*, void* context) {
+  auto* connection = static_cast<Connection*>(context);
+  connection->listener->read_input(*connection);
 }
-void Listener::written(bufferevent*, void* c) {
-  auto* connection = static_cast<Connection*>(c);
-  connection->listener->flushed(*connection);
+void Listener::on_writable(bufferevent*, void* context) {
+  auto* connection = static_cast<Connection*>(context);
+  connection->listener->on_output_drained(*connection);
 }
-void Listener::changed(bufferevent*, short what, void* c) {
-  auto* connection = static_cast<Connection*>(c);
-  connection->listener->connection_event(*connection, what);
+void Listener::on_event(bufferevent*, short events, void* context) {
+  auto* connection = static_cast<Connection*>(context);
+  connection->listener->on_connection_event(*connection, events);
 }
 
-void Listener::read(Connection& c) {
-  const std::string_view input = loop::pending_input(c.io.get());
-  if (c.state == Connection::State::Lingering || c.state == Connection::State::Closing) {
-    c.drained += input.size();
-    if (c.drained > kMostDrained) bufferevent_disable(c.io.get(), EV_READ); // do not read an upload of 60 MB
-    return loop::consume_input(c.io.get(), input.size());
+void Listener::read_input(Connection& connection) {
+  const std::string_view input = loop::pending_input(connection.socket.get());
+  if (connection.state == Connection::State::Lingering || connection.state == Connection::State::Closing) {
+    connection.discarded_bytes += input.size();
+    if (connection.discarded_bytes > kMaxDiscardedBytes)
+      bufferevent_disable(connection.socket.get(), EV_READ); // do not read an upload of 60 MB
+    return loop::consume_input(connection.socket.get(), input.size());
   }
-  if (c.inflow != nullptr) return read_body(c);
+  if (connection.streamed_body != nullptr) return read_streamed_body(connection);
   // The next request is not read before the previous response is sent: otherwise responses could accumulate
   // in the output buffer.
-  if (c.state != Connection::State::Reading || input.empty() || loop::pending_output(c.io.get()) > 0) {
+  if (connection.state != Connection::State::Reading || input.empty() ||
+      loop::pending_output(connection.socket.get()) > 0) {
     // With a full input buffer libevent would call again and again, and use a whole core for each such
     // client.
-    if (input.size() >= kMostInput) pause_reading(c);
+    if (input.size() >= kMaxReadAheadBytes) pause_reading(connection);
     return;
   }
-  const bool fresh = !c.parser.begun();
-  loop::consume_input(c.io.get(), c.parser.feed(input));
-  switch (c.parser.fault()) {
-    case http::Fault::None: break;
-    case http::Fault::Malformed: return reply(c, encode_fault(400, "malformed"), false, "malformed");
-    case http::Fault::HeaderTooLarge: return reply(c, encode_fault(431, "header"), false, "header-too-large");
-    case http::Fault::BodyTooLarge: return reply(c, encode_fault(413, "body"), false, "body-too-large");
+  const bool is_first_part = !connection.parser.has_started();
+  loop::consume_input(connection.socket.get(), connection.parser.feed(input));
+  switch (connection.parser.error()) {
+    case http::ParseError::None: break;
+    case http::ParseError::Malformed:
+      return send_short_response(connection, encode_error(400, "malformed"), false, "malformed");
+    case http::ParseError::HeaderTooLarge:
+      return send_short_response(connection, encode_error(431, "header"), false, "header-too-large");
+    case http::ParseError::BodyTooLarge:
+      return send_short_response(connection, encode_error(413, "body"), false, "body-too-large");
   }
-  if (c.parser.done()) {
-    clients_.on_request_active(now_ms(), c.self);
-    c.head_at = 0;
-    c.request.set(0);
-    return handle(c, c.parser.take());
+  if (connection.parser.done()) {
+    admission_.on_request_active(now_ms(), connection.handle);
+    connection.head_received_at = 0;
+    connection.request_buffer.set(0);
+    return handle_request(connection, connection.parser.take_message());
   }
-  if (c.parser.wants_body() && std::max<std::uint64_t>(c.parser.body().length().value_or(0),
-                                                       c.parser.body().come()) > options_.short_body) {
-    return begin_body(c);
+  if (connection.parser.expects_body() &&
+      std::max<std::uint64_t>(connection.parser.body().length().value_or(0),
+                              connection.parser.body().received_bytes()) > options_.max_short_body_bytes) {
+    return start_streamed_body(connection);
   }
-  if (c.head_at == 0 && c.parser.wants_body()) c.head_at = now_ms();
-  if (c.parser.begun()) clients_.on_request_partial(now_ms(), c.self);
-  c.request.set(c.parser.held());
-  if (buffers_.exceeded()) {
-    return reply(c, encode_shed(options_.shed_retry_ms, false), false, "buffers-full");
+  if (connection.head_received_at == 0 && connection.parser.expects_body())
+    connection.head_received_at = now_ms();
+  if (connection.parser.has_started()) admission_.on_request_partial(now_ms(), connection.handle);
+  connection.request_buffer.set(connection.parser.buffered_bytes());
+  if (request_buffers_.exceeded()) {
+    return send_short_response(connection, encode_shed(options_.shed_retry_after_ms, false), false,
+                               "buffers-full");
   }
-  if (fresh && c.parser.begun() && c.requests > 0) limit(c, options_.request_ms, "request-timeout");
-  go_ahead(c);
+  if (is_first_part && connection.parser.has_started() && connection.request_count > 0)
+    start_timeout(connection, options_.request_timeout_ms, "request-timeout");
+  send_continue(connection);
 }
 
 // Pauses reading until resume_reading() is called.
-void Listener::pause_reading(Connection& c) {
-  bufferevent_disable(c.io.get(), EV_READ);
-  if (c.end_check == 0) look_for_end(c);
+void Listener::pause_reading(Connection& connection) {
+  bufferevent_disable(connection.socket.get(), EV_READ);
+  if (connection.end_check_timer == 0) schedule_end_check(connection);
 }
 
-void Listener::read_on(Connection& c) {
-  if ((bufferevent_get_enabled(c.io.get()) & EV_READ) == 0) bufferevent_enable(c.io.get(), EV_READ);
+void Listener::resume_reading(Connection& connection) {
+  if ((bufferevent_get_enabled(connection.socket.get()) & EV_READ) == 0)
+    bufferevent_enable(connection.socket.get(), EV_READ);
 }
 
 // While reading is paused, a disconnect of the client is not reported: the end of the stream follows unread
 // bytes, and a reset is detected by a read only. So the socket is polled.
-void Listener::look_for_end(Connection& c) {
-  c.end_check = deadlines_.at(now_ms() + kClientEndCheckMs, [this, handle = c.self] {
-    Connection* paused = connections_.find(handle);
-    if (paused == nullptr) return;
-    paused->end_check = 0;
-    if ((bufferevent_get_enabled(paused->io.get()) & EV_READ) != 0) return;
-    if (loop::peer_ended(bufferevent_getfd(paused->io.get())))
-      return connection_event(*paused, BEV_EVENT_EOF);
-    look_for_end(*paused);
-  });
+void Listener::schedule_end_check(Connection& connection) {
+  connection.end_check_timer =
+      timers_.run_at(now_ms() + kClientEndCheckMs, [this, handle = connection.handle] {
+        Connection* paused = connections_.find(handle);
+        if (paused == nullptr) return;
+        paused->end_check_timer = 0;
+        if ((bufferevent_get_enabled(paused->socket.get()) & EV_READ) != 0) return;
+        if (loop::peer_has_closed(bufferevent_getfd(paused->socket.get())))
+          return on_connection_event(*paused, BEV_EVENT_EOF);
+        schedule_end_check(*paused);
+      });
 }
 
 // Answers Expect: 100-continue.
-void Listener::go_ahead(Connection& c) {
-  if (!c.parser.wants_body() || c.continued) return;
-  if (http::lower(c.parser.message().header("expect")) != "100-continue") return;
-  c.continued = true;
-  loop::write_or_wait(c.io.get(), "HTTP/1.1 100 Continue\r\n\r\n");
+void Listener::send_continue(Connection& connection) {
+  if (!connection.parser.expects_body() || connection.continue_sent) return;
+  if (http::to_lower(connection.parser.message().header("expect")) != "100-continue") return;
+  connection.continue_sent = true;
+  loop::write_or_enqueue(connection.socket.get(), "HTTP/1.1 100 Continue\r\n\r\n");
 }
 
-void Listener::handle(Connection& c, http::Message request) {
-  c.continued = false;
-  c.keep_alive = request.keep_alive && !draining_;
-  c.old = request.version_1_0;
+void Listener::handle_request(Connection& connection, http::Message request) {
+  connection.continue_sent = false;
+  connection.keep_alive = request.keep_alive && !draining_;
+  connection.is_http_1_0 = request.is_http_1_0;
   if (request.method == "GET" && request.target == "/ready") {
-    ++c.requests;
-    const bool ready = !draining_ && ends_by_ == 0 && calls_.ready();
+    ++connection.request_count;
+    const bool ready = !draining_ && shutdown_deadline_ == 0 && callbacks_.is_ready();
     const std::string text =
-        http::write_response(ready ? 200 : 503, {}, ready ? "ready\n" : "not ready\n", c.keep_alive);
-    return reply(c, text, c.keep_alive, "done");
+        http::write_response(ready ? 200 : 503, {}, ready ? "ready\n" : "not ready\n", connection.keep_alive);
+    return send_short_response(connection, text, connection.keep_alive, "done");
   }
-  Decoded decoded = decode(std::move(request));
-  if (!admit(c, decoded, true)) return;
-  deadlines_.cancel(c.ticket);
-  open(c, std::move(decoded.call));
+  DecodedRequest decoded = decode(std::move(request));
+  if (!admit(connection, decoded, true)) return;
+  timers_.cancel(connection.timer);
+  open_request(connection, std::move(decoded.request));
 }
 
-Decoded Listener::decode(http::Message request) {
-  Decoded decoded = downstream::decode(std::move(request), rules_);
-  if (decoded.status == 0 && decoded.call.id.empty())
-    decoded.call.id = id_prefix_ + std::to_string(++ids_made_);
+DecodedRequest Listener::decode(http::Message request) {
+  DecodedRequest decoded = downstream::decode(std::move(request), rules_);
+  if (decoded.status == 0 && decoded.request.id.empty())
+    decoded.request.id = id_prefix_ + std::to_string(++generated_ids_);
   return decoded;
 }
 
-bool Listener::admit(Connection& c, Decoded& decoded, bool whole) {
-  ++c.requests;
+bool Listener::admit(Connection& connection, DecodedRequest& decoded, bool complete) {
+  ++connection.request_count;
   if (decoded.status == 0) { // its class is known: it is counted, whatever its outcome
-    c.taken_request = figures_.take(decoded.call.class_index);
-    if (whole) c.taken_request.whole();
+    connection.request_statistics = figures_.track_request(decoded.request.class_index);
+    if (complete) connection.request_statistics.set_complete();
   }
   if (decoded.status != 0) {
-    turn_away(c, decoded.status, decoded.why, decoded.why);
-  } else if (calls_.is_open(decoded.call.id)) {
-    turn_away(c, 409, "X-Request-ID in use", "id in use");
-  } else if (c.pipelined > kMostPipelined) {
-    turn_away(c, 503, "", "pipelined");
+    reject(connection, decoded.status, decoded.reason, decoded.reason);
+  } else if (callbacks_.is_waiting_for(decoded.request.id)) {
+    reject(connection, 409, "X-Request-ID in use", "id in use");
+  } else if (connection.pipelined_requests > kMaxPipelinedRequests) {
+    reject(connection, 503, "", "pipelined");
   } else {
     return true;
   }
   return false;
 }
 
-void Listener::open(Connection& c, proxy::ClientRequest call) {
-  clients_.on_request_complete(now_ms(), c.self);
-  c.state = Connection::State::Waiting;
+void Listener::open_request(Connection& connection, proxy::ClientRequest request) {
+  admission_.on_request_complete(now_ms(), connection.handle);
+  connection.state = Connection::State::Waiting;
   // With the shortened timeout the Balancer gives the request up in time.
-  if (ends_by_ > 0)
-    call.timeout_ms = std::max(1.0, std::min(call.timeout_ms, ends_by_ - now_ms() - call.body_timeout_ms));
-  const bool whole = call.body_timeout_ms == 0;
-  c.exchange = calls_.open(c.self, std::move(call));
-  if (c.exchange != 0) return;
-  if (!whole) return turn_away(c, 503, "", "shed");
-  c.taken_request.end(figures::Outcome::Deferred);
-  reply(c, encode_shed(options_.shed_retry_ms, c.keep_alive), c.keep_alive, "shed");
+  if (shutdown_deadline_ > 0)
+    request.timeout_ms =
+        std::max(1.0, std::min(request.timeout_ms, shutdown_deadline_ - now_ms() - request.body_timeout_ms));
+  const bool complete = request.body_timeout_ms == 0;
+  connection.active_request = callbacks_.open_request(connection.handle, std::move(request));
+  if (connection.active_request != 0) return;
+  if (!complete) return reject(connection, 503, "", "shed");
+  connection.request_statistics.end(figures::Outcome::Deferred);
+  send_short_response(connection, encode_shed(options_.shed_retry_after_ms, connection.keep_alive),
+                      connection.keep_alive, "shed");
 }
 
 // Rejects a request and closes the connection, with an error response if no response has started. 503: shed.
-void Listener::turn_away(Connection& c, int status, const char* text, const char* code) {
-  const Handle exchange = std::exchange(c.exchange, 0);
-  if (c.inflow != nullptr) c.inflow->abort();
-  c.inflow.reset();
-  c.call.reset();
-  c.taken_request.end(status == 503 ? figures::Outcome::Deferred : figures::Outcome::Errored);
-  if (c.state == Connection::State::Passing) {
-    close(c, code);
+void Listener::reject(Connection& connection, int status, const char* text, const char* close_code) {
+  const Handle active_request = std::exchange(connection.active_request, 0);
+  if (connection.streamed_body != nullptr) connection.streamed_body->abort();
+  connection.streamed_body.reset();
+  connection.pending_request.reset();
+  connection.request_statistics.end(status == 503 ? figures::Outcome::Deferred : figures::Outcome::Errored);
+  if (connection.state == Connection::State::Streaming) {
+    close(connection, close_code);
   } else {
-    reply(c, status == 503 ? encode_shed(options_.shed_retry_ms, false) : encode_fault(status, text), false,
-          code);
+    send_short_response(
+        connection,
+        status == 503 ? encode_shed(options_.shed_retry_after_ms, false) : encode_error(status, text), false,
+        close_code);
   }
-  if (exchange != 0) calls_.gone(exchange);
+  if (active_request != 0) callbacks_.client_disconnected(active_request);
 }
 
 // ---- long bodies ----
 
 // The head has been received, and perhaps a first part of the body.
-void Listener::begin_body(Connection& c) {
-  const http::Message& head = c.parser.message();
-  const std::string come = c.parser.take_body();
-  c.keep_alive = head.keep_alive && !draining_;
-  c.old = head.version_1_0;
-  Decoded decoded = decode(http::Message(head));
-  if (!admit(c, decoded, false)) return;
-  c.request.set(c.parser.held());
-  c.head_at = 0;
-  clients_.on_request_active(now_ms(), c.self);
-  c.begun_at = now_ms();
-  c.inflow = std::make_shared<proxy::RequestBody>(bodies_, c.parser.body().length());
-  c.inflow->set_on_writable([this, handle = c.self] {
-    Connection* again = connections_.find(handle);
-    if (again == nullptr || again->inflow == nullptr) return;
-    read_on(*again);
-    bufferevent_trigger(again->io.get(), EV_READ, BEV_TRIG_DEFER_CALLBACKS | BEV_TRIG_IGNORE_WATERMARKS);
+void Listener::start_streamed_body(Connection& connection) {
+  const http::Message& head = connection.parser.message();
+  const std::string first_part = connection.parser.take_body();
+  connection.keep_alive = head.keep_alive && !draining_;
+  connection.is_http_1_0 = head.is_http_1_0;
+  DecodedRequest decoded = decode(http::Message(head));
+  if (!admit(connection, decoded, false)) return;
+  connection.request_buffer.set(connection.parser.buffered_bytes());
+  connection.head_received_at = 0;
+  admission_.on_request_active(now_ms(), connection.handle);
+  connection.body_started_at = now_ms();
+  connection.streamed_body =
+      std::make_shared<proxy::RequestBody>(body_stores_, connection.parser.body().length());
+  connection.streamed_body->set_on_writable([this, handle = connection.handle] {
+    Connection* waiting = connections_.find(handle);
+    if (waiting == nullptr || waiting->streamed_body == nullptr) return;
+    resume_reading(*waiting);
+    bufferevent_trigger(waiting->socket.get(), EV_READ,
+                        BEV_TRIG_DEFER_CALLBACKS | BEV_TRIG_IGNORE_WATERMARKS);
   });
-  c.call = std::move(decoded.call);
-  c.call->streamed_body = c.inflow;
-  for (std::string_view rest = come; !rest.empty();) {
-    const std::size_t most = std::min(c.inflow->writable_bytes(), rest.size());
-    if (most == 0) return turn_away(c, 503, "", "buffers-full");
-    if (!c.inflow->append(rest.substr(0, most), block_)) return turn_away(c, 413, "body", "body-too-large");
-    rest.remove_prefix(most);
+  connection.pending_request = std::move(decoded.request);
+  connection.pending_request->streamed_body = connection.streamed_body;
+  for (std::string_view rest = first_part; !rest.empty();) {
+    const std::size_t part_bytes = std::min(connection.streamed_body->writable_bytes(), rest.size());
+    if (part_bytes == 0) return reject(connection, 503, "", "buffers-full");
+    if (!connection.streamed_body->append(rest.substr(0, part_bytes), io_buffer_))
+      return reject(connection, 413, "body", "body-too-large");
+    rest.remove_prefix(part_bytes);
   }
-  go_ahead(c);
-  limit_body(c);
-  read_body(c);
+  send_continue(connection);
+  start_body_timeout(connection);
+  read_streamed_body(connection);
 }
 
-void Listener::read_body(Connection& c) {
-  http::Framer& body = c.parser.body();
+void Listener::read_streamed_body(Connection& connection) {
+  http::BodyParser& body = connection.parser.body();
   while (!body.done()) {
-    const std::string_view input = loop::pending_input(c.io.get());
+    const std::string_view input = loop::pending_input(connection.socket.get());
     if (input.empty()) break;
-    const std::size_t room = c.inflow->writable_bytes();
-    if (room == 0) { // the server reads it slowly
-      pause_reading(c);
+    const std::size_t available_bytes = connection.streamed_body->writable_bytes();
+    if (available_bytes == 0) { // the server reads it slowly
+      pause_reading(connection);
       break;
     }
-    const http::Framer::Piece piece = body.next(input.substr(0, room));
-    const bool fits = c.inflow->append(piece.body, block_);
-    loop::consume_input(c.io.get(), piece.used);
-    if (body.fault() == http::Fault::Malformed) return turn_away(c, 400, "malformed", "malformed");
-    if (body.fault() == http::Fault::HeaderTooLarge) return turn_away(c, 431, "header", "header-too-large");
-    if (!fits || body.fault() != http::Fault::None) return turn_away(c, 413, "body", "body-too-large");
+    const http::BodyParser::Piece piece = body.next(input.substr(0, available_bytes));
+    const bool fits = connection.streamed_body->append(piece.body, io_buffer_);
+    loop::consume_input(connection.socket.get(), piece.consumed_bytes);
+    if (body.error() == http::ParseError::Malformed) return reject(connection, 400, "malformed", "malformed");
+    if (body.error() == http::ParseError::HeaderTooLarge)
+      return reject(connection, 431, "header", "header-too-large");
+    if (!fits || body.error() != http::ParseError::None)
+      return reject(connection, 413, "body", "body-too-large");
   }
-  flow(c);
+  forward_request(connection);
 }
 
 // Forwards the request when its body is complete or may be streamed.
-void Listener::flow(Connection& c) {
-  const bool whole = c.parser.body().done();
-  if (whole) {
-    c.taken_request.whole();
-    c.inflow->complete();
-    c.parser.take();
-    c.continued = false;
-    deadlines_.cancel(c.ticket);
+void Listener::forward_request(Connection& connection) {
+  const bool complete = connection.parser.body().done();
+  if (complete) {
+    connection.request_statistics.set_complete();
+    connection.streamed_body->complete();
+    connection.parser.take_message();
+    connection.continue_sent = false;
+    timers_.cancel(connection.timer);
   }
-  const auto inflow = c.inflow;
-  if (whole) c.inflow.reset();
-  if (c.call && inflow->may_stream()) {
-    proxy::ClientRequest call = std::move(*c.call);
-    c.call.reset();
-    c.request.set(0);
-    if (!whole) {
-      call.body_timeout_ms =
-          std::max(1.0, c.begun_at + inflow->receive_timeout_ms(options_.request_ms) - now_ms());
+  const auto streamed_body = connection.streamed_body;
+  if (complete) connection.streamed_body.reset();
+  if (connection.pending_request && streamed_body->may_stream()) {
+    proxy::ClientRequest request = std::move(*connection.pending_request);
+    connection.pending_request.reset();
+    connection.request_buffer.set(0);
+    if (!complete) {
+      request.body_timeout_ms =
+          std::max(1.0, connection.body_started_at +
+                            streamed_body->receive_timeout_ms(options_.request_timeout_ms) - now_ms());
     }
-    return open(c, std::move(call));
+    return open_request(connection, std::move(request));
   }
-  if (whole && c.exchange != 0) calls_.whole(c.exchange);
+  if (complete && connection.active_request != 0) callbacks_.body_complete(connection.active_request);
 }
 
 // Limits the time for a body to arrive. The limit grows with the bytes received.
-void Listener::limit_body(Connection& c) {
-  deadlines_.cancel(c.ticket);
-  c.ticket =
-      deadlines_.at(c.begun_at + c.inflow->receive_timeout_ms(options_.request_ms), [this, handle = c.self] {
-        Connection* late = connections_.find(handle);
-        if (late == nullptr || late->inflow == nullptr) return;
-        late->ticket = 0;
-        if (now_ms() < late->begun_at + late->inflow->receive_timeout_ms(options_.request_ms))
-          return limit_body(*late);
-        turn_away(*late, 408, "too slow", "request-timeout");
+void Listener::start_body_timeout(Connection& connection) {
+  timers_.cancel(connection.timer);
+  connection.timer = timers_.run_at(
+      connection.body_started_at + connection.streamed_body->receive_timeout_ms(options_.request_timeout_ms),
+      [this, handle = connection.handle] {
+        Connection* timed_out = connections_.find(handle);
+        if (timed_out == nullptr || timed_out->streamed_body == nullptr) return;
+        timed_out->timer = 0;
+        if (now_ms() < timed_out->body_started_at +
+                           timed_out->streamed_body->receive_timeout_ms(options_.request_timeout_ms))
+          return start_body_timeout(*timed_out);
+        reject(*timed_out, 408, "too slow", "request-timeout");
       });
 }
 
--- a/src/endpoints/endpoint.h
+++ b/src/endpoints/endpoint.h
@@ -16,8 +16,8 @@
 
 struct Endpoint {
   std::string name, address;
-  sockaddr_in where{};
-  fernward::Server entry;
+  sockaddr_in socket_address{};
+  fernward::Server server;
 };
 
 // Depends on the name alone, so that it is the same on every router and after every restart.
@@ -27,28 +27,28 @@
 std::uint32_t index_of(const std::string& name, const std::vector<std::string>& names);
 std::uint64_t hash_of(const std::string& text);
 
-struct EndpointReading {
+struct ParsedEndpoint {
   enum class Outcome {
-    Sound,
+    Valid,
     Repaired, // invalid fields have their previous value or the default; the state is discovery's
     Draining, // invalid status, or invalid address while in service: no new requests may be sent there
     Dropped,  // no name, or Draining applies and the server is unknown; there is no endpoint
   };
 
-  Outcome outcome = Outcome::Sound;
-  Endpoint target;
-  const char* fault = ""; // the first invalid field; empty: none
+  Outcome outcome = Outcome::Valid;
+  Endpoint endpoint;
+  const char* first_error = ""; // the first invalid field; empty: none
 };
 
-class EndpointReader {
+class EndpointParser {
  public:
   // Returns the endpoint of this name as currently known, or null. Called only for invalid entries.
-  using FindLast = std::function<const Endpoint*(const std::string& name)>;
+  using FindPrevious = std::function<const Endpoint*(const std::string& name)>;
 
-  EndpointReader(std::vector<std::string> zones, std::vector<std::string> kinds);
+  EndpointParser(std::vector<std::string> zones, std::vector<std::string> kinds);
 
   // Does not throw, whatever the entry contains.
-  EndpointReading read(const nlohmann::json& entry, const FindLast& find_last) const;
+  ParsedEndpoint parse(const nlohmann::json& entry, const FindPrevious& find_previous) const;
 
  private:
   std::vector<std::string> zones_, kinds_;
@@ -57,7 +57,7 @@
 
 // Rewrites an invalid entry so that another process parses it to the same endpoint. `previous_entry` is the
 // entry stored for the server before, or null.
-nlohmann::json repaired_entry(const nlohmann::json& entry, const Endpoint& target,
-                              const nlohmann::json& last_entry);
+nlohmann::json repaired_entry(const nlohmann::json& entry, const Endpoint& endpoint,
+                              const nlohmann::json& previous_entry);
 
 } // namespace fernward::endpoints
--- a/src/endpoints/endpoint_file_watch.h
+++ b/src/endpoints/endpoint_file_watch.h
@@ -17,9 +17,9 @@
  public:
   // Applies a full list; throws InvalidEndpointList. If the file is readable, the constructor already calls
   // it.
-  using Take = std::function<std::uint64_t(const std::string& text)>;
+  using OnList = std::function<std::uint64_t(const std::string& text)>;
 
-  EndpointFileWatch(loop::TimerQueue& timers, const std::string& path, Take take);
+  EndpointFileWatch(loop::TimerQueue& timers, const std::string& path, OnList on_list);
   ~EndpointFileWatch();
   EndpointFileWatch(const EndpointFileWatch&) = delete;
   EndpointFileWatch& operator=(const EndpointFileWatch&) = delete;
@@ -30,15 +30,15 @@
  private:
   void poll();
   void read();
-  void set_fault(const std::string& why);
+  void report_error(const std::string& error);
 
   loop::TimerQueue& timers_;
   std::string path_;
-  Take take_;
-  std::uint64_t versions_ = 0;
-  struct stat seen_ {};
+  OnList on_list_;
+  std::uint64_t last_version_ = 0;
+  struct stat last_status_ {};
   bool has_list_ = false;
-  std::string fault_; // the error logged last; a repeated error is not logged again
+  std::string last_error_; // the error logged last; a repeated error is not logged again
   loop::TimerQueue::TimerId poll_timer_ = 0;
 };
 
--- a/src/endpoints/target_set.h
+++ b/src/endpoints/endpoint_set.h
@@ -11,26 +11,28 @@
 
 namespace fernward::endpoints {
 
-class TargetSet {
+class EndpointSet {
  public:
   // Adds the endpoint or replaces the one of the same name. State Gone removes the one of the same name.
-  void put(const Endpoint& target);
+  void update(const Endpoint& endpoint);
 
-  const Endpoint* find(const std::string& name) const;   // also one that waits for its id; null: none
-  const Endpoint* holder(fernward::ServerId id) const;   // the endpoint that uses the id; null: none
-  std::size_t in_service() const { return in_service_; } // endpoints in service, without those that wait
+  const Endpoint* find(const std::string& name) const;     // also one that waits for its id; null: none
+  const Endpoint* find_by_id(fernward::ServerId id) const; // the endpoint that uses the id; null: none
+  std::size_t in_service_count() const {
+    return in_service_count_;
+  } // endpoints in service, without those that wait
   // The endpoint that uses each id.
-  const std::map<fernward::ServerId, Endpoint>& holders() const { return holders_; }
+  const std::map<fernward::ServerId, Endpoint>& by_id() const { return by_id_; }
 
  private:
-  void replace(const Endpoint& target);
-  void contend(const Endpoint& target);
+  void store(const Endpoint& endpoint);
+  void resolve_id_collision(const Endpoint& endpoint);
   bool is_in_service(fernward::ServerId id) const;
 
-  std::map<fernward::ServerId, Endpoint> holders_;
+  std::map<fernward::ServerId, Endpoint> by_id_;
   // Endpoints whose id is used by an endpoint of another name.
   std::multimap<fernward::ServerId, Endpoint> waiting_;
-  std::size_t in_service_ = 0;
+  std::size_t in_service_count_ = 0;
 };
 
 } // namespace fernward::endpoints
--- a/src/endpoints/endpoint_table.cpp
+++ b/src/endpoints/endpoint_table.cpp
@@ -14,29 +14,29 @@
 using fernward::EndpointListKind;
 using fernward::ServerState;
 using nlohmann::json;
-using Outcome = EndpointReading::Outcome;
+using Outcome = ParsedEndpoint::Outcome;
 
 struct Envelope {
   std::uint64_t index = 0;
-  bool whole = false;
+  bool is_snapshot = false;
   const json& endpoints;
 };
 
-const json& field(const json& message, const char* key) {
+const json& required_field(const json& message, const char* key) {
   const auto found = message.find(key);
-  if (found == message.end()) throw Damaged(std::string("field missing: ") + key);
+  if (found == message.end()) throw InvalidEndpointList(std::string("field missing: ") + key);
   return *found;
 }
 
 Envelope read_envelope(const json& message) {
-  if (!message.is_object()) throw Damaged("message is not a JSON object");
-  const json& index = field(message, "index");
-  if (!index.is_number_integer() || index < 0) throw Damaged("index: expected an integer from 0");
-  const json& whole = field(message, "snapshot");
-  if (!whole.is_boolean()) throw Damaged("snapshot: expected true or false");
-  const json& endpoints = field(message, "endpoints");
-  if (!endpoints.is_array()) throw Damaged("endpoints: expected an array");
-  return {index.get<std::uint64_t>(), whole.get<bool>(), endpoints};
+  if (!message.is_object()) throw InvalidEndpointList("message is not a JSON object");
+  const json& index = required_field(message, "index");
+  if (!index.is_number_integer() || index < 0) throw InvalidEndpointList("index: expected an integer from 0");
+  const json& snapshot = required_field(message, "snapshot");
+  if (!snapshot.is_boolean()) throw InvalidEndpointList("snapshot: expected true or false");
+  const json& endpoints = required_field(message, "endpoints");
+  if (!endpoints.is_array()) throw InvalidEndpointList("endpoints: expected an array");
+  return {index.get<std::uint64_t>(), snapshot.get<bool>(), endpoints};
 }
 
 // Collects the servers that a delta changes: each id once, with its state after all entries of the delta.
@@ -51,11 +51,11 @@
     }
   }
 
-  std::vector<fernward::Server> take(const TargetSet& targets) {
+  std::vector<fernward::Server> take(const EndpointSet& endpoints) {
     for (fernward::Server& server : servers_) {
-      const Endpoint* holder = targets.holder(server.id);
-      if (holder != nullptr) {
-        server = holder->entry;
+      const Endpoint* endpoint = endpoints.find_by_id(server.id);
+      if (endpoint != nullptr) {
+        server = endpoint->server;
       } else {
         server.state = ServerState::Gone;
       }
@@ -70,122 +70,125 @@
 
 } // namespace
 
-void EndpointTable::Damage::add(const EndpointReading& reading) {
-  if (reading.outcome == Outcome::Sound) return;
+void EndpointTable::EntryErrors::add(const ParsedEndpoint& parsed) {
+  if (parsed.outcome == Outcome::Valid) return;
   if (!any()) {
-    first = reading.target.name;
-    why = reading.fault;
+    first_name = parsed.endpoint.name;
+    first_error = parsed.first_error;
   }
-  dropped += reading.outcome == Outcome::Dropped;
-  draining += reading.outcome == Outcome::Draining;
-  repaired += reading.outcome == Outcome::Repaired;
+  dropped += parsed.outcome == Outcome::Dropped;
+  draining += parsed.outcome == Outcome::Draining;
+  repaired += parsed.outcome == Outcome::Repaired;
 }
 
-fernward::EndpointList EndpointTable::apply(const std::string& text, std::uint64_t at_least) {
+fernward::EndpointList EndpointTable::apply(const std::string& text, std::uint64_t min_index) {
   const json message = config::parse_json(text);
-  if (message.is_discarded()) throw Damaged("not JSON, or nested too deeply");
-  return apply(message, at_least);
+  if (message.is_discarded()) throw InvalidEndpointList("not JSON, or nested too deeply");
+  return apply(message, min_index);
 }
 
-fernward::EndpointList EndpointTable::apply(const json& message, std::uint64_t at_least) {
+fernward::EndpointList EndpointTable::apply(const json& message, std::uint64_t min_index) {
   const Envelope envelope = read_envelope(message);
-  if (envelope.index < at_least) {
-    throw Stale("stale: index " + std::to_string(envelope.index) + " after " + std::to_string(at_least));
+  if (envelope.index < min_index) {
+    throw StaleEndpointList("stale: index " + std::to_string(envelope.index) + " after " +
+                            std::to_string(min_index));
   }
-  auto list = envelope.whole ? replace(envelope.endpoints) : change(envelope.endpoints);
+  auto list = envelope.is_snapshot ? apply_full(envelope.endpoints) : apply_delta(envelope.endpoints);
   index_ = envelope.index;
   return list;
 }
 
 // Fields of invalid entries are taken from the current contents, which are therefore replaced only after all
 // entries have been parsed.
-fernward::EndpointList EndpointTable::replace(const json& endpoints) {
+fernward::EndpointList EndpointTable::apply_full(const json& endpoints) {
   Contents next;
-  Damage damage;
-  std::set<std::string> ended; // by this message: their previous values are not used any more
-  const auto find_last = [this, &next, &ended](const std::string& name) {
-    const Endpoint* in_message = next.targets.find(name);
-    if (in_message != nullptr || ended.contains(name)) return in_message;
-    return contents_.targets.find(name);
+  EntryErrors errors;
+  std::set<std::string> terminated_names; // by this message: their previous values are not used any more
+  const auto find_previous = [this, &next, &terminated_names](const std::string& name) {
+    const Endpoint* endpoint_in_message = next.endpoints.find(name);
+    if (endpoint_in_message != nullptr || terminated_names.contains(name)) return endpoint_in_message;
+    return contents_.endpoints.find(name);
   };
   for (const json& entry : endpoints) {
-    const EndpointReading reading = reader_.read(entry, find_last);
-    damage.add(reading);
-    if (reading.outcome == Outcome::Dropped) continue;
-    if (reading.target.entry.state == ServerState::Gone) ended.insert(reading.target.name);
-    put(reading, entry, next);
+    const ParsedEndpoint parsed = entry_parser_.parse(entry, find_previous);
+    errors.add(parsed);
+    if (parsed.outcome == Outcome::Dropped) continue;
+    if (parsed.endpoint.server.state == ServerState::Gone) terminated_names.insert(parsed.endpoint.name);
+    store_entry(parsed, entry, next);
   }
-  if (!endpoints.empty() && damage.dropped + damage.draining == endpoints.size()) {
-    throw Damaged("none of " + std::to_string(endpoints.size()) +
-                  " entries is valid; first error: " + damage.first + ": " + damage.why);
+  if (!endpoints.empty() && errors.dropped + errors.draining == endpoints.size()) {
+    throw InvalidEndpointList("none of " + std::to_string(endpoints.size()) +
+                              " entries is valid; first error: " + errors.first_name + ": " +
+                              errors.first_error);
   }
   contents_ = std::move(next);
-  report(damage);
+  log_errors(errors);
   fernward::EndpointList list;
   list.kind = EndpointListKind::Full;
-  for (const auto& [id, target] : targets()) list.servers.push_back(target.entry);
+  for (const auto& [id, endpoint] : endpoints_by_id()) list.servers.push_back(endpoint.server);
   return list;
 }
 
-fernward::EndpointList EndpointTable::change(const json& endpoints) {
-  Damage damage;
+fernward::EndpointList EndpointTable::apply_delta(const json& endpoints) {
+  EntryErrors errors;
   ChangedServers changed;
-  const auto find_last = [this](const std::string& name) { return contents_.targets.find(name); };
+  const auto find_previous = [this](const std::string& name) { return contents_.endpoints.find(name); };
   for (const json& entry : endpoints) {
-    const EndpointReading reading = reader_.read(entry, find_last);
-    damage.add(reading);
-    if (reading.outcome == Outcome::Dropped) continue;
-    put(reading, entry, contents_);
-    changed.add(reading.target.entry);
+    const ParsedEndpoint parsed = entry_parser_.parse(entry, find_previous);
+    errors.add(parsed);
+    if (parsed.outcome == Outcome::Dropped) continue;
+    store_entry(parsed, entry, contents_);
+    changed.add(parsed.endpoint.server);
   }
-  report(damage);
+  log_errors(errors);
   fernward::EndpointList list;
   list.kind = EndpointListKind::Delta;
-  list.servers = changed.take(contents_.targets);
+  list.servers = changed.take(contents_.endpoints);
   return list;
 }
 
-void EndpointTable::put(const EndpointReading& reading, const json& entry, Contents& into) const {
-  const Endpoint& target = reading.target;
-  into.targets.put(target);
-  if (!keeps_) return;
-  if (target.entry.state == ServerState::Gone) {
-    into.texts.erase(target.name);
+void EndpointTable::store_entry(const ParsedEndpoint& parsed, const json& entry, Contents& contents) const {
+  const Endpoint& endpoint = parsed.endpoint;
+  contents.endpoints.update(endpoint);
+  if (!keep_entry_texts_) return;
+  if (endpoint.server.state == ServerState::Gone) {
+    contents.entry_texts.erase(endpoint.name);
   } else {
-    into.texts[target.name] = text_of(reading, entry, into);
+    contents.entry_texts[endpoint.name] = entry_text(parsed, entry, contents);
   }
 }
 
-const std::string* EndpointTable::find_text(const Contents& contents, const std::string& name) {
-  const auto found = contents.texts.find(name);
-  return found == contents.texts.end() ? nullptr : &found->second;
+const std::string* EndpointTable::find_entry_text(const Contents& contents, const std::string& name) {
+  const auto found = contents.entry_texts.find(name);
+  return found == contents.entry_texts.end() ? nullptr : &found->second;
 }
 
-std::string EndpointTable::text_of(const EndpointReading& reading, const json& entry,
-                                   const Contents& contents) const {
+std::string EndpointTable::entry_text(const ParsedEndpoint& parsed, const json& entry,
+                                      const Contents& contents) const {
   const auto write = [](const json& value) {
     return value.dump(-1, ' ', false, json::error_handler_t::replace);
   };
-  if (reading.outcome == Outcome::Sound) return write(entry);
-  const std::string* last = find_text(contents, reading.target.name);
-  if (last == nullptr) last = find_text(contents_, reading.target.name);
-  return write(repaired_entry(entry, reading.target, last == nullptr ? json() : config::parse_json(*last)));
+  if (parsed.outcome == Outcome::Valid) return write(entry);
+  const std::string* previous_text = find_entry_text(contents, parsed.endpoint.name);
+  if (previous_text == nullptr) previous_text = find_entry_text(contents_, parsed.endpoint.name);
+  return write(repaired_entry(entry, parsed.endpoint,
+                              previous_text == nullptr ? json() : config::parse_json(*previous_text)));
 }
 
-void EndpointTable::report(const Damage& damage) {
-  if (!damage.any()) return;
-  dropped_entries_ += damage.dropped;
-  log::line("list-entries-damaged", {{"dropped", damage.dropped},
-                                     {"draining", damage.draining},
-                                     {"repaired", damage.repaired},
-                                     {"first", damage.first},
-                                     {"why", damage.why}});
+void EndpointTable::log_errors(const EntryErrors& errors) {
+  if (!errors.any()) return;
+  dropped_entries_ += errors.dropped;
+  log::line("list-entries-damaged", {{"dropped", errors.dropped},
+                                     {"draining", errors.draining},
+                                     {"repaired", errors.repaired},
+                                     {"first", errors.first_name},
+                                     {"why", errors.first_error}});
 }
 
-std::string EndpointTable::told() const {
+std::string EndpointTable::serialized_list() const {
   std::string out = "{\"index\":" + std::to_string(index_) + ",\"snapshot\":true,\"endpoints\":[";
   bool first = true;
-  for (const auto& [name, text] : contents_.texts) {
+  for (const auto& [name, text] : contents_.entry_texts) {
     if (!std::exchange(first, false)) out += ',';
     out += text;
   }
