--- a/src/endpoints/endpoint_watch.cpp
+++ b/src/endpoints/endpoint_watch.cpp
@@ -21,19 +21,19 @@
 
 constexpr int kTooManyRequests = 429;
 constexpr int kUnavailable = 503;
-constexpr std::size_t kPollBytes = 16 << 10;     // read per system call by poll()
+constexpr std::size_t kReadBytes = 16 << 10;     // read per system call by poll()
 constexpr std::uint64_t kMaxListBytes = 8 << 20; // about 50,000 endpoints
 // A response with an earlier index than one already received is out of date, for example from a lagging
 // replica. A restarted discovery may count from the beginning again: after this many stale responses in a
 // row, the next one is accepted.
-constexpr std::uint32_t kMaxStaleAnswers = 2;
+constexpr std::uint32_t kMaxStaleResponses = 2;
 
 // Endpoint lists are read before requests are forwarded, if the event loop has priorities.
-void raise_priority(event_base* base, bufferevent* io) {
+void set_high_priority(event_base* base, bufferevent* io) {
   if (event_base_get_npriorities(base) > 1) bufferevent_priority_set(io, 0);
 }
 
-std::string target_of(const discovery::Ask& ask) {
+std::string request_target(const discovery::Poll& ask) {
   std::string target = "/v1/endpoints";
   if (!ask.since) return target;
   target += "?since=" + std::to_string(*ask.since);
@@ -43,203 +43,210 @@
 
 } // namespace
 
-EndpointWatch::Connection::Connection() : parser(http::Kind::Response, kMaxListBytes) {}
+EndpointWatch::Connection::Connection() : parser(http::MessageKind::Response, kMaxListBytes) {}
 
 EndpointWatch::EndpointWatch(event_base* base, loop::TimerQueue& timers, const std::string& address,
-                             discovery::Subscription subscription, OnAnswer on_answer)
+                             discovery::Subscription subscription, OnResponse on_response)
     : base_(base),
       timers_(timers),
       address_(address),
-      on_answer_(std::move(on_answer)),
+      on_response_(std::move(on_response)),
       subscription_(std::move(subscription)) {
-  run([this](Actions& actions) { subscription_.start(loop::now_ms(), actions); });
+  run_actions([this](Actions& actions) { subscription_.start(loop::now_ms(), actions); });
 }
 
 EndpointWatch::~EndpointWatch() { timers_.cancel(tick_timer_); }
 
 void EndpointWatch::refresh() {
-  run([this](Actions& actions) { subscription_.refresh(loop::now_ms(), actions); });
+  run_actions([this](Actions& actions) { subscription_.refresh(loop::now_ms(), actions); });
 }
 
 // ---- actions of the subscription ----
 
-void EndpointWatch::run(const std::function<void(Actions&)>& decide) {
+void EndpointWatch::run_actions(const std::function<void(Actions&)>& collect_actions) {
   Actions actions;
-  decide(actions);
+  collect_actions(actions);
   // By index: an action that fails immediately appends further actions.
   for (std::size_t i = 0; i < actions.size(); ++i) {
     const discovery::Action action = actions[i];
-    if (const auto* opens = std::get_if<discovery::OpenConnection>(&action)) {
-      open(opens->call, actions);
-    } else if (const auto* asks = std::get_if<discovery::Ask>(&action)) {
-      ask(*asks);
-    } else if (const auto* closes = std::get_if<discovery::CloseConnection>(&action)) {
-      connections_.erase(closes->call);
+    if (const auto* open_action = std::get_if<discovery::OpenConnection>(&action)) {
+      open(open_action->call, actions);
+    } else if (const auto* ask_action = std::get_if<discovery::Poll>(&action)) {
+      send_request(*ask_action);
+    } else if (const auto* close_action = std::get_if<discovery::CloseConnection>(&action)) {
+      connections_.erase(close_action->call);
     }
   }
   timers_.cancel(tick_timer_);
-  tick_timer_ = timers_.at(subscription_.next(), [this] {
+  tick_timer_ = timers_.run_at(subscription_.next_tick_at(), [this] {
     tick_timer_ = 0;
-    run([this](Actions& due) { subscription_.tick(loop::now_ms(), due); });
+    run_actions([this](Actions& due) { subscription_.tick(loop::now_ms(), due); });
   });
 }
 
-void EndpointWatch::open(CallId call, Actions& actions) {
-  if (!connections_.empty()) log::line("discovery-in-doubt", {{"from", address_}, {"answers", answers_}});
+void EndpointWatch::open(CallId call_id, Actions& actions) {
+  if (!connections_.empty())
+    log::line("discovery-in-doubt", {{"from", address_}, {"answers", response_count_}});
   auto connection = std::make_unique<Connection>();
   connection->watch = this;
-  connection->call = call;
+  connection->call_id = call_id;
   connection->io = loop::make_bufferevent(base_, -1);
   bufferevent* const io = connection->io.get();
-  raise_priority(base_, io);
+  set_high_priority(base_, io);
   bufferevent_setcb(io, &EndpointWatch::on_readable, nullptr, &EndpointWatch::on_event, connection.get());
-  connections_[call] = std::move(connection);
-  sockaddr_in where{};
-  config::parse_address(address_, where); // validated when the configuration was read
-  if (bufferevent_socket_connect(io, reinterpret_cast<sockaddr*>(&where), sizeof where) == 0) return;
-  connections_.erase(call);
-  note_failure("connect-failed");
-  subscription_.failed(loop::now_ms(), call, Failure::Disconnected, actions);
-}
-
-void EndpointWatch::ask(const discovery::Ask& ask) {
+  connections_[call_id] = std::move(connection);
+  sockaddr_in socket_address{};
+  config::parse_address(address_, socket_address); // validated when the configuration was read
+  if (bufferevent_socket_connect(io, reinterpret_cast<sockaddr*>(&socket_address), sizeof socket_address) ==
+      0)
+    return;
+  connections_.erase(call_id);
+  record_failure("connect-failed");
+  subscription_.failed(loop::now_ms(), call_id, Failure::Disconnected, actions);
+}
+
+void EndpointWatch::send_request(const discovery::Poll& ask) {
   Connection& connection = *connections_.at(ask.call);
-  connection.asked = true;
-  const std::string text = http::write_request("GET", target_of(ask), address_, {}, "");
+  connection.awaiting_response = true;
+  const std::string text = http::write_request("GET", request_target(ask), address_, {}, "");
   // Written immediately, not from the event loop: the response should already be available at the next
   // poll().
-  loop::write_or_wait(connection.io.get(), text);
+  loop::write_or_enqueue(connection.io.get(), text);
 }
 
 // ---- socket events ----
 
-void EndpointWatch::on_readable(bufferevent*, void* connection) {
-  auto* const found = static_cast<Connection*>(connection);
-  found->watch->read(*found);
+void EndpointWatch::on_readable(bufferevent*, void* context) {
+  auto* const watch_connection = static_cast<Connection*>(context);
+  watch_connection->watch->read(*watch_connection);
 }
 
-void EndpointWatch::on_event(bufferevent*, short what, void* connection) {
-  auto* const found = static_cast<Connection*>(connection);
-  found->watch->handle_event(*found, what);
+void EndpointWatch::on_event(bufferevent*, short events, void* context) {
+  auto* const watch_connection = static_cast<Connection*>(context);
+  watch_connection->watch->handle_event(*watch_connection, events);
 }
 
-void EndpointWatch::handle_event(Connection& connection, short what) {
-  if ((what & BEV_EVENT_CONNECTED) != 0) {
+void EndpointWatch::handle_event(Connection& connection, short events) {
+  if ((events & BEV_EVENT_CONNECTED) != 0) {
     connection.connected = true;
     loop::set_nodelay(bufferevent_getfd(connection.io.get()));
     bufferevent_enable(connection.io.get(), EV_READ | EV_WRITE);
-    return run([&](Actions& actions) { subscription_.connected(loop::now_ms(), connection.call, actions); });
+    return run_actions(
+        [&](Actions& actions) { subscription_.connected(loop::now_ms(), connection.call_id, actions); });
   }
   // A response without a length ends when the connection is closed.
-  if (connection.parser.end_of_input()) return on_answer(connection, false);
-  const char* const ended = (what & BEV_EVENT_EOF) != 0 ? "peer-closed" : "reset";
-  const bool begun = connection.parser.begun();
-  fail(connection, connection.connected ? ended : "connect-failed",
-       begun ? Failure::Useless : Failure::Disconnected);
+  if (connection.parser.end_of_input()) return on_response(connection, false);
+  const char* const close_code = (events & BEV_EVENT_EOF) != 0 ? "peer-closed" : "reset";
+  const bool response_begun = connection.parser.has_started();
+  fail(connection, connection.connected ? close_code : "connect-failed",
+       response_begun ? Failure::InvalidAnswer : Failure::Disconnected);
 }
 
 void EndpointWatch::read(Connection& connection) {
   const std::string_view input = loop::pending_input(connection.io.get());
   if (input.empty()) return;
-  if (!connection.asked) return fail(connection, "unasked-bytes", Failure::Useless);
-  const std::size_t used = connection.parser.feed(input);
-  const bool all = used == input.size();
-  loop::consume_input(connection.io.get(), used);
-  on_parsed(connection, all);
+  if (!connection.awaiting_response) return fail(connection, "unasked-bytes", Failure::InvalidAnswer);
+  const std::size_t used_bytes = connection.parser.feed(input);
+  const bool all_input_used = used_bytes == input.size();
+  loop::consume_input(connection.io.get(), used_bytes);
+  on_parsed(connection, all_input_used);
 }
 
 // Part of a response has been parsed. `all_input_used`: no further bytes follow it. If bytes follow, the
 // connection can't be reused, as they can't be distinguished from the next response.
-void EndpointWatch::on_parsed(Connection& connection, bool all) {
-  if (connection.parser.fault() != http::Fault::None) {
-    return fail(connection, "malformed", Failure::Useless);
+void EndpointWatch::on_parsed(Connection& connection, bool all_input_used) {
+  if (connection.parser.error() != http::ParseError::None) {
+    return fail(connection, "malformed", Failure::InvalidAnswer);
   }
-  if (connection.parser.done()) return on_answer(connection, all);
-  run([&](Actions&) { subscription_.progressed(loop::now_ms(), connection.call); });
+  if (connection.parser.done()) return on_response(connection, all_input_used);
+  run_actions([&](Actions&) { subscription_.received_data(loop::now_ms(), connection.call_id); });
 }
 
-void EndpointWatch::on_answer(Connection& connection, bool reusable) {
-  const http::Message message = connection.parser.take();
-  connection.asked = false;
+void EndpointWatch::on_response(Connection& connection, bool reusable) {
+  const http::Message message = connection.parser.take_message();
+  connection.awaiting_response = false;
   if (message.status == kTooManyRequests || message.status == kUnavailable) {
     return fail(connection, "refused", Failure::Refused);
   }
   discovery::Answer answer;
   try {
-    if (message.status != 200) throw Damaged("status " + std::to_string(message.status));
-    answer = apply(connection.call, message.body);
-  } catch (const Damaged& damage) {
-    log::line("list-damaged", {{"from", address_}, {"why", damage.what()}});
-    return fail(connection, "damaged", Failure::Useless);
+    if (message.status != 200) throw InvalidEndpointList("status " + std::to_string(message.status));
+    answer = apply(connection.call_id, message.body);
+  } catch (const InvalidEndpointList& invalid_list) {
+    log::line("list-damaged", {{"from", address_}, {"why", invalid_list.what()}});
+    return fail(connection, "damaged", Failure::InvalidAnswer);
   }
-  note_answer();
-  run([&](Actions& actions) {
-    subscription_.answered(loop::now_ms(), connection.call, answer, reusable && message.keep_alive, actions);
+  record_response();
+  run_actions([&](Actions& actions) {
+    subscription_.answered(loop::now_ms(), connection.call_id, answer, reusable && message.keep_alive,
+                           actions);
   });
 }
 
-discovery::Answer EndpointWatch::apply(CallId call, const std::string& text) {
-  const bool accepts_stale = stale_in_a_row_ >= kMaxStaleAnswers;
+discovery::Answer EndpointWatch::apply(CallId call_id, const std::string& text) {
+  const bool accept_stale = consecutive_stale_responses_ >= kMaxStaleResponses;
   try {
-    const discovery::Answer answer = on_answer_(text, accepts_stale ? 0 : subscription_.at_least(call));
-    stale_in_a_row_ = 0;
+    const discovery::Answer answer = on_response_(text, accept_stale ? 0 : subscription_.min_index(call_id));
+    consecutive_stale_responses_ = 0;
     return answer;
-  } catch (const Stale&) {
-    ++stale_in_a_row_;
+  } catch (const StaleEndpointList&) {
+    ++consecutive_stale_responses_;
     throw;
   }
 }
 
 // Destroys the connection.
 void EndpointWatch::fail(Connection& connection, const char* code, Failure failure) {
-  note_failure(code);
-  const CallId call = connection.call;
-  connections_.erase(call);
-  run([&](Actions& actions) { subscription_.failed(loop::now_ms(), call, failure, actions); });
+  record_failure(code);
+  const CallId call_id = connection.call_id;
+  connections_.erase(call_id);
+  run_actions([&](Actions& actions) { subscription_.failed(loop::now_ms(), call_id, failure, actions); });
 }
 
 void EndpointWatch::poll() {
-  std::vector<CallId> calls;
-  for (const auto& [call, connection] : connections_) calls.push_back(call);
-  for (const CallId call : calls) poll(call); // a response on one may close the others
+  std::vector<CallId> call_ids;
+  for (const auto& [call_id, connection] : connections_) call_ids.push_back(call_id);
+  for (const CallId call_id : call_ids) poll(call_id); // a response on one may close the others
 }
 
 // Reads the socket directly, as libevent's buffer is filled only by the event loop. The event loop also
 // detects the end of the connection, which is ignored here.
-void EndpointWatch::poll(CallId call) {
-  Connection* connection = find_asked(call);
+void EndpointWatch::poll(CallId call_id) {
+  Connection* connection = find_awaiting_response(call_id);
   if (connection != nullptr && !loop::pending_input(connection->io.get()).empty()) read(*connection);
-  std::array<char, kPollBytes> block;
-  while ((connection = find_asked(call)) != nullptr) { // each iteration may close it
-    std::size_t bytes = 0;
+  std::array<char, kReadBytes> buffer;
+  while ((connection = find_awaiting_response(call_id)) != nullptr) { // each iteration may close it
+    std::size_t received_bytes = 0;
     const int socket = bufferevent_getfd(connection->io.get());
-    if (loop::receive(socket, block.data(), block.size(), bytes) != loop::Received::Bytes) return;
-    const std::size_t used = connection->parser.feed({block.data(), bytes});
-    on_parsed(*connection, used == bytes);
-    if (bytes < block.size()) return; // the socket has no more input
+    if (loop::receive(socket, buffer.data(), buffer.size(), received_bytes) != loop::ReceiveResult::Bytes)
+      return;
+    const std::size_t used_bytes = connection->parser.feed({buffer.data(), received_bytes});
+    on_parsed(*connection, used_bytes == received_bytes);
+    if (received_bytes < buffer.size()) return; // the socket has no more input
   }
 }
 
 // The connection of a call that awaits a response, or null.
-EndpointWatch::Connection* EndpointWatch::find_asked(CallId call) {
-  const auto found = connections_.find(call);
-  return found == connections_.end() || !found->second->asked ? nullptr : found->second.get();
+EndpointWatch::Connection* EndpointWatch::find_awaiting_response(CallId call_id) {
+  const auto found = connections_.find(call_id);
+  return found == connections_.end() || !found->second->awaiting_response ? nullptr : found->second.get();
 }
 
 // ---- logging: the first failure, each change of its code, and the recovery ----
 
-void EndpointWatch::note_failure(const char* code) {
-  ++failures_;
-  if (failed_with_ == code) return;
-  failed_with_ = code;
-  log::line("discovery-ended", {{"code", code}, {"answers", answers_}});
+void EndpointWatch::record_failure(const char* code) {
+  ++consecutive_failures_;
+  if (last_failure_code_ == code) return;
+  last_failure_code_ = code;
+  log::line("discovery-ended", {{"code", code}, {"answers", response_count_}});
 }
 
-void EndpointWatch::note_answer() {
-  ++answers_;
-  if (failures_ > 0) log::line("discovery-answers", {{"from", address_}, {"failures", failures_}});
-  failures_ = 0;
-  failed_with_.clear();
+void EndpointWatch::record_response() {
+  ++response_count_;
+  if (consecutive_failures_ > 0)
+    log::line("discovery-answers", {{"from", address_}, {"failures", consecutive_failures_}});
+  consecutive_failures_ = 0;
+  last_failure_code_.clear();
 }
 
 } // namespace fernward::endpoints
--- a/src/endpoints/endpoint_watch.h
+++ b/src/endpoints/endpoint_watch.h
@@ -19,10 +19,10 @@
  public:
   // Applies the text of a response whose index is `min_index` or later. Throws InvalidEndpointList, or
   // StaleEndpointList for an earlier index; nothing is changed then.
-  using OnAnswer = std::function<discovery::Answer(const std::string& text, std::uint64_t at_least)>;
+  using OnResponse = std::function<discovery::Answer(const std::string& text, std::uint64_t min_index)>;
 
   EndpointWatch(event_base* base, loop::TimerQueue& timers, const std::string& address,
-                discovery::Subscription subscription, OnAnswer on_answer);
+                discovery::Subscription subscription, OnResponse on_response);
   ~EndpointWatch();
   EndpointWatch(const EndpointWatch&) = delete;
   EndpointWatch& operator=(const EndpointWatch&) = delete;
@@ -35,39 +35,39 @@
   struct Connection {
     Connection();
     EndpointWatch* watch = nullptr;
-    discovery::CallId call = 0;
+    discovery::CallId call_id = 0;
     loop::BuffereventPtr io;
     http::Parser parser;
     bool connected = false;
-    bool asked = false; // a request was sent and its response is incomplete
+    bool awaiting_response = false; // a request was sent and its response is incomplete
   };
 
-  static void on_readable(bufferevent*, void* connection);
-  static void on_event(bufferevent*, short what, void* connection);
+  static void on_readable(bufferevent*, void* context);
+  static void on_event(bufferevent*, short events, void* context);
   void read(Connection& connection);
-  void handle_event(Connection& connection, short what);
-  void poll(discovery::CallId call);
-  Connection* find_asked(discovery::CallId call);
-  void on_parsed(Connection& connection, bool all);
-  void on_answer(Connection& connection, bool reusable);
-  discovery::Answer apply(discovery::CallId call, const std::string& text);
+  void handle_event(Connection& connection, short events);
+  void poll(discovery::CallId call_id);
+  Connection* find_awaiting_response(discovery::CallId call_id);
+  void on_parsed(Connection& connection, bool all_input_used);
+  void on_response(Connection& connection, bool reusable);
+  discovery::Answer apply(discovery::CallId call_id, const std::string& text);
   void fail(Connection& connection, const char* code, discovery::Failure failure);
-  void run(const std::function<void(discovery::Actions&)>& decide);
-  void open(discovery::CallId call, discovery::Actions& actions);
-  void ask(const discovery::Ask& ask);
-  void note_failure(const char* code);
-  void note_answer();
+  void run_actions(const std::function<void(discovery::Actions&)>& collect_actions);
+  void open(discovery::CallId call_id, discovery::Actions& actions);
+  void send_request(const discovery::Poll& ask);
+  void record_failure(const char* code);
+  void record_response();
 
   event_base* base_;
   loop::TimerQueue& timers_;
   std::string address_;
-  OnAnswer on_answer_;
+  OnResponse on_response_;
   discovery::Subscription subscription_;
   std::map<discovery::CallId, std::unique_ptr<Connection>> connections_;
-  std::uint64_t answers_ = 0;
-  std::uint32_t stale_in_a_row_ = 0;
-  std::uint64_t failures_ = 0; // since the last valid response
-  std::string failed_with_;    // the code logged last; used for logging only
+  std::uint64_t response_count_ = 0;
+  std::uint32_t consecutive_stale_responses_ = 0;
+  std::uint64_t consecutive_failures_ = 0; // since the last valid response
+  std::string last_failure_code_;          // the code logged last; used for logging only
   loop::TimerQueue::TimerId tick_timer_ = 0;
 };
 
--- a/src/gossip/facts.h
+++ b/src/gossip/origin_gossip.h
@@ -29,26 +29,26 @@
 
 namespace fernward::gossip {
 
-using membership::Id;
+using membership::MemberId;
 using membership::Stamp;
 
-enum class What : std::uint8_t {
-  Demand, // concurrent attempts that this router wants at the origin, queued ones included
-  Limit,  // concurrent attempts at the origin that this router's concurrency limiter allows
-  Answer, // recent response time of the origin at this router, ms; 0: no response for 0.8 s
+enum class OriginQuantity : std::uint8_t {
+  Demand,       // concurrent attempts that this router wants at the origin, queued ones included
+  Limit,        // concurrent attempts at the origin that this router's concurrency limiter allows
+  ResponseTime, // recent response time of the origin at this router, ms; 0: no response for 0.8 s
   Count
 };
-constexpr std::size_t kFacts = static_cast<std::size_t>(What::Count);
+constexpr std::size_t kQuantityCount = static_cast<std::size_t>(OriginQuantity::Count);
 
-struct Quantity {
+struct QuantityBounds {
   const char* name;
-  double least, most;  // values beyond are clamped
-  double half_life_ms; // of a value's weight in aggregates over routers
-  double gone_ms;      // older values are not used
-  const char* silence; // what is assumed without reports
-  const char* harm;    // the worst effect of a false value
+  double min_value, max_value;       // values beyond are clamped
+  double half_life_ms;               // of a value's weight in aggregates over routers
+  double expiry_ms;                  // older values are not used
+  const char* when_missing;          // what is assumed without reports
+  const char* effect_of_false_value; // the worst effect of a false value
 };
-inline constexpr std::array<Quantity, kFacts> kQuantities = {{
+inline constexpr std::array<QuantityBounds, kQuantityCount> kQuantityBounds = {{
     {"demand", 0, 4096, 4000, 12000, "equal demand on all routers: each router keeps its own limit",
      "none on other routers' shares: a share depends on the router's own demand"},
     {"limit", 1.0 / 1024, 4096, 4000, 12000, "the limit that the router learned by itself",
@@ -58,30 +58,30 @@
      "response times"},
 }};
 
-using Values = std::array<double, kFacts>;
+using Values = std::array<double, kQuantityCount>;
 
-class Facts {
+class OriginGossip {
  public:
-  Facts(Id self, std::size_t count, std::uint64_t seed);
+  OriginGossip(MemberId self, std::size_t count, std::uint64_t seed);
 
-  void own(double now, Stamp stamp, const Values& values); // replaces this router's report
+  void set_own(double now, Stamp stamp, const Values& values); // replaces this router's report
   // Merges a report of `owner`; `direct`: it came from the owner's own address. Returns false if the report
   // is ignored because it is not newer, is invalid or is this router's own.
-  bool merge(double now, Id owner, Stamp stamp, double age_ms, const Values& values, bool direct);
+  bool merge(double now, MemberId owner, Stamp stamp, double age_ms, const Values& values, bool is_direct);
 
   // Encodes reports into at most `room_bytes`: this router's own first, then randomly drawn reports of other
   // routers, with a preference for recent ones.
-  std::string write(double now, std::size_t room);
-  struct Told {
-    Id owner;
+  std::string write(double now, std::size_t room_bytes);
+  struct Update {
+    MemberId owner;
     Stamp stamp;
   };
   // Merges all reports of a datagram from the router `sender`. Appends the owner and stamp of each new report
   // to `updates`, for the membership. A damaged tail is ignored and counted.
-  void read(double now, Id from, std::string_view bytes, std::vector<Told>& told);
+  void read(double now, MemberId sender, std::string_view bytes, std::vector<Update>& updates);
 
   // The median demand over this router and all routers whose reports have not expired.
-  double demand(double now);
+  double median_demand(double now);
   // This router's share of the fleet's total limit at the origin, in proportion to its demand plus an idle
   // allowance. All values are taken as of the time of the other routers' reports, this router's own demand
   // too: its current demand against their older ones would distribute more than the total while demand rises.
@@ -90,42 +90,42 @@
   // the limits of correct routers, in however many rounds. Above its own limit a router takes at most half of
   // what the fleet would have if each router had the second-highest limit: if only one router has demand, the
   // shares add up to at most one and a half times the previous total.
-  double part(double now);
+  double origin_limit_share(double now);
   // The recent response time of the origin: the weighted mean over routers, without the eighth at each end.
   // `age_ms`: the mean age of these reports. All zero if fewer than three routers have a response time.
-  struct Answers {
+  struct ResponseTime {
     double ms = 0, age_ms = 0;
   };
-  Answers answers(double now);
-  std::size_t heard(double now) const; // other routers whose reports have not expired
+  ResponseTime response_time(double now);
+  std::size_t fresh_report_count(double now) const; // other routers whose reports have not expired
 
-  std::uint64_t passed_over() const { return passed_over_; }
+  std::uint64_t ignored() const { return ignored_; }
 
  private:
-  struct Entry {
+  struct Report {
     Stamp stamp;
     double made_at = kNever;
     Values values{};
-    bool known = false, direct = false;
+    bool known = false, is_direct = false;
   };
-  void write_one(double now, Id owner, const Entry& e, std::string& to) const;
+  void write_report(double now, MemberId owner, const Report& report, std::string& buffer) const;
 
-  Id self_;
+  MemberId self_;
   Random random_;
-  std::vector<Entry> all_;
-  struct Heard {
-    double demand, limit, weight, age;
-    bool own;
+  std::vector<Report> reports_;
+  struct DemandSample {
+    double demand, limit, weight, age_ms;
+    bool is_own;
   };
-  double demand_before(double then) const; // this router's
-  void gather(double now);
-  struct Seen {
-    double ms, weight, age;
+  double own_demand_at(double time) const; // this router's
+  void collect_demand_samples(double now);
+  struct ResponseSample {
+    double ms, weight, age_ms;
   };
-  std::vector<Heard> heard_;                     // scratch
-  std::vector<Seen> seen_;                       // scratch
-  std::deque<std::pair<double, double>> wanted_; // this router's demands: time and value
-  std::uint64_t passed_over_ = 0;
+  std::vector<DemandSample> demand_samples_;          // scratch
+  std::vector<ResponseSample> response_samples_;      // scratch
+  std::deque<std::pair<double, double>> own_demands_; // this router's demands: time and value
+  std::uint64_t ignored_ = 0;
 };
 
 } // namespace fernward::gossip
--- a/src/gossip/findings.h
+++ b/src/gossip/outlier_gossip.h
@@ -36,71 +36,72 @@
 
 namespace fernward::gossip {
 
-using membership::Id;
+using membership::MemberId;
 using membership::Stamp;
 
 using ServerId = std::uint32_t; // as in fernward/balancer.h
 
-struct Finding {
+struct ServerReport {
   ServerId server = 0;
-  std::uint32_t lost = 0; // consecutive failed attempts; 0: the latest attempt succeeded
-  double seen_at = 0;     // time of the observation
+  std::uint32_t failures = 0; // consecutive failed attempts; 0: the latest attempt succeeded
+  double observed_at = 0;     // time of the observation
 };
 
-struct Verdict { // over the reports of several routers
+struct OutlierDecision { // over the reports of several routers
   ServerId server = 0;
-  bool bad = false;
-  double seen_at = 0; // the latest observation, for or against
+  bool outlier = false;
+  double observed_at = 0; // the latest observation, for or against
 };
 
 inline constexpr std::uint8_t kNoZone = 255; // routers without a zone share this one
-inline constexpr double kFreshMs = 4000;
+inline constexpr double kReportLifetimeMs = 4000;
 
-class Findings {
+class OutlierGossip {
  public:
-  static constexpr std::size_t kServers = 256, kVoters = 24;
-  static constexpr std::size_t kRoom = 100; // five reports
+  static constexpr std::size_t kMaxServers = 256, kMaxReportsPerServer = 24;
+  static constexpr std::size_t kMaxBytes = 100; // five reports
 
-  Findings(Id self, std::uint8_t zone, std::uint64_t seed);
+  OutlierGossip(MemberId self, std::uint8_t zone, std::uint64_t seed);
 
   // Replaces this router's reports with all its current observations; called in each round.
-  void own(double now, Stamp stamp, const std::vector<Finding>& seen);
+  void set_own(double now, Stamp stamp, const std::vector<ServerReport>& observations);
   // Merges a report of `owner` that came from the address of `sender`. Returns false if the report is ignored
   // because it is not newer, is expired, is invalid, is this router's own, or the table is full.
-  bool merge(double now, Id via, Id owner, Stamp stamp, std::uint8_t zone, const Finding& what);
+  bool merge(double now, MemberId sender, MemberId owner, Stamp stamp, std::uint8_t zone,
+             const ServerReport& report);
 
-  std::string write(double now, std::size_t room); // own reports first, then others at random
-  void read(double now, Id via, std::string_view bytes);
+  std::string write(double now, std::size_t room_bytes); // own reports first, then others at random
+  void read(double now, MemberId sender, std::string_view bytes);
 
   // Appends the decisions that changed since the last call: a server became an outlier or no longer is one.
-  void changes(double now, std::vector<Verdict>& to);
-  std::size_t standing() const { return bad_.size(); } // servers, as of append_changes()
-  std::uint64_t passed_over() const { return passed_over_; }
+  void append_changes(double now, std::vector<OutlierDecision>& changes);
+  std::size_t outlier_count() const { return outliers_.size(); } // servers, as of append_changes()
+  std::uint64_t ignored() const { return ignored_; }
 
  private:
-  struct Word {
-    Id owner = 0, via = 0;
+  struct Report {
+    MemberId owner = 0, sender = 0;
     Stamp stamp;
     std::uint8_t zone = kNoZone;
-    std::uint32_t lost = 0;
-    double seen_at = 0;
+    std::uint32_t failures = 0;
+    double observed_at = 0;
   };
-  using Words = std::vector<Word>;
-  Words* words_of(ServerId server);
-  bool contested(ServerId server) const; // at least kMaxFailuresPerSender failures reported
-  void forget_old(double now);
-  Verdict judge(ServerId server, const Words& words);
-  void put_word(double now, ServerId server, const Word& w, std::string& to) const;
-
-  Id self_;
+  using Reports = std::vector<Report>;
+  Reports* reports_for(ServerId server);
+  bool has_failure_reports(ServerId server) const; // at least kMaxFailuresPerSender failures reported
+  void expire_reports(double now);
+  OutlierDecision decide(ServerId server, const Reports& reports);
+  void write_report(double now, ServerId server, const Report& report, std::string& buffer) const;
+
+  MemberId self_;
   std::uint8_t zone_;
   Random random_;
-  std::map<ServerId, Words> said_;
-  std::set<ServerId> bad_;                              // as of the last append_changes()
-  std::vector<std::pair<ServerId, const Word*>> drawn_; // scratch
-  std::vector<double> times_;                           // scratch
-  std::size_t own_at_ = 0;                              // own reports are sent in rotation
-  std::uint64_t passed_over_ = 0;
+  std::map<ServerId, Reports> reports_;
+  std::set<ServerId> outliers_;                                // as of the last append_changes()
+  std::vector<std::pair<ServerId, const Report*>> candidates_; // scratch
+  std::vector<double> failure_times_;                          // scratch
+  std::size_t next_own_ = 0;                                   // own reports are sent in rotation
+  std::uint64_t ignored_ = 0;
 };
 
 } // namespace fernward::gossip
--- a/src/health/outlier_state.cpp
+++ b/src/health/outlier_state.cpp
@@ -5,8 +5,8 @@
 namespace fernward::health {
 namespace {
 
-constexpr int kEjectAfterFailures = 3; // sum of weights of consecutive failures (record_failure())
-constexpr double kMinTrialBackoff = 2; // multiple of the slow attempt threshold
+constexpr int kEjectionFailureCount = 3;     // sum of weights of consecutive failures (record_failure())
+constexpr double kMinTrialBackoffFactor = 2; // multiple of the slow attempt threshold
 
 } // namespace
 
@@ -22,10 +22,10 @@
   return true;
 }
 
-bool OutlierState::record_failure(double now, int weight, bool stays) {
+bool OutlierState::record_failure(double now, int weight, bool exempt_from_ejection) {
   consecutive_failures_ += weight;
   if (weight > 0) last_failure_at_ = now;
-  if (ejected_ || consecutive_failures_ < kEjectAfterFailures || stays) return false;
+  if (ejected_ || consecutive_failures_ < kEjectionFailureCount || exempt_from_ejection) return false;
   ejected_ = true;
   return true;
 }
@@ -41,12 +41,13 @@
     next_trial_at_ = std::min(next_trial_at_, now);
 }
 
-void OutlierState::schedule_trial(double now, double slow_ms, double draw) {
+void OutlierState::schedule_trial(double now, double slow_threshold_ms, double random_unit) {
   half_open_trial_ = false;
-  trial_backoff_ms_ = std::clamp(
-      2 * trial_backoff_ms_, std::min(kMinTrialBackoff * slow_ms, kMaxTrialBackoffMs), kMaxTrialBackoffMs);
+  trial_backoff_ms_ = std::clamp(2 * trial_backoff_ms_,
+                                 std::min(kMinTrialBackoffFactor * slow_threshold_ms, kMaxTrialBackoffMs),
+                                 kMaxTrialBackoffMs);
   // Jitter keeps routers from sending their trials at the same time.
-  next_trial_at_ = now + trial_backoff_ms_ * (0.75 + 0.5 * draw);
+  next_trial_at_ = now + trial_backoff_ms_ * (0.75 + 0.5 * random_unit);
 }
 
 } // namespace fernward::health
--- a/src/health/outlier_state.h
+++ b/src/health/outlier_state.h
@@ -31,7 +31,7 @@
   int consecutive_failures() const { return consecutive_failures_; }
 
   /// A request or health check is sent to the server. While the server is ejected, this is the trial.
-  void record_sent() { half_open_trial_ = ejected_; }
+  void record_attempt_sent() { half_open_trial_ = ejected_; }
   /// The server responded, possibly that it is overloaded.
   void record_response(double now) {
     last_response_at_ = now;
@@ -41,14 +41,14 @@
   bool record_success(double now);
   /// An attempt failed, or is slow. `weight`: number of failures that it counts as; 0: none. `stays`: do not
   /// eject the server. Returns true if the server is now ejected; the caller then calls schedule_trial().
-  bool record_failure(double now, int weight, bool stays);
+  bool record_failure(double now, int weight, bool exempt_from_ejection);
   /// Other routers report it as an outlier, from observations made at `observed_at`. Returns true if it is
   /// now ejected; the caller then calls schedule_trial().
   bool on_reported_outlier(double observed_at);
   void on_reported_healthy(double now, double observed_at);
-  /// Sets the wait for the next trial. `slow_ms`: elapsed time from which an attempt counts as slow; `draw`:
+  /// Sets the wait for the next trial. `slow_threshold_ms`: elapsed time from which an attempt counts as slow; `draw`:
   /// uniform random number in [0, 1).
-  void schedule_trial(double now, double slow_ms, double draw);
+  void schedule_trial(double now, double slow_threshold_ms, double random_unit);
 
  private:
   int consecutive_failures_ = 0;
--- a/src/hot_restart/state.h
+++ b/src/hot_restart/restart_messages.h
@@ -38,20 +38,21 @@
 // Splits `total` between the processes. `used`: descriptors in use by connections of the old process.
 // `reserved`: descriptors that the new process needs for purposes other than connections, in addition to
 // those that the old one has reserved for itself.
-ResourceSplit split(const Resources& total, std::uint64_t used, std::uint64_t reserved);
+ResourceSplit split_resources(const Resources& total, std::uint64_t used_descriptors,
+                              std::uint64_t reserved_descriptors);
 
 // ---- messages ----
 
 // Sent first, by the new process: asks to take over from the old one.
 struct TakeoverRequest {
-  std::string name;
-  std::string listen;
-  std::uint64_t reserved = 0; // see split_resources()
+  std::string router_name;
+  std::string listen_address;
+  std::uint64_t reserved_descriptors = 0; // see split_resources()
   bool operator==(const TakeoverRequest&) const = default;
 };
 // Response of the old process, accompanied by the listening descriptor.
 struct TakeoverGrant {
-  std::string list; // the current endpoint list in discovery's format; empty: none received yet
+  std::string endpoint_list; // the current endpoint list in discovery's format; empty: none received yet
   std::vector<admin_overrides::EndpointOverrides::Override> overrides;
   Resources resources;
   bool operator==(const TakeoverGrant&) const = default;
@@ -62,13 +63,13 @@
 };
 // Sent by either process: an operator has changed an override.
 struct OverrideChanged {
-  admin_overrides::EndpointOverrides::Override changed;
+  admin_overrides::EndpointOverrides::Override endpoint_override;
   bool operator==(const OverrideChanged&) const = default;
 };
 // Sent by the old process: an idle client connection, accompanied by its descriptor. The descriptor's place
 // in the budget passes to the new process.
 struct PassedConnection {
-  std::uint32_t requests = 0; // requests received on it so far
+  std::uint32_t request_count = 0; // requests received on it so far
   bool operator==(const PassedConnection&) const = default;
 };
 // Sent by the old process: the number of descriptors in its budget that it no longer needs.
@@ -85,11 +86,11 @@
 // The result of decoding the start of a byte stream: a message and the length of its frame, or no message if
 // more bytes are needed. `error` is set if the bytes are not a frame of this version; later bytes can't be
 // decoded then.
-struct Decoded {
+struct DecodeResult {
   std::optional<Message> message;
-  std::size_t used = 0;
-  std::string fault;
+  std::size_t frame_bytes = 0;
+  std::string error;
 };
-Decoded decode(std::string_view bytes);
+DecodeResult decode(std::string_view bytes);
 
 } // namespace fernward::hot_restart
--- a/src/hot_restart/link.cpp
+++ b/src/hot_restart/restart_transport.cpp
@@ -1,4 +1,4 @@
-#include "hot_restart/link.h"
+#include "hot_restart/restart_transport.h"
 
 #include <fcntl.h>
 #include <poll.h>
@@ -19,7 +19,7 @@
 namespace fernward::hot_restart {
 namespace {
 
-constexpr timeval kAcceptPause{0, 50000};
+constexpr timeval kAcceptRetryDelay{0, 50000};
 constexpr std::size_t kReadBytes = 64 << 10;
 constexpr std::size_t kMaxDescriptorsPerRead = 8; // each frame carries at most one
 constexpr int kBacklog = 4;
@@ -44,14 +44,14 @@
 // Returns the number of bytes sent; 0: the socket is not writable now; below 0: the peer has closed it.
 // `descriptor` below 0: none is sent.
 ssize_t send_part(int socket, std::string_view bytes, int descriptor) {
-  iovec part{const_cast<char*>(bytes.data()), bytes.size()};
+  iovec buffer{const_cast<char*>(bytes.data()), bytes.size()};
   msghdr message{};
-  message.msg_iov = &part;
+  message.msg_iov = &buffer;
   message.msg_iovlen = 1;
-  alignas(cmsghdr) char control[CMSG_SPACE(sizeof(int))] = {};
+  alignas(cmsghdr) char control_buffer[CMSG_SPACE(sizeof(int))] = {};
   if (descriptor >= 0) {
-    message.msg_control = control;
-    message.msg_controllen = sizeof control;
+    message.msg_control = control_buffer;
+    message.msg_controllen = sizeof control_buffer;
     cmsghdr* header = CMSG_FIRSTHDR(&message);
     header->cmsg_level = SOL_SOCKET;
     header->cmsg_type = SCM_RIGHTS;
@@ -81,13 +81,13 @@
 
 MessageReader::ReadResult MessageReader::receive(int socket) {
   char bytes[kReadBytes];
-  iovec part{bytes, sizeof bytes};
-  alignas(cmsghdr) char control[CMSG_SPACE(kMaxDescriptorsPerRead * sizeof(int))];
+  iovec buffer{bytes, sizeof bytes};
+  alignas(cmsghdr) char control_buffer[CMSG_SPACE(kMaxDescriptorsPerRead * sizeof(int))];
   msghdr message{};
-  message.msg_iov = &part;
+  message.msg_iov = &buffer;
   message.msg_iovlen = 1;
-  message.msg_control = control;
-  message.msg_controllen = sizeof control;
+  message.msg_control = control_buffer;
+  message.msg_controllen = sizeof control_buffer;
   const auto size = recvmsg(socket, &message, MSG_DONTWAIT | MSG_CMSG_CLOEXEC);
   if (size < 0) return would_block() ? ReadResult::WouldBlock : ReadResult::Closed;
   for (cmsghdr* header = CMSG_FIRSTHDR(&message); header != nullptr; header = CMSG_NXTHDR(&message, header)) {
@@ -99,22 +99,22 @@
       descriptors_.emplace_back(fd);
     }
   }
-  if ((message.msg_flags & MSG_CTRUNC) != 0) fault_ = "received file descriptors were truncated";
+  if ((message.msg_flags & MSG_CTRUNC) != 0) error_ = "received file descriptors were truncated";
   if (size == 0) return ReadResult::Closed;
   bytes_.append(bytes, static_cast<std::size_t>(size));
   return ReadResult::Data;
 }
 
-std::optional<Message> MessageReader::next(Descriptor& descriptor) {
-  if (!fault_.empty()) return std::nullopt;
-  Decoded decoded = decode(bytes_);
-  fault_ = decoded.fault;
+std::optional<Message> MessageReader::next_message(Descriptor& descriptor) {
+  if (!error_.empty()) return std::nullopt;
+  DecodeResult decoded = decode(bytes_);
+  error_ = decoded.error;
   if (!decoded.message) return std::nullopt;
-  bytes_.erase(0, decoded.used);
+  bytes_.erase(0, decoded.frame_bytes);
   if (std::holds_alternative<TakeoverGrant>(*decoded.message) ||
       std::holds_alternative<PassedConnection>(*decoded.message)) {
     if (descriptors_.empty()) {
-      fault_ = "message has no file descriptor";
+      error_ = "message has no file descriptor";
       return std::nullopt;
     }
     descriptor = std::move(descriptors_.front());
@@ -139,38 +139,41 @@
   event_active(read_event_.get(), EV_READ, 0); // `reader` may already hold a message
 }
 
-void ProcessConnection::on_readable(int, short, void* self) { static_cast<ProcessConnection*>(self)->read(); }
-void ProcessConnection::on_writable(int, short, void* self) {
-  static_cast<ProcessConnection*>(self)->write();
+void ProcessConnection::on_readable(int, short, void* context) {
+  static_cast<ProcessConnection*>(context)->read();
+}
+void ProcessConnection::on_writable(int, short, void* context) {
+  static_cast<ProcessConnection*>(context)->write();
 }
 
 void ProcessConnection::read() {
-  for (bool more = true; more && !closed_;) {
+  for (bool more_input = true; more_input && !closed_;) {
     const MessageReader::ReadResult result = reader_.receive(socket_.get());
     Descriptor descriptor;
-    for (auto message = reader_.next(descriptor); message; message = reader_.next(descriptor)) {
+    for (auto message = reader_.next_message(descriptor); message;
+         message = reader_.next_message(descriptor)) {
       on_message_(std::move(*message), std::move(descriptor));
       if (closed_) return;
     }
-    if (!reader_.fault().empty()) return close(reader_.fault());
+    if (!reader_.error().empty()) return close(reader_.error());
     if (result == MessageReader::ReadResult::Closed) return close("");
-    more = result == MessageReader::ReadResult::Data;
+    more_input = result == MessageReader::ReadResult::Data;
   }
 }
 
 void ProcessConnection::send(const Message& message, Descriptor descriptor) {
   if (closed_) return;
-  out_.push_back({encode(message), 0, std::move(descriptor)});
-  if (out_.size() == 1) write();
+  send_queue_.push_back({encode(message), 0, std::move(descriptor)});
+  if (send_queue_.size() == 1) write();
 }
 
 void ProcessConnection::write() {
-  while (!out_.empty()) {
-    Frame& frame = out_.front();
-    const std::string_view unsent = std::string_view(frame.bytes).substr(frame.sent);
+  while (!send_queue_.empty()) {
+    OutgoingFrame& frame = send_queue_.front();
+    const std::string_view unsent = std::string_view(frame.bytes).substr(frame.sent_bytes);
     const auto sent = send_part(socket_.get(), unsent, frame.descriptor.get());
     if (sent < 0) {
-      out_.clear();
+      send_queue_.clear();
       event_active(read_event_.get(), EV_READ, 0); // read() then detects the closed connection
       return;
     }
@@ -179,17 +182,17 @@
       return;
     }
     frame.descriptor = Descriptor(); // it is sent together with the first byte
-    frame.sent += static_cast<std::size_t>(sent);
-    if (frame.sent == frame.bytes.size()) out_.pop_front();
+    frame.sent_bytes += static_cast<std::size_t>(sent);
+    if (frame.sent_bytes == frame.bytes.size()) send_queue_.pop_front();
   }
 }
 
-void ProcessConnection::close(const std::string& fault) {
+void ProcessConnection::close(const std::string& error) {
   if (std::exchange(closed_, true)) return;
   event_del(read_event_.get());
   event_del(write_event_.get());
-  out_.clear();
-  on_closed_(fault); // may destroy this
+  send_queue_.clear();
+  on_closed_(error); // may destroy this
 }
 
 // ---- RestartListener ----
@@ -205,24 +208,24 @@
 }
 
 void RestartListener::bind_path() {
-  const std::string own = path_ + "." + std::to_string(getpid());
-  const auto fail = [&own](const char* what) {
-    throw std::runtime_error(std::string(what) + " " + own + ": " + std::strerror(errno));
+  const std::string temporary_path = path_ + "." + std::to_string(getpid());
+  const auto fail = [&temporary_path](const char* operation) {
+    throw std::runtime_error(std::string(operation) + " " + temporary_path + ": " + std::strerror(errno));
   };
   sockaddr_un address{};
   errno = ENAMETOOLONG;
-  if (!make_address(own, address)) fail("bind");
+  if (!make_address(temporary_path, address)) fail("bind");
   socket_ = Descriptor(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-  ::unlink(own.c_str()); // left by an earlier process with the same process id
+  ::unlink(temporary_path.c_str()); // left by an earlier process with the same process id
   if (!socket_ || bind(socket_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
     fail("bind");
   }
   struct stat status {};
-  if (chmod(own.c_str(), 0600) != 0 || listen(socket_.get(), kBacklog) != 0 ||
-      stat(own.c_str(), &status) != 0 || std::rename(own.c_str(), path_.c_str()) != 0) {
-    const int error = errno;
-    ::unlink(own.c_str());
-    errno = error;
+  if (chmod(temporary_path.c_str(), 0600) != 0 || listen(socket_.get(), kBacklog) != 0 ||
+      stat(temporary_path.c_str(), &status) != 0 || std::rename(temporary_path.c_str(), path_.c_str()) != 0) {
+    const int saved_errno = errno;
+    ::unlink(temporary_path.c_str());
+    errno = saved_errno;
     fail("listen");
   }
   inode_ = status.st_ino;
@@ -233,12 +236,12 @@
   if (stat(path_.c_str(), &status) == 0 && status.st_ino == inode_) ::unlink(path_.c_str());
 }
 
-void RestartListener::on_acceptable(int listening, short, void* self) {
-  auto& listener = *static_cast<RestartListener*>(self);
-  Descriptor accepted(accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+void RestartListener::on_acceptable(int listen_fd, short, void* context) {
+  auto& listener = *static_cast<RestartListener*>(context);
+  Descriptor accepted(accept4(listen_fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
   if (!accepted) { // without the pause the event would fire again at once until a descriptor is free
     event_del(listener.accept_event_.get());
-    event_add(listener.resume_event_.get(), &kAcceptPause);
+    event_add(listener.resume_event_.get(), &kAcceptRetryDelay);
     return;
   }
   if (!is_same_user(accepted.get())) {
@@ -247,8 +250,8 @@
   listener.on_connect_(std::move(accepted));
 }
 
-void RestartListener::resume(int, short, void* self) {
-  event_add(static_cast<RestartListener*>(self)->accept_event_.get(), nullptr);
+void RestartListener::resume(int, short, void* context) {
+  event_add(static_cast<RestartListener*>(context)->accept_event_.get(), nullptr);
 }
 
 // ---- the new process ----
@@ -256,62 +259,62 @@
 namespace {
 
 // None: no process listens there (`error` is empty), or `error` describes the failure.
-Descriptor connect_to(const std::string& path, std::string& fault) {
+Descriptor connect_to(const std::string& path, std::string& error) {
   sockaddr_un address{};
   if (!make_address(path, address)) return {};
   Descriptor connection(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
   if (!connection ||
       connect(connection.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) {
-    if (errno != ENOENT && errno != ECONNREFUSED) fault = std::strerror(errno);
+    if (errno != ENOENT && errno != ECONNREFUSED) error = std::strerror(errno);
     return {};
   }
   if (!is_same_user(connection.get())) {
-    fault = "peer process belongs to another user";
+    error = "peer process belongs to another user";
     return {};
   }
   return connection;
 }
 
 // Blocks until the grant is received or `deadline_ms` has passed. False: `error` describes the failure.
-bool await_grant(Inherited& out, double deadline_ms, std::string& fault) {
-  while (fault.empty()) {
-    const double left_ms = deadline_ms - loop::now_ms();
-    pollfd wait{out.connection.get(), POLLIN, 0};
-    if (left_ms <= 0 || poll(&wait, 1, static_cast<int>(left_ms) + 1) == 0) {
-      fault = "no takeover grant received in time";
+bool await_grant(InheritedState& inherited, double deadline_ms, std::string& error) {
+  while (error.empty()) {
+    const double remaining_ms = deadline_ms - loop::now_ms();
+    pollfd poll_fd{inherited.connection.get(), POLLIN, 0};
+    if (remaining_ms <= 0 || poll(&poll_fd, 1, static_cast<int>(remaining_ms) + 1) == 0) {
+      error = "no takeover grant received in time";
       return false;
     }
-    const MessageReader::ReadResult result = out.reader.receive(out.connection.get());
-    if (auto message = out.reader.next(out.listening)) {
+    const MessageReader::ReadResult result = inherited.reader.receive(inherited.connection.get());
+    if (auto message = inherited.reader.next_message(inherited.listen_socket)) {
       if (auto* grant = std::get_if<TakeoverGrant>(&*message)) {
-        out.grant = std::move(*grant);
+        inherited.grant = std::move(*grant);
         return true;
       }
-      fault = "first message is not a takeover grant";
+      error = "first message is not a takeover grant";
       return false;
     }
-    fault = out.reader.fault();
-    if (fault.empty() && result == MessageReader::ReadResult::Closed)
-      fault = "old process closed the connection";
+    error = inherited.reader.error();
+    if (error.empty() && result == MessageReader::ReadResult::Closed)
+      error = "old process closed the connection";
   }
   return false;
 }
 
 } // namespace
 
-std::optional<Inherited> request_takeover(const std::string& path, const TakeoverRequest& request,
-                                          double timeout_ms, std::string& fault) {
-  fault.clear();
-  Inherited out;
-  out.connection = connect_to(path, fault);
-  if (!out.connection) return std::nullopt;
-  const std::string text = encode(request);
-  if (send_part(out.connection.get(), text, -1) != static_cast<ssize_t>(text.size())) {
-    fault = "old process did not accept the takeover request";
+std::optional<InheritedState> request_takeover(const std::string& path, const TakeoverRequest& request,
+                                               double timeout_ms, std::string& error) {
+  error.clear();
+  InheritedState inherited;
+  inherited.connection = connect_to(path, error);
+  if (!inherited.connection) return std::nullopt;
+  const std::string frame = encode(request);
+  if (send_part(inherited.connection.get(), frame, -1) != static_cast<ssize_t>(frame.size())) {
+    error = "old process did not accept the takeover request";
     return std::nullopt;
   }
-  if (!await_grant(out, loop::now_ms() + timeout_ms, fault)) return std::nullopt;
-  return out;
+  if (!await_grant(inherited, loop::now_ms() + timeout_ms, error)) return std::nullopt;
+  return inherited;
 }
 
 } // namespace fernward::hot_restart
--- a/src/hot_restart/link.h
+++ b/src/hot_restart/restart_transport.h
@@ -12,7 +12,7 @@
 #include <optional>
 #include <string>
 
-#include "hot_restart/state.h"
+#include "hot_restart/restart_messages.h"
 #include "loop/timer_queue.h"
 
 namespace fernward::hot_restart {
@@ -44,13 +44,13 @@
   ReadResult receive(int socket); // reads once
   // The next message, and its descriptor if it is a TakeoverGrant or a PassedConnection. None: more bytes are
   // needed, or error() is not empty.
-  std::optional<Message> next(Descriptor& descriptor);
-  const std::string& fault() const { return fault_; }
+  std::optional<Message> next_message(Descriptor& descriptor);
+  const std::string& error() const { return error_; }
 
  private:
   std::string bytes_;
   std::deque<Descriptor> descriptors_;
-  std::string fault_;
+  std::string error_;
 };
 
 // The connection to the other process, open until the peer closes it or sends an invalid message. `reader`
@@ -60,7 +60,7 @@
   using OnMessage = std::function<void(Message, Descriptor)>;
   // Called once, from the event loop. `error`: why a message was invalid; empty: the peer closed the
   // connection.
-  using OnClosed = std::function<void(const std::string& fault)>;
+  using OnClosed = std::function<void(const std::string& error)>;
 
   ProcessConnection(event_base* base, Descriptor socket, OnMessage on_message, OnClosed on_closed,
                     MessageReader reader = {});
@@ -68,27 +68,27 @@
   ProcessConnection& operator=(const ProcessConnection&) = delete;
 
   void send(const Message& message, Descriptor descriptor = {});
-  void read_now() { read(); }                      // reads immediately instead of waiting for the event loop
-  bool is_flushed() const { return out_.empty(); } // everything has been written to the socket
+  void read_now() { read(); } // reads immediately instead of waiting for the event loop
+  bool is_flushed() const { return send_queue_.empty(); } // everything has been written to the socket
   bool is_closed() const { return closed_; }
 
  private:
-  struct Frame {
+  struct OutgoingFrame {
     std::string bytes;
-    std::size_t sent = 0;
+    std::size_t sent_bytes = 0;
     Descriptor descriptor;
   };
-  static void on_readable(int, short, void* self);
-  static void on_writable(int, short, void* self);
+  static void on_readable(int, short, void* context);
+  static void on_writable(int, short, void* context);
   void read();
   void write();
-  void close(const std::string& fault);
+  void close(const std::string& error);
 
   Descriptor socket_;
   OnMessage on_message_;
   OnClosed on_closed_;
   MessageReader reader_;
-  std::deque<Frame> out_;
+  std::deque<OutgoingFrame> send_queue_;
   bool closed_ = false;
   loop::EventPtr read_event_;
   loop::EventPtr write_event_;
@@ -107,8 +107,8 @@
 
  private:
   void bind_path();
-  static void on_acceptable(int listening, short, void* self);
-  static void resume(int, short, void* self);
+  static void on_acceptable(int listen_fd, short, void* context);
+  static void resume(int, short, void* context);
 
   std::string path_;
   OnConnect on_connect_;
@@ -119,15 +119,15 @@
 };
 
 // What a new process receives from the one that it replaces.
-struct Inherited {
+struct InheritedState {
   TakeoverGrant grant;
-  Descriptor listening;
+  Descriptor listen_socket;
   Descriptor connection;
   MessageReader reader; // may hold messages that followed the grant
 };
 // Sends a takeover request to the process that listens at `path`, and blocks for up to `timeout_ms` until it
 // is granted. None: no process listens there (`error` is empty), or `error` describes the failure.
-std::optional<Inherited> request_takeover(const std::string& path, const TakeoverRequest& request,
-                                          double timeout_ms, std::string& fault);
+std::optional<InheritedState> request_takeover(const std::string& path, const TakeoverRequest& request,
+                                               double timeout_ms, std::string& error);
 
 } // namespace fernward::hot_restart
--- a/src/http/framing.h
+++ b/src/http/framing.h
@@ -12,58 +12,65 @@
 
 namespace fernward::http {
 
-enum class Fault { None, Malformed, HeaderTooLarge, BodyTooLarge };
+enum class ParseError { None, Malformed, HeaderTooLarge, BodyTooLarge };
 
 // An incremental parser of one message body.
-class Framer {
+class BodyParser {
  public:
   // One factory per framing. A body longer than `max_body_bytes` is an error, as soon as it is announced or
   // received.
-  static Framer none() { return Framer(Kind::None, 0, 0); }
-  static Framer fixed(std::uint64_t length, std::uint64_t ceiling) {
-    return Framer(length == 0 ? Kind::None : Kind::Fixed, length, ceiling);
+  static BodyParser none() { return BodyParser(Kind::None, 0, 0); }
+  static BodyParser fixed_length(std::uint64_t length, std::uint64_t max_body_bytes) {
+    return BodyParser(length == 0 ? Kind::None : Kind::Fixed, length, max_body_bytes);
+  }
+  static BodyParser chunked(std::uint64_t max_body_bytes) {
+    return BodyParser(Kind::Chunked, 0, max_body_bytes);
+  }
+  static BodyParser until_close(std::uint64_t max_body_bytes) {
+    return BodyParser(Kind::UntilClose, 0, max_body_bytes);
   }
-  static Framer chunked(std::uint64_t ceiling) { return Framer(Kind::Chunked, 0, ceiling); }
-  static Framer until_close(std::uint64_t ceiling) { return Framer(Kind::UntilClose, 0, ceiling); }
 
   struct Piece {
-    std::size_t used = 0;  // input bytes consumed, including framing
-    std::string_view body; // the body bytes among them, contiguous
+    std::size_t consumed_bytes = 0; // input bytes consumed, including framing
+    std::string_view body;          // the body bytes among them, contiguous
   };
   // Consumes bytes up to the end of the next piece of the body, or up to the end of the body. Call again with
   // the remaining bytes until nothing is consumed. Consumes nothing once done() or after an error.
   Piece next(std::string_view bytes);
   // Accounts for body bytes that the caller moved without passing them to next(): at most
   // contiguous_body_bytes().
-  void skipped(std::uint64_t bytes);
+  void skip(std::uint64_t bytes);
   // The number of input bytes that follow and belong to the body, without any framing in between.
-  std::uint64_t straight() const {
-    return state_ == State::Body || state_ == State::ChunkData ? std::min(left_, ceiling_ - come_) : 0;
+  std::uint64_t contiguous_body_bytes() const {
+    return state_ == State::Body || state_ == State::ChunkData
+               ? std::min(remaining_bytes_, max_body_bytes_ - received_bytes_)
+               : 0;
   }
   // To be called when the peer has ended its stream; a body framed until close is complete then. False: the
   // body is truncated.
   bool end_of_input();
 
-  bool done() const { return state_ == State::Done && fault_ == Fault::None; }
-  Fault fault() const { return fault_; }
-  std::uint64_t come() const { return come_; } // body bytes, without framing
-  std::optional<std::uint64_t> length() const; // if announced
+  bool done() const { return state_ == State::Done && error_ == ParseError::None; }
+  ParseError error() const { return error_; }
+  std::uint64_t received_bytes() const { return received_bytes_; } // body bytes, without framing
+  std::optional<std::uint64_t> length() const;                     // if announced
   bool ends_with_connection() const { return kind_ == Kind::UntilClose; }
 
  private:
   enum class Kind { None, Fixed, Chunked, UntilClose };
   enum class State { Body, ChunkSize, ChunkData, ChunkEnd, Trailers, Done };
 
-  Framer(Kind kind, std::uint64_t length, std::uint64_t ceiling);
-  void line(std::string_view text);
-  void fail(Fault fault) { fault_ = fault; }
+  BodyParser(Kind kind, std::uint64_t length, std::uint64_t max_body_bytes);
+  void handle_line(std::string_view text);
+  void fail(ParseError parse_error) { error_ = parse_error; }
 
   Kind kind_;
   State state_ = State::Done;
-  Fault fault_ = Fault::None;
-  std::string line_; // the received part of an incomplete line
+  ParseError error_ = ParseError::None;
+  std::string partial_line_; // the received part of an incomplete line
   std::size_t trailer_bytes_ = 0;
-  std::uint64_t length_ = 0, left_ = 0, come_ = 0, ceiling_ = 0; // remaining: in the body or the chunk
+  std::uint64_t length_ = 0, remaining_bytes_ = 0, received_bytes_ = 0,
+                max_body_bytes_ = 0; // remaining: in the body or the chunk
 };
 
 // Parses an unsigned number of up to 15 digits.
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -11,8 +11,8 @@
 
 namespace fernward::http {
 
-constexpr std::size_t kMaxBody = 64 * 1024;
-constexpr std::size_t kMaxHeader = 16 * 1024; // start line and all header lines
+constexpr std::size_t kMaxBodyBytes = 64 * 1024;
+constexpr std::size_t kMaxHeaderBytes = 16 * 1024; // start line and all header lines
 
 struct Message {
   std::string method, target;                               // of a request
@@ -20,7 +20,7 @@
   std::vector<std::pair<std::string, std::string>> headers; // names in lower case
   std::string body;
   bool keep_alive = true;
-  bool version_1_0 = false; // the peer does not support chunked encoding
+  bool is_http_1_0 = false; // the peer does not support chunked encoding
 
   // The value of the first header with that name (in lower case); empty if there is none.
   std::string_view header(std::string_view name) const {
@@ -29,10 +29,10 @@
     }
     return {};
   }
-  std::ptrdiff_t count(std::string_view name) const {
+  std::ptrdiff_t header_count(std::string_view name) const {
     return std::count_if(headers.begin(), headers.end(), [&](const auto& h) { return h.first == name; });
   }
-  bool has(std::string_view name) const { return count(name) > 0; }
+  bool has_header(std::string_view name) const { return header_count(name) > 0; }
 };
 
 struct Header {
@@ -46,14 +46,14 @@
                            bool keep_alive);
 // Serialize the head alone. A body of unknown length is announced as chunked, or not at all: then the end of
 // the connection ends the body.
-enum class Framing { Length, Chunks, UntilClose };
+enum class Framing { Length, Chunked, UntilClose };
 std::string write_request_head(std::string_view method, std::string_view target, std::string_view host,
                                const std::vector<Header>& headers, Framing framing, std::uint64_t length);
 std::string write_response_head(int status, const std::vector<Header>& headers, Framing framing,
                                 std::uint64_t length, bool keep_alive);
 // The line before the bytes of a chunk. kChunkEnd follows each chunk, and kLastChunk ends the body.
-std::string chunk_line(std::size_t bytes);
+std::string chunk_size_line(std::size_t bytes);
 constexpr std::string_view kChunkEnd = "\r\n", kLastChunk = "0\r\n\r\n";
-std::string_view reason(int status);
+std::string_view reason_phrase(int status);
 
 } // namespace fernward::http
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -20,7 +20,7 @@
 // to a configured proxy; other targets are returned unchanged.
 std::string_view path_of(std::string_view target) {
   constexpr std::string_view kScheme = "http://";
-  if (lower(target.substr(0, kScheme.size())) != kScheme) return target;
+  if (to_lower(target.substr(0, kScheme.size())) != kScheme) return target;
   const std::string_view rest = target.substr(kScheme.size());
   const auto end = rest.find_first_of("/?#");
   if (rest.empty() || end == 0) return {}; // no host
@@ -31,19 +31,19 @@
 } // namespace
 
 bool is_token(std::string_view text) {
-  constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
+  constexpr std::string_view kSymbols = "!#$%&'*+-.^_`|~";
   return !text.empty() && std::all_of(text.begin(), text.end(), [&](char c) {
     return is_digit(c) || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
-           kMarks.find(c) != std::string_view::npos;
+           kSymbols.find(c) != std::string_view::npos;
   });
 }
 
-std::string lower(std::string_view text) {
-  std::string out(text);
-  for (char& c : out) {
+std::string to_lower(std::string_view text) {
+  std::string lowered(text);
+  for (char& c : lowered) {
     if (c >= 'A' && c <= 'Z') c = static_cast<char>(c - 'A' + 'a');
   }
-  return out;
+  return lowered;
 }
 
 std::string_view trim(std::string_view text) {
@@ -52,10 +52,10 @@
   return text.substr(first, text.find_last_not_of(" \t") - first + 1);
 }
 
-bool has_item(std::string_view list, std::string_view item) {
+bool list_contains(std::string_view list, std::string_view item) {
   while (!list.empty()) {
     const auto comma = list.find(',');
-    if (lower(trim(list.substr(0, comma))) == item) return true;
+    if (to_lower(trim(list.substr(0, comma))) == item) return true;
     if (comma == std::string_view::npos) break;
     list.remove_prefix(comma + 1);
   }
@@ -63,138 +63,140 @@
 }
 
 std::size_t Parser::feed(std::string_view bytes) {
-  std::size_t used = feed_head(bytes);
-  while (head_done() && used < bytes.size() && !done() && fault() == Fault::None) {
-    const Framer::Piece piece = body_.next(bytes.substr(used));
+  std::size_t consumed = feed_head(bytes);
+  while (head_done() && consumed < bytes.size() && !done() && error() == ParseError::None) {
+    const BodyParser::Piece piece = body_.next(bytes.substr(consumed));
     message_.body.append(piece.body);
-    used += piece.used;
+    consumed += piece.consumed_bytes;
   }
-  return used;
+  return consumed;
 }
 
 std::size_t Parser::feed_head(std::string_view bytes) {
-  std::size_t used = 0;
-  while (used < bytes.size() && fault_ == Fault::None && !head_done()) {
-    const std::string_view rest = bytes.substr(used);
-    const auto end = rest.find('\n');
-    const std::size_t n = end == std::string_view::npos ? rest.size() : end + 1;
-    header_bytes_ += n;
-    if (header_bytes_ > kMaxHeader) {
-      fail(Fault::HeaderTooLarge);
+  std::size_t consumed = 0;
+  while (consumed < bytes.size() && error_ == ParseError::None && !head_done()) {
+    const std::string_view rest = bytes.substr(consumed);
+    const auto line_end = rest.find('\n');
+    const std::size_t byte_count = line_end == std::string_view::npos ? rest.size() : line_end + 1;
+    header_bytes_ += byte_count;
+    if (header_bytes_ > kMaxHeaderBytes) {
+      fail(ParseError::HeaderTooLarge);
       break;
     }
-    used += n;
-    if (end == std::string_view::npos) {
-      line_.append(rest);
+    consumed += byte_count;
+    if (line_end == std::string_view::npos) {
+      partial_line_.append(rest);
       break;
     }
-    std::string whole;
-    std::string_view text = rest.substr(0, n);
-    if (!line_.empty()) {
-      whole.swap(line_);
-      text = whole.append(text);
+    std::string complete_line;
+    std::string_view text = rest.substr(0, byte_count);
+    if (!partial_line_.empty()) {
+      complete_line.swap(partial_line_);
+      text = complete_line.append(text);
     }
     if (text.size() < 2 || text[text.size() - 2] != '\r') { // a bare LF does not end a line
-      fail(Fault::Malformed);
+      fail(ParseError::Malformed);
       break;
     }
-    line(text.substr(0, text.size() - 2));
+    handle_line(text.substr(0, text.size() - 2));
   }
-  return used;
+  return consumed;
 }
 
-Message Parser::take() {
-  Message out = std::move(message_);
-  *this = Parser(kind_, ceiling_);
-  return out;
+Message Parser::take_message() {
+  Message taken = std::move(message_);
+  *this = Parser(kind_, max_body_bytes_);
+  return taken;
 }
 
-void Parser::line(std::string_view text) {
+void Parser::handle_line(std::string_view text) {
   if (state_ == State::Headers) {
-    text.empty() ? headers_end() : header_line(text);
+    text.empty() ? handle_headers_end() : parse_header_line(text);
   } else if (!text.empty()) { // empty lines before a message are skipped
-    start_line(text);
+    parse_start_line(text);
   }
 }
 
-void Parser::start_line(std::string_view text) {
+void Parser::parse_start_line(std::string_view text) {
   const auto first = text.find(' ');
-  if (first == std::string_view::npos) return fail(Fault::Malformed);
+  if (first == std::string_view::npos) return fail(ParseError::Malformed);
   std::string_view version;
-  if (kind_ == Kind::Request) {
+  if (kind_ == MessageKind::Request) {
     const auto last = text.rfind(' ');
     message_.method = text.substr(0, first);
     message_.target = first < last ? path_of(text.substr(first + 1, last - first - 1)) : "";
     version = text.substr(last + 1);
-    if (!is_token(message_.method) || !is_target(message_.target)) return fail(Fault::Malformed);
+    if (!is_token(message_.method) || !is_target(message_.target)) return fail(ParseError::Malformed);
   } else {
     version = text.substr(0, first);
     const std::string_view code = text.substr(first + 1, 3);
     std::uint64_t status = 0;
     if (code.size() != 3 || !parse_number(code, 10, status) || status < 100 || status > 599 ||
         status == 101) // no protocol switch was requested
-      return fail(Fault::Malformed);
-    if (text.size() > first + 4 && text[first + 4] != ' ') return fail(Fault::Malformed);
+      return fail(ParseError::Malformed);
+    if (text.size() > first + 4 && text[first + 4] != ' ') return fail(ParseError::Malformed);
     message_.status = static_cast<int>(status);
   }
-  if (!is_version(version)) return fail(Fault::Malformed);
-  message_.version_1_0 = version.back() == '0';
+  if (!is_version(version)) return fail(ParseError::Malformed);
+  message_.is_http_1_0 = version.back() == '0';
   state_ = State::Headers;
 }
 
-void Parser::header_line(std::string_view text) {
+void Parser::parse_header_line(std::string_view text) {
   const auto colon = text.find(':');
-  if (colon == std::string_view::npos || !is_token(text.substr(0, colon))) return fail(Fault::Malformed);
+  if (colon == std::string_view::npos || !is_token(text.substr(0, colon))) return fail(ParseError::Malformed);
   const std::string_view value = trim(text.substr(colon + 1));
   const auto is_control = [](char c) {
     return (static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7f;
   };
-  std::string name = lower(text.substr(0, colon));
+  std::string name = to_lower(text.substr(0, colon));
   if (std::any_of(value.begin(), value.end(), is_control)) {
     // In a response only this header is dropped, unless it affects where the response ends.
-    const bool frames = name == "content-length" || name == "transfer-encoding" || name == "connection";
-    return kind_ == Kind::Request || frames ? fail(Fault::Malformed) : void();
+    const bool affects_framing =
+        name == "content-length" || name == "transfer-encoding" || name == "connection";
+    return kind_ == MessageKind::Request || affects_framing ? fail(ParseError::Malformed) : void();
   }
   message_.headers.emplace_back(std::move(name), value);
 }
 
-void Parser::headers_end() {
-  if (kind_ == Kind::Response && message_.status < 200) {
+void Parser::handle_headers_end() {
+  if (kind_ == MessageKind::Response && message_.status < 200) {
     message_ = Message(); // an interim response: the final one follows
     state_ = State::StartLine;
     return;
   }
   bool has_length = false, chunked = false;
   std::uint64_t length = 0;
-  message_.keep_alive = !message_.version_1_0;
+  message_.keep_alive = !message_.is_http_1_0;
   for (const auto& [name, value] : message_.headers) {
     if (name == "connection") {
-      if (has_item(value, "close"))
+      if (list_contains(value, "close"))
         message_.keep_alive = false;
-      else if (has_item(value, "keep-alive"))
+      else if (list_contains(value, "keep-alive"))
         message_.keep_alive = true;
     } else if (name == "content-length") {
-      std::uint64_t told = 0;
+      std::uint64_t parsed_length = 0;
       // Two lengths, or a length together with chunked encoding, can smuggle a second message.
-      if (!parse_number(value, 10, told) || has_length) return fail(Fault::Malformed);
+      if (!parse_number(value, 10, parsed_length) || has_length) return fail(ParseError::Malformed);
       has_length = true;
-      length = told;
+      length = parsed_length;
     } else if (name == "transfer-encoding") {
-      if (chunked || lower(value) != "chunked") return fail(Fault::Malformed);
+      if (chunked || to_lower(value) != "chunked") return fail(ParseError::Malformed);
       chunked = true;
     }
   }
-  if (chunked && (has_length || message_.version_1_0)) return fail(Fault::Malformed);
-  const bool bodiless = kind_ == Kind::Response && (message_.status == 204 || message_.status == 304);
-  if (bodiless || (!chunked && !has_length && kind_ == Kind::Request)) {
-    body_ = Framer::none();
+  if (chunked && (has_length || message_.is_http_1_0)) return fail(ParseError::Malformed);
+  const bool has_no_body =
+      kind_ == MessageKind::Response && (message_.status == 204 || message_.status == 304);
+  if (has_no_body || (!chunked && !has_length && kind_ == MessageKind::Request)) {
+    body_ = BodyParser::none();
   } else if (chunked) {
-    body_ = Framer::chunked(ceiling_);
+    body_ = BodyParser::chunked(max_body_bytes_);
   } else if (has_length) {
-    body_ = Framer::fixed(length, ceiling_);
+    body_ = BodyParser::fixed_length(length, max_body_bytes_);
   } else {
     message_.keep_alive = false;
-    body_ = Framer::until_close(ceiling_);
+    body_ = BodyParser::until_close(max_body_bytes_);
   }
   state_ = State::Body;
 }
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -14,12 +14,13 @@
 
 namespace fernward::http {
 
-enum class Kind { Request, Response };
+enum class MessageKind { Request, Response };
 
 class Parser {
  public:
   // A body longer than `max_body_bytes` is an error, as soon as the head announces it or it is received.
-  explicit Parser(Kind kind, std::uint64_t ceiling = kMaxBody) : kind_(kind), ceiling_(ceiling) {}
+  explicit Parser(MessageKind kind, std::uint64_t max_body_bytes = kMaxBodyBytes)
+      : kind_(kind), max_body_bytes_(max_body_bytes) {}
 
   // Consumes bytes up to the end of the message; returns how many. Consumes none once done() or after an
   // error.
@@ -29,41 +30,41 @@
   std::size_t feed_head(std::string_view bytes);
   // To be called when the peer has ended its stream; a response without a length is complete then. False: the
   // message is truncated.
-  bool end_of_input() { return head_done() && fault_ == Fault::None && body_.end_of_input(); }
+  bool end_of_input() { return head_done() && error_ == ParseError::None && body_.end_of_input(); }
 
   bool head_done() const { return state_ == State::Body; }
   bool done() const { return head_done() && body_.done(); }
-  Fault fault() const { return fault_ != Fault::None ? fault_ : body_.fault(); }
-  bool begun() const {
-    return state_ != State::StartLine || !line_.empty();
+  ParseError error() const { return error_ != ParseError::None ? error_ : body_.error(); }
+  bool has_started() const {
+    return state_ != State::StartLine || !partial_line_.empty();
   } // part of a message was received
-  bool wants_body() const { return head_done() && !body_.done(); }
-  std::size_t held() const {
+  bool expects_body() const { return head_done() && !body_.done(); }
+  std::size_t buffered_bytes() const {
     return header_bytes_ + message_.body.size();
   } // bytes of this message held in memory
   const Message& message() const { return message_; }
-  Framer& body() { return body_; }
-  const Framer& body() const { return body_; }
+  BodyParser& body() { return body_; }
+  const BodyParser& body() const { return body_; }
   std::string take_body() { return std::move(message_.body); } // the part received so far
   // Returns the complete message, or its head, and resets the parser for the next message.
-  Message take();
+  Message take_message();
 
  private:
   enum class State { StartLine, Headers, Body };
 
-  void line(std::string_view text);
-  void start_line(std::string_view text);
-  void header_line(std::string_view text);
-  void headers_end();
-  void fail(Fault fault) { fault_ = fault; }
+  void handle_line(std::string_view text);
+  void parse_start_line(std::string_view text);
+  void parse_header_line(std::string_view text);
+  void handle_headers_end();
+  void fail(ParseError parse_error) { error_ = parse_error; }
 
-  Kind kind_;
+  MessageKind kind_;
   State state_ = State::StartLine;
-  Fault fault_ = Fault::None;
+  ParseError error_ = ParseError::None;
   Message message_;
-  Framer body_ = Framer::none();
-  std::uint64_t ceiling_;
-  std::string line_; // the received part of an incomplete line
+  BodyParser body_ = BodyParser::none();
+  std::uint64_t max_body_bytes_;
+  std::string partial_line_; // the received part of an incomplete line
   std::size_t header_bytes_ = 0;
 };
 
--- a/src/http/writer.cpp
+++ b/src/http/writer.cpp
@@ -5,14 +5,15 @@
 namespace fernward::http {
 namespace {
 
-void add(std::string& text, std::string_view name, std::string_view value) {
+void append_header(std::string& text, std::string_view name, std::string_view value) {
   text.append(name).append(": ").append(value).append("\r\n");
 }
 
-void finish(std::string& text, const std::vector<Header>& headers, Framing framing, std::uint64_t length) {
-  for (const auto& [name, value] : headers) add(text, name, value);
-  if (framing == Framing::Length) add(text, "Content-Length", std::to_string(length));
-  if (framing == Framing::Chunks) add(text, "Transfer-Encoding", "chunked");
+void append_headers(std::string& text, const std::vector<Header>& headers, Framing framing,
+                    std::uint64_t length) {
+  for (const auto& [name, value] : headers) append_header(text, name, value);
+  if (framing == Framing::Length) append_header(text, "Content-Length", std::to_string(length));
+  if (framing == Framing::Chunked) append_header(text, "Transfer-Encoding", "chunked");
   text.append("\r\n");
 }
 
@@ -30,8 +31,8 @@
   std::string text;
   text.reserve(256 + target.size());
   text.append(method).append(" ").append(target).append(" HTTP/1.1\r\n");
-  add(text, "Host", host);
-  finish(text, headers, framing, length);
+  append_header(text, "Host", host);
+  append_headers(text, headers, framing, length);
   return text;
 }
 
@@ -44,18 +45,22 @@
                                 std::uint64_t length, bool keep_alive) {
   std::string text;
   text.reserve(192);
-  text.append("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(reason(status)).append("\r\n");
-  if (!keep_alive) add(text, "Connection", "close");
-  finish(text, headers, framing, length);
+  text.append("HTTP/1.1 ")
+      .append(std::to_string(status))
+      .append(" ")
+      .append(reason_phrase(status))
+      .append("\r\n");
+  if (!keep_alive) append_header(text, "Connection", "close");
+  append_headers(text, headers, framing, length);
   return text;
 }
 
-std::string chunk_line(std::size_t bytes) {
+std::string chunk_size_line(std::size_t bytes) {
   char text[24];
   return {text, static_cast<std::size_t>(std::snprintf(text, sizeof text, "%zx\r\n", bytes))};
 }
 
-std::string_view reason(int status) {
+std::string_view reason_phrase(int status) {
   switch (status) {
     case 200: return "OK";
     case 400: return "Bad Request";
--- a/src/idle_connections/idle_lifetime_estimator.cpp
+++ b/src/idle_connections/idle_lifetime_estimator.cpp
@@ -10,38 +10,38 @@
 constexpr double kFirstBucketEndMs = 8;
 constexpr double kBucketsPerDoubling = 4;
 
-constexpr double kMaxExcessResets = 0.1; // a reset costs about as much as ten new connections
+constexpr double kMaxExcessResetShare = 0.1; // a reset costs about as much as ten new connections
 // For the first bucket: above it no connection is kept. Reached only if even the shortest idle times nearly
 // always lead to resets.
-constexpr double kKeepNothingExcess = 0.75;
+constexpr double kKeepNoneExcessShare = 0.75;
 // Decayed resets of a server at its safe idle time, above which the server itself is assumed to close there.
-constexpr double kGuiltyResets = 0.5;
+constexpr double kResponsibleResets = 0.5;
 constexpr std::size_t kTrialBuckets = 2; // beyond the safe idle time
 
 constexpr double kHalfLifeMs = 60000;
 constexpr double kDecayIntervalMs = 1000;
 constexpr double kSameOutageMs = 20;   // resets this close together have one cause, such as a crashed process
 constexpr double kReestimateMs = 1000; // because the history decays
-constexpr double kOtherResetsMs = 250; // until resets of other servers are considered
+constexpr double kOtherResetsDelayMs = 250; // until resets of other servers are considered
 constexpr double kMinTrialIntervalMs = 250;
 constexpr double kMaxTrialIntervalMs = 64000;
 
 // Uses in one bucket after which the weight of older ones has fallen to a third.
-constexpr double kEndpointMemory = 32;
-constexpr double kFleetMemory = 128;
+constexpr double kEndpointMemoryUses = 32;
+constexpr double kFleetMemoryUses = 128;
 
 // Priors.
-constexpr double kUsualResets = 0.01;      // share of all uses
-constexpr double kPriorUses = 4;           // weight of a prior, in uses
-constexpr double kChangeProbability = 0.1; // that resets depend on the idle time at all, below max_idle_ms
-constexpr double kLikeFleet = 0.9;         // probability that a server behaves like the others
+constexpr double kPriorResetShare = 0.01;     // share of all uses
+constexpr double kPriorUses = 4;              // weight of a prior, in uses
+constexpr double kChangeProbability = 0.1;    // that resets depend on the idle time at all, below max_idle_ms
+constexpr double kLikeFleetProbability = 0.9; // probability that a server behaves like the others
 constexpr double kJeffreys = 0.5;
 constexpr double kMaxLogRatio = 100;
 
-void count(float& counted, float& other, double memory) {
-  const auto keep = static_cast<float>(1 - 1 / memory);
-  counted = counted * keep + 1;
-  other *= keep;
+void count(float& increased, float& decreased, double memory_uses) {
+  const auto retained_share = static_cast<float>(1 - 1 / memory_uses);
+  increased = increased * retained_share + 1;
+  decreased *= retained_share;
 }
 
 // Share of resets, with a prior.
@@ -49,22 +49,24 @@
   return (reset + kPriorUses * prior) / (answered + reset + kPriorUses);
 }
 
-double log_beta(double a, double b) { return std::lgamma(a) + std::lgamma(b) - std::lgamma(a + b); }
+double log_beta(double alpha, double beta) {
+  return std::lgamma(alpha) + std::lgamma(beta) - std::lgamma(alpha + beta);
+}
 
 } // namespace
 
 IdleLifetimeEstimator::IdleLifetimeEstimator(double max_idle_ms) : max_idle_ms_(max_idle_ms) {
-  while (buckets_ < kBuckets && begin_of(buckets_) < max_idle_ms_) ++buckets_;
-  fleet_change_.probability.fill(kChangeProbability / static_cast<double>(buckets_));
+  while (bucket_count_ < kMaxBuckets && bucket_begin_ms(bucket_count_) < max_idle_ms_) ++bucket_count_;
+  fleet_change_.probability.fill(kChangeProbability / static_cast<double>(bucket_count_));
 }
 
 std::size_t IdleLifetimeEstimator::bucket_of(double idle_ms) {
   if (!(idle_ms >= kFirstBucketEndMs)) return 0;
   const double bucket = 1 + std::floor(kBucketsPerDoubling * std::log2(idle_ms / kFirstBucketEndMs));
-  return static_cast<std::size_t>(std::min(bucket, static_cast<double>(kBuckets - 1)));
+  return static_cast<std::size_t>(std::min(bucket, static_cast<double>(kMaxBuckets - 1)));
 }
 
-double IdleLifetimeEstimator::begin_of(std::size_t bucket) {
+double IdleLifetimeEstimator::bucket_begin_ms(std::size_t bucket) {
   return bucket == 0
              ? 0
              : kFirstBucketEndMs * std::exp2(1 / kBucketsPerDoubling * static_cast<double>(bucket - 1));
@@ -72,17 +74,17 @@
 
 void IdleLifetimeEstimator::History::decay(double now) {
   if (now - decayed_at < kDecayIntervalMs) return;
-  const auto keep = static_cast<float>(std::exp2(-(now - decayed_at) / kHalfLifeMs));
+  const auto retained_share = static_cast<float>(std::exp2(-(now - decayed_at) / kHalfLifeMs));
   decayed_at = now;
-  first_uses.answered *= keep;
-  first_uses.reset *= keep;
+  first_uses.answered *= retained_share;
+  first_uses.reset *= retained_share;
   for (Counts& counts : reuses) {
-    counts.answered *= keep;
-    counts.reset *= keep;
+    counts.answered *= retained_share;
+    counts.reset *= retained_share;
   }
 }
 
-IdleLifetimeEstimator::Endpoint& IdleLifetimeEstimator::find(double now, EndpointId id) {
+IdleLifetimeEstimator::Endpoint& IdleLifetimeEstimator::find_or_add(double now, EndpointId id) {
   fleet_history_.decay(now);
   const auto [it, added] = endpoints_.try_emplace(id);
   if (added) it->second.history.decayed_at = now;
@@ -93,34 +95,36 @@
 void IdleLifetimeEstimator::forget(EndpointId endpoint) {
   const auto it = endpoints_.find(endpoint);
   if (it == endpoints_.end()) return;
-  for (std::size_t i = 0; i < kBuckets; ++i) {
+  for (std::size_t i = 0; i < kMaxBuckets; ++i) {
     float& reset = fleet_history_.reuses[i].reset;
     reset = std::max(0.0f, reset - it->second.history.reuses[i].reset);
   }
   endpoints_.erase(it);
-  ++version_;
+  ++reset_version_;
 }
 
 // ---- Results ----
 
 void IdleLifetimeEstimator::on_first_use(double now, EndpointId endpoint, bool reset) {
-  Endpoint& own = find(now, endpoint);
-  for (auto [history, memory] : {std::pair(&own.history, kEndpointMemory), {&fleet_history_, kFleetMemory}}) {
+  Endpoint& own = find_or_add(now, endpoint);
+  for (auto [history, memory_uses] :
+       {std::pair(&own.history, kEndpointMemoryUses), {&fleet_history_, kFleetMemoryUses}}) {
     Counts& counts = history->first_uses;
-    reset ? count(counts.reset, counts.answered, memory) : count(counts.answered, counts.reset, memory);
+    reset ? count(counts.reset, counts.answered, memory_uses)
+          : count(counts.answered, counts.reset, memory_uses);
   }
 }
 
 // An outage, such as a crashed process, resets all connections of a server and must count only once.
 bool IdleLifetimeEstimator::is_same_outage(double now, Endpoint& endpoint) {
-  const bool same = now - endpoint.reset_at < kSameOutageMs;
+  const bool same_outage = now - endpoint.reset_at < kSameOutageMs;
   endpoint.reset_at = now;
-  return same;
+  return same_outage;
 }
 
 void IdleLifetimeEstimator::on_reuse(double now, EndpointId endpoint, double idle_ms, bool trial,
                                      bool reset) {
-  Endpoint& own = find(now, endpoint);
+  Endpoint& own = find_or_add(now, endpoint);
   if (trial) {
     trial_interval_ms_ =
         std::clamp(trial_interval_ms_ * (reset ? 2 : 0.5), kMinTrialIntervalMs, kMaxTrialIntervalMs);
@@ -128,118 +132,126 @@
   }
   if (reset && is_same_outage(now, own)) return;
   const std::size_t bucket = bucket_of(idle_ms);
-  for (auto [history, memory] : {std::pair(&own.history, kEndpointMemory), {&fleet_history_, kFleetMemory}}) {
+  for (auto [history, memory_uses] :
+       {std::pair(&own.history, kEndpointMemoryUses), {&fleet_history_, kFleetMemoryUses}}) {
     Counts& counts = history->reuses[bucket];
-    reset ? count(counts.reset, counts.answered, memory) : count(counts.answered, counts.reset, memory);
+    reset ? count(counts.reset, counts.answered, memory_uses)
+          : count(counts.answered, counts.reset, memory_uses);
   }
   if (reset) {
     next_trial_at_ = std::max(next_trial_at_, now + trial_interval_ms_);
-    ++version_;
+    ++reset_version_;
   }
   if (reset || trial) own.estimated_at = kLongAgo;
 }
 
 // ---- Estimates ----
 
-IdleLifetimeEstimator::Endpoint& IdleLifetimeEstimator::estimated(double now, EndpointId id) {
-  Endpoint& endpoint = find(now, id);
-  const double age = now - endpoint.estimated_at;
-  const bool other_resets = endpoint.version != version_ && age >= kOtherResetsMs;
-  const bool decayed = endpoint.safe_ms < max_idle_ms_ && age >= kReestimateMs;
+IdleLifetimeEstimator::Endpoint& IdleLifetimeEstimator::find_with_estimate(double now, EndpointId id) {
+  Endpoint& endpoint = find_or_add(now, id);
+  const double age_ms = now - endpoint.estimated_at;
+  const bool other_resets = endpoint.reset_version != reset_version_ && age_ms >= kOtherResetsDelayMs;
+  const bool decayed = endpoint.safe_ms < max_idle_ms_ && age_ms >= kReestimateMs;
   if (!other_resets && !decayed) return endpoint;
-  if (fleet_version_ != version_ || now - fleet_estimated_at_ >= kReestimateMs) {
-    fleet_version_ = version_;
+  if (fleet_reset_version_ != reset_version_ || now - fleet_estimated_at_ >= kReestimateMs) {
+    fleet_reset_version_ = reset_version_;
     fleet_estimated_at_ = now;
     const Counts& first_uses = fleet_history_.first_uses;
-    find_change(fleet_change_, fleet_history_,
-                reset_share(first_uses.answered, first_uses.reset, kUsualResets), nullptr);
+    estimate_change_point(fleet_change_, fleet_history_,
+                          reset_share(first_uses.answered, first_uses.reset, kPriorResetShare), nullptr);
   }
-  endpoint.version = version_;
+  endpoint.reset_version = reset_version_;
   endpoint.estimated_at = now;
-  estimate(endpoint);
+  update_estimate(endpoint);
   return endpoint;
 }
 
-// Change point by beta-binomial likelihood: P(change at bucket i) ~ prior(i) * L(before i | usual_resets) *
-// L(from i on | Jeffreys), against L(all | usual_resets) for no change. A server that resets whatever the
+// Change point by beta-binomial likelihood: P(change at bucket i) ~ prior(i) * L(before i | baseline_reset_share) *
+// L(from i on | Jeffreys), against L(all | baseline_reset_share) for no change. A server that resets whatever the
 // idle time therefore shows no change. `others`: the change point of the fleet as prior of a server; null:
 // uniform prior.
-void IdleLifetimeEstimator::find_change(ChangePoint& change, const History& history, double usual_resets,
-                                        const ChangePoint* others) const {
+void IdleLifetimeEstimator::estimate_change_point(ChangePoint& change, const History& history,
+                                                  double baseline_reset_share,
+                                                  const ChangePoint* fleet_prior) const {
   Counts before;
   Counts after;
-  for (std::size_t i = 0; i < buckets_; ++i) {
+  for (std::size_t i = 0; i < bucket_count_; ++i) {
     after.answered += history.reuses[i].answered;
     after.reset += history.reuses[i].reset;
   }
-  const double a = kPriorUses * usual_resets;
-  const double b = kPriorUses * (1 - usual_resets);
-  const double norm = log_beta(a, b);
+  const double prior_resets = kPriorUses * baseline_reset_share;
+  const double prior_answered = kPriorUses * (1 - baseline_reset_share);
+  const double prior_norm = log_beta(prior_resets, prior_answered);
   const double jeffreys_norm = log_beta(kJeffreys, kJeffreys);
-  const double no_change = log_beta(a + after.reset, b + after.answered) - norm;
-  const double uniform = kChangeProbability / static_cast<double>(buckets_);
-  double sum = 1 - kChangeProbability;
-  if (others != nullptr) {
-    double changed = 0;
-    for (std::size_t i = 0; i < buckets_; ++i) changed += others->probability[i];
-    sum = (1 - kLikeFleet) * sum + kLikeFleet * (1 - changed);
+  const double no_change = log_beta(prior_resets + after.reset, prior_answered + after.answered) - prior_norm;
+  const double uniform = kChangeProbability / static_cast<double>(bucket_count_);
+  double probability_sum = 1 - kChangeProbability;
+  if (fleet_prior != nullptr) {
+    double change_probability = 0;
+    for (std::size_t i = 0; i < bucket_count_; ++i) change_probability += fleet_prior->probability[i];
+    probability_sum =
+        (1 - kLikeFleetProbability) * probability_sum + kLikeFleetProbability * (1 - change_probability);
   }
-  for (std::size_t i = 0; i < buckets_; ++i) {
-    const double prior =
-        others == nullptr ? uniform : (1 - kLikeFleet) * uniform + kLikeFleet * others->probability[i];
-    const double change_here = log_beta(a + before.reset, b + before.answered) - norm +
-                               log_beta(kJeffreys + after.reset, kJeffreys + after.answered) - jeffreys_norm;
+  for (std::size_t i = 0; i < bucket_count_; ++i) {
+    const double prior = fleet_prior == nullptr ? uniform
+                                                : (1 - kLikeFleetProbability) * uniform +
+                                                      kLikeFleetProbability * fleet_prior->probability[i];
+    const double change_here = log_beta(prior_resets + before.reset, prior_answered + before.answered) -
+                               prior_norm + log_beta(kJeffreys + after.reset, kJeffreys + after.answered) -
+                               jeffreys_norm;
     change.probability[i] =
         prior * std::exp(std::clamp(change_here - no_change, -kMaxLogRatio, kMaxLogRatio));
-    sum += change.probability[i];
+    probability_sum += change.probability[i];
     const double resets_after = (after.reset + 0.5) / (after.answered + after.reset + 1);
-    change.excess_resets[i] =
-        std::max(0.0, resets_after - reset_share(before.answered, before.reset, usual_resets));
+    change.excess_reset_share[i] =
+        std::max(0.0, resets_after - reset_share(before.answered, before.reset, baseline_reset_share));
     before.answered += history.reuses[i].answered;
     before.reset += history.reuses[i].reset;
     after.answered = std::max(0.0f, after.answered - history.reuses[i].answered);
     after.reset = std::max(0.0f, after.reset - history.reuses[i].reset);
   }
-  for (std::size_t i = 0; i < buckets_; ++i) change.probability[i] /= sum;
+  for (std::size_t i = 0; i < bucket_count_; ++i) change.probability[i] /= probability_sum;
 }
 
-// Safe up to the bucket at which the sum of probability * excess_resets exceeds kMaxExcessResets.
-void IdleLifetimeEstimator::estimate(Endpoint& endpoint) {
+// Safe up to the bucket at which the sum of probability * excess_reset_share exceeds kMaxExcessResetShare.
+void IdleLifetimeEstimator::update_estimate(Endpoint& endpoint) {
   const Counts& fleet = fleet_history_.first_uses;
   const Counts& own = endpoint.history.first_uses;
-  const double fleet_resets = reset_share(fleet.answered, fleet.reset, kUsualResets);
+  const double fleet_resets = reset_share(fleet.answered, fleet.reset, kPriorResetShare);
   ChangePoint change;
-  find_change(change, endpoint.history, reset_share(own.answered, own.reset, fleet_resets), &fleet_change_);
-  std::size_t safe = 0;
-  if (change.probability[0] * change.excess_resets[0] <= kKeepNothingExcess) {
+  estimate_change_point(change, endpoint.history, reset_share(own.answered, own.reset, fleet_resets),
+                        &fleet_change_);
+  std::size_t safe_bucket = 0;
+  if (change.probability[0] * change.excess_reset_share[0] <= kKeepNoneExcessShare) {
     // The first bucket is not counted: if resets follow the shortest idle times, no shorter limit helps.
     double excess = 0;
-    for (safe = 1; safe < buckets_; ++safe) {
-      excess += change.probability[safe] * change.excess_resets[safe];
-      if (!(excess <= kMaxExcessResets)) break;
+    for (safe_bucket = 1; safe_bucket < bucket_count_; ++safe_bucket) {
+      excess += change.probability[safe_bucket] * change.excess_reset_share[safe_bucket];
+      if (!(excess <= kMaxExcessResetShare)) break;
     }
   }
-  const std::size_t keep = safe + kTrialBuckets;
-  endpoint.safe_ms = safe < buckets_ ? begin_of(safe) : max_idle_ms_;
-  endpoint.keep_ms = keep < buckets_ ? begin_of(keep) : max_idle_ms_;
+  const std::size_t keep_bucket = safe_bucket + kTrialBuckets;
+  endpoint.safe_ms = safe_bucket < bucket_count_ ? bucket_begin_ms(safe_bucket) : max_idle_ms_;
+  endpoint.max_keep_ms = keep_bucket < bucket_count_ ? bucket_begin_ms(keep_bucket) : max_idle_ms_;
 }
 
 double IdleLifetimeEstimator::safe_idle_ms(double now, EndpointId endpoint) {
-  return estimated(now, endpoint).safe_ms;
+  return find_with_estimate(now, endpoint).safe_ms;
 }
 
-double IdleLifetimeEstimator::keep_ms(double now, EndpointId endpoint) {
-  return estimated(now, endpoint).keep_ms;
+double IdleLifetimeEstimator::max_keep_ms(double now, EndpointId endpoint) {
+  return find_with_estimate(now, endpoint).max_keep_ms;
 }
 
 IdleLifetimeEstimator::Reuse IdleLifetimeEstimator::decide_reuse(double now, EndpointId endpoint,
                                                                  double idle_ms) {
-  const Endpoint& estimate = estimated(now, endpoint);
+  const Endpoint& estimate = find_with_estimate(now, endpoint);
   if (idle_ms < estimate.safe_ms) return Reuse::Allowed;
   // Servers that had no reset themselves at that idle time are tried first.
-  const bool guilty = estimate.history.reuses[bucket_of(estimate.safe_ms)].reset > kGuiltyResets;
-  const double trial_at = next_trial_at_ + (guilty ? trial_interval_ms_ : 0);
-  if (idle_ms >= estimate.keep_ms || now < trial_at) return Reuse::Refused;
+  const bool server_responsible =
+      estimate.history.reuses[bucket_of(estimate.safe_ms)].reset > kResponsibleResets;
+  const double trial_at = next_trial_at_ + (server_responsible ? trial_interval_ms_ : 0);
+  if (idle_ms >= estimate.max_keep_ms || now < trial_at) return Reuse::Refused;
   next_trial_at_ = now + trial_interval_ms_;
   return Reuse::Trial;
 }
--- a/src/idle_connections/idle_lifetime_estimator.h
+++ b/src/idle_connections/idle_lifetime_estimator.h
@@ -28,7 +28,7 @@
   // waiting time before the next one.
   Reuse decide_reuse(double now, EndpointId endpoint, double idle_ms);
   // Idle time after which a connection cannot be used, not even for a trial.
-  double keep_ms(double now, EndpointId endpoint);
+  double max_keep_ms(double now, EndpointId endpoint);
   // Shorter idle times are considered safe.
   double safe_idle_ms(double now, EndpointId endpoint);
 
@@ -43,7 +43,7 @@
 
  private:
   // Idle times are counted in buckets, each longer by a factor of 2^(1/4).
-  static constexpr std::size_t kBuckets = 49; // the last one begins at 28 s
+  static constexpr std::size_t kMaxBuckets = 49; // the last one begins at 28 s
 
   struct Counts { // decayed
     float answered = 0;
@@ -51,7 +51,7 @@
   };
   struct History {
     Counts first_uses;
-    std::array<Counts, kBuckets> reuses{};
+    std::array<Counts, kMaxBuckets> reuses{};
     double decayed_at = 0;
     void decay(double now);
   };
@@ -59,37 +59,37 @@
     History history;
     double reset_at = kLongAgo;
     double safe_ms = 0;
-    double keep_ms = 0;
+    double max_keep_ms = 0;
     double estimated_at = kLongAgo;
-    std::uint64_t version = 0; // version_ at the time of the estimate
+    std::uint64_t reset_version = 0; // reset_version_ at the time of the estimate
   };
   // By bucket: the probability that resets become more likely from it on, and by how much.
   struct ChangePoint {
-    std::array<double, kBuckets> probability{};
-    std::array<double, kBuckets> excess_resets{};
+    std::array<double, kMaxBuckets> probability{};
+    std::array<double, kMaxBuckets> excess_reset_share{};
   };
 
   static constexpr double kLongAgo = -1e9;
 
   static std::size_t bucket_of(double idle_ms);
-  static double begin_of(std::size_t bucket);
-  Endpoint& find(double now, EndpointId id);
-  Endpoint& estimated(double now, EndpointId id);
-  void find_change(ChangePoint& change, const History& history, double usual_resets,
-                   const ChangePoint* others) const;
-  void estimate(Endpoint& endpoint);
+  static double bucket_begin_ms(std::size_t bucket);
+  Endpoint& find_or_add(double now, EndpointId id);
+  Endpoint& find_with_estimate(double now, EndpointId id);
+  void estimate_change_point(ChangePoint& change, const History& history, double baseline_reset_share,
+                             const ChangePoint* fleet_prior) const;
+  void update_estimate(Endpoint& endpoint);
   static bool is_same_outage(double now, Endpoint& endpoint);
 
   double max_idle_ms_;
-  std::size_t buckets_ = 0; // number of buckets that begin before max_idle_ms_
+  std::size_t bucket_count_ = 0; // number of buckets that begin before max_idle_ms_
   std::unordered_map<EndpointId, Endpoint> endpoints_;
 
   History fleet_history_;
   ChangePoint fleet_change_;
-  std::uint64_t fleet_version_ = 0;
+  std::uint64_t fleet_reset_version_ = 0;
   double fleet_estimated_at_ = 0;
 
-  std::uint64_t version_ = 0; // increases with each reset
+  std::uint64_t reset_version_ = 0; // increases with each reset
   double next_trial_at_ = 0;
   double trial_interval_ms_ = 1000;
 };
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -17,32 +17,32 @@
   double per_second = 100;
   double burst = 300;
   double tokens = 300;
-  std::chrono::steady_clock::time_point filled = std::chrono::steady_clock::now();
-  std::uint64_t dropped = 0;
-  std::uint64_t unreported = 0; // dropped since the last written line
+  std::chrono::steady_clock::time_point refilled_at = std::chrono::steady_clock::now();
+  std::uint64_t dropped_count = 0;
+  std::uint64_t unreported_drops = 0; // dropped since the last written line
 
-  bool take(double reserve) {
+  bool try_take(double reserved_tokens) {
     const auto now = std::chrono::steady_clock::now();
-    tokens = std::min(burst, tokens + per_second * std::chrono::duration<double>(now - filled).count());
-    filled = now;
-    if (tokens < 1 + reserve) {
-      drop();
+    tokens = std::min(burst, tokens + per_second * std::chrono::duration<double>(now - refilled_at).count());
+    refilled_at = now;
+    if (tokens < 1 + reserved_tokens) {
+      count_drop();
       return false;
     }
     tokens -= 1;
     return true;
   }
-  void drop() {
-    ++dropped;
-    ++unreported;
+  void count_drop() {
+    ++dropped_count;
+    ++unreported_drops;
   }
 };
 
 TokenBucket bucket;
-bool as_json = false;
-bool with_routine = true;
+bool json_format = false;
+bool routine_enabled = true;
 
-bool plain(std::string_view text) {
+bool needs_no_quotes(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') ||
            std::string_view("-_.:/+,;@%[]").find(c) != std::string_view::npos;
@@ -50,7 +50,7 @@
 }
 
 // Escapes text sent by a peer, so that it can't forge a log line in either format.
-void quoted(std::string& out, std::string_view text) {
+void append_quoted(std::string& out, std::string_view text) {
   out += '"';
   for (const char c : text.substr(0, kMaxValueBytes)) {
     if (c == '"' || c == '\\') out += '\\';
@@ -60,72 +60,76 @@
   out += '"';
 }
 
-void number(std::string& out, const Field& field) {
+void append_number(std::string& out, const Field& field) {
   char text[40];
   std::snprintf(text, sizeof text, "%.0f", std::isfinite(field.number) ? field.number : 0.0);
   out += text;
 }
 
-void key_value(std::string& out, const Field& field) {
+void append_key_value(std::string& out, const Field& field) {
   out += ' ';
   out += field.key;
   out += '=';
-  if (field.kind != Field::Kind::Text) return number(out, field);
-  plain(field.text) && field.text.size() <= kMaxValueBytes ? void(out += field.text)
-                                                           : quoted(out, field.text);
+  if (field.kind != Field::Kind::Text) return append_number(out, field);
+  needs_no_quotes(field.text) && field.text.size() <= kMaxValueBytes ? void(out += field.text)
+                                                                     : append_quoted(out, field.text);
 }
 
-void member(std::string& out, const Field& field) {
+void append_json_member(std::string& out, const Field& field) {
   out += ',';
-  quoted(out, field.key);
+  append_quoted(out, field.key);
   out += ':';
-  field.kind != Field::Kind::Text ? number(out, field) : quoted(out, field.text);
+  field.kind != Field::Kind::Text ? append_number(out, field) : append_quoted(out, field.text);
 }
 
 // Writing to a full pipe would block the router's only thread if the reader of the log has stopped. If poll()
 // reports a pipe as writable, it accepts 4096 bytes without blocking, and every line is shorter than that.
-bool has_room() {
+bool stderr_has_room() {
   pollfd out{STDERR_FILENO, POLLOUT, 0};
   return poll(&out, 1, 0) != 0;
 }
 
-void write(double reserve, std::string_view event, const Field* fields, std::size_t count) {
-  if (!bucket.take(reserve)) return;
-  if (!has_room()) return bucket.drop();
-  std::string out;
-  out.reserve(160);
-  if (as_json) {
-    out = "{\"event\":";
-    quoted(out, event);
+void write_line(double reserved_tokens, std::string_view event, const Field* fields, std::size_t count) {
+  if (!bucket.try_take(reserved_tokens)) return;
+  if (!stderr_has_room()) return bucket.count_drop();
+  std::string text;
+  text.reserve(160);
+  if (json_format) {
+    text = "{\"event\":";
+    append_quoted(text, event);
   } else {
-    out += event;
+    text += event;
   }
-  const auto add = [&](const Field& field) { as_json ? member(out, field) : key_value(out, field); };
-  for (std::size_t i = 0; i < count; ++i) add(fields[i]);
-  if (bucket.unreported > 0) add({"lines_dropped", bucket.unreported});
-  bucket.unreported = 0;
-  if (as_json) out += '}';
-  std::fprintf(stderr, "%s\n", out.c_str());
+  const auto append_field = [&](const Field& field) {
+    json_format ? append_json_member(text, field) : append_key_value(text, field);
+  };
+  for (std::size_t i = 0; i < count; ++i) append_field(fields[i]);
+  if (bucket.unreported_drops > 0) append_field({"lines_dropped", bucket.unreported_drops});
+  bucket.unreported_drops = 0;
+  if (json_format) text += '}';
+  std::fprintf(stderr, "%s\n", text.c_str());
 }
 
 } // namespace
 
-void line(std::string_view event, Fields fields) { write(0, event, fields.begin(), fields.size()); }
-void line(std::string_view event, const Field* fields, std::size_t count) { write(0, event, fields, count); }
+void line(std::string_view event, Fields fields) { write_line(0, event, fields.begin(), fields.size()); }
+void line(std::string_view event, const Field* fields, std::size_t count) {
+  write_line(0, event, fields, count);
+}
 
-void routine(std::string_view event, Fields fields) {
-  if (with_routine) write(bucket.burst / 4, event, fields.begin(), fields.size());
+void routine_line(std::string_view event, Fields fields) {
+  if (routine_enabled) write_line(bucket.burst / 4, event, fields.begin(), fields.size());
 }
 
-void limit(double per_second, double burst) {
+void set_rate_limit(double per_second, double burst) {
   bucket.per_second = per_second;
   bucket.burst = burst;
   bucket.tokens = burst;
 }
 
-void write_json(bool json) { as_json = json; }
-void write_routine(bool routine) { with_routine = routine; }
+void set_json_format(bool enabled) { json_format = enabled; }
+void enable_routine_lines(bool enabled) { routine_enabled = enabled; }
 
-std::uint64_t dropped() { return bucket.dropped; }
+std::uint64_t dropped_lines() { return bucket.dropped_count; }
 
 } // namespace fernward::log
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -18,14 +18,15 @@
 
 struct Field { // refers to the key and text passed in, which must outlive the call
   template <std::integral T>
-  Field(std::string_view k, T value) : key(k), kind(Kind::Whole), number(static_cast<double>(value)) {}
-  Field(std::string_view k, double value) : key(k), kind(Kind::Number), number(value) {}
-  Field(std::string_view k, std::string_view value) : key(k), text(value) {}
-  Field(std::string_view k, const char* value) : key(k), text(value) {}
-  Field(std::string_view k, const std::string& value) : key(k), text(value) {}
+  Field(std::string_view field_key, T value)
+      : key(field_key), kind(Kind::Integer), number(static_cast<double>(value)) {}
+  Field(std::string_view field_key, double value) : key(field_key), kind(Kind::Decimal), number(value) {}
+  Field(std::string_view field_key, std::string_view value) : key(field_key), text(value) {}
+  Field(std::string_view field_key, const char* value) : key(field_key), text(value) {}
+  Field(std::string_view field_key, const std::string& value) : key(field_key), text(value) {}
 
   std::string_view key;
-  enum class Kind { Text, Whole, Number } kind = Kind::Text;
+  enum class Kind { Text, Integer, Decimal } kind = Kind::Text;
   double number = 0; // rounded to an integer when written
   std::string_view text;
 };
@@ -34,15 +35,15 @@
 // Writes one line to standard error; lines beyond the rate limit are dropped and counted. routine_line() is
 // for frequent events, such as one per connection: it leaves a quarter of the burst to line().
 void line(std::string_view event, Fields fields = {});
-void routine(std::string_view event, Fields fields);
+void routine_line(std::string_view event, Fields fields);
 // Overload for a number of fields that is only known at run time.
 void line(std::string_view event, const Field* fields, std::size_t count);
 
 // Sets the rate limit: lines per second, and the size of the burst (token bucket).
-void limit(double per_second, double burst);
-void write_json(bool json);       // true: JSON; false: key=value
-void write_routine(bool routine); // false: routine_line() writes nothing
+void set_rate_limit(double per_second, double burst);
+void set_json_format(bool enabled);      // true: JSON; false: key=value
+void enable_routine_lines(bool enabled); // false: routine_line() writes nothing
 
-std::uint64_t dropped(); // lines dropped since the process start
+std::uint64_t dropped_lines(); // lines dropped since the process start
 
 } // namespace fernward::log
--- a/src/loop/blocked_signals.h
+++ b/src/loop/blocked_signals.h
@@ -13,25 +13,25 @@
 class BlockedSignals {
  public:
   BlockedSignals() {
-    sigset_t all;
-    sigfillset(&all);
-    sigprocmask(SIG_BLOCK, &all, &before_);
+    sigset_t all_signals;
+    sigfillset(&all_signals);
+    sigprocmask(SIG_BLOCK, &all_signals, &previous_mask_);
   }
-  ~BlockedSignals() { sigprocmask(SIG_SETMASK, &before_, nullptr); }
+  ~BlockedSignals() { sigprocmask(SIG_SETMASK, &previous_mask_, nullptr); }
   BlockedSignals(const BlockedSignals&) = delete;
   BlockedSignals& operator=(const BlockedSignals&) = delete;
 
   /// For the new process, before exec(): resets `signals` to their default actions and unblocks all signals,
   /// which delivers the pending ones. Async-signal-safe: may be called between fork() and exec().
   static void deliver_by_default(std::initializer_list<int> signals) {
-    for (const int number : signals) ::signal(number, SIG_DFL);
-    sigset_t none;
-    sigemptyset(&none);
-    sigprocmask(SIG_SETMASK, &none, nullptr);
+    for (const int signal_number : signals) ::signal(signal_number, SIG_DFL);
+    sigset_t no_signals;
+    sigemptyset(&no_signals);
+    sigprocmask(SIG_SETMASK, &no_signals, nullptr);
   }
 
  private:
-  sigset_t before_{};
+  sigset_t previous_mask_{};
 };
 
 } // namespace fernward::loop
--- a/src/loop/buffer.h
+++ b/src/loop/buffer.h
@@ -46,32 +46,32 @@
   Buffer& operator=(Buffer&&) noexcept = default;
 
   std::size_t size() const { return chain_ == nullptr ? 0 : evbuffer_get_length(chain_.get()); }
-  void copy(std::string_view bytes);
+  void append_copy(std::string_view bytes);
   /// Appends by reference if `bytes` fill at least half of `io_buffer`, else as a copy. So no Buffer holds
   /// more than twice its size in memory.
-  void add(std::string_view bytes, IoBuffer& block);
+  void append(std::string_view bytes, IoBuffer& io_buffer);
   /// Appends all bytes to `to`; this Buffer is empty afterwards.
   void move_to(evbuffer* to);
   void drain(std::size_t bytes);
   /// Removes up to `max_bytes` from the front into `destination`; returns how many.
-  std::size_t take(char* into, std::size_t max_bytes);
+  std::size_t read(char* destination, std::size_t max_bytes);
   /// A copy of the contents; for small buffers.
   std::string text() const;
   void clear() { chain_.reset(); }
 
  private:
-  friend std::size_t write_or_wait(bufferevent* to, std::string_view head, Buffer&& body);
-  struct Free {
+  friend std::size_t write_or_enqueue(bufferevent* to, std::string_view head, Buffer&& body);
+  struct EvbufferFree {
     void operator()(evbuffer* chain) const { evbuffer_free(chain); }
   };
   evbuffer* chain();
-  std::unique_ptr<evbuffer, Free> chain_; // null: empty
+  std::unique_ptr<evbuffer, EvbufferFree> chain_; // null: empty
 };
 
 /// The result of a read from a socket. WouldBlock: no bytes are available yet.
-enum class Received { Bytes, WouldBlock, EndOfStream, Error };
+enum class ReceiveResult { Bytes, WouldBlock, EndOfStream, Error };
 /// Reads up to `max_bytes` without blocking. `bytes` is set only if the result is Bytes.
-Received receive(int fd, char* into, std::size_t max_bytes, std::size_t& bytes);
+ReceiveResult receive(int fd, char* destination, std::size_t max_bytes, std::size_t& bytes);
 
 /// Moves bytes from socket to socket with splice(), without a copy in this process. The pipe is empty between
 /// two calls, so that one instance (two descriptors) serves a whole event loop.
@@ -82,29 +82,29 @@
   Pipe(const Pipe&) = delete;
   Pipe& operator=(const Pipe&) = delete;
   /// False: no descriptors were available for the pipe, or the system does not permit splice().
-  bool usable() const { return ends_[0] >= 0; }
+  bool usable() const { return fds_[0] >= 0; }
 
   /// Moves up to `max_bytes`, at most kIoBufferBytes. `bytes`: the number of bytes read. `unsent`: the bytes
   /// that the socket of `to` did not accept, copied into `io_buffer`. Returns false if the system refuses
   /// splice() (a system call filter, or an unsupported socket type): nothing was read, and the pipe is
   /// unusable from then on.
-  bool move(int from, bufferevent* to, std::size_t max_bytes, IoBuffer& block, Received& received,
-            std::size_t& bytes, std::string_view& rest);
+  bool transfer(int from, bufferevent* to, std::size_t max_bytes, IoBuffer& io_buffer,
+                ReceiveResult& received, std::size_t& bytes, std::string_view& unsent);
 
  private:
   std::size_t send_now(bufferevent* to, std::size_t bytes);
-  std::string_view read_rest(IoBuffer& block, std::size_t bytes);
+  std::string_view read_unsent(IoBuffer& io_buffer, std::size_t bytes);
   void close();
-  int ends_[2] = {-1, -1}; // read end, write end
+  int fds_[2] = {-1, -1}; // read end, write end
 };
 
 /// These functions write to the socket of `to` at once if its output buffer is empty, and append to that
 /// buffer what the socket does not accept. Errors surface when libevent writes the output buffer. They return
 /// how many bytes of the body are left in the output buffer; the overload without a body counts all of
 /// `text`.
-std::size_t write_or_wait(bufferevent* to, std::string_view text);
-std::size_t write_or_wait(bufferevent* to, std::string_view head, Buffer&& body);
-std::size_t write_or_wait(bufferevent* to, std::string_view before, std::string_view body,
-                          std::string_view after, IoBuffer& block);
+std::size_t write_or_enqueue(bufferevent* to, std::string_view text);
+std::size_t write_or_enqueue(bufferevent* to, std::string_view head, Buffer&& body);
+std::size_t write_or_enqueue(bufferevent* to, std::string_view prefix, std::string_view body,
+                             std::string_view suffix, IoBuffer& io_buffer);
 
 } // namespace fernward::loop
--- a/src/loop/net.cpp
+++ b/src/loop/net.cpp
@@ -25,9 +25,11 @@
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
-void limit_unsent(int fd, int bytes) { setsockopt(fd, IPPROTO_TCP, TCP_NOTSENT_LOWAT, &bytes, sizeof bytes); }
+void limit_unsent_bytes(int fd, int bytes) {
+  setsockopt(fd, IPPROTO_TCP, TCP_NOTSENT_LOWAT, &bytes, sizeof bytes);
+}
 
-void limit_received(int fd, int bytes) { setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes); }
+void limit_receive_buffer(int fd, int bytes) { setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &bytes, sizeof bytes); }
 
 void reset_on_close(int fd) {
   const linger no_wait{1, 0};
@@ -36,33 +38,39 @@
 
 Peek peek(int fd) {
   char byte = 0;
-  const auto n = recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  if (n > 0) return Peek::Data;
-  return n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR) ? Peek::NoData : Peek::Closed;
+  const auto received = recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  if (received > 0) return Peek::Data;
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR) ? Peek::NoData
+                                                                                     : Peek::Closed;
 }
 
-bool peer_ended(int fd) {
-  const Peek next = peek(fd);
-  if (next != Peek::Data) return next == Peek::Closed;
-  pollfd ended{fd, POLLRDHUP, 0};
-  return poll(&ended, 1, 0) > 0 && (ended.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+bool peer_has_closed(int fd) {
+  const Peek result = peek(fd);
+  if (result != Peek::Data) return result == Peek::Closed;
+  pollfd poll_entry{fd, POLLRDHUP, 0};
+  return poll(&poll_entry, 1, 0) > 0 && (poll_entry.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 BuffereventPtr make_bufferevent(event_base* base, int fd) {
-  BuffereventPtr b(bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
-  if (b == nullptr) throw std::bad_alloc();
-  return b;
+  BuffereventPtr buffer_event(
+      bufferevent_socket_new(base, fd, BEV_OPT_CLOSE_ON_FREE | BEV_OPT_DEFER_CALLBACKS));
+  if (buffer_event == nullptr) throw std::bad_alloc();
+  return buffer_event;
 }
 
-std::string_view pending_input(bufferevent* b) {
-  evbuffer* input = bufferevent_get_input(b);
+std::string_view pending_input(bufferevent* buffer_event) {
+  evbuffer* input = bufferevent_get_input(buffer_event);
   const std::size_t size = evbuffer_get_length(input);
   if (size == 0) return {};
   return {reinterpret_cast<const char*>(evbuffer_pullup(input, -1)), size};
 }
 
-void consume_input(bufferevent* b, std::size_t bytes) { evbuffer_drain(bufferevent_get_input(b), bytes); }
+void consume_input(bufferevent* buffer_event, std::size_t bytes) {
+  evbuffer_drain(bufferevent_get_input(buffer_event), bytes);
+}
 
-std::size_t pending_output(bufferevent* b) { return evbuffer_get_length(bufferevent_get_output(b)); }
+std::size_t pending_output(bufferevent* buffer_event) {
+  return evbuffer_get_length(bufferevent_get_output(buffer_event));
+}
 
 } // namespace fernward::loop
--- a/src/loop/slot_map.h
+++ b/src/loop/slot_map.h
@@ -49,7 +49,7 @@
   }
   /// Calls visit(handle, value) in slot order. `visit` may remove any value.
   template <typename Visit>
-  void each(Visit visit) {
+  void for_each(Visit visit) {
     for (std::size_t index = 0; index < slots_.size(); ++index) {
       if (slots_[index].value == nullptr) continue;
       visit(handle_of(index), *slots_[index].value);
--- a/src/loop/timer_queue.cpp
+++ b/src/loop/timer_queue.cpp
@@ -7,8 +7,8 @@
 namespace fernward::loop {
 namespace {
 
-constexpr std::size_t kChildren = 4;       // per heap node
-constexpr double kLongestWaitMs = 60000.0; // of the libevent timer, which is then armed again
+constexpr std::size_t kChildren = 4;   // per heap node
+constexpr double kMaxWaitMs = 60000.0; // of the libevent timer, which is then armed again
 
 double steady_ms() {
   return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now().time_since_epoch())
@@ -28,7 +28,7 @@
   if (event_ == nullptr) throw std::bad_alloc();
 }
 
-TimerQueue::TimerId TimerQueue::at(double due_ms, std::function<void()> callback) {
+TimerQueue::TimerId TimerQueue::run_at(double due_ms, std::function<void()> callback) {
   std::uint32_t slot = 0;
   if (free_slots_.empty()) {
     slot = static_cast<std::uint32_t>(slots_.size());
@@ -44,8 +44,9 @@
   return TimerId{slots_[slot].generation} << 32 | slot;
 }
 
-TimerQueue::TimerId TimerQueue::within(double earliest_ms, double latest_ms, std::function<void()> callback) {
-  const TimerId timer = at(latest_ms, std::move(callback));
+TimerQueue::TimerId TimerQueue::run_within(double earliest_ms, double latest_ms,
+                                           std::function<void()> callback) {
+  const TimerId timer = run_at(latest_ms, std::move(callback));
   flexible_.push_back({earliest_ms, timer});
   return timer;
 }
@@ -65,9 +66,9 @@
 void TimerQueue::run_due() {
   armed_for_ms_ = 0;
   const double now = now_ms();
-  const std::uint64_t newest =
+  const std::uint64_t newest_sequence =
       last_sequence_; // timers added by callbacks wait: the event loop must not starve
-  while (!heap_.empty() && heap_.front().due_ms <= now && heap_.front().sequence <= newest) {
+  while (!heap_.empty() && heap_.front().due_ms <= now && heap_.front().sequence <= newest_sequence) {
     remove(0)(); // removed first: the callback may change the heap
   }
   run_flexible(now);
@@ -84,7 +85,7 @@
   }
 }
 
-void TimerQueue::place(std::size_t index, HeapEntry entry) {
+void TimerQueue::place_entry(std::size_t index, HeapEntry entry) {
   heap_[index] = entry;
   slots_[entry.slot].heap_index = static_cast<std::uint32_t>(index);
 }
@@ -93,25 +94,25 @@
   while (index > 0) {
     const std::size_t parent = (index - 1) / kChildren;
     if (!(entry < heap_[parent])) break;
-    place(index, heap_[parent]);
+    place_entry(index, heap_[parent]);
     index = parent;
   }
-  place(index, entry);
+  place_entry(index, entry);
 }
 
 void TimerQueue::sift_down(std::size_t index, HeapEntry entry) {
   for (;;) {
-    const std::size_t first = kChildren * index + 1;
-    const std::size_t end = std::min(first + kChildren, heap_.size());
-    std::size_t least = first;
-    for (std::size_t child = first + 1; child < end; ++child) {
-      if (heap_[child] < heap_[least]) least = child;
+    const std::size_t first_child = kChildren * index + 1;
+    const std::size_t children_end = std::min(first_child + kChildren, heap_.size());
+    std::size_t smallest = first_child;
+    for (std::size_t child = first_child + 1; child < children_end; ++child) {
+      if (heap_[child] < heap_[smallest]) smallest = child;
     }
-    if (first >= heap_.size() || !(heap_[least] < entry)) break;
-    place(index, heap_[least]);
-    index = least;
+    if (first_child >= heap_.size() || !(heap_[smallest] < entry)) break;
+    place_entry(index, heap_[smallest]);
+    index = smallest;
   }
-  place(index, entry);
+  place_entry(index, entry);
 }
 
 // Removes the entry at `index` and returns its callback.
@@ -139,7 +140,7 @@
   const double due_ms = heap_.front().due_ms;
   if (armed_for_ms_ != 0 && armed_for_ms_ <= due_ms) return;
   armed_for_ms_ = due_ms;
-  const double wait_us = std::clamp(due_ms - now_ms(), 0.0, kLongestWaitMs) * 1000;
+  const double wait_us = std::clamp(due_ms - now_ms(), 0.0, kMaxWaitMs) * 1000;
   timeval delay{};
   delay.tv_sec = static_cast<time_t>(wait_us / 1e6);
   delay.tv_usec = static_cast<suseconds_t>(wait_us - static_cast<double>(delay.tv_sec) * 1e6);
--- a/src/loop/timer_queue.h
+++ b/src/loop/timer_queue.h
@@ -31,10 +31,10 @@
 
   /// Calls `callback` once, from the event loop. Timers due at the same time run in the order of their
   /// addition.
-  TimerId at(double due_ms, std::function<void()> callback);
+  TimerId run_at(double due_ms, std::function<void()> callback);
   /// For work that is not urgent: runs together with the first other timer due after `earliest_ms`, which
   /// saves a wake-up, or at `latest_ms` if there was none.
-  TimerId within(double earliest_ms, double latest_ms, std::function<void()> callback);
+  TimerId run_within(double earliest_ms, double latest_ms, std::function<void()> callback);
   /// Sets `timer` to 0. No effect for a timer that has run.
   void cancel(TimerId& timer);
   std::size_t size() const { return heap_.size(); }
@@ -64,7 +64,7 @@
   void run_flexible(double now);
   bool is_pending(TimerId timer) const;
   void arm();
-  void place(std::size_t index, HeapEntry entry);
+  void place_entry(std::size_t index, HeapEntry entry);
   void sift_up(std::size_t index, HeapEntry entry);
   void sift_down(std::size_t index, HeapEntry entry);
   std::function<void()> remove(std::size_t index);
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -11,17 +11,17 @@
 
 namespace {
 
-int version(const arguments::Arguments& given) {
+int version(const arguments::Arguments& args) {
   cxxopts::Options options("fernward version", "Print the version");
-  arguments::parse(options, given);
+  arguments::parse(options, args);
   std::printf("fernward %s\n", FERNWARD_VERSION);
-  return arguments::kWell;
+  return arguments::kSuccess;
 }
 
 } // namespace
 
 int main(int argc, char** argv) {
-  return arguments::run(
+  return arguments::run_command(
       "fernward", "a router in front of a fleet of cache servers",
       {{"serve", "run the router", &commands::serve},
        {"sidecar", "run the router as a sidecar together with an application", &commands::sidecar},
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -32,96 +32,97 @@
 
 namespace fernward::membership {
 
-struct Rules {
+struct Settings {
   double period_ms = 400;
-  std::uint32_t asked = 3; // other members that are asked to ping a member that does not answer
+  std::uint32_t indirect_pings = 3; // other members that are asked to ping a member that does not answer
 };
 
 struct Packet {
-  Id to = 0;
-  Datagram what;
+  MemberId to = 0;
+  Datagram datagram;
 };
 
 class Membership {
  public:
   // `count`: routers in the tier; `self`: this router's number; `incarnation`: greater than any previous one.
-  Membership(Id self, std::size_t count, std::uint32_t incarnation, const Rules& rules, std::uint64_t seed);
+  Membership(MemberId self, std::size_t count, std::uint32_t incarnation, const Settings& settings,
+             std::uint64_t seed);
 
   // To be called at next_tick_at() or later. Appends the datagrams to be sent.
   void tick(double now, std::vector<Packet>& out);
-  double next() const { return next_; }
+  double next_tick_at() const { return next_tick_at_; }
   // Processes a datagram; `from`: the member that its source address belongs to. Returns false if all of it
   // was ignored.
-  bool take(double now, Id from, const Datagram& d, std::vector<Packet>& out);
+  bool receive(double now, MemberId from, const Datagram& datagram, std::vector<Packet>& out);
   // Called for each new report of the process with this incarnation. A report of a later process than known
   // shows that the member is alive; one of the same process shows nothing, as it may predate a suspicion.
-  void heard(Id who, std::uint32_t incarnation);
+  void record_alive(MemberId member, std::uint32_t incarnation);
   void leave(std::vector<Packet>& out); // notifies some members; sends nothing afterwards
 
-  bool alive(Id who) const { return who == self_ || all_[who].standing <= State::Suspect; }
-  std::size_t living() const { return living_; } // this one included
-  Stamp stamp() const { return stamp_; }         // increases to refute a suspicion or to leave
-  Stamp word() const { return word_; }           // stamp of its gossip reports: increases at each tick
-  double doubt() const { return doubt_; }        // 0 (healthy) to 8; multiplies timeouts
-  std::uint64_t passed_over() const { return passed_over_; }
+  bool alive(MemberId member) const { return member == self_ || members_[member].state <= State::Suspect; }
+  std::size_t alive_count() const { return alive_count_; } // this one included
+  Stamp stamp() const { return stamp_; }                   // increases to refute a suspicion or to leave
+  Stamp report_stamp() const { return report_stamp_; } // stamp of its gossip reports: increases at each tick
+  double health_penalty() const { return health_penalty_; } // 0 (healthy) to 8; multiplies timeouts
+  std::uint64_t ignored() const { return ignored_; }
 
  private:
-  friend struct Inside; // gives tests access to the state
+  friend struct MembershipTestAccess; // gives tests access to the state
   enum class State : std::uint8_t { Alive, Suspect, Dead, Left };
   struct Member {
     Stamp stamp;
-    std::uint32_t direct = 0; // incarnation in its own last datagram
-    double dies_at = 0;       // valid while suspect
-    double direct_at = kNever;
-    State standing = State::Alive;
-    std::uint8_t agree = 0; // other members that suspect it, too
-    Id agreed[3] = {};
+    std::uint32_t direct_incarnation = 0; // incarnation in its own last datagram
+    double dead_at = 0;                   // valid while suspect
+    double direct_contact_at = kNever;
+    State state = State::Alive;
+    std::uint8_t confirmations = 0; // other members that suspect it, too
+    MemberId confirmed_by[3] = {};
   };
-  struct Round { // a ping that waits for its ack
-    Id target = 0;
-    std::uint16_t number = 0;
+  struct PendingPing { // a ping that waits for its ack
+    MemberId target = 0;
+    std::uint16_t round = 0;
     double sent_at = 0;
-    bool asked = false, answered = false;
-    std::uint32_t nacks = 0, expected = 0;
-    Id of = 0; // valid if for_requester: the member that asked for this ping
-    std::uint16_t of_round = 0;
-    bool for_other = false;
+    bool indirect_sent = false, answered = false;
+    std::uint32_t nacks = 0, expected_nacks = 0;
+    MemberId requester = 0; // valid if for_requester: the member that asked for this ping
+    std::uint16_t requester_round = 0;
+    bool for_requester = false;
   };
-  struct Saying {
-    Word word;
-    std::uint32_t told = 0;
+  struct Broadcast {
+    MemberUpdate update;
+    std::uint32_t transmissions = 0;
   };
 
-  void heard(Id who, Stamp stamp);
-  void pass(Stamp said);
-  void remind(Id who);
-  void say(const Word& word);
-  void set(Id who, State state);
-  void suspect(double now, Id who, Id by, bool dead);
-  double least_suspicion() const;
-  void take(double now, const Word& word);
-  Packet packet(Id to, Kind kind, std::uint16_t round, Id about);
-  void ping(double now, Id target, std::vector<Packet>& out);
-  Id next_target();
-  Id any_living(Id but);
-  double patience() const { return rules_.period_ms * (1 + doubt_); }
-  double most_told() const;
-  double tries() const; // from a ping to a suspicion, in periods
+  void record_alive(MemberId member, Stamp stamp);
+  void advance_past(Stamp stamp);
+  void broadcast_alive(MemberId member);
+  void broadcast(const MemberUpdate& update);
+  void set_state(MemberId member, State state);
+  void suspect(double now, MemberId member, MemberId reporter, bool reported_dead);
+  double min_suspicion_ms() const;
+  void receive(double now, const MemberUpdate& update);
+  Packet make_packet(MemberId to, MessageKind kind, std::uint16_t round, MemberId subject);
+  void send_ping(double now, MemberId target, std::vector<Packet>& out);
+  MemberId next_target();
+  MemberId random_alive(MemberId excluded);
+  double probe_timeout_ms() const { return settings_.period_ms * (1 + health_penalty_); }
+  double max_transmissions() const;
+  double probe_periods() const; // from a ping to a suspicion, in periods
 
-  Id self_;
-  Rules rules_;
+  MemberId self_;
+  Settings settings_;
   Random random_;
-  Stamp stamp_, word_;
-  std::vector<Member> all_;
-  std::vector<Id> order_; // of pings, random
-  std::size_t at_ = 0, periods_ = 0;
-  std::vector<Round> rounds_;
-  std::deque<Saying> sayings_;
-  std::uint16_t round_ = 0;
-  std::size_t living_;
-  double next_ = 0, ticked_at_ = kNever, doubt_ = 0;
+  Stamp stamp_, report_stamp_;
+  std::vector<Member> members_;
+  std::vector<MemberId> ping_order_; // of pings, random
+  std::size_t next_in_order_ = 0, period_count_ = 0;
+  std::vector<PendingPing> pending_pings_;
+  std::deque<Broadcast> broadcasts_;
+  std::uint16_t last_round_ = 0;
+  std::size_t alive_count_;
+  double next_tick_at_ = 0, last_tick_at_ = kNever, health_penalty_ = 0;
   bool left_ = false;
-  std::uint64_t passed_over_ = 0;
+  std::uint64_t ignored_ = 0;
 };
 
 } // namespace fernward::membership
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -9,67 +9,70 @@
 namespace {
 
 constexpr std::uint8_t kVersion = 1;
-constexpr std::size_t kHead = 16, kWord = 13, kSum = 4;
-constexpr std::size_t kMostWords = (kMostBytes - kHead - kSum) / kWord;
+constexpr std::size_t kHeaderBytes = 16, kUpdateBytes = 13, kChecksumBytes = 4;
+constexpr std::size_t kMaxUpdates = (kMaxDatagramBytes - kHeaderBytes - kChecksumBytes) / kUpdateBytes;
 
 } // namespace
 
-std::size_t room_for_facts(const Datagram& d) {
-  return kMostBytes - kHead - kSum - std::min(d.words.size(), kMostWords) * kWord;
+std::size_t payload_room(const Datagram& datagram) {
+  return kMaxDatagramBytes - kHeaderBytes - kChecksumBytes -
+         std::min(datagram.updates.size(), kMaxUpdates) * kUpdateBytes;
 }
 
-std::string encode(const Datagram& d) {
-  const std::size_t words = std::min(d.words.size(), kMostWords);
+std::string encode(const Datagram& datagram) {
+  const std::size_t update_count = std::min(datagram.updates.size(), kMaxUpdates);
   std::string bytes;
-  bytes.reserve(kMostBytes);
+  bytes.reserve(kMaxDatagramBytes);
   put(bytes, kVersion);
-  put(bytes, static_cast<std::uint8_t>(kHead));
-  put(bytes, static_cast<std::uint8_t>(d.kind));
-  put(bytes, static_cast<std::uint8_t>(words));
-  put(bytes, d.from);
-  put(bytes, d.about);
-  put(bytes, d.stamp.incarnation);
-  put(bytes, d.stamp.sequence);
-  put(bytes, d.round);
-  for (std::size_t i = 0; i < words; ++i) {
-    const Word& w = d.words[i];
-    put(bytes, w.who);
-    put(bytes, static_cast<std::uint8_t>(w.standing));
-    put(bytes, w.stamp.incarnation);
-    put(bytes, w.stamp.sequence);
-    put(bytes, w.by);
+  put(bytes, static_cast<std::uint8_t>(kHeaderBytes));
+  put(bytes, static_cast<std::uint8_t>(datagram.kind));
+  put(bytes, static_cast<std::uint8_t>(update_count));
+  put(bytes, datagram.from);
+  put(bytes, datagram.subject);
+  put(bytes, datagram.stamp.incarnation);
+  put(bytes, datagram.stamp.sequence);
+  put(bytes, datagram.round);
+  for (std::size_t i = 0; i < update_count; ++i) {
+    const MemberUpdate& update = datagram.updates[i];
+    put(bytes, update.member);
+    put(bytes, static_cast<std::uint8_t>(update.state));
+    put(bytes, update.stamp.incarnation);
+    put(bytes, update.stamp.sequence);
+    put(bytes, update.reporter);
     put(bytes, std::uint16_t{0});
   }
-  if (d.facts.size() <= room_for_facts(d)) bytes += d.facts;
+  if (datagram.payload.size() <= payload_room(datagram)) bytes += datagram.payload;
   put(bytes, static_cast<std::uint32_t>(XXH32(bytes.data(), bytes.size(), 0)));
   return bytes;
 }
 
 std::optional<Datagram> decode(std::string_view bytes) {
-  if (bytes.size() < kHead + kSum || bytes.size() > kMostBytes) return std::nullopt;
-  const std::size_t end = bytes.size() - kSum;
-  if (get<std::uint32_t>(bytes, end) != XXH32(bytes.data(), end, 0)) return std::nullopt;
-  const auto head = get<std::uint8_t>(bytes, 1), kind = get<std::uint8_t>(bytes, 2),
-             words = get<std::uint8_t>(bytes, 3);
-  if (get<std::uint8_t>(bytes, 0) != kVersion || head < kHead || kind > static_cast<int>(Kind::Nack) ||
-      head + words * kWord > end)
+  if (bytes.size() < kHeaderBytes + kChecksumBytes || bytes.size() > kMaxDatagramBytes) return std::nullopt;
+  const std::size_t checksum_at = bytes.size() - kChecksumBytes;
+  if (get<std::uint32_t>(bytes, checksum_at) != XXH32(bytes.data(), checksum_at, 0)) return std::nullopt;
+  const auto header_bytes = get<std::uint8_t>(bytes, 1), kind = get<std::uint8_t>(bytes, 2),
+             update_count = get<std::uint8_t>(bytes, 3);
+  if (get<std::uint8_t>(bytes, 0) != kVersion || header_bytes < kHeaderBytes ||
+      kind > static_cast<int>(MessageKind::Nack) || header_bytes + update_count * kUpdateBytes > checksum_at)
     return std::nullopt;
-  Datagram d;
-  d.kind = static_cast<Kind>(kind);
-  d.from = get<Id>(bytes, 4);
-  d.about = get<Id>(bytes, 6);
-  d.stamp = {get<std::uint32_t>(bytes, 8), get<std::uint16_t>(bytes, 12)};
-  d.round = get<std::uint16_t>(bytes, 14);
-  for (std::size_t i = 0, at = head; i < words; ++i, at += kWord) {
-    const auto standing = get<std::uint8_t>(bytes, at + 2);
-    if (standing > static_cast<int>(Standing::Left)) return std::nullopt;
-    d.words.push_back({get<Id>(bytes, at),
-                       static_cast<Standing>(standing),
-                       {get<std::uint32_t>(bytes, at + 3), get<std::uint16_t>(bytes, at + 7)},
-                       get<Id>(bytes, at + 9)});
+  Datagram datagram;
+  datagram.kind = static_cast<MessageKind>(kind);
+  datagram.from = get<MemberId>(bytes, 4);
+  datagram.subject = get<MemberId>(bytes, 6);
+  datagram.stamp = {get<std::uint32_t>(bytes, 8), get<std::uint16_t>(bytes, 12)};
+  datagram.round = get<std::uint16_t>(bytes, 14);
+  for (std::size_t i = 0, offset = header_bytes; i < update_count; ++i, offset += kUpdateBytes) {
+    const auto state = get<std::uint8_t>(bytes, offset + 2);
+    if (state > static_cast<int>(MemberState::Left)) return std::nullopt;
+    datagram.updates.push_back(
+        {get<MemberId>(bytes, offset),
+         static_cast<MemberState>(state),
+         {get<std::uint32_t>(bytes, offset + 3), get<std::uint16_t>(bytes, offset + 7)},
+         get<MemberId>(bytes, offset + 9)});
   }
-  d.facts.assign(bytes.substr(head + words * kWord, end - head - words * kWord));
-  return d;
+  datagram.payload.assign(bytes.substr(header_bytes + update_count * kUpdateBytes,
+                                       checksum_at - header_bytes - update_count * kUpdateBytes));
+  return datagram;
 }
 
 } // namespace fernward::membership
--- a/src/membership/wire.h
+++ b/src/membership/wire.h
@@ -26,9 +26,9 @@
 
 namespace fernward::membership {
 
-constexpr std::size_t kMostBytes = 256; // of a datagram, set by the protocol
+constexpr std::size_t kMaxDatagramBytes = 256; // of a datagram, set by the protocol
 
-using Id = std::uint16_t; // a router's number in its tier
+using MemberId = std::uint16_t; // a router's number in its tier
 
 // The version of a router's statement about itself. It only increases: the start time of the process, then a
 // sequence number.
@@ -38,41 +38,41 @@
   auto operator<=>(const Stamp&) const = default;
 };
 
-enum class Standing : std::uint8_t { Alive, Suspect, Dead, Left };
+enum class MemberState : std::uint8_t { Alive, Suspect, Dead, Left };
 
 // A statement that the member with this stamp is in this state. Left is only sent by the member itself.
-struct Word {
-  Id who = 0;
-  Standing standing = Standing::Alive;
+struct MemberUpdate {
+  MemberId member = 0;
+  MemberState state = MemberState::Alive;
   Stamp stamp;
-  Id by = 0;
+  MemberId reporter = 0;
 };
 
-enum class Kind : std::uint8_t { Ping, Ack, Ask, Nack };
+enum class MessageKind : std::uint8_t { Ping, Ack, PingRequest, Nack };
 
 struct Datagram {
-  Kind kind = Kind::Ping;
-  Id from = 0, about = 0;
+  MessageKind kind = MessageKind::Ping;
+  MemberId from = 0, subject = 0;
   Stamp stamp;
   std::uint16_t round = 0;
-  std::vector<Word> words;
-  std::string facts;
+  std::vector<MemberUpdate> updates;
+  std::string payload;
 };
 
-std::size_t room_for_facts(const Datagram& d); // bytes
-std::string encode(const Datagram& d);         // omits updates and a payload that don't fit
+std::size_t payload_room(const Datagram& datagram); // bytes
+std::string encode(const Datagram& datagram);       // omits updates and a payload that don't fit
 std::optional<Datagram> decode(std::string_view bytes);
 
 // Little-endian integers, used for all fields of a datagram.
 template <typename T>
-void put(std::string& to, T value) {
-  for (std::size_t i = 0; i < sizeof(T); ++i) to.push_back(static_cast<char>(value >> (8 * i) & 0xff));
+void put(std::string& buffer, T value) {
+  for (std::size_t i = 0; i < sizeof(T); ++i) buffer.push_back(static_cast<char>(value >> (8 * i) & 0xff));
 }
 template <typename T>
-T get(std::string_view bytes, std::size_t at) { // at + sizeof(T) <= size
+T get(std::string_view bytes, std::size_t offset) { // at + sizeof(T) <= size
   std::uint64_t value = 0;
   for (std::size_t i = 0; i < sizeof(T); ++i) {
-    value |= static_cast<std::uint64_t>(static_cast<unsigned char>(bytes[at + i])) << (8 * i);
+    value |= static_cast<std::uint64_t>(static_cast<unsigned char>(bytes[offset + i])) << (8 * i);
   }
   return static_cast<T>(value);
 }
--- a/src/memcache/frame.cpp
+++ b/src/memcache/frame.cpp
@@ -2,118 +2,126 @@
 
 #include <array>
 
-#include "memcache/numbers.h"
+#include "memcache/big_endian.h"
 
 namespace fernward::memcache {
 
 namespace {
 
-constexpr Command kUnknown{"unknown", Does::Unknown, false, false, Opcode::Noop, false};
+constexpr CommandInfo kUnknown{"unknown", CommandKind::Unknown, false, false, Opcode::Noop, false};
 
-struct Named {
+struct CommandEntry {
   Opcode opcode;
-  Command command;
+  CommandInfo info;
 };
 
 constexpr std::array kCommands{
-    Named{Opcode::Get, {"get", Does::Read, false, false, Opcode::Get, false}},
-    Named{Opcode::GetQ, {"getq", Does::Read, true, false, Opcode::Get, false}},
-    Named{Opcode::GetK, {"getk", Does::Read, false, true, Opcode::GetK, false}},
-    Named{Opcode::GetKQ, {"getkq", Does::Read, true, true, Opcode::GetK, false}},
-    Named{Opcode::Set, {"set", Does::Write, false, false, Opcode::Set, false}},
-    Named{Opcode::SetQ, {"setq", Does::Write, true, false, Opcode::Set, false}},
-    Named{Opcode::Add, {"add", Does::Write, false, false, Opcode::Add, false}},
-    Named{Opcode::AddQ, {"addq", Does::Write, true, false, Opcode::Add, false}},
-    Named{Opcode::Replace, {"replace", Does::Write, false, false, Opcode::Replace, false}},
-    Named{Opcode::ReplaceQ, {"replaceq", Does::Write, true, false, Opcode::Replace, false}},
-    Named{Opcode::Delete, {"delete", Does::Write, false, false, Opcode::Delete, false}},
-    Named{Opcode::DeleteQ, {"deleteq", Does::Write, true, false, Opcode::Delete, false}},
-    Named{Opcode::Increment, {"increment", Does::Write, false, false, Opcode::Increment, true}},
-    Named{Opcode::IncrementQ, {"incrementq", Does::Write, true, false, Opcode::Increment, true}},
-    Named{Opcode::Decrement, {"decrement", Does::Write, false, false, Opcode::Decrement, true}},
-    Named{Opcode::DecrementQ, {"decrementq", Does::Write, true, false, Opcode::Decrement, true}},
-    Named{Opcode::Append, {"append", Does::Write, false, false, Opcode::Append, true}},
-    Named{Opcode::AppendQ, {"appendq", Does::Write, true, false, Opcode::Append, true}},
-    Named{Opcode::Prepend, {"prepend", Does::Write, false, false, Opcode::Prepend, true}},
-    Named{Opcode::PrependQ, {"prependq", Does::Write, true, false, Opcode::Prepend, true}},
-    Named{Opcode::Touch, {"touch", Does::Write, false, false, Opcode::Touch, false}},
-    Named{Opcode::Gat, {"gat", Does::ReadTime, false, false, Opcode::Gat, false}},
-    Named{Opcode::GatQ, {"gatq", Does::ReadTime, true, false, Opcode::Gat, false}},
-    Named{Opcode::GatK, {"gatk", Does::ReadTime, false, true, Opcode::GatK, false}},
-    Named{Opcode::GatKQ, {"gatkq", Does::ReadTime, true, true, Opcode::GatK, false}},
-    Named{Opcode::Noop, {"noop", Does::Local, false, false, Opcode::Noop, false}},
-    Named{Opcode::Quit, {"quit", Does::Local, false, false, Opcode::Quit, false}},
-    Named{Opcode::QuitQ, {"quitq", Does::Local, true, false, Opcode::Quit, false}},
-    Named{Opcode::Version, {"version", Does::Local, false, false, Opcode::Version, false}},
-    Named{Opcode::Verbosity, {"verbosity", Does::Local, false, false, Opcode::Verbosity, false}},
-    Named{Opcode::Stat, {"stat", Does::Stats, false, false, Opcode::Stat, false}},
-    Named{Opcode::Flush, {"flush", Does::Everyone, false, false, Opcode::Flush, false}},
-    Named{Opcode::FlushQ, {"flushq", Does::Everyone, true, false, Opcode::Flush, false}},
-    Named{Opcode::SaslList, {"sasl-list-mechs", Does::Login, false, false, Opcode::SaslList, false}},
-    Named{Opcode::SaslAuth, {"sasl-auth", Does::Login, false, false, Opcode::SaslAuth, false}},
-    Named{Opcode::SaslStep, {"sasl-step", Does::Login, false, false, Opcode::SaslStep, false}},
+    CommandEntry{Opcode::Get, {"get", CommandKind::Read, false, false, Opcode::Get, false}},
+    CommandEntry{Opcode::GetQ, {"getq", CommandKind::Read, true, false, Opcode::Get, false}},
+    CommandEntry{Opcode::GetK, {"getk", CommandKind::Read, false, true, Opcode::GetK, false}},
+    CommandEntry{Opcode::GetKQ, {"getkq", CommandKind::Read, true, true, Opcode::GetK, false}},
+    CommandEntry{Opcode::Set, {"set", CommandKind::Write, false, false, Opcode::Set, false}},
+    CommandEntry{Opcode::SetQ, {"setq", CommandKind::Write, true, false, Opcode::Set, false}},
+    CommandEntry{Opcode::Add, {"add", CommandKind::Write, false, false, Opcode::Add, false}},
+    CommandEntry{Opcode::AddQ, {"addq", CommandKind::Write, true, false, Opcode::Add, false}},
+    CommandEntry{Opcode::Replace, {"replace", CommandKind::Write, false, false, Opcode::Replace, false}},
+    CommandEntry{Opcode::ReplaceQ, {"replaceq", CommandKind::Write, true, false, Opcode::Replace, false}},
+    CommandEntry{Opcode::Delete, {"delete", CommandKind::Write, false, false, Opcode::Delete, false}},
+    CommandEntry{Opcode::DeleteQ, {"deleteq", CommandKind::Write, true, false, Opcode::Delete, false}},
+    CommandEntry{Opcode::Increment, {"increment", CommandKind::Write, false, false, Opcode::Increment, true}},
+    CommandEntry{Opcode::IncrementQ,
+                 {"incrementq", CommandKind::Write, true, false, Opcode::Increment, true}},
+    CommandEntry{Opcode::Decrement, {"decrement", CommandKind::Write, false, false, Opcode::Decrement, true}},
+    CommandEntry{Opcode::DecrementQ,
+                 {"decrementq", CommandKind::Write, true, false, Opcode::Decrement, true}},
+    CommandEntry{Opcode::Append, {"append", CommandKind::Write, false, false, Opcode::Append, true}},
+    CommandEntry{Opcode::AppendQ, {"appendq", CommandKind::Write, true, false, Opcode::Append, true}},
+    CommandEntry{Opcode::Prepend, {"prepend", CommandKind::Write, false, false, Opcode::Prepend, true}},
+    CommandEntry{Opcode::PrependQ, {"prependq", CommandKind::Write, true, false, Opcode::Prepend, true}},
+    CommandEntry{Opcode::Touch, {"touch", CommandKind::Write, false, false, Opcode::Touch, false}},
+    CommandEntry{Opcode::Gat, {"gat", CommandKind::ReadAndTouch, false, false, Opcode::Gat, false}},
+    CommandEntry{Opcode::GatQ, {"gatq", CommandKind::ReadAndTouch, true, false, Opcode::Gat, false}},
+    CommandEntry{Opcode::GatK, {"gatk", CommandKind::ReadAndTouch, false, true, Opcode::GatK, false}},
+    CommandEntry{Opcode::GatKQ, {"gatkq", CommandKind::ReadAndTouch, true, true, Opcode::GatK, false}},
+    CommandEntry{Opcode::Noop, {"noop", CommandKind::Local, false, false, Opcode::Noop, false}},
+    CommandEntry{Opcode::Quit, {"quit", CommandKind::Local, false, false, Opcode::Quit, false}},
+    CommandEntry{Opcode::QuitQ, {"quitq", CommandKind::Local, true, false, Opcode::Quit, false}},
+    CommandEntry{Opcode::Version, {"version", CommandKind::Local, false, false, Opcode::Version, false}},
+    CommandEntry{Opcode::Verbosity,
+                 {"verbosity", CommandKind::Local, false, false, Opcode::Verbosity, false}},
+    CommandEntry{Opcode::Stat, {"stat", CommandKind::Stats, false, false, Opcode::Stat, false}},
+    CommandEntry{Opcode::Flush, {"flush", CommandKind::AllServers, false, false, Opcode::Flush, false}},
+    CommandEntry{Opcode::FlushQ, {"flushq", CommandKind::AllServers, true, false, Opcode::Flush, false}},
+    CommandEntry{Opcode::SaslList,
+                 {"sasl-list-mechs", CommandKind::Authentication, false, false, Opcode::SaslList, false}},
+    CommandEntry{Opcode::SaslAuth,
+                 {"sasl-auth", CommandKind::Authentication, false, false, Opcode::SaslAuth, false}},
+    CommandEntry{Opcode::SaslStep,
+                 {"sasl-step", CommandKind::Authentication, false, false, Opcode::SaslStep, false}},
 };
 
-constexpr auto kTable = [] {
-  std::array<Command, 256> table{};
+constexpr auto kCommandsByOpcode = [] {
+  std::array<CommandInfo, 256> table{};
   table.fill(kUnknown);
-  for (const Named& named : kCommands) table[static_cast<std::size_t>(named.opcode)] = named.command;
+  for (const CommandEntry& entry : kCommands) table[static_cast<std::size_t>(entry.opcode)] = entry.info;
   return table;
 }();
 
-enum class Part { None, Needed, Any };
+enum class Presence { None, Required, Optional };
 
-const char* parts(const Frame& f, std::size_t extras, Part key, Part value) {
-  if (f.extras.size() != extras) return "length of extras does not match the command";
-  if (key == Part::Needed && f.key.empty()) return "key missing";
-  if (key == Part::None && !f.key.empty()) return "unexpected key for this command";
-  if (value == Part::None && (!f.value.empty() || f.skipped > 0)) return "unexpected value for this command";
+const char* check_format(const Frame& request, std::size_t extras_bytes, Presence key, Presence value) {
+  if (request.extras.size() != extras_bytes) return "length of extras does not match the command";
+  if (key == Presence::Required && request.key.empty()) return "key missing";
+  if (key == Presence::None && !request.key.empty()) return "unexpected key for this command";
+  if (value == Presence::None && (!request.value.empty() || request.skipped_value_bytes > 0))
+    return "unexpected value for this command";
   return nullptr;
 }
 
 } // namespace
 
-const Command& command(std::uint8_t opcode) { return kTable[opcode]; }
+const CommandInfo& command_info(std::uint8_t opcode) { return kCommandsByOpcode[opcode]; }
 
-const char* misshapen(const Frame& request) {
-  switch (command(request.opcode).loud) {
+const char* request_format_error(const Frame& request) {
+  switch (command_info(request.opcode).non_quiet_opcode) {
     case Opcode::Set:
     case Opcode::Add:
-    case Opcode::Replace: return parts(request, 8, Part::Needed, Part::Any);
+    case Opcode::Replace: return check_format(request, 8, Presence::Required, Presence::Optional);
     case Opcode::Append:
-    case Opcode::Prepend: return parts(request, 0, Part::Needed, Part::Any);
+    case Opcode::Prepend: return check_format(request, 0, Presence::Required, Presence::Optional);
     case Opcode::Increment:
-    case Opcode::Decrement: return parts(request, 20, Part::Needed, Part::None);
+    case Opcode::Decrement: return check_format(request, 20, Presence::Required, Presence::None);
     case Opcode::Touch:
     case Opcode::Gat:
-    case Opcode::GatK: return parts(request, 4, Part::Needed, Part::None);
+    case Opcode::GatK: return check_format(request, 4, Presence::Required, Presence::None);
     case Opcode::Get:
     case Opcode::GetK:
-    case Opcode::Delete: return parts(request, 0, Part::Needed, Part::None);
-    case Opcode::Verbosity: return parts(request, 4, Part::None, Part::None);
-    case Opcode::Stat: return parts(request, 0, Part::Any, Part::None);
+    case Opcode::Delete: return check_format(request, 0, Presence::Required, Presence::None);
+    case Opcode::Verbosity: return check_format(request, 4, Presence::None, Presence::None);
+    case Opcode::Stat: return check_format(request, 0, Presence::Optional, Presence::None);
     case Opcode::Flush:
-      return request.extras.size() == 4 ? parts(request, 4, Part::None, Part::None)
-                                        : parts(request, 0, Part::None, Part::None);
+      return request.extras.size() == 4 ? check_format(request, 4, Presence::None, Presence::None)
+                                        : check_format(request, 0, Presence::None, Presence::None);
     case Opcode::Noop:
-      if (command(request.opcode).does == Does::Unknown) return nullptr; // the expected format is not known
+      if (command_info(request.opcode).kind == CommandKind::Unknown)
+        return nullptr; // the expected format is not known
       [[fallthrough]];
     case Opcode::Quit:
-    case Opcode::Version: return parts(request, 0, Part::None, Part::None);
+    case Opcode::Version: return check_format(request, 0, Presence::None, Presence::None);
     default: return nullptr;
   }
 }
 
-std::uint32_t flags_of(const Frame& f) {
-  const bool carries = f.magic == Magic::Response ? f.extras.size() == 4 : f.extras.size() == 8;
-  return carries ? read32(f.extras.data()) : 0;
+std::uint32_t flags_of(const Frame& frame) {
+  const bool has_flags = frame.magic == Magic::Response ? frame.extras.size() == 4 : frame.extras.size() == 8;
+  return has_flags ? read_uint32(frame.extras.data()) : 0;
 }
 
-std::uint32_t lifetime_of(const Frame& request) {
+std::uint32_t expiration_of(const Frame& request) {
   switch (request.extras.size()) {
-    case 4: return read32(request.extras.data());
-    case 8: return read32(request.extras.data() + 4);
-    case 20: return read32(request.extras.data() + 16);
+    case 4: return read_uint32(request.extras.data());
+    case 8: return read_uint32(request.extras.data() + 4);
+    case 20: return read_uint32(request.extras.data() + 16);
     default: return 0;
   }
 }
--- a/src/memcache/frame.h
+++ b/src/memcache/frame.h
@@ -11,9 +11,9 @@
 
 namespace fernward::memcache {
 
-constexpr std::size_t kHeader = 24;
-constexpr std::size_t kLongestKey = 250;
-constexpr std::size_t kLongestExtras = 20;
+constexpr std::size_t kHeaderBytes = 24;
+constexpr std::size_t kMaxKeyBytes = 250;
+constexpr std::size_t kMaxExtrasBytes = 20;
 
 enum class Magic : std::uint8_t { Request = 0x80, Response = 0x81 };
 
@@ -63,16 +63,16 @@
   TooLarge = 0x0003,
   Invalid = 0x0004,
   NotStored = 0x0005,
-  NotANumber = 0x0006,
+  NonNumericValue = 0x0006,
   WrongServer = 0x0007,
   AuthError = 0x0020,
-  AuthGoOn = 0x0021,
+  AuthContinue = 0x0021,
   UnknownCommand = 0x0081,
   OutOfMemory = 0x0082,
   NotSupported = 0x0083,
-  Internal = 0x0084,
+  InternalError = 0x0084,
   Busy = 0x0085,
-  Temporary = 0x0086
+  TemporaryFailure = 0x0086
 };
 
 struct Frame {
@@ -83,43 +83,43 @@
   std::uint64_t cas = 0;
   std::string extras, key, value;
   // Length of a value that was discarded because it exceeds the parser's limit; 0 if the value was kept.
-  std::uint64_t skipped = 0;
+  std::uint64_t skipped_value_bytes = 0;
 
   Opcode command() const { return static_cast<Opcode>(opcode); }
   bool operator==(const Frame&) const = default;
 };
 
 // How a command is routed.
-enum class Does : std::uint8_t {
-  Read,     // get and its variants
-  Write,    // set, add, replace, delete, append, prepend, counters, touch
-  ReadTime, // get and touch: a read that also changes the expiration time
-  Local,    // noop, quit, version, verbosity: answered by the router
-  Stats,    // answered by the router from its own statistics
-  Everyone, // flush: would affect every server; rejected as not supported
-  Login,    // SASL: not supported
+enum class CommandKind : std::uint8_t {
+  Read,           // get and its variants
+  Write,          // set, add, replace, delete, append, prepend, counters, touch
+  ReadAndTouch,   // get and touch: a read that also changes the expiration time
+  Local,          // noop, quit, version, verbosity: answered by the router
+  Stats,          // answered by the router from its own statistics
+  AllServers,     // flush: would affect every server; rejected as not supported
+  Authentication, // SASL: not supported
   Unknown
 };
 
-struct Command {
+struct CommandInfo {
   const char* name; // lower case, for logs and messages
-  Does does = Does::Unknown;
-  bool quiet = false;    // no response to a cache miss of a read or to a successful write
-  bool with_key = false; // the response repeats the key
-  Opcode loud = Opcode::Noop;
+  CommandKind kind = CommandKind::Unknown;
+  bool quiet = false;            // no response to a cache miss of a read or to a successful write
+  bool response_has_key = false; // the response repeats the key
+  Opcode non_quiet_opcode = Opcode::Noop;
   // Executing the command twice has another effect than executing it once, whatever the request's other
   // fields are.
-  bool repeats_harm = false;
+  bool non_idempotent = false;
 };
 // For an unknown opcode: CommandKind::Unknown with the name "unknown".
-const Command& command(std::uint8_t opcode);
+const CommandInfo& command_info(std::uint8_t opcode);
 
 // Describes what is wrong with the extras, key or value of a request for its command; null if nothing is.
 // A server would answer such a request with Status::Invalid.
-const char* misshapen(const Frame& request);
+const char* request_format_error(const Frame& request);
 
 // Numbers within the extras; 0 where the frame has none.
-std::uint32_t flags_of(const Frame& frame);      // of a response to a read, or of a store request
-std::uint32_t lifetime_of(const Frame& request); // expiration time of a store, touch or counter request
+std::uint32_t flags_of(const Frame& frame);        // of a response to a read, or of a store request
+std::uint32_t expiration_of(const Frame& request); // expiration time of a store, touch or counter request
 
 } // namespace fernward::memcache
--- a/src/memcache/parser.h
+++ b/src/memcache/parser.h
@@ -18,57 +18,63 @@
 
 namespace fernward::memcache {
 
-enum class Fault : std::uint8_t {
+enum class ParseError : std::uint8_t {
   None,
-  NotBinary,  // the first byte is no magic of this protocol, but e.g. the text protocol or HTTP
-  WrongWay,   // a response where a request is expected, or the reverse
-  KeyTooLong, // over 250 bytes
-  Extras,     // over 20 bytes
-  Lengths,    // extras and key are longer than the total body length
-  DataType,   // the data type is not "raw bytes", the only one that is defined
-  TooLong     // the value is longer than the limit for discarded values
+  NotBinary,           // the first byte is no magic of this protocol, but e.g. the text protocol or HTTP
+  WrongDirection,      // a response where a request is expected, or the reverse
+  KeyTooLong,          // over 250 bytes
+  ExtrasTooLong,       // over 20 bytes
+  InconsistentLengths, // extras and key are longer than the total body length
+  DataType,            // the data type is not "raw bytes", the only one that is defined
+  ValueTooLong         // the value is longer than the limit for discarded values
 };
-const char* fault_text(Fault fault);
+const char* error_code(ParseError error);
 
 class Parser {
  public:
   // A value of up to `max_value_bytes` is kept, a longer one is discarded. A value that exceeds both
   // `max_value_bytes` and `max_skipped_bytes` ends the stream with an error.
-  Parser(Magic expected, std::size_t most_value, std::uint64_t most_skipped = 64u << 20)
-      : expected_(expected), most_value_(most_value), most_skipped_(most_skipped) {}
+  Parser(Magic expected, std::size_t max_value_bytes, std::uint64_t max_skipped_bytes = 64u << 20)
+      : expected_(expected), max_value_bytes_(max_value_bytes), max_skipped_bytes_(max_skipped_bytes) {}
 
   std::size_t feed(std::string_view bytes); // returns the bytes consumed: up to the end of one frame
   bool done() const { return state_ == State::Done; }
-  Frame take(); // only when done(); the parser is then ready for the next frame
-  Fault fault() const { return fault_; }
-  bool begun() const { return state_ != State::Header || held_ > 0; } // within a frame, or at its end
-  std::size_t held() const { return state_ == State::Header ? held_ : kHeader + body_.size(); }
+  Frame take_frame(); // only when done(); the parser is then ready for the next frame
+  ParseError error() const { return error_; }
+  bool has_started() const {
+    return state_ != State::Header || header_bytes_ > 0;
+  } // within a frame, or at its end
+  std::size_t buffered_bytes() const {
+    return state_ == State::Header ? header_bytes_ : kHeaderBytes + body_.size();
+  }
   // Length of the current frame once its header has been read; before that 0.
-  std::uint64_t announced() const { return begun() && state_ != State::Header ? kHeader + total_ : 0; }
+  std::uint64_t frame_bytes() const {
+    return has_started() && state_ != State::Header ? kHeaderBytes + body_bytes_ : 0;
+  }
 
  private:
   enum class State : std::uint8_t { Header, Body, Skip, Done };
   bool read_header();
   void finish();
-  void fail(Fault fault) { fault_ = fault; }
+  void fail(ParseError parse_error) { error_ = parse_error; }
 
   Magic expected_;
-  std::size_t most_value_;
-  std::uint64_t most_skipped_;
+  std::size_t max_value_bytes_;
+  std::uint64_t max_skipped_bytes_;
   State state_ = State::Header;
-  Fault fault_ = Fault::None;
-  char header_[kHeader] = {};
-  std::size_t held_ = 0; // bytes of the header
+  ParseError error_ = ParseError::None;
+  char header_[kHeaderBytes] = {};
+  std::size_t header_bytes_ = 0; // bytes of the header
   Frame frame_;
-  std::size_t extras_ = 0, key_ = 0;
-  std::uint64_t total_ = 0, kept_ = 0,
-                skip_ = 0; // bytes of the body: announced, to be kept, still to be discarded
+  std::size_t extras_bytes_ = 0, key_bytes_ = 0;
+  std::uint64_t body_bytes_ = 0, kept_bytes_ = 0,
+                skip_bytes_ = 0; // bytes of the body: announced, to be kept, still to be discarded
   std::string body_;
 };
 
 // Encodes a frame. Extras, key and value must be within the protocol's limits.
-std::string write(const Frame& frame);
+std::string encode(const Frame& frame);
 // Encodes everything before the value, for a value that is forwarded separately.
-std::string write_head(const Frame& frame, std::uint64_t value_bytes);
+std::string encode_head(const Frame& frame, std::uint64_t value_bytes);
 
 } // namespace fernward::memcache
--- a/src/memcache/meaning.h
+++ b/src/memcache/response_mapping.h
@@ -13,16 +13,16 @@
 // The result of an attempt whose response has this status. `Ok` means that the response belongs to this
 // request and is forwarded unchanged, whatever its status: a key that is not found is a cache miss for a
 // read, but a valid result for a delete.
-fernward::AttemptResult meaning(std::uint8_t opcode, std::uint16_t status);
+fernward::AttemptResult attempt_result(std::uint8_t opcode, std::uint16_t status);
 
 // Whether the protocol lets a quiet command omit this response.
-bool silent(std::uint8_t opcode, std::uint16_t status);
+bool may_omit_response(std::uint8_t opcode, std::uint16_t status);
 
 // Why the router answers a request itself instead of forwarding a server's response. Rejected (status Busy)
 // guarantees that the request has not run, so that the client can safely retry it later; the protocol has no
 // field for Retry-After. Failed guarantees nothing: the request may have run.
-enum class End : std::uint8_t { Refused, Failed, Malformed, TooLarge, Unknown, NotSupported };
-Status status_of(End end);
-const char* text_of(End end); // the response's value: a message for people
+enum class ErrorReason : std::uint8_t { Rejected, Failed, Malformed, TooLarge, UnknownCommand, NotSupported };
+Status error_status(ErrorReason reason);
+const char* error_message(ErrorReason reason); // the response's value: a message for people
 
 } // namespace fernward::memcache
--- a/src/model/clients.h
+++ b/src/model/clients.h
@@ -13,103 +13,105 @@
 #include <vector>
 
 #include "model/plan.h"
-#include "model/record.h"
+#include "model/records.h"
 #include "model/rng.h"
 
 namespace fernward::model {
 
-class Front {
+class FrontBalancer {
  public:
-  Front(const Spec& spec, const Plan& plan);
+  FrontBalancer(const Spec& spec, const Plan& plan);
 
   // The actual state of a router, which the balancer detects later.
-  void up(double now, RouterId router);       // answers /ready
-  void down(double now, RouterId router);     // dead, silent or not ready
-  void stopping(double now, RouterId router); // shutting down: soon gets no new connections
-  void zone(std::uint32_t zone, ZoneStep::What what) { zones_[zone] = what; }
+  void set_up(double now, RouterId router);       // answers /ready
+  void set_down(double now, RouterId router);     // dead, silent or not ready
+  void set_stopping(double now, RouterId router); // shutting down: soon gets no new connections
+  void set_zone_state(std::uint32_t zone, ZoneStep::What what) { zone_states_[zone] = what; }
 
   // The router for a client's try; nullopt if the client's zone is lost or there is no router.
   std::optional<RouterId> pick(double now, std::uint32_t client_zone);
 
  private:
-  struct Seen {
+  struct RoutingPeriod {
     double from = 0, until = 0; // the router receives tries between these times
   };
-  bool used(double now, RouterId router) const {
-    return now >= seen_[router].from && now < seen_[router].until;
+  bool is_used(double now, RouterId router) const {
+    return now >= routing_periods_[router].from && now < routing_periods_[router].until;
   }
-  std::optional<RouterId> turn(double now, const std::vector<RouterId>& among, std::size_t& next, bool any);
+  std::optional<RouterId> next_in_turn(double now, const std::vector<RouterId>& routers, std::size_t& next,
+                                       bool include_unused);
 
-  FrontSpec spec_;
+  FrontBalancerSpec spec_;
   Engine engine_;
-  std::vector<Seen> seen_;
-  std::vector<std::vector<RouterId>> in_zone_;
-  std::vector<RouterId> all_;
-  std::vector<std::size_t> next_; // round-robin position, by zone
-  std::size_t next_of_all_ = 0;
-  std::vector<ZoneStep::What> zones_;
+  std::vector<RoutingPeriod> routing_periods_;
+  std::vector<std::vector<RouterId>> routers_by_zone_;
+  std::vector<RouterId> all_routers_;
+  std::vector<std::size_t> next_in_zone_; // round-robin position, by zone
+  std::size_t next_overall_ = 0;
+  std::vector<ZoneStep::What> zone_states_;
 };
 
 // The caller must send this try. A request has one active try at a time.
 struct TryStart {
-  Drawn drawn;
+  DrawnRequest drawn;
   TryId try_id = 0;
   std::uint32_t number = 0;
-  double due = 0;      // intended send time
-  double deadline = 0; // absolute time
-  std::uint64_t repeat_key = 0;
+  double scheduled_at = 0; // intended send time
+  double deadline = 0;     // absolute time
+  std::uint64_t idempotency_key = 0;
 };
-struct TryOver { // the client no longer waits: the caller must close its connection
+struct TryCancelled { // the client no longer waits: the caller must close its connection
   RequestNumber request = 0;
   TryId try_id = 0;
-  Heard heard = Heard::Silence; // TimedOut or Abandoned
+  TryOutcome outcome = TryOutcome::TimedOut; // TimedOut or Abandoned
 };
-struct ClientAct {
+struct ClientAction {
   double at = 0;
-  std::variant<TryStart, TryOver, Closed> what;
+  std::variant<TryStart, TryCancelled, RequestEnded> what;
 };
-using ClientActs = std::vector<ClientAct>;
+using ClientActions = std::vector<ClientAction>;
 
 class Clients {
  public:
   explicit Clients(const Spec& spec);
 
-  void open(double now, const Drawn& drawn, ClientActs& acts);
+  void open(double now, const DrawnRequest& drawn, ClientActions& acts);
   // Reports the outcome of a try. False: the try had already ended, so this response is surplus.
-  bool heard(double now, TryId try_id, Heard heard, double retry_after_ms, ClientActs& acts);
-  void advance(double now, ClientActs& acts);
-  double next() const; // when advance() must be called; infinity: never
+  bool on_try_ended(double now, TryId try_id, TryOutcome outcome, double retry_after_ms, ClientActions& acts);
+  void advance(double now, ClientActions& acts);
+  double next_due_ms() const; // when advance() must be called; infinity: never
   std::size_t open_requests() const { return open_.size(); }
 
   static RequestNumber request_of(TryId try_id) { return try_id >> 4; }
 
  private:
-  struct Open {
-    Drawn drawn;
-    std::uint32_t tries = 0, most = 1;
+  struct OpenRequest {
+    DrawnRequest drawn;
+    std::uint32_t tries = 0, max_tries = 1;
     bool waiting = false; // for a response to its latest try
-    double leaves_at = 0, deadline = 0;
-    double first_try_at = 0;
+    double abandons_at = 0, deadline = 0;
+    double first_try_at_ms = 0;
   };
   struct Timer {
     double at;
     RequestNumber request;
-    std::uint32_t number; // of the try; a timer of an earlier try is ignored
+    std::uint32_t try_number; // of the try; a timer of an earlier try is ignored
     bool retry;
     bool operator>(const Timer& other) const {
       return at != other.at ? at > other.at : request > other.request;
     }
   };
 
-  void start_try(double now, Open& open, ClientActs& acts);
-  void close(double now, RequestNumber request, const Open& open, Heard end, ClientActs& acts);
-  void try_ended(double now, RequestNumber request, Open& open, Heard heard, double retry_after_ms,
-                 ClientActs& acts);
-  bool may_retry(const Open& open, Heard heard, double at) const;
+  void start_try(double now, OpenRequest& open, ClientActions& acts);
+  void close_request(double now, RequestNumber request, const OpenRequest& open, TryOutcome outcome,
+                     ClientActions& acts);
+  void finish_try(double now, RequestNumber request, OpenRequest& open, TryOutcome outcome,
+                  double retry_after_ms, ClientActions& acts);
+  bool may_retry(const OpenRequest& open, TryOutcome outcome, double at) const;
 
   Spec spec_;
-  Engine habits_, retries_;
-  std::unordered_map<RequestNumber, Open> open_;
+  Engine behavior_engine_, retry_engine_;
+  std::unordered_map<RequestNumber, OpenRequest> open_;
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
 };
 
--- a/src/model/discovery.h
+++ b/src/model/discovery.h
@@ -27,23 +27,23 @@
   };
   struct List {
     std::uint64_t index = 0;
-    bool whole = true; // true: machines that are not in the list are gone; false: it contains only changes
+    bool complete = true; // true: machines that are not in the list are gone; false: it contains only changes
     std::vector<Entry> entries;
   };
-  enum class Why { Added, Left, Silent }; // determines the delay until the list shows the change
+  enum class Cause { Added, Leaving, Silent }; // determines the delay until the list shows the change
 
   // The initial list contains the machines that are in service at the start, and the origin.
   Discovery(const Spec& spec, const Plan& plan);
 
   // Reports the actual state of a machine. It replaces an earlier change that the list does not show yet.
-  void change(double now, MachineId machine, ServerState state, double started_at, Why why);
-  void outage(double now, bool on); // agents receive nothing during an outage and all updates after it
+  void change(double now, MachineId machine, ServerState state, double started_at, Cause cause);
+  void set_outage(double now, bool on); // agents receive nothing during an outage and all updates after it
 
   void advance(double now);
-  double next() const; // when advance() must be called; infinity: never
+  double next_due_ms() const; // when advance() must be called; infinity: never
 
   std::uint64_t index(RouterId router) const {
-    return agents_[router];
+    return agent_index_[router];
   } // the index that its agent has, as of the last advance()
   // The agent's entries that are newer than `since`; all of them if `since` is empty.
   List list(RouterId router, std::optional<std::uint64_t> since) const;
@@ -51,29 +51,29 @@
   List list_at(std::uint64_t index) const { return list_between(index, std::nullopt); }
 
  private:
-  struct Coming {
+  struct PendingChange {
     double at = 0;
     Entry entry;
   };
-  struct Passing { // a list in transit to an agent
+  struct Delivery { // a list in transit to an agent
     double at = 0;
     std::uint64_t index = 0;
   };
 
   List list_between(std::uint64_t index, std::optional<std::uint64_t> since) const;
   void publish(double now);
-  void trim();
+  void fold_old_changes();
 
   DiscoverySpec spec_;
-  Engine notice_, spread_;
-  std::map<MachineId, Coming> coming_; // changes that the list does not contain yet
+  Engine delay_engine_, delivery_engine_;
+  std::map<MachineId, PendingChange> pending_; // changes that the list does not contain yet
   std::uint64_t index_ = 1;
   std::map<MachineId, Entry> base_; // the list at base_index_; changes_ holds what is newer
   std::uint64_t base_index_ = 1;
   std::deque<Entry> changes_;
-  std::vector<std::uint64_t> agents_;
-  std::vector<std::deque<Passing>> passing_; // by agent
-  bool out_ = false;
+  std::vector<std::uint64_t> agent_index_;
+  std::vector<std::deque<Delivery>> deliveries_; // by agent
+  bool outage_ = false;
 };
 
 } // namespace fernward::model
--- a/src/model/repeats.h
+++ b/src/model/idempotency_cache.h
@@ -11,25 +11,25 @@
 
 namespace fernward::model {
 
-class Repeats {
+class IdempotencyCache {
  public:
-  explicit Repeats(std::size_t most = 1u << 18) : most_(most) {}
+  explicit IdempotencyCache(std::size_t max_keys = 1u << 18) : max_keys_(max_keys) {}
 
   // True: a machine of the group started this write within the window. Otherwise records it as started now.
-  bool seen(double now, std::uint64_t group, std::uint64_t repeat_key, double window_ms);
-  std::size_t size() const { return until_.size(); }
+  bool check_and_add(double now, std::uint64_t group, std::uint64_t idempotency_key, double window_ms);
+  std::size_t size() const { return expires_at_.size(); }
 
  private:
-  struct Noted {
-    double until;
+  struct Entry {
+    double expires_at;
     std::uint64_t key;
   };
-  std::size_t most_;
-  std::unordered_map<std::uint64_t, double> until_;
-  std::deque<Noted> order_;
+  std::size_t max_keys_;
+  std::unordered_map<std::uint64_t, double> expires_at_;
+  std::deque<Entry> expiry_order_;
 };
 
 // Number of the group of machines that drop duplicates of a class together.
-std::uint64_t repeat_group(IdempotencyScope scope, const Machine& machine);
+std::uint64_t duplicate_group(IdempotencyScope scope, const PlannedMachine& machine);
 
 } // namespace fernward::model
--- a/src/model/keys.h
+++ b/src/model/key_space.h
@@ -13,17 +13,17 @@
 
 namespace fernward::model {
 
-class Keys {
+class KeySpace {
  public:
-  explicit Keys(const Spec& spec);
+  explicit KeySpace(const Spec& spec);
 
   std::uint64_t draw(double now, Engine& engine);
   std::uint64_t key(std::uint32_t rank, double now) const; // the key that has the rank at time `now`
   double size_bytes(std::uint64_t key) const;
   // Whether the object changed at the origin between the two times.
-  bool changed(std::uint64_t key, double from, double to) const;
+  bool changed_between(std::uint64_t key, double from, double to) const;
   // Whether the nodes held the key when the run began (OriginSpec::initial_hit_ratio).
-  bool held_at_start(std::uint64_t key) const;
+  bool cached_at_start(std::uint64_t key) const;
   std::uint32_t warm_ranks() const { return warm_ranks_; }
 
   // A key that is not requested until event `number` makes it hot.
@@ -39,6 +39,6 @@
 
 // The weight of rank r (from 0).
 double rank_weight(const KeySpec& keys, std::uint32_t rank);
-inline constexpr std::uint32_t kMostKeys = 1u << 22;
+inline constexpr std::uint32_t kMaxKeys = 1u << 22;
 
 } // namespace fernward::model
--- a/src/model/network.cpp
+++ b/src/model/network.cpp
@@ -6,8 +6,8 @@
 namespace {
 
 template <typename T>
-bool has(const std::vector<T>& all, T one) {
-  return std::find(all.begin(), all.end(), one) != all.end();
+bool contains(const std::vector<T>& values, T value) {
+  return std::find(values.begin(), values.end(), value) != values.end();
 }
 
 } // namespace
@@ -17,31 +17,34 @@
       zones_(spec.zones.size()),
       silent_machines_(plan.machines.size()),
       silent_routers_(plan.routers.size()),
-      jitter_(stream(spec.seed, "jitter")),
-      datagrams_(stream(spec.seed, "datagrams")),
-      copies_(stream(spec.seed, "datagram copies")) {
+      jitter_engine_(stream(spec.seed, "jitter")),
+      datagram_engine_(stream(spec.seed, "datagrams")),
+      duplicate_engine_(stream(spec.seed, "datagram copies")) {
   for (std::size_t a = 0; a < zones_; ++a) {
-    for (std::size_t b = 0; b < zones_; ++b) usual_.push_back(a == b ? spec_.same_ms : spec_.cross_ms);
+    for (std::size_t b = 0; b < zones_; ++b)
+      default_delay_.push_back(a == b ? spec_.same_zone_delay_ms : spec_.cross_zone_delay_ms);
   }
   for (const ZoneLink& link : spec_.links) {
-    usual_[link.from * zones_ + link.to] = usual_[link.to * zones_ + link.from] = link.delay_ms;
+    default_delay_[link.from * zones_ + link.to] = default_delay_[link.to * zones_ + link.from] =
+        link.delay_ms;
   }
-  delay_ = usual_;
-  for (const Machine& m : plan.machines) machine_zone_.push_back(m.zone);
-  for (const RouterPlace& r : plan.routers) router_zone_.push_back(r.zone);
+  delay_ = default_delay_;
+  for (const PlannedMachine& m : plan.machines) machine_zone_.push_back(m.zone);
+  for (const PlannedRouter& r : plan.routers) router_zone_.push_back(r.zone);
 }
 
 void Network::apply(const Step& step) {
   if (const auto* link = std::get_if<LinkStep>(&step.what)) {
     for (const std::size_t at : {link->from * zones_ + link->to, link->to * zones_ + link->from}) {
-      delay_[at] = usual_[at] * link->factor;
+      delay_[at] = default_delay_[at] * link->factor;
     }
-  } else if (const auto* cut = std::get_if<CutStep>(&step.what)) {
-    std::erase_if(cuts_, [&](const CutStep& c) { return c.cut == cut->cut; });
-    if (cut->on) cuts_.push_back(*cut);
-  } else if (const auto* loss = std::get_if<LossStep>(&step.what)) {
-    std::erase_if(losses_, [&](const LossStep& l) { return l.number == loss->number; });
-    if (loss->on) losses_.push_back(*loss);
+  } else if (const auto* partition = std::get_if<PartitionStep>(&step.what)) {
+    std::erase_if(partitions_,
+                  [&](const PartitionStep& active) { return active.partition == partition->partition; });
+    if (partition->enabled) partitions_.push_back(*partition);
+  } else if (const auto* loss = std::get_if<DatagramLossStep>(&step.what)) {
+    std::erase_if(losses_, [&](const DatagramLossStep& active) { return active.number == loss->number; });
+    if (loss->enabled) losses_.push_back(*loss);
   } else if (const auto* node = std::get_if<NodeStep>(&step.what)) {
     if (node->what == NodeStep::What::Silence) silent_machines_[node->machine] = 1;
     if (node->what == NodeStep::What::Return) silent_machines_[node->machine] = 0;
@@ -51,50 +54,55 @@
   }
 }
 
-double Network::between(std::uint32_t from_zone, std::uint32_t to_zone) {
-  return base(from_zone, to_zone) * (1 + draw_uniform(0, spec_.jitter, jitter_));
+double Network::zone_delay(std::uint32_t from_zone, std::uint32_t to_zone) {
+  return base_delay(from_zone, to_zone) * (1 + draw_uniform(0, spec_.jitter, jitter_engine_));
 }
 
-double Network::with_client(std::uint32_t client_zone, std::uint32_t router_zone) {
-  const double across = client_zone == router_zone ? 0 : base(client_zone, router_zone);
-  return (spec_.client_ms + across) * (1 + draw_uniform(0, spec_.jitter, jitter_));
+double Network::client_delay(std::uint32_t client_zone, std::uint32_t router_zone) {
+  const double cross_zone_ms = client_zone == router_zone ? 0 : base_delay(client_zone, router_zone);
+  return (spec_.client_delay_ms + cross_zone_ms) * (1 + draw_uniform(0, spec_.jitter, jitter_engine_));
 }
 
-std::optional<double> Network::datagram(RouterId from, RouterId to) {
-  const double lost = 1 - spared(spec_.datagram_loss, &LossStep::share, from, to);
-  if (!routers_pass(from, to) || draw_chance(lost, datagrams_)) return std::nullopt;
-  return base(router_zone_[from], router_zone_[to]) +
-         draw_uniform(spec_.datagram_min_ms, spec_.datagram_max_ms, datagrams_);
+std::optional<double> Network::datagram_delay(RouterId from, RouterId to) {
+  const double loss_share =
+      1 - delivery_share(spec_.datagram_loss_share, &DatagramLossStep::loss_share, from, to);
+  if (!routers_connected(from, to) || draw_with_probability(loss_share, datagram_engine_))
+    return std::nullopt;
+  return base_delay(router_zone_[from], router_zone_[to]) +
+         draw_uniform(spec_.datagram_min_ms, spec_.datagram_max_ms, datagram_engine_);
 }
 
-bool Network::twice(RouterId from, RouterId to) {
-  return draw_chance(1 - spared(spec_.datagram_twice, &LossStep::twice, from, to), copies_);
+bool Network::draw_duplicate(RouterId from, RouterId to) {
+  return draw_with_probability(
+      1 - delivery_share(spec_.datagram_duplicate_share, &DatagramLossStep::duplicate_share, from, to),
+      duplicate_engine_);
 }
 
-double Network::spared(double own, double LossStep::*share, RouterId from, RouterId to) const {
-  double left = 1 - own;
-  for (const LossStep& l : losses_) {
-    if (has(l.routers, from) || has(l.routers, to)) left *= 1 - l.*share;
+double Network::delivery_share(double base_share, double DatagramLossStep::*share, RouterId from,
+                               RouterId to) const {
+  double remaining = 1 - base_share;
+  for (const DatagramLossStep& loss : losses_) {
+    if (contains(loss.routers, from) || contains(loss.routers, to)) remaining *= 1 - loss.*share;
   }
-  return left;
+  return remaining;
 }
 
-bool Network::passes(RouterId router, MachineId machine) const {
+bool Network::is_connected(RouterId router, MachineId machine) const {
   if (silent_routers_[router] || silent_machines_[machine]) return false;
-  for (const CutStep& c : cuts_) {
-    if ((has(c.routers_a, router) && has(c.machines_b, machine)) ||
-        (has(c.routers_b, router) && has(c.machines_a, machine))) {
+  for (const PartitionStep& partition : partitions_) {
+    if ((contains(partition.routers_a, router) && contains(partition.machines_b, machine)) ||
+        (contains(partition.routers_b, router) && contains(partition.machines_a, machine))) {
       return false;
     }
   }
   return true;
 }
 
-bool Network::routers_pass(RouterId from, RouterId to) const {
+bool Network::routers_connected(RouterId from, RouterId to) const {
   if (silent_routers_[from] || silent_routers_[to]) return false;
-  for (const CutStep& c : cuts_) {
-    if ((has(c.routers_a, from) && has(c.routers_b, to)) ||
-        (!c.one_way && has(c.routers_b, from) && has(c.routers_a, to))) {
+  for (const PartitionStep& partition : partitions_) {
+    if ((contains(partition.routers_a, from) && contains(partition.routers_b, to)) ||
+        (!partition.one_way && contains(partition.routers_b, from) && contains(partition.routers_a, to))) {
       return false;
     }
   }
--- a/src/model/network.h
+++ b/src/model/network.h
@@ -17,31 +17,31 @@
   void apply(const Step& step);
 
   // One-way delays in ms, with the jitter of one message.
-  double between(std::uint32_t from_zone, std::uint32_t to_zone);
-  double with_client(std::uint32_t client_zone, std::uint32_t router_zone);
+  double zone_delay(std::uint32_t from_zone, std::uint32_t to_zone);
+  double client_delay(std::uint32_t client_zone, std::uint32_t router_zone);
   // The delay in ms of a datagram between two routers; nullopt: it is lost.
-  std::optional<double> datagram(RouterId from, RouterId to);
-  bool twice(RouterId from, RouterId to); // whether the next datagram is duplicated
+  std::optional<double> datagram_delay(RouterId from, RouterId to);
+  bool draw_duplicate(RouterId from, RouterId to); // whether the next datagram is duplicated
 
   // Whether messages pass: neither side is silent and no partition separates them.
-  bool passes(RouterId router, MachineId machine) const;
-  bool routers_pass(RouterId from, RouterId to) const;
-  bool heard(MachineId machine) const { return !silent_machines_[machine]; }
+  bool is_connected(RouterId router, MachineId machine) const;
+  bool routers_connected(RouterId from, RouterId to) const;
+  bool is_responding(MachineId machine) const { return !silent_machines_[machine]; }
   bool reachable(RouterId router) const { return !silent_routers_[router]; } // for clients and discovery
 
  private:
   // Probability that a datagram is unaffected by the network's own share and by each enabled loss step.
-  double spared(double own, double LossStep::*share, RouterId from, RouterId to) const;
-  double base(std::uint32_t from, std::uint32_t to) const { return delay_[from * zones_ + to]; }
+  double delivery_share(double base_share, double DatagramLossStep::*share, RouterId from, RouterId to) const;
+  double base_delay(std::uint32_t from, std::uint32_t to) const { return delay_[from * zones_ + to]; }
 
   NetworkSpec spec_;
   std::size_t zones_;
-  std::vector<double> usual_, delay_; // by pair of zones
+  std::vector<double> default_delay_, delay_; // by pair of zones
   std::vector<std::uint32_t> machine_zone_, router_zone_;
   std::vector<char> silent_machines_, silent_routers_;
-  std::vector<CutStep> cuts_; // the enabled ones
-  std::vector<LossStep> losses_;
-  Engine jitter_, datagrams_, copies_;
+  std::vector<PartitionStep> partitions_; // the enabled ones
+  std::vector<DatagramLossStep> losses_;
+  Engine jitter_engine_, datagram_engine_, duplicate_engine_;
 };
 
 } // namespace fernward::model
--- a/src/model/memory.h
+++ b/src/model/object_cache.h
@@ -13,19 +13,19 @@
 
 namespace fernward::model {
 
-class Memory {
+class ObjectCache {
  public:
-  Memory(double bytes, Evict evict, double expire_ms, double overhead_bytes);
+  ObjectCache(double bytes, EvictionPolicy eviction_policy, double lifetime_ms, double overhead_bytes);
 
   // The time at which the object was stored; nullopt if it is absent or has expired. Counts as a use.
   std::optional<double> find(double now, std::uint64_t key);
   // An object larger than the capacity is not stored.
   void store(double now, std::uint64_t key, double bytes);
-  void drop(std::uint64_t key);
+  void remove(std::uint64_t key);
   void clear();
 
-  double bytes() const { return held_; }
-  double capacity() const { return capacity_; }
+  double bytes() const { return used_bytes_; }
+  double capacity_bytes() const { return capacity_bytes_; }
   std::size_t objects() const { return objects_.size(); }
 
  private:
@@ -33,20 +33,20 @@
     std::uint64_t key;
     double stored_at, bytes;
   };
-  struct ByUse {};
+  struct ByEvictionOrder {};
   struct ByKey {};
   using Objects = boost::multi_index_container<
       Object,
-      boost::multi_index::indexed_by<
-          boost::multi_index::sequenced<boost::multi_index::tag<ByUse>>, // the next to be evicted is first
-          boost::multi_index::hashed_unique<
-              boost::multi_index::tag<ByKey>,
-              boost::multi_index::member<Object, std::uint64_t, &Object::key>>>>;
-
-  double capacity_;
-  Evict evict_;
-  double expire_ms_, overhead_;
-  double held_ = 0;
+      boost::multi_index::indexed_by<boost::multi_index::sequenced<boost::multi_index::tag<
+                                         ByEvictionOrder>>, // the next to be evicted is first
+                                     boost::multi_index::hashed_unique<
+                                         boost::multi_index::tag<ByKey>,
+                                         boost::multi_index::member<Object, std::uint64_t, &Object::key>>>>;
+
+  double capacity_bytes_;
+  EvictionPolicy eviction_policy_;
+  double lifetime_ms_, overhead_bytes_;
+  double used_bytes_ = 0;
   Objects objects_;
 };
 
--- a/src/model/origin.cpp
+++ b/src/model/origin.cpp
@@ -7,92 +7,100 @@
 namespace fernward::model {
 namespace {
 
-constexpr double kForever = std::numeric_limits<double>::infinity();
+constexpr double kNever = std::numeric_limits<double>::infinity();
 
 // Capacity times service time (Little's law) gives the number of cores; it may have a fraction.
-double cores(const OriginSpec& o) { return o.capacity_per_s * o.time_ms / 1000; }
+double core_count(const OriginSpec& origin) { return origin.capacity_per_s * origin.service_time_ms / 1000; }
 
 } // namespace
 
-Origin::Origin(const Spec& spec, const Machine& machine, Repeats& repeats)
-    : Station(machine.id,
-              {.cores = cores(spec.origin),
-               .speed = 1,
-               .places = static_cast<std::uint32_t>(std::ceil(std::max(1.0, cores(spec.origin)))),
-               .waiting = static_cast<std::uint32_t>(
-                   std::ceil(spec.origin.capacity_per_s * spec.origin.queue_ms / 1000)),
-               .connections = spec.origin.connections,
-               .handshake_ms = 0, // its front end does the handshakes: they cost time but no capacity
-               .error_rate = spec.origin.error_rate,
-               .drops_expired = spec.origin.drops_expired,
-               .on_cancel = OnCancel::Keep,
-               .report = spec.origin.report},
-              spec.seed),
+Origin::Origin(const Spec& spec, const PlannedMachine& machine, IdempotencyCache& idempotency_cache)
+    : ServerModel(
+          machine.id,
+          {.cores = core_count(spec.origin),
+           .speed = 1,
+           .max_active = static_cast<std::uint32_t>(std::ceil(std::max(1.0, core_count(spec.origin)))),
+           .max_queued = static_cast<std::uint32_t>(
+               std::ceil(spec.origin.capacity_per_s * spec.origin.queue_limit_ms / 1000)),
+           .max_connections = spec.origin.max_connections,
+           .handshake_work_ms = 0, // its front end does the handshakes: they cost time but no capacity
+           .error_rate = spec.origin.error_rate,
+           .drops_expired = spec.origin.drops_expired,
+           .cancel_policy = CancelPolicy::Keep,
+           .report = spec.origin.report},
+          spec.seed),
       spec_(spec),
-      place_(machine),
-      repeats_(repeats),
-      back_at_(kForever),
-      sent_(spec.origin.fall_ms),
-      times_(stream(spec.seed, "origin")) {
-  phase_ = Phase::Up;
-  refresh(0);
+      machine_plan_(machine),
+      idempotency_cache_(idempotency_cache),
+      recovers_at_ms_(kNever),
+      recent_requests_(spec.origin.overload_failure_ms),
+      service_times_(stream(spec.seed, "origin")) {
+  phase_ = ServerPhase::Up;
+  update_rate(0);
 }
 
-void Origin::slow(double now, double share, Acts& acts) {
+void Origin::set_capacity_share(double now, double share, ServerActions& acts) {
   advance(now, acts);
-  share_ = std::max(0.0, share);
-  refresh(seen());
+  configured_share_ = std::max(0.0, share);
+  update_rate(latest_ms());
 }
 
-void Origin::fall(double now, double down_ms, Acts& acts) {
+void Origin::fail(double now, double down_ms, ServerActions& acts) {
   advance(now, acts);
-  if (phase_ != Phase::Off) go_down(seen(), down_ms, acts);
+  if (phase_ != ServerPhase::Off) stop(latest_ms(), down_ms, acts);
 }
 
-void Origin::go_down(double now, double down_ms, Acts& acts) {
+void Origin::stop(double now, double down_ms, ServerActions& acts) {
   lose_all(now, acts);
-  sent_.clear();
-  back_at_ = now + down_ms;
-  acts.push_back({.at = now, .what = Act::What::Fell});
+  recent_requests_.clear();
+  recovers_at_ms_ = now + down_ms;
+  acts.push_back({.at = now, .what = ServerAction::What::OriginFailed});
 }
 
-void Origin::change(double now, Acts& acts) {
-  back_at_ = kForever;
-  phase_ = Phase::Up;
-  acts.push_back({.at = now, .what = Act::What::Returned});
+void Origin::on_capacity_change(double now, ServerActions& acts) {
+  recovers_at_ms_ = kNever;
+  phase_ = ServerPhase::Up;
+  acts.push_back({.at = now, .what = ServerAction::What::OriginRecovered});
 }
 
-void Origin::on_arrival(double now, const Attempt& attempt, Acts& acts) {
-  const OriginSpec& o = spec_.origin;
-  if (!(o.fall_multiple > 0)) return;
-  sent_.add(now, attempt.write ? o.write_multiple : 1);
-  if (sent_.sum(now) > o.fall_multiple * o.capacity_per_s * o.fall_ms / 1000) go_down(now, o.down_ms, acts);
+void Origin::on_arrival(double now, const ServerAttempt& attempt, ServerActions& acts) {
+  const OriginSpec& origin = spec_.origin;
+  if (!(origin.overload_multiple > 0)) return;
+  recent_requests_.add(now, attempt.write ? origin.write_multiple : 1);
+  if (recent_requests_.sum(now) >
+      origin.overload_multiple * origin.capacity_per_s * origin.overload_failure_ms / 1000)
+    stop(now, origin.down_ms, acts);
 }
 
-bool Origin::repeated(double now, const Attempt& a) {
-  if (!a.write || a.repeat_key == 0 || a.cls >= spec_.classes.size()) return false;
-  const ClassSpec& cls = spec_.classes[a.cls];
-  return cls.repeat == Idempotency::WithKey &&
-         repeats_.seen(now, repeat_group(cls.scope, place_), a.repeat_key, cls.window_ms);
+bool Origin::is_duplicate(double now, const ServerAttempt& attempt) {
+  if (!attempt.write || attempt.idempotency_key == 0 || attempt.cls >= spec_.classes.size()) return false;
+  const ClassSpec& cls = spec_.classes[attempt.cls];
+  return cls.idempotency == Idempotency::WithKey &&
+         idempotency_cache_.check_and_add(now, duplicate_group(cls.idempotency_scope, machine_plan_),
+                                          attempt.idempotency_key, cls.idempotency_window_ms);
 }
 
-void Origin::begin(double now, Held& held) {
-  const OriginSpec& o = spec_.origin;
-  if (repeated(now, held.attempt)) {
-    held.ending = Ending::Repeat;
-    held.work = 0;
+void Origin::on_work_start(double now, WorkItem& item) {
+  const OriginSpec& origin = spec_.origin;
+  if (is_duplicate(now, item.attempt)) {
+    item.outcome = ServerOutcome::Duplicate;
+    item.work = 0;
     return;
   }
-  held.ending = held.attempt.write ? Ending::Written : Ending::Fetched;
-  const Shape shape = o.time_cv > 0 ? Shape::LogNormal : Shape::Fixed;
-  held.work = draw({shape, o.time_ms, o.time_cv}, times_) * (held.attempt.write ? o.write_multiple : 1);
+  item.outcome = item.attempt.write ? ServerOutcome::Written : ServerOutcome::Fetched;
+  const DistributionShape shape =
+      origin.service_time_cv > 0 ? DistributionShape::LogNormal : DistributionShape::Fixed;
+  item.work = draw({shape, origin.service_time_ms, origin.service_time_cv}, service_times_) *
+              (item.attempt.write ? origin.write_multiple : 1);
 }
 
-double Origin::capacity(double) const {
-  const OriginSpec& o = spec_.origin;
-  const double full = limits_.waiting > 0 ? static_cast<double>(waiting()) / limits_.waiting : 0;
-  const double crowd = o.crowded_at < 1 ? std::max(0.0, full - o.crowded_at) / (1 - o.crowded_at) : 0;
-  return share_ / (1 + o.crowded_loss * crowd);
+double Origin::capacity_share(double) const {
+  const OriginSpec& origin = spec_.origin;
+  const double queue_fill = limits_.max_queued > 0 ? static_cast<double>(queued()) / limits_.max_queued : 0;
+  const double congestion = origin.congested_at < 1
+                                ? std::max(0.0, queue_fill - origin.congested_at) / (1 - origin.congested_at)
+                                : 0;
+  return configured_share_ / (1 + origin.congestion_slowdown * congestion);
 }
 
 } // namespace fernward::model
