--- a/src/model/plan.h
+++ b/src/model/plan.h
@@ -15,7 +15,7 @@
 
 // Machines are numbered from 0: the groups' nodes in order (each group's `count`, then its `standby`), then
 // the origin if there is one, then the machines that replace others.
-struct Machine {
+struct PlannedMachine {
   MachineId id = 0;
   std::string name;        // as discovery lists it; the routers derive the endpoint's number from it
   std::uint32_t group = 0; // of the origin: the index after the last group
@@ -27,7 +27,7 @@
   bool at_start = false;    // in service when the run begins
 };
 
-struct RouterPlace {
+struct PlannedRouter {
   RouterId id = 0;
   std::string name; // r0, r1, ...
   std::uint32_t zone = 0;
@@ -39,33 +39,33 @@
   enum class What { Start, Drain, End, Silence, Return, Neighbour, Bad };
   MachineId machine = 0;
   What what = What::Start;
-  double share = 0;                  // from now on. Neighbour: used capacity. Bad: of the responses
-  BadAnswer kind = BadAnswer::Error; // Bad
+  double share = 0;                      // from now on. Neighbour: used capacity. Bad: of the responses
+  BadResponse kind = BadResponse::Error; // Bad
 };
 struct RouterStep {
-  enum class What { Kill, Term, Start, Reload, Silence, Return, Pause, Wake };
+  enum class What { Kill, Term, Start, Reload, Silence, Return, Pause, Resume };
   RouterId router = 0;
   What what = What::Kill;
   // Term: the router is started this long after its exit; below 0: never. A Kill has its own Start step.
   double down_ms = 0;
 };
-struct CutStep {         // messages between a member of `a` and one of `b` are lost while it is enabled
-  std::uint32_t cut = 0; // its number
-  bool on = false;
+struct PartitionStep {         // messages between a member of `a` and one of `b` are lost while it is enabled
+  std::uint32_t partition = 0; // its number
+  bool enabled = false;
   std::vector<MachineId> machines_a, machines_b;
   std::vector<RouterId> routers_a, routers_b;
   bool one_way = false; // from `a` to `b`, between routers
 };
-struct LossStep { // affects the datagrams that these routers send or receive, while it is enabled
+struct DatagramLossStep { // affects the datagrams that these routers send or receive, while it is enabled
   std::uint32_t number = 0;
-  bool on = false;
-  double share = 0, twice = 0;
+  bool enabled = false;
+  double loss_share = 0, duplicate_share = 0;
   std::vector<RouterId> routers;
 };
-struct LieStep { // the routers' datagrams hold false values while it is enabled
+struct InconsistentRouterStep { // the routers' datagrams hold false values while it is enabled
   std::uint32_t number = 0;
-  bool on = false;
-  LyingRouter how;
+  bool enabled = false;
+  InconsistentRouter behavior;
   std::vector<RouterId> routers;
 };
 struct LinkStep { // multiplies the default delay between two zones
@@ -93,8 +93,8 @@
 
 struct Step {
   double at_ms = 0;
-  std::variant<NodeStep, RouterStep, CutStep, LinkStep, DiscoveryStep, OriginStep, ZoneStep, MarkStep,
-               LossStep, LieStep>
+  std::variant<NodeStep, RouterStep, PartitionStep, LinkStep, DiscoveryStep, OriginStep, ZoneStep, MarkStep,
+               DatagramLossStep, InconsistentRouterStep>
       what;
 };
 
@@ -102,20 +102,20 @@
 struct RateChange { // the rate is multiplied by `factor` between the two times
   double from_ms = 0, to_ms = 0, factor = 1;
 };
-struct HotSpell {
+struct HotKeyPeriod {
   double from_ms = 0, to_ms = 0, share = 0;
   std::uint64_t key = 0;
 };
 
 struct Plan {
-  std::vector<Machine> machines; // by number
-  std::vector<RouterPlace> routers;
+  std::vector<PlannedMachine> machines; // by number
+  std::vector<PlannedRouter> routers;
   MachineId origin = 0;    // without an origin: the number of the groups' machines
   std::vector<Step> steps; // in order of time
-  std::vector<RateChange> rates;
-  std::vector<HotSpell> hot;
-  std::vector<double> client_share; // by zone; the sum is 1
-  std::vector<std::uint32_t> idle;  // events whose selector matches no machine or router
+  std::vector<RateChange> rate_changes;
+  std::vector<HotKeyPeriod> hot_key_periods;
+  std::vector<double> client_share;                 // by zone; the sum is 1
+  std::vector<std::uint32_t> events_without_target; // events whose selector matches no machine or router
 };
 
 // Requires that find_spec_errors() finds none.
--- a/src/model/rng.cpp
+++ b/src/model/rng.cpp
@@ -11,7 +11,7 @@
 namespace fernward::model {
 namespace {
 
-double unit_of(Engine& engine) { return boost::random::uniform_01<double>()(engine); }
+double draw_unit(Engine& engine) { return boost::random::uniform_01<double>()(engine); }
 
 // Boost's log-normal is parameterized by the mean and deviation of the underlying normal distribution.
 double lognormal(double mean, double cv, Engine& engine) {
@@ -22,30 +22,31 @@
 
 } // namespace
 
-std::uint64_t mix(std::uint64_t a, std::uint64_t b, std::uint64_t c) {
-  const std::array<std::uint64_t, 3> all{a, b, c};
-  return XXH3_64bits(all.data(), sizeof all);
+std::uint64_t hash_numbers(std::uint64_t a, std::uint64_t b, std::uint64_t c) {
+  const std::array<std::uint64_t, 3> values{a, b, c};
+  return XXH3_64bits(values.data(), sizeof values);
 }
 
-double unit(std::uint64_t mixed) { return static_cast<double>(mixed >> 11) * 0x1p-53; }
+double unit_interval(std::uint64_t hash) { return static_cast<double>(hash >> 11) * 0x1p-53; }
 
 Engine stream(std::uint64_t seed, std::string_view name, std::uint64_t number) {
-  const std::uint64_t named = XXH3_64bits_withSeed(name.data(), name.size(), seed);
+  const std::uint64_t name_hash = XXH3_64bits_withSeed(name.data(), name.size(), seed);
   // Selects the generator's stream as well as its state, so that two consumers' sequences can't overlap.
-  return Engine(mix(named, number, 1), mix(named, number, 2));
+  return Engine(hash_numbers(name_hash, number, 1), hash_numbers(name_hash, number, 2));
 }
 
-double draw(const Spread& spread, Engine& engine) {
-  if (!(spread.mean > 0)) return 0;
-  switch (spread.shape) {
-    case Shape::Fixed: return spread.mean;
-    case Shape::Exponential: return draw_exponential(spread.mean, engine);
-    case Shape::LogNormal: return spread.cv > 0 ? lognormal(spread.mean, spread.cv, engine) : spread.mean;
+double draw(const Distribution& distribution, Engine& engine) {
+  if (!(distribution.mean > 0)) return 0;
+  switch (distribution.shape) {
+    case DistributionShape::Fixed: return distribution.mean;
+    case DistributionShape::Exponential: return draw_exponential(distribution.mean, engine);
+    case DistributionShape::LogNormal:
+      return distribution.cv > 0 ? lognormal(distribution.mean, distribution.cv, engine) : distribution.mean;
   }
-  return spread.mean;
+  return distribution.mean;
 }
 
-double draw_uniform(double from, double to, Engine& engine) { return from + (to - from) * unit_of(engine); }
+double draw_uniform(double from, double to, Engine& engine) { return from + (to - from) * draw_unit(engine); }
 
 double draw_exponential(double mean, Engine& engine) {
   if (!(mean > 0)) return 0;
@@ -54,9 +55,9 @@
 
 double draw_factor(double cv, Engine& engine) { return cv > 0 ? lognormal(1, cv, engine) : 1; }
 
-bool draw_chance(double share, Engine& engine) {
-  if (share <= 0) return false;
-  return share >= 1 || unit_of(engine) < share;
+bool draw_with_probability(double probability, Engine& engine) {
+  if (probability <= 0) return false;
+  return probability >= 1 || draw_unit(engine) < probability;
 }
 
 } // namespace fernward::model
--- a/src/model/processor.h
+++ b/src/model/shared_processor.h
@@ -6,30 +6,31 @@
 
 namespace fernward::model {
 
-class Processor {
+class SharedProcessor {
  public:
   // Sets the work done per millisecond for each job from `now` on.
-  void set_rate(double now, double per_job);
+  void set_rate(double now, double rate_per_job);
   void add(double now, std::uint32_t job, double work);
   double remove(double now, std::uint32_t job); // returns its remaining work; 0 if there is no such job
 
   std::size_t jobs() const { return jobs_.size(); }
-  double next() const; // completion time of the next job at the current rate; infinity: none completes
+  double next_completion_ms()
+      const; // completion time of the next job at the current rate; infinity: none completes
   // Advances to next_completion_ms() and returns the job that completes then. Requires that there is one.
-  std::uint32_t pop();
+  std::uint32_t pop_completed();
   // All work done so far, over all jobs.
-  double done(double now) const;
+  double total_work(double now) const;
 
  private:
   struct Job {
     double finish; // value of work_per_job_ at which the job is complete
     std::uint32_t id;
   };
-  void reach(double now);
+  void advance(double now);
 
-  double at_ = 0, rate_ = 0;
-  double progress_ = 0; // work done for a job that has been present since the beginning
-  double done_ = 0;
+  double now_ = 0, rate_ = 0;
+  double work_per_job_ = 0; // work done for a job that has been present since the beginning
+  double completed_work_ = 0;
   std::vector<Job> jobs_; // sorted by descending `finish`: the next to complete is last
 };
 
--- a/src/model/spec.h
+++ b/src/model/spec.h
@@ -39,63 +39,69 @@
 };
 
 struct NetworkSpec {
-  double same_ms = 0.2;   // one-way delay within a zone
-  double cross_ms = 7;    // one-way delay between zones
-  double client_ms = 0.5; // one-way delay between a client and the routers of its zone
-  double jitter = 0.1;    // each delay is increased by up to this share, drawn uniformly
+  double same_zone_delay_ms = 0.2; // one-way delay within a zone
+  double cross_zone_delay_ms = 7;  // one-way delay between zones
+  double client_delay_ms = 0.5;    // one-way delay between a client and the routers of its zone
+  double jitter = 0.1;             // each delay is increased by up to this share, drawn uniformly
   std::vector<ZoneLink> links;
   double datagram_min_ms = 2, datagram_max_ms = 30; // range added to the delay of datagrams between routers
-  double datagram_loss = 0;                         // share of the datagrams that are lost
-  double datagram_twice = 0; // share of the datagrams that are duplicated, each copy with its own delay
+  double datagram_loss_share = 0;                   // share of the datagrams that are lost
+  double datagram_duplicate_share =
+      0; // share of the datagrams that are duplicated, each copy with its own delay
 };
 
 // ---- cache nodes ----
 
-enum class WarmBy { Time, Requests };            // what increases the capacity of a cold node
-enum class Evict { Lru, Fifo };                  // evicts the least recently used or the oldest object
-enum class OnCancel { Keep, DropWaiting, Stop }; // what happens to work whose router no longer waits for it
+enum class WarmUpMode { Time, Requests }; // what increases the capacity of a cold node
+enum class EvictionPolicy { Lru, Fifo };  // evicts the least recently used or the oldest object
+enum class CancelPolicy {
+  Keep,
+  DropWaiting,
+  Stop
+}; // what happens to work whose router no longer waits for it
 
 struct ReportSpec {
-  bool on = true;
+  bool enabled = true;
   double period_ms = 100; // interval between readings
   double delay_ms = 50;   // time from a reading until it is available
   double noise = 0.05;    // standard deviation of each value's normally distributed relative error
-  std::vector<LoadReportField> fields = {LoadReportField::Eps, LoadReportField::LatencyMs,
+  std::vector<LoadReportField> fields = {LoadReportField::ErrorRate, LoadReportField::LatencyMs,
                                          LoadReportField::Queue};
 };
 
 struct NodeKind {
   std::string name;
   double cores = 4;
-  double speed = 1;           // of a core
-  double speed_cv = 0;        // coefficient of variation of the speed across nodes (log-normal)
-  std::uint32_t places = 16;  // requests processed at once; they share the cores evenly
-  std::uint32_t waiting = 12; // limit of queued requests; further ones are rejected
-  double crowded_at = 5;      // active and queued requests per core above which work slows down
-  double crowded_loss = 0;    // work takes 1 + this x (requests per core - congested_at) times as long
-  double memory_bytes = 64e6; // objects are evicted above this size
-  Evict evict = Evict::Lru;
-  double expire_ms = 0; // an object expires this long after it was stored; 0: never
+  double speed = 1;               // of a core
+  double speed_cv = 0;            // coefficient of variation of the speed across nodes (log-normal)
+  std::uint32_t max_active = 16;  // requests processed at once; they share the cores evenly
+  std::uint32_t max_queued = 12;  // limit of queued requests; further ones are rejected
+  double congested_at = 5;        // active and queued requests per core above which work slows down
+  double congestion_slowdown = 0; // work takes 1 + this x (requests per core - congested_at) times as long
+  double memory_bytes = 64e6;     // objects are evicted above this size
+  EvictionPolicy eviction_policy = EvictionPolicy::Lru;
+  double object_lifetime_ms = 0; // an object expires this long after it was stored; 0: never
   double object_overhead_bytes = 64;
   double lease_ms = 300;        // after the first miss of a key, further misses are `pending` for this long
   double hit_share_of_work = 1; // work of a hit and of a miss, as shares of the request's work
   double miss_share_of_work = 0.1;
-  double start_capacity = 0.4;      // share of the full capacity that a node has just after its start
-  double warm_ms = 6000;            // time from the start to full capacity; 0: at once
-  WarmBy warm_by = WarmBy::Time;    // Requests: depends on the work done, limited by warm_up_ms
-  double tip_multiple = 4;          // a cold node fails permanently if it receives more than this times
-  double tip_ms = 2000;             // its current capacity during this time; 0: never
-  double error_rate = 0;            // share of the requests that end in an error
-  double pause_every_ms = 0;        // mean time between pauses; 0: none
-  double pause_ms = 0;              // mean duration of a pause, during which no work is done
-  std::uint32_t connections = 3000; // limit of open connections; further ones are refused
-  double full_table_loss = 0;       // share of the capacity lost when the connection table is full
-  double handshake_ms = 0.8;        // work for a new connection
-  double handshake_trips = 1;       // round trips of the handshake after the first one for TCP
-  double idle_ms = 15000;           // an idle connection is closed after this
-  bool drops_expired = false;       // work is not started after its deadline
-  OnCancel on_cancel = OnCancel::Keep;
-  double repeat_window_ms = -1; // repeats of a keyed write are dropped this long; below 0: the class's window
+  double start_capacity = 0.4; // share of the full capacity that a node has just after its start
+  double warm_up_ms = 6000;    // time from the start to full capacity; 0: at once
+  WarmUpMode warm_up_mode = WarmUpMode::Time; // Requests: depends on the work done, limited by warm_up_ms
+  double overload_multiple = 4;         // a cold node fails permanently if it receives more than this times
+  double overload_failure_ms = 2000;    // its current capacity during this time; 0: never
+  double error_rate = 0;                // share of the requests that end in an error
+  double pause_interval_ms = 0;         // mean time between pauses; 0: none
+  double pause_duration_ms = 0;         // mean duration of a pause, during which no work is done
+  std::uint32_t max_connections = 3000; // limit of open connections; further ones are refused
+  double full_table_capacity_loss = 0;  // share of the capacity lost when the connection table is full
+  double handshake_work_ms = 0.8;       // work for a new connection
+  double handshake_round_trips = 1;     // round trips of the handshake after the first one for TCP
+  double idle_timeout_ms = 15000;       // an idle connection is closed after this
+  bool drops_expired = false;           // work is not started after its deadline
+  CancelPolicy cancel_policy = CancelPolicy::Keep;
+  double idempotency_window_ms =
+      -1; // repeats of a keyed write are dropped this long; below 0: the class's window
   ReportSpec report;
 };
 
@@ -110,23 +116,24 @@
 
 // The slow store behind the caches. Without an origin the nodes cache nothing and serve every request.
 struct OriginSpec {
-  bool on = true;
+  bool enabled = true;
   std::uint32_t zone = 0;
-  double capacity_per_s = 80;  // fetches of mean cost
-  double time_ms = 100;        // mean service time of a fetch
-  double time_cv = 0.5;        // coefficient of variation (log-normal); 0: always the mean
-  double write_multiple = 1.5; // service time of a write relative to a fetch
-  double queue_ms = 1500;      // queue limit, as time at full capacity; further requests are rejected
-  double crowded_at = 0;       // share of the queue limit above which work slows down
-  double crowded_loss = 0;     // with a full queue, work takes 1 + this times as long
-  double fall_multiple = 0;    // the origin fails if it receives more than this times its capacity
-  double fall_ms = 3000;       // during this time; overload_multiple 0: it does not fail
-  double down_ms = 5000;       // time from a failure until it recovers
+  double capacity_per_s = 80;        // fetches of mean cost
+  double service_time_ms = 100;      // mean service time of a fetch
+  double service_time_cv = 0.5;      // coefficient of variation (log-normal); 0: always the mean
+  double write_multiple = 1.5;       // service time of a write relative to a fetch
+  double queue_limit_ms = 1500;      // queue limit, as time at full capacity; further requests are rejected
+  double congested_at = 0;           // share of the queue limit above which work slows down
+  double congestion_slowdown = 0;    // with a full queue, work takes 1 + this times as long
+  double overload_multiple = 0;      // the origin fails if it receives more than this times its capacity
+  double overload_failure_ms = 3000; // during this time; overload_multiple 0: it does not fail
+  double down_ms = 5000;             // time from a failure until it recovers
   bool drops_expired = false;
-  std::uint32_t connections = 2000;
-  double handshake_trips = 1, idle_ms = 15000;
+  std::uint32_t max_connections = 2000;
+  double handshake_round_trips = 1, idle_timeout_ms = 15000;
   double error_rate = 0;
-  double warm_hits = 0.9; // share of the reads that the caches can answer when nodes start with full memory
+  double initial_hit_ratio =
+      0.9; // share of the reads that the caches can answer when nodes start with full memory
   ReportSpec report{false, 100, 50, 0.05, {}};
 };
 
@@ -139,38 +146,39 @@
 
 // What routers report to each other (docs/operators/fleet.md). If disabled, they exchange no datagrams.
 struct SharingSpec {
-  bool on = false;
-  double period_ms = 250;  // a router sends one ping in each period
-  std::uint32_t asked = 3; // routers asked to probe one that does not answer
-  bool ledger = true;      // divides the limit at the origin by demand
-  bool count = true; // uses the number of living routers in place of the configured one, where that is safe
-  bool findings = false; // uses findings about cache nodes on which several routers agree
+  bool enabled = false;
+  double ping_period_ms = 250;       // a router sends one ping in each period
+  std::uint32_t indirect_probes = 3; // routers asked to probe one that does not answer
+  bool share_origin_limit = true;    // divides the limit at the origin by demand
+  bool count_living_routers =
+      true; // uses the number of living routers in place of the configured one, where that is safe
+  bool share_findings = false; // uses findings about cache nodes on which several routers agree
 };
 
 struct RouterSpec {
   std::vector<RouterGroup> groups;
   SharingSpec sharing;
-  std::uint32_t sockets = 1024, memory_mb = 192;
+  std::uint32_t max_sockets = 1024, memory_mb = 192;
   double cores = 1;
   // Copied to the routers' settings. Classes, tenants, zones, kinds and reports come from the other tables.
-  bool may_cancel = true, may_duplicate = true, retry_advice = true;
+  bool may_cancel = true, may_hedge = true, send_retry_after = true;
   double max_retry_after_ms = 1500;
   std::uint32_t max_attempts = 5;
-  double tick_ms = 5;
+  double event_interval_ms = 5;
   double connect_timeout_ms = 250;
-  double conn_idle_ms = 15000; // setting of the routers; should not exceed the kinds' idle_timeout_ms
-  std::uint32_t open_cap = 20000;
-  double grace_to_answer_ms = 20;
+  double connection_idle_ms = 15000; // setting of the routers; should not exceed the kinds' idle_timeout_ms
+  std::uint32_t max_open_requests = 20000;
+  double response_grace_ms = 20;
   double drain_grace_ms = 250;
-  double over_share_worth = 0.05;
-  WeightKind weight_kind = WeightKind::Rough;
+  double over_quota_weight = 0.05;
+  WeightKind weight_kind = WeightKind::Approximate;
   ResizeSettings resize;
 };
 
 // The simple load balancer in front of the routers: round robin over the routers of the client's zone.
-struct FrontSpec {
-  double notice_ms = 2000;     // time during which it still sends to a dead router
-  double ready_every_ms = 200; // interval of its readiness checks of a starting router
+struct FrontBalancerSpec {
+  double failure_detection_ms = 2000;   // time during which it still sends to a dead router
+  double ready_check_interval_ms = 200; // interval of its readiness checks of a starting router
 };
 
 // Limits of the one discovery server that all routers call (on sockets only). If all are 0, every call is
@@ -183,30 +191,32 @@
   double refused_share = 0;      // share of the calls: half get a 503, half have their connection closed
   double silent_share = 0;       // share of the long polls without an update yet that are never answered
 
-  bool on() const {
+  bool enabled() const {
     return answers_per_second > 0 || bytes_per_second > 0 || piece_size_bytes > 0 || refused_share > 0 ||
            silent_share > 0;
   }
 };
 
 struct DiscoverySpec {
-  double add_min_ms = 800, add_max_ms = 2200;         // from a node's start until the list contains it
-  double notice_min_ms = 1000, notice_max_ms = 4500;  // from a drain or termination until the list shows it
-  double silent_min_ms = 7000, silent_max_ms = 13000; // from a machine's silence until the list shows it
-  double period_ms = 400;                             // interval of the updates of the list
-  double spread_ms = 400;                             // each router receives an update up to this much later
+  double add_delay_min_ms = 800, add_delay_max_ms = 2200; // from a node's start until the list contains it
+  double leave_delay_min_ms = 1000,
+         leave_delay_max_ms = 4500; // from a drain or termination until the list shows it
+  double silence_delay_min_ms = 7000,
+         silence_delay_max_ms = 13000; // from a machine's silence until the list shows it
+  double update_period_ms = 400;       // interval of the updates of the list
+  double delivery_spread_ms = 400;     // each router receives an update up to this much later
   // An update counts as notified this long after the router could have reached discovery, received or not.
-  double at_latest_ms = 6000;
+  double notified_at_latest_ms = 6000;
   // The same, measured from the SIGHUP after which a router uses the new address of discovery.
-  double reload_at_latest_ms = 4000;
+  double reload_notified_at_latest_ms = 4000;
   CongestionSpec congestion;
 };
 
 // ---- load ----
 
-enum class Shape { Fixed, Exponential, LogNormal };
-struct Spread { // distribution of a positive quantity
-  Shape shape = Shape::Exponential;
+enum class DistributionShape { Fixed, Exponential, LogNormal };
+struct Distribution { // distribution of a positive quantity
+  DistributionShape shape = DistributionShape::Exponential;
   double mean = 1;
   double cv = 1; // LogNormal: standard deviation / mean
 };
@@ -214,23 +224,23 @@
 struct ClassSpec {
   std::string name;
   double share = 1; // of the requests, relative to the other classes
-  Spread work{Shape::Exponential, 100, 1};
-  double attempt_noise = 0; // variation of an attempt's work around the request's work (log-normal cv)
+  Distribution work{DistributionShape::Exponential, 100, 1};
+  double attempt_work_cv = 0; // variation of an attempt's work around the request's work (log-normal cv)
   // Error of the cost hint relative to the request's work (log-normal cv); below 0: no hint.
   double hint_error = 0.1;
-  double aim_ms = 750, give_up_ms = 1500;
-  double aim_stretch = 0, late_share = 0, worth = 1;
-  Idempotency repeat = Idempotency::Idempotent;
-  IdempotencyScope scope = IdempotencyScope::All;
-  double window_ms = 1000;
+  double latency_objective_ms = 750, client_timeout_ms = 1500;
+  double objective_per_work = 0, late_value_share = 0, priority_weight = 1;
+  Idempotency idempotency = Idempotency::Idempotent;
+  IdempotencyScope idempotency_scope = IdempotencyScope::All;
+  double idempotency_window_ms = 1000;
   bool write = false;
 };
 
 struct TenantSpec {
   std::string name;
-  double share = 1;       // share of the service that the tenant is entitled to
-  double usage = 1;       // the tenant sends this times its share
-  double quota_per_s = 0; // requests above it have the weight over_quota_weight; 0: no quota
+  double share = 1;        // share of the service that the tenant is entitled to
+  double usage_factor = 1; // the tenant sends this times its share
+  double quota_per_s = 0;  // requests above it have the weight over_quota_weight; 0: no quota
 };
 
 struct KeySpec {
@@ -239,7 +249,7 @@
   double offset = 0;
   double drift_per_s = 0;   // share of the ranks that are reassigned to a new key in a second
   double changes_per_s = 0; // share of the keys that change at the origin in a second: copies become invalid
-  Spread size{Shape::LogNormal, 4000, 0.8};
+  Distribution size{DistributionShape::LogNormal, 4000, 0.8};
 };
 
 enum class LoadShape { Steady, Ramp, Day };
@@ -254,15 +264,17 @@
 
 enum class Backoff { Fixed, Exponential };
 struct ClientSpec {
-  double retries = 1; // mean limit of retries per request; 0.4: four requests in ten may be retried once
+  double mean_max_retries =
+      1; // mean limit of retries per request; 0.4: four requests in ten may be retried once
   Backoff backoff = Backoff::Fixed;
   double backoff_ms = 100; // the wait is 0.5 to 1.5 times this; Exponential: doubled with each try
-  double heed = 1;         // share of the clients that wait for Retry-After (up to max_retry_after_ms)
-  double try_share_min = 0.8,
-         try_share_max = 1;     // a try times out after this share of the class's client_timeout_ms
-  double leave_share = 0;       // share of the tries that the client abandons before their timeout
-  bool keep_connections = true; // false: a new connection for each try
-  std::uint32_t resting = 0;    // idle connections that clients keep open to each router
+  double heed_retry_after_share =
+      1; // share of the clients that wait for Retry-After (up to max_retry_after_ms)
+  double try_timeout_share_min = 0.8,
+         try_timeout_share_max = 1;   // a try times out after this share of the class's client_timeout_ms
+  double abandon_share = 0;           // share of the tries that the client abandons before their timeout
+  bool keep_connections = true;       // false: a new connection for each try
+  std::uint32_t idle_connections = 0; // idle connections that clients keep open to each router
   bool marks_retry = false;
 };
 
@@ -270,14 +282,14 @@
 
 // Selects the machines that an event affects: those that match all given members, then `count` or `share` of
 // them.
-struct NodePick {
+struct NodeSelector {
   std::vector<MachineId> nodes; // by number; empty: all
   std::optional<std::uint32_t> group, zone, kind;
   std::optional<std::uint32_t> count; // takes precedence over share
   double share = 1;                   // rounded, but at least one machine
   bool random = true;                 // drawn with the seed; false: the first by number
 };
-struct RouterPick {
+struct RouterSelector {
   std::vector<RouterId> routers;
   std::optional<std::uint32_t> zone, count;
   double share = 1;
@@ -285,79 +297,80 @@
 };
 
 // `until_ms` is an absolute time; 0: until the end of the scenario.
-struct Neighbour { // another program uses a share of the machine
-  NodePick who;
+struct NoisyNeighbour { // another program uses a share of the machine
+  NodeSelector who;
   double share = 0.5, until_ms = 0;
   double on_ms = 0, off_ms = 0; // mean active and inactive times (exponential); either 0: always active
 };
 struct StartNodes {
-  NodePick who;
+  NodeSelector who;
 };                  // starts machines that are on standby or terminated, cold and empty
 struct DrainNodes { // the machines finish their requests and then terminate
-  NodePick who;
+  NodeSelector who;
   double drain_ms = 4000;
   double over_ms = 0; // the drains are spread evenly over this time
 };
 struct KillNodes {
-  NodePick who;
+  NodeSelector who;
 };                    // the process ends: its connections are reset and new ones are refused
 struct ReplaceNodes { // the process ends and another machine with a new name uses its address
-  NodePick who;
+  NodeSelector who;
   double after_ms = 1000;
 };
 struct RestartNodes { // the process ends and is started again with the same name, cold and empty
-  NodePick who;
+  NodeSelector who;
   double after_ms = 1000;
 };
 struct SilentNodes { // the machine sends nothing; its connections stay open
-  NodePick who;
+  NodeSelector who;
   double until_ms = 0;
 };
-struct CutZones { // all messages between the two sets of zones are lost, in both directions
+struct PartitionZones { // all messages between the two sets of zones are lost, in both directions
   std::vector<std::uint32_t> a, b;
   double until_ms = 0;
 };
-struct CutNodes { // the same between machines and routers
-  NodePick nodes;
-  RouterPick routers;
+struct PartitionNodes { // the same between machines and routers
+  NodeSelector nodes;
+  RouterSelector routers;
   double until_ms = 0;
 };
 enum class RouterEnd { Kill, Term };
 struct RestartRouters {
-  RouterPick who;
+  RouterSelector who;
   RouterEnd how = RouterEnd::Term;
   double down_ms = 1000;   // time from the kill (Kill) or the exit (Term) until the start; 0: not restarted
   std::uint32_t batch = 0; // routers in one batch; 0: all at once
   double over_ms = 0;      // the batches are spread evenly over this time
 };
 struct ReloadRouters {
-  RouterPick who;
+  RouterSelector who;
 }; // SIGHUP
-enum class CutWhat {
+enum class PartitionedTraffic {
   Datagrams, // between routers
   All // also messages between one side's routers and the machines of zones where only the other has routers
 };
-struct CutRouters { // partitions the routers of `a` from those of `b` that are not in `a`
-  RouterPick a, b;
+struct PartitionRouters { // partitions the routers of `a` from those of `b` that are not in `a`
+  RouterSelector a, b;
   bool one_way = false; // only messages from `a` to `b` are lost
-  CutWhat carries = CutWhat::Datagrams;
+  PartitionedTraffic carries = PartitionedTraffic::Datagrams;
   double until_ms = 0;
 };
 struct LoseDatagrams { // affects datagrams to and from these routers, in addition to the network's losses
-  RouterPick who;
+  RouterSelector who;
   double share = 0.2, twice = 0; // shares of the datagrams that are lost and that are duplicated
   double until_ms = 0;
 };
 struct PauseRouters { // the process is stopped; messages that arrive meanwhile wait for it
-  RouterPick who;
+  RouterSelector who;
   double until_ms = 0;
 };
-enum class Claim { Least, Most }; // end of a value's allowed range that is reported
-struct LyingRouter {              // its datagrams are well-formed but hold false values
-  RouterPick who;
-  Claim demand = Claim::Most, limit = Claim::Most; // the values that it reports for itself
-  bool of_others = false;                          // it reports them for others too, as their later updates
-  bool accuses = true;                             // it reports living routers as dead
+enum class ReportedExtreme { Minimum, Maximum }; // end of a value's allowed range that is reported
+struct InconsistentRouter {                      // its datagrams are well-formed but hold false values
+  RouterSelector who;
+  ReportedExtreme demand = ReportedExtreme::Maximum,
+                  limit = ReportedExtreme::Maximum; // the values that it reports for itself
+  bool of_others = false;                           // it reports them for others too, as their later updates
+  bool accuses = true;                              // it reports living routers as dead
   double until_ms = 0;
 };
 struct DiscoveryOutage {
@@ -382,22 +395,22 @@
 struct LoadSpike {
   double factor = 2, until_ms = 0;
 };
-enum class BadAnswer {
-  Error,      // 500
-  Garbage,    // not HTTP
-  TooLarge,   // announces a body larger than allowed
-  CutOff,     // ends within the body
-  NeverEnds,  // the remaining part of the body is never sent
-  EarlyClose, // closes the connection without a response
-  WrongBody,  // 200 with a different body; the router can't detect this and is not responsible
-  SlowBytes,  // complete, but seconds late
-};
-struct BadAnswers {
-  NodePick who;
+enum class BadResponse {
+  Error,          // 500
+  NotHttp,        // not HTTP
+  TooLarge,       // announces a body larger than allowed
+  Truncated,      // ends within the body
+  NeverCompletes, // the remaining part of the body is never sent
+  EarlyClose,     // closes the connection without a response
+  WrongBody,      // 200 with a different body; the router can't detect this and is not responsible
+  SlowBytes,      // complete, but seconds late
+};
+struct BadResponses {
+  NodeSelector who;
   double share = 0.1, until_ms = 0;
-  BadAnswer kind = BadAnswer::Error;
+  BadResponse kind = BadResponse::Error;
 };
-struct LostZone { // all machines and routers of the zone become silent
+struct ZoneOutage { // all machines and routers of the zone become silent
   std::uint32_t zone = 0;
   double until_ms = 0;
   bool clients_move = true; // its clients use the other zones; false: they are lost too
@@ -407,16 +420,16 @@
   double factor = 5, until_ms = 0;
 };
 
-using Happening =
-    std::variant<Neighbour, StartNodes, DrainNodes, KillNodes, ReplaceNodes, RestartNodes, SilentNodes,
-                 CutZones, CutNodes, RestartRouters, ReloadRouters, DiscoveryOutage, DiscoveryMove,
-                 OriginStall, OriginSlow, OriginFall, HotKey, LoadSpike, BadAnswers, LostZone, SlowLink,
-                 CutRouters, LoseDatagrams, PauseRouters, LyingRouter>;
+using EventAction =
+    std::variant<NoisyNeighbour, StartNodes, DrainNodes, KillNodes, ReplaceNodes, RestartNodes, SilentNodes,
+                 PartitionZones, PartitionNodes, RestartRouters, ReloadRouters, DiscoveryOutage,
+                 DiscoveryMove, OriginStall, OriginSlow, OriginFall, HotKey, LoadSpike, BadResponses,
+                 ZoneOutage, SlowLink, PartitionRouters, LoseDatagrams, PauseRouters, InconsistentRouter>;
 
 struct TimedEvent {
   double at_ms = 0;
   std::string label; // text for reports
-  Happening what;
+  EventAction what;
 };
 
 // ---- expected results ----
@@ -427,13 +440,13 @@
   WorstClass,
   WorstTenant, // the lowest service of any class or tenant
   Served,
-  Refused,
-  Failed,         // share of the requests by their final outcome
-  LatencyMs,      // at `quantile`, of served requests, from the intended send
-  OriginPerS,     // fetches and writes that reach the origin, mean per second
-  OriginPeakPerS, // the same in the worst second
-  FetchSurge,     // reads at the origin in the worst 1000 ms, relative to their mean before `from_ms`
-  HitRatio,       // of the reads at the caches
+  Rejected,
+  Failed,           // share of the requests by their final outcome
+  LatencyMs,        // at `quantile`, of served requests, from the intended send
+  OriginPerS,       // fetches and writes that reach the origin, mean per second
+  OriginPeakPerS,   // the same in the worst second
+  FetchSurgeFactor, // reads at the origin in the worst 1000 ms, relative to their mean before `from_ms`
+  HitRatio,         // of the reads at the caches
   HandshakesPerRequest,
   RecoveryMs, // from `from_ms` until the service of each `window_ms` stays at `level` or more, up to `to_ms`
 };
@@ -446,37 +459,37 @@
   std::optional<double> at_least, at_most;
 };
 
-// Rules that are checked unless disabled here. record.h describes the records from which each is judged.
+// Rules that are checked unless disabled here. records.h describes the records from which each is judged.
 struct Rules {
-  bool one_answer = true; // each request that a router accepted gets exactly one final response
-  bool no_lost = true;    // no accepted request is without a response in time
-  bool repeats = true;    // no request is repeated unless its class allows it
-  bool drains = true;     // a draining node gets no new requests after the grace period
-  bool cold_nodes = true; // no cold node fails from overload
-  bool genuine = true;    // the body of a served response was produced by a node for this request
+  bool one_response = true;         // each request that a router accepted gets exactly one final response
+  bool no_lost_requests = true;     // no accepted request is without a response in time
+  bool safe_repeats = true;         // no request is repeated unless its class allows it
+  bool drains_respected = true;     // a draining node gets no new requests after the grace period
+  bool cold_nodes_protected = true; // no cold node fails from overload
+  bool genuine_bodies = true;       // the body of a served response was produced by a node for this request
 };
 
-struct Holds {
+struct Expectations {
   Rules rules;
   std::vector<Bound> bounds;
-  double whole_weight = 1, worst_window_weight = 0, worst_class_weight = 0,
+  double overall_weight = 1, worst_window_weight = 0, worst_class_weight = 0,
          worst_tenant_weight = 0; // weights of the parts of the score
 };
 
-enum class CountedBy { Request, Work }; // the priority weight applies per request or per unit of work
+enum class WeightBasis { Request, Work }; // the priority weight applies per request or per unit of work
 
 struct Spec {
   std::string name, title;
   double duration_ms = 60000; // arrivals end here; the run continues until all requests have ended
   std::uint64_t seed = 1;
-  CountedBy counted_by = CountedBy::Work;
+  WeightBasis weight_basis = WeightBasis::Work;
   std::vector<Zone> zones;
   NetworkSpec network;
   std::vector<NodeKind> kinds;
   std::vector<NodeGroup> nodes;
   OriginSpec origin;
   RouterSpec routers;
-  FrontSpec front;
+  FrontBalancerSpec front;
   DiscoverySpec discovery;
   std::vector<ClassSpec> classes;
   std::vector<TenantSpec> tenants; // empty: one tenant without a name
@@ -484,16 +497,16 @@
   LoadSpec load;
   ClientSpec clients;
   std::vector<TimedEvent> events;
-  Holds holds;
+  Expectations expectations;
 };
 
 // An error of a scenario that can't be run. `path` names the member by its key: "events[3].at_ms",
 // "kinds[0].cores". find_spec_errors() returns the errors in the order of the members, none if the scenario
 // is valid.
-struct Fault {
-  std::string path, why;
+struct SpecError {
+  std::string path, reason;
 };
-std::vector<Fault> faults(const Spec& spec);
+std::vector<SpecError> find_spec_errors(const Spec& spec);
 
 // The settings of a router in `zone`, as the decision module expects them.
 fernward::Settings router_settings(const Spec& spec, std::uint32_t zone);
--- a/src/placement/fill_rate_limiter.h
+++ b/src/placement/fill_rate_limiter.h
@@ -20,23 +20,23 @@
 namespace fernward::placement {
 
 // Rate of events over about the last `window_ms`, without bias from the first event on.
-class Rate {
+class DecayingRate {
  public:
-  void add(double now, double over, double count = 1) {
-    fade(now, over);
+  void add(double now, double window_ms, double count = 1) {
+    decay(now, window_ms);
     count_ += count;
   }
-  void skip(double now) { at_ = now; } // the time since the last call does not count
-  double per_ms(double now, double over) const;
+  void skip_interval(double now) { updated_at_ = now; } // the time since the last call does not count
+  double per_ms(double now, double window_ms) const;
 
  private:
-  void fade(double now, double over);
-  double count_ = 0, watched_ = 0, at_ = kNever;
+  void decay(double now, double window_ms);
+  double count_ = 0, observed_ms_ = 0, updated_at_ = kNever;
 };
 
 class FillRateLimiter {
  public:
-  explicit FillRateLimiter(const ResizeSettings& set) : set_(set) {}
+  explicit FillRateLimiter(const ResizeSettings& settings) : settings_(settings) {}
 
   void on_read(double now);
   void on_fetch(double now);
@@ -44,41 +44,44 @@
   // The fleet has changed: the limit is active for the next `transition_ms`, and then until fetches are
   // nearly steady again, at most four times as long.
   void on_fleet_changed(double now) {
-    if (set_.transition_ms <= 0) return;
-    if (!is_active(now)) opened_at_ = now;
-    until_ = std::max(until_, now + set_.transition_ms);
-    at_latest_ = now + 4 * set_.transition_ms;
+    if (settings_.transition_ms <= 0) return;
+    if (!is_active(now)) active_since_ = now;
+    active_until_ = std::max(active_until_, now + settings_.transition_ms);
+    latest_active_until_ = now + 4 * settings_.transition_ms;
   }
-  bool is_active(double now) const { return now < until_; }
+  bool is_active(double now) const { return now < active_until_; }
 
   bool may_fetch(double now);
   double max_fetches_per_ms(double now) const; // highest allowed rate; 0: no limit is active
 
   // Used share of the allowed rate, including `waiting_fetches`; 0: no limit is active.
-  double utilization(double now, double waiting) const;
+  double utilization(double now, double waiting_fetches) const;
 
-  enum class Fill { NewOwner, SecondReplica };         // SecondReplica: only while the fleet is steady
-  bool may_fill(double now, Fill what, double& saved); // `saved_fills`: result
-  void on_filled(Fill what) { tokens(what).count -= 1; }
-  void refund(Fill what) { tokens(what).count += 1; } // the fill caused no fetch
+  enum class Fill { NewOwner, SecondReplica };               // SecondReplica: only while the fleet is steady
+  bool may_fill(double now, Fill fill, double& saved_fills); // `saved_fills`: result
+  void on_filled(Fill fill) { token_bucket(fill).token_count -= 1; }
+  void refund(Fill fill) { token_bucket(fill).token_count += 1; } // the fill caused no fetch
 
   double steady_fetches_per_ms(double now) const; // before the transition; 0: unknown
 
  private:
-  struct Bucket {
-    double count = 0, at = kNever;
-    void refill(double now, double per_ms, double most);
+  struct TokenBucket {
+    double token_count = 0, refilled_at = kNever;
+    void refill(double now, double per_ms, double max_tokens);
   };
-  Bucket& tokens(Fill what) { return what == Fill::NewOwner ? moves_ : seconds_; }
-  double base_per_ms(double now) const; // steady rate, scaled to the current traffic
-  bool known() const;                   // the steady rate has been observed long enough
-  bool learns(double now) const;
+  TokenBucket& token_bucket(Fill fill) {
+    return fill == Fill::NewOwner ? new_owner_tokens_ : second_replica_tokens_;
+  }
+  double base_fetches_per_ms(double now) const; // steady rate, scaled to the current traffic
+  bool steady_rate_known() const;               // the steady rate has been observed long enough
+  bool updates_steady_rate(double now) const;
 
-  ResizeSettings set_;
-  double until_ = kNever, opened_at_ = kNever, at_latest_ = kNever, read_at_ = kNever, calm_ms_ = 0;
-  Rate steady_reads_, steady_fetches_, reads_, recent_,
-      calming_; // of fetches, over one and over several seconds
-  Bucket fetches_, moves_, seconds_;
+  ResizeSettings settings_;
+  double active_until_ = kNever, active_since_ = kNever, latest_active_until_ = kNever,
+         last_read_at_ = kNever, steady_observed_ms_ = 0;
+  DecayingRate steady_reads_, steady_fetches_, reads_, recent_fetches_,
+      settling_fetches_; // of fetches, over one and over several seconds
+  TokenBucket fetch_tokens_, new_owner_tokens_, second_replica_tokens_;
 };
 
 } // namespace fernward::placement
--- a/src/placement/frequency_sketch.h
+++ b/src/placement/frequency_sketch.h
@@ -29,8 +29,8 @@
  private:
   static constexpr std::size_t kRows = 4;
 
-  static std::size_t place(std::size_t row, std::uint64_t key) {
-    return row * kWidth + mix(key + row * 0x9e3779b97f4a7c15ull) % kWidth;
+  static std::size_t counter_index(std::size_t row, std::uint64_t key) {
+    return row * kWidth + mix_bits(key + row * 0x9e3779b97f4a7c15ull) % kWidth;
   }
 
   std::vector<std::uint16_t> counts_;
--- a/src/placement/hot_key_tracker.cpp
+++ b/src/placement/hot_key_tracker.cpp
@@ -7,27 +7,29 @@
 
 namespace {
 // Relative step of a threshold per read: accurate to about a tenth after some hundreds of reads.
-constexpr double kStep = 0.01;
-constexpr double kLeastLevel = 2;  // a key requested once is not popular
-constexpr double kNoKey = 1 << 20; // above any count: no key qualifies
+constexpr double kThresholdStep = 0.01;
+constexpr double kMinThreshold = 2;         // a key requested once is not popular
+constexpr double kNoKeyThreshold = 1 << 20; // above any count: no key qualifies
 } // namespace
 
 void HotKeyTracker::on_read(std::uint64_t key) {
-  const std::uint32_t before = sketch_.add(key);
-  for (Level& bar : bars_) {
-    if (bar.share <= 0) {
-      bar.level = kNoKey;
+  const std::uint32_t previous_count = sketch_.add(key);
+  for (Threshold& threshold : thresholds_) {
+    if (threshold.share <= 0) {
+      threshold.min_count = kNoKeyThreshold;
       continue;
     }
-    if (bar.level == kNoKey) bar.level = kLeastLevel;
-    bar.level *= std::exp(kStep * ((before + 1 >= bar.level ? 1 : 0) - bar.share));
-    bar.level = std::clamp(bar.level, kLeastLevel, kNoKey / 2);
+    if (threshold.min_count == kNoKeyThreshold) threshold.min_count = kMinThreshold;
+    threshold.min_count *=
+        std::exp(kThresholdStep * ((previous_count + 1 >= threshold.min_count ? 1 : 0) - threshold.share));
+    threshold.min_count = std::clamp(threshold.min_count, kMinThreshold, kNoKeyThreshold / 2);
   }
-  if (++seen_ < kMostSeen) return;
-  seen_ /= 2;
+  if (++reads_since_halving_ < kReadsPerHalving) return;
+  reads_since_halving_ /= 2;
   sketch_.halve();
-  for (Level& bar : bars_) {
-    if (bar.level < kNoKey) bar.level = std::max(kLeastLevel, bar.level / 2);
+  for (Threshold& threshold : thresholds_) {
+    if (threshold.min_count < kNoKeyThreshold)
+      threshold.min_count = std::max(kMinThreshold, threshold.min_count / 2);
   }
 }
 
--- a/src/placement/hot_key_tracker.h
+++ b/src/placement/hot_key_tracker.h
@@ -24,19 +24,21 @@
 
   // Whether the key is among the most popular keys that together account for the given share of the reads.
   // Each share has a threshold, which is adjusted with every read until that share of the reads is above it.
-  enum Bar : std::size_t { Fifth, Half, MostPart, Chosen };
-  bool is_in_top_share(Bar bar, std::uint64_t key) const { return count(key) >= bars_[bar].level; }
-  void set_chosen_share(double share) { bars_[Chosen].share = share; } // 0: no key
+  enum TopShare : std::size_t { Fifth, Half, FourFifths, Configured };
+  bool is_in_top_share(TopShare top_share, std::uint64_t key) const {
+    return count(key) >= thresholds_[top_share].min_count;
+  }
+  void set_configured_share(double share) { thresholds_[Configured].share = share; } // 0: no key
 
  private:
-  static constexpr std::uint32_t kMostSeen = 10 * FrequencySketch::kWidth;
-  struct Level {
-    double share, level;
+  static constexpr std::uint32_t kReadsPerHalving = 10 * FrequencySketch::kWidth;
+  struct Threshold {
+    double share, min_count;
   };
   FrequencySketch sketch_;
-  static constexpr std::size_t kBarCount = Chosen + 1;
-  std::array<Level, kBarCount> bars_{{{0.2, 4}, {0.5, 4}, {0.8, 4}, {0, 4}}};
-  std::uint32_t seen_ = 0;
+  static constexpr std::size_t kThresholdCount = Configured + 1;
+  std::array<Threshold, kThresholdCount> thresholds_{{{0.2, 4}, {0.5, 4}, {0.8, 4}, {0, 4}}};
+  std::uint32_t reads_since_halving_ = 0;
 };
 
 } // namespace fernward::placement
--- a/src/placement/key_demand.h
+++ b/src/placement/key_demand.h
@@ -1,7 +1,7 @@
 // Estimates the share of a key's requests that a server in slow start may receive, so that the sum over all
 // routers stays within the capacity of the server. Pure decisions: no I/O, no clock.
 //
-// Each server has a budget of `fall_multiple` times its current capacity. The share of a server in the fleet
+// Each server has a budget of `overload_multiple` times its current capacity. The share of a server in the fleet
 // shrinks with the number of servers, while the demand for one popular key does not. Capacities are not
 // announced, but a warm server handles its share of the load, so its capacity is at least the mean number of
 // requests per server. All routers see the same mix of keys, so each compares its own counts and the number
@@ -31,26 +31,28 @@
   /// A request for this key was received while `server_count` servers are in service. Returns the share of
   /// such requests, from 0 to 1, that a server in slow start may receive in addition to its slow-start share.
   /// `overload_multiple`: more than this times its current capacity overloads a server; below 1 counts as 1.
-  double on_request(double now, std::uint64_t key, std::size_t servers, double fall_multiple) {
+  double on_request(double now, std::uint64_t key, std::size_t server_count, double overload_multiple) {
     if (now >= halve_at_) halve(now);
-    const double mean = ++requests_ / static_cast<double>(std::max<std::size_t>(servers, 1));
+    const double mean_requests_per_server =
+        ++requests_ / static_cast<double>(std::max<std::size_t>(server_count, 1));
     if (key == 0) return 1; // no key: each request counts as a separate key
-    return std::min(1.0, kKnownPart * std::max(1.0, fall_multiple) * mean / (sketch_.add(key) + kUnseen));
+    return std::min(1.0, kKnownKeysBudgetShare * std::max(1.0, overload_multiple) * mean_requests_per_server /
+                             (sketch_.add(key) + kUnseenKeyCount));
   }
 
  private:
   // Share of the budget for known keys. The remainder is for unseen keys, further attempts and random
   // variation.
-  static constexpr double kKnownPart = 0.5;
-  static constexpr double kUnseen = 0.5;
+  static constexpr double kKnownKeysBudgetShare = 0.5;
+  static constexpr double kUnseenKeyCount = 0.5;
   // Long enough for a router with some tens of requests per second to identify the popular keys among
   // thousands, and short compared to the minutes in which popularity changes.
-  static constexpr double kHalvingMs = 60000;
+  static constexpr double kHalvingIntervalMs = 60000;
 
   void halve(double now) {
     sketch_.halve();
     requests_ /= 2;
-    halve_at_ = now + kHalvingMs;
+    halve_at_ = now + kHalvingIntervalMs;
   }
 
   FrequencySketch sketch_;
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -36,8 +36,8 @@
 template <typename Member>
 class Placement {
  public:
-  explicit Placement(const ResizeSettings& set) : set_(set), pace_(set) {
-    popularity_.set_chosen_share(set.second_replica_share);
+  explicit Placement(const ResizeSettings& settings) : settings_(settings), fill_rate_limiter_(settings) {
+    hot_keys_.set_configured_share(settings.second_replica_share);
   }
 
   // ---- Endpoint list ----
@@ -46,24 +46,25 @@
   // proportional to the changed members, except for rare changes of the mean weight. `on_ring(member)`:
   // whether the member is a cache with ring points, in service or draining.
   template <typename Members, typename OnRing>
-  void arrange(double now, Members& members, const std::vector<ServerId>& changed, bool weighted,
-               OnRing on_ring) {
-    bool doubtful = false;
-    for (const ServerId id : changed) doubtful |= weigh(members.at(id), on_ring);
-    if (doubtful) weigh_all(members);
+  void update_members(double now, Members& members, const std::vector<ServerId>& changed, bool weighted,
+                      OnRing on_ring) {
+    bool needs_recompute = false;
+    for (const ServerId id : changed) needs_recompute |= update_weight(members.at(id), on_ring);
+    if (needs_recompute) recompute_weight_sum(members);
     // A power of two near the mean weight, so that it rarely changes with the list.
-    const double unit = weight_sum_ > 0 ? std::exp2(std::round(std::log2(weight_sum_ / weighed_))) : 1;
-    ring_.reserve(static_cast<std::size_t>(kPoints * weighed_));
-    const auto place = [&](ServerId id, Member& m) {
-      const double weight = weighted ? std::clamp(m.seat.weight / unit, 0.25, 4.0) : 1;
-      ring_.place(id, m, m.seat.weight > 0 ? std::lround(kPoints * weight) : 0);
+    const double typical_weight =
+        weight_sum_ > 0 ? std::exp2(std::round(std::log2(weight_sum_ / weighted_member_count_))) : 1;
+    ring_.reserve(static_cast<std::size_t>(kPointsPerMember * weighted_member_count_));
+    const auto place_member = [&](ServerId id, Member& member) {
+      const double weight = weighted ? std::clamp(member.ring_weight.weight / typical_weight, 0.25, 4.0) : 1;
+      ring_.place(id, member, member.ring_weight.weight > 0 ? std::lround(kPointsPerMember * weight) : 0);
     };
-    if (weighted && std::exchange(unit_, unit) != unit) {
-      for (auto& [id, m] : members) place(id, m);
+    if (weighted && std::exchange(typical_weight_, typical_weight) != typical_weight) {
+      for (auto& [id, member] : members) place_member(id, member);
     } else {
-      for (const ServerId id : changed) place(id, members.at(id));
+      for (const ServerId id : changed) place_member(id, members.at(id));
     }
-    if (on()) note_changes(now, members, changed, on_ring);
+    if (enabled()) track_changes(now, members, changed, on_ring);
   }
 
   // ---- Choice ----
@@ -71,72 +72,87 @@
   struct Choice {
     // The candidates of the key on the current ring, followed by those that were candidates before other
     // caches joined recently.
-    std::array<Member*, 2 * kCandidates> at{};
+    std::array<Member*, 2 * kCandidates> replicas{};
     std::size_t size = 0;
-    Member* former = nullptr; // if moving: usable owner of the key before its first candidate joined
-    bool moving = false;      // its first candidate joined recently and is not known to hold it
+    Member* former_owner = nullptr; // if moving: usable owner of the key before its first candidate joined
+    bool moving = false;            // its first candidate joined recently and is not known to hold it
   };
   template <typename Usable>
   Choice candidates(double now, std::uint64_t key, Usable usable) {
-    Choice c;
-    std::size_t looked = 0, settled = 0;
-    std::array<Member*, kCandidates> before{};
-    std::size_t left = 0;
-    ring_.walk(key, [&](Member& m) {
-      if (!usable(m)) return true;
-      const bool candidate = c.size < kCandidates;
-      if (candidate) c.at[c.size++] = &m;
-      if (!on()) return c.size < kCandidates;
-      const bool lately = came_lately(now, key, m);
-      if (c.size == 1 && candidate) c.moving = lately && !memory_.holds(key, m.entry.id);
-      if (!lately) {
-        if (settled++ == 0 && c.moving) c.former = &m;
-        if (!candidate && (&m == c.former || memory_.holds(key, m.entry.id))) before[left++] = &m;
+    Choice choice;
+    std::size_t visited = 0, settled_members = 0;
+    std::array<Member*, kCandidates> former_candidates{};
+    std::size_t former_candidate_count = 0;
+    ring_.walk(key, [&](Member& member) {
+      if (!usable(member)) return true;
+      const bool candidate = choice.size < kCandidates;
+      if (candidate) choice.replicas[choice.size++] = &member;
+      if (!enabled()) return choice.size < kCandidates;
+      const bool is_new = joined_recently(now, key, member);
+      if (choice.size == 1 && candidate)
+        choice.moving = is_new && !key_locations_.holds(key, member.entry.id);
+      if (!is_new) {
+        if (settled_members++ == 0 && choice.moving) choice.former_owner = &member;
+        if (!candidate && (&member == choice.former_owner || key_locations_.holds(key, member.entry.id)))
+          former_candidates[former_candidate_count++] = &member;
       }
-      return c.size < kCandidates || (settled < kCandidates && ++looked < kFarthest);
+      return choice.size < kCandidates || (settled_members < kCandidates && ++visited < kMaxVisited);
     });
-    for (std::size_t i = 0; i < left; ++i) c.at[c.size++] = before[i];
-    return c;
+    for (std::size_t i = 0; i < former_candidate_count; ++i)
+      choice.replicas[choice.size++] = former_candidates[i];
+    return choice;
   }
 
   // Whether the candidate is likely to hold the key. The first candidate is, because every router asks it
   // first, unless it joined recently and another one is known to hold the key. Others are if this router
   // observed the key there, or if they owned it before.
-  bool likely_holds(const Choice& c, std::size_t i, std::uint64_t key) const {
-    if (key != 0 && (c.at[i] == c.former || memory_.holds(key, c.at[i]->entry.id))) return true;
-    if (i > 0 || !c.moving || key == 0) return i == 0;
-    for (std::size_t k = 1; k < c.size; ++k) {
-      if (c.at[k] == c.former || memory_.holds(key, c.at[k]->entry.id)) return false;
+  bool likely_holds(const Choice& choice, std::size_t i, std::uint64_t key) const {
+    if (key != 0 && (choice.replicas[i] == choice.former_owner ||
+                     key_locations_.holds(key, choice.replicas[i]->entry.id)))
+      return true;
+    if (i > 0 || !choice.moving || key == 0) return i == 0;
+    for (std::size_t k = 1; k < choice.size; ++k) {
+      if (choice.replicas[k] == choice.former_owner ||
+          key_locations_.holds(key, choice.replicas[k]->entry.id))
+        return false;
     }
     return true;
   }
 
   // Whether the member joined so recently that keys it is not known to hold reach it only by fills.
-  bool lately(double now, std::uint64_t key, const Member& m) const {
-    return on() && came_lately(now, key, m);
+  bool in_transition(double now, std::uint64_t key, const Member& member) const {
+    return enabled() && joined_recently(now, key, member);
   }
 
   // The member to which the read is sent so that it fetches and stores the key: the new owner of a moving
   // key, or else the second candidate of a popular one. Null: none now. Popular keys are filled first: the
   // fewer fills are saved, the more popular a key must be.
-  struct Filling {
-    Member* whom = nullptr;
-    FillRateLimiter::Fill what{}; // token bucket to charge when the fill is sent
+  struct FillChoice {
+    Member* target = nullptr;
+    FillRateLimiter::Fill fill{}; // token bucket to charge when the fill is sent
   };
-  Filling choose_fill(double now, std::uint64_t key, const Choice& c) {
-    if (!on() || key == 0 || c.size == 0) return {};
-    double saved = 0;
-    if (c.moving) {
-      if (c.former == nullptr || !pace_.may_fill(now, FillRateLimiter::Fill::NewOwner, saved)) return {};
-      const auto bar = saved < 2   ? HotKeyTracker::Fifth
-                       : saved < 3 ? HotKeyTracker::Half
-                                   : HotKeyTracker::MostPart;
-      return {popularity_.is_in_top_share(bar, key) ? c.at[0] : nullptr, FillRateLimiter::Fill::NewOwner};
+  FillChoice choose_fill(double now, std::uint64_t key, const Choice& choice) {
+    if (!enabled() || key == 0 || choice.size == 0) return {};
+    double saved_fills = 0;
+    if (choice.moving) {
+      if (choice.former_owner == nullptr ||
+          !fill_rate_limiter_.may_fill(now, FillRateLimiter::Fill::NewOwner, saved_fills))
+        return {};
+      const auto top_share = saved_fills < 2   ? HotKeyTracker::Fifth
+                             : saved_fills < 3 ? HotKeyTracker::Half
+                                               : HotKeyTracker::FourFifths;
+      return {hot_keys_.is_in_top_share(top_share, key) ? choice.replicas[0] : nullptr,
+              FillRateLimiter::Fill::NewOwner};
     }
-    if (c.size < 2 || pace_.is_active(now) || !popularity_.is_in_top_share(HotKeyTracker::Chosen, key))
+    if (choice.size < 2 || fill_rate_limiter_.is_active(now) ||
+        !hot_keys_.is_in_top_share(HotKeyTracker::Configured, key))
       return {};
-    if (!memory_.holds(key, c.at[0]->entry.id) || memory_.holds(key, c.at[1]->entry.id)) return {};
-    return {pace_.may_fill(now, FillRateLimiter::Fill::SecondReplica, saved) ? c.at[1] : nullptr,
+    if (!key_locations_.holds(key, choice.replicas[0]->entry.id) ||
+        key_locations_.holds(key, choice.replicas[1]->entry.id))
+      return {};
+    return {fill_rate_limiter_.may_fill(now, FillRateLimiter::Fill::SecondReplica, saved_fills)
+                ? choice.replicas[1]
+                : nullptr,
             FillRateLimiter::Fill::SecondReplica};
   }
 
@@ -144,120 +160,127 @@
   // it if the read went there first. This costs a further miss but no additional fetch. `usable` must exclude
   // members that were already tried.
   template <typename Usable>
-  Member* choose_second_store(double now, std::uint64_t key, std::size_t missed, Usable usable) {
-    if (!on() || key == 0 || missed >= kStored) return nullptr;
-    Member* found = nullptr;
-    std::size_t place = 0;
-    ring_.walk(key, [&](Member& m) {
-      if (m.entry.state != ServerState::Ready) return true;
-      const bool owner = place == 0 && came_lately(now, key, m);
-      const bool second = place <= 1 && popularity_.is_in_top_share(HotKeyTracker::Chosen, key);
-      if ((owner || second) && usable(m)) found = &m;
-      return found == nullptr && ++place < 2;
+  Member* choose_additional_store(double now, std::uint64_t key, std::size_t miss_count, Usable usable) {
+    if (!enabled() || key == 0 || miss_count >= kMaxStores) return nullptr;
+    Member* chosen_member = nullptr;
+    std::size_t position = 0;
+    ring_.walk(key, [&](Member& member) {
+      if (member.entry.state != ServerState::Ready) return true;
+      const bool is_new_owner = position == 0 && joined_recently(now, key, member);
+      const bool is_second_replica =
+          position <= 1 && hot_keys_.is_in_top_share(HotKeyTracker::Configured, key);
+      if ((is_new_owner || is_second_replica) && usable(member)) chosen_member = &member;
+      return chosen_member == nullptr && ++position < 2;
     });
-    return found;
+    return chosen_member;
   }
 
   // ---- Events ----
 
   void on_read(double now, std::uint64_t key) {
-    if (!on()) return;
-    pace_.on_read(now);
-    if (key != 0) popularity_.on_read(key);
+    if (!enabled()) return;
+    fill_rate_limiter_.on_read(now);
+    if (key != 0) hot_keys_.on_read(key);
   }
-  void on_hit(std::uint64_t key, ServerId id, double sent_at) { memory_.add(key, id, sent_at); }
-  void on_miss(std::uint64_t key, ServerId id) { memory_.remove(key, id); }
+  void on_hit(std::uint64_t key, ServerId id, double sent_at) { key_locations_.add(key, id, sent_at); }
+  void on_miss(std::uint64_t key, ServerId id) { key_locations_.remove(key, id); }
   void on_write(std::uint64_t key, double now) { // the write was executed, or may have been
-    if (on() && key != 0) memory_.invalidate(key, now);
+    if (enabled() && key != 0) key_locations_.invalidate(key, now);
   }
-  FillRateLimiter& fill_rate_limiter() { return pace_; }
-  const FillRateLimiter& fill_rate_limiter() const { return pace_; }
+  FillRateLimiter& fill_rate_limiter() { return fill_rate_limiter_; }
+  const FillRateLimiter& fill_rate_limiter() const { return fill_rate_limiter_; }
 
  private:
-  static constexpr double kPoints = 64;        // ring points of a cache of typical weight
-  static constexpr std::size_t kSlots = 8192;  // keys whose locations are remembered
-  static constexpr std::size_t kFarthest = 64; // members visited in search of a former owner
-  static constexpr std::size_t kStored = 2;    // highest number of caches that store a fetched value
-  static constexpr std::size_t kMostLeft = 4096;
+  static constexpr double kPointsPerMember = 64;         // ring points of a cache of typical weight
+  static constexpr std::size_t kKeyLocationSlots = 8192; // keys whose locations are remembered
+  static constexpr std::size_t kMaxVisited = 64;         // members visited in search of a former owner
+  static constexpr std::size_t kMaxStores = 2; // highest number of caches that store a fetched value
+  static constexpr std::size_t kMaxDeparted = 4096;
 
-  bool on() const { return set_.transition_ms > 0; }
+  bool enabled() const { return settings_.transition_ms > 0; }
 
   // Keys end their move at different times in the second half of the transition, as otherwise all of them
   // would be fetched from the origin at once.
-  bool came_lately(double now, std::uint64_t key, const Member& m) const {
-    const double part = 0.5 + 0.5 * Random{key ^ 0x6d6f7665}.unit();
-    return now < m.seat.joined_at + part * set_.transition_ms;
+  bool joined_recently(double now, std::uint64_t key, const Member& member) const {
+    const double transition_share = 0.5 + 0.5 * Random{key ^ 0x6d6f7665}.next_unit();
+    return now < member.ring_weight.joined_at + transition_share * settings_.transition_ms;
   }
 
   // Updates the member's weight in the sum. True: its previous weight was more than the remaining sum, which
   // may then be inexact and must be recomputed.
   template <typename OnRing>
-  bool weigh(Member& m, OnRing on_ring) {
-    const double had = std::exchange(m.seat.weight, on_ring(m) ? m.entry.weight : 0);
-    weight_sum_ += m.seat.weight - had;
-    weighed_ += (m.seat.weight > 0) - (had > 0);
-    return had > weight_sum_;
+  bool update_weight(Member& member, OnRing on_ring) {
+    const double previous_weight =
+        std::exchange(member.ring_weight.weight, on_ring(member) ? member.entry.weight : 0);
+    weight_sum_ += member.ring_weight.weight - previous_weight;
+    weighted_member_count_ += (member.ring_weight.weight > 0) - (previous_weight > 0);
+    return previous_weight > weight_sum_;
   }
   template <typename Members>
-  void weigh_all(Members& members) {
+  void recompute_weight_sum(Members& members) {
     weight_sum_ = 0;
-    for (const auto& [id, m] : members) weight_sum_ += m.seat.weight;
+    for (const auto& [id, member] : members) weight_sum_ += member.ring_weight.weight;
   }
 
   // Finds members that joined, left or restarted since the last list. Forgets the keys of new and restarted
   // members, and activates the fill rate limit.
   template <typename Members, typename OnRing>
-  void note_changes(double now, Members& members, const std::vector<ServerId>& listed, OnRing on_ring) {
-    const bool first = !told_; // the first list has start times but no join times
+  void track_changes(double now, Members& members, const std::vector<ServerId>& listed_ids, OnRing on_ring) {
+    const bool is_first_list = !list_received_; // the first list has start times but no join times
     bool changed = false;
-    std::vector<ServerId> anew;
-    for (const ServerId id : listed) {
-      Member& m = members.at(id);
-      RingWeight& seat = m.seat;
-      const bool serves = on_ring(m) && m.entry.state == ServerState::Ready;
-      const bool restarted = seat.known && m.entry.started_at > seat.booted_at;
-      if (restarted || (serves && !seat.known && !back(id, m))) {
-        seat.joined_at = first ? started(m) : now;
-        if (!first) anew.push_back(id);
+    std::vector<ServerId> new_ids;
+    for (const ServerId id : listed_ids) {
+      Member& member = members.at(id);
+      RingWeight& ring_weight = member.ring_weight;
+      const bool in_service = on_ring(member) && member.entry.state == ServerState::Ready;
+      const bool restarted = ring_weight.was_in_service && member.entry.started_at > ring_weight.started_at;
+      if (restarted || (in_service && !ring_weight.was_in_service && !returned_unchanged(id, member))) {
+        ring_weight.joined_at = is_first_list ? start_time(member) : now;
+        if (!is_first_list) new_ids.push_back(id);
       }
-      if (first && serves && now - seat.joined_at < set_.transition_ms)
-        pace_.on_fleet_changed(seat.joined_at);
-      if (seat.serves && !serves && left_.size() < kMostLeft)
-        left_[id] = {seat.booted_at, seat.joined_at, now};
-      changed |= serves != seat.serves || restarted;
-      seat.serves = serves;
-      seat.known |= serves;
-      if (seat.known) seat.booted_at = m.entry.started_at;
+      if (is_first_list && in_service && now - ring_weight.joined_at < settings_.transition_ms)
+        fill_rate_limiter_.on_fleet_changed(ring_weight.joined_at);
+      if (ring_weight.in_service && !in_service && departed_.size() < kMaxDeparted)
+        departed_[id] = {ring_weight.started_at, ring_weight.joined_at, now};
+      changed |= in_service != ring_weight.in_service || restarted;
+      ring_weight.in_service = in_service;
+      ring_weight.was_in_service |= in_service;
+      if (ring_weight.was_in_service) ring_weight.started_at = member.entry.started_at;
     }
-    std::sort(anew.begin(), anew.end());
-    if (!anew.empty()) {
-      memory_.forget([&](ServerId id) { return std::binary_search(anew.begin(), anew.end(), id); });
+    std::sort(new_ids.begin(), new_ids.end());
+    if (!new_ids.empty()) {
+      key_locations_.forget(
+          [&](ServerId id) { return std::binary_search(new_ids.begin(), new_ids.end(), id); });
     }
-    std::erase_if(left_, [&](const auto& l) { return now - l.second.at > set_.transition_ms; });
-    if (changed && !first) pace_.on_fleet_changed(now);
-    told_ |= changed;
+    std::erase_if(departed_, [&](const auto& departed_entry) {
+      return now - departed_entry.second.left_at > settings_.transition_ms;
+    });
+    if (changed && !is_first_list) fill_rate_limiter_.on_fleet_changed(now);
+    list_received_ |= changed;
   }
   // The member left recently and returns as the same process, so it still holds its keys.
-  bool back(ServerId id, Member& m) {
-    const auto was = left_.find(id);
-    if (was == left_.end() || was->second.booted_at != m.entry.started_at) return false;
-    m.seat.joined_at = was->second.joined_at;
+  bool returned_unchanged(ServerId id, Member& member) {
+    const auto departed = departed_.find(id);
+    if (departed == departed_.end() || departed->second.started_at != member.entry.started_at) return false;
+    member.ring_weight.joined_at = departed->second.joined_at;
     return true;
   }
-  static double started(const Member& m) { return m.entry.started_at > 0 ? m.entry.started_at : kNever; }
+  static double start_time(const Member& member) {
+    return member.entry.started_at > 0 ? member.entry.started_at : kNever;
+  }
 
-  struct Left {
-    double booted_at, joined_at, at;
+  struct Departed {
+    double started_at, joined_at, left_at;
   };
-  ResizeSettings set_;
+  ResizeSettings settings_;
   Ring<Member> ring_;
-  double weight_sum_ = 0, unit_ = 1; // of members on the ring; typical weight
-  int weighed_ = 0;                  // number of members on the ring
-  KeyLocationCache memory_{kSlots};
-  HotKeyTracker popularity_;
-  FillRateLimiter pace_;
-  std::map<ServerId, Left> left_;
-  bool told_ = false; // a list with a member in service was received
+  double weight_sum_ = 0, typical_weight_ = 1; // of members on the ring; typical weight
+  int weighted_member_count_ = 0;              // number of members on the ring
+  KeyLocationCache key_locations_{kKeyLocationSlots};
+  HotKeyTracker hot_keys_;
+  FillRateLimiter fill_rate_limiter_;
+  std::map<ServerId, Departed> departed_;
+  bool list_received_ = false; // a list with a member in service was received
 };
 
 } // namespace fernward::placement
--- a/src/policy/outcome.cpp
+++ b/src/policy/attempt_outcome.cpp
@@ -8,15 +8,15 @@
 
 namespace fernward {
 
-constexpr std::uint64_t kRunToEndOneIn = 4;    // one of this many slow attempts is never cancelled
-constexpr double kFleetMeanWeight = 0.02;      // weight of one response in the means over all caches
-constexpr double kOverloadedLimitFactor = 0.7; // on the limit of a cache that responds as overloaded
-constexpr int kConnectionFailureWeight = 2;    // refused or broken connection; other failures count 1
+constexpr std::uint64_t kUncancelledSampleInterval = 4; // one of this many slow attempts is never cancelled
+constexpr double kFleetMeanSampleWeight = 0.02;         // weight of one response in the means over all caches
+constexpr double kOverloadedLimitFactor = 0.7;          // on the limit of a cache that responds as overloaded
+constexpr int kConnectionFailureWeight = 2; // refused or broken connection; other failures count 1
 
 namespace {
 
 // Converts an outcome at the origin for its concurrency limiter; nullopt if it does not depend on its load.
-std::optional<concurrency::AttemptEnding> ending_of(AttemptResult result, bool out_of_time) {
+std::optional<concurrency::AttemptEnding> to_attempt_ending(AttemptResult result, bool deadline_passed) {
   using concurrency::AttemptEnding;
   switch (result) {
     case AttemptResult::CacheMiss: // fast at any load
@@ -28,7 +28,8 @@
     case AttemptResult::Error:
     case AttemptResult::Reset: return AttemptEnding::Fault;
     case AttemptResult::TimedOut: return AttemptEnding::TimedOut;
-    case AttemptResult::Cancelled: return out_of_time ? AttemptEnding::TimedOut : AttemptEnding::Cancelled;
+    case AttemptResult::Cancelled:
+      return deadline_passed ? AttemptEnding::TimedOut : AttemptEnding::Cancelled;
   }
   return AttemptEnding::Answered;
 }
@@ -45,10 +46,10 @@
   if (!attempt.in_flight) return;
   attempt.in_flight = false;
   --request.in_flight;
-  if (Replica* replica = find_server(attempt.server)) learn_from_outcome(request, attempt, *replica, outcome);
-  const bool ran = may_have_executed(outcome.result);
-  request.may_have_executed |= ran;
-  if (ran && request.params.write) placement.on_write(request.params.key, now);
+  if (Replica* replica = find_server(attempt.server)) record_outcome(request, attempt, *replica, outcome);
+  const bool executed = may_have_executed(outcome.result);
+  request.may_have_executed |= executed;
+  if (executed && request.params.write) placement.on_write(request.params.key, now);
   if (!request.finished && outcome.request_ended)
     finish_request(request, outcome.result == AttemptResult::Ok);
   if (!request.finished) continue_request(request, outcome);
@@ -57,58 +58,62 @@
 }
 
 // For a forwarded response the start is what is measured, because its end depends on the client.
-void Balancer::Impl::learn_from_outcome(RequestState& request, Attempt& attempt, Replica& replica,
-                                        const AttemptOutcome& outcome) {
+void Balancer::Impl::record_outcome(RequestState& request, Attempt& attempt, Replica& replica,
+                                    const AttemptOutcome& outcome) {
   if (replica.record_report(now, settings.load_report_fields, outcome.load_report) && !is_origin(replica))
-    smooth(cache_queue_length, replica.queue_length, kFleetMeanWeight);
+    update_moving_average(mean_cache_queue_length, replica.queue_length, kFleetMeanSampleWeight);
   if (attempt.response_started && outcome.result == AttemptResult::Ok) return;
   replica.in_flight -= !attempt.response_started && replica.in_flight > 0;
-  replica.stalled -= std::exchange(attempt.stalled, false) && replica.stalled > 0;
-  const double elapsed = usable_number(outcome.elapsed_ms) ? outcome.elapsed_ms : now - attempt.sent_at;
+  replica.stalled_count -= std::exchange(attempt.stalled, false) && replica.stalled_count > 0;
+  const double elapsed_ms =
+      is_finite_non_negative(outcome.elapsed_ms) ? outcome.elapsed_ms : now - attempt.sent_at;
   if (outcome.result == AttemptResult::Ok || outcome.result == AttemptResult::CacheMiss)
     replica.latest_answered_send_at = std::max(replica.latest_answered_send_at, attempt.sent_at);
-  const bool overloaded = is_origin(replica) ? update_origin_limit(request, replica, outcome, elapsed)
-                                             : update_cache_limit(request, replica, outcome, elapsed);
+  const bool overloaded = is_origin(replica) ? update_origin_limit(request, replica, outcome, elapsed_ms)
+                                             : update_cache_limit(request, replica, outcome, elapsed_ms);
   retry_budget.on_attempt_ended(now, overloaded, is_failure(outcome.result));
-  if (std::exchange(attempt.runs_to_end, false))
+  if (std::exchange(attempt.exempt_from_cancellation, false))
     slow_attempts(replica).on_slow_attempt_ended(outcome.result != AttemptResult::TimedOut);
   if (is_origin(replica)) {
-    learn_origin_outcome(replica, outcome, elapsed);
+    record_origin_outcome(replica, outcome, elapsed_ms);
   } else {
-    learn_cache_outcome(request, attempt, replica, outcome, elapsed);
+    record_cache_outcome(request, attempt, replica, outcome, elapsed_ms);
   }
 }
 
 // Updates the cache's concurrency limiter. Returns true if the outcome indicates overload.
 bool Balancer::Impl::update_cache_limit(const RequestState& request, Replica& replica,
-                                        const AttemptOutcome& outcome, double elapsed) {
+                                        const AttemptOutcome& outcome, double elapsed_ms) {
   if (outcome.result == AttemptResult::Overloaded) replica.limiter.decrease(now, kOverloadedLimitFactor);
   const double objective_ms = latency_objective_ms(request);
-  const bool silent = outcome.result == AttemptResult::Cancelled || outcome.result == AttemptResult::TimedOut;
+  const bool unanswered =
+      outcome.result == AttemptResult::Cancelled || outcome.result == AttemptResult::TimedOut;
   // Late unanswered attempts count, otherwise the limit would stop changing when no response is in time.
-  const bool late_silent = silent && elapsed > concurrency::kCrowdedShareOfObjective * objective_ms;
-  if (outcome.result == AttemptResult::Ok || late_silent)
-    return replica.limiter.on_response(now, elapsed, objective_ms, replica.active());
+  const bool late_unanswered =
+      unanswered && elapsed_ms > concurrency::kCongestedShareOfObjective * objective_ms;
+  if (outcome.result == AttemptResult::Ok || late_unanswered)
+    return replica.limiter.on_response(now, elapsed_ms, objective_ms, replica.active());
   return outcome.result == AttemptResult::Overloaded;
 }
 
 // The same for the origin, with its limiter and its connection capacity estimate.
 bool Balancer::Impl::update_origin_limit(const RequestState& request, const Replica& replica,
-                                         const AttemptOutcome& outcome, double elapsed) {
+                                         const AttemptOutcome& outcome, double elapsed_ms) {
   // The connection was refused by an origin that responds: it lacks connections, not capacity.
-  const bool lacks_connections = outcome.result == AttemptResult::ConnectFailed && responded_lately(replica);
+  const bool lacks_connections =
+      outcome.result == AttemptResult::ConnectFailed && responded_recently(replica);
   if (lacks_connections || (outcome.result == AttemptResult::Overloaded && outcome.first_on_connection)) {
-    origin_dispatch.connections.on_connection_refused(now, replica.active(),
-                                                      origin_dispatch.limiter.latency_ms(), random.unit());
+    origin_dispatch.connections.on_connection_refused(
+        now, replica.active(), origin_dispatch.limiter.latency_ms(), random.next_unit());
     log("origin refuses further connections, in use:", replica.active());
     return false;
   }
-  const auto ending = ending_of(outcome.result, now >= request.answer_by);
+  const auto ending = to_attempt_ending(outcome.result, now >= request.response_deadline);
   if (!ending) return false;
   if (outcome.result == AttemptResult::Ok)
     origin_dispatch.connections.on_connection_used(replica.active() + 1);
   const concurrency::AttemptSample sample{*ending,
-                                          elapsed,
+                                          elapsed_ms,
                                           request.params.expected_work_ms,
                                           latency_objective_ms(request),
                                           request.params.write,
@@ -119,34 +124,37 @@
   return reason == concurrency::DecreaseReason::Rejected || reason == concurrency::DecreaseReason::Slow;
 }
 
-void Balancer::Impl::learn_cache_outcome(RequestState& request, const Attempt& attempt, Replica& replica,
-                                         const AttemptOutcome& outcome, double elapsed) {
+void Balancer::Impl::record_cache_outcome(RequestState& request, const Attempt& attempt, Replica& replica,
+                                          const AttemptOutcome& outcome, double elapsed_ms) {
   // The cache had closed an idle connection: it is healthy, and a new connection will work.
-  const bool stale = outcome.result == AttemptResult::Reset && outcome.on_reused_connection;
-  const bool well = outcome.result == AttemptResult::Ok || outcome.result == AttemptResult::CacheMiss ||
-                    outcome.result == AttemptResult::Overloaded;
-  if (outcome.result != AttemptResult::Cancelled && outcome.result != AttemptResult::Abandoned && !stale)
-    ejection.record_attempt(replica, well);
+  const bool stale_connection = outcome.result == AttemptResult::Reset && outcome.on_reused_connection;
+  const bool healthy = outcome.result == AttemptResult::Ok || outcome.result == AttemptResult::CacheMiss ||
+                       outcome.result == AttemptResult::Overloaded;
+  if (outcome.result != AttemptResult::Cancelled && outcome.result != AttemptResult::Abandoned &&
+      !stale_connection)
+    outlier_ejection.record_attempt(replica, healthy);
   switch (outcome.result) {
     case AttemptResult::Ok:
       record_success(replica);
-      smooth(cache_response_ms, elapsed, kFleetMeanWeight);
-      cache_slow_attempts.on_response(elapsed);
-      replica.record_response(now, elapsed);
-      record_lookup(request, attempt, true);
+      update_moving_average(mean_cache_response_ms, elapsed_ms, kFleetMeanSampleWeight);
+      cache_slow_attempts.on_response(elapsed_ms);
+      replica.record_response(now, elapsed_ms);
+      record_cache_lookup(request, attempt, true);
       break;
     case AttemptResult::CacheMiss:
       record_success(replica);
-      record_lookup(request, attempt, false);
+      record_cache_lookup(request, attempt, false);
       request.cache_misses.push_back(replica.entry.id);
       break;
-    case AttemptResult::Overloaded: learn_overloaded(replica, outcome.attempt > 0); break;
+    case AttemptResult::Overloaded: record_overloaded(replica, outcome.attempt > 0); break;
     case AttemptResult::ConnectFailed:
-    case AttemptResult::Reset: record_failure(replica, stale ? 0 : kConnectionFailureWeight); break;
+    case AttemptResult::Reset:
+      record_failure(replica, stale_connection ? 0 : kConnectionFailureWeight);
+      break;
     case AttemptResult::Error: record_failure(replica, 1); break;
-    case AttemptResult::Cancelled: learn_unanswered(replica, elapsed); break;
+    case AttemptResult::Cancelled: record_unanswered(replica, elapsed_ms); break;
     case AttemptResult::TimedOut:
-      learn_unanswered(replica, elapsed);
+      record_unanswered(replica, elapsed_ms);
       record_failure(replica, 1);
       break;
     case AttemptResult::Abandoned:
@@ -157,21 +165,24 @@
 
 // Another request would probably be rejected for about the duration of one request. `retried`: it was not the
 // request's first attempt, so more than one cache is overloaded.
-void Balancer::Impl::learn_overloaded(Replica& replica, bool retried) {
+void Balancer::Impl::record_overloaded(Replica& replica, bool is_retry) {
   replica.outlier.record_response(now);
-  admission.choices_without_capacity += retried;
-  const double pause_ms = replica.service_time_ms > 0 ? replica.service_time_ms
-                                                      : replica.expected_response_ms(now, cache_response_ms);
-  replica.overloaded_until = now + pause_ms;
+  admission.choices_without_capacity += is_retry;
+  const double overload_pause_ms = replica.service_time_ms > 0
+                                       ? replica.service_time_ms
+                                       : replica.expected_response_ms(now, mean_cache_response_ms);
+  replica.overloaded_until = now + overload_pause_ms;
 }
 
 // The elapsed time is a lower bound of the response time.
-void Balancer::Impl::learn_unanswered(Replica& replica, double elapsed) {
-  if (elapsed > replica.expected_response_ms(now, cache_response_ms)) replica.record_response(now, elapsed);
-  if (elapsed > cache_response_ms) smooth(cache_response_ms, elapsed, kFleetMeanWeight);
+void Balancer::Impl::record_unanswered(Replica& replica, double elapsed_ms) {
+  if (elapsed_ms > replica.expected_response_ms(now, mean_cache_response_ms))
+    replica.record_response(now, elapsed_ms);
+  if (elapsed_ms > mean_cache_response_ms)
+    update_moving_average(mean_cache_response_ms, elapsed_ms, kFleetMeanSampleWeight);
 }
 
-void Balancer::Impl::record_lookup(RequestState& request, const Attempt& attempt, bool hit) {
+void Balancer::Impl::record_cache_lookup(RequestState& request, const Attempt& attempt, bool hit) {
   if (hit && request.pending_fill)
     // A fetch by another router has already filled the cache.
     placement.fill_rate_limiter().refund(*std::exchange(request.pending_fill, {}));
@@ -183,22 +194,23 @@
   }
 }
 
-void Balancer::Impl::learn_origin_outcome(Replica& replica, const AttemptOutcome& outcome, double elapsed) {
+void Balancer::Impl::record_origin_outcome(Replica& replica, const AttemptOutcome& outcome,
+                                           double elapsed_ms) {
   if (outcome.result != AttemptResult::Ok) return;
   replica.outlier.record_response(now);
-  replica.record_response(now, elapsed);
-  origin_slow_attempts.on_response(elapsed);
+  replica.record_response(now, elapsed_ms);
+  origin_slow_attempts.on_response(elapsed_ms);
 }
 
 void Balancer::Impl::continue_request(RequestState& request, const AttemptOutcome& outcome) {
   // A slow attempt may be on a connection that no longer responds: a hedged request does not wait for it.
-  if (request.queued_for_origin || request.has_attempt_on_time() ||
+  if (request.queued_for_origin || request.has_timely_attempt() ||
       (request.in_flight > 0 && (request.streaming || !settings.may_hedge)))
     return;
   if (request.in_flight > 0 && !retry_budget.try_consume(now, concurrency::RetryBudget::Use::Hedge, 0))
     return;
   if (outcome.result == AttemptResult::CacheMiss) return continue_after_miss(request);
-  if (request.leads_fetch) complete_fetch(request, false);
+  if (request.is_fetch_leader) complete_fetch(request, false);
   if (outcome.result == AttemptResult::InvalidRequest) { // a retry would only use up what other requests need
     emit(Fail{request.params.id, GiveUpReason::InvalidRequest});
     return finish_request(request, false);
@@ -215,8 +227,9 @@
   // An attempt that was rejected as overloaded or never connected costs a server almost nothing, so it is not
   // charged to the retry budget; the attempt limit bounds such retries.
   if (outcome.result != AttemptResult::Overloaded && outcome.result != AttemptResult::ConnectFailed) {
-    const double crowding = at_origin ? origin_dispatch.limiter.utilization(now, origin->active()) : 0;
-    if (!retry_budget.try_consume(now, concurrency::RetryBudget::Use::Retry, crowding))
+    const double origin_utilization =
+        at_origin ? origin_dispatch.limiter.utilization(now, origin->active()) : 0;
+    if (!retry_budget.try_consume(now, concurrency::RetryBudget::Use::Retry, origin_utilization))
       return give_up(request, GiveUpReason::RetryBudgetEmpty);
   }
   if (at_origin) return retry_at_origin(request, outcome);
@@ -226,7 +239,7 @@
 void Balancer::Impl::retry_at_origin(RequestState& request, const AttemptOutcome& outcome) {
   const double connection_wait_ms = origin_dispatch.connections.wait_ms(now, origin->active());
   if (connection_wait_ms > 0)
-    emit(SetTimer{connection_wait_ms, timer_token(Timer::RetryOrigin, request.params.id)});
+    emit(SetTimer{connection_wait_ms, timer_token(TimerKind::RetryOrigin, request.params.id)});
   // After a fault a delay has no use; if connections are lacking, the request waits in the queue.
   if (outcome.result == AttemptResult::Error || outcome.result == AttemptResult::Reset ||
       connection_wait_ms > 0)
@@ -234,9 +247,9 @@
   if (!retry_policy.allows_server(request, origin->entry, now))
     return give_up(request, GiveUpReason::NotIdempotent);
   const double wait_ms =
-      std::max(origin_dispatch.limiter.latency_ms(), settings.event_interval_ms) * (0.5 + random.unit());
-  if (now + wait_ms >= request.answer_by) return give_up(request, GiveUpReason::QueueTimeout);
-  emit(SetTimer{wait_ms, timer_token(Timer::RetryOrigin, request.params.id)});
+      std::max(origin_dispatch.limiter.latency_ms(), settings.event_interval_ms) * (0.5 + random.next_unit());
+  if (now + wait_ms >= request.response_deadline) return give_up(request, GiveUpReason::QueueTimeout);
+  emit(SetTimer{wait_ms, timer_token(TimerKind::RetryOrigin, request.params.id)});
 }
 
 void Balancer::Impl::on_response_started(const ResponseStarted& started) {
@@ -245,12 +258,14 @@
       !request->attempts[started.attempt].in_flight)
     return;
   if (Replica* replica = find_server(started.server))
-    learn_from_outcome(*request, request->attempts[started.attempt], *replica, outcome_of(started));
+    record_outcome(*request, request->attempts[started.attempt], *replica,
+                   outcome_from_response_start(started));
   request->attempts[started.attempt].response_started = true;
   request->streaming = true;
   cancel_attempts(*request, started.attempt); // the slower attempts
   // The origin has responded: followers need not wait until this client has read the response.
-  if (request->leads_fetch) complete_fetch(*request, origin != nullptr && started.server == origin->entry.id);
+  if (request->is_fetch_leader)
+    complete_fetch(*request, origin != nullptr && started.server == origin->entry.id);
 }
 
 void Balancer::Impl::on_health_check_result(const HealthCheckResult& result) {
@@ -263,39 +278,41 @@
 
 // The attempt is slower than nearly all others: the server or connection may be stuck, and a hedged request
 // may be faster.
-void Balancer::Impl::on_slow_attempt(RequestState& request, std::size_t index) {
-  if (index >= request.attempts.size() || !request.attempts[index].in_flight) return;
-  Attempt& attempt = request.attempts[index];
+void Balancer::Impl::on_slow_attempt(RequestState& request, std::size_t attempt_index) {
+  if (attempt_index >= request.attempts.size() || !request.attempts[attempt_index].in_flight) return;
+  Attempt& attempt = request.attempts[attempt_index];
   Replica* replica = find_server(attempt.server);
   if (replica == nullptr || attempt.slow) return;
   attempt.slow = true;
-  attempt.runs_to_end = is_origin(*replica) || mix(request.params.id) % kRunToEndOneIn == 0;
-  attempt.stalled =
-      replica->latest_answered_send_at > attempt.sent_at && slow_attempts(*replica).expects_dead_attempts();
-  replica->stalled += attempt.stalled;
+  attempt.exempt_from_cancellation =
+      is_origin(*replica) || mix_bits(request.params.id) % kUncancelledSampleInterval == 0;
+  attempt.stalled = replica->latest_answered_send_at > attempt.sent_at &&
+                    slow_attempts(*replica).expects_unanswered_attempts();
+  replica->stalled_count += attempt.stalled;
   record_failure(*replica, 1);
   if (settings.may_hedge_class(request.params.class_index)) {
     hedge(request, attempt, *replica);
   } else {
-    cancel_for_retry(request, index);
+    cancel_for_retry(request, attempt_index);
   }
 }
 
 // If no second attempt may be in flight, the slow one is cancelled; its outcome then starts the retry.
-void Balancer::Impl::cancel_for_retry(const RequestState& request, std::size_t index) {
+void Balancer::Impl::cancel_for_retry(const RequestState& request, std::size_t attempt_index) {
   const bool idempotent = settings.classes[request.params.class_index].idempotency == Idempotency::Idempotent;
   if (settings.may_cancel && idempotent && retry_budget.balance() >= 1 &&
       retry_policy.has_attempts_left(request))
-    emit(Cancel{request.params.id, static_cast<std::uint32_t>(index)});
+    emit(Cancel{request.params.id, static_cast<std::uint32_t>(attempt_index)});
 }
 
 // At the origin a hedged request costs a fetch, so it is sent only if the connection seems to be stuck.
-void Balancer::Impl::hedge(RequestState& request, const Attempt& slow, Replica& replica) {
-  if (request.queued_for_origin || request.has_attempt_on_time()) return;
+void Balancer::Impl::hedge(RequestState& request, const Attempt& slow_attempt, Replica& replica) {
+  if (request.queued_for_origin || request.has_timely_attempt()) return;
   const bool at_origin = is_origin(replica);
-  const double crowding = at_origin ? origin_dispatch.limiter.utilization(now, replica.active()) : 0;
-  if (at_origin && !slow.stalled) return;
-  if (!retry_budget.try_consume(now, concurrency::RetryBudget::Use::Hedge, crowding)) return;
+  const double origin_utilization =
+      at_origin ? origin_dispatch.limiter.utilization(now, replica.active()) : 0;
+  if (at_origin && !slow_attempt.stalled) return;
+  if (!retry_budget.try_consume(now, concurrency::RetryBudget::Use::Hedge, origin_utilization)) return;
   const bool sent = at_origin
                         ? origin_dispatch.limiter.has_capacity(now, replica.active(), request.params.write) &&
                               send_attempt(request, replica)
--- a/src/policy/balancer.h
+++ b/src/policy/balancer.h
@@ -34,51 +34,51 @@
   std::vector<Action>* actions = nullptr;
   std::map<ServerId, Replica> replicas;
   placement::Placement<Replica> placement;
-  placement::KeyDemand demand;
+  placement::KeyDemand key_demand;
   Replica* origin = nullptr;
   OriginDispatch origin_dispatch;
-  std::vector<RequestId> expired; // scratch buffer of dispatch_to_origin()
+  std::vector<RequestId> expired_requests; // scratch buffer of dispatch_to_origin()
   concurrency::RetryBudget retry_budget;
   bool dispatching_origin = false;
   std::unordered_map<RequestId, RequestState> requests;
-  std::vector<RequestId> finished; // no attempt in flight: erased once the event is handled
-  FetchCoalescer fetches;
+  std::vector<RequestId> finished_requests; // no attempt in flight: erased once the event is handled
+  FetchCoalescer fetch_coalescer;
   concurrency::AdmissionController admission;
-  double shortest_objective_ms = 0; // over the classes
-  double cache_response_ms = 0;     // moving average over all caches' response times
-  double cache_queue_length = 0;    // moving average over all caches' reported queues
+  double shortest_objective_ms = 0;   // over the classes
+  double mean_cache_response_ms = 0;  // moving average over all caches' response times
+  double mean_cache_queue_length = 0; // moving average over all caches' reported queues
   concurrency::SlowAttemptTracker cache_slow_attempts, origin_slow_attempts;
-  TenantQuotas quotas{settings};
-  OutlierEjection ejection{settings};
+  TenantQuotas tenant_quotas{settings};
+  OutlierEjection outlier_ejection{settings};
   SlowStart slow_start{settings};
   RetryPolicy retry_policy{settings};
   EndpointPollSchedule poll_schedule;
-  std::vector<ServerId> leaving; // no longer listed; removed once they have no attempt in flight
-  std::set<ServerId> listed_origins;
+  std::vector<ServerId> departed_servers; // no longer listed; removed once they have no attempt in flight
+  std::set<ServerId> listed_origin_ids;
   double health_check_credit = 0; // health checks that may be sent to obtain load reports
   double live_routers = 0;        // routers in service, as far as known
-  double origin_demand = -1;      // moving average of attempts in flight or queued; below 0: unknown
-  bool ticking = false;
-  double logged_at = kNever;
+  double mean_origin_demand = -1; // moving average of attempts in flight or queued; below 0: unknown
+  bool tick_timer_started = false;
+  double last_log_at = kNever;
 
-  Impl(const Settings& s, std::uint64_t seed);
+  Impl(const Settings& initial_settings, std::uint64_t seed);
   void apply_classes(); // settings.cpp
 
   // balancer.cpp: events, the endpoint list, timers
-  void start();
-  void dispatch(const Event& event);
-  template <typename Kind>
-  void emit(Kind action) {
-    actions->emplace_back(std::in_place_type<Kind>, std::move(action));
+  void start_timers_once();
+  void dispatch_event(const Event& event);
+  template <typename ActionType>
+  void emit(ActionType action) {
+    actions->emplace_back(std::in_place_type<ActionType>, std::move(action));
   }
-  void log(const char* what, double figure);
+  void log(const char* message, double value);
   void on_endpoint_list(const EndpointList& list);
   void on_timer(const TimerFired& timer);
   void on_fleet_state(const FleetState& fleet);
   void on_outlier_report(const OutlierReport& report);
-  void update_server(const Server& listed);
-  void place_servers(const std::vector<ServerId>& changed);
-  void drop_departed();
+  void update_server(const Server& listed_server);
+  void update_placement(const std::vector<ServerId>& changed_ids);
+  void remove_departed_servers();
   void send_health_check(Replica& replica);
   void send_due_health_checks();
   void tick();
@@ -97,59 +97,59 @@
     return static_cast<std::int64_t>(replica.entry.kind) == settings.origin_kind;
   }
 
-  // choose.cpp: request arrival and cache selection
-  void on_request(const Request& received);
+  // cache_selection.cpp: request arrival and cache selection
+  void on_request(const Request& new_request);
   double latency_objective_ms(const RequestState& request) const;
-  using Choice = placement::Placement<Replica>::Choice;
-  Choice cache_candidates(const RequestState& request, std::uint64_t key);
-  bool has_room(Replica& replica, const RequestState& request, bool first_candidate);
-  double cache_score(const Replica& replica, std::uint64_t key, bool likely_holder, double origin_ms) const;
+  using CandidateList = placement::Placement<Replica>::Choice;
+  CandidateList cache_candidates(const RequestState& request, std::uint64_t key);
+  bool can_accept_attempt(Replica& replica, const RequestState& request, bool first_candidate);
+  double cache_score(const Replica& replica, std::uint64_t key, bool likely_has_key, double origin_ms) const;
   bool send_to_best_cache(RequestState& request);
   double origin_cost_ms() const;
   bool send_attempt(RequestState& request, Replica& replica);
   void record_attempt(RequestState& request, Replica& replica);
 
-  // health.cpp: cache ejection and half-open trials
-  bool responded_lately(const Replica& replica);
+  // cache_ejection.cpp: cache ejection and half-open trials
+  bool responded_recently(const Replica& replica);
   void record_failure(Replica& replica, int weight);
   void eject(Replica& replica);
   void schedule_trial(Replica& replica);
   void record_success(Replica& replica);
 
-  // outcome.cpp: attempts that end or are slow
+  // attempt_outcome.cpp: attempts that end or are slow
   void on_attempt_outcome(const AttemptOutcome& outcome);
   void on_response_started(const ResponseStarted& started);
   void on_health_check_result(const HealthCheckResult& result);
-  void learn_from_outcome(RequestState& request, Attempt& attempt, Replica& replica,
-                          const AttemptOutcome& outcome);
-  void learn_cache_outcome(RequestState& request, const Attempt& attempt, Replica& replica,
-                           const AttemptOutcome& outcome, double elapsed);
-  void learn_overloaded(Replica& replica, bool retried);
-  void learn_unanswered(Replica& replica, double elapsed);
-  void learn_origin_outcome(Replica& replica, const AttemptOutcome& outcome, double elapsed);
+  void record_outcome(RequestState& request, Attempt& attempt, Replica& replica,
+                      const AttemptOutcome& outcome);
+  void record_cache_outcome(RequestState& request, const Attempt& attempt, Replica& replica,
+                            const AttemptOutcome& outcome, double elapsed_ms);
+  void record_overloaded(Replica& replica, bool is_retry);
+  void record_unanswered(Replica& replica, double elapsed_ms);
+  void record_origin_outcome(Replica& replica, const AttemptOutcome& outcome, double elapsed_ms);
   bool update_cache_limit(const RequestState& request, Replica& replica, const AttemptOutcome& outcome,
-                          double elapsed);
+                          double elapsed_ms);
   bool update_origin_limit(const RequestState& request, const Replica& replica, const AttemptOutcome& outcome,
-                           double elapsed);
-  void record_lookup(RequestState& request, const Attempt& attempt, bool hit);
+                           double elapsed_ms);
+  void record_cache_lookup(RequestState& request, const Attempt& attempt, bool hit);
   void continue_request(RequestState& request, const AttemptOutcome& outcome);
   void retry(RequestState& request, const AttemptOutcome& outcome);
   void retry_at_origin(RequestState& request, const AttemptOutcome& outcome);
-  void on_slow_attempt(RequestState& request, std::size_t index);
-  void cancel_for_retry(const RequestState& request, std::size_t index);
-  void hedge(RequestState& request, const Attempt& slow, Replica& replica);
+  void on_slow_attempt(RequestState& request, std::size_t attempt_index);
+  void cancel_for_retry(const RequestState& request, std::size_t attempt_index);
+  void hedge(RequestState& request, const Attempt& slow_attempt, Replica& replica);
 
-  // origin.cpp: cache misses, writes and origin dispatch
+  // origin_fetch.cpp: cache misses, writes and origin dispatch
   void continue_after_miss(RequestState& request);
   void queue_for_origin(RequestState& request);
   void dispatch_to_origin();
-  void complete_fetch(RequestState& leader, bool stored);
+  void complete_fetch(RequestState& leader, bool response_stored);
 
   // give_up.cpp: final answers and cancellation
   void on_client_disconnected(const ClientDisconnected& event);
   void finish_request(RequestState& request, bool served);
-  void cancel_attempts(const RequestState& request, std::size_t except);
-  void give_up(RequestState& request, GiveUpReason why);
+  void cancel_attempts(const RequestState& request, std::size_t excluded_attempt);
+  void give_up(RequestState& request, GiveUpReason reason);
 };
 
 } // namespace fernward
--- a/src/policy/health.cpp
+++ b/src/policy/cache_ejection.cpp
@@ -5,15 +5,15 @@
 
 namespace fernward {
 
-bool Balancer::Impl::responded_lately(const Replica& replica) {
+bool Balancer::Impl::responded_recently(const Replica& replica) {
   return now - replica.outlier.last_response_at() <
          2 * std::max(slow_attempts(replica).slow_threshold_ms,
-                      replica.expected_response_ms(now, cache_response_ms));
+                      replica.expected_response_ms(now, mean_cache_response_ms));
 }
 
 void Balancer::Impl::record_failure(Replica& replica, int weight) {
   if (is_origin(replica)) return;
-  if (ejection.record_failure(replica, now, weight, responded_lately(replica))) eject(replica);
+  if (outlier_ejection.record_failure(replica, now, weight, responded_recently(replica))) eject(replica);
 }
 
 void Balancer::Impl::eject(Replica& replica) {
@@ -24,25 +24,26 @@
 }
 
 void Balancer::Impl::schedule_trial(Replica& replica) {
-  replica.outlier.schedule_trial(now, cache_slow_attempts.slow_threshold_ms, random.unit());
+  replica.outlier.schedule_trial(now, cache_slow_attempts.slow_threshold_ms, random.next_unit());
 }
 
-void Balancer::Impl::record_success(Replica& replica) { ejection.record_success(replica, now); }
+void Balancer::Impl::record_success(Replica& replica) { outlier_ejection.record_success(replica, now); }
 
 // ---- outlier reports between routers ----
 
 void Balancer::Impl::on_outlier_report(const OutlierReport& report) {
   Replica* replica = find_server(report.server);
   if (replica == nullptr || is_origin(*replica)) return;
-  if (ejection.on_report(*replica, report, now)) eject(*replica);
+  if (outlier_ejection.apply_report(*replica, report, now)) eject(*replica);
 }
 
-void Balancer::outlier_observations(std::vector<OutlierObservation>& to) const {
+void Balancer::outlier_observations(std::vector<OutlierObservation>& observations) const {
   for (const auto& [id, replica] : impl_->replicas) {
     if (impl_->is_origin(replica) || replica.entry.state != ServerState::Ready) continue;
     const auto failures = static_cast<std::uint32_t>(replica.outlier.consecutive_failures());
-    to.push_back({id, failures,
-                  failures > 0 ? replica.outlier.last_failure_at() : replica.outlier.last_response_at()});
+    observations.push_back(
+        {id, failures,
+         failures > 0 ? replica.outlier.last_failure_at() : replica.outlier.last_response_at()});
   }
 }
 
--- a/src/policy/endpoint_poll_schedule.h
+++ b/src/policy/endpoint_poll_schedule.h
@@ -14,35 +14,35 @@
  public:
   /// Many routers may restart at the same time: the first calls are spread to keep from overloading
   /// discovery.
-  void start(double now, double draw) { next_at_ = now + kFirstCallSpreadMs * draw; }
-  bool is_due(double now) const { return !subscribed_ && now >= next_at_; }
+  void start(double now, double random_unit) { next_poll_at_ = now + kInitialPollJitterMs * random_unit; }
+  bool is_due(double now) const { return !subscribed_ && now >= next_poll_at_; }
   /// `poll_interval_ms`: the call is repeated if no list arrives within this time; 0: a default is used.
-  void record_sent(double now, double poll_interval_ms) {
-    pending_ = true;
-    next_at_ = now + (poll_interval_ms > 0 ? poll_interval_ms : kMaxBackoffMs);
+  void record_poll_sent(double now, double poll_interval_ms) {
+    poll_pending_ = true;
+    next_poll_at_ = now + (poll_interval_ms > 0 ? poll_interval_ms : kMaxBackoffMs);
   }
   void on_list(EndpointListKind kind) {
-    if (kind == EndpointListKind::Cached || !pending_) return;
+    if (kind == EndpointListKind::Cached || !poll_pending_) return;
     subscribed_ = true;
-    pending_ = false;
+    poll_pending_ = false;
     backoff_ms_ = 0;
   }
-  void on_failure(double now, double draw) {
+  void on_failure(double now, double random_unit) {
     subscribed_ = false;
-    pending_ = false;
+    poll_pending_ = false;
     backoff_ms_ = std::clamp(2 * backoff_ms_, kMinBackoffMs, kMaxBackoffMs);
-    next_at_ = now + backoff_ms_ * (0.5 + draw);
+    next_poll_at_ = now + backoff_ms_ * (0.5 + random_unit);
   }
-  double next_at() const { return next_at_; }
+  double next_poll_at() const { return next_poll_at_; }
 
  private:
-  static constexpr double kFirstCallSpreadMs = 1000;
+  static constexpr double kInitialPollJitterMs = 1000;
   static constexpr double kMaxBackoffMs = 8000;
   static constexpr double kMinBackoffMs = kMaxBackoffMs / 16;
 
   bool subscribed_ = false;
-  bool pending_ = false;
-  double next_at_ = 0;
+  bool poll_pending_ = false;
+  double next_poll_at_ = 0;
   double backoff_ms_ = 0;
 };
 
--- a/src/policy/give_up.cpp
+++ b/src/policy/give_up.cpp
@@ -11,17 +11,18 @@
   if (request.queued_for_origin) origin_dispatch.queue.remove(request.params.id);
   request.queued_for_origin = false;
   cancel_attempts(request, request.attempts.size());
-  if (request.leads_fetch) complete_fetch(request, served);
-  if (request.in_flight == 0) finished.push_back(request.params.id);
+  if (request.is_fetch_leader) complete_fetch(request, served);
+  if (request.in_flight == 0) finished_requests.push_back(request.params.id);
 }
 
-void Balancer::Impl::cancel_attempts(const RequestState& request, std::size_t except) {
+void Balancer::Impl::cancel_attempts(const RequestState& request, std::size_t excluded_attempt) {
   for (std::size_t i = 0; i < request.attempts.size(); ++i) {
     const Attempt& attempt = request.attempts[i];
     // The origin completes requests that it has started: the attempt is not cancelled, so that the
     // concurrency limit still counts it.
-    const bool waited_for = attempt.runs_to_end || (origin != nullptr && attempt.server == origin->entry.id);
-    if (i != except && attempt.in_flight && settings.may_cancel && !waited_for) {
+    const bool must_complete =
+        attempt.exempt_from_cancellation || (origin != nullptr && attempt.server == origin->entry.id);
+    if (i != excluded_attempt && attempt.in_flight && settings.may_cancel && !must_complete) {
       emit(Cancel{request.params.id, static_cast<std::uint32_t>(i)});
     }
   }
@@ -29,17 +30,18 @@
 
 // Rejects if a retry by the client is guaranteed to be safe, otherwise fails. Under overload the maximum
 // Retry-After is sent; otherwise about the duration of a slow attempt.
-void Balancer::Impl::give_up(RequestState& request, GiveUpReason why) {
-  if (request.in_flight > 0 && now < request.answer_by) return; // an attempt in flight may still be answered
+void Balancer::Impl::give_up(RequestState& request, GiveUpReason reason) {
+  if (request.in_flight > 0 && now < request.response_deadline)
+    return; // an attempt in flight may still be answered
   if (retry_policy.client_may_retry(request)) {
-    const bool overloaded = why == GiveUpReason::Shed || why == GiveUpReason::QueueTimeout ||
-                            why == GiveUpReason::ResponseTimeout || why == GiveUpReason::NotSent;
+    const bool overloaded = reason == GiveUpReason::Shed || reason == GiveUpReason::QueueTimeout ||
+                            reason == GiveUpReason::ResponseTimeout || reason == GiveUpReason::NotSent;
     const double retry_after_ms =
         overloaded ? settings.max_retry_after_ms
                    : std::min(settings.max_retry_after_ms, cache_slow_attempts.slow_threshold_ms);
-    emit(Reject{request.params.id, settings.send_retry_after ? retry_after_ms : 0, why});
+    emit(Reject{request.params.id, settings.send_retry_after ? retry_after_ms : 0, reason});
   } else {
-    emit(Fail{request.params.id, why});
+    emit(Fail{request.params.id, reason});
   }
   finish_request(request, false);
 }
--- a/src/policy/origin_dispatch.h
+++ b/src/policy/origin_dispatch.h
@@ -32,18 +32,21 @@
   /// the response time. `fetch_limit_per_ms`: limit of the fill rate limiter; 0: none.
   void update_service_rate(double fetch_limit_per_ms) {
     const double response_ms = limiter.latency_ms();
-    const double most_active = std::min(limiter.limit(), connections.capacity());
-    const double turns_per_ms = response_ms > 0 ? most_active / response_ms : 0;
-    const bool fetches_limited = fetch_limit_per_ms > 0 && turns_per_ms > 0;
-    queue.set_service_rate(fetches_limited ? std::min(fetch_limit_per_ms, turns_per_ms) : turns_per_ms,
-                           response_ms);
+    const double max_active = std::min(limiter.limit(), connections.capacity());
+    const double service_rate_per_ms = response_ms > 0 ? max_active / response_ms : 0;
+    const bool fetches_limited = fetch_limit_per_ms > 0 && service_rate_per_ms > 0;
+    queue.set_service_rate(
+        fetches_limited ? std::min(fetch_limit_per_ms, service_rate_per_ms) : service_rate_per_ms,
+        response_ms);
   }
   /// Removes and returns the next request that may be sent now; nullopt if there is none.
-  std::optional<RequestId> next(double now, std::uint32_t active, placement::FillRateLimiter& fill_rate) {
-    const bool connection = connections.has_capacity(now, active);
-    const bool read_room = connection && limiter.has_capacity(now, active, false) && fill_rate.may_fetch(now);
-    const bool write_room = connection && limiter.has_capacity(now, active, true);
-    return queue.take(now, read_room, write_room);
+  std::optional<RequestId> take_next_request(double now, std::uint32_t active,
+                                             placement::FillRateLimiter& fill_rate) {
+    const bool has_connection = connections.has_capacity(now, active);
+    const bool may_send_read =
+        has_connection && limiter.has_capacity(now, active, false) && fill_rate.may_fetch(now);
+    const bool may_send_write = has_connection && limiter.has_capacity(now, active, true);
+    return queue.take(now, may_send_read, may_send_write);
   }
 };
 
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -7,54 +7,55 @@
 namespace {
 
 constexpr double kPanicThreshold = 0.5; // share of the caches; if more are ejected, ejection is ignored
-constexpr double kCacheFailureRateWeight = 0.1; // weight of one attempt in the cache's rate
-constexpr double kFleetFailureRateWeight = 0.01;
+constexpr double kCacheFailureSampleWeight = 0.1; // weight of one attempt in the cache's rate
+constexpr double kFleetFailureSampleWeight = 0.01;
 constexpr double kToleratedFailureRate = 0.5; // of a cache that responds, if the other caches do not fail
 
 } // namespace
 
-void OutlierEjection::count(const Replica& replica, bool is_origin, int sign) {
+void OutlierEjection::update_counts(const Replica& replica, bool is_origin, int sign) {
   if (replica.entry.state != ServerState::Ready) return;
-  ready_caches_ += is_origin ? 0 : sign;
-  ejected_ += replica.outlier.is_ejected() ? sign : 0;
+  ready_cache_count_ += is_origin ? 0 : sign;
+  ejected_count_ += replica.outlier.is_ejected() ? sign : 0;
 }
 
-bool OutlierEjection::is_panic() const {
-  return static_cast<double>(ejected_) > kPanicThreshold * static_cast<double>(ready_caches_);
+bool OutlierEjection::panic_threshold_exceeded() const {
+  return static_cast<double>(ejected_count_) > kPanicThreshold * static_cast<double>(ready_cache_count_);
 }
 
 bool OutlierEjection::is_usable(const Replica& replica, double now) const {
   if (replica.entry.state != ServerState::Ready) return false;
-  if (!replica.outlier.is_ejected() || is_panic()) return true;
+  if (!replica.outlier.is_ejected() || panic_threshold_exceeded()) return true;
   // Without health checks a client request serves as the half-open trial, one at a time.
   return !settings_.may_health_check && replica.outlier.trial_due(now);
 }
 
-void OutlierEjection::record_attempt(Replica& replica, bool ok) {
-  smooth(replica.failure_rate, !ok, kCacheFailureRateWeight);
-  smooth(failure_rate_, !ok, kFleetFailureRateWeight);
+void OutlierEjection::record_attempt(Replica& replica, bool succeeded) {
+  update_moving_average(replica.failure_rate, !succeeded, kCacheFailureSampleWeight);
+  update_moving_average(fleet_failure_rate_, !succeeded, kFleetFailureSampleWeight);
 }
 
-bool OutlierEjection::record_failure(Replica& replica, double now, int weight, bool responded_lately) {
+bool OutlierEjection::record_failure(Replica& replica, double now, int weight, bool responded_recently) {
   // A cache that responds to other attempts is only slow, or its connections break: it is not ejected unless
   // it fails far more often than most.
-  const bool stays = responded_lately && replica.failure_rate < kToleratedFailureRate + failure_rate_ / 2;
-  if (!replica.outlier.record_failure(now, weight, stays)) return false;
-  ejected_ += replica.entry.state == ServerState::Ready;
+  const bool exempt_from_ejection =
+      responded_recently && replica.failure_rate < kToleratedFailureRate + fleet_failure_rate_ / 2;
+  if (!replica.outlier.record_failure(now, weight, exempt_from_ejection)) return false;
+  ejected_count_ += replica.entry.state == ServerState::Ready;
   return true;
 }
 
 void OutlierEjection::record_success(Replica& replica, double now) {
-  if (replica.outlier.record_success(now)) ejected_ -= replica.entry.state == ServerState::Ready;
+  if (replica.outlier.record_success(now)) ejected_count_ -= replica.entry.state == ServerState::Ready;
 }
 
-bool OutlierEjection::on_report(Replica& replica, const OutlierReport& report, double now) {
+bool OutlierEjection::apply_report(Replica& replica, const OutlierReport& report, double now) {
   if (!report.is_outlier) {
     replica.outlier.on_reported_healthy(now, report.observed_at);
     return false;
   }
   if (!replica.outlier.on_reported_outlier(report.observed_at)) return false;
-  ejected_ += replica.entry.state == ServerState::Ready;
+  ejected_count_ += replica.entry.state == ServerState::Ready;
   return true;
 }
 
--- a/src/policy/outlier_ejection.h
+++ b/src/policy/outlier_ejection.h
@@ -17,27 +17,27 @@
   explicit OutlierEjection(const Settings& settings) : settings_(settings) {}
 
   /// Must be called with `sign` -1 before a server's entry changes and with 1 afterwards.
-  void count(const Replica& replica, bool is_origin, int sign);
-  std::size_t ready_caches() const { return ready_caches_; }
-  std::size_t ejected() const { return ejected_; } // ready servers only
+  void update_counts(const Replica& replica, bool is_origin, int sign);
+  std::size_t ready_cache_count() const { return ready_cache_count_; }
+  std::size_t ejected_count() const { return ejected_count_; } // ready servers only
   /// Whether requests may be sent to this cache now.
   bool is_usable(const Replica& replica, double now) const;
   /// Records in the failure rates whether an attempt at a cache succeeded.
-  void record_attempt(Replica& replica, bool ok);
-  /// Returns true if the cache is now ejected. `responded_lately`: it recently responded to other attempts;
+  void record_attempt(Replica& replica, bool succeeded);
+  /// Returns true if the cache is now ejected. `responded_recently`: it recently responded to other attempts;
   /// `weight` as for health::OutlierState::record_failure().
-  bool record_failure(Replica& replica, double now, int weight, bool responded_lately);
+  bool record_failure(Replica& replica, double now, int weight, bool responded_recently);
   void record_success(Replica& replica, double now);
   /// Applies a combined report of several routers. Returns true if the cache is now ejected.
-  bool on_report(Replica& replica, const OutlierReport& report, double now);
+  bool apply_report(Replica& replica, const OutlierReport& report, double now);
 
  private:
-  bool is_panic() const;
+  bool panic_threshold_exceeded() const;
 
   const Settings& settings_;
-  std::size_t ready_caches_ = 0;
-  std::size_t ejected_ = 0;
-  double failure_rate_ = 0; // share of failed attempts at all caches, moving average
+  std::size_t ready_cache_count_ = 0;
+  std::size_t ejected_count_ = 0;
+  double fleet_failure_rate_ = 0; // share of failed attempts at all caches, moving average
 };
 
 } // namespace fernward
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -11,11 +11,11 @@
   if (!request.may_have_executed && request.in_flight == 0) return true;
   if (class_settings.idempotency == Idempotency::NonIdempotent) return false;
   const double window_ms = class_settings.idempotency_window_ms - 2 * settings_.event_interval_ms;
-  if (now - request.bound_at >= window_ms) return false;
+  if (now - request.key_bound_at >= window_ms) return false;
   switch (class_settings.idempotency_scope) {
     case IdempotencyScope::All: return true;
-    case IdempotencyScope::Zone: return server.zone == request.bound_zone;
-    case IdempotencyScope::Cell: return server.cell == request.bound_cell;
+    case IdempotencyScope::Zone: return server.zone == request.key_bound_zone;
+    case IdempotencyScope::Cell: return server.cell == request.key_bound_cell;
   }
   return false;
 }
@@ -30,7 +30,7 @@
 std::optional<GiveUpReason> RetryPolicy::attempt_denied(const RequestState& request, const Server& server,
                                                         double now) const {
   if (const auto reason = retry_denied(request, server, now)) return reason;
-  if (now >= request.answer_by) return GiveUpReason::NotSent;
+  if (now >= request.response_deadline) return GiveUpReason::NotSent;
   if (server.state != ServerState::Ready) return GiveUpReason::NoEndpoint;
   return std::nullopt;
 }
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -19,7 +19,7 @@
 
   /// Whether more than `reserved` attempts are left.
   bool has_attempts_left(const RequestState& request, std::size_t reserved = 0) const {
-    return request.attempts.size() + reserved < settings_.max_attempts_of(request.params.class_index);
+    return request.attempts.size() + reserved < settings_.max_attempts_for_class(request.params.class_index);
   }
   /// Whether hedging and idempotency settings allow an attempt at this server now, given the request's
   /// earlier attempts and those in flight.
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -16,80 +16,83 @@
 
 constexpr double kMaxShortestObjectiveMs = 3000; // upper bound, used if no class has a shorter one
 
-bool natural(double value) { return std::isfinite(value) && value >= 0; }
-bool share(double value) { return value >= 0 && value <= 1; }
+bool is_non_negative(double value) { return std::isfinite(value) && value >= 0; }
+bool is_share(double value) { return value >= 0 && value <= 1; }
 
-void check(bool valid, const std::string& field) {
+void require_valid(bool valid, const std::string& field) {
   if (!valid) throw std::invalid_argument("settings: value out of range: " + field);
 }
 
 } // namespace
 
 void validate(const Settings& settings) {
-  check(settings.router_count >= 1 && settings.router_count <= kMaxRouters, "nodes");
-  check(!settings.classes.empty(), "classes (at least one is required)");
+  require_valid(settings.router_count >= 1 && settings.router_count <= kMaxRouters, "nodes");
+  require_valid(!settings.classes.empty(), "classes (at least one is required)");
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
     const ClassSettings& class_settings = settings.classes[i];
-    const std::string at = "classes[" + std::to_string(i) + "].";
-    check(natural(class_settings.latency_objective_ms), at + "aim_ms");
-    check(natural(class_settings.client_timeout_ms), at + "give_up_ms");
-    check(natural(class_settings.objective_per_work), at + "aim_stretch");
-    check(share(class_settings.late_value_share), at + "late_share");
-    check(natural(class_settings.priority_weight), at + "worth");
-    check(natural(class_settings.idempotency_window_ms), at + "window_ms");
+    const std::string field_prefix = "classes[" + std::to_string(i) + "].";
+    require_valid(is_non_negative(class_settings.latency_objective_ms), field_prefix + "aim_ms");
+    require_valid(is_non_negative(class_settings.client_timeout_ms), field_prefix + "give_up_ms");
+    require_valid(is_non_negative(class_settings.objective_work_factor), field_prefix + "aim_stretch");
+    require_valid(is_share(class_settings.late_response_value_share), field_prefix + "late_share");
+    require_valid(is_non_negative(class_settings.priority_weight), field_prefix + "worth");
+    require_valid(is_non_negative(class_settings.idempotency_window_ms), field_prefix + "window_ms");
   }
   for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
-    const std::string at = "tenants[" + std::to_string(i) + "].";
-    check(share(settings.tenants[i].service_share), at + "share");
-    check(natural(settings.tenants[i].quota_per_s), at + "quota_per_s");
+    const std::string field_prefix = "tenants[" + std::to_string(i) + "].";
+    require_valid(is_share(settings.tenants[i].service_share), field_prefix + "share");
+    require_valid(is_non_negative(settings.tenants[i].quota_per_s), field_prefix + "quota_per_s");
   }
-  check(share(settings.over_quota_weight), "over_share_worth");
-  check(settings.max_attempts >= 1, "max_attempts");
-  check(share(settings.slow_start_min_capacity), "start_capacity");
-  check(natural(settings.max_retry_after_ms), "max_retry_after_ms");
-  check(natural(settings.event_interval_ms), "tick_ms");
-  check(natural(settings.poll_interval_ms), "ask_every_ms");
-  check(natural(settings.slow_start_ms), "warm_after_ms");
-  check(natural(settings.overload_failure_ms), "tip_after_ms");
-  check(natural(settings.overload_multiple), "fall_multiple");
-  check(natural(settings.resize.transition_ms), "resize.settle_ms");
-  check(settings.resize.origin_load_multiple == 0 ||
-            (natural(settings.resize.origin_load_multiple) && settings.resize.origin_load_multiple >= 1),
-        "resize.ledger_multiple");
-  check(share(settings.resize.second_replica_share), "resize.second_holder");
+  require_valid(is_share(settings.over_quota_weight), "over_share_worth");
+  require_valid(settings.max_attempts >= 1, "max_attempts");
+  require_valid(is_share(settings.slow_start_min_capacity), "start_capacity");
+  require_valid(is_non_negative(settings.max_retry_after_ms), "max_retry_after_ms");
+  require_valid(is_non_negative(settings.event_interval_ms), "tick_ms");
+  require_valid(is_non_negative(settings.poll_interval_ms), "ask_every_ms");
+  require_valid(is_non_negative(settings.slow_start_ms), "warm_after_ms");
+  require_valid(is_non_negative(settings.overload_failure_ms), "tip_after_ms");
+  require_valid(is_non_negative(settings.overload_multiple), "fall_multiple");
+  require_valid(is_non_negative(settings.resize.transition_ms), "resize.settle_ms");
+  require_valid(
+      settings.resize.origin_load_multiple == 0 || (is_non_negative(settings.resize.origin_load_multiple) &&
+                                                    settings.resize.origin_load_multiple >= 1),
+      "resize.ledger_multiple");
+  require_valid(is_share(settings.resize.second_replica_share), "resize.second_holder");
 }
 
 void Balancer::Impl::apply_classes() {
-  admission.priority_values.clear();
+  admission.priority_weights.clear();
   shortest_objective_ms = kMaxShortestObjectiveMs;
   for (const ClassSettings& class_settings : settings.classes) {
     // Two priorities for each class: within and over the tenant's quota.
-    admission.priority_values.push_back(class_settings.priority_weight);
-    admission.priority_values.push_back(class_settings.priority_weight * settings.over_quota_weight);
-    const double objective_ms = class_settings.latency_objective_ms > 0 ? class_settings.latency_objective_ms
-                                                                        : class_settings.client_timeout_ms;
-    if (objective_ms > 0) shortest_objective_ms = std::min(shortest_objective_ms, objective_ms);
+    admission.priority_weights.push_back(class_settings.priority_weight);
+    admission.priority_weights.push_back(class_settings.priority_weight * settings.over_quota_weight);
+    const double class_objective_ms = class_settings.latency_objective_ms > 0
+                                          ? class_settings.latency_objective_ms
+                                          : class_settings.client_timeout_ms;
+    if (class_objective_ms > 0) shortest_objective_ms = std::min(shortest_objective_ms, class_objective_ms);
   }
-  admission.priority_rates.resize(admission.priority_values.size());
-  quotas.resize();
+  admission.priority_rates.resize(admission.priority_weights.size());
+  tenant_quotas.resize_tenants();
 }
 
 void Balancer::update_settings(const Settings& settings) {
   validate(settings);
   const Settings& current = impl_->settings;
-  const auto stays = [](bool same, const char* what) {
-    if (!same) throw std::invalid_argument(std::string("settings: ") + what + " cannot change at runtime");
+  const auto require_unchanged = [](bool unchanged, const char* setting) {
+    if (!unchanged)
+      throw std::invalid_argument(std::string("settings: ") + setting + " cannot change at runtime");
   };
-  stays(settings.router_count == current.router_count, "nodes");
-  stays(settings.zone == current.zone, "zone");
-  stays(settings.classes.size() >= current.classes.size(), "the number of classes");
-  stays(settings.tenants.size() >= current.tenants.size(), "the number of tenants");
-  stays(settings.origin_kind == current.origin_kind, "origin_kind");
-  stays(settings.load_report_source == current.load_report_source &&
-            settings.load_report_fields == current.load_report_fields,
-        "reports");
-  stays(settings.discovery == current.discovery && settings.weight_kind == current.weight_kind,
-        "discovery mode or weight kind");
+  require_unchanged(settings.router_count == current.router_count, "nodes");
+  require_unchanged(settings.zone == current.zone, "zone");
+  require_unchanged(settings.classes.size() >= current.classes.size(), "the number of classes");
+  require_unchanged(settings.tenants.size() >= current.tenants.size(), "the number of tenants");
+  require_unchanged(settings.origin_kind == current.origin_kind, "origin_kind");
+  require_unchanged(settings.load_report_source == current.load_report_source &&
+                        settings.load_report_fields == current.load_report_fields,
+                    "reports");
+  require_unchanged(settings.discovery == current.discovery && settings.weight_kind == current.weight_kind,
+                    "discovery mode or weight kind");
   impl_->settings = settings;
   impl_->apply_classes();
 }
--- a/src/policy/tenant_quotas.h
+++ b/src/policy/tenant_quotas.h
@@ -19,34 +19,34 @@
   /// Keeps a reference to `settings`, which may change between calls; call resize() after a change.
   explicit TenantQuotas(const Settings& settings) : settings_(settings) {}
 
-  void resize() { rate_per_ms_.resize(settings_.tenants.size()); }
+  void resize_tenants() { tenant_rate_per_ms_.resize(settings_.tenants.size()); }
   void record_request() { ++requests_this_tick_; }
   double requests_this_tick() const { return requests_this_tick_; }
   /// Counts a request of the tenant. Returns true if the tenant exceeds both its quota at this router and its
   /// share of the service.
-  bool over_quota(std::uint32_t tenant) {
+  bool record_and_check_quota(std::uint32_t tenant) {
     if (tenant >= settings_.tenants.size()) return false;
-    rate_per_ms_[tenant] += 1 / kTenantRateWindowMs;
+    tenant_rate_per_ms_[tenant] += 1 / kTenantRateWindowMs;
     const TenantSettings& tenant_settings = settings_.tenants[tenant];
-    const double quota_here_per_s = tenant_settings.quota_per_s / settings_.router_count;
-    const double share_per_s = tenant_settings.service_share * total_rate_per_ms_ * 1000;
+    const double router_quota_per_s = tenant_settings.quota_per_s / settings_.router_count;
+    const double service_share_per_s = tenant_settings.service_share * total_rate_per_ms_ * 1000;
     return tenant_settings.quota_per_s > 0 &&
-           rate_per_ms_[tenant] * 1000 > std::max(quota_here_per_s, share_per_s);
+           tenant_rate_per_ms_[tenant] * 1000 > std::max(router_quota_per_s, service_share_per_s);
   }
   /// Must be called every kTickMs.
   void tick() {
-    smooth(total_rate_per_ms_, requests_this_tick_ / kTickMs, kTotalRateWeight);
+    update_moving_average(total_rate_per_ms_, requests_this_tick_ / kTickMs, kTotalRateSampleWeight);
     requests_this_tick_ = 0;
-    for (double& rate : rate_per_ms_) rate *= kTenantRateKeptPerTick;
+    for (double& rate : tenant_rate_per_ms_) rate *= kTenantRateDecayPerTick;
   }
 
  private:
   static constexpr double kTenantRateWindowMs = 2000;
-  static constexpr double kTenantRateKeptPerTick = 0.95; // 1 - kTickMs / kTenantRateWindowMs
-  static constexpr double kTotalRateWeight = 0.05;       // weight of one tick's rate in the moving average
+  static constexpr double kTenantRateDecayPerTick = 0.95; // 1 - kTickMs / kTenantRateWindowMs
+  static constexpr double kTotalRateSampleWeight = 0.05;  // weight of one tick's rate in the moving average
 
   const Settings& settings_;
-  std::vector<double> rate_per_ms_; // by tenant
+  std::vector<double> tenant_rate_per_ms_; // by tenant
   double total_rate_per_ms_ = 0;
   double requests_this_tick_ = 0;
 };
--- a/src/proxy/client_request.h
+++ b/src/proxy/client_request.h
@@ -10,7 +10,7 @@
 namespace fernward::proxy {
 
 struct ClientRequest {
-  bool write = false;
+  bool is_write = false;
   std::string path;                           // with the query; sent upstream unchanged
   std::string body;                           // a short body, complete
   std::shared_ptr<RequestBody> streamed_body; // a long body, which may still be arriving; else null
@@ -20,7 +20,7 @@
   std::string idempotency_key; // lets servers discard duplicates; empty: none
   std::uint32_t class_index = 0;
   std::uint32_t tenant = 0;
-  std::uint64_t key = 0; // hash for placement; 0: none
+  std::uint64_t placement_key = 0; // hash for placement; 0: none
   double expected_work_ms = 0;
   double timeout_ms = 0; // the client's timeout, from the last byte of the request on
 };
--- a/src/proxy/downstream_connections.h
+++ b/src/proxy/downstream_connections.h
@@ -33,11 +33,11 @@
   // when bytes can be written again.
   virtual std::size_t writable_bytes(Handle client) = 0;
   // `bytes` is no longer than writable_bytes(); `io_buffer` is the buffer that holds them.
-  virtual void write(Handle client, std::string_view bytes, loop::IoBuffer& block) = 0;
+  virtual void write(Handle client, std::string_view bytes, loop::IoBuffer& io_buffer) = 0;
   // Moves at most `max_bytes` bytes from `socket` to the client without copying them. Sets `received` and the
   // number of `bytes` moved. False: not possible on this connection now, and nothing was read.
-  virtual bool splice_from(Handle client, int socket, std::size_t most, loop::IoBuffer& block,
-                           loop::Received& received, std::size_t& bytes) = 0;
+  virtual bool splice_from(Handle client, int socket, std::size_t max_bytes, loop::IoBuffer& io_buffer,
+                           loop::ReceiveResult& received, std::size_t& bytes) = 0;
   // `complete` false: the response was truncated, and is ended in a way that the client can detect.
   virtual void end_response(Handle client, bool complete) = 0;
 };
--- a/src/proxy/request_body.h
+++ b/src/proxy/request_body.h
@@ -15,18 +15,20 @@
 #include "body_buffers/buffer_budget.h"
 #include "body_buffers/retained_bodies.h"
 #include "loop/buffer.h"
-#include "spill/file.h"
+#include "spill/spill_file.h"
 
 namespace fernward::proxy {
 
 // Storage shared by the bodies of all requests.
 struct BodyStores {
-  BodyStores(const body_buffers::RetentionLimits& rules, body_buffers::BufferBudget& account,
+  BodyStores(const body_buffers::RetentionLimits& limits, body_buffers::BufferBudget& shared_budget,
              const std::string& path)
-      : retained(rules), budget(account), spill_folder(path.empty() ? nullptr : new spill::Folder(path)) {}
+      : retained(limits),
+        buffer_budget(shared_budget),
+        spill_folder(path.empty() ? nullptr : new spill::SpillFolder(path)) {}
   body_buffers::RetainedBodies retained;
-  body_buffers::BufferBudget& budget;          // for the bytes that are not retained
-  std::unique_ptr<spill::Folder> spill_folder; // null: none is configured
+  body_buffers::BufferBudget& buffer_budget;        // for the bytes that are not retained
+  std::unique_ptr<spill::SpillFolder> spill_folder; // null: none is configured
 };
 
 class RequestBody {
@@ -37,11 +39,11 @@
   RequestBody& operator=(const RequestBody&) = delete;
 
   // ---- called by the client side ----
-  void set_on_writable(std::function<void()> call) { on_writable_ = std::move(call); }
+  void set_on_writable(std::function<void()> callback) { on_writable_ = std::move(callback); }
   // The number of bytes that append() accepts. After 0, on_writable is called when it accepts bytes again.
   std::size_t writable_bytes() const;
   // `bytes` is no longer than writable_bytes(). False: the body is too long.
-  bool append(std::string_view bytes, loop::IoBuffer& block);
+  bool append(std::string_view bytes, loop::IoBuffer& io_buffer);
   // The last byte has arrived.
   void complete();
   // The rest of the body will never arrive.
@@ -68,17 +70,18 @@
     // Pending: on_readable is called when there is more. Unavailable: the body can't be read from this offset
     // on.
     enum class ReadResult { Bytes, Pending, End, Unavailable };
-    ReadResult read(char* into, std::size_t most, std::size_t& bytes);
+    ReadResult read(char* destination, std::size_t max_bytes, std::size_t& bytes);
     std::uint64_t offset() const { return offset_; }
 
    private:
     friend class RequestBody;
-    Reader(RequestBody& from, std::function<void()> more) : body_(from), on_more_(std::move(more)) {}
+    Reader(RequestBody& body, std::function<void()> on_readable)
+        : body_(body), on_readable_(std::move(on_readable)) {}
     RequestBody& body_;
-    std::function<void()> on_more_;
+    std::function<void()> on_readable_;
     std::uint64_t offset_ = 0;
   };
-  std::unique_ptr<Reader> add_reader(std::function<void()> more);
+  std::unique_ptr<Reader> add_reader(std::function<void()> on_readable);
 
  private:
   void notify_readers();
@@ -86,9 +89,9 @@
   BodyStores& stores_;
   std::optional<std::uint64_t> length_;
   body_buffers::RetainedBodies::Body body_;
-  std::string in_memory_;                // the first bytes of the body
-  std::unique_ptr<spill::File> in_file_; // the bytes after them
-  loop::Buffer unretained_;              // the remaining bytes, dropped as they are read
+  std::string in_memory_;                     // the first bytes of the body
+  std::unique_ptr<spill::SpillFile> in_file_; // the bytes after them
+  loop::Buffer unretained_;                   // the remaining bytes, dropped as they are read
   body_buffers::BufferBudget::Reservation unretained_reservation_;
   std::uint64_t consumed_bytes_ = 0; // bytes of unretained_ already read
   bool complete_ = false, aborted_ = false;
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -43,26 +43,27 @@
   active_request.deadline = now + active_request.request->timeout_ms;
   active_request.objective_at = active_request.deadline;
   if (active_request.request->class_index < settings_.classes.size()) {
-    const fernward::ClassSettings& rules = settings_.classes[active_request.request->class_index];
-    if (rules.latency_objective_ms > 0)
-      active_request.objective_at = std::min(
-          active_request.deadline, now + rules.latency_objective_ms +
-                                       rules.objective_per_work * active_request.request->expected_work_ms);
+    const fernward::ClassSettings& class_settings = settings_.classes[active_request.request->class_index];
+    if (class_settings.latency_objective_ms > 0)
+      active_request.objective_at =
+          std::min(active_request.deadline,
+                   now + class_settings.latency_objective_ms +
+                       class_settings.objective_work_factor * active_request.request->expected_work_ms);
   }
   // A fallback: normally the Balancer responds earlier. Half of the grace period is left for the transmission
   // to the client.
   active_request.deadline_timer =
-      timers_.at(active_request.deadline + options_.grace_ms / 2, [this, id] { on_deadline(id); });
+      timers_.run_at(active_request.deadline + options_.grace_ms / 2, [this, id] { on_deadline(id); });
   ++unanswered_requests_;
   waiting_ids_.insert(active_request.request->id);
   fernward::Request event;
   event.id = id;
   event.class_index = active_request.request->class_index;
   event.tenant = active_request.request->tenant;
-  event.key = active_request.request->key;
+  event.key = active_request.request->placement_key;
   event.deadline = active_request.deadline;
   event.expected_work_ms = active_request.request->expected_work_ms;
-  event.write = active_request.request->write;
+  event.write = active_request.request->is_write;
   if (active_request.request->body_timeout_ms > 0) event.body_complete_at = now;
   enqueue(event);
   return id;
@@ -78,7 +79,7 @@
   timers_.cancel(active_request->deadline_timer);
   double answer_at = active_request->deadline + options_.grace_ms / 2;
   if (answer_all_by_ > 0) answer_at = std::min(answer_at, answer_all_by_);
-  active_request->deadline_timer = timers_.at(answer_at, [this, request_id] { on_deadline(request_id); });
+  active_request->deadline_timer = timers_.run_at(answer_at, [this, request_id] { on_deadline(request_id); });
   for (const Handle attempt_id : active_request->attempts) {
     if (Attempt* attempt = attempts_.find(attempt_id))
       set_attempt_deadline(*attempt, attempt_id, attempt->deadline + extension_ms);
@@ -89,7 +90,7 @@
   timers_.cancel(attempt.timeout);
   attempt.deadline = deadline;
   attempt.timeout =
-      timers_.at(deadline, [this, attempt_id] { cancel_attempt(attempt_id, AttemptResult::TimedOut); });
+      timers_.run_at(deadline, [this, attempt_id] { cancel_attempt(attempt_id, AttemptResult::TimedOut); });
 }
 
 void RequestDispatcher::client_disconnected(Handle request_id) {
@@ -111,7 +112,7 @@
   const ActiveRequest* active_request = attempt == nullptr ? nullptr : requests_.find(attempt->request);
   return active_request == nullptr
              ? 0
-             : body_buffers::buffer_until(attempt->sent_at, active_request->objective_at);
+             : body_buffers::buffering_deadline(attempt->sent_at, active_request->objective_at);
 }
 
 bool RequestDispatcher::may_write_request(Handle attempt_id) {
@@ -151,13 +152,15 @@
   return downstream_->writable_bytes(client_of_streaming(attempt_id));
 }
 
-void RequestDispatcher::write(Handle attempt_id, std::string_view bytes, loop::IoBuffer& block) {
-  downstream_->write(client_of_streaming(attempt_id), bytes, block);
+void RequestDispatcher::write(Handle attempt_id, std::string_view bytes, loop::IoBuffer& io_buffer) {
+  downstream_->write(client_of_streaming(attempt_id), bytes, io_buffer);
 }
 
-bool RequestDispatcher::splice_from(Handle attempt_id, int socket, std::size_t most, loop::IoBuffer& block,
-                                    loop::Received& received, std::size_t& bytes) {
-  return downstream_->splice_from(client_of_streaming(attempt_id), socket, most, block, received, bytes);
+bool RequestDispatcher::splice_from(Handle attempt_id, int socket, std::size_t max_bytes,
+                                    loop::IoBuffer& io_buffer, loop::ReceiveResult& received,
+                                    std::size_t& bytes) {
+  return downstream_->splice_from(client_of_streaming(attempt_id), socket, max_bytes, io_buffer, received,
+                                  bytes);
 }
 
 void RequestDispatcher::response_drained(Handle request_id) {
@@ -183,14 +186,14 @@
          active_request.attempts[number] == active_request.streaming_attempt;
 }
 
-void RequestDispatcher::answer_all_by(double by) {
-  answer_all_by_ = by;
-  requests_.each([&](Handle id, ActiveRequest& active_request) {
+void RequestDispatcher::answer_all_by(double answer_by) {
+  answer_all_by_ = answer_by;
+  requests_.for_each([&](Handle id, ActiveRequest& active_request) {
     if (active_request.finished || active_request.streaming_attempt != 0 ||
-        active_request.deadline + options_.grace_ms / 2 <= by)
+        active_request.deadline + options_.grace_ms / 2 <= answer_by)
       return;
     timers_.cancel(active_request.deadline_timer);
-    active_request.deadline_timer = timers_.at(by, [this, id] { on_deadline(id); });
+    active_request.deadline_timer = timers_.run_at(answer_by, [this, id] { on_deadline(id); });
   });
 }
 
@@ -265,7 +268,7 @@
     }
   } else if (const auto* timer = std::get_if<fernward::SetTimer>(&action)) {
     const std::uint64_t token = timer->token;
-    timers_.at(loop::now_ms() + timer->delay_ms, [this, token] { enqueue(fernward::TimerFired{token}); });
+    timers_.run_at(loop::now_ms() + timer->delay_ms, [this, token] { enqueue(fernward::TimerFired{token}); });
   } else if (const auto* message = std::get_if<fernward::Log>(&action)) {
     log::line("module", {{"says", message->text}});
   } else if (std::get_if<fernward::WatchEndpoints>(&action) != nullptr) {
@@ -276,10 +279,10 @@
   }
 }
 
-void RequestDispatcher::give_up(Handle request_id, fernward::GiveUpReason why, ClientResponse response) {
+void RequestDispatcher::give_up(Handle request_id, fernward::GiveUpReason reason, ClientResponse response) {
   const ActiveRequest* active_request = requests_.find(request_id);
   if (active_request == nullptr || active_request->streaming_attempt != 0) return;
-  ++give_up_counts_[static_cast<std::size_t>(why)];
+  ++give_up_counts_[static_cast<std::size_t>(reason)];
   finish(request_id, &response);
   remove_if_done(request_id);
 }
@@ -300,7 +303,7 @@
     return report_outcome(send.id, number, send.server, 0, result);
   }
   const bool in_time =
-      number < settings_.max_attempts_of(active_request->request->class_index) && now < deadline;
+      number < settings_.max_attempts_for_class(active_request->request->class_index) && now < deadline;
   if (in_time && may_send(*active_request, now, false)) attempt_id = attempts_.add();
   ++active_request->attempts_in_flight;
   active_request->attempts.push_back(attempt_id);
@@ -385,23 +388,24 @@
     finish(attempt.request, &response);
   }
   // Time spent waiting for a slow client is not attributed to the server.
-  const double elapsed = std::max(0.0, loop::now_ms() - attempt.sent_at - completion.paused_ms);
-  report_outcome(attempt.request, attempt.number, attempt.server, elapsed, completion.result,
+  const double elapsed_ms = std::max(0.0, loop::now_ms() - attempt.sent_at - completion.paused_ms);
+  report_outcome(attempt.request, attempt.number, attempt.server, elapsed_ms, completion.result,
                  std::move(completion.load_report), completion.on_reused_connection,
                  completion.first_on_connection);
   remove_if_done(attempt.request);
 }
 
 void RequestDispatcher::report_outcome(Handle request_id, std::uint32_t number, fernward::ServerId server,
-                                       double elapsed, AttemptResult result, std::vector<float> load_report,
-                                       bool on_reused_connection, bool first_on_connection) {
+                                       double elapsed_ms, AttemptResult result,
+                                       std::vector<float> load_report, bool on_reused_connection,
+                                       bool first_on_connection) {
   const ActiveRequest* active_request = requests_.find(request_id);
   fernward::AttemptOutcome attempt_outcome;
   attempt_outcome.id = request_id;
   attempt_outcome.attempt = number;
   attempt_outcome.server = server;
   attempt_outcome.result = result;
-  attempt_outcome.elapsed_ms = elapsed;
+  attempt_outcome.elapsed_ms = elapsed_ms;
   attempt_outcome.request_ended = active_request == nullptr || active_request->finished;
   if (active_request != nullptr && active_request->request->streamed_body != nullptr) {
     const body_buffers::BodyAvailability body = active_request->request->streamed_body->availability();
--- a/src/proxy/request_dispatcher.h
+++ b/src/proxy/request_dispatcher.h
@@ -60,9 +60,9 @@
   // The client has received part of a streamed response, and more can be written.
   void response_drained(Handle request_id);
   // Graceful shutdown: requests without a final response fail at this time.
-  void answer_all_by(double by);
+  void answer_all_by(double answer_by);
   void update_endpoints(fernward::EndpointList list);
-  // Events derived from the gossip of the other routers, see gossip/advice.h.
+  // Events derived from the gossip of the other routers, see gossip/balancer_exchange.h.
   void on_fleet_events(std::vector<fernward::Event> events);
   const fernward::Balancer& balancer() const { return balancer_; }
   fernward::Balancer::OriginBudget origin_budget() const { return balancer_.origin_budget(); }
@@ -74,9 +74,9 @@
   bool may_write_request(Handle attempt_id) override;
   bool start_response(Handle attempt_id, ResponseHead head) override;
   std::size_t writable_bytes(Handle attempt_id) override;
-  void write(Handle attempt_id, std::string_view bytes, loop::IoBuffer& block) override;
-  bool splice_from(Handle attempt_id, int socket, std::size_t most, loop::IoBuffer& block,
-                   loop::Received& received, std::size_t& bytes) override;
+  void write(Handle attempt_id, std::string_view bytes, loop::IoBuffer& io_buffer) override;
+  bool splice_from(Handle attempt_id, int socket, std::size_t max_bytes, loop::IoBuffer& io_buffer,
+                   loop::ReceiveResult& received, std::size_t& bytes) override;
 
   // The number of requests given up so far, by reason.
   using GiveUpCounts = std::array<std::uint64_t, static_cast<std::size_t>(fernward::GiveUpReason::Count)>;
@@ -126,10 +126,10 @@
   Handle client_of_streaming(Handle attempt_id);
   void resume_reading(Handle request_id);
   void resume_blocked_readers();
-  void report_outcome(Handle request_id, std::uint32_t number, fernward::ServerId server, double elapsed,
+  void report_outcome(Handle request_id, std::uint32_t number, fernward::ServerId server, double elapsed_ms,
                       fernward::AttemptResult result, std::vector<float> load_report = {},
                       bool on_reused_connection = false, bool first_on_connection = false);
-  void give_up(Handle request_id, fernward::GiveUpReason why, ClientResponse response);
+  void give_up(Handle request_id, fernward::GiveUpReason reason, ClientResponse response);
   void finish(Handle request_id, ClientResponse* response, bool complete = false);
   void on_deadline(Handle request_id);
   void remove_if_done(Handle request_id);
--- a/src/requests/load_report.h
+++ b/src/requests/load_report.h
@@ -20,7 +20,7 @@
   LoadReport report;
   double inflight = -1;
   for (std::size_t i = 0; i < std::min(values.size(), fields.size()); ++i) {
-    if (!usable_number(values[i])) continue;
+    if (!is_finite_non_negative(values[i])) continue;
     if (fields[i] == LoadReportField::Queue) report.queue_length = values[i];
     if (fields[i] == LoadReportField::Inflight) inflight = values[i];
     if (fields[i] == LoadReportField::LatencyMs) report.latency_ms = values[i];
--- a/src/requests/request_state.h
+++ b/src/requests/request_state.h
@@ -18,17 +18,18 @@
   ServerId server = 0;
   double sent_at = 0; // ms, clock time
   bool in_flight = true;
-  bool runs_to_end = false;      // never cancelled, to measure whether slow attempts are ever answered
+  bool exempt_from_cancellation =
+      false;                     // never cancelled, to measure whether slow attempts are ever answered
   bool slow = false;             // exceeded the slow attempt threshold
   bool stalled = false;          // slow, and later ones were answered: uses no server capacity
   bool response_started = false; // response is being forwarded: the server has completed its work
 };
 
 /// Returns the request with invalid values replaced by those for absent ones.
-inline Request sanitized(Request request, double give_up_at) {
-  if (!usable_number(request.expected_work_ms)) request.expected_work_ms = 0;
-  if (!usable_number(request.body_complete_at)) request.body_complete_at = 0;
-  if (!std::isfinite(request.deadline)) request.deadline = give_up_at;
+inline Request sanitize_request(Request request, double default_deadline) {
+  if (!is_finite_non_negative(request.expected_work_ms)) request.expected_work_ms = 0;
+  if (!is_finite_non_negative(request.body_complete_at)) request.body_complete_at = 0;
+  if (!std::isfinite(request.deadline)) request.deadline = default_deadline;
   return request;
 }
 
@@ -36,9 +37,9 @@
 /// clock time.
 struct RequestState {
   Request params;
-  double answer_by = 0;        // the final answer is sent by then
-  double value = 0;            // of a response in time, by priority
-  double slow_start_share = 1; // share admitted to caches in slow start, see placement::KeyDemand
+  double response_deadline = 0;         // the final answer is sent by then
+  double response_value = 0;            // of a response in time, by priority
+  double slow_start_admitted_share = 1; // share admitted to caches in slow start, see placement::KeyDemand
   std::vector<Attempt> attempts;
   std::vector<ServerId> cache_misses;
   std::uint32_t in_flight = 0;
@@ -47,14 +48,14 @@
   bool finished = false;          // the final answer was sent
   bool streaming = false;         // a response is being forwarded
   bool may_have_executed = false; // by one of its attempts
-  bool leads_fetch = false;       // others may wait for its fetch, see FetchCoalescer
+  bool is_fetch_leader = false;   // others may wait for its fetch, see FetchCoalescer
   bool queued_for_origin = false;
   // Time and place of the first attempt that may have executed: there the idempotency key is known.
-  double bound_at = 0;
-  std::uint32_t bound_zone = 0;
-  std::uint32_t bound_cell = 0;
+  double key_bound_at = 0;
+  std::uint32_t key_bound_zone = 0;
+  std::uint32_t key_bound_cell = 0;
 
-  bool has_attempt_on_time() const {
+  bool has_timely_attempt() const {
     return std::any_of(attempts.begin(), attempts.end(),
                        [](const Attempt& a) { return a.in_flight && !a.slow; });
   }
@@ -76,7 +77,7 @@
 }
 
 /// The outcome as far as the server is concerned, once its response starts to be forwarded.
-inline AttemptOutcome outcome_of(const ResponseStarted& event) {
+inline AttemptOutcome outcome_from_response_start(const ResponseStarted& event) {
   AttemptOutcome outcome;
   outcome.id = event.id;
   outcome.attempt = event.attempt;
@@ -86,15 +87,15 @@
   return outcome;
 }
 
-enum class Timer : std::uint64_t { Tick, GiveUp, SlowAttempt, RetryOrigin };
+enum class TimerKind : std::uint64_t { Tick, GiveUp, SlowAttempt, RetryOrigin };
 
 // Layout of a timer token from the highest bit: 4 bits kind, 8 bits attempt index, 52 bits request id.
 constexpr unsigned kTimerKindShift = 60;
 constexpr unsigned kTimerAttemptShift = 52;
-inline std::uint64_t timer_token(Timer kind, RequestId id = 0, std::uint64_t attempt = 0) {
+inline std::uint64_t timer_token(TimerKind kind, RequestId id = 0, std::uint64_t attempt = 0) {
   return static_cast<std::uint64_t>(kind) << kTimerKindShift | attempt << kTimerAttemptShift | id;
 }
-inline Timer timer_kind(std::uint64_t token) { return static_cast<Timer>(token >> kTimerKindShift); }
+inline TimerKind timer_kind(std::uint64_t token) { return static_cast<TimerKind>(token >> kTimerKindShift); }
 inline std::size_t timer_attempt(std::uint64_t token) { return (token >> kTimerAttemptShift) & 0xff; }
 inline RequestId timer_request(std::uint64_t token) { return token & ((1ull << kTimerAttemptShift) - 1); }
 
--- a/src/router/config_reload.cpp
+++ b/src/router/config_reload.cpp
@@ -8,41 +8,43 @@
 
 namespace fernward::router {
 
-void ConfigReload::reload(const config::Config& next) {
-  if (parts_.config.movable) {
-    replace_config(config::moved(parts_.config, next));
+void ConfigReload::reload(const config::Config& new_config) {
+  if (parts_.config.reloadable) {
+    replace_config(config::merge_reloaded(parts_.config, new_config));
   } else {
-    reload_discovery(next);
+    reload_discovery(new_config);
   }
 }
 
-void ConfigReload::reload_discovery(const config::Config& next) {
+void ConfigReload::reload_discovery(const config::Config& new_config) {
   config::Config& config = parts_.config;
-  for (const auto& key : config::refused_changes(config, next)) {
+  for (const auto& key : config::non_reloadable_changes(config, new_config)) {
     log::line("reload-needs-restart", {{"key", key}});
   }
-  if (next.discovery == config.discovery) {
-    log::line("reload-discovery-stays", {{"address", config.discovery}});
+  if (new_config.discovery_address == config.discovery_address) {
+    log::line("reload-discovery-stays", {{"address", config.discovery_address}});
   } else {
-    log::line("reload-discovery-moves", {{"from", config.discovery}, {"to", next.discovery}});
-    config.discovery = next.discovery;
+    log::line("reload-discovery-moves",
+              {{"from", config.discovery_address}, {"to", new_config.discovery_address}});
+    config.discovery_address = new_config.discovery_address;
   }
   parts_.endpoints.watch_sources();
 }
 
 // Steps that can fail come first.
-void ConfigReload::replace_config(config::Config next) {
+void ConfigReload::replace_config(config::Config new_config) {
   try {
-    parts_.dispatcher.update_settings(next.settings);
-  } catch (const std::invalid_argument& fault) {
-    throw config::Error(fault.what());
+    parts_.dispatcher.update_settings(new_config.settings);
+  } catch (const std::invalid_argument& error) {
+    throw config::Error(error.what());
   }
-  parts_.listener.change(downstream_rules(next));
-  parts_.figures.name(next.names.classes);
-  apply_log_rules(next.log);
-  const bool new_list = next.nodes_fixed && next.known != parts_.config.known;
-  parts_.config = std::move(next);
-  if (new_list) parts_.endpoints.load_configured_list();
+  parts_.listener.update_rules(downstream_rules(new_config));
+  parts_.stats.set_class_names(new_config.names.classes);
+  apply_log_rules(new_config.log);
+  const bool list_changed =
+      new_config.static_nodes && new_config.known_endpoints != parts_.config.known_endpoints;
+  parts_.config = std::move(new_config);
+  if (list_changed) parts_.endpoints.load_configured_list();
   parts_.endpoints.watch_sources();
   log::line("config-reloaded", {{"name", parts_.config.name}});
 }
--- a/src/router/config_reload.h
+++ b/src/router/config_reload.h
@@ -7,7 +7,7 @@
 
 #include "config/config.h"
 #include "downstream/listener.h"
-#include "figures/figures.h"
+#include "figures/router_stats.h"
 #include "proxy/request_dispatcher.h"
 #include "router/endpoint_updater.h"
 
@@ -17,7 +17,7 @@
   config::Config& config;  // the current configuration; updated by a reload
   proxy::RequestDispatcher& dispatcher;
   downstream::Listener& listener;
-  figures::Figures& figures;
+  figures::RouterStats& stats;
   EndpointUpdater& endpoints;
 };
 
@@ -27,11 +27,11 @@
 
   // Throws config::Error if `new_config` is invalid or changes a key that can't be changed; nothing is
   // changed then.
-  void reload(const config::Config& next);
+  void reload(const config::Config& new_config);
 
  private:
-  void reload_discovery(const config::Config& next);
-  void replace_config(config::Config next);
+  void reload_discovery(const config::Config& new_config);
+  void replace_config(config::Config new_config);
 
   ConfigReloadParts parts_;
 };
--- a/src/router/endpoint_updater.cpp
+++ b/src/router/endpoint_updater.cpp
@@ -11,41 +11,41 @@
 
 // How long requests are shed while waiting for discovery's first list. After that the configuration's list is
 // used.
-constexpr double kFirstListWaitMs = 2000;
+constexpr double kInitialListTimeoutMs = 2000;
 
 } // namespace
 
 EndpointUpdater::EndpointUpdater(const config::Config& config, EndpointUpdaterParts parts)
     : config_(config),
       parts_(parts),
-      table_(config.names.zones, config.names.kinds, !config.handover.empty()) {}
+      table_(config.names.zones, config.names.kinds, !config.hot_restart_path.empty()) {}
 
 // ---- the configuration's list ----
 
 // The dispatcher receives the configuration's list even while discovery's list is pending: applying
 // discovery's list then costs only the differences.
-void EndpointUpdater::load_first_list(bool inherited) {
-  if (inherited || config_.nodes_fixed || config_.discovery.empty()) return load_configured_list();
+void EndpointUpdater::load_initial_list(bool inherited) {
+  if (inherited || config_.static_nodes || config_.discovery_address.empty()) return load_configured_list();
   if (read_configured_list()) apply(full_list(fernward::EndpointListKind::Cached));
-  first_list_timer_ = parts_.timers.at(loop::now_ms() + kFirstListWaitMs, [this] {
-    first_list_timer_ = 0;
-    log::line("cached-endpoints-used", {{"name", config_.name}, {"waited_ms", kFirstListWaitMs}});
+  initial_list_timer_ = parts_.timers.run_at(loop::now_ms() + kInitialListTimeoutMs, [this] {
+    initial_list_timer_ = 0;
+    log::line("cached-endpoints-used", {{"name", config_.name}, {"waited_ms", kInitialListTimeoutMs}});
   });
 }
 
 void EndpointUpdater::load_configured_list() {
   if (!read_configured_list()) return;
-  apply(
-      full_list(config_.nodes_fixed ? fernward::EndpointListKind::Full : fernward::EndpointListKind::Cached));
+  apply(full_list(config_.static_nodes ? fernward::EndpointListKind::Full
+                                       : fernward::EndpointListKind::Cached));
 }
 
 bool EndpointUpdater::read_configured_list() {
-  if (config_.known.is_null()) return false;
+  if (config_.known_endpoints.is_null()) return false;
   try {
-    table_.apply(config_.known);
+    table_.apply(config_.known_endpoints);
     return true;
-  } catch (const endpoints::Damaged& damage) {
-    log::line("cached-endpoints-damaged", {{"why", damage.what()}});
+  } catch (const endpoints::InvalidEndpointList& invalid_list) {
+    log::line("cached-endpoints-damaged", {{"why", invalid_list.what()}});
     return false;
   }
 }
@@ -53,7 +53,7 @@
 fernward::EndpointList EndpointUpdater::full_list(fernward::EndpointListKind kind) const {
   fernward::EndpointList list;
   list.kind = kind;
-  for (const auto& [id, endpoint] : table_.targets()) list.servers.push_back(endpoint.entry);
+  for (const auto& [id, endpoint] : table_.endpoints_by_id()) list.servers.push_back(endpoint.server);
   return list;
 }
 
@@ -65,20 +65,20 @@
   } else if (file_watch_ == nullptr || file_watch_->path() != config_.nodes_file) {
     file_watch_ = watch_file(config_.nodes_file);
   }
-  const std::string& discovery = config_.discovery;
+  const std::string& discovery = config_.discovery_address;
   if (discovery.empty()) {
-    watch_.reset();
-    next_watch_.reset();
-  } else if (watch_ == nullptr) {
-    next_watch_.reset();
-    watch_ = watch_discovery(discovery);
-  } else if (watch_->address() == discovery) {
-    next_watch_.reset(); // back to the old address before the new one has provided a list
-    watch_->refresh();   // its pending call may never be answered
-  } else if (next_watch_ != nullptr && next_watch_->address() == discovery) {
-    next_watch_->refresh();
+    discovery_watch_.reset();
+    new_discovery_watch_.reset();
+  } else if (discovery_watch_ == nullptr) {
+    new_discovery_watch_.reset();
+    discovery_watch_ = watch_discovery(discovery);
+  } else if (discovery_watch_->address() == discovery) {
+    new_discovery_watch_.reset(); // back to the old address before the new one has provided a list
+    discovery_watch_->refresh();  // its pending call may never be answered
+  } else if (new_discovery_watch_ != nullptr && new_discovery_watch_->address() == discovery) {
+    new_discovery_watch_->refresh();
   } else {
-    next_watch_ = watch_discovery(discovery);
+    new_discovery_watch_ = watch_discovery(discovery);
   }
 }
 
@@ -92,38 +92,39 @@
 std::unique_ptr<endpoints::EndpointWatch> EndpointUpdater::watch_discovery(const std::string& address) {
   return std::make_unique<endpoints::EndpointWatch>(
       parts_.base, parts_.timers, address,
-      discovery::Subscription(subscription_rules(config_), config_.seed, known_version()),
-      [this, address](const std::string& text, std::uint64_t at_least) {
-        return on_discovery_answer(text, address, at_least);
+      discovery::Subscription(subscription_rules(config_), config_.seed, known_index()),
+      [this, address](const std::string& text, std::uint64_t min_index) {
+        return on_discovery_response(text, address, min_index);
       });
 }
 
 // The index of the current list, to which deltas can be applied; none: there is no list.
-std::optional<std::uint64_t> EndpointUpdater::known_version() const {
-  if (table_.targets().empty()) return std::nullopt;
+std::optional<std::uint64_t> EndpointUpdater::known_index() const {
+  if (table_.endpoints_by_id().empty()) return std::nullopt;
   return table_.index();
 }
 
 void EndpointUpdater::poll_discovery() {
-  if (next_watch_ != nullptr) next_watch_->poll();
-  if (watch_ != nullptr) watch_->poll();
+  if (new_discovery_watch_ != nullptr) new_discovery_watch_->poll();
+  if (discovery_watch_ != nullptr) discovery_watch_->poll();
 }
 
-discovery::Answer EndpointUpdater::on_discovery_answer(const std::string& text, const std::string& from,
-                                                       std::uint64_t at_least) {
+discovery::Answer EndpointUpdater::on_discovery_response(const std::string& text,
+                                                         const std::string& source_address,
+                                                         std::uint64_t min_index) {
   const double started_ms = loop::now_ms();
-  fernward::EndpointList list = table_.apply(text, at_least);
+  fernward::EndpointList list = table_.apply(text, min_index);
   const bool complete = list.kind == fernward::EndpointListKind::Full;
-  const std::size_t entries = list.servers.size();
-  parts_.timers.cancel(first_list_timer_);
+  const std::size_t entry_count = list.servers.size();
+  parts_.timers.cancel(initial_list_timer_);
   apply(std::move(list));
-  log::routine("endpoints-updated", {{"index", table_.index()},
-                                     {"complete", complete ? "yes" : "no"},
-                                     {"entries", entries},
-                                     {"ms", loop::now_ms() - started_ms}});
-  if (complete && next_watch_ != nullptr && next_watch_->address() == from) {
-    log::line("discovery-connected", {{"name", config_.name}, {"address", from}});
-    watch_ = std::move(next_watch_);
+  log::routine_line("endpoints-updated", {{"index", table_.index()},
+                                          {"complete", complete ? "yes" : "no"},
+                                          {"entries", entry_count},
+                                          {"ms", loop::now_ms() - started_ms}});
+  if (complete && new_discovery_watch_ != nullptr && new_discovery_watch_->address() == source_address) {
+    log::line("discovery-connected", {{"name", config_.name}, {"address", source_address}});
+    discovery_watch_ = std::move(new_discovery_watch_);
   }
   return {table_.index(), complete};
 }
@@ -131,52 +132,53 @@
 // ---- table, overrides, pool, dispatcher ----
 
 void EndpointUpdater::apply(fernward::EndpointList list) {
-  const bool is_change = list.kind == fernward::EndpointListKind::Delta;
-  if (is_change) {
+  const bool is_delta = list.kind == fernward::EndpointListKind::Delta;
+  if (is_delta) {
     for (fernward::Server& server : list.servers) apply_change(server);
   } else {
     apply_full(list);
   }
-  if (!is_change || !list.servers.empty()) parts_.dispatcher.update_endpoints(std::move(list));
-  if (updated_) updated_();
+  if (!is_delta || !list.servers.empty()) parts_.dispatcher.update_endpoints(std::move(list));
+  if (on_updated_) on_updated_();
 }
 
 void EndpointUpdater::apply_full(fernward::EndpointList& list) {
-  auto endpoints = table_.targets();
-  std::vector<std::string> caches;
+  auto endpoints = table_.endpoints_by_id();
+  std::vector<std::string> cache_names;
   for (const auto& [id, endpoint] : endpoints) {
-    if (is_cache(endpoint.entry)) caches.push_back(endpoint.name);
+    if (is_cache(endpoint.server)) cache_names.push_back(endpoint.name);
   }
-  overrides_.set_endpoints(caches);
-  for (auto& [id, endpoint] : endpoints) endpoint.entry = overrides_.apply(endpoint.name, endpoint.entry);
+  overrides_.set_endpoints(cache_names);
+  for (auto& [id, endpoint] : endpoints) endpoint.server = overrides_.apply(endpoint.name, endpoint.server);
   for (fernward::Server& server : list.servers) {
-    if (const auto found = endpoints.find(server.id); found != endpoints.end()) server = found->second.entry;
+    if (const auto found = endpoints.find(server.id); found != endpoints.end()) server = found->second.server;
   }
   parts_.pool.update_endpoints(endpoints);
 }
 
 void EndpointUpdater::apply_change(fernward::Server& server) {
-  const endpoints::Endpoint* const before = parts_.pool.endpoint(server.id);
-  const auto found = table_.targets().find(server.id);
-  const bool listed = found != table_.targets().end();
-  const bool cache = listed && is_cache(found->second.entry);
-  if (before != nullptr && is_cache(before->entry) && (!cache || found->second.name != before->name)) {
-    overrides_.endpoint_removed(before->name);
+  const endpoints::Endpoint* const previous = parts_.pool.endpoint(server.id);
+  const auto found = table_.endpoints_by_id().find(server.id);
+  const bool is_listed = found != table_.endpoints_by_id().end();
+  const bool is_listed_cache = is_listed && is_cache(found->second.server);
+  if (previous != nullptr && is_cache(previous->server) &&
+      (!is_listed_cache || found->second.name != previous->name)) {
+    overrides_.endpoint_removed(previous->name);
   }
-  if (cache) overrides_.endpoint_added(found->second.name);
-  if (!listed) return parts_.pool.update_endpoint(server.id, nullptr);
+  if (is_listed_cache) overrides_.endpoint_added(found->second.name);
+  if (!is_listed) return parts_.pool.update_endpoint(server.id, nullptr);
   endpoints::Endpoint endpoint = found->second;
-  endpoint.entry = overrides_.apply(endpoint.name, endpoint.entry);
-  server = endpoint.entry;
+  endpoint.server = overrides_.apply(endpoint.name, endpoint.server);
+  server = endpoint.server;
   parts_.pool.update_endpoint(server.id, &endpoint);
 }
 
-void EndpointUpdater::refresh(const std::string& name) {
-  const auto found = table_.targets().find(endpoints::id_of(name));
-  if (found == table_.targets().end() || found->second.name != name) return;
+void EndpointUpdater::refresh_endpoint(const std::string& name) {
+  const auto found = table_.endpoints_by_id().find(endpoints::id_of(name));
+  if (found == table_.endpoints_by_id().end() || found->second.name != name) return;
   fernward::EndpointList list;
   list.kind = fernward::EndpointListKind::Delta;
-  list.servers.push_back(found->second.entry);
+  list.servers.push_back(found->second.server);
   apply(std::move(list));
 }
 
--- a/src/router/endpoint_updater.h
+++ b/src/router/endpoint_updater.h
@@ -40,12 +40,12 @@
   EndpointUpdater& operator=(const EndpointUpdater&) = delete;
 
   // Called after each update.
-  void on_updated(std::function<void()> updated) { updated_ = std::move(updated); }
+  void on_updated(std::function<void()> callback) { on_updated_ = std::move(callback); }
 
   // Loads the initial list from the configuration. `inherited`: it was just received from the process that
   // this one replaces, and is used immediately. Otherwise, if discovery is configured, requests are not sent
   // by this list until discovery has answered or kInitialListTimeoutMs has passed.
-  void load_first_list(bool inherited);
+  void load_initial_list(bool inherited);
   // Applies the list of the configuration. An invalid list is logged and changes nothing.
   void load_configured_list();
   // Watches the sources that the configuration names: discovery, a file, or neither. The current list is used
@@ -54,10 +54,12 @@
   // Reads responses of discovery that have already been received, without waiting for the event loop.
   void poll_discovery();
   // Updates this endpoint in the pool and the dispatcher after a change of its override.
-  void refresh(const std::string& name);
+  void refresh_endpoint(const std::string& name);
 
-  bool awaits_first_list() const { return first_list_timer_ != 0; }
-  bool ready() const { return !awaits_first_list() && table_.usable(); } // requests may be sent
+  bool is_awaiting_initial_list() const { return initial_list_timer_ != 0; }
+  bool is_ready() const {
+    return !is_awaiting_initial_list() && table_.has_endpoint_in_service();
+  } // requests may be sent
   bool is_cache(const fernward::Server& server) const;
 
   endpoints::EndpointTable& table() { return table_; }
@@ -68,25 +70,25 @@
  private:
   bool read_configured_list();
   fernward::EndpointList full_list(fernward::EndpointListKind kind) const;
-  std::optional<std::uint64_t> known_version() const;
+  std::optional<std::uint64_t> known_index() const;
   std::unique_ptr<endpoints::EndpointWatch> watch_discovery(const std::string& address);
   std::unique_ptr<endpoints::EndpointFileWatch> watch_file(const std::string& path);
-  discovery::Answer on_discovery_answer(const std::string& text, const std::string& from,
-                                        std::uint64_t at_least);
+  discovery::Answer on_discovery_response(const std::string& text, const std::string& source_address,
+                                          std::uint64_t min_index);
   void apply(fernward::EndpointList list);
   void apply_full(fernward::EndpointList& list);
   void apply_change(fernward::Server& server);
 
   const config::Config& config_;
   EndpointUpdaterParts parts_;
-  std::function<void()> updated_;
+  std::function<void()> on_updated_;
   endpoints::EndpointTable table_;
-  std::unique_ptr<endpoints::EndpointWatch> watch_;
+  std::unique_ptr<endpoints::EndpointWatch> discovery_watch_;
   // After a reload: the watch at the new address. Replaces discovery_watch_ with its first full list.
-  std::unique_ptr<endpoints::EndpointWatch> next_watch_;
+  std::unique_ptr<endpoints::EndpointWatch> new_discovery_watch_;
   admin_overrides::EndpointOverrides overrides_;
   std::unique_ptr<endpoints::EndpointFileWatch> file_watch_;
-  loop::TimerQueue::TimerId first_list_timer_ = 0;
+  loop::TimerQueue::TimerId initial_list_timer_ = 0;
 };
 
 } // namespace fernward::router
--- a/src/router/graceful_shutdown.cpp
+++ b/src/router/graceful_shutdown.cpp
@@ -7,21 +7,22 @@
 namespace fernward::router {
 namespace {
 
-constexpr double kAcceptMs = 500;            // load balancers keep sending clients for this long
-constexpr double kServeMs = 1500;            // upper bound of the end of Serving
+constexpr double kAcceptingMs = 500;         // load balancers keep sending clients for this long
+constexpr double kMaxServingMs = 1500;       // upper bound of the end of Serving
 constexpr double kResponseGraceMs = 600;     // after the timeout of the last request
 constexpr double kMaxClientTimeoutMs = 3000; // the longest that the platform allows for before SIGKILL
-constexpr double kFailLeadMs = 100;
+constexpr double kFailBeforeEndMs = 100;
 // How often to check whether all passed connections have been sent.
-constexpr double kPassedOnCheckMs = 5;
+constexpr double kFlushCheckIntervalMs = 5;
 
 // The client timeout of a request that is accepted at the last moment. A sidecar, whose configuration is
 // `movable`, waits for the longest timeout of its classes without the platform's limit.
 double longest_client_timeout_ms(const config::Config& config) {
-  double longest = 0;
-  for (const auto& cls : config.settings.classes) longest = std::max(longest, cls.client_timeout_ms);
-  if (!config.movable) longest = std::min(longest, kMaxClientTimeoutMs);
-  return longest > 0 ? longest : kMaxClientTimeoutMs;
+  double longest_ms = 0;
+  for (const auto& class_settings : config.settings.classes)
+    longest_ms = std::max(longest_ms, class_settings.client_timeout_ms);
+  if (!config.reloadable) longest_ms = std::min(longest_ms, kMaxClientTimeoutMs);
+  return longest_ms > 0 ? longest_ms : kMaxClientTimeoutMs;
 }
 
 } // namespace
@@ -33,16 +34,16 @@
   log::line("graceful-shutdown", {{"name", config.name}});
   const double now_ms = loop::now_ms();
   const double total_ms = longest_client_timeout_ms(config) + kResponseGraceMs;
-  parts_.dispatcher.answer_all_by(now_ms + total_ms - kFailLeadMs);
-  const bool replaced = hot_restart_ != nullptr && hot_restart_->begin_shutdown();
-  if (!replaced) schedule_drain(now_ms, total_ms);
-  parts_.timers.at(now_ms + total_ms, [this] { stop_loop(); });
+  parts_.dispatcher.answer_all_by(now_ms + total_ms - kFailBeforeEndMs);
+  const bool is_replaced = hot_restart_ != nullptr && hot_restart_->begin_shutdown();
+  if (!is_replaced) schedule_drain(now_ms, total_ms);
+  parts_.timers.run_at(now_ms + total_ms, [this] { stop_loop(); });
 }
 
 void GracefulShutdown::schedule_drain(double now_ms, double total_ms) {
-  parts_.listener.ends_by(now_ms + total_ms - kFailLeadMs);
-  parts_.timers.at(now_ms + kAcceptMs, [this] { parts_.listener.stop_accepting(); });
-  parts_.timers.at(now_ms + std::max(kAcceptMs, std::min(total_ms / 2, kServeMs)), [this] {
+  parts_.listener.set_shutdown_deadline(now_ms + total_ms - kFailBeforeEndMs);
+  parts_.timers.run_at(now_ms + kAcceptingMs, [this] { parts_.listener.stop_accepting(); });
+  parts_.timers.run_at(now_ms + std::max(kAcceptingMs, std::min(total_ms / 2, kMaxServingMs)), [this] {
     parts_.listener.drain();
     parts_.listener.stop();
   });
@@ -50,7 +51,7 @@
 
 void GracefulShutdown::on_connections_closed() {
   if (hot_restart_ == nullptr || hot_restart_->is_flushed()) return stop_loop();
-  parts_.timers.at(loop::now_ms() + kPassedOnCheckMs, [this] { on_connections_closed(); });
+  parts_.timers.run_at(loop::now_ms() + kFlushCheckIntervalMs, [this] { on_connections_closed(); });
 }
 
 void GracefulShutdown::stop_loop() { event_base_loopbreak(parts_.base); }
--- a/src/router/graceful_shutdown.h
+++ b/src/router/graceful_shutdown.h
@@ -20,7 +20,7 @@
 
 #include "config/config.h"
 #include "downstream/listener.h"
-#include "gossip_transport/link.h"
+#include "gossip_transport/transport.h"
 #include "loop/timer_queue.h"
 #include "proxy/request_dispatcher.h"
 #include "router/hot_restart_coordinator.h"
@@ -40,7 +40,7 @@
   GracefulShutdown(const GracefulShutdown&) = delete;
   GracefulShutdown& operator=(const GracefulShutdown&) = delete;
 
-  void set_gossip(gossip_transport::Link* gossip) { gossip_ = gossip; }
+  void set_gossip(gossip_transport::Transport* gossip) { gossip_ = gossip; }
   void set_hot_restart(HotRestartCoordinator* hot_restart) { hot_restart_ = hot_restart; }
 
   void begin(const config::Config& config); // repeated calls have no effect
@@ -53,8 +53,8 @@
   void stop_loop();
 
   GracefulShutdownParts parts_;
-  gossip_transport::Link* gossip_ = nullptr;     // null: gossip is disabled
-  HotRestartCoordinator* hot_restart_ = nullptr; // null: hot restart is disabled
+  gossip_transport::Transport* gossip_ = nullptr; // null: gossip is disabled
+  HotRestartCoordinator* hot_restart_ = nullptr;  // null: hot restart is disabled
   bool has_begun_ = false;
 };
 
--- a/src/router/hot_restart_coordinator.cpp
+++ b/src/router/hot_restart_coordinator.cpp
@@ -20,16 +20,16 @@
 
 constexpr double kRequestTimeoutMs = 2000;
 constexpr double kReleasePeriodMs = 50;
-constexpr std::uint64_t kKeptDescriptors = 8; // kept during shutdown for further attempts
+constexpr std::uint64_t kSpareDescriptors = 8; // kept during shutdown for further attempts
 
 } // namespace
 
 HotRestartCoordinator::HotRestartCoordinator(HotRestartParts parts, HotRestartOptions options,
-                                             hot_restart::Inherited* inherited)
+                                             hot_restart::InheritedState* inherited)
     : parts_(std::move(parts)),
       options_(std::move(options)),
       memory_mb_(options_.memory_mb),
-      inherited_descriptors_(options_.descriptors),
+      inherited_descriptors_(options_.connection_descriptors),
       inherited_memory_mb_(options_.memory_mb) {
   if (inherited != nullptr) inherit(*inherited);
   listen();
@@ -41,13 +41,13 @@
 
 void HotRestartCoordinator::listen() {
   restart_listener_.reset();
-  if (options_.path.empty()) return;
+  if (options_.socket_path.empty()) return;
   try {
     restart_listener_ = std::make_unique<hot_restart::RestartListener>(
-        parts_.base, options_.path, [this](Descriptor socket) { on_connect(std::move(socket)); });
-  } catch (const std::runtime_error& fault) {
+        parts_.base, options_.socket_path, [this](Descriptor socket) { on_connect(std::move(socket)); });
+  } catch (const std::runtime_error& error) {
     // A new process then listens on the same port in parallel with this one.
-    log::line("hot-restart-off", {{"why", fault.what()}});
+    log::line("hot-restart-off", {{"why", error.what()}});
   }
 }
 
@@ -60,8 +60,8 @@
   parts_.descriptors.set_total(parts_.descriptors.total() + descriptors);
   if (memory_mb == 0) return;
   memory_mb_ += memory_mb;
-  parts_.request_buffers.set_total(config::buffer_bytes(memory_mb_));
-  parts_.buffer_budget.set_total(config::body_bytes(memory_mb_));
+  parts_.request_buffers.set_total_bytes(config::request_buffer_limit_bytes(memory_mb_));
+  parts_.buffer_budget.set_total_bytes(config::body_buffer_limit_bytes(memory_mb_));
 }
 
 // ---- the old process ----
@@ -72,13 +72,13 @@
                      {{"why", shutting_down_ ? "shutting down" : "another restart is in progress"}});
   }
   parts_.timers.cancel(disconnect_timer_);
-  new_state_ = NewProcess::Connected;
+  new_process_state_ = NewProcessState::Connected;
   new_process_ = std::make_unique<ProcessConnection>(
       parts_.base, std::move(socket),
       [this](hot_restart::Message message, const Descriptor&) { on_new_process_message(std::move(message)); },
-      [this](const std::string& fault) { on_new_process_closed(fault); });
+      [this](const std::string& error) { on_new_process_closed(error); });
   parts_.timers.cancel(request_timer_);
-  request_timer_ = parts_.timers.at(now_ms() + kRequestTimeoutMs, [this] {
+  request_timer_ = parts_.timers.run_at(now_ms() + kRequestTimeoutMs, [this] {
     request_timer_ = 0;
     if (!is_granted()) disconnect();
   });
@@ -87,7 +87,7 @@
 // Deferred, because it is called from the connection's own callbacks.
 void HotRestartCoordinator::disconnect_later() {
   parts_.timers.cancel(disconnect_timer_);
-  disconnect_timer_ = parts_.timers.at(now_ms(), [this] {
+  disconnect_timer_ = parts_.timers.run_at(now_ms(), [this] {
     disconnect_timer_ = 0;
     disconnect();
   });
@@ -95,7 +95,7 @@
 
 void HotRestartCoordinator::disconnect() {
   new_process_.reset();
-  new_state_ = NewProcess::None;
+  new_process_state_ = NewProcessState::None;
 }
 
 void HotRestartCoordinator::on_new_process_message(hot_restart::Message message) {
@@ -106,62 +106,63 @@
   } else if (std::holds_alternative<hot_restart::NewProcessReady>(message)) {
     on_new_process_ready();
   } else if (const auto* override_change = std::get_if<hot_restart::OverrideChanged>(&message)) {
-    adopt(override_change->changed);
+    apply_override(override_change->endpoint_override);
   }
 }
 
 void HotRestartCoordinator::grant(const hot_restart::TakeoverRequest& request) {
-  const int listening = parts_.listener.listening();
-  Descriptor descriptor(listening < 0 ? -1 : fcntl(listening, F_DUPFD_CLOEXEC, 0));
-  if (request.listen != options_.listen || !descriptor) {
+  const int listen_fd = parts_.listener.listening_fd();
+  Descriptor descriptor(listen_fd < 0 ? -1 : fcntl(listen_fd, F_DUPFD_CLOEXEC, 0));
+  if (request.listen_address != options_.listen_address || !descriptor) {
     log::line("hot-restart-refused",
-              {{"why", descriptor ? "takeover request names another listen address: " + request.listen
+              {{"why", descriptor ? "takeover request names another listen address: " + request.listen_address
                                   : std::strerror(errno)}});
     return disconnect_later();
   }
-  const hot_restart::Resources share = share_resources(request.reserved);
-  new_state_ = NewProcess::Granted;
-  const std::string list = parts_.table.index() == 0 ? "" : parts_.table.told();
-  new_process_->send(hot_restart::TakeoverGrant{list, parts_.overrides.snapshot(), share},
+  const hot_restart::Resources granted = split_with_new_process(request.reserved_descriptors);
+  new_process_state_ = NewProcessState::Granted;
+  const std::string endpoint_list = parts_.table.index() == 0 ? "" : parts_.table.serialized_list();
+  new_process_->send(hot_restart::TakeoverGrant{endpoint_list, parts_.overrides.snapshot(), granted},
                      std::move(descriptor));
-  log::line(
-      "hot-restart-granted",
-      {{"name", request.name}, {"descriptors", share.descriptors}, {"kept", parts_.descriptors.total()}});
+  log::line("hot-restart-granted", {{"name", request.router_name},
+                                    {"descriptors", granted.descriptors},
+                                    {"kept", parts_.descriptors.total()}});
 }
 
 // Returns the limits of the new process. This process keeps the remaining resources, and closes idle
 // connections that exceed them.
-hot_restart::Resources HotRestartCoordinator::share_resources(std::uint64_t reserved) {
+hot_restart::Resources HotRestartCoordinator::split_with_new_process(std::uint64_t reserved_descriptors) {
   const hot_restart::Resources total{parts_.descriptors.total(), memory_mb_};
-  const hot_restart::ResourceSplit shares = hot_restart::split(total, used_descriptors(), reserved);
-  granted_descriptors_ = total.descriptors - shares.old_process.descriptors;
-  granted_memory_mb_ = shares.new_process.memory_mb;
-  parts_.descriptors.set_total(shares.old_process.descriptors);
+  const hot_restart::ResourceSplit resource_split =
+      hot_restart::split_resources(total, used_descriptors(), reserved_descriptors);
+  granted_descriptors_ = total.descriptors - resource_split.old_process.descriptors;
+  granted_memory_mb_ = resource_split.new_process.memory_mb;
+  parts_.descriptors.set_total(resource_split.old_process.descriptors);
   memory_mb_ = 0;
-  add_resources(0, shares.old_process.memory_mb);
-  while (used_descriptors() > shares.old_process.descriptors &&
+  add_resources(0, resource_split.old_process.memory_mb);
+  while (used_descriptors() > resource_split.old_process.descriptors &&
          parts_.pool.evict_oldest_idle(upstream::CloseReason::Handover)) {}
-  return shares.new_process;
+  return resource_split.new_process;
 }
 
 // Both processes accept from one queue, so from now on the new process gets all new connections.
 void HotRestartCoordinator::on_new_process_ready() {
-  new_state_ = NewProcess::Ready;
+  new_process_state_ = NewProcessState::Ready;
   if (shutting_down_) return;
-  parts_.listener.hold(true);
-  log::line("hot-restart-ready", {{"name", options_.name}});
+  parts_.listener.hold_accepting(true);
+  log::line("hot-restart-ready", {{"name", options_.router_name}});
 }
 
-void HotRestartCoordinator::on_new_process_closed(const std::string& fault) {
+void HotRestartCoordinator::on_new_process_closed(const std::string& error) {
   const bool was_granted = is_granted();
-  new_state_ = NewProcess::None;
+  new_process_state_ = NewProcessState::None;
   disconnect_later();
-  if (!fault.empty()) log::line("hot-restart-damaged", {{"why", fault}});
-  if (shutting_down_) return parts_.listener.pass_no_more();
+  if (!error.empty()) log::line("hot-restart-damaged", {{"why", error}});
+  if (shutting_down_) return parts_.listener.cancel_handover();
   if (!was_granted) return;
-  log::line("hot-restart-aborted", {{"name", options_.name}});
+  log::line("hot-restart-aborted", {{"name", options_.router_name}});
   add_resources(std::exchange(granted_descriptors_, 0), std::exchange(granted_memory_mb_, 0));
-  parts_.listener.hold(false);
+  parts_.listener.hold_accepting(false);
   listen(); // the new process had replaced the socket path
 }
 
@@ -176,14 +177,15 @@
 }
 
 void HotRestartCoordinator::pass_connections() {
-  log::line("hot-restart-passing", {{"name", options_.name}, {"connections", parts_.listener.connections()}});
+  log::line("hot-restart-passing",
+            {{"name", options_.router_name}, {"connections", parts_.listener.connection_count()}});
   release_descriptors();
   parts_.listener.hand_over([this](int fd, unsigned requests) { return pass_connection(fd, requests); });
 }
 
-bool HotRestartCoordinator::pass_connection(int fd, unsigned requests) {
+bool HotRestartCoordinator::pass_connection(int fd, unsigned request_count) {
   if (!has_ready_new_process()) return false;
-  new_process_->send(hot_restart::PassedConnection{requests}, Descriptor(fd));
+  new_process_->send(hot_restart::PassedConnection{request_count}, Descriptor(fd));
   // Its place in the descriptor budget passes to the new process.
   const std::size_t total = parts_.descriptors.total();
   parts_.descriptors.set_total(total - std::min<std::size_t>(1, total));
@@ -193,12 +195,12 @@
 void HotRestartCoordinator::release_descriptors() {
   if (!has_ready_new_process()) return;
   const std::uint64_t total = parts_.descriptors.total();
-  const std::uint64_t needed = used_descriptors() + kKeptDescriptors;
+  const std::uint64_t needed = used_descriptors() + kSpareDescriptors;
   if (total > needed) {
     parts_.descriptors.set_total(needed);
     new_process_->send(hot_restart::ReleasedDescriptors{total - needed});
   }
-  release_timer_ = parts_.timers.at(now_ms() + kReleasePeriodMs, [this] {
+  release_timer_ = parts_.timers.run_at(now_ms() + kReleasePeriodMs, [this] {
     release_timer_ = 0;
     release_descriptors();
   });
@@ -208,10 +210,10 @@
 
 // ---- the new process ----
 
-void HotRestartCoordinator::inherit(hot_restart::Inherited& inherited) {
-  const hot_restart::Resources& share = inherited.grant.resources;
-  inherited_descriptors_ = std::min(share.descriptors, options_.descriptors);
-  inherited_memory_mb_ = std::min(share.memory_mb, options_.memory_mb);
+void HotRestartCoordinator::inherit(hot_restart::InheritedState& inherited) {
+  const hot_restart::Resources& granted = inherited.grant.resources;
+  inherited_descriptors_ = std::min(granted.descriptors, options_.connection_descriptors);
+  inherited_memory_mb_ = std::min(granted.memory_mb, options_.memory_mb);
   parts_.descriptors.set_total(0);
   memory_mb_ = 0;
   add_resources(inherited_descriptors_, inherited_memory_mb_);
@@ -220,13 +222,13 @@
       [this](hot_restart::Message message, Descriptor descriptor) {
         on_old_process_message(std::move(message), std::move(descriptor));
       },
-      [this](const std::string& fault) { on_old_process_closed(fault); }, std::move(inherited.reader));
+      [this](const std::string& error) { on_old_process_closed(error); }, std::move(inherited.reader));
   log::line("hot-restart-inherited",
             {{"descriptors", inherited_descriptors_}, {"memory_mb", inherited_memory_mb_}});
 }
 
 void HotRestartCoordinator::on_endpoints_updated() {
-  if (ready_sent_ || !has_old_process() || !parts_.ready()) return;
+  if (ready_sent_ || !has_old_process() || !parts_.is_ready()) return;
   ready_sent_ = true;
   old_process_->send(hot_restart::NewProcessReady{});
 }
@@ -235,41 +237,45 @@
   if (const auto* connection = std::get_if<hot_restart::PassedConnection>(&message)) {
     // An old process with a higher limit may pass more connections than this process has descriptors for: the
     // limit of this process applies.
-    if (inherited_descriptors_ < options_.descriptors) {
+    if (inherited_descriptors_ < options_.connection_descriptors) {
       ++inherited_descriptors_;
       add_resources(1, 0);
     }
-    parts_.listener.adopt(descriptor.release(), connection->requests);
+    parts_.listener.adopt(descriptor.release(), connection->request_count);
   } else if (const auto* released = std::get_if<hot_restart::ReleasedDescriptors>(&message)) {
-    const std::uint64_t missing =
-        options_.descriptors - std::min(options_.descriptors, inherited_descriptors_);
-    const std::uint64_t added = std::min(released->count, missing);
-    inherited_descriptors_ += added;
-    add_resources(added, 0);
+    const std::uint64_t missing_descriptors =
+        options_.connection_descriptors - std::min(options_.connection_descriptors, inherited_descriptors_);
+    const std::uint64_t added_descriptors = std::min(released->count, missing_descriptors);
+    inherited_descriptors_ += added_descriptors;
+    add_resources(added_descriptors, 0);
   } else if (const auto* override_change = std::get_if<hot_restart::OverrideChanged>(&message)) {
-    adopt(override_change->changed);
+    apply_override(override_change->endpoint_override);
   }
 }
 
-void HotRestartCoordinator::on_old_process_closed(const std::string& fault) {
-  if (!fault.empty()) log::line("hot-restart-damaged", {{"why", fault}});
-  log::line("hot-restart-complete", {{"name", options_.name}});
-  const std::uint64_t had_descriptors = std::exchange(inherited_descriptors_, options_.descriptors);
-  const std::uint64_t had_memory_mb = std::exchange(inherited_memory_mb_, options_.memory_mb);
-  add_resources(options_.descriptors - std::min(options_.descriptors, had_descriptors),
-                options_.memory_mb - had_memory_mb);
+void HotRestartCoordinator::on_old_process_closed(const std::string& error) {
+  if (!error.empty()) log::line("hot-restart-damaged", {{"why", error}});
+  log::line("hot-restart-complete", {{"name", options_.router_name}});
+  const std::uint64_t previous_descriptors =
+      std::exchange(inherited_descriptors_, options_.connection_descriptors);
+  const std::uint64_t previous_memory_mb = std::exchange(inherited_memory_mb_, options_.memory_mb);
+  add_resources(
+      options_.connection_descriptors - std::min(options_.connection_descriptors, previous_descriptors),
+      options_.memory_mb - previous_memory_mb);
 }
 
 // ---- both ----
 
-void HotRestartCoordinator::adopt(const admin_overrides::EndpointOverrides::Override& changed) {
-  parts_.overrides.adopt(changed);
-  parts_.refresh_endpoint(changed.name);
+void HotRestartCoordinator::apply_override(
+    const admin_overrides::EndpointOverrides::Override& endpoint_override) {
+  parts_.overrides.merge(endpoint_override);
+  parts_.refresh_endpoint(endpoint_override.name);
 }
 
-void HotRestartCoordinator::on_override(const admin_overrides::EndpointOverrides::Override& changed) {
-  if (has_old_process()) old_process_->send(hot_restart::OverrideChanged{changed});
-  if (is_connected() && is_granted()) new_process_->send(hot_restart::OverrideChanged{changed});
+void HotRestartCoordinator::on_override_changed(
+    const admin_overrides::EndpointOverrides::Override& endpoint_override) {
+  if (has_old_process()) old_process_->send(hot_restart::OverrideChanged{endpoint_override});
+  if (is_connected() && is_granted()) new_process_->send(hot_restart::OverrideChanged{endpoint_override});
 }
 
 } // namespace fernward::router
