--- a/src/router/hot_restart_coordinator.h
+++ b/src/router/hot_restart_coordinator.h
@@ -29,17 +29,17 @@
 #include "descriptors/descriptor_budget.h"
 #include "downstream/listener.h"
 #include "endpoints/endpoint_table.h"
-#include "hot_restart/link.h"
+#include "hot_restart/restart_transport.h"
 #include "upstream/connection_pool.h"
 
 namespace fernward::router {
 
 struct HotRestartOptions {
-  std::string path; // of the Unix socket for new processes; empty: no process can replace this one
-  std::string name;
-  std::string listen;            // a new process must request the same address
-  std::uint64_t descriptors = 0; // for client and upstream connections
-  std::uint64_t reserved = 0;    // descriptors for other purposes
+  std::string socket_path; // of the Unix socket for new processes; empty: no process can replace this one
+  std::string router_name;
+  std::string listen_address;               // a new process must request the same address
+  std::uint64_t connection_descriptors = 0; // for client and upstream connections
+  std::uint64_t reserved_descriptors = 0;   // descriptors for other purposes
   std::uint64_t memory_mb = 0;
 };
 
@@ -54,13 +54,14 @@
   admin_overrides::EndpointOverrides& overrides;
   endpoints::EndpointTable& table;
   std::function<void(const std::string& name)> refresh_endpoint; // called after a change of its override
-  std::function<bool()> ready;                                   // whether this process can send requests
+  std::function<bool()> is_ready;                                // whether this process can send requests
 };
 
 class HotRestartCoordinator {
  public:
   // `inherited`: received from the old process, which is still running; null: this process replaces none.
-  HotRestartCoordinator(HotRestartParts parts, HotRestartOptions options, hot_restart::Inherited* inherited);
+  HotRestartCoordinator(HotRestartParts parts, HotRestartOptions options,
+                        hot_restart::InheritedState* inherited);
   ~HotRestartCoordinator();
   HotRestartCoordinator(const HotRestartCoordinator&) = delete;
   HotRestartCoordinator& operator=(const HotRestartCoordinator&) = delete;
@@ -68,39 +69,43 @@
   // Notifies the old process, once, if this process is ready.
   void on_endpoints_updated();
   // Called after an operator has changed an override in this process: notifies the other process.
-  void on_override(const admin_overrides::EndpointOverrides::Override& changed);
+  void on_override_changed(const admin_overrides::EndpointOverrides::Override& endpoint_override);
   // Returns true if a new process takes over the client connections.
   bool begin_shutdown();
   // Whether all passed connections have been sent.
   bool is_flushed() const;
 
   bool has_old_process() const { return old_process_ != nullptr && !old_process_->is_closed(); }
-  bool has_ready_new_process() const { return is_connected() && new_state_ == NewProcess::Ready; }
+  bool has_ready_new_process() const {
+    return is_connected() && new_process_state_ == NewProcessState::Ready;
+  }
 
  private:
-  enum class NewProcess { None, Connected, Granted, Ready };
+  enum class NewProcessState { None, Connected, Granted, Ready };
 
   void listen();
   // In the old process:
   void on_connect(hot_restart::Descriptor socket);
   void on_new_process_message(hot_restart::Message message);
-  void on_new_process_closed(const std::string& fault);
+  void on_new_process_closed(const std::string& error);
   void grant(const hot_restart::TakeoverRequest& request);
-  hot_restart::Resources share_resources(std::uint64_t reserved);
+  hot_restart::Resources split_with_new_process(std::uint64_t reserved_descriptors);
   void on_new_process_ready();
   void disconnect_later();
   void disconnect();
   void pass_connections();
-  bool pass_connection(int fd, unsigned requests);
+  bool pass_connection(int fd, unsigned request_count);
   void release_descriptors();
   bool is_connected() const { return new_process_ != nullptr && !new_process_->is_closed(); }
-  bool is_granted() const { return new_state_ == NewProcess::Granted || new_state_ == NewProcess::Ready; }
+  bool is_granted() const {
+    return new_process_state_ == NewProcessState::Granted || new_process_state_ == NewProcessState::Ready;
+  }
   // In the new process:
-  void inherit(hot_restart::Inherited& inherited);
+  void inherit(hot_restart::InheritedState& inherited);
   void on_old_process_message(hot_restart::Message message, hot_restart::Descriptor descriptor);
-  void on_old_process_closed(const std::string& fault);
+  void on_old_process_closed(const std::string& error);
   // In both:
-  void adopt(const admin_overrides::EndpointOverrides::Override& changed);
+  void apply_override(const admin_overrides::EndpointOverrides::Override& endpoint_override);
   void add_resources(std::uint64_t descriptors, std::uint64_t memory_mb);
   std::uint64_t used_descriptors() const;
 
@@ -114,7 +119,7 @@
   std::unique_ptr<hot_restart::RestartListener> restart_listener_; // null: this process can't be replaced
   std::unique_ptr<hot_restart::ProcessConnection> old_process_;    // null: this process replaces none
   std::unique_ptr<hot_restart::ProcessConnection> new_process_;    // null: none has connected
-  NewProcess new_state_ = NewProcess::None;
+  NewProcessState new_process_state_ = NewProcessState::None;
   bool ready_sent_ = false;
   bool shutting_down_ = false;
   loop::TimerQueue::TimerId request_timer_ = 0;
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -5,92 +5,90 @@
 #include <vector>
 
 #include "config/json.h"
-#include "gossip/advice.h"
+#include "gossip/balancer_exchange.h"
 #include "log/log.h"
 #include "router/router_options.h"
 
 namespace fernward::router {
 namespace {
 
-constexpr int kMaxCallbacksAtOnce = 64; // of traffic, before checking for events of the first priority again
-constexpr int kPriorities = 2;          // first: discovery and the control port; second: everything else
-constexpr double kInheritTimeoutMs = 2500;
+constexpr int kMaxCallbacksPerDispatch =
+    64;                           // of traffic, before checking for events of the first priority again
+constexpr int kPriorityCount = 2; // first: discovery and the control port; second: everything else
+constexpr double kTakeoverTimeoutMs = 2500;
 
 } // namespace
 
-BasePtr make_base() {
+EventBasePtr make_event_base() {
   event_config* config = event_config_new();
   // Deadlines are as short as a few milliseconds.
   event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
-  event_config_set_max_dispatch_interval(config, nullptr, kMaxCallbacksAtOnce, 1);
-  BasePtr base(event_base_new_with_config(config));
+  event_config_set_max_dispatch_interval(config, nullptr, kMaxCallbacksPerDispatch, 1);
+  EventBasePtr base(event_base_new_with_config(config));
   event_config_free(config);
   if (base == nullptr) throw std::runtime_error("libevent: cannot create an event base");
-  event_base_priority_init(base.get(), kPriorities);
+  event_base_priority_init(base.get(), kPriorityCount);
   return base;
 }
 
-Router::Router(const config::Config& config, event_base* base, hot_restart::Inherited* inherited,
-               const config::Fleet* fleet)
+Router::Router(const config::Config& config, event_base* base, hot_restart::InheritedState* inherited,
+               const config::RouterFleetConfig* fleet)
     : config_(config),
       base_(base),
       timers_(base),
-      figures_(config.names.classes),
+      router_stats_(config.names.classes),
       descriptors_(connection_descriptors(config)),
-      request_buffers_(config::buffer_bytes(config.memory_mb)),
+      request_buffers_(config::request_buffer_limit_bytes(config.memory_mb)),
       buffer_budget_(buffer_budget_options(config)),
-      bodies_(retention_limits(config), buffer_budget_, config.body_folder),
+      body_stores_(retention_limits(config), buffer_budget_, config.spill_folder),
       dispatcher_(base, timers_, fernward::Balancer(config.settings, config.seed), config.settings,
                   buffer_budget_, dispatcher_options(config)),
-      pool_(base, timers_, descriptors_, buffer_budget_, figures_, pool_options(config), dispatcher_,
-            [this] { return listener_.let_go("recalled"); }),
-      listener_(base, timers_, descriptors_, request_buffers_, buffer_budget_, bodies_, figures_,
+      pool_(base, timers_, descriptors_, buffer_budget_, router_stats_, pool_options(config), dispatcher_,
+            [this] { return listener_.evict_connection("recalled"); }),
+      listener_(base, timers_, descriptors_, request_buffers_, buffer_budget_, body_stores_, router_stats_,
                 listener_options(config, inherited), downstream_rules(config), listener_calls()),
-      endpoints_(config_, {base_, timers_, dispatcher_, pool_}),
+      endpoint_updater_(config_, {base_, timers_, dispatcher_, pool_}),
       shutdown_({base_, timers_, dispatcher_, listener_}),
-      reload_({config_, dispatcher_, listener_, figures_, endpoints_}),
-      stats_({timers_, figures_, dispatcher_, endpoints_}),
-      control_calls_({figures_, shutdown_, endpoints_, [this](const auto& changed) {
-                        if (hot_restart_ != nullptr) hot_restart_->on_override(changed);
-                      }}) {
+      reload_({config_, dispatcher_, listener_, router_stats_, endpoint_updater_}),
+      stats_reporter_({timers_, router_stats_, dispatcher_, endpoint_updater_}),
+      control_commands_({router_stats_, shutdown_, endpoint_updater_, [this](const auto& endpoint_override) {
+                           if (hot_restart_ != nullptr) hot_restart_->on_override_changed(endpoint_override);
+                         }}) {
   dispatcher_.attach(listener_, pool_);
-  dispatcher_.set_discovery_poll([this] { endpoints_.poll_discovery(); });
-  endpoints_.on_updated([this] {
+  dispatcher_.set_discovery_poll([this] { endpoint_updater_.poll_discovery(); });
+  endpoint_updater_.on_updated([this] {
     if (hot_restart_ != nullptr) hot_restart_->on_endpoints_updated();
   });
-  if (config_.movable) apply_log_rules(config_.log);
-  load_first_list(inherited);
-  if (!config_.handover.empty()) start_hot_restart(inherited);
-  endpoints_.watch_sources();
-  if (!config_.control.empty()) start_control();
+  if (config_.reloadable) apply_log_rules(config_.log);
+  load_initial_list(inherited);
+  if (!config_.hot_restart_path.empty()) start_hot_restart(inherited);
+  endpoint_updater_.watch_sources();
+  if (!config_.control_address.empty()) start_control();
   if (fleet != nullptr) start_gossip(*fleet);
-  stats_.start();
+  stats_reporter_.start();
   log_listening();
 }
 
 Router::~Router() {
-  stats_.report();
+  stats_reporter_.report();
   log::line("stopped", {{"name", config_.name},
                         {"unanswered", dispatcher_.unanswered_requests()},
-                        {"egress_opened", pool_.opened()},
+                        {"egress_opened", pool_.opened_count()},
                         {"resets_after_rest", pool_.resets_after_idle()},
-                        {"dropped", log::dropped()}});
+                        {"dropped", log::dropped_lines()}});
 }
 
-void Router::load_first_list(hot_restart::Inherited* inherited) {
-  if (inherited != nullptr) endpoints_.overrides().adopt(inherited->grant.overrides);
-  const bool with_list = inherited != nullptr && !inherited->grant.list.empty();
-  if (with_list) config_.known = config::parse_json(inherited->grant.list);
-  endpoints_.load_first_list(with_list);
+void Router::load_initial_list(hot_restart::InheritedState* inherited) {
+  if (inherited != nullptr) endpoint_updater_.overrides().merge(inherited->grant.overrides);
+  const bool has_inherited_list = inherited != nullptr && !inherited->grant.endpoint_list.empty();
+  if (has_inherited_list) config_.known_endpoints = config::parse_json(inherited->grant.endpoint_list);
+  endpoint_updater_.load_initial_list(has_inherited_list);
 }
 
-void Router::start_hot_restart(hot_restart::Inherited* inherited) {
-  HotRestartOptions options{config_.handover,
-                            config_.name,
-                            config_.listen,
-                            connection_descriptors(config_),
-                            reserved_descriptors(config_),
-                            config_.memory_mb};
+void Router::start_hot_restart(hot_restart::InheritedState* inherited) {
+  HotRestartOptions options{config_.hot_restart_path,      config_.name,
+                            config_.listen_address,        connection_descriptors(config_),
+                            reserved_descriptors(config_), config_.memory_mb};
   HotRestartParts parts{base_,
                         timers_,
                         descriptors_,
@@ -98,66 +96,71 @@
                         buffer_budget_,
                         listener_,
                         pool_,
-                        endpoints_.overrides(),
-                        endpoints_.table(),
-                        [this](const std::string& name) { endpoints_.refresh(name); },
-                        [this] { return ready(); }};
+                        endpoint_updater_.overrides(),
+                        endpoint_updater_.table(),
+                        [this](const std::string& name) { endpoint_updater_.refresh_endpoint(name); },
+                        [this] { return is_ready(); }};
   hot_restart_ = std::make_unique<HotRestartCoordinator>(std::move(parts), std::move(options), inherited);
   shutdown_.set_hot_restart(hot_restart_.get());
   hot_restart_->on_endpoints_updated();
 }
 
 void Router::start_control() {
-  control::PortOptions options;
-  options.address = config_.control;
-  control_ = std::make_unique<control::Port>(
-      base_, timers_, options, [this](const control::Call& call) { return control_calls_.answer(call); });
+  control::ControlServerOptions options;
+  options.address = config_.control_address;
+  control_server_ = std::make_unique<control::ControlServer>(
+      base_, timers_, options,
+      [this](const control::ControlCommand& command) { return control_commands_.handle(command); });
 }
 
-void Router::start_gossip(const config::Fleet& fleet) {
-  const gossip::Uses uses{fleet.ledger, fleet.count, fleet.findings};
-  const auto own = [this, uses] { return gossip::own_of(dispatcher_.balancer(), uses); };
-  const auto heard = [this, uses](gossip::Fleet& told, double now) {
+void Router::start_gossip(const config::RouterFleetConfig& fleet) {
+  const gossip::GossipFeatures uses{fleet.share_origin_limit, fleet.use_live_router_count,
+                                    fleet.share_node_findings};
+  const auto own_state = [this, uses] { return gossip::local_reports(dispatcher_.balancer(), uses); };
+  const auto on_fleet_updated = [this, uses](gossip::GossipNode& fleet_state, double now_ms) {
     std::vector<fernward::Event> events;
-    gossip::advise(now, told.view(now), told, uses, events);
+    gossip::append_fleet_events(now_ms, fleet_state.view(now_ms), fleet_state, uses, events);
     dispatcher_.on_fleet_events(std::move(events));
   };
-  gossip_ = std::make_unique<gossip_transport::Link>(timers_, gossip_options(fleet, config_),
-                                                     gossip_transport::Calls{own, heard});
+  gossip_ = std::make_unique<gossip_transport::Transport>(
+      timers_, gossip_options(fleet, config_), gossip_transport::Callbacks{own_state, on_fleet_updated});
   shutdown_.set_gossip(gossip_.get());
-  stats_.add_gossip(*gossip_);
+  stats_reporter_.add_gossip(*gossip_);
 }
 
 void Router::log_listening() const {
-  const char* nodes = "fixed";
-  if (!config_.nodes_file.empty()) nodes = config_.nodes_file.c_str();
-  if (!config_.discovery.empty()) nodes = config_.discovery.c_str();
-  log::line("listening",
-            {{"name", config_.name}, {"listen", config_.listen}, {"port", port()}, {"nodes", nodes}});
+  const char* endpoint_source = "fixed";
+  if (!config_.nodes_file.empty()) endpoint_source = config_.nodes_file.c_str();
+  if (!config_.discovery_address.empty()) endpoint_source = config_.discovery_address.c_str();
+  log::line("listening", {{"name", config_.name},
+                          {"listen", config_.listen_address},
+                          {"port", port()},
+                          {"nodes", endpoint_source}});
 }
 
-downstream::ListenerCalls Router::listener_calls() {
+downstream::ListenerCallbacks Router::listener_calls() {
   return {[this](loop::Handle client, proxy::ClientRequest request) {
             // The configuration's list may be out of date.
-            if (endpoints_.awaits_first_list()) return loop::Handle{0};
+            if (endpoint_updater_.is_awaiting_initial_list()) return loop::Handle{0};
             return dispatcher_.open_request(client, std::move(request));
           },
           [this](const std::string& id) { return dispatcher_.is_waiting_for(id); },
           [this](loop::Handle request) { dispatcher_.body_complete(request); },
           [this](loop::Handle request) { dispatcher_.client_disconnected(request); },
-          [this] { return endpoints_.ready(); },
+          [this] { return endpoint_updater_.is_ready(); },
           [this] { shutdown_.on_connections_closed(); },
-          [this] { return pool_.evict_oldest_idle(upstream::CloseReason::Recalled); },
+          [this] { return pool_.evict_oldest_idle(upstream::CloseReason::EvictedForClient); },
           [this](loop::Handle request) { dispatcher_.response_drained(request); }};
 }
 
-std::optional<hot_restart::Inherited> inherit(const config::Config& config) {
-  if (config.handover.empty()) return std::nullopt;
-  const hot_restart::TakeoverRequest request{config.name, config.listen, reserved_descriptors(config)};
-  std::string fault;
-  auto inherited = hot_restart::request_takeover(config.handover, request, kInheritTimeoutMs, fault);
+std::optional<hot_restart::InheritedState> request_inherited_state(const config::Config& config) {
+  if (config.hot_restart_path.empty()) return std::nullopt;
+  const hot_restart::TakeoverRequest request{config.name, config.listen_address,
+                                             reserved_descriptors(config)};
+  std::string error;
+  auto inherited = hot_restart::request_takeover(config.hot_restart_path, request, kTakeoverTimeoutMs, error);
   // After a failure this process listens in parallel with the old one.
-  if (!fault.empty()) log::line("hot-restart-failed", {{"why", fault}});
+  if (!error.empty()) log::line("hot-restart-failed", {{"why", error}});
   return inherited;
 }
 
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -8,16 +8,16 @@
 
 #include "body_buffers/buffer_budget.h"
 #include "config/config.h"
-#include "config/fleet.h"
-#include "control/port.h"
+#include "config/router_fleet.h"
+#include "control/control_server.h"
 #include "descriptors/descriptor_budget.h"
 #include "downstream/listener.h"
-#include "figures/figures.h"
-#include "gossip_transport/link.h"
-#include "hot_restart/link.h"
+#include "figures/router_stats.h"
+#include "gossip_transport/transport.h"
+#include "hot_restart/restart_transport.h"
 #include "proxy/request_dispatcher.h"
 #include "router/config_reload.h"
-#include "router/control_calls.h"
+#include "router/control_command_handler.h"
 #include "router/endpoint_updater.h"
 #include "router/graceful_shutdown.h"
 #include "router/hot_restart_coordinator.h"
@@ -26,13 +26,13 @@
 
 namespace fernward::router {
 
-struct BaseFree {
+struct EventBaseDeleter {
   void operator()(event_base* base) const { event_base_free(base); }
 };
-using BasePtr = std::unique_ptr<event_base, BaseFree>;
+using EventBasePtr = std::unique_ptr<event_base, EventBaseDeleter>;
 // Creates an event base on which events of discovery and of the control port run before those of traffic.
 // Throws std::runtime_error.
-BasePtr make_base();
+EventBasePtr make_event_base();
 
 class Router {
  public:
@@ -41,60 +41,60 @@
   // `inherited`: received from the process that this one replaces; its descriptors are moved out. Null: this
   // process replaces none.
   // `fleet`: settings of the gossip between the routers; null: gossip is disabled.
-  Router(const config::Config& config, event_base* base, hot_restart::Inherited* inherited = nullptr,
-         const config::Fleet* fleet = nullptr);
+  Router(const config::Config& config, event_base* base, hot_restart::InheritedState* inherited = nullptr,
+         const config::RouterFleetConfig* fleet = nullptr);
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
   ~Router();
 
   void begin_shutdown() { shutdown_.begin(config_); } // on SIGTERM, see GracefulShutdown
   // On SIGHUP, see ConfigReload. Throws config::Error; nothing is changed then.
-  void reload(const config::Config& next) { reload_.reload(next); }
+  void reload(const config::Config& new_config) { reload_.reload(new_config); }
 
   int port() const { return listener_.port(); }
-  int control_port() const { return control_ == nullptr ? 0 : control_->port(); }
-  const admin_overrides::EndpointOverrides& overrides() const { return endpoints_.overrides(); }
-  const descriptors::DescriptorBudget& account() const { return descriptors_; }
-  const proxy::RequestDispatcher& driver() const { return dispatcher_; }
+  int control_port() const { return control_server_ == nullptr ? 0 : control_server_->port(); }
+  const admin_overrides::EndpointOverrides& overrides() const { return endpoint_updater_.overrides(); }
+  const descriptors::DescriptorBudget& descriptor_budget() const { return descriptors_; }
+  const proxy::RequestDispatcher& dispatcher() const { return dispatcher_; }
   const upstream::ConnectionPool& pool() const { return pool_; }
   const downstream::Listener& listener() const { return listener_; }
-  const endpoints::EndpointTable& table() const { return endpoints_.table(); }
-  const figures::Figures& figures() const { return figures_; }
-  const body_buffers::BufferBudget& bytes() const { return buffer_budget_; }
-  const body_buffers::RetainedBodies& kept() const { return bodies_.retained; }
+  const endpoints::EndpointTable& endpoint_table() const { return endpoint_updater_.table(); }
+  const figures::RouterStats& router_stats() const { return router_stats_; }
+  const body_buffers::BufferBudget& buffer_budget() const { return buffer_budget_; }
+  const body_buffers::RetainedBodies& retained_bodies() const { return body_stores_.retained; }
 
  private:
-  downstream::ListenerCalls listener_calls();
-  void load_first_list(hot_restart::Inherited* inherited);
-  void start_hot_restart(hot_restart::Inherited* inherited);
+  downstream::ListenerCallbacks listener_calls();
+  void load_initial_list(hot_restart::InheritedState* inherited);
+  void start_hot_restart(hot_restart::InheritedState* inherited);
   void start_control();
-  void start_gossip(const config::Fleet& fleet);
+  void start_gossip(const config::RouterFleetConfig& fleet);
   void log_listening() const;
-  bool ready() const { return !shutdown_.has_begun() && endpoints_.ready(); }
+  bool is_ready() const { return !shutdown_.has_begun() && endpoint_updater_.is_ready(); }
 
   config::Config config_;
   event_base* base_;
   loop::TimerQueue timers_;
-  figures::Figures figures_;
+  figures::RouterStats router_stats_;
   descriptors::DescriptorBudget descriptors_;
   descriptors::RequestBufferBudget request_buffers_;
   body_buffers::BufferBudget buffer_budget_;
-  proxy::BodyStores bodies_;
+  proxy::BodyStores body_stores_;
   proxy::RequestDispatcher dispatcher_;
   upstream::ConnectionPool pool_;
   downstream::Listener listener_;
-  EndpointUpdater endpoints_;
+  EndpointUpdater endpoint_updater_;
   GracefulShutdown shutdown_;
   ConfigReload reload_;
-  StatsReporter stats_;
-  ControlCalls control_calls_;
-  std::unique_ptr<control::Port> control_;             // null: the control port is disabled
-  std::unique_ptr<HotRestartCoordinator> hot_restart_; // null: hot restart is disabled
-  std::unique_ptr<gossip_transport::Link> gossip_;     // null: gossip is disabled
+  StatsReporter stats_reporter_;
+  ControlCommandHandler control_commands_;
+  std::unique_ptr<control::ControlServer> control_server_; // null: the control port is disabled
+  std::unique_ptr<HotRestartCoordinator> hot_restart_;     // null: hot restart is disabled
+  std::unique_ptr<gossip_transport::Transport> gossip_;    // null: gossip is disabled
 };
 
 // Requests a takeover from the running process that a new one with this configuration replaces. None: there
 // is no such process, or the request failed, which is logged.
-std::optional<hot_restart::Inherited> inherit(const config::Config& config);
+std::optional<hot_restart::InheritedState> request_inherited_state(const config::Config& config);
 
 } // namespace fernward::router
--- a/src/router/router_options.cpp
+++ b/src/router/router_options.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 // Additional descriptors if the control port is enabled; half of the other reserved descriptors are unused.
-constexpr std::size_t kControlReserved = 4;
+constexpr std::size_t kControlReservedDescriptors = 4;
 constexpr std::size_t kMinConnections = 16; // at least, even if `limits.sockets` is smaller
 constexpr std::size_t kShortBodyBytes = 64 << 10;
 constexpr std::size_t kDefaultReceiveBytes = 64 << 10; // approximate default of the kernel, per connection
@@ -17,32 +17,32 @@
 constexpr std::size_t kMaxUnsentBytes = 64 << 10;
 constexpr std::uint64_t kMaxRetainedBytes = 512 << 10; // of one body, in memory
 // The router closes an idle connection after this fraction of the endpoints' idle timeout.
-constexpr double kIdleShare = 0.7;
+constexpr double kIdleTimeoutFraction = 0.7;
 
 std::uint64_t memory_bytes(const config::Config& config) {
   return static_cast<std::uint64_t>(config.memory_mb) << 20;
 }
 
 // Kernel buffers for the connections of each side. They use memory of the machine, not of this process.
-std::size_t kernel_bytes(const config::Config& config) {
+std::size_t kernel_buffer_bytes(const config::Config& config) {
   return static_cast<std::size_t>(memory_bytes(config)) / 4;
 }
 
 } // namespace
 
 std::size_t reserved_descriptors(const config::Config& config) {
-  return config::kReserved + (config.control.empty() ? 0 : kControlReserved);
+  return config::kReservedDescriptors + (config.control_address.empty() ? 0 : kControlReservedDescriptors);
 }
 
 std::size_t connection_descriptors(const config::Config& config) {
   const std::size_t reserved = reserved_descriptors(config);
-  return std::max<std::size_t>(config.sockets, reserved + kMinConnections) - reserved;
+  return std::max<std::size_t>(config.max_descriptors, reserved + kMinConnections) - reserved;
 }
 
 proxy::RequestDispatcherOptions dispatcher_options(const config::Config& config) {
   proxy::RequestDispatcherOptions options;
-  options.grace_ms = config.limits.grace_to_answer_ms;
-  options.max_requests = static_cast<std::size_t>(config.limits.open_cap);
+  options.grace_ms = config.limits.response_grace_ms;
+  options.max_requests = static_cast<std::size_t>(config.limits.max_active_requests);
   options.discovery_poll_interval_ms =
       config.limits.drain_grace_ms / 10; // the remaining grace period is for reading the list
   return options;
@@ -51,22 +51,22 @@
 upstream::ConnectionPoolOptions pool_options(const config::Config& config) {
   upstream::ConnectionPoolOptions options;
   options.connect_timeout_ms = config.limits.connect_timeout_ms;
-  options.idle_ms = kIdleShare * config.limits.conn_idle_ms;
+  options.idle_timeout_ms = kIdleTimeoutFraction * config.limits.idle_timeout_ms;
   options.scarce_kind = config.settings.origin_kind;
-  options.report_fields = config.names.report_fields;
-  options.answers.max_body_bytes = config.answer_bytes;
-  const std::size_t receive_bytes = kernel_bytes(config) / (connection_descriptors(config) / 2);
+  options.load_report_fields = config.names.report_fields;
+  options.response_limits.max_body_bytes = config.max_response_bytes;
+  const std::size_t receive_bytes = kernel_buffer_bytes(config) / (connection_descriptors(config) / 2);
   if (receive_bytes < kDefaultReceiveBytes) {
-    options.receive_bytes = static_cast<int>(std::max(receive_bytes, kMinReceiveBytes));
+    options.receive_buffer_bytes = static_cast<int>(std::max(receive_bytes, kMinReceiveBytes));
   }
   return options;
 }
 
 body_buffers::BufferBudgetOptions buffer_budget_options(const config::Config& config) {
   body_buffers::BufferBudgetOptions options;
-  options.total_bytes = config::body_bytes(config.memory_mb);
+  options.total_bytes = config::body_buffer_limit_bytes(config.memory_mb);
   options.max_holders = connection_descriptors(config); // of responses
-  if (config.request_bytes > kShortBodyBytes)
+  if (config.max_request_bytes > kShortBodyBytes)
     options.max_holders *= 2; // and of request bodies that are streamed
   return options;
 }
@@ -74,63 +74,66 @@
 body_buffers::RetentionLimits retention_limits(const config::Config& config) {
   const std::uint64_t memory = memory_bytes(config);
   body_buffers::RetentionLimits limits;
-  limits.max_body_bytes = config.request_bytes;
-  limits.max_memory_per_body = std::min(memory / 64, kMaxRetainedBytes);
+  limits.max_body_bytes = config.max_request_bytes;
+  limits.max_memory_bytes_per_body = std::min(memory / 64, kMaxRetainedBytes);
   limits.max_memory_bytes = memory / 8;
   limits.max_file_bytes =
-      config.body_folder.empty() ? 0 : static_cast<std::uint64_t>(config.body_folder_mb) << 20;
-  limits.max_file_per_body = limits.max_file_bytes / 4;
+      config.spill_folder.empty() ? 0 : static_cast<std::uint64_t>(config.spill_limit_mb) << 20;
+  limits.max_file_bytes_per_body = limits.max_file_bytes / 4;
   limits.stream_after_bytes = kShortBodyBytes;
   return limits;
 }
 
 downstream::ListenerOptions listener_options(const config::Config& config,
-                                             hot_restart::Inherited* inherited) {
+                                             hot_restart::InheritedState* inherited) {
   downstream::ListenerOptions options;
-  options.listening = inherited == nullptr ? -1 : inherited->listening.release();
+  options.inherited_fd = inherited == nullptr ? -1 : inherited->listen_socket.release();
   // A new process can then listen on the port even if the hot restart socket fails.
-  options.share_port = !config.control.empty();
-  options.address = config.listen;
-  options.short_body = kShortBodyBytes;
-  options.unsent_bytes = static_cast<int>(
-      std::clamp(kernel_bytes(config) / (config.sockets / 3), kMinUnsentBytes, kMaxUnsentBytes));
+  options.share_port = !config.control_address.empty();
+  options.address = config.listen_address;
+  options.max_short_body_bytes = kShortBodyBytes;
+  options.max_unsent_bytes = static_cast<int>(std::clamp(
+      kernel_buffer_bytes(config) / (config.max_descriptors / 3), kMinUnsentBytes, kMaxUnsentBytes));
   // At most a third of the descriptors are for client connections that hold a request. While all of these are
   // idle, none of them can open a further one.
-  options.clients.max_clients = std::min<std::size_t>(config.sockets / 3, connection_descriptors(config));
+  options.admission.max_clients =
+      std::min<std::size_t>(config.max_descriptors / 3, connection_descriptors(config));
   return options;
 }
 
-downstream::Rules downstream_rules(const config::Config& config) {
-  return {config.names, config.settings, config.map, config.make_ids};
+downstream::RequestRules downstream_rules(const config::Config& config) {
+  return {config.names, config.settings, config.mappings, config.generate_request_ids};
 }
 
 // With pushed lists a change applies immediately, so at most half of the drain grace period may pass before
 // the next request to discovery. With polled lists a change applies later anyway, and longer pauses spare
 // discovery, a single service that all routers load.
-discovery::SubscriptionRules subscription_rules(const config::Config& config) {
-  discovery::SubscriptionRules rules;
+discovery::SubscriptionSettings subscription_rules(const config::Config& config) {
+  discovery::SubscriptionSettings rules;
   const bool pushed = config.settings.discovery == fernward::DiscoveryMode::Push;
-  rules.max_pause_ms = pushed ? std::min(config.limits.drain_grace_ms / 2, rules.max_useless_pause_ms)
-                              : rules.max_useless_pause_ms;
-  rules.first_pause_ms = std::min(rules.first_pause_ms, rules.max_pause_ms);
+  rules.max_reconnect_pause_ms = pushed
+                                     ? std::min(config.limits.drain_grace_ms / 2, rules.max_rejected_pause_ms)
+                                     : rules.max_rejected_pause_ms;
+  rules.min_reconnect_pause_ms = std::min(rules.min_reconnect_pause_ms, rules.max_reconnect_pause_ms);
   return rules;
 }
 
-gossip_transport::Options gossip_options(const config::Fleet& fleet, const config::Config& config) {
+gossip_transport::Options gossip_options(const config::RouterFleetConfig& fleet,
+                                         const config::Config& config) {
   gossip_transport::Options options;
-  options.self = static_cast<gossip::Id>(fleet.self);
-  options.listen = fleet.listen;
-  options.peers = fleet.peers;
-  options.rules = {fleet.period_ms, fleet.asked};
+  options.self = static_cast<gossip::MemberId>(fleet.self_index);
+  options.listen = fleet.listen_address;
+  options.peers = fleet.peer_addresses;
+  options.membership_settings = {fleet.ping_interval_ms, fleet.indirect_ping_count};
   options.seed = config.seed;
   if (const auto zone = config.settings.zone) options.zone = static_cast<std::uint8_t>(*zone);
   return options;
 }
 
-void apply_log_rules(const config::LogRules& rules) {
-  log::limit(rules.per_second, rules.burst);
-  log::write_json(rules.json);
-  log::write_routine(rules.connections);
+void apply_log_rules(const config::LogSettings& rules) {
+  log::set_rate_limit(rules.lines_per_s, rules.burst_lines);
+  log::set_json_format(rules.json);
+  log::enable_routine_lines(rules.log_connections);
 }
 
 } // namespace fernward::router
--- a/src/router/router_options.h
+++ b/src/router/router_options.h
@@ -6,11 +6,11 @@
 #include "body_buffers/buffer_budget.h"
 #include "body_buffers/retained_bodies.h"
 #include "config/config.h"
-#include "config/fleet.h"
+#include "config/router_fleet.h"
 #include "discovery/subscription.h"
 #include "downstream/listener.h"
-#include "gossip_transport/link.h"
-#include "hot_restart/link.h"
+#include "gossip_transport/transport.h"
+#include "hot_restart/restart_transport.h"
 #include "proxy/request_dispatcher.h"
 #include "upstream/connection_pool.h"
 
@@ -26,11 +26,13 @@
 body_buffers::BufferBudgetOptions buffer_budget_options(const config::Config& config);
 body_buffers::RetentionLimits retention_limits(const config::Config& config);
 // Moves the listening descriptor out of `inherited` unless it is null.
-downstream::ListenerOptions listener_options(const config::Config& config, hot_restart::Inherited* inherited);
-downstream::Rules downstream_rules(const config::Config& config);
-discovery::SubscriptionRules subscription_rules(const config::Config& config);
-gossip_transport::Options gossip_options(const config::Fleet& fleet, const config::Config& config);
+downstream::ListenerOptions listener_options(const config::Config& config,
+                                             hot_restart::InheritedState* inherited);
+downstream::RequestRules downstream_rules(const config::Config& config);
+discovery::SubscriptionSettings subscription_rules(const config::Config& config);
+gossip_transport::Options gossip_options(const config::RouterFleetConfig& fleet,
+                                         const config::Config& config);
 
-void apply_log_rules(const config::LogRules& rules);
+void apply_log_rules(const config::LogSettings& rules);
 
 } // namespace fernward::router
--- a/src/router/stats_reporter.cpp
+++ b/src/router/stats_reporter.cpp
@@ -9,7 +9,7 @@
 namespace fernward::router {
 namespace {
 
-constexpr double kPeriodMs = 10000;
+constexpr double kReportPeriodMs = 10000;
 
 constexpr const char* kReasonNames[] = {"shed",           "queue-timeout", "response-timeout",
                                         "not-sent",       "retry-budget",  "attempt-limit",
@@ -19,21 +19,22 @@
 } // namespace
 
 StatsReporter::StatsReporter(StatsReporterParts parts) : parts_(parts) {
-  parts_.figures.gauge("cluster_size", [this] { return static_cast<double>(caches()); });
-  parts_.figures.gauge("cluster_unhealthy", [this] { return static_cast<double>(unavailable_caches()); });
+  parts_.stats.add_gauge("cluster_size", [this] { return static_cast<double>(cache_count()); });
+  parts_.stats.add_gauge("cluster_unhealthy",
+                         [this] { return static_cast<double>(unavailable_cache_count()); });
 }
 
-void StatsReporter::add_gossip(gossip_transport::Link& gossip) {
+void StatsReporter::add_gossip(gossip_transport::Transport& gossip) {
   gossip_ = &gossip;
-  const auto gauge = [this](const char* name, auto value) { parts_.figures.gauge(name, value); };
-  gauge("fleet_living", [this] { return static_cast<double>(gossip_->fleet().members().living()); });
+  const auto gauge = [this](const char* name, auto value) { parts_.stats.add_gauge(name, value); };
+  gauge("fleet_living", [this] { return static_cast<double>(gossip_->node().members().alive_count()); });
   gauge("fleet_limit", [this] { return 1000 * parts_.dispatcher.origin_budget().limit; });
-  gauge("fleet_doubted", [this] { return static_cast<double>(gossip_->fleet().doubted()); });
-  gauge("fleet_heard", [this] { return gossip_->fleet().view(loop::now_ms()).heard; });
+  gauge("fleet_doubted", [this] { return static_cast<double>(gossip_->node().outlier_count()); });
+  gauge("fleet_heard", [this] { return gossip_->node().view(loop::now_ms()).fresh_reports; });
 }
 
 void StatsReporter::start() {
-  parts_.timers.at(loop::now_ms() + kPeriodMs, [this] {
+  parts_.timers.run_at(loop::now_ms() + kReportPeriodMs, [this] {
     report();
     start();
   });
@@ -48,35 +49,35 @@
 
 void StatsReporter::report_requests() {
   using figures::Outcome;
-  const figures::Figures& figures = parts_.figures;
-  const std::uint64_t ended = figures.all(Outcome::Answered) + figures.all(Outcome::Deferred) +
-                              figures.all(Outcome::Errored) + figures.all(Outcome::Gone);
-  if (std::exchange(reported_ended_, ended) == ended) return;
-  log::line("figures", {{"answered", figures.all(Outcome::Answered)},
-                        {"deferred", figures.all(Outcome::Deferred)},
-                        {"errored", figures.all(Outcome::Errored)},
-                        {"gone", figures.all(Outcome::Gone)},
-                        {"sends", figures.sends()},
-                        {"current", figures.current()}});
+  const figures::RouterStats& stats = parts_.stats;
+  const std::uint64_t ended_requests = stats.total(Outcome::Answered) + stats.total(Outcome::Deferred) +
+                                       stats.total(Outcome::Errored) + stats.total(Outcome::ClientGone);
+  if (std::exchange(reported_request_count_, ended_requests) == ended_requests) return;
+  log::line("figures", {{"answered", stats.total(Outcome::Answered)},
+                        {"deferred", stats.total(Outcome::Deferred)},
+                        {"errored", stats.total(Outcome::Errored)},
+                        {"gone", stats.total(Outcome::ClientGone)},
+                        {"sends", stats.attempts_sent()},
+                        {"current", stats.active_requests()}});
 }
 
 void StatsReporter::report_slow_start() {
-  const auto now = parts_.dispatcher.balancer().slow_start_counts();
-  const auto before = std::exchange(reported_slow_start_, now);
-  if (now.attempts == before.attempts && now.denied == before.denied) return;
-  log::line("slow-start",
-            {{"sent", now.attempts - before.attempts}, {"held_back", now.denied - before.denied}});
+  const auto current = parts_.dispatcher.balancer().slow_start_counts();
+  const auto previous = std::exchange(reported_slow_start_, current);
+  if (current.attempts == previous.attempts && current.denied == previous.denied) return;
+  log::line("slow-start", {{"sent", current.attempts - previous.attempts},
+                           {"held_back", current.denied - previous.denied}});
 }
 
 void StatsReporter::report_gossip() {
-  const gossip::Counts counts = gossip_->fleet().counts();
-  log::line("fleet", {{"living", gossip_->fleet().members().living()},
+  const gossip::GossipCounts counts = gossip_->node().counts();
+  log::line("fleet", {{"living", gossip_->node().members().alive_count()},
                       {"sent", counts.sent},
                       {"bytes", counts.sent_bytes},
-                      {"taken", counts.taken},
+                      {"taken", counts.accepted},
                       {"damaged", counts.damaged},
-                      {"passed_over", counts.passed_over},
-                      {"strangers", gossip_->strangers()}});
+                      {"passed_over", counts.ignored},
+                      {"strangers", gossip_->unknown_datagrams()}});
 }
 
 // Writes one summary line for all rejections since the last report: one line per rejection would exceed the
@@ -85,27 +86,27 @@
   const auto& rejections = parts_.dispatcher.give_up_counts();
   std::vector<log::Field> fields;
   for (std::size_t i = 0; i < rejections.size(); ++i) {
-    const auto since_last = rejections[i] - reported_rejections_[i];
-    if (since_last != 0) fields.emplace_back(kReasonNames[i], since_last);
+    const auto count_since_report = rejections[i] - reported_rejections_[i];
+    if (count_since_report != 0) fields.emplace_back(kReasonNames[i], count_since_report);
   }
   reported_rejections_ = rejections;
   if (!fields.empty()) log::line("requests-rejected", fields.data(), fields.size());
 }
 
-std::size_t StatsReporter::caches() const {
+std::size_t StatsReporter::cache_count() const {
   std::size_t count = 0;
-  for (const auto& [id, endpoint] : parts_.endpoints.table().targets()) {
-    count += parts_.endpoints.is_cache(endpoint.entry);
+  for (const auto& [id, endpoint] : parts_.endpoints.table().endpoints_by_id()) {
+    count += parts_.endpoints.is_cache(endpoint.server);
   }
   return count;
 }
 
 // Caches that receive no requests now: disabled by an operator, not in service, or ejected.
-std::size_t StatsReporter::unavailable_caches() const {
+std::size_t StatsReporter::unavailable_cache_count() const {
   std::size_t count = 0;
-  for (const auto& [id, endpoint] : parts_.endpoints.table().targets()) {
-    if (!parts_.endpoints.is_cache(endpoint.entry)) continue;
-    count += endpoint.entry.state != fernward::ServerState::Ready ||
+  for (const auto& [id, endpoint] : parts_.endpoints.table().endpoints_by_id()) {
+    if (!parts_.endpoints.is_cache(endpoint.server)) continue;
+    count += endpoint.server.state != fernward::ServerState::Ready ||
              parts_.endpoints.overrides().is_disabled(endpoint.name) || parts_.dispatcher.is_ejected(id);
   }
   return count;
--- a/src/router/stats_reporter.h
+++ b/src/router/stats_reporter.h
@@ -5,8 +5,8 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "figures/figures.h"
-#include "gossip_transport/link.h"
+#include "figures/router_stats.h"
+#include "gossip_transport/transport.h"
 #include "loop/timer_queue.h"
 #include "proxy/request_dispatcher.h"
 #include "router/endpoint_updater.h"
@@ -15,7 +15,7 @@
 
 struct StatsReporterParts { // owned by the router; must outlive the reporter
   loop::TimerQueue& timers;
-  figures::Figures& figures;
+  figures::RouterStats& stats;
   const proxy::RequestDispatcher& dispatcher;
   const EndpointUpdater& endpoints;
 };
@@ -26,8 +26,9 @@
   StatsReporter(const StatsReporter&) = delete;
   StatsReporter& operator=(const StatsReporter&) = delete;
 
-  void add_gossip(gossip_transport::Link& gossip); // registers its gauges and adds its line to each report
-  void start();                                    // reports periodically until the event loop ends
+  void add_gossip(
+      gossip_transport::Transport& gossip); // registers its gauges and adds its line to each report
+  void start();                             // reports periodically until the event loop ends
   void report();
 
  private:
@@ -35,15 +36,15 @@
   void report_slow_start();
   void report_gossip();
   void report_rejected();
-  std::size_t caches() const;
-  std::size_t unavailable_caches() const;
+  std::size_t cache_count() const;
+  std::size_t unavailable_cache_count() const;
 
   StatsReporterParts parts_;
-  gossip_transport::Link* gossip_ = nullptr; // null: gossip is disabled
+  gossip_transport::Transport* gossip_ = nullptr; // null: gossip is disabled
   // Values at the last report:
   proxy::RequestDispatcher::GiveUpCounts reported_rejections_{};
   fernward::Balancer::SlowStartCounts reported_slow_start_;
-  std::uint64_t reported_ended_ = 0;
+  std::uint64_t reported_request_count_ = 0;
 };
 
 } // namespace fernward::router
--- a/src/sidecar/claim.h
+++ b/src/sidecar/address_claim.h
@@ -10,27 +10,27 @@
 
 namespace fernward::sidecar {
 
-class Claim {
+class AddressClaim {
  public:
   // Throws std::runtime_error if another process holds the claim ("... is claimed by application a
   // (process 12)"), or if the file cannot be created, locked or written in `folder`.
-  Claim(const std::string& folder, const std::string& address, const std::string& application);
-  ~Claim();
-  Claim(const Claim&) = delete;
-  Claim& operator=(const Claim&) = delete;
+  AddressClaim(const std::string& folder, const std::string& address, const std::string& application);
+  ~AddressClaim();
+  AddressClaim(const AddressClaim&) = delete;
+  AddressClaim& operator=(const AddressClaim&) = delete;
 
   const std::string& path() const { return path_; }
   // Whether a sidecar that crashed left the claim file behind. Its router may need a moment to end.
-  bool left_behind() const { return left_behind_; }
+  bool left_by_crash() const { return left_by_crash_; }
 
  private:
   std::string path_;
   int fd_ = -1;
-  bool left_behind_ = false;
+  bool left_by_crash_ = false;
 };
 
 // The folder for claims if the configuration names none: $XDG_RUNTIME_DIR, else /run/fernward if that is
 // writable, else /tmp.
-std::string runtime_folder();
+std::string default_runtime_folder();
 
 } // namespace fernward::sidecar
--- a/src/sidecar/beside.h
+++ b/src/sidecar/runner.h
@@ -10,14 +10,14 @@
 namespace fernward::sidecar {
 
 struct Programs {
-  std::vector<std::string> router;      // command line
-  std::vector<std::string> application; // command line
-  std::vector<std::string> environment; // additional variables for the application, NAME=VALUE
-  std::string address;                  // of the router: an IPv4 address with port, or "unix:PATH"
+  std::vector<std::string> router_command;      // command line
+  std::vector<std::string> application_command; // command line
+  std::vector<std::string> environment;         // additional variables for the application, NAME=VALUE
+  std::string router_address;                   // of the router: an IPv4 address with port, or "unix:PATH"
 };
 
 // Runs until both processes have ended and returns the application's exit code. Throws std::runtime_error if
 // the event loop cannot be created; no process has been started then.
-int run(const Programs& programs, const Rules& rules);
+int run(const Programs& programs, const SupervisorSettings& settings);
 
 } // namespace fernward::sidecar
--- a/src/sidecar/supervisor.cpp
+++ b/src/sidecar/supervisor.cpp
@@ -5,124 +5,129 @@
 namespace fernward::sidecar {
 namespace {
 
-constexpr int kTerminated = 143, kInterrupted = 130, kFault = 1; // the exit codes that a shell uses
+constexpr int kExitTerminated = 143, kExitInterrupted = 130,
+              kExitFailure = 1; // the exit codes that a shell uses
 
 } // namespace
 
-void Supervisor::on(double now, const Event& event, std::vector<Do>& actions) {
-  if (std::holds_alternative<Begin>(event)) return begin(now, actions);
-  if (std::holds_alternative<RouterReady>(event)) return ready(now, actions);
+void Supervisor::on_event(double now, const Event& event, std::vector<Action>& actions) {
+  if (std::holds_alternative<Start>(event)) return start(now, actions);
+  if (std::holds_alternative<RouterReady>(event)) return router_ready(now, actions);
   if (std::holds_alternative<RouterEnded>(event)) return router_ended(now, actions);
   if (const auto* ended = std::get_if<ApplicationEnded>(&event))
-    return application_ended(now, ended->code, actions);
-  if (const auto* signal = std::get_if<Signalled>(&event)) return signalled(now, signal->signal, actions);
-  tick(now, actions);
+    return application_ended(now, ended->exit_code, actions);
+  if (const auto* signal = std::get_if<SignalReceived>(&event))
+    return signal_received(now, signal->signal, actions);
+  timer_expired(now, actions);
 }
 
-std::optional<double> Supervisor::next() const {
-  std::optional<double> first;
-  for (const auto& at : {give_up_at_, start_at_, kill_application_at_, kill_router_at_}) {
-    if (at && (!first || *at < *first)) first = at;
+std::optional<double> Supervisor::next_deadline() const {
+  std::optional<double> earliest;
+  for (const auto& deadline : {ready_deadline_, restart_at_, kill_application_at_, kill_router_at_}) {
+    if (deadline && (!earliest || *deadline < *earliest)) earliest = deadline;
   }
-  return first;
+  return earliest;
 }
 
-void Supervisor::begin(double now, std::vector<Do>& actions) {
-  if (router_ != Router::Off) return;
-  router_ = Router::Starting;
-  give_up_at_ = now + rules_.ready_ms;
-  actions.push_back(Do::StartRouter);
+void Supervisor::start(double now, std::vector<Action>& actions) {
+  if (router_state_ != RouterState::NotStarted) return;
+  router_state_ = RouterState::Starting;
+  ready_deadline_ = now + settings_.ready_timeout_ms;
+  actions.push_back(Action::StartRouter);
 }
 
-void Supervisor::ready(double now, std::vector<Do>& actions) {
-  if (router_ != Router::Starting) return;
-  router_ = Router::Ready;
+void Supervisor::router_ready(double now, std::vector<Action>& actions) {
+  if (router_state_ != RouterState::Starting) return;
+  router_state_ = RouterState::Ready;
   ready_at_ = now;
-  give_up_at_.reset();
-  if (reload_due_) actions.push_back(Do::ReloadRouter);
-  reload_due_ = false;
-  if (application_ != Application::Before) return;
-  application_ = Application::Running;
-  actions.push_back(Do::StartApplication);
+  ready_deadline_.reset();
+  if (reload_pending_) actions.push_back(Action::ReloadRouter);
+  reload_pending_ = false;
+  if (application_state_ != ApplicationState::NotStarted) return;
+  application_state_ = ApplicationState::Running;
+  actions.push_back(Action::StartApplication);
 }
 
-void Supervisor::router_ended(double now, std::vector<Do>& actions) {
-  if (router_ == Router::Ending) {
-    router_ = Router::Gone;
+void Supervisor::router_ended(double now, std::vector<Action>& actions) {
+  if (router_state_ == RouterState::Stopping) {
+    router_state_ = RouterState::Stopped;
     kill_router_at_.reset();
-    actions.push_back(Do::End);
+    actions.push_back(Action::Exit);
     return;
   }
-  if (router_ != Router::Starting && router_ != Router::Ready) return;
-  if (router_ == Router::Ready && now - ready_at_ >= rules_.steady_ms) wait_ms_ = rules_.restart_first_ms;
-  router_ = Router::Waiting;
-  reload_due_ = false; // the router reads the configuration when it starts
-  start_at_ = now + wait_ms_;
-  wait_ms_ = std::min(2 * wait_ms_, rules_.restart_most_ms);
+  if (router_state_ != RouterState::Starting && router_state_ != RouterState::Ready) return;
+  if (router_state_ == RouterState::Ready && now - ready_at_ >= settings_.backoff_reset_ms)
+    backoff_ms_ = settings_.restart_backoff_min_ms;
+  router_state_ = RouterState::Backoff;
+  reload_pending_ = false; // the router reads the configuration when it starts
+  restart_at_ = now + backoff_ms_;
+  backoff_ms_ = std::min(2 * backoff_ms_, settings_.restart_backoff_max_ms);
 }
 
-void Supervisor::application_ended(double now, int code, std::vector<Do>& actions) {
-  if (application_ != Application::Running && application_ != Application::Ending) return;
-  application_ = Application::Gone;
+void Supervisor::application_ended(double now, int code, std::vector<Action>& actions) {
+  if (application_state_ != ApplicationState::Running && application_state_ != ApplicationState::Stopping)
+    return;
+  application_state_ = ApplicationState::Stopped;
   kill_application_at_.reset();
-  code_ = code;
-  end_router(now, actions);
+  exit_code_ = code;
+  stop_router(now, actions);
 }
 
-void Supervisor::end_router(double now, std::vector<Do>& actions) {
-  give_up_at_.reset();
-  start_at_.reset();
-  if (router_ == Router::Starting || router_ == Router::Ready) {
-    router_ = Router::Ending;
-    kill_router_at_ = now + rules_.drain_ms;
-    actions.push_back(Do::TerminateRouter);
-  } else if (router_ == Router::Off || router_ == Router::Waiting) {
-    router_ = Router::Gone;
-    actions.push_back(Do::End);
+void Supervisor::stop_router(double now, std::vector<Action>& actions) {
+  ready_deadline_.reset();
+  restart_at_.reset();
+  if (router_state_ == RouterState::Starting || router_state_ == RouterState::Ready) {
+    router_state_ = RouterState::Stopping;
+    kill_router_at_ = now + settings_.drain_timeout_ms;
+    actions.push_back(Action::TerminateRouter);
+  } else if (router_state_ == RouterState::NotStarted || router_state_ == RouterState::Backoff) {
+    router_state_ = RouterState::Stopped;
+    actions.push_back(Action::Exit);
   }
 }
 
-void Supervisor::signalled(double now, Signal signal, std::vector<Do>& actions) {
+void Supervisor::signal_received(double now, Signal signal, std::vector<Action>& actions) {
   if (signal == Signal::Reload) {
-    if (router_ == Router::Ready) actions.push_back(Do::ReloadRouter);
+    if (router_state_ == RouterState::Ready) actions.push_back(Action::ReloadRouter);
     // A router that is not ready may not handle the signal yet.
-    reload_due_ = reload_due_ || router_ == Router::Starting;
+    reload_pending_ = reload_pending_ || router_state_ == RouterState::Starting;
     return;
   }
   const bool interrupt = signal == Signal::Interrupt;
-  switch (application_) {
-    case Application::Before:
-      application_ = Application::Gone;
-      code_ = interrupt ? kInterrupted : kTerminated;
-      return end_router(now, actions);
-    case Application::Running:
-      application_ = Application::Ending;
-      kill_application_at_ = now + rules_.stop_ms;
+  switch (application_state_) {
+    case ApplicationState::NotStarted:
+      application_state_ = ApplicationState::Stopped;
+      exit_code_ = interrupt ? kExitInterrupted : kExitTerminated;
+      return stop_router(now, actions);
+    case ApplicationState::Running:
+      application_state_ = ApplicationState::Stopping;
+      kill_application_at_ = now + settings_.stop_timeout_ms;
       [[fallthrough]];
-    case Application::Ending: // repeated signals are forwarded: the application may react to the second one
-      return actions.push_back(interrupt ? Do::InterruptApplication : Do::TerminateApplication);
-    case Application::Gone: return; // the router is already ending
+    case ApplicationState::
+        Stopping: // repeated signals are forwarded: the application may react to the second one
+      return actions.push_back(interrupt ? Action::InterruptApplication : Action::TerminateApplication);
+    case ApplicationState::Stopped: return; // the router is already ending
   }
 }
 
-void Supervisor::tick(double now, std::vector<Do>& actions) {
-  const auto due = [now](std::optional<double>& at) {
-    if (!at || now < *at) return false;
-    at.reset();
+void Supervisor::timer_expired(double now, std::vector<Action>& actions) {
+  const auto take_if_due = [now](std::optional<double>& deadline) {
+    if (!deadline || now < *deadline) return false;
+    deadline.reset();
     return true;
   };
-  if (due(kill_router_at_)) actions.push_back(Do::KillRouter);
-  if (due(kill_application_at_)) actions.push_back(Do::KillApplication);
-  if (due(give_up_at_)) {
-    application_ = Application::Gone;
+  if (take_if_due(kill_router_at_)) actions.push_back(Action::KillRouter);
+  if (take_if_due(kill_application_at_)) actions.push_back(Action::KillApplication);
+  if (take_if_due(ready_deadline_)) {
+    application_state_ = ApplicationState::Stopped;
     never_ready_ = true;
-    code_ = kFault;
-    return end_router(now, actions);
+    exit_code_ = kExitFailure;
+    return stop_router(now, actions);
   }
-  if (!due(start_at_)) return;
-  router_ = Router::Starting;
+  if (!take_if_due(restart_at_)) return;
+  router_state_ = RouterState::Starting;
   ++restarts_;
-  actions.push_back(Do::StartRouter);
+  actions.push_back(Action::StartRouter);
 }
 
 } // namespace fernward::sidecar
--- a/src/sidecar/supervisor.h
+++ b/src/sidecar/supervisor.h
@@ -17,34 +17,35 @@
 
 namespace fernward::sidecar {
 
-struct Rules {
-  double ready_ms = 10000; // for the router to become ready at startup, before the application is started
-  double stop_ms = 10000;  // for the application to end after a signal before it is killed
-  double drain_ms = 10000; // the same for the router
-  double restart_first_ms = 100, restart_most_ms = 10000;
+struct SupervisorSettings {
+  double ready_timeout_ms =
+      10000; // for the router to become ready at startup, before the application is started
+  double stop_timeout_ms = 10000;  // for the application to end after a signal before it is killed
+  double drain_timeout_ms = 10000; // the same for the router
+  double restart_backoff_min_ms = 100, restart_backoff_max_ms = 10000;
   // After the router has been ready for this long, the restart backoff starts from its first value again.
-  double steady_ms = 10000;
+  double backoff_reset_ms = 10000;
 };
 
 // ---- events ----
 
-struct Begin {};
+struct Start {};
 struct RouterReady {};
 struct RouterEnded {};
 struct ApplicationEnded {
-  int code = 0; // as in a shell: 128 plus the signal number if a signal ended it
+  int exit_code = 0; // as in a shell: 128 plus the signal number if a signal ended it
 };
 enum class Signal { Terminate, Interrupt, Reload }; // received by the sidecar
-struct Signalled {
+struct SignalReceived {
   Signal signal = Signal::Terminate;
 };
-struct Tick {}; // the time returned by `next_deadline()` has come
+struct TimerExpired {}; // the time returned by `next_deadline()` has come
 
-using Event = std::variant<Begin, RouterReady, RouterEnded, ApplicationEnded, Signalled, Tick>;
+using Event = std::variant<Start, RouterReady, RouterEnded, ApplicationEnded, SignalReceived, TimerExpired>;
 
 // ---- actions ----
 
-enum class Do {
+enum class Action {
   StartRouter,
   StartApplication,
   TerminateRouter, // graceful shutdown: active requests are completed first
@@ -53,41 +54,54 @@
   TerminateApplication, // the received signal is forwarded
   InterruptApplication,
   KillApplication,
-  End // the sidecar exits with exit_code()
+  Exit // the sidecar exits with exit_code()
 };
 
 class Supervisor {
  public:
-  explicit Supervisor(const Rules& rules) : rules_(rules), wait_ms_(rules.restart_first_ms) {}
+  explicit Supervisor(const SupervisorSettings& settings)
+      : settings_(settings), backoff_ms_(settings.restart_backoff_min_ms) {}
 
-  void on(double now, const Event& event, std::vector<Do>& actions);
-  std::optional<double> next() const; // when the next TimerExpired is due; empty: none
-  int code() const { return code_; }
+  void on_event(double now, const Event& event, std::vector<Action>& actions);
+  std::optional<double> next_deadline() const; // when the next TimerExpired is due; empty: none
+  int exit_code() const { return exit_code_; }
   std::uint64_t restarts() const { return restarts_; }
   bool never_ready() const { return never_ready_; }
 
  private:
-  enum class Router { Off, Starting, Ready, Waiting, Ending, Gone } router_ = Router::Off;
-  enum class Application { Before, Running, Ending, Gone } application_ = Application::Before;
+  enum class RouterState {
+    NotStarted,
+    Starting,
+    Ready,
+    Backoff,
+    Stopping,
+    Stopped
+  } router_state_ = RouterState::NotStarted;
+  enum class ApplicationState {
+    NotStarted,
+    Running,
+    Stopping,
+    Stopped
+  } application_state_ = ApplicationState::NotStarted;
 
-  void begin(double now, std::vector<Do>& actions);
-  void ready(double now, std::vector<Do>& actions);
-  void router_ended(double now, std::vector<Do>& actions);
-  void application_ended(double now, int code, std::vector<Do>& actions);
-  void signalled(double now, Signal signal, std::vector<Do>& actions);
-  void tick(double now, std::vector<Do>& actions);
-  void end_router(double now, std::vector<Do>& actions);
+  void start(double now, std::vector<Action>& actions);
+  void router_ready(double now, std::vector<Action>& actions);
+  void router_ended(double now, std::vector<Action>& actions);
+  void application_ended(double now, int code, std::vector<Action>& actions);
+  void signal_received(double now, Signal signal, std::vector<Action>& actions);
+  void timer_expired(double now, std::vector<Action>& actions);
+  void stop_router(double now, std::vector<Action>& actions);
 
-  Rules rules_;
+  SupervisorSettings settings_;
   // Pending deadlines.
-  std::optional<double> give_up_at_;          // end of the wait for the router's first readiness
-  std::optional<double> start_at_;            // restart of the router after its backoff
+  std::optional<double> ready_deadline_;      // end of the wait for the router's first readiness
+  std::optional<double> restart_at_;          // restart of the router after its backoff
   std::optional<double> kill_application_at_; // the application has been asked to end
   std::optional<double> kill_router_at_;      // the router has been asked to end
-  double ready_at_ = 0, wait_ms_;
-  int code_ = 0;
+  double ready_at_ = 0, backoff_ms_;
+  int exit_code_ = 0;
   std::uint64_t restarts_ = 0;
-  bool never_ready_ = false, reload_due_ = false;
+  bool never_ready_ = false, reload_pending_ = false;
 };
 
 } // namespace fernward::sidecar
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 // Returns false at the end of input; throws BadInput if the input ends within the requested bytes.
-bool read_exactly(char* into, std::size_t count) {
-  const std::size_t got = std::fread(into, 1, count, stdin);
-  if (got == 0) return false;
-  if (got != count) throw fernward::simulator_adapter::BadInput("input ended within a frame");
+bool read_exactly(char* buffer, std::size_t byte_count) {
+  const std::size_t bytes_read = std::fread(buffer, 1, byte_count, stdin);
+  if (bytes_read == 0) return false;
+  if (bytes_read != byte_count) throw fernward::simulator_adapter::BadInput("input ended within a frame");
   return true;
 }
 
@@ -21,19 +21,20 @@
 int main() {
   using namespace fernward::simulator_adapter;
   try {
-    SimulatorAdapter drill;
-    std::string frame(kBatchHeader, '\0');
-    while (read_exactly(frame.data(), kBatchHeader)) {
-      const std::size_t length = read_header(frame).length;
-      frame.resize(length);
-      if (length > kBatchHeader && !read_exactly(frame.data() + kBatchHeader, length - kBatchHeader)) {
+    SimulatorAdapter adapter;
+    std::string frame(kBatchHeaderBytes, '\0');
+    while (read_exactly(frame.data(), kBatchHeaderBytes)) {
+      const std::size_t frame_bytes = read_header(frame).frame_bytes;
+      frame.resize(frame_bytes);
+      if (frame_bytes > kBatchHeaderBytes &&
+          !read_exactly(frame.data() + kBatchHeaderBytes, frame_bytes - kBatchHeaderBytes)) {
         throw BadInput("input ended within a frame");
       }
-      const std::string& reply = drill.answer(frame);
+      const std::string& reply = adapter.process_batch(frame);
       if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
         throw BadInput("standard output was closed");
       }
-      frame.resize(kBatchHeader);
+      frame.resize(kBatchHeaderBytes);
     }
     return 0;
   } catch (const std::exception& error) {
--- a/src/simulator_adapter/simulator_adapter.cpp
+++ b/src/simulator_adapter/simulator_adapter.cpp
@@ -4,13 +4,15 @@
 
 namespace fernward::simulator_adapter {
 
-const std::string& SimulatorAdapter::answer(std::string_view frame) {
+const std::string& SimulatorAdapter::process_batch(std::string_view frame) {
   const BatchHeader header = read_header(frame);
-  if (header.length != frame.size()) throw BadInput("wrong frame length " + std::to_string(header.length));
-  Reader in(frame.substr(kBatchHeader));
-  reply_.begin(header.number);
-  for (std::uint32_t i = 0; i < header.records; ++i) take(read_record(in), header.now);
-  if (in.left() != 0) throw BadInput(std::to_string(in.left()) + " unexpected bytes after the last record");
+  if (header.frame_bytes != frame.size())
+    throw BadInput("wrong frame length " + std::to_string(header.frame_bytes));
+  Reader reader(frame.substr(kBatchHeaderBytes));
+  reply_.begin(header.batch_number);
+  for (std::uint32_t i = 0; i < header.record_count; ++i) handle_record(read_record(reader), header.now_ms);
+  if (reader.remaining() != 0)
+    throw BadInput(std::to_string(reader.remaining()) + " unexpected bytes after the last record");
   return reply_.finish();
 }
 
@@ -21,28 +23,28 @@
   return found->second;
 }
 
-void SimulatorAdapter::take(const Record& record, double now) {
-  if (const auto* roster = std::get_if<Roster>(&record.body)) {
-    lists_[roster->slot] = roster->servers;
+void SimulatorAdapter::handle_record(const Record& record, double now_ms) {
+  if (const auto* server_list = std::get_if<ServerList>(&record.body)) {
+    lists_[server_list->list_number] = server_list->servers;
   } else if (const auto* boot = std::get_if<Boot>(&record.body)) {
     balancers_.insert_or_assign(record.instance, Balancer(parse_settings(boot->settings), boot->seed));
   } else if (std::holds_alternative<Teardown>(record.body)) {
     balancers_.erase(record.instance);
-  } else if (!std::holds_alternative<Ignored>(record.body)) {
+  } else if (!std::holds_alternative<IgnoredRecord>(record.body)) {
     Balancer& target = balancer(record.instance);
     actions_.clear();
-    if (const auto* announce = std::get_if<Announce>(&record.body)) {
-      EndpointList list{announce->kind, {}};
-      if (announce->kind != EndpointListKind::Failed) {
-        if (announce->slot >= lists_.size() || !lists_[announce->slot]) {
-          throw BadInput("list number " + std::to_string(announce->slot) +
+    if (const auto* announcement = std::get_if<ListAnnouncement>(&record.body)) {
+      EndpointList list{announcement->kind, {}};
+      if (announcement->kind != EndpointListKind::Failed) {
+        if (announcement->list_number >= lists_.size() || !lists_[announcement->list_number]) {
+          throw BadInput("list number " + std::to_string(announcement->list_number) +
                          " was announced but not sent before");
         }
-        list.servers = *lists_[announce->slot];
+        list.servers = *lists_[announcement->list_number];
       }
-      target.on_event(now, list, actions_);
+      target.on_event(now_ms, list, actions_);
     } else {
-      target.on_event(now, std::get<Event>(record.body), actions_);
+      target.on_event(now_ms, std::get<Event>(record.body), actions_);
     }
     for (const Action& action : actions_) reply_.add(record.instance, action);
   }
--- a/src/simulator_adapter/simulator_adapter.h
+++ b/src/simulator_adapter/simulator_adapter.h
@@ -17,10 +17,10 @@
  public:
   // Answers one complete frame, including its header. The reply is valid until the next call. Throws BadInput
   // or std::invalid_argument, without a reply, if the frame or the settings are invalid.
-  const std::string& answer(std::string_view frame);
+  const std::string& process_batch(std::string_view frame);
 
  private:
-  void take(const Record& record, double now);
+  void handle_record(const Record& record, double now_ms);
   Balancer& balancer(std::uint16_t instance);
 
   std::map<std::uint16_t, Balancer> balancers_;
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -18,14 +18,14 @@
   using std::runtime_error::runtime_error;
 };
 
-constexpr std::size_t kBatchHeader = 20;
-constexpr std::uint32_t kMaxFrame = 1u << 30; // far above any batch; limits the allocation
+constexpr std::size_t kBatchHeaderBytes = 20;
+constexpr std::uint32_t kMaxFrameBytes = 1u << 30; // far above any batch; limits the allocation
 
 struct BatchHeader {
-  std::uint32_t records = 0;
-  std::uint32_t length = 0; // of the complete frame, in bytes
-  double now = 0;
-  std::uint32_t number = 0;
+  std::uint32_t record_count = 0;
+  std::uint32_t frame_bytes = 0; // of the complete frame, in bytes
+  double now_ms = 0;
+  std::uint32_t batch_number = 0;
 };
 
 // Reads fixed-width fields from a frame; throws BadInput if the frame is too short.
@@ -34,22 +34,22 @@
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
 
   template <typename T>
-  T get() {
+  T read() {
     T value;
-    std::memcpy(&value, take(sizeof value).data(), sizeof value);
+    std::memcpy(&value, read_bytes(sizeof value).data(), sizeof value);
     return value;
   }
-  std::string_view take(std::size_t count) {
-    if (count > left()) throw BadInput("truncated record");
-    const auto part = bytes_.substr(at_, count);
-    at_ += count;
+  std::string_view read_bytes(std::size_t byte_count) {
+    if (byte_count > remaining()) throw BadInput("truncated record");
+    const auto part = bytes_.substr(position_, byte_count);
+    position_ += byte_count;
     return part;
   }
-  std::size_t left() const { return bytes_.size() - at_; }
+  std::size_t remaining() const { return bytes_.size() - position_; }
 
  private:
   std::string_view bytes_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
 };
 
 BatchHeader read_header(std::string_view bytes);
@@ -60,25 +60,25 @@
   std::string_view settings;
 };
 struct Teardown {};
-struct Roster {
-  std::uint8_t slot = 0;
+struct ServerList {
+  std::uint8_t list_number = 0;
   std::vector<Server> servers;
 };
-struct Announce {
+struct ListAnnouncement {
   EndpointListKind kind = EndpointListKind::Full;
-  std::uint8_t slot = 0;
+  std::uint8_t list_number = 0;
 };
-struct Ignored {}; // valid, but not used by the balancer
+struct IgnoredRecord {}; // valid, but not used by the balancer
 struct Record {
   std::uint16_t instance = 0; // unused in a ServerList record
-  std::variant<Boot, Teardown, Roster, Announce, Event, Ignored> body;
+  std::variant<Boot, Teardown, ServerList, ListAnnouncement, Event, IgnoredRecord> body;
 };
-Record read_record(Reader& in);
+Record read_record(Reader& reader);
 
 // Encodes a reply frame.
 class Reply {
  public:
-  void begin(std::uint32_t batch);
+  void begin(std::uint32_t batch_number);
   void add(std::uint16_t instance, const Action& action);
   const std::string& finish(); // valid until the next begin()
 
@@ -89,15 +89,15 @@
     std::memcpy(raw, &value, sizeof value);
     bytes_.append(raw, sizeof value);
   }
-  void head(std::uint8_t code, std::uint16_t instance);
-  void put(std::uint16_t instance, const Send& a);
-  void put(std::uint16_t instance, const Reject& a);
-  void put(std::uint16_t instance, const Fail& a);
-  void put(std::uint16_t instance, const Cancel& a);
-  void put(std::uint16_t instance, const SetTimer& a);
-  void put(std::uint16_t instance, const SendHealthCheck& a);
-  void put(std::uint16_t instance, const WatchEndpoints& a);
-  void put(std::uint16_t instance, const Log& a);
+  void put_header(std::uint8_t code, std::uint16_t instance);
+  void put(std::uint16_t instance, const Send& action);
+  void put(std::uint16_t instance, const Reject& action);
+  void put(std::uint16_t instance, const Fail& action);
+  void put(std::uint16_t instance, const Cancel& action);
+  void put(std::uint16_t instance, const SetTimer& action);
+  void put(std::uint16_t instance, const SendHealthCheck& action);
+  void put(std::uint16_t instance, const WatchEndpoints& action);
+  void put(std::uint16_t instance, const Log& action);
 
   std::string bytes_;
 };
--- a/src/spill/file.h
+++ b/src/spill/spill_file.h
@@ -14,43 +14,43 @@
 
 namespace fernward::spill {
 
-class Folder;
+class SpillFolder;
 
-class File {
+class SpillFile {
  public:
-  ~File();
-  File(const File&) = delete;
-  File& operator=(const File&) = delete;
+  ~SpillFile();
+  SpillFile(const SpillFile&) = delete;
+  SpillFile& operator=(const SpillFile&) = delete;
 
   // Appends all of `bytes`. False: an error occurred, and the size of the file is unchanged.
   bool append(std::string_view bytes);
   // Reads up to `max_bytes` from `offset`. 0: the file ends there, or cannot be read.
-  std::size_t read(std::uint64_t at, char* into, std::size_t most) const;
+  std::size_t read(std::uint64_t offset, char* buffer, std::size_t max_bytes) const;
   std::uint64_t size() const { return size_; }
 
  private:
-  friend class Folder;
-  File(Folder& folder, int fd) : folder_(folder), fd_(fd) {}
-  Folder& folder_;
+  friend class SpillFolder;
+  SpillFile(SpillFolder& folder, int fd) : folder_(folder), fd_(fd) {}
+  SpillFolder& folder_;
   int fd_;
   std::uint64_t size_ = 0;
 };
 
 // Folder in which the files are created. Outlives its files.
-class Folder {
+class SpillFolder {
  public:
-  explicit Folder(std::string path) : path_(std::move(path)) {}
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  explicit SpillFolder(std::string path) : path_(std::move(path)) {}
+  SpillFolder(const SpillFolder&) = delete;
+  SpillFolder& operator=(const SpillFolder&) = delete;
 
-  std::unique_ptr<File> create(); // null: no file could be created
-  bool fails() const { return fails_; }
+  std::unique_ptr<SpillFile> create(); // null: no file could be created
+  bool failing() const { return failing_; }
 
  private:
-  friend class File;
-  void tell(bool works, const char* what);
+  friend class SpillFile;
+  void report_state(bool works, const char* problem);
   std::string path_;
-  bool fails_ = false;
+  bool failing_ = false;
 };
 
 } // namespace fernward::spill
--- a/src/statistics/moving_average.h
+++ b/src/statistics/moving_average.h
@@ -4,6 +4,8 @@
 namespace fernward {
 
 // Updates `mean` with `sample`; `weight`: 0 to 1, share of the new sample.
-inline void smooth(double& mean, double sample, double weight) { mean += weight * (sample - mean); }
+inline void update_moving_average(double& mean, double sample, double weight) {
+  mean += weight * (sample - mean);
+}
 
 } // namespace fernward
--- a/src/statistics/numbers.h
+++ b/src/statistics/numbers.h
@@ -11,6 +11,6 @@
 constexpr double kNever = -1e18; // a time before all others
 
 // Finite and not negative.
-inline bool usable_number(double value) { return std::isfinite(value) && value >= 0; }
+inline bool is_finite_non_negative(double value) { return std::isfinite(value) && value >= 0; }
 
 } // namespace fernward
--- a/src/statistics/random.h
+++ b/src/statistics/random.h
@@ -5,7 +5,7 @@
 
 namespace fernward {
 
-inline std::uint64_t mix(std::uint64_t x) { // finalizer of splitmix64
+inline std::uint64_t mix_bits(std::uint64_t x) { // finalizer of splitmix64
   x += 0x9e3779b97f4a7c15ull;
   x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9ull;
   x = (x ^ (x >> 27)) * 0x94d049bb133111ebull;
@@ -15,7 +15,7 @@
 struct Random {
   std::uint64_t state;
   // Uniform in [0, 1).
-  double unit() { return static_cast<double>(mix(state++) >> 11) * 0x1p-53; }
+  double next_unit() { return static_cast<double>(mix_bits(state++) >> 11) * 0x1p-53; }
 };
 
 } // namespace fernward
--- a/src/toml_document/document.cpp
+++ b/src/toml_document/document.cpp
@@ -8,52 +8,53 @@
 namespace fernward::toml_document {
 namespace {
 
-constexpr std::size_t kMostFaults = 200;
-constexpr std::size_t kMostLayers = 9;            // the file and eight included files
-constexpr std::uintmax_t kLargestFile = 1u << 20; // usual files have a few hundred lines
-constexpr int kDeepest = 100;                     // nested brackets, or parts of a dotted key
+constexpr std::size_t kMaxDiagnostics = 200;
+constexpr std::size_t kMaxLayers = 9;              // the file and eight included files
+constexpr std::uintmax_t kMaxFileBytes = 1u << 20; // usual files have a few hundred lines
+constexpr int kMaxNesting = 100;                   // nested brackets, or parts of a dotted key
 
-struct Stray {
+struct TextError {
   unsigned line = 1, column = 1;
-  const char* why = "";
+  const char* message = "";
 };
 
 // Finds text that would crash toml++ 3.3. Some non-ASCII characters crash it in place of a key or of white
 // space; TOML 1.0 allows them only in quotes and comments. It also recurses for brackets and dotted keys, so
 // too many of them exhaust the stack. Returns the position of the first such text, if any.
-std::optional<Stray> stray_letter(std::string_view text) {
-  enum { Plain, Comment, Basic, Literal, LongBasic, LongLiteral } in = Plain;
+std::optional<TextError> find_unsupported_text(std::string_view text) {
+  enum { Plain, Comment, Basic, Literal, LongBasic, LongLiteral } state = Plain;
   unsigned line = 1, column = 1;
   int depth = 0, dots = 0;
   for (std::size_t i = 0; i < text.size(); ++i, ++column) {
     const char c = text[i];
-    const char mark = in == Basic || in == LongBasic ? '"' : '\'';
-    const std::string_view three = text.substr(i, 3);
-    if (in == Plain) {
+    const char quote = state == Basic || state == LongBasic ? '"' : '\'';
+    const std::string_view next_three = text.substr(i, 3);
+    if (state == Plain) {
       if (static_cast<unsigned char>(c) >= 0x80)
-        return Stray{line, column, "letters beyond ASCII may stand in quotes and comments only"};
+        return TextError{line, column, "letters beyond ASCII may stand in quotes and comments only"};
       if (c == '[' || c == '{') ++depth;
       if ((c == ']' || c == '}') && depth > 0) --depth;
       if (c == '.') ++dots;
       if (c == '=' || c == ',' || c == '\n') dots = 0;
-      if (depth > kDeepest || dots > kDeepest) return Stray{line, column, "more than 100 tables deep"};
-      if (c == '#') in = Comment;
-      if (c == '"') in = three == "\"\"\"" ? LongBasic : Basic;
-      if (c == '\'') in = three == "'''" ? LongLiteral : Literal;
-      if (in == LongBasic || in == LongLiteral) i += 2, column += 2;
-    } else if ((in == Basic || in == LongBasic) && c == '\\') {
+      if (depth > kMaxNesting || dots > kMaxNesting)
+        return TextError{line, column, "more than 100 tables deep"};
+      if (c == '#') state = Comment;
+      if (c == '"') state = next_three == "\"\"\"" ? LongBasic : Basic;
+      if (c == '\'') state = next_three == "'''" ? LongLiteral : Literal;
+      if (state == LongBasic || state == LongLiteral) i += 2, column += 2;
+    } else if ((state == Basic || state == LongBasic) && c == '\\') {
       ++i, ++column;
-    } else if ((in == Basic || in == Literal) && c == mark) {
-      in = Plain;
-    } else if ((in == LongBasic || in == LongLiteral) && three == std::string(3, mark)) {
+    } else if ((state == Basic || state == Literal) && c == quote) {
+      state = Plain;
+    } else if ((state == LongBasic || state == LongLiteral) && next_three == std::string(3, quote)) {
       i += 2, column += 2;
-      in = Plain;
-      while (text.substr(i + 1, 1) == std::string(1, mark)) ++i, ++column; // up to two more are content
+      state = Plain;
+      while (text.substr(i + 1, 1) == std::string(1, quote)) ++i, ++column; // up to two more are content
     }
     if (i < text.size() && text[i] == '\n') {
       ++line;
       column = 0;
-      if (in != LongBasic && in != LongLiteral) in = Plain;
+      if (state != LongBasic && state != LongLiteral) state = Plain;
     }
   }
   return std::nullopt;
@@ -61,36 +62,42 @@
 
 } // namespace
 
-std::string Fault::text() const {
-  return at.file + ":" + std::to_string(at.line) + ":" + std::to_string(at.column) + ": " + key + ": " + why;
+std::string Diagnostic::to_string() const {
+  return position.file + ":" + std::to_string(position.line) + ":" + std::to_string(position.column) + ": " +
+         key + ": " + message;
 }
 
-std::string Fault::coded() const {
-  return at.file + ":" + std::to_string(at.line) + ":" + std::to_string(at.column) + ": " + code + ": " +
-         key + ": " + why;
+std::string Diagnostic::to_string_with_code() const {
+  return position.file + ":" + std::to_string(position.line) + ":" + std::to_string(position.column) + ": " +
+         code + ": " + key + ": " + message;
 }
 
-void tidy(Faults& faults) {
-  const auto order = [](const Fault& f) { return std::tie(f.at.file, f.at.line, f.at.column, f.key, f.why); };
-  std::sort(faults.begin(), faults.end(),
-            [&](const Fault& a, const Fault& b) { return order(a) < order(b); });
-  faults.erase(std::unique(faults.begin(), faults.end(),
-                           [&](const Fault& a, const Fault& b) { return order(a) == order(b); }),
-               faults.end());
-  if (faults.size() <= kMostFaults) return;
-  const std::size_t more = faults.size() - kMostFaults;
-  faults.resize(kMostFaults);
-  faults.push_back({faults.back().at, "...", "and " + std::to_string(more) + " more errors", "more"});
+void sort_and_limit(Diagnostics& diagnostics) {
+  const auto sort_key = [](const Diagnostic& diagnostic) {
+    return std::tie(diagnostic.position.file, diagnostic.position.line, diagnostic.position.column,
+                    diagnostic.key, diagnostic.message);
+  };
+  std::sort(diagnostics.begin(), diagnostics.end(),
+            [&](const Diagnostic& a, const Diagnostic& b) { return sort_key(a) < sort_key(b); });
+  diagnostics.erase(
+      std::unique(diagnostics.begin(), diagnostics.end(),
+                  [&](const Diagnostic& a, const Diagnostic& b) { return sort_key(a) == sort_key(b); }),
+      diagnostics.end());
+  if (diagnostics.size() <= kMaxDiagnostics) return;
+  const std::size_t omitted = diagnostics.size() - kMaxDiagnostics;
+  diagnostics.resize(kMaxDiagnostics);
+  diagnostics.push_back(
+      {diagnostics.back().position, "...", "and " + std::to_string(omitted) + " more errors", "more"});
 }
 
-Position position(const toml::source_region& at, const Layer& layer) {
-  return {layer.file, std::max<unsigned>(1, at.begin.line), std::max<unsigned>(1, at.begin.column)};
+Position position_of(const toml::source_region& region, const Layer& layer) {
+  return {layer.file, std::max<unsigned>(1, region.begin.line), std::max<unsigned>(1, region.begin.column)};
 }
 
 std::optional<std::string> load_file(const std::filesystem::path& path) {
   std::error_code error;
   const auto size = std::filesystem::file_size(path, error);
-  if (error || size > kLargestFile) return std::nullopt;
+  if (error || size > kMaxFileBytes) return std::nullopt;
   std::ifstream in(path, std::ios::binary);
   std::ostringstream text;
   text << in.rdbuf();
@@ -101,57 +108,62 @@
 namespace {
 
 // `including_files`: the chain of files that include this one.
-bool parse_with(std::string text, const std::string& file, const char* key, const Loader& load,
-                Faults& faults, Layers& layers, std::vector<std::string> within) {
+bool parse_layer(std::string text, const std::string& file, const char* include_key, const FileLoader& load,
+                 Diagnostics& errors, Layers& layers, std::vector<std::string> including_files) {
   auto layer = std::make_unique<Layer>();
   layer->file = file;
   if (text.starts_with("\xef\xbb\xbf")) text.erase(0, 3); // a byte order mark, written by some editors
-  if (const auto stray = stray_letter(text)) {
-    faults.push_back({{file, stray->line, stray->column}, "(syntax)", stray->why, "syntax"});
+  if (const auto text_error = find_unsupported_text(text)) {
+    errors.push_back(
+        {{file, text_error->line, text_error->column}, "(syntax)", text_error->message, "syntax"});
     return false;
   }
   try {
     layer->table = toml::parse(text, file);
   } catch (const toml::parse_error& error) {
-    faults.push_back(
-        {position(error.source(), *layer), "(syntax)", std::string(error.description()), "syntax"});
+    errors.push_back(
+        {position_of(error.source(), *layer), "(syntax)", std::string(error.description()), "syntax"});
     return false;
   }
-  const toml::node* names = layer->table.get(key);
-  const Layer& here = *layer;
+  const toml::node* includes = layer->table.get(include_key);
+  const Layer& this_layer = *layer;
   layers.push_back(std::move(layer));
-  if (names == nullptr) return true;
-  const auto fault = [&](const toml::node& node, const char* code, std::string why) {
-    faults.push_back({position(node.source(), here), key, std::move(why), code});
+  if (includes == nullptr) return true;
+  const auto add_error = [&](const toml::node& node, const char* code, std::string message) {
+    errors.push_back({position_of(node.source(), this_layer), include_key, std::move(message), code});
     return false;
   };
-  std::vector<const toml::node*> all;
-  if (const toml::array* list = names->as_array()) {
-    for (const toml::node& node : *list) all.insert(all.begin(), &node);
+  std::vector<const toml::node*> include_nodes;
+  if (const toml::array* list = includes->as_array()) {
+    for (const toml::node& node : *list) include_nodes.insert(include_nodes.begin(), &node);
   } else {
-    all.push_back(names);
+    include_nodes.push_back(includes);
   }
-  bool sound = true;
-  within.push_back(file);
-  for (const toml::node* node : all) {
+  bool valid = true;
+  including_files.push_back(file);
+  for (const toml::node* node : include_nodes) {
     const auto name = node->value_exact<std::string>();
-    if (!name || name->empty()) return fault(*node, "type", "must be the path of a file, in quotes");
-    const std::string next = (std::filesystem::path(file).parent_path() / *name).lexically_normal().string();
-    if (std::find(within.begin(), within.end(), next) != within.end() || layers.size() >= kMostLayers) {
-      return fault(*node, "include", "more than 8 files build on one another, or they go round");
+    if (!name || name->empty()) return add_error(*node, "type", "must be the path of a file, in quotes");
+    const std::string included_path =
+        (std::filesystem::path(file).parent_path() / *name).lexically_normal().string();
+    if (std::find(including_files.begin(), including_files.end(), included_path) != including_files.end() ||
+        layers.size() >= kMaxLayers) {
+      return add_error(*node, "include", "more than 8 files build on one another, or they go round");
     }
-    auto found = load ? load(next) : std::nullopt;
-    if (!found) return fault(*node, "include", next + " can't be read");
-    sound = parse_with(std::move(*found), next, key, load, faults, layers, within) && sound;
+    auto included_text = load ? load(included_path) : std::nullopt;
+    if (!included_text) return add_error(*node, "include", included_path + " can't be read");
+    valid = parse_layer(std::move(*included_text), included_path, include_key, load, errors, layers,
+                        including_files) &&
+            valid;
   }
-  return sound;
+  return valid;
 }
 
 } // namespace
 
-bool parse_layers(std::string text, const std::string& file, const char* key, const Loader& load,
-                  Faults& faults, Layers& layers) {
-  return parse_with(std::move(text), file, key, load, faults, layers, {});
+bool parse_layers(std::string text, const std::string& file, const char* include_key, const FileLoader& load,
+                  Diagnostics& errors, Layers& layers) {
+  return parse_layer(std::move(text), file, include_key, load, errors, layers, {});
 }
 
 } // namespace fernward::toml_document
--- a/src/toml_document/document.h
+++ b/src/toml_document/document.h
@@ -22,19 +22,19 @@
   unsigned line = 1, column = 1;
 };
 
-struct Fault {
-  Position at;
-  std::string key, why;
+struct Diagnostic {
+  Position position;
+  std::string key, message;
   std::string code; // machine-readable: "syntax", "include", "unknown-key", "type", "unit", "value", ...
 
-  std::string text() const;  // "day.toml:12:8: load.rate: has no unit: ..."
-  std::string coded() const; // "day.toml:12:8: unit: load.rate: has no unit: ..."
+  std::string to_string() const;           // "day.toml:12:8: load.rate: has no unit: ..."
+  std::string to_string_with_code() const; // "day.toml:12:8: unit: load.rate: has no unit: ..."
 };
-using Faults = std::vector<Fault>;
-using Places = std::map<std::string, Position>; // of the values in files, by member path
+using Diagnostics = std::vector<Diagnostic>;
+using Positions = std::map<std::string, Position>; // of the values in files, by member path
 
 // Sorts by file and position, removes duplicates, and replaces those beyond kMaxDiagnostics by their number.
-void tidy(Faults& faults);
+void sort_and_limit(Diagnostics& diagnostics);
 
 struct Layer { // a parsed file; keys that it omits may come from another layer
   std::string file;
@@ -43,21 +43,21 @@
 using Layers = std::vector<std::unique_ptr<Layer>>;
 
 // A table of one layer. Of several source tables, the first that contains a key provides its value.
-struct Source {
+struct SourceTable {
   const toml::table* table = nullptr;
   const Layer* layer = nullptr;
 };
 
 // Returns the text of a file; none: it can't be read.
-using Loader = std::function<std::optional<std::string>(const std::filesystem::path&)>;
+using FileLoader = std::function<std::optional<std::string>(const std::filesystem::path&)>;
 std::optional<std::string> load_file(const std::filesystem::path& path);
 
-Position position(const toml::source_region& at, const Layer& layer);
+Position position_of(const toml::source_region& region, const Layer& layer);
 
 // Parses `text` and the files named under its key `include_key`: a path or a list, relative to `file`.
 // Appends to `layers` in order of precedence: the file, then its includes, the last one first, each followed
 // by its own includes. Returns false if there is an error.
-bool parse_layers(std::string text, const std::string& file, const char* key, const Loader& load,
-                  Faults& faults, Layers& layers);
+bool parse_layers(std::string text, const std::string& file, const char* include_key, const FileLoader& load,
+                  Diagnostics& errors, Layers& layers);
 
 } // namespace fernward::toml_document
--- a/src/toml_document/reader.h
+++ b/src/toml_document/reader.h
@@ -16,11 +16,11 @@
  public:
   // `sources`: the top-level tables; the first that contains a key provides its value. `names`, `errors` and
   // `positions` must outlive the reader. `non_member_keys`: top-level keys that are not members.
-  Reader(std::vector<Source> sources, const Names& names, Faults& faults, Places& places,
-         std::set<std::string> apart);
-  std::set<std::string> close(); // call after the description; returns the invalid members
+  Reader(std::vector<SourceTable> sources, const Names& names, Diagnostics& errors, Positions& positions,
+         std::set<std::string> non_member_keys);
+  std::set<std::string> finish(); // call after the description; returns the invalid members
 
-  void amount(const char* member, double& value, Unit unit, const char* doc, Word word) override;
+  void amount(const char* member, double& value, Unit unit, const char* doc, SpecialValue word) override;
   void count(const char* member, std::uint32_t& value, const char* doc, Unit unit) override;
   void seed(const char* member, std::uint64_t& value, const char* doc) override;
   void text(const char* member, std::string& value, bool needed, const char* doc) override;
@@ -39,36 +39,37 @@
                                  const char* doc) override;
 
  private:
-  struct Part {
-    std::vector<Source> tables; // the first that contains a key provides its value
-    std::string path;           // member path of the table
-    std::set<std::string> known;
+  struct OpenTable {
+    std::vector<SourceTable> sources; // the first that contains a key provides its value
+    std::string path;                 // member path of the table
+    std::set<std::string> known_keys;
   };
-  struct Found {
+  struct FoundValue {
     const toml::node* node = nullptr;
     const Layer* layer = nullptr;
   };
 
-  std::string path(const char* member) const;
-  void fault(Position at, std::string key, const char* code, std::string why);
-  void fault(const Found& found, const std::string& member, Why why);
-  void missing(const char* member);
-  void note(const std::string& member, const Found& found);
-  Found find(const char* member);
-  Part part_of(const std::vector<Source>& sources, const std::string& path, const std::string& key);
-  std::function<std::optional<std::uint32_t>(const toml::node&, Why&)> reference(Table table);
-  bool unreadable(Table table) const;
+  std::string member_path(const char* member) const;
+  void add_error(Position at, std::string key, const char* code, std::string failure);
+  void add_error(const FoundValue& found, const std::string& member, ParseError failure);
+  void add_missing_error(const char* member);
+  void record_position(const std::string& member, const FoundValue& found);
+  FoundValue find(const char* member);
+  OpenTable open_table(const std::vector<SourceTable>& sources, const std::string& path,
+                       const std::string& key);
+  std::function<std::optional<std::uint32_t>(const toml::node&, ParseError&)> reference_parser(Table table);
+  bool table_unreadable(Table table) const;
   template <typename T, typename F>
-  bool leaf(const char* member, T& value, F take);
+  bool read_value(const char* member, T& value, F parse);
   template <typename T, typename F>
-  void many(const char* member, std::vector<T>& values, F take);
+  void read_list(const char* member, std::vector<T>& values, F parse);
 
   const Names& names_;
-  Faults& faults_;
-  Places& places_;
-  std::vector<Part> parts_;
-  std::set<std::string> broken_;
-  std::set<std::string> tables_; // members that are tables of named tables
+  Diagnostics& errors_;
+  Positions& positions_;
+  std::vector<OpenTable> open_tables_;
+  std::set<std::string> invalid_members_;
+  std::set<std::string> named_table_members_; // members that are tables of named tables
 };
 
 } // namespace fernward::toml_document
--- a/src/toml_document/units.cpp
+++ b/src/toml_document/units.cpp
@@ -36,15 +36,15 @@
 }
 
 // Divides by the inverse of factors below 1, which are rounded themselves: 30% is exactly 0.3.
-double scaled(double number, double factor) {
+double apply_factor(double number, double factor) {
   return factor < 1 ? number / std::round(1 / factor) : number * factor;
 }
 
-std::string wanted(Unit unit) { return std::string("must be ") + example_of(unit); }
+std::string expected_form(Unit unit) { return std::string("must be ") + unit_example(unit); }
 
 } // namespace
 
-const char* example_of(Unit unit) {
+const char* unit_example(Unit unit) {
   switch (unit) {
     case Unit::Number: return "a number";
     case Unit::Time: return "a time such as \"750ms\", \"1.5s\", \"20min\" or \"1d\"";
@@ -57,66 +57,69 @@
   return "";
 }
 
-std::optional<double> take_number(Unit unit, double number, Why& why) {
+std::optional<double> parse_bare_number(Unit unit, double number, ParseError& failure) {
   if (!std::isfinite(number)) {
-    why = {"value", "must be finite"};
+    failure = {"value", "must be finite"};
     return std::nullopt;
   }
   if (unit == Unit::Number || unit == Unit::Share || number == 0) return number;
-  why = {"unit", "has no unit: " + wanted(unit)};
+  failure = {"unit", "has no unit: " + expected_form(unit)};
   return std::nullopt;
 }
 
-std::optional<double> parse_quantity(Unit unit, std::string_view text, Why& why) {
+std::optional<double> parse_quantity(Unit unit, std::string_view text, ParseError& failure) {
   double number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   if (error != std::errc() || !std::isfinite(number)) {
-    why = {"unit", wanted(unit)};
+    failure = {"unit", expected_form(unit)};
     return std::nullopt;
   }
-  std::string_view rest(end, static_cast<std::size_t>(text.data() + text.size() - end));
-  while (!rest.empty() && rest.front() == ' ') rest.remove_prefix(1);
-  if (rest.empty()) {
-    if (unit != Unit::Number) return take_number(unit, number, why);
-    why = {"type", "must be a bare number, without quotes"};
+  std::string_view suffix_text(end, static_cast<std::size_t>(text.data() + text.size() - end));
+  while (!suffix_text.empty() && suffix_text.front() == ' ') suffix_text.remove_prefix(1);
+  if (suffix_text.empty()) {
+    if (unit != Unit::Number) return parse_bare_number(unit, number, failure);
+    failure = {"type", "must be a bare number, without quotes"};
     return std::nullopt;
   }
   for (const Suffix& suffix : suffixes(unit)) {
-    if (rest != suffix.text) continue;
-    const double value = scaled(number, suffix.factor);
+    if (suffix_text != suffix.text) continue;
+    const double value = apply_factor(number, suffix.factor);
     if (std::isfinite(value)) return value;
   }
-  why = {"unit", "has the wrong unit \"" + std::string(rest.substr(0, 16)) + "\": " + wanted(unit)};
+  failure = {"unit",
+             "has the wrong unit \"" + std::string(suffix_text.substr(0, 16)) + "\": " + expected_form(unit)};
   return std::nullopt;
 }
 
-std::string number_text(double value) {
+std::string format_number(double value) {
   std::array<char, 40> buffer{};
-  const bool plain = value == 0 || (std::fabs(value) >= 1e-6 && std::fabs(value) < 1e15);
-  const auto [end, error] = std::to_chars(buffer.data(), buffer.data() + buffer.size(), value,
-                                          plain ? std::chars_format::fixed : std::chars_format::general);
+  const bool fixed_notation = value == 0 || (std::fabs(value) >= 1e-6 && std::fabs(value) < 1e15);
+  const auto [end, error] =
+      std::to_chars(buffer.data(), buffer.data() + buffer.size(), value,
+                    fixed_notation ? std::chars_format::fixed : std::chars_format::general);
   return error == std::errc() ? std::string(buffer.data(), end) : "0";
 }
 
-std::string quantity_text(Unit unit, double value) {
+std::string format_quantity(Unit unit, double value) {
   if (value == 0) return "0";
-  std::string best;
+  std::string shortest;
   // Prefers short texts and integers, such as 100ms or 1.5s.
   const auto cost = [](const std::string& text) {
     return text.size() + (text.find('.') == std::string::npos ? 0 : 2);
   };
   for (const Suffix& suffix : suffixes(unit)) {
-    const double written = suffix.factor < 1 ? value * std::round(1 / suffix.factor) : value / suffix.factor;
+    const double in_suffix_unit =
+        suffix.factor < 1 ? value * std::round(1 / suffix.factor) : value / suffix.factor;
     // Rounding to six decimals may compensate the rounding of the factor: 0.07 is 7%, not 7.000000000000001%.
-    for (const double number : {std::round(written * 1e6) / 1e6, written}) {
-      std::string text = number_text(number) + std::string(suffix.text);
-      Why why;
-      const auto back = parse_quantity(unit, text, why);
-      if (back && *back == value && (best.empty() || cost(text) < cost(best))) best = text;
+    for (const double number : {std::round(in_suffix_unit * 1e6) / 1e6, in_suffix_unit}) {
+      std::string text = format_number(number) + std::string(suffix.text);
+      ParseError failure;
+      const auto parsed = parse_quantity(unit, text, failure);
+      if (parsed && *parsed == value && (shortest.empty() || cost(text) < cost(shortest))) shortest = text;
     }
   }
-  if (!best.empty()) return best;
-  return number_text(value); // Number, and shares without an exact percentage
+  if (!shortest.empty()) return shortest;
+  return format_number(value); // Number, and shares without an exact percentage
 }
 
 } // namespace fernward::toml_document
--- a/src/toml_document/units.h
+++ b/src/toml_document/units.h
@@ -18,22 +18,22 @@
 };
 
 // Why a value is invalid: a machine-readable code, and a message.
-struct Why {
+struct ParseError {
   const char* code = "";
-  std::string text;
+  std::string message;
 };
 
 // Returns the quantity in its internal unit; none: `failure` is set. A unit is required except for 0 and for
 // Number and Share.
-std::optional<double> parse_quantity(Unit unit, std::string_view text, Why& why);
+std::optional<double> parse_quantity(Unit unit, std::string_view text, ParseError& failure);
 // The same for a number without quotes.
-std::optional<double> take_number(Unit unit, double number, Why& why);
+std::optional<double> parse_bare_number(Unit unit, double number, ParseError& failure);
 // The shortest text that parse_quantity() converts to exactly `value`.
-std::string quantity_text(Unit unit, double value);
+std::string format_quantity(Unit unit, double value);
 // The expected form, for messages and the reference: "a time such as \"750ms\"".
-const char* example_of(Unit unit);
+const char* unit_example(Unit unit);
 
 // The shortest decimal that parses to exactly `value`.
-std::string number_text(double value);
+std::string format_number(double value);
 
 } // namespace fernward::toml_document
--- a/src/toml_document/value.cpp
+++ b/src/toml_document/value.cpp
@@ -8,16 +8,16 @@
 namespace fernward::toml_document {
 namespace {
 
-std::size_t distance(const std::string& a, const std::string& b) {
+std::size_t edit_distance(const std::string& a, const std::string& b) {
   std::vector<std::size_t> row(b.size() + 1);
   std::iota(row.begin(), row.end(), std::size_t{0});
   for (std::size_t i = 1; i <= a.size(); ++i) {
     std::size_t diagonal = row[0];
     row[0] = i;
     for (std::size_t j = 1; j <= b.size(); ++j) {
-      const std::size_t swapped = diagonal + (a[i - 1] == b[j - 1] ? 0 : 1);
+      const std::size_t substituted = diagonal + (a[i - 1] == b[j - 1] ? 0 : 1);
       diagonal = row[j];
-      row[j] = std::min({row[j] + 1, row[j - 1] + 1, swapped});
+      row[j] = std::min({row[j] + 1, row[j - 1] + 1, substituted});
     }
   }
   return row.back();
@@ -25,19 +25,19 @@
 
 } // namespace
 
-std::string shown(const std::string& text) {
+std::string quoted_excerpt(const std::string& text) {
   return "\"" + (text.size() > 40 ? text.substr(0, 40) + "..." : text) + "\"";
 }
 
-std::string in_quotes(const std::string& text) {
-  const auto odd = [](char c) { return c == '"' || c == '\\' || c < ' ' || c == '\x7f'; };
-  if (std::none_of(text.begin(), text.end(), odd)) return '"' + text + '"';
+std::string toml_quoted(const std::string& text) {
+  const auto needs_escape = [](char c) { return c == '"' || c == '\\' || c < ' ' || c == '\x7f'; };
+  if (std::none_of(text.begin(), text.end(), needs_escape)) return '"' + text + '"';
   std::ostringstream out;
   out << toml::value<std::string>(text);
   return out.str();
 }
 
-toml::table value_of(const std::string& text) {
+toml::table parse_value_text(const std::string& text) {
   try {
     return toml::parse("value = " + text);
   } catch (const toml::parse_error&) {
@@ -45,95 +45,97 @@
   }
 }
 
-std::string nearest(const std::string& given, const std::vector<std::string>& words) {
+std::string closest_match(const std::string& given, const std::vector<std::string>& words) {
   std::string best;
-  std::size_t least = 3; // words at a greater distance are unrelated
+  std::size_t best_distance = 3; // words at a greater distance are unrelated
   if (given.size() > 64) return best;
   for (const std::string& word : words) {
-    const std::size_t off = distance(given, word);
-    if (off < least && off < std::max(given.size(), word.size())) {
-      least = off;
+    const std::size_t candidate_distance = edit_distance(given, word);
+    if (candidate_distance < best_distance && candidate_distance < std::max(given.size(), word.size())) {
+      best_distance = candidate_distance;
       best = word;
     }
   }
   return best;
 }
 
-std::optional<double> take_amount(const toml::node& node, Unit unit, Word word, Why& why) {
+std::optional<double> parse_amount(const toml::node& node, Unit unit, SpecialValue word,
+                                   ParseError& failure) {
   std::optional<double> value;
   if (const auto text = node.value_exact<std::string>()) {
     if (word.text && *text == word.text) return word.value;
-    value = parse_quantity(unit, *text, why);
+    value = parse_quantity(unit, *text, failure);
   } else if (const auto number = node.is_number() ? node.value<double>() : std::nullopt) {
-    value = take_number(unit, *number, why);
+    value = parse_bare_number(unit, *number, failure);
   } else {
-    why = {"type", std::string("must be ") + example_of(unit)};
+    failure = {"type", std::string("must be ") + unit_example(unit)};
   }
   if (value && *value < 0) {
-    why = {"value", "must not be below 0"};
+    failure = {"value", "must not be below 0"};
     value.reset();
   }
-  if (!value && word.text) why.text += ", or \"" + std::string(word.text) + "\"";
+  if (!value && word.text) failure.message += ", or \"" + std::string(word.text) + "\"";
   return value;
 }
 
-std::optional<std::uint32_t> take_count(const toml::node& node, Unit unit, Why& why) {
+std::optional<std::uint32_t> parse_count(const toml::node& node, Unit unit, ParseError& failure) {
   constexpr double kMaxCount = std::numeric_limits<std::uint32_t>::max();
   if (unit != Unit::Number) {
-    const auto value = take_amount(node, unit, {}, why);
+    const auto value = parse_amount(node, unit, {}, failure);
     if (!value) return std::nullopt;
     if (*value <= kMaxCount && *value == static_cast<double>(static_cast<std::uint32_t>(*value))) {
       return static_cast<std::uint32_t>(*value);
     }
-    why = {"value", std::string("must be ") + example_of(unit)};
+    failure = {"value", std::string("must be ") + unit_example(unit)};
     return std::nullopt;
   }
   const auto value = node.value_exact<std::int64_t>();
   if (value && *value >= 0 && static_cast<double>(*value) <= kMaxCount)
     return static_cast<std::uint32_t>(*value);
-  why = {value ? "value" : "type", "must be a whole number from 0 on"};
+  failure = {value ? "value" : "type", "must be a whole number from 0 on"};
   return std::nullopt;
 }
 
-std::optional<std::uint64_t> take_seed(const toml::node& node, Why& why) {
+std::optional<std::uint64_t> parse_seed(const toml::node& node, ParseError& failure) {
   const auto value = node.value_exact<std::int64_t>();
   if (value && *value >= 0) return static_cast<std::uint64_t>(*value);
-  why = {value ? "value" : "type", "must be a whole number from 0 on"};
+  failure = {value ? "value" : "type", "must be a whole number from 0 on"};
   return std::nullopt;
 }
 
-std::optional<std::string> take_text(const toml::node& node, Why& why) {
+std::optional<std::string> parse_text(const toml::node& node, ParseError& failure) {
   auto text = node.value_exact<std::string>();
-  if (!text) why = {"type", "must be text in quotes"};
+  if (!text) failure = {"type", "must be text in quotes"};
   return text;
 }
 
-std::optional<bool> take_flag(const toml::node& node, Why& why) {
+std::optional<bool> parse_flag(const toml::node& node, ParseError& failure) {
   const auto flag = node.value_exact<bool>();
-  if (!flag) why = {"type", "must be true or false"};
+  if (!flag) failure = {"type", "must be true or false"};
   return flag;
 }
 
-std::optional<std::size_t> take_choice(const toml::node& node, Words words, Why& why) {
+std::optional<std::size_t> parse_choice(const toml::node& node, Words words, ParseError& failure) {
   const auto text = node.value_exact<std::string>();
   for (std::size_t i = 0; text && i < words.size(); ++i) {
     if (*text == words[i]) return i;
   }
-  why = {text ? "word" : "type", "must be one of"};
-  for (const char* word : words) why.text += std::string(" \"") + word + "\"";
-  if (text) why.text += ", not " + shown(*text);
+  failure = {text ? "word" : "type", "must be one of"};
+  for (const char* word : words) failure.message += std::string(" \"") + word + "\"";
+  if (text) failure.message += ", not " + quoted_excerpt(*text);
   return std::nullopt;
 }
 
-std::optional<std::uint32_t> take_ref(const toml::node& node, Table table, const Names& names, Why& why) {
-  const auto text = take_text(node, why);
+std::optional<std::uint32_t> parse_ref(const toml::node& node, Table table, const Names& names,
+                                       ParseError& failure) {
+  const auto text = parse_text(node, failure);
   if (!text) return std::nullopt;
   if (const auto found = names.find(table, *text)) return found;
-  why = {"unknown-name", std::string("there is no ") + names.what(table) + " " + shown(*text)};
-  if (const std::string near = nearest(*text, names.known(table)); !near.empty()) {
-    why.text += "; is \"" + near + "\" meant?";
+  failure = {"unknown-name", std::string("there is no ") + names.what(table) + " " + quoted_excerpt(*text)};
+  if (const std::string suggestion = closest_match(*text, names.known(table)); !suggestion.empty()) {
+    failure.message += "; is \"" + suggestion + "\" meant?";
   } else {
-    why.text += names.hint(table);
+    failure.message += names.hint(table);
   }
   return std::nullopt;
 }
--- a/src/toml_document/visitor.h
+++ b/src/toml_document/visitor.h
@@ -20,7 +20,7 @@
 // Identifies the table to which a name in the file refers. Each description defines its own numbers.
 enum class Table : int {};
 
-struct Word { // a word for a value that no quantity can express
+struct SpecialValue { // a word for a value that no quantity can express
   const char* text = nullptr;
   double value = 0;
 };
@@ -31,7 +31,8 @@
  public:
   virtual ~Visitor() = default;
 
-  virtual void amount(const char* member, double& value, Unit unit, const char* doc, Word word = {}) = 0;
+  virtual void amount(const char* member, double& value, Unit unit, const char* doc,
+                      SpecialValue word = {}) = 0;
   virtual void count(const char* member, std::uint32_t& value, const char* doc, Unit unit = Unit::Number) = 0;
   virtual void seed(const char* member, std::uint64_t& value, const char* doc) = 0;
   virtual void text(const char* member, std::string& value, bool needed, const char* doc) = 0;
@@ -77,51 +78,54 @@
 // Helpers for descriptions.
 
 template <typename E>
-void pick(Visitor& v, const char* member, E& value, Words words, const char* doc, bool needed = false) {
+void enum_choice(Visitor& visitor, const char* member, E& value, Words words, const char* doc,
+                 bool required = false) {
   auto word = static_cast<std::size_t>(value);
-  v.choice(member, word, words, needed, doc);
+  visitor.choice(member, word, words, required, doc);
   value = static_cast<E>(word);
 }
 
 template <typename T, typename F>
-void maybe(Visitor& v, const char* member, std::optional<T>& value, F visit) {
-  if (!v.present(member, value.has_value())) {
+void optional_member(Visitor& visitor, const char* member, std::optional<T>& value, F visit_value) {
+  if (!visitor.present(member, value.has_value())) {
     value.reset();
     return;
   }
   if (!value) value.emplace();
-  visit(*value);
+  visit_value(*value);
 }
 
 template <typename T>
-std::string name_of(const T& item) {
+std::string item_name(const T& item) {
   if constexpr (requires { item.name; }) return item.name;
   return "";
 }
 
 template <typename T, typename F>
-void each(Visitor& v, const char* member, std::vector<T>& items, const char* doc, F fields) {
-  items.resize(v.list(member, items.size(), doc));
+void each_item(Visitor& visitor, const char* member, std::vector<T>& items, const char* doc,
+               F describe_item) {
+  items.resize(visitor.list(member, items.size(), doc));
   for (std::size_t i = 0; i < items.size(); ++i) {
-    v.item(member, i, name_of(items[i]));
-    fields(items[i]);
-    v.leave();
+    visitor.item(member, i, item_name(items[i]));
+    describe_item(items[i]);
+    visitor.leave();
   }
 }
 
 // For items with a `name`, which is their key in the file.
 template <typename T, typename F>
-void each_named(Visitor& v, const char* member, std::vector<T>& items, const char* doc, F fields) {
+void each_named_item(Visitor& visitor, const char* member, std::vector<T>& items, const char* doc,
+                     F describe_item) {
   std::vector<std::string> names;
   names.reserve(items.size());
   for (const T& item : items) names.push_back(item.name);
-  names = v.named(member, std::move(names), doc);
+  names = visitor.named(member, std::move(names), doc);
   items.resize(names.size());
   for (std::size_t i = 0; i < items.size(); ++i) {
     items[i].name = names[i];
-    v.item(member, i, names[i]);
-    fields(items[i]);
-    v.leave();
+    visitor.item(member, i, names[i]);
+    describe_item(items[i]);
+    visitor.leave();
   }
 }
 
--- a/src/toml_document/writer.cpp
+++ b/src/toml_document/writer.cpp
@@ -24,41 +24,44 @@
   }
 };
 
-class Writer : public Visitor {
+class TomlWriter : public Visitor {
  public:
-  explicit Writer(const Names& names) : all_names_(names) { open_.emplace_back(); }
+  explicit TomlWriter(const Names& names) : names_(names) { open_nodes_.emplace_back(); }
   std::string text() {
     std::string out;
-    print(open_.front(), "", out);
+    print(open_nodes_.front(), "", out);
     return out;
   }
   std::vector<Leaf> leaves() const {
     std::vector<Leaf> all;
-    flatten(open_.front(), "", all);
+    flatten(open_nodes_.front(), "", all);
     return all;
   }
 
-  void amount(const char* member, double& value, Unit unit, const char*, Word word) override {
+  void amount(const char* member, double& value, Unit unit, const char*, SpecialValue word) override {
     const bool is_word = word.text && value == word.value;
-    std::string text = is_word ? word.text : quantity_text(unit, value);
+    std::string text = is_word ? word.text : format_quantity(unit, value);
     const bool bare = unit == Unit::Number || (unit == Unit::Share && !text.ends_with('%'));
-    leaf(member, bare && !is_word ? text : in_quotes(text));
+    add_leaf(member, bare && !is_word ? text : toml_quoted(text));
   }
   void count(const char* member, std::uint32_t& value, const char*, Unit unit) override {
-    leaf(member, unit == Unit::Number ? std::to_string(value) : in_quotes(quantity_text(unit, value)));
+    add_leaf(member,
+             unit == Unit::Number ? std::to_string(value) : toml_quoted(format_quantity(unit, value)));
   }
   void seed(const char* member, std::uint64_t& value, const char*) override {
-    leaf(member, std::to_string(value));
+    add_leaf(member, std::to_string(value));
   }
   void text(const char* member, std::string& value, bool, const char*) override {
-    leaf(member, in_quotes(value));
+    add_leaf(member, toml_quoted(value));
   }
   void texts(const char* member, std::vector<std::string>& values, const char*) override {
     names(member, values);
   }
-  void flag(const char* member, bool& value, const char*) override { leaf(member, value ? "true" : "false"); }
+  void flag(const char* member, bool& value, const char*) override {
+    add_leaf(member, value ? "true" : "false");
+  }
   void choice(const char* member, std::size_t& value, Words words, bool, const char*) override {
-    leaf(member, in_quotes(words[value]));
+    add_leaf(member, toml_quoted(words[value]));
   }
   void choices(const char* member, std::vector<std::size_t>& values, Words words, const char*) override {
     std::vector<std::string> all;
@@ -67,50 +70,50 @@
     names(member, all);
   }
   void ref(const char* member, std::uint32_t& value, Table table, bool, const char*) override {
-    const std::string name = all_names_.name(table, value);
-    if (!name.empty()) leaf(member, in_quotes(name));
+    const std::string name = names_.name(table, value);
+    if (!name.empty()) add_leaf(member, toml_quoted(name));
   }
   void refs(const char* member, std::vector<std::uint32_t>& values, Table table, const char*) override {
     std::vector<std::string> all;
     all.reserve(values.size());
-    for (const std::uint32_t value : values) all.push_back(all_names_.name(table, value));
+    for (const std::uint32_t value : values) all.push_back(names_.name(table, value));
     names(member, all);
   }
   bool present(const char*, bool now) override { return now; }
-  void enter(const char* member, const char*) override { open(member, false); }
+  void enter(const char* member, const char*) override { open_node(member, false); }
   void leave() override {
-    Node done = std::move(open_.back());
-    open_.pop_back();
-    open_.back().children.push_back(std::move(done));
+    Node done = std::move(open_nodes_.back());
+    open_nodes_.pop_back();
+    open_nodes_.back().children.push_back(std::move(done));
   }
   std::size_t list(const char*, std::size_t size, const char*) override { return size; }
   void item(const char* member, std::size_t, const std::string& name) override {
-    open(member, true);
-    if (named_.contains(member)) open_.back().name = name;
+    open_node(member, true);
+    if (named_table_members_.contains(member)) open_nodes_.back().name = name;
   }
   std::vector<std::string> named(const char* member, std::vector<std::string> names, const char*) override {
-    named_.insert(member);
+    named_table_members_.insert(member);
     return names;
   }
 
  private:
-  void open(const char* member, bool is_item) {
-    open_.emplace_back();
-    open_.back().member = member;
-    open_.back().key = key_of(member);
-    open_.back().is_item = is_item;
-  }
-  void leaf(const char* member, std::string text) {
-    Node& made = open_.back().children.emplace_back();
-    made.member = member;
-    made.key = key_of(member);
-    made.value = std::move(text);
-    made.is_leaf = true;
+  void open_node(const char* member, bool is_item) {
+    open_nodes_.emplace_back();
+    open_nodes_.back().member = member;
+    open_nodes_.back().key = key_of(member);
+    open_nodes_.back().is_item = is_item;
+  }
+  void add_leaf(const char* member, std::string text) {
+    Node& entry = open_nodes_.back().children.emplace_back();
+    entry.member = member;
+    entry.key = key_of(member);
+    entry.value = std::move(text);
+    entry.is_leaf = true;
   }
   void names(const char* member, const std::vector<std::string>& all) {
     std::string text = "[";
-    for (const std::string& name : all) text += (text.size() > 1 ? ", " : "") + in_quotes(name);
-    leaf(member, text + "]");
+    for (const std::string& name : all) text += (text.size() > 1 ? ", " : "") + toml_quoted(name);
+    add_leaf(member, text + "]");
   }
   static void flatten(const Node& table, const std::string& path, std::vector<Leaf>& all) {
     std::map<std::string, std::size_t> items; // number of items so far, by list
@@ -128,11 +131,11 @@
       flatten(child, at, all);
     }
   }
-  static std::string in_line(const Node& table) {
+  static std::string inline_table(const Node& table) {
     std::string text;
     for (const Node& child : table.children) {
-      text +=
-          (text.empty() ? "{ " : ", ") + child.key + " = " + (child.is_leaf ? child.value : in_line(child));
+      text += (text.empty() ? "{ " : ", ") + child.key + " = " +
+              (child.is_leaf ? child.value : inline_table(child));
     }
     return text.empty() ? "{}" : text + " }";
   }
@@ -141,13 +144,15 @@
   static void print(const Node& table, const std::string& path, std::string& out) {
     for (const Node& child : table.children) {
       if (child.is_leaf) out += child.key + " = " + child.value + "\n";
-      if (!child.is_leaf && table.is_item && child.flat()) out += child.key + " = " + in_line(child) + "\n";
+      if (!child.is_leaf && table.is_item && child.flat())
+        out += child.key + " = " + inline_table(child) + "\n";
     }
     for (const Node& child : table.children) {
       if (child.is_leaf || (table.is_item && child.flat())) continue;
       const std::string inner = path.empty() ? child.key : path + "." + child.key;
       if (!child.name.empty()) {
-        const std::string own = inner + "." + (bare(child.name) ? child.name : in_quotes(child.name));
+        const std::string own =
+            inner + "." + (is_bare_key(child.name) ? child.name : toml_quoted(child.name));
         out += "\n[" + own + "]\n";
         print(child, own, out);
         continue;
@@ -157,70 +162,72 @@
     }
   }
 
-  static bool bare(const std::string& name) {
+  static bool is_bare_key(const std::string& name) {
     return std::all_of(name.begin(), name.end(), [](char c) {
       return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '_' ||
              c == '-';
     });
   }
 
-  const Names& all_names_;
-  std::vector<Node> open_;
-  std::set<std::string> named_; // members that are tables of named tables
+  const Names& names_;
+  std::vector<Node> open_nodes_;
+  std::set<std::string> named_table_members_; // members that are tables of named tables
 };
 
-class Reference : public Visitor {
+class ReferenceVisitor : public Visitor {
  public:
-  Reference(const Names& names, Words elsewhere) : names_(names), elsewhere_(elsewhere) {
-    open_.emplace_back();
+  ReferenceVisitor(const Names& names, Words documented_elsewhere)
+      : names_(names), documented_elsewhere_(documented_elsewhere) {
+    open_rows_.emplace_back();
   }
-  const Row& top() const { return open_.front(); }
+  const ReferenceRow& top() const { return open_rows_.front(); }
 
-  void amount(const char* member, double& value, Unit unit, const char* doc, Word word) override {
-    std::string written = kind(unit);
+  void amount(const char* member, double& value, Unit unit, const char* doc, SpecialValue word) override {
+    std::string written = unit_text(unit);
     if (word.text) written += std::string(" or `\"") + word.text + "\"`";
-    leaf(member, written, word.text && value == word.value ? word.text : quantity_text(unit, value), doc);
+    add_leaf(member, written, word.text && value == word.value ? word.text : format_quantity(unit, value),
+             doc);
   }
   void count(const char* member, std::uint32_t& value, const char* doc, Unit unit) override {
     const bool bare = unit == Unit::Number;
-    leaf(member, bare ? "whole number" : kind(unit),
-         bare ? std::to_string(value) : quantity_text(unit, value), doc);
+    add_leaf(member, bare ? "whole number" : unit_text(unit),
+             bare ? std::to_string(value) : format_quantity(unit, value), doc);
   }
   void seed(const char* member, std::uint64_t& value, const char* doc) override {
-    leaf(member, "whole number", std::to_string(value), doc);
+    add_leaf(member, "whole number", std::to_string(value), doc);
   }
   void text(const char* member, std::string& value, bool needed, const char* doc) override {
-    leaf(member, "text", needed ? kNeeded : value, doc);
+    add_leaf(member, "text", needed ? kRequiredText : value, doc);
   }
   void texts(const char* member, std::vector<std::string>& values, const char* doc) override {
     std::string now;
     for (const std::string& value : values) now += (now.empty() ? "" : ", ") + value;
-    leaf(member, "list of texts", now, doc);
+    add_leaf(member, "list of texts", now, doc);
   }
   void flag(const char* member, bool& value, const char* doc) override {
-    leaf(member, "`true`, `false`", value ? "true" : "false", doc);
+    add_leaf(member, "`true`, `false`", value ? "true" : "false", doc);
   }
   void choice(const char* member, std::size_t& value, Words words, bool needed, const char* doc) override {
-    const bool elsewhere = !elsewhere_.empty() && words.data() == elsewhere_.data();
-    leaf(member, elsewhere ? "see below" : all_of(words), needed ? kNeeded : words[value], doc);
+    const bool elsewhere = !documented_elsewhere_.empty() && words.data() == documented_elsewhere_.data();
+    add_leaf(member, elsewhere ? "see below" : word_list(words), needed ? kRequiredText : words[value], doc);
   }
   void choices(const char* member, std::vector<std::size_t>& values, Words words, const char* doc) override {
     std::string now;
     for (const std::size_t value : values) now += (now.empty() ? "" : ", ") + std::string(words[value]);
-    leaf(member, "list of " + all_of(words), now, doc);
+    add_leaf(member, "list of " + word_list(words), now, doc);
   }
   void ref(const char* member, std::uint32_t&, Table table, bool needed, const char* doc) override {
-    leaf(member, names_.written(table), needed ? kNeeded : "", doc);
+    add_leaf(member, names_.written(table), needed ? kRequiredText : "", doc);
   }
   void refs(const char* member, std::vector<std::uint32_t>&, Table table, const char* doc) override {
-    leaf(member, std::string("list: ") + names_.written(table), "", doc);
+    add_leaf(member, std::string("list: ") + names_.written(table), "", doc);
   }
   bool present(const char*, bool) override { return may_be_absent_ = true; }
-  void enter(const char* member, const char* doc) override { open(member, doc, false); }
+  void enter(const char* member, const char* doc) override { open_row(member, doc, false); }
   void leave() override {
-    Row done = std::move(open_.back());
-    open_.pop_back();
-    open_.back().children.push_back(std::move(done));
+    ReferenceRow done = std::move(open_rows_.back());
+    open_rows_.pop_back();
+    open_rows_.back().children.push_back(std::move(done));
   }
   std::size_t list(const char*, std::size_t, const char* doc) override {
     list_doc_ = doc;
@@ -228,8 +235,8 @@
     return 1;
   }
   void item(const char* member, std::size_t, const std::string&) override {
-    open(member, list_doc_.c_str(), true);
-    open_.back().is_named = is_named_;
+    open_row(member, list_doc_.c_str(), true);
+    open_rows_.back().is_named = is_named_;
   }
   std::vector<std::string> named(const char* member, std::vector<std::string>, const char* doc) override {
     list(member, 1, doc);
@@ -238,25 +245,25 @@
   }
 
  private:
-  static constexpr const char* kNeeded = "(needed)";
+  static constexpr const char* kRequiredText = "(needed)";
 
-  void open(const char* member, const char* doc, bool is_item) {
-    open_.emplace_back();
-    open_.back().key = key_of(member);
-    open_.back().doc = doc;
-    open_.back().is_item = is_item;
+  void open_row(const char* member, const char* doc, bool is_item) {
+    open_rows_.emplace_back();
+    open_rows_.back().key = key_of(member);
+    open_rows_.back().doc = doc;
+    open_rows_.back().is_item = is_item;
   }
-  void leaf(const char* member, std::string written, std::string now, const char* doc) {
+  void add_leaf(const char* member, std::string written, std::string now, const char* doc) {
     if (std::exchange(may_be_absent_, false)) now.clear();
-    if (!now.empty() && now != kNeeded) now = "`" + now + "`";
-    Row& made = open_.back().children.emplace_back();
-    made.key = key_of(member);
-    made.written = std::move(written);
-    made.now = std::move(now);
-    made.doc = doc;
-    made.is_leaf = true;
-  }
-  static std::string kind(Unit unit) {
+    if (!now.empty() && now != kRequiredText) now = "`" + now + "`";
+    ReferenceRow& entry = open_rows_.back().children.emplace_back();
+    entry.key = key_of(member);
+    entry.type_text = std::move(written);
+    entry.default_text = std::move(now);
+    entry.doc = doc;
+    entry.is_leaf = true;
+  }
+  static std::string unit_text(Unit unit) {
     switch (unit) {
       case Unit::Number: return "number";
       case Unit::Time: return "time";
@@ -268,14 +275,14 @@
     }
     return "";
   }
-  static std::string all_of(Words words) {
+  static std::string word_list(Words words) {
     std::string all;
     for (const char* word : words) all += (all.empty() ? "`" : ", `") + std::string(word) + "`";
     return all;
   }
   const Names& names_;
-  const Words elsewhere_;
-  std::vector<Row> open_;
+  const Words documented_elsewhere_;
+  std::vector<ReferenceRow> open_rows_;
   std::string list_doc_;
   bool is_named_ = false;      // whether the list entered last has named items
   bool may_be_absent_ = false; // whether the next leaf is optional, so has no default
@@ -283,58 +290,59 @@
 
 } // namespace
 
-std::vector<Leaf> leaves(const Names& names, const Walk& walk) {
-  Writer writer(names);
+std::vector<Leaf> leaves(const Names& names, const DescribeData& walk) {
+  TomlWriter writer(names);
   walk(writer);
   return writer.leaves();
 }
 
-std::string written(const Names& names, const Walk& walk) {
-  Writer writer(names);
+std::string to_toml(const Names& names, const DescribeData& walk) {
+  TomlWriter writer(names);
   walk(writer);
   return writer.text();
 }
 
-Row reference(const Names& names, const Walk& walk, Words elsewhere) {
-  Reference made(names, elsewhere);
+ReferenceRow build_reference(const Names& names, const DescribeData& walk, Words documented_elsewhere) {
+  ReferenceVisitor made(names, documented_elsewhere);
   walk(made);
   return made.top();
 }
 
-void rows(const Row& table, const std::string& prefix, std::string& out) {
-  for (const Row& row : table.children) {
+void append_rows(const ReferenceRow& table, const std::string& prefix, std::string& out) {
+  for (const ReferenceRow& row : table.children) {
     if (row.is_leaf) {
-      out += "| `" + prefix + row.key + "` | " + row.written + " | " + row.now + " | " + row.doc + " |\n";
+      out += "| `" + prefix + row.key + "` | " + row.type_text + " | " + row.default_text + " | " + row.doc +
+             " |\n";
     } else if (!row.is_item) {
-      rows(row, prefix + row.key + ".", out);
+      append_rows(row, prefix + row.key + ".", out);
     }
   }
 }
 
-void section(const Row& table, const std::string& heading, std::string& out) {
+void append_section(const ReferenceRow& table, const std::string& heading, std::string& out) {
   out += "\n### " + heading + "\n\n| key | written as | default | meaning |\n| --- | --- | --- | --- |\n";
-  rows(table, "", out);
+  append_rows(table, "", out);
 }
 
-void sections(const Row& table, const std::string& path, std::string& out) {
-  for (const Row& row : table.children) {
+void append_sections(const ReferenceRow& table, const std::string& path, std::string& out) {
+  for (const ReferenceRow& row : table.children) {
     if (row.is_leaf || (!row.is_item && !path.empty())) continue;
     const std::string inner = path.empty() ? row.key : path + "." + row.key;
     const std::string head = row.is_named  ? "`[" + inner + ".NAME]`: "
                              : row.is_item ? "`[[" + inner + "]]`: "
                                            : "`[" + inner + "]`: ";
-    section(row, head + row.doc, out);
-    sections(row, inner, out);
+    append_section(row, head + row.doc, out);
+    append_sections(row, inner, out);
   }
 }
 
-std::string leading(const Row& table) {
-  Row leaves;
-  for (const Row& row : table.children) {
+std::string top_level_rows(const ReferenceRow& table) {
+  ReferenceRow leaves;
+  for (const ReferenceRow& row : table.children) {
     if (row.is_leaf) leaves.children.push_back(row);
   }
   std::string out;
-  rows(leaves, "", out);
+  append_rows(leaves, "", out);
   return out;
 }
 
--- a/src/upstream/codec.cpp
+++ b/src/upstream/codec.cpp
@@ -27,17 +27,17 @@
   if (!request.idempotency_key.empty()) headers.push_back({"Idempotency-Key", request.idempotency_key});
   if (request.streamed_body != nullptr) {
     const auto length = request.streamed_body->length();
-    return http::write_request_head(request.write ? "PUT" : "GET", request.path, host, headers,
-                                    length ? http::Framing::Length : http::Framing::Chunks,
+    return http::write_request_head(request.is_write ? "PUT" : "GET", request.path, host, headers,
+                                    length ? http::Framing::Length : http::Framing::Chunked,
                                     length.value_or(0));
   }
-  return http::write_request(request.write ? "PUT" : "GET", request.path, host, headers, request.body);
+  return http::write_request(request.is_write ? "PUT" : "GET", request.path, host, headers, request.body);
 }
 
 proxy::AttemptCompletion decode(const http::Message& response,
                                 const std::vector<std::string>& report_fields) {
   proxy::AttemptCompletion completion;
-  completion.load_report = parse_report(response.header("x-server-load"), report_fields);
+  completion.load_report = decode_load_report(response.header("x-server-load"), report_fields);
   const bool never_ran = response.header("x-not-processed") == "1";
   if (response.status == 200) {
     completion.result = AttemptResult::Ok;
@@ -54,27 +54,27 @@
   return completion;
 }
 
-std::vector<float> parse_report(std::string_view text, const std::vector<std::string>& fields) {
+std::vector<float> decode_load_report(std::string_view text, const std::vector<std::string>& fields) {
   std::vector<float> values(fields.size(), -1);
-  bool any = false;
+  bool any_known = false;
   while (!text.empty()) {
-    const auto comma = text.find(',');
-    const std::string_view item = http::trim(text.substr(0, comma));
-    text = comma == std::string_view::npos ? std::string_view() : text.substr(comma + 1);
-    const auto equals = item.find('=');
-    if (equals == std::string_view::npos) return {}; // malformed: the complete report is ignored
-    const auto field = std::find(fields.begin(), fields.end(), http::trim(item.substr(0, equals)));
+    const auto separator = text.find(',');
+    const std::string_view item = http::trim(text.substr(0, separator));
+    text = separator == std::string_view::npos ? std::string_view() : text.substr(separator + 1);
+    const auto equals_sign = item.find('=');
+    if (equals_sign == std::string_view::npos) return {}; // malformed: the complete report is ignored
+    const auto field = std::find(fields.begin(), fields.end(), http::trim(item.substr(0, equals_sign)));
     if (field == fields.end()) continue;
-    const std::string_view number = http::trim(item.substr(equals + 1));
+    const std::string_view number = http::trim(item.substr(equals_sign + 1));
     float value = 0;
     const auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), value);
-    float& known = values[static_cast<std::size_t>(field - fields.begin())];
+    float& stored = values[static_cast<std::size_t>(field - fields.begin())];
     if (error != std::errc() || end != number.data() + number.size()) return {};
-    if (!(value >= 0 && value <= kMaxReportValue) || known >= 0) return {};
-    known = value;
-    any = true;
+    if (!(value >= 0 && value <= kMaxReportValue) || stored >= 0) return {};
+    stored = value;
+    any_known = true;
   }
-  if (!any) values.clear();
+  if (!any_known) values.clear();
   return values;
 }
 
--- a/src/upstream/codec.h
+++ b/src/upstream/codec.h
@@ -19,6 +19,6 @@
 
 /// Parses a load report such as "queue=2,util=0.61". The values are in the order of `fields`, -1 for a
 /// missing value. Empty if the report is malformed or has no known field.
-std::vector<float> parse_report(std::string_view text, const std::vector<std::string>& fields);
+std::vector<float> decode_load_report(std::string_view text, const std::vector<std::string>& fields);
 
 } // namespace fernward::upstream
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -25,30 +25,31 @@
 
 ConnectionPool::ConnectionPool(event_base* base, loop::TimerQueue& timers,
                                descriptors::DescriptorBudget& descriptors,
-                               body_buffers::BufferBudget& buffer_budget, figures::Figures& figures,
+                               body_buffers::BufferBudget& buffer_budget, figures::RouterStats& figures,
                                const ConnectionPoolOptions& options, proxy::AttemptCallbacks& attempts,
-                               RecallDescriptor recall)
+                               EvictClientConnection evict_client_connection)
     : base_(base),
       timers_(timers),
       descriptors_(descriptors),
       options_(options),
       attempts_(attempts),
-      recall_(std::move(recall)),
+      evict_client_connection_(std::move(evict_client_connection)),
       connections_(descriptors.total()),
-      idle_lifetimes_(options.idle_ms),
-      writer_(timers, connections_, figures, block_, *this, options.silent_ms),
-      receiver_({base, timers, connections_, buffer_budget, block_, attempts, *this, writer_, options_}) {}
+      idle_lifetimes_(options.idle_timeout_ms),
+      writer_(timers, connections_, figures, io_buffer_, *this, options.silence_timeout_ms),
+      receiver_({base, timers, connections_, buffer_budget, io_buffer_, attempts, *this, writer_, options_}) {
+}
 
 // ---- endpoints ----
 
 bool ConnectionPool::in_service(ServerId endpoint) const {
   const auto found = endpoints_.find(endpoint);
-  return found != endpoints_.end() && found->second.entry.state == ServerState::Ready;
+  return found != endpoints_.end() && found->second.server.state == ServerState::Ready;
 }
 
-bool ConnectionPool::leads_to_endpoint(const UpstreamConnection& connection) const {
-  const EndpointIdentity& opened_to = connection.endpoint;
-  return in_service(opened_to.id) && endpoints_.at(opened_to.id).address == opened_to.address;
+bool ConnectionPool::matches_endpoint_address(const UpstreamConnection& connection) const {
+  const EndpointIdentity& identity = connection.endpoint;
+  return in_service(identity.id) && endpoints_.at(identity.id).address == identity.address;
 }
 
 void ConnectionPool::update_endpoints(const std::map<ServerId, endpoints::Endpoint>& endpoints) {
@@ -72,10 +73,11 @@
     idle_lifetimes_.forget(id);
     return;
   }
-  const endpoints::Endpoint before = std::exchange(found->second, *endpoint);
-  if (endpoint->entry.state != ServerState::Ready) {
+  const endpoints::Endpoint previous = std::exchange(found->second, *endpoint);
+  if (endpoint->server.state != ServerState::Ready) {
     close_free(id, CloseReason::NotInService);
-  } else if (endpoint->address != before.address || endpoint->entry.started_at != before.entry.started_at) {
+  } else if (endpoint->address != previous.address ||
+             endpoint->server.started_at != previous.server.started_at) {
     close_free(id, CloseReason::Restarted); // they lead to the previous process
     idle_lifetimes_.forget(id);
   }
@@ -117,34 +119,35 @@
   writer_.write(connection, endpoints_.at(connection.endpoint.id).address);
 }
 
-UpstreamConnection* ConnectionPool::assigned_to(Handle attempt) {
+UpstreamConnection* ConnectionPool::find_assigned(Handle attempt) {
   const auto found = by_attempt_.find(attempt);
   return found == by_attempt_.end() ? nullptr : connections_.find(found->second);
 }
 
 proxy::UpstreamConnections::ClientPause ConnectionPool::cancel(Handle attempt) {
-  UpstreamConnection* const connection = assigned_to(attempt);
+  UpstreamConnection* const connection = find_assigned(attempt);
   by_attempt_.erase(attempt);
   if (connection == nullptr) return {};
   connection->attempt = 0;
   const UploadProgress& upload = connection->upload;
   const bool paused = connection->is(State::Paused);
-  const bool lasts = paused || upload.stage == UploadProgress::Stage::Uploading;
-  const double since = paused ? connection->response.paused_at_ms : upload.head_written_at_ms;
-  const ClientPause pause{connection->paused_ms + (lasts ? now_ms() - since : 0), lasts};
+  const bool ongoing = paused || upload.stage == UploadProgress::Stage::Uploading;
+  const double paused_since_ms = paused ? connection->response.paused_at_ms : upload.head_written_at_ms;
+  const ClientPause pause{connection->paused_ms + (ongoing ? now_ms() - paused_since_ms : 0), ongoing};
   if (connection->is(State::Connecting)) { // nothing was sent: the next attempt may use it
     connection->request.reset();
     add_to_free(*connection);
   } else if (paused) { // not reusable: a response is outstanding
     close(*connection, CloseReason::ClientSlow);
   } else {
-    close(*connection, connection->parser.begun() ? CloseReason::NeverEnded : CloseReason::GivenUp);
+    close(*connection, connection->parser.has_started() ? CloseReason::CancelledDuringResponse
+                                                        : CloseReason::CancelledBeforeResponse);
   }
   return pause;
 }
 
 void ConnectionPool::resume_reading(Handle attempt) {
-  UpstreamConnection* const connection = assigned_to(attempt);
+  UpstreamConnection* const connection = find_assigned(attempt);
   if (connection != nullptr && connection->is(State::Paused)) receiver_.resume(*connection);
 }
 
@@ -161,7 +164,7 @@
 
 UpstreamConnection* ConnectionPool::find_reusable(ServerId endpoint) {
   const double now = now_ms();
-  close_outlived(endpoint, now);
+  close_expired_idle(endpoint, now);
   if (UpstreamConnection* const idle = take_idle(endpoint, now)) return idle;
   return take_connecting(endpoint);
 }
@@ -180,10 +183,10 @@
     }
     IdleUse& idle = connection->idle;
     const double idle_ms = now - idle.since_ms;
-    const Reuse use = idle_lifetimes_.decide_reuse(now, endpoint, idle_ms);
-    if (use == Reuse::Refused) return nullptr; // the connections before it have been idle for longer
+    const Reuse reuse = idle_lifetimes_.decide_reuse(now, endpoint, idle_ms);
+    if (reuse == Reuse::Refused) return nullptr; // the connections before it have been idle for longer
     idle.before_request_ms = idle_ms;
-    idle.beyond_safe_lifetime = use == Reuse::Trial;
+    idle.beyond_safe_lifetime = reuse == Reuse::Trial;
     free.erase(free.begin() + static_cast<std::ptrdiff_t>(i));
     timers_.cancel(connection->timer);
     return connection;
@@ -204,18 +207,18 @@
 }
 
 // The idle connections among the free ones are in the order in which they became idle.
-void ConnectionPool::close_outlived(ServerId endpoint, double now) {
+void ConnectionPool::close_expired_idle(ServerId endpoint, double now) {
   const auto found = free_.find(endpoint);
   if (found == free_.end() || found->second.empty()) return;
-  const double lifetime_ms = idle_lifetimes_.keep_ms(now, endpoint);
-  std::vector<Handle> outlived;
+  const double lifetime_ms = idle_lifetimes_.max_keep_ms(now, endpoint);
+  std::vector<Handle> expired;
   for (const Handle handle : found->second) {
     const UpstreamConnection* const connection = connections_.find(handle);
     if (connection == nullptr || !connection->is(State::Idle)) continue;
     if (now - connection->idle.since_ms < lifetime_ms) break;
-    outlived.push_back(handle);
+    expired.push_back(handle);
   }
-  for (const Handle handle : outlived) close(*connections_.find(handle), CloseReason::Rested);
+  for (const Handle handle : expired) close(*connections_.find(handle), CloseReason::IdleLifetimeExceeded);
 }
 
 // Updates the estimate of the endpoint's idle timeout from a request on the connection.
@@ -251,8 +254,8 @@
   for (;;) { // each round closes one connection
     const Eviction eviction = descriptors_.required_eviction(now, descriptors::Side::Upstream);
     if (eviction == Eviction::None) return descriptors_.acquire(now, descriptors::Side::Upstream);
-    if (eviction == Eviction::OtherSide && recall_()) continue;
-    if (!evict_oldest_idle(CloseReason::TableFull)) return {};
+    if (eviction == Eviction::OtherSide && evict_client_connection_()) continue;
+    if (!evict_oldest_idle(CloseReason::DescriptorsExhausted)) return {};
   }
 }
 
@@ -262,28 +265,28 @@
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd >= 0 || retries == kSocketRetries) return fd;
     const double now = now_ms();
-    if (descriptors_.on_refused(now)) {
+    if (descriptors_.on_descriptor_refused(now)) {
       log::line("descriptors-refused", {{"in_use", descriptors_.usable(now)}, {"of", descriptors_.total()}});
     }
-    if (!evict_oldest_idle(CloseReason::TableFull) && !recall_()) return -1;
+    if (!evict_oldest_idle(CloseReason::DescriptorsExhausted) && !evict_client_connection_()) return -1;
   }
 }
 
 // The connection takes ownership of `fd`.
 UpstreamConnection& ConnectionPool::add_connection(const endpoints::Endpoint& endpoint,
                                                    descriptors::DescriptorBudget::Lease descriptor, int fd) {
-  const Handle handle = connections_.add(options_.answers.max_body_bytes);
+  const Handle handle = connections_.add(options_.response_limits.max_body_bytes);
   UpstreamConnection& connection = *connections_.find(handle);
   connection.pool = this;
   connection.receiver = &receiver_;
   connection.handle = handle;
   connection.descriptor = std::move(descriptor);
   connection.eviction_entry = connection.eviction_node.insert(connection.eviction_node.end(), handle);
-  connection.endpoint = {endpoint.entry.id, endpoint.name, endpoint.address, endpoint.entry.started_at};
+  connection.endpoint = {endpoint.server.id, endpoint.name, endpoint.address, endpoint.server.started_at};
   connection.opened_at_ms = now_ms();
   connection.socket = loop::make_bufferevent(base_, fd);
   loop::set_nodelay(fd);
-  if (options_.receive_bytes > 0) loop::limit_received(fd, options_.receive_bytes);
+  if (options_.receive_buffer_bytes > 0) loop::limit_receive_buffer(fd, options_.receive_buffer_bytes);
   bufferevent_setcb(connection.socket.get(), &ConnectionPool::on_readable, &ConnectionPool::on_writable,
                     &ConnectionPool::on_event, &connection);
   return connection;
@@ -292,21 +295,21 @@
 // On failure returns false, sets `refusal`, and destroys the connection.
 bool ConnectionPool::connect(UpstreamConnection& connection, const endpoints::Endpoint& endpoint,
                              StartResult& refusal) {
-  const auto* const address = reinterpret_cast<const sockaddr*>(&endpoint.where);
-  if (bufferevent_socket_connect(connection.socket.get(), address, sizeof endpoint.where) != 0) {
+  const auto* const address = reinterpret_cast<const sockaddr*>(&endpoint.socket_address);
+  if (bufferevent_socket_connect(connection.socket.get(), address, sizeof endpoint.socket_address) != 0) {
     // No local port or memory: not attributed to the endpoint.
-    const bool local = errno == EADDRNOTAVAIL || errno == ENOBUFS || errno == ENOMEM || errno == EAGAIN;
-    if (local) refusal = StartResult::LocalLimit;
-    close(connection, local ? CloseReason::NoLocalResources : CloseReason::ConnectFailed);
+    const bool local_limit = errno == EADDRNOTAVAIL || errno == ENOBUFS || errno == ENOMEM || errno == EAGAIN;
+    if (local_limit) refusal = StartResult::LocalLimit;
+    close(connection, local_limit ? CloseReason::NoLocalResources : CloseReason::ConnectFailed);
     return false;
   }
   ++opened_;
   const double due_ms = connection.opened_at_ms + options_.connect_timeout_ms;
-  connection.timer = timers_.at(due_ms, [this, handle = connection.handle] {
-    UpstreamConnection* const late = connections_.find(handle);
-    if (late == nullptr) return;
-    late->timer = 0;
-    fail(*late, AttemptResult::ConnectFailed, CloseReason::ConnectTimeout);
+  connection.timer = timers_.run_at(due_ms, [this, handle = connection.handle] {
+    UpstreamConnection* const timed_out = connections_.find(handle);
+    if (timed_out == nullptr) return;
+    timed_out->timer = 0;
+    fail(*timed_out, AttemptResult::ConnectFailed, CloseReason::ConnectTimeout);
   });
   return true;
 }
@@ -333,20 +336,20 @@
 void ConnectionPool::read(UpstreamConnection& connection) {
   if (!connection.is(State::Idle)) return receiver_.on_readable(connection);
   const bool empty = loop::pending_input(connection.socket.get()).empty();
-  close(connection, empty ? CloseReason::PeerClosed : CloseReason::UnaskedBytes);
+  close(connection, empty ? CloseReason::PeerClosed : CloseReason::UnsolicitedBytes);
 }
 
 void ConnectionPool::on_connected(UpstreamConnection& connection) {
-  if (const Handle late = connection.attempt; late != 0 && !attempts_.may_write_request(late)) {
-    cancel(late); // still connecting: nothing of the request is sent, and the connection is kept
+  if (const Handle attempt = connection.attempt; attempt != 0 && !attempts_.may_write_request(attempt)) {
+    cancel(attempt); // still connecting: nothing of the request is sent, and the connection is kept
     proxy::AttemptCompletion completion;
     completion.result = AttemptResult::Abandoned;
-    attempts_.on_attempt_complete(late, std::move(completion));
+    attempts_.on_attempt_complete(attempt, std::move(completion));
   }
   timers_.cancel(connection.timer);
   bufferevent_enable(connection.socket.get(), EV_READ | EV_WRITE);
   // The endpoint may have been removed or have changed its address meanwhile: no new request is sent there.
-  if (!leads_to_endpoint(connection)) {
+  if (!matches_endpoint_address(connection)) {
     return fail(connection, AttemptResult::ConnectFailed, CloseReason::NotInService);
   }
   if (connection.attempt != 0) {
@@ -366,15 +369,15 @@
   // Bytes received before the end are still unread; the end is detected again after them.
   if (end_of_input && connection.is(State::Paused)) return;
   if (end_of_input && connection.parser.end_of_input()) {
-    return response_complete(connection, CloseReason::PeerSaidClose);
+    return response_complete(connection, CloseReason::PeerRequestedClose);
   }
-  if (!connection.parser.begun())
+  if (!connection.parser.has_started())
     record_idle_use(connection, true); // otherwise it was alive after its idle time
   // As its last byte has not been sent, the request cannot have run.
   if (connection.request_unsent()) {
-    return fail(connection, AttemptResult::ConnectFailed, CloseReason::BrokeUnsent);
+    return fail(connection, AttemptResult::ConnectFailed, CloseReason::BrokenBeforeSent);
   }
-  fail(connection, AttemptResult::Reset, end_of_input ? CloseReason::CutOff : CloseReason::Reset);
+  fail(connection, AttemptResult::Reset, end_of_input ? CloseReason::Truncated : CloseReason::Reset);
 }
 
 // ---- the end of a response and of a connection ----
@@ -384,9 +387,9 @@
 }
 
 void ConnectionPool::response_complete(UpstreamConnection& connection, std::optional<CloseReason> reason) {
-  const http::Message head = connection.parser.take();
-  if (!reason && !head.keep_alive) reason = CloseReason::PeerSaidClose;
-  if (!reason && connection.request_unsent()) reason = CloseReason::EarlyAnswer;
+  const http::Message head = connection.parser.take_message();
+  if (!reason && !head.keep_alive) reason = CloseReason::PeerRequestedClose;
+  if (!reason && connection.request_unsent()) reason = CloseReason::EarlyResponse;
   connection.upload.reader.reset();
   timers_.cancel(connection.timer);
   ++connection.requests_served;
@@ -403,10 +406,10 @@
 
 // The process that responded may have been removed from the endpoint list, or be listed at another address.
 std::optional<CloseReason> ConnectionPool::reason_not_to_pool(const UpstreamConnection& connection) const {
-  const EndpointIdentity& opened_to = connection.endpoint;
-  if (!in_service(opened_to.id)) return CloseReason::NotInService;
-  if (!leads_to_endpoint(connection)) return CloseReason::Restarted;
-  if (endpoints_.at(opened_to.id).entry.started_at != opened_to.started_at) return CloseReason::Restarted;
+  const EndpointIdentity& identity = connection.endpoint;
+  if (!in_service(identity.id)) return CloseReason::NotInService;
+  if (!matches_endpoint_address(connection)) return CloseReason::Restarted;
+  if (endpoints_.at(identity.id).server.started_at != identity.started_at) return CloseReason::Restarted;
   return std::nullopt;
 }
 
@@ -422,10 +425,10 @@
 
 // The connection is destroyed on return.
 void ConnectionPool::close(UpstreamConnection& connection, CloseReason reason) {
-  log::routine("upstream-ended", {{"target", connection.endpoint.name},
-                                  {"code", log_word(reason)},
-                                  {"answers", connection.requests_served},
-                                  {"ms", now_ms() - connection.opened_at_ms}});
+  log::routine_line("upstream-ended", {{"target", connection.endpoint.name},
+                                       {"code", log_code(reason)},
+                                       {"answers", connection.requests_served},
+                                       {"ms", now_ms() - connection.opened_at_ms}});
   timers_.cancel(connection.timer);
   remove_from_free(connection);
   remove_from_eviction(connection);
@@ -439,15 +442,16 @@
   add_to_free(connection);
   const double now = now_ms();
   connection.become_idle(now);
-  const double lifetime_ms = idle_lifetimes_.keep_ms(now, endpoint);
+  const double lifetime_ms = idle_lifetimes_.max_keep_ms(now, endpoint);
   // Other routers may need the connection slot at the endpoint, and this router has another idle connection.
-  const bool scarce = static_cast<std::int64_t>(endpoints_.at(endpoint).entry.kind) == options_.scarce_kind;
+  const bool scarce = static_cast<std::int64_t>(endpoints_.at(endpoint).server.kind) == options_.scarce_kind;
   const double used_ms = now - connection.assigned_at_ms;
-  const bool spare = scarce && free_[endpoint].size() > 1 && used_ms < lifetime_ms;
-  CloseReason reason = lifetime_ms < options_.idle_ms ? CloseReason::Rested : CloseReason::Idle;
-  if (spare) reason = CloseReason::Spare;
-  const double due_ms = now + (spare ? used_ms : lifetime_ms);
-  connection.timer = timers_.at(due_ms, [this, handle = connection.handle, reason] {
+  const bool surplus = scarce && free_[endpoint].size() > 1 && used_ms < lifetime_ms;
+  CloseReason reason =
+      lifetime_ms < options_.idle_timeout_ms ? CloseReason::IdleLifetimeExceeded : CloseReason::IdleTimeout;
+  if (surplus) reason = CloseReason::Surplus;
+  const double due_ms = now + (surplus ? used_ms : lifetime_ms);
+  connection.timer = timers_.run_at(due_ms, [this, handle = connection.handle, reason] {
     UpstreamConnection* const idle = connections_.find(handle);
     if (idle == nullptr) return;
     idle->timer = 0;
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -11,7 +11,7 @@
 #include "body_buffers/buffer_budget.h"
 #include "descriptors/descriptor_budget.h"
 #include "endpoints/endpoint_table.h"
-#include "figures/figures.h"
+#include "figures/router_stats.h"
 #include "idle_connections/idle_lifetime_estimator.h"
 #include "loop/slot_map.h"
 #include "loop/timer_queue.h"
@@ -30,13 +30,13 @@
 class ConnectionPool : public proxy::UpstreamConnections, private ConnectionOwner {
  public:
   /// Closes a client connection to free a descriptor. False: no client connection can be closed.
-  using RecallDescriptor = std::function<bool()>;
+  using EvictClientConnection = std::function<bool()>;
 
   /// All references must outlive the pool.
   ConnectionPool(event_base* base, loop::TimerQueue& timers, descriptors::DescriptorBudget& descriptors,
-                 body_buffers::BufferBudget& buffer_budget, figures::Figures& figures,
+                 body_buffers::BufferBudget& buffer_budget, figures::RouterStats& figures,
                  const ConnectionPoolOptions& options, proxy::AttemptCallbacks& attempts,
-                 RecallDescriptor recall);
+                 EvictClientConnection evict_client_connection);
 
   /// Replaces the endpoint table; endpoints that are missing from `endpoints` are removed.
   void update_endpoints(const std::map<fernward::ServerId, endpoints::Endpoint>& endpoints);
@@ -52,9 +52,9 @@
   /// Closes the connection that has been free for the longest time. False: none is free.
   bool evict_oldest_idle(CloseReason reason);
 
-  std::size_t connections() const { return connections_.size(); }
+  std::size_t connection_count() const { return connections_.size(); }
   std::size_t pooled_endpoints() const { return free_.size(); }
-  std::uint64_t opened() const { return opened_; }
+  std::uint64_t opened_count() const { return opened_; }
   std::uint64_t resets_after_idle() const { return resets_after_idle_; } // on reused connections
   const idle_connections::IdleLifetimeEstimator& idle_lifetimes() const { return idle_lifetimes_; }
 
@@ -78,10 +78,10 @@
   UpstreamConnection* take_connecting(fernward::ServerId endpoint);
   void assign(UpstreamConnection& connection, loop::Handle attempt, const proxy::ClientRequestPtr& request,
               double deadline_ms);
-  UpstreamConnection* assigned_to(loop::Handle attempt);
+  UpstreamConnection* find_assigned(loop::Handle attempt);
   void complete_attempt(UpstreamConnection& connection, proxy::AttemptCompletion completion);
   bool in_service(fernward::ServerId endpoint) const;
-  bool leads_to_endpoint(const UpstreamConnection& connection) const;
+  bool matches_endpoint_address(const UpstreamConnection& connection) const;
   std::optional<CloseReason> reason_not_to_pool(const UpstreamConnection& connection) const;
 
   // Opening.
@@ -101,14 +101,14 @@
 
   void close(UpstreamConnection& connection, CloseReason reason);
   void close_free(fernward::ServerId endpoint, CloseReason reason);
-  void close_outlived(fernward::ServerId endpoint, double now);
+  void close_expired_idle(fernward::ServerId endpoint, double now);
 
   event_base* base_;
   loop::TimerQueue& timers_;
   descriptors::DescriptorBudget& descriptors_;
   ConnectionPoolOptions options_;
   proxy::AttemptCallbacks& attempts_;
-  RecallDescriptor recall_;
+  EvictClientConnection evict_client_connection_;
   std::map<fernward::ServerId, endpoints::Endpoint> endpoints_;
   loop::SlotMap<UpstreamConnection> connections_;
   std::map<fernward::ServerId, std::vector<loop::Handle>> free_; // by endpoint, newest last
@@ -117,7 +117,7 @@
   idle_connections::IdleLifetimeEstimator idle_lifetimes_;
   std::uint64_t opened_ = 0;
   std::uint64_t resets_after_idle_ = 0;
-  loop::IoBuffer block_;
+  loop::IoBuffer io_buffer_;
   RequestWriter writer_;
   ResponseReceiver receiver_;
 };
--- a/src/upstream/connection_pool_options.h
+++ b/src/upstream/connection_pool_options.h
@@ -12,14 +12,15 @@
 struct ConnectionPoolOptions {
   double connect_timeout_ms = 250;
   // An idle connection is closed after this time, or sooner if its endpoint was observed to close earlier.
-  double idle_ms = 10000;
+  double idle_timeout_ms = 10000;
   // Endpoints of this kind accept too few connections for all routers. If several connections to one are
   // idle, one that returns to the pool is kept only for as long as its last request took. -1: none.
   std::int64_t scarce_kind = -1;
-  std::vector<std::string> report_fields; // fields of the load report, in the order of the settings
-  body_buffers::ResponseBufferingLimits answers;
-  double silent_ms = 5000; // without a byte of the response received, or of the request body accepted
-  int receive_bytes = 0;   // kernel receive buffer of each connection; 0: system default
+  std::vector<std::string> load_report_fields; // fields of the load report, in the order of the settings
+  body_buffers::ResponseBufferingLimits response_limits;
+  double silence_timeout_ms =
+      5000;                     // without a byte of the response received, or of the request body accepted
+  int receive_buffer_bytes = 0; // kernel receive buffer of each connection; 0: system default
 };
 
 } // namespace fernward::upstream
--- a/src/upstream/request_writer.cpp
+++ b/src/upstream/request_writer.cpp
@@ -19,25 +19,25 @@
 } // namespace
 
 RequestWriter::RequestWriter(loop::TimerQueue& timers, loop::SlotMap<UpstreamConnection>& connections,
-                             figures::Figures& figures, loop::IoBuffer& block, ConnectionOwner& owner,
-                             double silent_ms)
+                             figures::RouterStats& figures, loop::IoBuffer& io_buffer, ConnectionOwner& owner,
+                             double silence_timeout_ms)
     : timers_(timers),
       connections_(connections),
       figures_(figures),
-      block_(block),
+      io_buffer_(io_buffer),
       owner_(owner),
-      silent_ms_(silent_ms) {}
+      silence_timeout_ms_(silence_timeout_ms) {}
 
 void RequestWriter::write(UpstreamConnection& connection, const std::string& host) {
-  loop::write_or_wait(connection.socket.get(),
-                      encode(*connection.request, host, connection.deadline_ms - now_ms()));
+  loop::write_or_enqueue(connection.socket.get(),
+                         encode(*connection.request, host, connection.deadline_ms - now_ms()));
   UploadProgress& progress = connection.upload;
   progress.stage = Stage::Flushing;
   if (connection.request->streamed_body == nullptr) return count_sent(connection);
   progress.stage = Stage::Uploading;
-  progress.head_written_at_ms = progress.last_taken_at_ms = now_ms();
-  progress.bytes_taken = 0;
-  start_silence_limit(connection);
+  progress.head_written_at_ms = progress.last_sent_at_ms = now_ms();
+  progress.sent_bytes = 0;
+  start_silence_timeout(connection);
   bufferevent_setwatermark(connection.socket.get(), EV_WRITE, kMaxPendingUploadBytes / 2, 0);
   progress.reader = connection.request->streamed_body->add_reader([this, handle = connection.handle] {
     if (UpstreamConnection* waiting = connections_.find(handle)) upload(*waiting);
@@ -59,26 +59,27 @@
   const bool chunked = !connection.request->streamed_body->length();
   while (progress.stage == Stage::Uploading && loop::pending_output(socket) < kMaxPendingUploadBytes) {
     std::size_t bytes = 0;
-    char* const into = block_.data();
-    const ReadResult got = progress.reader->read(into, loop::IoBuffer::size(), bytes);
-    if (got == ReadResult::Pending) return;
-    if (got == ReadResult::Unavailable) return fail_lost_body(connection);
-    if (got == ReadResult::End) {
-      if (chunked) loop::write_or_wait(socket, http::kLastChunk);
+    char* const destination = io_buffer_.data();
+    const ReadResult result = progress.reader->read(destination, loop::IoBuffer::size(), bytes);
+    if (result == ReadResult::Pending) return;
+    if (result == ReadResult::Unavailable) return fail_lost_body(connection);
+    if (result == ReadResult::End) {
+      if (chunked) loop::write_or_enqueue(socket, http::kLastChunk);
       progress.stage = Stage::Flushing;
       connection.paused_ms += now_ms() - progress.head_written_at_ms; // the endpoint could not start before
       return count_sent(connection);
     }
-    const std::string chunk_line = chunked ? http::chunk_line(bytes) : std::string();
-    loop::write_or_wait(socket, chunk_line, {into, bytes}, chunked ? http::kChunkEnd : "", block_);
+    const std::string chunk_line = chunked ? http::chunk_size_line(bytes) : std::string();
+    loop::write_or_enqueue(socket, chunk_line, {destination, bytes}, chunked ? http::kChunkEnd : "",
+                           io_buffer_);
   }
 }
 
 void RequestWriter::fail_lost_body(const UpstreamConnection& connection) {
-  timers_.at(now_ms(), [this, handle = connection.handle] {
-    UpstreamConnection* cut = connections_.find(handle);
-    if (cut == nullptr || cut->upload.stage != Stage::Uploading) return;
-    owner_.fail(*cut, AttemptResult::ConnectFailed,
+  timers_.run_at(now_ms(), [this, handle = connection.handle] {
+    UpstreamConnection* incomplete = connections_.find(handle);
+    if (incomplete == nullptr || incomplete->upload.stage != Stage::Uploading) return;
+    owner_.fail(*incomplete, AttemptResult::ConnectFailed,
                 CloseReason::BodyLost); // an incomplete request has not run
   });
 }
@@ -86,32 +87,33 @@
 void RequestWriter::count_sent(UpstreamConnection& connection) {
   if (connection.upload.stage == Stage::Sent || connection.request_unsent()) return;
   connection.upload.stage = Stage::Sent;
-  figures_.sent();
+  figures_.count_attempt();
 }
 
 // The client determines how fast a body arrives. The endpoint is responsible only if it accepts none of the
 // bytes that have arrived.
-void RequestWriter::start_silence_limit(UpstreamConnection& connection) {
+void RequestWriter::start_silence_timeout(UpstreamConnection& connection) {
   timers_.cancel(connection.timer);
-  connection.timer = timers_.at(now_ms() + silent_ms_ / kSilenceChecks, [this, handle = connection.handle] {
-    UpstreamConnection* late = connections_.find(handle);
-    if (late == nullptr) return;
-    late->timer = 0;
-    check_silence(*late);
-  });
+  connection.timer =
+      timers_.run_at(now_ms() + silence_timeout_ms_ / kSilenceChecks, [this, handle = connection.handle] {
+        UpstreamConnection* timed_out = connections_.find(handle);
+        if (timed_out == nullptr) return;
+        timed_out->timer = 0;
+        check_silence(*timed_out);
+      });
 }
 
 void RequestWriter::check_silence(UpstreamConnection& connection) {
   UploadProgress& progress = connection.upload;
   if (progress.reader == nullptr || !connection.request_unsent() || connection.parser.head_done()) return;
   const std::size_t pending = loop::pending_output(connection.socket.get());
-  const std::uint64_t read = progress.reader->offset();
-  const std::uint64_t taken = read - std::min<std::uint64_t>(read, pending);
-  if (pending == 0 || std::exchange(progress.bytes_taken, taken) < taken) {
-    progress.last_taken_at_ms = now_ms();
+  const std::uint64_t read_bytes = progress.reader->offset();
+  const std::uint64_t sent_bytes = read_bytes - std::min<std::uint64_t>(read_bytes, pending);
+  if (pending == 0 || std::exchange(progress.sent_bytes, sent_bytes) < sent_bytes) {
+    progress.last_sent_at_ms = now_ms();
   }
-  if (now_ms() - progress.last_taken_at_ms < silent_ms_) return start_silence_limit(connection);
-  owner_.fail(connection, AttemptResult::ConnectFailed, CloseReason::TakesNothing);
+  if (now_ms() - progress.last_sent_at_ms < silence_timeout_ms_) return start_silence_timeout(connection);
+  owner_.fail(connection, AttemptResult::ConnectFailed, CloseReason::UploadStalled);
 }
 
 } // namespace fernward::upstream
--- a/src/upstream/request_writer.h
+++ b/src/upstream/request_writer.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "figures/figures.h"
+#include "figures/router_stats.h"
 #include "loop/buffer.h"
 #include "loop/slot_map.h"
 #include "loop/timer_queue.h"
@@ -17,7 +17,8 @@
  public:
   /// `silence_timeout_ms`: an attempt fails if its endpoint accepts none of a streamed body for this long.
   RequestWriter(loop::TimerQueue& timers, loop::SlotMap<UpstreamConnection>& connections,
-                figures::Figures& figures, loop::IoBuffer& block, ConnectionOwner& owner, double silent_ms);
+                figures::RouterStats& figures, loop::IoBuffer& io_buffer, ConnectionOwner& owner,
+                double silence_timeout_ms);
 
   /// Writes the head and the available part of the body. `host` is the endpoint's address.
   void write(UpstreamConnection& connection, const std::string& host);
@@ -29,15 +30,15 @@
  private:
   void upload(UpstreamConnection& connection);
   void fail_lost_body(const UpstreamConnection& connection);
-  void start_silence_limit(UpstreamConnection& connection);
+  void start_silence_timeout(UpstreamConnection& connection);
   void check_silence(UpstreamConnection& connection);
 
   loop::TimerQueue& timers_;
   loop::SlotMap<UpstreamConnection>& connections_;
-  figures::Figures& figures_;
-  loop::IoBuffer& block_;
+  figures::RouterStats& figures_;
+  loop::IoBuffer& io_buffer_;
   ConnectionOwner& owner_;
-  const double silent_ms_;
+  const double silence_timeout_ms_;
 };
 
 } // namespace fernward::upstream
--- a/src/upstream/response_receiver.cpp
+++ b/src/upstream/response_receiver.cpp
@@ -23,7 +23,7 @@
 
 // Bytes after a response make it impossible to delimit the next response.
 std::optional<CloseReason> reason_of_trailing(std::size_t bytes) {
-  if (bytes > 0) return CloseReason::BytesBehind;
+  if (bytes > 0) return CloseReason::TrailingBytes;
   return std::nullopt;
 }
 
@@ -54,8 +54,8 @@
 bool ResponseReceiver::read_head(UpstreamConnection& connection) {
   bufferevent* const socket = connection.socket.get();
   loop::consume_input(socket, connection.parser.feed_head(loop::pending_input(socket)));
-  if (connection.parser.fault() != http::Fault::None) {
-    malformed_response(connection);
+  if (connection.parser.error() != http::ParseError::None) {
+    on_malformed_response(connection);
     return false;
   }
   return connection.parser.head_done() && on_head(connection);
@@ -67,15 +67,15 @@
   const http::Message& head = connection.parser.message();
   // A response cannot precede the complete request: this one belongs to the previous request.
   if (head.status == 200 && connection.request_unsent()) {
-    context_.owner.fail(connection, AttemptResult::ConnectFailed, CloseReason::EarlyAnswer);
+    context_.owner.fail(connection, AttemptResult::ConnectFailed, CloseReason::EarlyResponse);
     return false;
   }
   context_.owner.response_started(connection);
   ResponseProgress& response = connection.response;
-  response.completion = decode(head, context_.options.report_fields);
+  response.completion = decode(head, context_.options.load_report_fields);
   response.buffered = {{}, body_buffers::BufferBudget::Reservation(context_.buffer_budget)};
   connection.head_received(response.completion.result == AttemptResult::Ok);
-  if (connection.is(State::Buffering)) limit_buffering(connection);
+  if (connection.is(State::Buffering)) start_buffering_timeout(connection);
   return apply_buffering_rules(connection);
 }
 
@@ -85,20 +85,20 @@
     const std::size_t allowed = std::min(loop::IoBuffer::size(), read_allowance(connection));
     if (connection.is(State::Paused)) return;
     std::size_t bytes = 0;
-    loop::Received received = loop::Received::WouldBlock;
+    loop::ReceiveResult received = loop::ReceiveResult::WouldBlock;
     const bool streamed = stream_block(connection, allowed, received, bytes);
     if (!streamed) {
       const int socket = bufferevent_getfd(connection.socket.get());
-      received = loop::receive(socket, context_.block.data(), allowed, bytes);
+      received = loop::receive(socket, context_.io_buffer.data(), allowed, bytes);
     }
     if (handle_read_end(connection, received)) return;
-    if (received != loop::Received::Bytes) break;
+    if (received != loop::ReceiveResult::Bytes) break;
     if (streamed) {
-      connection.parser.body().skipped(bytes);
+      connection.parser.body().skip(bytes);
       connection.response.last_bytes_at_ms = now_ms();
       if (connection.parser.done()) return context_.owner.response_complete(connection, std::nullopt);
     } else {
-      std::string_view part(context_.block.data(), bytes);
+      std::string_view part(context_.io_buffer.data(), bytes);
       const BodyStatus status = receive_body(connection, part);
       if (status == BodyStatus::Closed) return;
       if (status == BodyStatus::Complete) {
@@ -107,26 +107,27 @@
     }
     if (bytes < allowed) break;
   }
-  set_direct_read(connection, connection.parser.body().straight() > kDirectReadBytes);
+  set_direct_read(connection, connection.parser.body().contiguous_body_bytes() > kDirectReadBytes);
 }
 
 // Moves bytes from socket to socket. False: not possible for this response or not now; nothing was read.
 bool ResponseReceiver::stream_block(UpstreamConnection& connection, std::size_t max_bytes,
-                                    loop::Received& received, std::size_t& bytes) {
-  if (!connection.is(State::Streaming) || connection.parser.body().straight() < max_bytes) return false;
+                                    loop::ReceiveResult& received, std::size_t& bytes) {
+  if (!connection.is(State::Streaming) || connection.parser.body().contiguous_body_bytes() < max_bytes)
+    return false;
   const int socket = bufferevent_getfd(connection.socket.get());
-  return context_.attempts.splice_from(connection.attempt, socket, max_bytes, context_.block, received,
+  return context_.attempts.splice_from(connection.attempt, socket, max_bytes, context_.io_buffer, received,
                                        bytes);
 }
 
 // True: the connection is broken or at its end, and may have been destroyed.
-bool ResponseReceiver::handle_read_end(UpstreamConnection& connection, loop::Received received) {
-  if (received == loop::Received::Error) {
+bool ResponseReceiver::handle_read_end(UpstreamConnection& connection, loop::ReceiveResult received) {
+  if (received == loop::ReceiveResult::Error) {
     context_.owner.disconnected(connection, false);
     return true;
   }
   // Without a direct read, libevent detects the end of the stream again.
-  if (received == loop::Received::EndOfStream && connection.response.direct_read != nullptr) {
+  if (received == loop::ReceiveResult::EndOfStream && connection.response.direct_read != nullptr) {
     context_.owner.disconnected(connection, true);
     return true;
   }
@@ -157,17 +158,19 @@
 std::size_t ResponseReceiver::read_allowance(UpstreamConnection& connection) {
   ResponseProgress& response = connection.response;
   if (connection.is(State::Buffering)) {
-    if (const std::size_t room = response.buffered.reservation.available(); room > 0) return room;
+    if (const std::size_t available_bytes = response.buffered.reservation.available_bytes();
+        available_bytes > 0)
+      return available_bytes;
     stop_buffering(connection);
   }
   if (connection.is(State::Discarding)) return loop::IoBuffer::size();
-  const std::size_t room = context_.attempts.writable_bytes(connection.attempt);
-  if (room == 0) {
+  const std::size_t available_bytes = context_.attempts.writable_bytes(connection.attempt);
+  if (available_bytes == 0) {
     bufferevent_disable(connection.socket.get(), EV_READ);
     if (response.direct_read != nullptr) event_del(response.direct_read.get());
     connection.pause(now_ms());
   }
-  return room;
+  return available_bytes;
 }
 
 // Reading resumes from the event loop, because the caller is still using the client connection.
@@ -187,14 +190,14 @@
 // Consumes from `bytes`, which are no more than read_allowance(), up to the end of the response.
 ResponseReceiver::BodyStatus ResponseReceiver::receive_body(UpstreamConnection& connection,
                                                             std::string_view& bytes) {
-  http::Framer& body = connection.parser.body();
+  http::BodyParser& body = connection.parser.body();
   connection.response.last_bytes_at_ms = now_ms();
   while (!bytes.empty() && !body.done()) {
-    const http::Framer::Piece piece = body.next(bytes);
-    bytes.remove_prefix(piece.used);
+    const http::BodyParser::Piece piece = body.next(bytes);
+    bytes.remove_prefix(piece.consumed_bytes);
     deliver(connection, piece.body);
-    if (body.fault() != http::Fault::None) {
-      malformed_response(connection);
+    if (body.error() != http::ParseError::None) {
+      on_malformed_response(connection);
       return BodyStatus::Closed;
     }
     if (!apply_buffering_rules(connection)) return BodyStatus::Closed;
@@ -207,34 +210,34 @@
   if (connection.is(State::Buffering) && !buffered.reservation.acquire(body.size()))
     stop_buffering(connection);
   if (connection.is(State::Buffering)) {
-    buffered.buffer.add(body, context_.block);
+    buffered.buffer.append(body, context_.io_buffer);
   } else if (connection.is(State::Streaming)) {
-    context_.attempts.write(connection.attempt, body, context_.block);
+    context_.attempts.write(connection.attempt, body, context_.io_buffer);
   }
 }
 
 // Stops buffering when it is time to, and fails a response that is too long. False: the connection has been
 // destroyed.
 bool ResponseReceiver::apply_buffering_rules(UpstreamConnection& connection) {
-  const http::Framer& body = connection.parser.body();
+  const http::BodyParser& body = connection.parser.body();
   if (connection.is(State::Discarding)) {
-    if (std::max(body.come(), body.length().value_or(0)) <= kMaxDiscardedBytes) return true;
-    context_.owner.response_complete(connection, CloseReason::LongRemains);
+    if (std::max(body.received_bytes(), body.length().value_or(0)) <= kMaxDiscardedBytes) return true;
+    context_.owner.response_complete(connection, CloseReason::LongRemainder);
     return false;
   }
   if (!connection.is(State::Buffering)) return true;
   const body_buffers::BufferBudget::Reservation& reservation = connection.response.buffered.reservation;
-  body_buffers::ResponseProgress facts;
-  facts.announced_length = body.length();
-  facts.received_bytes = body.come();
-  facts.complete = body.done();
-  facts.may_wait = now_ms() < connection.response.buffer_until_ms;
-  facts.window = reservation.window();
-  facts.available = reservation.available();
-  switch (body_buffers::next_step(context_.options.answers, facts)) {
+  body_buffers::ResponseProgress progress;
+  progress.announced_bytes = body.length();
+  progress.received_bytes = body.received_bytes();
+  progress.complete = body.done();
+  progress.within_buffering_time = now_ms() < connection.response.buffer_until_ms;
+  progress.window_bytes = reservation.window_bytes();
+  progress.available_bytes = reservation.available_bytes();
+  switch (body_buffers::next_response_step(context_.options.response_limits, progress)) {
     case body_buffers::ResponseStep::Buffer: break;
     case body_buffers::ResponseStep::Start:
-      if (!facts.complete) stop_buffering(connection);
+      if (!progress.complete) stop_buffering(connection);
       break;
     case body_buffers::ResponseStep::TooLarge:
       context_.owner.fail(connection, AttemptResult::Error, CloseReason::TooLarge);
@@ -251,48 +254,49 @@
   head.body = std::move(response.buffered);
   connection.buffering_ended(context_.attempts.start_response(connection.attempt, std::move(head)));
   response.last_bytes_at_ms = now_ms();
-  limit_silence(connection);
+  start_silence_timeout(connection);
 }
 
 // Ends buffering in time even if no further bytes arrive.
-void ResponseReceiver::limit_buffering(UpstreamConnection& connection) {
+void ResponseReceiver::start_buffering_timeout(UpstreamConnection& connection) {
   ResponseProgress& response = connection.response;
   response.buffer_until_ms = context_.attempts.buffer_until(connection.attempt);
   const std::optional<std::uint64_t> length = connection.parser.body().length();
-  if (length && *length <= context_.options.answers.min_start_bytes) return;
+  if (length && *length <= context_.options.response_limits.min_start_bytes) return;
   context_.timers.cancel(connection.timer);
-  connection.timer = context_.timers.at(response.buffer_until_ms, [this, handle = connection.handle] {
-    UpstreamConnection* late = context_.connections.find(handle);
-    if (late == nullptr) return;
-    late->timer = 0;
-    if (late->is(State::Buffering)) apply_buffering_rules(*late);
+  connection.timer = context_.timers.run_at(response.buffer_until_ms, [this, handle = connection.handle] {
+    UpstreamConnection* timed_out = context_.connections.find(handle);
+    if (timed_out == nullptr) return;
+    timed_out->timer = 0;
+    if (timed_out->is(State::Buffering)) apply_buffering_rules(*timed_out);
   });
 }
 
 // A streamed response has no other deadline: its endpoint must keep sending while the client keeps reading.
-void ResponseReceiver::limit_silence(UpstreamConnection& connection) {
+void ResponseReceiver::start_silence_timeout(UpstreamConnection& connection) {
   context_.timers.cancel(connection.timer);
-  const double next_check_ms = now_ms() + context_.options.silent_ms / kSilenceChecks;
-  connection.timer = context_.timers.at(next_check_ms, [this, handle = connection.handle] {
-    UpstreamConnection* late = context_.connections.find(handle);
-    if (late == nullptr) return;
-    late->timer = 0;
-    check_silence(*late);
+  const double next_check_ms = now_ms() + context_.options.silence_timeout_ms / kSilenceChecks;
+  connection.timer = context_.timers.run_at(next_check_ms, [this, handle = connection.handle] {
+    UpstreamConnection* timed_out = context_.connections.find(handle);
+    if (timed_out == nullptr) return;
+    timed_out->timer = 0;
+    check_silence(*timed_out);
   });
 }
 
 void ResponseReceiver::check_silence(UpstreamConnection& connection) {
   double& last_bytes_at_ms = connection.response.last_bytes_at_ms;
   if (connection.is(State::Paused)) last_bytes_at_ms = now_ms();
-  if (now_ms() - last_bytes_at_ms < context_.options.silent_ms) return limit_silence(connection);
-  context_.owner.fail(connection, AttemptResult::TimedOut, CloseReason::FellSilent);
+  if (now_ms() - last_bytes_at_ms < context_.options.silence_timeout_ms)
+    return start_silence_timeout(connection);
+  context_.owner.fail(connection, AttemptResult::TimedOut, CloseReason::ResponseStalled);
 }
 
 // Handled like a 500: the endpoint is alive and has responded, but it is unknown what it did. The connection
 // cannot be reused.
-void ResponseReceiver::malformed_response(UpstreamConnection& connection) {
+void ResponseReceiver::on_malformed_response(UpstreamConnection& connection) {
   if (!connection.parser.head_done()) context_.owner.response_started(connection);
-  const bool malformed = connection.parser.fault() == http::Fault::Malformed;
+  const bool malformed = connection.parser.error() == http::ParseError::Malformed;
   context_.owner.fail(connection, AttemptResult::Error,
                       malformed ? CloseReason::Malformed : CloseReason::TooLarge);
 }
--- a/src/upstream/response_receiver.h
+++ b/src/upstream/response_receiver.h
@@ -23,7 +23,7 @@
     loop::TimerQueue& timers;
     loop::SlotMap<UpstreamConnection>& connections;
     body_buffers::BufferBudget& buffer_budget;
-    loop::IoBuffer& block;
+    loop::IoBuffer& io_buffer;
     proxy::AttemptCallbacks& attempts;
     ConnectionOwner& owner;
     RequestWriter& writer;
@@ -46,18 +46,18 @@
   bool read_head(UpstreamConnection& connection);
   bool on_head(UpstreamConnection& connection);
   void read_socket(UpstreamConnection& connection);
-  bool handle_read_end(UpstreamConnection& connection, loop::Received received);
-  bool stream_block(UpstreamConnection& connection, std::size_t max_bytes, loop::Received& received,
+  bool handle_read_end(UpstreamConnection& connection, loop::ReceiveResult received);
+  bool stream_block(UpstreamConnection& connection, std::size_t max_bytes, loop::ReceiveResult& received,
                     std::size_t& bytes);
   BodyStatus receive_body(UpstreamConnection& connection, std::string_view& bytes);
   void deliver(UpstreamConnection& connection, std::string_view body);
   bool apply_buffering_rules(UpstreamConnection& connection);
   std::size_t read_allowance(UpstreamConnection& connection);
   void stop_buffering(UpstreamConnection& connection);
-  void limit_buffering(UpstreamConnection& connection);
-  void limit_silence(UpstreamConnection& connection);
+  void start_buffering_timeout(UpstreamConnection& connection);
+  void start_silence_timeout(UpstreamConnection& connection);
   void check_silence(UpstreamConnection& connection);
-  void malformed_response(UpstreamConnection& connection);
+  void on_malformed_response(UpstreamConnection& connection);
 
   const Context context_;
 };
--- a/src/upstream/upstream_connection.h
+++ b/src/upstream/upstream_connection.h
@@ -37,8 +37,8 @@
   Stage stage = Stage::Sent;
   std::unique_ptr<proxy::RequestBody::Reader> reader; // of a streamed body; else null
   double head_written_at_ms = 0;
-  std::uint64_t bytes_taken = 0; // of a streamed body, at the last check
-  double last_taken_at_ms = 0;
+  std::uint64_t sent_bytes = 0; // of a streamed body, at the last check
+  double last_sent_at_ms = 0;
 };
 
 /// How long the connection was idle before its current request.
@@ -77,14 +77,15 @@
  public:
   enum class State { Connecting, Idle, AwaitingResponse, Buffering, Streaming, Paused, Discarding };
 
-  explicit UpstreamConnection(std::uint64_t max_body_bytes) : parser(http::Kind::Response, max_body_bytes) {}
+  explicit UpstreamConnection(std::uint64_t max_body_bytes)
+      : parser(http::MessageKind::Response, max_body_bytes) {}
 
   bool is(State state) const { return state_ == state; }
 
   // The transitions.
   void start_request() { state_ = State::AwaitingResponse; }
-  void head_received(bool wanted) { state_ = wanted ? State::Buffering : State::Discarding; }
-  void buffering_ended(bool wanted) { state_ = wanted ? State::Streaming : State::Discarding; }
+  void head_received(bool needed) { state_ = needed ? State::Buffering : State::Discarding; }
+  void buffering_ended(bool needed) { state_ = needed ? State::Streaming : State::Discarding; }
   void pause(double now_ms);
   void resume(double now_ms); // adds the pause duration to paused_ms
   void become_idle(double now_ms);
--- a/tests/admin_overrides/endpoint_overrides_test.cpp
+++ b/tests/admin_overrides/endpoint_overrides_test.cpp
@@ -16,12 +16,12 @@
 
 namespace {
 
-Server server(double booted_at = 0, ServerState state = ServerState::Ready) {
-  Server s;
-  s.id = 1;
-  s.started_at = booted_at;
-  s.state = state;
-  return s;
+Server server(double started_at_ms = 0, ServerState state = ServerState::Ready) {
+  Server server_entry;
+  server_entry.id = 1;
+  server_entry.started_at = started_at_ms;
+  server_entry.state = state;
+  return server_entry;
 }
 
 } // namespace
@@ -59,8 +59,8 @@
   EndpointOverrides overrides;
   overrides.set_endpoints({"a", "b"});
   overrides.disable("a");
-  for (const ServerState told : {ServerState::Draining, ServerState::Gone}) {
-    CHECK(overrides.apply("a", server(0, told)).state == told);
+  for (const ServerState reported : {ServerState::Draining, ServerState::Gone}) {
+    CHECK(overrides.apply("a", server(0, reported)).state == reported);
   }
   CHECK(overrides.enable(5, "a") == Result::Done);
   CHECK(overrides.apply("a", server(0, ServerState::Draining)).state == ServerState::Draining);
@@ -97,12 +97,12 @@
   old.set_endpoints({"b"});
   EndpointOverrides next;
   next.set_endpoints({"b", "d"});
-  next.adopt(old.snapshot());
+  next.merge(old.snapshot());
   CHECK(next.is_disabled("a"));
   CHECK(next.apply("b", server()).started_at == 70);
   CHECK(next.disable("c") == Result::Done);
   CHECK(next.disable("d") == Result::Done);
-  next.adopt(EndpointOverrides::Override{"d", false, 90}); // a change requested from the other process
+  next.merge(EndpointOverrides::Override{"d", false, 90}); // a change requested from the other process
   CHECK_FALSE(next.is_disabled("d"));
 }
 
@@ -120,94 +120,95 @@
     settings.slow_start_min_capacity = 0.3;
     Balancer balancer(settings, 1 + *rc::gen::arbitrary<std::uint32_t>());
     EndpointOverrides overrides;
-    double now = 1e9;
-    std::map<std::string, Server> listed;
-    std::uint64_t ids = 0;
+    double now_ms = 1e9;
+    std::map<std::string, Server> listed_servers;
+    std::uint64_t last_request_id = 0;
     const auto id_of = [&](const std::string& name) { return static_cast<ServerId>(name[0]); };
-    struct Out {
+    struct InFlightAttempt {
       RequestId id;
       std::uint32_t attempt;
       ServerId server;
-      double at;
+      double sent_at_ms;
     };
-    std::deque<Out> out; // each takes 30 ms
-    const auto play = [&](double until, std::map<ServerId, int>& sent) {
-      for (double next = now; now < until; now += 1) {
+    std::deque<InFlightAttempt> in_flight; // each takes 30 ms
+    const auto send_requests = [&](double until_ms, std::map<ServerId, int>& sent) {
+      for (double next = now_ms; now_ms < until_ms; now_ms += 1) {
         std::vector<Action> actions;
-        if (now >= next) {
+        if (now_ms >= next) {
           Request request;
-          request.id = ++ids;
-          request.key = ids * 0x9e3779b97f4a7c15ull;
-          request.deadline = now + 1000;
-          balancer.on_event(now, request, actions);
-          next = now + 4;
+          request.id = ++last_request_id;
+          request.key = last_request_id * 0x9e3779b97f4a7c15ull;
+          request.deadline = now_ms + 1000;
+          balancer.on_event(now_ms, request, actions);
+          next = now_ms + 4;
         }
-        while (!out.empty() && out.front().at + 30 <= now) {
-          const Out ended = out.front();
-          out.pop_front();
-          AttemptOutcome told;
-          told.id = ended.id;
-          told.attempt = ended.attempt;
-          told.server = ended.server;
-          told.elapsed_ms = now - ended.at;
-          told.request_ended = true;
-          told.load_report = {static_cast<float>(ids % 3), 30};
-          balancer.on_event(now, told, actions);
+        while (!in_flight.empty() && in_flight.front().sent_at_ms + 30 <= now_ms) {
+          const InFlightAttempt ended = in_flight.front();
+          in_flight.pop_front();
+          AttemptOutcome reported;
+          reported.id = ended.id;
+          reported.attempt = ended.attempt;
+          reported.server = ended.server;
+          reported.elapsed_ms = now_ms - ended.sent_at_ms;
+          reported.request_ended = true;
+          reported.load_report = {static_cast<float>(last_request_id % 3), 30};
+          balancer.on_event(now_ms, reported, actions);
         }
         for (const Action& action : actions) {
           const auto* send = std::get_if<Send>(&action);
           if (send == nullptr) continue;
           ++sent[send->server];
-          out.push_back({send->id, 0, send->server, now});
+          in_flight.push_back({send->id, 0, send->server, now_ms});
         }
       }
     };
-    const auto tell = [&] {
+    const auto publish_list = [&] {
       std::vector<std::string> now_listed;
       EndpointList list;
-      for (const auto& [name, entry] : listed) now_listed.push_back(name);
+      for (const auto& [name, entry] : listed_servers) now_listed.push_back(name);
       overrides.set_endpoints(now_listed);
-      for (const auto& [name, entry] : listed) list.servers.push_back(overrides.apply(name, entry));
+      for (const auto& [name, entry] : listed_servers) list.servers.push_back(overrides.apply(name, entry));
       std::vector<Action> actions;
-      balancer.on_event(now, list, actions);
+      balancer.on_event(now_ms, list, actions);
     };
     for (const auto& name : names) {
-      Server s;
-      s.id = id_of(name);
-      listed[name] = s;
+      Server server_entry;
+      server_entry.id = id_of(name);
+      listed_servers[name] = server_entry;
     }
-    tell();
+    publish_list();
     for (int step = 0; step < 20; ++step) {
       const std::string name = *rc::gen::elementOf(names);
       switch (*rc::gen::inRange(0, 5)) {
         case 0: overrides.disable(name); break;
-        case 1: overrides.enable(now, name); break;
-        case 2: listed.erase(name); break;
+        case 1: overrides.enable(now_ms, name); break;
+        case 2: listed_servers.erase(name); break;
         case 3: {
-          Server s;
-          s.id = id_of(name);
-          s.started_at = *rc::gen::inRange(0, 2) == 0 ? 0 : now;
-          listed[name] = s;
+          Server server_entry;
+          server_entry.id = id_of(name);
+          server_entry.started_at = *rc::gen::inRange(0, 2) == 0 ? 0 : now_ms;
+          listed_servers[name] = server_entry;
           break;
         }
         default: break;
       }
-      tell();
+      publish_list();
       std::map<ServerId, int> sent;
-      play(now + *rc::gen::inRange(1, 400), sent);
-      for (const auto& n : names) {
-        if (overrides.is_disabled(n) || listed.count(n) == 0) RC_ASSERT(sent[id_of(n)] == 0);
+      send_requests(now_ms + *rc::gen::inRange(1, 400), sent);
+      for (const auto& cache_name : names) {
+        if (overrides.is_disabled(cache_name) || listed_servers.count(cache_name) == 0)
+          RC_ASSERT(sent[id_of(cache_name)] == 0);
       }
     }
     for (const auto& name : names) { // all caches are enabled, and all receive requests
-      Server s;
-      s.id = id_of(name);
-      listed[name] = s;
-      overrides.enable(now, name);
+      Server server_entry;
+      server_entry.id = id_of(name);
+      listed_servers[name] = server_entry;
+      overrides.enable(now_ms, name);
     }
-    tell();
+    publish_list();
     std::map<ServerId, int> sent;
-    play(now + 5000, sent);
-    for (const auto& n : names) RC_ASSERT(sent[id_of(n)] > 0);
+    send_requests(now_ms + 5000, sent);
+    for (const auto& cache_name : names) RC_ASSERT(sent[id_of(cache_name)] > 0);
   }));
 }
