--- a/tests/app_config/app_config_test.cpp
+++ b/tests/app_config/app_config_test.cpp
@@ -11,9 +11,9 @@
 #include <unordered_map>
 
 #include "app_config/explain.h"
-#include "app_config/host.h"
+#include "app_config/host_checks.h"
 #include "app_config/keys.h"
-#include "app_config/ledger.h"
+#include "app_config/origin_load.h"
 #include "app_config/read.h"
 #include "app_config/render.h"
 #include "app_config/schema.h"
@@ -27,27 +27,27 @@
 
 namespace {
 
-const char* nothing(const char*) { return nullptr; }
+const char* empty_environment(const char*) { return nullptr; }
 
-std::string shown(const toml_document::Faults& faults) {
+std::string format_errors(const toml_document::Diagnostics& faults) {
   std::string all;
-  for (const auto& fault : faults) all += fault.coded() + "\n";
+  for (const auto& fault : faults) all += fault.to_string_with_code() + "\n";
   return all;
 }
 
-std::string as_file(app_config::App app) {
-  const app_config::AppNames names(app);
-  return toml_document::written(names, [&](toml_document::Visitor& v) { describe(v, app); });
+std::string config_to_toml(app_config::AppConfig app) {
+  const app_config::AppConfigNames names(app);
+  return toml_document::to_toml(names, [&](toml_document::Visitor& v) { describe(v, app); });
 }
 
-app_config::App app_of(const std::string& text) {
-  const auto made = app_config::read(text, "app.toml", &nothing, nullptr);
-  INFO(shown(made.faults));
-  REQUIRE(made.sound());
-  return made.app;
+app_config::AppConfig parse_valid_config(const std::string& text) {
+  const auto loaded = app_config::parse_config(text, "app.toml", &empty_environment, nullptr);
+  INFO(format_errors(loaded.errors));
+  REQUIRE(loaded.valid());
+  return loaded.app;
 }
 
-const std::string kLeast =
+const std::string kMinimalConfig =
     "name = \"a\"\nlisten = \"127.0.0.1:7070\"\n[fleet.nodes.n]\naddress = \"127.0.0.1:9001\"\n"
     "[classes.any]\ngive_up = \"1s\"\nrepeat = \"safe\"\n";
 
@@ -56,32 +56,32 @@
 // Guards against an invalid file that is accepted, or rejected with the wrong code or position.
 TEST_CASE("every invalid file is rejected with the code and position that it states") {
   std::set<std::string> seen;
-  const auto files = corpus("broken");
+  const auto files = corpus_files("broken");
   for (const std::string& file : files) {
     CAPTURE(file);
     std::multiset<std::string> expected, found;
     const std::regex mark("# expect: (.*)");
-    std::istringstream lines(text_of(file));
+    std::istringstream lines(read_file(file));
     for (std::string line; std::getline(lines, line);) {
       std::smatch m;
       if (std::regex_match(line, m, mark)) expected.insert(m[1]);
     }
     REQUIRE_FALSE(expected.empty());
-    const auto made = app_config::read_file(file, &nothing);
-    for (const auto& f : made.faults) {
-      const std::string base = std::filesystem::path(f.at.file).filename().string();
-      found.insert(f.code + " " + std::to_string(f.at.line) + ":" + std::to_string(f.at.column) +
+    const auto loaded = app_config::load_config(file, &empty_environment);
+    for (const auto& f : loaded.errors) {
+      const std::string base = std::filesystem::path(f.position.file).filename().string();
+      found.insert(f.code + " " + std::to_string(f.position.line) + ":" + std::to_string(f.position.column) +
                    (file.ends_with("/" + base) ? "" : " in " + base));
       seen.insert(f.code);
     }
-    INFO(shown(made.faults));
+    INFO(format_errors(loaded.errors));
     CHECK(found == expected);
   }
   CHECK(files.size() >= 120);
   MESSAGE(files.size() << " broken files, " << seen.size() << " codes");
   // Every error code that does not depend on the host is produced by at least one file.
-  for (const auto& code : app_config::codes()) {
-    const std::string means = code.means;
+  for (const auto& code : app_config::diagnostic_codes()) {
+    const std::string means = code.meaning;
     const bool warning = means.starts_with("warning"), host = means.ends_with("(not with `--elsewhere`)");
     const bool other = std::string(code.code) == "unreadable" || std::string(code.code) == "more";
     if (!warning && !host && !other) CHECK_MESSAGE(seen.contains(code.code), code.code);
@@ -89,70 +89,75 @@
 }
 
 TEST_CASE("every valid file is accepted and survives a round trip and is accepted by the router") {
-  const auto files = corpus("good");
+  const auto files = corpus_files("good");
   CHECK(files.size() >= 30);
   for (const std::string& file : files) {
     CAPTURE(file);
-    const auto made = app_config::read_file(file, &nothing);
-    INFO(shown(made.faults));
-    REQUIRE(made.sound());
-    const std::string written = as_file(made.app);
-    const auto again = app_config::read(written, "again.toml", &nothing, nullptr);
-    INFO(shown(again.faults) << written);
-    REQUIRE(again.sound());
-    CHECK(as_file(again.app) == written);
-    CHECK(app_config::changes(made.app, again.app).empty());
-    const config::Config config = config::parse(app_config::render(made.app).dump(), &nothing);
-    CHECK(config.name == made.app.name);
-    CHECK(config.names.classes.size() == made.app.classes.size());
+    const auto loaded = app_config::load_config(file, &empty_environment);
+    INFO(format_errors(loaded.errors));
+    REQUIRE(loaded.valid());
+    const std::string written = config_to_toml(loaded.app);
+    const auto again = app_config::parse_config(written, "again.toml", &empty_environment, nullptr);
+    INFO(format_errors(again.errors) << written);
+    REQUIRE(again.valid());
+    CHECK(config_to_toml(again.app) == written);
+    CHECK(app_config::compare(loaded.app, again.app).empty());
+    const config::Config config =
+        config::parse(app_config::to_platform_json(loaded.app).dump(), &empty_environment);
+    CHECK(config.name == loaded.app.name);
+    CHECK(config.names.classes.size() == loaded.app.classes.size());
   }
 }
 
 TEST_CASE("a file truncated at any byte is parsed without a crash and never accepted in part") {
   for (const std::string& text :
-       {text_of(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"), kLeast}) {
+       {read_file(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"), kMinimalConfig}) {
     for (std::size_t cut = 0; cut < text.size(); ++cut) {
-      const auto made = app_config::read(text.substr(0, cut), "cut.toml", &nothing, nullptr);
+      const auto loaded =
+          app_config::parse_config(text.substr(0, cut), "cut.toml", &empty_environment, nullptr);
       // A truncated file that is valid must be a complete file by itself.
-      if (made.sound()) CHECK(app_config::read(as_file(made.app), "again.toml", &nothing, nullptr).sound());
+      if (loaded.valid())
+        CHECK(app_config::parse_config(config_to_toml(loaded.app), "again.toml", &empty_environment, nullptr)
+                  .valid());
     }
   }
 }
 
 TEST_CASE("files of ten megabytes or with endless nesting are rejected at once") {
-  const Folder folder;
+  const TemporaryFolder folder;
   std::string nested;
   while (nested.size() < 10u << 20) nested += "[a.b.c.d.e.f.g.h]\nx = [[[[[[[[1]]]]]]]]\n";
-  const auto large = app_config::read_file(folder.write("large.toml", nested), &nothing);
-  REQUIRE(large.faults.size() == 1);
-  CHECK(large.faults[0].code == "unreadable");
+  const auto large = app_config::load_config(folder.write("large.toml", nested), &empty_environment);
+  REQUIRE(large.errors.size() == 1);
+  CHECK(large.errors[0].code == "unreadable");
   for (const char* open : {"[", "{a=", "a."}) {
     std::string deep = "x = ";
     for (int i = 0; i < 200000; ++i) deep += open;
-    CHECK_FALSE(app_config::read(deep, "deep.toml", &nothing, nullptr).sound());
+    CHECK_FALSE(app_config::parse_config(deep, "deep.toml", &empty_environment, nullptr).valid());
   }
 }
 
 // Guards against a value that is taken from another source than the documented precedence says.
 TEST_CASE("precedence of environment and file and profile and includes") {
-  const Folder folder;
+  const TemporaryFolder folder;
   folder.write(
       "first.toml",
       "[limits]\nsockets = 101\nopen = 11\n[attempts]\nmost = 11\n[profiles.busy.limits]\nsockets = 301\n");
   folder.write("second.toml", "[limits]\nsockets = 102\nopen = 12\n");
-  const std::string own = "include = [\"first.toml\", \"second.toml\"]\n" + kLeast;
-  const auto read = [&](const std::string& text, app_config::Environment environment = &nothing) {
-    auto made = app_config::read_file(folder.write("app.toml", text), environment);
-    INFO(shown(made.faults));
-    CHECK(made.sound());
-    return made;
+  const std::string own = "include = [\"first.toml\", \"second.toml\"]\n" + kMinimalConfig;
+  const auto read = [&](const std::string& text,
+                        app_config::EnvironmentLookup environment = &empty_environment) {
+    auto loaded = app_config::load_config(folder.write("app.toml", text), environment);
+    INFO(format_errors(loaded.errors));
+    CHECK(loaded.valid());
+    return loaded;
   };
-  CHECK(read(kLeast).app.limits.sockets == 1024);
-  CHECK(read(own).app.limits.sockets == 102); // the last include has precedence
-  CHECK(read(own).app.attempts.most == 11);   // keys that it omits come from the include before it
-  CHECK(read("profile = \"busy\"\n" + own).app.limits.sockets == 301);
-  CHECK(read("profile = \"busy\"\n" + own).app.limits.open == 12);
-  CHECK(read("profile = \"busy\"\n" + own + "[limits]\nsockets = 400\n").app.limits.sockets == 400);
+  CHECK(read(kMinimalConfig).app.limits.max_descriptors == 1024);
+  CHECK(read(own).app.limits.max_descriptors == 102); // the last include has precedence
+  CHECK(read(own).app.attempts.max_attempts == 11);   // keys that it omits come from the include before it
+  CHECK(read("profile = \"busy\"\n" + own).app.limits.max_descriptors == 301);
+  CHECK(read("profile = \"busy\"\n" + own).app.limits.max_active_requests == 12);
+  CHECK(read("profile = \"busy\"\n" + own + "[limits]\nsockets = 400\n").app.limits.max_descriptors == 400);
   const auto with = read(own, [](const char* name) -> const char* {
     const std::string n = name;
     return n == "FERNWARD_PROFILE" ? "busy"
@@ -160,11 +165,11 @@
            : n == "NODE_NAME"      ? ""
                                    : nullptr;
   });
-  CHECK(with.app.limits.sockets == 301);
-  CHECK(with.app.listen == "127.0.0.1:1");
+  CHECK(with.app.limits.max_descriptors == 301);
+  CHECK(with.app.listen_address == "127.0.0.1:1");
   CHECK(with.app.name == "a"); // an empty variable counts as not set
   std::map<std::string, std::string> from;
-  for (const auto& v : app_config::values(with)) from[v.key] = v.from;
+  for (const auto& v : app_config::explain_values(with)) from[v.key] = v.source;
   CHECK(from["listen"] == "NODE_LISTEN");
   CHECK(from["limits.sockets"].find("first.toml:7:11") != std::string::npos);
   CHECK(from["limits.open"].find("second.toml:3:8") != std::string::npos);
@@ -172,11 +177,12 @@
 }
 
 TEST_CASE("schema and reference and parser have the same keys") {
-  const auto schema = app_config::schema();
+  const auto schema = app_config::json_schema();
   std::size_t keys = 0;
-  const std::string reference = app_config::reference();
-  app_config::App app = app_of(text_of(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"));
-  for (const auto& leaf : toml_document::leaves(app_config::AppNames(app),
+  const std::string reference = app_config::markdown_reference();
+  app_config::AppConfig app =
+      parse_valid_config(read_file(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"));
+  for (const auto& leaf : toml_document::leaves(app_config::AppConfigNames(app),
                                                 [&](toml_document::Visitor& v) { describe(v, app); })) {
     const nlohmann::ordered_json* at = &schema;
     std::istringstream steps(leaf.key);
@@ -200,9 +206,9 @@
   }
   CHECK(keys > 60);
   // The operators' page contains exactly what the program prints.
-  const std::string page = text_of(FERNWARD_SOURCE_DIR "/docs/operators/config-reference.md");
-  CHECK(page.find(app_config::reference()) != std::string::npos);
-  CHECK(page.find(app_config::code_reference()) != std::string::npos);
+  const std::string page = read_file(FERNWARD_SOURCE_DIR "/docs/operators/config-reference.md");
+  CHECK(page.find(app_config::markdown_reference()) != std::string::npos);
+  CHECK(page.find(app_config::markdown_code_reference()) != std::string::npos);
 }
 
 TEST_CASE("estimated origin load matches a simulated LRU cache and counts writes and overflow") {
@@ -227,18 +233,22 @@
       at[key] = order.begin();
       if (order.size() > held) at.erase(order.back()), order.pop_back();
     }
-    CHECK(std::fabs(app_config::lru_hits(keys, zipf, held) - static_cast<double>(hits) / counted) < 0.02);
+    CHECK(std::fabs(app_config::lru_hit_ratio(keys, zipf, held) - static_cast<double>(hits) / counted) <
+          0.02);
   }
-  app_config::App app = app_of(text_of(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"));
-  const auto load = app_config::ledger_load(app); // 5% writes; 128 MB hold all 20,000 keys of 4 kB
-  CHECK(load.share == doctest::Approx(0.05));
-  app.expect.rate_per_s = 16000; // x 2 ms: work for 32 cores, of which reads need 30.4; the caches have 8
-  CHECK(app_config::ledger_load(app).no_room == doctest::Approx(0.95 * (1 - 8 / 30.4)));
+  app_config::AppConfig app =
+      parse_valid_config(read_file(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"));
+  const auto load = app_config::estimate_origin_load(app); // 5% writes; 128 MB hold all 20,000 keys of 4 kB
+  CHECK(load.request_share == doctest::Approx(0.05));
+  app.expected_load.rate_per_s =
+      16000; // x 2 ms: work for 32 cores, of which reads need 30.4; the caches have 8
+  CHECK(app_config::estimate_origin_load(app).overflow_share == doctest::Approx(0.95 * (1 - 8 / 30.4)));
 }
 
 TEST_CASE("a reload applies completely or not at all and classes keep their indexes") {
-  const auto config = [](const std::string& more, const std::string& base = kLeast) {
-    return config::parse(app_config::render(app_of(base + more)).dump(), &nothing);
+  const auto config = [](const std::string& more, const std::string& base = kMinimalConfig) {
+    return config::parse(app_config::to_platform_json(parse_valid_config(base + more)).dump(),
+                         &empty_environment);
   };
   const auto now =
       config("[classes.book]\ngive_up = \"1s\"\nrepeat = \"unsafe\"\n[tenants.t]\nshare = 0.5\n");
@@ -247,38 +257,38 @@
   const auto next = config(
       "[classes.booking]\ngive_up = \"2s\"\nrepeat = \"unsafe\"\n[classes.aaa]\ngive_up = \"3s\"\nrepeat = "
       "\"safe\"\n[attempts]\nmost = 2\n");
-  const auto moved = config::moved(now, next);
+  const auto moved = config::merge_reloaded(now, next);
   CHECK(moved.names.classes == std::vector<std::string>{"any", "\nbook", "aaa", "booking"});
   CHECK(moved.settings.classes[1].client_timeout_ms == 1000);
   CHECK(moved.settings.classes[2].client_timeout_ms == 3000);
   CHECK(moved.settings.max_attempts == 2);
   CHECK(moved.names.tenants == std::vector<std::string>{"\nt"});
-  const auto back = config::moved(moved, now); // a class that returns gets its old index
+  const auto back = config::merge_reloaded(moved, now); // a class that returns gets its old index
   CHECK(back.names.classes == std::vector<std::string>{"any", "book", "\naaa", "\nbooking"});
-  const auto twice = config::moved(back, now);
+  const auto twice = config::merge_reloaded(back, now);
   CHECK(twice.names.classes == back.names.classes);
   for (const char* more :
        {"[limits]\nsockets = 500\n", "[tier]\nrouters = 3\n", "[attempts]\nidle = \"3s\"\n", "seed = 4\n"}) {
     if (std::string(more).starts_with("seed")) continue; // applies only at startup, as in the platform file
     CAPTURE(more);
-    CHECK_THROWS_AS(config::moved(now, config(more)), config::Error);
+    CHECK_THROWS_AS(config::merge_reloaded(now, config(more)), config::Error);
   }
 }
 
 TEST_CASE("host checks of addresses in use and folders and descriptors and secrets") {
-  const router::BasePtr base = router::make_base();
-  const Peer taken(base.get(), [](const http::Message&) { return std::string(); });
-  const Folder folder;
+  const router::EventBasePtr base = router::make_event_base();
+  const ScriptedServer taken(base.get(), [](const http::Message&) { return std::string(); });
+  const TemporaryFolder folder;
   const auto codes = [&](const std::string& listen, const std::string& more, mode_t mode = 0600) {
-    std::string text = kLeast;
+    std::string text = kMinimalConfig;
     text.replace(text.find("127.0.0.1:7070"), 14, listen);
     const std::string path = folder.write("app.toml", text + more);
     chmod(path.c_str(), mode);
-    auto made = app_config::read_file(path, &nothing);
-    REQUIRE(made.sound());
-    app_config::check_host(made, path);
+    auto loaded = app_config::load_config(path, &empty_environment);
+    REQUIRE(loaded.valid());
+    app_config::check_host(loaded, path);
     std::string all;
-    for (const auto& f : made.faults) all += (all.empty() ? "" : " ") + f.code;
+    for (const auto& f : loaded.errors) all += (all.empty() ? "" : " ") + f.code;
     return all;
   };
   const std::string secret = "[application]\nenvironment = [\"DB_PASSWORD=x\"]\n";
--- a/tests/app_config/config_command_test.cpp
+++ b/tests/app_config/config_command_test.cpp
@@ -12,21 +12,21 @@
 
 namespace {
 
-struct Said {
+struct CommandOutput {
   int code = -1;
   std::string text;
-  bool has(const std::string& part) const { return text.find(part) != std::string::npos; }
+  bool contains(const std::string& part) const { return text.find(part) != std::string::npos; }
 };
 
-Said ask(const std::string& arguments, const std::string& before = "") {
-  const Folder folder;
+CommandOutput run_config_command(const std::string& arguments, const std::string& prefix = "") {
+  const TemporaryFolder folder;
   const int status = std::system(
-      (before + " " FERNWARD_PROGRAM " config " + arguments + " >" + folder / "out" + " 2>&1").c_str());
-  return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, text_of(folder / "out")};
+      (prefix + " " FERNWARD_PROGRAM " config " + arguments + " >" + folder / "out" + " 2>&1").c_str());
+  return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, read_file(folder / "out")};
 }
 
-const std::string kGood = FERNWARD_SOURCE_DIR "/tests/corpus/config/good/";
-const std::string kBroken = FERNWARD_SOURCE_DIR "/tests/corpus/config/broken/";
+const std::string kGoodFolder = FERNWARD_SOURCE_DIR "/tests/corpus/config/good/";
+const std::string kBrokenFolder = FERNWARD_SOURCE_DIR "/tests/corpus/config/broken/";
 
 } // namespace
 
@@ -34,25 +34,25 @@
   const struct {
     std::string arguments;
     int code;
-    const char* says;
+    const char* expected_text;
   } cases[] = {
       {"", 2, "no command"},
       {"mend", 2, "no command \"mend\""},
       {"check", 2, "expected arguments: FILE..."},
-      {"check --format xml " + kGood + "least.toml", 2, "text or json"},
-      {"check --elsewhere " + kGood + "whole.toml", 0, "whole.toml: sound"},
+      {"check --format xml " + kGoodFolder + "least.toml", 2, "text or json"},
+      {"check --elsewhere " + kGoodFolder + "whole.toml", 0, "whole.toml: sound"},
       {"check /nowhere.toml", 1, "/nowhere.toml:1:1: unreadable: (file): can't be read"},
-      {"check --elsewhere " + kBroken + "shares.toml", 1,
+      {"check --elsewhere " + kBrokenFolder + "shares.toml", 1,
        "shares.toml:45:9: shares: tenants.agents.share: the shares of all tenants add up to 110%"},
-      {"check --elsewhere " + kBroken + "no-zones.toml", 1, "no-zones.toml:20:8: unknown-name"},
-      {"explain " + kGood + "whole.toml", 0, "with the same key, within 800ms of that attempt"},
-      {"explain " + kGood + "whole.toml", 0, "About 5.0% of the requests reach it"},
-      {"explain " + kBroken + "shares.toml", 1, "shares.toml:45:9"},
-      {"diff " + kGood + "whole.toml " + kGood + "retries-none.toml", 0,
+      {"check --elsewhere " + kBrokenFolder + "no-zones.toml", 1, "no-zones.toml:20:8: unknown-name"},
+      {"explain " + kGoodFolder + "whole.toml", 0, "with the same key, within 800ms of that attempt"},
+      {"explain " + kGoodFolder + "whole.toml", 0, "About 5.0% of the requests reach it"},
+      {"explain " + kBrokenFolder + "shares.toml", 1, "shares.toml:45:9"},
+      {"diff " + kGoodFolder + "whole.toml " + kGoodFolder + "retries-none.toml", 0,
        "classes.book.retries: 2 -> 0 (reload)"},
-      {"diff " + kGood + "whole.toml " + kGood + "tier.toml", 0, "a restart is needed"},
-      {"diff " + kGood + "whole.toml", 2, "expected arguments: OLD NEW"},
-      {"render " + kGood + "whole.toml", 0, "\"dedup_scope\": \"all\""},
+      {"diff " + kGoodFolder + "whole.toml " + kGoodFolder + "tier.toml", 0, "a restart is needed"},
+      {"diff " + kGoodFolder + "whole.toml", 2, "expected arguments: OLD NEW"},
+      {"render " + kGoodFolder + "whole.toml", 0, "\"dedup_scope\": \"all\""},
       {"schema", 0, "json-schema.org"},
       {"reference", 0, "| `retry-past-window` |"},
       {"new", 2, "nodes come from one source"},
@@ -60,66 +60,70 @@
       {"new --node nowhere", 1, "address: fleet.nodes.cache-1.address"},
   };
   for (const auto& c : cases) {
-    const Said said = ask(c.arguments, "</dev/null");
-    INFO(c.arguments << "\n" << said.text);
-    CHECK(said.code == c.code);
-    CHECK(said.has(c.says));
+    const CommandOutput output = run_config_command(c.arguments, "</dev/null");
+    INFO(c.arguments << "\n" << output.text);
+    CHECK(output.code == c.code);
+    CHECK(output.contains(c.expected_text));
   }
-  const auto found =
-      nlohmann::json::parse(ask("check --elsewhere --format json " + kBroken + "no-zones.toml").text);
+  const auto found = nlohmann::json::parse(
+      run_config_command("check --elsewhere --format json " + kBrokenFolder + "no-zones.toml").text);
   CHECK(found.size() == 3);
   CHECK(found[0]["line"] == 5);
   CHECK(found[0]["severity"] == "error");
 }
 
 TEST_CASE("config new writes files that pass the check and keeps an existing file if writing fails") {
-  const Folder folder;
+  const TemporaryFolder folder;
   const std::string out = folder / "app.toml";
   for (const char* how : {"--node 127.0.0.1:9001 --ledger 127.0.0.1:9002", "--node 127.0.0.1:9001",
                           "--discovery 127.0.0.1:8500", "--nodes-file /tmp/nodes.json --no-ledger"}) {
     CAPTURE(how);
-    CHECK(ask(std::string("new --force --name x --listen 127.0.0.1:0 --out ") + out + " " + how).code == 0);
-    const Said said = ask("check " + out);
-    INFO(said.text);
-    CHECK(said.code == 0);
+    CHECK(
+        run_config_command(std::string("new --force --name x --listen 127.0.0.1:0 --out ") + out + " " + how)
+            .code == 0);
+    const CommandOutput output = run_config_command("check " + out);
+    INFO(output.text);
+    CHECK(output.code == 0);
   }
-  const std::string was = text_of(out);
-  CHECK(ask("new --node 127.0.0.1:1 --out " + out).has("already exists"));
+  const std::string was = read_file(out);
+  CHECK(run_config_command("new --node 127.0.0.1:1 --out " + out).contains("already exists"));
   // The process may not write a file of more than one block.
-  const Said full = ask("new --force --node 127.0.0.1:1 --out " + out, "trap '' XFSZ; ulimit -f 1;");
+  const CommandOutput full =
+      run_config_command("new --force --node 127.0.0.1:1 --out " + out, "trap '' XFSZ; ulimit -f 1;");
   CHECK(full.code == 1);
-  CHECK(full.has("the old file is unchanged"));
-  CHECK(text_of(out) == was);
+  CHECK(full.contains("the old file is unchanged"));
+  CHECK(read_file(out) == was);
   CHECK(std::distance(std::filesystem::directory_iterator(folder.path), {}) ==
         1); // no temporary file is left
 }
 
 TEST_CASE("every valid corpus file starts a router") {
-  const router::BasePtr base = router::make_base();
-  for (const std::string& file : corpus("good")) {
+  const router::EventBasePtr base = router::make_event_base();
+  for (const std::string& file : corpus_files("good")) {
     CAPTURE(file);
     std::vector<std::string> environment;
     if (!file.ends_with("unix-socket.toml")) environment.push_back("NODE_LISTEN=127.0.0.1:0");
-    Program program({"serve", "--config", file}, Json::object(), environment);
+    TestProgram program({"serve", "--config", file}, Json::object(), environment);
     const bool json = file.ends_with("log-json.toml");
     const bool up = run_until(base.get(), [&] {
-      return program.says(json ? "{\"event\":\"listening\",\"name\":" : "listening name=") || program.ended();
+      return program.output_contains(json ? "{\"event\":\"listening\",\"name\":" : "listening name=") ||
+             program.has_exited();
     });
-    INFO(program.text);
+    INFO(program.output);
     CHECK(up);
-    CHECK_FALSE(program.ended());
+    CHECK_FALSE(program.has_exited());
   }
 }
 
 TEST_CASE("a node list file is reread when it changes and an invalid one is ignored") {
-  const router::BasePtr base = router::make_base();
+  const router::EventBasePtr base = router::make_event_base();
   const auto answers = [&](const std::string& what) {
-    return [what](const http::Message&) { return ok(what); };
+    return [what](const http::Message&) { return ok_response(what); };
   };
-  Peer a(base.get(), answers("a")), b(base.get(), answers("b"));
-  const Folder folder;
+  ScriptedServer a(base.get(), answers("a")), b(base.get(), answers("b"));
+  const TemporaryFolder folder;
   const std::string list = folder / "nodes.json";
-  const auto entry = [](const std::string& name, const Peer& peer) {
+  const auto entry = [](const std::string& name, const ScriptedServer& peer) {
     return Json{{"name", name},
                 {"address", peer.address},
                 {"zone", "here"},
@@ -130,26 +134,26 @@
       "app.toml",
       "name = \"a\"\nlisten = \"127.0.0.1:0\"\nmake_ids = true\n[fleet]\nfile = \"" + list +
           "\"\n[classes.any]\ngive_up = \"2s\"\nrepeat = \"safe\"\n[[map]]\npath = \"/\"\nclass = \"any\"\n");
-  Program program({"serve", "--config", file}, Json::object());
+  TestProgram program({"serve", "--config", file}, Json::object());
   REQUIRE(run_until(base.get(), [&] { return program.port() != 0; }));
-  Client client(base.get(), program.port());
-  CHECK(client.ask("GET /ready HTTP/1.1\r\n\r\n").status == 503); // the file does not exist
+  TestClient client(base.get(), program.port());
+  CHECK(client.send_and_wait("GET /ready HTTP/1.1\r\n\r\n").status == 503); // the file does not exist
   const auto put = [&](const std::string& text) {
     folder.write("nodes.json.new", text);
     std::filesystem::rename(folder / "nodes.json.new", list);
   };
   const auto becomes = [&](const std::string& body) {
     return run_until(base.get(), [&] {
-      Client asking(base.get(), program.port());
-      return asking.ask("GET /k/1 HTTP/1.1\r\n\r\n").body == body; // no id, class or timeout header
+      TestClient asking(base.get(), program.port());
+      return asking.send_and_wait("GET /k/1 HTTP/1.1\r\n\r\n").body == body; // no id, class or timeout header
     });
   };
   put(Json::array({entry("n-a", a)}).dump());
   CHECK(becomes("a"));
   put("[{\"name\":");
-  CHECK(run_until(base.get(), [&] { return program.says("list-file-damaged"); }));
+  CHECK(run_until(base.get(), [&] { return program.output_contains("list-file-damaged"); }));
   CHECK(becomes("a"));
   put(Json{{"endpoints", Json::array({entry("n-b", b)})}}.dump());
   CHECK(becomes("b"));
-  CHECK(program.says("list-file-sound"));
+  CHECK(program.output_contains("list-file-sound"));
 }
--- a/tests/app_config/corpus.h
+++ b/tests/app_config/corpus.h
@@ -8,14 +8,14 @@
 
 namespace fernward::tests {
 
-inline std::vector<std::string> corpus(const std::string& folder) {
-  std::vector<std::string> all;
+inline std::vector<std::string> corpus_files(const std::string& folder) {
+  std::vector<std::string> paths;
   for (const auto& entry :
        std::filesystem::directory_iterator(FERNWARD_SOURCE_DIR "/tests/corpus/config/" + folder)) {
-    all.push_back(entry.path().string());
+    paths.push_back(entry.path().string());
   }
-  std::sort(all.begin(), all.end());
-  return all;
+  std::sort(paths.begin(), paths.end());
+  return paths;
 }
 
 } // namespace fernward::tests
--- a/tests/app_config/mutants_test.cpp
+++ b/tests/app_config/mutants_test.cpp
@@ -17,20 +17,20 @@
 
 namespace {
 
-const char* nothing(const char*) { return nullptr; }
+const char* empty_environment(const char*) { return nullptr; }
 
-struct Line {
+struct KeyValueLine {
   std::string key, value; // of a line `key = value`
 };
 
-bool parse(const std::string& line, Line& into) {
+bool parse_key_value(const std::string& line, KeyValueLine& into) {
   const auto equals = line.find(" = ");
   if (equals == std::string::npos || line.front() == '#' || line.front() == '[') return false;
   into = {line.substr(0, equals), line.substr(equals + 3)};
   return into.value.front() != '{';
 }
 
-std::string retyped(const std::string& value) {
+std::string with_wrong_type(const std::string& value) {
   if (value.front() == '"') return "20261201";
   if (value.front() == '[') return "5";
   if (value == "true" || value == "false") return "\"" + value + "\"";
@@ -44,35 +44,35 @@
     int made = 0, refused = 0, harmless = 0;
   };
   std::map<std::string, Count> counts;
-  for (const std::string& file : corpus("good")) {
+  for (const std::string& file : corpus_files("good")) {
     std::vector<std::string> lines;
-    std::istringstream in(text_of(file));
+    std::istringstream in(read_file(file));
     for (std::string line; std::getline(in, line);) lines.push_back(line);
-    const auto original = app_config::read_file(file, &nothing);
-    REQUIRE(original.sound());
+    const auto original = app_config::load_config(file, &empty_environment);
+    REQUIRE(original.valid());
     for (std::size_t at = 0; at < lines.size(); ++at) {
       std::string plain = lines[at];
       if (plain.ends_with('\r')) plain.pop_back();
-      Line line;
-      if (plain.empty() || !parse(plain, line)) continue;
+      KeyValueLine line;
+      if (plain.empty() || !parse_key_value(plain, line)) continue;
       for (const std::string how : {"drop", "double", "misspell", "retype"}) {
         auto mutant = lines;
         if (how == "drop") mutant.erase(mutant.begin() + static_cast<std::ptrdiff_t>(at));
         if (how == "double") mutant.insert(mutant.begin() + static_cast<std::ptrdiff_t>(at), lines[at]);
         if (how == "misspell") mutant[at] = line.key + "q = " + line.value;
-        if (how == "retype") mutant[at] = line.key + " = " + retyped(line.value);
+        if (how == "retype") mutant[at] = line.key + " = " + with_wrong_type(line.value);
         std::string text;
         for (const auto& l : mutant) text += l + "\n";
-        const auto made = app_config::read(text, file, &nothing);
+        const auto made = app_config::parse_config(text, file, &empty_environment);
         Count& count = counts[how];
         ++count.made;
         INFO(file << ":" << at + 1 << " " << how << " " << lines[at]);
-        if (!made.sound()) {
+        if (!made.valid()) {
           ++count.refused;
           // A dropped line is reported at its table or at a reference to it, other mutants at their line.
           const unsigned wanted = static_cast<unsigned>(at + (how == "double" ? 2 : 1));
-          const bool here = std::any_of(made.faults.begin(), made.faults.end(), [&](const auto& f) {
-            return f.at.file == file && f.at.line == wanted;
+          const bool here = std::any_of(made.errors.begin(), made.errors.end(), [&](const auto& f) {
+            return f.position.file == file && f.position.line == wanted;
           });
           CHECK((here || how == "drop"));
           continue;
@@ -80,7 +80,7 @@
         // A harmless mutant may change only the value of the line, to the value that applies without it.
         CHECK(how == "drop");
         ++count.harmless;
-        for (const auto& change : app_config::changes(original.app, made.app)) {
+        for (const auto& change : app_config::compare(original.app, made.app)) {
           const std::string key = change.key.substr(change.key.rfind('.') + 1);
           const bool own = line.key.ends_with(key) || line.key == "include" || line.key == "profile" ||
                            change.key.find(line.key) != std::string::npos;
--- a/tests/body_buffers/body_buffers_test.cpp
+++ b/tests/body_buffers/body_buffers_test.cpp
@@ -17,120 +17,124 @@
 
 // Returns whether the property holds; RapidCheck prints the schedule that violates it.
 template <typename Property>
-bool holds(const char* what, Property property) {
-  return rc::check(what, property);
+bool property_holds(const char* description, Property property) {
+  return rc::check(description, property);
 }
 
-std::size_t below(std::size_t limit) { return *rc::gen::inRange<std::size_t>(0, limit); }
+std::size_t random_below(std::size_t limit) { return *rc::gen::inRange<std::size_t>(0, limit); }
 
 } // namespace
 
 TEST_CASE("the window is large for few holders and small for many and each holder keeps its reserved part") {
-  BufferBudget account({8 << 20, 256, 4 << 10, 1 << 20, 1.0 / 16});
-  BufferBudget::Reservation first(account);
-  CHECK(first.window() > 400 << 10);
-  std::vector<std::unique_ptr<BufferBudget::Reservation>> crowd;
+  BufferBudget budget({8 << 20, 256, 4 << 10, 1 << 20, 1.0 / 16});
+  BufferBudget::Reservation first(budget);
+  CHECK(first.window_bytes() > 400 << 10);
+  std::vector<std::unique_ptr<BufferBudget::Reservation>> other_holders;
   for (int i = 0; i < 255; ++i) { // acquire all that is available, release nothing
-    crowd.push_back(std::make_unique<BufferBudget::Reservation>(account));
-    for (std::size_t room; (room = std::min<std::size_t>(crowd.back()->available(), 4096)) > 0;) {
-      REQUIRE(crowd.back()->acquire(room));
+    other_holders.push_back(std::make_unique<BufferBudget::Reservation>(budget));
+    for (std::size_t available_bytes;
+         (available_bytes = std::min<std::size_t>(other_holders.back()->available_bytes(), 4096)) > 0;) {
+      REQUIRE(other_holders.back()->acquire(available_bytes));
     }
   }
-  CHECK(first.available() >= 4 << 10);
-  CHECK(first.window() < 5 << 10);
-  crowd.clear();
-  CHECK(account.held() == 0);
-  CHECK(first.window() > 400 << 10);
+  CHECK(first.available_bytes() >= 4 << 10);
+  CHECK(first.window_bytes() < 5 << 10);
+  other_holders.clear();
+  CHECK(budget.held_bytes() == 0);
+  CHECK(first.window_bytes() > 400 << 10);
 }
 
 TEST_CASE("reading resumes once half of the window is free and the longest waiting holder resumes first") {
-  BufferBudget account({1000, 1, 0, 400, 1.0});
-  BufferBudget::Reservation a(account), b(account);
+  BufferBudget budget({1000, 1, 0, 400, 1.0});
+  BufferBudget::Reservation a(budget), b(budget);
   REQUIRE(a.acquire(400));
-  CHECK(a.available() == 0);
+  CHECK(a.available_bytes() == 0);
   CHECK_FALSE(a.may_resume());
   a.release(100);
-  CHECK(a.available() == 100);
+  CHECK(a.available_bytes() == 100);
   CHECK_FALSE(a.may_resume());
   a.release(100);
   CHECK(a.may_resume());
 
-  BufferBudget::Reservation all(account);
+  BufferBudget::Reservation all(budget);
   REQUIRE(all.acquire(800));
   CHECK_FALSE(b.acquire(1));
-  CHECK(b.available() == 0);
+  CHECK(b.available_bytes() == 0);
   b.wait_for_bytes(7);
   a.wait_for_bytes(8);
-  CHECK(account.next_resumable() == std::nullopt);
+  CHECK(budget.next_resumable() == std::nullopt);
   BufferBudget::Reservation moved(std::move(b)); // a moved reservation keeps its position in the waiting list
   all.release_all();
-  CHECK(account.next_resumable() == 7u);
+  CHECK(budget.next_resumable() == 7u);
   a.release(200);
-  CHECK(account.next_resumable() == 8u);
-  CHECK(account.next_resumable() == std::nullopt);
+  CHECK(budget.next_resumable() == 8u);
+  CHECK(budget.next_resumable() == std::nullopt);
   a.wait_for_bytes(8);
   a.release_all(); // releasing everything ends the wait
-  CHECK(account.waiting() == 0);
+  CHECK(budget.waiting_holders() == 0);
 }
 
 TEST_CASE("held bytes stay within the total and are released once and reserved parts stay available") {
-  CHECK(holds("account", [] {
-    const std::size_t most_holders = below(20) + 1;
-    BufferBudget account({below(50000) + 100, most_holders, below(500), below(20000) + 1,
-                          0.01 + 0.01 * static_cast<double>(below(200))});
+  CHECK(property_holds("account", [] {
+    const std::size_t max_holders = random_below(20) + 1;
+    BufferBudget budget({random_below(50000) + 100, max_holders, random_below(500), random_below(20000) + 1,
+                         0.01 + 0.01 * static_cast<double>(random_below(200))});
     std::vector<std::unique_ptr<BufferBudget::Reservation>> holders;
-    const auto steps = below(300);
+    const auto steps = random_below(300);
     bool merged = false; // one reservation then holds the reserved parts of two
     for (std::size_t step = 0; step < steps; ++step) {
-      if (holders.empty() || (holders.size() < most_holders && below(6) == 0)) {
-        holders.push_back(std::make_unique<BufferBudget::Reservation>(account));
+      if (holders.empty() || (holders.size() < max_holders && random_below(6) == 0)) {
+        holders.push_back(std::make_unique<BufferBudget::Reservation>(budget));
       }
-      const std::size_t at = below(holders.size()), other = below(holders.size());
-      BufferBudget::Reservation& h = *holders[at];
-      const auto drop = [&](std::size_t i) {
+      const std::size_t position = random_below(holders.size()), other = random_below(holders.size());
+      BufferBudget::Reservation& reservation = *holders[position];
+      const auto erase_holder = [&](std::size_t i) {
         holders.erase(holders.begin() + static_cast<std::ptrdiff_t>(i));
       };
-      switch (below(8)) {
-        case 0: h.release(below(3000)); break; // bounded by the bytes held
-        case 1: drop(at); break;
+      switch (random_below(8)) {
+        case 0: reservation.release(random_below(3000)); break; // bounded by the bytes held
+        case 1: erase_holder(position); break;
         case 2: {
-          BufferBudget::Reservation moved(std::move(h));
-          h = std::move(moved);
+          BufferBudget::Reservation moved(std::move(reservation));
+          reservation = std::move(moved);
           break;
         }
         case 3:
-          if (at == other) break;
+          if (position == other) break;
           merged = true;
-          holders[other]->merge(std::move(h));
-          drop(at);
+          holders[other]->merge(std::move(reservation));
+          erase_holder(position);
           break;
-        case 4: h.wait_for_bytes(step); break;
-        case 5: account.next_resumable(); break;
+        case 4: reservation.wait_for_bytes(step); break;
+        case 5: budget.next_resumable(); break;
         default: {
-          const std::size_t room = h.available(), take = below(2) == 0 ? room : below(room + 1);
-          RC_ASSERT(h.acquire(take)); // available bytes can be acquired
-          RC_ASSERT(!h.acquire(account.free() + 1));
+          const std::size_t available_bytes = reservation.available_bytes(),
+                            acquired_bytes =
+                                random_below(2) == 0 ? available_bytes : random_below(available_bytes + 1);
+          RC_ASSERT(reservation.acquire(acquired_bytes)); // available bytes can be acquired
+          RC_ASSERT(!reservation.acquire(budget.free_bytes() + 1));
         }
       }
-      std::size_t sum = 0;
+      std::size_t sum_bytes = 0;
       for (const auto& holder : holders) {
-        sum += holder->bytes();
-        if (holder->bytes() == 0 && !merged) RC_ASSERT(holder->available() >= account.reserved_per_holder());
+        sum_bytes += holder->bytes();
+        if (holder->bytes() == 0 && !merged)
+          RC_ASSERT(holder->available_bytes() >= budget.reserved_bytes_per_holder());
       }
-      RC_ASSERT(sum == account.held());
-      RC_ASSERT(account.peak_held() <= account.total());
+      RC_ASSERT(sum_bytes == budget.held_bytes());
+      RC_ASSERT(budget.peak_held_bytes() <= budget.total_bytes());
     }
     holders.clear();
-    RC_ASSERT(account.held() == 0u);
-    RC_ASSERT(account.waiting() == 0u);
+    RC_ASSERT(budget.held_bytes() == 0u);
+    RC_ASSERT(budget.waiting_holders() == 0u);
   }));
 }
 
 TEST_CASE("start of a buffered response") {
-  const ResponseBufferingLimits rules{1000, 400, 100};
+  const ResponseBufferingLimits limits{1000, 400, 100};
   struct Case {
-    const char* what;
-    ResponseProgress facts; // announced, received, complete, within buffering time, window, available
+    const char* description;
+    ResponseProgress progress; // announced, received, complete, within buffering time, window, available
     ResponseStep step;
   };
   using S = ResponseStep;
@@ -153,172 +157,182 @@
            {"received bytes above the limit", {{}, 1001, false, true, 2000, 500}, S::TooLarge},
            {"three gigabytes announced", {3000000000, 100, true, false, 500, 0}, S::TooLarge},
        }) {
-    CAPTURE(c.what);
-    CHECK(next_step(rules, c.facts) == c.step);
+    CAPTURE(c.description);
+    CHECK(next_response_step(limits, c.progress) == c.step);
   }
 }
 
 TEST_CASE("retention level of a body") {
-  const RetentionLimits rules{1000, 100, 250, 400, 500, 2, 50, 256};
-  RetainedBodies keeper(rules);
-  using Put = RetainedBodies::Placement;
+  const RetentionLimits limits{1000, 100, 250, 400, 500, 2, 50, 256};
+  RetainedBodies bodies(limits);
+  using Placement = RetainedBodies::Placement;
   {
-    RetainedBodies::Body small(keeper, 100), larger(keeper, 101), second(keeper, 100), third(keeper, 100),
-        fourth(keeper, 100);
+    RetainedBodies::Body small(bodies, 100), larger(bodies, 101), second(bodies, 100), third(bodies, 100),
+        fourth(bodies, 100);
     CHECK(small.retention() == Retention::Memory);
     CHECK(larger.retention() == Retention::File);
     CHECK(second.retention() == Retention::Memory);
     CHECK(third.retention() == Retention::File); // the memory for all bodies is reserved
-    CHECK(keeper.memory_bytes() == 200);
-    CHECK(RetainedBodies::Body(keeper, 400).retention() == Retention::None); // and so is the file space
-    CHECK(RetainedBodies::Body(keeper, 1001).too_long());
-    CHECK(small.append(100) == Put::Memory);
-    CHECK(small.append(1) == Put::TooLong); // exceeds the announced length
+    CHECK(bodies.memory_bytes() == 200);
+    CHECK(RetainedBodies::Body(bodies, 400).retention() == Retention::None); // and so is the file space
+    CHECK(RetainedBodies::Body(bodies, 1001).too_long());
+    CHECK(small.append(100) == Placement::Memory);
+    CHECK(small.append(1) == Placement::TooLong); // exceeds the announced length
     CHECK(small.received_bytes() == 100);
   }
-  CHECK(keeper.memory_bytes() + keeper.file_bytes() == 0);
+  CHECK(bodies.memory_bytes() + bodies.file_bytes() == 0);
 
-  RetainedBodies::Body grows(keeper, std::nullopt); // chunked
-  CHECK(grows.append(100) == Put::Memory);
-  CHECK_FALSE(grows.may_stream(false)); // it may still end here
-  CHECK(grows.append(1) == Put::File);
-  CHECK(grows.may_stream(false));
-  CHECK(grows.append(399) == Put::File);
-  CHECK(grows.availability().retry_if_run);
-  CHECK(grows.append(1) == Put::Unretained);
-  CHECK(grows.availability().retry_if_not_run);
-  CHECK_FALSE(grows.availability().retry_if_run);
-  CHECK_FALSE(grows.availability().hedge);
-  grows.mark_consumed(1);
-  CHECK_FALSE(grows.availability().first_attempt);
-  CHECK(grows.append(499) == Put::Unretained);
-  CHECK(grows.append(1) == Put::TooLong); // exceeds the limit for any body
-  CHECK(grows.receive_timeout_ms(2000) == doctest::Approx(2000 + 1000 / 256.0));
+  RetainedBodies::Body growing(bodies, std::nullopt); // chunked
+  CHECK(growing.append(100) == Placement::Memory);
+  CHECK_FALSE(growing.may_stream(false)); // it may still end here
+  CHECK(growing.append(1) == Placement::File);
+  CHECK(growing.may_stream(false));
+  CHECK(growing.append(399) == Placement::File);
+  CHECK(growing.availability().retry_if_run);
+  CHECK(growing.append(1) == Placement::Unretained);
+  CHECK(growing.availability().retry_if_not_run);
+  CHECK_FALSE(growing.availability().retry_if_run);
+  CHECK_FALSE(growing.availability().hedge);
+  growing.mark_consumed(1);
+  CHECK_FALSE(growing.availability().first_attempt);
+  CHECK(growing.append(499) == Placement::Unretained);
+  CHECK(growing.append(1) == Placement::TooLong); // exceeds the limit for any body
+  CHECK(growing.receive_timeout_ms(2000) == doctest::Approx(2000 + 1000 / 256.0));
 }
 
 TEST_CASE("a file failure ends the retention and frees the unused part of its reservation") {
-  RetainedBodies keeper({1000, 0, 0, 400, 400, 1, 50, 256});
-  RetainedBodies::Body body(keeper, 400);
+  RetainedBodies bodies({1000, 0, 0, 400, 400, 1, 50, 256});
+  RetainedBodies::Body body(bodies, 400);
   CHECK(body.append(100) == RetainedBodies::Placement::File);
   CHECK(body.append(50) == RetainedBodies::Placement::File);
-  CHECK(keeper.file_bytes() == 400);
+  CHECK(bodies.file_bytes() == 400);
   body.on_file_failure(50);
-  CHECK(keeper.file_bytes() == 100); // bytes stored earlier can still be read
+  CHECK(bodies.file_bytes() == 100); // bytes stored earlier can still be read
   CHECK(body.retention() == Retention::None);
   CHECK(body.availability().first_attempt);
   CHECK(body.append(10) == RetainedBodies::Placement::Unretained);
 }
 
 TEST_CASE("an attempt is sent only if both the body and the request class allow it") {
-  const BodyAvailability kept{}, passing{true, true, false, false}, gone{false, false, false, false};
+  const BodyAvailability retained{}, streamed{true, true, false, false}, consumed{false, false, false, false};
   const AttemptHistory none{}, not_run{1, false, false, 0}, ran{1, false, true, 100},
-      out{1, true, false, 100}, ran_long_ago{1, false, true, 1000}, out_and_ran{2, true, true, 100};
+      in_flight{1, true, false, 100}, ran_before_window{1, false, true, 1000},
+      in_flight_after_run{2, true, true, 100};
   struct Row {
-    Idempotency repeat;
-    const AttemptHistory* past;
-    bool kept, passing, gone;
+    Idempotency idempotency;
+    const AttemptHistory* history;
+    bool retained, streamed, consumed;
   };
   for (const Row& row : std::initializer_list<Row>{
            {Idempotency::NonIdempotent, &none, true, true, false},
            {Idempotency::NonIdempotent, &not_run, true, true, false},
            {Idempotency::NonIdempotent, &ran, false, false, false},
-           {Idempotency::NonIdempotent, &out, false, false, false},
+           {Idempotency::NonIdempotent, &in_flight, false, false, false},
            {Idempotency::WithKey, &none, true, true, false},
            {Idempotency::WithKey, &not_run, true, true, false},
            {Idempotency::WithKey, &ran, true, false, false},
-           {Idempotency::WithKey, &ran_long_ago, false, false, false},
-           {Idempotency::WithKey, &out, true, false, false},
+           {Idempotency::WithKey, &ran_before_window, false, false, false},
+           {Idempotency::WithKey, &in_flight, true, false, false},
            {Idempotency::Idempotent, &ran, true, false, false},
-           {Idempotency::Idempotent, &ran_long_ago, true, false, false},
-           {Idempotency::Idempotent, &out_and_ran, true, false, false},
+           {Idempotency::Idempotent, &ran_before_window, true, false, false},
+           {Idempotency::Idempotent, &in_flight_after_run, true, false, false},
        }) {
-    CAPTURE(static_cast<int>(row.repeat));
-    CAPTURE(row.past->attempts);
-    CHECK(may_send(kept, row.repeat, 1000, *row.past) == row.kept);
-    CHECK(may_send(passing, row.repeat, 1000, *row.past) == row.passing);
-    CHECK(may_send(gone, row.repeat, 1000, *row.past) == row.gone);
+    CAPTURE(static_cast<int>(row.idempotency));
+    CAPTURE(row.history->attempts);
+    CHECK(may_send(retained, row.idempotency, 1000, *row.history) == row.retained);
+    CHECK(may_send(streamed, row.idempotency, 1000, *row.history) == row.streamed);
+    CHECK(may_send(consumed, row.idempotency, 1000, *row.history) == row.consumed);
   }
 }
 
 // Guards against sending a request twice that is not idempotent (a booking), and against a retry with a body
 // of which a part is no longer available.
 TEST_CASE("no schedule of bytes and faults leads to an attempt that the class or the missing body forbids") {
-  CHECK(holds("resends", [] {
-    const RetentionLimits rules{below(400) + 1, below(200), below(400), below(2) * below(300),
-                                below(500),     below(100), 1};
-    RetainedBodies keeper(rules);
+  CHECK(property_holds("resends", [] {
+    const RetentionLimits limits{random_below(400) + 1,
+                                 random_below(200),
+                                 random_below(400),
+                                 random_below(2) * random_below(300),
+                                 random_below(500),
+                                 random_below(100),
+                                 1};
+    RetainedBodies bodies(limits);
     struct Request {
-      Request(RetainedBodies& k, std::optional<std::uint64_t> length) : body(k, length) {}
+      Request(RetainedBodies& bodies_in, std::optional<std::uint64_t> length) : body(bodies_in, length) {}
       RetainedBodies::Body body;
       // Retained: readable from the start; consumed: read by an attempt.
-      std::uint64_t come = 0, kept = 0, lost = 0;
-      Idempotency repeat = Idempotency::Idempotent;
-      std::vector<double> out; // when sent
+      std::uint64_t received_bytes = 0, retained = 0, consumed_bytes = 0;
+      Idempotency idempotency = Idempotency::Idempotent;
+      std::vector<double> in_flight; // when sent
       std::uint32_t attempts = 0;
-      bool may_have_run = false, flowed = false;
-      double first_at = -1, now = 0;
+      bool may_have_run = false, streamed_before = false;
+      double first_sent_at = -1, now = 0;
     };
     std::vector<std::unique_ptr<Request>> requests;
-    for (std::size_t step = below(200); step > 0; --step) {
-      if (requests.empty() || below(6) == 0) {
-        const bool told = below(2) == 0;
+    for (std::size_t step = random_below(200); step > 0; --step) {
+      if (requests.empty() || random_below(6) == 0) {
+        const bool has_length = random_below(2) == 0;
         requests.push_back(std::make_unique<Request>(
-            keeper, told ? std::optional<std::uint64_t>(below(500)) : std::nullopt));
-        requests.back()->repeat =
+            bodies, has_length ? std::optional<std::uint64_t>(random_below(500)) : std::nullopt));
+        requests.back()->idempotency =
             *rc::gen::element(Idempotency::Idempotent, Idempotency::WithKey, Idempotency::NonIdempotent);
       }
-      const std::size_t at = below(requests.size());
-      Request& r = *requests[at];
-      r.now += static_cast<double>(below(60));
-      switch (below(6)) {
+      const std::size_t position = random_below(requests.size());
+      Request& request = *requests[position];
+      request.now += static_cast<double>(random_below(60));
+      switch (random_below(6)) {
         case 0: // bytes
         case 1: {
-          const std::uint64_t n = below(120) + 1;
-          const auto put = r.body.append(n);
-          if (put == RetainedBodies::Placement::TooLong) break;
-          r.come += n;
-          if (put != RetainedBodies::Placement::Unretained) r.kept += n;
-          if (put == RetainedBodies::Placement::File && below(4) == 0) {
-            r.body.on_file_failure(n);
-            r.kept -= n;
+          const std::uint64_t added_bytes = random_below(120) + 1;
+          const auto placement = request.body.append(added_bytes);
+          if (placement == RetainedBodies::Placement::TooLong) break;
+          request.received_bytes += added_bytes;
+          if (placement != RetainedBodies::Placement::Unretained) request.retained += added_bytes;
+          if (placement == RetainedBodies::Placement::File && random_below(4) == 0) {
+            request.body.on_file_failure(added_bytes);
+            request.retained -= added_bytes;
           }
           break;
         }
         case 2: // an attempt, where it is allowed
         case 3: {
-          const bool running = !r.out.empty();
-          const double since = r.first_at < 0 ? 0 : r.now - r.first_at;
-          if (!may_send(r.body.availability(), r.repeat, 100, {r.attempts, running, r.may_have_run, since}))
+          const bool has_in_flight = !request.in_flight.empty();
+          const double since_first_ms = request.first_sent_at < 0 ? 0 : request.now - request.first_sent_at;
+          if (!may_send(request.body.availability(), request.idempotency, 100,
+                        {request.attempts, has_in_flight, request.may_have_run, since_first_ms}))
             break;
-          RC_ASSERT(r.lost == 0u);                  // the body is available from its first byte
-          if (running) RC_ASSERT(r.kept == r.come); // and is retained for two readers
-          if (running || r.may_have_run) {
-            RC_ASSERT(r.repeat != Idempotency::NonIdempotent);
-            RC_ASSERT(r.repeat == Idempotency::Idempotent || r.now - r.first_at < 100);
+          RC_ASSERT(request.consumed_bytes == 0u); // the body is available from its first byte
+          if (has_in_flight)
+            RC_ASSERT(request.retained == request.received_bytes); // and is retained for two readers
+          if (has_in_flight || request.may_have_run) {
+            RC_ASSERT(request.idempotency != Idempotency::NonIdempotent);
+            RC_ASSERT(request.idempotency == Idempotency::Idempotent ||
+                      request.now - request.first_sent_at < 100);
           }
-          if (r.attempts == 0 || (!running && !r.may_have_run)) r.first_at = r.now;
-          ++r.attempts;
-          r.out.push_back(r.now);
+          if (request.attempts == 0 || (!has_in_flight && !request.may_have_run))
+            request.first_sent_at = request.now;
+          ++request.attempts;
+          request.in_flight.push_back(request.now);
           break;
         }
         case 4: // an attempt ends, whether run or not, with its body partly read
-          if (r.out.empty()) break;
-          r.out.pop_back();
-          if (r.kept < r.come && below(2) == 0) {
-            r.body.mark_consumed(r.come - r.kept);
-            r.lost = r.come - r.kept;
+          if (request.in_flight.empty()) break;
+          request.in_flight.pop_back();
+          if (request.retained < request.received_bytes && random_below(2) == 0) {
+            request.body.mark_consumed(request.received_bytes - request.retained);
+            request.consumed_bytes = request.received_bytes - request.retained;
           }
-          r.may_have_run |= below(2) == 0;
+          request.may_have_run |= random_below(2) == 0;
           break;
-        default: requests.erase(requests.begin() + static_cast<std::ptrdiff_t>(at));
+        default: requests.erase(requests.begin() + static_cast<std::ptrdiff_t>(position));
       }
-      RC_ASSERT(keeper.memory_bytes() <= rules.max_memory_bytes);
-      RC_ASSERT(keeper.file_bytes() <= rules.max_file_bytes);
-      RC_ASSERT(keeper.open_files() <= rules.max_files);
+      RC_ASSERT(bodies.memory_bytes() <= limits.max_memory_bytes);
+      RC_ASSERT(bodies.file_bytes() <= limits.max_file_bytes);
+      RC_ASSERT(bodies.open_files() <= limits.max_files);
     }
     requests.clear();
-    RC_ASSERT(keeper.memory_bytes() == 0u);
-    RC_ASSERT(keeper.file_bytes() == 0u);
-    RC_ASSERT(keeper.open_files() == 0u);
+    RC_ASSERT(bodies.memory_bytes() == 0u);
+    RC_ASSERT(bodies.file_bytes() == 0u);
+    RC_ASSERT(bodies.open_files() == 0u);
   }));
 }
--- a/tests/descriptors/descriptors_test.cpp
+++ b/tests/descriptors/descriptors_test.cpp
@@ -12,55 +12,56 @@
 #include "descriptors/descriptor_budget.h"
 
 using namespace fernward::descriptors;
-using Needs = DescriptorBudget::Eviction;
+using Eviction = DescriptorBudget::Eviction;
 
 namespace {
 
-std::vector<DescriptorBudget::Lease> take(DescriptorBudget& account, Side side, int places, double now = 0) {
-  std::vector<DescriptorBudget::Lease> taken;
+std::vector<DescriptorBudget::Lease> acquire_all(DescriptorBudget& budget, Side side, int places,
+                                                 double now = 0) {
+  std::vector<DescriptorBudget::Lease> leases;
   for (int i = 0; i < places; ++i) {
-    taken.push_back(account.acquire(now, side));
-    REQUIRE(taken.back());
+    leases.push_back(budget.acquire(now, side));
+    REQUIRE(leases.back());
   }
-  return taken;
+  return leases;
 }
 
 } // namespace
 
 TEST_CASE("a side holds up to three quarters while the other is unused and returns them") {
-  DescriptorBudget account(40);
-  auto clients = take(account, Side::Downstream, 30);
+  DescriptorBudget budget(40);
+  auto clients = acquire_all(budget, Side::Downstream, 30);
   // The remaining quarter is reserved for upstream.
-  CHECK(account.required_eviction(0, Side::Downstream) == Needs::OwnSide);
-  auto targets = take(account, Side::Upstream, 10);
-  CHECK(account.required_eviction(0, Side::Upstream) == Needs::OtherSide);
-  CHECK_FALSE(account.acquire(0, Side::Upstream));
+  CHECK(budget.required_eviction(0, Side::Downstream) == Eviction::OwnSide);
+  auto servers = acquire_all(budget, Side::Upstream, 10);
+  CHECK(budget.required_eviction(0, Side::Upstream) == Eviction::OtherSide);
+  CHECK_FALSE(budget.acquire(0, Side::Upstream));
   for (int i = 0; i < 10; ++i) {
-    REQUIRE(account.required_eviction(0, Side::Upstream) == Needs::OtherSide);
+    REQUIRE(budget.required_eviction(0, Side::Upstream) == Eviction::OtherSide);
     clients.pop_back(); // evicts a client connection
-    targets.push_back(account.acquire(0, Side::Upstream));
-    CHECK(targets.back());
+    servers.push_back(budget.acquire(0, Side::Upstream));
+    CHECK(servers.back());
   }
-  CHECK(account.required_eviction(0, Side::Upstream) == Needs::OwnSide); // each has its share
-  CHECK(account.required_eviction(0, Side::Downstream) == Needs::OwnSide);
+  CHECK(budget.required_eviction(0, Side::Upstream) == Eviction::OwnSide); // each has its share
+  CHECK(budget.required_eviction(0, Side::Downstream) == Eviction::OwnSide);
 }
 
 // Guards against spinning on EMFILE.
 TEST_CASE("a refused descriptor lowers the usable total which then recovers") {
-  DescriptorBudget account(200);
-  auto clients = take(account, Side::Downstream, 50);
-  CHECK(account.on_refused(1000));
-  CHECK(account.usable(1000) == 50);
-  CHECK(account.required_eviction(1000, Side::Downstream) == Needs::OwnSide);
-  CHECK(account.required_eviction(1000, Side::Upstream) == Needs::OtherSide);
-  CHECK_FALSE(account.on_refused(1500)); // within a second of the last refusal
-  CHECK(account.usable(2400) == 50);
-  CHECK(account.usable(2500) == 51);
-  CHECK(account.usable(6500) == 81);
-  CHECK(account.usable(60000) == 200);
+  DescriptorBudget budget(200);
+  auto clients = acquire_all(budget, Side::Downstream, 50);
+  CHECK(budget.on_descriptor_refused(1000));
+  CHECK(budget.usable(1000) == 50);
+  CHECK(budget.required_eviction(1000, Side::Downstream) == Eviction::OwnSide);
+  CHECK(budget.required_eviction(1000, Side::Upstream) == Eviction::OtherSide);
+  CHECK_FALSE(budget.on_descriptor_refused(1500)); // within a second of the last refusal
+  CHECK(budget.usable(2400) == 50);
+  CHECK(budget.usable(2500) == 51);
+  CHECK(budget.usable(6500) == 81);
+  CHECK(budget.usable(60000) == 200);
   clients.clear();
-  account.on_refused(70000); // with nothing in use it must still try again
-  CHECK(account.acquire(70000, Side::Downstream));
+  budget.on_descriptor_refused(70000); // with nothing in use it must still try again
+  CHECK(budget.acquire(70000, Side::Downstream));
 }
 
 TEST_CASE("incomplete requests exceed the buffer budget once they hold more than its total") {
@@ -75,7 +76,7 @@
     one.set(10);
     CHECK_FALSE(buffers.exceeded());
   }
-  CHECK(buffers.used() == 0);
+  CHECK(buffers.used_bytes() == 0);
 }
 
 TEST_CASE("properties of the descriptor budget over random events") {
@@ -83,47 +84,48 @@
     const auto total = *rc::gen::inRange<std::size_t>(0, 300);
     const auto events = *rc::gen::container<std::vector<std::pair<int, int>>>(
         rc::gen::pair(rc::gen::inRange(0, 40), rc::gen::inRange(0, 1000)));
-    DescriptorBudget account(total);
+    DescriptorBudget budget(total);
     std::array<std::deque<DescriptorBudget::Lease>, 2> held;
     double now = 0;
-    for (const auto& [what, number] : events) {
+    for (const auto& [event, number] : events) {
       now += number % 7 * 100;
       const auto side = static_cast<Side>(number % 2);
-      auto& mine = held[static_cast<std::size_t>(side)];
-      auto& others = held[1 - static_cast<std::size_t>(side)];
-      if (what == 0) {
-        account.on_refused(now);
-      } else if (what < 12 && !mine.empty()) {
-        DescriptorBudget::Lease moved = std::move(mine.front()); // a moved lease is returned only once
-        mine.pop_front();
+      auto& own_leases = held[static_cast<std::size_t>(side)];
+      auto& other_leases = held[1 - static_cast<std::size_t>(side)];
+      if (event == 0) {
+        budget.on_descriptor_refused(now);
+      } else if (event < 12 && !own_leases.empty()) {
+        DescriptorBudget::Lease moved = std::move(own_leases.front()); // a moved lease is returned only once
+        own_leases.pop_front();
       } else {
         for (int i = 0; i < number % 40; ++i) {
-          const std::size_t usable = account.usable(now), before = mine.size();
-          const Needs needs = account.required_eviction(now, side);
-          DescriptorBudget::Lease place = account.acquire(now, side);
-          RC_ASSERT(static_cast<bool>(place) == (needs == Needs::None));
-          if (place) {
-            RC_ASSERT(mine.size() + 1 + std::max(others.size(), DescriptorBudget::reserved_of(usable)) <=
+          const std::size_t usable = budget.usable(now), before = own_leases.size();
+          const Eviction required = budget.required_eviction(now, side);
+          DescriptorBudget::Lease lease = budget.acquire(now, side);
+          RC_ASSERT(static_cast<bool>(lease) == (required == Eviction::None));
+          if (lease) {
+            RC_ASSERT(own_leases.size() + 1 +
+                          std::max(other_leases.size(), DescriptorBudget::reserved_descriptors(usable)) <=
                       usable);
-            mine.push_back(std::move(place));
+            own_leases.push_back(std::move(lease));
           } else if (usable == total) {
-            RC_ASSERT(before >= DescriptorBudget::reserved_of(usable));
+            RC_ASSERT(before >= DescriptorBudget::reserved_descriptors(usable));
           }
-          if (needs == Needs::OtherSide) {
-            RC_ASSERT(others.size() > DescriptorBudget::fair_share_of(usable, side == Side::Downstream
-                                                                                  ? Side::Upstream
-                                                                                  : Side::Downstream));
-            others.pop_back(); // the other side releases one, which the owner can acquire
-            if (usable == total) RC_ASSERT(account.required_eviction(now, side) == Needs::None);
+          if (required == Eviction::OtherSide) {
+            RC_ASSERT(other_leases.size() > DescriptorBudget::fair_share(usable, side == Side::Downstream
+                                                                                     ? Side::Upstream
+                                                                                     : Side::Downstream));
+            other_leases.pop_back(); // the other side releases one, which the owner can acquire
+            if (usable == total) RC_ASSERT(budget.required_eviction(now, side) == Eviction::None);
           }
         }
       }
-      RC_ASSERT(account.used(Side::Downstream) == held[0].size());
-      RC_ASSERT(account.used(Side::Upstream) == held[1].size());
+      RC_ASSERT(budget.used(Side::Downstream) == held[0].size());
+      RC_ASSERT(budget.used(Side::Upstream) == held[1].size());
       RC_ASSERT(held[0].size() + held[1].size() <= total);
     }
     held = {};
-    RC_ASSERT(account.used(Side::Downstream) + account.used(Side::Upstream) == 0u);
+    RC_ASSERT(budget.used(Side::Downstream) + budget.used(Side::Upstream) == 0u);
   }));
 }
 
@@ -134,32 +136,32 @@
 bool any(ClientAdmission::Id) { return true; }
 
 // A connection sends a request; returns whether it stays open.
-bool ask(ClientAdmission& clients, ClientAdmission::Id id, double now, double took = 1) {
+bool send_request(ClientAdmission& clients, ClientAdmission::Id id, double now, double duration_ms = 1) {
   clients.on_request_active(now, id);
   clients.on_request_complete(now, id);
-  const bool ends = clients.should_close_after_response(now + took, id);
-  ends ? clients.on_lingering(now + took, id) : clients.on_idle(now + took, id);
-  return !ends;
+  const bool closes = clients.should_close_after_response(now + duration_ms, id);
+  closes ? clients.on_lingering(now + duration_ms, id) : clients.on_idle(now + duration_ms, id);
+  return !closes;
 }
 
-bool first_ask(ClientAdmission& clients, ClientAdmission::Id id, double now) {
+bool accept_and_send_request(ClientAdmission& clients, ClientAdmission::Id id, double now) {
   clients.on_accepted(now, id);
-  return ask(clients, id, now);
+  return send_request(clients, id, now);
 }
 
 } // namespace
 
 TEST_CASE("eviction order: lingering then no request then one request then oldest last request but one") {
   ClientAdmission clients({.max_clients = 100, .first_request_grace_ms = 100, .min_idle_ms = 2000});
-  first_ask(clients, 1, 0); // several requests: its last request but one is the oldest
-  ask(clients, 1, 5000);
-  first_ask(clients, 2, 4000); // several requests within a short time
-  ask(clients, 2, 4050);
-  ask(clients, 2, 4100);
-  first_ask(clients, 3, 4500);  // one request
-  first_ask(clients, 4, 4400);  // one request, idle for longer
-  clients.on_accepted(4600, 5); // no request
-  first_ask(clients, 6, 4700);
+  accept_and_send_request(clients, 1, 0); // several requests: its last request but one is the oldest
+  send_request(clients, 1, 5000);
+  accept_and_send_request(clients, 2, 4000); // several requests within a short time
+  send_request(clients, 2, 4050);
+  send_request(clients, 2, 4100);
+  accept_and_send_request(clients, 3, 4500); // one request
+  accept_and_send_request(clients, 4, 4400); // one request, idle for longer
+  clients.on_accepted(4600, 5);              // no request
+  accept_and_send_request(clients, 6, 4700);
   clients.on_lingering(4800, 6);
   clients.on_accepted(5990, 7); // its request may be in transit
   clients.on_accepted(5000, 8);
@@ -172,7 +174,7 @@
   CHECK(order == std::vector<ClientAdmission::Id>{6, 5, 4, 3, 1, 2});
   CHECK(clients.select_for_eviction(6100, any) == 7u);
   CHECK_FALSE(clients.select_for_eviction(6100, [](ClientAdmission::Id) { return false; }));
-  first_ask(clients, 20, 6200);
+  accept_and_send_request(clients, 20, 6200);
   for (ClientAdmission::Id id = 21; id < 25; ++id) clients.on_accepted(6200, id);
   clients.on_closed(6200, 7, ClientAdmission::ClosedBy::Client);
   // New connections that may still send a request do not displace idle ones.
@@ -186,103 +188,106 @@
   double now = 0;
   for (int round = 0; round < 100; ++round, now += 50) {
     for (ClientAdmission::Id id = 1; id <= 20; ++id)
-      CHECK((round == 0 ? first_ask(clients, id, now) : ask(clients, id, now)));
+      CHECK((round == 0 ? accept_and_send_request(clients, id, now) : send_request(clients, id, now)));
   }
   CHECK_FALSE(clients.expired_idle(now));
 }
 
 namespace {
 
-struct Crowd { // a group of similar clients in virtual time
-  double every_ms;
+struct ClientGroup { // a group of similar clients in virtual time
+  double interval_ms;
   int clients;
-  int requests; // per connection, which then stays open unused; 0: it is used for ever
-  bool leaves;  // the client closes the connection instead
+  int requests;       // per connection, which then stays open unused; 0: it is used for ever
+  bool client_closes; // the client closes the connection instead
 };
 
 struct Result {
-  int asked = 0, turned_away = 0, opened = 0, told = 0, cut = 0; // cut: by expired_idle()
+  int requests_sent = 0, rejected = 0, opened = 0, closed_with_response = 0,
+      closed_while_idle = 0; // cut: by expired_idle()
 };
 
 // Simulates client groups against a table of at most `places` connections; requests that would need a further
 // connection are rejected. Requests take `took` ms.
-std::vector<Result> play(const std::vector<Crowd>& crowds, std::size_t places, double seconds, double took,
-                         ClientAdmission& clients) {
-  struct One {
-    std::size_t crowd;
+std::vector<Result> simulate(const std::vector<ClientGroup>& groups, std::size_t places, double seconds,
+                             double duration_ms, ClientAdmission& clients) {
+  struct SimulatedClient {
+    std::size_t group;
     ClientAdmission::Id id = 0;
     int requests = 0;
   };
-  std::vector<Result> results(crowds.size());
-  std::vector<One> all;
-  std::multimap<double, std::size_t> next; // client index by time of its next request
-  std::multimap<double, std::size_t> done;
-  struct Open {
-    std::size_t crowd, who;
-    bool forgotten = false; // the client does not use it again
+  std::vector<Result> results(groups.size());
+  std::vector<SimulatedClient> simulated_clients;
+  std::multimap<double, std::size_t> next_requests; // client index by time of its next request
+  std::multimap<double, std::size_t> response_times;
+  struct OpenConnection {
+    std::size_t group, client_index;
+    bool abandoned = false; // the client does not use it again
   };
-  std::map<ClientAdmission::Id, Open> open;
-  ClientAdmission::Id last = 0;
-  for (std::size_t k = 0; k < crowds.size(); ++k) {
-    for (int i = 0; i < crowds[k].clients; ++i) {
-      next.emplace(crowds[k].every_ms * i / crowds[k].clients, all.size());
-      all.push_back({k});
+  std::map<ClientAdmission::Id, OpenConnection> open_connections;
+  ClientAdmission::Id last_id = 0;
+  for (std::size_t k = 0; k < groups.size(); ++k) {
+    for (int i = 0; i < groups[k].clients; ++i) {
+      next_requests.emplace(groups[k].interval_ms * i / groups[k].clients, simulated_clients.size());
+      simulated_clients.push_back({k});
     }
   }
-  const auto close = [&](ClientAdmission::Id id, double now, ClientAdmission::ClosedBy how) {
-    const auto it = open.find(id);
-    if (!it->second.forgotten) all[it->second.who].id = 0;
-    open.erase(it);
-    clients.on_closed(now, id, how);
+  const auto close_connection = [&](ClientAdmission::Id id, double now, ClientAdmission::ClosedBy closed_by) {
+    const auto it = open_connections.find(id);
+    if (!it->second.abandoned) simulated_clients[it->second.client_index].id = 0;
+    open_connections.erase(it);
+    clients.on_closed(now, id, closed_by);
   };
-  double relieved = 0;
+  double last_eviction_at = 0;
   while (true) {
-    const bool ends_first = !done.empty() && (next.empty() || done.begin()->first <= next.begin()->first);
-    auto& queue = ends_first ? done : next;
-    const auto [now, who] = *queue.begin();
+    const bool response_first =
+        !response_times.empty() &&
+        (next_requests.empty() || response_times.begin()->first <= next_requests.begin()->first);
+    auto& queue = response_first ? response_times : next_requests;
+    const auto [now, client_index] = *queue.begin();
     queue.erase(queue.begin());
     if (now > seconds * 1000) return results;
-    One& one = all[who];
-    const Crowd& crowd = crowds[one.crowd];
-    Result& result = results[one.crowd];
-    if (now - relieved >= 250) {
-      relieved = now;
+    SimulatedClient& simulated_client = simulated_clients[client_index];
+    const ClientGroup& group = groups[simulated_client.group];
+    Result& result = results[simulated_client.group];
+    if (now - last_eviction_at >= 250) {
+      last_eviction_at = now;
       for (auto id = clients.expired_idle(now); id; id = clients.expired_idle(now)) {
-        ++results[open.at(*id).crowd].cut;
-        close(*id, now, ClientAdmission::ClosedBy::Router);
+        ++results[open_connections.at(*id).group].closed_while_idle;
+        close_connection(*id, now, ClientAdmission::ClosedBy::Router);
       }
     }
-    if (ends_first) {
-      if (clients.should_close_after_response(now, one.id)) {
-        ++result.told;
-        clients.on_lingering(now, one.id);
-        close(one.id, now, ClientAdmission::ClosedBy::Client);
-      } else if (clients.on_idle(now, one.id); ++one.requests == crowd.requests) {
-        if (crowd.leaves) {
-          close(one.id, now, ClientAdmission::ClosedBy::Client);
+    if (response_first) {
+      if (clients.should_close_after_response(now, simulated_client.id)) {
+        ++result.closed_with_response;
+        clients.on_lingering(now, simulated_client.id);
+        close_connection(simulated_client.id, now, ClientAdmission::ClosedBy::Client);
+      } else if (clients.on_idle(now, simulated_client.id); ++simulated_client.requests == group.requests) {
+        if (group.client_closes) {
+          close_connection(simulated_client.id, now, ClientAdmission::ClosedBy::Client);
         } else { // the client abandons the connection: its next request uses a new one
-          open.at(one.id).forgotten = true;
-          one.id = 0;
+          open_connections.at(simulated_client.id).abandoned = true;
+          simulated_client.id = 0;
         }
       }
       continue;
     }
-    next.emplace(now + crowd.every_ms, who);
-    ++result.asked;
-    if (one.id == 0) {
-      if (open.size() >= places) {
-        ++result.turned_away;
+    next_requests.emplace(now + group.interval_ms, client_index);
+    ++result.requests_sent;
+    if (simulated_client.id == 0) {
+      if (open_connections.size() >= places) {
+        ++result.rejected;
         continue;
       }
-      one.id = ++last;
-      one.requests = 0;
+      simulated_client.id = ++last_id;
+      simulated_client.requests = 0;
       ++result.opened;
-      open[one.id] = {one.crowd, who};
-      clients.on_accepted(now, one.id);
+      open_connections[simulated_client.id] = {simulated_client.group, client_index};
+      clients.on_accepted(now, simulated_client.id);
     }
-    clients.on_request_active(now, one.id);
-    clients.on_request_complete(now, one.id);
-    done.emplace(now + took, who);
+    clients.on_request_active(now, simulated_client.id);
+    clients.on_request_complete(now, simulated_client.id);
+    response_times.emplace(now + duration_ms, client_index);
   }
 }
 
@@ -293,10 +298,10 @@
   const struct {
     std::string name;
     std::size_t places;
-    std::vector<Crowd> crowds;
-    double took;
-    double away;   // highest share of the first group's requests that may be rejected
-    double opened; // highest share of the first group's requests that may open a connection
+    std::vector<ClientGroup> groups;
+    double duration_ms;
+    double max_rejected_share; // highest share of the first group's requests that may be rejected
+    double opened;             // highest share of the first group's requests that may open a connection
   } table[] = {
       {"300 clients per second send one request and keep the connection",
        128,
@@ -337,14 +342,15 @@
   for (const auto& row : table) {
     CAPTURE(row.name);
     ClientAdmission clients({.max_clients = row.places});
-    const auto results = play(row.crowds, row.places, 60, row.took, clients);
-    const double asked = results[0].asked;
-    MESSAGE(row.name << ": requests " << results[0].asked << ", rejected " << results[0].turned_away
-                     << ", opened " << results[0].opened << ", closed with a response " << results[0].told
-                     << ", closed while idle " << results[0].cut);
-    CHECK(results[0].turned_away <= row.away * asked);
+    const auto results = simulate(row.groups, row.places, 60, row.duration_ms, clients);
+    const double asked = results[0].requests_sent;
+    MESSAGE(row.name << ": requests " << results[0].requests_sent << ", rejected " << results[0].rejected
+                     << ", opened " << results[0].opened << ", closed with a response "
+                     << results[0].closed_with_response << ", closed while idle "
+                     << results[0].closed_while_idle);
+    CHECK(results[0].rejected <= row.max_rejected_share * asked);
     CHECK(results[0].opened <= row.opened * asked);
-    if (results.size() > 1) CHECK(results[1].turned_away <= 0.02 * results[1].asked);
+    if (results.size() > 1) CHECK(results[1].rejected <= 0.02 * results[1].requests_sent);
   }
 }
 
@@ -355,53 +361,57 @@
         rc::gen::pair(rc::gen::inRange(0, 9), rc::gen::inRange<ClientAdmission::Id>(1, 40)));
     ClientAdmission clients({.max_clients = places});
     struct State {
-      bool asked = false, spare = false, lingers = false;
+      bool has_requested = false, evictable = false, lingering = false;
     };
     std::map<ClientAdmission::Id, State> known;
     double now = 0;
-    for (const auto& [what, id] : events) {
+    for (const auto& [event, id] : events) {
       now += static_cast<double>(id) * 40;
       const auto it = known.find(id);
-      const bool here = it != known.end() && !it->second.lingers;
-      switch (what) {
+      const bool serving = it != known.end() && !it->second.lingering;
+      switch (event) {
         case 0:
           clients.on_accepted(now, id);
           if (it == known.end()) known[id] = {false, true, false};
           break;
         case 1:
           clients.on_request_active(now, id);
-          if (it != known.end()) it->second.spare = false;
+          if (it != known.end()) it->second.evictable = false;
           break;
         case 2:
         case 3:
           clients.on_request_complete(now, id);
-          if (here) it->second = {true, false, false};
+          if (serving) it->second = {true, false, false};
           break;
         case 4:
-          if (here && clients.should_close_after_response(now, id)) RC_ASSERT(clients.active() > places / 4);
+          if (serving && clients.should_close_after_response(now, id))
+            RC_ASSERT(clients.active() > places / 4);
           break;
         case 5:
         case 6:
           clients.on_idle(now, id);
-          if (here) it->second.spare = true;
+          if (serving) it->second.evictable = true;
           break;
         case 7:
           clients.on_lingering(now, id);
-          if (it != known.end()) it->second.lingers = it->second.spare = true;
+          if (it != known.end()) it->second.lingering = it->second.evictable = true;
           break;
         default:
           clients.on_closed(
-              now, id, what % 2 == 0 ? ClientAdmission::ClosedBy::Client : ClientAdmission::ClosedBy::Router);
+              now, id,
+              event % 2 == 0 ? ClientAdmission::ClosedBy::Client : ClientAdmission::ClosedBy::Router);
           known.erase(id);
       }
       RC_ASSERT(clients.size() == known.size());
-      std::size_t asking = 0;
-      for (const auto& [k, s] : known) asking += s.asked && !s.lingers;
-      RC_ASSERT(clients.active() == asking);
+      std::size_t active = 0;
+      for (const auto& [k, s] : known) active += s.has_requested && !s.lingering;
+      RC_ASSERT(clients.active() == active);
       RC_ASSERT(clients.return_share() >= 0 && clients.return_share() <= 1);
-      if (const auto id_spare = clients.select_for_eviction(now, any)) RC_ASSERT(known.at(*id_spare).spare);
-      if (const auto late = clients.expired_idle(now)) {
-        RC_ASSERT(known.at(*late).spare && known.at(*late).asked && !known.at(*late).lingers);
+      if (const auto eviction_id = clients.select_for_eviction(now, any))
+        RC_ASSERT(known.at(*eviction_id).evictable);
+      if (const auto expired = clients.expired_idle(now)) {
+        RC_ASSERT(known.at(*expired).evictable && known.at(*expired).has_requested &&
+                  !known.at(*expired).lingering);
       }
     }
   }));
--- a/tests/faults/cells.h
+++ b/tests/faults/cells.h
@@ -13,21 +13,22 @@
   std::string stage, fault;
   // Run by faults_test.cpp; else `coverage` names a test, or says why the fault is impossible.
   bool played = false;
-  std::string how;
+  std::string coverage;
 };
 
 inline std::vector<Cell> read_cells(const std::string& path) {
-  std::ifstream in(path);
+  std::ifstream file(path);
   std::vector<Cell> cells;
-  for (std::string line; std::getline(in, line);) {
+  for (std::string line; std::getline(file, line);) {
     if (line.empty() || line.front() == '#') continue;
-    const auto first = line.find(" | "), second = line.find(" | ", first + 3);
-    if (second == std::string::npos)
+    const auto first_separator = line.find(" | "), second_separator = line.find(" | ", first_separator + 3);
+    if (second_separator == std::string::npos)
       throw std::runtime_error("cells.txt: expected 'stage | fault | how', got: " + line);
-    Cell cell{line.substr(0, first), line.substr(first + 3, second - first - 3), false,
-              line.substr(second + 3)};
-    cell.played = cell.how == "played";
-    if (!cell.played && !cell.how.starts_with("test: ") && !cell.how.starts_with("never: "))
+    Cell cell{line.substr(0, first_separator),
+              line.substr(first_separator + 3, second_separator - first_separator - 3), false,
+              line.substr(second_separator + 3)};
+    cell.played = cell.coverage == "played";
+    if (!cell.played && !cell.coverage.starts_with("test: ") && !cell.coverage.starts_with("never: "))
       throw std::runtime_error("cells.txt: expected 'played', 'test: NAME' or 'never: WHY', got: " + line);
     cells.push_back(cell);
   }
--- a/tests/faults/checker_test.cpp
+++ b/tests/faults/checker_test.cpp
@@ -3,86 +3,92 @@
 #include <doctest/doctest.h>
 #include <unistd.h>
 
-#include "witness.h"
+#include "cell_recorder.h"
 
 using namespace fernward;
 using namespace fernward::tests;
-using Heard = model::Heard;
+using Heard = model::TryOutcome;
 
 namespace {
 
-struct Told : Witness {
-  Told() {
-    for (const model::MachineId m : {0u, 1u, ledger()}) told(m, ServerState::Ready);
+struct ReadyCellRecorder : CellRecorder {
+  ReadyCellRecorder() {
+    for (const model::MachineId m : {0u, 1u, origin()}) on_endpoint_state(m, ServerState::Ready);
   }
-  bool finds(const std::string& rule) { return judge().find(rule + ": ") != std::string::npos; }
+  bool reports_breach_of(const std::string& rule) { return check().find(rule + ": ") != std::string::npos; }
 };
 
 } // namespace
 
 TEST_CASE("checker of the fault cells: a correct router causes no breach") {
-  Told t;
-  t.asked("a", 0);
-  t.ended(t.came("a", 0, loop::now_ms()), model::Ending::Miss);
-  t.ended(t.came("a", t.ledger(), loop::now_ms()), model::Ending::Fetched);
-  t.heard("a", Heard::Served);
-  CHECK(t.judge() == "");
+  ReadyCellRecorder recorder;
+  recorder.on_request("a", 0);
+  recorder.on_attempt_ended(recorder.on_attempt_received("a", 0, loop::now_ms()), model::ServerOutcome::Miss);
+  recorder.on_attempt_ended(recorder.on_attempt_received("a", recorder.origin(), loop::now_ms()),
+                            model::ServerOutcome::Fetched);
+  recorder.on_response("a", Heard::Served);
+  CHECK(recorder.check() == "");
 }
 
 TEST_CASE("checker of the fault cells: each fault of a router is detected") {
-  Told t;
+  ReadyCellRecorder recorder;
   SUBCASE("two responses to one request") {
-    t.asked("a", 0);
-    t.heard("a", Heard::Served);
-    t.heard("a", Heard::Served);
-    CHECK(t.finds("one-answer"));
+    recorder.on_request("a", 0);
+    recorder.on_response("a", Heard::Served);
+    recorder.on_response("a", Heard::Served);
+    CHECK(recorder.reports_breach_of("one-answer"));
   }
   SUBCASE("a connection that ends without a response") {
-    t.asked("a", 0);
-    t.heard("a", Heard::Broken);
-    CHECK(t.finds("no-lost"));
+    recorder.on_request("a", 0);
+    recorder.on_response("a", Heard::ConnectionLost);
+    CHECK(recorder.reports_breach_of("no-lost"));
   }
   SUBCASE("a response after the client timeout") {
-    t.asked("a", 0);
-    usleep(static_cast<useconds_t>(1000 * (kGiveUpMs + 200)));
-    t.heard("a", Heard::Failed);
-    CHECK(t.finds("no-lost"));
+    recorder.on_request("a", 0);
+    usleep(static_cast<useconds_t>(1000 * (kClientTimeoutMs + 200)));
+    recorder.on_response("a", Heard::Failed);
+    CHECK(recorder.reports_breach_of("no-lost"));
   }
   SUBCASE("a value that no node sent") {
-    t.asked("a", 0);
-    t.heard("a", Heard::Served, false);
-    CHECK(t.finds("genuine"));
+    recorder.on_request("a", 0);
+    recorder.on_response("a", Heard::Served, false);
+    CHECK(recorder.reports_breach_of("genuine"));
   }
   SUBCASE("a non-idempotent request sent again after it may have run") {
-    t.asked("a", 2);
-    t.ended(t.came("a", t.ledger(), loop::now_ms()), model::Ending::Lost);
-    t.ended(t.came("a", t.ledger(), loop::now_ms()), model::Ending::Written);
-    t.heard("a", Heard::Served);
-    CHECK(t.finds("repeats"));
+    recorder.on_request("a", 2);
+    recorder.on_attempt_ended(recorder.on_attempt_received("a", recorder.origin(), loop::now_ms()),
+                              model::ServerOutcome::Lost);
+    recorder.on_attempt_ended(recorder.on_attempt_received("a", recorder.origin(), loop::now_ms()),
+                              model::ServerOutcome::Written);
+    recorder.on_response("a", Heard::Served);
+    CHECK(recorder.reports_breach_of("repeats"));
   }
   SUBCASE("a non-idempotent request rejected as if it had not run") {
-    t.asked("a", 2);
-    t.ended(t.came("a", t.ledger(), loop::now_ms()), model::Ending::Lost);
-    t.heard("a", Heard::Refused);
-    CHECK(t.finds("repeats"));
+    recorder.on_request("a", 2);
+    recorder.on_attempt_ended(recorder.on_attempt_received("a", recorder.origin(), loop::now_ms()),
+                              model::ServerOutcome::Lost);
+    recorder.on_response("a", Heard::Rejected);
+    CHECK(recorder.reports_breach_of("repeats"));
   }
   SUBCASE("an attempt for an unknown request") {
-    t.came("stranger", 0, loop::now_ms());
-    CHECK(t.finds("repeats"));
+    recorder.on_attempt_received("stranger", 0, loop::now_ms());
+    CHECK(recorder.reports_breach_of("repeats"));
   }
   SUBCASE("a new request sent to a node long after it started to drain") {
-    t.told(0, ServerState::Draining);
+    recorder.on_endpoint_state(0, ServerState::Draining);
     usleep(450000);
-    t.asked("a", 0);
-    t.ended(t.came("a", 0, loop::now_ms()), model::Ending::Hit);
-    t.heard("a", Heard::Served);
-    CHECK(t.finds("drains"));
+    recorder.on_request("a", 0);
+    recorder.on_attempt_ended(recorder.on_attempt_received("a", 0, loop::now_ms()),
+                              model::ServerOutcome::Hit);
+    recorder.on_response("a", Heard::Served);
+    CHECK(recorder.reports_breach_of("drains"));
   }
   SUBCASE("a request given up with no attempt in flight but not answered at once") {
-    t.asked("a", 1);
-    t.ended(t.came("a", t.ledger(), loop::now_ms()), model::Ending::Error);
+    recorder.on_request("a", 1);
+    recorder.on_attempt_ended(recorder.on_attempt_received("a", recorder.origin(), loop::now_ms()),
+                              model::ServerOutcome::Error);
     usleep(250000);
-    t.heard("a", Heard::Refused);
-    CHECK(t.finds("at-once"));
+    recorder.on_response("a", Heard::Rejected);
+    CHECK(recorder.reports_breach_of("at-once"));
   }
 }
--- a/tests/faults/faults_test.cpp
+++ b/tests/faults/faults_test.cpp
@@ -8,54 +8,60 @@
 
 #include <set>
 
-#include "caller.h"
+#include "cell_recorder.h"
 #include "cells.h"
-#include "witness.h"
+#include "control_client.h"
 
 using namespace fernward;
 using namespace fernward::tests;
 
 namespace {
 
-using Heard = model::Heard;
+using Heard = model::TryOutcome;
 
 [[maybe_unused]] const auto no_signal = signal(SIGPIPE, SIG_IGN); // peers write to closed connections
 
-enum class Under { Nothing, Term, Hup };
+enum class SignalSent { None, Term, Hup };
 
-constexpr std::size_t kLong = 1 << 20;    // a response that is streamed
-constexpr std::size_t kUpload = 6u << 20; // a body larger than the socket buffers
-constexpr std::size_t kFlowing = 1 << 20; // a body that is streamed
-const char* const kSubject = "subject";
+constexpr std::size_t kLongResponseBytes = 1 << 20;   // a response that is streamed
+constexpr std::size_t kBlockedUploadBytes = 6u << 20; // a body larger than the socket buffers
+constexpr std::size_t kStreamedBodyBytes = 1 << 20;   // a body that is streamed
+const char* const kTestedRequestId = "subject";
 
 std::string value_of(const std::string& target) { return "v of " + target; }
-std::string long_value() { return std::string(kLong, 'L'); }
+std::string long_response_value() { return std::string(kLongResponseBytes, 'L'); }
 
 // A message split into the part sent before the stage is reached, and the rest.
-struct Part {
+struct SplitText {
   std::string first, rest;
 };
-Part cut(const std::string& text, std::size_t at) { return {text.substr(0, at), text.substr(at)}; }
-
-struct Play {
-  Play(const Cell& cell, const std::string& class_name, Under what)
-      : stage(cell.stage), fault(cell.fault), cls(class_name), under(what), w([this](Json& file) {
-          settings_of(file);
-        }) {
-    config = config_json(w.discovery.address, node_list(7, true, w.all()));
-    settings_of(config);
+SplitText split_at(const std::string& text, std::size_t at) { return {text.substr(0, at), text.substr(at)}; }
+
+struct CellRun {
+  CellRun(const Cell& cell, const std::string& class_name, SignalSent signal_sent)
+      : stage(cell.stage),
+        fault(cell.fault),
+        request_class(class_name),
+        delivered_signal(signal_sent),
+        environment([this](Json& file) { apply_settings(file); }) {
+    config =
+        config_json(environment.discovery.address, endpoint_list_json(7, true, environment.all_endpoints()));
+    apply_settings(config);
     std::size_t i = 0;
-    for (Peer* peer : {&w.one, &w.two, &third, &w.origin}) {
-      const auto machine = static_cast<model::MachineId>(i++);
-      peer->script = [this, peer, machine](const http::Message& m) { return arrived(*peer, machine, m); };
-      if (machine != 2) witness.told(machine, ServerState::Ready);
+    for (ScriptedServer* peer :
+         {&environment.cache_1, &environment.cache_2, &third_node, &environment.origin}) {
+      const auto target_machine = static_cast<model::MachineId>(i++);
+      peer->script = [this, peer, target_machine](const http::Message& m) {
+        return on_node_request(*peer, target_machine, m);
+      };
+      if (target_machine != 2) recorder.on_endpoint_state(target_machine, ServerState::Ready);
     }
   }
 
-  bool writes() const { return cls != "read"; }
-  bool lookup() const { return !writes(); }
+  bool writes() const { return request_class != "read"; }
+  bool reads() const { return !writes(); }
 
-  void settings_of(Json& file) {
+  void apply_settings(Json& file) {
     file["limits"]["memory_mb"] = fault == "buffers-out" ? 8 : 64;
     if (fault == "body-file-fails") {
       file["limits"]["memory_mb"] = 16; // 256 KiB of a body are retained in memory
@@ -63,168 +69,179 @@
     }
     auto& classes = file["settings"]["classes"];
     classes.push_back({{"name", "once"}, {"repeat", "unsafe"}, {"worth", 1}});
-    for (auto& c : classes) c["aim"] = kAimMs, c["give_up"] = kGiveUpMs;
-    classes[1]["window"] = kWindowMs;
+    for (auto& c : classes) c["aim"] = kObjectiveMs, c["give_up"] = kClientTimeoutMs;
+    classes[1]["window"] = kIdempotencyWindowMs;
     if (stage == "waiting") file["settings"]["balancers"] = 32; // one write at a time at the origin
   }
 
   // ---- the nodes ----
 
-  std::string arrived(Peer& peer, model::MachineId machine, const http::Message& m) {
-    const std::string id(m.header("x-request-id"));
-    const auto attempt = witness.came(id, machine, peer.begun_at);
-    const std::string said = reply(peer, m);
-    if (said.empty() || !peer.whole) {
-      held[&peer].push_back({id, attempt});
-      return said;
+  std::string on_node_request(ScriptedServer& peer, model::MachineId machine, const http::Message& message) {
+    const std::string id(message.header("x-request-id"));
+    const auto attempt = recorder.on_attempt_received(id, machine, peer.last_request_began_at_ms);
+    const std::string response = reply(peer, message);
+    if (response.empty() || !peer.response_complete) {
+      unanswered_attempts[&peer].push_back({id, attempt});
+      return response;
     }
-    witness.ended(attempt, ending_of(said, machine));
-    return said;
+    recorder.on_attempt_ended(attempt, ending_of(response, machine));
+    return response;
   }
-  model::Ending ending_of(const std::string& said, model::MachineId machine) const {
-    if (said == kTurnedAway) return model::Ending::Full;
-    if (said == kMiss) return model::Ending::Miss;
-    if (!said.starts_with("HTTP/1.1 200")) return model::Ending::Error;
-    return machine == witness.ledger() ? writes() ? model::Ending::Written : model::Ending::Fetched
-                                       : model::Ending::Hit;
+  model::ServerOutcome ending_of(const std::string& response, model::MachineId machine) const {
+    if (response == kNotProcessed) return model::ServerOutcome::Full;
+    if (response == kCacheMiss) return model::ServerOutcome::Miss;
+    if (!response.starts_with("HTTP/1.1 200")) return model::ServerOutcome::Error;
+    return machine == recorder.origin()
+               ? writes() ? model::ServerOutcome::Written : model::ServerOutcome::Fetched
+               : model::ServerOutcome::Hit;
   }
   // Ends all attempts that `peer` has not answered.
-  void end_held(Peer& peer, model::Ending how) {
-    for (const auto& [id, attempt] : std::exchange(held[&peer], {})) witness.ended(attempt, how);
+  void end_unanswered(ScriptedServer& peer, model::ServerOutcome how) {
+    for (const auto& [id, attempt] : std::exchange(unanswered_attempts[&peer], {}))
+      recorder.on_attempt_ended(attempt, how);
   }
-  std::string reply(Peer& peer, const http::Message& m) {
-    peer.whole = true;
-    const std::string id(m.header("x-request-id"));
-    const bool holds = id == kSubject && &peer == node && !reached;
-    if (holds && stage == "awaiting") return "";
-    if (holds && (stage == "answer-head" || stage == "answer-body" || stage == "passing")) {
-      peer.whole = false;
-      return answer.first;
-    }
-    if (stage == "waiting" && !reached && id == "leader" && (&peer == &w.origin)) return "";
-    if (stage == "waiting" && lookup() && &peer != &w.origin && !stored) return kMiss;
-    if (silent.count(&peer) > 0) return "";
-    if (const auto found = says.find(&peer); found != says.end()) return found->second;
-    return ok(stage == "passing" && id == kSubject ? long_value() : value_of(m.target));
+  std::string reply(ScriptedServer& peer, const http::Message& message) {
+    peer.response_complete = true;
+    const std::string id(message.header("x-request-id"));
+    const bool withhold = id == kTestedRequestId && &peer == target && !stage_reached;
+    if (withhold && stage == "awaiting") return "";
+    if (withhold && (stage == "answer-head" || stage == "answer-body" || stage == "passing")) {
+      peer.response_complete = false;
+      return response_text.first;
+    }
+    if (stage == "waiting" && !stage_reached && id == "leader" && (&peer == &environment.origin)) return "";
+    if (stage == "waiting" && reads() && &peer != &environment.origin && !cache_has_value) return kCacheMiss;
+    if (silent_nodes.count(&peer) > 0) return "";
+    if (const auto found = forced_replies.find(&peer); found != forced_replies.end()) return found->second;
+    return ok_response(stage == "passing" && id == kTestedRequestId ? long_response_value()
+                                                                    : value_of(message.target));
   }
 
   // ---- the client ----
 
   std::string request(const std::string& id, std::size_t body) const {
-    if (lookup()) return get("/k/subject", id);
+    if (reads()) return get_request("/k/subject", id);
     std::string head = "PUT /k/subject HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id +
-                       "\r\nX-Priority-Class: " + cls + "\r\nIdempotency-Key: k-" + id +
+                       "\r\nX-Priority-Class: " + request_class + "\r\nIdempotency-Key: k-" + id +
                        "\r\nX-Timeout-Ms: 2000\r\nContent-Length: " + std::to_string(body) + "\r\n\r\n";
     return head + std::string(body, 'b');
   }
-  std::uint32_t class_number() const { return cls == "read" ? 0 : cls == "book" ? 1 : 2; }
+  std::uint32_t class_number() const { return request_class == "read" ? 0 : request_class == "book" ? 1 : 2; }
 
   // Runs the event loop until `done`, and records the clients' responses meanwhile.
-  bool until(const std::function<bool()>& done) {
-    return w.until([&] {
-      witness.looked();
-      for (auto& [id, c] : clients) hear(id, *c);
+  bool run_until(const std::function<bool()>& done) {
+    return environment.wait_until([&] {
+      recorder.record_loop_gap();
+      for (auto& [id, c] : clients) record_response(id, *c);
       return done();
     });
   }
-  void wait(double ms) {
+  void run_for_ms(double ms) {
     const double end = loop::now_ms() + ms;
-    until([end] { return loop::now_ms() >= end; });
+    run_until([end] { return loop::now_ms() >= end; });
   }
-  void hear(const std::string& id, Client& c) {
-    if (!witness.known(id) || witness.is_over(id)) return;
-    if (c.answers.size() > before[id]) {
-      const http::Message& a = c.answers[before[id]];
-      if (a.status == 200) {
-        const bool genuine =
-            a.body == value_of("/k/subject") || (stage == "passing" && a.body == long_value());
-        return witness.heard(id, Heard::Served, genuine);
+  void record_response(const std::string& id, TestClient& client_connection) {
+    if (!recorder.is_known(id) || recorder.is_finished(id)) return;
+    if (client_connection.responses.size() > responses_before[id]) {
+      const http::Message& response = client_connection.responses[responses_before[id]];
+      if (response.status == 200) {
+        const bool genuine = response.body == value_of("/k/subject") ||
+                             (stage == "passing" && response.body == long_response_value());
+        return recorder.on_response(id, Heard::Served, genuine);
       }
-      return witness.heard(id, a.status == 503 ? Heard::Refused : Heard::Failed);
+      return recorder.on_response(id, response.status == 503 ? Heard::Rejected : Heard::Failed);
     }
     // If its node fails, a streamed response is truncated: then it is only required that the client can
     // detect it.
-    if (c.closed)
-      witness.heard(id, stage == "passing" && id == kSubject && node_breaks() ? Heard::Left : Heard::Broken);
+    if (client_connection.closed)
+      recorder.on_response(id, stage == "passing" && id == kTestedRequestId && node_breaks()
+                                   ? Heard::Abandoned
+                                   : Heard::ConnectionLost);
   }
-  Client& client(const std::string& id) {
-    auto& c = clients[id];
-    if (c == nullptr) c = std::make_unique<Client>(w.base.get(), w.router->port());
-    return *c;
+  TestClient& client(const std::string& id) {
+    auto& client_connection = clients[id];
+    if (client_connection == nullptr)
+      client_connection = std::make_unique<TestClient>(environment.base.get(), environment.router->port());
+    return *client_connection;
   }
   // Records that the complete request is sent from now on.
-  void asks(const std::string& id, bool owed = true) {
-    before.try_emplace(id, client(id).answers.size()); // a response may arrive before the request is complete
-    witness.asked(id, class_number(), owed);
+  void begin_request(const std::string& id, bool owed = true) {
+    responses_before.try_emplace(
+        id, client(id).responses.size()); // a response may arrive before the request is complete
+    recorder.on_request(id, class_number(), owed);
   }
-  bool ask(const std::string& id) {
-    asks(id);
+  bool request_and_wait(const std::string& id) {
+    begin_request(id);
     client(id).send(request(id, 1));
-    return until([&] { return witness.is_over(id); });
+    return run_until([&] { return recorder.is_finished(id); });
   }
 
   // ---- reaching the stage ----
 
-  bool reach() {
-    if (!w.until([&] { return w.watched(); })) return false;
+  bool reach_stage() {
+    if (!environment.wait_until([&] { return environment.is_watching(); })) return false;
     if (stage != "waiting") { // find out the target, and open a connection to it that is idle then
-      if (!ask("warm-up")) return false;
-      node = writes() ? &w.origin : &w.last_asked();
+      if (!request_and_wait("warm-up")) return false;
+      target = writes() ? &environment.origin : &environment.last_requested_cache();
     } else {
-      node = &w.origin;
+      target = &environment.origin;
     }
-    Client& c = client(kSubject);
+    TestClient& tested_client = client(kTestedRequestId);
     if (stage == "connected") {
-      return until([&] { return w.router->listener().connections() == clients.size(); });
+      return run_until([&] { return environment.router->listener().connection_count() == clients.size(); });
     }
     if (stage == "head") {
-      text = cut(request(kSubject, 1), 30);
-      c.send(text.first);
-      wait(5);
+      request_text = split_at(request(kTestedRequestId, 1), 30);
+      tested_client.send(request_text.first);
+      run_for_ms(5);
       return true;
     }
     if (stage == "body") {
-      text = cut(request(kSubject, kFlowing), kFlowing / 2 + 400);
-      c.send(text.first);
-      return until([&] { return node->body_come > 0; });
+      request_text = split_at(request(kTestedRequestId, kStreamedBodyBytes), kStreamedBodyBytes / 2 + 400);
+      tested_client.send(request_text.first);
+      return run_until([&] { return target->partial_body_bytes > 0; });
     }
     if (stage == "waiting") {
-      asks("leader");
+      begin_request("leader");
       client("leader").send(request("leader", 1));
-      if (!until([&] { return !w.origin.seen.empty(); })) return false;
-      asks(kSubject);
-      c.send(request(kSubject, 1));
-      return until([&] { return w.router->driver().unanswered_requests() == 2; }) && (wait(10), true);
+      if (!run_until([&] { return !environment.origin.requests.empty(); })) return false;
+      begin_request(kTestedRequestId);
+      tested_client.send(request(kTestedRequestId, 1));
+      return run_until([&] { return environment.router->dispatcher().unanswered_requests() == 2; }) &&
+             (run_for_ms(10), true);
     }
     if (stage == "connecting") {
-      node->break_off(Peer::End::Fin);
-      if (!until([&] { return w.router->pool().connections() == 0; })) return false;
-      const int before_now = node->connections;
-      asks(kSubject);
-      c.send(request(kSubject, 1));
-      return until([&] { return w.router->driver().attempts_in_flight() == 1; }) &&
-             node->connections == before_now;
+      target->close_all(ScriptedServer::CloseMode::Fin);
+      if (!run_until([&] { return environment.router->pool().connection_count() == 0; })) return false;
+      const int connections_before = target->accepted_connections;
+      begin_request(kTestedRequestId);
+      tested_client.send(request(kTestedRequestId, 1));
+      return run_until([&] { return environment.router->dispatcher().attempts_in_flight() == 1; }) &&
+             target->accepted_connections == connections_before;
     }
     if (stage == "writing") {
-      node->stopped = true;
-      c.send(request(kSubject, kUpload));
-      return until([&] { return w.router->driver().attempts_in_flight() == 1; }) && (wait(40), true);
+      target->reading_paused = true;
+      tested_client.send(request(kTestedRequestId, kBlockedUploadBytes));
+      return run_until([&] { return environment.router->dispatcher().attempts_in_flight() == 1; }) &&
+             (run_for_ms(40), true);
     }
     if (stage == "rest") {
-      clients[kSubject] = std::move(clients["warm-up"]);
+      clients[kTestedRequestId] = std::move(clients["warm-up"]);
       clients.erase("warm-up");
-      return until([&] { return w.router->pool().connections() > 0; });
-    }
-    const std::string whole = stage == "passing" ? ok(long_value()) : ok(value_of("/k/subject"));
-    answer = cut(whole, stage == "awaiting"      ? 0
-                        : stage == "answer-head" ? 24
-                        : stage == "answer-body" ? whole.size() - 1 // all except the last byte
-                                                 : 300 << 10);
-    asks(kSubject);
-    c.send(request(kSubject, 1));
-    if (stage == "passing") return until([&] { return c.come() > 0; });
-    if (!until([&] { return !held[node].empty(); })) return false;
-    if (stage != "awaiting") wait(5);
+      return run_until([&] { return environment.router->pool().connection_count() > 0; });
+    }
+    const std::string complete_response =
+        stage == "passing" ? ok_response(long_response_value()) : ok_response(value_of("/k/subject"));
+    response_text = split_at(complete_response, stage == "awaiting"      ? 0
+                                                : stage == "answer-head" ? 24
+                                                : stage == "answer-body"
+                                                    ? complete_response.size() - 1 // all except the last byte
+                                                    : 300 << 10);
+    begin_request(kTestedRequestId);
+    tested_client.send(request(kTestedRequestId, 1));
+    if (stage == "passing") return run_until([&] { return tested_client.partial_body_bytes() > 0; });
+    if (!run_until([&] { return !unanswered_attempts[target].empty(); })) return false;
+    if (stage != "awaiting") run_for_ms(5);
     return true;
   }
 
@@ -238,320 +255,346 @@
   bool client_side() const {
     return stage == "connected" || stage == "head" || stage == "body" || stage == "rest";
   }
-  bool answering() const {
+  bool is_node_answering() const {
     return stage == "awaiting" || stage == "answer-head" || stage == "answer-body" || stage == "passing";
   }
-  std::string rest_of_request() const {
-    return stage == "connected" || stage == "rest" ? request(kSubject, 1) : text.rest;
+  std::string remaining_request() const {
+    return stage == "connected" || stage == "rest" ? request(kTestedRequestId, 1) : request_text.rest;
   }
-  std::string rest_of_answer() const {
-    return stage == "awaiting" ? ok(value_of("/k/subject")) : answer.rest;
+  std::string remaining_response() const {
+    return stage == "awaiting" ? ok_response(value_of("/k/subject")) : response_text.rest;
   }
 
   // Sends the rest of the client's request.
-  void client_goes_on() {
+  void resume_client() {
     if (!client_side()) return;
-    asks(kSubject);
-    client(kSubject).send(rest_of_request());
+    begin_request(kTestedRequestId);
+    client(kTestedRequestId).send(remaining_request());
   }
   // Lets the node do what remains: read the request, or send its response or `with` instead.
-  void node_goes_on(const std::string& with, model::Ending how) {
-    if (stage == "writing" || stage == "body") return node->read_on();
+  void resume_node(const std::string& with, model::ServerOutcome how) {
+    if (stage == "writing" || stage == "body") return target->resume_reading();
     if (stage == "waiting") {
-      stored = true;
-      w.origin.say(with.empty() ? ok(value_of("/k/subject")) : with);
-      return end_held(w.origin, how);
+      cache_has_value = true;
+      environment.origin.write_to_last(with.empty() ? ok_response(value_of("/k/subject")) : with);
+      return end_unanswered(environment.origin, how);
     }
-    if (!answering() || node->open() == 0) return;
-    node->say(with.empty() ? rest_of_answer() : with);
-    end_held(*node, how);
+    if (!is_node_answering() || target->open_connections() == 0) return;
+    target->write_to_last(with.empty() ? remaining_response() : with);
+    end_unanswered(*target, how);
   }
-  void node_goes_on() { node_goes_on("", writes() ? model::Ending::Written : model::Ending::Hit); }
-
-  void client_ends(Peer::End how) {
-    if (!client_side() && !witness.is_over(kSubject)) witness.asked(kSubject, class_number(), false);
-    if (witness.known(kSubject)) witness.heard(kSubject, Heard::Left);
-    left = true;
-    client(kSubject).break_off(how);
-    node_goes_on();
+  void resume_node() {
+    resume_node("", writes() ? model::ServerOutcome::Written : model::ServerOutcome::Hit);
   }
-  void list(int index, const std::vector<Json>& changed) {
-    REQUIRE(w.tell(node_list(index, false, changed)));
+
+  void end_client(ScriptedServer::CloseMode how) {
+    if (!client_side() && !recorder.is_finished(kTestedRequestId))
+      recorder.on_request(kTestedRequestId, class_number(), false);
+    if (recorder.is_known(kTestedRequestId)) recorder.on_response(kTestedRequestId, Heard::Abandoned);
+    client_left = true;
+    client(kTestedRequestId).close_with(how);
+    resume_node();
+  }
+  void publish_endpoints(int index, const std::vector<Json>& changed_entries) {
+    REQUIRE(environment.send_endpoint_update(endpoint_list_json(index, false, changed_entries)));
+  }
+  Json target_entry(const std::string& state, const std::string& address, double since = 0) const {
+    Json endpoint_entry = target == &environment.origin
+                              ? endpoint_json("o-1", address, state, "origin")
+                              : endpoint_json(target == &environment.cache_1 ? "s-1" : "s-2", address, state);
+    endpoint_entry["since_ms"] = since;
+    return endpoint_entry;
   }
-  Json entry(const std::string& state, const std::string& address, double since = 0) const {
-    Json e = node == &w.origin ? endpoint("o-1", address, state, "origin")
-                               : endpoint(node == &w.one ? "s-1" : "s-2", address, state);
-    e["since_ms"] = since;
-    return e;
+  model::MachineId target_machine() const {
+    return target == &environment.cache_1 ? 0 : target == &environment.cache_2 ? 1 : recorder.origin();
   }
-  model::MachineId machine() const { return node == &w.one ? 0 : node == &w.two ? 1 : witness.ledger(); }
 
-  void happen() {
-    if (fault == "client-fin") return client_ends(Peer::End::Fin);
-    if (fault == "client-rst") return client_ends(Peer::End::Reset);
+  void inject_fault() {
+    if (fault == "client-fin") return end_client(ScriptedServer::CloseMode::Fin);
+    if (fault == "client-rst") return end_client(ScriptedServer::CloseMode::Reset);
     if (fault == "client-half-close")
-      return client_ends(Peer::End::Half); // a half-close counts as a disconnect
-    if (fault == "client-silent") {        // the rest of the request is never sent
-      if (client_side() && stage != "connected" && stage != "rest") asks(kSubject, false);
-      wait(30);
-      node_goes_on();
-      if (stage == "connected" || stage == "rest") client_goes_on();
+      return end_client(ScriptedServer::CloseMode::WriteShutdown); // a half-close counts as a disconnect
+    if (fault == "client-silent") {                                // the rest of the request is never sent
+      if (client_side() && stage != "connected" && stage != "rest") begin_request(kTestedRequestId, false);
+      run_for_ms(30);
+      resume_node();
+      if (stage == "connected" || stage == "rest") resume_client();
       return;
     }
     if (fault == "client-slow") {
       if (client_side()) {
-        const std::string rest = rest_of_request();
+        const std::string rest = remaining_request();
         const std::size_t step = rest.size() / 5 + 1;
         for (std::size_t at = 0; at < rest.size(); at += step) {
-          if (at + step >= rest.size()) asks(kSubject);
-          client(kSubject).send(rest.substr(at, step));
-          wait(5);
+          if (at + step >= rest.size()) begin_request(kTestedRequestId);
+          client(kTestedRequestId).send(rest.substr(at, step));
+          run_for_ms(5);
         }
       }
-      client(kSubject).stop_reading();
-      node_goes_on();
-      wait(20);
-      return client(kSubject).read_on();
+      client(kTestedRequestId).stop_reading();
+      resume_node();
+      run_for_ms(20);
+      return client(kTestedRequestId).resume_reading();
     }
     if (fault == "client-noise") {
-      asks(kSubject);
+      begin_request(kTestedRequestId);
       const std::string noise("\x01\x02 no HTTP\r\n\r\n", 14);
       if (stage == "connected" || stage == "rest" || stage == "head") {
-        client(kSubject).send(noise);
+        client(kTestedRequestId).send(noise);
       } else if (stage == "body") {
-        client(kSubject).send(std::string(text.rest.size(), '\xff') + noise);
+        client(kTestedRequestId).send(std::string(request_text.rest.size(), '\xff') + noise);
       } else {
-        client(kSubject).send(noise);
-        node_goes_on();
+        client(kTestedRequestId).send(noise);
+        resume_node();
       }
       return;
     }
     if (fault == "client-extra") {
-      client_goes_on();
-      client(kSubject).send(std::string(100 << 10, 'x'));
-      return node_goes_on();
+      resume_client();
+      client(kTestedRequestId).send(std::string(100 << 10, 'x'));
+      return resume_node();
     }
     if (fault == "node-fin" || fault == "node-rst" || fault == "node-half-close") {
-      node->stopped = false;
-      node->break_off(fault == "node-fin"   ? Peer::End::Fin
-                      : fault == "node-rst" ? Peer::End::Reset
-                                            : Peer::End::Half);
-      if (fault != "node-half-close" || answering()) end_held(*node, model::Ending::Lost);
-      if (stage == "waiting") stored = true;
-      return client_goes_on();
+      target->reading_paused = false;
+      target->close_all(fault == "node-fin"   ? ScriptedServer::CloseMode::Fin
+                        : fault == "node-rst" ? ScriptedServer::CloseMode::Reset
+                                              : ScriptedServer::CloseMode::WriteShutdown);
+      if (fault != "node-half-close" || is_node_answering())
+        end_unanswered(*target, model::ServerOutcome::Lost);
+      if (stage == "waiting") cache_has_value = true;
+      return resume_client();
     }
     if (fault == "node-silent") {
-      silent.insert(node);
-      return client_goes_on();
+      silent_nodes.insert(target);
+      return resume_client();
     }
     if (fault == "node-slow") {
-      client_goes_on();
-      if (!answering()) return wait(40), node_goes_on();
-      const std::string rest = rest_of_answer();
+      resume_client();
+      if (!is_node_answering()) return run_for_ms(40), resume_node();
+      const std::string rest = remaining_response();
       const std::size_t step = rest.size() / 5 + 1;
-      for (std::size_t at = 0; at < rest.size() && node->open() > 0; at += step) {
-        node->say(rest.substr(at, step));
-        wait(8);
+      for (std::size_t at = 0; at < rest.size() && target->open_connections() > 0; at += step) {
+        target->write_to_last(rest.substr(at, step));
+        run_for_ms(8);
       }
-      return end_held(*node, writes() ? model::Ending::Written : model::Ending::Hit);
+      return end_unanswered(*target, writes() ? model::ServerOutcome::Written : model::ServerOutcome::Hit);
     }
     if (fault == "node-noise") {
       const std::string noise("\x01\x02 no HTTP\r\n\r\n", 14);
       if (!node_side() || stage == "connecting" || stage == "body" || stage == "writing") {
-        if (node->open() > 0 && stage != "writing" && stage != "body")
-          node->say(noise); // on an idle connection
-        says[node] = noise;
-        client_goes_on();
-        return node->read_on();
+        if (target->open_connections() > 0 && stage != "writing" && stage != "body")
+          target->write_to_last(noise); // on an idle connection
+        forced_replies[target] = noise;
+        resume_client();
+        return target->resume_reading();
       }
-      client_goes_on();
-      return node_goes_on(noise, model::Ending::Error);
+      resume_client();
+      return resume_node(noise, model::ServerOutcome::Error);
     }
     if (fault == "node-extra") {
-      if (answering() || stage == "waiting") {
-        const std::string whole = stage == "waiting" ? ok(value_of("/k/subject")) : rest_of_answer();
-        return node_goes_on(whole + "more", writes() ? model::Ending::Written : model::Ending::Hit);
+      if (is_node_answering() || stage == "waiting") {
+        const std::string complete_response =
+            stage == "waiting" ? ok_response(value_of("/k/subject")) : remaining_response();
+        return resume_node(complete_response + "more",
+                           writes() ? model::ServerOutcome::Written : model::ServerOutcome::Hit);
       }
-      says[node] = ok(value_of("/k/subject")) + "more";
-      client_goes_on();
-      return node->read_on();
+      forced_replies[target] = ok_response(value_of("/k/subject")) + "more";
+      resume_client();
+      return target->resume_reading();
     }
     if (fault == "turned-away" || fault == "error") {
-      const std::string answered = fault == "error" ? status(500) : kTurnedAway;
-      says[node] = answered;
-      client_goes_on();
-      return node_goes_on(answered, fault == "error" ? model::Ending::Error : model::Ending::Full);
+      const std::string response = fault == "error" ? status_response(500) : kNotProcessed;
+      forced_replies[target] = response;
+      resume_client();
+      return resume_node(response,
+                         fault == "error" ? model::ServerOutcome::Error : model::ServerOutcome::Full);
     }
     if (fault == "target-drained" || fault == "target-gone") {
-      list(8, {entry(fault == "target-gone" ? "terminated" : "terminating", node->address)});
-      witness.told(machine(), ServerState::Draining);
-      client_goes_on();
-      return node_goes_on();
+      publish_endpoints(
+          8, {target_entry(fault == "target-gone" ? "terminated" : "terminating", target->address)});
+      recorder.on_endpoint_state(target_machine(), ServerState::Draining);
+      resume_client();
+      return resume_node();
     }
     if (fault == "target-banned") {
-      CHECK(w.call("disable-server " + std::string(node == &w.one ? "s-1" : "s-2")) == "ok\n");
-      witness.told(machine(), ServerState::Draining);
-      client_goes_on();
-      return node_goes_on();
+      CHECK(environment.send_command("disable-server " +
+                                     std::string(target == &environment.cache_1 ? "s-1" : "s-2")) == "ok\n");
+      recorder.on_endpoint_state(target_machine(), ServerState::Draining);
+      resume_client();
+      return resume_node();
     }
     if (fault == "target-restarted") {
-      node->stopped = false;
-      node->break_off(Peer::End::Reset);
-      end_held(*node, model::Ending::Lost);
-      if (stage == "waiting") stored = true;
-      list(8, {entry("in_service", node->address, loop::now_ms())});
-      witness.caused();
-      return client_goes_on();
+      target->reading_paused = false;
+      target->close_all(ScriptedServer::CloseMode::Reset);
+      end_unanswered(*target, model::ServerOutcome::Lost);
+      if (stage == "waiting") cache_has_value = true;
+      publish_endpoints(8, {target_entry("in_service", target->address, loop::now_ms())});
+      recorder.on_cause();
+      return resume_client();
     }
     if (fault == "address-taken-over") {
       // The node continues at another address; another machine has the old one.
-      list(8, {entry("in_service", third.address, loop::now_ms())});
-      witness.told(machine(), ServerState::Gone);
-      witness.told(2, ServerState::Ready);
-      client_goes_on();
-      return node_goes_on();
+      publish_endpoints(8, {target_entry("in_service", third_node.address, loop::now_ms())});
+      recorder.on_endpoint_state(target_machine(), ServerState::Gone);
+      recorder.on_endpoint_state(2, ServerState::Ready);
+      resume_client();
+      return resume_node();
     }
     if (fault == "deadline-passed") {
-      for (Peer* peer : {&w.one, &w.two, &w.origin}) silent.insert(peer);
-      return client_goes_on();
+      for (ScriptedServer* peer : {&environment.cache_1, &environment.cache_2, &environment.origin})
+        silent_nodes.insert(peer);
+      return resume_client();
     }
     if (fault == "descriptors-out") {
-      rlimit usual{};
-      REQUIRE(getrlimit(RLIMIT_NOFILE, &usual) == 0);
+      rlimit usual_limit{};
+      REQUIRE(getrlimit(RLIMIT_NOFILE, &usual_limit) == 0);
       const int next = dup(0);
       close(next);
-      const rlimit few{static_cast<rlim_t>(next), usual.rlim_max};
-      REQUIRE(setrlimit(RLIMIT_NOFILE, &few) == 0);
-      client_goes_on();
-      wait(15);
-      REQUIRE(setrlimit(RLIMIT_NOFILE, &usual) == 0);
-      witness.caused();
-      return node_goes_on();
+      const rlimit reduced_limit{static_cast<rlim_t>(next), usual_limit.rlim_max};
+      REQUIRE(setrlimit(RLIMIT_NOFILE, &reduced_limit) == 0);
+      resume_client();
+      run_for_ms(15);
+      REQUIRE(setrlimit(RLIMIT_NOFILE, &usual_limit) == 0);
+      recorder.on_cause();
+      return resume_node();
     }
     if (fault == "buffers-out") {
       for (int i = 0; i < 30; ++i) {
-        crowd.push_back(std::make_unique<Client>(w.base.get(), w.router->port()));
-        crowd.back()->send("PUT /k HTTP/1.1\r\nContent-Length: 60001\r\n\r\n" + std::string(60000, 'x'));
+        background_clients.push_back(
+            std::make_unique<TestClient>(environment.base.get(), environment.router->port()));
+        background_clients.back()->send("PUT /k HTTP/1.1\r\nContent-Length: 60001\r\n\r\n" +
+                                        std::string(60000, 'x'));
       }
-      wait(20);
-      client_goes_on();
-      return node_goes_on();
+      run_for_ms(20);
+      resume_client();
+      return resume_node();
     }
-    if (fault == "discovery-damaged") w.discovery.say(ok("<html>"));
-    if (fault == "discovery-silent") w.discovery.script = [](const http::Message&) { return std::string(); };
+    if (fault == "discovery-damaged") environment.discovery.write_to_last(ok_response("<html>"));
+    if (fault == "discovery-silent")
+      environment.discovery.script = [](const http::Message&) { return std::string(); };
     if (fault == "loop-held-up") usleep(60000);
     // body-file-fails: configured in apply_settings()
-    client_goes_on();
-    node_goes_on();
+    resume_client();
+    resume_node();
   }
 
   // ---- the complete run ----
 
   void run() {
-    REQUIRE(reach());
-    reached = true;
-    before.try_emplace(kSubject, client(kSubject).answers.size());
-    if (under == Under::Term) w.router->begin_shutdown(), witness.terminated();
-    if (under == Under::Hup) w.router->reload(config::parse(config.dump(), &no_environment));
-    happen();
-    const bool none = stage == "connected" && left; // no request was sent
-    if (!witness.known(kSubject)) witness.asked(kSubject, class_number(), false);
-    if (!none && !left)
-      CHECK_MESSAGE(until([&] { return witness.is_over(kSubject); }),
+    REQUIRE(reach_stage());
+    stage_reached = true;
+    responses_before.try_emplace(kTestedRequestId, client(kTestedRequestId).responses.size());
+    if (delivered_signal == SignalSent::Term) environment.router->begin_shutdown(), recorder.on_sigterm();
+    if (delivered_signal == SignalSent::Hup)
+      environment.router->reload(config::parse(config.dump(), &no_environment));
+    inject_fault();
+    const bool never_requested = stage == "connected" && client_left; // no request was sent
+    if (!recorder.is_known(kTestedRequestId)) recorder.on_request(kTestedRequestId, class_number(), false);
+    if (!never_requested && !client_left)
+      CHECK_MESSAGE(run_until([&] { return recorder.is_finished(kTestedRequestId); }),
                     "the client received neither a response nor the end of its connection");
-    if (left && !witness.is_over(kSubject)) witness.heard(kSubject, Heard::Left);
+    if (client_left && !recorder.is_finished(kTestedRequestId))
+      recorder.on_response(kTestedRequestId, Heard::Abandoned);
     for (auto& [id, c] : clients) {
-      if (id != kSubject && witness.known(id)) CHECK(until([&, name = id] { return witness.is_over(name); }));
+      if (id != kTestedRequestId && recorder.is_known(id))
+        CHECK(run_until([&, name = id] { return recorder.is_finished(name); }));
     }
-    wait(5); // for a second response, or an attempt after the response
-    CHECK(client(kSubject).answers.size() <= before[kSubject] + 2);
+    run_for_ms(5); // for a second response, or an attempt after the response
+    CHECK(client(kTestedRequestId).responses.size() <= responses_before[kTestedRequestId] + 2);
     // Nothing may remain: no request, attempt, connection or buffered byte.
     clients.clear();
-    crowd.clear();
-    for (Peer* peer : {&w.one, &w.two, &third, &w.origin}) peer->read_on();
-    CHECK(w.until([&] {
-      return w.router->driver().unanswered_requests() == 0 && w.router->driver().attempts_in_flight() == 0 &&
-             w.router->bytes().held() == 0 &&
-             w.router->kept().memory_bytes() + w.router->kept().file_bytes() == 0 &&
-             w.router->listener().connections() == 0 &&
-             w.router->account().used(descriptors::Side::Downstream) == 0 &&
-             w.router->account().used(descriptors::Side::Upstream) == w.router->pool().connections();
+    background_clients.clear();
+    for (ScriptedServer* peer :
+         {&environment.cache_1, &environment.cache_2, &third_node, &environment.origin})
+      peer->resume_reading();
+    CHECK(environment.wait_until([&] {
+      return environment.router->dispatcher().unanswered_requests() == 0 &&
+             environment.router->dispatcher().attempts_in_flight() == 0 &&
+             environment.router->buffer_budget().held_bytes() == 0 &&
+             environment.router->retained_bodies().memory_bytes() +
+                     environment.router->retained_bodies().file_bytes() ==
+                 0 &&
+             environment.router->listener().connection_count() == 0 &&
+             environment.router->descriptor_budget().used(descriptors::Side::Downstream) == 0 &&
+             environment.router->descriptor_budget().used(descriptors::Side::Upstream) ==
+                 environment.router->pool().connection_count();
     }));
-    run_for(w.base.get(), 2); // for libevent to free what it frees from the event loop
-    const std::string broken = witness.judge(stage == "waiting");
-    CHECK_MESSAGE(broken.empty(), broken);
+    run_for(environment.base.get(), 2); // for libevent to free what it frees from the event loop
+    const std::string breaches = recorder.check(stage == "waiting");
+    CHECK_MESSAGE(breaches.empty(), breaches);
   }
 
-  const std::string stage, fault, cls;
-  const Under under;
-  Controlled w;
-  Peer third{w.base.get(), [](const http::Message&) { return std::string(); }};
+  const std::string stage, fault, request_class;
+  const SignalSent delivered_signal;
+  RouterWithControlPort environment;
+  ScriptedServer third_node{environment.base.get(), [](const http::Message&) { return std::string(); }};
   Json config;
-  Witness witness;
-  Peer* node = nullptr;
-  Part text, answer;
-  bool reached = false, stored = false, left = false;
-  std::map<Peer*, std::vector<std::pair<std::string, model::AttemptId>>> held;
-  std::set<Peer*> silent;
-  std::map<Peer*, std::string> says;
-  std::map<std::string, std::unique_ptr<Client>> clients;
-  std::map<std::string, std::size_t> before;
-  std::vector<std::unique_ptr<Client>> crowd;
+  CellRecorder recorder;
+  ScriptedServer* target = nullptr;
+  SplitText request_text, response_text;
+  bool stage_reached = false, cache_has_value = false, client_left = false;
+  std::map<ScriptedServer*, std::vector<std::pair<std::string, model::AttemptId>>> unanswered_attempts;
+  std::set<ScriptedServer*> silent_nodes;
+  std::map<ScriptedServer*, std::string> forced_replies;
+  std::map<std::string, std::unique_ptr<TestClient>> clients;
+  std::map<std::string, std::size_t> responses_before;
+  std::vector<std::unique_ptr<TestClient>> background_clients;
 };
 
 // Whether a request of this class can reach the cell.
-bool applies(const Cell& cell, const std::string& cls) {
-  if (cls == "read") return cell.stage != "body" && cell.stage != "writing";
+bool applies(const Cell& cell, const std::string& request_class) {
+  if (request_class == "read") return cell.stage != "body" && cell.stage != "writing";
   return cell.fault != "target-banned"; // the origin cannot be disabled
 }
 
-void play_stage(const std::string& stage, Under under) {
-  int played = 0;
-  const char* const only = std::getenv("FERNWARD_CELL"); // runs one fault alone, for debugging
+void run_stage(const std::string& stage, SignalSent signal_sent) {
+  int run_count = 0;
+  const char* const selected_fault = std::getenv("FERNWARD_CELL"); // runs one fault alone, for debugging
   for (const Cell& cell : read_cells(FERNWARD_CELLS)) {
-    if (cell.stage != stage || !cell.played || (only != nullptr && cell.fault != only)) continue;
-    for (const char* cls : {"read", "book", "once"}) {
-      if (!applies(cell, cls)) continue;
-      INFO(cell.stage << " | " << cell.fault << " | " << cls);
-      Play(cell, cls, under).run();
-      ++played;
+    if (cell.stage != stage || !cell.played || (selected_fault != nullptr && cell.fault != selected_fault))
+      continue;
+    for (const char* request_class : {"read", "book", "once"}) {
+      if (!applies(cell, request_class)) continue;
+      INFO(cell.stage << " | " << cell.fault << " | " << request_class);
+      CellRun(cell, request_class, signal_sent).run();
+      ++run_count;
     }
   }
-  CHECK(played > 0);
+  CHECK(run_count > 0);
 }
 
 } // namespace
 
-TEST_CASE("faults: connected") { play_stage("connected", Under::Nothing); }
-TEST_CASE("faults under SIGTERM: connected") { play_stage("connected", Under::Term); }
-TEST_CASE("faults under SIGHUP: connected") { play_stage("connected", Under::Hup); }
-TEST_CASE("faults: head") { play_stage("head", Under::Nothing); }
-TEST_CASE("faults under SIGTERM: head") { play_stage("head", Under::Term); }
-TEST_CASE("faults under SIGHUP: head") { play_stage("head", Under::Hup); }
-TEST_CASE("faults: body") { play_stage("body", Under::Nothing); }
-TEST_CASE("faults under SIGTERM: body") { play_stage("body", Under::Term); }
-TEST_CASE("faults under SIGHUP: body") { play_stage("body", Under::Hup); }
-TEST_CASE("faults: waiting") { play_stage("waiting", Under::Nothing); }
-TEST_CASE("faults under SIGTERM: waiting") { play_stage("waiting", Under::Term); }
-TEST_CASE("faults under SIGHUP: waiting") { play_stage("waiting", Under::Hup); }
-TEST_CASE("faults: connecting") { play_stage("connecting", Under::Nothing); }
-TEST_CASE("faults under SIGTERM: connecting") { play_stage("connecting", Under::Term); }
-TEST_CASE("faults under SIGHUP: connecting") { play_stage("connecting", Under::Hup); }
-TEST_CASE("faults: writing") { play_stage("writing", Under::Nothing); }
-TEST_CASE("faults under SIGTERM: writing") { play_stage("writing", Under::Term); }
-TEST_CASE("faults under SIGHUP: writing") { play_stage("writing", Under::Hup); }
-TEST_CASE("faults: awaiting") { play_stage("awaiting", Under::Nothing); }
-TEST_CASE("faults under SIGTERM: awaiting") { play_stage("awaiting", Under::Term); }
-TEST_CASE("faults under SIGHUP: awaiting") { play_stage("awaiting", Under::Hup); }
-TEST_CASE("faults: answer-head") { play_stage("answer-head", Under::Nothing); }
-TEST_CASE("faults under SIGTERM: answer-head") { play_stage("answer-head", Under::Term); }
-TEST_CASE("faults under SIGHUP: answer-head") { play_stage("answer-head", Under::Hup); }
-TEST_CASE("faults: answer-body") { play_stage("answer-body", Under::Nothing); }
-TEST_CASE("faults under SIGTERM: answer-body") { play_stage("answer-body", Under::Term); }
-TEST_CASE("faults under SIGHUP: answer-body") { play_stage("answer-body", Under::Hup); }
-TEST_CASE("faults: passing") { play_stage("passing", Under::Nothing); }
-TEST_CASE("faults under SIGTERM: passing") { play_stage("passing", Under::Term); }
-TEST_CASE("faults under SIGHUP: passing") { play_stage("passing", Under::Hup); }
-TEST_CASE("faults: rest") { play_stage("rest", Under::Nothing); }
-TEST_CASE("faults under SIGTERM: rest") { play_stage("rest", Under::Term); }
-TEST_CASE("faults under SIGHUP: rest") { play_stage("rest", Under::Hup); }
+TEST_CASE("faults: connected") { run_stage("connected", SignalSent::None); }
+TEST_CASE("faults under SIGTERM: connected") { run_stage("connected", SignalSent::Term); }
+TEST_CASE("faults under SIGHUP: connected") { run_stage("connected", SignalSent::Hup); }
+TEST_CASE("faults: head") { run_stage("head", SignalSent::None); }
+TEST_CASE("faults under SIGTERM: head") { run_stage("head", SignalSent::Term); }
+TEST_CASE("faults under SIGHUP: head") { run_stage("head", SignalSent::Hup); }
+TEST_CASE("faults: body") { run_stage("body", SignalSent::None); }
+TEST_CASE("faults under SIGTERM: body") { run_stage("body", SignalSent::Term); }
+TEST_CASE("faults under SIGHUP: body") { run_stage("body", SignalSent::Hup); }
+TEST_CASE("faults: waiting") { run_stage("waiting", SignalSent::None); }
+TEST_CASE("faults under SIGTERM: waiting") { run_stage("waiting", SignalSent::Term); }
+TEST_CASE("faults under SIGHUP: waiting") { run_stage("waiting", SignalSent::Hup); }
+TEST_CASE("faults: connecting") { run_stage("connecting", SignalSent::None); }
+TEST_CASE("faults under SIGTERM: connecting") { run_stage("connecting", SignalSent::Term); }
+TEST_CASE("faults under SIGHUP: connecting") { run_stage("connecting", SignalSent::Hup); }
+TEST_CASE("faults: writing") { run_stage("writing", SignalSent::None); }
+TEST_CASE("faults under SIGTERM: writing") { run_stage("writing", SignalSent::Term); }
+TEST_CASE("faults under SIGHUP: writing") { run_stage("writing", SignalSent::Hup); }
+TEST_CASE("faults: awaiting") { run_stage("awaiting", SignalSent::None); }
+TEST_CASE("faults under SIGTERM: awaiting") { run_stage("awaiting", SignalSent::Term); }
+TEST_CASE("faults under SIGHUP: awaiting") { run_stage("awaiting", SignalSent::Hup); }
+TEST_CASE("faults: answer-head") { run_stage("answer-head", SignalSent::None); }
+TEST_CASE("faults under SIGTERM: answer-head") { run_stage("answer-head", SignalSent::Term); }
+TEST_CASE("faults under SIGHUP: answer-head") { run_stage("answer-head", SignalSent::Hup); }
+TEST_CASE("faults: answer-body") { run_stage("answer-body", SignalSent::None); }
+TEST_CASE("faults under SIGTERM: answer-body") { run_stage("answer-body", SignalSent::Term); }
+TEST_CASE("faults under SIGHUP: answer-body") { run_stage("answer-body", SignalSent::Hup); }
+TEST_CASE("faults: passing") { run_stage("passing", SignalSent::None); }
+TEST_CASE("faults under SIGTERM: passing") { run_stage("passing", SignalSent::Term); }
+TEST_CASE("faults under SIGHUP: passing") { run_stage("passing", SignalSent::Hup); }
+TEST_CASE("faults: rest") { run_stage("rest", SignalSent::None); }
+TEST_CASE("faults under SIGTERM: rest") { run_stage("rest", SignalSent::Term); }
+TEST_CASE("faults under SIGHUP: rest") { run_stage("rest", SignalSent::Hup); }
--- a/tests/fuzz/config.cpp
+++ b/tests/fuzz/config.cpp
@@ -15,19 +15,19 @@
 
 namespace {
 
-void must(bool holds, const char* what) {
-  if (holds) return;
-  std::fprintf(stderr, "%s\n", what);
+void require(bool condition, const char* message) {
+  if (condition) return;
+  std::fprintf(stderr, "%s\n", message);
   std::abort();
 }
 
-std::string as_file(fernward::app_config::App app) {
-  const fernward::app_config::AppNames names(app);
-  return fernward::toml_document::written(names,
-                                          [&](fernward::toml_document::Visitor& v) { describe(v, app); });
+std::string to_config_text(fernward::app_config::AppConfig app) {
+  const fernward::app_config::AppConfigNames names(app);
+  return fernward::toml_document::to_toml(
+      names, [&](fernward::toml_document::Visitor& visitor) { describe(visitor, app); });
 }
 
-constexpr const char* kShared = R"(
+constexpr const char* kSharedFile = R"(
 [limits]
 sockets = 300
 [profiles.busy.limits]
@@ -39,25 +39,30 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace fernward;
   const std::string_view text(reinterpret_cast<const char*>(data), size);
-  const auto nothing = [](const char*) -> const char* { return nullptr; };
-  const app_config::Setup made = app_config::read(text, "fuzz.toml", nothing, [](const auto& path) {
-    return path == "shared.toml" ? std::optional<std::string>(kShared) : std::nullopt;
-  });
-  for (const auto* faults : {&made.faults, &made.warnings}) {
+  const auto no_variables = [](const char*) -> const char* { return nullptr; };
+  const app_config::LoadedConfig parsed =
+      app_config::parse_config(text, "fuzz.toml", no_variables, [](const auto& path) {
+        return path == "shared.toml" ? std::optional<std::string>(kSharedFile) : std::nullopt;
+      });
+  for (const auto* faults : {&parsed.errors, &parsed.warnings}) {
     for (const auto& fault : *faults) {
-      must(fault.at.line > 0 && fault.at.column > 0 && !fault.at.file.empty(), "an error without a location");
-      must(!fault.key.empty() && !fault.why.empty() && !fault.code.empty(),
-           "an error without a key, reason or code");
+      require(fault.position.line > 0 && fault.position.column > 0 && !fault.position.file.empty(),
+              "an error without a location");
+      require(!fault.key.empty() && !fault.message.empty() && !fault.code.empty(),
+              "an error without a key, reason or code");
     }
   }
-  if (!made.sound()) return 0;
-  const std::string written = as_file(made.app);
-  const app_config::Setup again = app_config::read(written, "again.toml", nothing, nullptr);
-  if (!again.sound()) std::fprintf(stderr, "%s\n%s", again.faults.front().coded().c_str(), written.c_str());
-  must(again.sound(), "an accepted file is rejected after it is written and read again");
-  must(app_config::changes(made.app, again.app).empty(),
-       "the settings differ after they are written and read again");
-  config::parse(app_config::render(made.app).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace),
-                nothing);
+  if (!parsed.valid()) return 0;
+  const std::string written = to_config_text(parsed.app);
+  const app_config::LoadedConfig reparsed =
+      app_config::parse_config(written, "again.toml", no_variables, nullptr);
+  if (!reparsed.valid())
+    std::fprintf(stderr, "%s\n%s", reparsed.errors.front().to_string_with_code().c_str(), written.c_str());
+  require(reparsed.valid(), "an accepted file is rejected after it is written and read again");
+  require(app_config::compare(parsed.app, reparsed.app).empty(),
+          "the settings differ after they are written and read again");
+  config::parse(
+      app_config::to_platform_json(parsed.app).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace),
+      no_variables);
   return 0;
 }
--- a/tests/fuzz/control.cpp
+++ b/tests/fuzz/control.cpp
@@ -4,13 +4,13 @@
 #include <cstdlib>
 #include <string_view>
 
-#include "control/call.h"
+#include "control/control_command.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  const auto parsed = fernward::control::parse({reinterpret_cast<const char*>(data), size});
-  if (parsed.fault.find_first_of("\r\n") != std::string::npos) std::abort();
-  if (parsed.fault.empty() && (parsed.call.endpoint.find_first_of(" \t\r\n") != std::string::npos ||
-                               parsed.call.endpoint.size() > 128))
+  const auto parsed = fernward::control::parse_command({reinterpret_cast<const char*>(data), size});
+  if (parsed.error.find_first_of("\r\n") != std::string::npos) std::abort();
+  if (parsed.error.empty() && (parsed.command.endpoint_name.find_first_of(" \t\r\n") != std::string::npos ||
+                               parsed.command.endpoint_name.size() > 128))
     std::abort();
   return 0;
 }
--- a/tests/fuzz/handover.cpp
+++ b/tests/fuzz/handover.cpp
@@ -4,16 +4,16 @@
 #include <cstdlib>
 #include <string_view>
 
-#include "hot_restart/state.h"
+#include "hot_restart/restart_messages.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace fernward::hot_restart;
   const std::string_view text(reinterpret_cast<const char*>(data), size);
-  const Decoded decoded = decode(text);
+  const DecodeResult decoded = decode(text);
   if (!decoded.message) return 0;
-  if (!decoded.fault.empty() || decoded.used > size) std::abort();
-  const Decoded again = decode(encode(*decoded.message));
-  if (!again.message || !(encode(*again.message) == encode(*decoded.message))) std::abort();
-  if (decode(text.substr(0, decoded.used - 1)).message) std::abort();
+  if (!decoded.error.empty() || decoded.frame_bytes > size) std::abort();
+  const DecodeResult decoded_again = decode(encode(*decoded.message));
+  if (!decoded_again.message || !(encode(*decoded_again.message) == encode(*decoded.message))) std::abort();
+  if (decode(text.substr(0, decoded.frame_bytes - 1)).message) std::abort();
   return 0;
 }
--- a/tests/fuzz/http.cpp
+++ b/tests/fuzz/http.cpp
@@ -14,79 +14,85 @@
 
 namespace {
 
-constexpr std::uint64_t kCeiling = 300;
+constexpr std::uint64_t kMaxBodyBytes = 300;
 
-void must(bool holds, const char* what) {
-  if (holds) return;
-  std::fprintf(stderr, "%s\n", what);
+void require(bool condition, const char* message) {
+  if (condition) return;
+  std::fprintf(stderr, "%s\n", message);
   std::abort();
 }
 
-struct Seen {
-  bool head = false, done = false;
-  Fault fault = Fault::None;
-  std::size_t used = 0;
-  std::string start, body;
+struct ParseOutcome {
+  bool head_done = false, done = false;
+  ParseError error = ParseError::None;
+  std::size_t consumed = 0;
+  std::string head_text, body;
 
-  bool same(const Seen& other) const {
-    if (fault != other.fault || head != other.head || start != other.start) return false;
-    return fault != Fault::None || (done == other.done && used == other.used && body == other.body);
+  bool equals(const ParseOutcome& other) const {
+    if (error != other.error || head_done != other.head_done || head_text != other.head_text) return false;
+    return error != ParseError::None ||
+           (done == other.done && consumed == other.consumed && body == other.body);
   }
 };
 
-void note(Seen& seen, const Parser& parser) {
-  seen.fault = parser.fault();
-  seen.head = parser.head_done();
-  seen.done = parser.done();
-  if (!seen.head) return;
-  const Message& m = parser.message();
-  seen.start = m.method + " " + m.target + " " + std::to_string(m.status);
-  for (const auto& [name, value] : m.headers) seen.start += "\n" + name + ":" + value;
+void record_state(ParseOutcome& outcome, const Parser& parser) {
+  outcome.error = parser.error();
+  outcome.head_done = parser.head_done();
+  outcome.done = parser.done();
+  if (!outcome.head_done) return;
+  const Message& message = parser.message();
+  outcome.head_text = message.method + " " + message.target + " " + std::to_string(message.status);
+  for (const auto& [name, value] : message.headers) outcome.head_text += "\n" + name + ":" + value;
 }
 
 // Parses `bytes` in pieces of `piece_bytes` bytes. If `buffer_body` is set, the parser buffers the body;
 // otherwise the body is read in pieces.
-Seen read(Kind kind, std::string_view bytes, std::size_t step, bool whole) {
-  Seen seen;
-  Parser parser(kind, kCeiling);
-  while (seen.used < bytes.size()) {
-    const std::string_view part = bytes.substr(seen.used, step);
-    std::size_t used = 0;
-    if (whole) {
-      used = parser.feed(part);
+ParseOutcome parse_in_pieces(MessageKind kind, std::string_view bytes, std::size_t piece_bytes,
+                             bool buffer_body) {
+  ParseOutcome outcome;
+  Parser parser(kind, kMaxBodyBytes);
+  while (outcome.consumed < bytes.size()) {
+    const std::string_view input = bytes.substr(outcome.consumed, piece_bytes);
+    std::size_t consumed = 0;
+    if (buffer_body) {
+      consumed = parser.feed(input);
     } else if (!parser.head_done()) {
-      used = parser.feed_head(part);
+      consumed = parser.feed_head(input);
     } else {
-      const Framer::Piece piece = parser.body().next(part);
-      must(piece.body.empty() || (piece.body.data() >= part.data() &&
-                                  piece.body.data() + piece.body.size() <= part.data() + piece.used),
-           "a piece lies outside of the consumed bytes");
-      seen.body += piece.body;
-      must(parser.body().come() == seen.body.size(),
-           "the framer's byte count differs from the bytes it returned");
-      used = piece.used;
+      const BodyParser::Piece piece = parser.body().next(input);
+      require(piece.body.empty() ||
+                  (piece.body.data() >= input.data() &&
+                   piece.body.data() + piece.body.size() <= input.data() + piece.consumed_bytes),
+              "a piece lies outside of the consumed bytes");
+      outcome.body += piece.body;
+      require(parser.body().received_bytes() == outcome.body.size(),
+              "the framer's byte count differs from the bytes it returned");
+      consumed = piece.consumed_bytes;
     }
-    must(used <= part.size(), "more bytes were consumed than given");
-    seen.used += used;
-    if (used == 0) break;
+    require(consumed <= input.size(), "more bytes were consumed than given");
+    outcome.consumed += consumed;
+    if (consumed == 0) break;
   }
-  if (whole) seen.body = parser.message().body;
-  must(seen.body.size() <= kCeiling, "the body exceeds its limit");
-  note(seen, parser);
-  must(!seen.done || seen.fault == Fault::None, "the message is complete although there is an error");
-  return seen;
+  if (buffer_body) outcome.body = parser.message().body;
+  require(outcome.body.size() <= kMaxBodyBytes, "the body exceeds its limit");
+  record_state(outcome, parser);
+  require(!outcome.done || outcome.error == ParseError::None,
+          "the message is complete although there is an error");
+  return outcome;
 }
 
 } // namespace
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   if (size == 0) return 0;
-  const Kind kind = data[0] == 'Q' ? Kind::Request : Kind::Response;
+  const MessageKind kind = data[0] == 'Q' ? MessageKind::Request : MessageKind::Response;
   const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
-  const Seen once = read(kind, bytes, std::max<std::size_t>(1, bytes.size()), true);
-  for (const std::size_t step : {std::size_t{1}, std::size_t{2}, std::size_t{7}, bytes.size() + 1}) {
-    must(once.same(read(kind, bytes, step, true)), "the message depends on how the input is split");
-    must(once.same(read(kind, bytes, step, false)), "the message differs if the body is read in pieces");
+  const ParseOutcome unsplit = parse_in_pieces(kind, bytes, std::max<std::size_t>(1, bytes.size()), true);
+  for (const std::size_t piece_bytes : {std::size_t{1}, std::size_t{2}, std::size_t{7}, bytes.size() + 1}) {
+    require(unsplit.equals(parse_in_pieces(kind, bytes, piece_bytes, true)),
+            "the message depends on how the input is split");
+    require(unsplit.equals(parse_in_pieces(kind, bytes, piece_bytes, false)),
+            "the message differs if the body is read in pieces");
   }
   return 0;
 }
--- a/tests/fuzz/memcache.cpp
+++ b/tests/fuzz/memcache.cpp
@@ -8,43 +8,43 @@
 #include <string_view>
 #include <vector>
 
-#include "memcache/meaning.h"
 #include "memcache/parser.h"
+#include "memcache/response_mapping.h"
 
 namespace {
 
 using namespace fernward::memcache;
 
-void must(bool holds, const char* what) {
-  if (holds) return;
-  std::fprintf(stderr, "%s\n", what);
+void require(bool condition, const char* message) {
+  if (condition) return;
+  std::fprintf(stderr, "%s\n", message);
   std::abort();
 }
 
-constexpr std::size_t kMost = 300;
+constexpr std::size_t kMaxValueBytes = 300;
 
-struct Read {
+struct ParseResult {
   std::vector<Frame> frames;
-  Fault fault = Fault::None;
-  bool operator==(const Read&) const = default;
+  ParseError error = ParseError::None;
+  bool operator==(const ParseResult&) const = default;
 };
 
-Read read(std::string_view text, Magic magic, std::size_t piece) {
-  Read all;
-  Parser parser(magic, kMost, 100000);
-  while (!text.empty() && parser.fault() == Fault::None) {
-    const std::size_t n = std::min(piece, text.size());
-    std::string_view part = text.substr(0, n);
-    text.remove_prefix(n);
-    while (!part.empty() && parser.fault() == Fault::None) {
+ParseResult parse(std::string_view text, Magic magic, std::size_t piece_bytes) {
+  ParseResult result;
+  Parser parser(magic, kMaxValueBytes, 100000);
+  while (!text.empty() && parser.error() == ParseError::None) {
+    const std::size_t byte_count = std::min(piece_bytes, text.size());
+    std::string_view part = text.substr(0, byte_count);
+    text.remove_prefix(byte_count);
+    while (!part.empty() && parser.error() == ParseError::None) {
       part.remove_prefix(parser.feed(part));
-      must(parser.held() <= kHeader + kLongestExtras + kLongestKey + kMost,
-           "the parser buffers more than its limit");
-      if (parser.done()) all.frames.push_back(parser.take());
+      require(parser.buffered_bytes() <= kHeaderBytes + kMaxExtrasBytes + kMaxKeyBytes + kMaxValueBytes,
+              "the parser buffers more than its limit");
+      if (parser.done()) result.frames.push_back(parser.take_frame());
     }
   }
-  all.fault = parser.fault();
-  return all;
+  result.error = parser.error();
+  return result;
 }
 
 } // namespace
@@ -52,17 +52,17 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   for (const Magic magic : {Magic::Request, Magic::Response}) {
-    const Read whole = read(text, magic, std::max<std::size_t>(1, size));
-    must(whole == read(text, magic, 1) && whole == read(text, magic, 7),
-         "the result depends on how the input is split");
-    for (const Frame& frame : whole.frames) {
-      if (frame.skipped > 0) continue;
-      const Read again = read(write(frame), magic, 5);
-      must(again.frames.size() == 1 && again.frames.front() == frame,
-           "a frame changes when it is encoded and decoded again");
-      misshapen(frame);
-      meaning(frame.opcode, frame.status);
-      flags_of(frame), lifetime_of(frame);
+    const ParseResult unsplit = parse(text, magic, std::max<std::size_t>(1, size));
+    require(unsplit == parse(text, magic, 1) && unsplit == parse(text, magic, 7),
+            "the result depends on how the input is split");
+    for (const Frame& frame : unsplit.frames) {
+      if (frame.skipped_value_bytes > 0) continue;
+      const ParseResult reparsed = parse(encode(frame), magic, 5);
+      require(reparsed.frames.size() == 1 && reparsed.frames.front() == frame,
+              "a frame changes when it is encoded and decoded again");
+      request_format_error(frame);
+      attempt_result(frame.opcode, frame.status);
+      flags_of(frame), expiration_of(frame);
     }
   }
   return 0;
--- a/tests/fuzz/peers.cpp
+++ b/tests/fuzz/peers.cpp
@@ -11,15 +11,15 @@
 #include <cstdlib>
 #include <string>
 
-#include "gossip/fleet.h"
+#include "gossip/gossip_node.h"
 
 namespace {
 
 using namespace fernward;
 
-void must(bool holds, const char* what) {
-  if (holds) return;
-  std::fprintf(stderr, "%s\n", what);
+void require(bool condition, const char* message) {
+  if (condition) return;
+  std::fprintf(stderr, "%s\n", message);
   std::abort();
 }
 
@@ -27,27 +27,29 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string raw(reinterpret_cast<const char*>(data), size);
-  std::string whole = raw;
-  membership::put(whole, static_cast<std::uint32_t>(XXH32(raw.data(), raw.size(), 0)));
-  gossip::Fleet fleet(0, 8, 1000, {}, 1);
-  std::vector<gossip::Fleet::Out> out;
-  fleet.tick(1000, {1, 2}, out);
-  for (const std::string& bytes : {raw, whole}) {
-    for (gossip::Id from = 0; from < 9; ++from) {
-      fleet.take(1001, from, bytes, out);
-      const gossip::View view = fleet.view(1002);
-      must(view.living >= 1 && view.living <= 8, "the number of live routers is out of range");
-      must(std::isfinite(view.ledger_part) && view.ledger_part >= 0 && view.ledger_part <= 4096 * 8,
-           "the origin's share is out of range");
+  std::string with_checksum = raw;
+  membership::put(with_checksum, static_cast<std::uint32_t>(XXH32(raw.data(), raw.size(), 0)));
+  gossip::GossipNode fleet(0, 8, 1000, {}, 1);
+  std::vector<gossip::GossipNode::OutgoingDatagram> datagrams;
+  fleet.tick(1000, {1, 2}, datagrams);
+  for (const std::string& bytes : {raw, with_checksum}) {
+    for (gossip::MemberId sender = 0; sender < 9; ++sender) {
+      fleet.receive(1001, sender, bytes, datagrams);
+      const gossip::FleetView view = fleet.view(1002);
+      require(view.router_count >= 1 && view.router_count <= 8, "the number of live routers is out of range");
+      require(std::isfinite(view.origin_limit_share) && view.origin_limit_share >= 0 &&
+                  view.origin_limit_share <= 4096 * 8,
+              "the origin's share is out of range");
     }
-    if (const auto read = membership::decode(bytes)) {
-      const auto again = membership::decode(membership::encode(*read));
-      must(again && membership::encode(*again) == membership::encode(*read),
-           "a message changes when it is encoded and decoded again");
+    if (const auto decoded = membership::decode(bytes)) {
+      const auto decoded_again = membership::decode(membership::encode(*decoded));
+      require(decoded_again && membership::encode(*decoded_again) == membership::encode(*decoded),
+              "a message changes when it is encoded and decoded again");
     }
   }
-  fleet.tick(2000, {1, 2}, out);
-  for (const auto& o : out)
-    must(o.to < 8 && o.bytes.size() <= membership::kMostBytes, "a datagram exceeds the size limit");
+  fleet.tick(2000, {1, 2}, datagrams);
+  for (const auto& datagram : datagrams)
+    require(datagram.to < 8 && datagram.bytes.size() <= membership::kMaxDatagramBytes,
+            "a datagram exceeds the size limit");
   return 0;
 }
--- a/tests/fuzz/scenario.cpp
+++ b/tests/fuzz/scenario.cpp
@@ -9,13 +9,13 @@
 
 namespace {
 
-void must(bool holds, const char* what) {
-  if (holds) return;
-  std::fprintf(stderr, "%s\n", what);
+void require(bool condition, const char* message) {
+  if (condition) return;
+  std::fprintf(stderr, "%s\n", message);
   std::abort();
 }
 
-constexpr const char* kBase = R"(
+constexpr const char* kIncludedFile = R"(
 [[zones]]
 name = "east"
 [[zones]]
@@ -42,19 +42,21 @@
   using namespace fernward::lab;
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   // Small limits, because valid scenarios are written and read again.
-  const Offer offer{1000, 100, 8};
+  const RunLimits offer{1000, 100, 8};
   const Scenario scenario = read_scenario(text, "fuzz.toml", offer, [](const auto& path) {
-    return path == "fleet.toml" ? std::optional<std::string>(kBase) : std::nullopt;
+    return path == "fleet.toml" ? std::optional<std::string>(kIncludedFile) : std::nullopt;
   });
-  for (const Fault& fault : scenario.faults) {
-    must(fault.at.line > 0 && fault.at.column > 0 && !fault.at.file.empty(), "an error without a location");
-    must(!fault.key.empty() && !fault.why.empty(), "an error without a key or a reason");
+  for (const Diagnostic& fault : scenario.faults) {
+    require(fault.position.line > 0 && fault.position.column > 0 && !fault.position.file.empty(),
+            "an error without a location");
+    require(!fault.key.empty() && !fault.message.empty(), "an error without a key or a reason");
   }
-  if (!scenario.sound()) return 0;
+  if (!scenario.is_valid()) return 0;
   const std::string written = scenario_text(scenario.spec);
-  const Scenario again = read_scenario(written, "again.toml", offer);
-  if (!again.sound()) std::fprintf(stderr, "%s\n%s", again.faults.front().text().c_str(), written.c_str());
-  must(again.sound(), "an accepted scenario is rejected after it is written and read again");
-  must(scenario_text(again.spec) == written, "the scenario differs after it is written and read again");
+  const Scenario reparsed = read_scenario(written, "again.toml", offer);
+  if (!reparsed.is_valid())
+    std::fprintf(stderr, "%s\n%s", reparsed.faults.front().to_string().c_str(), written.c_str());
+  require(reparsed.is_valid(), "an accepted scenario is rejected after it is written and read again");
+  require(scenario_text(reparsed.spec) == written, "the scenario differs after it is written and read again");
   return 0;
 }
--- a/tests/hot_restart/state_test.cpp
+++ b/tests/hot_restart/restart_messages_test.cpp
@@ -6,15 +6,15 @@
 #include <string_view>
 #include <vector>
 
-#include "hot_restart/state.h"
+#include "hot_restart/restart_messages.h"
 
 using namespace fernward::hot_restart;
 
 namespace {
 
-std::vector<Message> all() {
+std::vector<Message> example_messages() {
   TakeoverGrant grant;
-  grant.list = R"({"index":4,"snapshot":true,"endpoints":[]})";
+  grant.endpoint_list = R"({"index":4,"snapshot":true,"endpoints":[]})";
   grant.overrides = {{"s-1", true, 0}, {"s-2", false, 1.5e12}};
   grant.resources = {120, 24};
   return {TakeoverRequest{"n1", "127.0.0.1:7070", 28},
@@ -40,12 +40,12 @@
 
 TEST_CASE("encoded messages decode to the same messages from one stream") {
   std::string text;
-  for (const Message& message : all()) text += encode(message);
-  for (const Message& message : all()) {
-    const Decoded decoded = decode(text);
+  for (const Message& message : example_messages()) text += encode(message);
+  for (const Message& message : example_messages()) {
+    const DecodeResult decoded = decode(text);
     REQUIRE(decoded.message.has_value());
     CHECK(*decoded.message == message);
-    text.erase(0, decoded.used);
+    text.erase(0, decoded.frame_bytes);
   }
   CHECK(text.empty());
 }
@@ -65,19 +65,19 @@
       "4657484f010000000500000007000000493d7008c92d753ea1646d6f726503",
   };
   std::vector<std::string> written;
-  for (const Message& message : all()) written.push_back(hex(encode(message)));
+  for (const Message& message : example_messages()) written.push_back(hex(encode(message)));
   CHECK(written == frames);
 }
 
 TEST_CASE("a truncated frame is incomplete and a changed byte is rejected or leaves it incomplete") {
-  for (const Message& message : all()) {
+  for (const Message& message : example_messages()) {
     const std::string text = encode(message);
-    for (std::size_t n = 0; n < text.size(); ++n) {
-      const Decoded cut = decode(text.substr(0, n));
+    for (std::size_t length = 0; length < text.size(); ++length) {
+      const DecodeResult cut = decode(text.substr(0, length));
       CHECK_FALSE(cut.message.has_value());
-      CHECK(cut.fault == "");
+      CHECK(cut.error == "");
       std::string bad = text;
-      bad[n] = static_cast<char>(bad[n] ^ 0x21);
+      bad[length] = static_cast<char>(bad[length] ^ 0x21);
       CHECK_FALSE(decode(bad).message.has_value());
     }
   }
@@ -86,25 +86,26 @@
 TEST_CASE("another version or kind or invalid bytes are rejected") {
   std::string text = encode(NewProcessReady{});
   text[4] = 2;
-  CHECK(decode(text).fault == "unsupported frame version 2");
+  CHECK(decode(text).error == "unsupported frame version 2");
   text = encode(NewProcessReady{});
   text[8] = 40;
-  CHECK(decode(text).fault == "checksum");
-  CHECK(decode("GET / HTTP/1.1\r\n\r\n").fault == "bytes are not a hot restart frame");
+  CHECK(decode(text).error == "checksum");
+  CHECK(decode("GET / HTTP/1.1\r\n\r\n").error == "bytes are not a hot restart frame");
   text = encode(NewProcessReady{});
   text[15] = 0x7f; // more than a gigabyte
-  CHECK(decode(text).fault == "frame contents are longer than 16 MiB");
+  CHECK(decode(text).error == "frame contents are longer than 16 MiB");
 }
 
 TEST_CASE("split limits never exceed the total and the new process can start") {
   CHECK(rc::check([] {
-    const auto places = *rc::gen::inRange<std::uint64_t>(40, 4096);
+    const auto descriptors = *rc::gen::inRange<std::uint64_t>(40, 4096);
     const auto reserved = *rc::gen::inRange<std::uint64_t>(0, 40);
-    const auto used = *rc::gen::inRange<std::uint64_t>(0, places);
-    const ResourceSplit s = split({places, 33}, used, reserved);
-    RC_ASSERT(s.old_process.descriptors + s.new_process.descriptors + reserved <= places);
-    RC_ASSERT(s.old_process.memory_mb + s.new_process.memory_mb == 33u);
-    RC_ASSERT(s.new_process.descriptors * 8 + 8 >= places - reserved);
-    if (used <= (places - reserved) / 2) RC_ASSERT(s.old_process.descriptors >= used);
+    const auto used = *rc::gen::inRange<std::uint64_t>(0, descriptors);
+    const ResourceSplit resource_split = split_resources({descriptors, 33}, used, reserved);
+    RC_ASSERT(resource_split.old_process.descriptors + resource_split.new_process.descriptors + reserved <=
+              descriptors);
+    RC_ASSERT(resource_split.old_process.memory_mb + resource_split.new_process.memory_mb == 33u);
+    RC_ASSERT(resource_split.new_process.descriptors * 8 + 8 >= descriptors - reserved);
+    if (used <= (descriptors - reserved) / 2) RC_ASSERT(resource_split.old_process.descriptors >= used);
   }));
 }
--- a/tests/http/framing_test.cpp
+++ b/tests/http/framing_test.cpp
@@ -8,20 +8,21 @@
 
 namespace {
 
-std::size_t below(std::size_t limit) { return *rc::gen::inRange<std::size_t>(0, limit); }
+std::size_t random_below(std::size_t limit) { return *rc::gen::inRange<std::size_t>(0, limit); }
 
 // Feeds `wire` in parts of next_part_bytes() bytes. Returns the joined body pieces, and the number of bytes
 // consumed.
-template <typename Cut>
-std::pair<std::string, std::size_t> pieces(Framer& framer, const std::string& wire, Cut cut) {
+template <typename NextPartBytes>
+std::pair<std::string, std::size_t> feed_in_parts(BodyParser& parser, const std::string& wire,
+                                                  NextPartBytes next_part_bytes) {
   std::string body;
-  std::size_t at = 0;
-  while (at < wire.size() && !framer.done() && framer.fault() == Fault::None) {
-    const Framer::Piece piece = framer.next(std::string_view(wire).substr(at, cut()));
+  std::size_t offset = 0;
+  while (offset < wire.size() && !parser.done() && parser.error() == ParseError::None) {
+    const BodyParser::Piece piece = parser.next(std::string_view(wire).substr(offset, next_part_bytes()));
     body += piece.body;
-    at += piece.used;
+    offset += piece.consumed_bytes;
   }
-  return {body, at};
+  return {body, offset};
 }
 
 } // namespace
@@ -30,96 +31,98 @@
     "a body reads the same with any framing and any split of the input") { // guards: bytes lost at a boundary
   CHECK(rc::check("framing", [] {
     std::string body;
-    for (std::size_t n = below(400); n > 0; --n) body += static_cast<char>(below(256));
+    for (std::size_t n = random_below(400); n > 0; --n) body += static_cast<char>(random_below(256));
     std::string wire;
-    const bool chunked = below(2) == 0;
+    const bool chunked = random_below(2) == 0;
     if (chunked) {
       for (std::size_t at = 0; at < body.size();) {
-        const std::size_t n = std::min(body.size() - at, below(60) + 1);
+        const std::size_t n = std::min(body.size() - at, random_below(60) + 1);
         char size[40];
-        std::snprintf(size, sizeof size, below(2) == 0 ? "%zX\r\n" : "0%zx ;a=\"b\"\r\n", n);
+        std::snprintf(size, sizeof size, random_below(2) == 0 ? "%zX\r\n" : "0%zx ;a=\"b\"\r\n", n);
         wire += size + body.substr(at, n) + "\r\n";
         at += n;
       }
-      wire += below(2) == 0 ? "0\r\n\r\n" : "0\r\nA: b\r\nC: d\r\n\r\n";
+      wire += random_below(2) == 0 ? "0\r\n\r\n" : "0\r\nA: b\r\nC: d\r\n\r\n";
     } else {
       wire = body;
     }
     const std::size_t end = wire.size();
     wire += "HTTP/1.1 200 OK\r\n"; // bytes of the next message are not consumed
-    Framer framer = chunked ? Framer::chunked(400) : Framer::fixed(body.size(), 400);
-    const auto [got, used] = pieces(framer, wire, [] { return below(50) + 1; });
+    BodyParser framer = chunked ? BodyParser::chunked(400) : BodyParser::fixed_length(body.size(), 400);
+    const auto [got, used] = feed_in_parts(framer, wire, [] { return random_below(50) + 1; });
     RC_ASSERT(framer.done());
-    RC_ASSERT(framer.fault() == Fault::None);
+    RC_ASSERT(framer.error() == ParseError::None);
     RC_ASSERT(got == body);
     RC_ASSERT(used == end);
-    RC_ASSERT(framer.come() == body.size());
+    RC_ASSERT(framer.received_bytes() == body.size());
   }));
 }
 
 TEST_CASE("invalid and too long bodies are rejected") {
   struct Case {
     const char* what;
-    Framer framer;
+    BodyParser framer;
     std::string wire;
-    Fault fault;
+    ParseError fault;
   };
-  const auto chunked = [] { return Framer::chunked(100); };
+  const auto chunked = [] { return BodyParser::chunked(100); };
   for (Case c : std::initializer_list<Case>{
-           {"announced length above the limit", Framer::fixed(101, 100), "", Fault::BodyTooLarge},
-           {"one chunk above the limit", chunked(), "65\r\n", Fault::BodyTooLarge},
+           {"announced length above the limit", BodyParser::fixed_length(101, 100), "",
+            ParseError::BodyTooLarge},
+           {"one chunk above the limit", chunked(), "65\r\n", ParseError::BodyTooLarge},
            {"several chunks above the limit", chunked(), "63\r\n" + std::string(99, 'x') + "\r\n2\r\n",
-            Fault::BodyTooLarge},
-           {"body until close above the limit", Framer::until_close(100), std::string(101, 'x'),
-            Fault::BodyTooLarge},
+            ParseError::BodyTooLarge},
+           {"body until close above the limit", BodyParser::until_close(100), std::string(101, 'x'),
+            ParseError::BodyTooLarge},
            {"an endless trailer line", chunked(), "0\r\nA: " + std::string(400000, 'a'),
-            Fault::HeaderTooLarge},
+            ParseError::HeaderTooLarge},
            {"an endless list of trailers", chunked(),
             [] {
               std::string text = "0\r\n";
               while (text.size() < 20000) text += "A: b\r\n";
               return text;
             }(),
-            Fault::HeaderTooLarge},
-           {"an endless chunk size line", chunked(), "1;" + std::string(2000, 'a'), Fault::HeaderTooLarge},
-           {"a chunk longer than its announced size", chunked(), "1\r\nab\r\n", Fault::Malformed},
-           {"a negative chunk size", chunked(), "-1\r\n", Fault::Malformed},
-           {"a missing chunk size", chunked(), "\r\n", Fault::Malformed},
-           {"a bare LF", chunked(), "1\na\n", Fault::Malformed},
+            ParseError::HeaderTooLarge},
+           {"an endless chunk size line", chunked(), "1;" + std::string(2000, 'a'),
+            ParseError::HeaderTooLarge},
+           {"a chunk longer than its announced size", chunked(), "1\r\nab\r\n", ParseError::Malformed},
+           {"a negative chunk size", chunked(), "-1\r\n", ParseError::Malformed},
+           {"a missing chunk size", chunked(), "\r\n", ParseError::Malformed},
+           {"a bare LF", chunked(), "1\na\n", ParseError::Malformed},
        }) {
     CAPTURE(c.what);
-    pieces(c.framer, c.wire, [&] { return c.wire.size(); });
-    CHECK(c.framer.fault() == c.fault);
+    feed_in_parts(c.framer, c.wire, [&] { return c.wire.size(); });
+    CHECK(c.framer.error() == c.fault);
     CHECK_FALSE(c.framer.done());
     CHECK_FALSE(c.framer.end_of_input());
   }
 }
 
 TEST_CASE("body bytes that the caller moved itself count as received") {
-  Framer framer = Framer::chunked(1000);
+  BodyParser framer = BodyParser::chunked(1000);
   framer.next("64\r\nab");
   framer.next("ab");
-  CHECK(framer.straight() == 96);
-  framer.skipped(95);
-  CHECK(framer.straight() == 1);
+  CHECK(framer.contiguous_body_bytes() == 96);
+  framer.skip(95);
+  CHECK(framer.contiguous_body_bytes() == 1);
   CHECK(framer.next("x\r\n0\r\n\r\n").body == "x");
   framer.next("\r\n0\r\n\r\n");
   CHECK(framer.done());
-  CHECK(framer.come() == 100);
-  CHECK(Framer::until_close(10).straight() == 10);
-  CHECK(Framer::none().done());
+  CHECK(framer.received_bytes() == 100);
+  CHECK(BodyParser::until_close(10).contiguous_body_bytes() == 10);
+  CHECK(BodyParser::none().done());
 }
 
 TEST_CASE("feed_head stops after the head and leaves the body to the caller") {
-  Parser parser(Kind::Response, 10000000);
+  Parser parser(MessageKind::Response, 10000000);
   const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n";
   CHECK(parser.feed_head(head + "first") == head.size());
   REQUIRE(parser.head_done());
   CHECK_FALSE(parser.done());
   CHECK(parser.body().length() == 5000000u);
   CHECK(parser.body().next("first").body == "first");
-  CHECK(parser.held() < 100); // no byte of the body
-  Parser cut(Kind::Response);
+  CHECK(parser.buffered_bytes() < 100); // no byte of the body
+  Parser cut(MessageKind::Response);
   cut.feed_head("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   CHECK(cut.body().length() == std::nullopt);
   CHECK_FALSE(cut.end_of_input());
--- a/tests/idle_connections/idle_lifetime_estimator_test.cpp
+++ b/tests/idle_connections/idle_lifetime_estimator_test.cpp
@@ -12,22 +12,22 @@
 #include "idle_connections/idle_lifetime_estimator.h"
 
 using fernward::idle_connections::IdleLifetimeEstimator;
-using Use = IdleLifetimeEstimator::Reuse;
+using Reuse = IdleLifetimeEstimator::Reuse;
 
 namespace {
 
-constexpr double kLongest = 10500;
+constexpr double kMaxIdleMs = 10500;
 
-struct Node {
-  double dies_after;        // idle time after which it closes without notice; 0: with the response
-  double reset_kept = 0;    // share of requests on reused connections that are reset at any idle time
-  double reset_any = 0;     // share of all requests that are reset
-  double changes_at = 1e18; // time from which the idle lifetime is:
-  double then = kLongest;
-  bool says = false; // closes gracefully, which is noticed at once
-  double rate = 20;  // requests per second
-  double share = 1;  // of the connections idle for that time, closed ones
-  double closes = 0; // share of responses after which it closes gracefully
+struct ServerModel {
+  double closes_after_ms;        // idle time after which it closes without notice; 0: with the response
+  double reset_share_reused = 0; // share of requests on reused connections that are reset at any idle time
+  double reset_share_any = 0;    // share of all requests that are reset
+  double changes_at_ms = 1e18;   // time from which the idle lifetime is:
+  double closes_after_change_ms = kMaxIdleMs;
+  bool closes_gracefully = false;  // closes gracefully, which is noticed at once
+  double requests_per_second = 20; // requests per second
+  double closed_share = 1;         // of the connections idle for that time, closed ones
+  double graceful_close_share = 0; // share of responses after which it closes gracefully
 };
 
 struct Outcome {
@@ -37,125 +37,145 @@
 
 // Requests arrive at random and take 5 to 40 ms; the most recently used connection is reused first. With a
 // null estimator every idle time up to the longest is treated as safe.
-std::vector<Outcome> play(const std::vector<Node>& nodes, double seconds, IdleLifetimeEstimator* rests,
-                          unsigned seed = 1) {
+std::vector<Outcome> simulate(const std::vector<ServerModel>& servers, double seconds,
+                              IdleLifetimeEstimator* estimator, unsigned seed = 1) {
   struct Connection {
-    double rested_at;
+    double idle_since;
     bool dead = false;
   };
-  struct Out {
-    std::size_t node;
+  struct ActiveRequest {
+    std::size_t server;
     Connection connection;
   };
   std::mt19937 random(seed); // the same draws on every standard library: no distribution of it is used
   const auto unit = [&] { return (static_cast<double>(random()) + 0.5) / 4294967296.0; };
-  std::vector<Outcome> outcomes(nodes.size());
-  std::vector<std::vector<Connection>> free(nodes.size());
-  std::multimap<double, Out> done;
-  std::multimap<double, std::size_t> next;
-  for (std::size_t n = 0; n < nodes.size(); ++n) next.emplace(-std::log(unit()) / nodes[n].rate * 1000, n);
-  while (next.begin()->first < seconds * 1000) {
-    if (!done.empty() && done.begin()->first <= next.begin()->first) {
-      auto [now, out] = *done.begin();
-      done.erase(done.begin());
-      out.connection.rested_at = now;
-      free[out.node].push_back(out.connection);
+  std::vector<Outcome> outcomes(servers.size());
+  std::vector<std::vector<Connection>> idle_connections_of(servers.size());
+  std::multimap<double, ActiveRequest> response_times;
+  std::multimap<double, std::size_t> next_requests;
+  for (std::size_t n = 0; n < servers.size(); ++n)
+    next_requests.emplace(-std::log(unit()) / servers[n].requests_per_second * 1000, n);
+  while (next_requests.begin()->first < seconds * 1000) {
+    if (!response_times.empty() && response_times.begin()->first <= next_requests.begin()->first) {
+      auto [now, active_request] = *response_times.begin();
+      response_times.erase(response_times.begin());
+      active_request.connection.idle_since = now;
+      idle_connections_of[active_request.server].push_back(active_request.connection);
       continue;
     }
-    const auto [now, n] = *next.begin();
-    next.erase(next.begin());
-    const Node& node = nodes[n];
-    next.emplace(now - std::log(unit()) / node.rate * 1000, n);
-    const auto target = static_cast<IdleLifetimeEstimator::EndpointId>(n + 1);
-    const double life = now < node.changes_at ? node.dies_after : node.then;
-    Outcome& o = outcomes[n];
+    const auto [now, n] = *next_requests.begin();
+    next_requests.erase(next_requests.begin());
+    const ServerModel& server = servers[n];
+    next_requests.emplace(now - std::log(unit()) / server.requests_per_second * 1000, n);
+    const auto endpoint = static_cast<IdleLifetimeEstimator::EndpointId>(n + 1);
+    const double idle_lifetime_ms =
+        now < server.changes_at_ms ? server.closes_after_ms : server.closes_after_change_ms;
+    Outcome& outcome = outcomes[n];
     const bool late = now > seconds * 500;
-    ++o.requests;
-    std::erase_if(free[n], [&](const Connection& c) {
-      const double rest = now - c.rested_at;
-      if (node.says && rest >= life) {
+    ++outcome.requests;
+    std::erase_if(idle_connections_of[n], [&](const Connection& c) {
+      const double idle_ms = now - c.idle_since;
+      if (server.closes_gracefully && idle_ms >= idle_lifetime_ms) {
         return true;
       }
-      return rest >= (rests != nullptr ? rests->keep_ms(now, target) : kLongest);
+      return idle_ms >= (estimator != nullptr ? estimator->max_keep_ms(now, endpoint) : kMaxIdleMs);
     });
-    bool kept = false, trial = false;
-    double rest = 0;
-    if (!free[n].empty()) {
-      rest = now - free[n].back().rested_at;
-      const Use use = rests != nullptr ? rests->decide_reuse(now, target, rest) : Use::Allowed;
-      kept = use != Use::Refused;
-      trial = use == Use::Trial;
+    bool reused = false, trial = false;
+    double idle_ms = 0;
+    if (!idle_connections_of[n].empty()) {
+      idle_ms = now - idle_connections_of[n].back().idle_since;
+      const Reuse use =
+          estimator != nullptr ? estimator->decide_reuse(now, endpoint, idle_ms) : Reuse::Allowed;
+      reused = use != Reuse::Refused;
+      trial = use == Reuse::Trial;
     }
-    const double took = 5 + 35 * unit();
-    if (kept) {
-      free[n].pop_back();
-      const bool dead = rest >= life && unit() < node.share,
-                 reset = dead || unit() < node.reset_kept + node.reset_any;
-      o.dead += dead;
-      o.dead_late += dead && late;
-      if (rests != nullptr) rests->on_reuse(now + (reset ? 1 : took), target, rest, trial, reset);
+    const double duration_ms = 5 + 35 * unit();
+    if (reused) {
+      idle_connections_of[n].pop_back();
+      const bool dead = idle_ms >= idle_lifetime_ms && unit() < server.closed_share,
+                 reset = dead || unit() < server.reset_share_reused + server.reset_share_any;
+      outcome.dead += dead;
+      outcome.dead_late += dead && late;
+      if (estimator != nullptr)
+        estimator->on_reuse(now + (reset ? 1 : duration_ms), endpoint, idle_ms, trial, reset);
       if (reset) continue;
     } else {
-      ++o.opened;
-      o.opened_late += late;
-      const bool reset = unit() < node.reset_any;
-      if (rests != nullptr) rests->on_first_use(now + (reset ? 1 : took), target, reset);
+      ++outcome.opened;
+      outcome.opened_late += late;
+      const bool reset = unit() < server.reset_share_any;
+      if (estimator != nullptr) estimator->on_first_use(now + (reset ? 1 : duration_ms), endpoint, reset);
       if (reset) continue;
     }
-    if (unit() >= node.closes) done.emplace(now + took, Out{n, {0}});
+    if (unit() >= server.graceful_close_share)
+      response_times.emplace(now + duration_ms, ActiveRequest{n, {0}});
   }
   return outcomes;
 }
 
 Outcome sum(const std::vector<Outcome>& all) {
   Outcome s;
-  for (const auto& o : all) {
-    s.requests += o.requests, s.dead += o.dead, s.opened += o.opened;
-    s.dead_late += o.dead_late, s.opened_late += o.opened_late;
+  for (const auto& outcome : all) {
+    s.requests += outcome.requests, s.dead += outcome.dead, s.opened += outcome.opened;
+    s.dead_late += outcome.dead_late, s.opened_late += outcome.opened_late;
   }
   return s;
 }
 
-std::vector<Node> same(int n, Node node) { return std::vector<Node>(static_cast<std::size_t>(n), node); }
+std::vector<ServerModel> repeated(int n, ServerModel server) {
+  return std::vector<ServerModel>(static_cast<std::size_t>(n), server);
+}
 
 } // namespace
 
 // Guards against requests written to connections that were closed without notice, and against needless
 // closing.
 TEST_CASE("a minute in virtual time: requests on dead connections and opened connections") {
-  auto half = same(10, {300});
-  for (const Node& node : same(10, {kLongest})) half.push_back(node);
+  auto half_closing = repeated(10, {300});
+  for (const ServerModel& server : repeated(10, {kMaxIdleMs})) half_closing.push_back(server);
   const struct {
     std::string name;
-    std::vector<Node> nodes;
+    std::vector<ServerModel> servers;
     double dead;   // highest ratio of requests on dead connections, with and without the estimator
     double opened; // highest ratio of opened connections, with and without the estimator
   } table[] = {
-      {"20 servers, all healthy", same(20, {kLongest}), 1, 1.02},
-      {"20 servers, all healthy, few requests", same(20, {.dies_after = kLongest, .rate = 1}), 1, 1.05},
-      {"20 that close after 300 ms", same(20, {300}), 0.1, 1e9},
-      {"20 that close after 40 ms", same(20, {40}), 0.1, 1e9},
-      {"20 that close after 3 s, few requests", same(20, {.dies_after = 3000, .rate = 1}), 0.2, 1e9},
-      {"20 that close with the response", same(20, {0}), 0.02, 1e9},
-      {"10 that close after 300 ms, 10 healthy", half, 0.1, 1e9},
-      {"20 that close gracefully after 300 ms", same(20, {.dies_after = 300, .says = true}), 1, 1e9},
-      {"20 that reset 2% of all", same(20, {.dies_after = kLongest, .reset_any = 0.02}), 1, 1.2},
-      {"20 that reset half of all", same(20, {.dies_after = kLongest, .reset_any = 0.5}), 1, 1.1},
-      {"20 that reset 5% on reused connections", same(20, {.dies_after = kLongest, .reset_kept = 0.05}), 1,
-       1.3},
-      {"20 that reset 30% on reused connections", same(20, {.dies_after = kLongest, .reset_kept = 0.3}), 1,
-       1.5},
+      {"20 servers, all healthy", repeated(20, {kMaxIdleMs}), 1, 1.02},
+      {"20 servers, all healthy, few requests",
+       repeated(20, {.closes_after_ms = kMaxIdleMs, .requests_per_second = 1}), 1, 1.05},
+      {"20 that close after 300 ms", repeated(20, {300}), 0.1, 1e9},
+      {"20 that close after 40 ms", repeated(20, {40}), 0.1, 1e9},
+      {"20 that close after 3 s, few requests",
+       repeated(20, {.closes_after_ms = 3000, .requests_per_second = 1}), 0.2, 1e9},
+      {"20 that close with the response", repeated(20, {0}), 0.02, 1e9},
+      {"10 that close after 300 ms, 10 healthy", half_closing, 0.1, 1e9},
+      {"20 that close gracefully after 300 ms",
+       repeated(20, {.closes_after_ms = 300, .closes_gracefully = true}), 1, 1e9},
+      {"20 that reset 2% of all", repeated(20, {.closes_after_ms = kMaxIdleMs, .reset_share_any = 0.02}), 1,
+       1.2},
+      {"20 that reset half of all", repeated(20, {.closes_after_ms = kMaxIdleMs, .reset_share_any = 0.5}), 1,
+       1.1},
+      {"20 that reset 5% on reused connections",
+       repeated(20, {.closes_after_ms = kMaxIdleMs, .reset_share_reused = 0.05}), 1, 1.3},
+      {"20 that reset 30% on reused connections",
+       repeated(20, {.closes_after_ms = kMaxIdleMs, .reset_share_reused = 0.3}), 1, 1.5},
       {"13 that reset half of those idle for 150 ms, 6% of all, and close after 1 in 10 responses",
-       same(13, {.dies_after = 150, .reset_any = 0.06, .rate = 30, .share = 0.5, .closes = 0.1}), 0.2, 1e9},
+       repeated(13, {.closes_after_ms = 150,
+                     .reset_share_any = 0.06,
+                     .requests_per_second = 30,
+                     .closed_share = 0.5,
+                     .graceful_close_share = 0.1}),
+       0.2, 1e9},
       {"20 healthy, then close after 300 ms",
-       same(20, {.dies_after = kLongest, .changes_at = 30000, .then = 300}), 0.25, 1e9},
+       repeated(20, {.closes_after_ms = kMaxIdleMs, .changes_at_ms = 30000, .closes_after_change_ms = 300}),
+       0.25, 1e9},
       {"20 that close after 300 ms, then are healthy",
-       same(20, {.dies_after = 300, .changes_at = 20000, .then = kLongest}), 0.15, 1e9},
+       repeated(20, {.closes_after_ms = 300, .changes_at_ms = 20000, .closes_after_change_ms = kMaxIdleMs}),
+       0.15, 1e9},
   };
   for (const auto& row : table) {
     CAPTURE(row.name);
-    IdleLifetimeEstimator rests(kLongest);
-    const Outcome without = sum(play(row.nodes, 60, nullptr)), with = sum(play(row.nodes, 60, &rests));
+    IdleLifetimeEstimator estimator(kMaxIdleMs);
+    const Outcome without = sum(simulate(row.servers, 60, nullptr)),
+                  with = sum(simulate(row.servers, 60, &estimator));
     MESSAGE(row.name << ": of " << with.requests << " requests to dead connections " << with.dead
                      << ", before " << without.dead << "; opened " << with.opened << ", before "
                      << without.opened << " (second half " << with.opened_late << ", before "
@@ -166,47 +186,47 @@
 }
 
 TEST_CASE("servers that close after 300 ms and after 15 s are estimated separately") {
-  IdleLifetimeEstimator rests(kLongest);
-  std::vector<Node> nodes = {{300}, {15000}};
-  const auto outcomes = play(nodes, 60, &rests);
-  CHECK(rests.safe_idle_ms(60000, 1) <= 300);
-  CHECK(rests.safe_idle_ms(60000, 1) >= 150);
-  CHECK(rests.safe_idle_ms(60000, 2) == kLongest);
+  IdleLifetimeEstimator estimator(kMaxIdleMs);
+  std::vector<ServerModel> servers = {{300}, {15000}};
+  const auto outcomes = simulate(servers, 60, &estimator);
+  CHECK(estimator.safe_idle_ms(60000, 1) <= 300);
+  CHECK(estimator.safe_idle_ms(60000, 1) >= 150);
+  CHECK(estimator.safe_idle_ms(60000, 2) == kMaxIdleMs);
   CHECK(outcomes[0].dead_late <= 8); // trials
   CHECK(outcomes[1].opened_late <= 6);
 }
 
 TEST_CASE("estimates after single events") {
-  IdleLifetimeEstimator rests(kLongest);
-  CHECK(rests.decide_reuse(0, 1, 10000) == Use::Allowed);
-  CHECK(rests.decide_reuse(0, 1, kLongest) == Use::Refused);
-  CHECK(rests.keep_ms(0, 1) == kLongest);
+  IdleLifetimeEstimator estimator(kMaxIdleMs);
+  CHECK(estimator.decide_reuse(0, 1, 10000) == Reuse::Allowed);
+  CHECK(estimator.decide_reuse(0, 1, kMaxIdleMs) == Reuse::Refused);
+  CHECK(estimator.max_keep_ms(0, 1) == kMaxIdleMs);
   // A single reset after a longer idle time than any successful one changes the estimate; also for other
   // servers, until their own results differ.
-  for (int i = 0; i < 20; ++i) rests.on_reuse(50, 1, 200, false, false);
-  rests.on_reuse(100, 1, 400, false, true);
-  CHECK(rests.safe_idle_ms(500, 1) <= 400);
-  CHECK(rests.safe_idle_ms(500, 2) <= 400);
-  CHECK(rests.decide_reuse(500, 1, 190) == Use::Allowed);
-  CHECK(rests.decide_reuse(500, 1, 400) == Use::Refused);
+  for (int i = 0; i < 20; ++i) estimator.on_reuse(50, 1, 200, false, false);
+  estimator.on_reuse(100, 1, 400, false, true);
+  CHECK(estimator.safe_idle_ms(500, 1) <= 400);
+  CHECK(estimator.safe_idle_ms(500, 2) <= 400);
+  CHECK(estimator.decide_reuse(500, 1, 190) == Reuse::Allowed);
+  CHECK(estimator.decide_reuse(500, 1, 400) == Reuse::Refused);
   // Only one trial is allowed at a time, and only slightly beyond the safe idle time.
-  const double doubtful = rests.safe_idle_ms(5000, 1);
-  CHECK(rests.decide_reuse(5000, 1, 4 * doubtful) == Use::Refused);
-  CHECK(rests.decide_reuse(5000, 1, doubtful) == Use::Trial);
-  CHECK(rests.decide_reuse(5000, 1, doubtful) == Use::Refused);
+  const double boundary = estimator.safe_idle_ms(5000, 1);
+  CHECK(estimator.decide_reuse(5000, 1, 4 * boundary) == Reuse::Refused);
+  CHECK(estimator.decide_reuse(5000, 1, boundary) == Reuse::Trial);
+  CHECK(estimator.decide_reuse(5000, 1, boundary) == Reuse::Refused);
   // Responses after longer idle times raise the estimate, here only for the other server.
-  for (int i = 0; i < 4; ++i) rests.on_reuse(6000, 2, 3000, true, false);
-  CHECK(rests.safe_idle_ms(7000, 2) == kLongest);
-  CHECK(rests.safe_idle_ms(7000, 1) <= 400);
-  rests.forget(1);
-  CHECK(rests.size() == 1);
+  for (int i = 0; i < 4; ++i) estimator.on_reuse(6000, 2, 3000, true, false);
+  CHECK(estimator.safe_idle_ms(7000, 2) == kMaxIdleMs);
+  CHECK(estimator.safe_idle_ms(7000, 1) <= 400);
+  estimator.forget(1);
+  CHECK(estimator.size() == 1);
   // Many connections that break at the same time count as one event.
-  IdleLifetimeEstimator other(kLongest);
+  IdleLifetimeEstimator other(kMaxIdleMs);
   for (int i = 0; i < 30; ++i) other.on_reuse(1000 + i, 1, 50 + i, false, false);
   for (int i = 0; i < 10; ++i) other.on_reuse(2000, 1, 100, false, true);
   CHECK(other.safe_idle_ms(3000, 1) >= 64);
   // No connection is kept only if even the shortest idle times lead to resets, which takes several resets.
-  IdleLifetimeEstimator third(kLongest);
+  IdleLifetimeEstimator third(kMaxIdleMs);
   third.on_reuse(0, 1, 2, false, true);
   CHECK(third.safe_idle_ms(300, 1) > 0);
   for (int i = 1; i < 8; ++i) third.on_reuse(300 * i, 1, 2, false, true);
@@ -221,30 +241,31 @@
         *rc::gen::container<std::vector<std::tuple<int, IdleLifetimeEstimator::EndpointId, int>>>(
             rc::gen::tuple(rc::gen::inRange(0, 12), rc::gen::inRange<IdleLifetimeEstimator::EndpointId>(1, 6),
                            rc::gen::inRange(0, 20000)));
-    IdleLifetimeEstimator rests(kLongest);
+    IdleLifetimeEstimator estimator(kMaxIdleMs);
     double now = 0;
-    for (const auto& [what, target, number] : events) {
-      const double rest = number;
+    for (const auto& [event, endpoint, number] : events) {
+      const double idle_ms = number;
       now += number % 400;
-      if (what < 3) {
-        rests.on_reuse(now, target, rest, what == 1, false);
-      } else if (what < 6) {
-        rests.on_reuse(now, target, rest, what == 4, true);
-      } else if (what < 8) {
-        rests.on_first_use(now, target, what == 6);
-      } else if (what == 9) {
-        rests.forget(target);
+      if (event < 3) {
+        estimator.on_reuse(now, endpoint, idle_ms, event == 1, false);
+      } else if (event < 6) {
+        estimator.on_reuse(now, endpoint, idle_ms, event == 4, true);
+      } else if (event < 8) {
+        estimator.on_first_use(now, endpoint, event == 6);
+      } else if (event == 9) {
+        estimator.forget(endpoint);
       }
-      const double safe = rests.safe_idle_ms(now, target), hold = rests.keep_ms(now, target);
-      RC_ASSERT(safe >= 0 && safe <= hold && hold <= kLongest);
-      if (safe > 0) RC_ASSERT(rests.decide_reuse(now, target, safe * 0.999) == Use::Allowed);
-      RC_ASSERT(rests.decide_reuse(now, target, hold) == Use::Refused);
-      const Use doubtful = rests.decide_reuse(now, target, safe);
-      RC_ASSERT(doubtful != Use::Allowed);
-      if (doubtful == Use::Trial) RC_ASSERT(rests.decide_reuse(now, target, safe) == Use::Refused);
-      RC_ASSERT(rests.size() <= 5u);
+      const double safe = estimator.safe_idle_ms(now, endpoint),
+                   keep_ms = estimator.max_keep_ms(now, endpoint);
+      RC_ASSERT(safe >= 0 && safe <= keep_ms && keep_ms <= kMaxIdleMs);
+      if (safe > 0) RC_ASSERT(estimator.decide_reuse(now, endpoint, safe * 0.999) == Reuse::Allowed);
+      RC_ASSERT(estimator.decide_reuse(now, endpoint, keep_ms) == Reuse::Refused);
+      const Reuse boundary = estimator.decide_reuse(now, endpoint, safe);
+      RC_ASSERT(boundary != Reuse::Allowed);
+      if (boundary == Reuse::Trial) RC_ASSERT(estimator.decide_reuse(now, endpoint, safe) == Reuse::Refused);
+      RC_ASSERT(estimator.size() <= 5u);
     }
-    for (IdleLifetimeEstimator::EndpointId target = 0; target < 8; ++target) rests.forget(target);
-    RC_ASSERT(rests.size() == 0u);
+    for (IdleLifetimeEstimator::EndpointId endpoint = 0; endpoint < 8; ++endpoint) estimator.forget(endpoint);
+    RC_ASSERT(estimator.size() == 0u);
   }));
 }
