--- a/tests/lab/bad_router/main.cpp
+++ b/tests/lab/bad_router/main.cpp
@@ -44,14 +44,14 @@
     "crash        the process exits at the tenth request\n"
     "shout        a datagram of 300 bytes is sent to every peer\n";
 
-class Fd {
+class OwnedDescriptor {
  public:
-  explicit Fd(int fd) : fd_(fd) {}
-  ~Fd() {
+  explicit OwnedDescriptor(int fd) : fd_(fd) {}
+  ~OwnedDescriptor() {
     if (fd_ >= 0) close(fd_);
   }
-  Fd(const Fd&) = delete;
-  Fd& operator=(const Fd&) = delete;
+  OwnedDescriptor(const OwnedDescriptor&) = delete;
+  OwnedDescriptor& operator=(const OwnedDescriptor&) = delete;
   int get() const { return fd_; }
 
  private:
@@ -68,81 +68,83 @@
 }
 
 // Receives one complete message; `unread` keeps the bytes received after it.
-std::optional<http::Message> receive(int fd, http::Kind kind, std::string& behind) {
+std::optional<http::Message> receive(int fd, http::MessageKind kind, std::string& unread) {
   http::Parser parser(kind);
   for (;;) {
-    behind.erase(0, parser.feed(behind));
-    if (parser.done()) return parser.take();
-    if (parser.fault() != http::Fault::None) return std::nullopt;
+    unread.erase(0, parser.feed(unread));
+    if (parser.done()) return parser.take_message();
+    if (parser.error() != http::ParseError::None) return std::nullopt;
     char buffer[16384];
-    const ssize_t got = recv(fd, buffer, sizeof buffer, 0);
-    if (got <= 0) return std::nullopt;
-    behind.append(buffer, static_cast<std::size_t>(got));
+    const ssize_t received_bytes = recv(fd, buffer, sizeof buffer, 0);
+    if (received_bytes <= 0) return std::nullopt;
+    unread.append(buffer, static_cast<std::size_t>(received_bytes));
   }
 }
 
-std::optional<http::Message> ask(const std::string& address, const std::string& text, int wait_ms) {
-  sockaddr_in to{};
-  if (!config::parse_address(address, to)) return std::nullopt;
-  const Fd fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const timeval wait{wait_ms / 1000, (wait_ms % 1000) * 1000};
-  setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &wait, sizeof wait);
-  setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &wait, sizeof wait);
-  if (connect(fd.get(), reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0 ||
+std::optional<http::Message> send_request(const std::string& address, const std::string& text,
+                                          int timeout_ms) {
+  sockaddr_in target{};
+  if (!config::parse_address(address, target)) return std::nullopt;
+  const OwnedDescriptor fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+  const timeval timeout{timeout_ms / 1000, (timeout_ms % 1000) * 1000};
+  setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
+  if (connect(fd.get(), reinterpret_cast<const sockaddr*>(&target), sizeof target) != 0 ||
       !send_all(fd.get(), text)) {
     return std::nullopt;
   }
-  std::string behind;
-  return receive(fd.get(), http::Kind::Response, behind);
+  std::string unread;
+  return receive(fd.get(), http::MessageKind::Response, unread);
 }
 
 class BadRouter {
  public:
   BadRouter(std::string fault, json config) : fault_(std::move(fault)), config_(std::move(config)) {
-    take(config_.at("known"));
+    update_endpoints(config_.at("known"));
   }
 
   int serve() {
-    sockaddr_in where{};
-    if (!config::parse_address(config_.at("listen").get<std::string>(), where)) return 1;
-    const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), on = 1;
-    setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    if (bind(fd, reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0 || listen(fd, 512) != 0) {
+    sockaddr_in listen_address{};
+    if (!config::parse_address(config_.at("listen").get<std::string>(), listen_address)) return 1;
+    const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), enabled = 1;
+    setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+    if (bind(fd, reinterpret_cast<const sockaddr*>(&listen_address), sizeof listen_address) != 0 ||
+        listen(fd, 512) != 0) {
       std::perror("fernward-bad-router: listen");
       return 1;
     }
-    std::thread([this] { watch(); }).detach();
-    if (fault_ == "shout") shout();
+    std::thread([this] { watch_discovery(); }).detach();
+    if (fault_ == "shout") send_oversized_datagrams();
     for (int client; (client = accept(fd, nullptr, nullptr)) >= 0 || errno == EINTR;) {
-      if (client >= 0) std::thread([this, client] { converse(client); }).detach();
+      if (client >= 0) std::thread([this, client] { serve_client(client); }).detach();
     }
     return 1;
   }
 
  private:
-  bool is(const char* fault) const { return fault_ == fault; }
+  bool has_fault(const char* fault) const { return fault_ == fault; }
 
   // ---- discovery ----
 
-  void take(const json& list) {
+  void update_endpoints(const json& list) {
     const std::lock_guard lock(mutex_);
-    if (list.value("snapshot", true)) listed_.clear();
-    for (const auto& e : list.at("endpoints")) {
-      std::erase_if(listed_, [&](const json& had) { return had.at("name") == e.at("name"); });
-      if (e.at("status") != "terminated") listed_.push_back(e);
+    if (list.value("snapshot", true)) endpoints_.clear();
+    for (const auto& endpoint : list.at("endpoints")) {
+      std::erase_if(endpoints_, [&](const json& known) { return known.at("name") == endpoint.at("name"); });
+      if (endpoint.at("status") != "terminated") endpoints_.push_back(endpoint);
     }
-    if (heard_ == 0 || !is("drained")) in_use_ = listed_;
-    index_ = list.value("index", std::uint64_t{0});
-    ++heard_;
+    if (update_count_ == 0 || !has_fault("drained")) used_endpoints_ = endpoints_;
+    list_index_ = list.value("index", std::uint64_t{0});
+    ++update_count_;
   }
-  void watch() {
+  void watch_discovery() {
     for (bool first = true;;) {
-      const std::string query = first ? "" : "?since=" + std::to_string(index_) + "&timeout_ms=1000";
-      const auto said = ask(config_.at("discovery").get<std::string>(),
-                            "GET /v1/endpoints" + query + " HTTP/1.1\r\nHost: d\r\n\r\n", 3000);
-      const json list = said ? json::parse(said->body, nullptr, false) : json();
+      const std::string query = first ? "" : "?since=" + std::to_string(list_index_) + "&timeout_ms=1000";
+      const auto response = send_request(config_.at("discovery").get<std::string>(),
+                                         "GET /v1/endpoints" + query + " HTTP/1.1\r\nHost: d\r\n\r\n", 3000);
+      const json list = response ? json::parse(response->body, nullptr, false) : json();
       if (list.is_object()) {
-        take(list);
+        update_endpoints(list);
         first = false;
       } else {
         usleep(20000);
@@ -151,57 +153,58 @@
   }
 
   // Selects by the hash of `key` among the usable endpoints: the origins, or the caches.
-  std::string target(const std::string& key, bool origin) {
+  std::string pick_address(const std::string& key, bool origin) {
     const std::lock_guard lock(mutex_);
-    std::vector<std::string> found;
-    for (const auto& e : in_use_) {
-      const bool usable = e.at("status") == "in_service" || is("drained");
-      if (usable && (e.at("type") == "origin") == origin) found.push_back(e.at("address"));
+    std::vector<std::string> addresses;
+    for (const auto& endpoint : used_endpoints_) {
+      const bool usable = endpoint.at("status") == "in_service" || has_fault("drained");
+      if (usable && (endpoint.at("type") == "origin") == origin) addresses.push_back(endpoint.at("address"));
     }
-    std::sort(found.begin(), found.end());
-    return found.empty() ? "" : found[std::hash<std::string>()(key) % found.size()];
+    std::sort(addresses.begin(), addresses.end());
+    return addresses.empty() ? "" : addresses[std::hash<std::string>()(key) % addresses.size()];
   }
-  std::string started_last() {
+  std::string last_started_address() {
     const std::lock_guard lock(mutex_);
     const json* last = nullptr;
-    for (const auto& e : in_use_) {
-      if (e.at("since_ms") > 0 && (last == nullptr || e.at("since_ms") > last->at("since_ms"))) last = &e;
+    for (const auto& endpoint : used_endpoints_) {
+      if (endpoint.at("since_ms") > 0 && (last == nullptr || endpoint.at("since_ms") > last->at("since_ms")))
+        last = &endpoint;
     }
     return last == nullptr ? "" : last->at("address").get<std::string>();
   }
 
   // ---- requests ----
 
-  void converse(int client) {
-    const Fd fd(client);
-    std::string behind;
+  void serve_client(int client) {
+    const OwnedDescriptor fd(client);
+    std::string unread;
     for (int served = 0;; ++served) {
-      if (served == 1 && is("hasty")) {
+      if (served == 1 && has_fault("hasty")) {
         char byte = 0;
         recv(client, &byte, 1, MSG_PEEK);
         return;
       }
-      const auto request = receive(client, http::Kind::Request, behind);
+      const auto request = receive(client, http::MessageKind::Request, unread);
       if (!request) return;
       if (request->target == "/ready") {
         send_all(client, http::write_response(200, {}, "ready\n", false));
         return;
       }
-      const std::uint64_t number = ++requests_;
-      const bool third = number % 3 == 0;
-      if (is("crash") && number == 10) _exit(3);
-      const std::string answer = answer_to(*request, third);
-      if (third && is("lose")) return;
-      if (third && is("silent")) continue;
-      if (!send_all(client, answer)) return;
-      if (third && is("twice")) {
+      const std::uint64_t number = ++request_count_;
+      const bool every_third = number % 3 == 0;
+      if (has_fault("crash") && number == 10) _exit(3);
+      const std::string response = response_to(*request, every_third);
+      if (every_third && has_fault("lose")) return;
+      if (every_third && has_fault("silent")) continue;
+      if (!send_all(client, response)) return;
+      if (every_third && has_fault("twice")) {
         usleep(50000); // lets the first response arrive, so that the copy is not taken for its end
-        send_all(client, answer);
+        send_all(client, response);
       }
     }
   }
 
-  static std::string text_of(const http::Message& request, const std::string& path) {
+  static std::string upstream_request(const http::Message& request, const std::string& path) {
     std::vector<http::Header> headers;
     for (const auto& [name, value] : request.headers) {
       if (name == "x-request-id" || name == "idempotency-key" || name == "x-timeout-ms")
@@ -210,57 +213,61 @@
     return http::write_request(request.method, path, "node", headers, request.body);
   }
 
-  std::string answer_to(const http::Message& request, bool third) {
-    const std::string path = third && is("alter") ? request.target + "0" : request.target;
+  std::string response_to(const http::Message& request, bool every_third) {
+    const std::string path = every_third && has_fault("alter") ? request.target + "0" : request.target;
     const bool write = request.method == "PUT";
-    const std::string text = text_of(request, path);
-    int wait_ms = std::atoi(std::string(request.header("x-timeout-ms")).c_str());
-    if (wait_ms <= 0) wait_ms = 1000;
-    if (is("flood") && !write) {
-      const std::string cold = started_last();
-      for (int i = 0; i < 30 && !cold.empty(); ++i) std::thread([=] { ask(cold, text, 200); }).detach();
+    const std::string text = upstream_request(request, path);
+    int timeout_ms = std::atoi(std::string(request.header("x-timeout-ms")).c_str());
+    if (timeout_ms <= 0) timeout_ms = 1000;
+    if (has_fault("flood") && !write) {
+      const std::string cold_address = last_started_address();
+      for (int i = 0; i < 30 && !cold_address.empty(); ++i)
+        std::thread([=] { send_request(cold_address, text, 200); }).detach();
     }
-    auto got = write ? std::nullopt : ask(target(path, false), text, wait_ms);
-    if (write || (got && got->status == 404)) got = ask(target(path, true), text, wait_ms);
-    if (write && is("repeat")) {
+    auto response = write ? std::nullopt : send_request(pick_address(path, false), text, timeout_ms);
+    if (write || (response && response->status == 404))
+      response = send_request(pick_address(path, true), text, timeout_ms);
+    if (write && has_fault("repeat")) {
       std::thread([=, this] {
         usleep(1500000);
-        ask(target(path, true), text, 1000);
+        send_request(pick_address(path, true), text, 1000);
       }).detach();
     }
-    if (!got) return http::write_response(502, {}, "failed\n", true);
-    if (got->status != 200) return http::write_response(got->status == 500 ? 502 : 503, {}, "", true);
-    if (write && is("refuse")) return http::write_response(503, {}, "shed\n", true);
-    if (third && !write && is("forge")) got->body = "a value of my own\n";
-    if (!write && is("swap")) {
+    if (!response) return http::write_response(502, {}, "failed\n", true);
+    if (response->status != 200)
+      return http::write_response(response->status == 500 ? 502 : 503, {}, "", true);
+    if (write && has_fault("refuse")) return http::write_response(503, {}, "shed\n", true);
+    if (every_third && !write && has_fault("forge")) response->body = "a value of my own\n";
+    if (!write && has_fault("swap")) {
       const std::lock_guard lock(mutex_);
-      std::string made = got->body;
-      if (third && !before_.empty()) got->body = before_;
-      before_ = std::move(made);
+      std::string current_value = response->body;
+      if (every_third && !previous_value_.empty()) response->body = previous_value_;
+      previous_value_ = std::move(current_value);
     }
-    return http::write_response(200, {}, got->body, true);
+    return http::write_response(200, {}, response->body, true);
   }
 
-  void shout() const {
-    sockaddr_in from{};
-    if (!config::parse_address(config_.at("peer_listen").get<std::string>(), from)) return;
-    const Fd fd(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-    if (bind(fd.get(), reinterpret_cast<const sockaddr*>(&from), sizeof from) != 0) return;
+  void send_oversized_datagrams() const {
+    sockaddr_in source{};
+    if (!config::parse_address(config_.at("peer_listen").get<std::string>(), source)) return;
+    const OwnedDescriptor fd(socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
+    if (bind(fd.get(), reinterpret_cast<const sockaddr*>(&source), sizeof source) != 0) return;
     const std::string bytes(300, 'x');
     for (const auto& peer : config_.at("peers")) {
-      sockaddr_in to{};
-      if (!config::parse_address(peer.get<std::string>(), to)) continue;
-      sendto(fd.get(), bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to);
+      sockaddr_in target{};
+      if (!config::parse_address(peer.get<std::string>(), target)) continue;
+      sendto(fd.get(), bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&target),
+             sizeof target);
     }
   }
 
   const std::string fault_;
   const json config_;
   std::mutex mutex_;
-  std::vector<json> listed_, in_use_;
-  std::string before_;
-  int heard_ = 0;
-  std::atomic<std::uint64_t> index_ = 0, requests_ = 0;
+  std::vector<json> endpoints_, used_endpoints_;
+  std::string previous_value_;
+  int update_count_ = 0;
+  std::atomic<std::uint64_t> list_index_ = 0, request_count_ = 0;
 };
 
 } // namespace
--- a/tests/lab/caught/caught_test.cpp
+++ b/tests/lab/caught/caught_test.cpp
@@ -4,9 +4,9 @@
 
 #include <algorithm>
 
-#include "lab/experiment/play.h"
+#include "lab/experiment/run_experiment.h"
 #include "lab/rig/rig.h"
-#include "lab/rig/trial.h"
+#include "lab/rig/trial_fleet.h"
 
 using namespace fernward;
 using namespace fernward::lab;
@@ -14,15 +14,15 @@
 namespace {
 
 RigOptions options(const std::string& fault) {
-  RigOptions o;
-  o.program = FERNWARD_PROGRAM;
-  o.late_p99_ms = o.late_p999_ms = 1e9; // the test machine may be busy
-  o.check_memory = false;               // sanitizers use memory of their own
-  if (!fault.empty()) o.programs.assign(2, {{FERNWARD_BAD_ROUTER, fault}, false});
-  return o;
+  RigOptions rig_options;
+  rig_options.program = FERNWARD_PROGRAM;
+  rig_options.max_late_p99_ms = rig_options.max_late_p999_ms = 1e9; // the test machine may be busy
+  rig_options.enforce_memory_limit = false;                         // sanitizers use memory of their own
+  if (!fault.empty()) rig_options.programs_by_router.assign(2, {{FERNWARD_BAD_ROUTER, fault}, false});
+  return rig_options;
 }
 
-model::Spec spec_of(double seconds, double rate) {
+model::Spec trial_spec_of(double seconds, double rate) {
   rig::TrialFleet fleet;
   fleet.seconds = seconds;
   fleet.rate_per_s = rate;
@@ -30,27 +30,27 @@
   return rig::trial_spec(fleet);
 }
 
-void unsafe_writes(model::Spec& spec) {
-  spec.classes[1].repeat = Idempotency::NonIdempotent;
+void make_writes_unsafe(model::Spec& spec) {
+  spec.classes[1].idempotency = Idempotency::NonIdempotent;
   spec.classes[1].share = 1;
 }
-void drain_half(model::Spec& spec) {
+void add_drain_of_half(model::Spec& spec) {
   spec.duration_ms = 5000;
-  model::NodePick half;
+  model::NodeSelector half;
   half.share = 0.5;
   spec.events.push_back({500, "drain", model::DrainNodes{half, 4000, 0}});
-  spec.discovery.notice_min_ms = spec.discovery.notice_max_ms = 500;
+  spec.discovery.leave_delay_min_ms = spec.discovery.leave_delay_max_ms = 500;
 }
-void start_one(model::Spec& spec) {
+void add_cold_start(model::Spec& spec) {
   spec.duration_ms = 5000;
   spec.classes[0].work.mean = 100;
-  spec.kinds[0].warm_ms = 5000;
-  spec.kinds[0].tip_ms = 500;
-  model::NodePick one;
+  spec.kinds[0].warm_up_ms = 5000;
+  spec.kinds[0].overload_failure_ms = 500;
+  model::NodeSelector one;
   one.count = 1;
   spec.events.push_back({500, "start", model::StartNodes{one}});
 }
-void nothing(model::Spec&) {}
+void leave_unchanged(model::Spec&) {}
 
 } // namespace
 
@@ -61,40 +61,47 @@
     std::vector<Rule> broken; // each must be broken
     bool only = true;         // no other rule may be broken
   } cases[] = {
-      {"", nothing, {}},
-      {"", drain_half, {}},
-      {"honest", nothing, {}},
-      {"twice", nothing, {Rule::OneAnswer}},
-      {"lose", nothing, {Rule::NoLost}},
-      {"silent", nothing, {Rule::NoLost}},
-      {"forge", nothing, {Rule::Genuine}},
-      {"swap", nothing, {Rule::Genuine}, false}, // the swapped responses are missing for other requests
-      {"repeat", nothing, {Rule::Repeats}},
-      {"refuse", unsafe_writes, {Rule::Repeats}, false}, // the origin is slow for so many writes
-      {"drained", drain_half, {Rule::Drains}},
-      {"flood", start_one, {Rule::ColdNodes}, false}, // the copies exceed the attempt limit of a request
-      {"crash", nothing, {Rule::Alive}, false},       // the requests it had accepted are lost
+      {"", leave_unchanged, {}},
+      {"", add_drain_of_half, {}},
+      {"honest", leave_unchanged, {}},
+      {"twice", leave_unchanged, {Rule::OneFinalResponse}},
+      {"lose", leave_unchanged, {Rule::NoLostRequest}},
+      {"silent", leave_unchanged, {Rule::NoLostRequest}},
+      {"forge", leave_unchanged, {Rule::GenuineResponses}},
+      {"swap",
+       leave_unchanged,
+       {Rule::GenuineResponses},
+       false}, // the swapped responses are missing for other requests
+      {"repeat", leave_unchanged, {Rule::SafeRepeats}},
+      {"refuse", make_writes_unsafe, {Rule::SafeRepeats}, false}, // the origin is slow for so many writes
+      {"drained", add_drain_of_half, {Rule::NoTrafficAfterDrain}},
+      {"flood",
+       add_cold_start,
+       {Rule::NoColdOverload},
+       false}, // the copies exceed the attempt limit of a request
+      {"crash", leave_unchanged, {Rule::NoRouterCrash}, false}, // the requests it had accepted are lost
   };
   for (const auto& c : cases) {
     const std::string fault = c.fault;
     CAPTURE(fault);
-    model::Spec spec = spec_of(2, 100);
+    model::Spec spec = trial_spec_of(2, 100);
     c.prepare(spec);
-    REQUIRE(faults(spec).empty());
+    REQUIRE(find_spec_errors(spec).empty());
     const auto driver = make_rig_driver(options(fault));
-    const lab::Result result = play(*driver, "sockets", spec, kSocketsSlackMs);
-    std::string said;
-    for (const RuleFinding& f : result.findings.rules) {
-      for (const Breach& b : f.first) said += std::string(rule_name(f.rule)) + ": " + b.what + "\n";
+    const lab::ExperimentResult result = run_experiment(*driver, "sockets", spec, kSocketsSlackMs);
+    std::string breach_text;
+    for (const RuleResult& f : result.check_result.rules) {
+      for (const RuleViolation& b : f.first_violations)
+        breach_text += std::string(rule_name(f.rule)) + ": " + b.description + "\n";
     }
-    CAPTURE(said);
-    for (const RuleFinding& f : result.findings.rules) {
+    CAPTURE(breach_text);
+    for (const RuleResult& f : result.check_result.rules) {
       const std::string rule = rule_name(f.rule);
       CAPTURE(rule);
       const bool expected = std::find(c.broken.begin(), c.broken.end(), f.rule) != c.broken.end();
-      if (expected) CHECK(f.breaches > 0);
-      if (!expected && c.only) CHECK(f.breaches == 0);
+      if (expected) CHECK(f.violation_count > 0);
+      if (!expected && c.only) CHECK(f.violation_count == 0);
     }
-    CHECK(result.good() == c.broken.empty());
+    CHECK(result.passed() == c.broken.empty());
   }
 }
--- a/tests/lab/check/meter_test.cpp
+++ b/tests/lab/check/meter_test.cpp
@@ -3,7 +3,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "lab/stats/figures.h"
+#include "lab/stats/run_stats.h"
 #include "support.h"
 
 using namespace fernward::lab;
@@ -14,42 +14,42 @@
 // One request per second for 30 s, alternating between classes 0 and 1 and tenants 0 and 1. Requests drawn
 // from 10 s to 15 s are refused, the others are served after 100 ms. Each request has one attempt at the
 // origin, which ends as a hit or, for every fourth request, as a miss.
-void play(Sink& sink) {
-  for (std::uint64_t n = 0; n < 30; ++n) {
-    const double at = static_cast<double>(n) * 1000 + 500;
-    Drawn d;
-    d.at = at;
-    d.request = n + 1;
-    d.cls = n % 2;
-    d.tenant = n % 2;
-    d.worth = 2;
-    d.aim_ms = 750;
-    sink.on(d);
-    Arrived a;
-    a.at = at + 10;
-    a.attempt = n + 1;
-    a.machine = 3;
-    a.cls = d.cls;
-    sink.on(a);
-    AttemptEnded e;
-    e.at = at + 50;
-    e.attempt = n + 1;
-    e.ending = n % 4 == 0 ? Ending::Miss : Ending::Hit;
-    sink.on(e);
-    LoadSample l;
-    l.at = at + 60;
-    l.machine = 0;
-    l.used = 0.5;
-    l.new_connections = n < 3 ? 1 : 0;
-    sink.on(l);
-    Closed c;
-    c.at = at + 100;
-    c.request = n + 1;
-    c.latency_ms = 100;
-    const bool bad = n >= 10 && n < 15;
-    c.end = bad ? Heard::Refused : Heard::Served;
-    c.earned = bad ? 0 : 2;
-    sink.on(c);
+void send_records(Sink& sink) {
+  for (std::uint64_t request_index = 0; request_index < 30; ++request_index) {
+    const double at_ms = static_cast<double>(request_index) * 1000 + 500;
+    DrawnRequest drawn;
+    drawn.at = at_ms;
+    drawn.request = request_index + 1;
+    drawn.cls = request_index % 2;
+    drawn.tenant = request_index % 2;
+    drawn.priority_weight = 2;
+    drawn.latency_objective_ms = 750;
+    sink.on(drawn);
+    AttemptArrived arrived;
+    arrived.at = at_ms + 10;
+    arrived.attempt = request_index + 1;
+    arrived.machine = 3;
+    arrived.cls = drawn.cls;
+    sink.on(arrived);
+    AttemptEnded ended;
+    ended.at = at_ms + 50;
+    ended.attempt = request_index + 1;
+    ended.outcome = request_index % 4 == 0 ? ServerOutcome::Miss : ServerOutcome::Hit;
+    sink.on(ended);
+    LoadSample sample;
+    sample.at = at_ms + 60;
+    sample.machine = 0;
+    sample.utilization = 0.5;
+    sample.new_connections = request_index < 3 ? 1 : 0;
+    sink.on(sample);
+    RequestEnded closed;
+    closed.at = at_ms + 100;
+    closed.request = request_index + 1;
+    closed.latency_ms = 100;
+    const bool failed = request_index >= 10 && request_index < 15;
+    closed.outcome = failed ? TryOutcome::Rejected : TryOutcome::Served;
+    closed.earned_weight = failed ? 0 : 2;
+    sink.on(closed);
   }
 }
 
@@ -58,30 +58,30 @@
   spec.duration_ms = 30000;
   const Plan plan = make_plan(spec);
   const auto meter = make_meter(spec, plan, bound);
-  play(*meter);
+  send_records(*meter);
   return meter->value().value_or(-1);
 }
 
-Bound bound(Metric metric, double from = 0, double to = 0) {
-  Bound b;
-  b.metric = metric;
-  b.from_ms = from;
-  b.to_ms = to;
-  return b;
+Bound bound(Metric metric, double from_ms = 0, double to_ms = 0) {
+  Bound result;
+  result.metric = metric;
+  result.from_ms = from_ms;
+  result.to_ms = to_ms;
+  return result;
 }
 
 } // namespace
 
 TEST_CASE("each metric has the value counted by hand") {
-  Bound small_tenant = bound(Metric::Service), second_class = bound(Metric::Refused),
-        ten = bound(Metric::WorstWindow), five = ten, recovery = bound(Metric::RecoveryMs, 8000),
-        never = bound(Metric::RecoveryMs, 11000, 14000), always = bound(Metric::RecoveryMs, 20000),
-        origin_of = bound(Metric::OriginPerS);
+  Bound small_tenant = bound(Metric::Service), second_class = bound(Metric::Rejected),
+        ten_second_windows = bound(Metric::WorstWindow), five_second_windows = ten_second_windows,
+        recovery = bound(Metric::RecoveryMs, 8000), never_recovers = bound(Metric::RecoveryMs, 11000, 14000),
+        never_below = bound(Metric::RecoveryMs, 20000), origin_of_first_class = bound(Metric::OriginPerS);
   small_tenant.tenant = 1;
   second_class.cls = 1;
-  five.window_ms = 5000;
-  recovery.window_ms = never.window_ms = always.window_ms = 1000;
-  origin_of.cls = 0;
+  five_second_windows.window_ms = 5000;
+  recovery.window_ms = never_recovers.window_ms = never_below.window_ms = 1000;
+  origin_of_first_class.cls = 0;
   const struct {
     Bound bound;
     double value;
@@ -95,20 +95,20 @@
       {second_class, 2.0 / 15},
       {bound(Metric::Served), 25.0 / 30},
       {bound(Metric::Failed), 0},
-      {ten, 0.5},
-      {five, 0},
+      {ten_second_windows, 0.5},
+      {five_second_windows, 0},
       {recovery, 7000},
-      {never, 3000},
-      {always, 0},
+      {never_recovers, 3000},
+      {never_below, 0},
       {bound(Metric::OriginPerS), 1},
       {bound(Metric::OriginPeakPerS), 1},
-      {origin_of, 0.5},
+      {origin_of_first_class, 0.5},
       {bound(Metric::HitRatio), 22.0 / 30},
       {bound(Metric::HandshakesPerRequest), 0.1},
       {bound(Metric::Service, 40000), -1}, // nothing to measure
   };
   for (const auto& c : cases) {
-    CAPTURE(bound_text(small_spec(), c.bound));
+    CAPTURE(bound_description(small_spec(), c.bound));
     CHECK(measure(c.bound) == doctest::Approx(c.value));
   }
   Bound latency = bound(Metric::LatencyMs);
@@ -122,78 +122,78 @@
   held.at_least = 0.8;
   missed.at_least = 0.9;
   nothing.at_least = 0;
-  spec.holds.bounds = {held, missed, nothing};
-  spec.holds.worst_window_weight = 1;
+  spec.expectations.bounds = {held, missed, nothing};
+  spec.expectations.worst_window_weight = 1;
   const Plan plan = make_plan(spec);
-  Checker checker(spec, plan, 0);
-  play(checker);
-  const Findings f = checker.finish();
-  REQUIRE(f.bounds.size() == 3);
-  CHECK(f.bounds[0].kept);
-  CHECK_FALSE(f.bounds[1].kept);
-  CHECK_FALSE(f.bounds[2].kept);
-  CHECK(f.whole == doctest::Approx(25.0 / 30));
-  CHECK(f.score == doctest::Approx((25.0 / 30 + 0.5) / 2));
+  RuleChecker checker(spec, plan, 0);
+  send_records(checker);
+  const CheckResult findings = checker.finish();
+  REQUIRE(findings.bounds.size() == 3);
+  CHECK(findings.bounds[0].passed);
+  CHECK_FALSE(findings.bounds[1].passed);
+  CHECK_FALSE(findings.bounds[2].passed);
+  CHECK(findings.overall_service == doctest::Approx(25.0 / 30));
+  CHECK(findings.score == doctest::Approx((25.0 / 30 + 0.5) / 2));
 }
 
 TEST_CASE("figures are correct after a merge or a JSON round trip and stay bounded in size") {
   Spec spec = small_spec();
   spec.duration_ms = 30000;
   const Plan plan = make_plan(spec);
-  Collector collector(spec, plan);
-  play(collector);
-  CHECK(collector.remembers() == 0);
-  Figures one = collector.take();
-  const Slice whole = one.whole();
-  CHECK(whole.tally.drawn == 30);
-  CHECK(whole.tally.served() == 25);
-  CHECK(whole.tally.refused() == 5);
-  CHECK(whole.tally.in_aim == 25);
-  CHECK(whole.fetches == 30);
-  CHECK(whole.hits == 22);
-  CHECK(whole.handshakes == 3);
-  CHECK(one.slices.size() == 30);
-  CHECK(one.classes[1].tally.refused() == 2);
-  CHECK(one.machines[0].slices[4].used == 0.5f);
+  StatsCollector collector(spec, plan);
+  send_records(collector);
+  CHECK(collector.open_request_count() == 0);
+  RunStats figures = collector.take();
+  const TimeSlice total = figures.total();
+  CHECK(total.request_stats.drawn == 30);
+  CHECK(total.request_stats.served() == 25);
+  CHECK(total.request_stats.refused() == 5);
+  CHECK(total.request_stats.within_objective == 25);
+  CHECK(total.origin_reads == 30);
+  CHECK(total.hits == 22);
+  CHECK(total.handshakes == 3);
+  CHECK(figures.slices.size() == 30);
+  CHECK(figures.classes[1].request_stats.refused() == 2);
+  CHECK(figures.machines[0].slices[4].utilization_sum == 0.5f);
 
-  Figures back = figures_from(to_json(one));
-  CHECK(to_json(back) == to_json(one));
-  back.merge(one);
-  CHECK(back.whole().tally.drawn == 60);
-  CHECK(back.runs == 2);
-  CHECK(back.whole().tally.latency.quantile(0.5) == doctest::Approx(100).epsilon(0.02));
-  back.widen();
-  CHECK(back.slices.size() == 15);
-  CHECK(back.whole().tally.drawn == 60);
-  one.merge(back); // its slices have a different width
-  CHECK(one.whole().tally.drawn == 90);
-  Figures other = one;
+  RunStats restored = run_stats_from_json(to_json(figures));
+  CHECK(to_json(restored) == to_json(figures));
+  restored.merge(figures);
+  CHECK(restored.total().request_stats.drawn == 60);
+  CHECK(restored.runs == 2);
+  CHECK(restored.total().request_stats.latency_histogram.quantile(0.5) == doctest::Approx(100).epsilon(0.02));
+  restored.double_slice_width();
+  CHECK(restored.slices.size() == 15);
+  CHECK(restored.total().request_stats.drawn == 60);
+  figures.merge(restored); // its slices have a different width
+  CHECK(figures.total().request_stats.drawn == 90);
+  RunStats other = figures;
   other.classes[0].name = "else";
-  CHECK_THROWS(one.merge(other));
-  auto broken = to_json(back);
+  CHECK_THROWS(figures.merge(other));
+  auto broken = to_json(restored);
   broken["slices"][0]["tally"]["latency"]["bins"] = {{99999, 1}};
-  CHECK_THROWS(figures_from(broken));
+  CHECK_THROWS(run_stats_from_json(broken));
 
   // A run of eleven days keeps no more slices than a run of an hour.
-  Collector daily(spec, plan);
+  StatsCollector long_collector(spec, plan);
   for (double at = 0; at < 1e9; at += 5e5) {
     LoadSample l;
     l.at = at;
-    daily.on(l);
+    long_collector.on(l);
   }
-  const Figures long_run = daily.take();
+  const RunStats long_run = long_collector.take();
   CHECK(long_run.slices.size() <= 1024);
-  CHECK(long_run.width_ms > 9e5);
+  CHECK(long_run.slice_width_ms > 9e5);
 }
 
 TEST_CASE("latency quantiles are within 2% of the exact values") {
-  Latency all, part;
+  LatencyHistogram all, part;
   for (int i = 1; i <= 10000; ++i) (i % 2 == 0 ? all : part).add(i * 0.1);
   all.merge(part);
   for (const double share : {0.01, 0.5, 0.9, 0.99, 0.999}) {
     CHECK(all.quantile(share) == doctest::Approx(share * 1000).epsilon(0.02));
   }
-  CHECK(Latency().quantile(0.5) == 0);
+  CHECK(LatencyHistogram().quantile(0.5) == 0);
   all.add(1e9); // beyond the largest bin
   CHECK(all.quantile(1) == doctest::Approx(500e3));
 }
--- a/tests/lab/check/support.h
+++ b/tests/lab/check/support.h
@@ -1,7 +1,7 @@
 // A small fleet, and a builder that passes the records of a run to the checker one by one.
 #pragma once
 
-#include "lab/check/checker.h"
+#include "lab/check/rule_checker.h"
 
 namespace fernward::lab::test {
 
@@ -12,140 +12,142 @@
 // Machine 4 replaces node 1 at 5 s. Classes: 0 safe, 1 with an idempotency key valid at all nodes, 2 within a
 // zone, 3 within a cell, 4 unsafe.
 inline Spec small_spec() {
-  Spec s;
-  s.name = "small";
-  s.zones = {{"east", 1}, {"west", 1}};
+  Spec spec;
+  spec.name = "small";
+  spec.zones = {{"east", 1}, {"west", 1}};
   NodeKind kind;
   kind.name = "plain";
-  s.kinds = {kind};
+  spec.kinds = {kind};
   NodeGroup east, west;
   east.name = "east";
   east.count = 2;
   east.cell_size = 1;
   west.name = "west";
   west.zone = 1;
-  s.nodes = {east, west};
-  s.routers.groups = {{0, 1}, {1, 1}};
+  spec.nodes = {east, west};
+  spec.routers.groups = {{0, 1}, {1, 1}};
   for (const auto& [name, repeat, scope] :
        {std::tuple("safe", Idempotency::Idempotent, IdempotencyScope::All),
         {"all", Idempotency::WithKey, IdempotencyScope::All},
         {"zone", Idempotency::WithKey, IdempotencyScope::Zone},
         {"cell", Idempotency::WithKey, IdempotencyScope::Cell},
         {"unsafe", Idempotency::NonIdempotent, IdempotencyScope::All}}) {
-    ClassSpec c;
-    c.name = name;
-    c.repeat = repeat;
-    c.scope = scope;
-    s.classes.push_back(c);
+    ClassSpec request_class;
+    request_class.name = name;
+    request_class.idempotency = repeat;
+    request_class.idempotency_scope = scope;
+    spec.classes.push_back(request_class);
   }
-  s.tenants = {{"big", 0.7, 1, 0}, {"small", 0.3, 1, 0}};
+  spec.tenants = {{"big", 0.7, 1, 0}, {"small", 0.3, 1, 0}};
   ReplaceNodes replace;
   replace.who.nodes = {1};
   replace.after_ms = 500;
-  s.events = {{5000, "replaced", replace}};
-  return s;
+  spec.events = {{5000, "replaced", replace}};
+  return spec;
 }
 
 // Builds a run: each method passes one record to the checker. Times are absolute, in milliseconds. The
 // defaults describe a run that keeps every rule. At the start all routers have started and list all initial
 // machines as ready.
-class Script {
+class RecordScript {
  public:
-  explicit Script(double slack_ms = 50)
+  explicit RecordScript(double slack_ms = 50)
       : spec(small_spec()), plan(make_plan(spec)), checker(spec, plan, slack_ms) {
     for (RouterId r = 0; r < plan.routers.size(); ++r) {
-      router(0, r, RouterEvent::What::Started);
-      for (const Machine& m : plan.machines) {
-        if (m.at_start) told(0, r, m.id, ServerState::Ready);
+      router_event(0, r, RouterEvent::What::Started);
+      for (const PlannedMachine& m : plan.machines) {
+        if (m.at_start) notify(0, r, m.id, ServerState::Ready);
       }
     }
   }
 
-  Script& drawn(double at, RequestNumber n, std::uint32_t cls = 0) {
-    Drawn d;
-    d.at = at;
-    d.request = n;
-    d.cls = cls;
-    d.worth = 1;
-    d.aim_ms = 750;
-    d.give_up_ms = 1500;
-    checker.on(d);
+  RecordScript& draw(double at_ms, RequestNumber request, std::uint32_t request_class = 0) {
+    DrawnRequest record;
+    record.at = at_ms;
+    record.request = request;
+    record.cls = request_class;
+    record.priority_weight = 1;
+    record.latency_objective_ms = 750;
+    record.client_timeout_ms = 1500;
+    checker.on(record);
     return *this;
   }
-  Script& tried(double at, RequestNumber n, RouterId r = 0, bool taken = true, double way = 0) {
-    Tried t;
-    t.at = at;
-    t.due = at - way;
-    t.request = t.try_id = n;
-    t.router = r;
-    t.taken = taken;
-    t.deadline = t.due + 1500;
-    checker.on(t);
+  RecordScript& send_try(double at_ms, RequestNumber request, RouterId router_id = 0, bool accepted = true,
+                         double network_delay_ms = 0) {
+    TrySent record;
+    record.at = at_ms;
+    record.scheduled_at = at_ms - network_delay_ms;
+    record.request = record.try_id = request;
+    record.router = router_id;
+    record.accepted = accepted;
+    record.deadline = record.scheduled_at + 1500;
+    checker.on(record);
     return *this;
   }
-  Script& answered(double at, RequestNumber n, Heard heard = Heard::Served, bool genuine = true,
-                   RouterId r = 0) {
-    Answered a;
-    a.at = at;
-    a.request = a.try_id = n;
-    a.router = r;
-    a.heard = heard;
-    a.genuine = genuine;
-    checker.on(a);
+  RecordScript& answer(double at_ms, RequestNumber request, TryOutcome outcome = TryOutcome::Served,
+                       bool genuine = true, RouterId router_id = 0) {
+    TryEnded record;
+    record.at = at_ms;
+    record.request = record.try_id = request;
+    record.router = router_id;
+    record.outcome = outcome;
+    record.genuine = genuine;
+    checker.on(record);
     return *this;
   }
-  Script& closed(double at, RequestNumber n, Heard end = Heard::Served, double earned = 1) {
-    Closed c;
-    c.at = at;
-    c.request = n;
-    c.end = end;
-    c.tries = 1;
-    c.earned = earned;
-    checker.on(c);
+  RecordScript& close(double at_ms, RequestNumber request, TryOutcome outcome = TryOutcome::Served,
+                      double earned_value = 1) {
+    RequestEnded record;
+    record.at = at_ms;
+    record.request = request;
+    record.outcome = outcome;
+    record.tries = 1;
+    record.earned_weight = earned_value;
+    checker.on(record);
     return *this;
   }
-  Script& arrived(double at, AttemptId id, RequestNumber n, MachineId machine, std::uint32_t cls = 0,
-                  RouterId r = 0) {
-    Arrived a;
-    a.at = at;
-    a.sent_at = at - 1;
-    a.attempt = id;
-    a.machine = machine;
-    a.try_id = n;
-    a.router = r;
-    a.cls = cls;
-    checker.on(a);
+  RecordScript& arrive(double at_ms, AttemptId attempt, RequestNumber request, MachineId machine,
+                       std::uint32_t request_class = 0, RouterId router_id = 0) {
+    AttemptArrived record;
+    record.at = at_ms;
+    record.sent_at = at_ms - 1;
+    record.attempt = attempt;
+    record.machine = machine;
+    record.try_id = request;
+    record.router = router_id;
+    record.cls = request_class;
+    checker.on(record);
     return *this;
   }
-  Script& ended(double at, AttemptId id, Ending ending) {
-    AttemptEnded e;
-    e.at = at;
-    e.attempt = id;
-    e.ending = ending;
-    checker.on(e);
+  RecordScript& end_attempt(double at_ms, AttemptId attempt, ServerOutcome ending) {
+    AttemptEnded record;
+    record.at = at_ms;
+    record.attempt = attempt;
+    record.outcome = ending;
+    checker.on(record);
     return *this;
   }
-  Script& router(double at, RouterId r, RouterEvent::What what) {
-    checker.on(RouterEvent{at, r, what});
+  RecordScript& router_event(double at_ms, RouterId router_id, RouterEvent::What event) {
+    checker.on(RouterEvent{at_ms, router_id, event});
     return *this;
   }
-  Script& told(double at, RouterId r, MachineId machine, ServerState state) {
-    Told t;
-    t.at = at;
-    t.router = r;
-    t.machine = machine;
-    t.state = state;
-    checker.on(t);
+  RecordScript& notify(double at_ms, RouterId router_id, MachineId machine, ServerState state) {
+    EndpointNotified record;
+    record.at = at_ms;
+    record.router = router_id;
+    record.machine = machine;
+    record.state = state;
+    checker.on(record);
     return *this;
   }
-  Script& tipped(double at, MachineId machine, bool cold, double told_share) {
-    checker.on(NodeEvent{at, machine, NodeEvent::What::TippedOver, cold, told_share});
+  RecordScript& tip_over(double at_ms, MachineId machine, bool cold, double notified_share) {
+    checker.on(NodeEvent{at_ms, machine, NodeEvent::What::Overloaded, cold, notified_share});
     return *this;
   }
 
   const Spec spec;
   const Plan plan;
-  Checker checker;
+  RuleChecker checker;
 };
 
 } // namespace fernward::lab::test
--- /dev/null
+++ b/tests/lab/discovery/congested_discovery_test.cpp
@@ -0,0 +1,98 @@
+// Router processes that use one congested discovery server. No router may send to a node after it was
+// notified that the node drains or is gone, or after the time by which it should have been notified. Guards
+// against a router that misses updates while discovery is congested, down or moving.
+#include <doctest/doctest.h>
+
+#include <algorithm>
+#include <set>
+#include <string>
+
+#include "lab/check/rule_checker.h"
+#include "lab/rig/rig.h"
+#include "lab/scenario/read.h"
+#include "model/plan.h"
+
+using namespace fernward;
+
+namespace {
+
+constexpr double kSocketsSlackMs = 50;         // as in `fernward-lab run`
+constexpr double kMinServedShare = 0.9;        // of all requests
+constexpr std::size_t kMinDrainedMachines = 8; // per router; nine nodes drain in the scenario
+
+// A checker that also counts the records, to show that the run exercised the rule.
+class CountingChecker : public lab::RuleChecker {
+ public:
+  CountingChecker(const model::Spec& spec, const model::Plan& plan)
+      : RuleChecker(spec, plan, kSocketsSlackMs),
+        drained_machines_(plan.routers.size()),
+        update_counts_(plan.routers.size()) {}
+
+  using RuleChecker::on;
+  void on(const model::EndpointNotified& told) override {
+    if (told.state == ServerState::Draining) drained_machines_[told.router].insert(told.machine);
+    if (!told.cached && !told.assumed) ++update_counts_[told.router];
+    RuleChecker::on(told);
+  }
+  void on(const model::RequestEnded& closed) override {
+    ++closed_count_;
+    if (closed.outcome == model::TryOutcome::Served) ++served_count_;
+    RuleChecker::on(closed);
+  }
+  void on(const model::RouterEvent& event) override {
+    if (event.what == model::RouterEvent::What::Started) ++started_count_;
+    RuleChecker::on(event);
+  }
+
+  std::size_t min_drained_machines()
+      const { // the smallest number of nodes that any router was notified to drain
+    return std::min_element(drained_machines_.begin(), drained_machines_.end(),
+                            [](const auto& a, const auto& b) { return a.size() < b.size(); })
+        ->size();
+  }
+  std::size_t min_updates() const { return *std::min_element(update_counts_.begin(), update_counts_.end()); }
+  std::size_t closed_count() const { return closed_count_; }
+  std::size_t served_count() const { return served_count_; }
+  std::size_t started_count() const { return started_count_; }
+
+ private:
+  std::vector<std::set<model::MachineId>> drained_machines_; // per router
+  std::vector<std::size_t> update_counts_;                   // notifications written to each router
+  std::size_t closed_count_ = 0, served_count_ = 0, started_count_ = 0;
+};
+
+lab::RigOptions options() {
+  lab::RigOptions rig_options;
+  rig_options.program = FERNWARD_PROGRAM;
+  rig_options.max_late_p99_ms = rig_options.max_late_p999_ms = 1e9; // the test machine may be busy
+  rig_options.enforce_memory_limit = false;                         // sanitizers use memory of their own
+  return rig_options;
+}
+
+} // namespace
+
+TEST_CASE(
+    "30 routers send nothing to drained nodes while discovery is congested and has an outage and moves") {
+  const std::string path = std::string(FERNWARD_SOURCE_DIR) + "/scenarios/crowded-discovery.toml";
+  const lab::Scenario scenario = lab::read_scenario_file(path, lab::socket_run_limits());
+  REQUIRE(scenario.is_valid());
+  const model::Plan plan = model::make_plan(scenario.spec);
+  REQUIRE(plan.routers.size() == 30);
+
+  CountingChecker observer(scenario.spec, plan);
+  const lab::RunInfo info = lab::make_rig_driver(options())->run(scenario.spec, observer, {});
+  CHECK(info.void_reasons.empty());
+  const lab::CheckResult findings = observer.finish(true);
+  const lab::RuleResult& drains = findings.rules[static_cast<std::size_t>(lab::Rule::NoTrafficAfterDrain)];
+  for (const lab::RuleViolation& breach : drains.first_violations)
+    MESSAGE(breach.at_ms << " ms: " << breach.description);
+  CHECK(drains.violation_count == 0);
+
+  // The run exercised the rule.
+  CHECK(static_cast<double>(observer.served_count()) >=
+        kMinServedShare * static_cast<double>(observer.closed_count()));
+  CHECK(observer.closed_count() > 10000);
+  CHECK(observer.min_drained_machines() >= kMinDrainedMachines);
+  CHECK(observer.min_updates() > 0);
+  CHECK(observer.started_count() > plan.routers.size());
+}
--- a/tests/lab/peers/agents_test.cpp
+++ b/tests/lab/peers/agents_test.cpp
@@ -5,7 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "stand.h"
+#include "test_fleet.h"
 
 using namespace fernward;
 using namespace fernward::tests;
@@ -15,125 +15,131 @@
 
 namespace {
 
-std::string get(const std::string& query) {
+std::string endpoints_request(const std::string& query) {
   return "GET /v1/endpoints" + query + " HTTP/1.1\r\nHost: d\r\n\r\n";
 }
 
-json list_of(const std::optional<http::Message>& answer) {
+json endpoint_list(const std::optional<http::Message>& answer) {
   REQUIRE(answer);
   REQUIRE(answer->status == 200);
   return json::parse(answer->body);
 }
 
-std::string since(const json& list, int wait_ms) {
-  return get("?since=" + list["index"].dump() + "&timeout_ms=" + std::to_string(wait_ms));
+std::string watch_request(const json& list, int timeout_ms) {
+  return endpoints_request("?since=" + list["index"].dump() + "&timeout_ms=" + std::to_string(timeout_ms));
 }
 
 // Returns the records since the last call by which router 0 counts as notified of a state of `machine`.
-std::vector<model::Told> told_of(Stand& stand, model::MachineId machine) {
-  std::vector<model::Told> found;
-  for (const auto& told : stand.records<model::Told>()) {
-    if (told.router == 0 && told.machine == machine && !told.cached) found.push_back(told);
+std::vector<model::EndpointNotified> notifications_of(TestFleet& fleet, model::MachineId machine) {
+  std::vector<model::EndpointNotified> matching;
+  for (const auto& notified : fleet.take_records<model::EndpointNotified>()) {
+    if (notified.router == 0 && notified.machine == machine && !notified.cached) matching.push_back(notified);
   }
-  return found;
+  return matching;
 }
 
 } // namespace
 
 TEST_CASE("a first call returns the full list and a watch returns changes only") {
-  Stand stand;
-  Raw agent(stand.addresses->agent(0, 0));
-  const json whole = list_of(agent.ask(get("")));
-  CHECK(whole["snapshot"] == true);
-  CHECK(whole["endpoints"].size() == 7); // six nodes and the origin; no standby node
-  CHECK(whole["endpoints"][0]["status"] == "in_service");
-  CHECK(whole["endpoints"][0]["since_ms"] == 0);
-  CHECK(whole["endpoints"][0]["address"] == rig::text_of(stand.machine(0, 0)));
-  CHECK(list_of(Raw(stand.addresses->agent(1, 0)).ask(get("")))["endpoints"][0]["address"] ==
-        rig::text_of(stand.machine(0, 1))); // each router sees addresses of its own
+  TestFleet fleet;
+  RawConnection agent(fleet.addresses->discovery(0, 0));
+  const json full_list = endpoint_list(agent.send_request(endpoints_request("")));
+  CHECK(full_list["snapshot"] == true);
+  CHECK(full_list["endpoints"].size() == 7); // six nodes and the origin; no standby node
+  CHECK(full_list["endpoints"][0]["status"] == "in_service");
+  CHECK(full_list["endpoints"][0]["since_ms"] == 0);
+  CHECK(full_list["endpoints"][0]["address"] == rig::address_text(fleet.machine_address(0, 0)));
+  CHECK(endpoint_list(RawConnection(fleet.addresses->discovery(1, 0))
+                          .send_request(endpoints_request("")))["endpoints"][0]["address"] ==
+        rig::address_text(fleet.machine_address(0, 1))); // each router sees addresses of its own
 
-  agent.send(since(whole, 5000)); // a long poll
+  agent.send(watch_request(full_list, 5000)); // a long poll
   CHECK(agent.read(100).empty());
-  stand.node(2, NodeStep::What::Drain);
-  const json draining = list_of(agent.ask(""));
+  fleet.apply_node_step(2, NodeStep::What::Drain);
+  const json draining = endpoint_list(agent.send_request(""));
   CHECK(draining["snapshot"] == false);
-  CHECK(draining["index"] > whole["index"]);
+  CHECK(draining["index"] > full_list["index"]);
   REQUIRE(draining["endpoints"].size() == 1);
-  CHECK(draining["endpoints"][0]["name"] == stand.plan.machines[2].name);
+  CHECK(draining["endpoints"][0]["name"] == fleet.plan.machines[2].name);
   CHECK(draining["endpoints"][0]["status"] == "terminating");
-  stand.node(2, NodeStep::What::End);
-  const json gone = list_of(agent.ask(since(draining, 5000)));
+  fleet.apply_node_step(2, NodeStep::What::End);
+  const json gone = endpoint_list(agent.send_request(watch_request(draining, 5000)));
   REQUIRE(gone["endpoints"].size() == 1);
   CHECK(gone["endpoints"][0]["status"] == "terminated");
-  const json none = list_of(agent.ask(since(gone, 50))); // no change within the timeout
+  const json none =
+      endpoint_list(agent.send_request(watch_request(gone, 50))); // no change within the timeout
   CHECK(none["endpoints"].empty());
   CHECK(none["index"] == gone["index"]);
-  CHECK(list_of(agent.ask(get("")))["endpoints"].size() == 6);
+  CHECK(endpoint_list(agent.send_request(endpoints_request("")))["endpoints"].size() == 6);
   // An unknown index gets the full list; any other path gets 404.
-  CHECK(list_of(agent.ask(get("?since=999999&timeout_ms=5000")))["snapshot"] == true);
-  CHECK(agent.ask("GET /v1/other HTTP/1.1\r\nHost: d\r\n\r\n")->status == 404);
+  CHECK(endpoint_list(agent.send_request(endpoints_request("?since=999999&timeout_ms=5000")))["snapshot"] ==
+        true);
+  CHECK(agent.send_request("GET /v1/other HTTP/1.1\r\nHost: d\r\n\r\n")->status == 404);
 
-  std::vector<model::Told> told;
-  for (const auto& t : stand.records<model::Told>()) {
-    if (t.router == 0 && !t.cached && t.machine == 2) told.push_back(t);
+  std::vector<model::EndpointNotified> notified;
+  for (const auto& t : fleet.take_records<model::EndpointNotified>()) {
+    if (t.router == 0 && !t.cached && t.machine == 2) notified.push_back(t);
   }
-  REQUIRE(told.size() >= 3); // in service, draining, gone: once each
-  CHECK(told[told.size() - 2].state == ServerState::Draining);
-  CHECK(told.back().state == ServerState::Gone);
-  CHECK_FALSE(told.back().deemed);
+  REQUIRE(notified.size() >= 3); // in service, draining, gone: once each
+  CHECK(notified[notified.size() - 2].state == ServerState::Draining);
+  CHECK(notified.back().state == ServerState::Gone);
+  CHECK_FALSE(notified.back().assumed);
 }
 
 TEST_CASE("discovery is silent while down and then reports the changes made meanwhile") {
-  Stand stand;
-  stand.happen(DiscoveryStep{DiscoveryStep::What::Down});
-  stand.node(1, NodeStep::What::End);
-  Raw agent(stand.addresses->agent(0, 0));
-  agent.send(get(""));
+  TestFleet fleet;
+  fleet.apply(DiscoveryStep{DiscoveryStep::What::Down});
+  fleet.apply_node_step(1, NodeStep::What::End);
+  RawConnection agent(fleet.addresses->discovery(0, 0));
+  agent.send(endpoints_request(""));
   CHECK(agent.read(300).empty());
-  CHECK(agent.end == Raw::End::Open);
-  stand.happen(DiscoveryStep{DiscoveryStep::What::Up});
-  CHECK(list_of(agent.ask(""))["endpoints"].size() == 6);
+  CHECK(agent.state == RawConnection::State::Open);
+  fleet.apply(DiscoveryStep{DiscoveryStep::What::Up});
+  CHECK(endpoint_list(agent.send_request(""))["endpoints"].size() == 6);
 }
 
 TEST_CASE("when discovery moves the new address answers and the old one closes") {
-  Stand stand;
-  Raw before(stand.addresses->agent(0, 0));
-  list_of(before.ask(get("")));
-  CHECK(Raw(stand.addresses->agent(0, 1)).error() == ECONNREFUSED);
-  stand.happen(DiscoveryStep{DiscoveryStep::What::MoveBegins});
-  CHECK(list_of(Raw(stand.addresses->agent(0, 1)).ask(get("")))["endpoints"].size() == 7);
-  CHECK(list_of(before.ask(get("")))["endpoints"].size() == 7);
-  stand.happen(DiscoveryStep{DiscoveryStep::What::OldEnds});
-  before.read(5000);
-  CHECK(before.end == Raw::End::Reset);
-  CHECK(Raw(stand.addresses->agent(0, 0)).error() == ECONNREFUSED);
+  TestFleet fleet;
+  RawConnection old_connection(fleet.addresses->discovery(0, 0));
+  endpoint_list(old_connection.send_request(endpoints_request("")));
+  CHECK(RawConnection(fleet.addresses->discovery(0, 1)).connect_error() == ECONNREFUSED);
+  fleet.apply(DiscoveryStep{DiscoveryStep::What::MoveBegins});
+  CHECK(endpoint_list(
+            RawConnection(fleet.addresses->discovery(0, 1)).send_request(endpoints_request("")))["endpoints"]
+            .size() == 7);
+  CHECK(endpoint_list(old_connection.send_request(endpoints_request("")))["endpoints"].size() == 7);
+  fleet.apply(DiscoveryStep{DiscoveryStep::What::OldEnds});
+  old_connection.read(5000);
+  CHECK(old_connection.state == RawConnection::State::Reset);
+  CHECK(RawConnection(fleet.addresses->discovery(0, 0)).connect_error() == ECONNREFUSED);
 }
 
 TEST_CASE("a router that does not poll is assumed to be notified and a starting router has the last list") {
-  Stand stand([](model::Spec& spec) { spec.discovery.at_latest_ms = 600; });
-  CHECK(stand.known[0]["endpoints"].size() == 7);
-  const double at = stand.clock.now();
-  stand.node(1, NodeStep::What::End);
-  std::vector<model::Told> deemed;
-  REQUIRE(until([&] {
-    for (const auto& t : stand.records<model::Told>()) {
-      if (t.deemed && t.router == 0 && t.machine == 1) deemed.push_back(t);
+  TestFleet fleet([](model::Spec& spec) { spec.discovery.notified_at_latest_ms = 600; });
+  CHECK(fleet.initial_endpoints[0]["endpoints"].size() == 7);
+  const double change_time_ms = fleet.clock.now();
+  fleet.apply_node_step(1, NodeStep::What::End);
+  std::vector<model::EndpointNotified> assumed;
+  REQUIRE(wait_until([&] {
+    for (const auto& t : fleet.take_records<model::EndpointNotified>()) {
+      if (t.assumed && t.router == 0 && t.machine == 1) assumed.push_back(t);
     }
-    return !deemed.empty() && deemed.back().state == ServerState::Gone;
+    return !assumed.empty() && assumed.back().state == ServerState::Gone;
   }));
-  CHECK(deemed.back().at >= at + 500); // counted from when the router was last known to be up to date
+  CHECK(assumed.back().at >=
+        change_time_ms + 500); // counted from when the router was last known to be up to date
 }
 
 TEST_CASE("each missed change is assumed to be notified at its own time") {
-  Stand stand([](model::Spec& spec) { spec.discovery.at_latest_ms = 600; });
-  stand.node(1, NodeStep::What::Drain);
+  TestFleet fleet([](model::Spec& spec) { spec.discovery.notified_at_latest_ms = 600; });
+  fleet.apply_node_step(1, NodeStep::What::Drain);
   usleep(400000);
-  stand.node(2, NodeStep::What::Drain);
-  std::vector<model::Told> first, second;
-  REQUIRE(until([&] {
-    for (const auto& told : stand.records<model::Told>()) {
-      if (told.router != 0 || !told.deemed || told.state != ServerState::Draining) continue;
-      (told.machine == 1 ? first : second).push_back(told);
+  fleet.apply_node_step(2, NodeStep::What::Drain);
+  std::vector<model::EndpointNotified> first, second;
+  REQUIRE(wait_until([&] {
+    for (const auto& notified : fleet.take_records<model::EndpointNotified>()) {
+      if (notified.router != 0 || !notified.assumed || notified.state != ServerState::Draining) continue;
+      (notified.machine == 1 ? first : second).push_back(notified);
     }
     return !first.empty() && !second.empty();
   }));
@@ -141,121 +147,124 @@
 }
 
 TEST_CASE("a change during an outage is assumed to be notified only after the outage ends") {
-  Stand stand([](model::Spec& spec) { spec.discovery.at_latest_ms = 400; });
-  stand.happen(DiscoveryStep{DiscoveryStep::What::Down});
-  stand.node(1, NodeStep::What::Drain);
+  TestFleet fleet([](model::Spec& spec) { spec.discovery.notified_at_latest_ms = 400; });
+  fleet.apply(DiscoveryStep{DiscoveryStep::What::Down});
+  fleet.apply_node_step(1, NodeStep::What::Drain);
   usleep(800000);
-  CHECK(told_of(stand, 1).empty());
-  const double back = stand.clock.now();
-  stand.happen(DiscoveryStep{DiscoveryStep::What::Up});
-  std::vector<model::Told> told;
-  REQUIRE(until([&] { return !(told = told_of(stand, 1)).empty(); }));
-  CHECK(told.back().deemed);
-  CHECK(told.back().at >= back + 400);
+  CHECK(notifications_of(fleet, 1).empty());
+  const double available_again_ms = fleet.clock.now();
+  fleet.apply(DiscoveryStep{DiscoveryStep::What::Up});
+  std::vector<model::EndpointNotified> notified;
+  REQUIRE(wait_until([&] { return !(notified = notifications_of(fleet, 1)).empty(); }));
+  CHECK(notified.back().assumed);
+  CHECK(notified.back().at >= available_again_ms + 400);
 }
 
 TEST_CASE("a router without the new address of discovery is not notified until it is reloaded") {
-  Stand stand([](model::Spec& spec) {
-    spec.discovery.at_latest_ms = 1000;
-    spec.discovery.reload_at_latest_ms = 300;
+  TestFleet fleet([](model::Spec& spec) {
+    spec.discovery.notified_at_latest_ms = 1000;
+    spec.discovery.reload_notified_at_latest_ms = 300;
   });
-  stand.happen(DiscoveryStep{DiscoveryStep::What::MoveBegins});
-  stand.happen(DiscoveryStep{DiscoveryStep::What::OldEnds});
+  fleet.apply(DiscoveryStep{DiscoveryStep::What::MoveBegins});
+  fleet.apply(DiscoveryStep{DiscoveryStep::What::OldEnds});
   usleep(50000); // lets the fleet notice that discovery is unreachable
-  stand.node(1, NodeStep::What::Drain);
+  fleet.apply_node_step(1, NodeStep::What::Drain);
   usleep(1200000);
-  CHECK(told_of(stand, 1).empty());
-  const double reloaded = stand.clock.now();
-  stand.happen(model::RouterStep{0, model::RouterStep::What::Reload, 0});
-  std::vector<model::Told> told;
-  REQUIRE(until([&] { return !(told = told_of(stand, 1)).empty(); }));
-  CHECK(told.back().deemed);
-  CHECK(told.back().at >= reloaded + 300);
-  CHECK(told.back().at < reloaded + 900); // by reload_at_latest_ms, not at_latest_ms
+  CHECK(notifications_of(fleet, 1).empty());
+  const double reload_time_ms = fleet.clock.now();
+  fleet.apply(model::RouterStep{0, model::RouterStep::What::Reload, 0});
+  std::vector<model::EndpointNotified> notified;
+  REQUIRE(wait_until([&] { return !(notified = notifications_of(fleet, 1)).empty(); }));
+  CHECK(notified.back().assumed);
+  CHECK(notified.back().at >= reload_time_ms + 300);
+  CHECK(notified.back().at <
+        reload_time_ms + 900); // by reload_notified_at_latest_ms, not notified_at_latest_ms
 }
 
 TEST_CASE("a congested discovery answers all routers in turn and in pieces") {
-  Stand stand([](model::Spec& spec) {
+  TestFleet fleet([](model::Spec& spec) {
     spec.discovery.congestion.answers_per_second = 5;
     spec.discovery.congestion.piece_size_bytes = 100;
     spec.discovery.congestion.piece_interval_ms = 10;
   });
-  Raw first(stand.addresses->agent(0, 0)), second(stand.addresses->agent(1, 0));
-  const double asked = stand.clock.now();
-  first.send(get(""));
+  RawConnection first(fleet.addresses->discovery(0, 0)), second(fleet.addresses->discovery(1, 0));
+  const double request_time_ms = fleet.clock.now();
+  first.send(endpoints_request(""));
   CHECK(first.read(100).empty());
-  second.send(get(""));
-  const json whole = list_of(first.ask(""));
+  second.send(endpoints_request(""));
+  const json full_list = endpoint_list(first.send_request(""));
   // 200 ms for its turn, and more than ten pieces at intervals of 10 ms.
-  CHECK(stand.clock.now() >= asked + 290);
-  list_of(second.ask(""));
-  CHECK(stand.clock.now() >= asked + 490);
+  CHECK(fleet.clock.now() >= request_time_ms + 290);
+  endpoint_list(second.send_request(""));
+  CHECK(fleet.clock.now() >= request_time_ms + 490);
 
   // A change counts as notified when it is completely written, even if the previous watch was answered just
   // before.
-  const json none = list_of(first.ask(since(whole, 1)));
-  told_of(stand, 2);
-  stand.node(2, NodeStep::What::Drain);
+  const json none = endpoint_list(first.send_request(watch_request(full_list, 1)));
+  notifications_of(fleet, 2);
+  fleet.apply_node_step(2, NodeStep::What::Drain);
   usleep(100000);
-  CHECK(told_of(stand, 2).empty());
-  const json draining = list_of(first.ask(since(none, 5000)));
+  CHECK(notifications_of(fleet, 2).empty());
+  const json draining = endpoint_list(first.send_request(watch_request(none, 5000)));
   REQUIRE(draining["endpoints"].size() == 1);
-  const auto told = told_of(stand, 2);
-  REQUIRE(told.size() == 1);
-  CHECK_FALSE(told[0].deemed);
+  const auto notified = notifications_of(fleet, 2);
+  REQUIRE(notified.size() == 1);
+  CHECK_FALSE(notified[0].assumed);
 }
 
 TEST_CASE("an abandoned call uses up its capacity only if its turn had begun") {
-  Stand stand([](model::Spec& spec) { spec.discovery.congestion.answers_per_second = 4; });
-  const double asked = stand.clock.now();
+  TestFleet fleet([](model::Spec& spec) { spec.discovery.congestion.answers_per_second = 4; });
+  const double request_time_ms = fleet.clock.now();
   {
-    Raw in_work(stand.addresses->agent(0, 0)), behind(stand.addresses->agent(0, 0));
-    in_work.send(get(""));
-    CHECK(in_work.read(100).empty());
-    behind.send(get(""));
-    CHECK(behind.read(50).empty());
+    RawConnection in_progress(fleet.addresses->discovery(0, 0)), queued(fleet.addresses->discovery(0, 0));
+    in_progress.send(endpoints_request(""));
+    CHECK(in_progress.read(100).empty());
+    queued.send(endpoints_request(""));
+    CHECK(queued.read(50).empty());
   }
-  list_of(Raw(stand.addresses->agent(1, 0)).ask(get("")));
-  CHECK(stand.clock.now() >= asked + 490);
-  CHECK(stand.clock.now() < asked + 730);
+  endpoint_list(RawConnection(fleet.addresses->discovery(1, 0)).send_request(endpoints_request("")));
+  CHECK(fleet.clock.now() >= request_time_ms + 490);
+  CHECK(fleet.clock.now() < request_time_ms + 730);
 }
 
 TEST_CASE("a congested discovery is reachable so that a call that waits too long counts as notified") {
-  Stand stand([](model::Spec& spec) {
-    spec.discovery.at_latest_ms = 400;
+  TestFleet fleet([](model::Spec& spec) {
+    spec.discovery.notified_at_latest_ms = 400;
     spec.discovery.congestion.answers_per_second = 0.1;
   });
-  const double at = stand.clock.now();
-  stand.node(1, NodeStep::What::Drain);
-  Raw agent(stand.addresses->agent(0, 0));
-  agent.send(get(""));
-  std::vector<model::Told> told;
-  REQUIRE(until([&] { return !(told = told_of(stand, 1)).empty(); }));
-  CHECK(told.back().deemed);
-  CHECK(told.back().at >= at + 400);
+  const double change_time_ms = fleet.clock.now();
+  fleet.apply_node_step(1, NodeStep::What::Drain);
+  RawConnection agent(fleet.addresses->discovery(0, 0));
+  agent.send(endpoints_request(""));
+  std::vector<model::EndpointNotified> notified;
+  REQUIRE(wait_until([&] { return !(notified = notifications_of(fleet, 1)).empty(); }));
+  CHECK(notified.back().assumed);
+  CHECK(notified.back().at >= change_time_ms + 400);
 }
 
 TEST_CASE("a congested discovery refuses calls by 503 or close and leaves some long polls unanswered") {
-  Stand refusing([](model::Spec& spec) { spec.discovery.congestion.refused_share = 1; });
+  TestFleet refusing_fleet([](model::Spec& spec) { spec.discovery.congestion.refused_share = 1; });
   int refused = 0, closed = 0;
   for (int i = 0; i < 40; ++i) {
-    Raw agent(refusing.addresses->agent(0, 0));
-    const auto answer = agent.ask(get(""), 1000);
+    RawConnection agent(refusing_fleet.addresses->discovery(0, 0));
+    const auto answer = agent.send_request(endpoints_request(""), 1000);
     if (answer && answer->status == 503) ++refused;
-    if (!answer && agent.end != Raw::End::Open) ++closed;
+    if (!answer && agent.state != RawConnection::State::Open) ++closed;
   }
   CHECK(refused + closed == 40);
   CHECK(refused > 5);
   CHECK(closed > 5);
 
-  Stand silent([](model::Spec& spec) { spec.discovery.congestion.silent_share = 1; });
-  Raw agent(silent.addresses->agent(0, 0));
-  const json whole = list_of(agent.ask(get("")));
-  agent.send(since(whole, 100));
+  TestFleet silent_fleet([](model::Spec& spec) { spec.discovery.congestion.silent_share = 1; });
+  RawConnection agent(silent_fleet.addresses->discovery(0, 0));
+  const json full_list = endpoint_list(agent.send_request(endpoints_request("")));
+  agent.send(watch_request(full_list, 100));
   CHECK(agent.read(300).empty());
-  silent.node(2, NodeStep::What::Drain);
+  silent_fleet.apply_node_step(2, NodeStep::What::Drain);
   CHECK(agent.read(300).empty());
-  CHECK(agent.end == Raw::End::Open);
+  CHECK(agent.state == RawConnection::State::Open);
   // A call that finds a change on arrival is answered.
-  CHECK(list_of(Raw(silent.addresses->agent(0, 0)).ask(since(whole, 100)))["endpoints"].size() == 1);
+  CHECK(endpoint_list(RawConnection(silent_fleet.addresses->discovery(0, 0))
+                          .send_request(watch_request(full_list, 100)))["endpoints"]
+            .size() == 1);
 }
--- a/tests/lab/peers/datagrams_test.cpp
+++ b/tests/lab/peers/datagrams_test.cpp
@@ -2,42 +2,43 @@
 // corruption.
 #include <doctest/doctest.h>
 
-#include "gossip/fleet.h"
-#include "stand.h"
+#include "gossip/gossip_node.h"
+#include "test_fleet.h"
 
 using namespace fernward;
 using namespace fernward::tests;
 
 namespace {
 
-class Port { // the gossip socket of a router
+class DatagramSocket { // the gossip socket of a router
  public:
-  explicit Port(const sockaddr_in& where) : fd_(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0)) {
-    REQUIRE(bind(fd_, reinterpret_cast<const sockaddr*>(&where), sizeof where) == 0);
+  explicit DatagramSocket(const sockaddr_in& address) : fd_(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0)) {
+    REQUIRE(bind(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0);
   }
-  ~Port() { close(fd_); }
-  Port(const Port&) = delete;
+  ~DatagramSocket() { close(fd_); }
+  DatagramSocket(const DatagramSocket&) = delete;
 
   void send(const sockaddr_in& to, const std::string& bytes) const {
     sendto(fd_, bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to);
   }
   // Returns up to `max_count` datagrams received within `wait_ms`, each prefixed with its sender's address
   // and a space.
-  std::vector<std::string> receive(std::size_t most, double wait_ms) const {
-    std::vector<std::string> all;
-    until(
+  std::vector<std::string> receive(std::size_t max_count, double wait_ms) const {
+    std::vector<std::string> datagrams;
+    wait_until(
         [&] {
           char buffer[512];
           sockaddr_in from{};
           socklen_t size = sizeof from;
-          const ssize_t n =
+          const ssize_t received_bytes =
               recvfrom(fd_, buffer, sizeof buffer, 0, reinterpret_cast<sockaddr*>(&from), &size);
-          if (n >= 0)
-            all.push_back(rig::text_of(from) + " " + std::string(buffer, static_cast<std::size_t>(n)));
-          return all.size() >= most;
+          if (received_bytes >= 0)
+            datagrams.push_back(rig::address_text(from) + " " +
+                                std::string(buffer, static_cast<std::size_t>(received_bytes)));
+          return datagrams.size() >= max_count;
         },
         wait_ms);
-    return all;
+    return datagrams;
   }
 
  private:
@@ -50,7 +51,7 @@
   const struct {
     const char* what;
     double loss, twice;
-    std::size_t bytes, come;
+    std::size_t bytes, expected_count;
     bool all, silent;
   } cases[] = {
       {"as sent", 0, 0, 256, 1, false, false},  {"to all others", 0, 0, 10, 1, true, false},
@@ -60,66 +61,67 @@
   for (const auto& c : cases) {
     const std::string what = c.what;
     CAPTURE(what);
-    Stand stand([&](model::Spec& spec) {
-      spec.network.datagram_loss = c.loss;
-      spec.network.datagram_twice = c.twice;
+    TestFleet fleet([&](model::Spec& spec) {
+      spec.network.datagram_loss_share = c.loss;
+      spec.network.datagram_duplicate_share = c.twice;
     });
-    if (c.silent) stand.happen(model::RouterStep{1, model::RouterStep::What::Silence});
-    const Port zero(stand.addresses->peer_listen(0)), one(stand.addresses->peer_listen(1));
+    if (c.silent) fleet.apply(model::RouterStep{1, model::RouterStep::What::Silence});
+    const DatagramSocket router_0(fleet.addresses->peer_listen(0)), router_1(fleet.addresses->peer_listen(1));
     const std::string text(c.bytes, 'm');
-    zero.send(c.all ? stand.addresses->peers_all(0) : stand.addresses->peer(0, 1), text);
-    const auto came = one.receive(c.come + 1, 300);
-    REQUIRE(came.size() == c.come);
-    for (const auto& bytes : came) CHECK(bytes == rig::text_of(stand.addresses->peer(1, 0)) + " " + text);
-    CHECK(zero.receive(1, 20).empty()); // nothing is returned to the sender
-    CHECK(stand.voids.all().size() == (c.bytes > 256 ? 1 : 0));
+    router_0.send(c.all ? fleet.addresses->all_peers(0) : fleet.addresses->peer(0, 1), text);
+    const auto received = router_1.receive(c.expected_count + 1, 300);
+    REQUIRE(received.size() == c.expected_count);
+    for (const auto& bytes : received)
+      CHECK(bytes == rig::address_text(fleet.addresses->peer(1, 0)) + " " + text);
+    CHECK(router_0.receive(1, 20).empty()); // nothing is returned to the sender
+    CHECK(fleet.voids.all().size() == (c.bytes > 256 ? 1 : 0));
   }
 }
 
 TEST_CASE("corrupted datagrams are well formed but false and correct again after the fault") {
-  Stand stand([](model::Spec& spec) {
+  TestFleet fleet([](model::Spec& spec) {
     spec.network.datagram_min_ms = spec.network.datagram_max_ms = 0;
-    spec.routers.sharing.on = true;
+    spec.routers.sharing.enabled = true;
     spec.routers.groups[0].count = 2;
   });
-  const Port zero(stand.addresses->peer_listen(0)), one(stand.addresses->peer_listen(1));
-  gossip::Fleet liar(0, 3, 5, {}, 1), third(2, 3, 5, {}, 2);
-  const gossip::Own own{2, 3};
-  std::vector<gossip::Fleet::Out> out;
+  const DatagramSocket router_0(fleet.addresses->peer_listen(0)), router_1(fleet.addresses->peer_listen(1));
+  gossip::GossipNode corrupted_router(0, 3, 5, {}, 1), router_2(2, 3, 5, {}, 2);
+  const gossip::LocalReports own_report{2, 3};
+  std::vector<gossip::GossipNode::OutgoingDatagram> out;
   // The datagram that router 1 receives from router 0 after router 0 received one from router 2.
-  const auto heard = [&](double now) {
+  const auto report_at_router_1 = [&](double now) {
     out.clear();
-    third.tick(now, own, out);
-    const std::string word = out.front().bytes;
+    router_2.tick(now, own_report, out);
+    const std::string report = out.front().bytes;
     out.clear();
-    liar.take(now, 2, word, out);
-    liar.tick(now, own, out);
-    zero.send(stand.addresses->peer(0, 1), out.back().bytes);
-    const auto came = one.receive(1, 2000);
-    REQUIRE(came.size() == 1);
-    return membership::decode(came[0].substr(came[0].find(' ') + 1)).value();
+    corrupted_router.receive(now, 2, report, out);
+    corrupted_router.tick(now, own_report, out);
+    router_0.send(fleet.addresses->peer(0, 1), out.back().bytes);
+    const auto received = router_1.receive(1, 2000);
+    REQUIRE(received.size() == 1);
+    return membership::decode(received[0].substr(received[0].find(' ') + 1)).value();
   };
-  const auto demand =
+  const auto reported_demand =
       [](const membership::Datagram& d) { // the sender's demand, as a router without other reports decodes it
-        gossip::Facts facts(1, 3, 1);
-        std::vector<gossip::Facts::Told> told;
-        facts.read(0, 0, d.facts.substr(0, 2 + static_cast<std::size_t>(d.facts[1])), told);
-        return facts.demand(0);
+        gossip::OriginGossip facts(1, 3, 1);
+        std::vector<gossip::OriginGossip::Update> received_facts;
+        facts.read(0, 0, d.payload.substr(0, 2 + static_cast<std::size_t>(d.payload[1])), received_facts);
+        return facts.median_demand(0);
       };
-  const auto accused = [](const membership::Datagram& d) {
-    return std::any_of(d.words.begin(), d.words.end(), [](const membership::Word& w) {
-      return w.who == 2 && w.by == 0 && w.standing == membership::Standing::Dead;
+  const auto reports_dead = [](const membership::Datagram& d) {
+    return std::any_of(d.updates.begin(), d.updates.end(), [](const membership::MemberUpdate& w) {
+      return w.member == 2 && w.reporter == 0 && w.state == membership::MemberState::Dead;
     });
   };
-  model::LieStep step{0, true, {}, {0}};
+  model::InconsistentRouterStep step{0, true, {}, {0}};
   double now = 0;
-  for (const bool lies : {false, true, false}) {
-    CAPTURE(lies);
-    step.on = lies;
-    stand.happen(step);
-    const membership::Datagram d = heard(now += 300);
+  for (const bool corrupts : {false, true, false}) {
+    CAPTURE(corrupts);
+    step.enabled = corrupts;
+    fleet.apply(step);
+    const membership::Datagram d = report_at_router_1(now += 300);
     CHECK(d.from == 0);
-    CHECK(demand(d) == doctest::Approx(lies ? 4096 : 2).epsilon(0.01));
-    CHECK(accused(d) == lies);
+    CHECK(reported_demand(d) == doctest::Approx(corrupts ? 4096 : 2).epsilon(0.01));
+    CHECK(reports_dead(d) == corrupts);
   }
 }
--- a/tests/lab/peers/machines_test.cpp
+++ b/tests/lab/peers/machines_test.cpp
@@ -1,50 +1,54 @@
 // The simulated nodes and origin on raw sockets: how each kind of fault appears to a router.
 #include <doctest/doctest.h>
 
-#include "stand.h"
+#include "test_fleet.h"
 
 using namespace fernward;
 using namespace fernward::tests;
-using model::BadAnswer;
+using model::BadResponse;
 using model::NodeStep;
 using model::OriginStep;
 
 namespace {
 
-constexpr std::uint64_t kHeld = 1;        // the most popular key: cached by every node before the run
-constexpr std::uint64_t kUnknown = 19999; // the least popular key: cached by no node
+constexpr std::uint64_t kCachedKey = 1;       // the most popular key: cached by every node before the run
+constexpr std::uint64_t kUncachedKey = 19999; // the least popular key: cached by no node
 
 int status_of(const std::optional<http::Message>& answer) { return answer ? answer->status : 0; }
 
 } // namespace
 
 TEST_CASE("each cache outcome has its status and x-cache-status header") {
-  Stand stand;
-  Raw node(stand.machine(0)), origin(stand.machine(stand.plan.origin));
-  const auto hit = node.ask(stand.request(kHeld));
+  TestFleet fleet;
+  RawConnection node(fleet.machine_address(0)), origin(fleet.machine_address(fleet.plan.origin));
+  const auto hit = node.send_request(fleet.make_request(kCachedKey));
   REQUIRE(status_of(hit) == 200);
   CHECK(hit->header("x-cache-status") == "hit");
   CHECK(hit->body.size() == 500);
-  const auto made_for = stand.bodies.read(hit->body);
-  REQUIRE(made_for);
-  CHECK(made_for->try_id == stand.last_try);
-  CHECK(made_for->machine == 0);
+  const auto body_facts = fleet.bodies.decode(hit->body);
+  REQUIRE(body_facts);
+  CHECK(body_facts->try_id == fleet.last_try_id);
+  CHECK(body_facts->machine == 0);
 
-  const auto miss = node.ask(stand.request(kUnknown));
+  const auto miss = node.send_request(fleet.make_request(kUncachedKey));
   REQUIRE(status_of(miss) == 404);
   CHECK(miss->header("x-cache-status") == "miss");
-  const std::string asked = stand.request(kUnknown);
-  const auto pending = node.ask(asked);
+  const std::string pending_request = fleet.make_request(kUncachedKey);
+  const auto pending = node.send_request(pending_request);
   REQUIRE(status_of(pending) == 404);
   CHECK(pending->header("x-cache-status") == "pending");
-  CHECK(status_of(origin.ask(asked)) == 200); // the fetch for the missed request: the node stores the value
-  CHECK(status_of(node.ask(stand.request(kUnknown))) == 200);
-
-  CHECK(status_of(node.ask(stand.request(kUnknown, true))) == 404); // only the origin accepts writes
-  CHECK(status_of(origin.ask(stand.request(kUnknown, true))) == 200);
-  CHECK(status_of(node.ask(stand.request(kUnknown))) == 404); // the write invalidates the cached copies
-  CHECK(until([&] { return !node.ask(stand.request(kHeld))->header("x-server-load").empty(); }));
-  CHECK(stand.voids.all().empty());
+  CHECK(status_of(origin.send_request(pending_request)) ==
+        200); // the fetch for the missed request: the node stores the value
+  CHECK(status_of(node.send_request(fleet.make_request(kUncachedKey))) == 200);
+
+  CHECK(status_of(node.send_request(fleet.make_request(kUncachedKey, true))) ==
+        404); // only the origin accepts writes
+  CHECK(status_of(origin.send_request(fleet.make_request(kUncachedKey, true))) == 200);
+  CHECK(status_of(node.send_request(fleet.make_request(kUncachedKey))) ==
+        404); // the write invalidates the cached copies
+  CHECK(wait_until(
+      [&] { return !node.send_request(fleet.make_request(kCachedKey))->header("x-server-load").empty(); }));
+  CHECK(fleet.voids.all().empty());
 }
 
 TEST_CASE("a request that no client sent gets 400 and voids the run and one without an id gets 404") {
@@ -61,162 +65,183 @@
   for (const auto& c : cases) {
     const std::string what = c.what;
     CAPTURE(what);
-    Stand stand;
-    Raw node(stand.machine(0));
-    CHECK(status_of(node.ask(c.change(stand.request(kHeld)))) == c.status);
-    CHECK(stand.voids.all().size() == (c.status == 400 ? 1 : 0));
-    CHECK(status_of(node.ask(stand.request(kHeld))) == 200); // the connection is still usable
+    TestFleet fleet;
+    RawConnection node(fleet.machine_address(0));
+    CHECK(status_of(node.send_request(c.change(fleet.make_request(kCachedKey)))) == c.status);
+    CHECK(fleet.voids.all().size() == (c.status == 400 ? 1 : 0));
+    CHECK(status_of(node.send_request(fleet.make_request(kCachedKey))) ==
+          200); // the connection is still usable
   }
 }
 
 TEST_CASE("each kind of bad response has its defect on the wire") {
   const struct {
-    BadAnswer kind;
-    std::function<bool(Raw&, Stand&)> looks;
+    BadResponse kind;
+    std::function<bool(RawConnection&, TestFleet&)> matches;
   } cases[] = {
-      {BadAnswer::Error, [](Raw& r, Stand&) { return r.parser.done() && r.parser.take().status == 500; }},
-      {BadAnswer::Garbage, [](Raw& r, Stand&) { return r.parser.fault() == http::Fault::Malformed; }},
-      {BadAnswer::TooLarge, [](Raw& r, Stand&) { return r.parser.fault() == http::Fault::BodyTooLarge; }},
-      {BadAnswer::CutOff,
-       [](Raw& r, Stand&) {
-         return r.parser.wants_body() && r.end == Raw::End::Closed && !r.parser.end_of_input();
+      {BadResponse::Error,
+       [](RawConnection& r, TestFleet&) { return r.parser.done() && r.parser.take_message().status == 500; }},
+      {BadResponse::NotHttp,
+       [](RawConnection& r, TestFleet&) { return r.parser.error() == http::ParseError::Malformed; }},
+      {BadResponse::TooLarge,
+       [](RawConnection& r, TestFleet&) { return r.parser.error() == http::ParseError::BodyTooLarge; }},
+      {BadResponse::Truncated,
+       [](RawConnection& r, TestFleet&) {
+         return r.parser.expects_body() && r.state == RawConnection::State::Closed &&
+                !r.parser.end_of_input();
        }},
-      {BadAnswer::NeverEnds, [](Raw& r, Stand&) { return r.parser.wants_body() && r.end == Raw::End::Open; }},
-      {BadAnswer::EarlyClose, [](Raw& r, Stand&) { return !r.parser.begun() && r.end == Raw::End::Closed; }},
-      {BadAnswer::WrongBody,
-       [](Raw& r, Stand& s) {
-         const auto facts = r.parser.done() ? s.bodies.read(r.parser.message().body) : std::nullopt;
-         return facts && facts->try_id == s.last_try && facts->key != kHeld;
+      {BadResponse::NeverCompletes,
+       [](RawConnection& r, TestFleet&) {
+         return r.parser.expects_body() && r.state == RawConnection::State::Open;
        }},
-      {BadAnswer::SlowBytes,
-       [](Raw& r, Stand&) {
-         const bool some = r.parser.begun() && !r.parser.done();
+      {BadResponse::EarlyClose,
+       [](RawConnection& r, TestFleet&) {
+         return !r.parser.has_started() && r.state == RawConnection::State::Closed;
+       }},
+      {BadResponse::WrongBody,
+       [](RawConnection& r, TestFleet& s) {
+         const auto facts = r.parser.done() ? s.bodies.decode(r.parser.message().body) : std::nullopt;
+         return facts && facts->try_id == s.last_try_id && facts->key != kCachedKey;
+       }},
+      {BadResponse::SlowBytes,
+       [](RawConnection& r, TestFleet&) {
+         const bool some = r.parser.has_started() && !r.parser.done();
          r.read(10000);
-         return some && r.parser.done() && r.parser.take().status == 200;
+         return some && r.parser.done() && r.parser.take_message().status == 200;
        }},
   };
   for (const auto& c : cases) {
     CAPTURE(static_cast<int>(c.kind));
-    Stand stand;
-    stand.happen(NodeStep{0, NodeStep::What::Bad, 1, c.kind});
-    Raw node(stand.machine(0));
-    node.send(stand.request(kHeld));
+    TestFleet fleet;
+    fleet.apply(NodeStep{0, NodeStep::What::Bad, 1, c.kind});
+    RawConnection node(fleet.machine_address(0));
+    node.send(fleet.make_request(kCachedKey));
     node.read(800);
-    CHECK(c.looks(node, stand));
+    CHECK(c.matches(node, fleet));
   }
 }
 
 TEST_CASE("a draining node rejects and an ended node refuses connections and a restarted node is empty") {
-  Stand stand;
-  Raw node(stand.machine(0));
-  REQUIRE(status_of(node.ask(stand.request(kHeld))) == 200);
-  stand.node(0, NodeStep::What::Drain);
-  const auto turned_away = node.ask(stand.request(kHeld));
-  REQUIRE(status_of(turned_away) == 503);
-  CHECK(turned_away->header("x-not-processed") == "1");
-  stand.node(0, NodeStep::What::End);
+  TestFleet fleet;
+  RawConnection node(fleet.machine_address(0));
+  REQUIRE(status_of(node.send_request(fleet.make_request(kCachedKey))) == 200);
+  fleet.apply_node_step(0, NodeStep::What::Drain);
+  const auto rejected = node.send_request(fleet.make_request(kCachedKey));
+  REQUIRE(status_of(rejected) == 503);
+  CHECK(rejected->header("x-not-processed") == "1");
+  fleet.apply_node_step(0, NodeStep::What::End);
   node.read(5000);
-  CHECK(node.end == Raw::End::Reset);
-  CHECK(Raw(stand.machine(0)).error() == ECONNREFUSED);
-  stand.node(0, NodeStep::What::Start);
-  CHECK(status_of(Raw(stand.machine(0)).ask(stand.request(kHeld))) == 404);
+  CHECK(node.state == RawConnection::State::Reset);
+  CHECK(RawConnection(fleet.machine_address(0)).connect_error() == ECONNREFUSED);
+  fleet.apply_node_step(0, NodeStep::What::Start);
+  CHECK(status_of(RawConnection(fleet.machine_address(0)).send_request(fleet.make_request(kCachedKey))) ==
+        404);
 }
 
 TEST_CASE("a replacement machine answers at the address of the one it replaces") {
-  Stand stand([](model::Spec& spec) { // adds the replacement to the plan; the test triggers it
+  TestFleet fleet([](model::Spec& spec) { // adds the replacement to the plan; the test triggers it
     spec.events.push_back({500000, "", model::ReplaceNodes{{{0}, {}, {}, {}, {}}, 300}});
   });
-  const auto next = static_cast<model::MachineId>(stand.plan.machines.size() - 1);
-  REQUIRE(stand.plan.machines[next].address_of == 0);
-  stand.node(0, NodeStep::What::End);
-  CHECK(Raw(stand.machine(0)).error() == ECONNREFUSED);
-  stand.node(next, NodeStep::What::Start);
-  CHECK(status_of(Raw(stand.machine(0)).ask(stand.request(kUnknown))) == 404);
-  const auto came = stand.records<model::Arrived>();
-  REQUIRE(came.size() == 1);
-  CHECK(came[0].machine == next);
+  const auto replacement = static_cast<model::MachineId>(fleet.plan.machines.size() - 1);
+  REQUIRE(fleet.plan.machines[replacement].address_of == 0);
+  fleet.apply_node_step(0, NodeStep::What::End);
+  CHECK(RawConnection(fleet.machine_address(0)).connect_error() == ECONNREFUSED);
+  fleet.apply_node_step(replacement, NodeStep::What::Start);
+  CHECK(status_of(RawConnection(fleet.machine_address(0)).send_request(fleet.make_request(kUncachedKey))) ==
+        404);
+  const auto arrivals = fleet.take_records<model::AttemptArrived>();
+  REQUIRE(arrivals.size() == 1);
+  CHECK(arrivals[0].machine == replacement);
 }
 
 TEST_CASE("a silent machine does not respond and on return resets only connections that lost data") {
-  Stand stand;
-  Raw used(stand.machine(0)), idle(stand.machine(0));
-  REQUIRE(status_of(used.ask(stand.request(kHeld))) == 200);
-  REQUIRE(status_of(idle.ask(stand.request(kHeld))) == 200);
-  stand.node(0, NodeStep::What::Silence);
+  TestFleet fleet;
+  RawConnection used(fleet.machine_address(0)), idle(fleet.machine_address(0));
+  REQUIRE(status_of(used.send_request(fleet.make_request(kCachedKey))) == 200);
+  REQUIRE(status_of(idle.send_request(fleet.make_request(kCachedKey))) == 200);
+  fleet.apply_node_step(0, NodeStep::What::Silence);
   // The request is lost and must never be read: after a long silence the lab would no longer know its id, and
   // an unknown id voids the run.
-  std::string lost = stand.request(kHeld);
-  lost.replace(lost.find("ID: ") + 4, 4, "zzzz");
-  used.send(lost);
+  std::string lost_request = fleet.make_request(kCachedKey);
+  lost_request.replace(lost_request.find("ID: ") + 4, 4, "zzzz");
+  used.send(lost_request);
   CHECK(used.read(300).empty());
-  CHECK(used.end == Raw::End::Open);
-  const Raw fresh(stand.machine(0), 300);
-  CHECK_FALSE(fresh.up()); // neither connected nor refused
-  CHECK(fresh.error() == 0);
-  stand.node(0, NodeStep::What::Return);
+  CHECK(used.state == RawConnection::State::Open);
+  const RawConnection new_connection(fleet.machine_address(0), 300);
+  CHECK_FALSE(new_connection.connected()); // neither connected nor refused
+  CHECK(new_connection.connect_error() == 0);
+  fleet.apply_node_step(0, NodeStep::What::Return);
   used.read(5000);
-  CHECK(used.end == Raw::End::Reset);
-  CHECK(stand.voids.all().empty());
-  CHECK(status_of(idle.ask(stand.request(kHeld))) == 200);
-  CHECK(status_of(Raw(stand.machine(0)).ask(stand.request(kHeld))) == 200);
+  CHECK(used.state == RawConnection::State::Reset);
+  CHECK(fleet.voids.all().empty());
+  CHECK(status_of(idle.send_request(fleet.make_request(kCachedKey))) == 200);
+  CHECK(status_of(RawConnection(fleet.machine_address(0)).send_request(fleet.make_request(kCachedKey))) ==
+        200);
 }
 
 TEST_CASE("a cut affects only traffic between its two sides") {
-  Stand stand;
-  stand.happen(model::CutStep{1, true, {0}, {}, {}, {0}}); // machine 0 and router 0
-  CHECK_FALSE(Raw(stand.machine(0, 0), 300).up());
-  CHECK(status_of(Raw(stand.machine(0, 1)).ask(stand.request(kHeld))) == 200);
-  CHECK(status_of(Raw(stand.machine(1, 0)).ask(stand.request(kHeld))) == 200);
-  stand.happen(model::CutStep{1, false, {}, {}, {}, {}});
-  CHECK(status_of(Raw(stand.machine(0, 0)).ask(stand.request(kHeld))) == 200);
+  TestFleet fleet;
+  fleet.apply(model::PartitionStep{1, true, {0}, {}, {}, {0}}); // machine 0 and router 0
+  CHECK_FALSE(RawConnection(fleet.machine_address(0, 0), 300).connected());
+  CHECK(status_of(RawConnection(fleet.machine_address(0, 1)).send_request(fleet.make_request(kCachedKey))) ==
+        200);
+  CHECK(status_of(RawConnection(fleet.machine_address(1, 0)).send_request(fleet.make_request(kCachedKey))) ==
+        200);
+  fleet.apply(model::PartitionStep{1, false, {}, {}, {}, {}});
+  CHECK(status_of(RawConnection(fleet.machine_address(0, 0)).send_request(fleet.make_request(kCachedKey))) ==
+        200);
 }
 
 TEST_CASE("a node at its connection limit rejects and accepts again after a connection closes") {
-  Stand stand([](model::Spec& spec) { spec.kinds[0].connections = 1; });
-  auto first = std::make_unique<Raw>(stand.machine(0));
-  REQUIRE(status_of(first->ask(stand.request(kHeld))) == 200);
-  Raw second(stand.machine(0));
-  CHECK(status_of(second.ask(stand.request(kHeld))) == 503);
+  TestFleet fleet([](model::Spec& spec) { spec.kinds[0].max_connections = 1; });
+  auto first = std::make_unique<RawConnection>(fleet.machine_address(0));
+  REQUIRE(status_of(first->send_request(fleet.make_request(kCachedKey))) == 200);
+  RawConnection second(fleet.machine_address(0));
+  CHECK(status_of(second.send_request(fleet.make_request(kCachedKey))) == 503);
   second.read(5000);
-  CHECK(second.end == Raw::End::Closed);
+  CHECK(second.state == RawConnection::State::Closed);
   first.reset();
-  CHECK(until([&] { return status_of(Raw(stand.machine(0)).ask(stand.request(kHeld))) == 200; }));
+  CHECK(wait_until([&] {
+    return status_of(RawConnection(fleet.machine_address(0)).send_request(fleet.make_request(kCachedKey))) ==
+           200;
+  }));
 }
 
 TEST_CASE("an idle connection is closed but not one that waits for a response") {
-  Stand stand([](model::Spec& spec) { spec.kinds[0].idle_ms = spec.origin.idle_ms = 1000; });
-  stand.happen(OriginStep{OriginStep::What::Speed, 0, 0});
-  Raw node(stand.machine(0)), origin(stand.machine(stand.plan.origin));
-  origin.send(stand.request(kHeld));
-  REQUIRE(status_of(node.ask(stand.request(kHeld))) == 200);
+  TestFleet fleet(
+      [](model::Spec& spec) { spec.kinds[0].idle_timeout_ms = spec.origin.idle_timeout_ms = 1000; });
+  fleet.apply(OriginStep{OriginStep::What::Speed, 0, 0});
+  RawConnection node(fleet.machine_address(0)), origin(fleet.machine_address(fleet.plan.origin));
+  origin.send(fleet.make_request(kCachedKey));
+  REQUIRE(status_of(node.send_request(fleet.make_request(kCachedKey))) == 200);
   node.read(10000);
-  CHECK(node.end == Raw::End::Closed);
+  CHECK(node.state == RawConnection::State::Closed);
   origin.read(1500);
-  CHECK(origin.end == Raw::End::Open);
-  stand.happen(OriginStep{OriginStep::What::Speed, 1, 0});
+  CHECK(origin.state == RawConnection::State::Open);
+  fleet.apply(OriginStep{OriginStep::What::Speed, 1, 0});
   origin.read(5000);
   CHECK(origin.parser.done());
 }
 
 TEST_CASE("the origin crashes and recovers and an abandoned request ends once") {
-  Stand stand;
-  Raw before(stand.machine(stand.plan.origin));
-  REQUIRE(status_of(before.ask(stand.request(kHeld))) == 200);
-  stand.happen(OriginStep{OriginStep::What::Fall, 1, 1500});
-  CHECK(Raw(stand.machine(stand.plan.origin)).error() == ECONNREFUSED);
-  before.read(5000);
-  CHECK(before.end == Raw::End::Reset);
-  REQUIRE(until([&] { return Raw(stand.machine(stand.plan.origin)).up(); }));
-  stand.records<model::AttemptEnded>();
+  TestFleet fleet;
+  RawConnection old_connection(fleet.machine_address(fleet.plan.origin));
+  REQUIRE(status_of(old_connection.send_request(fleet.make_request(kCachedKey))) == 200);
+  fleet.apply(OriginStep{OriginStep::What::Fall, 1, 1500});
+  CHECK(RawConnection(fleet.machine_address(fleet.plan.origin)).connect_error() == ECONNREFUSED);
+  old_connection.read(5000);
+  CHECK(old_connection.state == RawConnection::State::Reset);
+  REQUIRE(wait_until([&] { return RawConnection(fleet.machine_address(fleet.plan.origin)).connected(); }));
+  fleet.take_records<model::AttemptEnded>();
   {
-    Raw origin(stand.machine(stand.plan.origin));
-    origin.send(stand.request(kHeld));
-    REQUIRE(until([&] { return !stand.records<model::Arrived>().empty(); }));
+    RawConnection origin(fleet.machine_address(fleet.plan.origin));
+    origin.send(fleet.make_request(kCachedKey));
+    REQUIRE(wait_until([&] { return !fleet.take_records<model::AttemptArrived>().empty(); }));
   }
   std::vector<model::AttemptEnded> ended;
-  REQUIRE(until([&] {
-    const auto more = stand.records<model::AttemptEnded>();
-    ended.insert(ended.end(), more.begin(), more.end());
+  REQUIRE(wait_until([&] {
+    const auto new_records = fleet.take_records<model::AttemptEnded>();
+    ended.insert(ended.end(), new_records.begin(), new_records.end());
     return !ended.empty();
   }));
   CHECK(ended.size() == 1);
--- a/tests/lab/process/guardian_test.cpp
+++ b/tests/lab/process/guardian_test.cpp
@@ -1,6 +1,6 @@
 // The guardian process: it starts the programs of the lab and ends them with the lab, however the lab ends.
 // Guards against processes and directories left behind by a crashed or killed lab.
-#include "lab/process/guardian.h"
+#include "lab/process/supervisor.h"
 
 #include <doctest/doctest.h>
 #include <fcntl.h>
@@ -10,7 +10,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "lab/process/watch.h"
+#include "lab/process/proc_stats.h"
 #include "support.h"
 
 using namespace fernward;
@@ -18,17 +18,17 @@
 
 namespace {
 
-struct Directory {
-  Directory() {
+struct TemporaryDirectory {
+  TemporaryDirectory() {
     char name[] = "/tmp/fernward-test-XXXXXX";
     path = mkdtemp(name);
   }
-  ~Directory() { std::filesystem::remove_all(path); }
+  ~TemporaryDirectory() { std::filesystem::remove_all(path); }
   std::string path;
 };
 
 // A zombie counts as gone: the test does not reap it.
-bool gone(pid_t pid) {
+bool is_gone(pid_t pid) {
   if (kill(pid, 0) != 0) return true;
   std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
   std::string number, name, state;
@@ -36,7 +36,7 @@
   return state.empty() || state == "Z";
 }
 
-rig::ProgramStart shell(const std::string& script, int output = -1) {
+rig::ProgramStart shell_command(const std::string& script, int output = -1) {
   rig::ProgramStart start;
   start.id = 7;
   start.command = {"/bin/sh", "-c", script};
@@ -45,9 +45,11 @@
   return start;
 }
 
-std::optional<rig::ProgramNews> next(rig::Guardian& guardian) { return guardian.news(5000); }
+std::optional<rig::ProgramEvent> next_event(rig::ProcessSupervisor& guardian) {
+  return guardian.next_event(5000);
+}
 
-pid_t number_in(const std::string& path) { // 0: not written yet
+pid_t read_pid(const std::string& path) { // 0: not written yet
   std::ifstream file(path);
   pid_t pid = 0;
   file >> pid;
@@ -57,15 +59,15 @@
 } // namespace
 
 TEST_CASE("a program starts as configured and its end is reported with its CPU time") {
-  Directory directory;
-  rig::Guardian guardian("");
+  TemporaryDirectory directory;
+  rig::ProcessSupervisor guardian("");
   const std::string path = directory.path + "/out";
   const int output = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   const struct {
     std::string script;
     std::uint32_t descriptors;
     int status;
-    std::string says;
+    std::string expected_output;
   } cases[] = {
       {"echo $LAB_WORD; exit 3", 0, 3, "heather\n"},
       {"ulimit -n", 77, 0, "77\n"},
@@ -76,92 +78,93 @@
     CAPTURE(c.script);
     REQUIRE(ftruncate(output, 0) == 0);
     lseek(output, 0, SEEK_SET);
-    auto start = shell(c.script, output);
+    auto start = shell_command(c.script, output);
     start.descriptors = c.descriptors;
     guardian.start(start);
-    const auto began = next(guardian), ended = next(guardian);
-    REQUIRE(began);
+    const auto started = next_event(guardian), ended = next_event(guardian);
+    REQUIRE(started);
     REQUIRE(ended);
-    CHECK_FALSE(began->ended);
+    CHECK_FALSE(started->ended);
     CHECK(ended->ended);
     CHECK(ended->id == 7);
-    CHECK(ended->pid == began->pid);
+    CHECK(ended->pid == started->pid);
     CHECK((WIFEXITED(ended->status) ? WEXITSTATUS(ended->status) : -1) == c.status);
     CHECK(ended->cpu_s > 0);
-    std::ifstream said(path);
-    CHECK(std::string(std::istreambuf_iterator<char>(said), {}) == c.says);
+    std::ifstream output_file(path);
+    CHECK(std::string(std::istreambuf_iterator<char>(output_file), {}) == c.expected_output);
   }
   close(output);
   rig::ProgramStart missing;
   missing.command = {"/nowhere/at/all"};
   guardian.start(missing);
-  next(guardian);
-  const auto ended = next(guardian);
+  next_event(guardian);
+  const auto ended = next_event(guardian);
   REQUIRE(ended);
   CHECK(WEXITSTATUS(ended->status) == 127);
 }
 
 TEST_CASE("the guardian ends by killing programs and their children and removing the directory") {
-  Directory directory;
-  const std::string inner = directory.path + "/run";
-  std::filesystem::create_directory(inner);
+  TemporaryDirectory directory;
+  const std::string run_directory = directory.path + "/run";
+  std::filesystem::create_directory(run_directory);
   const std::string child = directory.path + "/child";
   pid_t pid = 0;
   {
-    rig::Guardian guardian(inner);
+    rig::ProcessSupervisor guardian(run_directory);
     // The program and its child ignore signals.
-    guardian.start(shell("trap '' TERM INT HUP; sleep 600 & echo $! > " + child + "; wait; sleep 600"));
-    const auto began = next(guardian);
-    REQUIRE(began);
-    pid = began->pid;
-    REQUIRE(until([&] { return number_in(child) > 0; }));
+    guardian.start(
+        shell_command("trap '' TERM INT HUP; sleep 600 & echo $! > " + child + "; wait; sleep 600"));
+    const auto started = next_event(guardian);
+    REQUIRE(started);
+    pid = started->pid;
+    REQUIRE(wait_until([&] { return read_pid(child) > 0; }));
     guardian.signal(7, SIGTERM);
     usleep(50000);
-    CHECK_FALSE(gone(pid));
-    CHECK(rig::memory_mb(pid) > 0);
-    CHECK(rig::peak_memory_mb(pid) >= rig::memory_mb(pid));
-    CHECK(rig::cpu_s(pid) > 0);
-    CHECK(rig::descriptors(pid) >= 3);
+    CHECK_FALSE(is_gone(pid));
+    CHECK(rig::resident_memory_mb(pid) > 0);
+    CHECK(rig::peak_memory_mb(pid) >= rig::resident_memory_mb(pid));
+    CHECK(rig::cpu_time_s(pid) > 0);
+    CHECK(rig::open_descriptors(pid) >= 3);
   }
-  CHECK(gone(pid));
-  CHECK(until([&] { return gone(number_in(child)); }, 1000));
-  CHECK_FALSE(std::filesystem::exists(inner));
+  CHECK(is_gone(pid));
+  CHECK(wait_until([&] { return is_gone(read_pid(child)); }, 1000));
+  CHECK_FALSE(std::filesystem::exists(run_directory));
 }
 
 TEST_CASE("programs and the guardian end when the lab is killed by SIGKILL") {
-  for (const bool guardian_too : {false, true}) {
-    CAPTURE(guardian_too);
-    Directory directory;
-    const std::string inner = directory.path + "/run", pids = directory.path + "/pids";
-    std::filesystem::create_directory(inner);
+  for (const bool kill_guardian : {false, true}) {
+    CAPTURE(kill_guardian);
+    TemporaryDirectory directory;
+    const std::string run_directory = directory.path + "/run", pids = directory.path + "/pids";
+    std::filesystem::create_directory(run_directory);
     const pid_t lab = fork();
     if (lab == 0) { // a separate lab process that never ends by itself
-      rig::Guardian guardian(inner);
-      guardian.start(shell("sleep 600"));
-      const auto began = next(guardian);
-      std::ofstream(pids + ".new") << began->pid << " " << guardian.pid() << "\n";
+      rig::ProcessSupervisor guardian(run_directory);
+      guardian.start(shell_command("sleep 600"));
+      const auto started = next_event(guardian);
+      std::ofstream(pids + ".new") << started->pid << " " << guardian.pid() << "\n";
       std::filesystem::rename(pids + ".new", pids);
       for (;;) pause();
     }
-    REQUIRE(until([&] { return std::filesystem::exists(pids); }));
+    REQUIRE(wait_until([&] { return std::filesystem::exists(pids); }));
     pid_t program = 0, guardian = 0;
     std::ifstream(pids) >> program >> guardian;
-    CHECK_FALSE(gone(program));
-    if (guardian_too) kill(guardian, SIGKILL); // the programs must end without the guardian
+    CHECK_FALSE(is_gone(program));
+    if (kill_guardian) kill(guardian, SIGKILL); // the programs must end without the guardian
     kill(lab, SIGKILL);
     waitpid(lab, nullptr, 0);
-    CHECK(until([&] { return gone(program) && gone(guardian); }, 5000));
-    if (!guardian_too) CHECK(until([&] { return !std::filesystem::exists(inner); }, 5000));
+    CHECK(wait_until([&] { return is_gone(program) && is_gone(guardian); }, 5000));
+    if (!kill_guardian) CHECK(wait_until([&] { return !std::filesystem::exists(run_directory); }, 5000));
   }
 }
 
 TEST_CASE("the death of the guardian is detected") {
-  rig::Guardian guardian("");
-  guardian.start(shell("sleep 600"));
-  REQUIRE(next(guardian));
+  rig::ProcessSupervisor guardian("");
+  guardian.start(shell_command("sleep 600"));
+  REQUIRE(next_event(guardian));
   kill(guardian.pid(), SIGKILL);
-  CHECK(until([&] {
-    guardian.news();
-    return !guardian.lives();
+  CHECK(wait_until([&] {
+    guardian.next_event();
+    return !guardian.alive();
   }));
 }
--- a/tests/lab/scenario/scenario_test.cpp
+++ b/tests/lab/scenario/scenario_test.cpp
@@ -17,32 +17,32 @@
 
 namespace {
 
-const std::filesystem::path kSource = FERNWARD_SOURCE_DIR;
-const std::filesystem::path kCorpus = kSource / "tests/corpus/lab";
+const std::filesystem::path kSourceDir = FERNWARD_SOURCE_DIR;
+const std::filesystem::path kCorpusDir = kSourceDir / "tests/corpus/lab";
 
-std::string text_of(const std::filesystem::path& path) {
+std::string read_file(const std::filesystem::path& path) {
   std::ifstream in(path);
   std::ostringstream text;
   text << in.rdbuf();
   return text.str();
 }
 
-std::string all(const std::vector<Fault>& faults) {
+std::string faults_text(const std::vector<Diagnostic>& faults) {
   std::string text;
-  for (const Fault& f : faults) text += f.text() + "\n";
+  for (const Diagnostic& f : faults) text += f.to_string() + "\n";
   return text;
 }
 
-Scenario fleet_with(const std::string& more) {
-  return read_scenario("base = \"fleet.toml\"\n" + more, (kCorpus / "here.toml").string(), {},
-                       [](const auto& path) { return std::optional(text_of(path)); });
+Scenario fleet_with_settings(const std::string& settings) {
+  return read_scenario("base = \"fleet.toml\"\n" + settings, (kCorpusDir / "here.toml").string(), {},
+                       [](const auto& path) { return std::optional(read_file(path)); });
 }
 
 } // namespace
 
 TEST_CASE("each error of an invalid file is reported at its position and no other error") {
-  std::size_t files = 0, marks = 0;
-  for (const auto& entry : std::filesystem::directory_iterator(kCorpus)) {
+  std::size_t file_count = 0, mark_count = 0;
+  for (const auto& entry : std::filesystem::directory_iterator(kCorpusDir)) {
     const std::string path = entry.path().string();
     CAPTURE(path);
     struct Expected {
@@ -50,37 +50,37 @@
       std::string key, why;
     };
     std::vector<Expected> expected; // from the marks "# fault: KEY" and "# fault: KEY: WORDS"
-    std::istringstream lines(text_of(path));
+    std::istringstream lines(read_file(path));
     std::string line;
-    for (unsigned number = 1; std::getline(lines, line); ++number) {
-      const std::regex mark("# fault: ([^:# ]+)(: ([^#]*[^# ]))?");
-      for (std::sregex_iterator it(line.begin(), line.end(), mark), end; it != end; ++it) {
-        expected.push_back({number, (*it)[1], (*it)[3]});
+    for (unsigned line_number = 1; std::getline(lines, line); ++line_number) {
+      const std::regex mark_pattern("# fault: ([^:# ]+)(: ([^#]*[^# ]))?");
+      for (std::sregex_iterator it(line.begin(), line.end(), mark_pattern), end; it != end; ++it) {
+        expected.push_back({line_number, (*it)[1], (*it)[3]});
       }
     }
     const Scenario scenario = read_scenario_file(path);
-    INFO("found:\n" << all(scenario.faults));
+    INFO("found:\n" << faults_text(scenario.faults));
     CHECK(scenario.faults.size() == expected.size());
     for (const Expected& e : expected) {
       CAPTURE(e.line);
       CAPTURE(e.key);
-      CHECK(std::any_of(scenario.faults.begin(), scenario.faults.end(), [&](const Fault& f) {
-        return f.at.file == path && f.at.line == e.line && f.key == e.key && f.at.column >= 1 &&
-               f.why.find(e.why) != std::string::npos;
+      CHECK(std::any_of(scenario.faults.begin(), scenario.faults.end(), [&](const Diagnostic& f) {
+        return f.position.file == path && f.position.line == e.line && f.key == e.key &&
+               f.position.column >= 1 && f.message.find(e.why) != std::string::npos;
       }));
     }
-    ++files;
-    marks += expected.size();
+    ++file_count;
+    mark_count += expected.size();
   }
-  CHECK(files >= 14);
-  CHECK(marks >= 50);
+  CHECK(file_count >= 14);
+  CHECK(mark_count >= 50);
 }
 
 TEST_CASE("an error names file and line and column") {
-  const Scenario s = fleet_with("[load]\n  rate = \"410\"\n");
-  REQUIRE(s.faults.size() == 1);
-  CHECK(s.faults[0].text() ==
-        (kCorpus / "here.toml").string() +
+  const Scenario scenario = fleet_with_settings("[load]\n  rate = \"410\"\n");
+  REQUIRE(scenario.faults.size() == 1);
+  CHECK(scenario.faults[0].to_string() ==
+        (kCorpusDir / "here.toml").string() +
             ":3:10: load.rate: has no unit: must be a rate such as \"410/s\" or \"30/min\"");
 }
 
@@ -119,58 +119,59 @@
   };
   for (const auto& c : cases) {
     CAPTURE(c.text);
-    fernward::toml_document::Why why;
+    fernward::toml_document::ParseError why;
     const auto value = parse_quantity(c.unit, c.text, why);
     CHECK(value.value_or(-1) == c.value);
-    CHECK(why.text.empty() == value.has_value());
+    CHECK(why.message.empty() == value.has_value());
   }
   // A written quantity is read back as exactly the same number.
   for (const Unit unit : {Unit::Time, Unit::Bytes, Unit::Rate, Unit::Share, Unit::ShareRate}) {
     for (const double value : {0.0, 0.07, 0.1, 1.0 / 3, 0.8, 750.0, 1500.0, 86400e3, 64e6, 65536.0, 1e-9}) {
-      fernward::toml_document::Why why;
-      CHECK(parse_quantity(unit, quantity_text(unit, value), why) == value);
+      fernward::toml_document::ParseError why;
+      CHECK(parse_quantity(unit, format_quantity(unit, value), why) == value);
     }
   }
-  CHECK(quantity_text(Unit::Time, 1500) == "1.5s");
-  CHECK(quantity_text(Unit::Bytes, 65536) == "64KiB");
-  CHECK(quantity_text(Unit::Share, 0.07) == "7%");
+  CHECK(format_quantity(Unit::Time, 1500) == "1.5s");
+  CHECK(format_quantity(Unit::Bytes, 65536) == "64KiB");
+  CHECK(format_quantity(Unit::Share, 0.07) == "7%");
 }
 
 TEST_CASE("a Spec is unchanged after writing and reading a file") {
   for (const char* name : {"fleet.toml", "every-event.toml"}) {
-    const Scenario first = read_scenario_file(kCorpus / name);
-    REQUIRE(all(first.faults) == "");
+    const Scenario first = read_scenario_file(kCorpusDir / name);
+    REQUIRE(faults_text(first.faults) == "");
     const std::string text = scenario_text(first.spec);
     const Scenario second = read_scenario(text, "written.toml");
-    CHECK(all(second.faults) == "");
+    CHECK(faults_text(second.faults) == "");
     CHECK(scenario_text(second.spec) == text);
     CHECK(second.spec.events.size() == first.spec.events.size());
   }
-  const Scenario s = read_scenario_file(kCorpus / "every-event.toml");
-  REQUIRE(s.spec.events.size() == std::variant_size_v<model::Happening>);
-  std::vector<bool> seen(s.spec.events.size());
-  for (const auto& e : s.spec.events) seen[e.what.index()] = true;
+  const Scenario scenario = read_scenario_file(kCorpusDir / "every-event.toml");
+  REQUIRE(scenario.spec.events.size() == std::variant_size_v<model::EventAction>);
+  std::vector<bool> seen(scenario.spec.events.size());
+  for (const auto& e : scenario.spec.events) seen[e.what.index()] = true;
   CHECK(std::all_of(seen.begin(), seen.end(), [](bool b) { return b; }));
-  const auto& kill = std::get<model::RestartRouters>(s.spec.events[9].what);
-  CHECK(kill.how == model::RouterEnd::Kill);
-  CHECK(kill.who.share == 0.5);
-  CHECK(s.spec.holds.bounds[6].metric == model::Metric::RecoveryMs);
-  CHECK(s.spec.holds.bounds[6].at_most == 8000);
+  const auto& kill_routers = std::get<model::RestartRouters>(scenario.spec.events[9].what);
+  CHECK(kill_routers.how == model::RouterEnd::Kill);
+  CHECK(kill_routers.who.share == 0.5);
+  CHECK(scenario.spec.expectations.bounds[6].metric == model::Metric::RecoveryMs);
+  CHECK(scenario.spec.expectations.bounds[6].at_most == 8000);
 }
 
 TEST_CASE("a file overrides its base table by table and lists are replaced completely") {
-  const Scenario s =
-      fleet_with("duration = \"5s\"\n[origin]\ntime = \"90ms\"\n[[tenants]]\nname = \"one\"\n");
-  CHECK(all(s.faults) == "");
-  CHECK(s.spec.duration_ms == 5000);
-  CHECK(s.spec.origin.time_ms == 90);
-  CHECK(s.spec.origin.capacity_per_s == 80);
-  CHECK(s.spec.tenants.size() == 1);
-  CHECK(s.spec.classes.size() == 2);
-  CHECK(s.spec.name == "here");
+  const Scenario scenario =
+      fleet_with_settings("duration = \"5s\"\n[origin]\ntime = \"90ms\"\n[[tenants]]\nname = \"one\"\n");
+  CHECK(faults_text(scenario.faults) == "");
+  CHECK(scenario.spec.duration_ms == 5000);
+  CHECK(scenario.spec.origin.service_time_ms == 90);
+  CHECK(scenario.spec.origin.capacity_per_s == 80);
+  CHECK(scenario.spec.tenants.size() == 1);
+  CHECK(scenario.spec.classes.size() == 2);
+  CHECK(scenario.spec.name == "here");
   // An error in the base file is reported with the base file's name.
-  CHECK(
-      fleet_with("[load]\nshape = \"ramp\"\nramp_to = 5000\n").faults.at(0).at.file.ends_with("fleet.toml"));
+  CHECK(fleet_with_settings("[load]\nshape = \"ramp\"\nramp_to = 5000\n")
+            .faults.at(0)
+            .position.file.ends_with("fleet.toml"));
 }
 
 TEST_CASE("values set from the command line are checked together with the whole scenario") {
@@ -198,21 +199,22 @@
   };
   for (const auto& c : cases) {
     CAPTURE(c.setting);
-    Scenario s = fleet_with("[[events]]\nat = \"2s\"\nwhat = \"neighbour\"\nuntil = \"5s\"\n");
-    REQUIRE(s.sound());
-    const std::string before = scenario_text(s.spec);
-    set_values(s, {c.setting});
+    Scenario scenario =
+        fleet_with_settings("[[events]]\nat = \"2s\"\nwhat = \"neighbour\"\nuntil = \"5s\"\n");
+    REQUIRE(scenario.is_valid());
+    const std::string text_before = scenario_text(scenario.spec);
+    set_values(scenario, {c.setting});
     if (*c.fault == '\0') {
-      CHECK(all(s.faults) == "");
-      CHECK(scenario_text(s.spec) != before);
+      CHECK(faults_text(scenario.faults) == "");
+      CHECK(scenario_text(scenario.spec) != text_before);
     } else {
-      REQUIRE(s.faults.size() >= 1);
-      CHECK(s.faults[0].text().find(c.fault) != std::string::npos);
+      REQUIRE(scenario.faults.size() >= 1);
+      CHECK(scenario.faults[0].to_string().find(c.fault) != std::string::npos);
     }
   }
 }
 
 TEST_CASE("the operators' page has the key reference as generated by the reader") {
-  const std::string page = text_of(kSource / "docs/operators/lab.md");
+  const std::string page = read_file(kSourceDir / "docs/operators/lab.md");
   CHECK(page.find(key_reference()) != std::string::npos);
 }
--- a/tests/lab/support.h
+++ b/tests/lab/support.h
@@ -14,75 +14,75 @@
 
 namespace fernward::tests {
 
-class Raw {
+class RawConnection {
  public:
   // Waits up to `wait_ms` for the connection to be established.
-  explicit Raw(const sockaddr_in& to, int wait_ms = 5000)
+  explicit RawConnection(const sockaddr_in& address, int wait_ms = 5000)
       : fd_(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0)) {
-    if (connect(fd_, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0) up_ = true;
-    if (!up_ && errno == EINPROGRESS && ready(POLLOUT, wait_ms)) {
-      socklen_t size = sizeof error_;
-      getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error_, &size);
-      up_ = error_ == 0;
+    if (connect(fd_, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0) connected_ = true;
+    if (!connected_ && errno == EINPROGRESS && poll_for(POLLOUT, wait_ms)) {
+      socklen_t size = sizeof connect_error_;
+      getsockopt(fd_, SOL_SOCKET, SO_ERROR, &connect_error_, &size);
+      connected_ = connect_error_ == 0;
     }
   }
-  ~Raw() { close(fd_); }
-  Raw(const Raw&) = delete;
-  Raw& operator=(const Raw&) = delete;
+  ~RawConnection() { close(fd_); }
+  RawConnection(const RawConnection&) = delete;
+  RawConnection& operator=(const RawConnection&) = delete;
 
-  bool up() const { return up_; }
-  int error() const { return error_; } // errno of connect(); 0 if connected or timed out
+  bool connected() const { return connected_; }
+  int connect_error() const { return connect_error_; } // errno of connect(); 0 if connected or timed out
   void send(const std::string& text) {
     [[maybe_unused]] const auto n = ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL);
   }
 
-  enum class End { Open, Closed, Reset };
+  enum class State { Open, Closed, Reset };
   // Returns the bytes received within `wait_ms`. Returns earlier when a response is complete or malformed,
   // when the connection ends, or when `is_complete` returns true.
   std::string read(
-      int wait_ms, const std::function<bool()>& enough = [] { return false; }) {
-    std::string got;
-    const double until = loop::now_ms() + wait_ms;
-    while (end == End::Open && !enough() && loop::now_ms() < until) {
-      if (!ready(POLLIN, static_cast<int>(until - loop::now_ms()) + 1)) continue;
+      int wait_ms, const std::function<bool()>& is_complete = [] { return false; }) {
+    std::string received;
+    const double deadline_ms = loop::now_ms() + wait_ms;
+    while (state == State::Open && !is_complete() && loop::now_ms() < deadline_ms) {
+      if (!poll_for(POLLIN, static_cast<int>(deadline_ms - loop::now_ms()) + 1)) continue;
       char buffer[65536];
-      const ssize_t n = recv(fd_, buffer, sizeof buffer, 0);
-      if (n > 0) {
-        got.append(buffer, static_cast<std::size_t>(n));
-        parser.feed({buffer, static_cast<std::size_t>(n)});
-        if (parser.done() || parser.fault() != http::Fault::None) break;
-      } else if (n == 0) {
-        end = End::Closed;
+      const ssize_t received_bytes = recv(fd_, buffer, sizeof buffer, 0);
+      if (received_bytes > 0) {
+        received.append(buffer, static_cast<std::size_t>(received_bytes));
+        parser.feed({buffer, static_cast<std::size_t>(received_bytes)});
+        if (parser.done() || parser.error() != http::ParseError::None) break;
+      } else if (received_bytes == 0) {
+        state = State::Closed;
       } else if (errno != EAGAIN) {
-        end = End::Reset;
+        state = State::Reset;
       }
     }
-    return got;
+    return received;
   }
   // Sends `text` and returns one response, or nothing if it is incomplete after `wait_ms`.
-  std::optional<http::Message> ask(const std::string& text, int wait_ms = 5000) {
+  std::optional<http::Message> send_request(const std::string& text, int wait_ms = 5000) {
     send(text);
     read(wait_ms);
     if (!parser.done()) return std::nullopt;
-    return parser.take();
+    return parser.take_message();
   }
 
-  http::Parser parser{http::Kind::Response};
-  End end = End::Open;
+  http::Parser parser{http::MessageKind::Response};
+  State state = State::Open;
 
  private:
-  bool ready(short what, int wait_ms) const {
-    pollfd one{fd_, what, 0};
-    return poll(&one, 1, wait_ms) > 0;
+  bool poll_for(short events, int wait_ms) const {
+    pollfd descriptor{fd_, events, 0};
+    return poll(&descriptor, 1, wait_ms) > 0;
   }
-  int fd_, error_ = 0;
-  bool up_ = false;
+  int fd_, connect_error_ = 0;
+  bool connected_ = false;
 };
 
-inline bool until(const std::function<bool()>& done, double wait_ms = 10000) {
-  const double end = loop::now_ms() + wait_ms;
-  while (!done()) {
-    if (loop::now_ms() > end) return false;
+inline bool wait_until(const std::function<bool()>& condition, double wait_ms = 10000) {
+  const double deadline_ms = loop::now_ms() + wait_ms;
+  while (!condition()) {
+    if (loop::now_ms() > deadline_ms) return false;
     usleep(2000);
   }
   return true;
--- a/tests/lab/virtual/memory_test.cpp
+++ b/tests/lab/virtual/memory_test.cpp
@@ -8,26 +8,26 @@
 #include <map>
 #include <new>
 
-#include "fleets.h"
-#include "lab/virtual/virtual.h"
+#include "fleet_specs.h"
+#include "lab/virtual/virtual_driver.h"
 
 namespace {
-std::size_t live = 0;
+std::size_t live_bytes = 0;
 }
 
 void* operator new(std::size_t size) {
   void* block = std::malloc(size);
   if (block == nullptr) throw std::bad_alloc();
-  live += malloc_usable_size(block);
+  live_bytes += malloc_usable_size(block);
   return block;
 }
 void* operator new(std::size_t size, const std::nothrow_t&) noexcept {
   void* block = std::malloc(size);
-  live += block == nullptr ? 0 : malloc_usable_size(block);
+  live_bytes += block == nullptr ? 0 : malloc_usable_size(block);
   return block;
 }
 void operator delete(void* block) noexcept {
-  live -= block == nullptr ? 0 : malloc_usable_size(block);
+  live_bytes -= block == nullptr ? 0 : malloc_usable_size(block);
   std::free(block);
 }
 void operator delete(void* block, std::size_t) noexcept { operator delete(block); }
@@ -38,20 +38,21 @@
 using namespace fernward::model;
 
 // Three minutes with the same faults every 20 s, so that anything they leave behind accumulates.
-Spec troubled() {
-  Spec spec = fernward::lab::test::ports(410, 180);
-  spec.clients.leave_share = 0.05;
-  spec.clients.retries = 2;
+Spec spec_with_faults() {
+  Spec spec = fernward::lab::test::four_zone_spec(410, 180);
+  spec.clients.abandon_share = 0.05;
+  spec.clients.mean_max_retries = 2;
   spec.kinds[0].error_rate = 0.02;
-  for (double at = 1000; at + 18000 < spec.duration_ms; at += 20000) {
-    const NodePick two{{}, {}, {}, {}, 2, 1, true};
-    spec.events.push_back({at, "", RestartNodes{two, 2000}});
-    spec.events.push_back({at + 3000, "", RestartRouters{{}, RouterEnd::Kill, 1000, 1, 6000}});
-    spec.events.push_back({at + 5000, "", BadAnswers{two, 0.3, at + 9000, BadAnswer::NeverEnds}});
-    spec.events.push_back({at + 8000, "", SilentNodes{two, at + 12000}});
-    spec.events.push_back({at + 10000, "", RestartRouters{{}, RouterEnd::Term, 500, 2, 3000}});
-    spec.events.push_back({at + 13000, "", LostZone{1, at + 15000, false}});
-    spec.events.push_back({at + 15000, "", OriginFall{1000}});
+  for (double at_ms = 1000; at_ms + 18000 < spec.duration_ms; at_ms += 20000) {
+    const NodeSelector two_nodes{{}, {}, {}, {}, 2, 1, true};
+    spec.events.push_back({at_ms, "", RestartNodes{two_nodes, 2000}});
+    spec.events.push_back({at_ms + 3000, "", RestartRouters{{}, RouterEnd::Kill, 1000, 1, 6000}});
+    spec.events.push_back(
+        {at_ms + 5000, "", BadResponses{two_nodes, 0.3, at_ms + 9000, BadResponse::NeverCompletes}});
+    spec.events.push_back({at_ms + 8000, "", SilentNodes{two_nodes, at_ms + 12000}});
+    spec.events.push_back({at_ms + 10000, "", RestartRouters{{}, RouterEnd::Term, 500, 2, 3000}});
+    spec.events.push_back({at_ms + 13000, "", ZoneOutage{1, at_ms + 15000, false}});
+    spec.events.push_back({at_ms + 15000, "", OriginFall{1000}});
   }
   return spec;
 }
@@ -60,24 +61,26 @@
 
 int main() {
   struct Minute {
-    std::size_t most = 0; // maximum of live bytes
-    int looks = 0;        // progress is called once per fixed number of events
+    std::size_t max_live_bytes = 0; // maximum of live bytes
+    int progress_calls = 0;         // progress is called once per fixed number of events
   };
   std::map<int, Minute> minutes;
   fernward::lab::RunControl control;
   control.progress = [&](double now) {
     Minute& minute = minutes[static_cast<int>(now / 60000)];
-    minute.most = live > minute.most ? live : minute.most;
-    ++minute.looks;
+    minute.max_live_bytes = live_bytes > minute.max_live_bytes ? live_bytes : minute.max_live_bytes;
+    ++minute.progress_calls;
   };
-  Sink nothing;
-  fernward::lab::make_virtual_driver()->run(troubled(), nothing, control);
-  for (const auto& [number, m] : minutes)
-    std::printf("minute %d: at most %zu bytes, %d progress calls\n", number, m.most, m.looks);
+  Sink sink;
+  fernward::lab::make_virtual_driver()->run(spec_with_faults(), sink, control);
+  for (const auto& [minute_index, usage] : minutes)
+    std::printf("minute %d: at most %zu bytes, %d progress calls\n", minute_index, usage.max_live_bytes,
+                usage.progress_calls);
   // Timers that start further timers would increase the number of events before they increase memory.
   // The first minute is skipped: it fills the memory that is kept for reuse.
   const Minute first = minutes[1], last = minutes[2];
-  const bool bounded = last.looks > 0 && last.most < first.most * 5 / 4 && last.looks < first.looks * 23 / 20;
+  const bool bounded = last.progress_calls > 0 && last.max_live_bytes < first.max_live_bytes * 5 / 4 &&
+                       last.progress_calls < first.progress_calls * 23 / 20;
   std::printf("%s\n", bounded ? "bounded" : "memory or events per minute grow with the run");
   return bounded ? 0 : 1;
 }
--- /dev/null
+++ b/tests/lab/virtual/virtual_time_speed.cpp
@@ -0,0 +1,57 @@
+// Measures the speed of a run in virtual time. Arguments: RATE SECONDS NODES ROUTERS, all optional. Prints
+// the speed as a multiple of real time, and the outcomes of the requests.
+#include <cstdio>
+#include <cstdlib>
+
+#include "fleet_specs.h"
+#include "lab/virtual/virtual_driver.h"
+
+namespace {
+
+struct Totals : fernward::model::Sink {
+  using Sink::on;
+  void on(const fernward::model::DrawnRequest& d) override {
+    ++drawn_count, possible_value += d.priority_weight;
+  }
+  void on(const fernward::model::RequestEnded& c) override {
+    earned_value += c.earned_weight;
+    ++outcome_counts[static_cast<int>(c.outcome)];
+    total_latency_ms += c.latency_ms;
+  }
+  void on(const fernward::model::AttemptArrived& a) override { ++arrival_count, last_arrival_ms = a.at; }
+  void on(const fernward::model::AttemptEnded& a) override { ++ending_counts[static_cast<int>(a.outcome)]; }
+  std::uint64_t drawn_count = 0, arrival_count = 0, outcome_counts[7] = {}, ending_counts[12] = {};
+  double possible_value = 0, earned_value = 0, total_latency_ms = 0, last_arrival_ms = 0;
+};
+
+} // namespace
+
+int main(int argc, char** argv) {
+  const auto argument = [&](int i, double default_value) {
+    return argc > i ? std::atof(argv[i]) : default_value;
+  };
+  const auto spec = fernward::lab::test::four_zone_spec(argument(1, 410), argument(2, 600),
+                                                        static_cast<std::uint32_t>(argument(3, 14)),
+                                                        static_cast<std::uint32_t>(argument(4, 4)));
+  for (const auto& fault : find_spec_errors(spec))
+    std::printf("fault: %s %s\n", fault.path.c_str(), fault.reason.c_str());
+  Totals totals;
+  const auto info = fernward::lab::make_virtual_driver()->run(spec, totals);
+  double decision_cpu_s = 0;
+  for (const auto& r : info.routers) decision_cpu_s += r.cpu_s;
+  std::printf("ran %.0f s in %.2f s of CPU: %.0f times real time; decisions %.2f s of it; %.1f MB\n",
+              info.scenario_elapsed_ms / 1000, info.cpu_s + decision_cpu_s,
+              info.scenario_elapsed_ms / 1000 / (info.cpu_s + decision_cpu_s), decision_cpu_s,
+              info.peak_memory_mb);
+  std::printf("%llu requests, %llu events, %.2f us per request; service %.4f, mean %.1f ms, attempts %.3f\n",
+              static_cast<unsigned long long>(totals.drawn_count),
+              static_cast<unsigned long long>(info.simulated_events),
+              (info.cpu_s + decision_cpu_s) * 1e6 / static_cast<double>(totals.drawn_count),
+              totals.earned_value / totals.possible_value,
+              totals.total_latency_ms / static_cast<double>(totals.drawn_count),
+              static_cast<double>(totals.arrival_count) / static_cast<double>(totals.drawn_count));
+  for (const auto e : totals.outcome_counts) std::printf("%llu ", static_cast<unsigned long long>(e));
+  std::printf("| ");
+  for (const auto e : totals.ending_counts) std::printf("%llu ", static_cast<unsigned long long>(e));
+  std::printf("\n");
+}
--- a/tests/membership/model_test.cpp
+++ b/tests/membership/model_test.cpp
@@ -12,119 +12,134 @@
 namespace fernward::membership {
 
 // Serializes the state of a router: two routers with equal bytes behave alike, except for random draws.
-struct Inside {
-  static void append(const Membership& m, std::string& to) {
-    const auto add = [&](auto value) { to.append(reinterpret_cast<const char*>(&value), sizeof value); };
-    const auto word = [&](const Word& w) { add(w.who), add(w.standing), add(w.by), stamp(w.stamp, to); };
-    stamp(m.stamp_, to), add(m.doubt_), add(m.at_), add(m.round_);
-    for (const Id id : m.order_) add(id);
-    for (const auto& one : m.all_) {
-      stamp(one.stamp, to), add(one.dies_at), add(one.direct_at), add(one.standing), add(one.agree);
-      for (std::uint8_t i = 0; i < one.agree; ++i) add(one.agreed[i]);
+struct MembershipTestAccess {
+  static void append(const Membership& m, std::string& buffer) {
+    const auto add = [&](auto value) { buffer.append(reinterpret_cast<const char*>(&value), sizeof value); };
+    const auto word = [&](const MemberUpdate& w) {
+      add(w.member), add(w.state), add(w.reporter), stamp(w.stamp, buffer);
+    };
+    stamp(m.stamp_, buffer), add(m.health_penalty_), add(m.next_in_order_), add(m.last_round_);
+    for (const MemberId id : m.ping_order_) add(id);
+    for (const auto& member : m.members_) {
+      stamp(member.stamp, buffer), add(member.dead_at), add(member.direct_contact_at), add(member.state),
+          add(member.confirmations);
+      for (std::uint8_t i = 0; i < member.confirmations; ++i) add(member.confirmed_by[i]);
     }
-    for (const auto& r : m.rounds_) {
-      add(r.target), add(r.number), add(r.sent_at), add(r.asked), add(r.answered), add(r.nacks);
-      add(r.expected), add(r.for_other), add(r.of), add(r.of_round);
+    for (const auto& r : m.pending_pings_) {
+      add(r.target), add(r.round), add(r.sent_at), add(r.indirect_sent), add(r.answered), add(r.nacks);
+      add(r.expected_nacks), add(r.for_requester), add(r.requester), add(r.requester_round);
     }
-    for (const auto& s : m.sayings_) word(s.word), add(s.told);
+    for (const auto& s : m.broadcasts_) word(s.update), add(s.transmissions);
     add('|');
   }
-  static void append(const Packet& p, std::string& to) {
-    const auto add = [&](auto value) { to.append(reinterpret_cast<const char*>(&value), sizeof value); };
-    add(p.to), add(p.what.from), add(p.what.kind), add(p.what.about), add(p.what.round);
-    stamp(p.what.stamp, to);
-    for (const Word& w : p.what.words) add(w.who), add(w.standing), add(w.by), stamp(w.stamp, to);
+  static void append(const Packet& p, std::string& buffer) {
+    const auto add = [&](auto value) { buffer.append(reinterpret_cast<const char*>(&value), sizeof value); };
+    add(p.to), add(p.datagram.from), add(p.datagram.kind), add(p.datagram.subject), add(p.datagram.round);
+    stamp(p.datagram.stamp, buffer);
+    for (const MemberUpdate& update : p.datagram.updates)
+      add(update.member), add(update.state), add(update.reporter), stamp(update.stamp, buffer);
     add('|');
   }
-  static void stamp(Stamp s, std::string& to) {
-    to.append(reinterpret_cast<const char*>(&s.incarnation), sizeof s.incarnation);
-    to.append(reinterpret_cast<const char*>(&s.sequence), sizeof s.sequence);
+  static void stamp(Stamp s, std::string& buffer) {
+    buffer.append(reinterpret_cast<const char*>(&s.incarnation), sizeof s.incarnation);
+    buffer.append(reinterpret_cast<const char*>(&s.sequence), sizeof s.sequence);
+  }
+  static Stamp known(const Membership& m, MemberId member) { return m.members_[member].stamp; }
+  static double direct_at(const Membership& m, MemberId member) {
+    return m.members_[member].direct_contact_at;
   }
-  static Stamp known(const Membership& m, Id of) { return m.all_[of].stamp; }
-  static double direct_at(const Membership& m, Id of) { return m.all_[of].direct_at; }
 };
 
 namespace {
 
-constexpr Id kThree = 3, kCrashes = 2;
+constexpr MemberId kRouters = 3, kCrashingRouter = 2;
 
-struct World {
-  std::vector<Membership> all;
-  std::vector<Packet> under_way;
+struct SystemState {
+  std::vector<Membership> routers;
+  std::vector<Packet> in_flight;
   bool crashed = false;
-  int losses = 0, rounds = 0; // remaining
+  int losses_left = 0, rounds_left = 0; // remaining
   double now = 1000;
 };
 
-bool is_lie(const Packet& p) { return p.what.kind == Kind::Nack && p.what.words.size() == 1; }
+bool is_false_update(const Packet& p) {
+  return p.datagram.kind == MessageKind::Nack && p.datagram.updates.size() == 1;
+}
 
-struct Model {
-  std::unordered_set<std::size_t> seen;
-  std::size_t went_back = 0, beyond = 0, by_older = 0, in_spite = 0, counted_out = 0, living_out = 0;
+struct StateExplorer {
+  std::unordered_set<std::size_t> visited;
+  std::size_t stamps_decreased = 0, stamps_ahead_of_owner = 0, dead_by_old_update = 0,
+              dead_despite_contact = 0, declared_dead = 0, live_declared_dead = 0;
 
-  void check(const World& before, const World& after) {
-    for (Id i = 0; i < kThree; ++i) {
-      went_back += after.all[i].stamp() < before.all[i].stamp();
-      for (Id j = 0; j < kThree; ++j) {
+  void check(const SystemState& before, const SystemState& after) {
+    for (MemberId i = 0; i < kRouters; ++i) {
+      stamps_decreased += after.routers[i].stamp() < before.routers[i].stamp();
+      for (MemberId j = 0; j < kRouters; ++j) {
         if (i == j) continue;
-        beyond += Inside::known(after.all[i], j) > after.all[j].stamp();
-        const bool out = before.all[i].alive(j) && !after.all[i].alive(j);
-        counted_out += out, living_out += out && !(after.crashed && j == kCrashes);
+        stamps_ahead_of_owner += MembershipTestAccess::known(after.routers[i], j) > after.routers[j].stamp();
+        const bool out = before.routers[i].alive(j) && !after.routers[i].alive(j);
+        declared_dead += out, live_declared_dead += out && !(after.crashed && j == kCrashingRouter);
       }
     }
   }
-  void deliver(World w, std::size_t which) {
-    const World before = w;
-    const Packet p = w.under_way[which];
-    w.under_way.erase(w.under_way.begin() + static_cast<std::ptrdiff_t>(which));
-    if (!(w.crashed && p.to == kCrashes)) w.all[p.to].take(w.now, p.what.from, p.what, w.under_way);
-    check(before, w);
-    for (Id j = 0; j < kThree; ++j) {
-      const Membership &then = before.all[p.to], &now = w.all[p.to];
-      if (j == p.to || !then.alive(j) || now.alive(j)) continue;
+  void deliver(SystemState system_state, std::size_t index) {
+    const SystemState before = system_state;
+    const Packet p = system_state.in_flight[index];
+    system_state.in_flight.erase(system_state.in_flight.begin() + static_cast<std::ptrdiff_t>(index));
+    if (!(system_state.crashed && p.to == kCrashingRouter))
+      system_state.routers[p.to].receive(system_state.now, p.datagram.from, p.datagram,
+                                         system_state.in_flight);
+    check(before, system_state);
+    for (MemberId j = 0; j < kRouters; ++j) {
+      const Membership &router_before = before.routers[p.to], &router_after = system_state.routers[p.to];
+      if (j == p.to || !router_before.alive(j) || router_after.alive(j)) continue;
       // Declared dead by this datagram: must not be due to updates older than the known stamp, nor right
       // after direct contact.
-      by_older += std::none_of(p.what.words.begin(), p.what.words.end(), [&](const Word& word) {
-        return word.who == j && word.stamp >= Inside::known(then, j);
-      });
-      in_spite += w.now - Inside::direct_at(then, j) < 2 * Rules{}.period_ms;
+      dead_by_old_update +=
+          std::none_of(p.datagram.updates.begin(), p.datagram.updates.end(), [&](const MemberUpdate& word) {
+            return word.member == j && word.stamp >= MembershipTestAccess::known(router_before, j);
+          });
+      dead_despite_contact +=
+          system_state.now - MembershipTestAccess::direct_at(router_before, j) < 2 * Settings{}.period_ms;
     }
-    play(std::move(w));
+    play(std::move(system_state));
   }
-  void play(World w) {
-    std::vector<std::string> told;
-    for (const Packet& p : w.under_way) Inside::append(p, told.emplace_back());
-    std::sort(told.begin(), told.end());
-    std::string state(1, static_cast<char>(2 * w.losses + w.crashed));
-    state += static_cast<char>(w.rounds);
-    for (const Membership& m : w.all) Inside::append(m, state);
-    for (const std::string& t : told) state += t;
-    if (!seen.insert(std::hash<std::string>{}(state)).second) return;
-    if (!w.crashed) {
-      World next = w;
+  void play(SystemState system_state) {
+    std::vector<std::string> in_flight_bytes;
+    for (const Packet& p : system_state.in_flight)
+      MembershipTestAccess::append(p, in_flight_bytes.emplace_back());
+    std::sort(in_flight_bytes.begin(), in_flight_bytes.end());
+    std::string state(1, static_cast<char>(2 * system_state.losses_left + system_state.crashed));
+    state += static_cast<char>(system_state.rounds_left);
+    for (const Membership& m : system_state.routers) MembershipTestAccess::append(m, state);
+    for (const std::string& t : in_flight_bytes) state += t;
+    if (!visited.insert(std::hash<std::string>{}(state)).second) return;
+    if (!system_state.crashed) {
+      SystemState next = system_state;
       next.crashed = true;
       play(std::move(next));
     }
-    if (std::all_of(w.under_way.begin(), w.under_way.end(), is_lie)) {
-      if (w.rounds == 0 && w.under_way.empty()) return;
-      if (w.rounds > 0) {
-        const World before = w;
-        --w.rounds;
-        w.now += Rules{}.period_ms;
-        for (Id i = 0; i < kThree; ++i) {
-          if (!(w.crashed && i == kCrashes)) w.all[i].tick(w.now, w.under_way);
+    if (std::all_of(system_state.in_flight.begin(), system_state.in_flight.end(), is_false_update)) {
+      if (system_state.rounds_left == 0 && system_state.in_flight.empty()) return;
+      if (system_state.rounds_left > 0) {
+        const SystemState before = system_state;
+        --system_state.rounds_left;
+        system_state.now += Settings{}.period_ms;
+        for (MemberId i = 0; i < kRouters; ++i) {
+          if (!(system_state.crashed && i == kCrashingRouter))
+            system_state.routers[i].tick(system_state.now, system_state.in_flight);
         }
-        check(before, w);
-        play(std::move(w));
-        w = before;
+        check(before, system_state);
+        play(std::move(system_state));
+        system_state = before;
       }
     }
-    for (std::size_t i = 0; i < w.under_way.size(); ++i) {
-      deliver(w, i);
-      if (w.losses == 0) continue;
-      World lost = w;
-      --lost.losses;
-      lost.under_way.erase(lost.under_way.begin() + static_cast<std::ptrdiff_t>(i));
+    for (std::size_t i = 0; i < system_state.in_flight.size(); ++i) {
+      deliver(system_state, i);
+      if (system_state.losses_left == 0) continue;
+      SystemState lost = system_state;
+      --lost.losses_left;
+      lost.in_flight.erase(lost.in_flight.begin() + static_cast<std::ptrdiff_t>(i));
       play(std::move(lost));
     }
   }
@@ -137,48 +152,54 @@
     "three routers reach no invalid state under any order and loss of datagrams with false updates and a "
     "crash") {
   using namespace fernward::membership;
-  Model model;
-  const auto play = [&](int lies, std::uint16_t lie, bool crashed, int rounds, int losses) {
-    World w;
-    for (Id i = 0; i < kThree; ++i) w.all.emplace_back(i, kThree, 1u, Rules{400, 1}, i + 1u);
-    const auto tell = [&](Id from, Id to, std::vector<Word> words, std::vector<Packet>& out) {
+  StateExplorer model;
+  const auto play = [&](int false_update_count, std::uint16_t false_sequence, bool crashed, int rounds,
+                        int losses) {
+    SystemState w;
+    for (MemberId i = 0; i < kRouters; ++i) w.routers.emplace_back(i, kRouters, 1u, Settings{400, 1}, i + 1u);
+    const auto enqueue = [&](MemberId from, MemberId to, std::vector<MemberUpdate> words,
+                             std::vector<Packet>& out) {
       Packet p{to, {}};
-      p.what.kind = Kind::Nack;
-      p.what.from = from;
-      p.what.stamp = w.all[from].stamp();
-      p.what.words = std::move(words);
+      p.datagram.kind = MessageKind::Nack;
+      p.datagram.from = from;
+      p.datagram.stamp = w.routers[from].stamp();
+      p.datagram.updates = std::move(words);
       out.push_back(std::move(p));
     };
     // The second router was suspected twice, refuted both suspicions, and both others received that.
     std::vector<Packet> before, none;
     for (std::uint16_t n = 0; n < 2; ++n) {
-      tell(0, 1, {{1, Standing::Suspect, {1, n}, 0}}, before);
-      w.all[1].take(0, 0, before.back().what, none);
+      enqueue(0, 1, {{1, MemberState::Suspect, {1, n}, 0}}, before);
+      w.routers[1].receive(0, 0, before.back().datagram, none);
     }
-    for (const Id to : {Id{0}, Id{2}}) {
-      tell(1, to, {}, before);
-      w.all[to].take(0, 1, before.back().what, none);
+    for (const MemberId to : {MemberId{0}, MemberId{2}}) {
+      enqueue(1, to, {}, before);
+      w.routers[to].receive(0, 1, before.back().datagram, none);
     }
     // False updates that declare it dead arrive at any time: the first makes it suspect, the next could
     // declare it dead.
-    for (int n = 0; n < lies; ++n) tell(kCrashes, 0, {{1, Standing::Dead, {1, lie}, kCrashes}}, w.under_way);
-    if (lies > 0) tell(kCrashes, 1, {{1, Standing::Suspect, {1, 0}, kCrashes}}, w.under_way);
-    w.now = 10 * Rules{}.period_ms;
-    w.crashed = crashed, w.rounds = rounds, w.losses = losses;
-    model.living_out = 0;
+    for (int n = 0; n < false_update_count; ++n)
+      enqueue(kCrashingRouter, 0, {{1, MemberState::Dead, {1, false_sequence}, kCrashingRouter}},
+              w.in_flight);
+    if (false_update_count > 0)
+      enqueue(kCrashingRouter, 1, {{1, MemberState::Suspect, {1, 0}, kCrashingRouter}}, w.in_flight);
+    w.now = 10 * Settings{}.period_ms;
+    w.crashed = crashed, w.rounds_left = rounds, w.losses_left = losses;
+    model.live_declared_dead = 0;
     model.play(w);
-    MESSAGE(lies << " false updates of stamp " << lie << ", crashed " << crashed << ", rounds " << rounds
-                 << ", losses " << losses << ": " << model.seen.size()
-                 << " states so far, a router declared dead in " << model.counted_out << " steps");
-    return model.living_out;
+    MESSAGE(false_update_count << " false updates of stamp " << false_sequence << ", crashed " << crashed
+                               << ", rounds " << rounds << ", losses " << losses << ": "
+                               << model.visited.size() << " states so far, a router declared dead in "
+                               << model.declared_dead << " steps");
+    return model.live_declared_dead;
   };
   CHECK(play(2, 0, false, 2, 0) == 0); // with a crash at any point
   CHECK(play(2, 0, true, 2, 1) == 0);
   CHECK(play(2, 0, true, 3, 0) == 0);
   CHECK(play(2, 2, true, 2, 0) > 0); // possible, as nobody had recent direct contact
-  CHECK(model.went_back == 0);
-  CHECK(model.beyond == 0);
-  CHECK(model.by_older == 0);
-  CHECK(model.in_spite == 0);
-  CHECK(model.counted_out > 0);
+  CHECK(model.stamps_decreased == 0);
+  CHECK(model.stamps_ahead_of_owner == 0);
+  CHECK(model.dead_by_old_update == 0);
+  CHECK(model.dead_despite_contact == 0);
+  CHECK(model.declared_dead > 0);
 }
--- a/tests/model/rng_test.cpp
+++ b/tests/model/rng_test.cpp
@@ -19,13 +19,13 @@
 
 TEST_CASE("drawn values have the requested mean and coefficient of variation") {
   const struct {
-    Spread spread;
+    Distribution spread;
     double mean, cv;
-  } cases[] = {{{Shape::Fixed, 5, 2}, 5, 0},
-               {{Shape::Exponential, 100, 0}, 100, 1},
-               {{Shape::LogNormal, 4000, 0.8}, 4000, 0.8},
-               {{Shape::LogNormal, 3, 0}, 3, 0},
-               {{Shape::Exponential, 0, 1}, 0, 0}};
+  } cases[] = {{{DistributionShape::Fixed, 5, 2}, 5, 0},
+               {{DistributionShape::Exponential, 100, 0}, 100, 1},
+               {{DistributionShape::LogNormal, 4000, 0.8}, 4000, 0.8},
+               {{DistributionShape::LogNormal, 3, 0}, 3, 0},
+               {{DistributionShape::Exponential, 0, 1}, 0, 0}};
   for (const auto& c : cases) {
     Engine engine = stream(1, "spread");
     double sum = 0, squares = 0;
--- a/tests/model/support.h
+++ b/tests/model/support.h
@@ -3,28 +3,28 @@
 
 #include <vector>
 
-#include "model/node.h"
+#include "model/cache_node.h"
 #include "model/origin.h"
 
 namespace fernward::model::test {
 
 // One zone, one node with one core, no origin, no handshakes; `work` is the work of the only class.
-inline Spec plain_spec(const Spread& work) {
+inline Spec plain_spec(const Distribution& work) {
   Spec spec;
   spec.duration_ms = 1e12;
   spec.zones.push_back({"here", 1});
   NodeKind kind;
   kind.name = "plain";
   kind.cores = 1;
-  kind.places = 1;
-  kind.waiting = 1u << 30;
-  kind.report.on = false;
-  kind.handshake_ms = 0;
+  kind.max_active = 1;
+  kind.max_queued = 1u << 30;
+  kind.report.enabled = false;
+  kind.handshake_work_ms = 0;
   spec.kinds.push_back(kind);
   NodeGroup group;
   group.name = "n";
   spec.nodes.push_back(group);
-  spec.origin.on = false;
+  spec.origin.enabled = false;
   spec.routers.groups.push_back({0, 1});
   ClassSpec cls;
   cls.name = "read";
@@ -35,15 +35,15 @@
   return spec;
 }
 
-inline Attempt attempt_of(const Drawn& d) {
-  Attempt a;
-  a.id = d.request;
-  a.cls = d.cls;
-  a.key = d.key;
-  a.write = d.write;
-  a.work_ms = d.work_ms;
-  a.size_bytes = d.size_bytes;
-  return a;
+inline ServerAttempt to_attempt(const DrawnRequest& request) {
+  ServerAttempt attempt;
+  attempt.id = request.request;
+  attempt.cls = request.cls;
+  attempt.key = request.key;
+  attempt.write = request.write;
+  attempt.work_ms = request.work_ms;
+  attempt.size_bytes = request.size_bytes;
+  return attempt;
 }
 
 } // namespace fernward::model::test
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -8,10 +8,10 @@
 #include <algorithm>
 #include <sstream>
 
-#include "peers.h"
 #include "program.h"
 #include "raw_client.h"
 #include "scripted_discovery.h"
+#include "scripted_peers.h"
 
 using namespace fernward;
 using namespace fernward::tests;
@@ -20,14 +20,15 @@
 
 constexpr int kFirstIndex = 7;
 constexpr int kDrainIndex = 8;
-constexpr double kHeardMs = 6000;       // limit for a change after a call that failed or stopped responding
-constexpr double kReloadHeardMs = 4000; // limit for a change after SIGHUP with another discovery
-constexpr double kAnswerHeardMs = 1000; // limit for a valid answer on an open call
+constexpr double kUpdateReceivedMs =
+    6000; // limit for a change after a call that failed or stopped responding
+constexpr double kUpdateAfterReloadMs = 4000; // limit for a change after SIGHUP with another discovery
+constexpr double kAnswerReceivedMs = 1000;    // limit for a valid answer on an open call
 constexpr int kLongPollMs = 1000;
 
-std::size_t count_of(const std::string& what, const std::string& text) {
+std::size_t count_occurrences(const std::string& pattern, const std::string& text) {
   std::size_t count = 0;
-  for (auto at = text.find(what); at != std::string::npos; at = text.find(what, at + 1)) ++count;
+  for (auto at = text.find(pattern); at != std::string::npos; at = text.find(pattern, at + 1)) ++count;
   return count;
 }
 
@@ -44,109 +45,117 @@
 }
 
 // Two servers, a discovery and the program as a separate process.
-struct Fleet {
-  explicit Fleet(const std::function<void(Json&)>& change = [](Json&) {}) {
-    config = config_json(discovery.address, servers(kFirstIndex, first));
+struct DiscoveryFixture {
+  explicit DiscoveryFixture(const std::function<void(Json&)>& change = [](Json&) {}) {
+    config = config_json(discovery.address, endpoint_list(kFirstIndex, server_1));
     config["limits"]["sockets"] = 1024;
     change(config);
   }
 
   // Exactly one of the two is in service, so that requests to the other one show that the list was not
   // applied.
-  Json servers(int index, const Peer& in_service) {
-    const auto state = [&](const Peer& server) {
+  Json endpoint_list(int index, const ScriptedServer& in_service) {
+    const auto state = [&](const ScriptedServer& server) {
       return &server == &in_service ? "in_service" : "terminating";
     };
-    return node_list(
-        index, true,
-        {endpoint("s-1", first.address, state(first)), endpoint("s-2", second.address, state(second))});
+    return endpoint_list_json(index, true,
+                              {endpoint_json("s-1", server_1.address, state(server_1)),
+                               endpoint_json("s-2", server_2.address, state(server_2))});
+  }
+  std::string endpoint_list_response(int index, const ScriptedServer& in_service) {
+    return ok_response(endpoint_list(index, in_service).dump());
+  }
+  std::string drain_response() {
+    return endpoint_list_response(kDrainIndex, server_2);
+  } // of the first server
+  static std::string empty_update_response(int index) {
+    return ok_response(endpoint_list_json(index, false, {}).dump());
   }
-  std::string list(int index, const Peer& in_service) { return ok(servers(index, in_service).dump()); }
-  std::string drain() { return list(kDrainIndex, second); } // of the first server
-  static std::string nothing_new(int index) { return ok(node_list(index, false, {}).dump()); }
 
   // Starts the program and waits for its first call, which is not answered.
   void start() {
-    program = std::make_unique<Program>(std::vector<std::string>{"serve"}, config);
-    REQUIRE(until([&] { return program->port() != 0 && !discovery.calls.empty(); }));
+    program = std::make_unique<TestProgram>(std::vector<std::string>{"serve"}, config);
+    REQUIRE(wait_until([&] { return program->port() != 0 && !discovery.calls.empty(); }));
   }
 
   // Starts the program, answers its first call and returns the long poll that follows.
   std::size_t start_watch() {
     start();
-    discovery.reply(0, list(kFirstIndex, first));
-    REQUIRE(hears(discovery, kFirstIndex, loop::now_ms(), kAnswerHeardMs));
+    discovery.reply(0, endpoint_list_response(kFirstIndex, server_1));
+    REQUIRE(wait_for_index(discovery, kFirstIndex, loop::now_ms(), kAnswerReceivedMs));
     return discovery.calls.size() - 1;
   }
 
-  bool until(const std::function<bool()>& done, double within_ms = kHeardMs + 1000) {
+  bool wait_until(const std::function<bool()>& done, double within_ms = kUpdateReceivedMs + 1000) {
     const double end = loop::now_ms() + within_ms;
     run_until(base.get(), [&] { return done() || loop::now_ms() >= end; });
-    program->says(""); // reads the output
+    program->output_contains(""); // reads the output
     return done();
   }
 
   // Waits until the router requests changes since `index`, which shows that the list with this index is
   // applied. Fails if that takes longer than `within_ms` after `begun_ms`.
-  bool hears(const ScriptedDiscovery& from, int index, double begun_ms, double within_ms) {
-    const auto watches_on = [&] {
-      return std::any_of(from.calls.begin(), from.calls.end(),
-                         [&](const auto& call) { return call.asks_for_changes_since(index); });
+  bool wait_for_index(const ScriptedDiscovery& source, int index, double begun_ms, double within_ms) {
+    const auto watches_from_index = [&] {
+      return std::any_of(source.calls.begin(), source.calls.end(),
+                         [&](const auto& call) { return call.requests_changes_since(index); });
     };
-    const bool heard = until(watches_on, begun_ms + within_ms - loop::now_ms());
-    INFO(program->text);
-    CHECK_MESSAGE(heard, "index " << index << " not applied within " << within_ms << " ms");
-    return heard;
+    const bool received = wait_until(watches_from_index, begun_ms + within_ms - loop::now_ms());
+    INFO(program->output);
+    CHECK_MESSAGE(received, "index " << index << " not applied within " << within_ms << " ms");
+    return received;
   }
 
   // Checks that the drain of the first server is received in time and applied.
-  void check_drain(const ScriptedDiscovery& from, double begun_ms, double within_ms) {
-    if (hears(from, kDrainIndex, begun_ms, within_ms)) check_served_by(second);
+  void check_drain(const ScriptedDiscovery& source, double begun_ms, double within_ms) {
+    if (wait_for_index(source, kDrainIndex, begun_ms, within_ms)) check_served_by(server_2);
   }
 
   // Sends requests with different keys sequentially and checks that all are answered, only by this server.
-  void check_served_by(const Peer& server) {
+  void check_served_by(const ScriptedServer& server) {
     constexpr std::size_t kRequests = 20;
-    const Peer& other = &server == &first ? second : first;
-    const std::size_t before = server.seen.size(), before_other = other.seen.size();
-    Raw client(program->port());
-    for (std::size_t i = 0; i < kRequests; ++i) CHECK(status_of(client) == 200);
-    CHECK(server.seen.size() == before + kRequests);
-    CHECK(other.seen.size() == before_other);
+    const ScriptedServer& other = &server == &server_1 ? server_2 : server_1;
+    const std::size_t before = server.requests.size(), before_other = other.requests.size();
+    RawClient client(program->port());
+    for (std::size_t i = 0; i < kRequests; ++i) CHECK(send_request(client) == 200);
+    CHECK(server.requests.size() == before + kRequests);
+    CHECK(other.requests.size() == before_other);
   }
 
   // Sends one request and waits for its status. 0: no response.
-  int status_of(Raw& client) {
-    const std::string number = std::to_string(++requests);
-    return answer_to(client, get("/k/" + number, "r" + number));
+  int send_request(RawClient& client) {
+    const std::string number = std::to_string(++request_count);
+    return send_and_wait(client, get_request("/k/" + number, "r" + number));
   }
-  int readiness() {
-    Raw client(program->port());
-    return answer_to(client, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
+  int ready_status() {
+    RawClient client(program->port());
+    return send_and_wait(client, "GET /ready HTTP/1.1\r\nHost: h\r\n\r\n");
   }
-  int answer_to(Raw& client, const std::string& request) {
-    const std::size_t before = client.answers.size();
+  int send_and_wait(RawClient& client, const std::string& request) {
+    const std::size_t before = client.responses.size();
     client.send(request);
-    until([&] { return client.look(), client.answers.size() > before || client.closed; });
-    return client.answers.size() > before ? client.answers.back().status : 0;
+    wait_until([&] { return client.receive_available(), client.responses.size() > before || client.closed; });
+    return client.responses.size() > before ? client.responses.back().status : 0;
   }
 
   // Configures `next` as the discovery, sends SIGHUP and waits until the program has logged the reload.
   void reload(const ScriptedDiscovery& next) {
-    const std::size_t before = count_of("reload-discovery-", program->text);
+    const std::size_t before = count_occurrences("reload-discovery-", program->output);
     config["discovery"] = next.address;
-    program->rewrite(config.dump());
+    program->write_config(config.dump());
     program->signal(SIGHUP);
-    REQUIRE(until([&] { return program->says(""), count_of("reload-discovery-", program->text) > before; }));
+    REQUIRE(wait_until([&] {
+      return program->output_contains(""), count_occurrences("reload-discovery-", program->output) > before;
+    }));
   }
 
-  router::BasePtr base = router::make_base();
-  Peer first{base.get(), [](const http::Message& m) { return ok("v of " + m.target); }};
-  Peer second{base.get(), [](const http::Message& m) { return ok("v of " + m.target); }};
+  router::EventBasePtr base = router::make_event_base();
+  ScriptedServer server_1{base.get(), [](const http::Message& m) { return ok_response("v of " + m.target); }};
+  ScriptedServer server_2{base.get(), [](const http::Message& m) { return ok_response("v of " + m.target); }};
   ScriptedDiscovery discovery{base.get()};
   Json config;
-  std::unique_ptr<Program> program;
-  int requests = 0;
+  std::unique_ptr<TestProgram> program;
+  int request_count = 0;
 };
 
 std::string first_half(const std::string& text) { return text.substr(0, text.size() / 2); }
@@ -158,88 +167,89 @@
 
 // Guards against a slow list that is discarded again and again.
 TEST_CASE("an answer that stalls until a second call is open: its remainder is accepted") {
-  Fleet f;
+  DiscoveryFixture fixture;
   std::size_t call = 0;
-  SUBCASE("the full list for a new process") { f.start(); }
-  SUBCASE("a long poll") { call = f.start_watch(); }
-  f.discovery.reply_part(call, first_half(f.drain()));
-  REQUIRE(f.until([&] { return f.discovery.calls.size() >= call + 2; }));
-  run_for(f.base.get(), 50); // long enough for the event loop to detect a close
-  CHECK(f.discovery.is_open(call));
-  f.discovery.reply(call, second_half(f.drain()));
-  f.check_drain(f.discovery, loop::now_ms(), kAnswerHeardMs);
-  CHECK(f.until([&] { return f.discovery.open_connections() == 1; }, kAnswerHeardMs));
-  CHECK(f.discovery.most_open_connections <= 2);
+  SUBCASE("the full list for a new process") { fixture.start(); }
+  SUBCASE("a long poll") { call = fixture.start_watch(); }
+  fixture.discovery.reply_part(call, first_half(fixture.drain_response()));
+  REQUIRE(fixture.wait_until([&] { return fixture.discovery.calls.size() >= call + 2; }));
+  run_for(fixture.base.get(), 50); // long enough for the event loop to detect a close
+  CHECK(fixture.discovery.is_open(call));
+  fixture.discovery.reply(call, second_half(fixture.drain_response()));
+  fixture.check_drain(fixture.discovery, loop::now_ms(), kAnswerReceivedMs);
+  CHECK(fixture.wait_until([&] { return fixture.discovery.open_connections() == 1; }, kAnswerReceivedMs));
+  CHECK(fixture.discovery.max_open_connections <= 2);
 }
 
 // Guards against consecutive failures that add up to more than the time limit for a change.
 TEST_CASE("a watch and the next call stop responding and the third is reset: a drain is applied within 6 s") {
-  Fleet f;
-  const std::size_t watch = f.start_watch();
-  const double silent_at = f.discovery.calls[watch].asked_at_ms;
-  f.discovery.on_call = [&](std::size_t call) {
-    if (call == watch + 2) f.discovery.reset(call);
-    if (call > watch + 2 && !f.discovery.calls[call].asks_for_changes_since(kDrainIndex))
-      f.discovery.reply(call, f.drain());
+  DiscoveryFixture fixture;
+  const std::size_t watch = fixture.start_watch();
+  const double silent_since_ms = fixture.discovery.calls[watch].received_at_ms;
+  fixture.discovery.on_call = [&](std::size_t call) {
+    if (call == watch + 2) fixture.discovery.reset(call);
+    if (call > watch + 2 && !fixture.discovery.calls[call].requests_changes_since(kDrainIndex))
+      fixture.discovery.reply(call, fixture.drain_response());
   };
-  f.check_drain(f.discovery, silent_at, kHeardMs);
-  CHECK(f.discovery.most_open_connections <= 2);
+  fixture.check_drain(fixture.discovery, silent_since_ms, kUpdateReceivedMs);
+  CHECK(fixture.discovery.max_open_connections <= 2);
 }
 
 // Guards against an endless answer taken for a live call.
 TEST_CASE("an endless answer of single bytes: a second call is opened in parallel") {
-  Fleet f;
-  const std::size_t watch = f.start_watch();
-  const double begun_at = f.discovery.calls[watch].asked_at_ms;
-  f.discovery.reply_part(watch, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{");
+  DiscoveryFixture fixture;
+  const std::size_t watch = fixture.start_watch();
+  const double watch_began_at_ms = fixture.discovery.calls[watch].received_at_ms;
+  fixture.discovery.reply_part(watch, "HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n{");
   const auto trickle_until = [&](const std::function<bool()>& done, double within_ms) {
-    return f.until([&] { return f.discovery.reply_part(watch, " "), done(); }, within_ms);
+    return fixture.wait_until([&] { return fixture.discovery.reply_part(watch, " "), done(); }, within_ms);
   };
-  REQUIRE(trickle_until([&] { return f.discovery.calls.size() > watch + 1; }, kHeardMs));
-  const double some_turns_end = loop::now_ms() + 50; // long enough for the event loop to detect a close
-  trickle_until([&] { return loop::now_ms() >= some_turns_end; }, kHeardMs);
-  CHECK(f.discovery.is_open(watch));
-  f.discovery.reply(watch + 1, f.drain());
-  f.check_drain(f.discovery, begun_at, kHeardMs);
+  REQUIRE(trickle_until([&] { return fixture.discovery.calls.size() > watch + 1; }, kUpdateReceivedMs));
+  const double trickle_until_ms = loop::now_ms() + 50; // long enough for the event loop to detect a close
+  trickle_until([&] { return loop::now_ms() >= trickle_until_ms; }, kUpdateReceivedMs);
+  CHECK(fixture.discovery.is_open(watch));
+  fixture.discovery.reply(watch + 1, fixture.drain_response());
+  fixture.check_drain(fixture.discovery, watch_began_at_ms, kUpdateReceivedMs);
 }
 
 namespace {
 
 // A discovery that answers each call and reports each change with a fixed delay.
-class LateDiscovery {
+class SlowDiscovery {
  public:
-  LateDiscovery(Fleet& fleet, double late_ms) : fleet_(fleet), late_ms_(late_ms) {
-    fleet_.discovery.on_call = [this](std::size_t call) {
-      const bool waits = fleet_.discovery.calls[call].asks_for_changes_since(index_);
-      reply_after(call, waits ? timeout_of(call) + late_ms_ : late_ms_);
+  SlowDiscovery(DiscoveryFixture& fixture, double delay_ms) : fixture_(fixture), delay_ms_(delay_ms) {
+    fixture_.discovery.on_call = [this](std::size_t call) {
+      const bool is_long_poll = fixture_.discovery.calls[call].requests_changes_since(index_);
+      reply_after(call, is_long_poll ? timeout_of(call) + delay_ms_ : delay_ms_);
     };
   }
-  void publish(int index, const Peer& in_service) {
+  void publish(int index, const ScriptedServer& in_service) {
     index_ = index;
     in_service_ = &in_service;
-    for (std::size_t call = 0; call < fleet_.discovery.calls.size(); ++call) reply_after(call, late_ms_);
+    for (std::size_t call = 0; call < fixture_.discovery.calls.size(); ++call) reply_after(call, delay_ms_);
   }
 
  private:
   double timeout_of(std::size_t call) const {
-    const std::string& target = fleet_.discovery.calls[call].target;
+    const std::string& target = fixture_.discovery.calls[call].target;
     return std::stod(target.substr(target.rfind('=') + 1));
   }
   void reply_after(std::size_t call, double ms) {
-    deadlines_.at(loop::now_ms() + ms, [this, call] { reply(call); });
+    timers_.run_at(loop::now_ms() + ms, [this, call] { reply(call); });
   }
   void reply(std::size_t call) {
-    const auto& asked = fleet_.discovery.calls[call];
-    if (asked.answered) return;
-    const bool knows = asked.asks_for_changes_since(index_);
-    fleet_.discovery.reply(call, knows ? Fleet::nothing_new(index_) : fleet_.list(index_, *in_service_));
+    const auto& pending = fixture_.discovery.calls[call];
+    if (pending.answered) return;
+    const bool is_current = pending.requests_changes_since(index_);
+    fixture_.discovery.reply(call, is_current ? DiscoveryFixture::empty_update_response(index_)
+                                              : fixture_.endpoint_list_response(index_, *in_service_));
   }
 
-  Fleet& fleet_;
-  double late_ms_;
-  loop::TimerQueue deadlines_{fleet_.base.get()};
+  DiscoveryFixture& fixture_;
+  double delay_ms_;
+  loop::TimerQueue timers_{fixture_.base.get()};
   int index_ = kFirstIndex;
-  const Peer* in_service_ = &fleet_.first;
+  const ScriptedServer* in_service_ = &fixture_.server_1;
 };
 
 } // namespace
@@ -248,18 +258,18 @@
 // accumulate at a discovery which is already slow.
 TEST_CASE(
     "a discovery that answers each call 0.8 s late: changes are received over at most two connections") {
-  Fleet f;
-  LateDiscovery late(f, 800);
-  f.start();
-  REQUIRE(f.hears(f.discovery, kFirstIndex, loop::now_ms(), kHeardMs));
+  DiscoveryFixture fixture;
+  SlowDiscovery slow_discovery(fixture, 800);
+  fixture.start();
+  REQUIRE(fixture.wait_for_index(fixture.discovery, kFirstIndex, loop::now_ms(), kUpdateReceivedMs));
   for (int index = kDrainIndex; index < kDrainIndex + 3; ++index) {
-    const double changed_at = loop::now_ms();
-    const Peer& in_service = index % 2 == 0 ? f.second : f.first;
-    late.publish(index, in_service);
-    if (!f.hears(f.discovery, index, changed_at, kHeardMs)) break;
-    f.check_served_by(in_service);
+    const double changed_at_ms = loop::now_ms();
+    const ScriptedServer& in_service = index % 2 == 0 ? fixture.server_2 : fixture.server_1;
+    slow_discovery.publish(index, in_service);
+    if (!fixture.wait_for_index(fixture.discovery, index, changed_at_ms, kUpdateReceivedMs)) break;
+    fixture.check_served_by(in_service);
   }
-  CHECK(f.discovery.most_open_connections <= 2);
+  CHECK(fixture.discovery.max_open_connections <= 2);
 }
 
 // ---- backoff ----
@@ -268,73 +278,76 @@
 // again.
 TEST_CASE("discovery closes 12 connections in a row: the next call follows within 150 ms of the last close") {
   constexpr std::size_t kCloses = 12;
-  constexpr double kAskedAgainMs = 150;
-  Fleet f;
-  const std::size_t watch = f.start_watch();
+  constexpr double kRetriedMs = 150;
+  DiscoveryFixture fixture;
+  const std::size_t watch = fixture.start_watch();
   std::size_t closes = 0;
-  double closed_at = 0, longest_pause_ms = 0;
-  f.discovery.on_connection = [&](std::size_t connection) {
-    if (closes > 0) longest_pause_ms = std::max(longest_pause_ms, loop::now_ms() - closed_at);
+  double closed_at_ms = 0, longest_pause_ms = 0;
+  fixture.discovery.on_connection = [&](std::size_t connection) {
+    if (closes > 0) longest_pause_ms = std::max(longest_pause_ms, loop::now_ms() - closed_at_ms);
     if (closes == kCloses) return;
-    f.discovery.close_connection(connection);
+    fixture.discovery.close_connection(connection);
     ++closes;
-    closed_at = loop::now_ms();
+    closed_at_ms = loop::now_ms();
   };
-  f.discovery.close(watch);
-  REQUIRE(f.until([&] { return f.discovery.calls.size() > watch + 1; }, 10000));
+  fixture.discovery.close(watch);
+  REQUIRE(fixture.wait_until([&] { return fixture.discovery.calls.size() > watch + 1; }, 10000));
   REQUIRE(closes == kCloses);
-  CHECK(f.discovery.calls[watch + 1].asked_at_ms - closed_at < kAskedAgainMs);
-  CHECK(longest_pause_ms < kAskedAgainMs);
-  f.discovery.reply(watch + 1, f.drain());
-  f.check_drain(f.discovery, f.discovery.calls[watch + 1].asked_at_ms, kAnswerHeardMs);
+  CHECK(fixture.discovery.calls[watch + 1].received_at_ms - closed_at_ms < kRetriedMs);
+  CHECK(longest_pause_ms < kRetriedMs);
+  fixture.discovery.reply(watch + 1, fixture.drain_response());
+  fixture.check_drain(fixture.discovery, fixture.discovery.calls[watch + 1].received_at_ms,
+                      kAnswerReceivedMs);
 }
 
 // The same with a discovery that refuses connections.
 TEST_CASE(
     "discovery is down: a call arrives within 150 ms of its return and an update is applied within 250 ms") {
   constexpr int kRounds = 10;
-  constexpr double kAskedAgainMs = 150, kHeardAgainMs = 250;
-  Fleet f;
-  ScriptedDiscovery restarted(f.base.get(), free_port());
-  f.config["discovery"] = restarted.address;
-  f.program = std::make_unique<Program>(std::vector<std::string>{"serve"}, f.config);
+  constexpr double kRetriedMs = 150, kUpdateAfterRestartMs = 250;
+  DiscoveryFixture fixture;
+  ScriptedDiscovery restarted(fixture.base.get(), free_port());
+  fixture.config["discovery"] = restarted.address;
+  fixture.program = std::make_unique<TestProgram>(std::vector<std::string>{"serve"}, fixture.config);
   int index = kFirstIndex;
-  double worst_asked_ms = 0, worst_heard_ms = 0;
-  REQUIRE(f.until([&] { return !restarted.calls.empty(); }));
+  double max_retry_ms = 0, max_update_ms = 0;
+  REQUIRE(fixture.wait_until([&] { return !restarted.calls.empty(); }));
   for (int round = 0; round < kRounds; ++round) {
-    restarted.reply(restarted.calls.size() - 1, f.list(index, f.first));
-    REQUIRE(f.hears(restarted, index, loop::now_ms(), kAnswerHeardMs));
+    restarted.reply(restarted.calls.size() - 1, fixture.endpoint_list_response(index, fixture.server_1));
+    REQUIRE(fixture.wait_for_index(restarted, index, loop::now_ms(), kAnswerReceivedMs));
     const std::size_t watch = restarted.calls.size() - 1;
     restarted.stop_listening();
     restarted.reset(watch);
-    run_for(f.base.get(), 400 + 20 * round); // so that discovery returns at different points of the backoff
+    run_for(fixture.base.get(),
+            400 + 20 * round); // so that discovery returns at different points of the backoff
     restarted.listen();
-    const double listens_at = loop::now_ms();
-    REQUIRE(f.until([&] { return restarted.calls.size() > watch + 1; }));
-    worst_asked_ms = std::max(worst_asked_ms, restarted.calls[watch + 1].asked_at_ms - listens_at);
-    restarted.reply(watch + 1, f.list(++index, f.first));
-    REQUIRE(f.hears(restarted, index, listens_at, kHeardMs));
-    worst_heard_ms = std::max(worst_heard_ms, restarted.calls[watch + 2].asked_at_ms - listens_at);
-    restarted.reply(watch + 2, f.list(++index, f.first));
-    REQUIRE(f.hears(restarted, index, loop::now_ms(), kAnswerHeardMs));
+    const double listening_at_ms = loop::now_ms();
+    REQUIRE(fixture.wait_until([&] { return restarted.calls.size() > watch + 1; }));
+    max_retry_ms = std::max(max_retry_ms, restarted.calls[watch + 1].received_at_ms - listening_at_ms);
+    restarted.reply(watch + 1, fixture.endpoint_list_response(++index, fixture.server_1));
+    REQUIRE(fixture.wait_for_index(restarted, index, listening_at_ms, kUpdateReceivedMs));
+    max_update_ms = std::max(max_update_ms, restarted.calls[watch + 2].received_at_ms - listening_at_ms);
+    restarted.reply(watch + 2, fixture.endpoint_list_response(++index, fixture.server_1));
+    REQUIRE(fixture.wait_for_index(restarted, index, loop::now_ms(), kAnswerReceivedMs));
     ++index;
   }
-  CHECK(worst_asked_ms < kAskedAgainMs);
-  CHECK(worst_heard_ms < kHeardAgainMs);
+  CHECK(max_retry_ms < kRetriedMs);
+  CHECK(max_update_ms < kUpdateAfterRestartMs);
 }
 
 // Guards against a loop of calls that keeps discovery and the router busy without effect.
 TEST_CASE("long polls answered immediately without changes: at most 40 calls in any second") {
-  Fleet f;
-  f.discovery.on_call = [&](std::size_t call) {
-    const bool whole = f.discovery.calls[call].asks_for_whole_list();
-    f.discovery.reply(call, whole ? f.list(kFirstIndex, f.first) : Fleet::nothing_new(kFirstIndex));
+  DiscoveryFixture fixture;
+  fixture.discovery.on_call = [&](std::size_t call) {
+    const bool full_list = fixture.discovery.calls[call].requests_full_list();
+    fixture.discovery.reply(call, full_list ? fixture.endpoint_list_response(kFirstIndex, fixture.server_1)
+                                            : DiscoveryFixture::empty_update_response(kFirstIndex));
   };
-  f.start();
-  run_for(f.base.get(), 2500);
-  CHECK(f.discovery.most_calls_in_a_second() <= 40);
-  CHECK(f.discovery.calls.size() > 10);
-  CHECK(f.discovery.whole_lists_asked() == 1);
+  fixture.start();
+  run_for(fixture.base.get(), 2500);
+  CHECK(fixture.discovery.max_calls_per_second() <= 40);
+  CHECK(fixture.discovery.calls.size() > 10);
+  CHECK(fixture.discovery.full_list_requests() == 1);
 }
 
 // ---- SIGHUP ----
@@ -342,85 +355,86 @@
 // Guards against keeping a watch that no longer responds for its full timeout although operators have
 // named its discovery again.
 TEST_CASE("SIGHUP to the current discovery opens a new call in parallel with the open long poll") {
-  constexpr double kAskedAnewMs = 500;
-  Fleet f;
-  const std::size_t watch = f.start_watch();
-  ScriptedDiscovery other(f.base.get());
+  constexpr double kNewCallMs = 500;
+  DiscoveryFixture fixture;
+  const std::size_t watch = fixture.start_watch();
+  ScriptedDiscovery other(fixture.base.get());
   SUBCASE("the same address") {}
   SUBCASE("another address and back") {
-    f.reload(other);
-    REQUIRE(f.until([&] { return !other.calls.empty(); }));
-  }
-  REQUIRE(f.discovery.calls.size() == watch + 1); // the long poll is still the last call
-  f.reload(f.discovery);
-  const double logged_at = loop::now_ms();
-  REQUIRE(f.until([&] { return f.discovery.calls.size() > watch + 1; }));
-  CHECK(f.discovery.calls[watch + 1].asked_at_ms - logged_at < kAskedAnewMs);
-  CHECK(f.discovery.is_open(watch));
-  f.discovery.reply(watch + 1, f.drain());
-  f.check_drain(f.discovery, logged_at, kReloadHeardMs);
-  CHECK(f.discovery.most_open_connections <= 2);
+    fixture.reload(other);
+    REQUIRE(fixture.wait_until([&] { return !other.calls.empty(); }));
+  }
+  REQUIRE(fixture.discovery.calls.size() == watch + 1); // the long poll is still the last call
+  fixture.reload(fixture.discovery);
+  const double logged_at_ms = loop::now_ms();
+  REQUIRE(fixture.wait_until([&] { return fixture.discovery.calls.size() > watch + 1; }));
+  CHECK(fixture.discovery.calls[watch + 1].received_at_ms - logged_at_ms < kNewCallMs);
+  CHECK(fixture.discovery.is_open(watch));
+  fixture.discovery.reply(watch + 1, fixture.drain_response());
+  fixture.check_drain(fixture.discovery, logged_at_ms, kUpdateAfterReloadMs);
+  CHECK(fixture.discovery.max_open_connections <= 2);
 }
 
 // Guards against a drain that only the new discovery knows and that is received later than operators rely
 // on.
 TEST_CASE("SIGHUP to a discovery that does not answer its first two calls: its drain is applied within 4 s") {
-  Fleet f;
-  f.start_watch();
-  ScriptedDiscovery next(f.base.get()), third(f.base.get());
+  DiscoveryFixture fixture;
+  fixture.start_watch();
+  ScriptedDiscovery next(fixture.base.get()), third(fixture.base.get());
   std::size_t unanswered = 0;
   next.on_call = [&](std::size_t call) {
-    if (next.calls[call].asks_for_changes_since(kDrainIndex)) return;
+    if (next.calls[call].requests_changes_since(kDrainIndex)) return;
     if (unanswered < 2) {
       ++unanswered;
     } else {
-      next.reply(call, f.drain());
+      next.reply(call, fixture.drain_response());
     }
   };
   SUBCASE("one SIGHUP") {}
   SUBCASE("several in quick succession: the last one applies") {
-    f.reload(f.discovery);
-    f.reload(next);
-    f.reload(third);
+    fixture.reload(fixture.discovery);
+    fixture.reload(next);
+    fixture.reload(third);
     unanswered = 0;
   }
-  const double signalled_at = loop::now_ms();
-  f.reload(next);
-  f.check_drain(next, signalled_at, kReloadHeardMs);
-  CHECK(next.most_open_connections <= 2);
+  const double signalled_at_ms = loop::now_ms();
+  fixture.reload(next);
+  fixture.check_drain(next, signalled_at_ms, kUpdateAfterReloadMs);
+  CHECK(next.max_open_connections <= 2);
 }
 
 // ---- a new process ----
 
 // Guards against requests to a server of the configured list that has been drained or removed since.
 TEST_CASE("a new process does not serve from its known list while discovery may still answer") {
-  Fleet f;
-  f.start();
-  CHECK(f.readiness() == 503);
+  DiscoveryFixture fixture;
+  fixture.start();
+  CHECK(fixture.ready_status() == 503);
   for (int i = 0; i < 10; ++i) {
-    Raw client(f.program->port());
-    CHECK(f.status_of(client) == 503);
-  }
-  CHECK(f.first.seen.empty());
-  f.discovery.reply(0, f.drain()); // after all of the requests have been answered
-  REQUIRE(f.hears(f.discovery, kDrainIndex, loop::now_ms(), kAnswerHeardMs));
-  CHECK(f.readiness() == 200);
-  f.check_served_by(f.second);
+    RawClient client(fixture.program->port());
+    CHECK(fixture.send_request(client) == 503);
+  }
+  CHECK(fixture.server_1.requests.empty());
+  fixture.discovery.reply(0, fixture.drain_response()); // after all of the requests have been answered
+  REQUIRE(fixture.wait_for_index(fixture.discovery, kDrainIndex, loop::now_ms(), kAnswerReceivedMs));
+  CHECK(fixture.ready_status() == 200);
+  fixture.check_served_by(fixture.server_2);
 }
 
 // Guards against a router that never serves because discovery is down when it starts.
 TEST_CASE(
     "a new process whose discovery stays silent: it is not ready immediately and serves from its known list "
     "within 3 s") {
-  constexpr double kServesMs = 3000;
-  Fleet f;
-  const double started_at = loop::now_ms();
-  f.start();
-  CHECK(f.readiness() == 503);
-  while (f.readiness() != 200 && loop::now_ms() - started_at < kServesMs) run_for(f.base.get(), 10);
-  CHECK(f.readiness() == 200);
-  CHECK(loop::now_ms() - started_at < kServesMs);
-  f.check_served_by(f.first);
+  constexpr double kServesFromKnownListMs = 3000;
+  DiscoveryFixture fixture;
+  const double started_at_ms = loop::now_ms();
+  fixture.start();
+  CHECK(fixture.ready_status() == 503);
+  while (fixture.ready_status() != 200 && loop::now_ms() - started_at_ms < kServesFromKnownListMs)
+    run_for(fixture.base.get(), 10);
+  CHECK(fixture.ready_status() == 200);
+  CHECK(loop::now_ms() - started_at_ms < kServesFromKnownListMs);
+  fixture.check_served_by(fixture.server_1);
 }
 
 // ---- a drain and requests that are in the router's sockets at the same time ----
@@ -431,38 +445,41 @@
     "a drain and 100 requests that a paused process reads together: none is sent to the drained server") {
   constexpr int kRounds = 5;
   constexpr std::size_t kClients = 50, kRequestsEach = 2;
-  Fleet f;
-  f.start_watch();
-  std::vector<std::unique_ptr<Raw>> clients;
+  DiscoveryFixture fixture;
+  fixture.start_watch();
+  std::vector<std::unique_ptr<RawClient>> clients;
   for (std::size_t i = 0; i < kClients; ++i) {
-    clients.push_back(std::make_unique<Raw>(f.program->port()));
-    REQUIRE(f.status_of(*clients.back()) == 200);
+    clients.push_back(std::make_unique<RawClient>(fixture.program->port()));
+    REQUIRE(fixture.send_request(*clients.back()) == 200);
   }
-  Peer* in_service = &f.first;
+  ScriptedServer* in_service = &fixture.server_1;
   std::size_t answers = 1; // per client
   for (int index = kDrainIndex; index < kDrainIndex + kRounds; ++index) {
-    Peer& drained = *in_service;
-    in_service = &drained == &f.first ? &f.second : &f.first;
-    const std::size_t before = drained.seen.size(), taken_before = in_service->seen.size();
-    f.program->hold();
+    ScriptedServer& drained = *in_service;
+    in_service = &drained == &fixture.server_1 ? &fixture.server_2 : &fixture.server_1;
+    const std::size_t before = drained.requests.size(), in_service_before = in_service->requests.size();
+    fixture.program->pause();
     for (auto& client : clients) {
       for (std::size_t i = 0; i < kRequestsEach; ++i) {
-        const std::string number = std::to_string(++f.requests);
-        client->send(get("/k/" + number, "r" + number));
+        const std::string number = std::to_string(++fixture.request_count);
+        client->send(get_request("/k/" + number, "r" + number));
       }
     }
-    f.discovery.reply(f.discovery.calls.size() - 1, f.list(index, *in_service));
-    f.program->go_on();
+    fixture.discovery.reply(fixture.discovery.calls.size() - 1,
+                            fixture.endpoint_list_response(index, *in_service));
+    fixture.program->resume();
     answers += kRequestsEach;
-    CHECK(f.until([&] {
-      return std::all_of(clients.begin(), clients.end(),
-                         [&](auto& client) { return client->look(), client->answers.size() == answers; });
+    CHECK(fixture.wait_until([&] {
+      return std::all_of(clients.begin(), clients.end(), [&](auto& client) {
+        return client->receive_available(), client->responses.size() == answers;
+      });
     }));
-    const std::size_t reached = drained.seen.size() - before, taken = in_service->seen.size() - taken_before;
+    const std::size_t sent_to_drained = drained.requests.size() - before,
+                      sent_to_in_service = in_service->requests.size() - in_service_before;
     CAPTURE(index);
-    CHECK(reached == 0);
-    CHECK(taken > 0);
-    REQUIRE(f.hears(f.discovery, index, loop::now_ms(), kAnswerHeardMs));
+    CHECK(sent_to_drained == 0);
+    CHECK(sent_to_in_service > 0);
+    REQUIRE(fixture.wait_for_index(fixture.discovery, index, loop::now_ms(), kAnswerReceivedMs));
   }
 }
 
@@ -470,57 +487,57 @@
 
 // Guards against requests for the full list by each of many routers when a discovery restarts.
 TEST_CASE("a long poll that fails or stops responding: changes are requested and then the full list") {
-  Fleet f;
-  const std::size_t watch = f.start_watch();
-  CHECK(f.discovery.calls[watch].waits_for(kLongPollMs));
-  SUBCASE("reset") { f.discovery.reset(watch); }
-  SUBCASE("closed") { f.discovery.close(watch); }
+  DiscoveryFixture fixture;
+  const std::size_t watch = fixture.start_watch();
+  CHECK(fixture.discovery.calls[watch].has_timeout(kLongPollMs));
+  SUBCASE("reset") { fixture.discovery.reset(watch); }
+  SUBCASE("closed") { fixture.discovery.close(watch); }
   SUBCASE("silent") {}
-  REQUIRE(f.until([&] { return f.discovery.calls.size() > watch + 1; }));
-  CHECK(f.discovery.calls[watch + 1].asks_for_changes_since(kFirstIndex));
-  CHECK(f.discovery.calls[watch + 1].waits_for(1));
-  CHECK(f.discovery.whole_lists_asked() == 1);
-  const double failed_at = loop::now_ms();
-  f.discovery.reset(watch + 1);
-  REQUIRE(f.until([&] { return f.discovery.calls.size() > watch + 2; }));
-  CHECK(f.discovery.calls[watch + 2].asks_for_whole_list());
-  f.discovery.reply(watch + 2, f.drain());
-  f.check_drain(f.discovery, failed_at, kHeardMs);
+  REQUIRE(fixture.wait_until([&] { return fixture.discovery.calls.size() > watch + 1; }));
+  CHECK(fixture.discovery.calls[watch + 1].requests_changes_since(kFirstIndex));
+  CHECK(fixture.discovery.calls[watch + 1].has_timeout(1));
+  CHECK(fixture.discovery.full_list_requests() == 1);
+  const double failed_at_ms = loop::now_ms();
+  fixture.discovery.reset(watch + 1);
+  REQUIRE(fixture.wait_until([&] { return fixture.discovery.calls.size() > watch + 2; }));
+  CHECK(fixture.discovery.calls[watch + 2].requests_full_list());
+  fixture.discovery.reply(watch + 2, fixture.drain_response());
+  fixture.check_drain(fixture.discovery, failed_at_ms, kUpdateReceivedMs);
 }
 
 // Guards against a drain that an older list undoes, and against never accepting a discovery that restarted
 // its index.
 TEST_CASE("a list with a lower index than before is stale and the third in a row is accepted") {
   constexpr int kLowerIndex = 3;
-  Fleet f;
-  std::size_t call = f.start_watch();
-  const std::string lower = f.list(kLowerIndex, f.second);
+  DiscoveryFixture fixture;
+  std::size_t call = fixture.start_watch();
+  const std::string lower_index_list = fixture.endpoint_list_response(kLowerIndex, fixture.server_2);
   for (std::size_t stale = 1; stale <= 2; ++stale) {
-    f.discovery.reply(call, lower);
-    REQUIRE(f.until([&] { return f.discovery.calls.size() > call + 1; }));
-    CHECK(stale_lists(f.program->text) == stale);
-    CHECK_FALSE(f.discovery.calls.back().asks_for_changes_since(kLowerIndex));
-    f.check_served_by(f.first); // which only the stale list drains
-    call = f.discovery.calls.size() - 1;
-  }
-  f.discovery.reply(call, lower);
-  REQUIRE(f.hears(f.discovery, kLowerIndex, loop::now_ms(), kAnswerHeardMs));
-  CHECK(stale_lists(f.program->text) == 2);
-  f.check_served_by(f.second);
+    fixture.discovery.reply(call, lower_index_list);
+    REQUIRE(fixture.wait_until([&] { return fixture.discovery.calls.size() > call + 1; }));
+    CHECK(stale_lists(fixture.program->output) == stale);
+    CHECK_FALSE(fixture.discovery.calls.back().requests_changes_since(kLowerIndex));
+    fixture.check_served_by(fixture.server_1); // which only the stale list drains
+    call = fixture.discovery.calls.size() - 1;
+  }
+  fixture.discovery.reply(call, lower_index_list);
+  REQUIRE(fixture.wait_for_index(fixture.discovery, kLowerIndex, loop::now_ms(), kAnswerReceivedMs));
+  CHECK(stale_lists(fixture.program->output) == 2);
+  fixture.check_served_by(fixture.server_2);
 }
 
 // Guards against a lost list, a router without servers or one that makes no more calls after an unusable
 // answer.
 TEST_CASE("an unusable answer is logged and the last list stays in force until the next answer") {
   constexpr std::size_t kMiB = 1 << 20;
-  Fleet f;
-  const std::size_t watch = f.start_watch();
+  DiscoveryFixture fixture;
+  const std::size_t watch = fixture.start_watch();
   std::string answer;
-  bool closes = false, whole_list_follows = true;
+  bool closes = false, expects_full_list_request = true;
   SUBCASE("not HTTP") { answer = "SMTP ready\r\n\r\n"; }
-  SUBCASE("not JSON") { answer = ok("{\"index\":8,\"snapshot\":true,\"endpoints\":[}"); }
+  SUBCASE("not JSON") { answer = ok_response("{\"index\":8,\"snapshot\":true,\"endpoints\":[}"); }
   SUBCASE("truncated in the middle") {
-    answer = first_half(f.drain());
+    answer = first_half(fixture.drain_response());
     closes = true;
   }
   SUBCASE("a header without end") {
@@ -536,49 +553,49 @@
     while (answer.size() < 9 * kMiB) answer += chunk;
   }
   SUBCASE("a stale index") {
-    answer = f.list(kFirstIndex - 1, f.second);
-    whole_list_follows = false; // requesting changes is sufficient
-  }
-  SUBCASE("a status of 500") { answer = status(500); }
-  const std::size_t logged_before = f.program->text.size();
-  const double failed_at = loop::now_ms();
-  f.discovery.reply(watch, answer);
-  if (closes) f.discovery.close(watch);
-  REQUIRE(f.until([&] { return f.discovery.calls.size() > watch + 1; }));
-  const std::string logged = f.program->text.substr(logged_before);
+    answer = fixture.endpoint_list_response(kFirstIndex - 1, fixture.server_2);
+    expects_full_list_request = false; // requesting changes is sufficient
+  }
+  SUBCASE("a status of 500") { answer = status_response(500); }
+  const std::size_t logged_before = fixture.program->output.size();
+  const double failed_at_ms = loop::now_ms();
+  fixture.discovery.reply(watch, answer);
+  if (closes) fixture.discovery.close(watch);
+  REQUIRE(fixture.wait_until([&] { return fixture.discovery.calls.size() > watch + 1; }));
+  const std::string logged = fixture.program->output.substr(logged_before);
   INFO(logged);
-  const bool says_why =
+  const bool reason_logged =
       logged.find(" why=") != std::string::npos || logged.find(" code=") != std::string::npos;
-  CHECK(says_why);
-  CHECK_FALSE(f.discovery.calls[watch + 1].asks_for_changes_since(kFirstIndex - 1));
-  if (whole_list_follows) CHECK(f.discovery.calls[watch + 1].asks_for_whole_list());
-  f.check_served_by(f.first);
-  f.discovery.reply(f.discovery.calls.size() - 1, f.drain());
-  f.check_drain(f.discovery, loop::now_ms(), kAnswerHeardMs);
-  CHECK(loop::now_ms() - failed_at < kHeardMs);
+  CHECK(reason_logged);
+  CHECK_FALSE(fixture.discovery.calls[watch + 1].requests_changes_since(kFirstIndex - 1));
+  if (expects_full_list_request) CHECK(fixture.discovery.calls[watch + 1].requests_full_list());
+  fixture.check_served_by(fixture.server_1);
+  fixture.discovery.reply(fixture.discovery.calls.size() - 1, fixture.drain_response());
+  fixture.check_drain(fixture.discovery, loop::now_ms(), kAnswerReceivedMs);
+  CHECK(loop::now_ms() - failed_at_ms < kUpdateReceivedMs);
 }
 
 // Guards against 300 routers that send to draining servers for up to 2 s after an outage of discovery: a
 // call for the full list made during the outage is never answered, and no other call was open.
 TEST_CASE("a change that discovery reports when it returns from an outage is applied immediately") {
-  constexpr double kGraceMs = 250;
-  Fleet f;
-  SUBCASE("for a router that watches") { f.start_watch(); }
-  SUBCASE("for a router that starts during the outage with a configured list") { f.start(); }
-  const std::size_t before = f.discovery.calls.size();
+  constexpr double kUpdateAfterOutageMs = 250;
+  DiscoveryFixture fixture;
+  SUBCASE("for a router that watches") { fixture.start_watch(); }
+  SUBCASE("for a router that starts during the outage with a configured list") { fixture.start(); }
+  const std::size_t before = fixture.discovery.calls.size();
   // The outage lasts for some calls and ends when one more call has arrived.
-  REQUIRE(f.until([&] { return f.discovery.calls.size() >= before + 3; }, 15000));
-  const std::string drain = f.drain();
+  REQUIRE(fixture.wait_until([&] { return fixture.discovery.calls.size() >= before + 3; }, 15000));
+  const std::string drain = fixture.drain_response();
   std::size_t answered = 0;
-  for (std::size_t call = 0; call < f.discovery.calls.size(); ++call) {
-    const bool for_changes = f.discovery.calls[call].asks_for_changes_since(kFirstIndex);
-    if (!for_changes || !f.discovery.is_open(call)) continue;
-    f.discovery.reply(call, drain);
+  for (std::size_t call = 0; call < fixture.discovery.calls.size(); ++call) {
+    const bool waits_for_changes = fixture.discovery.calls[call].requests_changes_since(kFirstIndex);
+    if (!waits_for_changes || !fixture.discovery.is_open(call)) continue;
+    fixture.discovery.reply(call, drain);
     ++answered;
   }
   CHECK(answered > 0);
-  f.discovery.on_call = [&](std::size_t call) {
-    if (f.discovery.calls[call].asks_for_whole_list()) f.discovery.reply(call, drain);
+  fixture.discovery.on_call = [&](std::size_t call) {
+    if (fixture.discovery.calls[call].requests_full_list()) fixture.discovery.reply(call, drain);
   };
-  f.check_drain(f.discovery, loop::now_ms(), kGraceMs);
+  fixture.check_drain(fixture.discovery, loop::now_ms(), kUpdateAfterOutageMs);
 }
