--- a/tests/net/fleet_size_test.cpp
+++ b/tests/net/fleet_size_test.cpp
@@ -12,11 +12,11 @@
 #include <vector>
 
 #include "endpoints/endpoint.h"
-#include "peers.h"
 #include "placement/ring.h"
 #include "program.h"
 #include "raw_client.h"
 #include "scripted_discovery.h"
+#include "scripted_peers.h"
 
 using namespace fernward;
 using namespace fernward::tests;
@@ -25,78 +25,78 @@
 
 constexpr int kFirstIndex = 7;
 
-std::string name_of(std::size_t server) { return "s-" + std::to_string(server); }
+std::string server_name(std::size_t index) { return "s-" + std::to_string(index); }
 
 // ---- CPU time for a change ----
 
 // One router and a list of `count` servers that receive no requests.
-class ListedServers {
+class RouterWithServerList {
  public:
-  explicit ListedServers(std::size_t count) {
-    for (std::size_t i = 0; i < count; ++i) names_.push_back(name_of(i));
-    std::vector<Json> all;
-    for (const std::string& name : names_) all.push_back(endpoint(name, kNowhere));
-    program_ =
-        std::make_unique<Program>(std::vector<std::string>{"serve"}, config_json(discovery_.address, Json()));
-    REQUIRE(until([&] { return !discovery_.calls.empty(); }));
-    tell(node_list(kFirstIndex, true, all));
+  explicit RouterWithServerList(std::size_t count) {
+    for (std::size_t i = 0; i < count; ++i) names_.push_back(server_name(i));
+    std::vector<Json> entries;
+    for (const std::string& name : names_) entries.push_back(endpoint_json(name, kUnusedAddress));
+    program_ = std::make_unique<TestProgram>(std::vector<std::string>{"serve"},
+                                             config_json(discovery_.address, Json()));
+    REQUIRE(wait_until([&] { return !discovery_.calls.empty(); }));
+    publish(endpoint_list_json(kFirstIndex, true, entries));
   }
 
   // The average CPU time of the process for a change of one server.
-  double cpu_ms_of_change(int changes) {
-    tell(node_list(index_ + 1, false, {})); // on return the initial list has been processed
-    const double before = program_->use().cpu_ms;
-    for (int i = 0; i < changes; ++i) tell(node_list(index_ + 1, false, {change(i)}));
-    return (program_->use().cpu_ms - before) / changes;
+  double cpu_ms_per_change(int changes) {
+    publish(endpoint_list_json(index_ + 1, false, {})); // on return the initial list has been processed
+    const double before = program_->resource_usage().cpu_ms;
+    for (int i = 0; i < changes; ++i) publish(endpoint_list_json(index_ + 1, false, {next_change(i)}));
+    return (program_->resource_usage().cpu_ms - before) / changes;
   }
 
  private:
-  static constexpr const char* kNowhere = "127.0.0.1:9";
+  static constexpr const char* kUnusedAddress = "127.0.0.1:9";
 
   // Cycles through a drain, a restart, a removal and a new server.
-  Json change(int number) {
+  Json next_change(int number) {
     const std::size_t at = static_cast<std::size_t>(number / 4) * 7 % names_.size();
     switch (number % 4) {
-      case 0: return endpoint(names_[at], kNowhere, "terminating");
+      case 0: return endpoint_json(names_[at], kUnusedAddress, "terminating");
       case 1: {
-        Json started = endpoint(names_[at], kNowhere);
+        Json started = endpoint_json(names_[at], kUnusedAddress);
         started["since_ms"] = loop::now_ms();
         return started;
       }
-      case 2: return endpoint(names_[at], kNowhere, "terminated");
-      default: names_[at] = "n-" + std::to_string(number); return endpoint(names_[at], kNowhere);
+      case 2: return endpoint_json(names_[at], kUnusedAddress, "terminated");
+      default: names_[at] = "n-" + std::to_string(number); return endpoint_json(names_[at], kUnusedAddress);
     }
   }
   // Answers the open call and waits for the next one, which shows that the list is applied.
-  void tell(const Json& list) {
+  void publish(const Json& list) {
     index_ = list["index"].get<int>();
-    discovery_.reply(discovery_.calls.size() - 1, ok(list.dump()));
-    REQUIRE(until([&] { return discovery_.calls.back().asks_for_changes_since(index_); }));
+    discovery_.reply(discovery_.calls.size() - 1, ok_response(list.dump()));
+    REQUIRE(wait_until([&] { return discovery_.calls.back().requests_changes_since(index_); }));
   }
-  bool until(const std::function<bool()>& done) {
-    return run_until(base_.get(), [&] { return program_->says(""), done(); });
+  bool wait_until(const std::function<bool()>& done) {
+    return run_until(base_.get(), [&] { return program_->output_contains(""), done(); });
   }
 
-  router::BasePtr base_ = router::make_base();
+  router::EventBasePtr base_ = router::make_event_base();
   ScriptedDiscovery discovery_{base_.get()};
   std::vector<std::string> names_;
-  std::unique_ptr<Program> program_;
+  std::unique_ptr<TestProgram> program_;
   int index_ = 0;
 };
 
 // ---- total load in slow start ----
 
 constexpr std::size_t kRouters = 12, kServers = 128;
-constexpr std::size_t kRequests = 60, kOfPopularKey = 15; // per router in each phase
-constexpr const char* kApart = "apart";
-constexpr std::int64_t kPoints = 64;           // per server on the ring
-constexpr double kMultiple = 4, kStart = 0.32; // set in the settings
+constexpr std::size_t kRequests = 60, kPopularKeyRequests = 15; // per router in each phase
+constexpr const char* kObservedServer = "apart";
+constexpr std::int64_t kRingPoints = 64;                   // per server on the ring
+constexpr double kFallMultiple = 4, kStartCapacity = 0.32; // set in the settings
 
 // The routers of a tier, each with its own discovery. One server is observed; all others are the same
 // scripted server.
-class Tier {
+class RouterTier {
  public:
-  Tier() {
+  RouterTier() {
     start_routers();
     find_popular_key();
   }
@@ -105,35 +105,36 @@
   void restart_server() {
     started_ms_ = loop::now_ms();
     ++index_;
-    tell_all();
+    publish_to_all();
   }
   void restart_routers() { start_routers(); }
 
   // Sends each router its requests sequentially, a quarter of them for the popular key. Returns how many
   // reached the observed server.
-  std::size_t ask() {
-    const std::size_t before = apart_.seen.size();
-    std::vector<std::unique_ptr<Raw>> clients;
-    for (const auto& router : routers_) clients.push_back(std::make_unique<Raw>(router->program->port()));
+  std::size_t requests_at_observed_server() {
+    const std::size_t before = observed_server_.requests.size();
+    std::vector<std::unique_ptr<RawClient>> clients;
+    for (const auto& router : routers_)
+      clients.push_back(std::make_unique<RawClient>(router->program->port()));
     for (std::size_t i = 0; i < kRequests; ++i) {
-      const bool popular = i % (kRequests / kOfPopularKey) == 0;
+      const bool is_popular = i % (kRequests / kPopularKeyRequests) == 0;
       for (const auto& client : clients) {
         const std::string number = std::to_string(++requests_);
-        client->send(get("/k/" + (popular ? popular_ : number), "r" + number));
+        client->send(get_request("/k/" + (is_popular ? popular_key_ : number), "r" + number));
       }
       for (const auto& client : clients) {
-        REQUIRE(until([&] { return client->look(), client->answers.size() == i + 1; }));
-        REQUIRE(client->answers.back().status == 200);
+        REQUIRE(wait_until([&] { return client->receive_available(), client->responses.size() == i + 1; }));
+        REQUIRE(client->responses.back().status == 200);
       }
     }
-    return apart_.seen.size() - before;
+    return observed_server_.requests.size() - before;
   }
 
   // The requests that one server may receive in slow start during one phase, if its capacity is twice the
   // average load of a server of this fleet.
-  static double allowed() {
+  static double max_requests_in_slow_start() {
     const double mean = static_cast<double>(kRouters * kRequests) / kServers;
-    const double budget = kMultiple * kStart * 2 * mean;
+    const double budget = kFallMultiple * kStartCapacity * 2 * mean;
     return budget + 3 * std::sqrt(budget) + 3; // with the rule's tolerance for small numbers of requests
   }
 
@@ -141,7 +142,7 @@
   struct Router {
     explicit Router(event_base* base) : discovery(base) {}
     ScriptedDiscovery discovery;
-    std::unique_ptr<Program> program;
+    std::unique_ptr<TestProgram> program;
   };
 
   void start_routers() {
@@ -152,66 +153,71 @@
       config["seed"] = std::to_string(1000 + i);
       config["settings"]["balancers"] = kRouters;
       Json& obligations = config["settings"]["obligations"];
-      obligations["start_capacity"] = kStart;
+      obligations["start_capacity"] = kStartCapacity;
       obligations["warm_after"] = 600'000; // cold during the whole test, even on a slow machine
-      obligations["fall_multiple"] = kMultiple;
-      routers_[i]->program = std::make_unique<Program>(std::vector<std::string>{"serve"}, config);
+      obligations["fall_multiple"] = kFallMultiple;
+      routers_[i]->program = std::make_unique<TestProgram>(std::vector<std::string>{"serve"}, config);
     }
-    tell_all();
+    publish_to_all();
   }
   // Waits until every router serves and has applied the current list.
-  void tell_all() {
+  void publish_to_all() {
     for (const auto& router : routers_) {
-      REQUIRE(until([&] { return tell(router->discovery), router->program->port() != 0; }));
-      REQUIRE(until([&] { return tell(router->discovery); }));
+      REQUIRE(wait_until([&] { return publish(router->discovery), router->program->port() != 0; }));
+      REQUIRE(wait_until([&] { return publish(router->discovery); }));
     }
   }
   // Answers all calls except those that wait for changes after the current list. True if the router waits for
   // such changes.
-  bool tell(ScriptedDiscovery& discovery) {
-    bool told = false;
+  bool publish(ScriptedDiscovery& discovery) {
+    bool waits_for_next = false;
     for (std::size_t i = 0; i < discovery.calls.size(); ++i) {
       if (discovery.calls[i].answered) continue;
-      told |= discovery.calls[i].asks_for_changes_since(index_);
-      if (!discovery.calls[i].asks_for_changes_since(index_)) discovery.reply(i, ok(list().dump()));
+      waits_for_next |= discovery.calls[i].requests_changes_since(index_);
+      if (!discovery.calls[i].requests_changes_since(index_))
+        discovery.reply(i, ok_response(endpoint_list().dump()));
     }
-    return told;
+    return waits_for_next;
   }
-  Json list() const {
-    std::vector<Json> all;
-    for (std::size_t i = 1; i < kServers; ++i) all.push_back(endpoint(name_of(i), others_.address));
-    all.push_back(endpoint(kApart, apart_.address));
-    all.back()["since_ms"] = started_ms_;
-    all.push_back(endpoint("origin", origin_.address, "in_service", "origin")); // serves cache misses
-    return node_list(index_, true, all);
+  Json endpoint_list() const {
+    std::vector<Json> entries;
+    for (std::size_t i = 1; i < kServers; ++i)
+      entries.push_back(endpoint_json(server_name(i), other_servers_.address));
+    entries.push_back(endpoint_json(kObservedServer, observed_server_.address));
+    entries.back()["since_ms"] = started_ms_;
+    entries.push_back(
+        endpoint_json("origin", origin_.address, "in_service", "origin")); // serves cache misses
+    return endpoint_list_json(index_, true, entries);
   }
   // Finds a key whose first candidate is the observed server, by the same ring that the routers use.
   void find_popular_key() {
     struct Member {
-      placement::RingWeight seat;
+      placement::RingWeight ring_weight;
     };
     std::map<ServerId, Member> members;
-    for (std::size_t i = 1; i < kServers; ++i) members[endpoints::id_of(name_of(i))];
-    members[endpoints::id_of(kApart)];
+    for (std::size_t i = 1; i < kServers; ++i) members[endpoints::id_of(server_name(i))];
+    members[endpoints::id_of(kObservedServer)];
     placement::Ring<Member> ring;
-    for (auto& [id, member] : members) ring.place(id, member, kPoints);
-    const Member* const wanted = &members.at(endpoints::id_of(kApart));
+    for (auto& [id, member] : members) ring.place(id, member, kRingPoints);
+    const Member* const wanted = &members.at(endpoints::id_of(kObservedServer));
     for (std::array<Member*, 1> first{}; first[0] != wanted;) {
-      popular_ += 'p';
-      ring.walk(endpoints::hash_of(popular_), first, [](const Member&) { return true; });
+      popular_key_ += 'p';
+      ring.walk(endpoints::hash_of(popular_key_), first, [](const Member&) { return true; });
     }
   }
-  bool until(const std::function<bool()>& done) { return run_until(base_.get(), done); }
-
-  router::BasePtr base_ = router::make_base();
-  Peer others_{base_.get(),
-               [this](const http::Message& m) { // only the observed server holds the popular key
-                 return m.target == "/k/" + popular_ ? kMiss : ok("v of " + m.target);
-               }};
-  Peer apart_{base_.get(), [](const http::Message& m) { return ok("v of " + m.target); }};
-  Peer origin_{base_.get(), [](const http::Message& m) { return ok("v of " + m.target); }};
+  bool wait_until(const std::function<bool()>& done) { return run_until(base_.get(), done); }
+
+  router::EventBasePtr base_ = router::make_event_base();
+  ScriptedServer other_servers_{
+      base_.get(),
+      [this](const http::Message& m) { // only the observed server holds the popular key
+        return m.target == "/k/" + popular_key_ ? kCacheMiss : ok_response("v of " + m.target);
+      }};
+  ScriptedServer observed_server_{base_.get(),
+                                  [](const http::Message& m) { return ok_response("v of " + m.target); }};
+  ScriptedServer origin_{base_.get(), [](const http::Message& m) { return ok_response("v of " + m.target); }};
   std::vector<std::unique_ptr<Router>> routers_;
-  std::string popular_;
+  std::string popular_key_;
   int index_ = kFirstIndex;
   double started_ms_ = 0;
   std::size_t requests_ = 0;
@@ -223,24 +229,26 @@
 // small share of a core beyond its grace period.
 TEST_CASE("a change of one server uses no more CPU with 3200 servers than with 200") {
   constexpr int kChanges = 40;
-  const double few = ListedServers(200).cpu_ms_of_change(kChanges);
-  const double many = ListedServers(3200).cpu_ms_of_change(kChanges);
-  MESSAGE("CPU of a change: " << few << " ms and " << many << " ms");
-  CHECK(many < 3 * few); // for 16 times the servers; the factor allows for noise of the machine
+  const double cpu_ms_small_list = RouterWithServerList(200).cpu_ms_per_change(kChanges);
+  const double cpu_ms_large_list = RouterWithServerList(3200).cpu_ms_per_change(kChanges);
+  MESSAGE("CPU of a change: " << cpu_ms_small_list << " ms and " << cpu_ms_large_list << " ms");
+  CHECK(cpu_ms_large_list <
+        3 * cpu_ms_small_list); // for 16 times the servers; the factor allows for noise of the machine
 }
 
 // Guards against a slow start that admits a share of the incoming requests, so that a popular key
 // overloads its server.
 TEST_CASE("a popular key whose server restarts: 12 routers together stay within its slow-start capacity") {
-  Tier tier;
-  const std::size_t warm = tier.ask();
-  CHECK(warm > kRouters * kOfPopularKey / 2); // a warm server receives most requests for the popular key
+  RouterTier tier;
+  const std::size_t warm = tier.requests_at_observed_server();
+  CHECK(warm >
+        kRouters * kPopularKeyRequests / 2); // a warm server receives most requests for the popular key
   tier.restart_server();
-  const std::size_t cold = tier.ask();
+  const std::size_t cold = tier.requests_at_observed_server();
   tier.restart_routers(); // without any observations
-  const std::size_t cold_and_new = tier.ask();
-  MESSAGE("requests warm " << warm << ", cold " << cold << ", by new routers " << cold_and_new << "; allowed "
-                           << Tier::allowed());
-  CHECK(static_cast<double>(cold) < Tier::allowed());
-  CHECK(static_cast<double>(cold_and_new) < Tier::allowed());
+  const std::size_t cold_with_new_routers = tier.requests_at_observed_server();
+  MESSAGE("requests warm " << warm << ", cold " << cold << ", by new routers " << cold_with_new_routers
+                           << "; allowed " << RouterTier::max_requests_in_slow_start());
+  CHECK(static_cast<double>(cold) < RouterTier::max_requests_in_slow_start());
+  CHECK(static_cast<double>(cold_with_new_routers) < RouterTier::max_requests_in_slow_start());
 }
--- a/tests/net/program.h
+++ b/tests/net/program.h
@@ -17,23 +17,24 @@
 #include <string>
 #include <vector>
 
-#include "peers.h"
+#include "scripted_peers.h"
 
 namespace fernward::tests {
 
 // System calls that fail with `error` in a program, as in a container whose seccomp filter does not know
 // them.
-struct Refused {
+struct RefusedSystemCalls {
   std::vector<long> calls;
   int error = 0;
 };
 
 // Applies to this process and the programs that it executes; needs no privileges.
-inline bool refuse_calls(const Refused& refused) {
+inline bool install_system_call_filter(const RefusedSystemCalls& system_calls) {
   std::vector<sock_filter> filter = {BPF_STMT(BPF_LD | BPF_W | BPF_ABS, offsetof(seccomp_data, nr))};
-  for (const long call : refused.calls) {
+  for (const long call : system_calls.calls) {
     filter.push_back(BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, static_cast<unsigned>(call), 0, 1));
-    filter.push_back(BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ERRNO | static_cast<unsigned>(refused.error)));
+    filter.push_back(
+        BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ERRNO | static_cast<unsigned>(system_calls.error)));
   }
   filter.push_back(BPF_STMT(BPF_RET | BPF_K, SECCOMP_RET_ALLOW));
   const sock_fprog program{static_cast<unsigned short>(filter.size()), filter.data()};
@@ -42,145 +43,146 @@
 }
 
 // A running program and what it has written to standard output and standard error.
-class Program {
+class TestProgram {
  public:
-  Program(const std::vector<std::string>& words, const Json& config,
-          const std::vector<std::string>& environment = {}, const Refused& refused = {}) {
-    int ends[2];
-    REQUIRE(pipe(ends) == 0);
-    char path[] = "/tmp/fernward-test-XXXXXX";
-    const int file = mkstemp(path);
-    path_ = path;
-    std::ofstream(path_) << (config.is_string() ? config.get<std::string>() : config.dump());
+  TestProgram(const std::vector<std::string>& command_arguments, const Json& config,
+              const std::vector<std::string>& environment = {}, const RefusedSystemCalls& refused = {}) {
+    int pipe_fds[2];
+    REQUIRE(pipe(pipe_fds) == 0);
+    char path_template[] = "/tmp/fernward-test-XXXXXX";
+    const int file = mkstemp(path_template);
+    config_path_ = path_template;
+    std::ofstream(config_path_) << (config.is_string() ? config.get<std::string>() : config.dump());
     close(file);
     pid_ = fork();
     if (pid_ == 0) {
-      dup2(ends[1], 1);
-      dup2(ends[1], 2);
+      dup2(pipe_fds[1], 1);
+      dup2(pipe_fds[1], 2);
       for (int fd = 3; fd < 1024; ++fd) close(fd);
-      setenv("NODE_CONFIG", path_.c_str(), 1);
+      setenv("NODE_CONFIG", config_path_.c_str(), 1);
       for (const char* name : {"NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY"}) unsetenv(name);
       for (const auto& entry : environment) putenv(const_cast<char*>(entry.c_str()));
       std::vector<char*> arguments = {const_cast<char*>(FERNWARD_PROGRAM)};
-      for (const auto& word : words) arguments.push_back(const_cast<char*>(word.c_str()));
+      for (const auto& word : command_arguments) arguments.push_back(const_cast<char*>(word.c_str()));
       arguments.push_back(nullptr);
-      if (!refused.calls.empty() && !refuse_calls(refused)) _exit(126);
+      if (!refused.calls.empty() && !install_system_call_filter(refused)) _exit(126);
       execv(FERNWARD_PROGRAM, arguments.data());
       _exit(127);
     }
-    close(ends[1]);
-    out_ = ends[0];
-    fcntl(out_, F_SETFL, O_NONBLOCK);
+    close(pipe_fds[1]);
+    output_fd_ = pipe_fds[0];
+    fcntl(output_fd_, F_SETFL, O_NONBLOCK);
   }
-  ~Program() {
+  ~TestProgram() {
     if (pid_ > 0) kill(pid_, SIGKILL), waitpid(pid_, nullptr, 0);
-    close(out_);
-    unlink(path_.c_str());
+    close(output_fd_);
+    unlink(config_path_.c_str());
   }
-  Program(const Program&) = delete;
+  TestProgram(const TestProgram&) = delete;
 
   void signal(int number) { kill(pid_, number); }
-  void hold() { // on return the process is stopped; its sockets still receive
+  void pause() { // on return the process is stopped; its sockets still receive
     kill(pid_, SIGSTOP);
     int status = 0;
     REQUIRE(waitpid(pid_, &status, WUNTRACED) == pid_);
     REQUIRE(WIFSTOPPED(status));
   }
-  void go_on() { kill(pid_, SIGCONT); }
-  void rewrite(const std::string& config) { std::ofstream(path_) << config; }
-  struct Use {
-    double cpu_ms = 0, wakes = 0;
+  void resume() { kill(pid_, SIGCONT); }
+  void write_config(const std::string& config) { std::ofstream(config_path_) << config; }
+  struct ResourceUsage {
+    double cpu_ms = 0, voluntary_context_switches = 0;
   };
-  Use use() const { // since the process started
+  ResourceUsage resource_usage() const { // since the process started
     const std::string proc = "/proc/" + std::to_string(pid_);
-    Use u;
-    std::ifstream(proc + "/schedstat") >> u.cpu_ms;
-    u.cpu_ms /= 1e6;
+    ResourceUsage usage;
+    std::ifstream(proc + "/schedstat") >> usage.cpu_ms;
+    usage.cpu_ms /= 1e6;
     std::ifstream status(proc + "/status");
     for (std::string word; status >> word;) {
-      if (word == "voluntary_ctxt_switches:") status >> u.wakes;
+      if (word == "voluntary_ctxt_switches:") status >> usage.voluntary_context_switches;
     }
-    return u;
+    return usage;
   }
-  std::size_t descriptors() const {
+  std::size_t open_descriptors() const {
     const std::filesystem::directory_iterator open("/proc/" + std::to_string(pid_) + "/fd");
     return static_cast<std::size_t>(std::distance(begin(open), end(open)));
   }
-  void limit_descriptors(rlim_t most) {
+  void limit_descriptors(rlim_t max_descriptors) {
     rlimit limit{};
     REQUIRE(prlimit(pid_, RLIMIT_NOFILE, nullptr, &limit) == 0);
-    limit.rlim_cur = most;
+    limit.rlim_cur = max_descriptors;
     REQUIRE(prlimit(pid_, RLIMIT_NOFILE, &limit, nullptr) == 0);
   }
-  void limit_files(rlim_t most) { // bytes of each file that the program writes
-    const rlimit limit{most, RLIM_INFINITY};
+  void limit_file_size(rlim_t max_bytes) { // bytes of each file that the program writes
+    const rlimit limit{max_bytes, RLIM_INFINITY};
     REQUIRE(prlimit(pid_, RLIMIT_FSIZE, &limit, nullptr) == 0);
   }
   void stop_reading() { // no longer reads the output; the pipe is reduced to its minimum size
-    reads_ = false;
-    REQUIRE(fcntl(out_, F_SETPIPE_SZ, 4096) >= 0);
+    reads_output_ = false;
+    REQUIRE(fcntl(output_fd_, F_SETPIPE_SZ, 4096) >= 0);
   }
-  bool ended() { // sets the exit code; 128 plus the signal's number if a signal ended the process
+  bool has_exited() { // sets the exit code; 128 plus the signal's number if a signal ended the process
     int status = 0;
     if (pid_ > 0 && waitpid(pid_, &status, WNOHANG) == pid_) {
-      code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
+      exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
       pid_ = 0;
     }
-    read_on();
+    read_output();
     return pid_ == 0;
   }
-  bool says(const std::string& what) {
-    read_on();
-    return text.find(what) != std::string::npos;
+  bool output_contains(const std::string& expected) {
+    read_output();
+    return output.find(expected) != std::string::npos;
   }
   int port() { // 0 until the program listens
-    read_on();
-    const auto line = text.find("listening name="), at = text.find(" port=", line);
-    if (line == std::string::npos || at == std::string::npos || text.find('\n', at) == std::string::npos)
+    read_output();
+    const auto line = output.find("listening name="), at = output.find(" port=", line);
+    if (line == std::string::npos || at == std::string::npos || output.find('\n', at) == std::string::npos)
       return 0;
-    return std::stoi(text.substr(at + 6));
+    return std::stoi(output.substr(at + 6));
   }
-  std::string text;
-  int code = -1;
+  std::string output;
+  int exit_code = -1;
 
  private:
-  void read_on() {
-    if (!reads_) return;
+  void read_output() {
+    if (!reads_output_) return;
     char bytes[4096];
-    for (ssize_t n; (n = read(out_, bytes, sizeof bytes)) > 0;)
-      text.append(bytes, static_cast<std::size_t>(n));
+    for (ssize_t n; (n = read(output_fd_, bytes, sizeof bytes)) > 0;)
+      output.append(bytes, static_cast<std::size_t>(n));
   }
-  std::string path_;
+  std::string config_path_;
   pid_t pid_ = 0;
-  int out_ = -1;
-  bool reads_ = true;
+  int output_fd_ = -1;
+  bool reads_output_ = true;
 };
 
 // Draws below the system's ephemeral port range: from that range, another test's client could get the port
 // before the router binds it.
 inline int free_port() {
-  static std::mt19937 draw(std::random_device{}());
+  static std::mt19937 generator(std::random_device{}());
   for (;;) {
-    const int port = std::uniform_int_distribution<int>(10240, 32000)(draw);
+    const int port = std::uniform_int_distribution<int>(10240, 32000)(generator);
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in where{};
-    where.sin_family = AF_INET;
-    where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    where.sin_port = htons(static_cast<std::uint16_t>(port));
-    const bool free = bind(fd, reinterpret_cast<const sockaddr*>(&where), sizeof where) == 0;
+    sockaddr_in socket_address{};
+    socket_address.sin_family = AF_INET;
+    socket_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socket_address.sin_port = htons(static_cast<std::uint16_t>(port));
+    const bool is_free =
+        bind(fd, reinterpret_cast<const sockaddr*>(&socket_address), sizeof socket_address) == 0;
     close(fd);
-    if (free) return port;
+    if (is_free) return port;
   }
 }
 
 // A temporary folder, removed by the destructor.
-struct Folder {
-  Folder() {
+struct TemporaryFolder {
+  TemporaryFolder() {
     char name[] = "/tmp/fernward-test-XXXXXX";
     path = mkdtemp(name);
   }
-  ~Folder() { std::filesystem::remove_all(path); }
-  Folder(const Folder&) = delete;
+  ~TemporaryFolder() { std::filesystem::remove_all(path); }
+  TemporaryFolder(const TemporaryFolder&) = delete;
   std::string operator/(const std::string& name) const { return path + "/" + name; }
   std::string write(const std::string& name, const std::string& text) const {
     std::ofstream(path + "/" + name, std::ios::binary) << text;
@@ -189,7 +191,7 @@
   std::string path;
 };
 
-inline std::string text_of(const std::string& path) {
+inline std::string read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   return {std::istreambuf_iterator<char>(in), {}};
 }
--- a/tests/net/raw_client.h
+++ b/tests/net/raw_client.h
@@ -14,25 +14,25 @@
 
 #include "http/parser.h"
 #include "loop/net.h"
-#include "peers.h"
+#include "scripted_peers.h"
 
 namespace fernward::tests {
 
 // On return from send(), close() and reset() their effect is in the router's socket, whether or not an event
 // loop runs.
-class Raw {
+class RawClient {
  public:
-  explicit Raw(int port, const std::string& text = "") : fd_(socket(AF_INET, SOCK_STREAM, 0)) {
-    sockaddr_in where{};
-    where.sin_family = AF_INET;
-    where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    where.sin_port = htons(static_cast<std::uint16_t>(port));
-    REQUIRE(::connect(fd_, reinterpret_cast<const sockaddr*>(&where), sizeof where) == 0);
+  explicit RawClient(int port, const std::string& text = "") : fd_(socket(AF_INET, SOCK_STREAM, 0)) {
+    sockaddr_in socket_address{};
+    socket_address.sin_family = AF_INET;
+    socket_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socket_address.sin_port = htons(static_cast<std::uint16_t>(port));
+    REQUIRE(::connect(fd_, reinterpret_cast<const sockaddr*>(&socket_address), sizeof socket_address) == 0);
     loop::set_nodelay(fd_);
     send(text);
   }
-  ~Raw() { leave(); }
-  Raw(const Raw&) = delete;
+  ~RawClient() { close(); }
+  RawClient(const RawClient&) = delete;
 
   void send(const std::string& text) { // all of it, or as much as the socket buffers accept
     for (std::size_t at = 0; at < text.size();) {
@@ -41,40 +41,40 @@
       at += static_cast<std::size_t>(n);
     }
   }
-  void leave() {
+  void close() {
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
   }
   void reset() {
     loop::reset_on_close(fd_);
-    leave();
+    close();
   }
   // Reads what has arrived. The parser keeps an incomplete response.
-  void look() {
+  void receive_available() {
     char bytes[65536];
     for (;;) {
       const auto n = recv(fd_, bytes, sizeof bytes, MSG_DONTWAIT);
       if (n < 0 && (errno == EAGAIN || errno == EINTR)) return;
       if (n <= 0) {
-        broken = broken || (n < 0 && !closed);
+        was_reset = was_reset || (n < 0 && !closed);
         closed = true;
         return;
       }
-      std::string_view rest(bytes, static_cast<std::size_t>(n));
-      told += rest;
-      while (!rest.empty()) {
-        rest.remove_prefix(parser_.feed(rest));
+      std::string_view unparsed(bytes, static_cast<std::size_t>(n));
+      received_bytes += unparsed;
+      while (!unparsed.empty()) {
+        unparsed.remove_prefix(parser_.feed(unparsed));
         if (!parser_.done()) break;
-        answers.push_back(parser_.take());
+        responses.push_back(parser_.take_message());
       }
     }
   }
-  std::vector<http::Message> answers;
-  std::string told;                    // all bytes, unparsed
-  bool closed = false, broken = false; // broken: the connection was reset
+  std::vector<http::Message> responses;
+  std::string received_bytes;             // all bytes, unparsed
+  bool closed = false, was_reset = false; // broken: the connection was reset
 
  private:
   int fd_;
-  http::Parser parser_{http::Kind::Response, kMostBody};
+  http::Parser parser_{http::MessageKind::Response, kMaxBodyBytes};
 };
 
 } // namespace fernward::tests
--- a/tests/net/scripted_discovery.h
+++ b/tests/net/scripted_discovery.h
@@ -26,14 +26,14 @@
   struct Call {
     std::size_t connection; // number in the order of accepting
     std::string target;
-    double asked_at_ms;
+    double received_at_ms;
     bool answered = false;
 
-    bool asks_for_whole_list() const { return target == "/v1/endpoints"; }
-    bool asks_for_changes_since(int index) const {
+    bool requests_full_list() const { return target == "/v1/endpoints"; }
+    bool requests_changes_since(int index) const {
       return target.find("since=" + std::to_string(index) + "&") != std::string::npos;
     }
-    bool waits_for(int timeout_ms) const {
+    bool has_timeout(int timeout_ms) const {
       return target.ends_with("timeout_ms=" + std::to_string(timeout_ms));
     }
   };
@@ -75,17 +75,17 @@
 
   // Listens on the same port again.
   void listen() {
-    sockaddr_in where{};
-    where.sin_family = AF_INET;
-    where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    where.sin_port = htons(static_cast<std::uint16_t>(port_));
-    listener_ = evconnlistener_new_bind(base_, &ScriptedDiscovery::accepted, this,
+    sockaddr_in socket_address{};
+    socket_address.sin_family = AF_INET;
+    socket_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    socket_address.sin_port = htons(static_cast<std::uint16_t>(port_));
+    listener_ = evconnlistener_new_bind(base_, &ScriptedDiscovery::on_accept, this,
                                         LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, kBacklog,
-                                        reinterpret_cast<sockaddr*>(&where), sizeof where);
+                                        reinterpret_cast<sockaddr*>(&socket_address), sizeof socket_address);
     REQUIRE(listener_ != nullptr);
-    socklen_t size = sizeof where;
-    getsockname(evconnlistener_get_fd(listener_), reinterpret_cast<sockaddr*>(&where), &size);
-    port_ = ntohs(where.sin_port);
+    socklen_t size = sizeof socket_address;
+    getsockname(evconnlistener_get_fd(listener_), reinterpret_cast<sockaddr*>(&socket_address), &size);
+    port_ = ntohs(socket_address.sin_port);
   }
 
   // Both sides hold the call's connection open.
@@ -99,17 +99,17 @@
 
   std::size_t connections() const { return connections_.size(); }
 
-  std::size_t whole_lists_asked() const {
+  std::size_t full_list_requests() const {
     return static_cast<std::size_t>(std::count_if(
-        calls.begin(), calls.end(), [](const Call& call) { return call.asks_for_whole_list(); }));
+        calls.begin(), calls.end(), [](const Call& call) { return call.requests_full_list(); }));
   }
 
   // Maximum number of calls received within any period of one second.
-  std::size_t most_calls_in_a_second() const {
+  std::size_t max_calls_per_second() const {
     constexpr double kSecondMs = 1000;
     std::size_t most = 0, first = 0;
     for (std::size_t last = 0; last < calls.size(); ++last) {
-      while (calls[last].asked_at_ms - calls[first].asked_at_ms >= kSecondMs) ++first;
+      while (calls[last].received_at_ms - calls[first].received_at_ms >= kSecondMs) ++first;
       most = std::max(most, last - first + 1);
     }
     return most;
@@ -117,7 +117,7 @@
 
   std::string address;
   std::vector<Call> calls;
-  std::size_t most_open_connections = 0;
+  std::size_t max_open_connections = 0;
   std::function<void(std::size_t call)> on_call;             // when a call is complete
   std::function<void(std::size_t connection)> on_connection; // when a connection is accepted
 
@@ -128,14 +128,14 @@
     ScriptedDiscovery* discovery;
     std::size_t number;
     loop::BuffereventPtr io; // null when closed
-    http::Parser parser{http::Kind::Request};
+    http::Parser parser{http::MessageKind::Request};
   };
 
   static bool is_open(const Connection& connection) {
-    return connection.io != nullptr && !loop::peer_ended(bufferevent_getfd(connection.io.get()));
+    return connection.io != nullptr && !loop::peer_has_closed(bufferevent_getfd(connection.io.get()));
   }
 
-  static void accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
+  static void on_accept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
     static_cast<ScriptedDiscovery*>(self)->accept(fd);
   }
 
@@ -154,7 +154,7 @@
         },
         nullptr, [](bufferevent*, short, void* c) { static_cast<Connection*>(c)->io.reset(); }, &connection);
     bufferevent_enable(connection.io.get(), EV_READ | EV_WRITE);
-    most_open_connections = std::max(most_open_connections, open_connections());
+    max_open_connections = std::max(max_open_connections, open_connections());
     if (on_connection) on_connection(connection.number);
   }
 
@@ -163,7 +163,7 @@
       loop::consume_input(connection.io.get(),
                           connection.parser.feed(loop::pending_input(connection.io.get())));
       if (!connection.parser.done()) return;
-      calls.push_back({connection.number, connection.parser.take().target, loop::now_ms()});
+      calls.push_back({connection.number, connection.parser.take_message().target, loop::now_ms()});
       if (on_call) on_call(calls.size() - 1);
     }
   }
--- a/tests/net/uploads_test.cpp
+++ b/tests/net/uploads_test.cpp
@@ -7,7 +7,7 @@
 
 #include <cstdlib>
 
-#include "peers.h"
+#include "scripted_peers.h"
 
 using namespace fernward;
 using namespace fernward::tests;
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kMb = 1 << 20;
 
-std::string value_of(std::size_t size) {
+std::string make_value(std::size_t size) {
   std::string value(size, '\0');
   std::uint32_t state = 777;
   for (char& c : value) {
@@ -26,65 +26,70 @@
   return value;
 }
 
-std::string head_of(const std::string& id, const std::string& framing, const std::string& cls = "book") {
-  return "PUT /k/1 HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: " + cls +
+std::string request_head(const std::string& id, const std::string& framing,
+                         const std::string& class_name = "book") {
+  return "PUT /k/1 HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: " + class_name +
          "\r\nIdempotency-Key: k-" + id + "\r\nX-Timeout-Ms: 2000\r\n" + framing + "\r\n";
 }
-std::string announced(std::size_t size) { return "Content-Length: " + std::to_string(size) + "\r\n"; }
+std::string content_length_header(std::size_t size) {
+  return "Content-Length: " + std::to_string(size) + "\r\n";
+}
 
-struct Folder {
-  Folder() {
+struct BodyFolder {
+  BodyFolder() {
     char name[] = "/tmp/fernward-bodies-XXXXXX";
     path = mkdtemp(name);
   }
-  ~Folder() { rmdir(path.c_str()); } // fails if files are left in it
+  ~BodyFolder() { rmdir(path.c_str()); } // fails if files are left in it
   std::string path;
 };
 
-enum class Where { Memory, File, Passing };
+enum class BodyStorage { Memory, File, Streamed };
 
 // A body of 400 KB is stored in memory if the limit is 64 MB or more, otherwise in a file if there is a
 // folder, otherwise it is only streamed.
-struct Uploads {
-  explicit Uploads(
-      Where where, std::function<void(Json&)> change = [](Json&) {})
-      : w([&](Json& file) {
+struct UploadFixture {
+  explicit UploadFixture(
+      BodyStorage storage, std::function<void(Json&)> change = [](Json&) {})
+      : fixture([&](Json& file) {
           file["limits"]["request_bytes"] = 8 << 20;
-          file["limits"]["memory_mb"] = where == Where::Memory ? 64 : 16;
-          if (where == Where::File) file["limits"]["body_folder"] = folder.path;
+          file["limits"]["memory_mb"] = storage == BodyStorage::Memory ? 64 : 16;
+          if (storage == BodyStorage::File) file["limits"]["body_folder"] = folder.path;
           file["settings"]["classes"].push_back(
               {{"name", "once"}, {"aim", 900}, {"give_up", 2000}, {"repeat", "unsafe"}, {"worth", 1}});
           change(file);
         }) {}
   // Waits until all memory, files and attempts are released.
-  bool clean() {
-    return w.until([&] {
-      return w.router->kept().memory_bytes() + w.router->kept().file_bytes() +
-                     w.router->kept().open_files() ==
+  bool everything_released() {
+    return fixture.wait_until([&] {
+      return fixture.router->retained_bodies().memory_bytes() +
+                     fixture.router->retained_bodies().file_bytes() +
+                     fixture.router->retained_bodies().open_files() ==
                  0 &&
-             w.router->bytes().held() == 0 && w.router->driver().attempts_in_flight() == 0;
-    }) && w.router->bytes().peak_held() <= w.router->bytes().total();
+             fixture.router->buffer_budget().held_bytes() == 0 &&
+             fixture.router->dispatcher().attempts_in_flight() == 0;
+    }) && fixture.router->buffer_budget().peak_held_bytes() <= fixture.router->buffer_budget().total_bytes();
   }
-  Folder folder;
-  World w;
+  BodyFolder folder;
+  RouterFixture fixture;
 };
 
-bool is_whole(const Peer& peer, std::size_t at, const std::string& value) {
-  return peer.seen.size() > at && peer.seen[at].body == value;
+bool received_body(const ScriptedServer& peer, std::size_t at, const std::string& value) {
+  return peer.requests.size() > at && peer.requests[at].body == value;
 }
 
 } // namespace
 
 TEST_CASE("a long body reaches its server byte for byte wherever it is stored") {
-  const std::string whole = value_of(6 * kMb);
-  for (const Where where : {Where::Memory, Where::File, Where::Passing}) {
-    Uploads u(where);
+  const std::string full_value = make_value(6 * kMb);
+  for (const BodyStorage storage : {BodyStorage::Memory, BodyStorage::File, BodyStorage::Streamed}) {
+    UploadFixture upload(storage);
     for (const std::size_t size : {65536ul, 65537ul, 100000ul, 400000ul, 6 * kMb}) {
       for (const bool chunked : {false, true}) {
-        CAPTURE(static_cast<int>(where));
+        CAPTURE(static_cast<int>(storage));
         CAPTURE(size);
         CAPTURE(chunked);
-        const std::string value = whole.substr(0, size);
+        const std::string value = full_value.substr(0, size);
         std::string text;
         if (chunked) {
           for (std::size_t at = 0; at < size; at += 50001) {
@@ -97,21 +102,22 @@
         } else {
           text = value;
         }
-        const std::size_t before = u.w.origin.seen.size();
-        Client client = u.w.client();
+        const std::size_t before = upload.fixture.origin.requests.size();
+        TestClient client = upload.fixture.connect_client();
         const std::string id = "r" + std::to_string(before);
-        const auto answer =
-            client.ask(head_of(id, chunked ? "Transfer-Encoding: chunked\r\n" : announced(size)) + text);
-        CHECK(answer.body == "from origin /k/1");
-        CHECK(answer.keep_alive);
-        CHECK(client.ask(get("/k/2", id + "-next")).status ==
+        const auto response = client.send_and_wait(
+            request_head(id, chunked ? "Transfer-Encoding: chunked\r\n" : content_length_header(size)) +
+            text);
+        CHECK(response.body == "from origin /k/1");
+        CHECK(response.keep_alive);
+        CHECK(client.send_and_wait(get_request("/k/2", id + "-next")).status ==
               200); // the bytes of the next request are intact
-        REQUIRE(u.w.origin.seen.size() == before + 1);
-        CHECK(is_whole(u.w.origin, before, value));
-        CHECK(u.w.origin.seen[before].header("idempotency-key") == "k-" + id);
+        REQUIRE(upload.fixture.origin.requests.size() == before + 1);
+        CHECK(received_body(upload.fixture.origin, before, value));
+        CHECK(upload.fixture.origin.requests[before].header("idempotency-key") == "k-" + id);
       }
     }
-    CHECK(u.clean());
+    CHECK(upload.everything_released());
   }
 }
 
@@ -119,200 +125,229 @@
 TEST_CASE(
     "a server that closes its connection: retries depend on the class and the window and the stored body") {
   struct Row {
-    Where where;
-    const char* cls;
-    bool half; // closes after half of the body, so that the request has not run; otherwise after all of it
+    BodyStorage storage;
+    const char* class_name;
+    bool
+        closes_early; // closes after half of the body, so that the request has not run; otherwise after all of it
     int attempts;
   };
   for (const Row& row : std::initializer_list<Row>{
-           {Where::Memory, "book", false, 2},
-           {Where::Memory, "once", false, 1},
-           {Where::File, "book", true, 2},
-           {Where::File, "book", false, 2},
-           {Where::File, "once", true, 2},
-           {Where::File, "once", false, 1},
-           {Where::Passing, "book", true, 1},
-           {Where::Passing, "book", false, 1},
-           {Where::Passing, "once", false, 1},
+           {BodyStorage::Memory, "book", false, 2},
+           {BodyStorage::Memory, "once", false, 1},
+           {BodyStorage::File, "book", true, 2},
+           {BodyStorage::File, "book", false, 2},
+           {BodyStorage::File, "once", true, 2},
+           {BodyStorage::File, "once", false, 1},
+           {BodyStorage::Streamed, "book", true, 1},
+           {BodyStorage::Streamed, "book", false, 1},
+           {BodyStorage::Streamed, "once", false, 1},
        }) {
-    CAPTURE(static_cast<int>(row.where));
-    CAPTURE(row.cls);
-    CAPTURE(row.half);
-    Uploads u(row.where);
-    const std::string value = value_of(400000);
-    int seen = 0;
-    const auto die = [&](const http::Message&) { return ++seen == 1 ? std::string("!") : ok("stored"); };
-    row.half ? u.w.origin.early = [&](const http::Message& m) { return seen == 0 ? die(m) : std::string(); }
-             : u.w.origin.script = die;
-    if (row.half) u.w.origin.script = [](const http::Message&) { return ok("stored"); };
-    Client client = u.w.client();
-    client.send(head_of("r1", announced(value.size()), row.cls) + value.substr(0, 200000));
-    if (row.half) REQUIRE(u.w.until([&] { return u.w.origin.connections == 1 && u.w.origin.open() == 0; }));
+    CAPTURE(static_cast<int>(row.storage));
+    CAPTURE(row.class_name);
+    CAPTURE(row.closes_early);
+    UploadFixture upload(row.storage);
+    const std::string value = make_value(400000);
+    int request_count = 0;
+    const auto close_first_request = [&](const http::Message&) {
+      return ++request_count == 1 ? std::string("!") : ok_response("stored");
+    };
+    row.closes_early ? upload.fixture.origin.early_response =
+                           [&](const http::Message& m) {
+                             return request_count == 0 ? close_first_request(m) : std::string();
+                           }
+                     : upload.fixture.origin.script = close_first_request;
+    if (row.closes_early)
+      upload.fixture.origin.script = [](const http::Message&) { return ok_response("stored"); };
+    TestClient client = upload.fixture.connect_client();
+    client.send(request_head("r1", content_length_header(value.size()), row.class_name) +
+                value.substr(0, 200000));
+    if (row.closes_early)
+      REQUIRE(upload.fixture.wait_until([&] {
+        return upload.fixture.origin.accepted_connections == 1 &&
+               upload.fixture.origin.open_connections() == 0;
+      }));
     client.send(value.substr(200000));
-    REQUIRE(u.w.until([&] { return !client.answers.empty() || client.closed; }));
-    REQUIRE(client.answers.size() == 1);
-    CHECK((client.answers[0].status == 200) == (row.attempts == 2));
-    CHECK(u.w.origin.connections == row.attempts);
-    for (const auto& m : u.w.origin.seen) CHECK((m.body == value)); // never a partial body
-    CHECK(u.clean());
+    REQUIRE(upload.fixture.wait_until([&] { return !client.responses.empty() || client.closed; }));
+    REQUIRE(client.responses.size() == 1);
+    CHECK((client.responses[0].status == 200) == (row.attempts == 2));
+    CHECK(upload.fixture.origin.accepted_connections == row.attempts);
+    for (const auto& m : upload.fixture.origin.requests) CHECK((m.body == value)); // never a partial body
+    CHECK(upload.everything_released());
   }
 }
 
 TEST_CASE("a write is not retried after its idempotency window") {
-  Uploads u(Where::File, [](Json& file) { file["settings"]["classes"][1]["window"] = 100; });
-  const std::string value = value_of(400000);
-  u.w.origin.script = [](const http::Message&) { return std::string(); };
-  Client client = u.w.client();
-  client.send(head_of("r1", announced(value.size())) + value);
-  REQUIRE(u.w.until([&] { return u.w.origin.seen.size() == 1; }));
-  run_for(u.w.base.get(), 150);
-  u.w.origin.hang_up();
-  REQUIRE(u.w.until([&] { return !client.answers.empty(); }));
-  CHECK(client.answers[0].status >= 500);
-  CHECK(u.w.origin.seen.size() == 1);
+  UploadFixture upload(BodyStorage::File, [](Json& file) { file["settings"]["classes"][1]["window"] = 100; });
+  const std::string value = make_value(400000);
+  upload.fixture.origin.script = [](const http::Message&) { return std::string(); };
+  TestClient client = upload.fixture.connect_client();
+  client.send(request_head("r1", content_length_header(value.size())) + value);
+  REQUIRE(upload.fixture.wait_until([&] { return upload.fixture.origin.requests.size() == 1; }));
+  run_for(upload.fixture.base.get(), 150);
+  upload.fixture.origin.shutdown_all();
+  REQUIRE(upload.fixture.wait_until([&] { return !client.responses.empty(); }));
+  CHECK(client.responses[0].status >= 500);
+  CHECK(upload.fixture.origin.requests.size() == 1);
 }
 
 // Guards against a full disk that blocks writes.
 TEST_CASE("disk failures: the body is still sent exactly once") {
-  const std::string value = value_of(2 * kMb);
+  const std::string value = make_value(2 * kMb);
   rlimit before{};
   REQUIRE(getrlimit(RLIMIT_FSIZE, &before) == 0);
   signal(SIGXFSZ, SIG_IGN);
-  bool limited = false, gone = false, again = false;
-  Where where = Where::File;
-  std::string elsewhere;
-  SUBCASE("no folder") { elsewhere = "/nonexistent/folder"; }
-  SUBCASE("a folder without write access") { elsewhere = "/proc"; }
-  SUBCASE("no space left") { limited = true; }
-  SUBCASE("the folder is removed while a body is in it") { gone = again = true; }
-  Uploads u(where, [&](Json& file) {
+  bool limit_file_size = false, remove_folder = false, expects_retry = false;
+  BodyStorage storage = BodyStorage::File;
+  std::string other_folder;
+  SUBCASE("no folder") { other_folder = "/nonexistent/folder"; }
+  SUBCASE("a folder without write access") { other_folder = "/proc"; }
+  SUBCASE("no space left") { limit_file_size = true; }
+  SUBCASE("the folder is removed while a body is in it") { remove_folder = expects_retry = true; }
+  UploadFixture upload(storage, [&](Json& file) {
     file["limits"]["body_folder_mb"] = 64;
-    if (!elsewhere.empty()) file["limits"]["body_folder"] = elsewhere;
+    if (!other_folder.empty()) file["limits"]["body_folder"] = other_folder;
   });
-  int asked = 0;
-  if (again)
-    u.w.origin.script = [&](const http::Message&) { return ++asked == 1 ? std::string("!") : ok("stored"); };
-  if (limited) { // the first file is written partly: one write is short
-    const rlimit little{700001, before.rlim_max};
-    REQUIRE(setrlimit(RLIMIT_FSIZE, &little) == 0);
+  int request_count = 0;
+  if (expects_retry)
+    upload.fixture.origin.script = [&](const http::Message&) {
+      return ++request_count == 1 ? std::string("!") : ok_response("stored");
+    };
+  if (limit_file_size) { // the first file is written partly: one write is short
+    const rlimit file_size_limit{700001, before.rlim_max};
+    REQUIRE(setrlimit(RLIMIT_FSIZE, &file_size_limit) == 0);
   }
-  Client client = u.w.client();
-  client.send(head_of("r1", announced(value.size())) + value.substr(0, kMb));
-  REQUIRE(u.w.until([&] { return u.w.origin.body_come > 500000; }));
-  if (gone) CHECK(rmdir(u.folder.path.c_str()) == 0); // possible because the files in it are unlinked
+  TestClient client = upload.fixture.connect_client();
+  client.send(request_head("r1", content_length_header(value.size())) + value.substr(0, kMb));
+  REQUIRE(upload.fixture.wait_until([&] { return upload.fixture.origin.partial_body_bytes > 500000; }));
+  if (remove_folder)
+    CHECK(rmdir(upload.folder.path.c_str()) == 0); // possible because the files in it are unlinked
   client.send(value.substr(kMb));
-  u.w.until([&] { return !client.answers.empty() || client.closed; });
+  upload.fixture.wait_until([&] { return !client.responses.empty() || client.closed; });
   setrlimit(RLIMIT_FSIZE, &before);
-  REQUIRE(client.answers.size() == 1);
-  CHECK(client.answers[0].status == 200);
-  CHECK(u.w.origin.seen.size() == (again ? 2 : 1)); // the retry reads the file, whose folder no longer exists
-  for (const auto& m : u.w.origin.seen) CHECK((m.body == value));
-  CHECK(u.clean());
+  REQUIRE(client.responses.size() == 1);
+  CHECK(client.responses[0].status == 200);
+  CHECK(upload.fixture.origin.requests.size() ==
+        (expects_retry ? 2 : 1)); // the retry reads the file, whose folder no longer exists
+  for (const auto& m : upload.fixture.origin.requests) CHECK((m.body == value));
+  CHECK(upload.everything_released());
 }
 
 TEST_CASE("a client that disconnects in the middle of a streamed body: the request is never completed") {
-  for (const Where where : {Where::File, Where::Passing}) {
-    Uploads u(where);
+  for (const BodyStorage storage : {BodyStorage::File, BodyStorage::Streamed}) {
+    UploadFixture upload(storage);
     {
-      Client client = u.w.client();
-      client.send(head_of("r1", announced(kMb)) + value_of(300000));
-      REQUIRE(u.w.until([&] { return u.w.origin.body_come > 200000; }));
+      TestClient client = upload.fixture.connect_client();
+      client.send(request_head("r1", content_length_header(kMb)) + make_value(300000));
+      REQUIRE(upload.fixture.wait_until([&] { return upload.fixture.origin.partial_body_bytes > 200000; }));
     }
-    CHECK(u.w.until([&] { return u.w.origin.open() == 0; }));
-    CHECK(u.w.origin.seen.empty());
-    CHECK(u.clean());
+    CHECK(upload.fixture.wait_until([&] { return upload.fixture.origin.open_connections() == 0; }));
+    CHECK(upload.fixture.origin.requests.empty());
+    CHECK(upload.everything_released());
   }
 }
 
 TEST_CASE("a body that is not received in time is answered with 408 and its attempt ends") {
-  Uploads u(Where::Passing);
-  Client client = u.w.client();
-  const double begun = loop::now_ms();
-  client.send(head_of("r1", announced(kMb)) + value_of(100000));
-  REQUIRE(u.w.until([&] { return !client.answers.empty(); }));
-  CHECK(client.answers[0].status == 408);
-  CHECK(loop::now_ms() - begun > 2000 + 100000 / 256.0 - 100); // the time limit grows with the bytes received
-  CHECK(u.w.until([&] { return u.w.origin.open() == 0 && client.closed; }));
-  CHECK(u.w.origin.seen.empty());
-  CHECK(u.clean());
+  UploadFixture upload(BodyStorage::Streamed);
+  TestClient client = upload.fixture.connect_client();
+  const double started_at_ms = loop::now_ms();
+  client.send(request_head("r1", content_length_header(kMb)) + make_value(100000));
+  REQUIRE(upload.fixture.wait_until([&] { return !client.responses.empty(); }));
+  CHECK(client.responses[0].status == 408);
+  CHECK(loop::now_ms() - started_at_ms >
+        2000 + 100000 / 256.0 - 100); // the time limit grows with the bytes received
+  CHECK(upload.fixture.wait_until(
+      [&] { return upload.fixture.origin.open_connections() == 0 && client.closed; }));
+  CHECK(upload.fixture.origin.requests.empty());
+  CHECK(upload.everything_released());
 }
 
 TEST_CASE("a server that responds before the body is sent") {
-  Uploads u(Where::Passing);
-  const std::string value = value_of(4 * kMb);
-  std::string said;
+  UploadFixture upload(BodyStorage::Streamed);
+  const std::string value = make_value(4 * kMb);
+  std::string early_response;
   int status = 0;
-  SUBCASE("413: the request is invalid") { said = http::write_response(413, {}, "", true), status = 502; }
-  SUBCASE("not processed and the sent part of the body is not stored") { said = kTurnedAway, status = 503; }
-  SUBCASE("200 for an incomplete request: never forwarded") { said = ok("invented"), status = 503; }
-  u.w.origin.early = [&](const http::Message&) { return said; };
-  u.w.origin.stopped = false;
-  Client client = u.w.client();
-  client.send(head_of("r1", announced(value.size())) + value.substr(0, kMb));
-  REQUIRE(u.w.until([&] { return !client.answers.empty() || client.closed; }));
-  REQUIRE(client.answers.size() == 1);
-  CHECK(client.answers[0].status == status);
-  CHECK(client.answers[0].body.find("invented") == std::string::npos);
-  CHECK_FALSE(client.answers[0].keep_alive);
-  CHECK(u.w.origin.connections == 1);
-  CHECK(u.w.until([&] { return client.closed; }));
-  CHECK(u.clean());
+  SUBCASE("413: the request is invalid") {
+    early_response = http::write_response(413, {}, "", true), status = 502;
+  }
+  SUBCASE("not processed and the sent part of the body is not stored") {
+    early_response = kNotProcessed, status = 503;
+  }
+  SUBCASE("200 for an incomplete request: never forwarded") {
+    early_response = ok_response("invented"), status = 503;
+  }
+  upload.fixture.origin.early_response = [&](const http::Message&) { return early_response; };
+  upload.fixture.origin.reading_paused = false;
+  TestClient client = upload.fixture.connect_client();
+  client.send(request_head("r1", content_length_header(value.size())) + value.substr(0, kMb));
+  REQUIRE(upload.fixture.wait_until([&] { return !client.responses.empty() || client.closed; }));
+  REQUIRE(client.responses.size() == 1);
+  CHECK(client.responses[0].status == status);
+  CHECK(client.responses[0].body.find("invented") == std::string::npos);
+  CHECK_FALSE(client.responses[0].keep_alive);
+  CHECK(upload.fixture.origin.accepted_connections == 1);
+  CHECK(upload.fixture.wait_until([&] { return client.closed; }));
+  CHECK(upload.everything_released());
 }
 
 // Guards against unbounded memory use.
 TEST_CASE("a server that reads slowly pauses reading from the client") {
-  Uploads u(Where::Passing);
-  const std::string value = value_of(8 * kMb);
-  u.w.origin.stopped = true;
-  Client client = u.w.client();
-  client.send(head_of("r1", announced(value.size())) + value);
-  REQUIRE(u.w.until([&] { return u.w.origin.connections == 1; }));
-  run_for(u.w.base.get(), 300);
-  CHECK(u.w.router->bytes().held() > 0);
-  CHECK(u.w.router->bytes().peak_held() < kMb); // of 8 MB; the limit for all requests is 4 MB
-  u.w.origin.read_on();
-  REQUIRE(u.w.until([&] { return !client.answers.empty() || client.closed; }));
-  REQUIRE(client.answers.size() == 1);
-  CHECK(client.answers[0].status == 200);
-  CHECK(is_whole(u.w.origin, 0, value));
-  CHECK(u.clean());
+  UploadFixture upload(BodyStorage::Streamed);
+  const std::string value = make_value(8 * kMb);
+  upload.fixture.origin.reading_paused = true;
+  TestClient client = upload.fixture.connect_client();
+  client.send(request_head("r1", content_length_header(value.size())) + value);
+  REQUIRE(upload.fixture.wait_until([&] { return upload.fixture.origin.accepted_connections == 1; }));
+  run_for(upload.fixture.base.get(), 300);
+  CHECK(upload.fixture.router->buffer_budget().held_bytes() > 0);
+  CHECK(upload.fixture.router->buffer_budget().peak_held_bytes() <
+        kMb); // of 8 MB; the limit for all requests is 4 MB
+  upload.fixture.origin.resume_reading();
+  REQUIRE(upload.fixture.wait_until([&] { return !client.responses.empty() || client.closed; }));
+  REQUIRE(client.responses.size() == 1);
+  CHECK(client.responses[0].status == 200);
+  CHECK(received_body(upload.fixture.origin, 0, value));
+  CHECK(upload.everything_released());
 }
 
 TEST_CASE("a client with Expect: 100-continue may send its body once the request is admitted") {
-  Uploads u(Where::Passing);
-  const std::string value = value_of(400000);
-  Client client = u.w.client();
-  client.send(head_of("r1", announced(value.size()) + "Expect: 100-continue\r\n"));
-  run_for(u.w.base.get(), 50);
-  CHECK(client.answers.empty());
-  CHECK(client.ask(value).status == 200); // the interim response is not counted as one
-  CHECK(is_whole(u.w.origin, 0, value));
-  Client wrong = u.w.client();
-  CHECK(wrong.ask(head_of("r2", announced(value.size()) + "Expect: 100-continue\r\n", "unheard-of")).status ==
-        400);
-  Client too_long = u.w.client();
-  CHECK(too_long.ask(head_of("r3", announced(9 * kMb) + "Expect: 100-continue\r\n")).status == 413);
-  CHECK(u.w.origin.seen.size() == 1);
+  UploadFixture upload(BodyStorage::Streamed);
+  const std::string value = make_value(400000);
+  TestClient client = upload.fixture.connect_client();
+  client.send(request_head("r1", content_length_header(value.size()) + "Expect: 100-continue\r\n"));
+  run_for(upload.fixture.base.get(), 50);
+  CHECK(client.responses.empty());
+  CHECK(client.send_and_wait(value).status == 200); // the interim response is not counted as one
+  CHECK(received_body(upload.fixture.origin, 0, value));
+  TestClient invalid_client = upload.fixture.connect_client();
+  CHECK(invalid_client
+            .send_and_wait(request_head(
+                "r2", content_length_header(value.size()) + "Expect: 100-continue\r\n", "unheard-of"))
+            .status == 400);
+  TestClient too_long = upload.fixture.connect_client();
+  CHECK(
+      too_long.send_and_wait(request_head("r3", content_length_header(9 * kMb) + "Expect: 100-continue\r\n"))
+          .status == 413);
+  CHECK(upload.fixture.origin.requests.size() == 1);
 }
 
 // Guards against answering 408 to clients on slow links.
 TEST_CASE("a header that takes 2 s and a body at 64 kB per second are accepted") {
-  World w;
-  const std::string body = value_of(96 << 10), short_body = value_of(60 << 10);
-  for (const std::string& what : {short_body, body}) {
-    Client client = w.client();
-    const std::string text = put("/k", "r" + std::to_string(what.size()), what);
-    const std::size_t head = text.size() - what.size();
+  RouterFixture fixture;
+  const std::string body = make_value(96 << 10), short_body = make_value(60 << 10);
+  for (const std::string& body_sent : {short_body, body}) {
+    TestClient client = fixture.connect_client();
+    const std::string text = put_request("/k", "r" + std::to_string(body_sent.size()), body_sent);
+    const std::size_t head = text.size() - body_sent.size();
     client.send(text.substr(0, head / 2));
-    run_for(w.base.get(), 2000);
+    run_for(fixture.base.get(), 2000);
     client.send(text.substr(head / 2, head - head / 2));
-    for (std::size_t at = 0; at < what.size(); at += 6400) {
-      run_for(w.base.get(), 100);
-      client.send(what.substr(at, 6400));
+    for (std::size_t at = 0; at < body_sent.size(); at += 6400) {
+      run_for(fixture.base.get(), 100);
+      client.send(body_sent.substr(at, 6400));
     }
-    REQUIRE(w.until([&] { return !client.answers.empty() || client.closed; }));
-    REQUIRE(client.answers.size() == 1);
-    CHECK(client.answers.front().status == 200);
-    CHECK(w.origin.seen.back().body == what);
+    REQUIRE(fixture.wait_until([&] { return !client.responses.empty() || client.closed; }));
+    REQUIRE(client.responses.size() == 1);
+    CHECK(client.responses.front().status == 200);
+    CHECK(fixture.origin.requests.back().body == body_sent);
   }
 }
--- a/tests/random_test.cpp
+++ b/tests/random_test.cpp
@@ -4,36 +4,37 @@
 #include <random>
 #include <set>
 
-#include "support.h"
+#include "balancer_driver.h"
 
 namespace fernward::testing {
 namespace {
 
-struct Tracked { // the state of a request that is needed to check the rules
-  Request in;
+struct RequestState { // the state of a request that is needed to check the rules
+  Request request;
   std::vector<Send> sends;
-  std::vector<double> sent_at;
-  std::vector<bool> out;
+  std::vector<double> sent_at_ms;
+  std::vector<bool> active;
   std::vector<bool> may_have_run;
   bool ended = false;
 };
 
 // Drives a balancer with random events and records violations of its rules.
-class Drive {
+class RandomDriver {
  public:
-  Drive(std::uint64_t seed, bool break_a_rule = false) : random_(seed), break_a_rule_(break_a_rule) {
+  RandomDriver(std::uint64_t seed, bool inject_violation = false)
+      : random_(seed), inject_violation_(inject_violation) {
     settings_ = plain_settings();
     settings_.classes.clear();
     for (int i = 0; i < 3; ++i) {
-      ClassSettings c;
-      c.latency_objective_ms = pick(100, 800);
-      c.client_timeout_ms = 2000;
-      c.late_value_share = pick(0, 1) * 0.3;
-      c.priority_weight = pick(1, 9);
-      c.idempotency = static_cast<Idempotency>(pick(0, 2));
-      c.idempotency_scope = static_cast<IdempotencyScope>(pick(0, 2));
-      c.idempotency_window_ms = pick(50, 1500);
-      settings_.classes.push_back(c);
+      ClassSettings class_settings;
+      class_settings.latency_objective_ms = pick(100, 800);
+      class_settings.client_timeout_ms = 2000;
+      class_settings.late_response_value_share = pick(0, 1) * 0.3;
+      class_settings.priority_weight = pick(1, 9);
+      class_settings.idempotency = static_cast<Idempotency>(pick(0, 2));
+      class_settings.idempotency_scope = static_cast<IdempotencyScope>(pick(0, 2));
+      class_settings.idempotency_window_ms = pick(50, 1500);
+      settings_.classes.push_back(class_settings);
     }
     settings_.router_count = static_cast<std::uint32_t>(pick(1, 8));
     settings_.origin_kind = pick(0, 2) == 0 ? -1 : 1;
@@ -50,113 +51,119 @@
     for (ServerId id = 1; id <= 9; ++id) {
       servers_[id] = {.id = id, .kind = id == 9 ? 1u : 0u, .cell = id % 4, .zone = id % 3};
     }
-    announce(EndpointListKind::Cached);
+    send_list(EndpointListKind::Cached);
   }
 
   void run(int steps) {
     for (int i = 0; i < steps; ++i) step();
-    settle();
+    run_to_completion();
   }
 
-  std::vector<std::string> broken;
+  std::vector<std::string> violations;
   std::string transcript;
 
  private:
   int pick(int low, int high) {
     return low + static_cast<int>(random_() % static_cast<unsigned>(high - low + 1));
   }
-  void fault(const std::string& what) { broken.push_back(what); }
+  void add_violation(const std::string& description) { violations.push_back(description); }
 
-  void announce(EndpointListKind kind) {
+  void send_list(EndpointListKind kind) {
     std::vector<Server> listed;
     for (const auto& [id, server] : servers_) {
       if (kind == EndpointListKind::Delta || server.state != ServerState::Gone) listed.push_back(server);
     }
-    feed(EndpointList{kind, listed});
+    handle_event(EndpointList{kind, listed});
   }
 
-  void feed(const Event& event) {
+  void handle_event(const Event& event) {
     std::vector<Action> actions;
     balancer_->on_event(now_, event, actions);
-    for (const Action& action : actions) std::visit([this](const auto& a) { take(a); }, action);
+    for (const Action& action : actions) std::visit([this](const auto& a) { on_action(a); }, action);
   }
 
-  Tracked* known(RequestId id, const char* what) {
+  RequestState* find_request(RequestId id, const char* action_name) {
     const auto it = requests_.find(id);
-    if (it == requests_.end()) fault(std::string(what) + " for an unknown request");
+    if (it == requests_.end()) add_violation(std::string(action_name) + " for an unknown request");
     return it == requests_.end() ? nullptr : &it->second;
   }
 
-  void take(const Send& a) {
-    transcript += "s" + std::to_string(a.id) + ":" + std::to_string(a.server);
-    Tracked* r = known(a.id, "Send");
-    if (r == nullptr) return;
-    if (r->ended) fault("Send after the final answer");
-    if (now_ > r->in.deadline) fault("Send after the deadline");
-    const auto server = servers_.find(a.server);
-    if (server == servers_.end()) return fault("Send to an unknown server");
-    if (server->second.state != ServerState::Ready) fault("Send to a draining or gone server");
-    if (r->sends.size() >= settings_.max_attempts) fault("more attempts than max_attempts");
-    check_repeat(*r, server->second);
-    r->sends.push_back(a);
-    r->sent_at.push_back(now_);
-    r->out.push_back(true);
-    r->may_have_run.push_back(true);
+  void on_action(const Send& action) {
+    transcript += "s" + std::to_string(action.id) + ":" + std::to_string(action.server);
+    RequestState* state = find_request(action.id, "Send");
+    if (state == nullptr) return;
+    if (state->ended) add_violation("Send after the final answer");
+    if (now_ > state->request.deadline) add_violation("Send after the deadline");
+    const auto server = servers_.find(action.server);
+    if (server == servers_.end()) return add_violation("Send to an unknown server");
+    if (server->second.state != ServerState::Ready) add_violation("Send to a draining or gone server");
+    if (state->sends.size() >= settings_.max_attempts) add_violation("more attempts than max_attempts");
+    check_idempotency(*state, server->second);
+    state->sends.push_back(action);
+    state->sent_at_ms.push_back(now_);
+    state->active.push_back(true);
+    state->may_have_run.push_back(true);
   }
 
-  void check_repeat(const Tracked& r, const Server& to) {
-    const ClassSettings& c = settings_.classes[r.in.class_index];
-    for (std::size_t i = 0; i < r.sends.size(); ++i) {
-      if (r.out[i] && !settings_.may_hedge) fault("two concurrent attempts without hedging");
-      if (!r.may_have_run[i] || c.idempotency == Idempotency::Idempotent) continue;
-      if (c.idempotency == Idempotency::NonIdempotent) fault("non-idempotent request repeated");
-      const Server& ran = servers_.at(r.sends[i].server);
-      if (now_ - r.sent_at[i] > c.idempotency_window_ms)
-        fault("request repeated after its idempotency window");
-      if (c.idempotency_scope == IdempotencyScope::Zone && ran.zone != to.zone)
-        fault("request repeated outside its zone");
-      if (c.idempotency_scope == IdempotencyScope::Cell && ran.cell != to.cell)
-        fault("request repeated outside its cell");
+  void check_idempotency(const RequestState& state, const Server& target) {
+    const ClassSettings& class_settings = settings_.classes[state.request.class_index];
+    for (std::size_t i = 0; i < state.sends.size(); ++i) {
+      if (state.active[i] && !settings_.may_hedge) add_violation("two concurrent attempts without hedging");
+      if (!state.may_have_run[i] || class_settings.idempotency == Idempotency::Idempotent) continue;
+      if (class_settings.idempotency == Idempotency::NonIdempotent)
+        add_violation("non-idempotent request repeated");
+      const Server& previous = servers_.at(state.sends[i].server);
+      if (now_ - state.sent_at_ms[i] > class_settings.idempotency_window_ms)
+        add_violation("request repeated after its idempotency window");
+      if (class_settings.idempotency_scope == IdempotencyScope::Zone && previous.zone != target.zone)
+        add_violation("request repeated outside its zone");
+      if (class_settings.idempotency_scope == IdempotencyScope::Cell && previous.cell != target.cell)
+        add_violation("request repeated outside its cell");
     }
   }
 
-  void end(RequestId id, bool refusal) {
-    Tracked* r = known(id, "final answer");
-    if (r == nullptr) return;
-    if (r->ended) fault("two final answers");
-    r->ended = true;
-    if (now_ > r->in.deadline + 20) fault("final answer after the deadline");
-    const ClassSettings& c = settings_.classes[r->in.class_index];
-    const bool may_have_run = std::count(r->may_have_run.begin(), r->may_have_run.end(), true) != 0;
-    const bool repeatable =
-        c.idempotency == Idempotency::Idempotent ||
-        (c.idempotency == Idempotency::WithKey && c.idempotency_scope == IdempotencyScope::All);
-    if (refusal && may_have_run && !repeatable)
-      fault("request rejected although it may have run and must not be repeated");
+  void end_request(RequestId id, bool rejected) {
+    RequestState* state = find_request(id, "final answer");
+    if (state == nullptr) return;
+    if (state->ended) add_violation("two final answers");
+    state->ended = true;
+    if (now_ > state->request.deadline + 20) add_violation("final answer after the deadline");
+    const ClassSettings& class_settings = settings_.classes[state->request.class_index];
+    const bool may_have_run = std::count(state->may_have_run.begin(), state->may_have_run.end(), true) != 0;
+    const bool repeatable = class_settings.idempotency == Idempotency::Idempotent ||
+                            (class_settings.idempotency == Idempotency::WithKey &&
+                             class_settings.idempotency_scope == IdempotencyScope::All);
+    if (rejected && may_have_run && !repeatable)
+      add_violation("request rejected although it may have run and must not be repeated");
   }
 
-  void take(const Reject& a) { transcript += "r" + std::to_string(a.id), end(a.id, true); }
-  void take(const Fail& a) { transcript += "f" + std::to_string(a.id), end(a.id, false); }
-  void take(const Cancel& a) {
-    transcript += "c" + std::to_string(a.id);
-    if (!settings_.may_cancel) fault("Cancel is not allowed");
-    Tracked* r = known(a.id, "Cancel");
-    if (r != nullptr && a.attempt >= r->sends.size()) fault("Cancel of an attempt that was not sent");
+  void on_action(const Reject& action) {
+    transcript += "r" + std::to_string(action.id), end_request(action.id, true);
   }
-  void take(const SetTimer& a) {
-    if (!(a.delay_ms >= 0)) fault("timer with a negative delay");
-    timers_.emplace(now_ + a.delay_ms, a.token);
+  void on_action(const Fail& action) {
+    transcript += "f" + std::to_string(action.id), end_request(action.id, false);
   }
-  void take(const SendHealthCheck& a) {
-    if (!settings_.may_health_check) fault("health check is not allowed");
-    probes_.push_back(a.server);
+  void on_action(const Cancel& action) {
+    transcript += "c" + std::to_string(action.id);
+    if (!settings_.may_cancel) add_violation("Cancel is not allowed");
+    RequestState* state = find_request(action.id, "Cancel");
+    if (state != nullptr && action.attempt >= state->sends.size())
+      add_violation("Cancel of an attempt that was not sent");
   }
-  void take(const WatchEndpoints&) { watching_ = true; }
-  void take(const Log&) {}
+  void on_action(const SetTimer& action) {
+    if (!(action.delay_ms >= 0)) add_violation("timer with a negative delay");
+    timers_.emplace(now_ + action.delay_ms, action.token);
+  }
+  void on_action(const SendHealthCheck& action) {
+    if (!settings_.may_health_check) add_violation("health check is not allowed");
+    pending_health_checks_.push_back(action.server);
+  }
+  void on_action(const WatchEndpoints&) { watch_pending_ = true; }
+  void on_action(const Log&) {}
 
   void step() {
     for (int ticks = pick(0, 3) == 0 ? pick(1, 8) : 1; ticks > 0; --ticks) tick();
-    act_up();
+    random_event();
   }
 
   void tick() { // fires the timers that are due within one event interval
@@ -164,92 +171,95 @@
     while (!timers_.empty() && timers_.begin()->first <= now_) {
       const auto token = timers_.begin()->second;
       timers_.erase(timers_.begin());
-      feed(TimerFired{token});
+      handle_event(TimerFired{token});
     }
     for (auto& [id, r] : requests_) { // attempts that are active at the deadline time out
-      if (now_ >= r.in.deadline) time_out(id, r);
+      if (now_ >= r.request.deadline) time_out_attempts(id, r);
     }
   }
 
-  void act_up() {
+  void random_event() {
     switch (pick(0, 20)) {
       case 0: change_servers(); break;
-      case 1: feed(ClientDisconnected{kept(pick(0, 5))}); break;
+      case 1: handle_event(ClientDisconnected{recent_request(pick(0, 5))}); break;
       case 2:
-        if (!probes_.empty()) {
-          feed(HealthCheckResult{probes_.back(), 5, pick(0, 1) != 0, report()});
-          probes_.pop_back();
+        if (!pending_health_checks_.empty()) {
+          handle_event(
+              HealthCheckResult{pending_health_checks_.back(), 5, pick(0, 1) != 0, random_load_report()});
+          pending_health_checks_.pop_back();
         }
         break;
-      case 3: feed(AttemptOutcome{.id = next_ + 5, .attempt = 0, .server = 3}); break;
+      case 3: handle_event(AttemptOutcome{.id = last_request_ + 5, .attempt = 0, .server = 3}); break;
       case 4:
-        if (watching_)
-          watching_ = false, announce(pick(0, 1) != 0 ? EndpointListKind::Delta : EndpointListKind::Failed);
+        if (watch_pending_)
+          watch_pending_ = false,
+          send_list(pick(0, 1) != 0 ? EndpointListKind::Delta : EndpointListKind::Failed);
         break;
       case 5:
       case 6:
       case 7:
       case 8:
-      case 9: arrive(); break;
-      default: finish_some(); break;
+      case 9: add_request(); break;
+      default: finish_random_attempts(); break;
     }
   }
 
-  RequestId kept(int back) { // a recent request, which is marked as ended before the event is sent
-    const RequestId id = next_ > static_cast<RequestId>(back) ? next_ - static_cast<RequestId>(back) : 0;
+  RequestId recent_request(int age) { // a recent request, which is marked as ended before the event is sent
+    const RequestId id =
+        last_request_ > static_cast<RequestId>(age) ? last_request_ - static_cast<RequestId>(age) : 0;
     if (const auto it = requests_.find(id); it != requests_.end()) it->second.ended = true;
     return id;
   }
 
   void change_servers() {
-    Server& s = servers_[static_cast<ServerId>(pick(1, 9))];
-    s.state = static_cast<ServerState>(pick(0, 2));
-    if (pick(0, 1) != 0) s.state = ServerState::Ready;
-    if (pick(0, 3) == 0) s.started_at = now_;
-    announce(pick(0, 2) == 0 ? EndpointListKind::Full : EndpointListKind::Delta);
+    Server& server = servers_[static_cast<ServerId>(pick(1, 9))];
+    server.state = static_cast<ServerState>(pick(0, 2));
+    if (pick(0, 1) != 0) server.state = ServerState::Ready;
+    if (pick(0, 3) == 0) server.started_at = now_;
+    send_list(pick(0, 2) == 0 ? EndpointListKind::Full : EndpointListKind::Delta);
   }
 
-  void arrive() {
-    Request in;
-    in.id = ++next_;
-    in.class_index = static_cast<std::uint32_t>(pick(0, 2));
-    in.key = static_cast<std::uint64_t>(pick(0, 30));
-    in.deadline = now_ + pick(5, 900);
-    in.write = pick(0, 5) == 0;
-    requests_[in.id].in = in;
-    feed(in);
-    if (break_a_rule_ && next_ % 50 == 0) { // actions of a balancer that violates the rules
-      take(Reject{in.id, 0});
-      take(Send{in.id, 1, 0});
+  void add_request() {
+    Request request;
+    request.id = ++last_request_;
+    request.class_index = static_cast<std::uint32_t>(pick(0, 2));
+    request.key = static_cast<std::uint64_t>(pick(0, 30));
+    request.deadline = now_ + pick(5, 900);
+    request.write = pick(0, 5) == 0;
+    requests_[request.id].request = request;
+    handle_event(request);
+    if (inject_violation_ && last_request_ % 50 == 0) { // actions of a balancer that violates the rules
+      on_action(Reject{request.id, 0});
+      on_action(Send{request.id, 1, 0});
     }
   }
 
-  std::vector<float> report() {
+  std::vector<float> random_load_report() {
     if (pick(0, 2) == 0) return {};
     return {static_cast<float>(pick(-1, 60)), static_cast<float>(pick(0, 200))};
   }
 
-  void time_out(RequestId id, Tracked& r) {
-    for (std::size_t i = 0; i < r.out.size(); ++i) {
-      if (r.out[i]) end_attempt(id, r, i, AttemptResult::TimedOut);
+  void time_out_attempts(RequestId id, RequestState& state) {
+    for (std::size_t i = 0; i < state.active.size(); ++i) {
+      if (state.active[i]) end_attempt(id, state, i, AttemptResult::TimedOut);
     }
   }
 
-  void end_attempt(RequestId id, Tracked& r, std::size_t i, AttemptResult result) {
-    r.out[i] = false;
-    r.may_have_run[i] = result != AttemptResult::Overloaded && result != AttemptResult::ConnectFailed &&
-                        result != AttemptResult::Abandoned && result != AttemptResult::CacheMiss;
-    const bool over = r.ended || result == AttemptResult::Ok;
-    r.ended = over;
-    const ServerId server = r.sends[i].server;
-    feed(AttemptOutcome{id, static_cast<std::uint32_t>(i), server, result, now_ - r.sent_at[i], over,
-                        report(), false});
+  void end_attempt(RequestId id, RequestState& state, std::size_t i, AttemptResult result) {
+    state.active[i] = false;
+    state.may_have_run[i] = result != AttemptResult::Overloaded && result != AttemptResult::ConnectFailed &&
+                            result != AttemptResult::Abandoned && result != AttemptResult::CacheMiss;
+    const bool request_ended = state.ended || result == AttemptResult::Ok;
+    state.ended = request_ended;
+    const ServerId server = state.sends[i].server;
+    handle_event(AttemptOutcome{id, static_cast<std::uint32_t>(i), server, result, now_ - state.sent_at_ms[i],
+                                request_ended, random_load_report(), false});
   }
 
-  void finish_some() {
+  void finish_random_attempts() {
     for (auto& [id, r] : requests_) {
-      for (std::size_t i = 0; i < r.out.size(); ++i) {
-        if (!r.out[i] || pick(0, 5) != 0) continue;
+      for (std::size_t i = 0; i < r.active.size(); ++i) {
+        if (!r.active[i] || pick(0, 5) != 0) continue;
         const AttemptResult result = static_cast<AttemptResult>(pick(0, 8));
         if (result == AttemptResult::TimedOut) continue; // attempts time out only at the deadline
         end_attempt(id, r, i, pick(0, 2) == 0 ? AttemptResult::Ok : result);
@@ -257,56 +267,57 @@
       }
     }
     std::erase_if(requests_, [this](const auto& entry) {
-      const Tracked& r = entry.second;
-      if (now_ > r.in.deadline + 20 && !r.ended) fault("no final answer");
-      return now_ > r.in.deadline + 100 && std::count(r.out.begin(), r.out.end(), true) == 0;
+      const RequestState& r = entry.second;
+      if (now_ > r.request.deadline + 20 && !r.ended) add_violation("no final answer");
+      return now_ > r.request.deadline + 100 && std::count(r.active.begin(), r.active.end(), true) == 0;
     });
   }
 
-  void settle() {
+  void run_to_completion() {
     for (int i = 0; i < 2000; ++i) tick();
     for (const auto& [id, r] : requests_) {
-      if (!r.ended) fault("request without a final answer");
+      if (!r.ended) add_violation("request without a final answer");
     }
   }
 
   std::mt19937_64 random_;
-  bool break_a_rule_;
+  bool inject_violation_;
   Settings settings_;
   std::unique_ptr<Balancer> balancer_;
   double now_ = 5000;
-  RequestId next_ = 0;
-  std::map<RequestId, Tracked> requests_;
+  RequestId last_request_ = 0;
+  std::map<RequestId, RequestState> requests_;
   std::map<ServerId, Server> servers_;
   std::multimap<double, std::uint64_t> timers_;
-  std::vector<ServerId> probes_;
-  bool watching_ = false;
+  std::vector<ServerId> pending_health_checks_;
+  bool watch_pending_ = false;
 };
 
 class RandomEvents : public ::testing::TestWithParam<int> {};
 
 TEST_P(RandomEvents, SatisfyTheRules) {
   for (int i = 0; i < 10; ++i) {
-    Drive drive(static_cast<std::uint64_t>(GetParam() * 10 + i));
-    drive.run(4000);
-    EXPECT_TRUE(drive.broken.empty()) << "seed " << GetParam() * 10 + i << ": " << drive.broken.front();
-    EXPECT_GT(drive.transcript.size(), 1000u);
+    RandomDriver driver(static_cast<std::uint64_t>(GetParam() * 10 + i));
+    driver.run(4000);
+    EXPECT_TRUE(driver.violations.empty())
+        << "seed " << GetParam() * 10 + i << ": " << driver.violations.front();
+    EXPECT_GT(driver.transcript.size(), 1000u);
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomEvents, ::testing::Range(0, 10));
 
 TEST(RandomEventsDeterminism, EqualEventsLeadToEqualActions) {
-  Drive one(3), two(3);
-  one.run(3000);
-  two.run(3000);
-  EXPECT_EQ(one.transcript, two.transcript);
+  RandomDriver first(3), second(3);
+  first.run(3000);
+  second.run(3000);
+  EXPECT_EQ(first.transcript, second.transcript);
 }
 
 TEST(RandomEventsChecks, DetectARuleViolation) {
-  Drive drive(3, true);
-  drive.run(1000);
-  const std::set<std::string> found(drive.broken.begin(), drive.broken.end());
+  RandomDriver driver(3, true);
+  driver.run(1000);
+  const std::set<std::string> found(driver.violations.begin(), driver.violations.end());
   EXPECT_EQ(found.count("Send after the final answer"), 1u);
 }
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -5,13 +5,14 @@
 
 #include <cmath>
 
+#include "balancer_driver.h"
 #include "simulator_adapter/wire.h"
-#include "support.h"
 
 namespace fernward {
 namespace {
 
-const char* const kFull = R"({"balancers": 4, "me": 2, "my_zone": 1, "tick": 2.5, "over_share_worth": 0.2,
+const char* const kFullSettings =
+    R"({"balancers": 4, "me": 2, "my_zone": 1, "tick": 2.5, "over_share_worth": 0.2,
   "classes": [{"aim": 600.0, "dedup_scope": "zone", "give_up": 2000.0, "late_share": 0.25, "repeat": "keyed",
                "stream": true, "window": 5000.0, "worth": 10.0}],
   "extra": {"mode": "aside", "origin_kind": 2},
@@ -23,7 +24,7 @@
   "telemetry": {"via": "on_probe", "columns": ["qps", "latency_ms", "queue", "x9"]}})";
 
 TEST(SettingsJson, ReadsAllDocumentedKeys) {
-  const Settings s = simulator_adapter::parse_settings(kFull);
+  const Settings s = simulator_adapter::parse_settings(kFullSettings);
   EXPECT_EQ(s.router_count, 4u);
   EXPECT_EQ(s.zone, 1u);
   EXPECT_EQ(s.origin_kind, 2);
@@ -36,19 +37,19 @@
   EXPECT_EQ(s.weight_kind, WeightKind::Live);
   EXPECT_EQ(s.load_report_source, LoadReportSource::HealthChecks);
   EXPECT_EQ(s.load_report_fields,
-            (std::vector<LoadReportField>{LoadReportField::Qps, LoadReportField::LatencyMs,
+            (std::vector<LoadReportField>{LoadReportField::RequestRate, LoadReportField::LatencyMs,
                                           LoadReportField::Queue, LoadReportField::Other}));
   ASSERT_EQ(s.classes.size(), 1u);
   EXPECT_EQ(s.classes[0].idempotency, Idempotency::WithKey);
   EXPECT_EQ(s.classes[0].idempotency_scope, IdempotencyScope::Zone);
   EXPECT_TRUE(s.classes[0].streaming);
-  EXPECT_DOUBLE_EQ(s.classes[0].late_value_share, 0.25);
+  EXPECT_DOUBLE_EQ(s.classes[0].late_response_value_share, 0.25);
   ASSERT_EQ(s.tenants.size(), 1u);
   EXPECT_DOUBLE_EQ(s.tenants[0].quota_per_s, 45);
 }
 
 TEST(SettingsJson, ModeOtherThanAsideHasNoOriginKind) {
-  std::string text = kFull;
+  std::string text = kFullSettings;
   text.replace(text.find("aside"), 5, "thru!");
   EXPECT_EQ(simulator_adapter::parse_settings(text).origin_kind, -1);
 }
@@ -56,7 +57,7 @@
 TEST(SettingsJson, RejectsWrongTypesAndMissingKeys) {
   EXPECT_THROW(simulator_adapter::parse_settings("[1, 2]"), simulator_adapter::BadInput);
   EXPECT_THROW(simulator_adapter::parse_settings(R"({"balancers": "three"})"), simulator_adapter::BadInput);
-  std::string text = kFull;
+  std::string text = kFullSettings;
   text.replace(text.find("max_attempts"), 12, "min_attempts");
   EXPECT_THROW(simulator_adapter::parse_settings(text), simulator_adapter::BadInput);
 }
@@ -78,7 +79,7 @@
   EXPECT_NE(message([](Settings& s) { s.router_count = 65537; }).find("nodes"), std::string::npos);
   EXPECT_NE(message([](Settings& s) { s.classes[0].latency_objective_ms = -1; }).find("classes[0].aim_ms"),
             std::string::npos);
-  EXPECT_NE(message([](Settings& s) { s.classes[0].late_value_share = 1.5; }).find("late_share"),
+  EXPECT_NE(message([](Settings& s) { s.classes[0].late_response_value_share = 1.5; }).find("late_share"),
             std::string::npos);
   EXPECT_NE(message([](Settings& s) { s.slow_start_min_capacity = -0.1; }).find("start_capacity"),
             std::string::npos);
--- a/tests/sidecar/supervisor_test.cpp
+++ b/tests/sidecar/supervisor_test.cpp
@@ -13,59 +13,60 @@
 
 namespace {
 
-const char* word(Do action) {
-  constexpr const char* kWords[] = {"router",    "application", "end-router", "reload", "kill-router",
-                                    "terminate", "interrupt",   "kill",       "end"};
-  return kWords[static_cast<std::size_t>(action)];
+const char* action_name(Action action) {
+  constexpr const char* kActionNames[] = {"router",    "application", "end-router", "reload", "kill-router",
+                                          "terminate", "interrupt",   "kill",       "end"};
+  return kActionNames[static_cast<std::size_t>(action)];
 }
 
 // Runs a sequence of events and returns the actions. Events are letters: b begin, r ready, x router ended,
 // a application ended with code 7, T/I/H the signals SIGTERM, SIGINT, SIGHUP; "+N" advances the time by N ms.
-std::string played(const std::string& events, int* code = nullptr) {
-  Rules rules;
-  rules.ready_ms = 1000, rules.stop_ms = 500, rules.drain_ms = 800, rules.restart_first_ms = 100,
-  rules.restart_most_ms = 400;
-  rules.steady_ms = 2000;
-  Supervisor supervisor(rules);
-  std::string said;
+std::string run_events(const std::string& events, int* code = nullptr) {
+  SupervisorSettings settings;
+  settings.ready_timeout_ms = 1000, settings.stop_timeout_ms = 500, settings.drain_timeout_ms = 800,
+  settings.restart_backoff_min_ms = 100, settings.restart_backoff_max_ms = 400;
+  settings.backoff_reset_ms = 2000;
+  Supervisor supervisor(settings);
+  std::string performed;
   double now = 0;
-  const auto take = [&](const Event& event) {
-    std::vector<Do> actions;
-    supervisor.on(now, event, actions);
-    for (const Do action : actions) said += (said.empty() ? "" : " ") + std::string(word(action));
+  const auto handle = [&](const Event& event) {
+    std::vector<Action> actions;
+    supervisor.on_event(now, event, actions);
+    for (const Action action : actions)
+      performed += (performed.empty() ? "" : " ") + std::string(action_name(action));
   };
   for (std::size_t i = 0; i < events.size(); ++i) {
     switch (events[i]) {
-      case 'b': take(Begin{}); break;
-      case 'r': take(RouterReady{}); break;
-      case 'x': take(RouterEnded{}); break;
-      case 'a': take(ApplicationEnded{7}); break;
-      case 'T': take(Signalled{Signal::Terminate}); break;
-      case 'I': take(Signalled{Signal::Interrupt}); break;
-      case 'H': take(Signalled{Signal::Reload}); break;
+      case 'b': handle(Start{}); break;
+      case 'r': handle(RouterReady{}); break;
+      case 'x': handle(RouterEnded{}); break;
+      case 'a': handle(ApplicationEnded{7}); break;
+      case 'T': handle(SignalReceived{Signal::Terminate}); break;
+      case 'I': handle(SignalReceived{Signal::Interrupt}); break;
+      case 'H': handle(SignalReceived{Signal::Reload}); break;
       case '+': {
-        const double end = now + std::stod(events.substr(i + 1));
-        while (supervisor.next() && *supervisor.next() <= end) {
-          now = *supervisor.next();
-          take(Tick{});
+        const double end_time = now + std::stod(events.substr(i + 1));
+        while (supervisor.next_deadline() && *supervisor.next_deadline() <= end_time) {
+          now = *supervisor.next_deadline();
+          handle(TimerExpired{});
         }
-        now = end;
+        now = end_time;
         while (i + 1 < events.size() && std::isdigit(events[i + 1])) ++i;
-        said += said.empty() ? "|" : " |";
+        performed += performed.empty() ? "|" : " |";
         break;
       }
       default: break;
     }
   }
-  if (code != nullptr) *code = supervisor.code();
-  return said;
+  if (code != nullptr) *code = supervisor.exit_code();
+  return performed;
 }
 
 } // namespace
 
 TEST_CASE("stories") {
   const struct {
-    const char* what;
+    const char* description;
     std::string events, actions;
     int code;
   } rows[] = {
@@ -99,9 +100,9 @@
       {"the application ends while the router is down", "brxa", "router application end", 7},
   };
   for (const auto& row : rows) {
-    CAPTURE(row.what);
+    CAPTURE(row.description);
     int code = -1;
-    CHECK(played(row.events, &code) == row.actions);
+    CHECK(run_events(row.events, &code) == row.actions);
     CHECK(code == row.code);
   }
 }
@@ -110,83 +111,88 @@
 // application, and a sidecar that never ends.
 TEST_CASE("invariants hold for any sequence of events") {
   CHECK(rc::check("order", [] {
-    Rules rules;
-    Supervisor supervisor(rules);
+    SupervisorSettings settings;
+    Supervisor supervisor(settings);
     double now = 0;
-    bool router = false, ready = false, application = false, began = false, over = false,
-         asked_to_end = false;
-    int ends = 0;
-    double asked_at = 1e18;
-    const auto take = [&](const Event& event) {
-      std::vector<Do> actions;
-      supervisor.on(now, event, actions);
-      for (const Do action : actions) {
-        RC_ASSERT(ends == 0); // no action after End
+    bool router_running = false, router_ready = false, application_running = false,
+         application_started = false, exited = false, stop_requested = false;
+    int exit_count = 0;
+    double stop_requested_at = 1e18;
+    const auto handle = [&](const Event& event) {
+      std::vector<Action> actions;
+      supervisor.on_event(now, event, actions);
+      for (const Action action : actions) {
+        RC_ASSERT(exit_count == 0); // no action after End
         switch (action) {
-          case Do::StartRouter:
-            RC_ASSERT(!router);
-            router = true, ready = false;
+          case Action::StartRouter:
+            RC_ASSERT(!router_running);
+            router_running = true, router_ready = false;
             break;
-          case Do::StartApplication:
-            RC_ASSERT(ready && !began);
-            application = began = true;
+          case Action::StartApplication:
+            RC_ASSERT(router_ready && !application_started);
+            application_running = application_started = true;
             break;
-          case Do::TerminateRouter:
-            RC_ASSERT(router && !application); // the application ends first
+          case Action::TerminateRouter:
+            RC_ASSERT(router_running && !application_running); // the application ends first
             break;
-          case Do::ReloadRouter: RC_ASSERT(router && ready); break;
-          case Do::KillRouter: RC_ASSERT(router && asked_to_end); break;
-          case Do::TerminateApplication:
-          case Do::InterruptApplication:
-          case Do::KillApplication:
-            RC_ASSERT(application && asked_to_end);
-            if (action == Do::KillApplication) RC_ASSERT(now >= asked_at + rules.stop_ms);
+          case Action::ReloadRouter: RC_ASSERT(router_running && router_ready); break;
+          case Action::KillRouter: RC_ASSERT(router_running && stop_requested); break;
+          case Action::TerminateApplication:
+          case Action::InterruptApplication:
+          case Action::KillApplication:
+            RC_ASSERT(application_running && stop_requested);
+            if (action == Action::KillApplication)
+              RC_ASSERT(now >= stop_requested_at + settings.stop_timeout_ms);
             break;
-          case Do::End:
-            RC_ASSERT(!router && !application);
-            ++ends;
-            over = true;
+          case Action::Exit:
+            RC_ASSERT(!router_running && !application_running);
+            ++exit_count;
+            exited = true;
         }
-        if (action == Do::TerminateRouter) asked_to_end = true;
+        if (action == Action::TerminateRouter) stop_requested = true;
       }
     };
-    take(Begin{});
+    handle(Start{});
     const auto steps = *rc::gen::inRange(0, 60);
-    for (int i = 0; i < steps && !over; ++i) {
+    for (int i = 0; i < steps && !exited; ++i) {
       now += *rc::gen::inRange(0, 4000);
-      if (supervisor.next() && *supervisor.next() <= now) take(Tick{});
-      if (over) break;
+      if (supervisor.next_deadline() && *supervisor.next_deadline() <= now) handle(TimerExpired{});
+      if (exited) break;
       switch (*rc::gen::inRange(0, 7)) {
         case 0:
-          if (router) ready = true, take(RouterReady{});
+          if (router_running) router_ready = true, handle(RouterReady{});
           break;
         case 1:
-          if (router) router = ready = false, take(RouterEnded{});
+          if (router_running) router_running = router_ready = false, handle(RouterEnded{});
           break;
         case 2:
-          if (application) application = false, take(ApplicationEnded{3});
+          if (application_running) application_running = false, handle(ApplicationEnded{3});
           break;
         case 3:
-          asked_to_end = true, asked_at = std::min(asked_at, application ? now : 1e18),
-          take(Signalled{Signal::Terminate});
+          stop_requested = true,
+          stop_requested_at = std::min(stop_requested_at, application_running ? now : 1e18),
+          handle(SignalReceived{Signal::Terminate});
           break;
         case 4:
-          asked_to_end = true, asked_at = std::min(asked_at, application ? now : 1e18),
-          take(Signalled{Signal::Interrupt});
+          stop_requested = true,
+          stop_requested_at = std::min(stop_requested_at, application_running ? now : 1e18),
+          handle(SignalReceived{Signal::Interrupt});
           break;
-        case 5: take(Signalled{Signal::Reload}); break;
-        default: take(Tick{});
+        case 5: handle(SignalReceived{Signal::Reload}); break;
+        default: handle(TimerExpired{});
       }
     }
     // From any state the sidecar ends, provided that the processes react to the signals.
-    if (!over)
-      asked_to_end = true, asked_at = std::min(asked_at, application ? now : 1e18),
-      take(Signalled{Signal::Terminate});
-    for (int i = 0; i < 10 && !over; ++i) {
-      if (application) application = false, take(ApplicationEnded{3});
-      if (!over && router) router = ready = false, take(RouterEnded{});
-      if (!over && supervisor.next()) now = std::max(now, *supervisor.next()), take(Tick{});
+    if (!exited)
+      stop_requested = true,
+      stop_requested_at = std::min(stop_requested_at, application_running ? now : 1e18),
+      handle(SignalReceived{Signal::Terminate});
+    for (int i = 0; i < 10 && !exited; ++i) {
+      if (application_running) application_running = false, handle(ApplicationEnded{3});
+      if (!exited && router_running) router_running = router_ready = false, handle(RouterEnded{});
+      if (!exited && supervisor.next_deadline())
+        now = std::max(now, *supervisor.next_deadline()), handle(TimerExpired{});
     }
-    RC_ASSERT(over && ends == 1);
+    RC_ASSERT(exited && exit_count == 1);
   }));
 }
