--- a/src/app_config/keys.cpp
+++ b/src/app_config/keys.cpp
@@ -31,75 +31,75 @@
 const TableTexts& table_texts(Table table) { return kTableTexts.at(static_cast<std::size_t>(table)); }
 
 void describe_fleet(Visitor& visitor, UpstreamFleetConfig& fleet_config) {
-  visitor.enter("fleet", "the cache nodes, and where they are told");
+  visitor.enter("fleet", "the cache nodes, and the source of their list");
   visitor.texts("zones", fleet_config.zones, "names of zones");
   each_named_item(visitor, "kinds", fleet_config.kinds, "a kind of node", [&](NodeKindConfig& k) {
-    visitor.amount("cores", k.cores, Unit::Number, "of such a node; 0: unknown");
-    visitor.amount("speed", k.core_speed, Unit::Number, "of a core; work is counted on a core of speed 1");
-    visitor.amount("memory_bytes", k.memory_bytes, Unit::Bytes, "for values; 0: unknown");
+    visitor.amount("cores", k.cores, Unit::Number, "of a node of this kind; 0: unknown");
+    visitor.amount("speed", k.core_speed, Unit::Number, "of a core; work is measured on a core of speed 1");
+    visitor.amount("memory_bytes", k.memory_bytes, Unit::Bytes, "for cached values; 0: unknown");
   });
   optional_member(visitor, "zone", fleet_config.own_zone, [&](auto& z) {
-    visitor.ref("zone", z, tables::kZones, false, "the router's own; its nodes go first");
+    visitor.ref("zone", z, tables::kZones, false, "the router's own; its nodes are preferred");
   });
   optional_member(visitor, "ledger", fleet_config.origin_kind, [&](auto& k) {
     visitor.ref("ledger", k, tables::kKinds, false,
-                "the kind that is asked where the others miss; without it nodes answer all");
+                "the kind that serves cache misses and writes; without it nodes serve all requests");
   });
   visitor.text("discovery", fleet_config.discovery_address, false,
-               "an address that tells the nodes and their changes, `10.2.0.1:8500`");
+               "the address of the discovery service, `10.2.0.1:8500`");
   visitor.text("file", fleet_config.nodes_file, false,
-               "a file that tells them, in discovery's form; it is watched");
+               "a file with the node list, in discovery's format; it is watched");
   each_named_item(
-      visitor, "nodes", fleet_config.nodes, "a node, where neither of the two is given", [&](NodeConfig& n) {
+      visitor, "nodes", fleet_config.nodes, "a node, if neither of the two is given", [&](NodeConfig& n) {
         visitor.text("address", n.address, true, "`10.1.0.18:7070`");
         optional_member(visitor, "zone", n.zone, [&](auto& z) {
-          visitor.ref("zone", z, tables::kZones, false, "where it stands; without it the first");
+          visitor.ref("zone", z, tables::kZones, false, "its zone; default: the first");
         });
         optional_member(visitor, "kind", n.kind, [&](auto& k) {
-          visitor.ref("kind", k, tables::kKinds, false, "what it is; without it the first but the ledger's");
+          visitor.ref("kind", k, tables::kKinds, false, "its kind; default: the first except the ledger's");
         });
-        visitor.amount("weight", n.weight, Unit::Number, "how much it can do beside the others");
+        visitor.amount("weight", n.weight, Unit::Number, "its capacity relative to the others");
       });
   visitor.amount("delay_ms", fleet_config.max_one_way_delay_ms, Unit::Time,
-                 "one way to the farthest node; checks use it");
+                 "one-way delay to the farthest node; used by checks");
   visitor.amount("warm_after_ms", fleet_config.slow_start_ms, Unit::Time,
-                 "a started node is cold for this long; 0: never");
+                 "a started node is in slow start for this long; 0: never");
   visitor.amount("start_capacity", fleet_config.slow_start_min_capacity, Unit::Share,
-                 "of its capacity that a cold node has at least");
+                 "minimum share of its capacity that a node has in slow start");
   visitor.amount("tip_after_ms", fleet_config.overload_failure_ms, Unit::Time,
-                 "a cold node that is pushed over for this long falls over");
+                 "a node in slow start fails if it is overloaded for this long");
   visitor.choice("weights", fleet_config.weight_kind, kWeightKindWords, false,
-                 "how far the list's weights can be trusted");
+                 "how reliable the weights of the list are");
   visitor.leave();
 }
 
 void describe_class(Visitor& visitor, ClassConfig& request_class) {
   visitor.amount("aim_ms", request_class.latency_objective_ms, Unit::Time,
-                 "an answer within this is worth the whole; 0: within give_up");
-  visitor.amount("give_up_ms", request_class.client_timeout_ms, Unit::Time,
-                 "clients wait this long at most (needed)");
+                 "latency objective: a response within it has its full value; 0: give_up");
+  visitor.amount("give_up_ms", request_class.client_timeout_ms, Unit::Time, "client timeout (needed)");
   visitor.amount("aim_stretch", request_class.objective_per_work, Unit::Number,
-                 "the aim grows by this many times the request's own work");
+                 "the aim grows by this multiple of the request's own work");
   visitor.amount("late_share", request_class.late_value_share, Unit::Share,
-                 "of the worth, for an answer after the aim");
+                 "share of the value of a response after the aim");
   visitor.amount("worth", request_class.priority_weight, Unit::Number,
-                 "beside other classes: the least worth is refused first");
+                 "priority weight relative to other classes; the lowest is rejected first");
   enum_choice(visitor, "repeat", request_class.idempotency, kIdempotencyWords,
-              "may its effect be carried out again? `keyed`: with the same key, inside the window", true);
+              "whether it may be executed again; `keyed`: with the same key, within the window", true);
   enum_choice(visitor, "scope", request_class.idempotency_scope, kIdempotencyScopeWords,
-              "keyed: the nodes that drop a repeat together");
-  visitor.amount("window_ms", request_class.idempotency_window_ms, Unit::Time, "keyed: for how long they do");
+              "keyed: the nodes that drop duplicates together");
+  visitor.amount("window_ms", request_class.idempotency_window_ms, Unit::Time,
+                 "keyed: how long they drop duplicates");
   optional_member(visitor, "retries", request_class.max_retries, [&](auto& n) {
-    visitor.count("retries", n, "further attempts of one request; without it attempts.most less one");
+    visitor.count("retries", n, "retries of one request; default: attempts.most less one");
   });
   optional_member(visitor, "retry_for_ms", request_class.retry_window_ms, [&](auto& t) {
     visitor.amount("retry_for_ms", t, Unit::Time,
-                   "keyed: none later than this after the first; without it the window");
+                   "keyed: no retry later than this after the first attempt; default: the window");
   });
-  visitor.flag("copies", request_class.may_hedge, "a second copy may be out beside a late attempt");
+  visitor.flag("copies", request_class.may_hedge, "a slow attempt may be hedged");
   visitor.flag("write", request_class.is_write, "its requests are writes (PUT), which go to the ledger");
   visitor.amount("traffic", request_class.traffic_share, Unit::Share,
-                 "of the requests, relative to the other classes; checks use it");
+                 "share of requests, relative to the other classes; used by checks");
 }
 
 } // namespace
@@ -136,108 +136,109 @@
 const char* AppConfigNames::list(Table table) const { return table_texts(table).list; }
 
 void describe(Visitor& visitor, AppConfig& app) {
-  visitor.text("name", app.name, true, "of the application; it stands in the log");
+  visitor.text("name", app.name, true, "of the application; used in the log");
   visitor.text("listen", app.listen_address, true,
-               "where it asks: `127.0.0.1:7070`, or `unix:/run/app/router.sock`");
-  visitor.seed("seed", app.seed, "of random draws; 0: drawn at the start");
+               "listen address: `127.0.0.1:7070`, or `unix:/run/app/router.sock`");
+  visitor.seed("seed", app.seed, "of random draws; 0: drawn at startup");
   visitor.flag("make_ids", app.generate_request_ids,
-               "a request without X-Request-ID is given one, in place of 400");
+               "a request without X-Request-ID gets one instead of status 400");
   describe_fleet(visitor, app.fleet);
   each_named_item(visitor, "classes", app.classes, "a class of requests, as X-Priority-Class names it",
                   [&](ClassConfig& c) { describe_class(visitor, c); });
-  each_named_item(visitor, "tenants", app.tenants, "who asks, as X-Tenant-Id names it", [&](TenantConfig& t) {
+  each_named_item(visitor, "tenants", app.tenants, "a tenant, as X-Tenant-Id names it", [&](TenantConfig& t) {
     visitor.amount("share", t.service_share, Unit::Share, "of the service");
     visitor.amount("quota_per_s", t.quota_per_s, Unit::Rate,
-                   "beyond it requests are worth less; 0: no quota");
+                   "requests beyond it have a lower priority weight; 0: no quota");
   });
   each_item(visitor, "map", app.mappings,
-            "what a request is that does not say so in its headers; the first entry that fits counts",
+            "class and tenant of requests without these headers; the first matching entry applies",
             [&](RequestMapping& m) {
-              visitor.text("path", m.path_prefix, true, "that its path begins with");
+              visitor.text("path", m.path_prefix, true, "prefix of its path");
               enum_choice(visitor, "method", m.method, kMethodWords, "its method");
               visitor.ref("cls", m.class_index, tables::kClasses, true, "its class");
               optional_member(visitor, "tenant", m.tenant_index, [&](auto& t) {
                 visitor.ref("tenant", t, tables::kTenants, false, "its tenant");
               });
               optional_member(visitor, "timeout_ms", m.client_timeout_ms, [&](auto& t) {
-                visitor.amount("timeout_ms", t, Unit::Time,
-                               "how long its client waits; without it the class's give_up");
+                visitor.amount("timeout_ms", t, Unit::Time, "client timeout; default: the class's give_up");
               });
             });
   visitor.enter("attempts", "what the router may do for one request");
-  visitor.count("most", app.attempts.max_attempts, "attempts, copies included");
-  visitor.flag("cancel", app.attempts.may_cancel, "attempts that nobody waits for are given up");
-  visitor.flag("copies", app.attempts.may_hedge, "two may be out at once, where the class allows it");
+  visitor.count("most", app.attempts.max_attempts, "attempts, including hedged ones");
+  visitor.flag("cancel", app.attempts.may_cancel, "attempts that are no longer needed are cancelled");
+  visitor.flag("copies", app.attempts.may_hedge, "hedged requests are sent, if the class allows it");
   visitor.amount("retry_after_ms", app.attempts.max_retry_after_ms, Unit::Time,
-                 "the longest Retry-After that is told; 0: none is");
-  visitor.amount("connect_ms", app.attempts.connect_timeout_ms, Unit::Time, "for a connection to come up");
+                 "the longest Retry-After; 0: none is sent");
+  visitor.amount("connect_ms", app.attempts.connect_timeout_ms, Unit::Time,
+                 "timeout for a connection to open");
   visitor.amount("idle_ms", app.attempts.idle_timeout_ms, Unit::Time,
-                 "nodes close a connection at rest after this");
+                 "nodes close an idle connection after this");
   visitor.leave();
   visitor.enter("limits", "what the router may use");
   visitor.count("sockets", app.limits.max_descriptors, "descriptors");
   visitor.count("memory_mb", app.limits.memory_mb, "memory", Unit::Mebibytes);
   optional_member(visitor, "open", app.limits.max_active_requests, [&](auto& n) {
-    visitor.count("open", n, "requests at once; without it 20000, or as many as memory holds");
+    visitor.count("open", n, "concurrent requests; default: 20000, or fewer if memory is insufficient");
   });
   visitor.amount("grace_ms", app.limits.response_grace_ms, Unit::Time,
-                 "for an answer on its way, beyond the client's time");
+                 "for a response in transit after the client timeout");
   visitor.amount("answer_bytes", app.limits.max_response_bytes, Unit::Bytes,
-                 "the longest answer that is passed on");
-  visitor.amount("request_bytes", app.limits.max_request_bytes, Unit::Bytes, "the longest body of a request");
+                 "the longest response that is forwarded");
+  visitor.amount("request_bytes", app.limits.max_request_bytes, Unit::Bytes, "the longest request body");
   visitor.text("body_folder", app.limits.spill_folder, false,
-               "for bodies beyond what memory keeps; none: they are passed on unkept");
-  visitor.count("body_folder_size_mb", app.limits.spill_limit_mb, "for all of them", Unit::Mebibytes);
+               "for bodies that exceed the memory budget; none: they are forwarded without being kept");
+  visitor.count("body_folder_size_mb", app.limits.spill_limit_mb, "limit for all spilled bodies",
+                Unit::Mebibytes);
   visitor.leave();
-  visitor.enter("reports", "load reports that answers carry");
+  visitor.enter("reports", "load reports carried by responses");
   visitor.choices("fields", app.load_reports.fields, kLoadReportFieldWords,
                   "their fields, in order; none: there are no reports");
   visitor.leave();
-  visitor.enter("tier", "the routers that ask the same nodes");
-  visitor.count("routers", app.tier.router_count, "how many there are, this one included");
+  visitor.enter("tier", "the routers that send to the same nodes");
+  visitor.count("routers", app.tier.router_count, "their number, including this one");
   visitor.amount("over_share_worth", app.tier.over_quota_weight, Unit::Share,
-                 "of its worth that a request beyond its tenant's quota has");
-  visitor.amount("tick_ms", app.tier.event_interval_ms, Unit::Time, "decisions are made at most this often");
+                 "priority weight factor of a request beyond its tenant's quota");
+  visitor.amount("tick_ms", app.tier.event_interval_ms, Unit::Time, "minimum interval between decisions");
   visitor.leave();
-  visitor.enter("resize", "when nodes come and go; needs a ledger");
+  visitor.enter("resize", "changes of the set of nodes; needs a ledger");
   visitor.amount("settle_ms", app.resize.transition_ms, Unit::Time,
-                 "a node that came lately shares its keys with their former owners for this long; 0: off");
+                 "a new node shares its keys with their previous owners for this long; 0: off");
   visitor.amount("ledger_multiple", app.resize.origin_load_multiple, Unit::Number,
-                 "meanwhile fetches stay below this times their steady rate; 0: no bound");
+                 "in that time fetches are limited to this multiple of their steady rate; 0: no limit");
   visitor.amount("second_holder", app.resize.second_replica_share, Unit::Share,
-                 "of the reads, those of the most popular keys, that are kept at two nodes");
+                 "share of the reads, those of the most popular keys, whose values are cached at two nodes");
   visitor.leave();
   visitor.enter("log", "what is written to standard error");
-  visitor.choice("format", app.log.format, kLogFormatWords, false,
-                 "key=value, or an object of JSON for each line");
+  visitor.choice("format", app.log.format, kLogFormatWords, false, "key=value, or a JSON object per line");
   visitor.amount("rate_per_s", app.log.lines_per_s, Unit::Rate, "lines");
-  visitor.count("burst", app.log.burst_lines, "lines that may be saved up");
+  visitor.count("burst", app.log.burst_lines, "maximum burst of lines");
   visitor.flag("connections", app.log.log_connections, "a line for each connection that ends");
   visitor.leave();
-  visitor.enter("application", "the program beside a sidecar");
-  visitor.texts("environment", app.application.environment, "further variables for it, `NAME=VALUE`");
+  visitor.enter("application", "the application that the sidecar starts");
+  visitor.texts("environment", app.application.environment, "additional environment variables, `NAME=VALUE`");
   visitor.text("address_variable", app.application.address_variable, false,
-               "the variable that tells it where to ask");
+               "the variable that contains the router's address");
   visitor.text("runtime_folder", app.application.runtime_folder, false,
-               "for claims of addresses; none: $XDG_RUNTIME_DIR, or /run/fernward, or /tmp");
+               "for address claims; none: $XDG_RUNTIME_DIR, or /run/fernward, or /tmp");
   visitor.amount("ready_ms", app.application.router_ready_timeout_ms, Unit::Time,
-                 "for the router to be ready before it starts");
-  visitor.amount("stop_ms", app.application.stop_timeout_ms, Unit::Time, "for it to end before it is killed");
+                 "time limit for the router to be ready before it starts");
+  visitor.amount("stop_ms", app.application.stop_timeout_ms, Unit::Time,
+                 "time limit for it to end before it is killed");
   visitor.amount("restart_first_ms", app.application.restart_backoff_min_ms, Unit::Time,
-                 "a router that crashed is started again after this, and after twice as long each time");
+                 "a crashed router is restarted after this, doubled for each further crash");
   visitor.amount("restart_most_ms", app.application.restart_backoff_max_ms, Unit::Time,
-                 "but no longer than this");
+                 "the longest delay of a restart");
   visitor.leave();
-  visitor.enter("expect", "the load that is expected; checks use it, the router does not");
+  visitor.enter("expect", "the expected load; used by checks only");
   visitor.amount("rate_per_s", app.expected_load.rate_per_s, Unit::Rate,
                  "requests of all routers; 0: unknown");
   visitor.amount("work_ms", app.expected_load.mean_work_ms, Unit::Time,
-                 "mean work of one on a core of speed 1");
-  visitor.count("keys", app.expected_load.key_count, "asked for at any one time; 0: unknown");
-  visitor.amount("zipf", app.expected_load.zipf_exponent, Unit::Number, "how unevenly they are asked for");
+                 "mean work of a request on a core of speed 1");
+  visitor.count("keys", app.expected_load.key_count, "in use at any one time; 0: unknown");
+  visitor.amount("zipf", app.expected_load.zipf_exponent, Unit::Number, "exponent of their popularity");
   visitor.amount("size_bytes", app.expected_load.mean_value_bytes, Unit::Bytes, "mean size of a value");
   visitor.amount("ledger_per_s", app.expected_load.origin_capacity_per_s, Unit::Rate,
-                 "what the ledger can take");
+                 "capacity of the ledger");
   visitor.leave();
 }
 
--- a/src/app_config/schema.cpp
+++ b/src/app_config/schema.cpp
@@ -168,12 +168,12 @@
   document["properties"] = profile["properties"];
   document["properties"]["include"] = {
       {"anyOf", {{{"type", "string"}}, {{"type", "array"}, {"items", {{"type", "string"}}}}}},
-      {"description", "files that supply what this one leaves out, the last one first"}};
-  document["properties"]["profile"] = {{"type", "string"}, {"description", "the profile that counts"}};
+      {"description", "files that supply the keys that this one omits, the last one first"}};
+  document["properties"]["profile"] = {{"type", "string"}, {"description", "the active profile"}};
   document["properties"]["profiles"] = {
       {"type", "object"},
       {"additionalProperties", profile},
-      {"description", "keys that go behind this file's and before its includes'"}};
+      {"description", "keys with precedence after this file's and before its includes'"}};
   document["additionalProperties"] = false;
   return document;
 }
@@ -186,10 +186,11 @@
   std::string out =
       "### Top of the file\n\n| key | written as | default | meaning |\n| --- | --- | --- | --- |\n";
   out +=
-      "| `include` | text, or list of texts |  | files that supply what this one leaves out, the last one "
+      "| `include` | text, or list of texts |  | files that supply the keys that this one omits, the last "
+      "one "
       "first |\n";
   out +=
-      "| `profile` | text |  | the profile that counts: `[profiles.NAME]`, of this file or of one it "
+      "| `profile` | text |  | the active profile: `[profiles.NAME]`, of this file or of one it "
       "includes |\n";
   out += toml_document::top_level_rows(top);
   toml_document::append_sections(top, "", out);
@@ -198,55 +199,54 @@
 
 const std::vector<DiagnosticCode>& diagnostic_codes() {
   static const std::vector<DiagnosticCode> codes{
-      {"syntax", "no TOML: cut off, a quote left open, a key given twice"},
+      {"syntax", "not valid TOML, such as a truncated file, an open quote or a duplicate key"},
       {"unreadable", "the file can't be read, or is over 1 MiB"},
-      {"include", "a file that it includes can't be read, or they go round"},
-      {"unknown-key", "no key of that table; the nearest one is named"},
-      {"unknown-name", "a class, tenant, zone, kind or profile that the file does not have"},
-      {"missing", "a key that is needed"},
+      {"include", "an included file can't be read, or includes form a cycle"},
+      {"unknown-key", "not a key of that table; the closest key is suggested"},
+      {"unknown-name", "a class, tenant, zone, kind or profile that is not defined"},
+      {"missing", "a required key is missing"},
       {"type", "a value of the wrong type, such as a number where text belongs"},
       {"unit", "a quantity without its unit, or with one of another kind"},
       {"value", "a value out of range"},
-      {"word", "none of the words that may stand there"},
-      {"name", "a name with letters that a header or a log line can't carry"},
-      {"twice", "the same name or address for two"},
-      {"address", "no address of the form 10.0.0.4:7070"},
-      {"no-source", "nothing tells where the nodes are"},
-      {"two-sources", "nodes come from two places"},
+      {"word", "not one of the allowed words"},
+      {"name", "a name with characters that a header or a log line can't carry"},
+      {"twice", "the same name or address is used twice"},
+      {"address", "not an address of the form 10.0.0.4:7070"},
+      {"no-source", "no source of nodes"},
+      {"two-sources", "nodes come from two sources"},
       {"no-classes", "no class of requests"},
       {"no-ledger", "the nodes are listed and the ledger is not among them"},
-      {"zone-empty", "warning: no node stands in the router's own zone"},
-      {"aim-past-give-up", "the aim is longer than clients wait"},
-      {"give-up-too-short", "clients wait no longer than the way to the farthest node and back"},
+      {"zone-empty", "warning: no node is in the router's own zone"},
+      {"aim-past-give-up", "the aim is longer than the client timeout"},
+      {"give-up-too-short", "the client timeout is not longer than the round trip to the farthest node"},
       {"attempts-do-not-fit",
-       "so many attempts take longer than clients wait (warning, where `retries` is not given)"},
+       "the attempts take longer than the client timeout (warning if `retries` is not given)"},
       {"window-missing",
-       "a keyed class that may be sent again, without a window (warning, where `retries` is not given)"},
-      {"window-unused", "warning: a window where nothing is keyed"},
-      {"retry-past-window",
-       "repeats would be sent after the nodes have forgotten the key: carried out twice"},
-      {"retry-for-unkeyed", "`retry_for` where nothing is keyed"},
+       "a keyed class with retries but without a window (warning if `retries` is not given)"},
+      {"window-unused", "warning: a window in a class that is not keyed"},
+      {"retry-past-window", "retries would be sent after the nodes have dropped the key, and run twice"},
+      {"retry-for-unkeyed", "`retry_for` in a class that is not keyed"},
       {"retry-unsafe", "retries of a class that must not be repeated"},
       {"retries-past-most", "more retries than `attempts.most` allows"},
-      {"shares", "the tenants' shares come to more than the whole"},
-      {"read-as-write", "a GET is mapped to a class of writes, which go to the ledger"},
-      {"map-hidden", "warning: an entry of the map that never counts"},
-      {"timeout-past-give-up", "warning: a time that is cut to the class's give_up"},
-      {"tables", "descriptors or memory can't hold the tables asked for"},
-      {"ledger-only", "all or nearly all requests would go to the ledger; the share is told"},
+      {"shares", "the tenants' shares add up to more than 100%"},
+      {"read-as-write", "GET is mapped to a class for writes, which go to the ledger"},
+      {"map-hidden", "warning: an entry of the map that never matches"},
+      {"timeout-past-give-up", "warning: a timeout that is limited to the class's give_up"},
+      {"tables", "the configured tables exceed the descriptors or the memory"},
+      {"ledger-only", "all or nearly all requests would go to the ledger; the share is given"},
       {"ledger-much", "warning: over half of them would"},
-      {"ledger-overrun", "more would go there than it can take"},
-      {"listen-path", "no unix socket can be made there, or its path is over 107 bytes"},
+      {"ledger-overrun", "the load on the ledger would exceed its capacity"},
+      {"listen-path", "a unix socket can't be created there, or its path is over 107 bytes"},
       {"listen-any", "warning: port 0"},
-      {"listen-elsewhere", "no address of this host (not with `--elsewhere`)"},
-      {"listen-taken", "another program serves there (not with `--elsewhere`)"},
-      {"listen-refused", "the system refuses the address (not with `--elsewhere`)"},
-      {"folder", "a folder is not there or not writable (not with `--elsewhere`)"},
-      {"no-file-yet", "warning: the file of nodes is not there (not with `--elsewhere`)"},
-      {"descriptors", "the system grants fewer descriptors (not with `--elsewhere`)"},
+      {"listen-elsewhere", "not an address of this host (not with `--elsewhere`)"},
+      {"listen-taken", "another process uses the address (not with `--elsewhere`)"},
+      {"listen-refused", "the system rejects the address (not with `--elsewhere`)"},
+      {"folder", "a folder does not exist or is not writable (not with `--elsewhere`)"},
+      {"no-file-yet", "warning: the file of nodes does not exist (not with `--elsewhere`)"},
+      {"descriptors", "the system allows fewer descriptors (not with `--elsewhere`)"},
       {"secret-readable",
-       "a variable that looks like a secret, in a file that others can read (not with `--elsewhere`)"},
-      {"more", "over 200 faults: the rest is counted"}};
+       "a variable that looks like a secret, in a file that other users can read (not with `--elsewhere`)"},
+      {"more", "more than 200 errors; the number of the others is given"}};
   return codes;
 }
 
