--- a/include/fernward/balancer.h
+++ b/include/fernward/balancer.h
@@ -239,8 +239,8 @@
   std::vector<float> load_report;
 };
 
-/// Aggregated state of the fleet's routers, as far as this router has received it. Advisory; it loses weight
-/// while no updates from other routers are received.
+/// Aggregated state of the fleet's routers, as far as this router has received it. Advisory; its influence
+/// decreases while no updates from other routers are received.
 struct FleetState {
   /// 0: unknown. Settings::router_count bounds it.
   double live_routers = 0;
@@ -363,7 +363,8 @@
   /// This router's own observations of a cache in service, to be shared with other routers.
   struct OutlierObservation {
     ServerId server = 0;
-    /// Failed attempts since the last response; 0: the last attempt was answered.
+    /// Failed or slow attempts since the last response; a refused or broken connection counts twice.
+    /// 0: no failure since then.
     std::uint32_t consecutive_failures = 0;
     /// Clock time of the observation, which may be long ago.
     double observed_at = 0;
