--- a/src/health/outlier_state.h
+++ b/src/health/outlier_state.h
@@ -39,15 +39,17 @@
   }
   /// The server responded successfully. Returns true if it was ejected and is now back in service.
   bool record_success(double now);
-  /// An attempt failed, or is slow. `weight`: number of failures that it counts as; 0: none. `stays`: do not
-  /// eject the server. Returns true if the server is now ejected; the caller then calls schedule_trial().
+  /// An attempt failed, or is slow. `weight`: number of failures that it counts as; 0: none.
+  /// `exempt_from_ejection`: do not eject the server. Returns true if the server is now ejected; the caller
+  /// then calls schedule_trial().
   bool record_failure(double now, int weight, bool exempt_from_ejection);
   /// Other routers report it as an outlier, from observations made at `observed_at`. Returns true if it is
   /// now ejected; the caller then calls schedule_trial().
   bool on_reported_outlier(double observed_at);
+  /// Other routers report it as healthy, from observations made at `observed_at`.
   void on_reported_healthy(double now, double observed_at);
-  /// Sets the wait for the next trial. `slow_threshold_ms`: elapsed time from which an attempt counts as slow; `draw`:
-  /// uniform random number in [0, 1).
+  /// Sets the wait for the next trial. `slow_threshold_ms`: elapsed time from which an attempt is
+  /// slow; `random_unit`: uniform random number in [0, 1).
   void schedule_trial(double now, double slow_threshold_ms, double random_unit);
 
  private:
