--- a/src/policy/attempt_outcome.cpp
+++ b/src/policy/attempt_outcome.cpp
@@ -1,5 +1,4 @@
-// Attempt outcomes and slow attempts: updates of statistics and limits, retries and hedged requests.
-// Interface: include/fernward/balancer.h
+// Attempt outcomes, slow attempts, retries and hedged requests. Interface: include/fernward/balancer.h
 #include "policy/balancer.h"
 
 #include <algorithm>
@@ -57,7 +56,7 @@
   dispatch_to_origin();
 }
 
-// For a forwarded response the start is what is measured, because its end depends on the client.
+// For a forwarded response, the time until it starts is recorded, because its end depends on the client.
 void Balancer::Impl::record_outcome(RequestState& request, Attempt& attempt, Replica& replica,
                                     const AttemptOutcome& outcome) {
   if (replica.record_report(now, settings.load_report_fields, outcome.load_report) && !is_origin(replica))
@@ -96,7 +95,8 @@
   return outcome.result == AttemptResult::Overloaded;
 }
 
-// The same for the origin, with its limiter and its connection capacity estimate.
+// Updates the origin's concurrency limiter and connection capacity estimate. Returns true if the outcome
+// indicates overload.
 bool Balancer::Impl::update_origin_limit(const RequestState& request, const Replica& replica,
                                          const AttemptOutcome& outcome, double elapsed_ms) {
   // The connection was refused by an origin that responds: it lacks connections, not capacity.
@@ -163,8 +163,8 @@
   if (replica.outlier.is_ejected() && outcome.result != AttemptResult::Overloaded) schedule_trial(replica);
 }
 
-// Another request would probably be rejected for about the duration of one request. `retried`: it was not the
-// request's first attempt, so more than one cache is overloaded.
+// The cache would probably reject further requests for about the duration of one request. `is_retry`: it was
+// not the request's first attempt, so more than one cache is overloaded.
 void Balancer::Impl::record_overloaded(Replica& replica, bool is_retry) {
   replica.outlier.record_response(now);
   admission.choices_without_capacity += is_retry;
@@ -174,7 +174,7 @@
   replica.overloaded_until = now + overload_pause_ms;
 }
 
-// The elapsed time is a lower bound of the response time.
+// An attempt ended without a response: its elapsed time is a lower bound of the response time.
 void Balancer::Impl::record_unanswered(Replica& replica, double elapsed_ms) {
   if (elapsed_ms > replica.expected_response_ms(now, mean_cache_response_ms))
     replica.record_response(now, elapsed_ms);
@@ -184,7 +184,7 @@
 
 void Balancer::Impl::record_cache_lookup(RequestState& request, const Attempt& attempt, bool hit) {
   if (hit && request.pending_fill)
-    // A fetch by another router has already filled the cache.
+    // A fetch by another router has already stored the key in the cache.
     placement.fill_rate_limiter().refund(*std::exchange(request.pending_fill, {}));
   if (settings.origin_kind < 0 || request.params.key == 0) return;
   if (hit) {
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -129,7 +129,8 @@
   });
 }
 
-// Bounded on both sides by the configured number: an isolated router must not assume that it is the only one.
+// The number of live routers is bounded on both sides by the configured number: an isolated router must not
+// assume that it is the only one.
 void Balancer::Impl::on_fleet_state(const FleetState& fleet) {
   live_routers = std::clamp(
       is_finite_non_negative(fleet.live_routers) && fleet.live_routers > 0 ? fleet.live_routers : 1e9,
@@ -186,7 +187,7 @@
 
 // Iterates over all servers, so it is called only if the settings allow health checks.
 void Balancer::Impl::send_due_health_checks() {
-  Replica* least_recently_checked = nullptr; // least recently checked cache
+  Replica* least_recently_checked = nullptr; // only caches in service that are not ejected
   for (auto& [id, replica] : replicas) {
     if (replica.entry.state != ServerState::Ready) continue;
     if (replica.outlier.is_ejected() && replica.outlier.trial_due(now)) send_health_check(replica);
--- a/src/policy/cache_selection.cpp
+++ b/src/policy/cache_selection.cpp
@@ -74,7 +74,7 @@
          replica.limiter.has_capacity(now, replica.active());
 }
 
-// The paper's score; lower is better. `origin_ms`: cost of a fetch at the origin.
+// The paper's score; lower is better. `origin_fetch_cost_ms`: expected duration of a fetch at the origin.
 double Balancer::Impl::cache_score(const Replica& replica, std::uint64_t key, bool likely_has_key,
                                    double origin_ms) const {
   const double expected_fetch_ms =
--- a/src/policy/endpoint_poll_schedule.h
+++ b/src/policy/endpoint_poll_schedule.h
@@ -7,13 +7,13 @@
 
 namespace fernward {
 
-/// Decides when to send a WatchEndpoints in DiscoveryMode::Poll. States: idle; pending after record_sent();
-/// subscribed from the first list after that. A failed call leads back to idle, with exponential backoff.
-/// Owned by Balancer::Impl. Times: milliseconds; `draw`: uniform random number in [0, 1).
+/// Decides when to send a WatchEndpoints in DiscoveryMode::Poll. States: idle; pending after
+/// record_poll_sent(); subscribed from the first list after that. A failed call leads back to idle, with
+/// exponential backoff. Owned by Balancer::Impl. Times: milliseconds; `random_unit`: uniform random number in
+/// [0, 1).
 class EndpointPollSchedule {
  public:
-  /// Many routers may restart at the same time: the first calls are spread to keep from overloading
-  /// discovery.
+  /// Many routers may restart at the same time: the first calls are spread, to avoid overloading discovery.
   void start(double now, double random_unit) { next_poll_at_ = now + kInitialPollJitterMs * random_unit; }
   bool is_due(double now) const { return !subscribed_ && now >= next_poll_at_; }
   /// `poll_interval_ms`: the call is repeated if no list arrives within this time; 0: a default is used.
--- a/src/policy/origin_dispatch.h
+++ b/src/policy/origin_dispatch.h
@@ -15,7 +15,7 @@
 
 /// Combines the limits on attempts at the origin: the concurrency limit, the connection capacity, the fetch
 /// rate while keys move between caches, and the queue of waiting requests. Owned by Balancer::Impl. Times:
-/// milliseconds; `active`: this router's attempts in progress at the origin.
+/// milliseconds; `active_attempts`: this router's attempts in progress at the origin.
 struct OriginDispatch {
   concurrency::OriginConcurrencyLimiter limiter = concurrency::OriginConcurrencyLimiter::for_router_count(1);
   concurrency::ConnectionCapacityEstimator connections;
--- a/src/policy/outlier_ejection.h
+++ b/src/policy/outlier_ejection.h
@@ -16,7 +16,7 @@
   /// Keeps a reference to `settings`, which may change between calls.
   explicit OutlierEjection(const Settings& settings) : settings_(settings) {}
 
-  /// Must be called with `sign` -1 before a server's entry changes and with 1 afterwards.
+  /// Must be called with `count_change` -1 before a server's entry changes and with 1 afterwards.
   void update_counts(const Replica& replica, bool is_origin, int sign);
   std::size_t ready_cache_count() const { return ready_cache_count_; }
   std::size_t ejected_count() const { return ejected_count_; } // ready servers only
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -52,7 +52,7 @@
     *this = std::move(reset);
   }
 
-  /// A value observed `age` ms ago, decayed towards the mean over all caches, because a router may send to a
+  /// A value observed `age_ms` ago, decayed towards the mean over all caches, because a router may send to a
   /// cache only once a minute.
   static double decay_to_fleet_mean(double age_ms, double observed, double fleet_mean) {
     return fleet_mean + (observed - fleet_mean) * std::exp2(-age_ms / kObservationHalfLifeMs);
@@ -65,9 +65,9 @@
   /// Attempts in flight that occupy capacity at the server.
   std::uint32_t active() const { return in_flight - std::min(in_flight, stalled_count); }
 
-  /// The paper's score R + q^3 / mu, in ms; lower is better. `routers`: number of routers in the fleet, each
-  /// assumed to have as many attempts in flight as this one; `fleet_*`: means over all caches; `extra_ms`:
-  /// expected additional cost at the origin if this cache is chosen, added to R and to 1/mu.
+  /// The paper's score R + q^3 / mu, in ms; lower is better. `router_count`: routers in the fleet, each
+  /// assumed to have as many attempts in flight as this one; `fleet_mean_*`: means over all caches;
+  /// `extra_cost_ms`: expected additional cost at the origin if this cache is chosen, added to R and to 1/mu.
   double score(double now, double router_count, double fleet_mean_ms, double fleet_mean_queue,
                double extra_cost_ms) const {
     const double response_ms = expected_response_ms(now, fleet_mean_ms) + extra_cost_ms;
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -17,7 +17,7 @@
   /// Keeps a reference to `settings`, which may change between calls.
   explicit RetryPolicy(const Settings& settings) : settings_(settings) {}
 
-  /// Whether more than `reserved` attempts are left.
+  /// Whether more than `reserved_attempts` attempts are left.
   bool has_attempts_left(const RequestState& request, std::size_t reserved = 0) const {
     return request.attempts.size() + reserved < settings_.max_attempts_for_class(request.params.class_index);
   }
@@ -30,8 +30,8 @@
   /// allowed.
   std::optional<GiveUpReason> retry_denied(const RequestState& request, const Server& server,
                                            double now) const;
-  /// Why an attempt must not be sent now: as retry_denied(), or NotSent (deadline passed), or NoEndpoint
-  /// (server not in service); nullopt if it may be sent.
+  /// Why an attempt must not be sent now: as retry_denial_reason(), or NotSent (deadline passed), or
+  /// NoEndpoint (server not in service); nullopt if it may be sent.
   std::optional<GiveUpReason> attempt_denied(const RequestState& request, const Server& server,
                                              double now) const;
   /// Whether the client can be guaranteed that its own retry does not execute the request twice.
--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -10,8 +10,8 @@
 namespace fernward {
 namespace {
 
-// Each router gets its share of the attempts that all may have at a cache: an unrealistic router count would
-// leave it almost none.
+// The attempts that all routers may have at a cache are divided among them: with an unrealistic router count
+// each router could send almost none.
 constexpr std::uint32_t kMaxRouters = 65536;
 
 constexpr double kMaxShortestObjectiveMs = 3000; // upper bound, used if no class has a shorter one
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -19,8 +19,8 @@
 }
 
 // One random number per request and cache, the same on every router: the total over all routers does not
-// depend on their number. `slow_start_admitted_share` limits a popular key to the share of its requests that one cache
-// can handle.
+// depend on their number. `slow_start_admitted_share` limits a popular key to the share of its requests that
+// one cache can handle.
 bool SlowStart::admits(const Replica& replica, const RequestState& request, bool first_candidate,
                        double now) {
   if (!is_active(replica, now)) return true;
--- a/src/policy/tenant_quotas.h
+++ b/src/policy/tenant_quotas.h
@@ -16,7 +16,8 @@
 /// requests per millisecond. Owned by Balancer::Impl.
 class TenantQuotas {
  public:
-  /// Keeps a reference to `settings`, which may change between calls; call resize() after a change.
+  /// Keeps a reference to `settings`, which may change between calls; call resize_tenants() after a
+  /// change.
   explicit TenantQuotas(const Settings& settings) : settings_(settings) {}
 
   void resize_tenants() { tenant_rate_per_ms_.resize(settings_.tenants.size()); }
