--- a/src/requests/request_state.h
+++ b/src/requests/request_state.h
@@ -18,8 +18,8 @@
   ServerId server = 0;
   double sent_at = 0; // ms, clock time
   bool in_flight = true;
-  bool exempt_from_cancellation =
-      false;                     // never cancelled, to measure whether slow attempts are ever answered
+  // Never cancelled, to measure whether slow attempts are ever answered.
+  bool exempt_from_cancellation = false;
   bool slow = false;             // exceeded the slow attempt threshold
   bool stalled = false;          // slow, and later ones were answered: uses no server capacity
   bool response_started = false; // response is being forwarded: the server has completed its work
@@ -50,7 +50,7 @@
   bool may_have_executed = false; // by one of its attempts
   bool is_fetch_leader = false;   // others may wait for its fetch, see FetchCoalescer
   bool queued_for_origin = false;
-  // Time and place of the first attempt that may have executed: there the idempotency key is known.
+  // Time and place of the first attempt that may have executed: the servers there know the idempotency key.
   double key_bound_at = 0;
   std::uint32_t key_bound_zone = 0;
   std::uint32_t key_bound_cell = 0;
--- a/src/statistics/moving_average.h
+++ b/src/statistics/moving_average.h
@@ -3,7 +3,7 @@
 
 namespace fernward {
 
-// Updates `mean` with `sample`; `weight`: 0 to 1, share of the new sample.
+// `weight`: share of the new sample in the mean, 0 to 1.
 inline void update_moving_average(double& mean, double sample, double weight) {
   mean += weight * (sample - mean);
 }
--- a/src/statistics/numbers.h
+++ b/src/statistics/numbers.h
@@ -10,7 +10,6 @@
 
 constexpr double kNever = -1e18; // a time before all others
 
-// Finite and not negative.
 inline bool is_finite_non_negative(double value) { return std::isfinite(value) && value >= 0; }
 
 } // namespace fernward
