--- a/tests/balancer_driver.h
+++ b/tests/balancer_driver.h
@@ -101,7 +101,8 @@
     send_event(ended_attempt);
   }
 
-  void cancel_attempts(RequestId id) { // as a caller does: all attempts of a finished request end
+  // Ends all attempts of a finished request, as a caller does.
+  void cancel_attempts(RequestId id) {
     const auto attempt_count = sends_of(id).size();
     for (std::size_t i = 0; i < attempt_count; ++i)
       end_attempt(id, AttemptResult::Cancelled, 1, {}, static_cast<int>(i));
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -88,7 +88,7 @@
   BalancerDriver driver(plain_settings());
   driver.list_caches(3);
   const auto contacted = contacted_servers(driver, 42, 3);
-  EXPECT_EQ(distinct_ids(contacted).size(), 3u); // each active request gives its cache the highest score
+  EXPECT_EQ(distinct_ids(contacted).size(), 3u); // each active request makes its cache's score the worst
 }
 
 TEST(CacheSelection, FreshReportOfLongQueueChangesSelection) {
@@ -151,8 +151,8 @@
 }
 
 TEST(QueuePrediction, RepeatedReportIsNoSample) {
-  EXPECT_EQ(cache_selected_by_prediction({35, 45, 60, 60}, {62}),
-            2u); // as a sample it would end the rising state
+  // As a sample, the repetition would end the rising state.
+  EXPECT_EQ(cache_selected_by_prediction({35, 45, 60, 60}, {62}), 2u);
 }
 
 TEST(QueuePrediction, FallingQueueIsExtrapolated) {
@@ -496,7 +496,7 @@
 
 // ---- slow start ----
 
-// Keeps a few requests active at all times; `answer` returns the result of an attempt at a server. Returns
+// Keeps a few requests active at all times; `result_of` returns the result of an attempt at a server. Returns
 // the number of first attempts by server.
 template <typename ResultOf>
 std::map<ServerId, int> send_traffic(BalancerDriver& driver, RequestId& id, int requests,
@@ -507,8 +507,8 @@
     driver.send_request(++id, static_cast<std::uint64_t>(7 * i + 1));
     if (!driver.sends_of(id).empty()) contacted[driver.last_server(id)]++;
     const RequestId oldest = id - kActiveRequests;
-    for (int tries = 0; i >= kActiveRequests && tries < 5;
-         ++tries) { // a failed attempt may cause the next one
+    // A failed attempt may cause the next one.
+    for (int tries = 0; i >= kActiveRequests && tries < 5; ++tries) {
       if (driver.sends_of(oldest).empty() || driver.rejected_or_failed(oldest)) break;
       driver.end_attempt(oldest, result_of(driver.last_server(oldest)), 5 * kActiveRequests, {0, 5});
     }
@@ -519,8 +519,8 @@
 }
 AttemptResult always_ok(ServerId) { return AttemptResult::Ok; }
 
-// Incremental ring updates must equal a rebuild. Sorting the whole ring at each list used more CPU than all
-// decisions.
+// Incremental ring updates must have the same result as a rebuild. Sorting the whole ring at each list used
+// more CPU than all decisions.
 TEST(HashRing, DeltaUpdatesBuildTheSameRingAsFullList) {
   BalancerDriver changed(plain_settings()), fresh(plain_settings());
   changed.list_caches(6);
@@ -568,7 +568,7 @@
   EXPECT_LE(sent, 2 * 1.5 * kShare * kRouters * kRequests); // own keys, half of two others'; uneven ring
 }
 
-// Regression: a cache in slow start that did not admit a request left it to the next cache in slow start.
+// Regression: a request that a cache in slow start did not admit was sent to the next cache in slow start.
 TEST(SlowStart, CachesInSlowStartDoNotGetEachOthersKeys) {
   BalancerDriver driver(plain_settings());
   std::vector<Server> starting_caches;
@@ -828,7 +828,8 @@
   EXPECT_EQ(driver.last_server(id), kOriginId);
 }
 
-// Number of forty writes that are sent to the origin at once, after twenty that ended as `ending` returns.
+// Number of forty writes that are sent to the origin at once, after twenty whose results and elapsed times
+// are those that `outcome_of_write` returns.
 std::size_t count_writes_sent_to_origin(
     const std::function<std::pair<AttemptResult, double>(int)>& outcome_of_write) {
   Settings s = cache_aside_settings();
@@ -1087,8 +1088,8 @@
   constexpr std::size_t kTwelveConcurrentAttempts = 12 * 2000 / 200;
   const std::size_t attempts_of_hundred_routers = 100 * attempts_in_two_seconds(100);
   EXPECT_GT(attempts_of_hundred_routers, 0u);
-  EXPECT_LE(attempts_of_hundred_routers,
-            3 * kTwelveConcurrentAttempts); // one each before the first response, and growth
+  // One each before the first response, and growth.
+  EXPECT_LE(attempts_of_hundred_routers, 3 * kTwelveConcurrentAttempts);
   EXPECT_GE(3 * attempts_in_two_seconds(3), kTwelveConcurrentAttempts / 2);
 }
 
@@ -1413,8 +1414,8 @@
     driver.send_request(id, id, {.write = true});
     ASSERT_EQ(driver.sends_of(id).size(), 1u);
     driver.advance(200);
-    driver.end_attempt(id, AttemptResult::Overloaded,
-                       200); // 300 ms of its objective are left, the retry delay is 200 to 600 ms
+    // 300 ms of its objective are left, the retry delay is 200 to 600 ms.
+    driver.end_attempt(id, AttemptResult::Overloaded, 200);
     if (driver.rejected_or_failed(id)) {
       ++given_up;
       continue;
--- a/tests/policy/balancer_simulation.h
+++ b/tests/policy/balancer_simulation.h
@@ -15,8 +15,8 @@
 
 struct ScriptedResponse {
   AttemptResult result = AttemptResult::Ok;
-  double after_ms = 20;             // kSilent: no response
-  bool first_on_connection = false; // whether it is the first on its connection
+  double after_ms = 20; // kNoResponseMs: no response
+  bool first_on_connection = false;
 };
 constexpr double kNoResponseMs = 1e12;
 
@@ -51,7 +51,7 @@
     sends_by_server.clear();
   }
 
-  // Random requests for `ms`, on average `per_s` per second; `writes`: share of writes, 0 to 1.
+  // Sends random requests for `duration_ms`, on average `requests_per_s`; `write_share`: 0 to 1.
   void run(double duration_ms, double requests_per_s, double write_share = 0, std::uint64_t key_count = 500) {
     const double end = now + duration_ms;
     double next_arrival = now;
--- a/tests/policy/fleet_resize_test.cpp
+++ b/tests/policy/fleet_resize_test.cpp
@@ -42,7 +42,7 @@
     all.push_back({.id = kOriginId, .kind = kOriginKind});
     driver_.update_endpoints(all);
   }
-  // Reads keys 1 to `keys` in turn, one every `every` ms; returns the number of rejected reads.
+  // Reads keys 1 to `key_count` in turn, `interval_ms` apart; returns the number of rejected reads.
   std::size_t read_keys(std::size_t count, std::uint64_t keys, double interval_ms = 5) {
     std::size_t rejected = 0;
     for (std::size_t i = 0; i < count; ++i)
--- a/tests/policy/origin_limit_test.cpp
+++ b/tests/policy/origin_limit_test.cpp
@@ -32,8 +32,8 @@
         short_objective_settings(190), caches_and_origin(12),
         [](ServerId server, double, Random& random) {
           if (server == kOriginId)
-            return ScriptedResponse{AttemptResult::Ok,
-                                    30 + exponential_ms(random, 40)}; // includes no queueing time
+            // No queueing time is included.
+            return ScriptedResponse{AttemptResult::Ok, 30 + exponential_ms(random, 40)};
           return random.next_unit() < 0.5 ? ScriptedResponse{AttemptResult::CacheMiss, 5}
                                           : ScriptedResponse{AttemptResult::Ok, 15};
         },
@@ -132,9 +132,9 @@
   simulation.reset_counts();
   simulation.run(10000, 150, 0.04, 100000);
   EXPECT_GE(simulation.rejected, simulation.finished_requests() / 2);
-  EXPECT_LE(simulation.rejected_wait_ms / static_cast<double>(simulation.rejected),
-            200);                                 // half of the objective
-  EXPECT_GE(simulation.served, 10 * 50 * 6 / 10); // of the origin's capacity
+  // Half of the objective.
+  EXPECT_LE(simulation.rejected_wait_ms / static_cast<double>(simulation.rejected), 200);
+  EXPECT_GE(simulation.served, 10 * 50 * 6 / 10); // 60% of the origin's capacity
 }
 
 } // namespace
--- a/tests/policy/outlier_report_test.cpp
+++ b/tests/policy/outlier_report_test.cpp
@@ -1,4 +1,4 @@
-// Outlier reports that several routers make together, and this router's own observations for them.
+// Combined outlier reports of several routers, and this router's own observations that contribute to them.
 #include <gtest/gtest.h>
 
 #include "balancer_driver.h"
@@ -7,7 +7,7 @@
 namespace fernward::testing {
 namespace {
 
-// Number of `n` requests whose first attempt is sent to `server`. Each first attempt is answered.
+// Number of `request_count` requests whose first attempt is sent to `server`. Each first attempt is answered.
 int count_first_attempts(BalancerDriver& driver, ServerId server, int request_count, RequestId& id) {
   int first_attempts = 0;
   for (int i = 0; i < request_count; ++i) {
--- a/tests/policy/server_departure_test.cpp
+++ b/tests/policy/server_departure_test.cpp
@@ -1,4 +1,4 @@
-// Servers that are draining or gone: once the endpoint list says so, they get no further attempts, not even
+// Servers that are draining or gone: after the endpoint list update they get no further attempts, not even
 // from requests that were already waiting.
 #include <gtest/gtest.h>
 
--- a/tests/policy/slow_start_budget_test.cpp
+++ b/tests/policy/slow_start_budget_test.cpp
@@ -1,6 +1,6 @@
 // The attempts of all routers together at caches in slow start stay within the budget of the settings, in
 // fleets of any size, with popular keys, uneven load and newly started routers. The caches must still get a
-// fair share of the traffic.
+// substantial part of the traffic that their assumed capacity allows.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -85,8 +85,8 @@
     }
   }
 
-  // Maximum over all caches in slow start and all windows of overload_failure_ms: attempts as a multiple of
-  // the attempts that the rule allows.
+  // Maximum over all caches in slow start and all windows of overload_failure_ms: attempts divided by
+  // allowed_attempts().
   double max_load_ratio() const {
     double max_ratio = 0;
     for (const auto& [id, attempt_times] : slow_start_attempts_) {
