--- a/src/body_buffers/buffer_budget.h
+++ b/src/body_buffers/buffer_budget.h
@@ -46,11 +46,11 @@
 
     std::size_t window_bytes() const;    // bytes that it may currently hold
     std::size_t available_bytes() const; // bytes that it may acquire now
-    // Whether paused reading may resume: half of the window is free, so that reading does not pause again at
-    // once.
+    // Whether paused reading may resume: half of the window is free, so that reading does not pause again
+    // immediately.
     bool may_resume() const;
-    void wait_for_bytes(
-        std::uint64_t holder_id); // until next_resumable() returns `holder_id`, or stop_waiting()
+    // Waits until next_resumable() returns `holder_id`, or until stop_waiting().
+    void wait_for_bytes(std::uint64_t holder_id);
     void stop_waiting();
 
    private:
@@ -90,8 +90,8 @@
 
   BufferBudgetOptions options_;
   std::size_t shared_total_bytes_ = 0; // total without the reserved parts
-  std::size_t held_bytes_ = 0, shared_held_bytes_ = 0,
-              peak_held_bytes_ = 0; // shared: beyond the reserved parts
+  // Shared bytes are those beyond the reserved parts.
+  std::size_t held_bytes_ = 0, shared_held_bytes_ = 0, peak_held_bytes_ = 0;
   std::list<std::pair<std::uint64_t, Reservation*>> waiting_list_;
 };
 
--- a/src/body_buffers/response_buffering.cpp
+++ b/src/body_buffers/response_buffering.cpp
@@ -9,8 +9,8 @@
     return ResponseStep::TooLarge;
   if (progress.complete) return ResponseStep::Start;
   if (progress.available_bytes == 0) return ResponseStep::Start;
-  if (progress.received_bytes == 0)
-    return ResponseStep::Buffer; // only the head: the connection may still break
+  // Only the head was received: the connection may still break.
+  if (progress.received_bytes == 0) return ResponseStep::Buffer;
   if (!progress.within_buffering_time) return ResponseStep::Start;
   const std::uint64_t bufferable_bytes = std::min(limits.max_buffered_bytes, progress.window_bytes);
   if (!progress.announced_bytes)
--- a/src/body_buffers/retained_bodies.h
+++ b/src/body_buffers/retained_bodies.h
@@ -29,8 +29,8 @@
 // Attempts that the body still allows. The request class may allow fewer.
 struct BodyAvailability {
   bool first_attempt = true;
-  bool retry_if_not_run = true; // a retry after attempts that cannot have run
-  bool retry_if_run = true;     // a retry after an attempt that may have run
+  bool retry_if_not_run = true; // a retry after attempts that cannot have been executed
+  bool retry_if_run = true;     // a retry after an attempt that may have been executed
   bool hedge = true;            // a hedged request while another attempt is in flight
 };
 
@@ -38,17 +38,17 @@
 struct AttemptHistory {
   std::uint32_t attempts = 0;
   bool in_flight = false;    // at least one attempt is in flight
-  bool may_have_run = false; // an attempt that has ended may have run
-  double since_first_ms = 0; // since the first attempt was sent that may have run or is in flight
+  bool may_have_run = false; // an attempt that has ended may have been executed
+  double since_first_ms = 0; // since sending the first attempt that may have been executed or is in flight
 };
 
 // Whether another attempt is safe to send; RequestDispatcher::may_send also checks whether the request is
 // still waiting. Depends on what the body allows, the idempotency and key window of the request class, and
-// the attempts so far. If no attempt can have run and none is in flight, only the body decides. Otherwise the
-// body must be readable from its start, and the class must be Idempotent, or WithKey with less than
-// `window_ms` since the first attempt, because servers forget the key after that time. The Balancer's
-// may_repeat (requests/request_state.h) does not consider the body; it also checks the key's scope and keeps
-// a margin of the window.
+// the attempts so far. If no attempt can have been executed and none is in flight, only the body decides.
+// Otherwise the body must be readable from its start, and the class must be Idempotent, or WithKey with less
+// than `key_window_ms` since the first attempt, because servers discard the key after that time. The
+// Balancer's RetryPolicy (policy/retry_policy.h) does not consider the body; it also checks the key's scope
+// and keeps a margin of the window.
 bool may_send(const BodyAvailability& body, Idempotency idempotency, double key_window_ms,
               const AttemptHistory& history);
 
@@ -96,7 +96,7 @@
     std::optional<std::uint64_t> announced_bytes_;
     Retention retention_ = Retention::Memory;
     std::uint64_t received_bytes_ = 0, reserved_memory_bytes_ = 0, reserved_file_bytes_ = 0;
-    std::uint64_t memory_bytes_ = 0, file_bytes_ = 0; // received
+    std::uint64_t memory_bytes_ = 0, file_bytes_ = 0; // received and stored
     bool consumed_ = false, too_long_ = false, has_file_ = false;
   };
 
