--- a/src/concurrency/cache_concurrency_limiter.h
+++ b/src/concurrency/cache_concurrency_limiter.h
@@ -1,7 +1,7 @@
 // Limit of concurrent attempts from this router to one cache. Pure decisions: no I/O, no clock.
 //
 // The limit follows latency with additive increase and multiplicative decrease, because caches do not
-// announce their capacity and all routers share it. A limit below one is a rate: one attempt per 1/limit
+// announce their capacity, which all routers share. A limit below one is a rate: one attempt per 1/limit
 // response times.
 // Units: milliseconds on the caller's clock; attempts. Does not allocate.
 #pragma once
@@ -71,8 +71,8 @@
   static constexpr double kRateSlack = 1.5;        // requests arrive unevenly
   static constexpr double kCongestedFactor = 0.8;  // applied to the limit
   static constexpr double kLatencyWeight = 0.1;    // weight of one response
-  static constexpr double kLowLimitResponseWeight =
-      0.5; // weight of one response while the limit is below one
+  // Weight of one response while the limit is below one.
+  static constexpr double kLowLimitResponseWeight = 0.5;
 
   double limit_;
   double min_unused_limit_; // an unused limit does not decay below it
@@ -80,7 +80,7 @@
   double min_limit_;
   // Mean of latency / objective. Relative, so that slow writes do not count as congestion.
   double mean_share_of_objective_ = 0;
-  double mean_latency_ms_ = 0; // mean; 0: no response yet
+  double mean_latency_ms_ = 0; // 0: no response yet
   double decreased_at_ = kNever;
   double last_sent_at_ = kNever;
 };
--- a/src/concurrency/origin_concurrency_limiter.cpp
+++ b/src/concurrency/origin_concurrency_limiter.cpp
@@ -43,10 +43,10 @@
 constexpr double kMaxObjectiveRatioSample = 1.5;
 constexpr double kCongestionScoreLimit = 8;  // score at which the limit decreases
 constexpr double kFullSampleWeightLimit = 8; // limit above which one sample has less weight
-constexpr double kThroughputIncrease =
-    1.15; // relative to the uncongested throughput; above: congested, not slow
-constexpr double kExcessSlowdownAtFullUtilization =
-    0.6; // relative to the baseline, that counts as full utilization
+// Relative to the uncongested throughput. Above it a slow origin is congested, otherwise it is merely slow.
+constexpr double kThroughputIncrease = 1.15;
+// Slowdown in excess of the baseline that counts as full utilization.
+constexpr double kExcessSlowdownAtFullUtilization = 0.6;
 
 // Decrease.
 constexpr double kRejectedFactor = 0.7; // of the attempts in use
@@ -54,11 +54,13 @@
 // Below the knee, so that the test can detect a baseline that is too high.
 constexpr double kKneeFactor = 0.8;
 constexpr double kMinKneeSlowdown = 1.2;
-constexpr double kLateObjectiveRatio = 0.55; // of the objective; above it the limit decreases at any baseline
+// Mean latency / objective above which the limit decreases whatever the slowdown: that of the baseline times
+// kLateBaselineRatio, within these bounds.
+constexpr double kLateObjectiveRatio = 0.55;
 constexpr double kMaxLateObjectiveRatio = 0.75;
 constexpr double kLateBaselineRatio = 1.25;
 constexpr double kObjectiveRatioDecay = 0.9; // of the mean objective ratio, per decrease
-// Share of samples that are slow while the limit is used up, above which the baseline is tested.
+// Share of samples that are slow while the limit is fully used, above which the baseline is tested.
 constexpr double kSlowAtLimitTestShare = 0.3;
 constexpr double kReconnectedFactor = 0.7;      // of the limit before the first failed connect attempt
 constexpr double kReportedDecreaseFactor = 0.9; // decreases below it are reported
@@ -85,8 +87,8 @@
 constexpr double kMaxTestSamples = 16;
 constexpr double kTestSamplesByLimit = 3;
 constexpr double kMaxTestSlowdown = 5;
-constexpr double kBaselineTooHighSlowdown =
-    0.85; // a mean slowdown below it shows that the baseline was too high
+// A mean slowdown below this value shows that the baseline was too high.
+constexpr double kBaselineTooHighSlowdown = 0.85;
 constexpr double kTestDownStep = 0.5;
 constexpr double kTestUpStep = 0.3;
 constexpr double kMinTestIntervalMs = 1000;
@@ -188,6 +190,7 @@
 }
 
 // Whether the sample's time reflects the latency of the server, rather than one connection or the request.
+// Also updates the record of answers and timeouts, and restores the limit after failed connects.
 bool OriginConcurrencyLimiter::reflects_server_latency(double now, const AttemptSample& sample) {
   const double sent_at = now - sample.elapsed_ms;
   switch (sample.outcome) {
@@ -227,7 +230,7 @@
   recent_updated_at_ = now;
 }
 
-// ---- Learning ----
+// ---- Estimates ----
 
 double OriginConcurrencyLimiter::tolerated_slowdown(double latency_objective_ms) const {
   const double ratio = latency_objective_ms > 0 && baseline_.known()
@@ -404,8 +407,8 @@
 void OriginConcurrencyLimiter::set_fleet_share(double share) {
   if (!is_finite_non_negative(share) || share == 0) return;
   share = std::clamp(share, initial_limit_ * kMinLimitShare, kMaxLimit);
-  update_moving_average(limit_, share,
-                        kFleetShareStep); // also at the start: other routers would not yield to a sudden rise
+  // In steps at the start, too: the other routers would not yield to a sudden rise.
+  update_moving_average(limit_, share, kFleetShareStep);
 }
 
 bool OriginConcurrencyLimiter::follows_fleet_latency(double now) const {
--- a/src/concurrency/origin_concurrency_limiter.h
+++ b/src/concurrency/origin_concurrency_limiter.h
@@ -22,14 +22,14 @@
   Rejected,      // not processed: the server had no connection or queue slot
   ConnectFailed, // the connection was not established
   TimedOut,      // abandoned without a byte from the server: it is late, or the connection is dead
-  Cancelled      // abandoned early (another attempt was faster, the client left): time is a lower bound
+  Cancelled      // abandoned early (a faster attempt, or the client disconnected): time is a lower bound
 };
 
 // Numbers that are negative or not finite count as unknown.
 struct AttemptSample {
   AttemptEnding outcome = AttemptEnding::Answered;
   double elapsed_ms = 0;
-  double work_ms = 0; // work expected of the request, in any unit shared by all requests; 0: unknown
+  double work_ms = 0;              // expected of the request; only ratios between requests count; 0: unknown
   double latency_objective_ms = 0; // 0: none
   bool write = false;
   std::uint32_t in_flight = 0; // this router's other attempts to the server that remain in flight
@@ -59,7 +59,8 @@
 
   double limit() const { return limit_; }
   double latency_ms() const { return latency_ms_; } // moving average; 0: no response yet
-  // This router's latency, for the other routers: responses of the last 0.8 s, weighted by age; 0: none.
+  // This router's latency, for the other routers: mean of recent responses, weighted by age; 0: no response
+  // in the last 0.8 s.
   double recent_latency_ms(double now) const;
   // Utilization relative to the point at which the limit decreases: 0: idle; above 1: the limit decreases.
   // `demand`: attempts in flight and waiting.
@@ -105,7 +106,7 @@
   double congestion_score_ = 0;     // evidence of congestion, summed over samples
   double sample_count_ = 0;         // up to kMaxSamples
   double mean_in_flight_;           // mean attempts in flight
-  double slow_at_limit_share_ = 0;  // share of samples that were slow while the limit was used up
+  double slow_at_limit_share_ = 0;  // share of samples that were slow while the limit was fully used
 
   // Values while the server was not congested.
   double uncongested_limit_ = 0;
--- a/src/concurrency/origin_request_queue.cpp
+++ b/src/concurrency/origin_request_queue.cpp
@@ -16,8 +16,8 @@
 }
 
 double OriginRequestQueue::wait_ms(std::size_t requests_ahead) const {
-  return attempts_per_ms_ > 0 ? static_cast<double>(requests_ahead) / attempts_per_ms_
-                              : 0; // rate unknown: no wait is expected
+  // If the rate is unknown, no wait is expected.
+  return attempts_per_ms_ > 0 ? static_cast<double>(requests_ahead) / attempts_per_ms_ : 0;
 }
 
 bool OriginRequestQueue::is_late(double now, const Request& request, std::size_t requests_ahead) const {
--- a/src/concurrency/retry_budget.cpp
+++ b/src/concurrency/retry_budget.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr double kMinEarnedPerRequest = 0.1; // attempts per request, under congestion
-constexpr double kMaxEarnedPerRequest =
-    1; // attempts per request, with proven capacity: a third of attempts may fail
+// Attempts per request, with proven capacity: a third of attempts may fail.
+constexpr double kMaxEarnedPerRequest = 1;
 
 constexpr double kMinHedgesEarned = 0.02; // hedged requests per request
 constexpr double kMaxHedgesEarned = 0.5;
@@ -23,7 +23,7 @@
 constexpr double kProofCongestedShare = 0.02; // share of congested attempts up to which proven capacity grows
 constexpr double kMaxCongestedShare = 0.1;    // from this share on no capacity is proven
 constexpr double kFullEarningFailedShare = 0.5; // share of failed attempts up to which requests earn fully
-constexpr double kNoEarningFailedShare = 0.8;   // from this share on further attempts are useless
+constexpr double kNoEarningFailedShare = 0.8;   // from it on requests earn the minimum: attempts are useless
 constexpr double kAttemptWeight = 0.02;         // weight of one attempt in these shares
 
 } // namespace
