--- a/src/descriptors/client_admission.cpp
+++ b/src/descriptors/client_admission.cpp
@@ -171,7 +171,7 @@
   return std::nullopt;
 }
 
-// ---- Index ----
+// ---- Eviction order ----
 
 void ClientAdmission::insert(Client& client, State state, double time, Id id) {
   remove(client);
--- a/src/descriptors/client_admission.h
+++ b/src/descriptors/client_admission.h
@@ -79,14 +79,13 @@
   // A connection idle for min_idle_ms that may be closed: any under pressure; otherwise one of a client with
   // one request, if many of these are idle and few return. The caller may leave it open.
   std::optional<Id> expired_idle(double now) const;
-  // Few places are free: expired_idle() should be called periodically.
+  // Few client slots are free: expired_idle() should be called periodically.
   bool under_pressure() const { return free_client_slots() < max_clients() / 8; }
 
   std::size_t size() const { return clients_.size(); }
   std::size_t active() const { return active_; } // have sent a request, and are not lingering
-  double return_share() const {
-    return return_after_one_.return_share;
-  } // estimate for clients with one request
+  // Estimate for clients with one request.
+  double return_share() const { return return_after_one_.return_share; }
 
  private:
   static constexpr int kMaxTries = 16;
@@ -110,11 +109,12 @@
     double idle_at = 0;
     double request_at = 0;
     double previous_request_at = 0;
-    double mean_log_idle_ms = 0; // mean
+    double mean_log_idle_ms = 0; // mean of log(1 + idle time in ms)
     bool lingering = false;
     bool in_eviction_order = false;
     bool close_announced = false;
-    EvictionOrder::node_type node; // retained while not in the index, so that a request does not allocate
+    // Retained while not in the eviction order, so that a request does not allocate.
+    EvictionOrder::node_type node;
     EvictionKey eviction_key{};
   };
 
@@ -143,7 +143,7 @@
   EventRate departure_rate_;
   ReturnEstimate return_after_one_{0.4, 1000};  // unknown at first: a few are kept to measure it
   ReturnEstimate return_after_many_{0.9, 1000}; // these clients have returned before
-  double mean_log_idle_ms_ = 0;                 // mean of all clients with several requests
+  double mean_log_idle_ms_ = 0;                 // the same over all clients with several requests
   bool mean_log_idle_known_ = false;
 };
 
--- a/src/descriptors/descriptor_budget.h
+++ b/src/descriptors/descriptor_budget.h
@@ -105,9 +105,8 @@
 
   std::size_t used_bytes() const { return used_bytes_; }
   void set_total_bytes(std::size_t total) { total_bytes_ = total; } // existing leases are unchanged
-  bool exceeded() const {
-    return used_bytes_ > total_bytes_;
-  } // the caller must reject the next request that grows
+  // If true, the caller must reject the next request that grows.
+  bool exceeded() const { return used_bytes_ > total_bytes_; }
 
  private:
   std::size_t total_bytes_;
