--- a/src/discovery/subscription.cpp
+++ b/src/discovery/subscription.cpp
@@ -17,11 +17,11 @@
 // A call may take this much longer in total than its silence timeout, however often bytes arrive.
 constexpr double kMaxReceiveMs = 1000;
 
-// The platform's bounds on how late a change may be received: 6 s after discovery has it and is reachable, 4
-// s after a reload names another address; 250 ms of it are reserved for requests in flight. Each bound holds
-// over three calls in a row that are never answered, the first a long poll: the fourth call is sent by then,
-// and discovery answers it at once. If nothing has been answered for long, it holds over the call that is
-// open at that time and one more, whatever their outcome.
+// The platform's bounds on how late a change may be received: 6 s after discovery has it and is reachable,
+// 4 s after a reload names another address; 250 ms of each are reserved for requests in flight. Each bound
+// holds over three calls in a row that are never answered, the first a long poll: the fourth call is sent by
+// then, and discovery answers it at once. If nothing has been answered for long, it holds over the call that
+// is open at that time and one more, whatever their outcome.
 constexpr SubscriptionSettings kDefaults;
 constexpr double kThreeTimeoutsMs = (1 + 2 + 4) * kDefaults.silence_timeout_ms;
 static_assert(kDefaults.long_poll_ms + kThreeTimeoutsMs < 6000 - 250);
@@ -101,8 +101,8 @@
   if (full_list) changes_failed_ = false;
   call.wait_ms = failures() > 0 ? kNoWaitMs : settings_.long_poll_ms;
   if (full_list) call.wait_ms = 0;
-  const bool first_on_connection =
-      call.polled_at == 0; // on its connection: the connect time counts towards the deadline
+  // The connect time counts towards the deadline of the first poll on a connection.
+  const bool first_on_connection = call.polled_at == 0;
   call.polled_at = now;
   call.next_poll_at = 0;
   const double silence_ends_at = now + call.wait_ms + call.silence_timeout_ms;
--- a/src/discovery/subscription.h
+++ b/src/discovery/subscription.h
@@ -28,8 +28,8 @@
   double max_reconnect_pause_ms = 125;   // the same after many ended in a row
   double max_rejected_pause_ms = 500;    // the same after refusals and invalid answers
   double min_empty_answer_pause_ms = 20; // before the next call after an empty answer without a wait
-  double max_empty_answer_pause_ms =
-      100; // the same after many; a subscription expires 200 ms after its last answer
+  // The same after many; a subscription expires 200 ms after its last answer.
+  double max_empty_answer_pause_ms = 100;
 };
 
 // How a call ended without a list.
@@ -92,7 +92,7 @@
     double wait_ms = 0;
     std::optional<ListIndex> since;
     double answer_deadline = 0; // it is overdue from then on, even if bytes arrive
-    double overdue_at = 0;      // and from then on, unless bytes arrive before
+    double overdue_at = 0;      // it is overdue from then on, unless bytes arrive before
     double next_poll_at = 0;    // when the next poll is sent on its connection; 0: none is scheduled
   };
 
