--- a/src/gossip/gossip_node.cpp
+++ b/src/gossip/gossip_node.cpp
@@ -5,7 +5,7 @@
 namespace fernward::gossip {
 namespace {
 
-constexpr double kEpochMs = 1577836800000; // 2020
+constexpr double kEpochMs = 1577836800000; // start of 2020 (UTC), in Unix time
 // Bytes of origin reports in a datagram: the sender's own and those of six other routers. At five datagrams
 // per second and 300 routers that covers half of the tier within a half-life.
 constexpr std::size_t kMaxOriginBytes = 128;
--- a/src/gossip/gossip_node.h
+++ b/src/gossip/gossip_node.h
@@ -32,9 +32,8 @@
   double router_count = 1;       // live routers, this one included
   double fresh_reports = 0;      // other routers whose reports have not expired
   double origin_limit_share = 0; // of the fleet's limit at the origin, in concurrent attempts; 0: unknown
-  double origin_response_ms = 0,
-         origin_response_age_ms =
-             0; // the origin's mean response time over several routers, and its age; 0: unknown
+  // The origin's mean response time over several routers, and its age; 0: unknown.
+  double origin_response_ms = 0, origin_response_age_ms = 0;
 };
 
 struct GossipCounts {
@@ -50,8 +49,8 @@
     MemberId to;
     std::string bytes;
   };
-  void tick(double now, const LocalReports& local,
-            std::vector<OutgoingDatagram>& out); // due at next_tick_at()
+  // To be called at next_tick_at() or later. Appends the datagrams to be sent.
+  void tick(double now, const LocalReports& local, std::vector<OutgoingDatagram>& out);
   double next_tick_at() const { return membership_.next_tick_at(); }
   // Processes a datagram from the address of `sender`. Returns false if all of it was ignored.
   bool receive(double now, MemberId sender, std::string_view bytes, std::vector<OutgoingDatagram>& out);
@@ -62,9 +61,8 @@
   void append_outlier_changes(double now, std::vector<OutlierDecision>& decisions) {
     outlier_gossip_.append_changes(now, decisions);
   }
-  std::size_t outlier_count() const {
-    return outlier_gossip_.outlier_count();
-  } // cache nodes, by the last changes appended
+  // Cache nodes that are outliers, as of the last append_outlier_changes().
+  std::size_t outlier_count() const { return outlier_gossip_.outlier_count(); }
   const membership::Membership& members() const { return membership_; }
   GossipCounts counts() const;
 
--- a/src/gossip/origin_gossip.h
+++ b/src/gossip/origin_gossip.h
@@ -1,10 +1,10 @@
 // Gossip of each router's state at the origin: demand, limit and response time. Each report is owned by one
 // router, and only that router overwrites it. No I/O, no clock.
 //
-// Merging is a join: of two reports of one owner the later stamp wins; with equal stamps the greater age
-// wins. Order, duplicates and losses therefore don't matter: merging is commutative, associative and
-// idempotent. A report from the owner's own address takes precedence over a relayed one, whatever stamp that
-// one claims.
+// Merging is a join: of two reports of one owner the one with the later stamp is kept; with equal stamps the
+// greater age. Order, duplicates and losses therefore don't matter: merging is commutative, associative and
+// idempotent. A report from the owner's own address takes precedence over a relayed one, whatever stamp the
+// latter carries.
 //
 // Each row of kQuantityBounds states the bounds of a quantity, how its weight decays, what is assumed when no
 // report is available, and the worst effect of a false value.
@@ -65,8 +65,8 @@
   OriginGossip(MemberId self, std::size_t count, std::uint64_t seed);
 
   void set_own(double now, Stamp stamp, const Values& values); // replaces this router's report
-  // Merges a report of `owner`; `direct`: it came from the owner's own address. Returns false if the report
-  // is ignored because it is not newer, is invalid or is this router's own.
+  // Merges a report of `owner`; `is_direct`: it came from the owner's own address. Returns false if the
+  // report is ignored because it is not newer, is invalid or is this router's own.
   bool merge(double now, MemberId owner, Stamp stamp, double age_ms, const Values& values, bool is_direct);
 
   // Encodes reports into at most `room_bytes`: this router's own first, then randomly drawn reports of other
@@ -87,7 +87,7 @@
   // too: its current demand against their older ones would distribute more than the total while demand rises.
   // The shares of all routers therefore add up to the total limit. Excluded are the eighth of the routers
   // with the highest limit for their demand and the one with the lowest: a false report moves no share beyond
-  // the limits of correct routers, in however many rounds. Above its own limit a router takes at most half of
+  // the limits of correct routers, in however many rounds. Above its own limit a router gets at most half of
   // what the fleet would have if each router had the second-highest limit: if only one router has demand, the
   // shares add up to at most one and a half times the previous total.
   double origin_limit_share(double now);
--- a/src/gossip/outlier_gossip.cpp
+++ b/src/gossip/outlier_gossip.cpp
@@ -10,13 +10,13 @@
 using membership::get;
 using membership::put;
 
-// u16 owner, u32 incarnation, u16 sequence, u8 zone, u8 lost, u32 server, u16 age in units of 10 ms.
+// u16 owner, u32 incarnation, u16 sequence, u8 zone, u8 failures, u32 server, u16 age in units of 10 ms.
 constexpr std::size_t kPayloadBytes = 16;
 constexpr double kAgeUnitMs = 10;
 constexpr std::uint32_t kMaxReportedFailures = 255;
 constexpr std::size_t kMinSenders = 2; // sender addresses
-constexpr std::uint32_t kMinFailures =
-    4; // attempts over all senders: one more than one router needs by itself
+// Failed attempts over all senders: one more than one router needs by itself.
+constexpr std::uint32_t kMinFailures = 4;
 constexpr std::uint32_t kMaxFailuresPerSender = 2; // counted per sender
 constexpr std::size_t kMinFailureRatio = 2;        // votes for each reported success
 constexpr double kSuccessMarginMs = 1000; // a success up to so long before the median failure contradicts it
@@ -106,8 +106,8 @@
     }
     return true;
   }
-  // A report from the owner's own address takes precedence over a relayed one, which does not advance the
-  // incarnation of a direct one.
+  // A report from the owner's own address takes precedence over a relayed one. A relayed report does not
+  // advance the incarnation of a direct one.
   const bool existing_is_direct = existing->sender == owner, is_direct = sender == owner;
   if (stamp <= existing->stamp && (existing_is_direct || !is_direct)) return false;
   if (existing_is_direct && !is_direct && stamp.incarnation > existing->stamp.incarnation) return false;
