--- a/src/gossip_transport/transport.cpp
+++ b/src/gossip_transport/transport.cpp
@@ -74,8 +74,8 @@
   timer_ = 0;
   const bool more_pending = receive();
   const double now = loop::now_ms();
-  if (now + poll_interval_ms_ / 2 >= node_.next_tick_at())
-    run_round(now); // the poll nearest to the due time, so that rounds keep their period
+  // At the poll nearest to the due time, so that rounds keep their period.
+  if (now + poll_interval_ms_ / 2 >= node_.next_tick_at()) run_round(now);
   schedule_poll(now, more_pending);
 }
 
@@ -115,8 +115,8 @@
   send_outgoing();
   if (!has_fresh_reports_ && received > 0) {
     has_fresh_reports_ = node_.view(now).fresh_reports > 0;
-    if (has_fresh_reports_)
-      callbacks_.on_update(node_, now); // a restarted router need not wait for the next round
+    // A restarted router need not wait for the next round.
+    if (has_fresh_reports_) callbacks_.on_update(node_, now);
   }
   return received == kMaxReadsPerPoll;
 }
--- a/src/gossip_transport/transport.h
+++ b/src/gossip_transport/transport.h
@@ -1,9 +1,9 @@
 // The UDP socket between routers: sends and receives the datagrams of gossip::GossipNode.
 //
 // It is bound to `peer_listen` and sends to the addresses of `peers`; datagrams from other addresses are
-// ignored. No request waits for a datagram, so none wakes the process: datagrams are read, and due gossip
-// rounds are started, when other timers wake the process, mainly the balancer's tick, and by the end of the
-// period at the latest.
+// ignored. No request waits for a datagram, so the arrival of a datagram does not wake the process: datagrams
+// are read, and due gossip rounds are started, when other timers wake the process, mainly the balancer's
+// tick, and by the end of the period at the latest.
 //
 // While another process of this router still holds the address (the process is being replaced), bind is
 // retried.
@@ -32,23 +32,22 @@
 
 struct Callbacks {
   std::function<gossip::LocalReports()> local_reports; // the reports to send
-  std::function<void(gossip::GossipNode&, double now)>
-      on_update; // after each round, and as soon as the first report of another router is received
+  // Called after each round, and as soon as the first report of another router is received.
+  std::function<void(gossip::GossipNode&, double now)> on_update;
 };
 
 class Transport {
  public:
-  Transport(loop::TimerQueue& timers, const Options& options,
-            Callbacks callbacks); // throws config::Error
+  // Throws config::Error if an address is invalid.
+  Transport(loop::TimerQueue& timers, const Options& options, Callbacks callbacks);
   ~Transport();
   Transport(const Transport&) = delete;
   Transport& operator=(const Transport&) = delete;
 
   void leave(); // notifies some members and closes the socket; nothing is sent afterwards
   gossip::GossipNode& node() { return node_; }
-  std::uint64_t unknown_datagrams() const {
-    return unknown_datagrams_;
-  } // from addresses not in `peers`, or too long
+  // Datagrams from addresses not in `peers`, or too long.
+  std::uint64_t unknown_datagrams() const { return unknown_datagrams_; }
 
  private:
   void open();
