--- a/src/idle_connections/idle_lifetime_estimator.cpp
+++ b/src/idle_connections/idle_lifetime_estimator.cpp
@@ -116,6 +116,7 @@
 }
 
 // An outage, such as a crashed process, resets all connections of a server and must count only once.
+// Also records the time of this reset.
 bool IdleLifetimeEstimator::is_same_outage(double now, Endpoint& endpoint) {
   const bool same_outage = now - endpoint.reset_at < kSameOutageMs;
   endpoint.reset_at = now;
@@ -166,10 +167,10 @@
   return endpoint;
 }
 
-// Change point by beta-binomial likelihood: P(change at bucket i) ~ prior(i) * L(before i | baseline_reset_share) *
-// L(from i on | Jeffreys), against L(all | baseline_reset_share) for no change. A server that resets whatever the
-// idle time therefore shows no change. `others`: the change point of the fleet as prior of a server; null:
-// uniform prior.
+// Change point by beta-binomial likelihood: P(change at bucket i) ~
+// prior(i) * L(before i | baseline_reset_share) * L(from i on | Jeffreys),
+// against L(all | baseline_reset_share) for no change. A server that resets whatever the idle time therefore
+// shows no change. `fleet_prior`: the change point of the fleet as prior of a server; null: uniform prior.
 void IdleLifetimeEstimator::estimate_change_point(ChangePoint& change, const History& history,
                                                   double baseline_reset_share,
                                                   const ChangePoint* fleet_prior) const {
@@ -247,7 +248,7 @@
                                                                  double idle_ms) {
   const Endpoint& estimate = find_with_estimate(now, endpoint);
   if (idle_ms < estimate.safe_ms) return Reuse::Allowed;
-  // Servers that had no reset themselves at that idle time are tried first.
+  // Trials start with servers that had no reset at that idle time themselves.
   const bool server_responsible =
       estimate.history.reuses[bucket_of(estimate.safe_ms)].reset > kResponsibleResets;
   const double trial_at = next_trial_at_ + (server_responsible ? trial_interval_ms_ : 0);
--- a/src/idle_connections/idle_lifetime_estimator.h
+++ b/src/idle_connections/idle_lifetime_estimator.h
@@ -1,9 +1,9 @@
 // Estimates how long a connection to a server may be idle and still be reused. No I/O, no clock.
 //
 // A server may close idle connections earlier than configured and without notice: the next request is reset,
-// and may have run. The estimator determines, per server and over all servers, the idle time from which
-// resets become more likely (a change point, see estimate()), and tests by occasional trials whether longer
-// idle times are safe again.
+// and may have been executed. The estimator determines, per server and over all servers, the idle time from
+// which resets become more likely (a change point, see estimate_change_point()), and tests by occasional
+// trials whether longer idle times are safe again.
 // Units: milliseconds; `now` only advances. State: about 500 bytes per server. An observation takes constant
 // time, an estimate some ten microseconds, at most once in 250 ms per server unless one of its own
 // connections was reset.
