--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -37,7 +37,7 @@
   next_in_order_ = ping_order_.size(); // shuffled at the first ping
 }
 
-// The rate of false suspicions grows with the tier, but the room for updates in datagrams does not: a larger
+// The rate of false suspicions grows with the tier, but the space for updates in datagrams does not: a larger
 // tier therefore sends one more ping before a suspicion.
 double Membership::probe_periods() const { return members_.size() > kSmallTierMembers ? 4 : 3; }
 
@@ -146,8 +146,8 @@
       continue;
     }
     // Repeated at each tick until then: with a fifth of the datagrams lost, one ping and three ping requests
-    // fail for one live member in thirteen, and the updates about these members and their return exceed by
-    // far what all datagrams can carry.
+    // fail for one live member in thirteen, and the updates about these members and their recovery exceed
+    // by far what all datagrams can carry.
     out.push_back(make_packet(pending.target, MessageKind::Ping, pending.round, pending.target));
     for (std::uint32_t helper_index = 0; helper_index < settings_.indirect_pings; ++helper_index) {
       const MemberId helper = random_alive(pending.target);
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -5,8 +5,8 @@
 // the suspicion is piggybacked on later datagrams, and a suspect that is not refuted for a while is declared
 // dead. A member refutes a suspicion: it is notified, first by whoever suspects it, and sends a later stamp,
 // which spreads as fast. From Lifeguard (Dadgar, Phillips, Currey 2017): a router that misses expected
-// answers, or wakes late, first lowers its own health and uses longer timeouts; a suspicion that several
-// routers share times out sooner.
+// answers, or is scheduled late, first lowers its own health and uses longer timeouts; a suspicion that
+// several routers share times out sooner.
 //
 //  - Units: milliseconds on the caller's clock, which only advances.
 //  - Ownership: datagrams to be sent are appended to the caller's vector. Memory: 48 bytes per member, and
@@ -14,10 +14,10 @@
 //  - At the start all configured members count as alive: the number of routers can be too high, never too
 //    low.
 //  - Bounds: a period sends one ping, at most `indirect_pings` ping requests and what the pings of other
-//    members cost. One period of eight may ping a dead member, so that the sides of a network partition find
-//    each other again.
+//    members cost. One period of eight may ping a dead member, so that the sides of a network partition
+//    detect each other again.
 //  - Worst effect of a false update: a member is suspect until it is notified and sends a later stamp. What
-//    comes from a member's own address takes precedence over updates from others, whatever stamp they claim.
+//    comes from a member's own address takes precedence over updates from others, whatever stamp they carry.
 //  - Misuse: router numbers out of range, and datagrams with this router's own number, are ignored and
 //    counted.
 #pragma once
@@ -67,7 +67,7 @@
   std::uint64_t ignored() const { return ignored_; }
 
  private:
-  friend struct MembershipTestAccess; // gives tests access to the state
+  friend struct MembershipTestAccess; // lets tests read and change the state
   enum class State : std::uint8_t { Alive, Suspect, Dead, Left };
   struct Member {
     Stamp stamp;
@@ -114,7 +114,7 @@
   Random random_;
   Stamp stamp_, report_stamp_;
   std::vector<Member> members_;
-  std::vector<MemberId> ping_order_; // of pings, random
+  std::vector<MemberId> ping_order_; // all other members, shuffled before each pass
   std::size_t next_in_order_ = 0, period_count_ = 0;
   std::vector<PendingPing> pending_pings_;
   std::deque<Broadcast> broadcasts_;
--- a/src/membership/wire.h
+++ b/src/membership/wire.h
@@ -4,7 +4,8 @@
 //   1  u8  length of this header  a longer one has fields that this version ignores
 //   2  u8  kind                   ping, ack, ping request (indirect ping through another member), nack
 //   3  u8  number of updates
-//   4  u16 from, u16 subject      router numbers; subject: whom a ping request, ack or nack concerns
+//   4  u16 from, u16 subject      router numbers; subject: the router that a ping request, ack or nack
+//                                 concerns
 //   8  u32 incarnation, u16 sequence: the sender's stamp
 //  14  u16 round                  an ack or nack carries its ping's
 //  16  updates, 13 bytes each: u16 member, u8 state, u32 incarnation, u16 sequence, u16 reporter,
@@ -13,7 +14,7 @@
 //  -4  u32 xxHash32 of all preceding bytes
 //
 //  - Ownership: encode() and decode() copy; a Datagram holds no reference into the bytes.
-//  - Misuse: incomplete datagrams and invalid field values are rejected as a whole.
+//  - Misuse: incomplete datagrams and datagrams with invalid field values are rejected completely.
 #pragma once
 
 #include <compare>
@@ -59,7 +60,7 @@
   std::string payload;
 };
 
-std::size_t payload_room(const Datagram& datagram); // bytes
+std::size_t payload_room(const Datagram& datagram); // after its updates
 std::string encode(const Datagram& datagram);       // omits updates and a payload that don't fit
 std::optional<Datagram> decode(std::string_view bytes);
 
@@ -69,7 +70,7 @@
   for (std::size_t i = 0; i < sizeof(T); ++i) buffer.push_back(static_cast<char>(value >> (8 * i) & 0xff));
 }
 template <typename T>
-T get(std::string_view bytes, std::size_t offset) { // at + sizeof(T) <= size
+T get(std::string_view bytes, std::size_t offset) { // offset + sizeof(T) <= bytes.size()
   std::uint64_t value = 0;
   for (std::size_t i = 0; i < sizeof(T); ++i) {
     value |= static_cast<std::uint64_t>(static_cast<unsigned char>(bytes[offset + i])) << (8 * i);
