--- a/src/placement/fill_rate_limiter.cpp
+++ b/src/placement/fill_rate_limiter.cpp
@@ -9,11 +9,11 @@
 
 constexpr double kSteadyWindowMs = 20000; // averaging window of the steady rates
 constexpr double kTrafficWindowMs = 4000; // averaging window of the current traffic
-constexpr double kTrafficNoiseFactor =
-    1.15;                                // traffic / its mean that random variation reaches without growth
+// Traffic / its mean that random variation reaches without growth.
+constexpr double kTrafficNoiseFactor = 1.15;
 constexpr double kRecentWindowMs = 1000; // averaging window of the current fetches
-constexpr double kSettlingWindowMs =
-    4000; // averaging window of the fetches that show whether a transition is over
+// Averaging window of the fetches that show whether a transition is over.
+constexpr double kSettlingWindowMs = 4000;
 constexpr double kSettledFactor = 1.15; // fetches / base rate up to which a transition is over
 // Number of transition times after which a fleet that keeps changing is treated as steady.
 constexpr double kMaxUnsettledTransitions = 8;
@@ -26,8 +26,8 @@
 constexpr double kUsedShareOfMultiple = 0.8;
 constexpr double kFillShare = 0.5;               // of the allowed rate beyond the base rate
 constexpr double kSecondReplicaFillShare = 0.05; // of the base rate, for second replicas
-constexpr double kMaxSavedFills = 3;             // saved fills
-constexpr double kMaxSavedFetches = 1;           // saved fetches
+constexpr double kMaxSavedFills = 3;
+constexpr double kMaxSavedFetches = 1;
 
 } // namespace
 
@@ -78,7 +78,7 @@
   settling_fetches_.add(now, kSettlingWindowMs);
   if (!is_active(now)) return;
   fetch_tokens_.token_count -= 1;
-  // Otherwise all fetches that were held back would be sent at once when the limit ends.
+  // Otherwise all delayed fetches would be sent at once when the limit ends.
   if (now > active_until_ - kSettlingWindowMs / 2 &&
       settling_fetches_.per_ms(now, kSettlingWindowMs) > kSettledFactor * base_fetches_per_ms(now)) {
     active_until_ =
--- a/src/placement/fill_rate_limiter.h
+++ b/src/placement/fill_rate_limiter.h
@@ -79,8 +79,8 @@
   ResizeSettings settings_;
   double active_until_ = kNever, active_since_ = kNever, latest_active_until_ = kNever,
          last_read_at_ = kNever, steady_observed_ms_ = 0;
-  DecayingRate steady_reads_, steady_fetches_, reads_, recent_fetches_,
-      settling_fetches_; // of fetches, over one and over several seconds
+  // recent_fetches_ covers about one second, settling_fetches_ several.
+  DecayingRate steady_reads_, steady_fetches_, reads_, recent_fetches_, settling_fetches_;
   TokenBucket fetch_tokens_, new_owner_tokens_, second_replica_tokens_;
 };
 
--- a/src/placement/key_demand.h
+++ b/src/placement/key_demand.h
@@ -1,12 +1,12 @@
 // Estimates the share of a key's requests that a server in slow start may receive, so that the sum over all
 // routers stays within the capacity of the server. Pure decisions: no I/O, no clock.
 //
-// Each server has a budget of `overload_multiple` times its current capacity. The share of a server in the fleet
-// shrinks with the number of servers, while the demand for one popular key does not. Capacities are not
+// Each server has a budget of `overload_multiple` times its current capacity. The share of a server in the
+// fleet shrinks with the number of servers, while the demand for one popular key does not. Capacities are not
 // announced, but a warm server handles its share of the load, so its capacity is at least the mean number of
-// requests per server. All routers see the same mix of keys, so each compares its own counts and the number
-// of routers cancels out: a key that this router has counted `count` times brings the server count / mean
-// times the average load, and may use the budget divided by that.
+// requests per server. All routers receive the same mix of keys, so each compares its own counts and the
+// number of routers cancels out: a key that this router has counted `count` times causes count / mean times
+// the average load at the server, and may use the budget divided by that.
 //
 // One router sees few requests: with thousands of servers and one popular key it may not know the key yet,
 // especially after its own start. An unseen key counts as half a request (Krichevsky and Trofimov's
@@ -28,9 +28,9 @@
 
 class KeyDemand {
  public:
-  /// A request for this key was received while `server_count` servers are in service. Returns the share of
-  /// such requests, from 0 to 1, that a server in slow start may receive in addition to its slow-start share.
-  /// `overload_multiple`: more than this times its current capacity overloads a server; below 1 counts as 1.
+  // A request for this key was received while `server_count` servers are in service. Returns the share of
+  // such requests, from 0 to 1, that a server in slow start may receive in addition to its slow-start share.
+  // `overload_multiple`: more than this times its current capacity overloads a server; below 1 counts as 1.
   double on_request(double now, std::uint64_t key, std::size_t server_count, double overload_multiple) {
     if (now >= halve_at_) halve(now);
     const double mean_requests_per_server =
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -5,8 +5,8 @@
 // No previous ring is stored: consistent hashing moves a key only to a cache that has joined, so a walk of
 // the current ring that skips the recently joined caches finds the former owner of the key.
 //
-// `Members` is a map from id to Member. `Member` has `Server entry` and `RingWeight seat`. A member is
-// removed only after an arrange() in which it was Gone and listed as changed.
+// `Members` is a map from id to Member. `Member` has `Server entry` and `RingWeight ring_weight`. A
+// member is removed only after an update_members() in which it was Gone and listed as changed.
 //
 //  - Units: milliseconds on the caller's clock, which only advances.
 //  - Size: grows with the number of caches; tables of keys are fixed, nothing grows with traffic.
@@ -103,7 +103,7 @@
     return choice;
   }
 
-  // Whether the candidate is likely to hold the key. The first candidate is, because every router asks it
+  // Whether the candidate is likely to hold the key. The first candidate is, because every router tries it
   // first, unless it joined recently and another one is known to hold the key. Others are if this router
   // observed the key there, or if they owned it before.
   bool likely_holds(const Choice& choice, std::size_t i, std::uint64_t key) const {
@@ -274,8 +274,8 @@
   };
   ResizeSettings settings_;
   Ring<Member> ring_;
-  double weight_sum_ = 0, typical_weight_ = 1; // of members on the ring; typical weight
-  int weighted_member_count_ = 0;              // number of members on the ring
+  double weight_sum_ = 0, typical_weight_ = 1; // of members on the ring
+  int weighted_member_count_ = 0;              // members on the ring
   KeyLocationCache key_locations_{kKeyLocationSlots};
   HotKeyTracker hot_keys_;
   FillRateLimiter fill_rate_limiter_;
--- a/src/placement/ring.h
+++ b/src/placement/ring.h
@@ -4,8 +4,8 @@
 // The points of the ring are divided into buckets by the first bits of their hash. Adding or removing a
 // member changes only the buckets of its own points, whatever the number of members.
 //
-// `Member` has a `RingWeight seat`. The ring holds pointers to members, which must outlive their points:
-// remove a member only after place() with 0 points.
+// `Member` has a `RingWeight ring_weight`. The ring holds pointers to members, which must outlive their
+// points: remove a member only after place() with 0 points.
 #pragma once
 
 #include <algorithm>
@@ -85,10 +85,10 @@
     ServerId id;
     Member* member;
   };
-  using Bucket = std::vector<Point>; // in the order of before()
+  using Bucket = std::vector<Point>; // in the order of point_order()
 
-  static constexpr std::size_t kPointsPerBucket =
-      8; // mean points per bucket at which the buckets are doubled
+  // Mean points per bucket at which the number of buckets is doubled.
+  static constexpr std::size_t kPointsPerBucket = 8;
 
   static std::uint64_t hash_of(ServerId id, std::int64_t point_index) {
     return mix_bits(mix_bits(id) + static_cast<std::uint64_t>(point_index));
@@ -123,8 +123,8 @@
   }
 
   std::vector<Bucket> buckets_{1};
-  int bucket_bits_ = 0;         // leading bits of a hash that select its bucket
-  std::size_t point_count_ = 0; // points
+  int bucket_bits_ = 0; // leading bits of a hash that select its bucket
+  std::size_t point_count_ = 0;
   std::vector<Member*> visited_members_;
 };
 
