--- a/src/spill/spill_file.cpp
+++ b/src/spill/spill_file.cpp
@@ -45,8 +45,8 @@
     const auto result_bytes = pwrite(fd_, bytes.data() + written_bytes, bytes.size() - written_bytes,
                                      static_cast<off_t>(size_ + written_bytes));
     if (result_bytes < 0 && errno == EINTR) continue;
-    if (result_bytes <=
-        0) { // after a short write the remaining bytes are written again, which reports the error here
+    // After a short write the remaining bytes are written again, which reports the error here.
+    if (result_bytes <= 0) {
       folder_.report_state(false, "cannot write a file");
       return false;
     }
