--- a/src/loop/buffer.h
+++ b/src/loop/buffer.h
@@ -47,8 +47,8 @@
 
   std::size_t size() const { return chain_ == nullptr ? 0 : evbuffer_get_length(chain_.get()); }
   void append_copy(std::string_view bytes);
-  /// Appends by reference if `bytes` fill at least half of `io_buffer`, else as a copy. So no Buffer holds
-  /// more than twice its size in memory.
+  /// Appends by reference if `bytes` lie in `io_buffer` and fill at least half of it, else as a copy. So no
+  /// Buffer holds more than twice its size in memory.
   void append(std::string_view bytes, IoBuffer& io_buffer);
   /// Appends all bytes to `to`; this Buffer is empty afterwards.
   void move_to(evbuffer* to);
--- a/src/loop/slot_map.h
+++ b/src/loop/slot_map.h
@@ -22,7 +22,7 @@
   bool full() const { return size_ >= limit_; }
   std::size_t size() const { return size_; }
 
-  /// Returns 0 if the table is full.
+  /// Returns 0 if the map is full.
   template <typename... Args>
   Handle add(Args&&... args) {
     if (full()) return 0;
@@ -43,7 +43,7 @@
   void remove(Handle handle) {
     if (find(handle) == nullptr) return;
     const std::size_t index = index_of(handle);
-    const std::unique_ptr<T> removed = std::move(slots_[index].value); // its destructor may use this table
+    const std::unique_ptr<T> removed = std::move(slots_[index].value); // its destructor may use this map
     free_.push_back(index);
     --size_;
   }
--- a/src/loop/timer_queue.cpp
+++ b/src/loop/timer_queue.cpp
@@ -66,8 +66,8 @@
 void TimerQueue::run_due() {
   armed_for_ms_ = 0;
   const double now = now_ms();
-  const std::uint64_t newest_sequence =
-      last_sequence_; // timers added by callbacks wait: the event loop must not starve
+  // Timers added by callbacks wait: the event loop must not starve.
+  const std::uint64_t newest_sequence = last_sequence_;
   while (!heap_.empty() && heap_.front().due_ms <= now && heap_.front().sequence <= newest_sequence) {
     remove(0)(); // removed first: the callback may change the heap
   }
