--- a/src/http/framing.h
+++ b/src/http/framing.h
@@ -69,8 +69,8 @@
   ParseError error_ = ParseError::None;
   std::string partial_line_; // the received part of an incomplete line
   std::size_t trailer_bytes_ = 0;
-  std::uint64_t length_ = 0, remaining_bytes_ = 0, received_bytes_ = 0,
-                max_body_bytes_ = 0; // remaining: in the body or the chunk
+  // remaining_bytes_: of the body, or of the current chunk.
+  std::uint64_t length_ = 0, remaining_bytes_ = 0, received_bytes_ = 0, max_body_bytes_ = 0;
 };
 
 // Parses an unsigned number of up to 15 digits.
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -35,13 +35,11 @@
   bool head_done() const { return state_ == State::Body; }
   bool done() const { return head_done() && body_.done(); }
   ParseError error() const { return error_ != ParseError::None ? error_ : body_.error(); }
-  bool has_started() const {
-    return state_ != State::StartLine || !partial_line_.empty();
-  } // part of a message was received
+  // Whether part of a message was received.
+  bool has_started() const { return state_ != State::StartLine || !partial_line_.empty(); }
   bool expects_body() const { return head_done() && !body_.done(); }
-  std::size_t buffered_bytes() const {
-    return header_bytes_ + message_.body.size();
-  } // bytes of this message held in memory
+  // Bytes of this message held in memory.
+  std::size_t buffered_bytes() const { return header_bytes_ + message_.body.size(); }
   const Message& message() const { return message_; }
   BodyParser& body() { return body_; }
   const BodyParser& body() const { return body_; }
--- a/src/http/text.h
+++ b/src/http/text.h
@@ -9,7 +9,7 @@
 bool is_token(std::string_view text);         // a method or a header name
 std::string to_lower(std::string_view text);  // ASCII
 std::string_view trim(std::string_view text); // removes surrounding spaces and tabs
-bool list_contains(std::string_view list,
-                   std::string_view item); // comma-separated, case-insensitive; `item` in lower case
+// Whether the comma-separated `list` contains `item`, which is in lower case. Case-insensitive.
+bool list_contains(std::string_view list, std::string_view item);
 
 } // namespace fernward::http
