--- a/src/downstream/closing.cpp
+++ b/src/downstream/closing.cpp
@@ -84,8 +84,8 @@
     case Connection::State::Waiting:
     case Connection::State::Streaming: {
       const Handle active_request = std::exchange(connection.active_request, 0);
-      if (connection.streamed_body != nullptr)
-        connection.streamed_body->abort(); // its body is already being streamed
+      // The body was already being streamed to a server.
+      if (connection.streamed_body != nullptr) connection.streamed_body->abort();
       close(connection, connection.streamed_body != nullptr ? "request-cut" : "client-gone");
       return callbacks_.client_disconnected(active_request);
     }
@@ -173,8 +173,8 @@
 bool Listener::try_pass_connection(Connection& connection) {
   if (!is_idle(connection)) return false;
   const int fd = bufferevent_getfd(connection.socket.get());
-  bufferevent_disable(connection.socket.get(),
-                      EV_READ | EV_WRITE); // else its event would outlive the descriptor
+  // Otherwise its events would outlive the descriptor.
+  bufferevent_disable(connection.socket.get(), EV_READ | EV_WRITE);
   if (!pass_connection_(fd, connection.request_count)) {
     bufferevent_enable(connection.socket.get(), EV_READ | EV_WRITE);
     return false;
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -61,7 +61,7 @@
 
 namespace {
 
-// Whether a socket path is left over from a crash: nobody accepts connections on it.
+// Whether a socket path is left over from a crash: no process accepts connections on it.
 bool is_stale_socket(const sockaddr_un& address) {
   const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (fd < 0) return false;
@@ -271,7 +271,8 @@
     if (fd >= 0) {
       accept_connection(fd);
     } else if ((errno != EMFILE && errno != ENFILE) || !evict_connection("table-full")) {
-      break; // out of descriptors, idle connections are evicted as before
+      // The queue is empty, or no descriptor is left and no idle connection can be evicted to free one.
+      break;
     }
   }
   timers_.cancel(resume_timer_);
--- a/src/downstream/listener.h
+++ b/src/downstream/listener.h
@@ -62,7 +62,8 @@
   std::function<void(loop::Handle active_request)> response_drained;
 };
 
-// Accepts client connections, decodes their requests, and sends the responses. Owned by the router.
+// Accepts client connections, decodes their requests, and sends the responses. Owned by the router. Times
+// are on the loop::now_ms() clock.
 //
 // States of a connection:
 //   Reading   -> Waiting (a request was forwarded), Closing (an error response), or Lingering (idle timeout)
@@ -70,7 +71,7 @@
 //   Streaming -> Reading or Closing (the response is complete)
 //   Closing   -> Lingering, once the last response has been sent
 //   Lingering: shut down for sending; input is discarded until the client closes
-// A connection can be closed in any state, which destroys it.
+// A connection can be closed in any state, which destroys the Connection object.
 class Listener : public proxy::DownstreamConnections {
  public:
   // Throws std::runtime_error if it cannot listen on the address. All references must outlive the listener.
@@ -122,8 +123,8 @@
   std::size_t connection_count() const { return connections_.size(); }
 
  private:
-  static constexpr std::size_t kMaxReadAheadBytes =
-      16 * 1024; // of input buffered ahead of the current request
+  // Limit of the input buffered ahead of the current request.
+  static constexpr std::size_t kMaxReadAheadBytes = 16 * 1024;
 
   struct Connection {
     Connection(descriptors::RequestBufferBudget& request_buffers, body_buffers::BufferBudget& buffer_budget,
@@ -141,7 +142,7 @@
     std::shared_ptr<proxy::RequestBody> streamed_body;       // a long body that is arriving; else null
     std::optional<proxy::ClientRequest> pending_request;     // its request, until it is forwarded
     figures::RouterStats::RequestTracker request_statistics; // until the final response
-    double body_started_at = 0;                              // when that body started to arrive
+    double body_started_at = 0;                              // when streamed_body started to arrive
     enum class State { Reading, Waiting, Streaming, Closing, Lingering } state = State::Reading;
     loop::Handle active_request = 0;               // in Waiting and Streaming; else 0
     http::Framing framing = http::Framing::Length; // of a streamed response
@@ -157,8 +158,8 @@
     std::size_t discarded_bytes = 0;                    // bytes discarded after the last response
     double opened_at = 0, responded_at = 0;
     loop::TimerQueue::TimerId timer = 0;
-    loop::TimerQueue::TimerId end_check_timer =
-        0; // polls for the client's disconnect while reading is paused
+    // Polls for the client's disconnect while reading is paused.
+    loop::TimerQueue::TimerId end_check_timer = 0;
     const char* close_code = "";
   };
   struct ListenerFree {
@@ -189,8 +190,8 @@
   void handle_request(Connection& connection, http::Message request); // a complete request
   DecodedRequest decode(http::Message request);
   bool admit(Connection& connection, DecodedRequest& decoded, bool complete); // false: it has been rejected
-  void open_request(Connection& connection,
-                    proxy::ClientRequest request); // forwards the request to the router
+  // Forwards the request to the router.
+  void open_request(Connection& connection, proxy::ClientRequest request);
   void reject(Connection& connection, int status, const char* text, const char* close_code);
   void start_streamed_body(Connection& connection);
   void read_streamed_body(Connection& connection);
@@ -202,9 +203,9 @@
   bool decide_keep_alive(Connection& connection, const char*& close_code);
   void send_short_response(Connection& connection, const std::string& text, bool keep_alive,
                            const char* close_code);
-  void on_response_written(Connection& connection, bool keep_alive,
-                           const char* close_code); // sets the state after a response
-  void release_sent_bytes(Connection& connection);  // returns sent bytes to the buffer budget
+  // Sets the state after a response.
+  void on_response_written(Connection& connection, bool keep_alive, const char* close_code);
+  void release_sent_bytes(Connection& connection); // returns sent bytes to the buffer budget
   void start_write_timeout(Connection& connection);
   bool client_is_reading(Connection& connection); // it has recently read some of a response
   void on_output_drained(Connection& connection); // the output buffer is empty, or below its watermark
@@ -213,12 +214,13 @@
   bool can_evict(loop::Handle handle); // no request is pending on it
   void close_expired_idle();
   void watch_descriptor_pressure();
-  void start_lingering(Connection& connection,
-                       const char* close_code); // shuts down sending, and waits for the client to close
+  // Shuts down sending, and waits for the client to close.
+  void start_lingering(Connection& connection, const char* close_code);
   void on_connection_event(Connection& connection, short events);
-  void start_timeout(Connection& connection, double timeout_ms,
-                     const char* close_code);                       // closes it with this code
-  void start_idle_timeout(Connection& connection, double check_at); // closes it after idle_timeout_ms
+  // Ends the connection after this time, with `close_code` in the log. A client that makes progress gets
+  // more time, and one with a partial request a 408.
+  void start_timeout(Connection& connection, double timeout_ms, const char* close_code);
+  void start_idle_timeout(Connection& connection, double check_at); // ends it after idle_timeout_ms
   void close(Connection& connection, const char* close_code);
   bool is_idle(Connection& connection);             // between requests, with empty buffers
   bool try_pass_connection(Connection& connection); // to the new process; false: the connection stays here
--- a/src/downstream/requests.cpp
+++ b/src/downstream/requests.cpp
@@ -40,7 +40,7 @@
   if (connection.state == Connection::State::Lingering || connection.state == Connection::State::Closing) {
     connection.discarded_bytes += input.size();
     if (connection.discarded_bytes > kMaxDiscardedBytes)
-      bufferevent_disable(connection.socket.get(), EV_READ); // do not read an upload of 60 MB
+      bufferevent_disable(connection.socket.get(), EV_READ); // do not receive a long upload, such as 60 MB
     return loop::consume_input(connection.socket.get(), input.size());
   }
   if (connection.streamed_body != nullptr) return read_streamed_body(connection);
@@ -241,7 +241,7 @@
     const std::string_view input = loop::pending_input(connection.socket.get());
     if (input.empty()) break;
     const std::size_t available_bytes = connection.streamed_body->writable_bytes();
-    if (available_bytes == 0) { // the server reads it slowly
+    if (available_bytes == 0) { // the body's buffer is full: the server reads slowly
       pause_reading(connection);
       break;
     }
--- a/src/downstream/responses.cpp
+++ b/src/downstream/responses.cpp
@@ -218,8 +218,9 @@
   return pending_bytes == 0 || now_ms() - connection.last_sent_at < options_.write_timeout_ms;
 }
 
-// Called when the response has been passed to the kernel. A connection to be closed lingers first: closing
-// with unread input would make the kernel reset the connection, and the client could lose the response.
+// Called when the output buffer is empty, or below its watermark while a response is streamed. A connection
+// to be closed lingers first: closing with unread input would make the kernel reset the connection, and the
+// client could lose the response.
 void Listener::on_output_drained(Connection& connection) {
   release_sent_bytes(connection);
   if (connection.state == Connection::State::Streaming) {
