--- a/src/hot_restart/restart_messages.h
+++ b/src/hot_restart/restart_messages.h
@@ -35,9 +35,9 @@
   Resources old_process;
   Resources new_process;
 };
-// Splits `total` between the processes. `used`: descriptors in use by connections of the old process.
-// `reserved`: descriptors that the new process needs for purposes other than connections, in addition to
-// those that the old one has reserved for itself.
+// Splits `total` between the processes. `used_descriptors`: in use by connections of the old process.
+// `reserved_descriptors`: needed by the new process for purposes other than connections, in addition to those
+// that the old one has reserved for itself.
 ResourceSplit split_resources(const Resources& total, std::uint64_t used_descriptors,
                               std::uint64_t reserved_descriptors);
 
--- a/src/hot_restart/restart_transport.h
+++ b/src/hot_restart/restart_transport.h
@@ -99,9 +99,9 @@
 class RestartListener {
  public:
   using OnConnect = std::function<void(Descriptor)>;
-  RestartListener(event_base* base, const std::string& path,
-                  OnConnect on_connect); // throws std::runtime_error
-  ~RestartListener();                    // removes the path, unless another process has replaced it
+  // Throws std::runtime_error if it cannot listen at `path`.
+  RestartListener(event_base* base, const std::string& path, OnConnect on_connect);
+  ~RestartListener(); // removes the path, unless another process has replaced it
   RestartListener(const RestartListener&) = delete;
   RestartListener& operator=(const RestartListener&) = delete;
 
