--- a/src/proxy/client_request.h
+++ b/src/proxy/client_request.h
@@ -14,7 +14,7 @@
   std::string path;                           // with the query; sent upstream unchanged
   std::string body;                           // a short body, complete
   std::shared_ptr<RequestBody> streamed_body; // a long body, which may still be arriving; else null
-  // The maximum time for the rest of the body to arrive; 0: the body is complete.
+  // The maximum time for the remaining body to arrive; 0: the body is complete.
   double body_timeout_ms = 0;
   std::string id;              // the client's X-Request-ID, or a generated one
   std::string idempotency_key; // lets servers discard duplicates; empty: none
--- a/src/proxy/request_body.cpp
+++ b/src/proxy/request_body.cpp
@@ -72,8 +72,8 @@
     bytes = body.in_memory_.copy(destination, max_bytes, static_cast<std::size_t>(offset_));
   } else if (offset_ < retained_bytes) {
     bytes = body.in_file_->read(offset_ - body.in_memory_.size(), destination, max_bytes);
-  } else if (offset_ ==
-             retained_bytes + body.consumed_bytes_) { // otherwise another reader has consumed these bytes
+  } else if (offset_ == retained_bytes + body.consumed_bytes_) {
+    // At any other offset, another reader has consumed the bytes.
     bytes = body.unretained_.read(destination, max_bytes);
     body.consumed_bytes_ += bytes;
     body.body_.mark_consumed(bytes);
--- a/src/proxy/request_body.h
+++ b/src/proxy/request_body.h
@@ -46,7 +46,7 @@
   bool append(std::string_view bytes, loop::IoBuffer& io_buffer);
   // The last byte has arrived.
   void complete();
-  // The rest of the body will never arrive.
+  // The remaining bytes of the body will never arrive.
   void abort();
   // Whether an attempt may start before the body is complete. A body whose buffer is full may always be
   // streamed: it could not become complete otherwise.
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -37,9 +37,8 @@
   ActiveRequest& active_request = *requests_.find(id);
   active_request.client = client;
   active_request.request = std::make_shared<const ClientRequest>(std::move(request));
-  const double now =
-      loop::now_ms() +
-      active_request.request->body_timeout_ms; // the timeout counts from the last byte of the request
+  // The timeout counts from the last byte of the request. A body is assumed to arrive as late as it may.
+  const double now = loop::now_ms() + active_request.request->body_timeout_ms;
   active_request.deadline = now + active_request.request->timeout_ms;
   active_request.objective_at = active_request.deadline;
   if (active_request.request->class_index < settings_.classes.size()) {
@@ -50,8 +49,8 @@
                    now + class_settings.latency_objective_ms +
                        class_settings.objective_work_factor * active_request.request->expected_work_ms);
   }
-  // A fallback: normally the Balancer responds earlier. Half of the grace period is left for the transmission
-  // to the client.
+  // A fallback: normally the Balancer ends the request earlier. Half of the grace period is left for the
+  // transmission to the client.
   active_request.deadline_timer =
       timers_.run_at(active_request.deadline + options_.grace_ms / 2, [this, id] { on_deadline(id); });
   ++unanswered_requests_;
@@ -275,7 +274,7 @@
     // The endpoint list is always watched: an empty delta confirms the watch at once.
     enqueue(fernward::EndpointList{fernward::EndpointListKind::Delta, {}});
   } else if (const auto* health_check = std::get_if<fernward::SendHealthCheck>(&action)) {
-    enqueue(fernward::HealthCheckResult{health_check->server, 0, false, {}}); // none are sent
+    enqueue(fernward::HealthCheckResult{health_check->server, 0, false, {}}); // never sent: fails
   }
 }
 
--- a/src/proxy/request_dispatcher.h
+++ b/src/proxy/request_dispatcher.h
@@ -59,7 +59,7 @@
   void client_disconnected(Handle request_id);
   // The client has received part of a streamed response, and more can be written.
   void response_drained(Handle request_id);
-  // Graceful shutdown: requests without a final response fail at this time.
+  // Graceful shutdown: requests that have no final response by this time fail then.
   void answer_all_by(double answer_by);
   void update_endpoints(fernward::EndpointList list);
   // Events derived from the gossip of the other routers, see gossip/balancer_exchange.h.
@@ -78,7 +78,7 @@
   bool splice_from(Handle attempt_id, int socket, std::size_t max_bytes, loop::IoBuffer& io_buffer,
                    loop::ReceiveResult& received, std::size_t& bytes) override;
 
-  // The number of requests given up so far, by reason.
+  // The number of requests rejected or failed by the Balancer so far, by reason.
   using GiveUpCounts = std::array<std::uint64_t, static_cast<std::size_t>(fernward::GiveUpReason::Count)>;
   const GiveUpCounts& give_up_counts() const { return give_up_counts_; }
   bool is_ejected(fernward::ServerId server) const { return balancer_.is_ejected(server); }
--- a/src/proxy/upstream_connections.h
+++ b/src/proxy/upstream_connections.h
@@ -9,8 +9,8 @@
 
 using loop::Handle;
 
-// Sends attempts and reports to AttemptCallbacks. None of these functions calls AttemptCallbacks before it
-// returns.
+// Sends attempts, and reports their progress to AttemptCallbacks. None of these functions calls
+// AttemptCallbacks before it returns.
 class UpstreamConnections {
  public:
   enum class StartResult {
