--- a/src/upstream/close_reason.h
+++ b/src/upstream/close_reason.h
@@ -16,9 +16,9 @@
   Reset,                   // while a response was expected
   Truncated,               // the endpoint ended its stream before the response was complete
   Malformed,               // the response could not be parsed
-  TooLarge,                // the response is longer than limits.max_response_bytes
+  TooLarge,                // the head is too large, or the body exceeds `limits.answer_bytes`
   ClientSlow,              // cancelled while its client did not read the response
-  BodyLost,                // the rest of the request's body is unavailable
+  BodyLost,                // the remaining bytes of the request's body are unavailable
   ResponseStalled,         // no further bytes of a response that had started
   UploadStalled,           // the endpoint stopped reading the request body
   CancelledDuringResponse, // cancelled after part of the response was received
@@ -29,7 +29,7 @@
   EarlyResponse,        // a response before the request was sent completely
   PeerClosed,           // by the endpoint, while idle
   PeerRequestedClose,   // requested by the endpoint in its response
-  Stale,                // found closed when it was to be reused
+  Stale,                // found closed, or with unread bytes, when it was to be reused
   UnsolicitedBytes,     // received bytes without a request
   IdleTimeout,          // idle for the configured time
   Surplus,              // origin only: another connection was idle as well
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -194,7 +194,7 @@
   return nullptr;
 }
 
-// Takes the newest connecting one; its connect timeout stays in force.
+// Takes the newest connection that is still connecting; its connect timeout stays in force.
 UpstreamConnection* ConnectionPool::take_connecting(ServerId endpoint) {
   std::vector<Handle>& free = free_[endpoint];
   for (std::size_t i = free.size(); i-- > 0;) {
@@ -251,7 +251,7 @@
 descriptors::DescriptorBudget::Lease ConnectionPool::reserve_descriptor() {
   using Eviction = descriptors::DescriptorBudget::Eviction;
   const double now = now_ms();
-  for (;;) { // each round closes one connection
+  for (;;) { // each iteration closes one connection
     const Eviction eviction = descriptors_.required_eviction(now, descriptors::Side::Upstream);
     if (eviction == Eviction::None) return descriptors_.acquire(now, descriptors::Side::Upstream);
     if (eviction == Eviction::OtherSide && evict_client_connection_()) continue;
@@ -371,8 +371,8 @@
   if (end_of_input && connection.parser.end_of_input()) {
     return response_complete(connection, CloseReason::PeerRequestedClose);
   }
-  if (!connection.parser.has_started())
-    record_idle_use(connection, true); // otherwise it was alive after its idle time
+  // A connection on which a response has started was alive after its idle time.
+  if (!connection.parser.has_started()) record_idle_use(connection, true);
   // As its last byte has not been sent, the request cannot have run.
   if (connection.request_unsent()) {
     return fail(connection, AttemptResult::ConnectFailed, CloseReason::BrokenBeforeSent);
--- a/src/upstream/connection_pool_options.h
+++ b/src/upstream/connection_pool_options.h
@@ -18,8 +18,8 @@
   std::int64_t scarce_kind = -1;
   std::vector<std::string> load_report_fields; // fields of the load report, in the order of the settings
   body_buffers::ResponseBufferingLimits response_limits;
-  double silence_timeout_ms =
-      5000;                     // without a byte of the response received, or of the request body accepted
+  // Without a byte of the response received, or of the request body accepted.
+  double silence_timeout_ms = 5000;
   int receive_buffer_bytes = 0; // kernel receive buffer of each connection; 0: system default
 };
 
--- a/src/upstream/request_writer.cpp
+++ b/src/upstream/request_writer.cpp
@@ -79,8 +79,8 @@
   timers_.run_at(now_ms(), [this, handle = connection.handle] {
     UpstreamConnection* incomplete = connections_.find(handle);
     if (incomplete == nullptr || incomplete->upload.stage != Stage::Uploading) return;
-    owner_.fail(*incomplete, AttemptResult::ConnectFailed,
-                CloseReason::BodyLost); // an incomplete request has not run
+    // An incomplete request has not run.
+    owner_.fail(*incomplete, AttemptResult::ConnectFailed, CloseReason::BodyLost);
   });
 }
 
