--- a/src/router/config_reload.h
+++ b/src/router/config_reload.h
@@ -1,8 +1,8 @@
 // Applies a new configuration on SIGHUP. Connections, requests and the endpoint list are kept.
 //
 // Of a platform configuration only `discovery` is changed; every other key that differs is logged and keeps
-// its value until the next start. Of an application's configuration (`movable`) either all changes are
-// applied, if config::moved() accepts them, or none.
+// its value until the next start. Of an application's configuration (Config::reloadable) either all changes
+// are applied, if config::merge_reloaded() accepts them, or none.
 #pragma once
 
 #include "config/config.h"
--- a/src/router/endpoint_updater.cpp
+++ b/src/router/endpoint_updater.cpp
@@ -74,7 +74,7 @@
     discovery_watch_ = watch_discovery(discovery);
   } else if (discovery_watch_->address() == discovery) {
     new_discovery_watch_.reset(); // back to the old address before the new one has provided a list
-    discovery_watch_->refresh();  // its pending call may never be answered
+    discovery_watch_->refresh();  // its pending request may never get a response
   } else if (new_discovery_watch_ != nullptr && new_discovery_watch_->address() == discovery) {
     new_discovery_watch_->refresh();
   } else {
--- a/src/router/endpoint_updater.h
+++ b/src/router/endpoint_updater.h
@@ -43,8 +43,8 @@
   void on_updated(std::function<void()> callback) { on_updated_ = std::move(callback); }
 
   // Loads the initial list from the configuration. `inherited`: it was just received from the process that
-  // this one replaces, and is used immediately. Otherwise, if discovery is configured, requests are not sent
-  // by this list until discovery has answered or kInitialListTimeoutMs has passed.
+  // this one replaces, and is used immediately. Otherwise, if discovery is configured, requests are shed
+  // until discovery has provided a list, or until kInitialListTimeoutMs has passed and this list is used.
   void load_initial_list(bool inherited);
   // Applies the list of the configuration. An invalid list is logged and changes nothing.
   void load_configured_list();
@@ -57,9 +57,8 @@
   void refresh_endpoint(const std::string& name);
 
   bool is_awaiting_initial_list() const { return initial_list_timer_ != 0; }
-  bool is_ready() const {
-    return !is_awaiting_initial_list() && table_.has_endpoint_in_service();
-  } // requests may be sent
+  // Whether requests may be sent.
+  bool is_ready() const { return !is_awaiting_initial_list() && table_.has_endpoint_in_service(); }
   bool is_cache(const fernward::Server& server) const;
 
   endpoints::EndpointTable& table() { return table_; }
--- a/src/router/graceful_shutdown.cpp
+++ b/src/router/graceful_shutdown.cpp
@@ -16,7 +16,7 @@
 constexpr double kFlushCheckIntervalMs = 5;
 
 // The client timeout of a request that is accepted at the last moment. A sidecar, whose configuration is
-// `movable`, waits for the longest timeout of its classes without the platform's limit.
+// reloadable, waits for the longest timeout of its classes without the platform's limit.
 double longest_client_timeout_ms(const config::Config& config) {
   double longest_ms = 0;
   for (const auto& class_settings : config.settings.classes)
--- a/src/router/hot_restart_coordinator.h
+++ b/src/router/hot_restart_coordinator.h
@@ -7,7 +7,8 @@
 //
 //   None -> Connected       a process connects to `socket_path`; others are rejected until it disconnects
 //   Connected -> Granted    its request is granted: listening descriptor, endpoint list, overrides, resources
-//   Connected -> None       no request within kRequestTimeoutMs, another address, or an unexpected message
+//   Connected -> None       no request within kTakeoverRequestTimeoutMs, another address, an unexpected
+//                           message, or its connection is closed
 //   Granted -> Ready        it accepts connections: this process stops accepting
 //   Granted, Ready -> None  its connection is closed. Before shutdown this process reclaims all resources
 //                           and accepts again; during shutdown it serves its remaining connections
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -12,8 +12,8 @@
 namespace fernward::router {
 namespace {
 
-constexpr int kMaxCallbacksPerDispatch =
-    64;                           // of traffic, before checking for events of the first priority again
+// Callbacks of traffic before checking for events of the first priority again.
+constexpr int kMaxCallbacksPerDispatch = 64;
 constexpr int kPriorityCount = 2; // first: discovery and the control port; second: everything else
 constexpr double kTakeoverTimeoutMs = 2500;
 
--- a/src/router/router_options.cpp
+++ b/src/router/router_options.cpp
@@ -43,8 +43,8 @@
   proxy::RequestDispatcherOptions options;
   options.grace_ms = config.limits.response_grace_ms;
   options.max_requests = static_cast<std::size_t>(config.limits.max_active_requests);
-  options.discovery_poll_interval_ms =
-      config.limits.drain_grace_ms / 10; // the remaining grace period is for reading the list
+  // The remaining grace period is for reading the list.
+  options.discovery_poll_interval_ms = config.limits.drain_grace_ms / 10;
   return options;
 }
 
@@ -106,8 +106,8 @@
 }
 
 // With pushed lists a change applies immediately, so at most half of the drain grace period may pass before
-// the next request to discovery. With polled lists a change applies later anyway, and longer pauses spare
-// discovery, a single service that all routers load.
+// the next request to discovery. With polled lists a change applies later anyway, and longer pauses reduce
+// the load on discovery, a single service that all routers use.
 discovery::SubscriptionSettings subscription_rules(const config::Config& config) {
   discovery::SubscriptionSettings rules;
   const bool pushed = config.settings.discovery == fernward::DiscoveryMode::Push;
--- a/src/router/stats_reporter.cpp
+++ b/src/router/stats_reporter.cpp
@@ -80,8 +80,8 @@
                       {"strangers", gossip_->unknown_datagrams()}});
 }
 
-// Writes one summary line for all rejections since the last report: one line per rejection would exceed the
-// log's rate limit exactly when there are many.
+// Writes one summary line for all requests given up since the last report: one line per request would exceed
+// the log's rate limit exactly when there are many.
 void StatsReporter::report_rejected() {
   const auto& rejections = parts_.dispatcher.give_up_counts();
   std::vector<log::Field> fields;
--- a/src/router/stats_reporter.h
+++ b/src/router/stats_reporter.h
@@ -26,9 +26,9 @@
   StatsReporter(const StatsReporter&) = delete;
   StatsReporter& operator=(const StatsReporter&) = delete;
 
-  void add_gossip(
-      gossip_transport::Transport& gossip); // registers its gauges and adds its line to each report
-  void start();                             // reports periodically until the event loop ends
+  // Registers its gauges, and adds its line to each report.
+  void add_gossip(gossip_transport::Transport& gossip);
+  void start(); // reports periodically until the event loop ends
   void report();
 
  private:
