--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -177,7 +177,7 @@
     UpstreamConnection* const connection = connections_.find(free[i]);
     if (connection == nullptr || !connection->is(State::Idle)) continue;
     if (loop::peek(bufferevent_getfd(connection->socket.get())) != loop::Peek::NoData) {
-      close(*connection, CloseReason::Stale); // removes it from `free`
+      close(*connection, CloseReason::Stale); // removes it from `free_handles`
       i = std::min(i, free.size());
       continue;
     }
