--- a/src/toml_document/document.cpp
+++ b/src/toml_document/document.cpp
@@ -31,13 +31,13 @@
     const std::string_view next_three = text.substr(i, 3);
     if (state == Plain) {
       if (static_cast<unsigned char>(c) >= 0x80)
-        return TextError{line, column, "letters beyond ASCII may stand in quotes and comments only"};
+        return TextError{line, column, "letters beyond ASCII are allowed only in quotes and comments"};
       if (c == '[' || c == '{') ++depth;
       if ((c == ']' || c == '}') && depth > 0) --depth;
       if (c == '.') ++dots;
       if (c == '=' || c == ',' || c == '\n') dots = 0;
       if (depth > kMaxNesting || dots > kMaxNesting)
-        return TextError{line, column, "more than 100 tables deep"};
+        return TextError{line, column, "tables or keys are nested more than 100 levels deep"};
       if (c == '#') state = Comment;
       if (c == '"') state = next_three == "\"\"\"" ? LongBasic : Basic;
       if (c == '\'') state = next_three == "'''" ? LongLiteral : Literal;
--- a/src/toml_document/document.h
+++ b/src/toml_document/document.h
@@ -33,7 +33,8 @@
 using Diagnostics = std::vector<Diagnostic>;
 using Positions = std::map<std::string, Position>; // of the values in files, by member path
 
-// Sorts by file and position, removes duplicates, and replaces those beyond kMaxDiagnostics by their number.
+// Sorts by file and position, removes duplicates, and replaces those beyond the first 200 by one diagnostic
+// with their number.
 void sort_and_limit(Diagnostics& diagnostics);
 
 struct Layer { // a parsed file; keys that it omits may come from another layer
--- a/src/toml_document/reader.cpp
+++ b/src/toml_document/reader.cpp
@@ -73,10 +73,10 @@
       const std::string name(key.str());
       if (table.known_keys.contains(name)) continue;
       const std::string suggestion = closest_match(name, known);
-      add_error(
-          position_of(key.source().begin.line > 0 ? key.source() : node.source(), *source.layer),
-          table.path.empty() ? name : key_of(table.path) + "." + name, "unknown-key",
-          suggestion.empty() ? "is not a key of this table" : "is no key; is \"" + suggestion + "\" meant?");
+      add_error(position_of(key.source().begin.line > 0 ? key.source() : node.source(), *source.layer),
+                table.path.empty() ? name : key_of(table.path) + "." + name, "unknown-key",
+                suggestion.empty() ? "is not a key of this table"
+                                   : "is not a key of this table; is \"" + suggestion + "\" meant?");
     }
   }
 }
--- a/src/toml_document/value.cpp
+++ b/src/toml_document/value.cpp
@@ -47,7 +47,7 @@
 
 std::string closest_match(const std::string& given, const std::vector<std::string>& words) {
   std::string best;
-  std::size_t best_distance = 3; // words at a greater distance are unrelated
+  std::size_t best_distance = 3; // candidates at a distance of 3 or more are considered unrelated
   if (given.size() > 64) return best;
   for (const std::string& word : words) {
     const std::size_t candidate_distance = edit_distance(given, word);
@@ -92,14 +92,14 @@
   const auto value = node.value_exact<std::int64_t>();
   if (value && *value >= 0 && static_cast<double>(*value) <= kMaxCount)
     return static_cast<std::uint32_t>(*value);
-  failure = {value ? "value" : "type", "must be a whole number from 0 on"};
+  failure = {value ? "value" : "type", "must be a whole number of at least 0"};
   return std::nullopt;
 }
 
 std::optional<std::uint64_t> parse_seed(const toml::node& node, ParseError& failure) {
   const auto value = node.value_exact<std::int64_t>();
   if (value && *value >= 0) return static_cast<std::uint64_t>(*value);
-  failure = {value ? "value" : "type", "must be a whole number from 0 on"};
+  failure = {value ? "value" : "type", "must be a whole number of at least 0"};
   return std::nullopt;
 }
 
--- a/src/toml_document/value.h
+++ b/src/toml_document/value.h
@@ -21,7 +21,7 @@
 std::optional<std::uint32_t> parse_ref(const toml::node& node, Table table, const Names& names,
                                        ParseError& failure);
 
-// The word that is closest to a misspelt `given`; empty: none is close.
+// The candidate that is most similar to the misspelt `given`; empty: none is similar.
 std::string closest_match(const std::string& given, const std::vector<std::string>& words);
 
 // In quotes and truncated if long, for messages.
--- a/src/toml_document/visitor.h
+++ b/src/toml_document/visitor.h
@@ -20,11 +20,12 @@
 // Identifies the table to which a name in the file refers. Each description defines its own numbers.
 enum class Table : int {};
 
-struct SpecialValue { // a word for a value that no quantity can express
+struct SpecialValue { // a named value that no quantity can express; none: `text` is null
   const char* text = nullptr;
   double value = 0;
 };
 
+// The values of a choice as written in a file; a choice is stored as an index into them.
 using Words = std::span<const char* const>;
 
 class Visitor {
@@ -44,7 +45,8 @@
   virtual void ref(const char* member, std::uint32_t& value, Table table, bool needed, const char* doc) = 0;
   virtual void refs(const char* member, std::vector<std::uint32_t>& values, Table table, const char* doc) = 0;
 
-  // For an optional member: whether it is present after this visit. `now`: whether it is present before.
+  // For an optional member: returns whether it is present after this visit. `is_present`: whether it is
+  // present before.
   virtual bool present(const char* member, bool now) = 0;
 
   virtual void enter(const char* member, const char* doc) = 0;
@@ -66,10 +68,11 @@
   virtual std::optional<std::uint32_t> find(Table table, const std::string& name) const = 0;
   virtual std::string name(Table table, std::uint32_t index) const = 0; // empty: no such index
   virtual std::vector<std::string> known(Table table) const = 0;        // empty: can't be listed
-  virtual const char* what(Table table) const = 0;                      // "zone"
-  virtual const char* written(Table table) const = 0;                   // "a zone's name", for the reference
-  virtual const char* list(Table table) const = 0;                      // the member that defines them
-  virtual const char* hint(Table) const { return ""; } // added to the error if no known name is close
+  virtual const char* what(Table table) const = 0;                      // a noun for messages: "zone"
+  virtual const char* written(Table table) const = 0;                   // for the reference: "a zone's name"
+  virtual const char* list(Table table) const = 0; // path of the member that defines the names
+  // Appended to the error for an unknown name if no known name is similar.
+  virtual const char* hint(Table) const { return ""; }
 };
 
 // The key of a member path: removes the unit from each part, as in "events[3].at_ms" -> "events[3].at".
--- a/src/toml_document/writer.cpp
+++ b/src/toml_document/writer.cpp
@@ -284,7 +284,7 @@
   const Words documented_elsewhere_;
   std::vector<ReferenceRow> open_rows_;
   std::string list_doc_;
-  bool is_named_ = false;      // whether the list entered last has named items
+  bool is_named_ = false;      // whether the list visited last has named items
   bool may_be_absent_ = false; // whether the next leaf is optional, so has no default
 };
 
--- a/src/toml_document/writer.h
+++ b/src/toml_document/writer.h
@@ -22,7 +22,7 @@
 
 struct ReferenceRow {
   std::string key, type_text, default_text, doc; // a table or list item has children instead of a value
-  bool is_leaf = false, is_item = false, is_named = false;
+  bool is_leaf = false, is_item = false, is_named = false; // is_named: an item of a table of named tables
   std::vector<ReferenceRow> children;
 };
 
@@ -31,9 +31,11 @@
 
 // Markdown rows for the keys of a table and of its subtables (`table.key`).
 void append_rows(const ReferenceRow& table, const std::string& prefix, std::string& out);
+// The same under a heading and a table header.
 void append_section(const ReferenceRow& table, const std::string& heading, std::string& out);
-void append_sections(const ReferenceRow& table, const std::string& path,
-                     std::string& out);                // of all subtables
-std::string top_level_rows(const ReferenceRow& table); // rows of the top-level keys
+// A section for each subtable.
+void append_sections(const ReferenceRow& table, const std::string& path, std::string& out);
+// The rows of the top-level keys.
+std::string top_level_rows(const ReferenceRow& table);
 
 } // namespace fernward::toml_document
