--- a/src/app_config/app.h
+++ b/src/app_config/app.h
@@ -11,9 +11,9 @@
 
 namespace fernward::app_config {
 
-struct NodeKindConfig { // a kind of node; its capacity is used to estimate the load on the origin
+struct NodeKindConfig { // a kind of node; its capacity is used only to estimate the load on the origin
   std::string name;
-  double cores = 0, core_speed = 1; // cores 0: unknown; speed is that of one core
+  double cores = 0, core_speed = 1; // cores 0: unknown; the speed is relative to a core of speed 1
   double memory_bytes = 0;          // available for cached values; 0: unknown
 };
 
@@ -79,8 +79,8 @@
   std::uint32_t spill_limit_mb = 64;
 };
 
-struct LoadReportsConfig { // load reports carried by responses
-  std::vector<std::size_t> fields;
+struct LoadReportsConfig {         // load reports carried by responses
+  std::vector<std::size_t> fields; // in order; each a LoadReportField
 };
 
 struct TierConfig {
@@ -144,7 +144,7 @@
 // Memory of the process: with empty tables, per connection, and per active request without its body.
 inline constexpr double kBaseMemoryMb = 8, kConnectionMemoryKb = 6, kRequestMemoryKb = 2;
 
-// The limit of concurrent requests: the configured value, or 20,000, or fewer if the memory limit is lower.
+// The limit of active requests: the configured value; else 20,000, or fewer if the memory limit allows fewer.
 inline std::uint32_t active_request_limit(const LimitsConfig& limits) {
   if (limits.max_active_requests) return *limits.max_active_requests;
   const double available_kb =
--- a/src/app_config/origin_load.h
+++ b/src/app_config/origin_load.h
@@ -15,7 +15,7 @@
   double request_share = 0;                                   // of all requests, 0 to 1
   double write_share = 0, miss_share = 0, overflow_share = 0; // parts of request_share
   bool no_cache_nodes = false;                                // the configured fleet has no caches
-  bool memory_known = false, work_known = false;              // which estimates the file allows
+  bool memory_known = false, work_known = false; // whether miss_share, overflow_share could be estimated
 };
 
 // All names in `app` must resolve. Nodes from discovery are unknown here and count as sufficient.
--- a/src/app_config/read.h
+++ b/src/app_config/read.h
@@ -22,10 +22,10 @@
 
 struct LoadedConfig {
   AppConfig app;                                            // valid only without errors
-  toml_document::Diagnostics errors;                        // severity error
-  toml_document::Diagnostics warnings;                      // severity warning: probably unintended
+  toml_document::Diagnostics errors;                        // the configuration is invalid if there are any
+  toml_document::Diagnostics warnings;                      // valid, but probably unintended
   toml_document::Positions positions;                       // of values given in files, by AppConfig member
-  std::map<std::string, std::string> environment_variables; // environment variables in effect, by member
+  std::map<std::string, std::string> environment_variables; // names of those in effect, by member
   std::vector<std::string> files_read;                      // every file that was read
   std::string active_profile;                               // the name of the active profile
 
--- a/src/app_config/router_fleet.cpp
+++ b/src/app_config/router_fleet.cpp
@@ -9,7 +9,7 @@
 using toml_document::Table;
 using toml_document::Unit;
 
-class NoNames : public toml_document::Names { // this file has no references by name
+class NoNames : public toml_document::Names { // this file contains no references by name
  public:
   std::optional<std::uint32_t> find(Table, const std::string&) const override { return std::nullopt; }
   std::string name(Table, std::uint32_t) const override { return ""; }
--- a/src/app_config/semantic_checks.cpp
+++ b/src/app_config/semantic_checks.cpp
@@ -15,7 +15,7 @@
 namespace fernward::app_config {
 namespace {
 
-constexpr std::size_t kMaxUnixPathBytes = 107; // of a unix socket path, a kernel limit
+constexpr std::size_t kMaxUnixPathBytes = 107; // the kernel's limit for the path of a unix socket
 constexpr std::size_t kMaxNameLength = 64;
 constexpr double kOriginShareError = 0.95, kOriginShareWarning = 0.5;
 
