--- a/src/admin_overrides/endpoint_overrides.h
+++ b/src/admin_overrides/endpoint_overrides.h
@@ -1,5 +1,5 @@
 // Stores which caches an operator has disabled, and applies this to discovery's list before any other
-// component uses it. A disabled cache is presented as draining, whatever the list states. A cache that has
+// component uses it. A disabled cache that the list has in service is presented as draining. A cache that has
 // been enabled again is presented as started at that moment: this discards earlier measurements of it and
 // applies slow start.
 //
@@ -49,11 +49,12 @@
   Result enable(double now_ms, const std::string& name);
 
   bool is_disabled(const std::string& name) const;
-  Server apply(const std::string& name, Server listed_server) const; // `listed` with its override
+  Server apply(const std::string& name, Server listed_server) const; // the listed state with its override
 
   std::vector<Override> snapshot() const; // all names; unlisted ones first, oldest first
   Override find(const std::string& name) const;
-  // Replaces the overrides of the given names by those of another process. Other names are kept.
+  // Applies the overrides of another process to the given names; the later time of enabling is kept. Other
+  // names are unchanged. A name that would exceed `max_disabled` is not disabled.
   void merge(const std::vector<Override>& overrides);
   void merge(const Override& remote);
 
