--- a/src/commands/config.cpp
+++ b/src/commands/config.cpp
@@ -121,7 +121,7 @@
   const app_config::LoadedConfig before = app_config::load_config(names[0], &environment_variable),
                                  after = app_config::load_config(names[1], &environment_variable);
   const bool before_valid = print_errors(before),
-             after_valid = print_errors(after); // print the errors of both files
+             after_valid = print_errors(after); // both, so that the errors of each file are printed
   if (!before_valid || !after_valid) return kFailure;
   bool all_reloadable = true;
   const auto changes = app_config::compare(before.app, after.app);
