--- a/src/config/config.h
+++ b/src/config/config.h
@@ -42,8 +42,8 @@
 
 using EnvironmentLookup = const char* (*)(const char* name); // std::getenv, or a replacement in tests
 
-constexpr std::uint32_t kReservedDescriptors =
-    24; // descriptors not used for connections of clients and servers
+// Descriptors that are not used for connections of clients and servers.
+constexpr std::uint32_t kReservedDescriptors = 24;
 
 // Parts of the memory limit: for requests that are incomplete, and for bodies and responses that are being
 // forwarded.
--- a/src/config/json.h
+++ b/src/config/json.h
@@ -16,7 +16,7 @@
   for (std::size_t i = 0; i < text.size(); ++i) {
     const char c = text[i];
     if (in_string) {
-      if (c == '\\') ++i; // the next one is escaped
+      if (c == '\\') ++i; // the next character is escaped
       in_string = c != '"';
     } else if (c == '"') {
       in_string = true;
--- a/src/config/router_fleet.cpp
+++ b/src/config/router_fleet.cpp
@@ -21,7 +21,7 @@
   for (std::size_t i = 0; i < fleet.peer_addresses.size(); ++i) {
     if (!parse_address(fleet.peer_addresses[i], parsed))
       throw Error("peers[" + std::to_string(i) + "]: \"" + fleet.peer_addresses[i] +
-                  "\" is no address of the form 10.0.0.4:7946");
+                  "\" is not an address of the form 10.0.0.4:7946");
   }
   if (fleet.self_index >= fleet.peer_addresses.size())
     throw Error("settings.me: is " + std::to_string(fleet.self_index) + ", but there are " +
--- a/src/config/router_fleet.h
+++ b/src/config/router_fleet.h
@@ -11,11 +11,11 @@
 namespace fernward::config {
 
 struct RouterFleetConfig {
-  double ping_interval_ms = 400;         // one ping of another router per period
+  double ping_interval_ms = 400;         // one other router is pinged per interval
   std::uint32_t indirect_ping_count = 3; // routers that are asked to ping one that does not answer
   bool share_origin_limit = true;        // distribute the origin limit by demand
   bool use_live_router_count = true; // use the number of live routers instead of the configured one, if safe
-  bool share_node_findings = false;  // use consistent reports of several routers on caches
+  bool share_node_findings = false;  // use consistent reports of several routers about a cache
   // From the platform file:
   std::uint32_t self_index = 0;
   std::string listen_address;
