--- a/src/control/control_server.cpp
+++ b/src/control/control_server.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 constexpr int kBacklog = 128;
-constexpr int kMaxAcceptsPerEvent =
-    16; // connections accepted per event, so that other events are not delayed
+// Connections accepted per event; limited so that other events are not delayed.
+constexpr int kMaxAcceptsPerEvent = 16;
 constexpr double kAcceptPauseMs = 50;
 
 // Events of the control port run before those of traffic, if the event loop has priorities.
@@ -78,7 +78,7 @@
   for (int i = 0; i < kMaxAcceptsPerEvent; ++i) {
     int fd = accept4(listen_fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0 && (errno == EMFILE || errno == ENFILE) && server->connections_.size() > 0) {
-      server->evict_oldest(); // no reserved descriptor is left: frees that of the oldest connection
+      server->evict_oldest(); // no descriptor is free: releases that of the oldest connection
       fd = accept4(listen_fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     }
     if (fd < 0) {
--- a/src/control/control_server.h
+++ b/src/control/control_server.h
@@ -29,8 +29,8 @@
 
 class ControlServer {
  public:
-  using CommandHandler =
-      std::function<std::string(const ControlCommand&)>; // returns the response, each line terminated
+  // Returns the response; each of its lines is terminated.
+  using CommandHandler = std::function<std::string(const ControlCommand&)>;
 
   // Throws std::runtime_error if it can't listen on the address.
   ControlServer(event_base* base, loop::TimerQueue& timers, const ControlServerOptions& options,
@@ -47,7 +47,7 @@
     ControlServer* server = nullptr;
     loop::Handle handle = 0;
     loop::BuffereventPtr io;
-    std::uint64_t accept_order = 0; // in which connections were accepted
+    std::uint64_t accept_order = 0; // increases with each accepted connection
     bool replied = false;
     loop::TimerQueue::TimerId timeout_timer = 0;
   };
