--- a/src/endpoints/endpoint_file_watch.h
+++ b/src/endpoints/endpoint_file_watch.h
@@ -15,8 +15,8 @@
 
 class EndpointFileWatch {
  public:
-  // Applies a full list; throws InvalidEndpointList. If the file is readable, the constructor already calls
-  // it.
+  // Applies a full list and returns its index; throws InvalidEndpointList. The constructor already calls it
+  // if the file is readable.
   using OnList = std::function<std::uint64_t(const std::string& text)>;
 
   EndpointFileWatch(loop::TimerQueue& timers, const std::string& path, OnList on_list);
@@ -35,7 +35,7 @@
   loop::TimerQueue& timers_;
   std::string path_;
   OnList on_list_;
-  std::uint64_t last_version_ = 0;
+  std::uint64_t last_version_ = 0; // index assigned to the list read last; an index in the file is ignored
   struct stat last_status_ {};
   bool has_list_ = false;
   std::string last_error_; // the error logged last; a repeated error is not logged again
--- a/src/endpoints/endpoint_set.h
+++ b/src/endpoints/endpoint_set.h
@@ -18,9 +18,8 @@
 
   const Endpoint* find(const std::string& name) const;     // also one that waits for its id; null: none
   const Endpoint* find_by_id(fernward::ServerId id) const; // the endpoint that uses the id; null: none
-  std::size_t in_service_count() const {
-    return in_service_count_;
-  } // endpoints in service, without those that wait
+  // Endpoints in service, without those that wait for their id.
+  std::size_t in_service_count() const { return in_service_count_; }
   // The endpoint that uses each id.
   const std::map<fernward::ServerId, Endpoint>& by_id() const { return by_id_; }
 
--- a/src/endpoints/endpoint_table.h
+++ b/src/endpoints/endpoint_table.h
@@ -15,12 +15,13 @@
 
 namespace fernward::endpoints {
 
-struct InvalidEndpointList : std::runtime_error { // discovery sent no valid list; the table is unchanged
+// Discovery sent no valid list; the table is unchanged.
+struct InvalidEndpointList : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-struct StaleEndpointList
-    : InvalidEndpointList { // a valid list, but older than the table; the table is unchanged
+// A valid list, but with an index below the required one; the table is unchanged.
+struct StaleEndpointList : InvalidEndpointList {
   using InvalidEndpointList::InvalidEndpointList;
 };
 
@@ -43,7 +44,7 @@
     return contents_.endpoints.by_id();
   }
   bool has_endpoint_in_service() const { return contents_.endpoints.in_service_count() > 0; }
-  // Of all applied messages, since the process start.
+  // Invalid entries dropped from all applied messages since the process start.
   std::uint64_t dropped_entries() const { return dropped_entries_; }
 
  private:
--- a/src/endpoints/endpoint_watch.h
+++ b/src/endpoints/endpoint_watch.h
@@ -29,7 +29,7 @@
 
   const std::string& address() const { return address_; }
   void poll();    // reads responses that have already been received, without waiting for the event loop
-  void refresh(); // requests the current list immediately, in addition to the pending call
+  void refresh(); // requests the current list immediately, in addition to the pending poll
 
  private:
   struct Connection {
