--- a/src/figures/router_stats.h
+++ b/src/figures/router_stats.h
@@ -15,7 +15,8 @@
 
 namespace fernward::figures {
 
-// ClientGone: the client disconnected before its response.
+// Deferred: rejected with status 503, so that the client can retry later. Errored: any other failure.
+// ClientDisconnected: the client disconnected before its response.
 enum class Outcome { Answered, Deferred, Errored, ClientGone };
 
 class RouterStats {
