--- a/src/memcache/parser.h
+++ b/src/memcache/parser.h
@@ -20,10 +20,10 @@
 
 enum class ParseError : std::uint8_t {
   None,
-  NotBinary,           // the first byte is no magic of this protocol, but e.g. the text protocol or HTTP
-  WrongDirection,      // a response where a request is expected, or the reverse
-  KeyTooLong,          // over 250 bytes
-  ExtrasTooLong,       // over 20 bytes
+  NotBinary,      // the first byte is no magic byte of this protocol; it may be the text protocol or HTTP
+  WrongDirection, // a response where a request is expected, or the reverse
+  KeyTooLong,     // over 250 bytes
+  ExtrasTooLong,  // over 20 bytes
   InconsistentLengths, // extras and key are longer than the total body length
   DataType,            // the data type is not "raw bytes", the only one that is defined
   ValueTooLong         // the value is longer than the limit for discarded values
@@ -41,9 +41,8 @@
   bool done() const { return state_ == State::Done; }
   Frame take_frame(); // only when done(); the parser is then ready for the next frame
   ParseError error() const { return error_; }
-  bool has_started() const {
-    return state_ != State::Header || header_bytes_ > 0;
-  } // within a frame, or at its end
+  // Within a frame, or at its end.
+  bool has_started() const { return state_ != State::Header || header_bytes_ > 0; }
   std::size_t buffered_bytes() const {
     return state_ == State::Header ? header_bytes_ : kHeaderBytes + body_.size();
   }
@@ -64,11 +63,11 @@
   State state_ = State::Header;
   ParseError error_ = ParseError::None;
   char header_[kHeaderBytes] = {};
-  std::size_t header_bytes_ = 0; // bytes of the header
+  std::size_t header_bytes_ = 0; // bytes of the header received so far
   Frame frame_;
   std::size_t extras_bytes_ = 0, key_bytes_ = 0;
-  std::uint64_t body_bytes_ = 0, kept_bytes_ = 0,
-                skip_bytes_ = 0; // bytes of the body: announced, to be kept, still to be discarded
+  // Bytes of the body: announced, to be kept, still to be discarded.
+  std::uint64_t body_bytes_ = 0, kept_bytes_ = 0, skip_bytes_ = 0;
   std::string body_;
 };
 
