--- a/src/sidecar/runner.cpp
+++ b/src/sidecar/runner.cpp
@@ -26,8 +26,7 @@
 namespace fernward::sidecar {
 namespace {
 
-constexpr double kReadinessCheckIntervalMs =
-    20; // interval between readiness checks until the router is ready
+constexpr double kReadinessCheckIntervalMs = 20;             // between checks until the router is ready
 constexpr int kExitNotFound = 127, kExitNotExecutable = 126; // the exit codes that a shell uses
 
 // A single readiness check: one GET /ready on a connection of its own. Calls the callback once, unless
@@ -157,7 +156,7 @@
       case Action::ReloadRouter: return send_signal(router_pid_, SIGHUP);
       case Action::KillRouter: return send_signal(router_pid_, SIGKILL);
       case Action::TerminateApplication: return send_signal(application_pid_, SIGTERM);
-      case Action::InterruptApplication: // on a terminal the application receives it as well
+      case Action::InterruptApplication: // a terminal sends SIGINT to the application directly
         if (!has_terminal_) send_signal(application_pid_, SIGINT);
         return;
       case Action::KillApplication:
@@ -240,7 +239,7 @@
 int run(const Programs& programs, const SupervisorSettings& settings) {
   ::signal(SIGPIPE, SIG_IGN);
   const std::unique_ptr<event_base, void (*)(event_base*)> base(event_base_new(), &event_base_free);
-  if (base == nullptr) throw std::runtime_error("libevent: no event base");
+  if (base == nullptr) throw std::runtime_error("cannot create the event loop of libevent");
   SidecarRunner runner(programs, settings, base.get());
   return runner.run();
 }
--- a/src/sidecar/runner.h
+++ b/src/sidecar/runner.h
@@ -10,10 +10,10 @@
 namespace fernward::sidecar {
 
 struct Programs {
-  std::vector<std::string> router_command;      // command line
-  std::vector<std::string> application_command; // command line
+  std::vector<std::string> router_command;      // program and arguments
+  std::vector<std::string> application_command; // program and arguments
   std::vector<std::string> environment;         // additional variables for the application, NAME=VALUE
-  std::string router_address;                   // of the router: an IPv4 address with port, or "unix:PATH"
+  std::string router_address;                   // an IPv4 address with port, or "unix:PATH"
 };
 
 // Runs until both processes have ended and returns the application's exit code. Throws std::runtime_error if
--- a/src/sidecar/supervisor.cpp
+++ b/src/sidecar/supervisor.cpp
@@ -5,8 +5,8 @@
 namespace fernward::sidecar {
 namespace {
 
-constexpr int kExitTerminated = 143, kExitInterrupted = 130,
-              kExitFailure = 1; // the exit codes that a shell uses
+// The exit codes that a shell uses.
+constexpr int kExitTerminated = 143, kExitInterrupted = 130, kExitFailure = 1;
 
 } // namespace
 
@@ -103,8 +103,8 @@
       application_state_ = ApplicationState::Stopping;
       kill_application_at_ = now + settings_.stop_timeout_ms;
       [[fallthrough]];
-    case ApplicationState::
-        Stopping: // repeated signals are forwarded: the application may react to the second one
+    case ApplicationState::Stopping:
+      // Repeated signals are forwarded: the application may react to the second one.
       return actions.push_back(interrupt ? Action::InterruptApplication : Action::TerminateApplication);
     case ApplicationState::Stopped: return; // the router is already ending
   }
--- a/src/sidecar/supervisor.h
+++ b/src/sidecar/supervisor.h
@@ -18,8 +18,8 @@
 namespace fernward::sidecar {
 
 struct SupervisorSettings {
-  double ready_timeout_ms =
-      10000; // for the router to become ready at startup, before the application is started
+  // For the router to become ready at startup, before the application is started.
+  double ready_timeout_ms = 10000;
   double stop_timeout_ms = 10000;  // for the application to end after a signal before it is killed
   double drain_timeout_ms = 10000; // the same for the router
   double restart_backoff_min_ms = 100, restart_backoff_max_ms = 10000;
@@ -93,7 +93,7 @@
   void stop_router(double now, std::vector<Action>& actions);
 
   SupervisorSettings settings_;
-  // Pending deadlines.
+  // Pending deadlines, in ms; none: not pending.
   std::optional<double> ready_deadline_;      // end of the wait for the router's first readiness
   std::optional<double> restart_at_;          // restart of the router after its backoff
   std::optional<double> kill_application_at_; // the application has been asked to end
