--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -23,7 +23,7 @@
 
 struct BatchHeader {
   std::uint32_t record_count = 0;
-  std::uint32_t frame_bytes = 0; // of the complete frame, in bytes
+  std::uint32_t frame_bytes = 0; // of the complete frame, including this header
   double now_ms = 0;
   std::uint32_t batch_number = 0;
 };
