--- a/lab/lies/datagram_corruptor.cpp
+++ b/lab/lies/datagram_corruptor.cpp
@@ -31,7 +31,7 @@
   for (const membership::MemberUpdate& update : datagram->updates) record_stamp(update.member, update.stamp);
   // Read by an empty table, so that every fact of the datagram is reported.
   std::vector<gossip::OriginGossip::Update> facts;
-  gossip::OriginGossip(self_, known_stamps_.size(), seed_).read(now, self_, datagram->payload, facts);
+  gossip::OriginGossip(self_, known_stamps_.size(), seed_).read_entries(now, self_, datagram->payload, facts);
   for (const auto& fact : facts) record_stamp(fact.owner, fact.stamp);
   if (!active_) return std::string(bytes);
   if (fault_.accuses) {
@@ -47,17 +47,17 @@
     }
   }
   datagram->payload =
-      false_facts(now, *datagram, std::min(kMaxFactsBytes, membership::payload_room(*datagram)));
+      false_facts(now, *datagram, std::min(kMaxFactsBytes, membership::max_payload_bytes(*datagram)));
   return membership::encode(*datagram);
 }
 
 std::string DatagramCorruptor::false_facts(double now, const membership::Datagram& datagram,
                                            std::size_t max_bytes) {
   if (datagram.payload.empty()) return {};
-  const gossip::Values claims = {claimed_value(fault_.demand, OriginQuantity::Demand),
-                                 claimed_value(fault_.limit, OriginQuantity::Limit)};
+  const gossip::OriginValues claims = {claimed_value(fault_.demand, OriginQuantity::Demand),
+                                       claimed_value(fault_.limit, OriginQuantity::Limit)};
   gossip::OriginGossip false_table(self_, known_stamps_.size(), seed_ + ++fact_rounds_);
-  false_table.set_own(now, datagram.stamp, claims);
+  false_table.set_own_report(now, datagram.stamp, claims);
   if (fault_.of_others) {
     for (std::size_t router = 0; router < known_stamps_.size(); ++router) {
       gossip::Stamp false_stamp = known_stamps_[router];
@@ -67,7 +67,7 @@
       false_table.merge(now, static_cast<gossip::MemberId>(router), false_stamp, 0, claims, false);
     }
   }
-  return false_table.write(now, max_bytes);
+  return false_table.write_entries(now, max_bytes);
 }
 
 void apply_step(std::map<model::RouterId, DatagramCorruptor>& corruptors,
--- a/lab/limiters/limiters.cpp
+++ b/lab/limiters/limiters.cpp
@@ -20,8 +20,8 @@
 }
 
 bool signals_overload(const AttemptSample& sample) {
-  return sample.outcome == AttemptEnding::Rejected || sample.outcome == AttemptEnding::ConnectFailed ||
-         sample.outcome == AttemptEnding::TimedOut || sample.elapsed_ms > sample.latency_objective_ms;
+  return sample.ending == AttemptEnding::Rejected || sample.ending == AttemptEnding::ConnectFailed ||
+         sample.ending == AttemptEnding::TimedOut || sample.elapsed_ms > sample.latency_objective_ms;
 }
 
 // The router's previous limiter: reduces the limit when responses take longer than half of the class's
@@ -35,10 +35,10 @@
   }
   void on_sent(double now) override { last_sent_at_ = now; }
   void on_ended(double now, const AttemptSample& sample) override {
-    if (sample.outcome == AttemptEnding::Rejected || sample.outcome == AttemptEnding::ConnectFailed)
+    if (sample.ending == AttemptEnding::Rejected || sample.ending == AttemptEnding::ConnectFailed)
       return reduce(now, 0.7);
-    const bool fault = sample.outcome == AttemptEnding::Fault || sample.outcome == AttemptEnding::TimedOut;
-    if (sample.outcome != AttemptEnding::Answered && !(fault && sample.elapsed_ms >= mean_response_ms_))
+    const bool fault = sample.ending == AttemptEnding::Fault || sample.ending == AttemptEnding::TimedOut;
+    if (sample.ending != AttemptEnding::Answered && !(fault && sample.elapsed_ms >= mean_response_ms_))
       return;
     const double elapsed = std::min(sample.elapsed_ms, sample.latency_objective_ms);
     if (mean_response_ms_ == 0) mean_response_ms_ = elapsed;
@@ -97,7 +97,7 @@
   }
   void on_sent(double now) override { last_sent_at_ = now; }
   void on_ended(double now, const AttemptSample& sample) override {
-    if (sample.outcome == AttemptEnding::Answered) {
+    if (sample.ending == AttemptEnding::Answered) {
       if (mean_response_ms_ == 0) mean_response_ms_ = sample.elapsed_ms;
       update_moving_average(mean_response_ms_, sample.elapsed_ms, 0.1);
     }
@@ -126,7 +126,7 @@
       limit_ -= step;
       return;
     }
-    if (sample.outcome != AttemptEnding::Answered) return;
+    if (sample.ending != AttemptEnding::Answered) return;
     if (++samples_since_reset_ > 30 * limit_) samples_since_reset_ = 0, min_response_ms_ = 0;
     if (min_response_ms_ == 0 || sample.elapsed_ms < min_response_ms_) {
       min_response_ms_ = sample.elapsed_ms;
@@ -153,7 +153,7 @@
 
  private:
   void update_limit(double, const AttemptSample& sample) override {
-    if (sample.outcome != AttemptEnding::Answered) return;
+    if (sample.ending != AttemptEnding::Answered) return;
     sample_count_ = std::min(sample_count_ + 1, 600.0);
     update_moving_average(long_term_response_ms_, sample.elapsed_ms,
                           sample_count_ < 10 ? 1 / sample_count_ : 2 / (600 + 1.0));
@@ -175,7 +175,7 @@
   void update_limit(double, const AttemptSample& sample) override {
     if (signals_overload(sample)) {
       limit_ *= 0.9;
-    } else if (sample.outcome == AttemptEnding::Answered && 2 * (sample.in_flight + 1) >= limit_) {
+    } else if (sample.ending == AttemptEnding::Answered && 2 * (sample.in_flight + 1) >= limit_) {
       limit_ += 1;
     }
   }
--- a/lab/rig/config.cpp
+++ b/lab/rig/config.cpp
@@ -174,8 +174,8 @@
     class_config.name = spec.classes[i].name;
     class_config.latency_objective_ms = class_settings.latency_objective_ms;
     class_config.client_timeout_ms = class_settings.client_timeout_ms;
-    class_config.objective_per_work = class_settings.objective_work_factor;
-    class_config.late_value_share = class_settings.late_response_value_share;
+    class_config.objective_work_factor = class_settings.objective_work_factor;
+    class_config.late_response_value_share = class_settings.late_response_value_share;
     class_config.priority_weight = class_settings.priority_weight;
     class_config.idempotency = class_settings.idempotency;
     class_config.idempotency_scope = class_settings.idempotency_scope;
--- a/lab/scenario/names.cpp
+++ b/lab/scenario/names.cpp
@@ -88,7 +88,7 @@
   return std::nullopt;
 }
 
-std::vector<std::string> SpecNames::known(Table table) const {
+std::vector<std::string> SpecNames::known_names(Table table) const {
   switch (table) {
     case tables::kZones: return names_of(spec_.zones);
     case tables::kKinds: return names_of(spec_.kinds);
@@ -119,9 +119,9 @@
   return "";
 }
 
-const char* SpecNames::what(Table table) const { return description_of(table).what; }
-const char* SpecNames::written(Table table) const { return description_of(table).written; }
-const char* SpecNames::list(Table table) const { return description_of(table).list; }
+const char* SpecNames::item_noun(Table table) const { return description_of(table).what; }
+const char* SpecNames::reference_text(Table table) const { return description_of(table).written; }
+const char* SpecNames::defining_member(Table table) const { return description_of(table).list; }
 const char* SpecNames::hint(Table table) const { return description_of(table).hint; }
 
 } // namespace fernward::lab
--- a/lab/scenario/names.h
+++ b/lab/scenario/names.h
@@ -22,10 +22,10 @@
   explicit SpecNames(const model::Spec& spec) : spec_(spec) {}
   std::optional<std::uint32_t> find(toml_document::Table table, const std::string& name) const override;
   std::string name(toml_document::Table table, std::uint32_t index) const override;
-  std::vector<std::string> known(toml_document::Table table) const override;
-  const char* what(toml_document::Table table) const override;
-  const char* written(toml_document::Table table) const override;
-  const char* list(toml_document::Table table) const override;
+  std::vector<std::string> known_names(toml_document::Table table) const override;
+  const char* item_noun(toml_document::Table table) const override;
+  const char* reference_text(toml_document::Table table) const override;
+  const char* defining_member(toml_document::Table table) const override;
   const char* hint(toml_document::Table table) const override;
 
  private:
--- a/lab/scenario/schema.cpp
+++ b/lab/scenario/schema.cpp
@@ -604,7 +604,7 @@
 
 } // namespace
 
-Words event_names() { return kEvents; }
+ChoiceNames event_names() { return kEvents; }
 
 EventAction make_event(std::size_t name_index) {
   return make_alternative(name_index, std::make_index_sequence<std::variant_size_v<EventAction>>());
--- a/lab/scenario/schema.h
+++ b/lab/scenario/schema.h
@@ -11,18 +11,18 @@
 
 namespace fernward::lab {
 
+using toml_document::ChoiceNames;
 using toml_document::key_of;
 using toml_document::SpecialValue;
 using toml_document::Table;
 using toml_document::Unit;
 using toml_document::Visitor;
-using toml_document::Words;
 
 // Describes the complete Spec. Callers without a Spec describe the event kinds one at a time with
 // describe_event().
 void describe(Visitor& visitor, model::Spec& spec);
 
-Words event_names(); // in the order of the alternatives of model::Happening
+ChoiceNames event_names(); // in the order of the alternatives of model::Happening
 model::EventAction make_event(std::size_t name_index);
 void describe_event(Visitor& visitor, model::EventAction& event);
 
--- a/lab/scenario/set_values.cpp
+++ b/lab/scenario/set_values.cpp
@@ -54,7 +54,7 @@
     set_value(member, value, [&](const toml::node& n) { return parse_flag(n, error); });
   }
   // The kind of an event can't be changed: its other keys would not fit.
-  void choice(const char* member, std::size_t& value, Words words, bool needed, const char*) override {
+  void choice(const char* member, std::size_t& value, ChoiceNames words, bool needed, const char*) override {
     if (needed && matches_path(member)) {
       found = true;
       error = {"value", "can't be set here"};
@@ -62,7 +62,8 @@
     }
     set_value(member, value, [&](const toml::node& n) { return parse_choice(n, words, error); });
   }
-  void choices(const char* member, std::vector<std::size_t>& values, Words words, const char*) override {
+  void choices(const char* member, std::vector<std::size_t>& values, ChoiceNames words,
+               const char*) override {
     set_list(member, values, [&](const toml::node& n) { return parse_choice(n, words, error); });
   }
   void ref(const char* member, std::uint32_t& value, Table table, bool, const char*) override {
@@ -82,7 +83,7 @@
     }
   }
   std::size_t list(const char*, std::size_t size, const char*) override { return size; }
-  std::vector<std::string> named(const char*, std::vector<std::string> names, const char*) override {
+  std::vector<std::string> named_items(const char*, std::vector<std::string> names, const char*) override {
     return names;
   }
   void item(const char* member, std::size_t index, const std::string& name) override {
--- a/src/app_config/app.h
+++ b/src/app_config/app.h
@@ -38,7 +38,7 @@
 struct ClassConfig {
   std::string name;
   double latency_objective_ms = 0, client_timeout_ms = 0; // latency objective 0: the client timeout
-  double objective_per_work = 0, late_value_share = 0, priority_weight = 1;
+  double objective_work_factor = 0, late_response_value_share = 0, priority_weight = 1;
   Idempotency idempotency = Idempotency::Idempotent;
   IdempotencyScope idempotency_scope = IdempotencyScope::All;
   double idempotency_window_ms = 0;
--- a/src/app_config/explain.cpp
+++ b/src/app_config/explain.cpp
@@ -39,7 +39,7 @@
              time_text(window_ms) + " of that attempt" +
              (cls.idempotency_scope == IdempotencyScope::All
                   ? "."
-                  : std::string(" and only to its ") + idempotency_scope_word(cls.idempotency_scope) + ".");
+                  : std::string(" and only to its ") + idempotency_scope_name(cls.idempotency_scope) + ".");
     case Idempotency::NonIdempotent: return prefix + ", but no retry once an attempt may have run.";
   }
   return "";
@@ -62,16 +62,16 @@
 
 } // namespace
 
-std::vector<ExplainedValue> explain_values(const LoadedConfig& setup) {
+std::vector<ExplainedValue> explain_values(const LoadedConfig& config) {
   std::vector<ExplainedValue> result;
-  for (const toml_document::Leaf& leaf : config_leaves(setup.app)) {
+  for (const toml_document::Leaf& leaf : config_leaves(config.app)) {
     ExplainedValue& entry = result.emplace_back();
     entry.key = leaf.key;
     entry.value = leaf.value;
-    if (const auto variable = setup.environment_variables.find(leaf.member);
-        variable != setup.environment_variables.end()) {
+    if (const auto variable = config.environment_variables.find(leaf.member);
+        variable != config.environment_variables.end()) {
       entry.source = variable->second;
-    } else if (const auto position = setup.positions.find(leaf.member); position != setup.positions.end()) {
+    } else if (const auto position = config.positions.find(leaf.member); position != config.positions.end()) {
       entry.source = position->second.file + ":" + std::to_string(position->second.line) + ":" +
                      std::to_string(position->second.column);
     } else {
@@ -89,10 +89,10 @@
         cls.latency_objective_ms > 0 ? cls.latency_objective_ms : cls.client_timeout_ms;
     out += "  A response within " + time_text(objective_ms) + " has priority weight " +
            toml_document::format_number(cls.priority_weight);
-    if (cls.late_value_share > 0)
-      out += ", a later one " + toml_document::format_quantity(Unit::Share, cls.late_value_share) +
+    if (cls.late_response_value_share > 0)
+      out += ", a later one " + toml_document::format_quantity(Unit::Share, cls.late_response_value_share) +
              " of it, until " + time_text(cls.client_timeout_ms);
-    out += cls.late_value_share > 0
+    out += cls.late_response_value_share > 0
                ? ".\n"
                : ". Then the request ends as rejected or failed, and its client is notified at once.\n";
     out += "  " + attempts_text(cls, app) + "\n  " + hedging_text(cls, app) + "\n";
@@ -109,7 +109,7 @@
     out += "  " + rejection_text(app) + "\n";
     for (const RequestMapping& mapping : app.mappings) {
       if (mapping.class_index >= app.classes.size() || &app.classes[mapping.class_index] != &cls) continue;
-      out += "  Without X-Priority-Class: " + std::string(method_word(mapping.method)) + " " +
+      out += "  Without X-Priority-Class: " + std::string(method_name(mapping.method)) + " " +
              mapping.path_prefix + "...\n";
     }
     out += "\n";
--- a/src/app_config/explain.h
+++ b/src/app_config/explain.h
@@ -12,7 +12,7 @@
 struct ExplainedValue {
   std::string key, value, source; // "app.toml:12:8", "NODE_LISTEN", "default"
 };
-std::vector<ExplainedValue> explain_values(const LoadedConfig& setup);
+std::vector<ExplainedValue> explain_values(const LoadedConfig& config);
 
 // Text with one paragraph per class.
 std::string describe_behavior(const AppConfig& app);
--- a/src/app_config/keys.cpp
+++ b/src/app_config/keys.cpp
@@ -14,15 +14,15 @@
 using toml_document::Unit;
 using toml_document::Visitor;
 
-constexpr std::array kIdempotencyWords{"safe", "keyed", "unsafe"};
-constexpr std::array kIdempotencyScopeWords{"all", "zone", "cell"};
-constexpr std::array kMethodWords{"any", "GET", "PUT"};
-constexpr std::array kWeightKindWords{"off", "nominal", "rough", "live"};
-constexpr std::array kLoadReportFieldWords{"inflight", "queue", "util", "latency_ms", "qps", "eps", "other"};
-constexpr std::array kLogFormatWords{"text", "json"};
+constexpr std::array kIdempotencyNames{"safe", "keyed", "unsafe"};
+constexpr std::array kIdempotencyScopeNames{"all", "zone", "cell"};
+constexpr std::array kMethodNames{"any", "GET", "PUT"};
+constexpr std::array kWeightKindNames{"off", "nominal", "rough", "live"};
+constexpr std::array kLoadReportFieldNames{"inflight", "queue", "util", "latency_ms", "qps", "eps", "other"};
+constexpr std::array kLogFormatNames{"text", "json"};
 
 struct TableTexts {
-  const char *what, *written, *list;
+  const char *item_noun, *reference_text, *defining_member;
 };
 constexpr std::array<TableTexts, 4> kTableTexts{{{"zone", "a zone's name", "fleet.zones"},
                                                  {"kind", "a kind's name", "fleet.kinds"},
@@ -33,10 +33,11 @@
 void describe_fleet(Visitor& visitor, UpstreamFleetConfig& fleet_config) {
   visitor.enter("fleet", "the cache nodes, and the source of their list");
   visitor.texts("zones", fleet_config.zones, "names of zones");
-  each_named_item(visitor, "kinds", fleet_config.kinds, "a kind of node", [&](NodeKindConfig& k) {
-    visitor.amount("cores", k.cores, Unit::Number, "of a node of this kind; 0: unknown");
-    visitor.amount("speed", k.core_speed, Unit::Number, "of a core; work is measured on a core of speed 1");
-    visitor.amount("memory_bytes", k.memory_bytes, Unit::Bytes, "for cached values; 0: unknown");
+  each_named_item(visitor, "kinds", fleet_config.kinds, "a kind of node", [&](NodeKindConfig& kind) {
+    visitor.amount("cores", kind.cores, Unit::Number, "of a node of this kind; 0: unknown");
+    visitor.amount("speed", kind.core_speed, Unit::Number,
+                   "of a core; work is measured on a core of speed 1");
+    visitor.amount("memory_bytes", kind.memory_bytes, Unit::Bytes, "for cached values; 0: unknown");
   });
   optional_member(visitor, "zone", fleet_config.own_zone, [&](auto& z) {
     visitor.ref("zone", z, tables::kZones, false, "the router's own; its nodes are preferred");
@@ -50,15 +51,15 @@
   visitor.text("file", fleet_config.nodes_file, false,
                "a file with the node list, in discovery's format; it is watched");
   each_named_item(
-      visitor, "nodes", fleet_config.nodes, "a node, if neither of the two is given", [&](NodeConfig& n) {
-        visitor.text("address", n.address, true, "`10.1.0.18:7070`");
-        optional_member(visitor, "zone", n.zone, [&](auto& z) {
+      visitor, "nodes", fleet_config.nodes, "a node, if neither of the two is given", [&](NodeConfig& node) {
+        visitor.text("address", node.address, true, "`10.1.0.18:7070`");
+        optional_member(visitor, "zone", node.zone, [&](auto& z) {
           visitor.ref("zone", z, tables::kZones, false, "its zone; default: the first");
         });
-        optional_member(visitor, "kind", n.kind, [&](auto& k) {
+        optional_member(visitor, "kind", node.kind, [&](auto& k) {
           visitor.ref("kind", k, tables::kKinds, false, "its kind; default: the first except the ledger's");
         });
-        visitor.amount("weight", n.weight, Unit::Number, "its capacity relative to the others");
+        visitor.amount("weight", node.weight, Unit::Number, "its capacity relative to the others");
       });
   visitor.amount("delay_ms", fleet_config.max_one_way_delay_ms, Unit::Time,
                  "one-way delay to the farthest node; used by checks");
@@ -68,7 +69,7 @@
                  "minimum share of its capacity that a node has in slow start");
   visitor.amount("tip_after_ms", fleet_config.overload_failure_ms, Unit::Time,
                  "a node in slow start fails if it is overloaded for this long");
-  visitor.choice("weights", fleet_config.weight_kind, kWeightKindWords, false,
+  visitor.choice("weights", fleet_config.weight_kind, kWeightKindNames, false,
                  "how reliable the weights of the list are");
   visitor.leave();
 }
@@ -77,15 +78,15 @@
   visitor.amount("aim_ms", request_class.latency_objective_ms, Unit::Time,
                  "latency objective: a response within it has its full value; 0: give_up");
   visitor.amount("give_up_ms", request_class.client_timeout_ms, Unit::Time, "client timeout (needed)");
-  visitor.amount("aim_stretch", request_class.objective_per_work, Unit::Number,
+  visitor.amount("aim_stretch", request_class.objective_work_factor, Unit::Number,
                  "the aim grows by this multiple of the request's own work");
-  visitor.amount("late_share", request_class.late_value_share, Unit::Share,
+  visitor.amount("late_share", request_class.late_response_value_share, Unit::Share,
                  "share of the value of a response after the aim");
   visitor.amount("worth", request_class.priority_weight, Unit::Number,
                  "priority weight relative to other classes; the lowest is rejected first");
-  enum_choice(visitor, "repeat", request_class.idempotency, kIdempotencyWords,
+  enum_choice(visitor, "repeat", request_class.idempotency, kIdempotencyNames,
               "whether it may be executed again; `keyed`: with the same key, within the window", true);
-  enum_choice(visitor, "scope", request_class.idempotency_scope, kIdempotencyScopeWords,
+  enum_choice(visitor, "scope", request_class.idempotency_scope, kIdempotencyScopeNames,
               "keyed: the nodes that drop duplicates together");
   visitor.amount("window_ms", request_class.idempotency_window_ms, Unit::Time,
                  "keyed: how long they drop duplicates");
@@ -105,14 +106,14 @@
 } // namespace
 
 std::optional<std::uint32_t> AppConfigNames::find(Table table, const std::string& name) const {
-  const auto names = known(table);
+  const auto names = known_names(table);
   const auto found = std::find(names.begin(), names.end(), name);
   if (found == names.end()) return std::nullopt;
   return static_cast<std::uint32_t>(found - names.begin());
 }
 
-std::vector<std::string> AppConfigNames::known(Table table) const {
-  const auto names = [](const auto& items) {
+std::vector<std::string> AppConfigNames::known_names(Table table) const {
+  const auto names_of = [](const auto& items) {
     std::vector<std::string> result;
     result.reserve(items.size());
     for (const auto& item : items) result.push_back(item.name);
@@ -120,20 +121,20 @@
   };
   switch (table) {
     case tables::kZones: return app_.fleet.zones;
-    case tables::kKinds: return names(app_.fleet.kinds);
-    case tables::kClasses: return names(app_.classes);
-    default: return names(app_.tenants);
+    case tables::kKinds: return names_of(app_.fleet.kinds);
+    case tables::kClasses: return names_of(app_.classes);
+    default: return names_of(app_.tenants);
   }
 }
 
 std::string AppConfigNames::name(Table table, std::uint32_t index) const {
-  const auto names = known(table);
+  const auto names = known_names(table);
   return index < names.size() ? names[index] : "";
 }
 
-const char* AppConfigNames::what(Table table) const { return table_texts(table).what; }
-const char* AppConfigNames::written(Table table) const { return table_texts(table).written; }
-const char* AppConfigNames::list(Table table) const { return table_texts(table).list; }
+const char* AppConfigNames::item_noun(Table table) const { return table_texts(table).item_noun; }
+const char* AppConfigNames::reference_text(Table table) const { return table_texts(table).reference_text; }
+const char* AppConfigNames::defining_member(Table table) const { return table_texts(table).defining_member; }
 
 void describe(Visitor& visitor, AppConfig& app) {
   visitor.text("name", app.name, true, "of the application; used in the log");
@@ -144,7 +145,7 @@
                "a request without X-Request-ID gets one instead of status 400");
   describe_fleet(visitor, app.fleet);
   each_named_item(visitor, "classes", app.classes, "a class of requests, as X-Priority-Class names it",
-                  [&](ClassConfig& c) { describe_class(visitor, c); });
+                  [&](ClassConfig& request_class) { describe_class(visitor, request_class); });
   each_named_item(visitor, "tenants", app.tenants, "a tenant, as X-Tenant-Id names it", [&](TenantConfig& t) {
     visitor.amount("share", t.service_share, Unit::Share, "of the service");
     visitor.amount("quota_per_s", t.quota_per_s, Unit::Rate,
@@ -152,14 +153,14 @@
   });
   each_item(visitor, "map", app.mappings,
             "class and tenant of requests without these headers; the first matching entry applies",
-            [&](RequestMapping& m) {
-              visitor.text("path", m.path_prefix, true, "prefix of its path");
-              enum_choice(visitor, "method", m.method, kMethodWords, "its method");
-              visitor.ref("cls", m.class_index, tables::kClasses, true, "its class");
-              optional_member(visitor, "tenant", m.tenant_index, [&](auto& t) {
+            [&](RequestMapping& mapping) {
+              visitor.text("path", mapping.path_prefix, true, "prefix of its path");
+              enum_choice(visitor, "method", mapping.method, kMethodNames, "its method");
+              visitor.ref("cls", mapping.class_index, tables::kClasses, true, "its class");
+              optional_member(visitor, "tenant", mapping.tenant_index, [&](auto& t) {
                 visitor.ref("tenant", t, tables::kTenants, false, "its tenant");
               });
-              optional_member(visitor, "timeout_ms", m.client_timeout_ms, [&](auto& t) {
+              optional_member(visitor, "timeout_ms", mapping.client_timeout_ms, [&](auto& t) {
                 visitor.amount("timeout_ms", t, Unit::Time, "client timeout; default: the class's give_up");
               });
             });
@@ -191,7 +192,7 @@
                 Unit::Mebibytes);
   visitor.leave();
   visitor.enter("reports", "load reports carried by responses");
-  visitor.choices("fields", app.load_reports.fields, kLoadReportFieldWords,
+  visitor.choices("fields", app.load_reports.fields, kLoadReportFieldNames,
                   "their fields, in order; none: there are no reports");
   visitor.leave();
   visitor.enter("tier", "the routers that send to the same nodes");
@@ -209,7 +210,7 @@
                  "share of the reads, those of the most popular keys, whose values are cached at two nodes");
   visitor.leave();
   visitor.enter("log", "what is written to standard error");
-  visitor.choice("format", app.log.format, kLogFormatWords, false, "key=value, or a JSON object per line");
+  visitor.choice("format", app.log.format, kLogFormatNames, false, "key=value, or a JSON object per line");
   visitor.amount("rate_per_s", app.log.lines_per_s, Unit::Rate, "lines");
   visitor.count("burst", app.log.burst_lines, "maximum burst of lines");
   visitor.flag("connections", app.log.log_connections, "a line for each connection that ends");
@@ -243,23 +244,24 @@
 }
 
 bool reloadable(const std::string& key) {
-  for (const char* part : {"fleet.discovery", "fleet.file", "fleet.nodes", "classes", "tenants", "map",
-                           "make_ids", "attempts.most", "attempts.cancel", "attempts.copies",
-                           "attempts.retry_after", "tier.over_share_worth", "log", "expect"}) {
-    if (key == part || key.starts_with(std::string(part) + ".") || key.starts_with(std::string(part) + "["))
+  for (const char* prefix : {"fleet.discovery", "fleet.file", "fleet.nodes", "classes", "tenants", "map",
+                             "make_ids", "attempts.most", "attempts.cancel", "attempts.copies",
+                             "attempts.retry_after", "tier.over_share_worth", "log", "expect"}) {
+    if (key == prefix || key.starts_with(std::string(prefix) + ".") ||
+        key.starts_with(std::string(prefix) + "["))
       return true;
   }
   return false;
 }
 
-const char* idempotency_word(Idempotency idempotency) {
-  return kIdempotencyWords.at(static_cast<std::size_t>(idempotency));
+const char* idempotency_name(Idempotency idempotency) {
+  return kIdempotencyNames.at(static_cast<std::size_t>(idempotency));
 }
-const char* idempotency_scope_word(IdempotencyScope scope) {
-  return kIdempotencyScopeWords.at(static_cast<std::size_t>(scope));
+const char* idempotency_scope_name(IdempotencyScope scope) {
+  return kIdempotencyScopeNames.at(static_cast<std::size_t>(scope));
 }
-const char* method_word(Method method) { return kMethodWords.at(static_cast<std::size_t>(method)); }
-const char* weight_kind_word(std::size_t weight_kind) { return kWeightKindWords.at(weight_kind); }
-const char* load_report_field_word(std::size_t field) { return kLoadReportFieldWords.at(field); }
+const char* method_name(Method method) { return kMethodNames.at(static_cast<std::size_t>(method)); }
+const char* weight_kind_name(std::size_t weight_kind) { return kWeightKindNames.at(weight_kind); }
+const char* load_report_field_name(std::size_t field) { return kLoadReportFieldNames.at(field); }
 
 } // namespace fernward::app_config
--- a/src/app_config/keys.h
+++ b/src/app_config/keys.h
@@ -20,10 +20,10 @@
   explicit AppConfigNames(const AppConfig& app) : app_(app) {}
   std::optional<std::uint32_t> find(toml_document::Table table, const std::string& name) const override;
   std::string name(toml_document::Table table, std::uint32_t index) const override;
-  std::vector<std::string> known(toml_document::Table table) const override;
-  const char* what(toml_document::Table table) const override;
-  const char* written(toml_document::Table table) const override;
-  const char* list(toml_document::Table table) const override;
+  std::vector<std::string> known_names(toml_document::Table table) const override;
+  const char* item_noun(toml_document::Table table) const override;
+  const char* reference_text(toml_document::Table table) const override;
+  const char* defining_member(toml_document::Table table) const override;
 
  private:
   const AppConfig& app_;
@@ -34,10 +34,10 @@
 // Whether a reload can change the key; otherwise the change needs a restart. `key`: the key's path.
 bool reloadable(const std::string& key);
 
-const char* idempotency_word(Idempotency idempotency);
-const char* idempotency_scope_word(IdempotencyScope scope);
-const char* method_word(Method method);
-const char* weight_kind_word(std::size_t weight_kind);
-const char* load_report_field_word(std::size_t field);
+const char* idempotency_name(Idempotency idempotency);
+const char* idempotency_scope_name(IdempotencyScope scope);
+const char* method_name(Method method);
+const char* weight_kind_name(std::size_t weight_kind);
+const char* load_report_field_name(std::size_t field);
 
 } // namespace fernward::app_config
--- a/src/app_config/new_config.cpp
+++ b/src/app_config/new_config.cpp
@@ -81,11 +81,11 @@
   append_commented_keys(subtable(subtable(top, "fleet"), "kinds"), {}, out);
   if (has_origin) out += "\n[fleet.kinds.ledger]\n";
   if (nodes_listed) {
-    int number = 0;
-    for (const std::string& node : options.node_addresses) {
-      out += "\n[fleet.nodes.cache-" + std::to_string(++number) + "]\naddress = " + toml_quoted(node) +
-             "\nkind = \"cache\"\n";
-      if (number == 1)
+    int node_number = 0;
+    for (const std::string& node_address : options.node_addresses) {
+      out += "\n[fleet.nodes.cache-" + std::to_string(++node_number) +
+             "]\naddress = " + toml_quoted(node_address) + "\nkind = \"cache\"\n";
+      if (node_number == 1)
         append_commented_keys(subtable(subtable(top, "fleet"), "nodes"), {"address", "kind"}, out);
     }
     if (has_origin)
@@ -118,9 +118,9 @@
 void write_atomically(const std::string& path, const std::string& text) {
   const std::string temporary_path = path + ".new-" + std::to_string(getpid());
   const auto fail = [&](const std::string& action) {
-    const std::string why = std::strerror(errno);
+    const std::string reason = std::strerror(errno);
     unlink(temporary_path.c_str());
-    throw std::runtime_error(action + " " + path + ": " + why + "; the old file is unchanged");
+    throw std::runtime_error(action + " " + path + ": " + reason + "; the old file is unchanged");
   };
   const int fd = open(temporary_path.c_str(), O_WRONLY | O_CREAT | O_EXCL | O_CLOEXEC, 0644);
   if (fd < 0) fail("cannot write");
@@ -129,17 +129,17 @@
     const ssize_t count = write(fd, text.data() + written_bytes, text.size() - written_bytes);
     if (count < 0 && errno == EINTR) continue;
     if (count <= 0) {
-      const int error = errno;
+      const int error_number = errno;
       close(fd);
-      errno = error;
+      errno = error_number;
       fail("cannot write");
     }
     written_bytes += static_cast<std::size_t>(count);
   }
   const bool synced = fsync(fd) == 0;
-  const int error = errno;
+  const int error_number = errno;
   close(fd);
-  errno = error;
+  errno = error_number;
   if (!synced) fail("cannot write");
   if (rename(temporary_path.c_str(), path.c_str()) != 0) fail("cannot rename the new file to");
 }
--- a/src/app_config/origin_load.cpp
+++ b/src/app_config/origin_load.cpp
@@ -15,13 +15,13 @@
 std::vector<RankGroup> rank_groups(std::uint32_t key_count, double zipf_exponent) {
   std::vector<RankGroup> groups;
   double sum = 0;
-  for (double first = 1; first <= key_count;) {
-    const double last = std::min<double>(key_count, std::max(first, std::floor(first * 1.02)));
-    const double count = last - first + 1;
-    const double probability = std::pow((first + last) / 2, -zipf_exponent);
+  for (double first_rank = 1; first_rank <= key_count;) {
+    const double last_rank = std::min<double>(key_count, std::max(first_rank, std::floor(first_rank * 1.02)));
+    const double count = last_rank - first_rank + 1;
+    const double probability = std::pow((first_rank + last_rank) / 2, -zipf_exponent);
     sum += count * probability;
     groups.push_back({count, probability});
-    first = last + 1;
+    first_rank = last_rank + 1;
   }
   for (RankGroup& group : groups) group.probability /= sum;
   return groups;
@@ -35,16 +35,18 @@
   const std::vector<RankGroup> groups = rank_groups(key_count, zipf_exponent);
   const auto expected_cached = [&](double characteristic_time) {
     double sum = 0;
-    for (const RankGroup& r : groups) sum -= r.count * std::expm1(-r.probability * characteristic_time);
+    for (const RankGroup& group : groups)
+      sum -= group.count * std::expm1(-group.probability * characteristic_time);
     return sum;
   };
-  double low = 0, high = key_count;
-  while (expected_cached(high) < cached_values && high < 1e300) high *= 2;
+  double low_time = 0, high_time = key_count;
+  while (expected_cached(high_time) < cached_values && high_time < 1e300) high_time *= 2;
   for (int i = 0; i < 100; ++i)
-    (expected_cached((low + high) / 2) < cached_values ? low : high) = (low + high) / 2;
+    (expected_cached((low_time + high_time) / 2) < cached_values ? low_time : high_time) =
+        (low_time + high_time) / 2;
   double hit_ratio = 0;
   for (const RankGroup& group : groups)
-    hit_ratio -= group.count * group.probability * std::expm1(-group.probability * high);
+    hit_ratio -= group.count * group.probability * std::expm1(-group.probability * high_time);
   return std::clamp(hit_ratio, 0.0, 1.0);
 }
 
--- a/src/app_config/read.cpp
+++ b/src/app_config/read.cpp
@@ -83,11 +83,11 @@
       position = toml_document::position_of(node->source(), *layer);
     }
   }
-  const auto has_name = [&](const Profile& p) { return p.name == name; };
+  const auto has_name = [&](const Profile& profile) { return profile.name == name; };
   if (name.empty() || std::any_of(profiles.begin(), profiles.end(), has_name)) return name;
   std::vector<std::string> names;
   names.reserve(profiles.size());
-  for (const Profile& p : profiles) names.push_back(p.name);
+  for (const Profile& profile : profiles) names.push_back(profile.name);
   const std::string suggestion = toml_document::closest_match(name, names);
   config.errors.push_back({std::move(position), "profile",
                            "there is no profile " + toml_document::quoted_excerpt(name) +
@@ -100,18 +100,19 @@
 // are ignored: they depend on the other sources.
 void check_inactive_profiles(const std::vector<Profile>& profiles, const std::string& active_profile,
                              const AppConfig& app, toml_document::Diagnostics& errors) {
-  for (const Profile& p : profiles) {
-    if (p.name == active_profile) continue;
-    AppConfig scratch = app;
+  for (const Profile& profile : profiles) {
+    if (profile.name == active_profile) continue;
+    AppConfig profile_app = app;
     toml_document::Diagnostics profile_errors;
     toml_document::Positions positions;
-    const AppConfigNames names(scratch);
-    toml_document::Reader reader({{p.table, p.layer}}, names, profile_errors, positions, kNonMemberKeys);
-    describe(reader, scratch);
+    const AppConfigNames names(profile_app);
+    toml_document::Reader reader({{profile.table, profile.layer}}, names, profile_errors, positions,
+                                 kNonMemberKeys);
+    describe(reader, profile_app);
     reader.finish();
     for (Diagnostic& error : profile_errors) {
       if (error.code == "missing" || error.code == "unknown-name") continue;
-      error.key = "profiles." + p.name + "." + error.key;
+      error.key = "profiles." + profile.name + "." + error.key;
       errors.push_back(std::move(error));
     }
   }
@@ -144,9 +145,9 @@
   const std::vector<Profile> profiles = collect_profiles(layers, config.errors);
   config.active_profile = select_profile(layers, profiles, environment, config);
   std::vector<SourceTable> sources{{&layers.front()->table, layers.front().get()}};
-  for (const Profile& p : profiles) {
-    if (!config.active_profile.empty() && p.name == config.active_profile)
-      sources.push_back({p.table, p.layer});
+  for (const Profile& profile : profiles) {
+    if (!config.active_profile.empty() && profile.name == config.active_profile)
+      sources.push_back({profile.table, profile.layer});
   }
   for (std::size_t i = 1; i < layers.size(); ++i) sources.push_back({&layers[i]->table, layers[i].get()});
 
--- a/src/app_config/render.cpp
+++ b/src/app_config/render.cpp
@@ -17,12 +17,12 @@
   json result = {{"name", cls.name},
                  {"aim", cls.latency_objective_ms > 0 ? cls.latency_objective_ms : cls.client_timeout_ms},
                  {"give_up", cls.client_timeout_ms},
-                 {"aim_stretch", cls.objective_per_work},
-                 {"late_share", cls.late_value_share},
+                 {"aim_stretch", cls.objective_work_factor},
+                 {"late_share", cls.late_response_value_share},
                  {"worth", cls.priority_weight},
-                 {"repeat", idempotency_word(cls.idempotency)}};
+                 {"repeat", idempotency_name(cls.idempotency)}};
   if (cls.idempotency == Idempotency::WithKey) {
-    result["dedup_scope"] = idempotency_scope_word(cls.idempotency_scope);
+    result["dedup_scope"] = idempotency_scope_name(cls.idempotency_scope);
     result["window"] = window_ms;
   }
   if (cls.max_retries && *cls.max_retries + 1 < app.attempts.max_attempts)
@@ -52,7 +52,7 @@
   json result = json::array();
   for (const RequestMapping& mapping : app.mappings) {
     json entry = {{"path", mapping.path_prefix}, {"class", app.classes.at(mapping.class_index).name}};
-    if (mapping.method != Method::Any) entry["method"] = method_word(mapping.method);
+    if (mapping.method != Method::Any) entry["method"] = method_name(mapping.method);
     if (mapping.tenant_index) entry["tenant"] = app.tenants.at(*mapping.tenant_index).name;
     if (mapping.client_timeout_ms) entry["timeout"] = *mapping.client_timeout_ms;
     result.push_back(std::move(entry));
@@ -80,10 +80,10 @@
   if (app.fleet.origin_kind) settings["extra"] = {{"mode", "aside"}, {"origin_kind", *app.fleet.origin_kind}};
   if (!app.load_reports.fields.empty()) {
     json fields = json::array();
-    for (const std::size_t field : app.load_reports.fields) fields.push_back(load_report_field_word(field));
+    for (const std::size_t field : app.load_reports.fields) fields.push_back(load_report_field_name(field));
     settings["telemetry"] = {{"via", "inline"}, {"columns", std::move(fields)}};
   }
-  settings["weight_kind"] = weight_kind_word(app.fleet.weight_kind);
+  settings["weight_kind"] = weight_kind_name(app.fleet.weight_kind);
   settings["limits"] = {{"max_attempts", app.attempts.max_attempts},
                         {"may_cancel", app.attempts.may_cancel},
                         {"may_duplicate", app.attempts.may_hedge},
--- a/src/app_config/router_fleet.cpp
+++ b/src/app_config/router_fleet.cpp
@@ -13,10 +13,10 @@
  public:
   std::optional<std::uint32_t> find(Table, const std::string&) const override { return std::nullopt; }
   std::string name(Table, std::uint32_t) const override { return ""; }
-  std::vector<std::string> known(Table) const override { return {}; }
-  const char* what(Table) const override { return ""; }
-  const char* written(Table) const override { return ""; }
-  const char* list(Table) const override { return ""; }
+  std::vector<std::string> known_names(Table) const override { return {}; }
+  const char* item_noun(Table) const override { return ""; }
+  const char* reference_text(Table) const override { return ""; }
+  const char* defining_member(Table) const override { return ""; }
 };
 
 void describe(toml_document::Visitor& visitor, config::RouterFleetConfig& fleet) {
@@ -44,15 +44,15 @@
     std::vector<toml_document::SourceTable> sources;
     for (const auto& layer : layers) sources.push_back({&layer->table, layer.get()});
     const NoNames names;
-    toml_document::Positions places;
-    toml_document::Reader reader(std::move(sources), names, result.errors, places, {"include"});
+    toml_document::Positions positions;
+    toml_document::Reader reader(std::move(sources), names, result.errors, positions, {"include"});
     describe(reader, result.fleet);
     reader.finish();
     const auto add_value_error = [&](const char* key, const char* message) {
-      const auto found = places.find(key);
+      const auto found = positions.find(key);
       toml_document::Diagnostic& error = result.errors.emplace_back();
       error.position.file = file;
-      if (found != places.end()) error.position = found->second;
+      if (found != positions.end()) error.position = found->second;
       error.key = toml_document::key_of(key);
       error.message = message;
       error.code = "value";
--- a/src/app_config/schema.cpp
+++ b/src/app_config/schema.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 using nlohmann::ordered_json;
+using toml_document::ChoiceNames;
 using toml_document::SpecialValue;
 using toml_document::Table;
 using toml_document::Unit;
-using toml_document::Words;
 
 const char* unit_pattern(Unit unit) {
   switch (unit) {
@@ -33,7 +33,8 @@
   }
   ordered_json document() const { return open_objects_.front(); }
 
-  void amount(const char* member, double& value, Unit unit, const char* doc, SpecialValue word) override {
+  void amount(const char* member, double& value, Unit unit, const char* doc,
+              SpecialValue special_value) override {
     ordered_json property;
     if (unit == Unit::Number) {
       property = {{"type", "number"}, {"minimum", 0}};
@@ -43,7 +44,7 @@
     } else {
       property["anyOf"] = {{{"const", 0}}, {{"type", "string"}, {"pattern", unit_pattern(unit)}}};
     }
-    if (word.text != nullptr) property["anyOf"].push_back({{"const", word.text}});
+    if (special_value.text != nullptr) property["anyOf"].push_back({{"const", special_value.text}});
     if (unit == Unit::Number) {
       property["default"] = value;
     } else {
@@ -64,10 +65,10 @@
   void seed(const char* member, std::uint64_t& value, const char* doc) override {
     add_property(member, {{"type", "integer"}, {"minimum", 0}, {"default", value}}, doc);
   }
-  void text(const char* member, std::string& value, bool needed, const char* doc) override {
+  void text(const char* member, std::string& value, bool required, const char* doc) override {
     ordered_json property = {{"type", "string"}};
     if (!value.empty()) property["default"] = value;
-    add_property(member, std::move(property), doc, needed);
+    add_property(member, std::move(property), doc, required);
   }
   void texts(const char* member, std::vector<std::string>& values, const char* doc) override {
     ordered_json property = {{"type", "array"}, {"items", {{"type", "string"}}}};
@@ -77,23 +78,26 @@
   void flag(const char* member, bool& value, const char* doc) override {
     add_property(member, {{"type", "boolean"}, {"default", value}}, doc);
   }
-  void choice(const char* member, std::size_t& value, Words words, bool needed, const char* doc) override {
-    ordered_json property = {{"enum", std::vector<std::string>(words.begin(), words.end())}};
-    if (!needed) property["default"] = words[value];
-    add_property(member, std::move(property), doc, needed);
+  void choice(const char* member, std::size_t& value, ChoiceNames choice_names, bool required,
+              const char* doc) override {
+    ordered_json property = {{"enum", std::vector<std::string>(choice_names.begin(), choice_names.end())}};
+    if (!required) property["default"] = choice_names[value];
+    add_property(member, std::move(property), doc, required);
   }
-  void choices(const char* member, std::vector<std::size_t>&, Words words, const char* doc) override {
-    add_property(
-        member,
-        {{"type", "array"}, {"items", {{"enum", std::vector<std::string>(words.begin(), words.end())}}}},
-        doc);
+  void choices(const char* member, std::vector<std::size_t>&, ChoiceNames choice_names,
+               const char* doc) override {
+    add_property(member,
+                 {{"type", "array"},
+                  {"items", {{"enum", std::vector<std::string>(choice_names.begin(), choice_names.end())}}}},
+                 doc);
   }
-  void ref(const char* member, std::uint32_t&, Table table, bool needed, const char* doc) override {
-    add_property(member, {{"type", "string"}}, std::string(doc) + " (" + names_.written(table) + ")", needed);
+  void ref(const char* member, std::uint32_t&, Table table, bool required, const char* doc) override {
+    add_property(member, {{"type", "string"}}, std::string(doc) + " (" + names_.reference_text(table) + ")",
+                 required);
   }
   void refs(const char* member, std::vector<std::uint32_t>&, Table table, const char* doc) override {
     add_property(member, {{"type", "array"}, {"items", {{"type", "string"}}}},
-                 std::string(doc) + " (each " + names_.written(table) + ")");
+                 std::string(doc) + " (each " + names_.reference_text(table) + ")");
   }
   bool present(const char*, bool) override { return omit_default_ = true; }
   void enter(const char* member, const char* doc) override { push_object(member, doc, Kind::Table); }
@@ -114,7 +118,8 @@
   void item(const char*, std::size_t, const std::string&) override {
     push_object(next_frame_.member.c_str(), next_frame_.doc, next_frame_.kind);
   }
-  std::vector<std::string> named(const char* member, std::vector<std::string>, const char* doc) override {
+  std::vector<std::string> named_items(const char* member, std::vector<std::string>,
+                                       const char* doc) override {
     next_frame_ = {member, doc, Kind::Named};
     return {"NAME"};
   }
@@ -132,12 +137,13 @@
     frames_.push_back({member, doc, kind});
     open_objects_.push_back(empty_object());
   }
-  void add_property(const char* member, ordered_json property, const std::string& doc, bool needed = false) {
+  void add_property(const char* member, ordered_json property, const std::string& doc,
+                    bool required = false) {
     if (std::exchange(omit_default_, false)) property.erase("default");
     property["description"] = doc;
     const std::string key = toml_document::key_of(member);
     open_objects_.back()["properties"][key] = std::move(property);
-    if (needed) open_objects_.back()["required"].push_back(key);
+    if (required) open_objects_.back()["required"].push_back(key);
   }
 
   const toml_document::Names& names_;
--- a/src/app_config/semantic_checks.cpp
+++ b/src/app_config/semantic_checks.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr std::size_t kMaxUnixPathBytes = 107; // the kernel's limit for the path of a unix socket
-constexpr std::size_t kMaxNameLength = 64;
+constexpr std::size_t kMaxNameBytes = 64;
 constexpr double kOriginShareError = 0.95, kOriginShareWarning = 0.5;
 
 std::string percent(double share) {
@@ -31,7 +31,7 @@
 
 // Whether a header can carry the name as a single token.
 bool valid_name(const std::string& name) {
-  return !name.empty() && name.size() <= kMaxNameLength && std::all_of(name.begin(), name.end(), [](char c) {
+  return !name.empty() && name.size() <= kMaxNameBytes && std::all_of(name.begin(), name.end(), [](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
            c == '_' || c == '.';
   });
@@ -49,7 +49,7 @@
     check_tenants();
     check_mappings();
     check_limits();
-    check_remaining();
+    check_other_sections();
     check_origin_load();
   }
 
@@ -110,11 +110,12 @@
     const UpstreamFleetConfig& fleet_config = app_.fleet;
     if (is_readable("fleet.zones")) {
       if (fleet_config.zones.empty()) add_error("fleet.zones", "value", "must name one zone or more");
-      std::set<std::string> seen;
+      std::set<std::string> zone_names;
       for (const std::string& zone : fleet_config.zones) {
         if (!valid_name(zone))
           add_error("fleet.zones", "name", "\"" + zone + "\" is not a name of letters and digits");
-        if (!seen.insert(zone).second) add_error("fleet.zones", "twice", "contains \"" + zone + "\" twice");
+        if (!zone_names.insert(zone).second)
+          add_error("fleet.zones", "twice", "contains \"" + zone + "\" twice");
       }
     }
     for (const NodeKindConfig& kind : fleet_config.kinds) {
@@ -135,7 +136,7 @@
     if (from_discovery) require_address("fleet.discovery", fleet_config.discovery_address);
     std::map<std::string, std::string> node_by_address;
     bool has_origin = false;
-    std::set<std::uint32_t> zones;
+    std::set<std::uint32_t> node_zones;
     for (const NodeConfig& node : fleet_config.nodes) {
       const std::string node_path = "fleet.nodes." + node.name;
       if (!valid_name(node.name))
@@ -149,16 +150,16 @@
       }
       has_origin = has_origin ||
                    (fleet_config.origin_kind && node_kind(fleet_config, node) == *fleet_config.origin_kind);
-      zones.insert(node.zone.value_or(0));
+      node_zones.insert(node.zone.value_or(0));
     }
     const bool nodes_readable =
         std::none_of(invalid_members_.begin(), invalid_members_.end(),
-                     [](const std::string& m) { return m.starts_with("fleet.nodes"); });
+                     [](const std::string& member) { return member.starts_with("fleet.nodes"); });
     if (nodes_listed && fleet_config.origin_kind && !has_origin && nodes_readable &&
         is_readable("fleet.ledger")) {
       add_error("fleet.ledger", "no-ledger", "no node is of this kind, so cache misses could not be fetched");
     }
-    if (nodes_listed && fleet_config.own_zone && !zones.contains(*fleet_config.own_zone)) {
+    if (nodes_listed && fleet_config.own_zone && !node_zones.contains(*fleet_config.own_zone)) {
       add_warning("fleet.zone", "zone-empty",
                   "no node is in the router's own zone: every request is sent to another zone");
     }
@@ -174,7 +175,7 @@
       const auto member = [&](const char* name) { return class_path + "." + name; };
       if (!valid_name(cls.name))
         add_error(class_path, "name", "must consist of at most 64 letters, digits, \"-\", \"_\" and \".\"");
-      require_at_most(member("late_share"), cls.late_value_share, 1, "100%");
+      require_at_most(member("late_share"), cls.late_response_value_share, 1, "100%");
       require_at_most(member("traffic"), cls.traffic_share, 1, "100%");
       const bool timeout_readable = is_readable(member("give_up_ms"));
       if (timeout_readable && cls.client_timeout_ms <= 0) {
@@ -249,7 +250,7 @@
   }
 
   void check_tenants() {
-    double sum = 0;
+    double share_sum = 0;
     bool shares_readable = true;
     for (const TenantConfig& tenant : app_.tenants) {
       const std::string tenant_path = "tenants." + tenant.name;
@@ -257,14 +258,14 @@
         add_error(tenant_path, "name", "must consist of at most 64 letters, digits, \"-\", \"_\" and \".\"");
       require_at_most(tenant_path + ".share", tenant.service_share, 1, "100%");
       shares_readable = shares_readable && is_readable(tenant_path + ".share") && tenant.service_share <= 1;
-      sum += tenant.service_share;
+      share_sum += tenant.service_share;
     }
-    if (shares_readable && sum > 1 + 1e-9) {
-      const auto largest =
+    if (shares_readable && share_sum > 1 + 1e-9) {
+      const auto largest_tenant =
           std::max_element(app_.tenants.begin(), app_.tenants.end(),
                            [](const auto& a, const auto& b) { return a.service_share < b.service_share; });
-      add_error("tenants." + largest->name + ".share", "shares",
-                "the shares of all tenants add up to " + percent(sum) + ", which is more than 100%");
+      add_error("tenants." + largest_tenant->name + ".share", "shares",
+                "the shares of all tenants add up to " + percent(share_sum) + ", which is more than 100%");
     }
   }
 
@@ -339,7 +340,7 @@
     }
   }
 
-  void check_remaining() {
+  void check_other_sections() {
     const AttemptsConfig& attempts = app_.attempts;
     if (attempts.max_attempts == 0) add_error("attempts.most", "value", "must be 1 or more");
     require_positive("attempts.connect_ms", attempts.connect_timeout_ms);
@@ -390,19 +391,19 @@
           "fleet.ledger", "ledger-only",
           "100% of the requests would go to the ledger: the fleet has no node of any other kind");
     }
-    std::string parts;
-    const auto add_part = [&](double share, const char* cause) {
-      if (share >= 0.005) parts += (parts.empty() ? "" : ", ") + percent(share) + " " + cause;
+    std::string causes;
+    const auto add_cause = [&](double share, const char* cause) {
+      if (share >= 0.005) causes += (causes.empty() ? "" : ", ") + percent(share) + " " + cause;
     };
-    add_part(origin_load.write_share, "as writes");
-    add_part(origin_load.miss_share, "as reads that exceed the nodes' memory");
-    add_part(origin_load.overflow_share, "for lack of node capacity");
+    add_cause(origin_load.write_share, "as writes");
+    add_cause(origin_load.miss_share, "as reads that exceed the nodes' memory");
+    add_cause(origin_load.overflow_share, "for lack of node capacity");
     // The member that causes the largest part of the origin load.
     std::string member = "fleet.ledger";
     if (origin_load.write_share >= origin_load.miss_share &&
         origin_load.write_share >= origin_load.overflow_share) {
-      for (const ClassConfig& c : app_.classes) {
-        if (c.is_write) member = "classes." + c.name + ".write";
+      for (const ClassConfig& cls : app_.classes) {
+        if (cls.is_write) member = "classes." + cls.name + ".write";
       }
     } else if (origin_load.miss_share >= origin_load.overflow_share) {
       member = "expect.keys";
@@ -410,7 +411,7 @@
       member = "expect.rate_per_s";
     }
     const std::string message =
-        percent(origin_load.request_share) + " of the requests would go to the ledger: " + parts;
+        percent(origin_load.request_share) + " of the requests would go to the ledger: " + causes;
     if (origin_load.request_share >= kOriginShareError) {
       add_error(member, "ledger-only", message);
     } else if (origin_load.request_share >= kOriginShareWarning) {
@@ -421,7 +422,7 @@
         origin_rate_per_s > app_.expected_load.origin_capacity_per_s) {
       char text[160];
       std::snprintf(text, sizeof text, "%.0f/s would go to the ledger (%s), and its capacity is %.0f/s",
-                    origin_rate_per_s, parts.c_str(), app_.expected_load.origin_capacity_per_s);
+                    origin_rate_per_s, causes.c_str(), app_.expected_load.origin_capacity_per_s);
       add_error("expect.ledger_per_s", "ledger-overrun", text);
     }
   }
--- a/src/body_buffers/buffer_budget.cpp
+++ b/src/body_buffers/buffer_budget.cpp
@@ -5,7 +5,7 @@
 namespace fernward::body_buffers {
 
 BufferBudget::BufferBudget(const BufferBudgetOptions& options) : options_(options) {
-  const std::size_t holder_count = std::max<std::size_t>(options_.max_holders, 1);
+  const std::size_t holder_count = std::max<std::size_t>(options_.expected_holders, 1);
   options_.reserved_bytes_per_holder =
       std::min(options_.reserved_bytes_per_holder, options_.total_bytes / 2 / holder_count);
   options_.max_bytes_per_holder = std::max(options_.max_bytes_per_holder, options_.reserved_bytes_per_holder);
--- a/src/body_buffers/buffer_budget.h
+++ b/src/body_buffers/buffer_budget.h
@@ -17,7 +17,7 @@
 
 struct BufferBudgetOptions {
   std::size_t total_bytes = 24 << 20;
-  std::size_t max_holders = 1024;                  // expected; at most half of the total is reserved for them
+  std::size_t expected_holders = 1024;             // expected; at most half of the total is reserved for them
   std::size_t reserved_bytes_per_holder = 4 << 10; // not available to other holders
   std::size_t max_bytes_per_holder = 1 << 20;
   double max_share_of_free = 1.0 / 16; // of the free shared bytes, that one holder may use
--- a/src/body_buffers/retained_bodies.cpp
+++ b/src/body_buffers/retained_bodies.cpp
@@ -8,11 +8,11 @@
 bool may_send(const BodyAvailability& body, Idempotency idempotency, double key_window_ms,
               const AttemptHistory& history) {
   if (history.attempts == 0) return body.first_attempt;
-  if (!history.in_flight && !history.may_have_run) return body.retry_if_not_run;
+  if (!history.in_flight && !history.may_have_executed) return body.retry_if_not_executed;
   if (history.in_flight && !body.hedge) return false;
-  if (history.may_have_run && !body.retry_if_run) return false;
+  if (history.may_have_executed && !body.retry_if_executed) return false;
   return idempotency == Idempotency::Idempotent ||
-         (idempotency == Idempotency::WithKey && history.since_first_ms < key_window_ms);
+         (idempotency == Idempotency::WithKey && history.elapsed_since_first_ms < key_window_ms);
 }
 
 RetainedBodies::Body::Body(RetainedBodies& bodies, std::optional<std::uint64_t> announced_bytes)
@@ -43,13 +43,13 @@
 }
 
 bool RetainedBodies::Body::fits_memory(std::uint64_t bytes) const {
-  return memory_bytes_ + bytes <= bodies_.limits_.max_memory_bytes_per_body &&
+  return stored_memory_bytes_ + bytes <= bodies_.limits_.max_memory_bytes_per_body &&
          bodies_.memory_bytes_ + bytes <= bodies_.limits_.max_memory_bytes;
 }
 
 bool RetainedBodies::Body::fits_file(std::uint64_t bytes) const {
   if (!has_file_ && bodies_.open_files_ >= bodies_.limits_.max_files) return false;
-  return file_bytes_ + bytes <= bodies_.limits_.max_file_bytes_per_body &&
+  return stored_file_bytes_ + bytes <= bodies_.limits_.max_file_bytes_per_body &&
          bodies_.file_bytes_ + bytes <= bodies_.limits_.max_file_bytes;
 }
 
@@ -60,9 +60,10 @@
   if (retention_ == Retention::Memory) {
     const bool fits = announced_bytes_ || fits_memory(bytes);
     if (fits) {
-      memory_bytes_ += bytes;
-      if (memory_bytes_ > reserved_memory_bytes_)
-        bodies_.memory_bytes_ += memory_bytes_ - std::exchange(reserved_memory_bytes_, memory_bytes_);
+      stored_memory_bytes_ += bytes;
+      if (stored_memory_bytes_ > reserved_memory_bytes_)
+        bodies_.memory_bytes_ +=
+            stored_memory_bytes_ - std::exchange(reserved_memory_bytes_, stored_memory_bytes_);
       return Placement::Memory;
     }
     fits_file(bytes) ? move_to_file() : void(retention_ = Retention::None);
@@ -70,9 +71,9 @@
   if (retention_ == Retention::File) {
     const bool fits = announced_bytes_ || fits_file(bytes);
     if (fits) {
-      file_bytes_ += bytes;
-      if (file_bytes_ > reserved_file_bytes_)
-        bodies_.file_bytes_ += file_bytes_ - std::exchange(reserved_file_bytes_, file_bytes_);
+      stored_file_bytes_ += bytes;
+      if (stored_file_bytes_ > reserved_file_bytes_)
+        bodies_.file_bytes_ += stored_file_bytes_ - std::exchange(reserved_file_bytes_, stored_file_bytes_);
       return Placement::File;
     }
     retention_ = Retention::None;
@@ -82,10 +83,10 @@
 
 void RetainedBodies::Body::on_file_failure(std::uint64_t bytes) {
   retention_ = Retention::None;
-  file_bytes_ -= std::min(bytes, file_bytes_);
+  stored_file_bytes_ -= std::min(bytes, stored_file_bytes_);
   // Releases the reservation for bytes not yet received. Bytes stored earlier can still be read.
-  bodies_.file_bytes_ -= reserved_file_bytes_ - file_bytes_;
-  reserved_file_bytes_ = file_bytes_;
+  bodies_.file_bytes_ -= reserved_file_bytes_ - stored_file_bytes_;
+  reserved_file_bytes_ = stored_file_bytes_;
 }
 
 bool RetainedBodies::Body::may_stream(bool complete) const {
--- a/src/body_buffers/retained_bodies.h
+++ b/src/body_buffers/retained_bodies.h
@@ -29,17 +29,18 @@
 // Attempts that the body still allows. The request class may allow fewer.
 struct BodyAvailability {
   bool first_attempt = true;
-  bool retry_if_not_run = true; // a retry after attempts that cannot have been executed
-  bool retry_if_run = true;     // a retry after an attempt that may have been executed
-  bool hedge = true;            // a hedged request while another attempt is in flight
+  bool retry_if_not_executed = true; // a retry after attempts that cannot have been executed
+  bool retry_if_executed = true;     // a retry after an attempt that may have been executed
+  bool hedge = true;                 // a hedged request while another attempt is in flight
 };
 
 // Attempts of one request so far.
 struct AttemptHistory {
   std::uint32_t attempts = 0;
-  bool in_flight = false;    // at least one attempt is in flight
-  bool may_have_run = false; // an attempt that has ended may have been executed
-  double since_first_ms = 0; // since sending the first attempt that may have been executed or is in flight
+  bool in_flight = false;         // at least one attempt is in flight
+  bool may_have_executed = false; // an attempt that has ended may have been executed
+  double elapsed_since_first_ms =
+      0; // since sending the first attempt that may have been executed or is in flight
 };
 
 // Whether another attempt is safe to send; RequestDispatcher::may_send also checks whether the request is
@@ -96,7 +97,7 @@
     std::optional<std::uint64_t> announced_bytes_;
     Retention retention_ = Retention::Memory;
     std::uint64_t received_bytes_ = 0, reserved_memory_bytes_ = 0, reserved_file_bytes_ = 0;
-    std::uint64_t memory_bytes_ = 0, file_bytes_ = 0; // received and stored
+    std::uint64_t stored_memory_bytes_ = 0, stored_file_bytes_ = 0; // received and stored
     bool consumed_ = false, too_long_ = false, has_file_ = false;
   };
 
--- a/src/commands/config.cpp
+++ b/src/commands/config.cpp
@@ -29,11 +29,11 @@
   options.parse_positional({"files"});
   options.positional_help(usage);
   parsed = parse(options, args);
-  std::vector<std::string> names;
-  if (parsed.count("files") > 0) names = parsed["files"].as<std::vector<std::string>>();
-  if (names.size() < min_count || names.size() > max_count)
+  std::vector<std::string> paths;
+  if (parsed.count("files") > 0) paths = parsed["files"].as<std::vector<std::string>>();
+  if (paths.size() < min_count || paths.size() > max_count)
     throw UsageError(std::string("expected arguments: ") + usage);
-  return names;
+  return paths;
 }
 
 ordered_json diagnostic_json(const toml_document::Diagnostic& diagnostic, const char* severity) {
@@ -54,15 +54,15 @@
       "elsewhere", "The file is for another host: skip the checks against this host")(
       "strict", "Treat warnings as errors");
   cxxopts::ParseResult parsed;
-  const auto names = parse_files(options, args, parsed, 1, 1000, "FILE...");
+  const auto paths = parse_files(options, args, parsed, 1, 1000, "FILE...");
   const std::string format = parsed["format"].as<std::string>();
   if (format != "text" && format != "json") throw UsageError("--format must be text or json");
-  bool valid = true;
+  bool all_valid = true;
   ordered_json diagnostics = ordered_json::array();
-  for (const std::string& name : names) {
-    app_config::LoadedConfig config = app_config::load_config(name, &environment_variable);
-    if (parsed.count("elsewhere") == 0 && config.valid()) app_config::check_host(config, name);
-    valid = valid && config.valid() && (parsed.count("strict") == 0 || config.warnings.empty());
+  for (const std::string& path : paths) {
+    app_config::LoadedConfig config = app_config::load_config(path, &environment_variable);
+    if (parsed.count("elsewhere") == 0 && config.valid()) app_config::check_host(config, path);
+    all_valid = all_valid && config.valid() && (parsed.count("strict") == 0 || config.warnings.empty());
     if (format == "json") {
       for (const auto& diagnostic : config.errors)
         diagnostics.push_back(diagnostic_json(diagnostic, "error"));
@@ -74,11 +74,11 @@
       std::printf("%s\n", diagnostic.to_string_with_code().c_str());
     for (const auto& diagnostic : config.warnings)
       std::printf("%s (warning)\n", diagnostic.to_string_with_code().c_str());
-    if (config.valid()) std::printf("%s: sound\n", name.c_str());
+    if (config.valid()) std::printf("%s: sound\n", path.c_str());
   }
   if (format == "json")
     std::printf("%s\n", diagnostics.dump(1, ' ', false, ordered_json::error_handler_t::replace).c_str());
-  return valid ? kSuccess : kFailure;
+  return all_valid ? kSuccess : kFailure;
 }
 
 int explain(const Arguments& args) {
@@ -87,8 +87,8 @@
       "Print every effective value, its source, and the resulting behavior of the router");
   options.add_options()("format", "text or json", cxxopts::value<std::string>()->default_value("text"));
   cxxopts::ParseResult parsed;
-  const auto names = parse_files(options, args, parsed, 1, 1, "FILE");
-  const app_config::LoadedConfig config = app_config::load_config(names.front(), &environment_variable);
+  const auto paths = parse_files(options, args, parsed, 1, 1, "FILE");
+  const app_config::LoadedConfig config = app_config::load_config(paths.front(), &environment_variable);
   if (!print_errors(config)) return kFailure;
   const auto values = app_config::explain_values(config);
   if (parsed["format"].as<std::string>() == "json") {
@@ -117,9 +117,9 @@
                            "What a new file changes, and whether a reload (SIGHUP) applies it. Exits with 1 "
                            "if a file has an error");
   cxxopts::ParseResult parsed;
-  const auto names = parse_files(options, args, parsed, 2, 2, "OLD NEW");
-  const app_config::LoadedConfig before = app_config::load_config(names[0], &environment_variable),
-                                 after = app_config::load_config(names[1], &environment_variable);
+  const auto paths = parse_files(options, args, parsed, 2, 2, "OLD NEW");
+  const app_config::LoadedConfig before = app_config::load_config(paths[0], &environment_variable),
+                                 after = app_config::load_config(paths[1], &environment_variable);
   const bool before_valid = print_errors(before),
              after_valid = print_errors(after); // both, so that the errors of each file are printed
   if (!before_valid || !after_valid) return kFailure;
@@ -140,8 +140,8 @@
 int render(const Arguments& args) {
   cxxopts::Options options("fernward config render", "Print the file as platform JSON");
   cxxopts::ParseResult parsed;
-  const auto names = parse_files(options, args, parsed, 1, 1, "FILE");
-  const app_config::LoadedConfig config = app_config::load_config(names.front(), &environment_variable);
+  const auto paths = parse_files(options, args, parsed, 1, 1, "FILE");
+  const app_config::LoadedConfig config = app_config::load_config(paths.front(), &environment_variable);
   if (!print_errors(config)) return kFailure;
   std::printf("%s\n", app_config::to_platform_json(config.app)
                           .dump(1, ' ', false, nlohmann::json::error_handler_t::replace)
@@ -149,12 +149,12 @@
   return kSuccess;
 }
 
-std::string prompt(const std::string& question, const std::string& fallback) {
-  std::printf("%s [%s]: ", question.c_str(), fallback.c_str());
+std::string prompt(const std::string& question, const std::string& default_value) {
+  std::printf("%s [%s]: ", question.c_str(), default_value.c_str());
   std::fflush(stdout);
   std::string answer;
   if (!std::getline(std::cin, answer)) throw std::runtime_error("no answer on standard input");
-  return answer.empty() ? fallback : answer;
+  return answer.empty() ? default_value : answer;
 }
 
 int create(const Arguments& args) {
@@ -172,8 +172,8 @@
       "out", "Output file; default: standard output", cxxopts::value<std::string>())(
       "force", "Overwrite an existing file");
   const auto parsed = parse(options, args);
-  const auto option_text = [&](const char* option, std::string fallback) {
-    return parsed.count(option) > 0 ? parsed[option].as<std::string>() : fallback;
+  const auto option_text = [&](const char* option, std::string default_value) {
+    return parsed.count(option) > 0 ? parsed[option].as<std::string>() : default_value;
   };
   app_config::NewConfigOptions new_options;
   new_options.name = option_text("name", new_options.name);
@@ -192,8 +192,8 @@
       for (std::string node;
            !(node = prompt("address of a node, or \"end\"", "end")).empty() && node != "end";)
         new_options.node_addresses.push_back(node);
-      const std::string ledger = prompt("address of the ledger, or \"none\"", "none");
-      if (ledger != "none") new_options.origin_address = ledger;
+      const std::string origin_address = prompt("address of the ledger, or \"none\"", "none");
+      if (origin_address != "none") new_options.origin_address = origin_address;
     } else {
       (source.find('/') == std::string::npos ? new_options.discovery_address : new_options.nodes_file) =
           source;
--- a/src/commands/serve.cpp
+++ b/src/commands/serve.cpp
@@ -49,7 +49,7 @@
 // any.
 config::RouterFleetConfig load_fleet_config(const std::string& path, const config::Config& config) {
   const app_config::RouterFleetFile file = app_config::load_router_fleet(path);
-  for (const auto& fault : file.errors) std::fprintf(stderr, "%s\n", fault.to_string_with_code().c_str());
+  for (const auto& error : file.errors) std::fprintf(stderr, "%s\n", error.to_string_with_code().c_str());
   const std::size_t error_count = file.errors.size();
   if (error_count > 0)
     throw config::Error(path + ": " + std::to_string(error_count) +
@@ -61,7 +61,7 @@
 
 struct RunContext {
   router::Router* router = nullptr;
-  std::function<config::Config()> load_again;
+  std::function<config::Config()> reload_config;
   std::string log_format_override; // value of --log-format; empty: use the format of the file
 };
 
@@ -73,7 +73,7 @@
 void reload(int, short, void* context) {
   auto* run_context = static_cast<RunContext*>(context);
   try {
-    run_context->router->reload(run_context->load_again());
+    run_context->router->reload(run_context->reload_config());
     if (!run_context->log_format_override.empty())
       log::set_json_format(run_context->log_format_override == "json");
   } catch (const std::exception& error) {
@@ -131,7 +131,7 @@
   context.log_format_override = log_format(parsed);
   if (context.log_format_override == "json") log::set_json_format(true);
   if (parsed.count("config") == 0) {
-    context.load_again = [] { return config::reload(&environment_variable); };
+    context.reload_config = [] { return config::reload(&environment_variable); };
     config::Config config = config::load(&environment_variable);
     std::optional<config::RouterFleetConfig> fleet;
     if (parsed.count("fleet") > 0) fleet = load_fleet_config(parsed["fleet"].as<std::string>(), config);
@@ -140,7 +140,7 @@
   if (parsed.count("fleet") > 0)
     throw UsageError("--fleet requires the platform file, which lists the peers");
   const std::string path = parsed["config"].as<std::string>();
-  context.load_again = [path] { return load_app_config(path, false); };
+  context.reload_config = [path] { return load_app_config(path, false); };
   return run_router(load_app_config(path, true), std::move(context), std::nullopt);
 }
 
--- a/src/commands/sidecar.cpp
+++ b/src/commands/sidecar.cpp
@@ -74,13 +74,13 @@
   programs.application_command = {separator + 1, args.end()};
   programs.environment = app.application.environment;
   programs.environment.push_back(app.application.address_variable + "=" + app.listen_address);
-  sidecar::SupervisorSettings rules;
-  rules.ready_timeout_ms = app.application.router_ready_timeout_ms;
-  rules.stop_timeout_ms = app.application.stop_timeout_ms;
-  rules.restart_backoff_min_ms = app.application.restart_backoff_min_ms;
-  rules.restart_backoff_max_ms = app.application.restart_backoff_max_ms;
-  rules.drain_timeout_ms = longest_timeout_ms + kShutdownGraceMs;
-  return sidecar::run(programs, rules);
+  sidecar::SupervisorSettings supervisor_settings;
+  supervisor_settings.ready_timeout_ms = app.application.router_ready_timeout_ms;
+  supervisor_settings.stop_timeout_ms = app.application.stop_timeout_ms;
+  supervisor_settings.restart_backoff_min_ms = app.application.restart_backoff_min_ms;
+  supervisor_settings.restart_backoff_max_ms = app.application.restart_backoff_max_ms;
+  supervisor_settings.drain_timeout_ms = longest_timeout_ms + kShutdownGraceMs;
+  return sidecar::run(programs, supervisor_settings);
 }
 
 } // namespace fernward::commands
--- a/src/concurrency/latency_baseline.h
+++ b/src/concurrency/latency_baseline.h
@@ -20,7 +20,7 @@
   // `work_ms` 0: unknown.
   double expected_ms(double work_ms, bool write) const {
     const double work_factor =
-        work_ms > 0 && mean_work_hint_ > 0 ? 1 + work_slope() * (work_ms / mean_work_hint_ - 1) : 1;
+        work_ms > 0 && mean_work_ms_ > 0 ? 1 + work_slope() * (work_ms / mean_work_ms_ - 1) : 1;
     return mean_ms_ * std::clamp(work_factor, kMinWorkFactor, kMaxWorkFactor) * (write ? write_factor_ : 1);
   }
 
@@ -35,12 +35,12 @@
                             kSampleWeight);
     }
     if (write || work_ms <= 0) return;
-    if (mean_work_hint_ == 0) mean_work_hint_ = work_ms;
-    update_moving_average(mean_work_hint_, work_ms, kSampleWeight);
-    const double work_deviation = std::clamp(work_ms / mean_work_hint_ - 1, -1.0, kMaxSampleRatio);
+    if (mean_work_ms_ == 0) mean_work_ms_ = work_ms;
+    update_moving_average(mean_work_ms_, work_ms, kSampleWeight);
+    const double work_deviation = std::clamp(work_ms / mean_work_ms_ - 1, -1.0, kMaxSampleRatio);
     const double relative_latency = relative_slowdown * (1 + work_slope() * work_deviation);
     update_moving_average(work_variance_, work_deviation * work_deviation, kSampleWeight);
-    update_moving_average(covariance_, work_deviation * (relative_latency - 1), kSampleWeight);
+    update_moving_average(work_latency_covariance_, work_deviation * (relative_latency - 1), kSampleWeight);
   }
 
   void update_mean(double slowdown, double weight) {
@@ -61,14 +61,15 @@
 
   // Slope of latency over work, both relative to their means.
   double work_slope() const {
-    return work_variance_ > kMinWorkVariance ? std::clamp(covariance_ / work_variance_, 0.0, 1.0) : 0;
+    return work_variance_ > kMinWorkVariance ? std::clamp(work_latency_covariance_ / work_variance_, 0.0, 1.0)
+                                             : 0;
   }
 
   double mean_ms_ = 0;
   double write_factor_ = 1; // latency of a write / latency of a read
-  double mean_work_hint_ = 0;
+  double mean_work_ms_ = 0;
   double work_variance_ = 0;
-  double covariance_ = 0; // of work and latency
+  double work_latency_covariance_ = 0; // of work and latency
 };
 
 } // namespace fernward::concurrency
--- a/src/concurrency/origin_concurrency_limiter.cpp
+++ b/src/concurrency/origin_concurrency_limiter.cpp
@@ -93,7 +93,7 @@
 constexpr double kTestUpStep = 0.3;
 constexpr double kMinTestIntervalMs = 1000;
 constexpr double kMaxTestIntervalMs = 20000;
-constexpr double kSlowAtLimitAfterTest = 0.2;
+constexpr double kSlowAtLimitShareAfterTest = 0.2;
 // Number of routers below which the result of one router's test is applied fully.
 constexpr double kSmallFleetRouters = 9;
 
@@ -153,16 +153,16 @@
 
 // ---- Samples ----
 
-DecreaseReason OriginConcurrencyLimiter::on_attempt_ended(double now, const AttemptSample& reported) {
-  AttemptSample sample = reported;
+DecreaseReason OriginConcurrencyLimiter::on_attempt_ended(double now, const AttemptSample& reported_sample) {
+  AttemptSample sample = reported_sample;
   if (!is_finite_non_negative(sample.elapsed_ms)) sample.elapsed_ms = 0;
   if (!is_finite_non_negative(sample.work_ms)) sample.work_ms = 0;
   if (!is_finite_non_negative(sample.latency_objective_ms)) sample.latency_objective_ms = 0;
-  const bool answered = sample.outcome == AttemptEnding::Answered;
-  const bool timed_out = sample.outcome == AttemptEnding::TimedOut;
+  const bool answered = sample.ending == AttemptEnding::Answered;
+  const bool timed_out = sample.ending == AttemptEnding::TimedOut;
 
   update_moving_average(mean_in_flight_, std::min<double>(sample.in_flight + 1.0, limit_), kInFlightWeight);
-  if (sample.outcome == AttemptEnding::Rejected || sample.outcome == AttemptEnding::ConnectFailed) {
+  if (sample.ending == AttemptEnding::Rejected || sample.ending == AttemptEnding::ConnectFailed) {
     return on_rejected(now, sample);
   }
   if (!reflects_server_latency(now, sample)) return DecreaseReason::None;
@@ -182,7 +182,7 @@
 
 DecreaseReason OriginConcurrencyLimiter::on_rejected(double now, const AttemptSample& sample) {
   if (now - decreased_at_ < latency_ms_) return DecreaseReason::None;
-  if (sample.outcome == AttemptEnding::ConnectFailed && limit_before_connect_failures_ == 0) {
+  if (sample.ending == AttemptEnding::ConnectFailed && limit_before_connect_failures_ == 0) {
     limit_before_connect_failures_ = limit_;
   }
   decrease(now, kRejectedFactor * std::min(limit_, sample.in_flight + 1.0));
@@ -193,7 +193,7 @@
 // Also updates the record of answers and timeouts, and restores the limit after failed connects.
 bool OriginConcurrencyLimiter::reflects_server_latency(double now, const AttemptSample& sample) {
   const double sent_at = now - sample.elapsed_ms;
-  switch (sample.outcome) {
+  switch (sample.ending) {
     case AttemptEnding::Answered:
       consecutive_timeouts_ = 0;
       last_answered_sent_at_ = std::max(last_answered_sent_at_, sent_at);
@@ -224,9 +224,9 @@
       objective_ms > 0 ? std::min(sample.elapsed_ms, 2 * objective_ms) : sample.elapsed_ms;
   update_moving_average(latency_ms_, bounded_latency_ms, kLatencyWeight);
   if (objective_ms > 0) latency_objective_ms_ = objective_ms;
-  const double decay = std::exp2((recent_updated_at_ - now) / kRecentHalfLifeMs);
-  recent_sum_ms_ = decay * recent_sum_ms_ + bounded_latency_ms;
-  recent_count_ = decay * recent_count_ + 1;
+  const double retained_share = std::exp2((recent_updated_at_ - now) / kRecentHalfLifeMs);
+  recent_sum_ms_ = retained_share * recent_sum_ms_ + bounded_latency_ms;
+  recent_count_ = retained_share * recent_count_ + 1;
   recent_updated_at_ = now;
 }
 
@@ -270,20 +270,21 @@
   test_slowdown_sum_ += std::min(slowdown, kMaxTestSlowdown);
   ++test_sample_count_;
   if (test_sample_count_ < std::clamp(kTestSamplesByLimit * limit_, kMinTestSamples, kMaxTestSamples)) return;
-  const double mean = test_slowdown_sum_ / test_sample_count_;
+  const double mean_test_slowdown = test_slowdown_sum_ / test_sample_count_;
   testing_baseline_ = false;
-  const bool too_high = mean < kBaselineTooHighSlowdown;
-  test_interval_ms_ = too_high ? std::max(kMinTestIntervalMs, test_interval_ms_ / 2)
-                               : std::min(kMaxTestIntervalMs, 2 * test_interval_ms_);
-  if (mean > 1 + 2 / std::sqrt(test_sample_count_)) { // as slow as before the decrease: slow, not congested
-    baseline_.scale(std::pow(mean, router_count_ < kSmallFleetRouters ? 1 : 0.5));
+  const bool baseline_too_high = mean_test_slowdown < kBaselineTooHighSlowdown;
+  test_interval_ms_ = baseline_too_high ? std::max(kMinTestIntervalMs, test_interval_ms_ / 2)
+                                        : std::min(kMaxTestIntervalMs, 2 * test_interval_ms_);
+  if (mean_test_slowdown >
+      1 + 2 / std::sqrt(test_sample_count_)) { // as slow as before the decrease: slow, not congested
+    baseline_.scale(std::pow(mean_test_slowdown, router_count_ < kSmallFleetRouters ? 1 : 0.5));
     fast_growth_limit_ = uncongested_limit_;
     limit_ = std::max(limit_, std::min(uncongested_limit_, uncongested_throughput_));
-    slow_at_limit_share_ = kSlowAtLimitAfterTest;
+    slow_at_limit_share_ = kSlowAtLimitShareAfterTest;
     test_interval_ms_ = kMinTestIntervalMs;
   } else {
-    const double step = too_high ? kTestDownStep : kTestUpStep / std::sqrt(router_count_);
-    baseline_.scale(1 + step * (mean - 1));
+    const double step = baseline_too_high ? kTestDownStep : kTestUpStep / std::sqrt(router_count_);
+    baseline_.scale(1 + step * (mean_test_slowdown - 1));
   }
   mean_slowdown_ = 1;
 }
@@ -363,17 +364,18 @@
 }
 
 void OriginConcurrencyLimiter::grow(const AttemptSample& sample) {
-  if (sample.outcome != AttemptEnding::Answered) return;
+  if (sample.ending != AttemptEnding::Answered) return;
   const bool used = limit_ < 1 ? send_interval_ms_ < kUsedRateIntervals * latency_ms_ / (kRateSlack * limit_)
                                : sample.in_flight + 1 >= limit_ / 2;
   if (used) {
-    const double responses = std::min(1.0, limit_); // a rate yields less than one response per response time
+    const double response_weight =
+        std::min(1.0, limit_); // a rate yields less than one response per response time
     if (slow_start_) {
-      limit_ += responses;
+      limit_ += response_weight;
     } else {
-      limit_ += responses *
+      limit_ += response_weight *
                     (limit_ < fast_growth_limit_ ? kFastGrowth : kSlowGrowth * std::min(1.0, growth_share_)) +
-                initial_limit_ / 8 / 16 * responses / std::max(1.0, limit_);
+                initial_limit_ / 8 / 16 * response_weight / std::max(1.0, limit_);
     }
     limit_ = std::min(limit_, kMaxLimit);
   } else if (limit_ > initial_limit_) {
@@ -394,8 +396,9 @@
 }
 
 double OriginConcurrencyLimiter::late_objective_ratio(double latency_objective_ms) const {
-  const double by_baseline = kLateBaselineRatio * baseline_.mean_ms() / std::max(latency_objective_ms, 1.0);
-  return std::max(kLateObjectiveRatio, std::min(by_baseline, kMaxLateObjectiveRatio));
+  const double baseline_ratio =
+      kLateBaselineRatio * baseline_.mean_ms() / std::max(latency_objective_ms, 1.0);
+  return std::max(kLateObjectiveRatio, std::min(baseline_ratio, kMaxLateObjectiveRatio));
 }
 
 double OriginConcurrencyLimiter::utilization(double, double demand) const {
--- a/src/concurrency/origin_concurrency_limiter.h
+++ b/src/concurrency/origin_concurrency_limiter.h
@@ -27,7 +27,7 @@
 
 // Numbers that are negative or not finite count as unknown.
 struct AttemptSample {
-  AttemptEnding outcome = AttemptEnding::Answered;
+  AttemptEnding ending = AttemptEnding::Answered;
   double elapsed_ms = 0;
   double work_ms = 0;              // expected of the request; only ratios between requests count; 0: unknown
   double latency_objective_ms = 0; // 0: none
@@ -49,7 +49,7 @@
   // while none is in flight.
   bool has_capacity(double now, std::uint32_t in_flight, bool write) const;
   void on_attempt_sent(double now);
-  DecreaseReason on_attempt_ended(double now, const AttemptSample& reported);
+  DecreaseReason on_attempt_ended(double now, const AttemptSample& reported_sample);
 
   // This router's share of the sum of all routers' limits. The limit approaches it over several calls; the
   // sum does not change.
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -18,8 +18,8 @@
   return value == nullptr ? "" : value;
 }
 
-std::string required_address(const JsonObject& file, const char* key, EnvironmentLookup environment,
-                             const char* variable, bool prefer_file = false) {
+std::string read_required_address(const JsonObject& file, const char* key, EnvironmentLookup environment,
+                                  const char* variable, bool prefer_file = false) {
   std::string value = prefer_file ? file.string_or_empty(key) : "";
   if (value.empty()) value = environment_value(environment, variable);
   const std::string source_name = prefer_file || value.empty() ? key : variable;
@@ -98,13 +98,14 @@
   config.name = environment_value(environment, "NODE_NAME");
   if (config.name.empty()) file.read_optional("name", config.name);
   if (config.name.empty()) config.name = "fernward";
-  config.listen_address = required_address(file, "listen", environment, "NODE_LISTEN");
+  config.listen_address = read_required_address(file, "listen", environment, "NODE_LISTEN");
   config.control_address = read_control_address(file, environment);
   config.hot_restart_path = make_hot_restart_path(config, environment);
   file.read_optional("nodes_file", config.nodes_file);
   file.read_optional("nodes_fixed", config.static_nodes);
   if (config.nodes_file.empty() && !config.static_nodes) {
-    config.discovery_address = required_address(file, "discovery", environment, "NODE_DISCOVERY", reloading);
+    config.discovery_address =
+        read_required_address(file, "discovery", environment, "NODE_DISCOVERY", reloading);
   }
   config.mappings = read_mappings(file);
   file.read_optional("make_ids", config.generate_request_ids);
@@ -193,11 +194,11 @@
 
 // Whether a reload may change the key. `path`: a JSON pointer in the platform file.
 bool is_reloadable(const std::string& path) {
-  for (const char* part :
+  for (const char* prefix :
        {"/map", "/make_ids", "/log", "/nodes_file", "/nodes_fixed", "/settings/classes", "/settings/parties",
         "/settings/limits/max_attempts", "/settings/limits/may_cancel", "/settings/limits/may_duplicate",
         "/settings/limits/retry_after", "/settings/limits/max_retry_after", "/settings/over_share_worth"}) {
-    if (path == part || path.starts_with(std::string(part) + "/")) return true;
+    if (path == prefix || path.starts_with(std::string(prefix) + "/")) return true;
   }
   return false;
 }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -13,9 +13,10 @@
 using fernward::WeightKind;
 
 template <typename T>
-T parse_enum(const std::string& word, std::initializer_list<std::pair<const char*, T>> words, T fallback) {
-  for (const auto& [name, value] : words) {
-    if (word == name) return value;
+T parse_enum(const std::string& text, std::initializer_list<std::pair<const char*, T>> named_values,
+             T fallback) {
+  for (const auto& [name, value] : named_values) {
+    if (text == name) return value;
   }
   return fallback;
 }
@@ -35,11 +36,11 @@
   object.read_optional("stream", cls.streaming);
   if (object.json.contains("max_attempts")) object.read_count("max_attempts", cls.max_attempts, 1);
   object.read_optional("may_duplicate", cls.may_hedge);
-  std::string idempotency_word;
-  object.read_required("repeat", idempotency_word);
+  std::string idempotency_name;
+  object.read_required("repeat", idempotency_name);
   // An unknown word is treated as the strictest value.
   cls.idempotency = parse_enum<Idempotency>(
-      idempotency_word, {{"safe", Idempotency::Idempotent}, {"keyed", Idempotency::WithKey}},
+      idempotency_name, {{"safe", Idempotency::Idempotent}, {"keyed", Idempotency::WithKey}},
       Idempotency::NonIdempotent);
   cls.idempotency_scope = parse_enum<IdempotencyScope>(
       object.string_or_empty("dedup_scope"),
@@ -176,13 +177,13 @@
 
 Limits parse_limits(const nlohmann::json& json) {
   const JsonObject root{json, ""};
-  const JsonObject part = root.optional_object("limits");
+  const JsonObject limits_object = root.optional_object("limits");
   Limits limits;
-  limits.connect_timeout_ms = read_positive(part, "connect_timeout", limits.connect_timeout_ms);
-  limits.idle_timeout_ms = read_positive(part, "conn_idle", limits.idle_timeout_ms);
-  limits.max_active_requests = read_positive(part, "open_cap", limits.max_active_requests);
+  limits.connect_timeout_ms = read_positive(limits_object, "connect_timeout", limits.connect_timeout_ms);
+  limits.idle_timeout_ms = read_positive(limits_object, "conn_idle", limits.idle_timeout_ms);
+  limits.max_active_requests = read_positive(limits_object, "open_cap", limits.max_active_requests);
   if (!(limits.max_active_requests >= 1 && limits.max_active_requests <= 1e6))
-    throw Error(part.key_path("open_cap") + ": must be a number from 1 to 1000000");
+    throw Error(limits_object.key_path("open_cap") + ": must be a number from 1 to 1000000");
   limits.response_grace_ms =
       read_positive(root.optional_object("obligations"), "grace_to_answer", limits.response_grace_ms);
   limits.drain_grace_ms =
--- a/src/control/control_command.cpp
+++ b/src/control/control_command.cpp
@@ -12,7 +12,7 @@
 struct CommandSyntax {
   std::string_view name;
   CommandType type;
-  bool requires_id;
+  bool requires_endpoint_name;
 };
 constexpr std::array kCommandSyntax{CommandSyntax{"ready", CommandType::Ready, false},
                                     CommandSyntax{"show-stat", CommandType::ShowStat, false},
@@ -51,13 +51,14 @@
   if (syntax == kCommandSyntax.end())
     return fail("unknown call; there are ready, show-stat, disable-server ID, enable-server ID");
   const std::string command_name(syntax->name);
-  if (syntax->requires_id && words.size() < 2) return fail(command_name + " takes the id of a cache node");
-  if (words.size() > (syntax->requires_id ? 2u : 1u))
+  if (syntax->requires_endpoint_name && words.size() < 2)
+    return fail(command_name + " takes the id of a cache node");
+  if (words.size() > (syntax->requires_endpoint_name ? 2u : 1u))
     return fail(command_name +
-                (syntax->requires_id ? " takes one id and nothing more" : " takes nothing more"));
-  if (syntax->requires_id && words[1].size() > kMaxNameBytes) return fail("the id is too long");
+                (syntax->requires_endpoint_name ? " takes one id and nothing more" : " takes nothing more"));
+  if (syntax->requires_endpoint_name && words[1].size() > kMaxNameBytes) return fail("the id is too long");
   result.command.type = syntax->type;
-  if (syntax->requires_id) result.command.endpoint_name = words[1];
+  if (syntax->requires_endpoint_name) result.command.endpoint_name = words[1];
   return result;
 }
 
--- a/src/descriptors/client_admission.h
+++ b/src/descriptors/client_admission.h
@@ -24,7 +24,7 @@
   double per_second(double now) const;
 
  private:
-  double rate_ = 0;
+  double per_second_ = 0;
   double counted_at_ = 0;
 };
 
@@ -83,7 +83,7 @@
   bool under_pressure() const { return free_client_slots() < max_clients() / 8; }
 
   std::size_t size() const { return clients_.size(); }
-  std::size_t active() const { return active_; } // have sent a request, and are not lingering
+  std::size_t active_clients() const { return active_clients_; } // have sent a request, and are not lingering
   // Estimate for clients with one request.
   double return_share() const { return return_after_one_.return_share; }
 
@@ -104,12 +104,12 @@
   using EvictionOrder = std::set<EvictionKey>;
 
   struct Client {
-    unsigned requests = 0;
+    unsigned request_count = 0;
     double accepted_at = 0;
     double idle_at = 0;
     double request_at = 0;
     double previous_request_at = 0;
-    double mean_log_idle_ms = 0; // mean of log(1 + idle time in ms)
+    double mean_log_idle = 0; // mean of log(1 + idle time in ms)
     bool lingering = false;
     bool in_eviction_order = false;
     bool close_announced = false;
@@ -120,15 +120,17 @@
 
   // Estimate of whether and when idle clients return.
   struct ReturnEstimate {
-    double return_share; // of idle clients
-    double return_ms;    // 90% of the returning clients return within it
+    double return_share;     // of idle clients
+    double return_within_ms; // 90% of the returning clients return within it
     void on_return(double idle_ms);
     void on_no_return();
   };
 
   double max_clients() const { return static_cast<double>(options_.max_clients); }
-  double free_client_slots() const { return max_clients() - static_cast<double>(active_); }
-  double count(State state) const { return static_cast<double>(counts_[static_cast<std::size_t>(state)]); }
+  double free_client_slots() const { return max_clients() - static_cast<double>(active_clients_); }
+  double count_in_state(State state) const {
+    return static_cast<double>(state_counts_[static_cast<std::size_t>(state)]);
+  }
   double time_until_full_ms(double now) const;
   bool should_close(double now, const Client& client) const;
   void insert(Client& client, State state, double time, Id id);
@@ -137,13 +139,13 @@
   Options options_;
   std::unordered_map<Id, Client> clients_;
   EvictionOrder eviction_order_; // in the order of eviction
-  std::array<std::size_t, kStateCount> counts_{};
-  std::size_t active_ = 0;
+  std::array<std::size_t, kStateCount> state_counts_{};
+  std::size_t active_clients_ = 0;
   EventRate arrival_rate_;
   EventRate departure_rate_;
   ReturnEstimate return_after_one_{0.4, 1000};  // unknown at first: a few are kept to measure it
   ReturnEstimate return_after_many_{0.9, 1000}; // these clients have returned before
-  double mean_log_idle_ms_ = 0;                 // the same over all clients with several requests
+  double mean_log_idle_ = 0;                    // the same over all clients with several requests
   bool mean_log_idle_known_ = false;
 };
 
@@ -155,8 +157,9 @@
        --remaining_tries) {
     // Many new connections must not displace idle ones: they soon send a request or can be evicted
     // themselves.
-    if (it->state >= State::IdleAfterOne && count(State::NoRequest) + count(State::PartialRequest) >
-                                                count(State::IdleAfterOne) + count(State::IdleAfterMany)) {
+    if (it->state >= State::IdleAfterOne &&
+        count_in_state(State::NoRequest) + count_in_state(State::PartialRequest) >
+            count_in_state(State::IdleAfterOne) + count_in_state(State::IdleAfterMany)) {
       break;
     }
     if (it->state == State::NoRequest && now - it->time < options_.first_request_grace_ms) {
--- a/src/descriptors/descriptor_budget.h
+++ b/src/descriptors/descriptor_budget.h
@@ -58,9 +58,9 @@
   bool on_descriptor_refused(double now);
 
   // May be less than the number in use; then no descriptor is granted.
-  void set_total(std::size_t total) {
-    if (expected_total_ >= total_) expected_total_ = total;
-    total_ = total;
+  void set_total(std::size_t total_bytes) {
+    if (expected_total_ >= total_) expected_total_ = total_bytes;
+    total_ = total_bytes;
   }
 
   std::size_t used(Side side) const { return used_[index(side)]; }
@@ -84,7 +84,7 @@
 // see body_buffers/.
 class RequestBufferBudget {
  public:
-  explicit RequestBufferBudget(std::size_t total) : total_bytes_(total) {}
+  explicit RequestBufferBudget(std::size_t total_bytes) : total_bytes_(total_bytes) {}
   RequestBufferBudget(const RequestBufferBudget&) = delete;
   RequestBufferBudget& operator=(const RequestBufferBudget&) = delete;
 
@@ -104,7 +104,9 @@
   };
 
   std::size_t used_bytes() const { return used_bytes_; }
-  void set_total_bytes(std::size_t total) { total_bytes_ = total; } // existing leases are unchanged
+  void set_total_bytes(std::size_t total_bytes) {
+    total_bytes_ = total_bytes;
+  } // existing leases are unchanged
   // If true, the caller must reject the next request that grows.
   bool exceeded() const { return used_bytes_ > total_bytes_; }
 
--- a/src/discovery/subscription.cpp
+++ b/src/discovery/subscription.cpp
@@ -29,7 +29,7 @@
 static_assert(2 * (kDefaults.max_silence_timeout_ms + kMaxReceiveMs) < 6000 - 250);
 
 // True for the 4th, the 16th and so on of overdue calls in a row: after some 5, 27 and 110 s.
-bool is_rare(std::uint32_t overdue_calls) {
+bool is_complete_list_due(std::uint32_t overdue_calls) {
   const bool is_power_of_two = std::has_single_bit(overdue_calls);
   return is_power_of_two && overdue_calls > 1 && std::countr_zero(overdue_calls) % 2 == 0;
 }
@@ -42,8 +42,8 @@
       random_(static_cast<std::minstd_rand::result_type>(seed ^ (seed >> 32))),
       known_index_(known_index) {}
 
-double Subscription::jittered(double ms, double min_share) {
-  return ms * std::uniform_real_distribution<double>(min_share, 1)(random_);
+double Subscription::jittered(double duration_ms, double min_share) {
+  return duration_ms * std::uniform_real_distribution<double>(min_share, 1)(random_);
 }
 
 Subscription::Call* Subscription::find(CallId id) {
@@ -66,9 +66,9 @@
                      [now](const Call& call) { return call.overdue_at <= now; });
 }
 
-void Subscription::open(double now, Actions& actions) {
+void Subscription::open_connection(double now, Actions& actions) {
   Call call;
-  call.id = ++last_call_;
+  call.id = ++last_call_id_;
   const double timeout_ms =
       settings_.silence_timeout_ms * static_cast<double>(1u << std::min(overdue_calls_, 16u));
   call.silence_timeout_ms =
@@ -84,23 +84,23 @@
 // known, and if this discovery answers but has not sent a complete list yet. Otherwise discovery may have
 // lost the version that a call for changes starts from: the complete list is requested after such a call
 // failed, and occasionally beside an overdue one, rarely enough not to worsen an overload.
-bool Subscription::needs_full_list(const Call& call) const {
-  if (!known_index_ || needs_full_list_) return true;
-  if (failures() == 0) return !received_full_list_;
+bool Subscription::needs_complete_list(const Call& call) const {
+  if (!known_index_ || needs_complete_list_) return true;
+  if (failures() == 0) return !received_complete_list_;
   if (failures() == 1) return false;
   if (changes_failed_) return true;
-  const bool pending = std::any_of(calls_.begin(), calls_.end(), [&](const Call& other) {
+  const bool changes_pending = std::any_of(calls_.begin(), calls_.end(), [&](const Call& other) {
     return other.id != call.id && polls_for_changes(other);
   });
-  return pending && is_rare(overdue_calls_);
+  return changes_pending && is_complete_list_due(overdue_calls_);
 }
 
 void Subscription::poll(double now, Call& call, Actions& actions) {
-  const bool full_list = needs_full_list(call);
-  call.since = full_list ? std::nullopt : known_index_;
-  if (full_list) changes_failed_ = false;
+  const bool complete_list = needs_complete_list(call);
+  call.since = complete_list ? std::nullopt : known_index_;
+  if (complete_list) changes_failed_ = false;
   call.wait_ms = failures() > 0 ? kNoWaitMs : settings_.long_poll_ms;
-  if (full_list) call.wait_ms = 0;
+  if (complete_list) call.wait_ms = 0;
   // The connect time counts towards the deadline of the first poll on a connection.
   const bool first_on_connection = call.polled_at == 0;
   call.polled_at = now;
@@ -112,11 +112,11 @@
   actions.push_back(Poll{call.id, call.since, call.wait_ms});
 }
 
-void Subscription::connected(double now, CallId id, Actions& actions) {
+void Subscription::on_connected(double now, CallId id, Actions& actions) {
   if (Call* call = find(id)) poll(now, *call, actions);
 }
 
-void Subscription::received_data(double now, CallId id) {
+void Subscription::on_data_received(double now, CallId id) {
   Call* call = find(id);
   if (call == nullptr || call->polled_at == 0 || call->next_poll_at > 0) return;
   call->overdue_at = std::min(now + call->silence_timeout_ms, call->answer_deadline);
@@ -130,7 +130,7 @@
 }
 
 // Paces the polls of a discovery that returns empty answers without waiting.
-double Subscription::pause_after_empty(double now, const Call& call, const Answer& answer) {
+double Subscription::empty_answer_pause_ms(double now, const Call& call, const Answer& answer) {
   const bool waited = call.wait_ms <= kNoWaitMs || now - call.polled_at >= call.wait_ms / 2;
   if (!call.since || *call.since != answer.index || waited) {
     consecutive_empty_answers_ = 0;
@@ -142,14 +142,14 @@
   return std::min(pause_ms, settings_.max_empty_answer_pause_ms);
 }
 
-void Subscription::answered(double now, CallId id, const Answer& answer, bool reusable, Actions& actions) {
+void Subscription::on_answered(double now, CallId id, const Answer& answer, bool reusable, Actions& actions) {
   Call* call = find(id);
   if (call == nullptr) return;
-  const double pause_ms = pause_after_empty(now, *call, answer);
+  const double pause_ms = empty_answer_pause_ms(now, *call, answer);
   known_index_ = answer.index;
   last_answered_index_ = answer.index;
-  received_full_list_ |= answer.complete;
-  needs_full_list_ = false;
+  received_complete_list_ |= answer.complete;
+  needs_complete_list_ = false;
   failures_ = 0;
   overdue_calls_ = 0;
   reconnect_pause_ms_ = 0;
@@ -167,13 +167,13 @@
   call->overdue_at = kNever;
 }
 
-void Subscription::failed(double now, CallId id, Failure failure, Actions& actions) {
+void Subscription::on_failed(double now, CallId id, Failure failure, Actions& actions) {
   const Call* call = find(id);
   if (call == nullptr) return;
   changes_failed_ |= polls_for_changes(*call);
   erase(id);
   ++failures_;
-  needs_full_list_ |= failure == Failure::InvalidAnswer;
+  needs_complete_list_ |= failure == Failure::InvalidAnswer;
   const double max_pause_ms =
       failure == Failure::Disconnected ? settings_.max_reconnect_pause_ms : settings_.max_rejected_pause_ms;
   reconnect_pause_ms_ = std::clamp(2 * reconnect_pause_ms_, settings_.min_reconnect_pause_ms, max_pause_ms);
@@ -184,9 +184,9 @@
 void Subscription::refresh(double now, Actions& actions) {
   for (Call& call : calls_) call.overdue_at = std::min(call.overdue_at, now);
   reopen_at_ = now;
-  const std::uint32_t overdue_calls = overdue_calls_;
+  const std::uint32_t previous_overdue_calls = overdue_calls_;
   tick(now, actions);
-  overdue_calls_ = std::max(overdue_calls, 1u); // repeated refreshes do not lengthen the timeout
+  overdue_calls_ = std::max(previous_overdue_calls, 1u); // repeated refreshes do not lengthen the timeout
 }
 
 void Subscription::tick(double now, Actions& actions) {
@@ -196,7 +196,7 @@
   if (!all_overdue(now) || now < reopen_at_) return;
   if (!calls_.empty()) ++overdue_calls_;
   if (calls_.size() > 1) close_one_of_two(now, actions);
-  open(now, actions);
+  open_connection(now, actions);
 }
 
 // Keeps the call for changes: in an outage discovery holds it and answers it on recovery, while a call for
@@ -212,13 +212,13 @@
 }
 
 double Subscription::next_tick_at() const {
-  double earliest = calls_.empty() ? reopen_at_ : 0;
-  for (const Call& call : calls_) earliest = std::max(earliest, call.overdue_at);
-  earliest = std::max(earliest, reopen_at_);
+  double due_at = calls_.empty() ? reopen_at_ : 0;
+  for (const Call& call : calls_) due_at = std::max(due_at, call.overdue_at);
+  due_at = std::max(due_at, reopen_at_);
   for (const Call& call : calls_) {
-    if (call.next_poll_at > 0) earliest = std::min(earliest, call.next_poll_at);
+    if (call.next_poll_at > 0) due_at = std::min(due_at, call.next_poll_at);
   }
-  return earliest;
+  return due_at;
 }
 
 } // namespace fernward::discovery
--- a/src/discovery/subscription.h
+++ b/src/discovery/subscription.h
@@ -67,11 +67,11 @@
                std::optional<ListIndex> known_index = {});
 
   void start(double now, Actions& actions) { tick(now, actions); }
-  void connected(double now, CallId id, Actions& actions);
-  void received_data(double now, CallId id); // some bytes of its answer were received
+  void on_connected(double now, CallId id, Actions& actions);
+  void on_data_received(double now, CallId id); // some bytes of its answer were received
   // `reusable`: the answer's connection can carry the next call.
-  void answered(double now, CallId id, const Answer& answer, bool reusable, Actions& actions);
-  void failed(double now, CallId id, Failure failure, Actions& actions);
+  void on_answered(double now, CallId id, const Answer& answer, bool reusable, Actions& actions);
+  void on_failed(double now, CallId id, Failure failure, Actions& actions);
   // Makes another call beside the open one, without waiting for that one's result.
   void refresh(double now, Actions& actions);
 
@@ -98,29 +98,29 @@
 
   Call* find(CallId id);
   bool polls_for_changes(const Call& call) const { return call.polled_at > 0 && call.since.has_value(); }
-  bool needs_full_list(const Call& call) const;
+  bool needs_complete_list(const Call& call) const;
   void erase(CallId id);
-  void open(double now, Actions& actions);
+  void open_connection(double now, Actions& actions);
   void poll(double now, Call& call, Actions& actions);
   void close_others(CallId kept, Actions& actions);
   void close_one_of_two(double now, Actions& actions);
   bool all_overdue(double now) const;
-  double pause_after_empty(double now, const Call& call, const Answer& answer);
-  double jittered(double ms, double min_share);
+  double empty_answer_pause_ms(double now, const Call& call, const Answer& answer);
+  double jittered(double duration_ms, double min_share);
 
   SubscriptionSettings settings_;
   std::minstd_rand random_;
   std::vector<Call> calls_;              // two at most, the oldest first
   std::optional<ListIndex> known_index_; // the version after which changes can be requested
   ListIndex last_answered_index_ = 0;    // the last version that this discovery sent
-  bool received_full_list_ = false;      // this discovery has sent a complete list
-  CallId last_call_ = 0;
-  double reopen_at_ = 0;            // no connection is opened before this time
-  double reconnect_pause_ms_ = 0;   // the last one, before jitter
-  bool changes_failed_ = false;     // the last call for changes ended without an answer
-  bool needs_full_list_ = false;    // an answer was invalid: the next call must get the complete list
-  std::uint32_t failures_ = 0;      // calls that failed since the last valid answer
-  std::uint32_t overdue_calls_ = 0; // calls that became overdue since then
+  bool received_complete_list_ = false;  // this discovery has sent a complete list
+  CallId last_call_id_ = 0;
+  double reopen_at_ = 0;             // no connection is opened before this time
+  double reconnect_pause_ms_ = 0;    // the last one, before jitter
+  bool changes_failed_ = false;      // the last call for changes ended without an answer
+  bool needs_complete_list_ = false; // an answer was invalid: the next call must get the complete list
+  std::uint32_t failures_ = 0;       // calls that failed since the last valid answer
+  std::uint32_t overdue_calls_ = 0;  // calls that became overdue since then
   std::uint32_t consecutive_empty_answers_ = 0;
 };
 
--- a/src/downstream/closing.cpp
+++ b/src/downstream/closing.cpp
@@ -15,9 +15,10 @@
 
 namespace {
 
-constexpr double kPendingInputMs = 10;   // for the event loop to process pending input
-constexpr double kPressureCheckMs = 250; // while under pressure, without responses that trigger the check
-constexpr int kMaxClosedAtOnce = 4;      // idle connections closed at a time under pressure
+constexpr double kPendingInputDelayMs = 10; // for the event loop to process pending input
+constexpr double kPressureCheckIntervalMs =
+    250;                            // while under pressure, without responses that trigger the check
+constexpr int kMaxClosedAtOnce = 4; // idle connections closed at a time under pressure
 
 } // namespace
 
@@ -45,9 +46,9 @@
 void Listener::close_expired_idle() {
   const double now = now_ms();
   for (int i = 0; i < kMaxClosedAtOnce; ++i) {
-    const auto id = admission_.expired_idle(now);
-    if (!id || !can_evict(*id)) break;
-    close(*connections_.find(*id), "rested-long");
+    const auto expired_handle = admission_.expired_idle(now);
+    if (!expired_handle || !can_evict(*expired_handle)) break;
+    close(*connections_.find(*expired_handle), "rested-long");
   }
   watch_descriptor_pressure();
 }
@@ -56,7 +57,7 @@
 // trigger close_expired_idle(): so it is triggered by a timer.
 void Listener::watch_descriptor_pressure() {
   if (pressure_timer_ != 0 || stopped_ || !admission_.under_pressure()) return;
-  pressure_timer_ = timers_.run_at(now_ms() + kPressureCheckMs, [this] {
+  pressure_timer_ = timers_.run_at(now_ms() + kPressureCheckIntervalMs, [this] {
     pressure_timer_ = 0;
     close_expired_idle();
   });
@@ -111,23 +112,23 @@
     if (timed_out->state == Connection::State::Reading && timed_out->parser.has_started()) {
       // The deadline of a body is extended while it arrives.
       const double body_bytes = static_cast<double>(timed_out->parser.message().body.size());
-      const double body_due_at = timed_out->head_received_at + options_.short_body_timeout_ms +
-                                 body_bytes / options_.min_body_bytes_per_ms;
-      if (timed_out->head_received_at > 0 && now_ms() < body_due_at)
-        return start_timeout(*timed_out, body_due_at - now_ms(), close_code);
+      const double body_due_at_ms = timed_out->head_received_at_ms + options_.short_body_timeout_ms +
+                                    body_bytes / options_.min_body_bytes_per_ms;
+      if (timed_out->head_received_at_ms > 0 && now_ms() < body_due_at_ms)
+        return start_timeout(*timed_out, body_due_at_ms - now_ms(), close_code);
       return send_short_response(*timed_out, encode_error(408, "too slow"), false, "request-timeout");
     }
     if (timed_out->state != Connection::State::Reading) return close(*timed_out, close_code);
     can_evict(handle) ? start_lingering(*timed_out, close_code)
-                      : start_timeout(*timed_out, kPendingInputMs, close_code);
+                      : start_timeout(*timed_out, kPendingInputDelayMs, close_code);
   });
 }
 
 // The idle time between requests counts from the last response, but the client has to read that response
 // first.
-void Listener::start_idle_timeout(Connection& connection, double check_at) {
+void Listener::start_idle_timeout(Connection& connection, double check_at_ms) {
   timers_.cancel(connection.timer);
-  connection.timer = timers_.run_at(check_at, [this, handle = connection.handle] {
+  connection.timer = timers_.run_at(check_at_ms, [this, handle = connection.handle] {
     Connection* timed_out = connections_.find(handle);
     if (timed_out == nullptr) return;
     timed_out->timer = 0;
@@ -136,18 +137,18 @@
                  ? start_idle_timeout(*timed_out, now_ms() + options_.write_timeout_ms / 4)
                  : close(*timed_out, "stalled");
     }
-    const double idle_timeout_at = timed_out->responded_at + options_.idle_timeout_ms;
-    if (now_ms() < idle_timeout_at) return start_idle_timeout(*timed_out, idle_timeout_at);
+    const double idle_timeout_at_ms = timed_out->responded_at_ms + options_.idle_timeout_ms;
+    if (now_ms() < idle_timeout_at_ms) return start_idle_timeout(*timed_out, idle_timeout_at_ms);
     // A request that has just arrived is processed before its connection is closed.
     can_evict(handle) ? start_lingering(*timed_out, "idle")
-                      : start_idle_timeout(*timed_out, now_ms() + kPendingInputMs);
+                      : start_idle_timeout(*timed_out, now_ms() + kPendingInputDelayMs);
   });
 }
 
 void Listener::close(Connection& connection, const char* close_code) {
   log::routine_line("ingress-ended", {{"code", close_code},
                                       {"requests", connection.request_count},
-                                      {"ms", now_ms() - connection.opened_at}});
+                                      {"ms", now_ms() - connection.opened_at_ms}});
   timers_.cancel(connection.timer);
   timers_.cancel(connection.end_check_timer);
   // Clients that disconnect, or requested the close, free their descriptors by themselves.
--- a/src/downstream/listener.cpp
+++ b/src/downstream/listener.cpp
@@ -33,7 +33,7 @@
                    descriptors::DescriptorBudget& descriptor_budget,
                    descriptors::RequestBufferBudget& request_buffers,
                    body_buffers::BufferBudget& buffer_budget, proxy::BodyStores& body_stores,
-                   figures::RouterStats& figures, const ListenerOptions& options, RequestRules rules,
+                   figures::RouterStats& stats, const ListenerOptions& options, RequestRules rules,
                    ListenerCallbacks callbacks)
     : base_(base),
       timers_(timers),
@@ -41,7 +41,7 @@
       request_buffers_(request_buffers),
       buffer_budget_(buffer_budget),
       body_stores_(body_stores),
-      figures_(figures),
+      stats_(stats),
       admission_(options.admission),
       options_(options),
       rules_(std::move(rules)),
@@ -138,11 +138,11 @@
   listener->pause_accepting(kAcceptPauseMs);
 }
 
-void Listener::pause_accepting(double ms) {
+void Listener::pause_accepting(double pause_ms) {
   if (stopped_ || accepting_paused_) return;
   accepting_paused_ = true;
   evconnlistener_disable(listener_.get());
-  resume_timer_ = timers_.run_at(now_ms() + ms, [this] {
+  resume_timer_ = timers_.run_at(now_ms() + pause_ms, [this] {
     resume_timer_ = 0;
     accepting_paused_ = false;
     if (!can_accept()) return pause_accepting(kAcceptPauseMs);
@@ -196,7 +196,7 @@
   connection.handle = handle;
   connection.descriptor = std::move(descriptor);
   connection.socket = loop::make_bufferevent(base_, fd);
-  connection.opened_at = now;
+  connection.opened_at_ms = now;
   admission_.on_accepted(now, handle);
   bufferevent_setcb(connection.socket.get(), &Listener::on_readable, &Listener::on_writable,
                     &Listener::on_event, &connection);
@@ -251,10 +251,10 @@
     start_timeout(connection, options_.request_timeout_ms, "silent");
     return true;
   }
-  connection.responded_at = now_ms();
-  admission_.on_request_complete(connection.responded_at, connection.handle);
-  admission_.on_idle(connection.responded_at, connection.handle);
-  start_idle_timeout(connection, connection.responded_at + options_.idle_timeout_ms);
+  connection.responded_at_ms = now_ms();
+  admission_.on_request_complete(connection.responded_at_ms, connection.handle);
+  admission_.on_idle(connection.responded_at_ms, connection.handle);
+  start_idle_timeout(connection, connection.responded_at_ms + options_.idle_timeout_ms);
   return true;
 }
 
--- a/src/downstream/listener.h
+++ b/src/downstream/listener.h
@@ -77,7 +77,7 @@
   // Throws std::runtime_error if it cannot listen on the address. All references must outlive the listener.
   Listener(event_base* base, loop::TimerQueue& timers, descriptors::DescriptorBudget& descriptor_budget,
            descriptors::RequestBufferBudget& request_buffers, body_buffers::BufferBudget& buffer_budget,
-           proxy::BodyStores& body_stores, figures::RouterStats& figures, const ListenerOptions& options,
+           proxy::BodyStores& body_stores, figures::RouterStats& stats, const ListenerOptions& options,
            RequestRules rules, ListenerCallbacks callbacks);
   ~Listener() override;
 
@@ -97,7 +97,7 @@
   bool evict_connection(const char* close_code);
 
   // Graceful shutdown has begun: /ready answers 503, and new requests must be answered before `deadline`.
-  void set_shutdown_deadline(double deadline) { shutdown_deadline_ = deadline; }
+  void set_shutdown_deadline(double deadline_ms) { shutdown_deadline_ms_ = deadline_ms; }
   void stop_accepting(); // accepts the pending connections, then closes the listening socket
   void drain();          // from now on each response announces the end of its connection
   void stop();           // like stop_accepting(), and also closes idle connections
@@ -142,21 +142,21 @@
     std::shared_ptr<proxy::RequestBody> streamed_body;       // a long body that is arriving; else null
     std::optional<proxy::ClientRequest> pending_request;     // its request, until it is forwarded
     figures::RouterStats::RequestTracker request_statistics; // until the final response
-    double body_started_at = 0;                              // when streamed_body started to arrive
+    double body_started_at_ms = 0;                           // when streamed_body started to arrive
     enum class State { Reading, Waiting, Streaming, Closing, Lingering } state = State::Reading;
     loop::Handle active_request = 0;               // in Waiting and Streaming; else 0
     http::Framing framing = http::Framing::Length; // of a streamed response
     bool is_http_1_0 = false;                      // version of the request
-    bool keep_after_response = true;               // keep the connection after a streamed response
+    bool keep_alive_after_response = true;         // keep the connection after a streamed response
     // Body bytes of a streamed response; those that had left the output buffer at the last check.
     std::uint64_t streamed_bytes = 0, sent_bytes = 0;
-    double last_sent_at = 0;            // when the output buffer was last seen to shrink
+    double last_sent_at_ms = 0;         // when the output buffer was last seen to shrink
     std::size_t last_pending_bytes = 0; // bytes of a complete response in the output buffer at the last check
-    double head_received_at = 0;        // when the head of a request with a short body was complete; else 0
+    double head_received_at_ms = 0;     // when the head of a request with a short body was complete; else 0
     bool keep_alive = true, continue_sent = false, peer_closed = false;
     unsigned request_count = 0, pipelined_requests = 0; // pipelined: consecutive ones
     std::size_t discarded_bytes = 0;                    // bytes discarded after the last response
-    double opened_at = 0, responded_at = 0;
+    double opened_at_ms = 0, responded_at_ms = 0;
     loop::TimerQueue::TimerId timer = 0;
     // Polls for the client's disconnect while reading is paused.
     loop::TimerQueue::TimerId end_check_timer = 0;
@@ -170,7 +170,7 @@
   void listen(); // throws std::runtime_error
   static void on_accepted(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self);
   static void on_accept_failed(evconnlistener*, void* self);
-  void pause_accepting(double ms); // accepts nothing for this time
+  void pause_accepting(double pause_ms); // accepts nothing for this time
   void resume_accepting();
   // An empty lease if all descriptors are in use and no connection can be evicted.
   descriptors::DescriptorBudget::Lease reserve_descriptor();
@@ -220,7 +220,7 @@
   // Ends the connection after this time, with `close_code` in the log. A client that makes progress gets
   // more time, and one with a partial request a 408.
   void start_timeout(Connection& connection, double timeout_ms, const char* close_code);
-  void start_idle_timeout(Connection& connection, double check_at); // ends it after idle_timeout_ms
+  void start_idle_timeout(Connection& connection, double check_at_ms); // ends it after idle_timeout_ms
   void close(Connection& connection, const char* close_code);
   bool is_idle(Connection& connection);             // between requests, with empty buffers
   bool try_pass_connection(Connection& connection); // to the new process; false: the connection stays here
@@ -231,7 +231,7 @@
   descriptors::RequestBufferBudget& request_buffers_;
   body_buffers::BufferBudget& buffer_budget_;
   proxy::BodyStores& body_stores_;
-  figures::RouterStats& figures_;
+  figures::RouterStats& stats_;
   loop::IoBuffer io_buffer_;
   descriptors::ClientAdmission admission_;
   ListenerOptions options_;
@@ -244,8 +244,8 @@
   std::unique_ptr<evconnlistener, ListenerFree> listener_;
   std::string unix_path_; // to be removed at the end; empty: none
   bool draining_ = false, accepting_paused_ = false, stopped_ = false, accepting_held_ = false;
-  double shutdown_deadline_ = 0;   // 0: no shutdown is in progress
-  PassConnection pass_connection_; // null: no handover is in progress
+  double shutdown_deadline_ms_ = 0; // 0: no shutdown is in progress
+  PassConnection pass_connection_;  // null: no handover is in progress
   loop::TimerQueue::TimerId resume_timer_ = 0, pressure_timer_ = 0;
 };
 
--- a/src/downstream/requests.cpp
+++ b/src/downstream/requests.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kMaxDiscardedBytes = 256 * 1024; // read from a client whose request was rejected
 constexpr unsigned kMaxPipelinedRequests = 2; // consecutive requests received before the previous response
 // An attempt that starts 0.1 s or more after its client disconnected counts as a fault.
-constexpr double kClientEndCheckMs = 50;
+constexpr double kClientEndCheckIntervalMs = 50;
 
 } // namespace
 
@@ -66,7 +66,7 @@
   }
   if (connection.parser.done()) {
     admission_.on_request_active(now_ms(), connection.handle);
-    connection.head_received_at = 0;
+    connection.head_received_at_ms = 0;
     connection.request_buffer.set(0);
     return handle_request(connection, connection.parser.take_message());
   }
@@ -75,8 +75,8 @@
                               connection.parser.body().received_bytes()) > options_.max_short_body_bytes) {
     return start_streamed_body(connection);
   }
-  if (connection.head_received_at == 0 && connection.parser.expects_body())
-    connection.head_received_at = now_ms();
+  if (connection.head_received_at_ms == 0 && connection.parser.expects_body())
+    connection.head_received_at_ms = now_ms();
   if (connection.parser.has_started()) admission_.on_request_partial(now_ms(), connection.handle);
   connection.request_buffer.set(connection.parser.buffered_bytes());
   if (request_buffers_.exceeded()) {
@@ -103,7 +103,7 @@
 // bytes, and a reset is detected by a read only. So the socket is polled.
 void Listener::schedule_end_check(Connection& connection) {
   connection.end_check_timer =
-      timers_.run_at(now_ms() + kClientEndCheckMs, [this, handle = connection.handle] {
+      timers_.run_at(now_ms() + kClientEndCheckIntervalMs, [this, handle = connection.handle] {
         Connection* paused = connections_.find(handle);
         if (paused == nullptr) return;
         paused->end_check_timer = 0;
@@ -128,7 +128,7 @@
   connection.is_http_1_0 = request.is_http_1_0;
   if (request.method == "GET" && request.target == "/ready") {
     ++connection.request_count;
-    const bool ready = !draining_ && shutdown_deadline_ == 0 && callbacks_.is_ready();
+    const bool ready = !draining_ && shutdown_deadline_ms_ == 0 && callbacks_.is_ready();
     const std::string text =
         http::write_response(ready ? 200 : 503, {}, ready ? "ready\n" : "not ready\n", connection.keep_alive);
     return send_short_response(connection, text, connection.keep_alive, "done");
@@ -149,7 +149,7 @@
 bool Listener::admit(Connection& connection, DecodedRequest& decoded, bool complete) {
   ++connection.request_count;
   if (decoded.status == 0) { // its class is known: it is counted, whatever its outcome
-    connection.request_statistics = figures_.track_request(decoded.request.class_index);
+    connection.request_statistics = stats_.track_request(decoded.request.class_index);
     if (complete) connection.request_statistics.set_complete();
   }
   if (decoded.status != 0) {
@@ -168,9 +168,9 @@
   admission_.on_request_complete(now_ms(), connection.handle);
   connection.state = Connection::State::Waiting;
   // With the shortened timeout the Balancer gives the request up in time.
-  if (shutdown_deadline_ > 0)
-    request.timeout_ms =
-        std::max(1.0, std::min(request.timeout_ms, shutdown_deadline_ - now_ms() - request.body_timeout_ms));
+  if (shutdown_deadline_ms_ > 0)
+    request.timeout_ms = std::max(
+        1.0, std::min(request.timeout_ms, shutdown_deadline_ms_ - now_ms() - request.body_timeout_ms));
   const bool complete = request.body_timeout_ms == 0;
   connection.active_request = callbacks_.open_request(connection.handle, std::move(request));
   if (connection.active_request != 0) return;
@@ -209,9 +209,9 @@
   DecodedRequest decoded = decode(http::Message(head));
   if (!admit(connection, decoded, false)) return;
   connection.request_buffer.set(connection.parser.buffered_bytes());
-  connection.head_received_at = 0;
+  connection.head_received_at_ms = 0;
   admission_.on_request_active(now_ms(), connection.handle);
-  connection.body_started_at = now_ms();
+  connection.body_started_at_ms = now_ms();
   connection.streamed_body =
       std::make_shared<proxy::RequestBody>(body_stores_, connection.parser.body().length());
   connection.streamed_body->set_on_writable([this, handle = connection.handle] {
@@ -223,12 +223,13 @@
   });
   connection.pending_request = std::move(decoded.request);
   connection.pending_request->streamed_body = connection.streamed_body;
-  for (std::string_view rest = first_part; !rest.empty();) {
-    const std::size_t part_bytes = std::min(connection.streamed_body->writable_bytes(), rest.size());
+  for (std::string_view remaining_part = first_part; !remaining_part.empty();) {
+    const std::size_t part_bytes =
+        std::min(connection.streamed_body->writable_bytes(), remaining_part.size());
     if (part_bytes == 0) return reject(connection, 503, "", "buffers-full");
-    if (!connection.streamed_body->append(rest.substr(0, part_bytes), io_buffer_))
+    if (!connection.streamed_body->append(remaining_part.substr(0, part_bytes), io_buffer_))
       return reject(connection, 413, "body", "body-too-large");
-    rest.remove_prefix(part_bytes);
+    remaining_part.remove_prefix(part_bytes);
   }
   send_continue(connection);
   start_body_timeout(connection);
@@ -275,7 +276,7 @@
     connection.request_buffer.set(0);
     if (!complete) {
       request.body_timeout_ms =
-          std::max(1.0, connection.body_started_at +
+          std::max(1.0, connection.body_started_at_ms +
                             streamed_body->receive_timeout_ms(options_.request_timeout_ms) - now_ms());
     }
     return open_request(connection, std::move(request));
@@ -287,12 +288,13 @@
 void Listener::start_body_timeout(Connection& connection) {
   timers_.cancel(connection.timer);
   connection.timer = timers_.run_at(
-      connection.body_started_at + connection.streamed_body->receive_timeout_ms(options_.request_timeout_ms),
+      connection.body_started_at_ms +
+          connection.streamed_body->receive_timeout_ms(options_.request_timeout_ms),
       [this, handle = connection.handle] {
         Connection* timed_out = connections_.find(handle);
         if (timed_out == nullptr || timed_out->streamed_body == nullptr) return;
         timed_out->timer = 0;
-        if (now_ms() < timed_out->body_started_at +
+        if (now_ms() < timed_out->body_started_at_ms +
                            timed_out->streamed_body->receive_timeout_ms(options_.request_timeout_ms))
           return start_body_timeout(*timed_out);
         reject(*timed_out, 408, "too slow", "request-timeout");
--- a/src/downstream/responses.cpp
+++ b/src/downstream/responses.cpp
@@ -68,7 +68,7 @@
 
 // The complete response has been written to the socket or the output buffer.
 void Listener::on_response_written(Connection& connection, bool keep_alive, const char* close_code) {
-  connection.responded_at = connection.last_sent_at = now_ms();
+  connection.responded_at_ms = connection.last_sent_at_ms = now_ms();
   connection.last_pending_bytes = loop::pending_output(connection.socket.get());
   connection.pipelined_requests =
       loop::pending_input(connection.socket.get()).empty() ? 0 : connection.pipelined_requests + 1;
@@ -86,7 +86,7 @@
     return start_timeout(connection, options_.write_timeout_ms / 4, "stalled");
   }
   connection.state = Connection::State::Reading;
-  start_idle_timeout(connection, connection.responded_at + options_.write_timeout_ms / 4);
+  start_idle_timeout(connection, connection.responded_at_ms + options_.write_timeout_ms / 4);
 }
 
 // ---- streamed responses ----
@@ -96,14 +96,14 @@
   if (connection == nullptr || connection->state != Connection::State::Waiting) return false;
   connection->state = Connection::State::Streaming;
   const char* close_code = "";
-  connection->keep_after_response = decide_keep_alive(*connection, close_code);
+  connection->keep_alive_after_response = decide_keep_alive(*connection, close_code);
   connection->close_code = close_code;
   connection->framing = response_head.length      ? http::Framing::Length
                         : connection->is_http_1_0 ? http::Framing::UntilClose
                                                   : http::Framing::Chunked;
-  if (connection->framing == http::Framing::UntilClose) connection->keep_after_response = false;
+  if (connection->framing == http::Framing::UntilClose) connection->keep_alive_after_response = false;
   connection->unsent_response.merge(std::move(response_head.body.reservation));
-  std::string head = encode(response_head, connection->framing, connection->keep_after_response);
+  std::string head = encode(response_head, connection->framing, connection->keep_alive_after_response);
   const std::size_t received_bytes = response_head.body.buffer.size();
   const bool chunked = connection->framing == http::Framing::Chunked && received_bytes > 0;
   if (chunked) head += http::chunk_size_line(received_bytes);
@@ -111,7 +111,7 @@
   if (chunked) loop::write_or_enqueue(connection->socket.get(), http::kChunkEnd);
   connection->streamed_bytes = received_bytes;
   connection->sent_bytes = 0;
-  connection->last_sent_at = now_ms();
+  connection->last_sent_at_ms = now_ms();
   release_sent_bytes(*connection);
   start_write_timeout(*connection);
   return true;
@@ -166,7 +166,7 @@
   connection->active_request = 0;
   connection->request_statistics.end(complete ? figures::Outcome::Answered : figures::Outcome::Errored);
   connection->unsent_response.stop_waiting();
-  if (connection->streamed_body != nullptr) connection->keep_after_response = false;
+  if (connection->streamed_body != nullptr) connection->keep_alive_after_response = false;
   abort_body(*connection);
   if (!complete) {
     // If the end of the connection ends the response, only a reset shows that the response is incomplete.
@@ -177,7 +177,8 @@
   if (connection->framing == http::Framing::Chunked)
     loop::write_or_enqueue(connection->socket.get(), http::kLastChunk);
   // The head is already sent, so it cannot announce that a drain closes the connection.
-  on_response_written(*connection, connection->keep_after_response && !draining_, connection->close_code);
+  on_response_written(*connection, connection->keep_alive_after_response && !draining_,
+                      connection->close_code);
   close_expired_idle();
 }
 
@@ -201,8 +202,8 @@
         const std::uint64_t sent_bytes =
             timed_out->streamed_bytes - std::min<std::uint64_t>(timed_out->streamed_bytes, pending_bytes);
         if (pending_bytes == 0 || std::exchange(timed_out->sent_bytes, sent_bytes) < sent_bytes)
-          timed_out->last_sent_at = now_ms();
-        if (now_ms() - timed_out->last_sent_at < options_.write_timeout_ms)
+          timed_out->last_sent_at_ms = now_ms();
+        if (now_ms() - timed_out->last_sent_at_ms < options_.write_timeout_ms)
           return start_write_timeout(*timed_out);
         const Handle active_request = std::exchange(timed_out->active_request, 0);
         close(*timed_out, "stalled");
@@ -214,8 +215,8 @@
 bool Listener::client_is_reading(Connection& connection) {
   const std::size_t pending_bytes = loop::pending_output(connection.socket.get());
   if (pending_bytes < std::exchange(connection.last_pending_bytes, pending_bytes))
-    connection.last_sent_at = now_ms();
-  return pending_bytes == 0 || now_ms() - connection.last_sent_at < options_.write_timeout_ms;
+    connection.last_sent_at_ms = now_ms();
+  return pending_bytes == 0 || now_ms() - connection.last_sent_at_ms < options_.write_timeout_ms;
 }
 
 // Called when the output buffer is empty, or below its watermark while a response is streamed. A connection
--- a/src/endpoints/endpoint_file_watch.cpp
+++ b/src/endpoints/endpoint_file_watch.cpp
@@ -14,7 +14,7 @@
 namespace fernward::endpoints {
 namespace {
 
-constexpr double kPollPeriodMs = 250;
+constexpr double kPollIntervalMs = 250;
 constexpr off_t kMaxListBytes = 8 << 20;
 
 bool is_same_version(const struct stat& a, const struct stat& b) {
@@ -32,14 +32,14 @@
 EndpointFileWatch::~EndpointFileWatch() { timers_.cancel(poll_timer_); }
 
 void EndpointFileWatch::poll() {
-  poll_timer_ = timers_.run_at(loop::now_ms() + kPollPeriodMs, [this] { poll(); });
+  poll_timer_ = timers_.run_at(loop::now_ms() + kPollIntervalMs, [this] { poll(); });
   struct stat status {};
   if (stat(path_.c_str(), &status) != 0) return report_error(std::strerror(errno));
   // Opening a pipe would block the event loop.
   if (!S_ISREG(status.st_mode)) return report_error("is not a regular file");
-  if (is_same_version(status, last_status_)) return;
+  if (is_same_version(status, last_file_status_)) return;
   if (status.st_size > kMaxListBytes) return report_error("is larger than 8 MiB");
-  last_status_ = status;
+  last_file_status_ = status;
   read(); // a partially written file is not valid JSON; it is read again after the next change
 }
 
@@ -48,13 +48,13 @@
   std::ostringstream text;
   text << file.rdbuf();
   if (!file) { // for example no descriptor is left: retries although the file has not changed
-    last_status_ = {};
+    last_file_status_ = {};
     return report_error("can't be read completely");
   }
   auto list = config::parse_json(text.str());
   if (list.is_array()) list = {{"endpoints", std::move(list)}};
   if (!list.is_object()) return report_error("is not JSON, or neither an endpoint list nor an array");
-  list["index"] = ++last_version_;
+  list["index"] = ++last_list_index_;
   list["snapshot"] = true;
   try {
     on_list_(list.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
--- a/src/endpoints/endpoint_file_watch.h
+++ b/src/endpoints/endpoint_file_watch.h
@@ -35,8 +35,8 @@
   loop::TimerQueue& timers_;
   std::string path_;
   OnList on_list_;
-  std::uint64_t last_version_ = 0; // index assigned to the list read last; an index in the file is ignored
-  struct stat last_status_ {};
+  std::uint64_t last_list_index_ = 0; // index assigned to the list read last; an index in the file is ignored
+  struct stat last_file_status_ {};
   bool has_list_ = false;
   std::string last_error_; // the error logged last; a repeated error is not logged again
   loop::TimerQueue::TimerId poll_timer_ = 0;
--- a/src/endpoints/endpoint_table.cpp
+++ b/src/endpoints/endpoint_table.cpp
@@ -110,7 +110,7 @@
     return contents_.endpoints.find(name);
   };
   for (const json& entry : endpoints) {
-    const ParsedEndpoint parsed = entry_parser_.parse(entry, find_previous);
+    const ParsedEndpoint parsed = endpoint_parser_.parse(entry, find_previous);
     errors.add(parsed);
     if (parsed.outcome == Outcome::Dropped) continue;
     if (parsed.endpoint.server.state == ServerState::Gone) terminated_names.insert(parsed.endpoint.name);
@@ -134,7 +134,7 @@
   ChangedServers changed;
   const auto find_previous = [this](const std::string& name) { return contents_.endpoints.find(name); };
   for (const json& entry : endpoints) {
-    const ParsedEndpoint parsed = entry_parser_.parse(entry, find_previous);
+    const ParsedEndpoint parsed = endpoint_parser_.parse(entry, find_previous);
     errors.add(parsed);
     if (parsed.outcome == Outcome::Dropped) continue;
     store_entry(parsed, entry, contents_);
--- a/src/endpoints/endpoint_table.h
+++ b/src/endpoints/endpoint_table.h
@@ -29,7 +29,7 @@
  public:
   // `keep_entry_texts`: keeps the text of each entry for serialized_list().
   EndpointTable(std::vector<std::string> zones, std::vector<std::string> kinds, bool keep_entry_texts = false)
-      : entry_parser_(std::move(zones), std::move(kinds)), keep_entry_texts_(keep_entry_texts) {}
+      : endpoint_parser_(std::move(zones), std::move(kinds)), keep_entry_texts_(keep_entry_texts) {}
 
   // Applies a full list or a delta, in discovery's format, and returns the corresponding update for the
   // balancer. Each entry is validated separately, see ParsedEndpoint; one log line summarizes the invalid
@@ -69,7 +69,7 @@
                          const Contents& contents) const;
   void log_errors(const EntryErrors& errors);
 
-  EndpointParser entry_parser_;
+  EndpointParser endpoint_parser_;
   bool keep_entry_texts_;
   Contents contents_;
   std::uint64_t index_ = 0;
--- a/src/endpoints/endpoint_watch.cpp
+++ b/src/endpoints/endpoint_watch.cpp
@@ -19,8 +19,8 @@
 using discovery::CallId;
 using discovery::Failure;
 
-constexpr int kTooManyRequests = 429;
-constexpr int kUnavailable = 503;
+constexpr int kStatusTooManyRequests = 429;
+constexpr int kStatusServiceUnavailable = 503;
 constexpr std::size_t kReadBytes = 16 << 10;     // read per system call by poll()
 constexpr std::uint64_t kMaxListBytes = 8 << 20; // about 50,000 endpoints
 // A response with an earlier index than one already received is out of date, for example from a lagging
@@ -33,11 +33,11 @@
   if (event_base_get_npriorities(base) > 1) bufferevent_priority_set(io, 0);
 }
 
-std::string request_target(const discovery::Poll& ask) {
+std::string request_target(const discovery::Poll& poll_action) {
   std::string target = "/v1/endpoints";
-  if (!ask.since) return target;
-  target += "?since=" + std::to_string(*ask.since);
-  target += "&timeout_ms=" + std::to_string(static_cast<int>(ask.wait_ms));
+  if (!poll_action.since) return target;
+  target += "?since=" + std::to_string(*poll_action.since);
+  target += "&timeout_ms=" + std::to_string(static_cast<int>(poll_action.wait_ms));
   return target;
 }
 
@@ -71,8 +71,8 @@
     const discovery::Action action = actions[i];
     if (const auto* open_action = std::get_if<discovery::OpenConnection>(&action)) {
       open(open_action->call, actions);
-    } else if (const auto* ask_action = std::get_if<discovery::Poll>(&action)) {
-      send_request(*ask_action);
+    } else if (const auto* poll_action = std::get_if<discovery::Poll>(&action)) {
+      send_request(*poll_action);
     } else if (const auto* close_action = std::get_if<discovery::CloseConnection>(&action)) {
       connections_.erase(close_action->call);
     }
@@ -80,7 +80,7 @@
   timers_.cancel(tick_timer_);
   tick_timer_ = timers_.run_at(subscription_.next_tick_at(), [this] {
     tick_timer_ = 0;
-    run_actions([this](Actions& due) { subscription_.tick(loop::now_ms(), due); });
+    run_actions([this](Actions& due_actions) { subscription_.tick(loop::now_ms(), due_actions); });
   });
 }
 
@@ -102,13 +102,13 @@
     return;
   connections_.erase(call_id);
   record_failure("connect-failed");
-  subscription_.failed(loop::now_ms(), call_id, Failure::Disconnected, actions);
+  subscription_.on_failed(loop::now_ms(), call_id, Failure::Disconnected, actions);
 }
 
-void EndpointWatch::send_request(const discovery::Poll& ask) {
-  Connection& connection = *connections_.at(ask.call);
+void EndpointWatch::send_request(const discovery::Poll& poll_action) {
+  Connection& connection = *connections_.at(poll_action.call);
   connection.awaiting_response = true;
-  const std::string text = http::write_request("GET", request_target(ask), address_, {}, "");
+  const std::string text = http::write_request("GET", request_target(poll_action), address_, {}, "");
   // Written immediately, not from the event loop: the response should already be available at the next
   // poll().
   loop::write_or_enqueue(connection.io.get(), text);
@@ -117,13 +117,13 @@
 // ---- socket events ----
 
 void EndpointWatch::on_readable(bufferevent*, void* context) {
-  auto* const watch_connection = static_cast<Connection*>(context);
-  watch_connection->watch->read(*watch_connection);
+  auto* const connection = static_cast<Connection*>(context);
+  connection->watch->read(*connection);
 }
 
 void EndpointWatch::on_event(bufferevent*, short events, void* context) {
-  auto* const watch_connection = static_cast<Connection*>(context);
-  watch_connection->watch->handle_event(*watch_connection, events);
+  auto* const connection = static_cast<Connection*>(context);
+  connection->watch->handle_event(*connection, events);
 }
 
 void EndpointWatch::handle_event(Connection& connection, short events) {
@@ -132,14 +132,14 @@
     loop::set_nodelay(bufferevent_getfd(connection.io.get()));
     bufferevent_enable(connection.io.get(), EV_READ | EV_WRITE);
     return run_actions(
-        [&](Actions& actions) { subscription_.connected(loop::now_ms(), connection.call_id, actions); });
+        [&](Actions& actions) { subscription_.on_connected(loop::now_ms(), connection.call_id, actions); });
   }
   // A response without a length ends when the connection is closed.
   if (connection.parser.end_of_input()) return on_response(connection, false);
   const char* const close_code = (events & BEV_EVENT_EOF) != 0 ? "peer-closed" : "reset";
-  const bool response_begun = connection.parser.has_started();
+  const bool response_started = connection.parser.has_started();
   fail(connection, connection.connected ? close_code : "connect-failed",
-       response_begun ? Failure::InvalidAnswer : Failure::Disconnected);
+       response_started ? Failure::InvalidAnswer : Failure::Disconnected);
 }
 
 void EndpointWatch::read(Connection& connection) {
@@ -159,13 +159,13 @@
     return fail(connection, "malformed", Failure::InvalidAnswer);
   }
   if (connection.parser.done()) return on_response(connection, all_input_used);
-  run_actions([&](Actions&) { subscription_.received_data(loop::now_ms(), connection.call_id); });
+  run_actions([&](Actions&) { subscription_.on_data_received(loop::now_ms(), connection.call_id); });
 }
 
 void EndpointWatch::on_response(Connection& connection, bool reusable) {
   const http::Message message = connection.parser.take_message();
   connection.awaiting_response = false;
-  if (message.status == kTooManyRequests || message.status == kUnavailable) {
+  if (message.status == kStatusTooManyRequests || message.status == kStatusServiceUnavailable) {
     return fail(connection, "refused", Failure::Refused);
   }
   discovery::Answer answer;
@@ -178,8 +178,8 @@
   }
   record_response();
   run_actions([&](Actions& actions) {
-    subscription_.answered(loop::now_ms(), connection.call_id, answer, reusable && message.keep_alive,
-                           actions);
+    subscription_.on_answered(loop::now_ms(), connection.call_id, answer, reusable && message.keep_alive,
+                              actions);
   });
 }
 
@@ -200,7 +200,7 @@
   record_failure(code);
   const CallId call_id = connection.call_id;
   connections_.erase(call_id);
-  run_actions([&](Actions& actions) { subscription_.failed(loop::now_ms(), call_id, failure, actions); });
+  run_actions([&](Actions& actions) { subscription_.on_failed(loop::now_ms(), call_id, failure, actions); });
 }
 
 void EndpointWatch::poll() {
--- a/src/endpoints/endpoint_watch.h
+++ b/src/endpoints/endpoint_watch.h
@@ -54,7 +54,7 @@
   void fail(Connection& connection, const char* code, discovery::Failure failure);
   void run_actions(const std::function<void(discovery::Actions&)>& collect_actions);
   void open(discovery::CallId call_id, discovery::Actions& actions);
-  void send_request(const discovery::Poll& ask);
+  void send_request(const discovery::Poll& poll_action);
   void record_failure(const char* code);
   void record_response();
 
--- a/src/figures/router_stats.h
+++ b/src/figures/router_stats.h
@@ -17,7 +17,7 @@
 
 // Deferred: rejected with status 503, so that the client can retry later. Errored: any other failure.
 // ClientDisconnected: the client disconnected before its response.
-enum class Outcome { Answered, Deferred, Errored, ClientGone };
+enum class Outcome { Answered, Deferred, Errored, ClientDisconnected };
 
 class RouterStats {
  public:
@@ -32,7 +32,7 @@
   void add_gauge(std::string name, Gauge gauge) { gauges_.emplace_back(std::move(name), std::move(gauge)); }
 
   // Tracks one accepted request. It is counted once, when it ends, by its first outcome; if it is destroyed
-  // without one, as ClientGone.
+  // without one, as ClientDisconnected.
   class RequestTracker {
    public:
     RequestTracker() = default;
@@ -42,13 +42,13 @@
           complete_(other.complete_) {}
     RequestTracker& operator=(RequestTracker&& other) noexcept {
       if (this == &other) return *this;
-      end(Outcome::ClientGone);
+      end(Outcome::ClientDisconnected);
       stats_ = std::exchange(other.stats_, nullptr);
       class_index_ = other.class_index_;
       complete_ = other.complete_;
       return *this;
     }
-    ~RequestTracker() { end(Outcome::ClientGone); }
+    ~RequestTracker() { end(Outcome::ClientDisconnected); }
 
     void set_complete() { // the request has been received completely: counts as active from now on
       if (stats_ != nullptr && !std::exchange(complete_, true)) ++stats_->active_requests_;
--- a/src/gossip/gossip_node.h
+++ b/src/gossip/gossip_node.h
@@ -42,7 +42,7 @@
 
 class GossipNode {
  public:
-  GossipNode(MemberId self, std::size_t count, std::uint32_t incarnation,
+  GossipNode(MemberId self, std::size_t router_count, std::uint32_t incarnation,
              const membership::Settings& settings, std::uint64_t seed, std::uint8_t zone = kNoZone);
 
   struct OutgoingDatagram {
@@ -50,11 +50,11 @@
     std::string bytes;
   };
   // To be called at next_tick_at() or later. Appends the datagrams to be sent.
-  void tick(double now, const LocalReports& local, std::vector<OutgoingDatagram>& out);
+  void tick(double now, const LocalReports& local, std::vector<OutgoingDatagram>& datagrams);
   double next_tick_at() const { return membership_.next_tick_at(); }
   // Processes a datagram from the address of `sender`. Returns false if all of it was ignored.
-  bool receive(double now, MemberId sender, std::string_view bytes, std::vector<OutgoingDatagram>& out);
-  void leave(double now, std::vector<OutgoingDatagram>& out);
+  bool receive(double now, MemberId sender, std::string_view bytes, std::vector<OutgoingDatagram>& datagrams);
+  void leave(double now, std::vector<OutgoingDatagram>& datagrams);
 
   FleetView view(double now);
   // Appends the outlier decisions about cache nodes that changed since the last call.
@@ -67,7 +67,7 @@
   GossipCounts counts() const;
 
  private:
-  void send(double now, std::vector<OutgoingDatagram>& out);
+  void send(double now, std::vector<OutgoingDatagram>& datagrams);
 
   membership::Membership membership_;
   OriginGossip origin_gossip_;
--- a/src/gossip/origin_gossip.cpp
+++ b/src/gossip/origin_gossip.cpp
@@ -18,9 +18,9 @@
 // The allowance of a router without demand, as a share of the median demand and in attempts: requests may
 // arrive at any time.
 constexpr double kIdleDemandShare = 0.25, kMinIdleDemand = 0.25;
-constexpr std::size_t kTrimDivisor = 8;     // one of so many reports is excluded, and at least one
-constexpr double kMaxDemandMedians = 8;     // a demand is capped at so many times the median
-constexpr std::size_t kMaxOwnDemands = 256; // size of the history of own demands
+constexpr std::size_t kTrimDivisor = 8;        // one of so many reports is excluded, and at least one
+constexpr double kMaxDemandMedianMultiple = 8; // a demand is capped at so many times the median
+constexpr std::size_t kMaxOwnDemands = 256;    // size of the history of own demands
 constexpr double kScaleSteps = 65534, kScaleSpan = 1e7; // of the logarithmic scale from 1/1024 up
 
 std::uint16_t encode_quantity(double value) {
@@ -33,10 +33,10 @@
 
 } // namespace
 
-OriginGossip::OriginGossip(MemberId self, std::size_t count, std::uint64_t seed)
-    : self_(self), random_{mix_bits(seed ^ 0x66616374)}, reports_(count) {}
+OriginGossip::OriginGossip(MemberId self, std::size_t router_count, std::uint64_t seed)
+    : self_(self), random_{mix_bits(seed ^ 0x66616374)}, reports_(router_count) {}
 
-void OriginGossip::set_own(double now, Stamp stamp, const Values& values) {
+void OriginGossip::set_own_report(double now, Stamp stamp, const OriginValues& values) {
   Report& report = reports_[self_];
   report = {stamp, now, values, true, true};
   while (!own_demands_.empty() && (now - own_demands_.front().first > kQuantityBounds[0].expiry_ms ||
@@ -50,7 +50,7 @@
   }
 }
 
-bool OriginGossip::merge(double now, MemberId owner, Stamp stamp, double age_ms, const Values& values,
+bool OriginGossip::merge(double now, MemberId owner, Stamp stamp, double age_ms, const OriginValues& values,
                          bool is_direct) {
   const bool valid =
       std::all_of(values.begin(), values.end(), is_finite_non_negative) && is_finite_non_negative(age_ms);
@@ -88,14 +88,14 @@
   for (const double value : report.values) put(buffer, encode_quantity(value));
 }
 
-std::string OriginGossip::write(double now, std::size_t room_bytes) {
+std::string OriginGossip::write_entries(double now, std::size_t max_bytes) {
   constexpr std::size_t kEntryBytes = kEntryHeaderBytes + kPayloadBytes;
   std::string bytes;
-  if (room_bytes < kEntryBytes || !reports_[self_].known) return bytes;
+  if (max_bytes < kEntryBytes || !reports_[self_].known) return bytes;
   write_report(now, self_, reports_[self_], bytes);
   const double router_count = static_cast<double>(reports_.size());
   // Takes the newer of two drawn reports: new reports spread first, and old ones soon stop being relayed.
-  for (std::size_t draws = 0; draws < 24 && bytes.size() + kEntryBytes <= room_bytes; ++draws) {
+  for (std::size_t draws = 0; draws < 24 && bytes.size() + kEntryBytes <= max_bytes; ++draws) {
     const auto first = static_cast<std::size_t>(random_.next_unit() * router_count),
                second = static_cast<std::size_t>(random_.next_unit() * router_count);
     const std::size_t chosen = reports_[first].made_at > reports_[second].made_at ? first : second;
@@ -106,7 +106,8 @@
   return bytes;
 }
 
-void OriginGossip::read(double now, MemberId sender, std::string_view bytes, std::vector<Update>& updates) {
+void OriginGossip::read_entries(double now, MemberId sender, std::string_view bytes,
+                                std::vector<Update>& updates) {
   while (const auto entry = next_entry(bytes)) {
     const std::string_view payload = entry->payload;
     if (entry->kind != static_cast<std::uint8_t>(EntryKind::OriginState) || payload.size() < kMinPayloadBytes)
@@ -114,7 +115,7 @@
     const MemberId owner = get<MemberId>(payload, 0);
     const Stamp stamp{get<std::uint32_t>(payload, 2), get<std::uint16_t>(payload, 6)};
     const double age_ms = get<std::uint16_t>(payload, 8) * kAgeUnitMs;
-    Values values{};
+    OriginValues values{};
     const std::size_t quantity_count = std::min(kQuantityCount, (payload.size() - kHeaderBytes) / 2);
     for (std::size_t i = 0; i < quantity_count; ++i)
       values[i] = decode_quantity(get<std::uint16_t>(payload, kHeaderBytes + 2 * i));
@@ -165,36 +166,38 @@
 double OriginGossip::origin_limit_share(double now) {
   const double median = median_demand(now),
                idle_allowance = std::max(kIdleDemandShare * median, kMinIdleDemand);
-  const double max_demand = kMaxDemandMedians * std::max(median, kMinIdleDemand);
-  const std::size_t count = demand_samples_.size();
-  if (count == 0) return 0;
-  double weighted_ages = 0, total_weight = 0;
+  const double max_demand = kMaxDemandMedianMultiple * std::max(median, kMinIdleDemand);
+  const std::size_t sample_count = demand_samples_.size();
+  if (sample_count == 0) return 0;
+  double weighted_age_sum = 0, total_weight = 0;
   for (const DemandSample& sample : demand_samples_) {
-    weighted_ages += sample.is_own ? 0 : sample.weight * sample.age_ms;
+    weighted_age_sum += sample.is_own ? 0 : sample.weight * sample.age_ms;
     total_weight += sample.is_own ? 0 : sample.weight;
   }
-  const double own_demand = own_demand_at(now - (total_weight > 0 ? weighted_ages / total_weight : 0));
+  const double own_demand = own_demand_at(now - (total_weight > 0 ? weighted_age_sum / total_weight : 0));
   for (DemandSample& sample : demand_samples_)
     sample.demand = std::min(sample.is_own ? own_demand : sample.demand, max_demand) + idle_allowance;
   std::sort(demand_samples_.begin(), demand_samples_.end(), [](const DemandSample& a, const DemandSample& b) {
     return a.limit * b.demand < b.limit * a.demand;
   });
-  const std::size_t trimmed_low = count < 3 ? 0 : 1,
-                    trimmed_high = count < 3 ? 0 : std::max<std::size_t>(1, count / kTrimDivisor);
-  double weighted_limits = 0, weighted_demands = 0;
-  for (std::size_t i = trimmed_low; i < count - trimmed_high; ++i) {
-    weighted_limits += demand_samples_[i].weight * demand_samples_[i].limit;
-    weighted_demands += demand_samples_[i].weight * demand_samples_[i].demand;
+  const std::size_t trimmed_low = sample_count < 3 ? 0 : 1,
+                    trimmed_high =
+                        sample_count < 3 ? 0 : std::max<std::size_t>(1, sample_count / kTrimDivisor);
+  double weighted_limit_sum = 0, weighted_demand_sum = 0;
+  for (std::size_t i = trimmed_low; i < sample_count - trimmed_high; ++i) {
+    weighted_limit_sum += demand_samples_[i].weight * demand_samples_[i].limit;
+    weighted_demand_sum += demand_samples_[i].weight * demand_samples_[i].demand;
   }
   const double share =
-      weighted_limits / weighted_demands * (std::min(own_demand, max_demand) + idle_allowance);
-  if (count < 3) return share; // nothing was excluded: the shares add up to the total limit
+      weighted_limit_sum / weighted_demand_sum * (std::min(own_demand, max_demand) + idle_allowance);
+  if (sample_count < 3) return share; // nothing was excluded: the shares add up to the total limit
   // Correct routers are excluded, too: if only one router has demand, the ratio is that of the idle routers,
   // which keep their limits, and would assign several times the total to the router with demand.
   std::nth_element(demand_samples_.begin(), demand_samples_.begin() + 1, demand_samples_.end(),
                    [](const DemandSample& a, const DemandSample& b) { return a.limit > b.limit; });
   const double own_limit = reports_[self_].values[static_cast<std::size_t>(OriginQuantity::Limit)];
-  return std::min(share, std::max(own_limit, demand_samples_[1].limit * static_cast<double>(count) / 2));
+  return std::min(share,
+                  std::max(own_limit, demand_samples_[1].limit * static_cast<double>(sample_count) / 2));
 }
 
 OriginGossip::ResponseTime OriginGossip::response_time(double now) {
@@ -210,14 +213,14 @@
   if (response_samples_.size() < 3) return {};
   std::sort(response_samples_.begin(), response_samples_.end(),
             [](const ResponseSample& a, const ResponseSample& b) { return a.ms < b.ms; });
-  const std::size_t trimmed = std::max<std::size_t>(1, response_samples_.size() / kTrimDivisor);
-  double weighted_ms = 0, weighted_ages = 0, total_weight = 0;
-  for (std::size_t i = trimmed; i < response_samples_.size() - trimmed; ++i) {
-    weighted_ms += response_samples_[i].weight * response_samples_[i].ms;
-    weighted_ages += response_samples_[i].weight * response_samples_[i].age_ms;
+  const std::size_t trimmed_count = std::max<std::size_t>(1, response_samples_.size() / kTrimDivisor);
+  double weighted_ms_sum = 0, weighted_age_sum = 0, total_weight = 0;
+  for (std::size_t i = trimmed_count; i < response_samples_.size() - trimmed_count; ++i) {
+    weighted_ms_sum += response_samples_[i].weight * response_samples_[i].ms;
+    weighted_age_sum += response_samples_[i].weight * response_samples_[i].age_ms;
     total_weight += response_samples_[i].weight;
   }
-  return {weighted_ms / total_weight, weighted_ages / total_weight};
+  return {weighted_ms_sum / total_weight, weighted_age_sum / total_weight};
 }
 
 } // namespace fernward::gossip
--- a/src/gossip/origin_gossip.h
+++ b/src/gossip/origin_gossip.h
@@ -58,27 +58,28 @@
      "response times"},
 }};
 
-using Values = std::array<double, kQuantityCount>;
+using OriginValues = std::array<double, kQuantityCount>;
 
 class OriginGossip {
  public:
-  OriginGossip(MemberId self, std::size_t count, std::uint64_t seed);
+  OriginGossip(MemberId self, std::size_t router_count, std::uint64_t seed);
 
-  void set_own(double now, Stamp stamp, const Values& values); // replaces this router's report
+  void set_own_report(double now, Stamp stamp, const OriginValues& values); // replaces this router's report
   // Merges a report of `owner`; `is_direct`: it came from the owner's own address. Returns false if the
   // report is ignored because it is not newer, is invalid or is this router's own.
-  bool merge(double now, MemberId owner, Stamp stamp, double age_ms, const Values& values, bool is_direct);
+  bool merge(double now, MemberId owner, Stamp stamp, double age_ms, const OriginValues& values,
+             bool is_direct);
 
   // Encodes reports into at most `room_bytes`: this router's own first, then randomly drawn reports of other
   // routers, with a preference for recent ones.
-  std::string write(double now, std::size_t room_bytes);
+  std::string write_entries(double now, std::size_t max_bytes);
   struct Update {
     MemberId owner;
     Stamp stamp;
   };
   // Merges all reports of a datagram from the router `sender`. Appends the owner and stamp of each new report
   // to `updates`, for the membership. A damaged tail is ignored and counted.
-  void read(double now, MemberId sender, std::string_view bytes, std::vector<Update>& updates);
+  void read_entries(double now, MemberId sender, std::string_view bytes, std::vector<Update>& updates);
 
   // The median demand over this router and all routers whose reports have not expired.
   double median_demand(double now);
@@ -105,7 +106,7 @@
   struct Report {
     Stamp stamp;
     double made_at = kNever;
-    Values values{};
+    OriginValues values{};
     bool known = false, is_direct = false;
   };
   void write_report(double now, MemberId owner, const Report& report, std::string& buffer) const;
--- a/src/gossip/outlier_gossip.cpp
+++ b/src/gossip/outlier_gossip.cpp
@@ -18,23 +18,23 @@
 // Failed attempts over all senders: one more than one router needs by itself.
 constexpr std::uint32_t kMinFailures = 4;
 constexpr std::uint32_t kMaxFailuresPerSender = 2; // counted per sender
-constexpr std::size_t kMinFailureRatio = 2;        // votes for each reported success
+constexpr std::size_t kMinVotesPerSuccess = 2;     // votes for each reported success
 constexpr double kSuccessMarginMs = 1000; // a success up to so long before the median failure contradicts it
-constexpr std::size_t kMaxOwnPerDatagram = 3; // own reports in a datagram
+constexpr std::size_t kMaxOwnReportsPerDatagram = 3; // own reports in a datagram
 
 // The sender addresses of reports. Each is one vote, whichever owners' reports it relays: reports that a
 // sender forges in the names of other routers count once.
 struct Votes {
   std::array<MemberId, OutlierGossip::kMaxReportsPerServer> senders{};
-  std::size_t count = 0;
+  std::size_t sender_count = 0;
   std::uint32_t failures = 0;
-  void add(MemberId sender, std::uint32_t reported) {
-    const auto end = senders.begin() + static_cast<std::ptrdiff_t>(count);
+  void add(MemberId sender, std::uint32_t reported_failures) {
+    const auto end = senders.begin() + static_cast<std::ptrdiff_t>(sender_count);
     if (std::find(senders.begin(), end, sender) != end) return;
-    senders[count++] = sender;
-    failures += std::min(reported, kMaxFailuresPerSender);
+    senders[sender_count++] = sender;
+    failures += std::min(reported_failures, kMaxFailuresPerSender);
   }
-  bool sufficient() const { return count >= kMinSenders && failures >= kMinFailures; }
+  bool sufficient() const { return sender_count >= kMinSenders && failures >= kMinFailures; }
 };
 
 } // namespace
@@ -64,7 +64,7 @@
   return failures >= kMaxFailuresPerSender; // a single failed attempt needs no contradiction
 }
 
-void OutlierGossip::set_own(double now, Stamp stamp, const std::vector<ServerReport>& observations) {
+void OutlierGossip::set_own_reports(double now, Stamp stamp, const std::vector<ServerReport>& observations) {
   expire_reports(now);
   for (auto it = reports_.begin(); it != reports_.end();) {
     std::erase_if(it->second, [&](const Report& report) { return report.owner == self_; });
@@ -128,7 +128,7 @@
                   std::ceil(std::clamp(now - report.observed_at, 0.0, kReportLifetimeMs) / kAgeUnitMs)));
 }
 
-std::string OutlierGossip::write(double now, std::size_t room_bytes) {
+std::string OutlierGossip::write_entries(double now, std::size_t max_bytes) {
   constexpr std::size_t kEntryBytes = kEntryHeaderBytes + kPayloadBytes;
   std::string bytes;
   candidates_.clear();
@@ -145,13 +145,13 @@
       std::partition(others_begin, candidates_.end(), [](const auto& d) { return d.second->failures > 0; });
   const auto own_count = static_cast<std::size_t>(others_begin - candidates_.begin());
   for (std::size_t i = 0;
-       i < std::min(own_count, kMaxOwnPerDatagram) && bytes.size() + kEntryBytes <= room_bytes; ++i) {
-    const auto& [server, report] = candidates_[next_own_++ % own_count];
+       i < std::min(own_count, kMaxOwnReportsPerDatagram) && bytes.size() + kEntryBytes <= max_bytes; ++i) {
+    const auto& [server, report] = candidates_[next_own_report_++ % own_count];
     write_report(now, server, *report, bytes);
   }
   for (auto [at, end] :
        {std::pair(others_begin, successes_begin), std::pair(successes_begin, candidates_.end())}) {
-    for (; at != end && bytes.size() + kEntryBytes <= room_bytes; ++at) { // each once, in random order
+    for (; at != end && bytes.size() + kEntryBytes <= max_bytes; ++at) { // each once, in random order
       std::swap(*at,
                 *(at + static_cast<std::ptrdiff_t>(random_.next_unit() * static_cast<double>(end - at))));
       write_report(now, at->first, *at->second, bytes);
@@ -160,7 +160,7 @@
   return bytes;
 }
 
-void OutlierGossip::read(double now, MemberId sender, std::string_view bytes) {
+void OutlierGossip::read_entries(double now, MemberId sender, std::string_view bytes) {
   while (const auto entry = next_entry(bytes)) {
     const std::string_view payload = entry->payload;
     if (entry->kind != static_cast<std::uint8_t>(EntryKind::ServerReport) || payload.size() < kPayloadBytes)
@@ -190,34 +190,37 @@
   if (failure_times_.empty()) return decision;
   // A success from long before most of these failures does not contradict them: the node may have failed
   // since.
-  const auto median = failure_times_.begin() + static_cast<std::ptrdiff_t>(failure_times_.size() / 2);
-  std::nth_element(failure_times_.begin(), median, failure_times_.end());
+  const auto median_failure_time =
+      failure_times_.begin() + static_cast<std::ptrdiff_t>(failure_times_.size() / 2);
+  std::nth_element(failure_times_.begin(), median_failure_time, failure_times_.end());
   std::size_t successes_same_zone = 0, successes = 0;
   for (const Report& report : reports) {
-    const bool contradicts = report.failures == 0 && report.observed_at > *median - kSuccessMarginMs;
+    const bool contradicts =
+        report.failures == 0 && report.observed_at > *median_failure_time - kSuccessMarginMs;
     successes += contradicts;
     successes_same_zone += contradicts && report.zone == zone_;
   }
-  decision.outlier = (same_zone.sufficient() && same_zone.count > kMinFailureRatio * successes_same_zone) ||
-                     (other_zones.sufficient() && several_other_zones && successes == 0);
+  decision.outlier =
+      (same_zone.sufficient() && same_zone.sender_count > kMinVotesPerSuccess * successes_same_zone) ||
+      (other_zones.sufficient() && several_other_zones && successes == 0);
   return decision;
 }
 
 void OutlierGossip::append_changes(double now, std::vector<OutlierDecision>& changes) {
   expire_reports(now);
-  for (auto it = outliers_.begin(); it != outliers_.end();) {
+  for (auto it = outlier_servers_.begin(); it != outlier_servers_.end();) {
     if (reports_.count(*it) > 0) {
       ++it;
       continue;
     }
     changes.push_back({*it, false, kNever}); // no report is left
-    it = outliers_.erase(it);
+    it = outlier_servers_.erase(it);
   }
   for (const auto& [server, reports] : reports_) {
     const OutlierDecision decision = decide(server, reports);
-    if (decision.outlier == (outliers_.count(server) > 0)) continue;
+    if (decision.outlier == (outlier_servers_.count(server) > 0)) continue;
     changes.push_back(decision);
-    decision.outlier ? void(outliers_.insert(server)) : void(outliers_.erase(server));
+    decision.outlier ? void(outlier_servers_.insert(server)) : void(outlier_servers_.erase(server));
   }
 }
 
--- a/src/gossip/outlier_gossip.h
+++ b/src/gossip/outlier_gossip.h
@@ -64,18 +64,18 @@
   OutlierGossip(MemberId self, std::uint8_t zone, std::uint64_t seed);
 
   // Replaces this router's reports with all its current observations; called in each round.
-  void set_own(double now, Stamp stamp, const std::vector<ServerReport>& observations);
+  void set_own_reports(double now, Stamp stamp, const std::vector<ServerReport>& observations);
   // Merges a report of `owner` that came from the address of `sender`. Returns false if the report is ignored
   // because it is not newer, is expired, is invalid, is this router's own, or the table is full.
   bool merge(double now, MemberId sender, MemberId owner, Stamp stamp, std::uint8_t zone,
              const ServerReport& report);
 
-  std::string write(double now, std::size_t room_bytes); // own reports first, then others at random
-  void read(double now, MemberId sender, std::string_view bytes);
+  std::string write_entries(double now, std::size_t max_bytes); // own reports first, then others at random
+  void read_entries(double now, MemberId sender, std::string_view bytes);
 
   // Appends the decisions that changed since the last call: a server became an outlier or no longer is one.
   void append_changes(double now, std::vector<OutlierDecision>& changes);
-  std::size_t outlier_count() const { return outliers_.size(); } // servers, as of append_changes()
+  std::size_t outlier_count() const { return outlier_servers_.size(); } // servers, as of append_changes()
   std::uint64_t ignored() const { return ignored_; }
 
  private:
@@ -97,10 +97,10 @@
   std::uint8_t zone_;
   Random random_;
   std::map<ServerId, Reports> reports_;
-  std::set<ServerId> outliers_;                                // as of the last append_changes()
+  std::set<ServerId> outlier_servers_;                         // as of the last append_changes()
   std::vector<std::pair<ServerId, const Report*>> candidates_; // scratch
   std::vector<double> failure_times_;                          // scratch
-  std::size_t next_own_ = 0;                                   // own reports are sent in rotation
+  std::size_t next_own_report_ = 0;                            // own reports are sent in rotation
   std::uint64_t ignored_ = 0;
 };
 
--- a/src/gossip_transport/transport.cpp
+++ b/src/gossip_transport/transport.cpp
@@ -45,7 +45,7 @@
     peer_addresses_.push_back(address);
     if (i != options.self) ids_by_address_.emplace(address_key(address), static_cast<gossip::MemberId>(i));
   }
-  open();
+  open_socket();
 }
 
 Transport::~Transport() {
@@ -53,7 +53,7 @@
   if (socket_ >= 0) close(socket_);
 }
 
-void Transport::open() {
+void Transport::open_socket() {
   socket_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (socket_ < 0 ||
       bind(socket_, reinterpret_cast<const sockaddr*>(&listen_address_), sizeof listen_address_) != 0) {
@@ -61,7 +61,7 @@
     if (socket_ >= 0) close(std::exchange(socket_, -1));
     if (!std::exchange(bind_failure_logged_, true))
       log::line("peers-no-address", {{"why", std::strerror(error)}});
-    timer_ = timers_.run_at(loop::now_ms() + kReopenDelayMs, [this] { open(); });
+    timer_ = timers_.run_at(loop::now_ms() + kReopenDelayMs, [this] { open_socket(); });
     return;
   }
   setsockopt(socket_, SOL_SOCKET, SO_RCVBUF, &kReceiveBufferBytes, sizeof kReceiveBufferBytes);
@@ -94,8 +94,8 @@
 bool Transport::receive() {
   std::array<char, membership::kMaxDatagramBytes + 1> bytes;
   const double now = loop::now_ms();
-  unsigned received = 0;
-  for (; received < kMaxReadsPerPoll; ++received) {
+  unsigned read_count = 0;
+  for (; read_count < kMaxReadsPerPoll; ++read_count) {
     sockaddr_in sender{};
     socklen_t sender_size = sizeof sender;
     const ssize_t received_bytes =
@@ -113,12 +113,12 @@
     node_.receive(now, peer->second, {bytes.data(), static_cast<std::size_t>(received_bytes)}, outgoing_);
   }
   send_outgoing();
-  if (!has_fresh_reports_ && received > 0) {
+  if (!has_fresh_reports_ && read_count > 0) {
     has_fresh_reports_ = node_.view(now).fresh_reports > 0;
     // A restarted router need not wait for the next round.
     if (has_fresh_reports_) callbacks_.on_update(node_, now);
   }
-  return received == kMaxReadsPerPoll;
+  return read_count == kMaxReadsPerPoll;
 }
 
 // Datagrams that the kernel does not accept are lost, like those lost in the network.
--- a/src/gossip_transport/transport.h
+++ b/src/gossip_transport/transport.h
@@ -50,7 +50,7 @@
   std::uint64_t unknown_datagrams() const { return unknown_datagrams_; }
 
  private:
-  void open();
+  void open_socket();
   void poll_socket();
   void schedule_poll(double now, bool more_pending);
   bool receive();
--- a/src/health/outlier_state.cpp
+++ b/src/health/outlier_state.cpp
@@ -5,7 +5,7 @@
 namespace fernward::health {
 namespace {
 
-constexpr int kEjectionFailureCount = 3;     // sum of weights of consecutive failures (record_failure())
+constexpr int kEjectionFailureThreshold = 3; // sum of weights of consecutive failures (record_failure())
 constexpr double kMinTrialBackoffFactor = 2; // multiple of the slow attempt threshold
 
 } // namespace
@@ -25,7 +25,7 @@
 bool OutlierState::record_failure(double now, int weight, bool exempt_from_ejection) {
   consecutive_failures_ += weight;
   if (weight > 0) last_failure_at_ = now;
-  if (ejected_ || consecutive_failures_ < kEjectionFailureCount || exempt_from_ejection) return false;
+  if (ejected_ || consecutive_failures_ < kEjectionFailureThreshold || exempt_from_ejection) return false;
   ejected_ = true;
   return true;
 }
--- a/src/hot_restart/restart_transport.cpp
+++ b/src/hot_restart/restart_transport.cpp
@@ -33,7 +33,7 @@
 }
 
 // Only a process of the same user may replace this one.
-bool is_same_user(int socket) {
+bool is_peer_same_user(int socket) {
   ucred peer{};
   socklen_t size = sizeof peer;
   return getsockopt(socket, SOL_SOCKET, SO_PEERCRED, &peer, &size) == 0 && peer.uid == geteuid();
@@ -244,7 +244,7 @@
     event_add(listener.resume_event_.get(), &kAcceptRetryDelay);
     return;
   }
-  if (!is_same_user(accepted.get())) {
+  if (!is_peer_same_user(accepted.get())) {
     return log::line("hot-restart-refused", {{"why", "peer process belongs to another user"}});
   }
   listener.on_connect_(std::move(accepted));
@@ -268,7 +268,7 @@
     if (errno != ENOENT && errno != ECONNREFUSED) error = std::strerror(errno);
     return {};
   }
-  if (!is_same_user(connection.get())) {
+  if (!is_peer_same_user(connection.get())) {
     error = "peer process belongs to another user";
     return {};
   }
@@ -279,8 +279,8 @@
 bool await_grant(InheritedState& inherited, double deadline_ms, std::string& error) {
   while (error.empty()) {
     const double remaining_ms = deadline_ms - loop::now_ms();
-    pollfd poll_fd{inherited.connection.get(), POLLIN, 0};
-    if (remaining_ms <= 0 || poll(&poll_fd, 1, static_cast<int>(remaining_ms) + 1) == 0) {
+    pollfd poll_entry{inherited.connection.get(), POLLIN, 0};
+    if (remaining_ms <= 0 || poll(&poll_entry, 1, static_cast<int>(remaining_ms) + 1) == 0) {
       error = "no takeover grant received in time";
       return false;
     }
--- a/src/idle_connections/idle_lifetime_estimator.cpp
+++ b/src/idle_connections/idle_lifetime_estimator.cpp
@@ -20,9 +20,10 @@
 
 constexpr double kHalfLifeMs = 60000;
 constexpr double kDecayIntervalMs = 1000;
-constexpr double kSameOutageMs = 20;   // resets this close together have one cause, such as a crashed process
-constexpr double kReestimateMs = 1000; // because the history decays
-constexpr double kOtherResetsDelayMs = 250; // until resets of other servers are considered
+constexpr double kSameOutageWindowMs =
+    20; // resets this close together have one cause, such as a crashed process
+constexpr double kReestimateIntervalMs = 1000; // because the history decays
+constexpr double kOtherResetsDelayMs = 250;    // until resets of other servers are considered
 constexpr double kMinTrialIntervalMs = 250;
 constexpr double kMaxTrialIntervalMs = 64000;
 
@@ -38,7 +39,7 @@
 constexpr double kJeffreys = 0.5;
 constexpr double kMaxLogRatio = 100;
 
-void count(float& increased, float& decreased, double memory_uses) {
+void count_use(float& increased, float& decreased, double memory_uses) {
   const auto retained_share = static_cast<float>(1 - 1 / memory_uses);
   increased = increased * retained_share + 1;
   decreased *= retained_share;
@@ -106,44 +107,44 @@
 // ---- Results ----
 
 void IdleLifetimeEstimator::on_first_use(double now, EndpointId endpoint, bool reset) {
-  Endpoint& own = find_or_add(now, endpoint);
+  Endpoint& own_endpoint = find_or_add(now, endpoint);
   for (auto [history, memory_uses] :
-       {std::pair(&own.history, kEndpointMemoryUses), {&fleet_history_, kFleetMemoryUses}}) {
+       {std::pair(&own_endpoint.history, kEndpointMemoryUses), {&fleet_history_, kFleetMemoryUses}}) {
     Counts& counts = history->first_uses;
-    reset ? count(counts.reset, counts.answered, memory_uses)
-          : count(counts.answered, counts.reset, memory_uses);
+    reset ? count_use(counts.reset, counts.answered, memory_uses)
+          : count_use(counts.answered, counts.reset, memory_uses);
   }
 }
 
 // An outage, such as a crashed process, resets all connections of a server and must count only once.
 // Also records the time of this reset.
 bool IdleLifetimeEstimator::is_same_outage(double now, Endpoint& endpoint) {
-  const bool same_outage = now - endpoint.reset_at < kSameOutageMs;
+  const bool same_outage = now - endpoint.reset_at < kSameOutageWindowMs;
   endpoint.reset_at = now;
   return same_outage;
 }
 
 void IdleLifetimeEstimator::on_reuse(double now, EndpointId endpoint, double idle_ms, bool trial,
                                      bool reset) {
-  Endpoint& own = find_or_add(now, endpoint);
+  Endpoint& own_endpoint = find_or_add(now, endpoint);
   if (trial) {
     trial_interval_ms_ =
         std::clamp(trial_interval_ms_ * (reset ? 2 : 0.5), kMinTrialIntervalMs, kMaxTrialIntervalMs);
     next_trial_at_ = now + trial_interval_ms_;
   }
-  if (reset && is_same_outage(now, own)) return;
+  if (reset && is_same_outage(now, own_endpoint)) return;
   const std::size_t bucket = bucket_of(idle_ms);
   for (auto [history, memory_uses] :
-       {std::pair(&own.history, kEndpointMemoryUses), {&fleet_history_, kFleetMemoryUses}}) {
+       {std::pair(&own_endpoint.history, kEndpointMemoryUses), {&fleet_history_, kFleetMemoryUses}}) {
     Counts& counts = history->reuses[bucket];
-    reset ? count(counts.reset, counts.answered, memory_uses)
-          : count(counts.answered, counts.reset, memory_uses);
+    reset ? count_use(counts.reset, counts.answered, memory_uses)
+          : count_use(counts.answered, counts.reset, memory_uses);
   }
   if (reset) {
     next_trial_at_ = std::max(next_trial_at_, now + trial_interval_ms_);
     ++reset_version_;
   }
-  if (reset || trial) own.estimated_at = kLongAgo;
+  if (reset || trial) own_endpoint.estimated_at = kLongAgo;
 }
 
 // ---- Estimates ----
@@ -151,10 +152,10 @@
 IdleLifetimeEstimator::Endpoint& IdleLifetimeEstimator::find_with_estimate(double now, EndpointId id) {
   Endpoint& endpoint = find_or_add(now, id);
   const double age_ms = now - endpoint.estimated_at;
-  const bool other_resets = endpoint.reset_version != reset_version_ && age_ms >= kOtherResetsDelayMs;
-  const bool decayed = endpoint.safe_ms < max_idle_ms_ && age_ms >= kReestimateMs;
-  if (!other_resets && !decayed) return endpoint;
-  if (fleet_reset_version_ != reset_version_ || now - fleet_estimated_at_ >= kReestimateMs) {
+  const bool other_servers_reset = endpoint.reset_version != reset_version_ && age_ms >= kOtherResetsDelayMs;
+  const bool history_decayed = endpoint.safe_idle_ms < max_idle_ms_ && age_ms >= kReestimateIntervalMs;
+  if (!other_servers_reset && !history_decayed) return endpoint;
+  if (fleet_reset_version_ != reset_version_ || now - fleet_estimated_at_ >= kReestimateIntervalMs) {
     fleet_reset_version_ = reset_version_;
     fleet_estimated_at_ = now;
     const Counts& first_uses = fleet_history_.first_uses;
@@ -184,7 +185,8 @@
   const double prior_answered = kPriorUses * (1 - baseline_reset_share);
   const double prior_norm = log_beta(prior_resets, prior_answered);
   const double jeffreys_norm = log_beta(kJeffreys, kJeffreys);
-  const double no_change = log_beta(prior_resets + after.reset, prior_answered + after.answered) - prior_norm;
+  const double log_no_change_likelihood =
+      log_beta(prior_resets + after.reset, prior_answered + after.answered) - prior_norm;
   const double uniform = kChangeProbability / static_cast<double>(bucket_count_);
   double probability_sum = 1 - kChangeProbability;
   if (fleet_prior != nullptr) {
@@ -197,15 +199,15 @@
     const double prior = fleet_prior == nullptr ? uniform
                                                 : (1 - kLikeFleetProbability) * uniform +
                                                       kLikeFleetProbability * fleet_prior->probability[i];
-    const double change_here = log_beta(prior_resets + before.reset, prior_answered + before.answered) -
-                               prior_norm + log_beta(kJeffreys + after.reset, kJeffreys + after.answered) -
-                               jeffreys_norm;
-    change.probability[i] =
-        prior * std::exp(std::clamp(change_here - no_change, -kMaxLogRatio, kMaxLogRatio));
+    const double log_change_likelihood =
+        log_beta(prior_resets + before.reset, prior_answered + before.answered) - prior_norm +
+        log_beta(kJeffreys + after.reset, kJeffreys + after.answered) - jeffreys_norm;
+    change.probability[i] = prior * std::exp(std::clamp(log_change_likelihood - log_no_change_likelihood,
+                                                        -kMaxLogRatio, kMaxLogRatio));
     probability_sum += change.probability[i];
-    const double resets_after = (after.reset + 0.5) / (after.answered + after.reset + 1);
+    const double reset_share_after = (after.reset + 0.5) / (after.answered + after.reset + 1);
     change.excess_reset_share[i] =
-        std::max(0.0, resets_after - reset_share(before.answered, before.reset, baseline_reset_share));
+        std::max(0.0, reset_share_after - reset_share(before.answered, before.reset, baseline_reset_share));
     before.answered += history.reuses[i].answered;
     before.reset += history.reuses[i].reset;
     after.answered = std::max(0.0f, after.answered - history.reuses[i].answered);
@@ -216,28 +218,30 @@
 
 // Safe up to the bucket at which the sum of probability * excess_reset_share exceeds kMaxExcessResetShare.
 void IdleLifetimeEstimator::update_estimate(Endpoint& endpoint) {
-  const Counts& fleet = fleet_history_.first_uses;
-  const Counts& own = endpoint.history.first_uses;
-  const double fleet_resets = reset_share(fleet.answered, fleet.reset, kPriorResetShare);
+  const Counts& fleet_first_uses = fleet_history_.first_uses;
+  const Counts& own_first_uses = endpoint.history.first_uses;
+  const double fleet_reset_share =
+      reset_share(fleet_first_uses.answered, fleet_first_uses.reset, kPriorResetShare);
   ChangePoint change;
-  estimate_change_point(change, endpoint.history, reset_share(own.answered, own.reset, fleet_resets),
+  estimate_change_point(change, endpoint.history,
+                        reset_share(own_first_uses.answered, own_first_uses.reset, fleet_reset_share),
                         &fleet_change_);
   std::size_t safe_bucket = 0;
   if (change.probability[0] * change.excess_reset_share[0] <= kKeepNoneExcessShare) {
     // The first bucket is not counted: if resets follow the shortest idle times, no shorter limit helps.
-    double excess = 0;
+    double excess_reset_share_sum = 0;
     for (safe_bucket = 1; safe_bucket < bucket_count_; ++safe_bucket) {
-      excess += change.probability[safe_bucket] * change.excess_reset_share[safe_bucket];
-      if (!(excess <= kMaxExcessResetShare)) break;
+      excess_reset_share_sum += change.probability[safe_bucket] * change.excess_reset_share[safe_bucket];
+      if (!(excess_reset_share_sum <= kMaxExcessResetShare)) break;
     }
   }
   const std::size_t keep_bucket = safe_bucket + kTrialBuckets;
-  endpoint.safe_ms = safe_bucket < bucket_count_ ? bucket_begin_ms(safe_bucket) : max_idle_ms_;
+  endpoint.safe_idle_ms = safe_bucket < bucket_count_ ? bucket_begin_ms(safe_bucket) : max_idle_ms_;
   endpoint.max_keep_ms = keep_bucket < bucket_count_ ? bucket_begin_ms(keep_bucket) : max_idle_ms_;
 }
 
 double IdleLifetimeEstimator::safe_idle_ms(double now, EndpointId endpoint) {
-  return find_with_estimate(now, endpoint).safe_ms;
+  return find_with_estimate(now, endpoint).safe_idle_ms;
 }
 
 double IdleLifetimeEstimator::max_keep_ms(double now, EndpointId endpoint) {
@@ -247,10 +251,10 @@
 IdleLifetimeEstimator::Reuse IdleLifetimeEstimator::decide_reuse(double now, EndpointId endpoint,
                                                                  double idle_ms) {
   const Endpoint& estimate = find_with_estimate(now, endpoint);
-  if (idle_ms < estimate.safe_ms) return Reuse::Allowed;
+  if (idle_ms < estimate.safe_idle_ms) return Reuse::Allowed;
   // Trials start with servers that had no reset at that idle time themselves.
   const bool server_responsible =
-      estimate.history.reuses[bucket_of(estimate.safe_ms)].reset > kResponsibleResets;
+      estimate.history.reuses[bucket_of(estimate.safe_idle_ms)].reset > kResponsibleResets;
   const double trial_at = next_trial_at_ + (server_responsible ? trial_interval_ms_ : 0);
   if (idle_ms >= estimate.max_keep_ms || now < trial_at) return Reuse::Refused;
   next_trial_at_ = now + trial_interval_ms_;
--- a/src/idle_connections/idle_lifetime_estimator.h
+++ b/src/idle_connections/idle_lifetime_estimator.h
@@ -58,7 +58,7 @@
   struct Endpoint {
     History history;
     double reset_at = kLongAgo;
-    double safe_ms = 0;
+    double safe_idle_ms = 0;
     double max_keep_ms = 0;
     double estimated_at = kLongAgo;
     std::uint64_t reset_version = 0; // reset_version_ at the time of the estimate
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kMaxValueBytes = 400;
 
 struct TokenBucket {
-  double per_second = 100;
+  double tokens_per_s = 100;
   double burst = 300;
   double tokens = 300;
   std::chrono::steady_clock::time_point refilled_at = std::chrono::steady_clock::now();
@@ -23,7 +23,8 @@
 
   bool try_take(double reserved_tokens) {
     const auto now = std::chrono::steady_clock::now();
-    tokens = std::min(burst, tokens + per_second * std::chrono::duration<double>(now - refilled_at).count());
+    tokens =
+        std::min(burst, tokens + tokens_per_s * std::chrono::duration<double>(now - refilled_at).count());
     refilled_at = now;
     if (tokens < 1 + reserved_tokens) {
       count_drop();
@@ -40,7 +41,7 @@
 
 TokenBucket bucket;
 bool json_format = false;
-bool routine_enabled = true;
+bool routine_lines_enabled = true;
 
 bool needs_no_quotes(std::string_view text) {
   return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
@@ -118,17 +119,17 @@
 }
 
 void routine_line(std::string_view event, Fields fields) {
-  if (routine_enabled) write_line(bucket.burst / 4, event, fields.begin(), fields.size());
+  if (routine_lines_enabled) write_line(bucket.burst / 4, event, fields.begin(), fields.size());
 }
 
-void set_rate_limit(double per_second, double burst) {
-  bucket.per_second = per_second;
-  bucket.burst = burst;
-  bucket.tokens = burst;
+void set_rate_limit(double lines_per_s, double burst_lines) {
+  bucket.tokens_per_s = lines_per_s;
+  bucket.burst = burst_lines;
+  bucket.tokens = burst_lines;
 }
 
 void set_json_format(bool enabled) { json_format = enabled; }
-void enable_routine_lines(bool enabled) { routine_enabled = enabled; }
+void enable_routine_lines(bool enabled) { routine_lines_enabled = enabled; }
 
 std::uint64_t dropped_lines() { return bucket.dropped_count; }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -40,7 +40,7 @@
 void line(std::string_view event, const Field* fields, std::size_t count);
 
 // Sets the rate limit (a token bucket): the sustained rate, and the number of lines in a burst.
-void set_rate_limit(double per_second, double burst);
+void set_rate_limit(double lines_per_s, double burst_lines);
 void set_json_format(bool enabled);      // true: JSON; false: key=value
 void enable_routine_lines(bool enabled); // false: routine_line() writes nothing
 
--- a/src/loop/buffer.cpp
+++ b/src/loop/buffer.cpp
@@ -96,8 +96,8 @@
 }
 
 std::size_t Buffer::read(char* destination, std::size_t max_bytes) {
-  const int taken = chain_ == nullptr ? 0 : evbuffer_remove(chain_.get(), destination, max_bytes);
-  return taken > 0 ? static_cast<std::size_t>(taken) : 0;
+  const int read_bytes = chain_ == nullptr ? 0 : evbuffer_remove(chain_.get(), destination, max_bytes);
+  return read_bytes > 0 ? static_cast<std::size_t>(read_bytes) : 0;
 }
 
 std::string Buffer::text() const {
@@ -210,9 +210,9 @@
 std::size_t write_or_enqueue(bufferevent* to, std::string_view text) {
   const iovec part = iovec_of(text);
   std::size_t written = text.empty() ? 0 : write_now(to, &part, 1);
-  const std::string_view rest = unwritten(text, written);
-  enqueue(to, rest);
-  return rest.size();
+  const std::string_view unwritten_text = unwritten(text, written);
+  enqueue(to, unwritten_text);
+  return unwritten_text.size();
 }
 
 std::size_t write_or_enqueue(bufferevent* to, std::string_view head, Buffer&& body) {
@@ -237,12 +237,12 @@
   const iovec parts[3] = {iovec_of(prefix), iovec_of(body), iovec_of(suffix)};
   std::size_t written = write_now(to, parts, 3);
   enqueue(to, unwritten(prefix, written));
-  const std::string_view rest = unwritten(body, written);
+  const std::string_view unwritten_text = unwritten(body, written);
   Buffer queued;
-  queued.append(rest, io_buffer);
+  queued.append(unwritten_text, io_buffer);
   queued.move_to(bufferevent_get_output(to));
   enqueue(to, unwritten(suffix, written));
-  return rest.size();
+  return unwritten_text.size();
 }
 
 } // namespace fernward::loop
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -22,24 +22,24 @@
 
 } // namespace
 
-Membership::Membership(MemberId self, std::size_t count, std::uint32_t incarnation, const Settings& settings,
-                       std::uint64_t seed)
+Membership::Membership(MemberId self, std::size_t router_count, std::uint32_t incarnation,
+                       const Settings& settings, std::uint64_t seed)
     : self_(self),
       settings_(settings),
       random_{mix_bits(seed ^ 0x6d656d62)},
       stamp_{incarnation, 0},
       report_stamp_{incarnation, 0},
-      members_(count),
-      alive_count_(count) {
-  for (std::size_t i = 0; i < count; ++i) {
+      members_(router_count),
+      alive_count_(router_count) {
+  for (std::size_t i = 0; i < router_count; ++i) {
     if (i != self_) ping_order_.push_back(static_cast<MemberId>(i));
   }
-  next_in_order_ = ping_order_.size(); // shuffled at the first ping
+  next_ping_index_ = ping_order_.size(); // shuffled at the first ping
 }
 
 // The rate of false suspicions grows with the tier, but the space for updates in datagrams does not: a larger
 // tier therefore sends one more ping before a suspicion.
-double Membership::probe_periods() const { return members_.size() > kSmallTierMembers ? 4 : 3; }
+double Membership::periods_until_suspicion() const { return members_.size() > kSmallTierMembers ? 4 : 3; }
 
 double Membership::max_transmissions() const {
   return 3 * std::ceil(std::log2(static_cast<double>(members_.size()) + 1));
@@ -54,51 +54,51 @@
 }
 
 Packet Membership::make_packet(MemberId to, MessageKind kind, std::uint16_t round, MemberId subject) {
-  Packet result{to, {}};
-  result.datagram.kind = kind;
-  result.datagram.from = self_;
-  result.datagram.subject = subject;
-  result.datagram.stamp = stamp_;
-  result.datagram.round = round;
+  Packet packet{to, {}};
+  packet.datagram.kind = kind;
+  packet.datagram.from = self_;
+  packet.datagram.subject = subject;
+  packet.datagram.stamp = stamp_;
+  packet.datagram.round = round;
   // A suspect is notified first: only its own later stamp refutes the suspicion.
   if (members_[to].state == State::Suspect || members_[to].state == State::Dead) {
-    result.datagram.updates.push_back({to, MemberState::Suspect, members_[to].stamp, self_});
+    packet.datagram.updates.push_back({to, MemberState::Suspect, members_[to].stamp, self_});
   }
   std::size_t remaining = std::min(kMaxUpdatesPerDatagram, broadcasts_.size());
   for (; remaining > 0; --remaining) { // least sent first; each goes behind those sent as often
-    Broadcast broadcast_entry = broadcasts_.front();
+    Broadcast next_broadcast = broadcasts_.front();
     broadcasts_.pop_front();
-    result.datagram.updates.push_back(broadcast_entry.update);
-    if (++broadcast_entry.transmissions >= max_transmissions()) continue;
+    packet.datagram.updates.push_back(next_broadcast.update);
+    if (++next_broadcast.transmissions >= max_transmissions()) continue;
     const auto insert_before = std::find_if(
         broadcasts_.begin(), broadcasts_.end(),
-        [&](const Broadcast& other) { return other.transmissions > broadcast_entry.transmissions; });
-    broadcasts_.insert(insert_before, broadcast_entry);
+        [&](const Broadcast& other) { return other.transmissions > next_broadcast.transmissions; });
+    broadcasts_.insert(insert_before, next_broadcast);
   }
-  return result;
+  return packet;
 }
 
-void Membership::send_ping(double now, MemberId target, std::vector<Packet>& out) {
+void Membership::send_ping(double now, MemberId target, std::vector<Packet>& packets) {
   if (pending_pings_.size() >= kMaxPendingPings) pending_pings_.erase(pending_pings_.begin());
   PendingPing pending;
   pending.target = target;
   pending.round = ++last_round_;
   pending.sent_at = now;
   pending_pings_.push_back(pending);
-  out.push_back(make_packet(target, MessageKind::Ping, pending.round, target));
+  packets.push_back(make_packet(target, MessageKind::Ping, pending.round, target));
 }
 
 MemberId Membership::next_target() {
   const bool include_dead = ++period_count_ % kDeadPingInterval == 0;
   for (std::size_t draws = 0; draws < 2 * ping_order_.size(); ++draws) {
-    if (next_in_order_ >= ping_order_.size()) {
-      next_in_order_ = 0;
+    if (next_ping_index_ >= ping_order_.size()) {
+      next_ping_index_ = 0;
       for (std::size_t i = ping_order_.size(); i > 1; --i) {
         std::swap(ping_order_[i - 1],
                   ping_order_[static_cast<std::size_t>(random_.next_unit() * static_cast<double>(i))]);
       }
     }
-    const MemberId candidate = ping_order_[next_in_order_++];
+    const MemberId candidate = ping_order_[next_ping_index_++];
     const State state = members_[candidate].state;
     if (state < State::Dead || (include_dead && random_.next_unit() < 0.5)) return candidate;
   }
@@ -114,7 +114,7 @@
   return self_;
 }
 
-void Membership::tick(double now, std::vector<Packet>& out) {
+void Membership::tick(double now, std::vector<Packet>& packets) {
   next_tick_at_ = now + settings_.period_ms * (0.9 + 0.2 * random_.next_unit());
   if (left_ || ping_order_.empty()) return;
   if (++report_stamp_.sequence == 0) stamp_ = {++report_stamp_.incarnation, 0};
@@ -132,13 +132,13 @@
     if (pending.for_requester) {
       if (!pending.answered && elapsed_ms >= 0.8 * settings_.period_ms && !pending.indirect_sent) {
         pending.indirect_sent = true; // the nack is sent
-        out.push_back(
+        packets.push_back(
             make_packet(pending.requester, MessageKind::Nack, pending.requester_round, pending.target));
       }
       continue;
     }
     if (pending.answered || elapsed_ms < 0.9 * probe_timeout_ms()) continue;
-    if (pending.indirect_sent && elapsed_ms >= (probe_periods() - 0.1) * probe_timeout_ms()) {
+    if (pending.indirect_sent && elapsed_ms >= (periods_until_suspicion() - 0.1) * probe_timeout_ms()) {
       pending.answered = true; // handled
       if (pending.nacks < pending.expected_nacks)
         health_penalty_ = std::min(kMaxHealthPenalty, health_penalty_ + 1);
@@ -148,27 +148,27 @@
     // Repeated at each tick until then: with a fifth of the datagrams lost, one ping and three ping requests
     // fail for one live member in thirteen, and the updates about these members and their recovery exceed
     // by far what all datagrams can carry.
-    out.push_back(make_packet(pending.target, MessageKind::Ping, pending.round, pending.target));
+    packets.push_back(make_packet(pending.target, MessageKind::Ping, pending.round, pending.target));
     for (std::uint32_t helper_index = 0; helper_index < settings_.indirect_pings; ++helper_index) {
       const MemberId helper = random_alive(pending.target);
       if (helper == self_) continue;
       pending.expected_nacks += !pending.indirect_sent;
-      out.push_back(make_packet(helper, MessageKind::PingRequest, pending.round, pending.target));
+      packets.push_back(make_packet(helper, MessageKind::PingRequest, pending.round, pending.target));
     }
     pending.indirect_sent = true;
   }
   std::erase_if(pending_pings_, [&](const PendingPing& r) {
-    return r.answered || now - r.sent_at > (probe_periods() + 1) * probe_timeout_ms();
+    return r.answered || now - r.sent_at > (periods_until_suspicion() + 1) * probe_timeout_ms();
   });
   for (std::size_t i = 0; i < members_.size(); ++i) {
     if (members_[i].state != State::Suspect || now < members_[i].dead_at) continue;
     set_state(static_cast<MemberId>(i), State::Dead);
     broadcast({static_cast<MemberId>(i), MemberState::Dead, members_[i].stamp, self_});
   }
-  send_ping(now, next_target(), out);
+  send_ping(now, next_target(), packets);
 }
 
-void Membership::leave(std::vector<Packet>& out) {
+void Membership::leave(std::vector<Packet>& packets) {
   if (left_ || ping_order_.empty()) return;
   left_ = true;
   advance_past(stamp_);
@@ -176,9 +176,9 @@
   for (std::uint32_t recipient_index = 0; recipient_index < settings_.indirect_pings; ++recipient_index) {
     const MemberId recipient = random_alive(self_);
     if (recipient == self_) continue;
-    Packet farewell = make_packet(recipient, MessageKind::Ping, 0, recipient);
-    farewell.datagram.updates.insert(farewell.datagram.updates.begin(), update);
-    out.push_back(std::move(farewell));
+    Packet leave_packet = make_packet(recipient, MessageKind::Ping, 0, recipient);
+    leave_packet.datagram.updates.insert(leave_packet.datagram.updates.begin(), update);
+    packets.push_back(std::move(leave_packet));
   }
 }
 
@@ -297,7 +297,7 @@
     broadcast({member, MemberState::Alive, members_[member].stamp, self_});
 }
 
-bool Membership::receive(double now, MemberId from, const Datagram& datagram, std::vector<Packet>& out) {
+bool Membership::receive(double now, MemberId from, const Datagram& datagram, std::vector<Packet>& packets) {
   if (from >= members_.size() || from == self_ || datagram.from != from ||
       datagram.subject >= members_.size() || datagram.stamp.incarnation < members_[from].direct_incarnation) {
     ++ignored_; // of another router, or of the previous process
@@ -326,14 +326,14 @@
   switch (datagram.kind) {
     case MessageKind::Ping:
       if (datagram.round == 0) break;
-      out.push_back(make_packet(from, MessageKind::Ack, datagram.round, self_));
+      packets.push_back(make_packet(from, MessageKind::Ack, datagram.round, self_));
       if (was_suspected && sender.state == State::Alive)
-        out.back().datagram.updates.insert(out.back().datagram.updates.begin(),
-                                           {from, MemberState::Suspect, sender.stamp, self_});
+        packets.back().datagram.updates.insert(packets.back().datagram.updates.begin(),
+                                               {from, MemberState::Suspect, sender.stamp, self_});
       break;
     case MessageKind::PingRequest: {
       if (datagram.subject == self_ || pending_pings_.size() >= kMaxPendingPings) break;
-      send_ping(now, datagram.subject, out);
+      send_ping(now, datagram.subject, packets);
       PendingPing& probe = pending_pings_.back();
       probe.for_requester = true;
       probe.requester = from;
@@ -349,7 +349,7 @@
         const Member& entry = members_[pending->target];
         ack.datagram.updates.insert(ack.datagram.updates.begin(),
                                     {pending->target, MemberState::Alive, entry.stamp, self_});
-        out.push_back(std::move(ack));
+        packets.push_back(std::move(ack));
       } else if (datagram.from == pending->target) {
         health_penalty_ = std::max(0.0, health_penalty_ - 1);
       }
