--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -45,21 +45,21 @@
 class Membership {
  public:
   // `count`: routers in the tier; `self`: this router's number; `incarnation`: greater than any previous one.
-  Membership(MemberId self, std::size_t count, std::uint32_t incarnation, const Settings& settings,
+  Membership(MemberId self, std::size_t router_count, std::uint32_t incarnation, const Settings& settings,
              std::uint64_t seed);
 
   // To be called at next_tick_at() or later. Appends the datagrams to be sent.
-  void tick(double now, std::vector<Packet>& out);
+  void tick(double now, std::vector<Packet>& packets);
   double next_tick_at() const { return next_tick_at_; }
   // Processes a datagram; `from`: the member that its source address belongs to. Returns false if all of it
   // was ignored.
-  bool receive(double now, MemberId from, const Datagram& datagram, std::vector<Packet>& out);
+  bool receive(double now, MemberId from, const Datagram& datagram, std::vector<Packet>& packets);
   // Called for each new report of the process with this incarnation. A report of a later process than known
   // shows that the member is alive; one of the same process shows nothing, as it may predate a suspicion.
   void record_alive(MemberId member, std::uint32_t incarnation);
-  void leave(std::vector<Packet>& out); // notifies some members; sends nothing afterwards
+  void leave(std::vector<Packet>& packets); // notifies some members; sends nothing afterwards
 
-  bool alive(MemberId member) const { return member == self_ || members_[member].state <= State::Suspect; }
+  bool is_alive(MemberId member) const { return member == self_ || members_[member].state <= State::Suspect; }
   std::size_t alive_count() const { return alive_count_; } // this one included
   Stamp stamp() const { return stamp_; }                   // increases to refute a suspicion or to leave
   Stamp report_stamp() const { return report_stamp_; } // stamp of its gossip reports: increases at each tick
@@ -102,12 +102,12 @@
   double min_suspicion_ms() const;
   void receive(double now, const MemberUpdate& update);
   Packet make_packet(MemberId to, MessageKind kind, std::uint16_t round, MemberId subject);
-  void send_ping(double now, MemberId target, std::vector<Packet>& out);
+  void send_ping(double now, MemberId target, std::vector<Packet>& packets);
   MemberId next_target();
   MemberId random_alive(MemberId excluded);
   double probe_timeout_ms() const { return settings_.period_ms * (1 + health_penalty_); }
   double max_transmissions() const;
-  double probe_periods() const; // from a ping to a suspicion, in periods
+  double periods_until_suspicion() const; // from a ping to a suspicion, in periods
 
   MemberId self_;
   Settings settings_;
@@ -115,7 +115,7 @@
   Stamp stamp_, report_stamp_;
   std::vector<Member> members_;
   std::vector<MemberId> ping_order_; // all other members, shuffled before each pass
-  std::size_t next_in_order_ = 0, period_count_ = 0;
+  std::size_t next_ping_index_ = 0, period_count_ = 0;
   std::vector<PendingPing> pending_pings_;
   std::deque<Broadcast> broadcasts_;
   std::uint16_t last_round_ = 0;
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -14,7 +14,7 @@
 
 } // namespace
 
-std::size_t payload_room(const Datagram& datagram) {
+std::size_t max_payload_bytes(const Datagram& datagram) {
   return kMaxDatagramBytes - kHeaderBytes - kChecksumBytes -
          std::min(datagram.updates.size(), kMaxUpdates) * kUpdateBytes;
 }
@@ -41,7 +41,7 @@
     put(bytes, update.reporter);
     put(bytes, std::uint16_t{0});
   }
-  if (datagram.payload.size() <= payload_room(datagram)) bytes += datagram.payload;
+  if (datagram.payload.size() <= max_payload_bytes(datagram)) bytes += datagram.payload;
   put(bytes, static_cast<std::uint32_t>(XXH32(bytes.data(), bytes.size(), 0)));
   return bytes;
 }
--- a/src/membership/wire.h
+++ b/src/membership/wire.h
@@ -60,8 +60,8 @@
   std::string payload;
 };
 
-std::size_t payload_room(const Datagram& datagram); // after its updates
-std::string encode(const Datagram& datagram);       // omits updates and a payload that don't fit
+std::size_t max_payload_bytes(const Datagram& datagram); // after its updates
+std::string encode(const Datagram& datagram);            // omits updates and a payload that don't fit
 std::optional<Datagram> decode(std::string_view bytes);
 
 // Little-endian integers, used for all fields of a datagram.
--- a/src/memcache/big_endian.h
+++ b/src/memcache/big_endian.h
@@ -6,9 +6,9 @@
 
 namespace fernward::memcache {
 
-inline std::uint64_t read_big_endian(const char* data, int bytes) {
+inline std::uint64_t read_big_endian(const char* data, int byte_count) {
   std::uint64_t value = 0;
-  for (int i = 0; i < bytes; ++i) value = value << 8 | static_cast<unsigned char>(data[i]);
+  for (int i = 0; i < byte_count; ++i) value = value << 8 | static_cast<unsigned char>(data[i]);
   return value;
 }
 inline std::uint16_t read_uint16(const char* data) {
@@ -19,8 +19,8 @@
 }
 inline std::uint64_t read_uint64(const char* data) { return read_big_endian(data, 8); }
 
-inline void append_big_endian(std::string& output, std::uint64_t value, int bytes) {
-  for (int i = bytes - 1; i >= 0; --i) output.push_back(static_cast<char>(value >> (8 * i) & 0xff));
+inline void append_big_endian(std::string& output, std::uint64_t value, int byte_count) {
+  for (int i = byte_count - 1; i >= 0; --i) output.push_back(static_cast<char>(value >> (8 * i) & 0xff));
 }
 
 } // namespace fernward::memcache
--- a/src/placement/fill_rate_limiter.cpp
+++ b/src/placement/fill_rate_limiter.cpp
@@ -68,12 +68,12 @@
     steady_fetches_.add(now, kSteadyWindowMs, 0); // both rates must cover the same time
     return steady_reads_.add(now, kSteadyWindowMs);
   }
-  steady_reads_.skip_interval(now);
-  steady_fetches_.skip_interval(now);
+  steady_reads_.skip_until(now);
+  steady_fetches_.skip_until(now);
 }
 
 void FillRateLimiter::on_fetch(double now) {
-  updates_steady_rate(now) ? steady_fetches_.add(now, kSteadyWindowMs) : steady_fetches_.skip_interval(now);
+  updates_steady_rate(now) ? steady_fetches_.add(now, kSteadyWindowMs) : steady_fetches_.skip_until(now);
   recent_fetches_.add(now, kRecentWindowMs);
   settling_fetches_.add(now, kSettlingWindowMs);
   if (!is_active(now)) return;
--- a/src/placement/fill_rate_limiter.h
+++ b/src/placement/fill_rate_limiter.h
@@ -26,7 +26,7 @@
     decay(now, window_ms);
     count_ += count;
   }
-  void skip_interval(double now) { updated_at_ = now; } // the time since the last call does not count
+  void skip_until(double now) { updated_at_ = now; } // the time since the last call does not count
   double per_ms(double now, double window_ms) const;
 
  private:
--- a/src/placement/key_location_cache.h
+++ b/src/placement/key_location_cache.h
@@ -22,7 +22,7 @@
   };
 
  public:
-  explicit KeyLocationCache(std::size_t size) : slots_(size) {}
+  explicit KeyLocationCache(std::size_t slot_count) : slots_(slot_count) {}
 
   bool holds(std::uint64_t key, ServerId id) const {
     const Slot& slot = slot_of(key);
--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -5,7 +5,7 @@
 // No previous ring is stored: consistent hashing moves a key only to a cache that has joined, so a walk of
 // the current ring that skips the recently joined caches finds the former owner of the key.
 //
-// `Members` is a map from id to Member. `Member` has `Server entry` and `RingWeight ring_weight`. A
+// `Members` is a map from id to Member. `Member` has `Server entry` and `RingMemberState ring_state`. A
 // member is removed only after an update_members() in which it was Gone and listed as changed.
 //
 //  - Units: milliseconds on the caller's clock, which only advances.
@@ -56,8 +56,8 @@
         weight_sum_ > 0 ? std::exp2(std::round(std::log2(weight_sum_ / weighted_member_count_))) : 1;
     ring_.reserve(static_cast<std::size_t>(kPointsPerMember * weighted_member_count_));
     const auto place_member = [&](ServerId id, Member& member) {
-      const double weight = weighted ? std::clamp(member.ring_weight.weight / typical_weight, 0.25, 4.0) : 1;
-      ring_.place(id, member, member.ring_weight.weight > 0 ? std::lround(kPointsPerMember * weight) : 0);
+      const double weight = weighted ? std::clamp(member.ring_state.weight / typical_weight, 0.25, 4.0) : 1;
+      ring_.place(id, member, member.ring_state.weight > 0 ? std::lround(kPointsPerMember * weight) : 0);
     };
     if (weighted && std::exchange(typical_weight_, typical_weight) != typical_weight) {
       for (auto& [id, member] : members) place_member(id, member);
@@ -80,23 +80,24 @@
   template <typename Usable>
   Choice candidates(double now, std::uint64_t key, Usable usable) {
     Choice choice;
-    std::size_t visited = 0, settled_members = 0;
+    std::size_t visited_count = 0, settled_member_count = 0;
     std::array<Member*, kCandidates> former_candidates{};
     std::size_t former_candidate_count = 0;
     ring_.walk(key, [&](Member& member) {
       if (!usable(member)) return true;
-      const bool candidate = choice.size < kCandidates;
-      if (candidate) choice.replicas[choice.size++] = &member;
+      const bool is_candidate = choice.size < kCandidates;
+      if (is_candidate) choice.replicas[choice.size++] = &member;
       if (!enabled()) return choice.size < kCandidates;
       const bool is_new = joined_recently(now, key, member);
-      if (choice.size == 1 && candidate)
+      if (choice.size == 1 && is_candidate)
         choice.moving = is_new && !key_locations_.holds(key, member.entry.id);
       if (!is_new) {
-        if (settled_members++ == 0 && choice.moving) choice.former_owner = &member;
-        if (!candidate && (&member == choice.former_owner || key_locations_.holds(key, member.entry.id)))
+        if (settled_member_count++ == 0 && choice.moving) choice.former_owner = &member;
+        if (!is_candidate && (&member == choice.former_owner || key_locations_.holds(key, member.entry.id)))
           former_candidates[former_candidate_count++] = &member;
       }
-      return choice.size < kCandidates || (settled_members < kCandidates && ++visited < kMaxVisited);
+      return choice.size < kCandidates ||
+             (settled_member_count < kCandidates && ++visited_count < kMaxVisitedMembers);
     });
     for (std::size_t i = 0; i < former_candidate_count; ++i)
       choice.replicas[choice.size++] = former_candidates[i];
@@ -162,17 +163,17 @@
   template <typename Usable>
   Member* choose_additional_store(double now, std::uint64_t key, std::size_t miss_count, Usable usable) {
     if (!enabled() || key == 0 || miss_count >= kMaxStores) return nullptr;
-    Member* chosen_member = nullptr;
+    Member* chosen = nullptr;
     std::size_t position = 0;
     ring_.walk(key, [&](Member& member) {
       if (member.entry.state != ServerState::Ready) return true;
       const bool is_new_owner = position == 0 && joined_recently(now, key, member);
       const bool is_second_replica =
           position <= 1 && hot_keys_.is_in_top_share(HotKeyTracker::Configured, key);
-      if ((is_new_owner || is_second_replica) && usable(member)) chosen_member = &member;
-      return chosen_member == nullptr && ++position < 2;
+      if ((is_new_owner || is_second_replica) && usable(member)) chosen = &member;
+      return chosen == nullptr && ++position < 2;
     });
-    return chosen_member;
+    return chosen;
   }
 
   // ---- Events ----
@@ -193,7 +194,7 @@
  private:
   static constexpr double kPointsPerMember = 64;         // ring points of a cache of typical weight
   static constexpr std::size_t kKeyLocationSlots = 8192; // keys whose locations are remembered
-  static constexpr std::size_t kMaxVisited = 64;         // members visited in search of a former owner
+  static constexpr std::size_t kMaxVisitedMembers = 64;  // members visited in search of a former owner
   static constexpr std::size_t kMaxStores = 2; // highest number of caches that store a fetched value
   static constexpr std::size_t kMaxDeparted = 4096;
 
@@ -203,7 +204,7 @@
   // would be fetched from the origin at once.
   bool joined_recently(double now, std::uint64_t key, const Member& member) const {
     const double transition_share = 0.5 + 0.5 * Random{key ^ 0x6d6f7665}.next_unit();
-    return now < member.ring_weight.joined_at + transition_share * settings_.transition_ms;
+    return now < member.ring_state.joined_at + transition_share * settings_.transition_ms;
   }
 
   // Updates the member's weight in the sum. True: its previous weight was more than the remaining sum, which
@@ -211,15 +212,15 @@
   template <typename OnRing>
   bool update_weight(Member& member, OnRing on_ring) {
     const double previous_weight =
-        std::exchange(member.ring_weight.weight, on_ring(member) ? member.entry.weight : 0);
-    weight_sum_ += member.ring_weight.weight - previous_weight;
-    weighted_member_count_ += (member.ring_weight.weight > 0) - (previous_weight > 0);
+        std::exchange(member.ring_state.weight, on_ring(member) ? member.entry.weight : 0);
+    weight_sum_ += member.ring_state.weight - previous_weight;
+    weighted_member_count_ += (member.ring_state.weight > 0) - (previous_weight > 0);
     return previous_weight > weight_sum_;
   }
   template <typename Members>
   void recompute_weight_sum(Members& members) {
     weight_sum_ = 0;
-    for (const auto& [id, member] : members) weight_sum_ += member.ring_weight.weight;
+    for (const auto& [id, member] : members) weight_sum_ += member.ring_state.weight;
   }
 
   // Finds members that joined, left or restarted since the last list. Forgets the keys of new and restarted
@@ -227,25 +228,25 @@
   template <typename Members, typename OnRing>
   void track_changes(double now, Members& members, const std::vector<ServerId>& listed_ids, OnRing on_ring) {
     const bool is_first_list = !list_received_; // the first list has start times but no join times
-    bool changed = false;
+    bool fleet_changed = false;
     std::vector<ServerId> new_ids;
     for (const ServerId id : listed_ids) {
       Member& member = members.at(id);
-      RingWeight& ring_weight = member.ring_weight;
+      RingMemberState& ring_state = member.ring_state;
       const bool in_service = on_ring(member) && member.entry.state == ServerState::Ready;
-      const bool restarted = ring_weight.was_in_service && member.entry.started_at > ring_weight.started_at;
-      if (restarted || (in_service && !ring_weight.was_in_service && !returned_unchanged(id, member))) {
-        ring_weight.joined_at = is_first_list ? start_time(member) : now;
+      const bool restarted = ring_state.was_in_service && member.entry.started_at > ring_state.started_at;
+      if (restarted || (in_service && !ring_state.was_in_service && !returned_unchanged(id, member))) {
+        ring_state.joined_at = is_first_list ? start_time(member) : now;
         if (!is_first_list) new_ids.push_back(id);
       }
-      if (is_first_list && in_service && now - ring_weight.joined_at < settings_.transition_ms)
-        fill_rate_limiter_.on_fleet_changed(ring_weight.joined_at);
-      if (ring_weight.in_service && !in_service && departed_.size() < kMaxDeparted)
-        departed_[id] = {ring_weight.started_at, ring_weight.joined_at, now};
-      changed |= in_service != ring_weight.in_service || restarted;
-      ring_weight.in_service = in_service;
-      ring_weight.was_in_service |= in_service;
-      if (ring_weight.was_in_service) ring_weight.started_at = member.entry.started_at;
+      if (is_first_list && in_service && now - ring_state.joined_at < settings_.transition_ms)
+        fill_rate_limiter_.on_fleet_changed(ring_state.joined_at);
+      if (ring_state.in_service && !in_service && departed_.size() < kMaxDeparted)
+        departed_[id] = {ring_state.started_at, ring_state.joined_at, now};
+      fleet_changed |= in_service != ring_state.in_service || restarted;
+      ring_state.in_service = in_service;
+      ring_state.was_in_service |= in_service;
+      if (ring_state.was_in_service) ring_state.started_at = member.entry.started_at;
     }
     std::sort(new_ids.begin(), new_ids.end());
     if (!new_ids.empty()) {
@@ -255,14 +256,14 @@
     std::erase_if(departed_, [&](const auto& departed_entry) {
       return now - departed_entry.second.left_at > settings_.transition_ms;
     });
-    if (changed && !is_first_list) fill_rate_limiter_.on_fleet_changed(now);
-    list_received_ |= changed;
+    if (fleet_changed && !is_first_list) fill_rate_limiter_.on_fleet_changed(now);
+    list_received_ |= fleet_changed;
   }
   // The member left recently and returns as the same process, so it still holds its keys.
   bool returned_unchanged(ServerId id, Member& member) {
     const auto departed = departed_.find(id);
     if (departed == departed_.end() || departed->second.started_at != member.entry.started_at) return false;
-    member.ring_weight.joined_at = departed->second.joined_at;
+    member.ring_state.joined_at = departed->second.joined_at;
     return true;
   }
   static double start_time(const Member& member) {
--- a/src/placement/ring.h
+++ b/src/placement/ring.h
@@ -4,7 +4,7 @@
 // The points of the ring are divided into buckets by the first bits of their hash. Adding or removing a
 // member changes only the buckets of its own points, whatever the number of members.
 //
-// `Member` has a `RingWeight ring_weight`. The ring holds pointers to members, which must outlive their
+// `Member` has a `RingMemberState ring_state`. The ring holds pointers to members, which must outlive their
 // points: remove a member only after place() with 0 points.
 #pragma once
 
@@ -21,7 +21,7 @@
 namespace fernward::placement {
 
 // Per-member state of Ring and Placement.
-struct RingWeight {
+struct RingMemberState {
   std::int64_t points = 0;
   double weight = 0;    // as counted in the mean; 0: not on the ring
   bool visited = false; // temporary mark during walk()
@@ -35,7 +35,7 @@
  public:
   // Sets the number of points of the member; 0 removes it.
   void place(ServerId id, Member& member, std::int64_t points) {
-    const std::int64_t previous_points = std::exchange(member.ring_weight.points, points);
+    const std::int64_t previous_points = std::exchange(member.ring_state.points, points);
     for (std::int64_t i = points; i < previous_points; ++i) remove(hash_of(id, i), id);
     for (std::int64_t i = previous_points; i < points; ++i) insert({hash_of(id, i), id, &member});
   }
@@ -71,12 +71,12 @@
         position = buckets_[bucket].begin();
       }
       Member* member = position->member;
-      if (member->ring_weight.visited) continue;
-      member->ring_weight.visited = true;
+      if (member->ring_state.visited) continue;
+      member->ring_state.visited = true;
       visited_members_.push_back(member);
       if (!visit(*member)) break;
     }
-    for (Member* member : visited_members_) member->ring_weight.visited = false;
+    for (Member* member : visited_members_) member->ring_state.visited = false;
   }
 
  private:
--- a/src/policy/attempt_outcome.cpp
+++ b/src/policy/attempt_outcome.cpp
@@ -91,7 +91,7 @@
   const bool late_unanswered =
       unanswered && elapsed_ms > concurrency::kCongestedShareOfObjective * objective_ms;
   if (outcome.result == AttemptResult::Ok || late_unanswered)
-    return replica.limiter.on_response(now, elapsed_ms, objective_ms, replica.active());
+    return replica.limiter.on_response(now, elapsed_ms, objective_ms, replica.active_attempts());
   return outcome.result == AttemptResult::Overloaded;
 }
 
@@ -104,20 +104,20 @@
       outcome.result == AttemptResult::ConnectFailed && responded_recently(replica);
   if (lacks_connections || (outcome.result == AttemptResult::Overloaded && outcome.first_on_connection)) {
     origin_dispatch.connections.on_connection_refused(
-        now, replica.active(), origin_dispatch.limiter.latency_ms(), random.next_unit());
-    log("origin refuses further connections, in use:", replica.active());
+        now, replica.active_attempts(), origin_dispatch.limiter.latency_ms(), random.next_unit());
+    log("origin refuses further connections, in use:", replica.active_attempts());
     return false;
   }
   const auto ending = to_attempt_ending(outcome.result, now >= request.response_deadline);
   if (!ending) return false;
   if (outcome.result == AttemptResult::Ok)
-    origin_dispatch.connections.on_connection_used(replica.active() + 1);
+    origin_dispatch.connections.on_connection_used(replica.active_attempts() + 1);
   const concurrency::AttemptSample sample{*ending,
                                           elapsed_ms,
                                           request.params.expected_work_ms,
                                           latency_objective_ms(request),
                                           request.params.write,
-                                          replica.active()};
+                                          replica.active_attempts()};
   const concurrency::DecreaseReason reason = origin_dispatch.limiter.on_attempt_ended(now, sample);
   if (reason == concurrency::DecreaseReason::Rejected)
     log("origin crowded, attempts at once cut to", origin_dispatch.limiter.limit());
@@ -132,7 +132,7 @@
                        outcome.result == AttemptResult::Overloaded;
   if (outcome.result != AttemptResult::Cancelled && outcome.result != AttemptResult::Abandoned &&
       !stale_connection)
-    outlier_ejection.record_attempt(replica, healthy);
+    outlier_ejection.record_attempt_result(replica, healthy);
   switch (outcome.result) {
     case AttemptResult::Ok:
       record_success(replica);
@@ -228,7 +228,7 @@
   // charged to the retry budget; the attempt limit bounds such retries.
   if (outcome.result != AttemptResult::Overloaded && outcome.result != AttemptResult::ConnectFailed) {
     const double origin_utilization =
-        at_origin ? origin_dispatch.limiter.utilization(now, origin->active()) : 0;
+        at_origin ? origin_dispatch.limiter.utilization(now, origin->active_attempts()) : 0;
     if (!retry_budget.try_consume(now, concurrency::RetryBudget::Use::Retry, origin_utilization))
       return give_up(request, GiveUpReason::RetryBudgetEmpty);
   }
@@ -237,7 +237,7 @@
 }
 
 void Balancer::Impl::retry_at_origin(RequestState& request, const AttemptOutcome& outcome) {
-  const double connection_wait_ms = origin_dispatch.connections.wait_ms(now, origin->active());
+  const double connection_wait_ms = origin_dispatch.connections.wait_ms(now, origin->active_attempts());
   if (connection_wait_ms > 0)
     emit(SetTimer{connection_wait_ms, timer_token(TimerKind::RetryOrigin, request.params.id)});
   // After a fault a delay has no use; if connections are lacking, the request waits in the queue.
@@ -310,13 +310,13 @@
   if (request.queued_for_origin || request.has_timely_attempt()) return;
   const bool at_origin = is_origin(replica);
   const double origin_utilization =
-      at_origin ? origin_dispatch.limiter.utilization(now, replica.active()) : 0;
+      at_origin ? origin_dispatch.limiter.utilization(now, replica.active_attempts()) : 0;
   if (at_origin && !slow_attempt.stalled) return;
   if (!retry_budget.try_consume(now, concurrency::RetryBudget::Use::Hedge, origin_utilization)) return;
-  const bool sent = at_origin
-                        ? origin_dispatch.limiter.has_capacity(now, replica.active(), request.params.write) &&
-                              send_attempt(request, replica)
-                        : send_to_best_cache(request);
+  const bool sent = at_origin ? origin_dispatch.limiter.has_capacity(now, replica.active_attempts(),
+                                                                     request.params.write) &&
+                                    send_attempt(request, replica)
+                              : send_to_best_cache(request);
   if (!sent) retry_budget.refund(concurrency::RetryBudget::Use::Hedge);
 }
 
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -98,7 +98,7 @@
   } else {
     listed_origin_ids.erase(entry.id);
   }
-  if (entry.state == ServerState::Gone && !was_gone) departed_servers.push_back(entry.id);
+  if (entry.state == ServerState::Gone && !was_gone) departed_server_ids.push_back(entry.id);
 }
 
 void Balancer::Impl::update_placement(const std::vector<ServerId>& changed_ids) {
@@ -119,7 +119,7 @@
 
 // Erases servers that are gone and have no attempt in flight.
 void Balancer::Impl::remove_departed_servers() {
-  std::erase_if(departed_servers, [this](ServerId id) {
+  std::erase_if(departed_server_ids, [this](ServerId id) {
     const Replica* replica = find_server(id);
     if (replica == nullptr || replica->entry.state != ServerState::Gone) return true; // listed again
     if (replica->in_flight > 0 || replica == origin) return false;
@@ -168,7 +168,7 @@
 
 void Balancer::Impl::tick() {
   emit(SetTimer{kTickMs, timer_token(TimerKind::Tick)});
-  const double current_demand = origin == nullptr ? 0 : origin_dispatch.demand(origin->active());
+  const double current_demand = origin == nullptr ? 0 : origin_dispatch.demand(origin->active_attempts());
   update_moving_average(mean_origin_demand, current_demand, kOriginDemandSampleWeight);
   health_check_credit =
       std::min(1.0, health_check_credit + kHealthChecksPerRequest * tenant_quotas.requests_this_tick());
@@ -243,8 +243,8 @@
   impl_->actions = &actions;
   impl_->start_timers_once();
   impl_->dispatch_event(event);
-  for (const RequestId id : impl_->finished_requests) impl_->requests.erase(id);
-  impl_->finished_requests.clear();
+  for (const RequestId id : impl_->finished_request_ids) impl_->requests.erase(id);
+  impl_->finished_request_ids.clear();
 }
 
 } // namespace fernward
--- a/src/policy/balancer.h
+++ b/src/policy/balancer.h
@@ -37,11 +37,11 @@
   placement::KeyDemand key_demand;
   Replica* origin = nullptr;
   OriginDispatch origin_dispatch;
-  std::vector<RequestId> expired_requests; // scratch buffer of dispatch_to_origin()
+  std::vector<RequestId> expired_request_ids; // scratch buffer of dispatch_to_origin()
   concurrency::RetryBudget retry_budget;
-  bool dispatching_origin = false;
+  bool dispatching_to_origin = false;
   std::unordered_map<RequestId, RequestState> requests;
-  std::vector<RequestId> finished_requests; // no attempt in flight: erased once the event is handled
+  std::vector<RequestId> finished_request_ids; // no attempt in flight: erased once the event is handled
   FetchCoalescer fetch_coalescer;
   concurrency::AdmissionController admission;
   double shortest_objective_ms = 0;   // over the classes
@@ -53,7 +53,7 @@
   SlowStart slow_start{settings};
   RetryPolicy retry_policy{settings};
   EndpointPollSchedule poll_schedule;
-  std::vector<ServerId> departed_servers; // no longer listed; removed once they have no attempt in flight
+  std::vector<ServerId> departed_server_ids; // no longer listed; removed once they have no attempt in flight
   std::set<ServerId> listed_origin_ids;
   double health_check_credit = 0; // health checks that may be sent to obtain load reports
   double live_routers = 0;        // routers in service, as far as known
@@ -103,11 +103,12 @@
   using CandidateList = placement::Placement<Replica>::Choice;
   CandidateList cache_candidates(const RequestState& request, std::uint64_t key);
   bool can_accept_attempt(Replica& replica, const RequestState& request, bool first_candidate);
-  double cache_score(const Replica& replica, std::uint64_t key, bool likely_has_key, double origin_ms) const;
+  double cache_score(const Replica& replica, std::uint64_t key, bool likely_has_key,
+                     double origin_fetch_cost_ms) const;
   bool send_to_best_cache(RequestState& request);
   double origin_cost_ms() const;
   bool send_attempt(RequestState& request, Replica& replica);
-  void record_attempt(RequestState& request, Replica& replica);
+  void record_attempt_sent(RequestState& request, Replica& replica);
 
   // cache_ejection.cpp: cache ejection and half-open trials
   bool responded_recently(const Replica& replica);
--- a/src/policy/cache_selection.cpp
+++ b/src/policy/cache_selection.cpp
@@ -71,14 +71,15 @@
 bool Balancer::Impl::can_accept_attempt(Replica& replica, const RequestState& request, bool first_candidate) {
   return !request.has_missed(replica.entry.id) && now >= replica.overloaded_until &&
          slow_start.admits(replica, request, first_candidate, now) &&
-         replica.limiter.has_capacity(now, replica.active());
+         replica.limiter.has_capacity(now, replica.active_attempts());
 }
 
 // The paper's score; lower is better. `origin_fetch_cost_ms`: expected duration of a fetch at the origin.
 double Balancer::Impl::cache_score(const Replica& replica, std::uint64_t key, bool likely_has_key,
-                                   double origin_ms) const {
-  const double expected_fetch_ms =
-      likely_has_key ? (1 - slow_start.capacity_factor(replica, now)) * origin_ms : origin_ms;
+                                   double origin_fetch_cost_ms) const {
+  const double expected_fetch_ms = likely_has_key
+                                       ? (1 - slow_start.capacity_factor(replica, now)) * origin_fetch_cost_ms
+                                       : origin_fetch_cost_ms;
   double score =
       replica.score(now, live_routers, mean_cache_response_ms, mean_cache_queue_length, expected_fetch_ms);
   if (settings.zone && replica.entry.zone != *settings.zone) score *= kOtherZoneScoreFactor;
@@ -91,17 +92,17 @@
   const std::uint64_t key = request.params.key != 0 ? request.params.key : mix_bits(request.params.id);
   const bool first_attempt = request.attempts.empty();
   const CandidateList candidates = cache_candidates(request, key);
-  const double origin_ms = origin_cost_ms();
+  const double origin_fetch_cost_ms = origin_cost_ms();
   std::size_t best_index = candidates.size;
   double best_score = std::numeric_limits<double>::infinity();
-  if (!request.cache_misses.empty()) best_score = origin_ms;
+  if (!request.cache_misses.empty()) best_score = origin_fetch_cost_ms;
   placement::Placement<Replica>::FillChoice planned_fill;
   if (first_attempt) planned_fill = placement.choose_fill(now, request.params.key, candidates);
   for (std::size_t i = 0; i < candidates.size; ++i) {
     Replica& replica = *candidates.replicas[i];
     if (!can_accept_attempt(replica, request, i == 0)) continue;
     const bool likely_has_key = placement.likely_holds(candidates, i, request.params.key);
-    double score = cache_score(replica, key, likely_has_key, origin_ms);
+    double score = cache_score(replica, key, likely_has_key, origin_fetch_cost_ms);
     if (&replica == planned_fill.target) {
       score = -1; // preferred over all others
       request.pending_fill = planned_fill.fill;
@@ -129,7 +130,7 @@
 double Balancer::Impl::origin_cost_ms() const {
   if (origin == nullptr) return 0;
   const double limit_utilization =
-      origin_dispatch.limiter.utilization(now, origin_dispatch.demand(origin->active()));
+      origin_dispatch.limiter.utilization(now, origin_dispatch.demand(origin->active_attempts()));
   const double fill_rate_utilization =
       placement.fill_rate_limiter().utilization(now, static_cast<double>(origin_dispatch.queue.size()));
   const double load_factor = 2 * std::max(limit_utilization, fill_rate_utilization);
@@ -140,7 +141,8 @@
 // ---- sending an attempt ----
 
 bool Balancer::Impl::send_attempt(RequestState& request, Replica& replica) {
-  if (request.finished || request.streaming || retry_policy.attempt_denied(request, replica.entry, now))
+  if (request.finished || request.streaming ||
+      retry_policy.attempt_denial_reason(request, replica.entry, now))
     return false;
   replica.outlier.record_attempt_sent();
   emit(SetTimer{std::max(slow_attempts(replica).slow_threshold_ms, 2 * settings.event_interval_ms),
@@ -151,21 +153,21 @@
     request.key_bound_zone = replica.entry.zone;
     request.key_bound_cell = replica.entry.cell;
   }
-  record_attempt(request, replica);
+  record_attempt_sent(request, replica);
   emit(Send{request.params.id, replica.entry.id, 0});
   return true;
 }
 
-void Balancer::Impl::record_attempt(RequestState& request, Replica& replica) {
+void Balancer::Impl::record_attempt_sent(RequestState& request, Replica& replica) {
   request.attempts.push_back({replica.entry.id, now});
   ++request.in_flight;
   ++replica.in_flight;
   if (!is_origin(replica)) {
-    slow_start.record_attempt(replica, now);
+    slow_start.record_attempt_sent(replica, now);
     replica.limiter.on_attempt_sent(now);
     return;
   }
-  origin_dispatch.connections.on_attempt_sent(now, replica.active() - 1);
+  origin_dispatch.connections.on_attempt_sent(now, replica.active_attempts() - 1);
   origin_dispatch.limiter.on_attempt_sent(now);
   if (!request.params.write) placement.fill_rate_limiter().on_fetch(now);
 }
--- a/src/policy/give_up.cpp
+++ b/src/policy/give_up.cpp
@@ -12,7 +12,7 @@
   request.queued_for_origin = false;
   cancel_attempts(request, request.attempts.size());
   if (request.is_fetch_leader) complete_fetch(request, served);
-  if (request.in_flight == 0) finished_requests.push_back(request.params.id);
+  if (request.in_flight == 0) finished_request_ids.push_back(request.params.id);
 }
 
 void Balancer::Impl::cancel_attempts(const RequestState& request, std::size_t excluded_attempt) {
--- a/src/policy/outlier_ejection.cpp
+++ b/src/policy/outlier_ejection.cpp
@@ -7,16 +7,16 @@
 namespace {
 
 constexpr double kPanicThreshold = 0.5; // share of the caches; if more are ejected, ejection is ignored
-constexpr double kCacheFailureSampleWeight = 0.1; // weight of one attempt in the cache's rate
-constexpr double kFleetFailureSampleWeight = 0.01;
+constexpr double kCacheFailureRateSampleWeight = 0.1; // weight of one attempt in the cache's rate
+constexpr double kFleetFailureRateSampleWeight = 0.01;
 constexpr double kToleratedFailureRate = 0.5; // of a cache that responds, if the other caches do not fail
 
 } // namespace
 
-void OutlierEjection::update_counts(const Replica& replica, bool is_origin, int sign) {
+void OutlierEjection::update_counts(const Replica& replica, bool is_origin, int count_change) {
   if (replica.entry.state != ServerState::Ready) return;
-  ready_cache_count_ += is_origin ? 0 : sign;
-  ejected_count_ += replica.outlier.is_ejected() ? sign : 0;
+  ready_cache_count_ += is_origin ? 0 : count_change;
+  ejected_count_ += replica.outlier.is_ejected() ? count_change : 0;
 }
 
 bool OutlierEjection::panic_threshold_exceeded() const {
@@ -30,9 +30,9 @@
   return !settings_.may_health_check && replica.outlier.trial_due(now);
 }
 
-void OutlierEjection::record_attempt(Replica& replica, bool succeeded) {
-  update_moving_average(replica.failure_rate, !succeeded, kCacheFailureSampleWeight);
-  update_moving_average(fleet_failure_rate_, !succeeded, kFleetFailureSampleWeight);
+void OutlierEjection::record_attempt_result(Replica& replica, bool succeeded) {
+  update_moving_average(replica.failure_rate, !succeeded, kCacheFailureRateSampleWeight);
+  update_moving_average(fleet_failure_rate_, !succeeded, kFleetFailureRateSampleWeight);
 }
 
 bool OutlierEjection::record_failure(Replica& replica, double now, int weight, bool responded_recently) {
--- a/src/policy/outlier_ejection.h
+++ b/src/policy/outlier_ejection.h
@@ -17,13 +17,13 @@
   explicit OutlierEjection(const Settings& settings) : settings_(settings) {}
 
   /// Must be called with `count_change` -1 before a server's entry changes and with 1 afterwards.
-  void update_counts(const Replica& replica, bool is_origin, int sign);
+  void update_counts(const Replica& replica, bool is_origin, int count_change);
   std::size_t ready_cache_count() const { return ready_cache_count_; }
   std::size_t ejected_count() const { return ejected_count_; } // ready servers only
   /// Whether requests may be sent to this cache now.
   bool is_usable(const Replica& replica, double now) const;
   /// Records in the failure rates whether an attempt at a cache succeeded.
-  void record_attempt(Replica& replica, bool succeeded);
+  void record_attempt_result(Replica& replica, bool succeeded);
   /// Returns true if the cache is now ejected. `responded_recently`: it recently responded to other attempts;
   /// `weight` as for health::OutlierState::record_failure().
   bool record_failure(Replica& replica, double now, int weight, bool responded_recently);
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -40,7 +40,7 @@
   double health_checked_at = kNever;
   concurrency::CacheConcurrencyLimiter limiter{1}; // unused for the origin
   double slow_start_began_at = kNever;
-  placement::RingWeight ring_weight;
+  placement::RingMemberState ring_state;
 
   /// The server process was restarted: resets all state but its entry, ring weight and attempts in flight.
   void reset_for_restart() {
@@ -48,7 +48,7 @@
     reset.entry = entry;
     reset.in_flight = in_flight;
     reset.stalled_count = stalled_count;
-    reset.ring_weight = ring_weight;
+    reset.ring_state = ring_state;
     *this = std::move(reset);
   }
 
@@ -63,7 +63,7 @@
   }
 
   /// Attempts in flight that occupy capacity at the server.
-  std::uint32_t active() const { return in_flight - std::min(in_flight, stalled_count); }
+  std::uint32_t active_attempts() const { return in_flight - std::min(in_flight, stalled_count); }
 
   /// The paper's score R + q^3 / mu, in ms; lower is better. `router_count`: routers in the fleet, each
   /// assumed to have as many attempts in flight as this one; `fleet_mean_*`: means over all caches;
@@ -72,20 +72,22 @@
                double extra_cost_ms) const {
     const double response_ms = expected_response_ms(now, fleet_mean_ms) + extra_cost_ms;
     const double per_request_ms = service_time_ms > 0 ? service_time_ms + extra_cost_ms : response_ms;
-    double queue = 1 + active() * router_count;
+    double estimated_queue_length = 1 + active_attempts() * router_count;
     if (now - reported_at < kFreshReportMaxAgeMs) {
-      queue += queue_length;
+      estimated_queue_length += queue_length;
     } else if (in_flight == 0 && passed_over_count == 0) {
-      queue = 0; // not used recently: a request obtains a new report
+      estimated_queue_length = 0; // not used recently: a request obtains a new report
     } else {
-      queue += decay_to_fleet_mean(now - reported_at, queue_trend.predict(now), fleet_mean_queue);
+      estimated_queue_length +=
+          decay_to_fleet_mean(now - reported_at, queue_trend.predict(now), fleet_mean_queue);
     }
-    return response_ms + queue * queue * queue * per_request_ms;
+    return response_ms +
+           estimated_queue_length * estimated_queue_length * estimated_queue_length * per_request_ms;
   }
 
   void record_response(double now, double elapsed_ms) {
     if (responded_at == kNever) response_time_ms = elapsed_ms;
-    update_moving_average(response_time_ms, elapsed_ms, kSampleWeight);
+    update_moving_average(response_time_ms, elapsed_ms, kReplicaSampleWeight);
     responded_at = now;
   }
 
@@ -95,15 +97,15 @@
                      const std::vector<float>& values) {
     if (values.empty() || values == last_report) return false;
     last_report = values;
-    const auto [queued, latency_ms] = parse_load_report(fields, values);
+    const auto [reported_queue_length, latency_ms] = parse_load_report(fields, values);
     if (latency_ms > 0) {
-      const double service_time_sample_ms = latency_ms / (1 + std::max(queued, 0.0));
+      const double service_time_sample_ms = latency_ms / (1 + std::max(reported_queue_length, 0.0));
       if (service_time_ms == 0) service_time_ms = service_time_sample_ms;
-      update_moving_average(service_time_ms, service_time_sample_ms, kSampleWeight);
+      update_moving_average(service_time_ms, service_time_sample_ms, kReplicaSampleWeight);
     }
-    if (queued < 0) return false; // queue_length then stays 0 and never counts as fresh
-    queue_length = queued;
-    queue_trend.add(now, queued);
+    if (reported_queue_length < 0) return false; // queue_length then stays 0 and never counts as fresh
+    queue_length = reported_queue_length;
+    queue_trend.add(now, reported_queue_length);
     reported_at = now;
     passed_over_count = 0;
     return true;
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -20,16 +20,16 @@
   return false;
 }
 
-std::optional<GiveUpReason> RetryPolicy::retry_denied(const RequestState& request, const Server& server,
-                                                      double now) const {
+std::optional<GiveUpReason> RetryPolicy::retry_denial_reason(const RequestState& request,
+                                                             const Server& server, double now) const {
   if (!has_attempts_left(request)) return GiveUpReason::AttemptLimit;
   if (!allows_server(request, server, now)) return GiveUpReason::NotIdempotent;
   return std::nullopt;
 }
 
-std::optional<GiveUpReason> RetryPolicy::attempt_denied(const RequestState& request, const Server& server,
-                                                        double now) const {
-  if (const auto reason = retry_denied(request, server, now)) return reason;
+std::optional<GiveUpReason> RetryPolicy::attempt_denial_reason(const RequestState& request,
+                                                               const Server& server, double now) const {
+  if (const auto reason = retry_denial_reason(request, server, now)) return reason;
   if (now >= request.response_deadline) return GiveUpReason::NotSent;
   if (server.state != ServerState::Ready) return GiveUpReason::NoEndpoint;
   return std::nullopt;
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -18,8 +18,9 @@
   explicit RetryPolicy(const Settings& settings) : settings_(settings) {}
 
   /// Whether more than `reserved_attempts` attempts are left.
-  bool has_attempts_left(const RequestState& request, std::size_t reserved = 0) const {
-    return request.attempts.size() + reserved < settings_.max_attempts_for_class(request.params.class_index);
+  bool has_attempts_left(const RequestState& request, std::size_t reserved_attempts = 0) const {
+    return request.attempts.size() + reserved_attempts <
+           settings_.max_attempts_for_class(request.params.class_index);
   }
   /// Whether hedging and idempotency settings allow an attempt at this server now, given the request's
   /// earlier attempts and those in flight.
@@ -28,12 +29,12 @@
   }
   /// Why no further attempt is allowed at this server: AttemptLimit or NotIdempotent; nullopt if it is
   /// allowed.
-  std::optional<GiveUpReason> retry_denied(const RequestState& request, const Server& server,
-                                           double now) const;
+  std::optional<GiveUpReason> retry_denial_reason(const RequestState& request, const Server& server,
+                                                  double now) const;
   /// Why an attempt must not be sent now: as retry_denial_reason(), or NotSent (deadline passed), or
   /// NoEndpoint (server not in service); nullopt if it may be sent.
-  std::optional<GiveUpReason> attempt_denied(const RequestState& request, const Server& server,
-                                             double now) const;
+  std::optional<GiveUpReason> attempt_denial_reason(const RequestState& request, const Server& server,
+                                                    double now) const;
   /// Whether the client can be guaranteed that its own retry does not execute the request twice.
   bool client_may_retry(const RequestState& request) const;
 
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -23,7 +23,9 @@
   /// Whether the request may be sent to this cache. `first_candidate`: it is the key's first candidate.
   /// Counts denials.
   bool admits(const Replica& replica, const RequestState& request, bool first_candidate, double now);
-  void record_attempt(const Replica& replica, double now) { counts_.attempts += is_active(replica, now); }
+  void record_attempt_sent(const Replica& replica, double now) {
+    counts_.attempts += is_active(replica, now);
+  }
   const Balancer::SlowStartCounts& counts() const { return counts_; }
 
  private:
--- a/src/proxy/request_body.cpp
+++ b/src/proxy/request_body.cpp
@@ -23,13 +23,13 @@
   RetainedBodies::Placement placement = body_.append(bytes.size());
   if (placement == RetainedBodies::Placement::TooLong) return false;
   if (placement == RetainedBodies::Placement::File) {
-    if (in_file_ == nullptr && stores_.spill_folder != nullptr) in_file_ = stores_.spill_folder->create();
-    if (in_file_ == nullptr || !in_file_->append(bytes)) {
+    if (file_part_ == nullptr && stores_.spill_folder != nullptr) file_part_ = stores_.spill_folder->create();
+    if (file_part_ == nullptr || !file_part_->append(bytes)) {
       body_.on_file_failure(bytes.size());
       placement = RetainedBodies::Placement::Unretained;
     }
   }
-  if (placement == RetainedBodies::Placement::Memory) in_memory_.append(bytes);
+  if (placement == RetainedBodies::Placement::Memory) memory_part_.append(bytes);
   if (placement == RetainedBodies::Placement::Unretained) {
     unretained_reservation_.acquire(bytes.size());
     unretained_.append(bytes, io_buffer);
@@ -67,11 +67,11 @@
   if (body.aborted_) return ReadResult::Unavailable;
   if (offset_ == body.received_bytes()) return body.complete_ ? ReadResult::End : ReadResult::Pending;
   const std::uint64_t retained_bytes =
-      body.in_memory_.size() + (body.in_file_ == nullptr ? 0 : body.in_file_->size());
-  if (offset_ < body.in_memory_.size()) {
-    bytes = body.in_memory_.copy(destination, max_bytes, static_cast<std::size_t>(offset_));
+      body.memory_part_.size() + (body.file_part_ == nullptr ? 0 : body.file_part_->size());
+  if (offset_ < body.memory_part_.size()) {
+    bytes = body.memory_part_.copy(destination, max_bytes, static_cast<std::size_t>(offset_));
   } else if (offset_ < retained_bytes) {
-    bytes = body.in_file_->read(offset_ - body.in_memory_.size(), destination, max_bytes);
+    bytes = body.file_part_->read(offset_ - body.memory_part_.size(), destination, max_bytes);
   } else if (offset_ == retained_bytes + body.consumed_bytes_) {
     // At any other offset, another reader has consumed the bytes.
     bytes = body.unretained_.read(destination, max_bytes);
--- a/src/proxy/request_body.h
+++ b/src/proxy/request_body.h
@@ -89,9 +89,9 @@
   BodyStores& stores_;
   std::optional<std::uint64_t> length_;
   body_buffers::RetainedBodies::Body body_;
-  std::string in_memory_;                     // the first bytes of the body
-  std::unique_ptr<spill::SpillFile> in_file_; // the bytes after them
-  loop::Buffer unretained_;                   // the remaining bytes, dropped as they are read
+  std::string memory_part_;                     // the first bytes of the body
+  std::unique_ptr<spill::SpillFile> file_part_; // the bytes after them
+  loop::Buffer unretained_;                     // the remaining bytes, dropped as they are read
   body_buffers::BufferBudget::Reservation unretained_reservation_;
   std::uint64_t consumed_bytes_ = 0; // bytes of unretained_ already read
   bool complete_ = false, aborted_ = false;
--- a/src/proxy/request_dispatcher.cpp
+++ b/src/proxy/request_dispatcher.cpp
@@ -32,40 +32,40 @@
 // ---- requests ----
 
 Handle RequestDispatcher::open_request(Handle client, ClientRequest request) {
-  const Handle id = requests_.add();
-  if (id == 0) return 0;
-  ActiveRequest& active_request = *requests_.find(id);
+  const Handle request_id = requests_.add();
+  if (request_id == 0) return 0;
+  ActiveRequest& active_request = *requests_.find(request_id);
   active_request.client = client;
   active_request.request = std::make_shared<const ClientRequest>(std::move(request));
   // The timeout counts from the last byte of the request. A body is assumed to arrive as late as it may.
-  const double now = loop::now_ms() + active_request.request->body_timeout_ms;
-  active_request.deadline = now + active_request.request->timeout_ms;
+  const double body_complete_at = loop::now_ms() + active_request.request->body_timeout_ms;
+  active_request.deadline = body_complete_at + active_request.request->timeout_ms;
   active_request.objective_at = active_request.deadline;
   if (active_request.request->class_index < settings_.classes.size()) {
     const fernward::ClassSettings& class_settings = settings_.classes[active_request.request->class_index];
     if (class_settings.latency_objective_ms > 0)
       active_request.objective_at =
           std::min(active_request.deadline,
-                   now + class_settings.latency_objective_ms +
+                   body_complete_at + class_settings.latency_objective_ms +
                        class_settings.objective_work_factor * active_request.request->expected_work_ms);
   }
   // A fallback: normally the Balancer ends the request earlier. Half of the grace period is left for the
   // transmission to the client.
-  active_request.deadline_timer =
-      timers_.run_at(active_request.deadline + options_.grace_ms / 2, [this, id] { on_deadline(id); });
+  active_request.deadline_timer = timers_.run_at(active_request.deadline + options_.grace_ms / 2,
+                                                 [this, request_id] { on_deadline(request_id); });
   ++unanswered_requests_;
   waiting_ids_.insert(active_request.request->id);
-  fernward::Request event;
-  event.id = id;
-  event.class_index = active_request.request->class_index;
-  event.tenant = active_request.request->tenant;
-  event.key = active_request.request->placement_key;
-  event.deadline = active_request.deadline;
-  event.expected_work_ms = active_request.request->expected_work_ms;
-  event.write = active_request.request->is_write;
-  if (active_request.request->body_timeout_ms > 0) event.body_complete_at = now;
-  enqueue(event);
-  return id;
+  fernward::Request request_event;
+  request_event.id = request_id;
+  request_event.class_index = active_request.request->class_index;
+  request_event.tenant = active_request.request->tenant;
+  request_event.key = active_request.request->placement_key;
+  request_event.deadline = active_request.deadline;
+  request_event.expected_work_ms = active_request.request->expected_work_ms;
+  request_event.write = active_request.request->is_write;
+  if (active_request.request->body_timeout_ms > 0) request_event.body_complete_at = body_complete_at;
+  enqueue(request_event);
+  return request_id;
 }
 
 void RequestDispatcher::body_complete(Handle request_id) {
@@ -76,9 +76,10 @@
   active_request->deadline += extension_ms;
   active_request->objective_at += extension_ms;
   timers_.cancel(active_request->deadline_timer);
-  double answer_at = active_request->deadline + options_.grace_ms / 2;
-  if (answer_all_by_ > 0) answer_at = std::min(answer_at, answer_all_by_);
-  active_request->deadline_timer = timers_.run_at(answer_at, [this, request_id] { on_deadline(request_id); });
+  double respond_at = active_request->deadline + options_.grace_ms / 2;
+  if (respond_to_all_by_ > 0) respond_at = std::min(respond_at, respond_to_all_by_);
+  active_request->deadline_timer =
+      timers_.run_at(respond_at, [this, request_id] { on_deadline(request_id); });
   for (const Handle attempt_id : active_request->attempts) {
     if (Attempt* attempt = attempts_.find(attempt_id))
       set_attempt_deadline(*attempt, attempt_id, attempt->deadline + extension_ms);
@@ -138,7 +139,7 @@
   return true;
 }
 
-Handle RequestDispatcher::client_of_streaming(Handle attempt_id) {
+Handle RequestDispatcher::client_of_streaming_attempt(Handle attempt_id) {
   const Attempt* attempt = attempts_.find(attempt_id);
   const ActiveRequest* active_request = attempt == nullptr ? nullptr : requests_.find(attempt->request);
   return active_request == nullptr || active_request->finished ||
@@ -148,23 +149,23 @@
 }
 
 std::size_t RequestDispatcher::writable_bytes(Handle attempt_id) {
-  return downstream_->writable_bytes(client_of_streaming(attempt_id));
+  return downstream_->writable_bytes(client_of_streaming_attempt(attempt_id));
 }
 
 void RequestDispatcher::write(Handle attempt_id, std::string_view bytes, loop::IoBuffer& io_buffer) {
-  downstream_->write(client_of_streaming(attempt_id), bytes, io_buffer);
+  downstream_->write(client_of_streaming_attempt(attempt_id), bytes, io_buffer);
 }
 
 bool RequestDispatcher::splice_from(Handle attempt_id, int socket, std::size_t max_bytes,
                                     loop::IoBuffer& io_buffer, loop::ReceiveResult& received,
                                     std::size_t& bytes) {
-  return downstream_->splice_from(client_of_streaming(attempt_id), socket, max_bytes, io_buffer, received,
-                                  bytes);
+  return downstream_->splice_from(client_of_streaming_attempt(attempt_id), socket, max_bytes, io_buffer,
+                                  received, bytes);
 }
 
 void RequestDispatcher::response_drained(Handle request_id) {
   resume_reading(request_id);
-  resume_blocked_readers();
+  resume_responses_awaiting_budget();
 }
 
 void RequestDispatcher::resume_reading(Handle request_id) {
@@ -175,7 +176,7 @@
 
 // Resumes responses that found the buffer budget exhausted and have no buffered bytes whose draining would
 // resume them.
-void RequestDispatcher::resume_blocked_readers() {
+void RequestDispatcher::resume_responses_awaiting_budget() {
   while (const auto request_id = buffer_budget_.next_resumable()) resume_reading(*request_id);
 }
 
@@ -185,14 +186,14 @@
          active_request.attempts[number] == active_request.streaming_attempt;
 }
 
-void RequestDispatcher::answer_all_by(double answer_by) {
-  answer_all_by_ = answer_by;
+void RequestDispatcher::respond_to_all_by(double respond_by) {
+  respond_to_all_by_ = respond_by;
   requests_.for_each([&](Handle id, ActiveRequest& active_request) {
     if (active_request.finished || active_request.streaming_attempt != 0 ||
-        active_request.deadline + options_.grace_ms / 2 <= answer_by)
+        active_request.deadline + options_.grace_ms / 2 <= respond_by)
       return;
     timers_.cancel(active_request.deadline_timer);
-    active_request.deadline_timer = timers_.run_at(answer_by, [this, id] { on_deadline(id); });
+    active_request.deadline_timer = timers_.run_at(respond_by, [this, id] { on_deadline(id); });
   });
 }
 
@@ -268,8 +269,8 @@
   } else if (const auto* timer = std::get_if<fernward::SetTimer>(&action)) {
     const std::uint64_t token = timer->token;
     timers_.run_at(loop::now_ms() + timer->delay_ms, [this, token] { enqueue(fernward::TimerFired{token}); });
-  } else if (const auto* message = std::get_if<fernward::Log>(&action)) {
-    log::line("module", {{"says", message->text}});
+  } else if (const auto* log_message = std::get_if<fernward::Log>(&action)) {
+    log::line("module", {{"says", log_message->text}});
   } else if (std::get_if<fernward::WatchEndpoints>(&action) != nullptr) {
     // The endpoint list is always watched: an empty delta confirms the watch at once.
     enqueue(fernward::EndpointList{fernward::EndpointListKind::Delta, {}});
@@ -301,9 +302,9 @@
     client_disconnected(send.id);
     return report_outcome(send.id, number, send.server, 0, result);
   }
-  const bool in_time =
+  const bool within_limits =
       number < settings_.max_attempts_for_class(active_request->request->class_index) && now < deadline;
-  if (in_time && may_send(*active_request, now, false)) attempt_id = attempts_.add();
+  if (within_limits && may_send(*active_request, now, false)) attempt_id = attempts_.add();
   ++active_request->attempts_in_flight;
   active_request->attempts.push_back(attempt_id);
   if (attempt_id != 0) {
@@ -312,15 +313,15 @@
     attempt.number = number;
     attempt.server = send.server;
     attempt.sent_at = now;
-    const auto started = upstream_->start(attempt_id, send.server, active_request->request, deadline);
-    if (started == UpstreamConnections::StartResult::Started) {
+    const auto start_result = upstream_->start(attempt_id, send.server, active_request->request, deadline);
+    if (start_result == UpstreamConnections::StartResult::Started) {
       if (active_request->attempts_in_flight == 1 && !active_request->may_have_run)
         active_request->first_sent_at = now;
       ++active_request->attempts_started;
       return set_attempt_deadline(attempt, attempt_id, deadline);
     }
-    if (started == UpstreamConnections::StartResult::NoEndpoint) result = AttemptResult::ConnectFailed;
-    if (started == UpstreamConnections::StartResult::LocalLimit) log::line("upstream-table-full");
+    if (start_result == UpstreamConnections::StartResult::NoEndpoint) result = AttemptResult::ConnectFailed;
+    if (start_result == UpstreamConnections::StartResult::LocalLimit) log::line("upstream-table-full");
     active_request->attempts.back() = 0;
     attempts_.remove(attempt_id);
   }
@@ -345,7 +346,7 @@
                                              active_request.may_have_run, now - active_request.first_sent_at};
   const bool allowed =
       body_buffers::may_send(body, class_settings.idempotency, class_settings.idempotency_window_ms, history);
-  if (!allowed && body.retry_if_run)
+  if (!allowed && body.retry_if_executed)
     log::line("retry-not-allowed",
               {{"id", active_request.request->id}, {"attempts", active_request.attempts_started}});
   return allowed;
@@ -358,7 +359,7 @@
   AttemptCompletion completion;
   // A timeout while waiting for the client is not attributed to the server.
   completion.result = result == AttemptResult::TimedOut && pause.ongoing ? AttemptResult::Cancelled : result;
-  completion.paused_ms = pause.ms;
+  completion.paused_ms = pause.duration_ms;
   complete_attempt(attempt_id, std::move(completion));
 }
 
@@ -409,7 +410,7 @@
   if (active_request != nullptr && active_request->request->streamed_body != nullptr) {
     const body_buffers::BodyAvailability body = active_request->request->streamed_body->availability();
     attempt_outcome.body_consumed =
-        active_request->may_have_run ? !body.retry_if_run : !body.retry_if_not_run;
+        active_request->may_have_run ? !body.retry_if_executed : !body.retry_if_not_executed;
   }
   attempt_outcome.load_report = std::move(load_report);
   attempt_outcome.on_reused_connection = on_reused_connection;
@@ -431,7 +432,7 @@
   } else if (response != nullptr) {
     downstream_->send_response(active_request->client, std::move(*response));
   }
-  resume_blocked_readers();
+  resume_responses_awaiting_budget();
 }
 
 void RequestDispatcher::remove_if_done(Handle request_id) {
--- a/src/proxy/request_dispatcher.h
+++ b/src/proxy/request_dispatcher.h
@@ -60,7 +60,7 @@
   // The client has received part of a streamed response, and more can be written.
   void response_drained(Handle request_id);
   // Graceful shutdown: requests that have no final response by this time fail then.
-  void answer_all_by(double answer_by);
+  void respond_to_all_by(double respond_by);
   void update_endpoints(fernward::EndpointList list);
   // Events derived from the gossip of the other routers, see gossip/balancer_exchange.h.
   void on_fleet_events(std::vector<fernward::Event> events);
@@ -123,9 +123,9 @@
   // `already_started`: the attempt in question is counted in attempts_started and attempts_in_flight.
   bool may_send(const ActiveRequest& active_request, double now, bool already_started) const;
   void set_attempt_deadline(Attempt& attempt, Handle attempt_id, double deadline);
-  Handle client_of_streaming(Handle attempt_id);
+  Handle client_of_streaming_attempt(Handle attempt_id);
   void resume_reading(Handle request_id);
-  void resume_blocked_readers();
+  void resume_responses_awaiting_budget();
   void report_outcome(Handle request_id, std::uint32_t number, fernward::ServerId server, double elapsed_ms,
                       fernward::AttemptResult result, std::vector<float> load_report = {},
                       bool on_reused_connection = false, bool first_on_connection = false);
@@ -147,7 +147,7 @@
   std::vector<fernward::Action> actions_;
   std::unordered_set<std::string> waiting_ids_; // of unfinished requests
   std::size_t unanswered_requests_ = 0;
-  double answer_all_by_ = 0; // 0: no shutdown is in progress
+  double respond_to_all_by_ = 0; // 0: no shutdown is in progress
   std::function<void()> discovery_poll_;
   double discovery_polled_at_ = 0;
   GiveUpCounts give_up_counts_{};
--- a/src/proxy/upstream_connections.h
+++ b/src/proxy/upstream_connections.h
@@ -21,7 +21,7 @@
   // Time spent waiting for the client instead of the server: the client did not read the response, or was
   // still sending the request.
   struct ClientPause {
-    double ms = 0;
+    double duration_ms = 0;
     bool ongoing = false;
   };
 
@@ -29,7 +29,7 @@
 
   // AttemptCallbacks is called for `attempt` only if this returns Started. `deadline`: loop::now_ms() clock.
   virtual StartResult start(Handle attempt, fernward::ServerId server, const ClientRequestPtr& request,
-                            double deadline) = 0;
+                            double deadline_ms) = 0;
   // Ends a started attempt: AttemptCallbacks is no longer called for it.
   virtual ClientPause cancel(Handle attempt) = 0;
   // Resumes reading the response, after AttemptCallbacks::writable_bytes() was 0.
--- a/src/requests/load_report.h
+++ b/src/requests/load_report.h
@@ -18,14 +18,14 @@
 inline LoadReport parse_load_report(const std::vector<LoadReportField>& fields,
                                     const std::vector<float>& values) {
   LoadReport report;
-  double inflight = -1;
+  double in_flight = -1;
   for (std::size_t i = 0; i < std::min(values.size(), fields.size()); ++i) {
     if (!is_finite_non_negative(values[i])) continue;
     if (fields[i] == LoadReportField::Queue) report.queue_length = values[i];
-    if (fields[i] == LoadReportField::Inflight) inflight = values[i];
+    if (fields[i] == LoadReportField::Inflight) in_flight = values[i];
     if (fields[i] == LoadReportField::LatencyMs) report.latency_ms = values[i];
   }
-  if (report.queue_length < 0) report.queue_length = inflight;
+  if (report.queue_length < 0) report.queue_length = in_flight;
   return report;
 }
 
--- a/src/router/config_reload.cpp
+++ b/src/router/config_reload.cpp
@@ -40,7 +40,7 @@
   }
   parts_.listener.update_rules(downstream_rules(new_config));
   parts_.stats.set_class_names(new_config.names.classes);
-  apply_log_rules(new_config.log);
+  apply_log_settings(new_config.log);
   const bool list_changed =
       new_config.static_nodes && new_config.known_endpoints != parts_.config.known_endpoints;
   parts_.config = std::move(new_config);
--- a/src/router/endpoint_updater.cpp
+++ b/src/router/endpoint_updater.cpp
@@ -92,7 +92,7 @@
 std::unique_ptr<endpoints::EndpointWatch> EndpointUpdater::watch_discovery(const std::string& address) {
   return std::make_unique<endpoints::EndpointWatch>(
       parts_.base, parts_.timers, address,
-      discovery::Subscription(subscription_rules(config_), config_.seed, known_index()),
+      discovery::Subscription(subscription_settings(config_), config_.seed, known_index()),
       [this, address](const std::string& text, std::uint64_t min_index) {
         return on_discovery_response(text, address, min_index);
       });
--- a/src/router/endpoint_updater.h
+++ b/src/router/endpoint_updater.h
@@ -40,7 +40,7 @@
   EndpointUpdater& operator=(const EndpointUpdater&) = delete;
 
   // Called after each update.
-  void on_updated(std::function<void()> callback) { on_updated_ = std::move(callback); }
+  void set_on_updated(std::function<void()> callback) { on_updated_ = std::move(callback); }
 
   // Loads the initial list from the configuration. `inherited`: it was just received from the process that
   // this one replaces, and is used immediately. Otherwise, if discovery is configured, requests are shed
--- a/src/router/graceful_shutdown.cpp
+++ b/src/router/graceful_shutdown.cpp
@@ -34,7 +34,7 @@
   log::line("graceful-shutdown", {{"name", config.name}});
   const double now_ms = loop::now_ms();
   const double total_ms = longest_client_timeout_ms(config) + kResponseGraceMs;
-  parts_.dispatcher.answer_all_by(now_ms + total_ms - kFailBeforeEndMs);
+  parts_.dispatcher.respond_to_all_by(now_ms + total_ms - kFailBeforeEndMs);
   const bool is_replaced = hot_restart_ != nullptr && hot_restart_->begin_shutdown();
   if (!is_replaced) schedule_drain(now_ms, total_ms);
   parts_.timers.run_at(now_ms + total_ms, [this] { stop_loop(); });
--- a/src/router/hot_restart_coordinator.cpp
+++ b/src/router/hot_restart_coordinator.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr double kRequestTimeoutMs = 2000;
+constexpr double kTakeoverRequestTimeoutMs = 2000;
 constexpr double kReleasePeriodMs = 50;
 constexpr std::uint64_t kSpareDescriptors = 8; // kept during shutdown for further attempts
 
@@ -36,7 +36,8 @@
 }
 
 HotRestartCoordinator::~HotRestartCoordinator() {
-  for (auto* timer : {&request_timer_, &release_timer_, &disconnect_timer_}) parts_.timers.cancel(*timer);
+  for (auto* timer : {&takeover_request_timer_, &release_timer_, &disconnect_timer_})
+    parts_.timers.cancel(*timer);
 }
 
 void HotRestartCoordinator::listen() {
@@ -67,7 +68,7 @@
 // ---- the old process ----
 
 void HotRestartCoordinator::on_connect(Descriptor socket) {
-  if (is_connected() || shutting_down_) {
+  if (is_new_process_connected() || shutting_down_) {
     return log::line("hot-restart-refused",
                      {{"why", shutting_down_ ? "shutting down" : "another restart is in progress"}});
   }
@@ -77,32 +78,32 @@
       parts_.base, std::move(socket),
       [this](hot_restart::Message message, const Descriptor&) { on_new_process_message(std::move(message)); },
       [this](const std::string& error) { on_new_process_closed(error); });
-  parts_.timers.cancel(request_timer_);
-  request_timer_ = parts_.timers.run_at(now_ms() + kRequestTimeoutMs, [this] {
-    request_timer_ = 0;
-    if (!is_granted()) disconnect();
+  parts_.timers.cancel(takeover_request_timer_);
+  takeover_request_timer_ = parts_.timers.run_at(now_ms() + kTakeoverRequestTimeoutMs, [this] {
+    takeover_request_timer_ = 0;
+    if (!is_takeover_granted()) disconnect_new_process();
   });
 }
 
 // Deferred, because it is called from the connection's own callbacks.
-void HotRestartCoordinator::disconnect_later() {
+void HotRestartCoordinator::disconnect_new_process_later() {
   parts_.timers.cancel(disconnect_timer_);
   disconnect_timer_ = parts_.timers.run_at(now_ms(), [this] {
     disconnect_timer_ = 0;
-    disconnect();
+    disconnect_new_process();
   });
 }
 
-void HotRestartCoordinator::disconnect() {
+void HotRestartCoordinator::disconnect_new_process() {
   new_process_.reset();
   new_process_state_ = NewProcessState::None;
 }
 
 void HotRestartCoordinator::on_new_process_message(hot_restart::Message message) {
   if (const auto* request = std::get_if<hot_restart::TakeoverRequest>(&message)) {
-    if (!is_granted()) grant(*request);
-  } else if (!is_granted()) {
-    disconnect_later();
+    if (!is_takeover_granted()) grant(*request);
+  } else if (!is_takeover_granted()) {
+    disconnect_new_process_later();
   } else if (std::holds_alternative<hot_restart::NewProcessReady>(message)) {
     on_new_process_ready();
   } else if (const auto* override_change = std::get_if<hot_restart::OverrideChanged>(&message)) {
@@ -117,7 +118,7 @@
     log::line("hot-restart-refused",
               {{"why", descriptor ? "takeover request names another listen address: " + request.listen_address
                                   : std::strerror(errno)}});
-    return disconnect_later();
+    return disconnect_new_process_later();
   }
   const hot_restart::Resources granted = split_with_new_process(request.reserved_descriptors);
   new_process_state_ = NewProcessState::Granted;
@@ -141,7 +142,7 @@
   memory_mb_ = 0;
   add_resources(0, resource_split.old_process.memory_mb);
   while (used_descriptors() > resource_split.old_process.descriptors &&
-         parts_.pool.evict_oldest_idle(upstream::CloseReason::Handover)) {}
+         parts_.pool.evict_oldest_free(upstream::CloseReason::Handover)) {}
   return resource_split.new_process;
 }
 
@@ -154,9 +155,9 @@
 }
 
 void HotRestartCoordinator::on_new_process_closed(const std::string& error) {
-  const bool was_granted = is_granted();
+  const bool was_granted = is_takeover_granted();
   new_process_state_ = NewProcessState::None;
-  disconnect_later();
+  disconnect_new_process_later();
   if (!error.empty()) log::line("hot-restart-damaged", {{"why", error}});
   if (shutting_down_) return parts_.listener.cancel_handover();
   if (!was_granted) return;
@@ -168,7 +169,7 @@
 
 bool HotRestartCoordinator::begin_shutdown() {
   // SIGTERM may be handled before a NewProcessReady that was sent earlier.
-  if (is_connected()) new_process_->read_now();
+  if (is_new_process_connected()) new_process_->read_now();
   shutting_down_ = true;
   restart_listener_.reset();
   if (!has_ready_new_process()) return false;
@@ -206,7 +207,9 @@
   });
 }
 
-bool HotRestartCoordinator::is_flushed() const { return !is_connected() || new_process_->is_flushed(); }
+bool HotRestartCoordinator::is_flushed() const {
+  return !is_new_process_connected() || new_process_->is_flushed();
+}
 
 // ---- the new process ----
 
@@ -275,7 +278,8 @@
 void HotRestartCoordinator::on_override_changed(
     const admin_overrides::EndpointOverrides::Override& endpoint_override) {
   if (has_old_process()) old_process_->send(hot_restart::OverrideChanged{endpoint_override});
-  if (is_connected() && is_granted()) new_process_->send(hot_restart::OverrideChanged{endpoint_override});
+  if (is_new_process_connected() && is_takeover_granted())
+    new_process_->send(hot_restart::OverrideChanged{endpoint_override});
 }
 
 } // namespace fernward::router
--- a/src/router/hot_restart_coordinator.h
+++ b/src/router/hot_restart_coordinator.h
@@ -78,7 +78,7 @@
 
   bool has_old_process() const { return old_process_ != nullptr && !old_process_->is_closed(); }
   bool has_ready_new_process() const {
-    return is_connected() && new_process_state_ == NewProcessState::Ready;
+    return is_new_process_connected() && new_process_state_ == NewProcessState::Ready;
   }
 
  private:
@@ -92,13 +92,13 @@
   void grant(const hot_restart::TakeoverRequest& request);
   hot_restart::Resources split_with_new_process(std::uint64_t reserved_descriptors);
   void on_new_process_ready();
-  void disconnect_later();
-  void disconnect();
+  void disconnect_new_process_later();
+  void disconnect_new_process();
   void pass_connections();
   bool pass_connection(int fd, unsigned request_count);
   void release_descriptors();
-  bool is_connected() const { return new_process_ != nullptr && !new_process_->is_closed(); }
-  bool is_granted() const {
+  bool is_new_process_connected() const { return new_process_ != nullptr && !new_process_->is_closed(); }
+  bool is_takeover_granted() const {
     return new_process_state_ == NewProcessState::Granted || new_process_state_ == NewProcessState::Ready;
   }
   // In the new process:
@@ -123,7 +123,7 @@
   NewProcessState new_process_state_ = NewProcessState::None;
   bool ready_sent_ = false;
   bool shutting_down_ = false;
-  loop::TimerQueue::TimerId request_timer_ = 0;
+  loop::TimerQueue::TimerId takeover_request_timer_ = 0;
   loop::TimerQueue::TimerId release_timer_ = 0;
   loop::TimerQueue::TimerId disconnect_timer_ = 0;
 };
--- a/src/router/router.cpp
+++ b/src/router/router.cpp
@@ -46,7 +46,7 @@
       pool_(base, timers_, descriptors_, buffer_budget_, router_stats_, pool_options(config), dispatcher_,
             [this] { return listener_.evict_connection("recalled"); }),
       listener_(base, timers_, descriptors_, request_buffers_, buffer_budget_, body_stores_, router_stats_,
-                listener_options(config, inherited), downstream_rules(config), listener_calls()),
+                listener_options(config, inherited), downstream_rules(config), listener_callbacks()),
       endpoint_updater_(config_, {base_, timers_, dispatcher_, pool_}),
       shutdown_({base_, timers_, dispatcher_, listener_}),
       reload_({config_, dispatcher_, listener_, router_stats_, endpoint_updater_}),
@@ -56,10 +56,10 @@
                          }}) {
   dispatcher_.attach(listener_, pool_);
   dispatcher_.set_discovery_poll([this] { endpoint_updater_.poll_discovery(); });
-  endpoint_updater_.on_updated([this] {
+  endpoint_updater_.set_on_updated([this] {
     if (hot_restart_ != nullptr) hot_restart_->on_endpoints_updated();
   });
-  if (config_.reloadable) apply_log_rules(config_.log);
+  if (config_.reloadable) apply_log_settings(config_.log);
   load_initial_list(inherited);
   if (!config_.hot_restart_path.empty()) start_hot_restart(inherited);
   endpoint_updater_.watch_sources();
@@ -114,12 +114,12 @@
 }
 
 void Router::start_gossip(const config::RouterFleetConfig& fleet) {
-  const gossip::GossipFeatures uses{fleet.share_origin_limit, fleet.use_live_router_count,
-                                    fleet.share_node_findings};
-  const auto own_state = [this, uses] { return gossip::local_reports(dispatcher_.balancer(), uses); };
-  const auto on_fleet_updated = [this, uses](gossip::GossipNode& fleet_state, double now_ms) {
+  const gossip::GossipFeatures features{fleet.share_origin_limit, fleet.use_live_router_count,
+                                        fleet.share_node_findings};
+  const auto own_state = [this, features] { return gossip::local_reports(dispatcher_.balancer(), features); };
+  const auto on_fleet_updated = [this, features](gossip::GossipNode& gossip_node, double now_ms) {
     std::vector<fernward::Event> events;
-    gossip::append_fleet_events(now_ms, fleet_state.view(now_ms), fleet_state, uses, events);
+    gossip::append_fleet_events(now_ms, gossip_node.view(now_ms), gossip_node, features, events);
     dispatcher_.on_fleet_events(std::move(events));
   };
   gossip_ = std::make_unique<gossip_transport::Transport>(
@@ -138,7 +138,7 @@
                           {"nodes", endpoint_source}});
 }
 
-downstream::ListenerCallbacks Router::listener_calls() {
+downstream::ListenerCallbacks Router::listener_callbacks() {
   return {[this](loop::Handle client, proxy::ClientRequest request) {
             // The configuration's list may be out of date.
             if (endpoint_updater_.is_awaiting_initial_list()) return loop::Handle{0};
@@ -149,7 +149,7 @@
           [this](loop::Handle request) { dispatcher_.client_disconnected(request); },
           [this] { return endpoint_updater_.is_ready(); },
           [this] { shutdown_.on_connections_closed(); },
-          [this] { return pool_.evict_oldest_idle(upstream::CloseReason::EvictedForClient); },
+          [this] { return pool_.evict_oldest_free(upstream::CloseReason::EvictedForClient); },
           [this](loop::Handle request) { dispatcher_.response_drained(request); }};
 }
 
--- a/src/router/router.h
+++ b/src/router/router.h
@@ -26,10 +26,10 @@
 
 namespace fernward::router {
 
-struct EventBaseDeleter {
+struct EventBaseFree {
   void operator()(event_base* base) const { event_base_free(base); }
 };
-using EventBasePtr = std::unique_ptr<event_base, EventBaseDeleter>;
+using EventBasePtr = std::unique_ptr<event_base, EventBaseFree>;
 // Creates an event base on which events of discovery and of the control port run before those of traffic.
 // Throws std::runtime_error.
 EventBasePtr make_event_base();
@@ -64,7 +64,7 @@
   const body_buffers::RetainedBodies& retained_bodies() const { return body_stores_.retained; }
 
  private:
-  downstream::ListenerCallbacks listener_calls();
+  downstream::ListenerCallbacks listener_callbacks();
   void load_initial_list(hot_restart::InheritedState* inherited);
   void start_hot_restart(hot_restart::InheritedState* inherited);
   void start_control();
--- a/src/router/router_options.cpp
+++ b/src/router/router_options.cpp
@@ -65,9 +65,9 @@
 body_buffers::BufferBudgetOptions buffer_budget_options(const config::Config& config) {
   body_buffers::BufferBudgetOptions options;
   options.total_bytes = config::body_buffer_limit_bytes(config.memory_mb);
-  options.max_holders = connection_descriptors(config); // of responses
+  options.expected_holders = connection_descriptors(config); // of responses
   if (config.max_request_bytes > kShortBodyBytes)
-    options.max_holders *= 2; // and of request bodies that are streamed
+    options.expected_holders *= 2; // and of request bodies that are streamed
   return options;
 }
 
@@ -108,14 +108,15 @@
 // With pushed lists a change applies immediately, so at most half of the drain grace period may pass before
 // the next request to discovery. With polled lists a change applies later anyway, and longer pauses reduce
 // the load on discovery, a single service that all routers use.
-discovery::SubscriptionSettings subscription_rules(const config::Config& config) {
-  discovery::SubscriptionSettings rules;
+discovery::SubscriptionSettings subscription_settings(const config::Config& config) {
+  discovery::SubscriptionSettings settings;
   const bool pushed = config.settings.discovery == fernward::DiscoveryMode::Push;
-  rules.max_reconnect_pause_ms = pushed
-                                     ? std::min(config.limits.drain_grace_ms / 2, rules.max_rejected_pause_ms)
-                                     : rules.max_rejected_pause_ms;
-  rules.min_reconnect_pause_ms = std::min(rules.min_reconnect_pause_ms, rules.max_reconnect_pause_ms);
-  return rules;
+  settings.max_reconnect_pause_ms =
+      pushed ? std::min(config.limits.drain_grace_ms / 2, settings.max_rejected_pause_ms)
+             : settings.max_rejected_pause_ms;
+  settings.min_reconnect_pause_ms =
+      std::min(settings.min_reconnect_pause_ms, settings.max_reconnect_pause_ms);
+  return settings;
 }
 
 gossip_transport::Options gossip_options(const config::RouterFleetConfig& fleet,
@@ -130,10 +131,10 @@
   return options;
 }
 
-void apply_log_rules(const config::LogSettings& rules) {
-  log::set_rate_limit(rules.lines_per_s, rules.burst_lines);
-  log::set_json_format(rules.json);
-  log::enable_routine_lines(rules.log_connections);
+void apply_log_settings(const config::LogSettings& settings) {
+  log::set_rate_limit(settings.lines_per_s, settings.burst_lines);
+  log::set_json_format(settings.json);
+  log::enable_routine_lines(settings.log_connections);
 }
 
 } // namespace fernward::router
--- a/src/router/router_options.h
+++ b/src/router/router_options.h
@@ -29,10 +29,10 @@
 downstream::ListenerOptions listener_options(const config::Config& config,
                                              hot_restart::InheritedState* inherited);
 downstream::RequestRules downstream_rules(const config::Config& config);
-discovery::SubscriptionSettings subscription_rules(const config::Config& config);
+discovery::SubscriptionSettings subscription_settings(const config::Config& config);
 gossip_transport::Options gossip_options(const config::RouterFleetConfig& fleet,
                                          const config::Config& config);
 
-void apply_log_rules(const config::LogSettings& rules);
+void apply_log_settings(const config::LogSettings& settings);
 
 } // namespace fernward::router
--- a/src/router/stats_reporter.cpp
+++ b/src/router/stats_reporter.cpp
@@ -44,19 +44,20 @@
   report_requests();
   report_slow_start();
   if (gossip_ != nullptr) report_gossip();
-  report_rejected();
+  report_given_up();
 }
 
 void StatsReporter::report_requests() {
   using figures::Outcome;
   const figures::RouterStats& stats = parts_.stats;
   const std::uint64_t ended_requests = stats.total(Outcome::Answered) + stats.total(Outcome::Deferred) +
-                                       stats.total(Outcome::Errored) + stats.total(Outcome::ClientGone);
+                                       stats.total(Outcome::Errored) +
+                                       stats.total(Outcome::ClientDisconnected);
   if (std::exchange(reported_request_count_, ended_requests) == ended_requests) return;
   log::line("figures", {{"answered", stats.total(Outcome::Answered)},
                         {"deferred", stats.total(Outcome::Deferred)},
                         {"errored", stats.total(Outcome::Errored)},
-                        {"gone", stats.total(Outcome::ClientGone)},
+                        {"gone", stats.total(Outcome::ClientDisconnected)},
                         {"sends", stats.attempts_sent()},
                         {"current", stats.active_requests()}});
 }
@@ -82,14 +83,14 @@
 
 // Writes one summary line for all requests given up since the last report: one line per request would exceed
 // the log's rate limit exactly when there are many.
-void StatsReporter::report_rejected() {
-  const auto& rejections = parts_.dispatcher.give_up_counts();
+void StatsReporter::report_given_up() {
+  const auto& give_up_counts = parts_.dispatcher.give_up_counts();
   std::vector<log::Field> fields;
-  for (std::size_t i = 0; i < rejections.size(); ++i) {
-    const auto count_since_report = rejections[i] - reported_rejections_[i];
+  for (std::size_t i = 0; i < give_up_counts.size(); ++i) {
+    const auto count_since_report = give_up_counts[i] - reported_give_up_counts_[i];
     if (count_since_report != 0) fields.emplace_back(kReasonNames[i], count_since_report);
   }
-  reported_rejections_ = rejections;
+  reported_give_up_counts_ = give_up_counts;
   if (!fields.empty()) log::line("requests-rejected", fields.data(), fields.size());
 }
 
--- a/src/router/stats_reporter.h
+++ b/src/router/stats_reporter.h
@@ -35,14 +35,14 @@
   void report_requests();
   void report_slow_start();
   void report_gossip();
-  void report_rejected();
+  void report_given_up();
   std::size_t cache_count() const;
   std::size_t unavailable_cache_count() const;
 
   StatsReporterParts parts_;
   gossip_transport::Transport* gossip_ = nullptr; // null: gossip is disabled
   // Values at the last report:
-  proxy::RequestDispatcher::GiveUpCounts reported_rejections_{};
+  proxy::RequestDispatcher::GiveUpCounts reported_give_up_counts_{};
   fernward::Balancer::SlowStartCounts reported_slow_start_;
   std::uint64_t reported_request_count_ = 0;
 };
--- a/src/sidecar/runner.cpp
+++ b/src/sidecar/runner.cpp
@@ -119,16 +119,16 @@
   void reap_children() {
     int status = 0;
     for (pid_t pid; (pid = waitpid(-1, &status, WNOHANG)) > 0;) {
-      const int code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
+      const int exit_code = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
       if (pid == router_pid_) {
         router_pid_ = 0;
         readiness_check_.reset();
-        log::line("sidecar-router-ended", {{"process", pid}, {"code", code}});
+        log::line("sidecar-router-ended", {{"process", pid}, {"code", exit_code}});
         handle_event(RouterEnded{});
       } else if (pid == application_pid_) {
         application_pid_ = 0;
-        log::line("sidecar-application-ended", {{"process", pid}, {"code", code}});
-        handle_event(ApplicationEnded{code});
+        log::line("sidecar-application-ended", {{"process", pid}, {"code", exit_code}});
+        handle_event(ApplicationEnded{exit_code});
       }
     }
   }
@@ -137,16 +137,17 @@
     std::vector<Action> actions;
     supervisor_.on_event(loop::now_ms(), event, actions);
     for (const Action action : actions) execute(action);
-    timers_.cancel(timer_id_);
+    timers_.cancel(deadline_timer_);
     if (const auto deadline = supervisor_.next_deadline())
-      timer_id_ = timers_.run_at(*deadline, [this] { handle_event(TimerExpired{}); });
+      deadline_timer_ = timers_.run_at(*deadline, [this] { handle_event(TimerExpired{}); });
   }
 
   void execute(Action action) {
     switch (action) {
       case Action::StartRouter:
         router_pid_ = start_process(programs_.router_command, true);
-        log::line("sidecar-router-started", {{"process", router_pid_}, {"restarts", supervisor_.restarts()}});
+        log::line("sidecar-router-started",
+                  {{"process", router_pid_}, {"restarts", supervisor_.router_restarts()}});
         return check_readiness();
       case Action::StartApplication:
         application_pid_ = start_process(programs_.application_command, false);
@@ -163,7 +164,7 @@
         log::line("sidecar-application-killed", {{"process", application_pid_}});
         return send_signal(application_pid_, SIGKILL);
       case Action::Exit:
-        if (supervisor_.never_ready())
+        if (supervisor_.router_never_ready())
           log::line("sidecar-router-never-ready", {{"address", programs_.router_address}});
         event_base_loopbreak(base_);
     }
@@ -196,7 +197,7 @@
   pid_t start_process(const std::vector<std::string>& command_line, bool is_router) {
     const pid_t parent = getpid();
     // In the child, signals stay blocked until its handlers are reset, so that no earlier signal is lost.
-    const loop::BlockedSignals blocked;
+    const loop::BlockedSignals blocked_signals;
     const pid_t pid = fork();
     if (pid < 0) {
       log::line("sidecar-cannot-start", {{"program", command_line.front()}, {"why", std::strerror(errno)}});
@@ -217,10 +218,10 @@
     for (const std::string& argument : command_line) argv.push_back(const_cast<char*>(argument.c_str()));
     argv.push_back(nullptr);
     execvp(argv[0], argv.data());
-    const int code = errno == ENOENT ? kExitNotFound : kExitNotExecutable;
+    const int exit_code = errno == ENOENT ? kExitNotFound : kExitNotExecutable;
     std::fprintf(stderr, "fernward sidecar: %s: %s\n", argv[0], std::strerror(errno));
     std::fflush(stderr);
-    _exit(code);
+    _exit(exit_code);
   }
 
   const Programs& programs_;
@@ -231,7 +232,7 @@
   std::vector<loop::EventPtr> signals_;
   std::unique_ptr<ReadinessCheck> readiness_check_;
   pid_t router_pid_ = 0, application_pid_ = 0;
-  loop::TimerQueue::TimerId timer_id_ = 0;
+  loop::TimerQueue::TimerId deadline_timer_ = 0;
 };
 
 } // namespace
--- a/src/sidecar/supervisor.h
+++ b/src/sidecar/supervisor.h
@@ -60,13 +60,13 @@
 class Supervisor {
  public:
   explicit Supervisor(const SupervisorSettings& settings)
-      : settings_(settings), backoff_ms_(settings.restart_backoff_min_ms) {}
+      : settings_(settings), restart_backoff_ms_(settings.restart_backoff_min_ms) {}
 
-  void on_event(double now, const Event& event, std::vector<Action>& actions);
+  void on_event(double now_ms, const Event& event, std::vector<Action>& actions);
   std::optional<double> next_deadline() const; // when the next TimerExpired is due; empty: none
   int exit_code() const { return exit_code_; }
-  std::uint64_t restarts() const { return restarts_; }
-  bool never_ready() const { return never_ready_; }
+  std::uint64_t router_restarts() const { return router_restarts_; }
+  bool router_never_ready() const { return router_never_ready_; }
 
  private:
   enum class RouterState {
@@ -84,13 +84,13 @@
     Stopped
   } application_state_ = ApplicationState::NotStarted;
 
-  void start(double now, std::vector<Action>& actions);
-  void router_ready(double now, std::vector<Action>& actions);
-  void router_ended(double now, std::vector<Action>& actions);
-  void application_ended(double now, int code, std::vector<Action>& actions);
-  void signal_received(double now, Signal signal, std::vector<Action>& actions);
-  void timer_expired(double now, std::vector<Action>& actions);
-  void stop_router(double now, std::vector<Action>& actions);
+  void start(double now_ms, std::vector<Action>& actions);
+  void router_ready(double now_ms, std::vector<Action>& actions);
+  void router_ended(double now_ms, std::vector<Action>& actions);
+  void application_ended(double now_ms, int application_exit_code, std::vector<Action>& actions);
+  void signal_received(double now_ms, Signal signal, std::vector<Action>& actions);
+  void timer_expired(double now_ms, std::vector<Action>& actions);
+  void stop_router(double now_ms, std::vector<Action>& actions);
 
   SupervisorSettings settings_;
   // Pending deadlines, in ms; none: not pending.
@@ -98,10 +98,10 @@
   std::optional<double> restart_at_;          // restart of the router after its backoff
   std::optional<double> kill_application_at_; // the application has been asked to end
   std::optional<double> kill_router_at_;      // the router has been asked to end
-  double ready_at_ = 0, backoff_ms_;
+  double router_ready_at_ = 0, restart_backoff_ms_;
   int exit_code_ = 0;
-  std::uint64_t restarts_ = 0;
-  bool never_ready_ = false, reload_pending_ = false;
+  std::uint64_t router_restarts_ = 0;
+  bool router_never_ready_ = false, reload_pending_ = false;
 };
 
 } // namespace fernward::sidecar
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -162,8 +162,8 @@
 }
 
 const std::string& Reply::finish() {
-  const auto length = static_cast<std::uint32_t>(bytes_.size());
-  std::memcpy(bytes_.data(), &length, sizeof length);
+  const auto frame_bytes = static_cast<std::uint32_t>(bytes_.size());
+  std::memcpy(bytes_.data(), &frame_bytes, sizeof frame_bytes);
   return bytes_;
 }
 
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -41,9 +41,9 @@
   }
   std::string_view read_bytes(std::size_t byte_count) {
     if (byte_count > remaining()) throw BadInput("truncated record");
-    const auto part = bytes_.substr(position_, byte_count);
+    const auto field_bytes = bytes_.substr(position_, byte_count);
     position_ += byte_count;
-    return part;
+    return field_bytes;
   }
   std::size_t remaining() const { return bytes_.size() - position_; }
 
--- a/src/spill/spill_file.cpp
+++ b/src/spill/spill_file.cpp
@@ -27,10 +27,10 @@
   return std::unique_ptr<SpillFile>(new SpillFile(*this, fd));
 }
 
-void SpillFolder::report_state(bool works, const char* problem) {
-  if (works == !failing_) return;
-  failing_ = !works;
-  if (works) {
+void SpillFolder::report_state(bool working, const char* problem) {
+  if (working == !failing_) return;
+  failing_ = !working;
+  if (working) {
     log::line("body-folder-works", {{"path", path_}});
   } else { // bodies that need the folder are forwarded without being retained
     log::line("body-folder-fails", {{"path", path_}, {"what", problem}, {"why", std::strerror(errno)}});
@@ -43,7 +43,7 @@
   std::size_t written_bytes = 0;
   while (written_bytes < bytes.size()) {
     const auto result_bytes = pwrite(fd_, bytes.data() + written_bytes, bytes.size() - written_bytes,
-                                     static_cast<off_t>(size_ + written_bytes));
+                                     static_cast<off_t>(size_bytes_ + written_bytes));
     if (result_bytes < 0 && errno == EINTR) continue;
     // After a short write the remaining bytes are written again, which reports the error here.
     if (result_bytes <= 0) {
@@ -52,14 +52,14 @@
     }
     written_bytes += static_cast<std::size_t>(result_bytes);
   }
-  size_ += written_bytes;
+  size_bytes_ += written_bytes;
   folder_.report_state(true, "");
   return true;
 }
 
 std::size_t SpillFile::read(std::uint64_t offset, char* buffer, std::size_t max_bytes) const {
-  if (offset >= size_) return 0;
-  max_bytes = static_cast<std::size_t>(std::min<std::uint64_t>(max_bytes, size_ - offset));
+  if (offset >= size_bytes_) return 0;
+  max_bytes = static_cast<std::size_t>(std::min<std::uint64_t>(max_bytes, size_bytes_ - offset));
   for (;;) {
     const auto result_bytes = pread(fd_, buffer, max_bytes, static_cast<off_t>(offset));
     if (result_bytes < 0 && errno == EINTR) continue;
--- a/src/spill/spill_file.h
+++ b/src/spill/spill_file.h
@@ -26,14 +26,14 @@
   bool append(std::string_view bytes);
   // Reads up to `max_bytes` from `offset`. 0: the file ends there, or cannot be read.
   std::size_t read(std::uint64_t offset, char* buffer, std::size_t max_bytes) const;
-  std::uint64_t size() const { return size_; }
+  std::uint64_t size() const { return size_bytes_; }
 
  private:
   friend class SpillFolder;
   SpillFile(SpillFolder& folder, int fd) : folder_(folder), fd_(fd) {}
   SpillFolder& folder_;
   int fd_;
-  std::uint64_t size_ = 0;
+  std::uint64_t size_bytes_ = 0;
 };
 
 // Folder in which the files are created. Outlives its files.
@@ -48,7 +48,7 @@
 
  private:
   friend class SpillFile;
-  void report_state(bool works, const char* problem);
+  void report_state(bool working, const char* problem);
   std::string path_;
   bool failing_ = false;
 };
--- a/src/toml_document/reader.cpp
+++ b/src/toml_document/reader.cpp
@@ -23,35 +23,41 @@
   return std::move(invalid_members_);
 }
 
-void Reader::amount(const char* member, double& value, Unit unit, const char*, SpecialValue word) {
-  read_value(member, value,
-             [&](const toml::node& n, ParseError& why) { return parse_amount(n, unit, word, why); });
+void Reader::amount(const char* member, double& value, Unit unit, const char*, SpecialValue special_value) {
+  read_value(member, value, [&](const toml::node& node, ParseError& failure) {
+    return parse_amount(node, unit, special_value, failure);
+  });
 }
 void Reader::count(const char* member, std::uint32_t& value, const char*, Unit unit) {
-  read_value(member, value, [&](const toml::node& n, ParseError& why) { return parse_count(n, unit, why); });
+  read_value(member, value,
+             [&](const toml::node& node, ParseError& failure) { return parse_count(node, unit, failure); });
 }
 void Reader::seed(const char* member, std::uint64_t& value, const char*) {
   read_value(member, value, parse_seed);
 }
-void Reader::text(const char* member, std::string& value, bool needed, const char*) {
-  if (!read_value(member, value, parse_text) && needed) add_missing_error(member);
+void Reader::text(const char* member, std::string& value, bool required, const char*) {
+  if (!read_value(member, value, parse_text) && required) add_missing_error(member);
 }
 void Reader::texts(const char* member, std::vector<std::string>& values, const char*) {
   read_list(member, values, parse_text);
 }
 void Reader::flag(const char* member, bool& value, const char*) { read_value(member, value, parse_flag); }
-void Reader::choice(const char* member, std::size_t& value, Words words, bool needed, const char*) {
-  const bool given = read_value(
-      member, value, [&](const toml::node& n, ParseError& why) { return parse_choice(n, words, why); });
-  if (!given && needed) add_missing_error(member);
-}
-void Reader::choices(const char* member, std::vector<std::size_t>& values, Words words, const char*) {
-  read_list(member, values,
-            [&](const toml::node& n, ParseError& why) { return parse_choice(n, words, why); });
-}
-void Reader::ref(const char* member, std::uint32_t& value, Table table, bool needed, const char*) {
+void Reader::choice(const char* member, std::size_t& value, ChoiceNames choice_names, bool required,
+                    const char*) {
+  const bool given = read_value(member, value, [&](const toml::node& node, ParseError& failure) {
+    return parse_choice(node, choice_names, failure);
+  });
+  if (!given && required) add_missing_error(member);
+}
+void Reader::choices(const char* member, std::vector<std::size_t>& values, ChoiceNames choice_names,
+                     const char*) {
+  read_list(member, values, [&](const toml::node& node, ParseError& failure) {
+    return parse_choice(node, choice_names, failure);
+  });
+}
+void Reader::ref(const char* member, std::uint32_t& value, Table table, bool required, const char*) {
   const bool given = read_value(member, value, reference_parser(table));
-  if (!given && needed) add_missing_error(member);
+  if (!given && required) add_missing_error(member);
 }
 void Reader::refs(const char* member, std::vector<std::uint32_t>& values, Table table, const char*) {
   read_list(member, values, reference_parser(table));
@@ -67,12 +73,12 @@
 void Reader::leave() {
   const OpenTable table = std::move(open_tables_.back());
   open_tables_.pop_back();
-  const std::vector<std::string> known(table.known_keys.begin(), table.known_keys.end());
+  const std::vector<std::string> known_keys(table.known_keys.begin(), table.known_keys.end());
   for (const SourceTable& source : table.sources) {
     for (const auto& [key, node] : *source.table) {
       const std::string name(key.str());
       if (table.known_keys.contains(name)) continue;
-      const std::string suggestion = closest_match(name, known);
+      const std::string suggestion = closest_match(name, known_keys);
       add_error(position_of(key.source().begin.line > 0 ? key.source() : node.source(), *source.layer),
                 table.path.empty() ? name : key_of(table.path) + "." + name, "unknown-key",
                 suggestion.empty() ? "is not a key of this table"
@@ -85,7 +91,8 @@
   const FoundValue found = find(member);
   if (!found.node) return 0;
   const toml::array* array = found.node->as_array();
-  if (!array || !std::all_of(array->begin(), array->end(), [](const auto& n) { return n.is_table(); })) {
+  if (!array ||
+      !std::all_of(array->begin(), array->end(), [](const auto& node) { return node.is_table(); })) {
     add_error(found, member_path(member), {"type", "must be a list of tables, [[" + key_of(member) + "]]"});
     return 0;
   }
@@ -114,7 +121,7 @@
   open_tables_.push_back(std::move(table));
 }
 
-std::vector<std::string> Reader::named(const char* member, std::vector<std::string>, const char*) {
+std::vector<std::string> Reader::named_items(const char* member, std::vector<std::string>, const char*) {
   const std::string key = key_of(member);
   open_tables_.back().known_keys.insert(key);
   named_table_members_.insert(member_path(member));
@@ -141,8 +148,8 @@
   return open_tables_.back().path.empty() ? member : open_tables_.back().path + "." + member;
 }
 
-void Reader::add_error(Position at, std::string key, const char* code, std::string failure) {
-  errors_.push_back({std::move(at), std::move(key), std::move(failure), code});
+void Reader::add_error(Position position, std::string key, const char* code, std::string failure) {
+  errors_.push_back({std::move(position), std::move(key), std::move(failure), code});
 }
 
 void Reader::add_error(const FoundValue& found, const std::string& member, ParseError failure) {
@@ -202,21 +209,22 @@
 }
 
 bool Reader::table_unreadable(Table table) const {
-  const std::string list = names_.list(table);
-  return invalid_members_.contains(list) ||
+  const std::string defining_member = names_.defining_member(table);
+  return invalid_members_.contains(defining_member) ||
          std::any_of(invalid_members_.begin(), invalid_members_.end(), [&](const std::string& path) {
-           return path.starts_with(list + "[") && (path.ends_with(".name") || path.ends_with("count"));
+           return path.starts_with(defining_member + "[") &&
+                  (path.ends_with(".name") || path.ends_with("count"));
          });
 }
 
 // Returns whether the member is present. An invalid value leaves `value` unchanged.
 template <typename T, typename F>
-bool Reader::read_value(const char* member, T& value, F take) {
+bool Reader::read_value(const char* member, T& value, F parse) {
   const FoundValue found = find(member);
   if (!found.node) return false;
   record_position(member_path(member), found);
   ParseError failure;
-  if (auto parsed = take(*found.node, failure)) {
+  if (auto parsed = parse(*found.node, failure)) {
     value = *std::move(parsed);
   } else {
     add_error(found, member_path(member), std::move(failure));
@@ -225,7 +233,7 @@
 }
 
 template <typename T, typename F>
-void Reader::read_list(const char* member, std::vector<T>& values, F take) {
+void Reader::read_list(const char* member, std::vector<T>& values, F parse) {
   const FoundValue found = find(member);
   if (!found.node) return;
   record_position(member_path(member), found);
@@ -235,7 +243,7 @@
   values.clear();
   for (const toml::node& node : *array) {
     ParseError failure;
-    if (auto parsed = take(node, failure)) {
+    if (auto parsed = parse(node, failure)) {
       values.push_back(*std::move(parsed));
     } else {
       add_error({&node, found.layer}, member_path(member), std::move(failure));
--- a/src/toml_document/reader.h
+++ b/src/toml_document/reader.h
@@ -20,23 +20,26 @@
          std::set<std::string> non_member_keys);
   std::set<std::string> finish(); // call after the description; returns the invalid members
 
-  void amount(const char* member, double& value, Unit unit, const char* doc, SpecialValue word) override;
+  void amount(const char* member, double& value, Unit unit, const char* doc,
+              SpecialValue special_value) override;
   void count(const char* member, std::uint32_t& value, const char* doc, Unit unit) override;
   void seed(const char* member, std::uint64_t& value, const char* doc) override;
-  void text(const char* member, std::string& value, bool needed, const char* doc) override;
+  void text(const char* member, std::string& value, bool required, const char* doc) override;
   void texts(const char* member, std::vector<std::string>& values, const char* doc) override;
   void flag(const char* member, bool& value, const char* doc) override;
-  void choice(const char* member, std::size_t& value, Words words, bool needed, const char* doc) override;
-  void choices(const char* member, std::vector<std::size_t>& values, Words words, const char* doc) override;
-  void ref(const char* member, std::uint32_t& value, Table table, bool needed, const char* doc) override;
+  void choice(const char* member, std::size_t& value, ChoiceNames choice_names, bool required,
+              const char* doc) override;
+  void choices(const char* member, std::vector<std::size_t>& values, ChoiceNames choice_names,
+               const char* doc) override;
+  void ref(const char* member, std::uint32_t& value, Table table, bool required, const char* doc) override;
   void refs(const char* member, std::vector<std::uint32_t>& values, Table table, const char* doc) override;
-  bool present(const char* member, bool now) override;
+  bool present(const char* member, bool is_present) override;
   void enter(const char* member, const char* doc) override;
   void leave() override;
   std::size_t list(const char* member, std::size_t size, const char* doc) override;
   void item(const char* member, std::size_t index, const std::string& name) override;
-  std::vector<std::string> named(const char* member, std::vector<std::string> names,
-                                 const char* doc) override;
+  std::vector<std::string> named_items(const char* member, std::vector<std::string> names,
+                                       const char* doc) override;
 
  private:
   struct OpenTable {
@@ -50,7 +53,7 @@
   };
 
   std::string member_path(const char* member) const;
-  void add_error(Position at, std::string key, const char* code, std::string failure);
+  void add_error(Position position, std::string key, const char* code, std::string failure);
   void add_error(const FoundValue& found, const std::string& member, ParseError failure);
   void add_missing_error(const char* member);
   void record_position(const std::string& member, const FoundValue& found);
--- a/src/toml_document/units.cpp
+++ b/src/toml_document/units.cpp
@@ -13,24 +13,25 @@
   double factor; // internal value = written value * factor
 };
 
-constexpr std::array<Suffix, 6> kTimes{
+constexpr std::array<Suffix, 6> kTimeSuffixes{
     {{"d", 86400e3}, {"h", 3600e3}, {"min", 60e3}, {"s", 1e3}, {"ms", 1}, {"us", 1e-3}}};
-constexpr std::array<Suffix, 7> kBytes{
+constexpr std::array<Suffix, 7> kByteSuffixes{
     {{"GiB", 1073741824}, {"MiB", 1048576}, {"KiB", 1024}, {"GB", 1e9}, {"MB", 1e6}, {"kB", 1e3}, {"B", 1}}};
-constexpr std::array<Suffix, 2> kMebibytes{{{"GiB", 1024}, {"MiB", 1}}};
-constexpr std::array<Suffix, 3> kRates{{{"/s", 1}, {"/min", 1.0 / 60}, {"/h", 1.0 / 3600}}};
-constexpr std::array<Suffix, 1> kShares{{{"%", 0.01}}};
-constexpr std::array<Suffix, 3> kShareRates{{{"%/s", 0.01}, {"%/min", 0.01 / 60}, {"%/h", 0.01 / 3600}}};
+constexpr std::array<Suffix, 2> kMebibyteSuffixes{{{"GiB", 1024}, {"MiB", 1}}};
+constexpr std::array<Suffix, 3> kRateSuffixes{{{"/s", 1}, {"/min", 1.0 / 60}, {"/h", 1.0 / 3600}}};
+constexpr std::array<Suffix, 1> kShareSuffixes{{{"%", 0.01}}};
+constexpr std::array<Suffix, 3> kShareRateSuffixes{
+    {{"%/s", 0.01}, {"%/min", 0.01 / 60}, {"%/h", 0.01 / 3600}}};
 
 std::span<const Suffix> suffixes(Unit unit) {
   switch (unit) {
     case Unit::Number: return {};
-    case Unit::Time: return kTimes;
-    case Unit::Bytes: return kBytes;
-    case Unit::Mebibytes: return kMebibytes;
-    case Unit::Rate: return kRates;
-    case Unit::Share: return kShares;
-    case Unit::ShareRate: return kShareRates;
+    case Unit::Time: return kTimeSuffixes;
+    case Unit::Bytes: return kByteSuffixes;
+    case Unit::Mebibytes: return kMebibyteSuffixes;
+    case Unit::Rate: return kRateSuffixes;
+    case Unit::Share: return kShareSuffixes;
+    case Unit::ShareRate: return kShareRateSuffixes;
   }
   return {};
 }
--- a/src/toml_document/value.cpp
+++ b/src/toml_document/value.cpp
@@ -45,25 +45,25 @@
   }
 }
 
-std::string closest_match(const std::string& given, const std::vector<std::string>& words) {
+std::string closest_match(const std::string& given, const std::vector<std::string>& candidates) {
   std::string best;
   std::size_t best_distance = 3; // candidates at a distance of 3 or more are considered unrelated
   if (given.size() > 64) return best;
-  for (const std::string& word : words) {
-    const std::size_t candidate_distance = edit_distance(given, word);
-    if (candidate_distance < best_distance && candidate_distance < std::max(given.size(), word.size())) {
-      best_distance = candidate_distance;
-      best = word;
+  for (const std::string& candidate : candidates) {
+    const std::size_t distance = edit_distance(given, candidate);
+    if (distance < best_distance && distance < std::max(given.size(), candidate.size())) {
+      best_distance = distance;
+      best = candidate;
     }
   }
   return best;
 }
 
-std::optional<double> parse_amount(const toml::node& node, Unit unit, SpecialValue word,
+std::optional<double> parse_amount(const toml::node& node, Unit unit, SpecialValue special_value,
                                    ParseError& failure) {
   std::optional<double> value;
   if (const auto text = node.value_exact<std::string>()) {
-    if (word.text && *text == word.text) return word.value;
+    if (special_value.text && *text == special_value.text) return special_value.value;
     value = parse_quantity(unit, *text, failure);
   } else if (const auto number = node.is_number() ? node.value<double>() : std::nullopt) {
     value = parse_bare_number(unit, *number, failure);
@@ -74,7 +74,7 @@
     failure = {"value", "must not be below 0"};
     value.reset();
   }
-  if (!value && word.text) failure.message += ", or \"" + std::string(word.text) + "\"";
+  if (!value && special_value.text) failure.message += ", or \"" + std::string(special_value.text) + "\"";
   return value;
 }
 
@@ -115,13 +115,14 @@
   return flag;
 }
 
-std::optional<std::size_t> parse_choice(const toml::node& node, Words words, ParseError& failure) {
+std::optional<std::size_t> parse_choice(const toml::node& node, ChoiceNames choice_names,
+                                        ParseError& failure) {
   const auto text = node.value_exact<std::string>();
-  for (std::size_t i = 0; text && i < words.size(); ++i) {
-    if (*text == words[i]) return i;
+  for (std::size_t i = 0; text && i < choice_names.size(); ++i) {
+    if (*text == choice_names[i]) return i;
   }
   failure = {text ? "word" : "type", "must be one of"};
-  for (const char* word : words) failure.message += std::string(" \"") + word + "\"";
+  for (const char* choice_name : choice_names) failure.message += std::string(" \"") + choice_name + "\"";
   if (text) failure.message += ", not " + quoted_excerpt(*text);
   return std::nullopt;
 }
@@ -131,8 +132,9 @@
   const auto text = parse_text(node, failure);
   if (!text) return std::nullopt;
   if (const auto found = names.find(table, *text)) return found;
-  failure = {"unknown-name", std::string("there is no ") + names.what(table) + " " + quoted_excerpt(*text)};
-  if (const std::string suggestion = closest_match(*text, names.known(table)); !suggestion.empty()) {
+  failure = {"unknown-name",
+             std::string("there is no ") + names.item_noun(table) + " " + quoted_excerpt(*text)};
+  if (const std::string suggestion = closest_match(*text, names.known_names(table)); !suggestion.empty()) {
     failure.message += "; is \"" + suggestion + "\" meant?";
   } else {
     failure.message += names.hint(table);
--- a/src/toml_document/value.h
+++ b/src/toml_document/value.h
@@ -12,17 +12,19 @@
 namespace fernward::toml_document {
 
 // Each returns the value, or none with the reason in `failure`.
-std::optional<double> parse_amount(const toml::node& node, Unit unit, SpecialValue word, ParseError& failure);
+std::optional<double> parse_amount(const toml::node& node, Unit unit, SpecialValue special_value,
+                                   ParseError& failure);
 std::optional<std::uint32_t> parse_count(const toml::node& node, Unit unit, ParseError& failure);
 std::optional<std::uint64_t> parse_seed(const toml::node& node, ParseError& failure);
 std::optional<std::string> parse_text(const toml::node& node, ParseError& failure);
 std::optional<bool> parse_flag(const toml::node& node, ParseError& failure);
-std::optional<std::size_t> parse_choice(const toml::node& node, Words words, ParseError& failure);
+std::optional<std::size_t> parse_choice(const toml::node& node, ChoiceNames choice_names,
+                                        ParseError& failure);
 std::optional<std::uint32_t> parse_ref(const toml::node& node, Table table, const Names& names,
                                        ParseError& failure);
 
 // The candidate that is most similar to the misspelt `given`; empty: none is similar.
-std::string closest_match(const std::string& given, const std::vector<std::string>& words);
+std::string closest_match(const std::string& given, const std::vector<std::string>& candidates);
 
 // In quotes and truncated if long, for messages.
 std::string quoted_excerpt(const std::string& text);
--- a/src/toml_document/visitor.h
+++ b/src/toml_document/visitor.h
@@ -26,28 +26,29 @@
 };
 
 // The values of a choice as written in a file; a choice is stored as an index into them.
-using Words = std::span<const char* const>;
+using ChoiceNames = std::span<const char* const>;
 
 class Visitor {
  public:
   virtual ~Visitor() = default;
 
   virtual void amount(const char* member, double& value, Unit unit, const char* doc,
-                      SpecialValue word = {}) = 0;
+                      SpecialValue special_value = {}) = 0;
   virtual void count(const char* member, std::uint32_t& value, const char* doc, Unit unit = Unit::Number) = 0;
   virtual void seed(const char* member, std::uint64_t& value, const char* doc) = 0;
-  virtual void text(const char* member, std::string& value, bool needed, const char* doc) = 0;
+  virtual void text(const char* member, std::string& value, bool required, const char* doc) = 0;
   virtual void texts(const char* member, std::vector<std::string>& values, const char* doc) = 0;
   virtual void flag(const char* member, bool& value, const char* doc) = 0;
-  virtual void choice(const char* member, std::size_t& value, Words words, bool needed, const char* doc) = 0;
-  virtual void choices(const char* member, std::vector<std::size_t>& values, Words words,
+  virtual void choice(const char* member, std::size_t& value, ChoiceNames choice_names, bool required,
+                      const char* doc) = 0;
+  virtual void choices(const char* member, std::vector<std::size_t>& values, ChoiceNames choice_names,
                        const char* doc) = 0;
-  virtual void ref(const char* member, std::uint32_t& value, Table table, bool needed, const char* doc) = 0;
+  virtual void ref(const char* member, std::uint32_t& value, Table table, bool required, const char* doc) = 0;
   virtual void refs(const char* member, std::vector<std::uint32_t>& values, Table table, const char* doc) = 0;
 
   // For an optional member: returns whether it is present after this visit. `is_present`: whether it is
   // present before.
-  virtual bool present(const char* member, bool now) = 0;
+  virtual bool present(const char* member, bool is_present) = 0;
 
   virtual void enter(const char* member, const char* doc) = 0;
   virtual void leave() = 0;
@@ -56,8 +57,8 @@
   virtual std::size_t list(const char* member, std::size_t size, const char* doc) = 0;
   virtual void item(const char* member, std::size_t index, const std::string& name) = 0;
   // The same for a table of named tables: returns the names in order; `names`: the current ones.
-  virtual std::vector<std::string> named(const char* member, std::vector<std::string> names,
-                                         const char* doc) = 0;
+  virtual std::vector<std::string> named_items(const char* member, std::vector<std::string> names,
+                                               const char* doc) = 0;
 };
 
 // Resolves the names of a Table in the data read so far: tables must be described before the members that
@@ -67,10 +68,10 @@
   virtual ~Names() = default;
   virtual std::optional<std::uint32_t> find(Table table, const std::string& name) const = 0;
   virtual std::string name(Table table, std::uint32_t index) const = 0; // empty: no such index
-  virtual std::vector<std::string> known(Table table) const = 0;        // empty: can't be listed
-  virtual const char* what(Table table) const = 0;                      // a noun for messages: "zone"
-  virtual const char* written(Table table) const = 0;                   // for the reference: "a zone's name"
-  virtual const char* list(Table table) const = 0; // path of the member that defines the names
+  virtual std::vector<std::string> known_names(Table table) const = 0;  // empty: can't be listed
+  virtual const char* item_noun(Table table) const = 0;                 // a noun for messages: "zone"
+  virtual const char* reference_text(Table table) const = 0;            // for the reference: "a zone's name"
+  virtual const char* defining_member(Table table) const = 0; // path of the member that defines the names
   // Appended to the error for an unknown name if no known name is similar.
   virtual const char* hint(Table) const { return ""; }
 };
@@ -81,11 +82,11 @@
 // Helpers for descriptions.
 
 template <typename E>
-void enum_choice(Visitor& visitor, const char* member, E& value, Words words, const char* doc,
+void enum_choice(Visitor& visitor, const char* member, E& value, ChoiceNames choice_names, const char* doc,
                  bool required = false) {
-  auto word = static_cast<std::size_t>(value);
-  visitor.choice(member, word, words, required, doc);
-  value = static_cast<E>(word);
+  auto choice_index = static_cast<std::size_t>(value);
+  visitor.choice(member, choice_index, choice_names, required, doc);
+  value = static_cast<E>(choice_index);
 }
 
 template <typename T, typename F>
@@ -122,7 +123,7 @@
   std::vector<std::string> names;
   names.reserve(items.size());
   for (const T& item : items) names.push_back(item.name);
-  names = visitor.named(member, std::move(names), doc);
+  names = visitor.named_items(member, std::move(names), doc);
   items.resize(names.size());
   for (std::size_t i = 0; i < items.size(); ++i) {
     items[i].name = names[i];
--- a/src/toml_document/writer.h
+++ b/src/toml_document/writer.h
@@ -12,13 +12,13 @@
 using DescribeData = std::function<void(Visitor&)>; // passes a visitor through a data description
 
 // A TOML file in the order of the description. Reading it yields the same data.
-std::string to_toml(const Names& names, const DescribeData& walk);
+std::string to_toml(const Names& names, const DescribeData& describe_data);
 
 // The same data as a list with an entry for each value.
 struct Leaf {
   std::string member, key, value; // its path with and without units; the value in TOML form
 };
-std::vector<Leaf> leaves(const Names& names, const DescribeData& walk);
+std::vector<Leaf> leaves(const Names& names, const DescribeData& describe_data);
 
 struct ReferenceRow {
   std::string key, type_text, default_text, doc; // a table or list item has children instead of a value
@@ -27,7 +27,8 @@
 };
 
 // The reference of data at its defaults. Choices among the words `documented_elsewhere` are not listed.
-ReferenceRow build_reference(const Names& names, const DescribeData& walk, Words documented_elsewhere = {});
+ReferenceRow build_reference(const Names& names, const DescribeData& describe_data,
+                             ChoiceNames documented_elsewhere = {});
 
 // Markdown rows for the keys of a table and of its subtables (`table.key`).
 void append_rows(const ReferenceRow& table, const std::string& prefix, std::string& out);
--- a/src/upstream/codec.cpp
+++ b/src/upstream/codec.cpp
@@ -68,10 +68,10 @@
     const std::string_view number = http::trim(item.substr(equals_sign + 1));
     float value = 0;
     const auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), value);
-    float& stored = values[static_cast<std::size_t>(field - fields.begin())];
+    float& stored_value = values[static_cast<std::size_t>(field - fields.begin())];
     if (error != std::errc() || end != number.data() + number.size()) return {};
-    if (!(value >= 0 && value <= kMaxReportValue) || stored >= 0) return {};
-    stored = value;
+    if (!(value >= 0 && value <= kMaxReportValue) || stored_value >= 0) return {};
+    stored_value = value;
     any_known = true;
   }
   if (!any_known) values.clear();
--- a/src/upstream/connection_pool.cpp
+++ b/src/upstream/connection_pool.cpp
@@ -25,7 +25,7 @@
 
 ConnectionPool::ConnectionPool(event_base* base, loop::TimerQueue& timers,
                                descriptors::DescriptorBudget& descriptors,
-                               body_buffers::BufferBudget& buffer_budget, figures::RouterStats& figures,
+                               body_buffers::BufferBudget& buffer_budget, figures::RouterStats& stats,
                                const ConnectionPoolOptions& options, proxy::AttemptCallbacks& attempts,
                                EvictClientConnection evict_client_connection)
     : base_(base),
@@ -36,7 +36,7 @@
       evict_client_connection_(std::move(evict_client_connection)),
       connections_(descriptors.total()),
       idle_lifetimes_(options.idle_timeout_ms),
-      writer_(timers, connections_, figures, io_buffer_, *this, options.silence_timeout_ms),
+      writer_(timers, connections_, stats, io_buffer_, *this, options.silence_timeout_ms),
       receiver_({base, timers, connections_, buffer_budget, io_buffer_, attempts, *this, writer_, options_}) {
 }
 
@@ -113,20 +113,20 @@
   connection.paused_ms = 0;
   connection.assigned_at_ms = now_ms();
   connection.first_request = connection.requests_served == 0;
-  by_attempt_[attempt] = connection.handle;
+  connection_by_attempt_[attempt] = connection.handle;
   if (connection.is(State::Connecting)) return;
   connection.start_request();
   writer_.write(connection, endpoints_.at(connection.endpoint.id).address);
 }
 
 UpstreamConnection* ConnectionPool::find_assigned(Handle attempt) {
-  const auto found = by_attempt_.find(attempt);
-  return found == by_attempt_.end() ? nullptr : connections_.find(found->second);
+  const auto found = connection_by_attempt_.find(attempt);
+  return found == connection_by_attempt_.end() ? nullptr : connections_.find(found->second);
 }
 
 proxy::UpstreamConnections::ClientPause ConnectionPool::cancel(Handle attempt) {
   UpstreamConnection* const connection = find_assigned(attempt);
-  by_attempt_.erase(attempt);
+  connection_by_attempt_.erase(attempt);
   if (connection == nullptr) return {};
   connection->attempt = 0;
   const UploadProgress& upload = connection->upload;
@@ -172,22 +172,22 @@
 // Takes the newest connection that is not stale, so that the oldest ones reach their idle timeout.
 UpstreamConnection* ConnectionPool::take_idle(ServerId endpoint, double now) {
   using Reuse = idle_connections::IdleLifetimeEstimator::Reuse;
-  std::vector<Handle>& free = free_[endpoint];
-  for (std::size_t i = free.size(); i-- > 0;) {
-    UpstreamConnection* const connection = connections_.find(free[i]);
+  std::vector<Handle>& free_handles = free_by_endpoint_[endpoint];
+  for (std::size_t i = free_handles.size(); i-- > 0;) {
+    UpstreamConnection* const connection = connections_.find(free_handles[i]);
     if (connection == nullptr || !connection->is(State::Idle)) continue;
     if (loop::peek(bufferevent_getfd(connection->socket.get())) != loop::Peek::NoData) {
       close(*connection, CloseReason::Stale); // removes it from `free_handles`
-      i = std::min(i, free.size());
+      i = std::min(i, free_handles.size());
       continue;
     }
     IdleUse& idle = connection->idle;
-    const double idle_ms = now - idle.since_ms;
+    const double idle_ms = now - idle.became_idle_at_ms;
     const Reuse reuse = idle_lifetimes_.decide_reuse(now, endpoint, idle_ms);
     if (reuse == Reuse::Refused) return nullptr; // the connections before it have been idle for longer
     idle.before_request_ms = idle_ms;
     idle.beyond_safe_lifetime = reuse == Reuse::Trial;
-    free.erase(free.begin() + static_cast<std::ptrdiff_t>(i));
+    free_handles.erase(free_handles.begin() + static_cast<std::ptrdiff_t>(i));
     timers_.cancel(connection->timer);
     return connection;
   }
@@ -196,11 +196,11 @@
 
 // Takes the newest connection that is still connecting; its connect timeout stays in force.
 UpstreamConnection* ConnectionPool::take_connecting(ServerId endpoint) {
-  std::vector<Handle>& free = free_[endpoint];
-  for (std::size_t i = free.size(); i-- > 0;) {
-    UpstreamConnection* const connection = connections_.find(free[i]);
+  std::vector<Handle>& free_handles = free_by_endpoint_[endpoint];
+  for (std::size_t i = free_handles.size(); i-- > 0;) {
+    UpstreamConnection* const connection = connections_.find(free_handles[i]);
     if (connection == nullptr || !connection->is(State::Connecting)) continue;
-    free.erase(free.begin() + static_cast<std::ptrdiff_t>(i));
+    free_handles.erase(free_handles.begin() + static_cast<std::ptrdiff_t>(i));
     return connection;
   }
   return nullptr;
@@ -208,14 +208,14 @@
 
 // The idle connections among the free ones are in the order in which they became idle.
 void ConnectionPool::close_expired_idle(ServerId endpoint, double now) {
-  const auto found = free_.find(endpoint);
-  if (found == free_.end() || found->second.empty()) return;
+  const auto found = free_by_endpoint_.find(endpoint);
+  if (found == free_by_endpoint_.end() || found->second.empty()) return;
   const double lifetime_ms = idle_lifetimes_.max_keep_ms(now, endpoint);
   std::vector<Handle> expired;
   for (const Handle handle : found->second) {
     const UpstreamConnection* const connection = connections_.find(handle);
     if (connection == nullptr || !connection->is(State::Idle)) continue;
-    if (now - connection->idle.since_ms < lifetime_ms) break;
+    if (now - connection->idle.became_idle_at_ms < lifetime_ms) break;
     expired.push_back(handle);
   }
   for (const Handle handle : expired) close(*connections_.find(handle), CloseReason::IdleLifetimeExceeded);
@@ -255,7 +255,7 @@
     const Eviction eviction = descriptors_.required_eviction(now, descriptors::Side::Upstream);
     if (eviction == Eviction::None) return descriptors_.acquire(now, descriptors::Side::Upstream);
     if (eviction == Eviction::OtherSide && evict_client_connection_()) continue;
-    if (!evict_oldest_idle(CloseReason::DescriptorsExhausted)) return {};
+    if (!evict_oldest_free(CloseReason::DescriptorsExhausted)) return {};
   }
 }
 
@@ -268,7 +268,7 @@
     if (descriptors_.on_descriptor_refused(now)) {
       log::line("descriptors-refused", {{"in_use", descriptors_.usable(now)}, {"of", descriptors_.total()}});
     }
-    if (!evict_oldest_idle(CloseReason::DescriptorsExhausted) && !evict_client_connection_()) return -1;
+    if (!evict_oldest_free(CloseReason::DescriptorsExhausted) && !evict_client_connection_()) return -1;
   }
 }
 
@@ -303,7 +303,7 @@
     close(connection, local_limit ? CloseReason::NoLocalResources : CloseReason::ConnectFailed);
     return false;
   }
-  ++opened_;
+  ++opened_count_;
   const double due_ms = connection.opened_at_ms + options_.connect_timeout_ms;
   connection.timer = timers_.run_at(due_ms, [this, handle = connection.handle] {
     UpstreamConnection* const timed_out = connections_.find(handle);
@@ -393,7 +393,7 @@
   connection.upload.reader.reset();
   timers_.cancel(connection.timer);
   ++connection.requests_served;
-  by_attempt_.erase(connection.attempt);
+  connection_by_attempt_.erase(connection.attempt);
   proxy::AttemptCompletion completion = std::move(connection.response.completion);
   if (connection.is(State::Buffering)) completion.body = std::move(connection.response.buffered);
   complete_attempt(connection, std::move(completion));
@@ -415,7 +415,7 @@
 
 void ConnectionPool::fail(UpstreamConnection& connection, AttemptResult result, CloseReason reason) {
   if (connection.attempt != 0) {
-    by_attempt_.erase(connection.attempt);
+    connection_by_attempt_.erase(connection.attempt);
     proxy::AttemptCompletion completion;
     completion.result = result;
     complete_attempt(connection, std::move(completion));
@@ -446,7 +446,7 @@
   // Other routers may need the connection slot at the endpoint, and this router has another idle connection.
   const bool scarce = static_cast<std::int64_t>(endpoints_.at(endpoint).server.kind) == options_.scarce_kind;
   const double used_ms = now - connection.assigned_at_ms;
-  const bool surplus = scarce && free_[endpoint].size() > 1 && used_ms < lifetime_ms;
+  const bool surplus = scarce && free_by_endpoint_[endpoint].size() > 1 && used_ms < lifetime_ms;
   CloseReason reason =
       lifetime_ms < options_.idle_timeout_ms ? CloseReason::IdleLifetimeExceeded : CloseReason::IdleTimeout;
   if (surplus) reason = CloseReason::Surplus;
@@ -459,24 +459,24 @@
   });
 }
 
-bool ConnectionPool::evict_oldest_idle(CloseReason reason) {
+bool ConnectionPool::evict_oldest_free(CloseReason reason) {
   if (eviction_list_.empty()) return false;
   close(*connections_.find(eviction_list_.front()), reason);
   return true;
 }
 
 void ConnectionPool::add_to_free(UpstreamConnection& connection) {
-  free_[connection.endpoint.id].push_back(connection.handle);
+  free_by_endpoint_[connection.endpoint.id].push_back(connection.handle);
   eviction_list_.splice(eviction_list_.end(), connection.eviction_node);
 }
 
 void ConnectionPool::remove_from_free(const UpstreamConnection& connection) {
   const ServerId endpoint = connection.endpoint.id;
-  const auto found = free_.find(endpoint);
-  if (found == free_.end()) return;
+  const auto found = free_by_endpoint_.find(endpoint);
+  if (found == free_by_endpoint_.end()) return;
   std::erase(found->second, connection.handle);
   // No state is kept for removed endpoints.
-  if (found->second.empty() && endpoints_.count(endpoint) == 0) free_.erase(found);
+  if (found->second.empty() && endpoints_.count(endpoint) == 0) free_by_endpoint_.erase(found);
 }
 
 void ConnectionPool::remove_from_eviction(UpstreamConnection& connection) {
@@ -485,13 +485,13 @@
 }
 
 void ConnectionPool::close_free(ServerId endpoint, CloseReason reason) {
-  const auto found = free_.find(endpoint);
-  if (found == free_.end()) return;
+  const auto found = free_by_endpoint_.find(endpoint);
+  if (found == free_by_endpoint_.end()) return;
   const std::vector<Handle> handles = found->second;
   for (const Handle handle : handles) {
     if (UpstreamConnection* const connection = connections_.find(handle)) close(*connection, reason);
   }
-  free_.erase(endpoint);
+  free_by_endpoint_.erase(endpoint);
 }
 
 } // namespace fernward::upstream
--- a/src/upstream/connection_pool.h
+++ b/src/upstream/connection_pool.h
@@ -34,7 +34,7 @@
 
   /// All references must outlive the pool.
   ConnectionPool(event_base* base, loop::TimerQueue& timers, descriptors::DescriptorBudget& descriptors,
-                 body_buffers::BufferBudget& buffer_budget, figures::RouterStats& figures,
+                 body_buffers::BufferBudget& buffer_budget, figures::RouterStats& stats,
                  const ConnectionPoolOptions& options, proxy::AttemptCallbacks& attempts,
                  EvictClientConnection evict_client_connection);
 
@@ -50,11 +50,11 @@
   ClientPause cancel(loop::Handle attempt) override;
   void resume_reading(loop::Handle attempt) override;
   /// Closes the connection that has been free for the longest time. False: none is free.
-  bool evict_oldest_idle(CloseReason reason);
+  bool evict_oldest_free(CloseReason reason);
 
   std::size_t connection_count() const { return connections_.size(); }
-  std::size_t pooled_endpoints() const { return free_.size(); }
-  std::uint64_t opened_count() const { return opened_; }
+  std::size_t pooled_endpoints() const { return free_by_endpoint_.size(); }
+  std::uint64_t opened_count() const { return opened_count_; }
   std::uint64_t resets_after_idle() const { return resets_after_idle_; } // on reused connections
   const idle_connections::IdleLifetimeEstimator& idle_lifetimes() const { return idle_lifetimes_; }
 
@@ -111,11 +111,11 @@
   EvictClientConnection evict_client_connection_;
   std::map<fernward::ServerId, endpoints::Endpoint> endpoints_;
   loop::SlotMap<UpstreamConnection> connections_;
-  std::map<fernward::ServerId, std::vector<loop::Handle>> free_; // by endpoint, newest last
-  std::list<loop::Handle> eviction_list_;                        // all free connections, oldest first
-  std::unordered_map<loop::Handle, loop::Handle> by_attempt_;
+  std::map<fernward::ServerId, std::vector<loop::Handle>> free_by_endpoint_; // by endpoint, newest last
+  std::list<loop::Handle> eviction_list_; // all free connections, oldest first
+  std::unordered_map<loop::Handle, loop::Handle> connection_by_attempt_;
   idle_connections::IdleLifetimeEstimator idle_lifetimes_;
-  std::uint64_t opened_ = 0;
+  std::uint64_t opened_count_ = 0;
   std::uint64_t resets_after_idle_ = 0;
   loop::IoBuffer io_buffer_;
   RequestWriter writer_;
--- a/src/upstream/request_writer.cpp
+++ b/src/upstream/request_writer.cpp
@@ -14,16 +14,16 @@
 namespace {
 
 constexpr std::size_t kMaxPendingUploadBytes = 128 * 1024; // body bytes in the output buffer
-constexpr double kSilenceChecks = 4;                       // checks per silence timeout
+constexpr double kChecksPerSilenceTimeout = 4;             // checks per silence timeout
 
 } // namespace
 
 RequestWriter::RequestWriter(loop::TimerQueue& timers, loop::SlotMap<UpstreamConnection>& connections,
-                             figures::RouterStats& figures, loop::IoBuffer& io_buffer, ConnectionOwner& owner,
+                             figures::RouterStats& stats, loop::IoBuffer& io_buffer, ConnectionOwner& owner,
                              double silence_timeout_ms)
     : timers_(timers),
       connections_(connections),
-      figures_(figures),
+      stats_(stats),
       io_buffer_(io_buffer),
       owner_(owner),
       silence_timeout_ms_(silence_timeout_ms) {}
@@ -87,29 +87,29 @@
 void RequestWriter::count_sent(UpstreamConnection& connection) {
   if (connection.upload.stage == Stage::Sent || connection.request_unsent()) return;
   connection.upload.stage = Stage::Sent;
-  figures_.count_attempt();
+  stats_.count_attempt();
 }
 
 // The client determines how fast a body arrives. The endpoint is responsible only if it accepts none of the
 // bytes that have arrived.
 void RequestWriter::start_silence_timeout(UpstreamConnection& connection) {
   timers_.cancel(connection.timer);
-  connection.timer =
-      timers_.run_at(now_ms() + silence_timeout_ms_ / kSilenceChecks, [this, handle = connection.handle] {
-        UpstreamConnection* timed_out = connections_.find(handle);
-        if (timed_out == nullptr) return;
-        timed_out->timer = 0;
-        check_silence(*timed_out);
-      });
+  connection.timer = timers_.run_at(now_ms() + silence_timeout_ms_ / kChecksPerSilenceTimeout,
+                                    [this, handle = connection.handle] {
+                                      UpstreamConnection* timed_out = connections_.find(handle);
+                                      if (timed_out == nullptr) return;
+                                      timed_out->timer = 0;
+                                      check_silence(*timed_out);
+                                    });
 }
 
 void RequestWriter::check_silence(UpstreamConnection& connection) {
   UploadProgress& progress = connection.upload;
   if (progress.reader == nullptr || !connection.request_unsent() || connection.parser.head_done()) return;
-  const std::size_t pending = loop::pending_output(connection.socket.get());
+  const std::size_t pending_bytes = loop::pending_output(connection.socket.get());
   const std::uint64_t read_bytes = progress.reader->offset();
-  const std::uint64_t sent_bytes = read_bytes - std::min<std::uint64_t>(read_bytes, pending);
-  if (pending == 0 || std::exchange(progress.sent_bytes, sent_bytes) < sent_bytes) {
+  const std::uint64_t sent_bytes = read_bytes - std::min<std::uint64_t>(read_bytes, pending_bytes);
+  if (pending_bytes == 0 || std::exchange(progress.sent_bytes, sent_bytes) < sent_bytes) {
     progress.last_sent_at_ms = now_ms();
   }
   if (now_ms() - progress.last_sent_at_ms < silence_timeout_ms_) return start_silence_timeout(connection);
--- a/src/upstream/request_writer.h
+++ b/src/upstream/request_writer.h
@@ -17,7 +17,7 @@
  public:
   /// `silence_timeout_ms`: an attempt fails if its endpoint accepts none of a streamed body for this long.
   RequestWriter(loop::TimerQueue& timers, loop::SlotMap<UpstreamConnection>& connections,
-                figures::RouterStats& figures, loop::IoBuffer& io_buffer, ConnectionOwner& owner,
+                figures::RouterStats& stats, loop::IoBuffer& io_buffer, ConnectionOwner& owner,
                 double silence_timeout_ms);
 
   /// Writes the head and the available part of the body. `host` is the endpoint's address.
@@ -35,7 +35,7 @@
 
   loop::TimerQueue& timers_;
   loop::SlotMap<UpstreamConnection>& connections_;
-  figures::RouterStats& figures_;
+  figures::RouterStats& stats_;
   loop::IoBuffer& io_buffer_;
   ConnectionOwner& owner_;
   const double silence_timeout_ms_;
--- a/src/upstream/response_receiver.cpp
+++ b/src/upstream/response_receiver.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-constexpr int kMaxBlocksPerTurn = 8; // read from one connection before others are served
+constexpr int kMaxBlocksPerEvent = 8; // read from one connection before others are served
 // With more remaining body bytes, reads bypass libevent, which reads 4 KB at a time.
 constexpr std::uint64_t kDirectReadBytes = 128 * 1024;
 constexpr std::size_t kMaxDiscardedBytes = 64 * 1024; // opening a connection is cheaper than reading more
-constexpr double kSilenceChecks = 4;                  // checks per silence timeout
+constexpr double kChecksPerSilenceTimeout = 4;        // checks per silence timeout
 
 // Bytes after a response make it impossible to delimit the next response.
-std::optional<CloseReason> reason_of_trailing(std::size_t bytes) {
+std::optional<CloseReason> reason_for_trailing_bytes(std::size_t bytes) {
   if (bytes > 0) return CloseReason::TrailingBytes;
   return std::nullopt;
 }
@@ -35,15 +35,15 @@
   bufferevent* const socket = connection.socket.get();
   std::string_view input = loop::pending_input(socket);
   while (!input.empty() || connection.parser.done()) {
-    const std::size_t allowed = std::min(input.size(), read_allowance(connection));
+    const std::size_t allowed_bytes = std::min(input.size(), read_allowance(connection));
     if (connection.is(State::Paused)) return;
-    std::string_view part = input.substr(0, allowed);
+    std::string_view part = input.substr(0, allowed_bytes);
     const BodyStatus status = receive_body(connection, part);
     if (status == BodyStatus::Closed) return;
-    loop::consume_input(socket, allowed);
+    loop::consume_input(socket, allowed_bytes);
     if (status == BodyStatus::Complete) {
-      const std::size_t trailing = part.size() + input.size() - allowed;
-      return context_.owner.response_complete(connection, reason_of_trailing(trailing));
+      const std::size_t trailing_bytes = part.size() + input.size() - allowed_bytes;
+      return context_.owner.response_complete(connection, reason_for_trailing_bytes(trailing_bytes));
     }
     input = loop::pending_input(socket);
   }
@@ -71,7 +71,7 @@
     return false;
   }
   context_.owner.response_started(connection);
-  ResponseProgress& response = connection.response;
+  DownloadProgress& response = connection.response;
   response.completion = decode(head, context_.options.load_report_fields);
   response.buffered = {{}, body_buffers::BufferBudget::Reservation(context_.buffer_budget)};
   connection.head_received(response.completion.result == AttemptResult::Ok);
@@ -81,15 +81,15 @@
 
 // Reads from the socket directly, block by block.
 void ResponseReceiver::read_socket(UpstreamConnection& connection) {
-  for (int block = 0; block < kMaxBlocksPerTurn; ++block) {
-    const std::size_t allowed = std::min(loop::IoBuffer::size(), read_allowance(connection));
+  for (int block = 0; block < kMaxBlocksPerEvent; ++block) {
+    const std::size_t allowed_bytes = std::min(loop::IoBuffer::size(), read_allowance(connection));
     if (connection.is(State::Paused)) return;
     std::size_t bytes = 0;
     loop::ReceiveResult received = loop::ReceiveResult::WouldBlock;
-    const bool streamed = stream_block(connection, allowed, received, bytes);
+    const bool streamed = stream_block(connection, allowed_bytes, received, bytes);
     if (!streamed) {
       const int socket = bufferevent_getfd(connection.socket.get());
-      received = loop::receive(socket, context_.io_buffer.data(), allowed, bytes);
+      received = loop::receive(socket, context_.io_buffer.data(), allowed_bytes, bytes);
     }
     if (handle_read_end(connection, received)) return;
     if (received != loop::ReceiveResult::Bytes) break;
@@ -102,10 +102,10 @@
       const BodyStatus status = receive_body(connection, part);
       if (status == BodyStatus::Closed) return;
       if (status == BodyStatus::Complete) {
-        return context_.owner.response_complete(connection, reason_of_trailing(part.size()));
+        return context_.owner.response_complete(connection, reason_for_trailing_bytes(part.size()));
       }
     }
-    if (bytes < allowed) break;
+    if (bytes < allowed_bytes) break;
   }
   set_direct_read(connection, connection.parser.body().contiguous_body_bytes() > kDirectReadBytes);
 }
@@ -156,7 +156,7 @@
 
 // Returns how many bytes may be read now. 0: the connection is paused until the client accepts more.
 std::size_t ResponseReceiver::read_allowance(UpstreamConnection& connection) {
-  ResponseProgress& response = connection.response;
+  DownloadProgress& response = connection.response;
   if (connection.is(State::Buffering)) {
     if (const std::size_t available_bytes = response.buffered.reservation.available_bytes();
         available_bytes > 0)
@@ -247,7 +247,7 @@
 }
 
 void ResponseReceiver::stop_buffering(UpstreamConnection& connection) {
-  ResponseProgress& response = connection.response;
+  DownloadProgress& response = connection.response;
   proxy::ResponseHead head;
   head.content_type = response.completion.content_type;
   head.length = connection.parser.body().length();
@@ -259,7 +259,7 @@
 
 // Ends buffering in time even if no further bytes arrive.
 void ResponseReceiver::start_buffering_timeout(UpstreamConnection& connection) {
-  ResponseProgress& response = connection.response;
+  DownloadProgress& response = connection.response;
   response.buffer_until_ms = context_.attempts.buffer_until(connection.attempt);
   const std::optional<std::uint64_t> length = connection.parser.body().length();
   if (length && *length <= context_.options.response_limits.min_start_bytes) return;
@@ -275,7 +275,7 @@
 // A streamed response has no other deadline: its endpoint must keep sending while the client keeps reading.
 void ResponseReceiver::start_silence_timeout(UpstreamConnection& connection) {
   context_.timers.cancel(connection.timer);
-  const double next_check_ms = now_ms() + context_.options.silence_timeout_ms / kSilenceChecks;
+  const double next_check_ms = now_ms() + context_.options.silence_timeout_ms / kChecksPerSilenceTimeout;
   connection.timer = context_.timers.run_at(next_check_ms, [this, handle = connection.handle] {
     UpstreamConnection* timed_out = context_.connections.find(handle);
     if (timed_out == nullptr) return;
--- a/src/upstream/upstream_connection.cpp
+++ b/src/upstream/upstream_connection.cpp
@@ -14,7 +14,7 @@
 
 void UpstreamConnection::become_idle(double now_ms) {
   state_ = State::Idle;
-  idle.since_ms = now_ms;
+  idle.became_idle_at_ms = now_ms;
 }
 
 bool UpstreamConnection::request_unsent() const {
--- a/src/upstream/upstream_connection.h
+++ b/src/upstream/upstream_connection.h
@@ -43,12 +43,12 @@
 
 /// How long the connection was idle before its current request.
 struct IdleUse {
-  double since_ms = 0;               // when it became idle
+  double became_idle_at_ms = 0;      // when it became idle
   double before_request_ms = -1;     // below 0: the current request is its first
   bool beyond_safe_lifetime = false; // reused after being idle for longer than is estimated to be safe
 };
 
-struct ResponseProgress {
+struct DownloadProgress {
   proxy::BufferedBytes buffered;
   proxy::AttemptCompletion completion; // decoded from the head
   double buffer_until_ms = 0;
@@ -108,7 +108,7 @@
   proxy::ClientRequestPtr request;
   UploadProgress upload;
   IdleUse idle;
-  ResponseProgress response;
+  DownloadProgress response;
   double deadline_ms = 0; // of the attempt
   double opened_at_ms = 0;
   double assigned_at_ms = 0;
--- a/tests/balancer_driver.h
+++ b/tests/balancer_driver.h
@@ -71,10 +71,10 @@
   }
 
   // Lists caches 1 to `count`, and optionally the origin.
-  void list_caches(std::uint32_t count, bool origin = false) {
+  void list_caches(std::uint32_t cache_count, bool with_origin = false) {
     std::vector<Server> servers;
-    for (std::uint32_t i = 1; i <= count; ++i) servers.push_back({.id = i});
-    if (origin) servers.push_back({.id = kOriginId, .kind = kOriginKind});
+    for (std::uint32_t i = 1; i <= cache_count; ++i) servers.push_back({.id = i});
+    if (with_origin) servers.push_back({.id = kOriginId, .kind = kOriginKind});
     update_endpoints(servers);
   }
 
@@ -86,19 +86,19 @@
   }
 
   // Ends the latest attempt of a request, or the given one.
-  void end_attempt(RequestId id, AttemptResult result, double elapsed_ms = 20, std::vector<float> report = {},
-                   int attempt = -1) {
-    AttemptOutcome ended_attempt;
-    ended_attempt.id = id;
+  void end_attempt(RequestId id, AttemptResult result, double elapsed_ms = 20,
+                   std::vector<float> load_report = {}, int attempt = -1) {
+    AttemptOutcome outcome;
+    outcome.id = id;
     const auto sent_attempts = sends_of(id);
     const auto attempt_index = attempt < 0 ? sent_attempts.size() - 1 : static_cast<std::size_t>(attempt);
-    ended_attempt.attempt = static_cast<std::uint32_t>(attempt_index);
-    ended_attempt.server = sent_attempts.at(attempt_index).server;
-    ended_attempt.result = result;
-    ended_attempt.elapsed_ms = elapsed_ms;
-    ended_attempt.request_ended = result == AttemptResult::Ok;
-    ended_attempt.load_report = std::move(report);
-    send_event(ended_attempt);
+    outcome.attempt = static_cast<std::uint32_t>(attempt_index);
+    outcome.server = sent_attempts.at(attempt_index).server;
+    outcome.result = result;
+    outcome.elapsed_ms = elapsed_ms;
+    outcome.request_ended = result == AttemptResult::Ok;
+    outcome.load_report = std::move(load_report);
+    send_event(outcome);
   }
 
   // Ends all attempts of a finished request, as a caller does.
@@ -109,16 +109,16 @@
   }
 
   // Advances the time and fires the timers that are due.
-  void advance_to(double time) {
-    while (!timers_.empty() && timers_.begin()->first <= time) {
+  void advance_to(double target_time) {
+    while (!timers_.empty() && timers_.begin()->first <= target_time) {
       now = std::max(now, timers_.begin()->first);
       const auto token = timers_.begin()->second;
       timers_.erase(timers_.begin());
       send_event(TimerFired{token});
     }
-    now = time;
+    now = target_time;
   }
-  void advance(double ms) { advance_to(now + ms); }
+  void advance(double duration_ms) { advance_to(now + duration_ms); }
 
   std::vector<Send> sends_of(RequestId id) const {
     std::vector<Send> matching_sends;
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -16,9 +16,9 @@
 constexpr RequestId kFirstRequestId = 1000;
 
 // Sends `count` requests for one key without answering any; returns the servers that they are sent to.
-std::vector<ServerId> contacted_servers(BalancerDriver& driver, std::uint64_t key, int count) {
+std::vector<ServerId> contacted_servers(BalancerDriver& driver, std::uint64_t key, int request_count) {
   std::vector<ServerId> contacted;
-  for (int i = 0; i < count; ++i) {
+  for (int i = 0; i < request_count; ++i) {
     driver.send_request(kFirstRequestId + i, key);
     const auto sends = driver.sends_of(kFirstRequestId + i);
     if (!sends.empty()) contacted.push_back(sends[0].server);
@@ -35,13 +35,13 @@
 // ---- the ring and the score ----
 
 TEST(CacheSelection, KeyHasTheSameThreeCandidatesAtEveryRouter) {
-  BalancerDriver one(plain_settings(), 1);
-  BalancerDriver two(plain_settings(), 2);
-  one.list_caches(10);
-  two.list_caches(10);
-  const auto contacted = distinct_ids(contacted_servers(one, 42, 12));
+  BalancerDriver first_router(plain_settings(), 1);
+  BalancerDriver second_router(plain_settings(), 2);
+  first_router.list_caches(10);
+  second_router.list_caches(10);
+  const auto contacted = distinct_ids(contacted_servers(first_router, 42, 12));
   EXPECT_EQ(contacted.size(), 3u);
-  EXPECT_EQ(contacted, distinct_ids(contacted_servers(two, 42, 12)));
+  EXPECT_EQ(contacted, distinct_ids(contacted_servers(second_router, 42, 12)));
 }
 
 TEST(CacheSelection, DrainingCacheIsSkipped) {
@@ -58,18 +58,18 @@
 }
 
 TEST(CacheSelection, EndpointListChangeMovesFewKeys) {
-  int moved = 0;
+  int moved_keys = 0;
   for (int key = 1; key <= 300; ++key) { // a new balancer sends to a key's first cache
-    BalancerDriver ten(plain_settings());
-    BalancerDriver nine(plain_settings());
-    ten.list_caches(10);
-    nine.list_caches(9);
-    ten.send_request(1, key);
-    nine.send_request(1, key);
-    moved += ten.last_server(1) != nine.last_server(1);
+    BalancerDriver ten_cache_driver(plain_settings());
+    BalancerDriver nine_cache_driver(plain_settings());
+    ten_cache_driver.list_caches(10);
+    nine_cache_driver.list_caches(9);
+    ten_cache_driver.send_request(1, key);
+    nine_cache_driver.send_request(1, key);
+    moved_keys += ten_cache_driver.last_server(1) != nine_cache_driver.last_server(1);
   }
-  EXPECT_GT(moved, 0);
-  EXPECT_LT(moved, 60); // about a tenth
+  EXPECT_GT(moved_keys, 0);
+  EXPECT_LT(moved_keys, 60); // about a tenth
 }
 
 TEST(CacheSelection, RequestsWithoutKeyAreSpreadOverCaches) {
@@ -431,11 +431,11 @@
     return contacted.size();
   };
   driver.send_request(++id, 42);
-  const ServerId slow = driver.last_server(id);
+  const ServerId slow_server = driver.last_server(id);
   driver.end_attempt(id, AttemptResult::Ok, 450);
   for (int i = 0; i < 20; ++i) {
     driver.send_request(++id, 42);
-    ASSERT_NE(driver.last_server(id), slow);
+    ASSERT_NE(driver.last_server(id), slow_server);
     driver.end_attempt(id, AttemptResult::Ok, 20);
   }
   EXPECT_EQ(servers_of_two_requests(), 1u);
@@ -499,20 +499,20 @@
 // Keeps a few requests active at all times; `result_of` returns the result of an attempt at a server. Returns
 // the number of first attempts by server.
 template <typename ResultOf>
-std::map<ServerId, int> send_traffic(BalancerDriver& driver, RequestId& id, int requests,
+std::map<ServerId, int> send_traffic(BalancerDriver& driver, RequestId& id, int request_count,
                                      ResultOf result_of) {
   std::map<ServerId, int> contacted;
   constexpr int kActiveRequests = 6;
-  for (int i = 0; i < requests; ++i) {
+  for (int i = 0; i < request_count; ++i) {
     driver.send_request(++id, static_cast<std::uint64_t>(7 * i + 1));
     if (!driver.sends_of(id).empty()) contacted[driver.last_server(id)]++;
-    const RequestId oldest = id - kActiveRequests;
+    const RequestId oldest_id = id - kActiveRequests;
     // A failed attempt may cause the next one.
-    for (int tries = 0; i >= kActiveRequests && tries < 5; ++tries) {
-      if (driver.sends_of(oldest).empty() || driver.rejected_or_failed(oldest)) break;
-      driver.end_attempt(oldest, result_of(driver.last_server(oldest)), 5 * kActiveRequests, {0, 5});
+    for (int attempt_count = 0; i >= kActiveRequests && attempt_count < 5; ++attempt_count) {
+      if (driver.sends_of(oldest_id).empty() || driver.rejected_or_failed(oldest_id)) break;
+      driver.end_attempt(oldest_id, result_of(driver.last_server(oldest_id)), 5 * kActiveRequests, {0, 5});
     }
-    if (i >= kActiveRequests) driver.cancel_attempts(oldest);
+    if (i >= kActiveRequests) driver.cancel_attempts(oldest_id);
     driver.advance(5);
   }
   return contacted;
@@ -522,16 +522,16 @@
 // Incremental ring updates must have the same result as a rebuild. Sorting the whole ring at each list used
 // more CPU than all decisions.
 TEST(HashRing, DeltaUpdatesBuildTheSameRingAsFullList) {
-  BalancerDriver changed(plain_settings()), fresh(plain_settings());
-  changed.list_caches(6);
-  changed.update_endpoints({{.id = 3, .state = ServerState::Gone}, {.id = 7}, {.id = 2, .weight = 4}},
-                           EndpointListKind::Delta);
-  changed.update_endpoints({{.id = 2}}, EndpointListKind::Delta);
-  fresh.update_endpoints({{.id = 1}, {.id = 2}, {.id = 4}, {.id = 5}, {.id = 6}, {.id = 7}});
+  BalancerDriver updated_driver(plain_settings()), rebuilt_driver(plain_settings());
+  updated_driver.list_caches(6);
+  updated_driver.update_endpoints({{.id = 3, .state = ServerState::Gone}, {.id = 7}, {.id = 2, .weight = 4}},
+                                  EndpointListKind::Delta);
+  updated_driver.update_endpoints({{.id = 2}}, EndpointListKind::Delta);
+  rebuilt_driver.update_endpoints({{.id = 1}, {.id = 2}, {.id = 4}, {.id = 5}, {.id = 6}, {.id = 7}});
   for (RequestId id = kFirstRequestId; id < kFirstRequestId + 12; ++id) {
-    changed.send_request(id, 31 * id);
-    fresh.send_request(id, 31 * id);
-    EXPECT_EQ(changed.last_server(id), fresh.last_server(id));
+    updated_driver.send_request(id, 31 * id);
+    rebuilt_driver.send_request(id, 31 * id);
+    EXPECT_EQ(updated_driver.last_server(id), rebuilt_driver.last_server(id));
   }
 }
 
@@ -801,7 +801,7 @@
   BalancerDriver driver(cache_aside_settings());
   driver.list_caches(4, true);
   RequestId id = kFirstRequestId;
-  const auto read = [&] {
+  const auto send_new_read = [&] {
     driver.send_request(id + 1, id + 1), ++id;
     while (driver.last_server(id) != kOriginId && driver.sends_of(id).size() < 4 &&
            !driver.rejected_or_failed(id)) {
@@ -812,17 +812,17 @@
     return true;
   };
   for (int i = 0; i < 13; ++i) { // one at a time: slow, but not congested
-    ASSERT_TRUE(read());
+    ASSERT_TRUE(send_new_read());
     driver.advance(450);
     driver.end_attempt(id, AttemptResult::Ok, 450);
     driver.advance(10000);
   }
   for (int i = 0; i < 40; ++i) { // now congested: 450 ms unloaded becomes nearly the client timeout
-    if (!read()) continue;
+    if (!send_new_read()) continue;
     driver.advance(100);
     driver.end_attempt(id, AttemptResult::Ok, 1900);
   }
-  EXPECT_FALSE(read()); // although nothing is in flight
+  EXPECT_FALSE(send_new_read()); // although nothing is in flight
   driver.send_request(id + 1, id + 1, {.write = true}), ++id;
   ASSERT_EQ(driver.sends_of(id).size(), 1u);
   EXPECT_EQ(driver.last_server(id), kOriginId);
@@ -838,8 +838,8 @@
   driver.list_caches(4, true);
   for (int i = 0; i < 20; ++i) {
     driver.send_request(kFirstRequestId + i, i + 1, {.write = true});
-    const auto [result, elapsed] = outcome_of_write(i);
-    driver.end_attempt(kFirstRequestId + i, result, elapsed);
+    const auto [result, elapsed_ms] = outcome_of_write(i);
+    driver.end_attempt(kFirstRequestId + i, result, elapsed_ms);
     driver.advance(1000);
   }
   const auto before = driver.sends.size();
@@ -970,16 +970,16 @@
 
 // Regression: slow attempts ejected overloaded caches that still rejected other attempts as overloaded.
 TEST(OutlierEjection, OverloadedResponsePreventsEjection) {
-  for (const bool reports_overload : {false, true}) {
+  for (const bool responds_overloaded : {false, true}) {
     BalancerDriver driver(plain_settings());
     driver.list_caches(1);
     for (int i = 0; i < 4; ++i) driver.send_request(1 + i, i + 1);
     driver.end_attempt(1, AttemptResult::TimedOut, 900);
     driver.end_attempt(2, AttemptResult::TimedOut, 900);
-    if (reports_overload) driver.end_attempt(4, AttemptResult::Overloaded, 1);
+    if (responds_overloaded) driver.end_attempt(4, AttemptResult::Overloaded, 1);
     driver.advance(1900);
     driver.end_attempt(3, AttemptResult::TimedOut, 900);
-    EXPECT_EQ(driver.logs.empty(), reports_overload);
+    EXPECT_EQ(driver.logs.empty(), responds_overloaded);
   }
 }
 
@@ -1035,8 +1035,9 @@
       id += 1;
       driver.send_request(id, id);
       unsent += driver.sends_of(id).empty();
-      for (int tries = 0; i < overloaded_requests && tries < max_rejections && !driver.rejected_or_failed(id);
-           ++tries) {
+      for (int attempt_count = 0;
+           i < overloaded_requests && attempt_count < max_rejections && !driver.rejected_or_failed(id);
+           ++attempt_count) {
         if (!driver.sends_of(id).empty()) driver.end_attempt(id, AttemptResult::Overloaded, 1);
       }
       driver.advance(700);
@@ -1070,9 +1071,9 @@
 // Regression: with four concurrent attempts from each router at every cache, a fleet is overloaded before any
 // router receives a response. The initial limit is shared by all routers.
 TEST(Overload, InitialLimitOfACacheIsSharedByAllRouters) {
-  const auto attempts_in_two_seconds = [](int nodes) {
+  const auto attempts_in_two_seconds = [](int router_count) {
     Settings s = plain_settings();
-    s.router_count = nodes;
+    s.router_count = router_count;
     BalancerDriver driver(s);
     driver.list_caches(1);
     RequestId id = kFirstRequestId;
@@ -1180,7 +1181,7 @@
 // Sends more requests than three caches answer in time: with four or more in flight, responses are nearly
 // late.
 void generate_overload(BalancerDriver& driver, RequestId& id, double overload_ms, double interval_ms,
-                       std::uint32_t classes = 1) {
+                       std::uint32_t class_count = 1) {
   struct PendingAttempt {
     double due_at, duration_ms;
     RequestId id;
@@ -1190,18 +1191,18 @@
        driver.advance(interval_ms)) {
     if (driver.now < end) {
       id += 1;
-      const auto parity = static_cast<std::uint32_t>(id % 2);
-      driver.send_request(id, id,
-                          {.class_index = static_cast<std::uint32_t>(id % classes), .tenant = parity});
+      const auto tenant_index = static_cast<std::uint32_t>(id % 2);
+      driver.send_request(
+          id, id, {.class_index = static_cast<std::uint32_t>(id % class_count), .tenant = tenant_index});
       const double duration_ms = in_flight.size() >= 4 ? 460 : 100;
       if (!driver.sends_of(id).empty()) in_flight.push_back({driver.now + duration_ms, duration_ms, id});
     }
     for (; !in_flight.empty() && in_flight.front().due_at <= driver.now; in_flight.pop_front()) {
       const RequestId due_request = in_flight.front().id;
-      const AttemptResult first =
+      const AttemptResult first_result =
           driver.rejected_or_failed(due_request) ? AttemptResult::Cancelled : AttemptResult::Ok;
       for (int i = 0; i < static_cast<int>(driver.sends_of(due_request).size()); ++i) {
-        driver.end_attempt(due_request, i == 0 ? first : AttemptResult::Cancelled,
+        driver.end_attempt(due_request, i == 0 ? first_result : AttemptResult::Cancelled,
                            in_flight.front().duration_ms, {}, i);
       }
     }
@@ -1209,9 +1210,9 @@
 }
 
 // Expects that of the requests up to `last` mostly those with even ids were shed.
-void expect_even_shed_first(const BalancerDriver& driver, RequestId last) {
+void expect_even_shed_first(const BalancerDriver& driver, RequestId last_id) {
   std::array<int, 2> unsent{};
-  for (RequestId i = kFirstRequestId + 1; i <= last; ++i) unsent[i % 2] += driver.sends_of(i).empty();
+  for (RequestId i = kFirstRequestId + 1; i <= last_id; ++i) unsent[i % 2] += driver.sends_of(i).empty();
   EXPECT_GT(unsent[0], 20);
   EXPECT_LT(3 * unsent[1], 2 * unsent[0]);
 }
@@ -1222,8 +1223,8 @@
   driver.list_caches(3);
   RequestId id = kFirstRequestId;
   generate_overload(driver, id, 8000, 20);
-  const auto refused = driver.rejected.size();
-  EXPECT_GT(refused, 20u);
+  const auto rejected_count = driver.rejected.size();
+  EXPECT_GT(rejected_count, 20u);
   driver.advance(20000);
   const auto sent = driver.sends.size();
   for (int i = 0; i < 20; ++i) {
@@ -1260,55 +1261,56 @@
 
 // A cache that responds only with errors is ejected; occasional errors are no reason to eject it.
 TEST(OutlierEjection, CacheIsEjectedOnlyIfAllResponsesAreErrors) {
-  for (const bool always : {true, false}) {
+  for (const bool always_fails : {true, false}) {
     BalancerDriver driver(plain_settings());
     driver.list_caches(6);
     for (RequestId id = kFirstRequestId; id < kFirstRequestId + 300; ++id) {
       driver.send_request(id, id);
       if (driver.sends_of(id).empty()) continue;
-      const bool returns_error = driver.last_server(id) == 1 && (always || id % 10 == 0);
+      const bool returns_error = driver.last_server(id) == 1 && (always_fails || id % 10 == 0);
       driver.end_attempt(id, returns_error ? AttemptResult::Error : AttemptResult::Ok, 20);
       if (returns_error && driver.sends_of(id).size() > 1) driver.end_attempt(id, AttemptResult::Ok, 20);
       driver.advance(20);
     }
     const auto sent =
         std::count_if(driver.sends.begin(), driver.sends.end(), [](const Send& s) { return s.server == 1; });
-    EXPECT_EQ(sent < 30, always) << sent;
+    EXPECT_EQ(sent < 30, always_fails) << sent;
   }
 }
 
 TEST(OnCallDocumentation, ContainsTheLoggedLines) {
   std::ifstream file(FERNWARD_SOURCE_DIR "/docs/on-call.md");
   const std::string page{std::istreambuf_iterator<char>(file), {}};
-  BalancerDriver caches(plain_settings());
-  caches.list_caches(6);
+  BalancerDriver ejection_driver(plain_settings());
+  ejection_driver.list_caches(6);
   RequestId id = kFirstRequestId;
-  send_traffic(caches, id, 200, server_one_refuses);
-  BalancerDriver origin(cache_aside_settings());
-  origin.list_caches(3, true);
-  origin.send_request(1, 42, {.write = true});
-  origin.end_attempt(1, AttemptResult::Overloaded, 100);
-  BalancerDriver list(plain_settings());
-  list.update_endpoints({}, EndpointListKind::Failed);
-
-  std::set<std::string> kinds;
-  for (const BalancerDriver* driver : {&caches, &origin, &list}) {
-    for (const std::string& line : driver->logs) kinds.insert(line.substr(0, line.find_last_of(' ')));
+  send_traffic(ejection_driver, id, 200, server_one_refuses);
+  BalancerDriver origin_driver(cache_aside_settings());
+  origin_driver.list_caches(3, true);
+  origin_driver.send_request(1, 42, {.write = true});
+  origin_driver.end_attempt(1, AttemptResult::Overloaded, 100);
+  BalancerDriver discovery_driver(plain_settings());
+  discovery_driver.update_endpoints({}, EndpointListKind::Failed);
+
+  std::set<std::string> messages;
+  for (const BalancerDriver* driver : {&ejection_driver, &origin_driver, &discovery_driver}) {
+    for (const std::string& line : driver->logs) messages.insert(line.substr(0, line.find_last_of(' ')));
   }
-  EXPECT_EQ(kinds.size(), 3u);
-  for (const std::string& kind : kinds) EXPECT_NE(page.find('`' + kind + '`'), std::string::npos) << kind;
+  EXPECT_EQ(messages.size(), 3u);
+  for (const std::string& message : messages)
+    EXPECT_NE(page.find('`' + message + '`'), std::string::npos) << message;
 }
 
 // ---- giving up ----
 
 // An origin with a response time of 400 ms, filled with requests of a higher value and a distant deadline.
-void overloaded_origin_settings(Settings& s) {
-  s.origin_kind = kOriginKind;
-  s.classes.push_back({.latency_objective_ms = 60000,
-                       .client_timeout_ms = 60000,
-                       .priority_weight = 9,
-                       .idempotency = Idempotency::Idempotent,
-                       .idempotency_scope = IdempotencyScope::All});
+void apply_overloaded_origin_settings(Settings& settings) {
+  settings.origin_kind = kOriginKind;
+  settings.classes.push_back({.latency_objective_ms = 60000,
+                              .client_timeout_ms = 60000,
+                              .priority_weight = 9,
+                              .idempotency = Idempotency::Idempotent,
+                              .idempotency_scope = IdempotencyScope::All});
 }
 void generate_overload(BalancerDriver& driver) {
   driver.list_caches(3, true);
@@ -1339,7 +1341,7 @@
        [](BalancerDriver& n) { n.list_caches(3), n.send_request(1, 42, {.deadline = n.now - 1}); }},
       {"no server is listed", GiveUpReason::NoEndpoint, {}, [](BalancerDriver& n) { n.send_request(1, 42); }},
       {"one attempt is allowed", GiveUpReason::AttemptLimit,
-       [](Settings& with) { with.max_attempts = 1, with.origin_kind = kOriginKind; },
+       [](Settings& settings) { settings.max_attempts = 1, settings.origin_kind = kOriginKind; },
        [](BalancerDriver& n) {
          n.list_caches(3, true), n.send_request(1, 42), n.advance(20), n.end_attempt(1, AttemptResult::Error);
        }},
@@ -1374,7 +1376,7 @@
          n.send_request(1, 42);
          for (int i = 0; i < 5 && !n.rejected_or_failed(1); ++i) n.end_attempt(1, AttemptResult::Error);
        }},
-      {"too late for the origin queue", GiveUpReason::QueueTimeout, overloaded_origin_settings,
+      {"too late for the origin queue", GiveUpReason::QueueTimeout, apply_overloaded_origin_settings,
        [](BalancerDriver& n) {
          generate_overload(n);
          n.send_request(1, 42);
@@ -1465,7 +1467,7 @@
 // leader of the fetch, and other requests waited for it.
 TEST(GiveUp, RequestDoesNotWaitForAFetchThatWasNotStarted) {
   Settings s = cache_aside_settings();
-  overloaded_origin_settings(s);
+  apply_overloaded_origin_settings(s);
   s.max_attempts = 3;
   BalancerDriver driver(s);
   generate_overload(driver);
--- a/tests/body_buffers/body_buffers_test.cpp
+++ b/tests/body_buffers/body_buffers_test.cpp
@@ -188,10 +188,10 @@
   CHECK(growing.append(1) == Placement::File);
   CHECK(growing.may_stream(false));
   CHECK(growing.append(399) == Placement::File);
-  CHECK(growing.availability().retry_if_run);
+  CHECK(growing.availability().retry_if_executed);
   CHECK(growing.append(1) == Placement::Unretained);
-  CHECK(growing.availability().retry_if_not_run);
-  CHECK_FALSE(growing.availability().retry_if_run);
+  CHECK(growing.availability().retry_if_not_executed);
+  CHECK_FALSE(growing.availability().retry_if_executed);
   CHECK_FALSE(growing.availability().hedge);
   growing.mark_consumed(1);
   CHECK_FALSE(growing.availability().first_attempt);
--- a/tests/concurrency/origin_concurrency_limiter_test.cpp
+++ b/tests/concurrency/origin_concurrency_limiter_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 AttemptSample answered_sample(double elapsed_ms, double objective_ms, std::uint32_t in_flight) {
-  return {.outcome = AttemptEnding::Answered,
+  return {.ending = AttemptEnding::Answered,
           .elapsed_ms = elapsed_ms,
           .latency_objective_ms = objective_ms,
           .in_flight = in_flight};
@@ -23,7 +23,7 @@
     now += 500;
     limiter.on_attempt_sent(now);
     limiter.on_attempt_ended(
-        now, {.outcome = AttemptEnding::Rejected, .elapsed_ms = 1, .latency_objective_ms = 750});
+        now, {.ending = AttemptEnding::Rejected, .elapsed_ms = 1, .latency_objective_ms = 750});
   }
   CHECK(limiter.limit() < 1);
   CHECK(limiter.has_capacity(now, 0, true));
@@ -43,8 +43,7 @@
   const double limit_before = limiter.limit();
   for (int i = 0; i < 14; ++i)
     limiter.on_attempt_ended(
-        now += 500,
-        {.outcome = AttemptEnding::ConnectFailed, .elapsed_ms = 250, .latency_objective_ms = 750});
+        now += 500, {.ending = AttemptEnding::ConnectFailed, .elapsed_ms = 250, .latency_objective_ms = 750});
   CHECK(limiter.limit() < 0.1 * limit_before); // during the fault
   limiter.on_attempt_ended(now += 60, answered_sample(50, 750, 0));
   CHECK(limiter.limit() > 0.6 * limit_before);
@@ -54,7 +53,7 @@
     for (int k = 0; k < 3; ++k)
       limiter.on_attempt_ended(
           now += 500,
-          {.outcome = AttemptEnding::ConnectFailed, .elapsed_ms = 250, .latency_objective_ms = 750});
+          {.ending = AttemptEnding::ConnectFailed, .elapsed_ms = 250, .latency_objective_ms = 750});
     limiter.on_attempt_ended(now += 60, answered_sample(700, 750, 0));
   }
   CHECK(limiter.limit() < 0.1 * limit_before);
@@ -72,7 +71,7 @@
   CHECK(limiter.limit() > limit_before);
   const double grown_limit = limiter.limit();
   CHECK(limiter.on_attempt_ended(
-            now, {.outcome = AttemptEnding::Rejected, .elapsed_ms = 1, .latency_objective_ms = 750}) ==
+            now, {.ending = AttemptEnding::Rejected, .elapsed_ms = 1, .latency_objective_ms = 750}) ==
         DecreaseReason::Rejected);
   CHECK(limiter.limit() < grown_limit);
 }
--- a/tests/descriptors/descriptors_test.cpp
+++ b/tests/descriptors/descriptors_test.cpp
@@ -385,7 +385,7 @@
           break;
         case 4:
           if (serving && clients.should_close_after_response(now, id))
-            RC_ASSERT(clients.active() > places / 4);
+            RC_ASSERT(clients.active_clients() > places / 4);
           break;
         case 5:
         case 6:
@@ -405,7 +405,7 @@
       RC_ASSERT(clients.size() == known.size());
       std::size_t active = 0;
       for (const auto& [k, s] : known) active += s.has_requested && !s.lingering;
-      RC_ASSERT(clients.active() == active);
+      RC_ASSERT(clients.active_clients() == active);
       RC_ASSERT(clients.return_share() >= 0 && clients.return_share() <= 1);
       if (const auto eviction_id = clients.select_for_eviction(now, any))
         RC_ASSERT(known.at(*eviction_id).evictable);
--- a/tests/discovery/subscription_test.cpp
+++ b/tests/discovery/subscription_test.cpp
@@ -118,13 +118,13 @@
       Connection& connection = found->second;
       if (connection.up_at <= now) {
         connection.up_at = kNever;
-        subscription.connected(now, id, actions);
+        subscription.on_connected(now, id, actions);
       } else if (connection.ends_at <= now) {
         connections_.erase(id);
-        subscription.failed(now, id, Failure::Disconnected, actions);
+        subscription.on_failed(now, id, Failure::Disconnected, actions);
       } else if (connection.progress_at <= now) {
         connection.progress_at = now + connection.behavior.bytes_every_ms;
-        subscription.received_data(now, id);
+        subscription.on_data_received(now, id);
       } else if (answers_at(connection) <= now) {
         answer(id, connection, actions);
       }
@@ -138,10 +138,10 @@
     connection.progress_at = kNever;
     if (connection.behavior.invalid_answer) {
       connections_.erase(id);
-      return subscription.failed(now, id, Failure::InvalidAnswer, actions);
+      return subscription.on_failed(now, id, Failure::InvalidAnswer, actions);
     }
     received = version;
-    subscription.answered(now, id, {version, complete}, true, actions);
+    subscription.on_answered(now, id, {version, complete}, true, actions);
   }
 
   void carry_out(const Actions& actions) {
@@ -401,7 +401,7 @@
   Actions actions;
   subscription.start(1, actions);
   actions.clear();
-  subscription.connected(1, 1, actions);
+  subscription.on_connected(1, 1, actions);
   int poll_count = 0;
   for (double now = 1; now < 10000; now = std::max(now, subscription.next_tick_at())) {
     Actions due;
@@ -411,7 +411,7 @@
       REQUIRE(std::holds_alternative<Poll>(actions.front()));
       ++poll_count;
       actions.clear();
-      subscription.answered(now, 1, {5, true}, true, actions);
+      subscription.on_answered(now, 1, {5, true}, true, actions);
     }
   }
   CHECK(poll_count < 120);
--- a/tests/figures/router_stats_test.cpp
+++ b/tests/figures/router_stats_test.cpp
@@ -20,14 +20,14 @@
     CHECK(stats.active_requests() == 0);
   }
   CHECK(stats.count(0, Outcome::Answered) == 1);
-  CHECK(stats.total(Outcome::Errored) + stats.total(Outcome::ClientGone) == 0);
+  CHECK(stats.total(Outcome::Errored) + stats.total(Outcome::ClientDisconnected) == 0);
   { RouterStats::RequestTracker abandoned_request = stats.track_request(1); }
-  CHECK(stats.count(1, Outcome::ClientGone) == 1); // the client disconnected before its response
+  CHECK(stats.count(1, Outcome::ClientDisconnected) == 1); // the client disconnected before its response
   RouterStats::RequestTracker next_request = stats.track_request(0);
   next_request.set_complete();
   next_request = stats.track_request(1); // the next request of its connection
   CHECK(stats.active_requests() == 0);
-  CHECK(stats.count(0, Outcome::ClientGone) == 1);
+  CHECK(stats.count(0, Outcome::ClientDisconnected) == 1);
 }
 
 TEST_CASE("every class is written even with zero counts") {
--- a/tests/gossip/origin_gossip_test.cpp
+++ b/tests/gossip/origin_gossip_test.cpp
@@ -19,7 +19,7 @@
   gossip::MemberId owner;
   gossip::Stamp stamp;
   double age_ms;
-  gossip::Values values;
+  gossip::OriginValues values;
 };
 
 double origin_limit_share(RouterTier& tier, std::size_t i) {
@@ -54,7 +54,7 @@
     }
     const auto merge_all = [](const std::vector<TestReport>& input) {
       OriginGossip table(0, 4, 1);
-      table.set_own(1000, {10, 1}, {1, 1});
+      table.set_own_report(1000, {10, 1}, {1, 1});
       for (const TestReport& report : input)
         table.merge(1000, report.owner, report.stamp, report.age_ms, report.values, false);
       return std::tuple(table.median_demand(1000), table.origin_limit_share(1000),
@@ -85,20 +85,21 @@
         std::vector<OriginGossip> all;
         for (gossip::MemberId i = 0; i < 3; ++i) {
           all.emplace_back(i, 3, i);
-          all[i].set_own(0, {10, 1}, {demand[i], limit[i]});
+          all[i].set_own_report(0, {10, 1}, {demand[i], limit[i]});
         }
         double max_sum = 0;
         for (int step = 0; step < 6; ++step) {
           if (step == crash_step) {
             all[0] = OriginGossip(0, 3, 9);
-            all[0].set_own(0, {11, 1}, {demand[0], limit[0]});
+            all[0].set_own_report(0, {11, 1}, {demand[0], limit[0]});
           }
           const int message = order[static_cast<std::size_t>(step)];
           const int from = message / 2, to = (from + 1 + message % 2) % 3;
           if ((loss_mask >> message & 1) != 0) continue;
           std::vector<OriginGossip::Update> updates;
-          all[static_cast<std::size_t>(to)].read(0, static_cast<gossip::MemberId>(from),
-                                                 all[static_cast<std::size_t>(from)].write(0, 60), updates);
+          all[static_cast<std::size_t>(to)].read_entries(
+              0, static_cast<gossip::MemberId>(from),
+              all[static_cast<std::size_t>(from)].write_entries(0, 60), updates);
         }
         std::vector<double> state;
         double share_sum = 0;
@@ -229,7 +230,7 @@
 
 TEST_CASE("non-finite values and unknown router numbers and damaged tails are ignored and counted") {
   OriginGossip table(0, 4, 1);
-  table.set_own(0, {10, 1}, {std::nan(""), 1e300});
+  table.set_own_report(0, {10, 1}, {std::nan(""), 1e300});
   CHECK(table.median_demand(0) == 0);
   CHECK(table.origin_limit_share(0) <= 4096);
   CHECK_FALSE(table.merge(0, 9, {1, 1}, 0, {1, 1}, true));
@@ -237,12 +238,12 @@
   CHECK_FALSE(table.merge(0, 1, {1, 1}, -5, {1, 1}, true));
   CHECK_FALSE(table.merge(0, 0, {99, 1}, 0, {1, 1}, false)); // of this router itself
   std::vector<OriginGossip::Update> updates;
-  table.read(0, 1, std::string("\x03zz", 3), updates);
-  table.read(0, 1,
-             std::string("\xff"
-                         "abcdefghijkl",
-                         13),
-             updates);
+  table.read_entries(0, 1, std::string("\x03zz", 3), updates);
+  table.read_entries(0, 1,
+                     std::string("\xff"
+                                 "abcdefghijkl",
+                                 13),
+                     updates);
   CHECK(updates.empty());
   CHECK(table.ignored() == 6);
 }
@@ -275,19 +276,19 @@
 
 TEST_CASE("entries of older and newer versions are read as far as they go") {
   OriginGossip old(1, 4, 1);
-  old.set_own(0, {10, 1}, {2, 3, 50});
-  std::string bytes = old.write(0, 18);
+  old.set_own_report(0, {10, 1}, {2, 3, 50});
+  std::string bytes = old.write_entries(0, 18);
   CHECK(bytes.size() == 18);
   std::vector<OriginGossip::Update> updates;
   OriginGossip table(0, 4, 1);
   std::string newer = bytes + "xx"; // one more quantity
   newer[1] = static_cast<char>(newer[1] + 2);
-  table.read(0, 1, newer, updates);
+  table.read_entries(0, 1, newer, updates);
   CHECK(updates.size() == 1);
   OriginGossip other_table(0, 4, 1);
   std::string older = bytes.substr(0, 16); // demand and limit only
   older[1] = static_cast<char>(older[1] - 2);
-  other_table.read(0, 1, older, updates);
+  other_table.read_entries(0, 1, older, updates);
   CHECK(updates.size() == 2);
   CHECK(other_table.fresh_report_count(0) == 1);
   CHECK(other_table.response_time(0).ms == 0);
--- a/tests/gossip/outlier_gossip_test.cpp
+++ b/tests/gossip/outlier_gossip_test.cpp
@@ -59,7 +59,7 @@
 
 TEST_CASE("two routers of a zone with two sender addresses make a node an outlier and one alone never does") {
   OutlierGossip f(0, 1, 1);
-  f.set_own(1000, {1, 1}, {});
+  f.set_own_reports(1000, {1, 1}, {});
   CHECK(f.merge(1000, 2, 2, {1, 1}, 1, report(kFailures, 900)));
   CHECK_FALSE(f.merge(1000, 2, 2, {1, 1}, 1, report(kFailures, 900))); // a duplicate
   CHECK(f.merge(1000, 2, 2, {1, 2}, 1, report(kFailures, 950)));
@@ -136,7 +136,7 @@
         f.merge(1000, t.via, t.owner, {1, t.sequence}, 1, report(t.lost, 900 + t.sequence));
       std::vector<OutlierDecision> v;
       f.append_changes(1000, v);
-      return std::pair(!v.empty() && v[0].outlier, f.write(1000, 0));
+      return std::pair(!v.empty() && v[0].outlier, f.write_entries(1000, 0));
     };
     std::set<gossip::MemberId> owners, senders;
     for (const RelayedReport& t : reports) owners.insert(t.owner), senders.insert(t.via);
@@ -166,7 +166,8 @@
       if ((delivered_mask >> message & 1u) != 0) continue;
       const unsigned from = message / 2, to = (from + 1 + message % 2) % 3;
       auto next = all;
-      next[to].read(0, static_cast<gossip::MemberId>(from), next[from].write(0, OutlierGossip::kMaxBytes));
+      next[to].read_entries(0, static_cast<gossip::MemberId>(from),
+                            next[from].write_entries(0, OutlierGossip::kMaxBytes));
       play(std::move(next), delivered_mask | 1u << message);
     }
   }
@@ -185,7 +186,7 @@
       all.emplace_back(i, 1, i);
       std::vector<ServerReport> own;
       if (model.observed[i] != 1) own.push_back(report(model.observed[i] == 2 ? kFailures : kSuccess, 0));
-      all[i].set_own(0, {1, 1}, own);
+      all[i].set_own_reports(0, {1, 1}, own);
     }
     model.play(all, 0);
     states += model.states;
@@ -242,7 +243,7 @@
     membership::Datagram d;
     d.from = 3;
     d.stamp = {1, static_cast<std::uint16_t>(1000 + k)};
-    d.payload = false_reports.write(t.now, OutlierGossip::kMaxBytes);
+    d.payload = false_reports.write_entries(t.now, OutlierGossip::kMaxBytes);
     std::vector<gossip::GossipNode::OutgoingDatagram> answers;
     for (std::size_t to = 0; to < 12; ++to) {
       if (to != 3) CHECK(t.routers[to]->receive(t.now, 3, membership::encode(d), answers));
@@ -262,7 +263,7 @@
   CHECK_FALSE(
       f.merge(1000, 1, 1, {2, 1}, 1, {0, kFailures, 901})); // it was replaced, and is still the oldest
   CHECK(f.merge(1000, 99, 99, {2, 1}, 1, {0, kFailures, 999}));
-  CHECK(f.write(1000, OutlierGossip::kMaxBytes).size() <= OutlierGossip::kMaxBytes);
+  CHECK(f.write_entries(1000, OutlierGossip::kMaxBytes).size() <= OutlierGossip::kMaxBytes);
   // Invalid reports: of this router itself, and from the future.
   CHECK_FALSE(f.merge(1000, 2, 0, {9, 9}, 1, report(kFailures, 900)));
   CHECK_FALSE(f.merge(1000, 2, 3, {9, 9}, 1, report(kFailures, 1001)));
--- a/tests/lab/peers/datagrams_test.cpp
+++ b/tests/lab/peers/datagrams_test.cpp
@@ -105,7 +105,8 @@
       [](const membership::Datagram& d) { // the sender's demand, as a router without other reports decodes it
         gossip::OriginGossip facts(1, 3, 1);
         std::vector<gossip::OriginGossip::Update> received_facts;
-        facts.read(0, 0, d.payload.substr(0, 2 + static_cast<std::size_t>(d.payload[1])), received_facts);
+        facts.read_entries(0, 0, d.payload.substr(0, 2 + static_cast<std::size_t>(d.payload[1])),
+                           received_facts);
         return facts.median_demand(0);
       };
   const auto reports_dead = [](const membership::Datagram& d) {
--- a/tests/membership/measure.cpp
+++ b/tests/membership/measure.cpp
@@ -15,7 +15,7 @@
 // Time until the first or the last other router considers router 0 alive or dead; -1: not within two minutes.
 double time_until_known(RouterTier& tier, bool alive, bool all) {
   const double started_at = tier.now;
-  const auto knows = [&](std::size_t i) { return i == 0 || tier.routers[i]->members().alive(0) == alive; };
+  const auto knows = [&](std::size_t i) { return i == 0 || tier.routers[i]->members().is_alive(0) == alive; };
   bool done = false;
   tier.run(120000, [&] {
     return done = all ? tier.all(knows) : !tier.all([&](std::size_t i) { return i == 0 || !knows(i); });
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -28,7 +28,7 @@
                                 3});
   }
   datagram.payload = *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
-  datagram.payload.resize(std::min(datagram.payload.size(), membership::payload_room(datagram)));
+  datagram.payload.resize(std::min(datagram.payload.size(), membership::max_payload_bytes(datagram)));
   return datagram;
 }
 
@@ -80,8 +80,9 @@
       tier.run(15000); // every router has reports of all others, of various ages
       tier.kill(0);
       const double killed_at = tier.now;
-      tier.run(60000,
-               [&] { return tier.all([&](std::size_t i) { return !tier.routers[i]->members().alive(0); }); });
+      tier.run(60000, [&] {
+        return tier.all([&](std::size_t i) { return !tier.routers[i]->members().is_alive(0); });
+      });
       CHECK(tier.now - killed_at < 4 * (4 + std::log2(static_cast<double>(n))) * tier.settings.period_ms);
       if (n == 256 && seed == 3) break; // 768 routers are enough
     }
--- a/tests/membership/model_test.cpp
+++ b/tests/membership/model_test.cpp
@@ -18,7 +18,7 @@
     const auto word = [&](const MemberUpdate& w) {
       add(w.member), add(w.state), add(w.reporter), stamp(w.stamp, buffer);
     };
-    stamp(m.stamp_, buffer), add(m.health_penalty_), add(m.next_in_order_), add(m.last_round_);
+    stamp(m.stamp_, buffer), add(m.health_penalty_), add(m.next_ping_index_), add(m.last_round_);
     for (const MemberId id : m.ping_order_) add(id);
     for (const auto& member : m.members_) {
       stamp(member.stamp, buffer), add(member.dead_at), add(member.direct_contact_at), add(member.state),
@@ -77,7 +77,7 @@
       for (MemberId j = 0; j < kRouters; ++j) {
         if (i == j) continue;
         stamps_ahead_of_owner += MembershipTestAccess::known(after.routers[i], j) > after.routers[j].stamp();
-        const bool out = before.routers[i].alive(j) && !after.routers[i].alive(j);
+        const bool out = before.routers[i].is_alive(j) && !after.routers[i].is_alive(j);
         declared_dead += out, live_declared_dead += out && !(after.crashed && j == kCrashingRouter);
       }
     }
@@ -92,7 +92,7 @@
     check(before, system_state);
     for (MemberId j = 0; j < kRouters; ++j) {
       const Membership &router_before = before.routers[p.to], &router_after = system_state.routers[p.to];
-      if (j == p.to || !router_before.alive(j) || router_after.alive(j)) continue;
+      if (j == p.to || !router_before.is_alive(j) || router_after.is_alive(j)) continue;
       // Declared dead by this datagram: must not be due to updates older than the known stamp, nor right
       // after direct contact.
       dead_by_old_update +=
--- a/tests/net/fleet_size_test.cpp
+++ b/tests/net/fleet_size_test.cpp
@@ -192,7 +192,7 @@
   // Finds a key whose first candidate is the observed server, by the same ring that the routers use.
   void find_popular_key() {
     struct Member {
-      placement::RingWeight ring_weight;
+      placement::RingMemberState ring_state;
     };
     std::map<ServerId, Member> members;
     for (std::size_t i = 1; i < kServers; ++i) members[endpoints::id_of(server_name(i))];
--- a/tests/placement/placement_test.cpp
+++ b/tests/placement/placement_test.cpp
@@ -16,7 +16,7 @@
 
 struct Node {
   Server entry;
-  placement::RingWeight ring_weight;
+  placement::RingMemberState ring_state;
 };
 using Placement = placement::Placement<Node>;
 
--- a/tests/policy/balancer_simulation.h
+++ b/tests/policy/balancer_simulation.h
@@ -53,12 +53,12 @@
 
   // Sends random requests for `duration_ms`, on average `requests_per_s`; `write_share`: 0 to 1.
   void run(double duration_ms, double requests_per_s, double write_share = 0, std::uint64_t key_count = 500) {
-    const double end = now + duration_ms;
+    const double end_at = now + duration_ms;
     double next_arrival = now;
     while (true) {
       next_arrival += -std::log(1 - random_.next_unit()) * 1000 / requests_per_s;
-      advance_to(std::min(next_arrival, end));
-      if (next_arrival >= end) return;
+      advance_to(std::min(next_arrival, end_at));
+      if (next_arrival >= end_at) return;
       Request request;
       request.id = ++last_id_;
       request.key = 1 + static_cast<std::uint64_t>(random_.next_unit() * static_cast<double>(key_count));
@@ -68,14 +68,14 @@
       send_event(request);
     }
   }
-  void advance_to(double time) {
-    while (!pending_events_.empty() && pending_events_.begin()->first <= time) {
+  void advance_to(double target_time) {
+    while (!pending_events_.empty() && pending_events_.begin()->first <= target_time) {
       now = std::max(now, pending_events_.begin()->first);
       const auto event_handler = std::move(pending_events_.begin()->second);
       pending_events_.erase(pending_events_.begin());
       event_handler();
     }
-    now = time;
+    now = target_time;
   }
 
  private:
--- a/tests/policy/fleet_resize_test.cpp
+++ b/tests/policy/fleet_resize_test.cpp
@@ -33,20 +33,20 @@
 // Runs requests one after another, each to its end.
 class FleetSimulation {
  public:
-  explicit FleetSimulation(const Settings& s) : driver_(s) {}
+  explicit FleetSimulation(const Settings& settings) : driver_(settings) {}
   CacheFleet fleet;
 
-  void set_cache_count(std::uint32_t caches) {
-    std::vector<Server> all;
-    for (std::uint32_t i = 1; i <= caches; ++i) all.push_back({.id = i});
-    all.push_back({.id = kOriginId, .kind = kOriginKind});
-    driver_.update_endpoints(all);
+  void set_cache_count(std::uint32_t cache_count) {
+    std::vector<Server> servers;
+    for (std::uint32_t i = 1; i <= cache_count; ++i) servers.push_back({.id = i});
+    servers.push_back({.id = kOriginId, .kind = kOriginKind});
+    driver_.update_endpoints(servers);
   }
   // Reads keys 1 to `key_count` in turn, `interval_ms` apart; returns the number of rejected reads.
-  std::size_t read_keys(std::size_t count, std::uint64_t keys, double interval_ms = 5) {
+  std::size_t read_keys(std::size_t read_count, std::uint64_t key_count, double interval_ms = 5) {
     std::size_t rejected = 0;
-    for (std::size_t i = 0; i < count; ++i)
-      rejected += read_key(1 + i % keys) ? 0 : 1, driver_.advance(interval_ms);
+    for (std::size_t i = 0; i < read_count; ++i)
+      rejected += read_key(1 + i % key_count) ? 0 : 1, driver_.advance(interval_ms);
     return rejected;
   }
   bool read_key(std::uint64_t key) {
@@ -54,22 +54,23 @@
     driver_.sends.clear();
     driver_.send_request(id, key);
     std::vector<ServerId> missed;
-    for (std::size_t done = 0; done < driver_.sends_of(id).size() && done < 8; ++done) {
-      const ServerId server = driver_.sends_of(id)[done].server;
+    for (std::size_t attempt_index = 0; attempt_index < driver_.sends_of(id).size() && attempt_index < 8;
+         ++attempt_index) {
+      const ServerId server = driver_.sends_of(id)[attempt_index].server;
       ++fleet.reads[server];
-      const bool origin = server == kOriginId;
-      driver_.advance(origin ? fleet.origin_ms : fleet.cache_ms);
-      if (!origin && fleet.stored_keys[server].count(key) == 0) {
+      const bool at_origin = server == kOriginId;
+      driver_.advance(at_origin ? fleet.origin_ms : fleet.cache_ms);
+      if (!at_origin && fleet.stored_keys[server].count(key) == 0) {
         missed.push_back(server);
         driver_.end_attempt(id, AttemptResult::CacheMiss, fleet.cache_ms);
         continue;
       }
-      if (origin) {
+      if (at_origin) {
         ++fleet.fetches;
         for (std::size_t i = 0; i < std::min<std::size_t>(2, missed.size()); ++i)
           fleet.stored_keys[missed[i]].insert(key);
       }
-      driver_.end_attempt(id, AttemptResult::Ok, origin ? fleet.origin_ms : fleet.cache_ms);
+      driver_.end_attempt(id, AttemptResult::Ok, at_origin ? fleet.origin_ms : fleet.cache_ms);
       return true;
     }
     return false;
@@ -85,7 +86,7 @@
 
 // Without resize settings every key of the new caches is fetched on its next read.
 TEST(FleetResize, NewCachesFillAtALimitedRateWhileFormerOwnersServe) {
-  std::size_t fetched[2];
+  std::size_t fetch_counts[2];
   for (const bool enabled : {false, true}) {
     FleetSimulation simulation(resize_settings(enabled ? kTransitionMs : 0));
     simulation.set_cache_count(8);
@@ -95,7 +96,7 @@
     simulation.fleet.fetches = 0;
     simulation.set_cache_count(12);
     simulation.read_keys(300, kKeyCount); // each key once
-    fetched[enabled] = simulation.fleet.fetches;
+    fetch_counts[enabled] = simulation.fleet.fetches;
     simulation.read_keys(6000, kKeyCount);
     if (enabled) {
       std::size_t keys_at_new_caches = 0;
@@ -103,8 +104,8 @@
       EXPECT_GT(keys_at_new_caches, 40u); // of about 100 after the transition
     }
   }
-  EXPECT_GT(fetched[0], 60u);
-  EXPECT_LT(fetched[1], 20u);
+  EXPECT_GT(fetch_counts[0], 60u);
+  EXPECT_LT(fetch_counts[1], 20u);
 }
 
 TEST(FleetResize, EveryReadIsServedDuringConsecutiveChanges) {
@@ -138,15 +139,15 @@
   Settings plain = plain_settings();
   plain.resize = {kTransitionMs, 2, 0.5};
   BalancerDriver enabled(plain), disabled(plain_settings());
-  for (BalancerDriver* n : {&enabled, &disabled}) n->list_caches(6);
+  for (BalancerDriver* driver : {&enabled, &disabled}) driver->list_caches(6);
   for (RequestId id = kFirstRequestId; id < kFirstRequestId + 200; ++id) {
     if (id == kFirstRequestId + 50) {
-      for (BalancerDriver* n : {&enabled, &disabled})
-        n->update_endpoints({{.id = 7}, {.id = 8}}, EndpointListKind::Delta);
+      for (BalancerDriver* driver : {&enabled, &disabled})
+        driver->update_endpoints({{.id = 7}, {.id = 8}}, EndpointListKind::Delta);
     }
-    for (BalancerDriver* n : {&enabled, &disabled}) {
-      n->send_request(id, id % 20 + 1);
-      n->end_attempt(id, AttemptResult::Ok, 20);
+    for (BalancerDriver* driver : {&enabled, &disabled}) {
+      driver->send_request(id, id % 20 + 1);
+      driver->end_attempt(id, AttemptResult::Ok, 20);
     }
     ASSERT_EQ(enabled.last_server(id), disabled.last_server(id));
   }
--- a/tests/policy/origin_limit_test.cpp
+++ b/tests/policy/origin_limit_test.cpp
@@ -9,9 +9,9 @@
 
 double exponential_ms(Random& random, double mean) { return -std::log(1 - random.next_unit()) * mean; }
 
-std::vector<Server> caches_and_origin(std::uint32_t caches) {
+std::vector<Server> caches_and_origin(std::uint32_t cache_count) {
   std::vector<Server> servers;
-  for (std::uint32_t i = 1; i <= caches; ++i) servers.push_back({.id = i});
+  for (std::uint32_t i = 1; i <= cache_count; ++i) servers.push_back({.id = i});
   servers.push_back({.id = kOriginId, .kind = kOriginKind});
   return servers;
 }
--- a/tests/policy/server_departure_test.cpp
+++ b/tests/policy/server_departure_test.cpp
@@ -14,7 +14,7 @@
 constexpr RequestId kFirstRequestId = 1;
 constexpr std::uint32_t kCacheCount = 6;
 constexpr ServerId kLastRemainingCache = 3; // caches up to this id stay in service
-constexpr int kRequests = 200;              // far more than the origin's limit
+constexpr int kRequestCount = 200;          // far more than the origin's limit
 
 enum class EndpointChange {
   DrainingTwice,
@@ -49,7 +49,7 @@
 // Ends every attempt in flight with this result, in several rounds, and advances the time.
 void end_attempts_in_rounds(BalancerDriver& driver, AttemptResult result) {
   for (int round = 0; round < 8; ++round) {
-    for (RequestId id = kFirstRequestId; id < kFirstRequestId + kRequests; ++id) {
+    for (RequestId id = kFirstRequestId; id < kFirstRequestId + kRequestCount; ++id) {
       if (!driver.sends_of(id).empty()) driver.end_attempt(id, result, 30);
     }
     driver.advance(60);
@@ -66,21 +66,23 @@
         AttemptResult::Overloaded, AttemptResult::TimedOut}) {
     BalancerDriver driver(cache_aside_settings());
     driver.list_caches(kCacheCount, true);
-    for (int i = 0; i < kRequests; ++i)
+    for (int i = 0; i < kRequestCount; ++i)
       driver.send_request(kFirstRequestId + i, 1 + i % 150, {.write = i % 7 == 0});
-    for (RequestId id = kFirstRequestId; id < kFirstRequestId + kRequests / 2; ++id) {
+    for (RequestId id = kFirstRequestId; id < kFirstRequestId + kRequestCount / 2; ++id) {
       if (!driver.sends_of(id).empty())
         driver.end_attempt(id, AttemptResult::CacheMiss, 3); // these need the origin
     }
-    const std::size_t before = driver.sends.size();
-    std::set<ServerId> after;
+    const std::size_t sends_before = driver.sends.size();
+    std::set<ServerId> contacted_servers;
     apply_change(driver, GetParam());
     driver.advance(300); // hedged requests become due
-    for (int i = 0; i < kRequests; ++i) driver.send_request(kFirstRequestId + kRequests + i, 1 + i);
+    for (int i = 0; i < kRequestCount; ++i) driver.send_request(kFirstRequestId + kRequestCount + i, 1 + i);
     end_attempts_in_rounds(driver, result);
-    for (std::size_t i = before; i < driver.sends.size(); ++i) after.insert(driver.sends[i].server);
-    for (ServerId id = kLastRemainingCache + 1; id <= kCacheCount; ++id) EXPECT_EQ(after.count(id), 0u) << id;
-    EXPECT_GT(after.size(), 1u); // other servers did get attempts
+    for (std::size_t i = sends_before; i < driver.sends.size(); ++i)
+      contacted_servers.insert(driver.sends[i].server);
+    for (ServerId id = kLastRemainingCache + 1; id <= kCacheCount; ++id)
+      EXPECT_EQ(contacted_servers.count(id), 0u) << id;
+    EXPECT_GT(contacted_servers.size(), 1u); // other servers did get attempts
     EXPECT_EQ(std::count_if(driver.health_checks.begin(), driver.health_checks.end(),
                             [](ServerId id) { return id > kLastRemainingCache && id <= kCacheCount; }),
               0);
@@ -97,19 +99,19 @@
   for (const bool gone : {false, true}) {
     BalancerDriver driver(cache_aside_settings());
     driver.list_caches(kCacheCount, true);
-    for (int i = 0; i < kRequests; ++i) driver.send_request(kFirstRequestId + i, 1 + i, {.write = true});
+    for (int i = 0; i < kRequestCount; ++i) driver.send_request(kFirstRequestId + i, 1 + i, {.write = true});
     const auto at_origin = [&driver] {
       return std::count_if(driver.sends.begin(), driver.sends.end(),
                            [](const Send& send) { return send.server == kOriginId; });
     };
-    ASSERT_LT(at_origin(), kRequests); // some are queued
+    ASSERT_LT(at_origin(), kRequestCount); // some are queued
     ASSERT_GT(at_origin(), 0);
     const std::size_t sent = driver.sends.size();
     const ServerState state = gone ? ServerState::Gone : ServerState::Draining;
     driver.update_endpoints(
         {{.id = kOriginId, .kind = kOriginKind}, {.id = kOriginId, .kind = kOriginKind, .state = state}},
         EndpointListKind::Delta);
-    for (RequestId id = kFirstRequestId; id < kFirstRequestId + kRequests; ++id) {
+    for (RequestId id = kFirstRequestId; id < kFirstRequestId + kRequestCount; ++id) {
       if (!driver.sends_of(id).empty()) driver.end_attempt(id, AttemptResult::Ok, 30);
     }
     driver.advance(3000);
