--- a/tests/policy/slow_start_budget_test.cpp
+++ b/tests/policy/slow_start_budget_test.cpp
@@ -39,10 +39,10 @@
     for (std::uint32_t i = 0; i < size.routers; ++i) routers_.push_back(make_router(i));
     for (std::uint32_t i = 1; i <= size.caches; ++i) caches_.push_back({.id = i});
     caches_.push_back({.id = kOriginId, .kind = kOriginKind});
-    for (auto& r : routers_) send_event(*r, EndpointList{EndpointListKind::Full, caches_});
-    double sum = 0;
+    for (auto& router : routers_) send_event(*router, EndpointList{EndpointListKind::Full, caches_});
+    double cumulative_sum = 0;
     for (std::uint32_t rank = 0; rank < kKeyCount; ++rank)
-      cumulative_popularity_.push_back(sum += 1.0 / (rank + 4));
+      cumulative_popularity_.push_back(cumulative_sum += 1.0 / (rank + 4));
   }
 
   // Restarts three in ten caches, and those found by find_popular_key_owners().
@@ -55,7 +55,7 @@
       cache.started_at = now_;
       slow_start_attempts_[cache.id];
     }
-    for (auto& r : routers_) send_event(*r, EndpointList{EndpointListKind::Full, caches_});
+    for (auto& router : routers_) send_event(*router, EndpointList{EndpointListKind::Full, caches_});
   }
   void restart_routers(double share) {
     for (std::uint32_t i = 0; i < size_.routers; ++i) {
@@ -64,12 +64,12 @@
       send_event(*routers_[i], EndpointList{EndpointListKind::Full, caches_});
     }
   }
-  void run(double ms) {
-    const double end = now_ + ms;
+  void run(double duration_ms) {
+    const double end_at = now_ + duration_ms;
     const double total_requests_per_ms = size_.requests_per_s * size_.routers / 1000;
     for (;;) {
       now_ += -std::log(1 - random_.next_unit()) / total_requests_per_ms;
-      if (now_ >= end) return;
+      if (now_ >= end_at) return;
       // Uneven: a tenth of the routers gets a third of the requests.
       const double random_sample = random_.next_unit();
       const double router_position = random_sample < 0.33 ? 0.1 * random_.next_unit() : random_.next_unit();
@@ -77,8 +77,8 @@
     }
   }
   // Finds the first caches of the most popular keys, with a separate new router for each key.
-  void find_popular_key_owners(std::uint32_t keys) {
-    for (std::uint32_t rank = 0; rank < keys; ++rank) {
+  void find_popular_key_owners(std::uint32_t key_count) {
+    for (std::uint32_t rank = 0; rank < key_count; ++rank) {
       RouterTier isolated_tier({1, size_.caches, size_.requests_per_s, ""}, 1);
       isolated_tier.request(*isolated_tier.routers_[0], rank);
       popular_key_owners_.push_back(isolated_tier.first_server_);
@@ -91,22 +91,23 @@
     double max_ratio = 0;
     for (const auto& [id, attempt_times] : slow_start_attempts_) {
       std::deque<double> window;
-      for (const double at : attempt_times) {
-        window.push_back(at);
-        while (window.front() < at - settings_.overload_failure_ms) window.pop_front();
-        max_ratio = std::max(max_ratio, static_cast<double>(window.size()) / allowed_attempts(at));
+      for (const double attempt_at : attempt_times) {
+        window.push_back(attempt_at);
+        while (window.front() < attempt_at - settings_.overload_failure_ms) window.pop_front();
+        max_ratio = std::max(max_ratio, static_cast<double>(window.size()) / allowed_attempts(attempt_at));
       }
     }
     return max_ratio;
   }
   // Attempts at all caches in slow start, relative to their mean load times their mean capacity share.
   double traffic_share() const {
-    double sent = 0, expected = 0;
+    double attempts = 0, expected_attempts = 0;
     for (const auto& [id, attempt_times] : slow_start_attempts_) {
-      sent += static_cast<double>(attempt_times.size());
-      expected += mean_load_per_ms() * (0.5 + 0.5 * settings_.slow_start_min_capacity) * (now_ - started_at_);
+      attempts += static_cast<double>(attempt_times.size());
+      expected_attempts +=
+          mean_load_per_ms() * (0.5 + 0.5 * settings_.slow_start_min_capacity) * (now_ - started_at_);
     }
-    return sent / expected;
+    return attempts / expected_attempts;
   }
 
  private:
@@ -129,9 +130,10 @@
     return std::make_unique<Router>(settings_, seed);
   }
   double mean_load_per_ms() const { return size_.requests_per_s * size_.routers / 1000 / size_.caches; }
-  double allowed_attempts(double at) const {
-    const double capacity_share = settings_.slow_start_min_capacity +
-                                  (1 - settings_.slow_start_min_capacity) * (at - started_at_) / kSlowStartMs;
+  double allowed_attempts(double sent_at) const {
+    const double capacity_share =
+        settings_.slow_start_min_capacity +
+        (1 - settings_.slow_start_min_capacity) * (sent_at - started_at_) / kSlowStartMs;
     const double mean_attempts = settings_.overload_multiple * capacity_share * mean_load_per_ms() /
                                  kUtilization * settings_.overload_failure_ms;
     return mean_attempts < 30 ? mean_attempts + 3 * std::sqrt(mean_attempts) + 3
@@ -146,11 +148,11 @@
     request(router, static_cast<std::uint32_t>(rank));
   }
   void request(Router& router, std::uint32_t rank) {
-    Request r;
-    r.id = ++last_id_;
-    r.key = mix_bits(rank + 1);
-    r.deadline = now_ + 2000;
-    send_event(router, r);
+    Request new_request;
+    new_request.id = ++last_id_;
+    new_request.key = mix_bits(rank + 1);
+    new_request.deadline = now_ + 2000;
+    send_event(router, new_request);
   }
   // Every attempt is answered before the next event.
   void send_event(Router& router, const Event& event) {
