--- a/lab/check/bound_meter.cpp
+++ b/lab/check/bound_meter.cpp
@@ -413,14 +413,11 @@
     case Metric::LatencyMs: text = "latency, " + percent_text(bound.quantile) + " within"; break;
     case Metric::OriginPerS: text = "requests to the origin"; break;
     case Metric::OriginPeakPerS: text = "requests to the origin in the worst second"; break;
-    case Metric::FetchSurgeFactor:
-      text = "origin reads in the worst second, relative to the steady rate";
-      break;
+    case Metric::FetchSurgeFactor: text = "fetches in the worst second, beside the steady rate"; break;
     case Metric::HitRatio: text = "hit ratio"; break;
-    case Metric::HandshakesPerRequest: text = "new connections to machines per request"; break;
+    case Metric::HandshakesPerRequest: text = "new connections to machines for each request"; break;
     case Metric::RecoveryMs:
-      text = "until the service of each " + seconds_text(bound.window_ms) + " reaches " +
-             percent_text(bound.level);
+      text = "until each " + seconds_text(bound.window_ms) + " is served to " + percent_text(bound.level);
       break;
   }
   if (bound.cls && *bound.cls < spec.classes.size()) text += ", class " + spec.classes[*bound.cls].name;
--- a/lab/check/rule_checker.cpp
+++ b/lab/check/rule_checker.cpp
@@ -46,15 +46,14 @@
 
 const char* rule_description(Rule rule) {
   switch (rule) {
-    case Rule::OneFinalResponse: return "exactly one final response for each request that a router accepted";
-    case Rule::NoLostRequest: return "no request without a response in time";
-    case Rule::SafeRepeats: return "no attempt or rejection that the request class forbids";
-    case Rule::NoTrafficAfterDrain:
-      return "no new attempt to a draining or removed node after the grace period";
-    case Rule::NoColdOverload: return "no cold node overloaded until it failed";
-    case Rule::GenuineResponses: return "served only with responses that a node produced for the request";
-    case Rule::NoRouterCrash: return "no router process crashed";
-    case Rule::RequestAccounting: return "the lab recorded each request until it was closed";
+    case Rule::OneFinalResponse: return "exactly one final answer for each request that a router took";
+    case Rule::NoLostRequest: return "no request without an answer in time";
+    case Rule::SafeRepeats: return "no attempt or refusal beyond what the class allows";
+    case Rule::NoTrafficAfterDrain: return "nothing new to a draining or gone node after the grace";
+    case Rule::NoColdOverload: return "no cold node pushed over";
+    case Rule::GenuineResponses: return "served only with what a node made for the request";
+    case Rule::NoRouterCrash: return "no router crashes";
+    case Rule::RequestAccounting: return "the lab followed each request to its end";
   }
   return "";
 }
@@ -125,8 +124,7 @@
   for (auto& m : score_meters_) m->on(d);
   expire_entries(d.at);
   if (!requests_.emplace(d.request, RequestState{d.cls, 0}).second) {
-    add_violation(Rule::RequestAccounting, d.at,
-                  "request " + number_text(d.request) + " was generated twice");
+    add_violation(Rule::RequestAccounting, d.at, "request " + number_text(d.request) + " was drawn twice");
   }
 }
 
@@ -134,7 +132,7 @@
   const auto request = requests_.find(t.request);
   if (request == requests_.end()) {
     return add_violation(Rule::RequestAccounting, t.at,
-                         "a client try of request " + number_text(t.request) + ", which is not open");
+                         "a try of request " + number_text(t.request) + ", which is not open");
   }
   ++request->second.open_tries;
   ClientTryState& entry = tries_[t.try_id];
@@ -172,7 +170,7 @@
   if (found == tries_.end() || found->second.answered || a.surplus) {
     return add_violation(
         Rule::OneFinalResponse, a.at,
-        router_name(a.router) + " answered request " + number_text(a.request) + " more than once");
+        router_name(a.router) + " answered request " + number_text(a.request) + " once more");
   }
   ClientTryState& t = found->second;
   t.answered = true;
@@ -182,8 +180,7 @@
   if (const auto request = requests_.find(t.request); request != requests_.end()) {
     --request->second.open_tries;
   }
-  const std::string what =
-      "request " + number_text(a.request) + " that " + router_name(t.router) + " accepted ";
+  const std::string what = "request " + number_text(a.request) + " that " + router_name(t.router) + " took ";
   // The router measures the client's timeout from the arrival of the request, and its response then needs the
   // network delay back to the client. To a distant client a response may be in transit when the client stops
   // waiting.
@@ -200,12 +197,12 @@
   const bool response_in_transit = a.outcome == TryOutcome::TimedOut && latest_receipt_ms > a.at;
   if ((a.outcome == TryOutcome::TimedOut || a.outcome == TryOutcome::ConnectionLost) &&
       !response_in_transit && response_required(t, a.at)) {
-    add_violation(Rule::NoLostRequest, a.at,
-                  what +
-                      (a.outcome == TryOutcome::TimedOut
-                           ? "received no response"
-                           : "had its connection closed before the response was complete") +
-                      ", " + milliseconds_text(a.at - t.sent_at_ms) + " after it was sent");
+    add_violation(
+        Rule::NoLostRequest, a.at,
+        what +
+            (a.outcome == TryOutcome::TimedOut ? "had no answer"
+                                               : "had its connection ended without a whole answer") +
+            ", " + milliseconds_text(a.at - t.sent_at_ms) + " after it was sent");
   }
   const bool answer =
       a.outcome == TryOutcome::Served || a.outcome == TryOutcome::Rejected || a.outcome == TryOutcome::Failed;
@@ -215,8 +212,7 @@
                   what + "was answered " + milliseconds_text(a.at - t.deadline_ms) + " after its deadline");
   }
   if (a.outcome == TryOutcome::Served && !a.genuine) {
-    add_violation(Rule::GenuineResponses, a.at,
-                  what + "was served with a response that no node produced for it");
+    add_violation(Rule::GenuineResponses, a.at, what + "was served with something that no node made for it");
   }
   if (a.outcome == TryOutcome::Rejected) check_refusal(a.at, t);
 }
@@ -227,7 +223,7 @@
   const auto found = requests_.find(c.request);
   if (found == requests_.end() || found->second.closed) {
     return add_violation(Rule::RequestAccounting, c.at,
-                         "request " + number_text(c.request) + " was closed but is not open");
+                         "request " + number_text(c.request) + " was closed, and is not open");
   }
   found->second.closed = true;
   closed_requests_.emplace_back(c.at, c.request);
@@ -241,7 +237,7 @@
     if (found == requests_.end()) continue;
     if (found->second.open_tries > 0) {
       add_violation(Rule::RequestAccounting, at,
-                    "request " + number_text(request) + " was closed while a client try is open");
+                    "request " + number_text(request) + " was closed while a try is open");
     }
     requests_.erase(found);
   }
@@ -287,7 +283,7 @@
   for (const AttemptState& attempt : client_try.attempts) {
     if (!attempt.may_have_effect()) continue;
     return add_violation(Rule::SafeRepeats, at_ms,
-                         router_name(client_try.router) + " rejected request " +
+                         router_name(client_try.router) + " refused request " +
                              number_text(client_try.request) + " (" + cls.name + ") that may have run on " +
                              machine_name(attempt.machine_id));
   }
@@ -304,12 +300,12 @@
   if (client_try.answered && final_response && arrival.sent_at > client_try.answered_at_ms + slack_ms_) {
     add_violation(Rule::SafeRepeats, arrival.at,
                   event_text + " " + milliseconds_text(arrival.sent_at - client_try.answered_at_ms) +
-                      " after its final response");
+                      " after its final answer");
   }
   if (client_try.attempts.size() >= spec_.routers.max_attempts) {
     add_violation(Rule::SafeRepeats, arrival.at,
-                  event_text + ", which is attempt " + number_text(client_try.attempts.size() + 1) +
-                      " of at most " + number_text(spec_.routers.max_attempts) + " allowed");
+                  event_text + ", which is attempt " + number_text(client_try.attempts.size() + 1) + " of " +
+                      number_text(spec_.routers.max_attempts) + " allowed");
   }
   if (cls.idempotency == Idempotency::Idempotent) return;
   for (const AttemptState& earlier : client_try.attempts) {
@@ -319,13 +315,13 @@
       return add_violation(Rule::SafeRepeats, arrival.at, event_text + earlier_run_text);
     if (!same_idempotency_scope(cls, earlier.machine_id, arrival.machine)) {
       return add_violation(Rule::SafeRepeats, arrival.at,
-                           event_text + earlier_run_text + ", which is outside the idempotency scope");
+                           event_text + earlier_run_text + ", which does not drop its repeats");
     }
     if (arrival.sent_at > earlier.sent_at_ms + cls.idempotency_window_ms + slack_ms_) {
       return add_violation(
           Rule::SafeRepeats, arrival.at,
           event_text + earlier_run_text + " " + milliseconds_text(arrival.sent_at - earlier.sent_at_ms) +
-              " before, and the idempotency window is " + milliseconds_text(cls.idempotency_window_ms));
+              " before, and repeats are dropped for " + milliseconds_text(cls.idempotency_window_ms));
     }
   }
 }
@@ -349,13 +345,12 @@
   const std::string event_text =
       router_name(arrival.router) + " sent an attempt to " + machine_name(arrival.machine);
   if (!latest)
-    return add_violation(Rule::NoTrafficAfterDrain, arrival.at,
-                         event_text + ", which was never in its endpoint list");
+    return add_violation(Rule::NoTrafficAfterDrain, arrival.at, event_text + ", which its list never named");
   const double delay_ms = arrival.sent_at - latest->notified_at_ms;
   if (delay_ms > spec_.routers.drain_grace_ms + slack_ms_) {
-    add_violation(Rule::NoTrafficAfterDrain, arrival.at,
-                  event_text + " " + milliseconds_text(delay_ms) +
-                      " after it was notified that the node drains or was removed");
+    add_violation(
+        Rule::NoTrafficAfterDrain, arrival.at,
+        event_text + " " + milliseconds_text(delay_ms) + " after it was told that it drains or is gone");
   }
 }
 
@@ -409,9 +404,9 @@
   if (e.notified_share < kNotifiedShareThreshold - 1e-9) return;
   char share[32];
   std::snprintf(share, sizeof share, "%.0f%%", e.notified_share * 100);
-  add_violation(Rule::NoColdOverload, e.at,
-                machine_name(e.machine) + " was overloaded while cold, " + share +
-                    " of the load from routers notified of its start");
+  add_violation(
+      Rule::NoColdOverload, e.at,
+      machine_name(e.machine) + " was pushed over while cold, " + share + " of it by routers that knew");
 }
 
 // ---- routers ----
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -154,7 +154,7 @@
 void LoadGenerator::start_try(const model::TryStart& start) {
   const auto router = front_balancer_.pick(now(), start.drawn.zone);
   const Handle handle = tries_.add();
-  if (handle == 0) return context_.void_reasons.add("too many open tries: the lab's table is full");
+  if (handle == 0) return context_.void_reasons.add("more open tries than the lab can hold");
   Try& new_try = *tries_.find(handle);
   new_try.start = start;
   pending_tries_[start.try_id] = handle;
--- a/lab/rig/rig.cpp
+++ b/lab/rig/rig.cpp
@@ -187,7 +187,7 @@
     merger_.add_from(records_);
     if (clock_.started()) merger_.release(clock_.now());
     if (merger_.queued() > kMaxQueuedRecords) {
-      void_reasons_.add("records are produced faster than the sink consumes them");
+      void_reasons_.add("records come faster than they are taken");
       end();
     }
     const double now = clock_.now();
@@ -209,7 +209,7 @@
     }
     if (!routers_.supervisor_alive()) end();
     if (!answered_at_ && now > spec_.duration_ms + max_client_timeout_ms(spec_) + kMaxOverrunMs) {
-      void_reasons_.add("the run did not end in time: requests are still open");
+      void_reasons_.add("the run did not come to its end");
       end();
     }
     if (!ended_) loop_.run_after(kTickIntervalMs, [this] { tick(); });
