--- a/src/model/arrival_generator.cpp
+++ b/src/model/arrival_generator.cpp
@@ -40,8 +40,8 @@
     : spec_(spec),
       plan_(plan),
       keys_(keys),
-      arrival_times_(stream(spec.seed, "arrivals")),
-      attributes_(stream(spec.seed, "mix")),
+      arrival_engine_(stream(spec.seed, "arrivals")),
+      attribute_engine_(stream(spec.seed, "mix")),
       key_engine_(stream(spec.seed, "keys")),
       work_engine_(stream(spec.seed, "work")),
       hint_engine_(stream(spec.seed, "hints")),
@@ -93,10 +93,10 @@
     const double period_end_ms =
         std::min(spec_.duration_ms, change == rate_change_times_.end() ? spec_.duration_ms : *change);
     const double max_rate_per_ms = spec_.load.rate_per_s / 1000 * max_shape_factor_ * event_factor(now_);
-    const double at = max_rate_per_ms > 0 ? now_ + draw_exponential(1 / max_rate_per_ms, arrival_times_)
+    const double at = max_rate_per_ms > 0 ? now_ + draw_exponential(1 / max_rate_per_ms, arrival_engine_)
                                           : std::numeric_limits<double>::infinity();
     now_ = std::min(at, period_end_ms);
-    if (at < period_end_ms && draw_with_probability(shape_factor(at) / max_shape_factor_, arrival_times_))
+    if (at < period_end_ms && draw_with_probability(shape_factor(at) / max_shape_factor_, arrival_engine_))
       return at;
   }
   return std::nullopt;
@@ -120,9 +120,9 @@
   DrawnRequest request;
   request.at = *at;
   request.request = ++last_request_;
-  request.cls = classes_(attributes_);
-  request.tenant = tenants_(attributes_);
-  request.zone = zones_(attributes_);
+  request.cls = classes_(attribute_engine_);
+  request.tenant = tenants_(attribute_engine_);
+  request.zone = zones_(attribute_engine_);
   const ClassSpec& class_spec = spec_.classes[request.cls];
   request.write = class_spec.write;
   request.key = keys_.draw(request.at, key_engine_);
--- a/src/model/arrival_generator.h
+++ b/src/model/arrival_generator.h
@@ -1,4 +1,4 @@
-// The requests of the workload, drawn in advance (open loop): their times do not depend on responses.
+// Draws the requests of the workload (open loop): their times do not depend on responses.
 #pragma once
 
 #include <boost/random/discrete_distribution.hpp>
@@ -23,17 +23,17 @@
 
  private:
   double shape_factor(double now) const; // factor of the load's rate that follows from its shape
-  double event_factor(double now) const;
+  double event_factor(double now) const; // product of the rate changes in effect
   std::optional<double> next_time();
   bool exceeds_quota(const DrawnRequest& drawn);
 
   Spec spec_;
   Plan plan_;
   KeySpace& keys_;
-  Engine arrival_times_, attributes_, key_engine_, work_engine_, hint_engine_;
+  Engine arrival_engine_, attribute_engine_, key_engine_, work_engine_, hint_engine_;
   boost::random::discrete_distribution<std::uint32_t> classes_, tenants_, zones_;
   std::vector<double> rate_change_times_; // times of the rate changes, sorted
-  double now_ = 0, max_shape_factor_;     // maximum of shape_factor()
+  double now_ = 0, max_shape_factor_;     // time of the latest candidate; maximum of shape_factor()
   RequestNumber last_request_ = 0;
   struct Bucket {
     double at = 0, tokens = 0;
--- a/src/model/cache_node.cpp
+++ b/src/model/cache_node.cpp
@@ -15,7 +15,7 @@
 // Random variation alone must not overload a node: this many standard deviations of the number of requests,
 // and as many requests, are added to the limit.
 constexpr double kOverloadDeviations = 3;
-constexpr std::size_t kMaxLeases = 4096; // fetches that a node tracks
+constexpr std::size_t kMaxLeases = 4096; // per node; the oldest is dropped for a new one
 
 } // namespace
 
@@ -57,10 +57,10 @@
   }
 }
 
-// ---- life ----
+// ---- lifecycle ----
 
-void CacheNode::start(double now, ServerActions& acts) {
-  ServerModel::start(now, acts);
+void CacheNode::start(double now, ServerActions& actions) {
+  ServerModel::start(now, actions);
   cache_.clear();
   lose_initial_objects();
   started_at_ms_ = latest_ms();
@@ -84,8 +84,8 @@
   is_warm_ = true;
 }
 
-void CacheNode::set_neighbour_share(double now, double share, ServerActions& acts) {
-  advance(now, acts);
+void CacheNode::set_neighbour_share(double now, double share, ServerActions& actions) {
+  advance(now, actions);
   neighbour_share_ = std::clamp(share, 0.0, 1.0);
   update_rate(latest_ms());
 }
@@ -125,12 +125,12 @@
   return std::min(next_pause_ms_, is_warm_ ? kNever : next_warm_up_step_ms_);
 }
 
-void CacheNode::on_capacity_change(double now, ServerActions& acts) {
+void CacheNode::on_capacity_change(double now, ServerActions& actions) {
   if (!is_warm_ && now >= next_warm_up_step_ms_) {
     next_warm_up_step_ms_ = now + kind_.warm_up_ms / kWarmUpSteps;
     if (warm_share(now) >= 1) {
       is_warm_ = true;
-      acts.push_back({.at = now, .what = ServerAction::What::Warm});
+      actions.push_back({.at = now, .what = ServerAction::What::Warm});
     }
   }
   if (now >= next_pause_ms_) {
@@ -143,20 +143,19 @@
 // All work that reaches a cold node counts, including rejected work. The limit is the capacity that the
 // routers' settings imply for a node of its age. A neighbour does not lower it, because routers are not
 // notified of neighbours.
-void CacheNode::on_arrival(double now, const ServerAttempt& attempt, ServerActions& acts) {
+void CacheNode::on_arrival(double now, const ServerAttempt& attempt, ServerActions& actions) {
   if (is_warm_ || !(kind_.overload_failure_ms > 0)) return;
   arrived_work_.add(now, attempt.work_ms);
   if (attempt.notified) notified_work_.add(now, attempt.work_ms);
   const double arrived_work = arrived_work_.sum(now);
-  const double expected_requests = kind_.overload_multiple * expected_capacity(now) *
-                                   kind_.overload_failure_ms / mean_work_ms_; // requests
+  const double max_requests =
+      kind_.overload_multiple * expected_capacity(now) * kind_.overload_failure_ms / mean_work_ms_;
   if (arrived_work <=
-      (expected_requests + kOverloadDeviations * std::sqrt(expected_requests) + kOverloadDeviations) *
-          mean_work_ms_)
+      (max_requests + kOverloadDeviations * std::sqrt(max_requests) + kOverloadDeviations) * mean_work_ms_)
     return;
   const double notified_share = notified_work_.sum(now) / arrived_work;
-  lose_all(now, acts);
-  acts.push_back(
+  lose_all(now, actions);
+  actions.push_back(
       {.at = now, .what = ServerAction::What::Overloaded, .cold = true, .notified_share = notified_share});
 }
 
@@ -168,10 +167,10 @@
     return false;
   const ClassSpec& cls = context_.spec.classes[attempt.cls];
   if (cls.idempotency != Idempotency::WithKey) return false;
-  const double window =
+  const double window_ms =
       kind_.idempotency_window_ms >= 0 ? kind_.idempotency_window_ms : cls.idempotency_window_ms;
   return context_.idempotency_cache.check_and_add(now, duplicate_group(cls.idempotency_scope, machine_plan_),
-                                                  attempt.idempotency_key, window);
+                                                  attempt.idempotency_key, window_ms);
 }
 
 void CacheNode::on_work_start(double now, WorkItem& item) {
@@ -223,7 +222,8 @@
   return true;
 }
 
-// The first miss of a key takes a lease: its router fetches the object. Others get Pending until it expires.
+// The first miss of a key takes a lease: its router fetches the object. Further misses are Pending until the
+// lease expires or the object is stored.
 ServerOutcome CacheNode::on_miss(double now, std::uint64_t key) {
   while (!lease_order_.empty() &&
          (lease_order_.front().expires_at <= now || lease_order_.size() >= kMaxLeases)) {
--- a/src/model/cache_node.h
+++ b/src/model/cache_node.h
@@ -31,8 +31,9 @@
   // Off.
   CacheNode(const FleetContext& context, const PlannedMachine& machine);
 
-  void start(double now, ServerActions& acts) override; // cold and empty
-  void set_neighbour_share(double now, double share, ServerActions& acts);
+  void start(double now, ServerActions& actions) override; // cold and empty
+  // A neighbour uses this share of the node's capacity from now on; 0: none does.
+  void set_neighbour_share(double now, double share, ServerActions& actions);
 
   // Stores the object after the origin has answered a read that was a miss here.
   void store(double now, std::uint64_t key);
@@ -51,10 +52,10 @@
 
   void on_work_start(double now, WorkItem& item) override;
   bool is_duplicate(double now, const ServerAttempt& attempt);
-  void on_arrival(double now, const ServerAttempt& attempt, ServerActions& acts) override;
+  void on_arrival(double now, const ServerAttempt& attempt, ServerActions& actions) override;
   double capacity_share(double now) const override;
   double next_capacity_change_ms() const override;
-  void on_capacity_change(double now, ServerActions& acts) override;
+  void on_capacity_change(double now, ServerActions& actions) override;
   void on_terminated() override;
   double other_report_value(double now) override;
   double memory_bytes() const override { return cache_.bytes(); }
@@ -70,7 +71,7 @@
   const FleetContext context_;
   const PlannedMachine machine_plan_;
   ObjectCache cache_;
-  std::unordered_map<std::uint64_t, double> leases_; // expiry time by key
+  std::unordered_map<std::uint64_t, double> leases_; // expiry time by key; see NodeKind::lease_ms
   std::deque<Lease> lease_order_;
   // Part of the memory that holds recently requested objects whose keys are not determined yet: each is
   // stored when it is requested for the first time in the run.
--- a/src/model/clients.cpp
+++ b/src/model/clients.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
-constexpr double kResponseSlackMs =
-    50; // added to the routers' grace: a response that is in transit still counts
-// Time in ms until a stopping router gets no new connections.
+// Added to the routers' grace: a response that is in transit still counts.
+constexpr double kResponseSlackMs = 50;
+// Range of the time until a stopping router gets no new connections.
 constexpr double kStopDetectionMinMs = 200, kStopDetectionMaxMs = 400;
 
 } // namespace
@@ -24,10 +24,10 @@
       routers_by_zone_(spec.zones.size()),
       next_in_zone_(spec.zones.size()),
       zone_states_(spec.zones.size(), ZoneStep::What::Usual) {
-  for (const PlannedRouter& r : plan.routers) {
-    routers_by_zone_[r.zone].push_back(r.id);
-    all_routers_.push_back(r.id);
-    routing_periods_[r.id] = {0, kNever};
+  for (const PlannedRouter& router : plan.routers) {
+    routers_by_zone_[router.zone].push_back(router.id);
+    all_routers_.push_back(router.id);
+    routing_periods_[router.id] = {0, kNever};
   }
 }
 
@@ -79,17 +79,17 @@
       behavior_engine_(stream(spec.seed, "habits")),
       retry_engine_(stream(spec.seed, "retries")) {}
 
-void Clients::open(double now, const DrawnRequest& drawn, ClientActions& acts) {
+void Clients::open(double now, const DrawnRequest& drawn, ClientActions& actions) {
   OpenRequest& open = open_[drawn.request];
   open.drawn = drawn;
   const double mean_max_retries = spec_.clients.mean_max_retries;
   open.max_tries =
       1 + static_cast<std::uint32_t>(mean_max_retries) +
       (draw_with_probability(mean_max_retries - std::floor(mean_max_retries), retry_engine_) ? 1 : 0);
-  start_try(now, open, acts);
+  start_try(now, open, actions);
 }
 
-void Clients::start_try(double now, OpenRequest& open, ClientActions& acts) {
+void Clients::start_try(double now, OpenRequest& open, ClientActions& actions) {
   const ClientSpec& client_spec = spec_.clients;
   const DrawnRequest& drawn = open.drawn;
   TryStart start;
@@ -111,22 +111,22 @@
     open.abandons_at = draw_uniform(start.scheduled_at, start.deadline, behavior_engine_);
   }
   timers_.push({std::min(open.deadline, open.abandons_at), drawn.request, start.number, false});
-  acts.push_back({now, start});
+  actions.push_back({now, start});
 }
 
 bool Clients::on_try_ended(double now, TryId try_id, TryOutcome outcome, double retry_after_ms,
-                           ClientActions& acts) {
+                           ClientActions& actions) {
   const RequestNumber request = request_of(try_id);
   const auto found = open_.find(request);
   if (found == open_.end()) return false;
   OpenRequest& open = found->second;
   if (!open.waiting || open.tries - 1 != (try_id & 15)) return false;
-  finish_try(now, request, open, outcome, retry_after_ms, acts);
+  finish_try(now, request, open, outcome, retry_after_ms, actions);
   return true;
 }
 
 void Clients::finish_try(double now, RequestNumber request, OpenRequest& open, TryOutcome outcome,
-                         double retry_after_ms, ClientActions& acts) {
+                         double retry_after_ms, ClientActions& actions) {
   open.waiting = false;
   const ClientSpec& client_spec = spec_.clients;
   double wait_ms = client_spec.backoff_ms * draw_uniform(0.5, 1.5, retry_engine_);
@@ -135,7 +135,7 @@
       draw_with_probability(client_spec.heed_retry_after_share, retry_engine_)) {
     wait_ms = std::max(wait_ms, std::min(retry_after_ms, spec_.routers.max_retry_after_ms));
   }
-  if (!may_retry(open, outcome, now + wait_ms)) return close_request(now, request, open, outcome, acts);
+  if (!may_retry(open, outcome, now + wait_ms)) return close_request(now, request, open, outcome, actions);
   timers_.push({now + wait_ms, request, open.tries - 1, true});
 }
 
@@ -152,7 +152,7 @@
 }
 
 void Clients::close_request(double now, RequestNumber request, const OpenRequest& open, TryOutcome outcome,
-                            ClientActions& acts) {
+                            ClientActions& actions) {
   RequestEnded closed;
   closed.at = now;
   closed.request = request;
@@ -164,13 +164,13 @@
         open.drawn.priority_weight *
         (closed.latency_ms <= open.drawn.latency_objective_ms ? 1 : open.drawn.late_value_share);
   }
-  acts.push_back({now, closed});
+  actions.push_back({now, closed});
   open_.erase(request);
 }
 
 double Clients::next_due_ms() const { return timers_.empty() ? kNever : timers_.top().at; }
 
-void Clients::advance(double now, ClientActions& acts) {
+void Clients::advance(double now, ClientActions& actions) {
   while (!timers_.empty() && timers_.top().at <= now) {
     const Timer timer = timers_.top();
     timers_.pop();
@@ -179,13 +179,14 @@
     OpenRequest& open = found->second;
     if (open.tries - 1 != timer.try_number || timer.retry == open.waiting) continue;
     if (timer.retry) {
-      start_try(timer.at, open, acts);
+      start_try(timer.at, open, actions);
       continue;
     }
     const TryOutcome outcome =
         open.abandons_at < open.deadline ? TryOutcome::Abandoned : TryOutcome::TimedOut;
-    acts.push_back({timer.at, TryCancelled{timer.request, timer.request << 4 | timer.try_number, outcome}});
-    finish_try(timer.at, timer.request, open, outcome, 0, acts);
+    actions.push_back(
+        {timer.at, TryCancelled{timer.request, timer.request << 4 | timer.try_number, outcome}});
+    finish_try(timer.at, timer.request, open, outcome, 0, actions);
   }
 }
 
--- a/src/model/clients.h
+++ b/src/model/clients.h
@@ -18,6 +18,7 @@
 
 namespace fernward::model {
 
+// The simple load balancer (FrontBalancerSpec) with its delayed knowledge of the routers' states.
 class FrontBalancer {
  public:
   FrontBalancer(const Spec& spec, const Plan& plan);
@@ -38,6 +39,7 @@
   bool is_used(double now, RouterId router) const {
     return now >= routing_periods_[router].from && now < routing_periods_[router].until;
   }
+  // The next router in round-robin order from position `next`; include_unused: regardless of its state.
   std::optional<RouterId> next_in_turn(double now, const std::vector<RouterId>& routers, std::size_t& next,
                                        bool include_unused);
 
@@ -71,42 +73,46 @@
 };
 using ClientActions = std::vector<ClientAction>;
 
+// The open requests of all clients.
 class Clients {
  public:
   explicit Clients(const Spec& spec);
 
-  void open(double now, const DrawnRequest& drawn, ClientActions& acts);
+  // Starts the first try of a request that is due.
+  void open(double now, const DrawnRequest& drawn, ClientActions& actions);
   // Reports the outcome of a try. False: the try had already ended, so this response is surplus.
-  bool on_try_ended(double now, TryId try_id, TryOutcome outcome, double retry_after_ms, ClientActions& acts);
-  void advance(double now, ClientActions& acts);
+  bool on_try_ended(double now, TryId try_id, TryOutcome outcome, double retry_after_ms,
+                    ClientActions& actions);
+  void advance(double now, ClientActions& actions);
   double next_due_ms() const; // when advance() must be called; infinity: never
   std::size_t open_requests() const { return open_.size(); }
 
+  // A try's id is its request's number times 16 plus the number of the try.
   static RequestNumber request_of(TryId try_id) { return try_id >> 4; }
 
  private:
   struct OpenRequest {
     DrawnRequest drawn;
     std::uint32_t tries = 0, max_tries = 1;
-    bool waiting = false; // for a response to its latest try
-    double abandons_at = 0, deadline = 0;
+    bool waiting = false;                 // for a response to its latest try
+    double abandons_at = 0, deadline = 0; // of its latest try
     double first_try_at_ms = 0;
   };
   struct Timer {
     double at;
     RequestNumber request;
-    std::uint32_t try_number; // of the try; a timer of an earlier try is ignored
-    bool retry;
+    std::uint32_t try_number; // a timer of an earlier try is ignored
+    bool retry;               // true: the next try starts; false: this try times out or is abandoned
     bool operator>(const Timer& other) const {
       return at != other.at ? at > other.at : request > other.request;
     }
   };
 
-  void start_try(double now, OpenRequest& open, ClientActions& acts);
+  void start_try(double now, OpenRequest& open, ClientActions& actions);
   void close_request(double now, RequestNumber request, const OpenRequest& open, TryOutcome outcome,
-                     ClientActions& acts);
+                     ClientActions& actions);
   void finish_try(double now, RequestNumber request, OpenRequest& open, TryOutcome outcome,
-                  double retry_after_ms, ClientActions& acts);
+                  double retry_after_ms, ClientActions& actions);
   bool may_retry(const OpenRequest& open, TryOutcome outcome, double at) const;
 
   Spec spec_;
--- a/src/model/discovery.cpp
+++ b/src/model/discovery.cpp
@@ -19,8 +19,8 @@
       delivery_engine_(stream(spec.seed, "discovery spread")),
       agent_index_(plan.routers.size(), 1),
       deliveries_(plan.routers.size()) {
-  for (const PlannedMachine& m : plan.machines) {
-    if (m.at_start) base_[m.id] = {m.id, ServerState::Ready, -1, 1};
+  for (const PlannedMachine& machine : plan.machines) {
+    if (machine.at_start) base_[machine.id] = {machine.id, ServerState::Ready, -1, 1};
   }
 }
 
@@ -65,15 +65,15 @@
 
 void Discovery::advance(double now) {
   while (true) {
-    double due = kNever;
-    for (const auto& [machine, change] : pending_) due = std::min(due, change.at);
-    if (due > now) break;
-    publish(due);
+    double due_ms = kNever;
+    for (const auto& [machine, change] : pending_) due_ms = std::min(due_ms, change.at);
+    if (due_ms > now) break;
+    publish(due_ms);
   }
   if (outage_) return;
-  for (std::size_t r = 0; r < deliveries_.size(); ++r) {
-    for (auto& queue = deliveries_[r]; !queue.empty() && queue.front().at <= now; queue.pop_front()) {
-      agent_index_[r] = queue.front().index;
+  for (std::size_t router = 0; router < deliveries_.size(); ++router) {
+    for (auto& queue = deliveries_[router]; !queue.empty() && queue.front().at <= now; queue.pop_front()) {
+      agent_index_[router] = queue.front().index;
     }
   }
   fold_old_changes();
@@ -118,7 +118,7 @@
 Discovery::List Discovery::list_between(std::uint64_t index, std::optional<std::uint64_t> since) const {
   List list;
   list.index = index;
-  // If only a part of a list's changes was folded into the base, the stored changes are incomplete.
+  // Changes up to base_index_ may have been folded into the base, so an older `since` gets the complete list.
   list.complete = !since || *since < base_index_ || *since > list.index;
   std::map<MachineId, Entry> entries;
   if (list.complete) entries = base_;
--- a/src/model/discovery.h
+++ b/src/model/discovery.h
@@ -1,8 +1,9 @@
-// Discovery's endpoint list, and the version that each router's agent has received: delayed, and none during
-// an outage. An agent provides it as a complete list or as the changes since a version.
+// Discovery's endpoint list, and the version of it that each router's agent has received.
 //
-// The caller reports the actual state of the machines. The list contains it after a delay, and each agent
-// receives it after a further delay. An agent answers its router immediately with the version that it has.
+// The caller reports the actual state of the machines. The list shows it after a delay, and each agent
+// receives the new version of the list after a further delay, or after the outage if there is one. An agent
+// answers its router immediately from the version that it has, with the complete list or with the changes
+// since a version. A version is identified by its index.
 #pragma once
 
 #include <cstdint>
@@ -42,9 +43,8 @@
   void advance(double now);
   double next_due_ms() const; // when advance() must be called; infinity: never
 
-  std::uint64_t index(RouterId router) const {
-    return agent_index_[router];
-  } // the index that its agent has, as of the last advance()
+  // The index that the router's agent has, as of the last advance().
+  std::uint64_t index(RouterId router) const { return agent_index_[router]; }
   // The agent's entries that are newer than `since`; all of them if `since` is empty.
   List list(RouterId router, std::optional<std::uint64_t> since) const;
   // The complete list at `index`, an index that an agent has had.
--- a/src/model/idempotency_cache.h
+++ b/src/model/idempotency_cache.h
@@ -1,6 +1,6 @@
 // The idempotency keys of recently started writes, by group of machines that drop duplicates together.
 //
-// Bounded: a key is removed after its window, and the oldest one when there are more than `max_keys`.
+// Bounded: a key is removed after its window, and the oldest ones so that there are at most `max_keys`.
 #pragma once
 
 #include <cstdint>
--- a/src/model/key_space.cpp
+++ b/src/model/key_space.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::uint64_t kRankBits = 24;
 constexpr std::uint64_t kFirstHotRank = (1ull << kRankBits) - 1; // ranks from here downwards are hot keys
-constexpr std::uint64_t kDriftPhase = 1, kChangePhase = 2, kSizeDraw = 3; // purpose of a hash
+constexpr std::uint64_t kDriftPhase = 1, kChangePhase = 2, kSizeDraw = 3; // arguments of a hash, by purpose
 
 std::vector<double> rank_weights(const KeySpec& keys) {
   std::vector<double> weights_by_rank;
@@ -53,7 +53,7 @@
 bool KeySpace::changed_between(std::uint64_t key, double from, double to) const {
   if (!(spec_.changes_per_s > 0)) return false;
   const double phase = unit_interval(hash_numbers(seed_, key, kChangePhase));
-  const auto version_at = [&](double t) { return std::floor(t / 1000 * spec_.changes_per_s + phase); };
+  const auto version_at = [&](double at) { return std::floor(at / 1000 * spec_.changes_per_s + phase); };
   return version_at(from) != version_at(to);
 }
 
--- a/src/model/key_space.h
+++ b/src/model/key_space.h
@@ -17,13 +17,14 @@
  public:
   explicit KeySpace(const Spec& spec);
 
-  std::uint64_t draw(double now, Engine& engine);
+  std::uint64_t draw(double now, Engine& engine);          // the key of a request at time `now`
   std::uint64_t key(std::uint32_t rank, double now) const; // the key that has the rank at time `now`
   double size_bytes(std::uint64_t key) const;
   // Whether the object changed at the origin between the two times.
   bool changed_between(std::uint64_t key, double from, double to) const;
   // Whether the nodes held the key when the run began (OriginSpec::initial_hit_ratio).
   bool cached_at_start(std::uint64_t key) const;
+  // The number of ranks, from rank 0, whose initial keys the nodes held when the run began.
   std::uint32_t warm_ranks() const { return warm_ranks_; }
 
   // A key that is not requested until event `number` makes it hot.
@@ -37,7 +38,7 @@
   boost::random::discrete_distribution<std::uint32_t> ranks_; // Walker's alias method
 };
 
-// The weight of rank r (from 0).
+// The weight with which `rank` (from 0) is drawn.
 double rank_weight(const KeySpec& keys, std::uint32_t rank);
 inline constexpr std::uint32_t kMaxKeys = 1u << 22;
 
--- a/src/model/network.cpp
+++ b/src/model/network.cpp
@@ -14,29 +14,30 @@
 
 Network::Network(const Spec& spec, const Plan& plan)
     : spec_(spec.network),
-      zones_(spec.zones.size()),
+      zone_count_(spec.zones.size()),
       silent_machines_(plan.machines.size()),
       silent_routers_(plan.routers.size()),
       jitter_engine_(stream(spec.seed, "jitter")),
       datagram_engine_(stream(spec.seed, "datagrams")),
       duplicate_engine_(stream(spec.seed, "datagram copies")) {
-  for (std::size_t a = 0; a < zones_; ++a) {
-    for (std::size_t b = 0; b < zones_; ++b)
-      default_delay_.push_back(a == b ? spec_.same_zone_delay_ms : spec_.cross_zone_delay_ms);
+  for (std::size_t from = 0; from < zone_count_; ++from) {
+    for (std::size_t to = 0; to < zone_count_; ++to)
+      default_delay_.push_back(from == to ? spec_.same_zone_delay_ms : spec_.cross_zone_delay_ms);
   }
   for (const ZoneLink& link : spec_.links) {
-    default_delay_[link.from * zones_ + link.to] = default_delay_[link.to * zones_ + link.from] =
+    default_delay_[link.from * zone_count_ + link.to] = default_delay_[link.to * zone_count_ + link.from] =
         link.delay_ms;
   }
   delay_ = default_delay_;
-  for (const PlannedMachine& m : plan.machines) machine_zone_.push_back(m.zone);
-  for (const PlannedRouter& r : plan.routers) router_zone_.push_back(r.zone);
+  for (const PlannedMachine& machine : plan.machines) machine_zone_.push_back(machine.zone);
+  for (const PlannedRouter& router : plan.routers) router_zone_.push_back(router.zone);
 }
 
 void Network::apply(const Step& step) {
   if (const auto* link = std::get_if<LinkStep>(&step.what)) {
-    for (const std::size_t at : {link->from * zones_ + link->to, link->to * zones_ + link->from}) {
-      delay_[at] = default_delay_[at] * link->factor;
+    for (const std::size_t pair :
+         {link->from * zone_count_ + link->to, link->to * zone_count_ + link->from}) {
+      delay_[pair] = default_delay_[pair] * link->factor;
     }
   } else if (const auto* partition = std::get_if<PartitionStep>(&step.what)) {
     std::erase_if(partitions_,
--- a/src/model/network.h
+++ b/src/model/network.h
@@ -27,20 +27,21 @@
   bool is_connected(RouterId router, MachineId machine) const;
   bool routers_connected(RouterId from, RouterId to) const;
   bool is_responding(MachineId machine) const { return !silent_machines_[machine]; }
-  bool reachable(RouterId router) const { return !silent_routers_[router]; } // for clients and discovery
+  // Whether clients and discovery reach the router.
+  bool reachable(RouterId router) const { return !silent_routers_[router]; }
 
  private:
   // Probability that a datagram is unaffected by the network's own share and by each enabled loss step.
   double delivery_share(double base_share, double DatagramLossStep::*share, RouterId from, RouterId to) const;
-  double base_delay(std::uint32_t from, std::uint32_t to) const { return delay_[from * zones_ + to]; }
+  double base_delay(std::uint32_t from, std::uint32_t to) const { return delay_[from * zone_count_ + to]; }
 
   NetworkSpec spec_;
-  std::size_t zones_;
-  std::vector<double> default_delay_, delay_; // by pair of zones
+  std::size_t zone_count_;
+  std::vector<double> default_delay_, delay_; // one-way, in ms, by pair of zones
   std::vector<std::uint32_t> machine_zone_, router_zone_;
   std::vector<char> silent_machines_, silent_routers_;
   std::vector<PartitionStep> partitions_; // the enabled ones
-  std::vector<DatagramLossStep> losses_;
+  std::vector<DatagramLossStep> losses_;  // the enabled ones
   Engine jitter_engine_, datagram_engine_, duplicate_engine_;
 };
 
--- a/src/model/object_cache.cpp
+++ b/src/model/object_cache.cpp
@@ -2,9 +2,9 @@
 
 namespace fernward::model {
 
-ObjectCache::ObjectCache(double bytes, EvictionPolicy eviction_policy, double lifetime_ms,
+ObjectCache::ObjectCache(double max_bytes, EvictionPolicy eviction_policy, double lifetime_ms,
                          double overhead_bytes)
-    : capacity_bytes_(bytes),
+    : capacity_bytes_(max_bytes),
       eviction_policy_(eviction_policy),
       lifetime_ms_(lifetime_ms),
       overhead_bytes_(overhead_bytes) {}
@@ -26,16 +26,16 @@
 
 void ObjectCache::store(double now, std::uint64_t key, double bytes) {
   remove(key); // the new object may have another size, and it becomes the newest
-  const double size = bytes + overhead_bytes_;
-  if (!(size <= capacity_bytes_)) return;
+  const double total_bytes = bytes + overhead_bytes_;
+  if (!(total_bytes <= capacity_bytes_)) return;
   auto& by_eviction_order = objects_.get<ByEvictionOrder>();
-  while (used_bytes_ + size > capacity_bytes_ && !by_eviction_order.empty()) {
+  while (used_bytes_ + total_bytes > capacity_bytes_ && !by_eviction_order.empty()) {
     used_bytes_ -= by_eviction_order.front().bytes;
     by_eviction_order.pop_front();
   }
   if (by_eviction_order.empty()) used_bytes_ = 0; // discards accumulated rounding errors
-  by_eviction_order.push_back({key, now, size});
-  used_bytes_ += size;
+  by_eviction_order.push_back({key, now, total_bytes});
+  used_bytes_ += total_bytes;
 }
 
 void ObjectCache::remove(std::uint64_t key) {
--- a/src/model/object_cache.h
+++ b/src/model/object_cache.h
@@ -15,16 +15,16 @@
 
 class ObjectCache {
  public:
-  ObjectCache(double bytes, EvictionPolicy eviction_policy, double lifetime_ms, double overhead_bytes);
+  ObjectCache(double max_bytes, EvictionPolicy eviction_policy, double lifetime_ms, double overhead_bytes);
 
   // The time at which the object was stored; nullopt if it is absent or has expired. Counts as a use.
   std::optional<double> find(double now, std::uint64_t key);
-  // An object larger than the capacity is not stored.
+  // Replaces an object of the same key. An object larger than the capacity is not stored.
   void store(double now, std::uint64_t key, double bytes);
   void remove(std::uint64_t key);
   void clear();
 
-  double bytes() const { return used_bytes_; }
+  double bytes() const { return used_bytes_; } // of all objects, with their overhead
   double capacity_bytes() const { return capacity_bytes_; }
   std::size_t objects() const { return objects_.size(); }
 
@@ -33,12 +33,11 @@
     std::uint64_t key;
     double stored_at, bytes;
   };
-  struct ByEvictionOrder {};
+  struct ByEvictionOrder {}; // the next to be evicted is first
   struct ByKey {};
   using Objects = boost::multi_index_container<
       Object,
-      boost::multi_index::indexed_by<boost::multi_index::sequenced<boost::multi_index::tag<
-                                         ByEvictionOrder>>, // the next to be evicted is first
+      boost::multi_index::indexed_by<boost::multi_index::sequenced<boost::multi_index::tag<ByEvictionOrder>>,
                                      boost::multi_index::hashed_unique<
                                          boost::multi_index::tag<ByKey>,
                                          boost::multi_index::member<Object, std::uint64_t, &Object::key>>>>;
--- a/src/model/origin.cpp
+++ b/src/model/origin.cpp
@@ -34,42 +34,42 @@
       idempotency_cache_(idempotency_cache),
       recovers_at_ms_(kNever),
       recent_requests_(spec.origin.overload_failure_ms),
-      service_times_(stream(spec.seed, "origin")) {
+      service_time_engine_(stream(spec.seed, "origin")) {
   phase_ = ServerPhase::Up;
   update_rate(0);
 }
 
-void Origin::set_capacity_share(double now, double share, ServerActions& acts) {
-  advance(now, acts);
+void Origin::set_capacity_share(double now, double share, ServerActions& actions) {
+  advance(now, actions);
   configured_share_ = std::max(0.0, share);
   update_rate(latest_ms());
 }
 
-void Origin::fail(double now, double down_ms, ServerActions& acts) {
-  advance(now, acts);
-  if (phase_ != ServerPhase::Off) stop(latest_ms(), down_ms, acts);
+void Origin::fail(double now, double down_ms, ServerActions& actions) {
+  advance(now, actions);
+  if (phase_ != ServerPhase::Off) stop(latest_ms(), down_ms, actions);
 }
 
-void Origin::stop(double now, double down_ms, ServerActions& acts) {
-  lose_all(now, acts);
+void Origin::stop(double now, double down_ms, ServerActions& actions) {
+  lose_all(now, actions);
   recent_requests_.clear();
   recovers_at_ms_ = now + down_ms;
-  acts.push_back({.at = now, .what = ServerAction::What::OriginFailed});
+  actions.push_back({.at = now, .what = ServerAction::What::OriginFailed});
 }
 
-void Origin::on_capacity_change(double now, ServerActions& acts) {
+void Origin::on_capacity_change(double now, ServerActions& actions) {
   recovers_at_ms_ = kNever;
   phase_ = ServerPhase::Up;
-  acts.push_back({.at = now, .what = ServerAction::What::OriginRecovered});
+  actions.push_back({.at = now, .what = ServerAction::What::OriginRecovered});
 }
 
-void Origin::on_arrival(double now, const ServerAttempt& attempt, ServerActions& acts) {
+void Origin::on_arrival(double now, const ServerAttempt& attempt, ServerActions& actions) {
   const OriginSpec& origin = spec_.origin;
   if (!(origin.overload_multiple > 0)) return;
   recent_requests_.add(now, attempt.write ? origin.write_multiple : 1);
   if (recent_requests_.sum(now) >
       origin.overload_multiple * origin.capacity_per_s * origin.overload_failure_ms / 1000)
-    stop(now, origin.down_ms, acts);
+    stop(now, origin.down_ms, actions);
 }
 
 bool Origin::is_duplicate(double now, const ServerAttempt& attempt) {
@@ -90,7 +90,7 @@
   item.outcome = item.attempt.write ? ServerOutcome::Written : ServerOutcome::Fetched;
   const DistributionShape shape =
       origin.service_time_cv > 0 ? DistributionShape::LogNormal : DistributionShape::Fixed;
-  item.work = draw({shape, origin.service_time_ms, origin.service_time_cv}, service_times_) *
+  item.work = draw({shape, origin.service_time_ms, origin.service_time_cv}, service_time_engine_) *
               (item.attempt.write ? origin.write_multiple : 1);
 }
 
--- a/src/model/pending_fills.h
+++ b/src/model/pending_fills.h
@@ -1,6 +1,6 @@
 // Records which nodes had a cache miss for a try: they store the object once the origin has answered.
 //
-// Bounded: entries that are not fetched are removed after `retention_ms`, the longest client timeout.
+// Bounded: entries that are not taken are removed after `retention_ms`.
 #pragma once
 
 #include <array>
@@ -19,6 +19,7 @@
     std::uint32_t count = 0;
   };
 
+  // `retention_ms` must be above the longest client timeout: a later answer of the origin fills no cache.
   explicit PendingFills(double retention_ms) : retention_ms_(retention_ms) {}
 
   void add_miss(double now, TryId try_id, MachineId machine);
--- a/src/model/plan.cpp
+++ b/src/model/plan.cpp
@@ -169,11 +169,11 @@
     event_number_ = number;
     event_end_ms_ = timed_event.at_ms;
     add_step(timed_event.at_ms, MarkStep{number, true});
-    std::visit([&](const auto& what) { happen(timed_event.at_ms, what); }, timed_event.what);
+    std::visit([&](const auto& what) { add_event_steps(timed_event.at_ms, what); }, timed_event.what);
     add_step(std::max(event_end_ms_, timed_event.at_ms), MarkStep{number, false});
   }
 
-  void happen(double at, const NoisyNeighbour& event) {
+  void add_event_steps(double at, const NoisyNeighbour& event) {
     event_end_ms_ = end_or_duration(event.until_ms);
     for (const MachineId id : select(event.who, true)) {
       if (!(event.on_ms > 0) || !(event.off_ms > 0)) {
@@ -190,13 +190,13 @@
       add_node_step(event_end_ms_, id, NodeStep::What::Neighbour, 0);
     }
   }
-  void happen(double at, const StartNodes& event) {
+  void add_event_steps(double at, const StartNodes& event) {
     for (const MachineId id : select(event.who, false)) {
       add_node_step(at, id, NodeStep::What::Start);
       in_service_[id] = true;
     }
   }
-  void happen(double at, const DrainNodes& event) {
+  void add_event_steps(double at, const DrainNodes& event) {
     const auto selected = select(event.who, true);
     for (std::size_t i = 0; i < selected.size(); ++i) {
       const double begins_ms =
@@ -207,15 +207,15 @@
       in_service_[selected[i]] = false;
     }
   }
-  void happen(double at, const KillNodes& event) {
+  void add_event_steps(double at, const KillNodes& event) {
     for (const MachineId id : select(event.who, true)) {
       add_node_step(at, id, NodeStep::What::End);
       in_service_[id] = false;
     }
   }
-  void happen(double at, const ReplaceNodes& r) {
-    event_end_ms_ = at + r.after_ms;
-    for (const MachineId id : select(r.who, true)) {
+  void add_event_steps(double at, const ReplaceNodes& event) {
+    event_end_ms_ = at + event.after_ms;
+    for (const MachineId id : select(event.who, true)) {
       add_node_step(at, id, NodeStep::What::End);
       in_service_[id] = false;
       const PlannedMachine old_machine = plan_.machines[id];
@@ -228,42 +228,42 @@
       add_node_step(event_end_ms_, replacement.id, NodeStep::What::Start);
     }
   }
-  void happen(double at, const RestartNodes& r) {
-    event_end_ms_ = at + r.after_ms;
-    for (const MachineId id : select(r.who, true)) {
+  void add_event_steps(double at, const RestartNodes& event) {
+    event_end_ms_ = at + event.after_ms;
+    for (const MachineId id : select(event.who, true)) {
       add_node_step(at, id, NodeStep::What::End);
       add_node_step(event_end_ms_, id, NodeStep::What::Start);
     }
   }
-  void happen(double at, const SilentNodes& event) {
+  void add_event_steps(double at, const SilentNodes& event) {
     event_end_ms_ = end_or_duration(event.until_ms);
     for (const MachineId id : select(event.who, true)) {
       add_node_step(at, id, NodeStep::What::Silence);
       if (event.until_ms > 0) add_node_step(event_end_ms_, id, NodeStep::What::Return);
     }
   }
-  void happen(double at, const PartitionZones& event) {
+  void add_event_steps(double at, const PartitionZones& event) {
     PartitionStep partition;
     const auto contains = [](const std::vector<std::uint32_t>& zones, std::uint32_t zone) {
       return std::find(zones.begin(), zones.end(), zone) != zones.end();
     };
-    for (const PlannedMachine& m : plan_.machines) {
-      if (contains(event.a, m.zone)) partition.machines_a.push_back(m.id);
-      if (contains(event.b, m.zone)) partition.machines_b.push_back(m.id);
+    for (const PlannedMachine& machine : plan_.machines) {
+      if (contains(event.a, machine.zone)) partition.machines_a.push_back(machine.id);
+      if (contains(event.b, machine.zone)) partition.machines_b.push_back(machine.id);
     }
-    for (const PlannedRouter& r : plan_.routers) {
-      if (contains(event.a, r.zone)) partition.routers_a.push_back(r.id);
-      if (contains(event.b, r.zone)) partition.routers_b.push_back(r.id);
+    for (const PlannedRouter& router : plan_.routers) {
+      if (contains(event.a, router.zone)) partition.routers_a.push_back(router.id);
+      if (contains(event.b, router.zone)) partition.routers_b.push_back(router.id);
     }
     add_partition(at, std::move(partition), event.until_ms);
   }
-  void happen(double at, const PartitionNodes& event) {
+  void add_event_steps(double at, const PartitionNodes& event) {
     PartitionStep partition;
     partition.machines_a = select(event.nodes, std::nullopt);
     partition.routers_b = select(event.routers);
     add_partition(at, std::move(partition), event.until_ms);
   }
-  void happen(double at, const PartitionRouters& event) {
+  void add_event_steps(double at, const PartitionRouters& event) {
     PartitionStep partition;
     partition.one_way = event.one_way;
     partition.routers_a = select(event.a);
@@ -271,13 +271,13 @@
     if (event.carries == PartitionedTraffic::All) {
       const auto has_router_in = [this](const std::vector<RouterId>& routers, std::uint32_t zone) {
         return std::any_of(routers.begin(), routers.end(),
-                           [&](RouterId r) { return plan_.routers[r].zone == zone; });
+                           [&](RouterId router) { return plan_.routers[router].zone == zone; });
       };
-      for (const PlannedMachine& m : plan_.machines) {
-        const bool a = has_router_in(partition.routers_a, m.zone),
-                   b = has_router_in(partition.routers_b, m.zone);
-        if (a && !b) partition.machines_a.push_back(m.id);
-        if (b && !a) partition.machines_b.push_back(m.id);
+      for (const PlannedMachine& machine : plan_.machines) {
+        const bool in_a = has_router_in(partition.routers_a, machine.zone),
+                   in_b = has_router_in(partition.routers_b, machine.zone);
+        if (in_a && !in_b) partition.machines_a.push_back(machine.id);
+        if (in_b && !in_a) partition.machines_b.push_back(machine.id);
       }
     }
     add_partition(at, std::move(partition), event.until_ms);
@@ -289,101 +289,103 @@
     add_step(at, partition);
     if (until > 0) add_step(event_end_ms_, PartitionStep{event_number_, false, {}, {}, {}, {}, false});
   }
-  void happen(double at, const LoseDatagrams& event) {
+  void add_event_steps(double at, const LoseDatagrams& event) {
     event_end_ms_ = end_or_duration(event.until_ms);
     add_step(at, DatagramLossStep{event_number_, true, event.share, event.twice, select(event.who)});
     if (event.until_ms > 0) add_step(event_end_ms_, DatagramLossStep{event_number_, false, 0, 0, {}});
   }
-  void happen(double at, const PauseRouters& event) {
+  void add_event_steps(double at, const PauseRouters& event) {
     event_end_ms_ = end_or_duration(event.until_ms);
     for (const RouterId id : select(event.who)) {
       add_step(at, RouterStep{id, RouterStep::What::Pause, 0});
       if (event.until_ms > 0) add_step(event_end_ms_, RouterStep{id, RouterStep::What::Resume, 0});
     }
   }
-  void happen(double at, const InconsistentRouter& event) {
+  void add_event_steps(double at, const InconsistentRouter& event) {
     event_end_ms_ = end_or_duration(event.until_ms);
     add_step(at, InconsistentRouterStep{event_number_, true, event, select(event.who)});
     if (event.until_ms > 0) add_step(event_end_ms_, InconsistentRouterStep{event_number_, false, {}, {}});
   }
-  void happen(double at, const RestartRouters& r) {
-    const auto selected = select(r.who);
-    const std::size_t batch = r.batch > 0 ? r.batch : std::max<std::size_t>(1, selected.size());
+  void add_event_steps(double at, const RestartRouters& event) {
+    const auto selected = select(event.who);
+    const std::size_t batch = event.batch > 0 ? event.batch : std::max<std::size_t>(1, selected.size());
     const std::size_t batches = (selected.size() + batch - 1) / batch;
     for (std::size_t i = 0; i < selected.size(); ++i) {
       const double done_share =
           batches > 0 ? static_cast<double>(i / batch) / static_cast<double>(batches) : 0;
-      const double begins_ms = at + r.over_ms * done_share;
-      const bool kill = r.how == RouterEnd::Kill, comes_back = r.down_ms > 0;
+      const double begins_ms = at + event.over_ms * done_share;
+      const bool kill = event.how == RouterEnd::Kill, comes_back = event.down_ms > 0;
       add_step(begins_ms, RouterStep{selected[i], kill ? RouterStep::What::Kill : RouterStep::What::Term,
-                                     comes_back ? r.down_ms : -1});
+                                     comes_back ? event.down_ms : -1});
       if (kill && comes_back)
-        add_step(begins_ms + r.down_ms, RouterStep{selected[i], RouterStep::What::Start, 0});
-      event_end_ms_ = std::max(event_end_ms_, begins_ms + (comes_back ? r.down_ms : 0));
+        add_step(begins_ms + event.down_ms, RouterStep{selected[i], RouterStep::What::Start, 0});
+      event_end_ms_ = std::max(event_end_ms_, begins_ms + (comes_back ? event.down_ms : 0));
     }
   }
-  void happen(double at, const ReloadRouters& r) {
-    for (const RouterId id : select(r.who)) add_step(at, RouterStep{id, RouterStep::What::Reload, 0});
+  void add_event_steps(double at, const ReloadRouters& event) {
+    for (const RouterId id : select(event.who)) add_step(at, RouterStep{id, RouterStep::What::Reload, 0});
   }
-  void happen(double at, const DiscoveryOutage& event) {
+  void add_event_steps(double at, const DiscoveryOutage& event) {
     event_end_ms_ = end_or_duration(event.until_ms);
     add_step(at, DiscoveryStep{DiscoveryStep::What::Down});
     if (event.until_ms > 0) add_step(event_end_ms_, DiscoveryStep{DiscoveryStep::What::Up});
   }
-  void happen(double at, const DiscoveryMove& m) {
+  void add_event_steps(double at, const DiscoveryMove& event) {
     add_step(at, DiscoveryStep{DiscoveryStep::What::MoveBegins});
-    add_step(at + m.old_stays_ms, DiscoveryStep{DiscoveryStep::What::OldEnds});
-    for (const PlannedRouter& r : plan_.routers) {
-      event_end_ms_ = at + m.reload_after_ms * (r.id + 1);
-      add_step(event_end_ms_, RouterStep{r.id, RouterStep::What::Reload, 0});
+    add_step(at + event.old_stays_ms, DiscoveryStep{DiscoveryStep::What::OldEnds});
+    for (const PlannedRouter& router : plan_.routers) {
+      event_end_ms_ = at + event.reload_after_ms * (router.id + 1);
+      add_step(event_end_ms_, RouterStep{router.id, RouterStep::What::Reload, 0});
     }
-    event_end_ms_ = std::max(event_end_ms_, at + m.old_stays_ms);
+    event_end_ms_ = std::max(event_end_ms_, at + event.old_stays_ms);
   }
   void add_origin_speed_period(double at, double factor, double until) {
     event_end_ms_ = end_or_duration(until);
     add_step(at, OriginStep{OriginStep::What::Speed, factor, 0});
     if (until > 0) add_step(event_end_ms_, OriginStep{OriginStep::What::Speed, 1, 0});
   }
-  void happen(double at, const OriginStall& event) { add_origin_speed_period(at, 0, event.until_ms); }
-  void happen(double at, const OriginSlow& event) {
+  void add_event_steps(double at, const OriginStall& event) {
+    add_origin_speed_period(at, 0, event.until_ms);
+  }
+  void add_event_steps(double at, const OriginSlow& event) {
     add_origin_speed_period(at, event.factor, event.until_ms);
   }
-  void happen(double at, const OriginFall& event) {
+  void add_event_steps(double at, const OriginFall& event) {
     event_end_ms_ = at + event.down_ms;
     add_step(at, OriginStep{OriginStep::What::Fall, 1, event.down_ms});
   }
-  void happen(double at, const HotKey& event) {
+  void add_event_steps(double at, const HotKey& event) {
     event_end_ms_ = end_or_duration(event.until_ms);
     plan_.hot_key_periods.push_back({at, event_end_ms_, event.share, KeySpace::hot_key(event_number_)});
   }
-  void happen(double at, const LoadSpike& event) {
+  void add_event_steps(double at, const LoadSpike& event) {
     event_end_ms_ = end_or_duration(event.until_ms);
     plan_.rate_changes.push_back({at, event_end_ms_, event.factor});
   }
-  void happen(double at, const BadResponses& event) {
+  void add_event_steps(double at, const BadResponses& event) {
     event_end_ms_ = end_or_duration(event.until_ms);
     for (const MachineId id : select(event.who, true)) {
       add_node_step(at, id, NodeStep::What::Bad, event.share, event.kind);
       if (event.until_ms > 0) add_node_step(event_end_ms_, id, NodeStep::What::Bad, 0, event.kind);
     }
   }
-  void happen(double at, const ZoneOutage& event) {
+  void add_event_steps(double at, const ZoneOutage& event) {
     event_end_ms_ = end_or_duration(event.until_ms);
     const bool comes_back = event.until_ms > 0;
-    for (const PlannedMachine& m : plan_.machines) {
-      if (m.zone != event.zone) continue;
-      add_node_step(at, m.id, NodeStep::What::Silence);
-      if (comes_back) add_node_step(event_end_ms_, m.id, NodeStep::What::Return);
+    for (const PlannedMachine& machine : plan_.machines) {
+      if (machine.zone != event.zone) continue;
+      add_node_step(at, machine.id, NodeStep::What::Silence);
+      if (comes_back) add_node_step(event_end_ms_, machine.id, NodeStep::What::Return);
     }
-    for (const PlannedRouter& r : plan_.routers) {
-      if (r.zone != event.zone) continue;
-      add_step(at, RouterStep{r.id, RouterStep::What::Silence, 0});
-      if (comes_back) add_step(event_end_ms_, RouterStep{r.id, RouterStep::What::Return, 0});
+    for (const PlannedRouter& router : plan_.routers) {
+      if (router.zone != event.zone) continue;
+      add_step(at, RouterStep{router.id, RouterStep::What::Silence, 0});
+      if (comes_back) add_step(event_end_ms_, RouterStep{router.id, RouterStep::What::Return, 0});
     }
     add_step(at, ZoneStep{event.zone, event.clients_move ? ZoneStep::What::Move : ZoneStep::What::Lost});
     if (comes_back) add_step(event_end_ms_, ZoneStep{event.zone, ZoneStep::What::Usual});
   }
-  void happen(double at, const SlowLink& event) {
+  void add_event_steps(double at, const SlowLink& event) {
     event_end_ms_ = end_or_duration(event.until_ms);
     add_step(at, LinkStep{event.from, event.to, event.factor});
     if (event.until_ms > 0) add_step(event_end_ms_, LinkStep{event.from, event.to, 1});
--- a/src/model/plan.h
+++ b/src/model/plan.h
@@ -39,7 +39,8 @@
   enum class What { Start, Drain, End, Silence, Return, Neighbour, Bad };
   MachineId machine = 0;
   What what = What::Start;
-  double share = 0;                      // from now on. Neighbour: used capacity. Bad: of the responses
+  // Applies from now on. Neighbour: share of the capacity that it uses. Bad: share of the responses.
+  double share = 0;
   BadResponse kind = BadResponse::Error; // Bad
 };
 struct RouterStep {
@@ -49,21 +50,21 @@
   // Term: the router is started this long after its exit; below 0: never. A Kill has its own Start step.
   double down_ms = 0;
 };
-struct PartitionStep {         // messages between a member of `a` and one of `b` are lost while it is enabled
-  std::uint32_t partition = 0; // its number
+struct PartitionStep {         // messages between the sides `a` and `b` are lost while it is enabled
+  std::uint32_t partition = 0; // number of the event
   bool enabled = false;
   std::vector<MachineId> machines_a, machines_b;
   std::vector<RouterId> routers_a, routers_b;
   bool one_way = false; // from `a` to `b`, between routers
 };
-struct DatagramLossStep { // affects the datagrams that these routers send or receive, while it is enabled
-  std::uint32_t number = 0;
+struct DatagramLossStep {   // affects the datagrams that these routers send or receive, while it is enabled
+  std::uint32_t number = 0; // of the event
   bool enabled = false;
   double loss_share = 0, duplicate_share = 0;
   std::vector<RouterId> routers;
 };
 struct InconsistentRouterStep { // the routers' datagrams hold false values while it is enabled
-  std::uint32_t number = 0;
+  std::uint32_t number = 0;     // of the event
   bool enabled = false;
   InconsistentRouter behavior;
   std::vector<RouterId> routers;
@@ -73,7 +74,7 @@
   double factor = 1;
 };
 struct DiscoveryStep {
-  enum class What { Down, Up, MoveBegins, OldEnds };
+  enum class What { Down, Up, MoveBegins, OldEnds }; // OldEnds: the old address stops answering
   What what = What::Down;
 };
 struct OriginStep {
@@ -118,7 +119,7 @@
   std::vector<std::uint32_t> events_without_target; // events whose selector matches no machine or router
 };
 
-// Requires that find_spec_errors() finds none.
+// Requires that find_spec_errors() finds no error.
 Plan make_plan(const Spec& spec);
 
 } // namespace fernward::model
--- a/src/model/records.h
+++ b/src/model/records.h
@@ -47,7 +47,7 @@
   double client_timeout_ms = 0;    // the client's timeout over all tries
 };
 
-struct TrySent { // one try: the router's machine has accepted its last byte, or will not
+struct TrySent { // one try: the router's machine has accepted its last byte, or sending it has failed
   double at = 0;
   double scheduled_at = 0;  // intended send time
   double send_delay_ms = 0; // delay of the send caused by the load generator itself; 0 in virtual time
@@ -103,8 +103,8 @@
   std::uint32_t cls = 0;
   std::uint64_t key = 0, idempotency_key = 0;
   bool write = false;
-  bool notified =
-      false;          // the router was notified of the machine's latest start, or it did not start in the run
+  // The router was notified of the machine's latest start, or the machine did not start during the run.
+  bool notified = false;
   double work_ms = 0; // work that the attempt requires of this machine
 };
 
@@ -141,8 +141,9 @@
   MachineId machine = 0;
   ServerOutcome outcome = ServerOutcome::Hit;
   bool started = false;
-  bool awaited = true;                    // the router still waited for it
-  double queued_ms = 0, work_done_ms = 0; // time before it started; work done for it, on a standard core
+  bool awaited = true; // the router still waited for it
+  // Time before it started, or until it ended unstarted; work done for it, on a standard core.
+  double queued_ms = 0, work_done_ms = 0;
 };
 
 struct LoadSample { // about every ReportSpec::period_ms, at least once a second
@@ -205,8 +206,8 @@
   double shared_part = 0;                         // part that follows from shared reports; 0: none
 };
 
-struct
-    EndpointNotified { // discovery sent this state to the router; cached: the router loaded it at its start
+// Discovery sent this state to the router; cached: the router loaded it at its start.
+struct EndpointNotified {
   double at = 0;
   RouterId router = 0;
   MachineId machine = 0;
@@ -216,14 +217,14 @@
   bool assumed = false; // not sent, but counts as notified: DiscoverySpec::notified_at_latest_ms have passed
 };
 
-struct EventMark {
+struct EventMark { // an event of the scenario begins or ends
   double at = 0;
   std::uint32_t event = 0; // index in Spec::events
   bool begins = true;
 };
 
-struct
-    RouterLogLine { // a log line of the decision module, or of the router's standard error where it is captured
+// A log line of the decision module, or of the router's standard error where it is captured.
+struct RouterLogLine {
   double at = 0;
   RouterId router = 0;
   const char* text = ""; // valid during the call
--- a/src/model/rng.h
+++ b/src/model/rng.h
@@ -13,7 +13,8 @@
 
 using Engine = pcg64;
 
-// `name` identifies what is drawn ("arrivals", "work"), `number` the node or router that it is drawn for.
+// `name` identifies what is drawn ("arrivals", "work"), `number` the machine, router or event that
+// it is drawn for.
 Engine stream(std::uint64_t seed, std::string_view name, std::uint64_t number = 0);
 
 // Draws a value from the distribution; a mean of 0 gives 0.
--- a/src/model/server_model.h
+++ b/src/model/server_model.h
@@ -69,18 +69,18 @@
   std::size_t queued() const { return queue_.size(); }
 
   // A connection reaches the machine. False: refused, as the machine is not running or its table is full.
-  bool connect(double now, ConnectionId id, ServerActions& acts);
+  bool connect(double now, ConnectionId id, ServerActions& actions);
   void disconnect(double now); // closes any one connection that connect() accepted
-  void arrive(double now, const ServerAttempt& attempt, ServerActions& acts);
-  void cancel(double now, AttemptId id, ServerActions& acts); // the router no longer waits for the attempt
+  void arrive(double now, const ServerAttempt& attempt, ServerActions& actions);
+  void cancel(double now, AttemptId id, ServerActions& actions); // the router no longer waits for the attempt
 
-  virtual void start(double now, ServerActions& acts);
-  void drain(double now, ServerActions& acts);
-  void terminate(double now,
-                 ServerActions& acts); // the process ends: its attempts are lost, its connections closed
+  virtual void start(double now, ServerActions& actions);
+  void drain(double now, ServerActions& actions); // rejects new attempts and completes the others
+  // The process ends: its attempts are lost, its connections closed.
+  void terminate(double now, ServerActions& actions);
 
   double next_due_ms() const; // when advance() must be called; infinity: never
-  void advance(double now, ServerActions& acts);
+  void advance(double now, ServerActions& actions);
 
   // The load report that a response would carry now, in the order of ReportSpec::fields; empty: none.
   void report(double now, std::vector<float>& fields);
@@ -107,6 +107,7 @@
 
   // Called when work on an item starts: sets its `work` and `outcome`.
   virtual void on_work_start(double now, WorkItem& item) = 0;
+  // Called before an attempt that arrives is started, queued or rejected; may stop the machine.
   virtual void on_arrival(double, const ServerAttempt&, ServerActions&) {}
   virtual void on_work_finished(double, WorkItem&) {}
   // The share of the full capacity that is available now.
@@ -115,11 +116,11 @@
   virtual double next_capacity_change_ms() const;
   virtual void on_capacity_change(double, ServerActions&) {}
   virtual void on_terminated() {}
-  virtual double other_report_value(double) { return 0; }
-  virtual double memory_bytes() const { return 0; }
+  virtual double other_report_value(double) { return 0; } // LoadReportField::Other
+  virtual double memory_bytes() const { return 0; }       // LoadSample::memory_bytes
 
-  void update_rate(double now); // call after every change that may affect the capacity
-  void lose_all(double now, ServerActions& acts);
+  void update_rate(double now);                      // call after every change that may affect the capacity
+  void lose_all(double now, ServerActions& actions); // stops the machine: all attempts end as Lost
   double latest_ms() const { return latest_ms_; }
   double total_work_done() const { return processor_.total_work(latest_ms_); }
   const Limits limits_;
@@ -134,13 +135,13 @@
   };
 
   std::uint32_t take_slot();
-  void start_work(double now, std::uint32_t slot, ServerActions& acts);
-  void end_attempt(double now, std::uint32_t slot, ServerOutcome outcome, ServerActions& acts);
-  void start_queued(double now, ServerActions& acts);
-  void finish_job(double now, ServerActions& acts);
+  void start_work(double now, std::uint32_t slot, ServerActions& actions);
+  void end_attempt(double now, std::uint32_t slot, ServerOutcome outcome, ServerActions& actions);
+  void start_queued(double now, ServerActions& actions);
+  void finish_job(double now, ServerActions& actions);
   void take_readings_until(double now);
   void take_reading(double at);
-  void process_until(double now, ServerActions& acts);
+  void process_until(double now, ServerActions& actions);
 
   double latest_ms_ = 0;
   SharedProcessor processor_;
@@ -152,14 +153,14 @@
 
   // Reports: values since the last reading, and the recent readings, some of them not available yet.
   double next_reading_ms_ = 0, served_since_reading_ = 0, errors_since_reading_ = 0, mean_latency_ms_ = 0,
-         qps_ = 0, eps_ = 0;
-  double read_done_ = 0, read_capacity_ = 0; // work done and integral of the capacity at the last reading
+         served_per_s_ = 0, errors_per_s_ = 0;
+  double work_done_at_reading_ = 0, capacity_at_reading_ = 0; // capacity: its integral
   std::deque<Reading> readings_;
 
-  // State of sample().
-  double capacity_share_ = 0, capacity_since_ms_ = 0,
-         capacity_integral_ = 0; // current share, since when; its integral
-  double sampled_done_ = 0, sampled_capacity_ = 0;
+  // State of sample() and of the readings.
+  // The current share of the capacity, since when, and its integral until then.
+  double capacity_share_ = 0, capacity_since_ms_ = 0, capacity_integral_ = 0;
+  double work_done_at_sample_ = 0, capacity_at_sample_ = 0; // at the last sample
   std::uint32_t new_connections_ = 0;
 };
 
--- a/src/model/shared_processor.h
+++ b/src/model/shared_processor.h
@@ -14,8 +14,8 @@
   double remove(double now, std::uint32_t job); // returns its remaining work; 0 if there is no such job
 
   std::size_t jobs() const { return jobs_.size(); }
-  double next_completion_ms()
-      const; // completion time of the next job at the current rate; infinity: none completes
+  // Completion time of the next job at the current rate; infinity: none completes.
+  double next_completion_ms() const;
   // Advances to next_completion_ms() and returns the job that completes then. Requires that there is one.
   std::uint32_t pop_completed();
   // All work done so far, over all jobs.
@@ -28,8 +28,8 @@
   };
   void advance(double now);
 
-  double now_ = 0, rate_ = 0;
-  double work_per_job_ = 0; // work done for a job that has been present since the beginning
+  double now_ = 0, rate_ = 0; // rate_: work per ms for each job
+  double work_per_job_ = 0;   // work done for a job that has been present since the beginning
   double completed_work_ = 0;
   std::vector<Job> jobs_; // sorted by descending `finish`: the next to complete is last
 };
--- a/src/model/sliding_sum.h
+++ b/src/model/sliding_sum.h
@@ -18,7 +18,7 @@
   double sum(double now) {
     advance(now);
     double total = 0;
-    for (const double s : sums_) total += s;
+    for (const double step_sum : sums_) total += step_sum;
     return total;
   }
   void clear() { sums_.fill(0); }
@@ -37,7 +37,7 @@
 
   double step_ms_;
   std::int64_t current_step_ = 0;
-  std::array<double, kSteps> sums_{};
+  std::array<double, kSteps> sums_{}; // by step, modulo kSteps
 };
 
 } // namespace fernward::model
--- a/src/model/spec.cpp
+++ b/src/model/spec.cpp
@@ -42,8 +42,8 @@
   }
 
  private:
-  static std::string member_path(const char* table, std::size_t i, const char* member) {
-    return std::string(table) + "[" + std::to_string(i) + "]." + member;
+  static std::string member_path(const char* table, std::size_t index, const char* member) {
+    return std::string(table) + "[" + std::to_string(index) + "]." + member;
   }
   void add_error(std::string path, std::string reason) {
     errors_.push_back({std::move(path), std::move(reason)});
@@ -308,10 +308,10 @@
     if (timed_event.at_ms >= spec_.duration_ms) add_error(path("at_ms"), "is past the end of the scenario");
     std::visit(
         [&](const auto& what) {
-          using T = std::decay_t<decltype(what)>;
+          using Event = std::decay_t<decltype(what)>;
           if constexpr (requires { what.until_ms; }) {
             if (what.until_ms != 0 && !(what.until_ms > timed_event.at_ms))
-              add_error(path("until_ms"), "is not after its begin");
+              add_error(path("until_ms"), "must be after the start of the event");
             if (what.until_ms > spec_.duration_ms)
               add_error(path("until_ms"), "is past the end of the scenario");
           }
@@ -321,20 +321,20 @@
           if constexpr (requires { what.down_ms; }) check_non_negative(path("down_ms"), what.down_ms);
           if constexpr (requires { what.over_ms; }) check_non_negative(path("over_ms"), what.over_ms);
           if constexpr (requires { what.after_ms; }) check_non_negative(path("after_ms"), what.after_ms);
-          if constexpr (std::is_same_v<T, NoisyNeighbour>) {
+          if constexpr (std::is_same_v<Event, NoisyNeighbour>) {
             check_non_negative(path("on_ms"), what.on_ms);
             check_non_negative(path("off_ms"), what.off_ms);
-          } else if constexpr (std::is_same_v<T, DrainNodes>) {
+          } else if constexpr (std::is_same_v<Event, DrainNodes>) {
             check_non_negative(path("drain_ms"), what.drain_ms);
-          } else if constexpr (std::is_same_v<T, PartitionZones>) {
-            for (const std::uint32_t z : what.a) check_zone(path("a"), z);
-            for (const std::uint32_t z : what.b) check_zone(path("b"), z);
+          } else if constexpr (std::is_same_v<Event, PartitionZones>) {
+            for (const std::uint32_t zone : what.a) check_zone(path("a"), zone);
+            for (const std::uint32_t zone : what.b) check_zone(path("b"), zone);
             if (what.a.empty()) add_error(path("a"), "there is none");
             if (what.b.empty()) add_error(path("b"), "there is none");
-          } else if constexpr (std::is_same_v<T, PartitionNodes>) {
+          } else if constexpr (std::is_same_v<Event, PartitionNodes>) {
             check_selector(path, what.nodes, "nodes");
             check_selector(path, what.routers, "routers");
-          } else if constexpr (std::is_same_v<T, PartitionRouters>) {
+          } else if constexpr (std::is_same_v<Event, PartitionRouters>) {
             check_selector(path, what.a, "a");
             check_selector(path, what.b, "b");
             if (what.carries == PartitionedTraffic::Datagrams) check_sharing_enabled(path("carries"));
@@ -343,21 +343,21 @@
               add_error(
                   path("one_way"),
                   "must be false when the event carries all messages: a cut connection is cut both ways");
-          } else if constexpr (std::is_same_v<T, LoseDatagrams>) {
+          } else if constexpr (std::is_same_v<Event, LoseDatagrams>) {
             check_share(path("twice"), what.twice);
             check_sharing_enabled(path("what"));
-          } else if constexpr (std::is_same_v<T, InconsistentRouter>) {
+          } else if constexpr (std::is_same_v<Event, InconsistentRouter>) {
             check_sharing_enabled(path("what"));
-          } else if constexpr (std::is_same_v<T, DiscoveryMove>) {
+          } else if constexpr (std::is_same_v<Event, DiscoveryMove>) {
             check_non_negative(path("old_stays_ms"), what.old_stays_ms);
             check_non_negative(path("reload_after_ms"), what.reload_after_ms);
-          } else if constexpr (std::is_same_v<T, ZoneOutage>) {
+          } else if constexpr (std::is_same_v<Event, ZoneOutage>) {
             check_zone(path("zone"), what.zone);
-          } else if constexpr (std::is_same_v<T, SlowLink>) {
+          } else if constexpr (std::is_same_v<Event, SlowLink>) {
             check_zone(path("from"), what.from);
             check_zone(path("to"), what.to);
-          } else if constexpr (std::is_same_v<T, OriginStall> || std::is_same_v<T, OriginSlow> ||
-                               std::is_same_v<T, OriginFall>) {
+          } else if constexpr (std::is_same_v<Event, OriginStall> || std::is_same_v<Event, OriginSlow> ||
+                               std::is_same_v<Event, OriginFall>) {
             if (!spec_.origin.enabled) add_error(path("what"), "there is no origin");
           }
         },
@@ -381,7 +381,7 @@
       check_non_negative(path("from_ms"), bound.from_ms);
       if (bound.from_ms >= spec_.duration_ms) add_error(path("from_ms"), "is past the end of the scenario");
       if (bound.to_ms != 0 && !(bound.to_ms > bound.from_ms))
-        add_error(path("to_ms"), "is not after from_ms");
+        add_error(path("to_ms"), "must be after from_ms");
       check_share(path("quantile"), bound.quantile);
       check_positive(path("window_ms"), bound.window_ms);
     }
--- a/src/model/spec.h
+++ b/src/model/spec.h
@@ -7,7 +7,7 @@
 //    standard core (speed 1), rates are per second, shares are 0 to 1 unless said otherwise.
 //  - Tables refer to one another by index (zone, kind, class, tenant). Names are for reports and the wire.
 //  - A SpecError's path is made of the keys of the scenario file, so that it leads to the faulty line. Some
-//    members are named differently from their key (`aim_ms` for latency_objective_ms).
+//    members are named differently from their key (latency_objective_ms has the key `aim_ms`).
 //  - 0 means "none" or "never" only where a member's comment says so. The defaults describe a small valid
 //    fleet, except that the tables are empty.
 #pragma once
@@ -42,25 +42,24 @@
   double same_zone_delay_ms = 0.2; // one-way delay within a zone
   double cross_zone_delay_ms = 7;  // one-way delay between zones
   double client_delay_ms = 0.5;    // one-way delay between a client and the routers of its zone
-  double jitter = 0.1;             // each delay is increased by up to this share, drawn uniformly
+  double jitter = 0.1;             // each of these delays is increased by up to this share, drawn uniformly
   std::vector<ZoneLink> links;
   double datagram_min_ms = 2, datagram_max_ms = 30; // range added to the delay of datagrams between routers
   double datagram_loss_share = 0;                   // share of the datagrams that are lost
-  double datagram_duplicate_share =
-      0; // share of the datagrams that are duplicated, each copy with its own delay
+  double datagram_duplicate_share = 0;              // share that is duplicated; each copy has its own delay
 };
 
 // ---- cache nodes ----
 
 enum class WarmUpMode { Time, Requests }; // what increases the capacity of a cold node
 enum class EvictionPolicy { Lru, Fifo };  // evicts the least recently used or the oldest object
-enum class CancelPolicy {
-  Keep,
-  DropWaiting,
-  Stop
-}; // what happens to work whose router no longer waits for it
+enum class CancelPolicy {                 // what happens to a request whose router no longer waits for it
+  Keep,                                   // nothing: it is completed
+  DropWaiting,                            // it is removed from the queue, but completed if it has started
+  Stop                                    // it is removed from the queue or stopped
+};
 
-struct ReportSpec {
+struct ReportSpec { // load reports of a machine
   bool enabled = true;
   double period_ms = 100; // interval between readings
   double delay_ms = 50;   // time from a reading until it is available
@@ -82,14 +81,16 @@
   EvictionPolicy eviction_policy = EvictionPolicy::Lru;
   double object_lifetime_ms = 0; // an object expires this long after it was stored; 0: never
   double object_overhead_bytes = 64;
-  double lease_ms = 300;        // after the first miss of a key, further misses are `pending` for this long
+  double lease_ms = 300; // further misses of a key are `pending` this long after the first; 0: none are
   double hit_share_of_work = 1; // work of a hit and of a miss, as shares of the request's work
   double miss_share_of_work = 0.1;
   double start_capacity = 0.4; // share of the full capacity that a node has just after its start
   double warm_up_ms = 6000;    // time from the start to full capacity; 0: at once
   WarmUpMode warm_up_mode = WarmUpMode::Time; // Requests: depends on the work done, limited by warm_up_ms
-  double overload_multiple = 4;         // a cold node fails permanently if it receives more than this times
-  double overload_failure_ms = 2000;    // its current capacity during this time; 0: never
+  // A cold node fails, and does not recover by itself, if it receives more than overload_multiple times its
+  // capacity during overload_failure_ms; 0: never. A neighbour does not lower the capacity that counts here.
+  double overload_multiple = 4;
+  double overload_failure_ms = 2000;
   double error_rate = 0;                // share of the requests that end in an error
   double pause_interval_ms = 0;         // mean time between pauses; 0: none
   double pause_duration_ms = 0;         // mean duration of a pause, during which no work is done
@@ -100,40 +101,42 @@
   double idle_timeout_ms = 15000;       // an idle connection is closed after this
   bool drops_expired = false;           // work is not started after its deadline
   CancelPolicy cancel_policy = CancelPolicy::Keep;
-  double idempotency_window_ms =
-      -1; // repeats of a keyed write are dropped this long; below 0: the class's window
+  // Repeats of a keyed write are dropped for this long; below 0: for the class's window.
+  double idempotency_window_ms = -1;
   ReportSpec report;
 };
 
 struct NodeGroup {
   std::string name; // the machines are named NAME-0, NAME-1, ...
   std::uint32_t kind = 0, zone = 0;
-  std::uint32_t count = 1;   // machines in service from the start: warm, with recently requested objects
-  std::uint32_t standby = 0; // further machines that an event may start
-  std::uint32_t cell_size = 4;
-  double weight_error = 0; // the weight published by discovery is wrong by up to this share
+  std::uint32_t count = 1;     // machines in service from the start: warm, with recently requested objects
+  std::uint32_t standby = 0;   // further machines that an event may start
+  std::uint32_t cell_size = 4; // machines per cell, within which IdempotencyScope::Cell drops repeats
+  double weight_error = 0;     // the weight published by discovery is wrong by up to this share
 };
 
 // The slow store behind the caches. Without an origin the nodes cache nothing and serve every request.
 struct OriginSpec {
   bool enabled = true;
   std::uint32_t zone = 0;
-  double capacity_per_s = 80;        // fetches of mean cost
-  double service_time_ms = 100;      // mean service time of a fetch
-  double service_time_cv = 0.5;      // coefficient of variation (log-normal); 0: always the mean
-  double write_multiple = 1.5;       // service time of a write relative to a fetch
-  double queue_limit_ms = 1500;      // queue limit, as time at full capacity; further requests are rejected
-  double congested_at = 0;           // share of the queue limit above which work slows down
-  double congestion_slowdown = 0;    // with a full queue, work takes 1 + this times as long
-  double overload_multiple = 0;      // the origin fails if it receives more than this times its capacity
-  double overload_failure_ms = 3000; // during this time; overload_multiple 0: it does not fail
-  double down_ms = 5000;             // time from a failure until it recovers
-  bool drops_expired = false;
+  double capacity_per_s = 80;     // fetches of mean service time
+  double service_time_ms = 100;   // mean service time of a fetch
+  double service_time_cv = 0.5;   // coefficient of variation (log-normal); 0: always the mean
+  double write_multiple = 1.5;    // service time of a write relative to a fetch
+  double queue_limit_ms = 1500;   // queue limit, as time at full capacity; further requests are rejected
+  double congested_at = 0;        // share of the queue limit above which work slows down
+  double congestion_slowdown = 0; // with a full queue, work takes 1 + this times as long
+  // The origin fails if it receives more than overload_multiple times its capacity during
+  // overload_failure_ms; overload_multiple 0: it does not fail.
+  double overload_multiple = 0;
+  double overload_failure_ms = 3000;
+  double down_ms = 5000;      // time from a failure until it recovers
+  bool drops_expired = false; // work is not started after its deadline
   std::uint32_t max_connections = 2000;
   double handshake_round_trips = 1, idle_timeout_ms = 15000;
   double error_rate = 0;
-  double initial_hit_ratio =
-      0.9; // share of the reads that the caches can answer when nodes start with full memory
+  // Share of the reads that the caches could answer before the run; determines what the initial nodes hold.
+  double initial_hit_ratio = 0.9;
   ReportSpec report{false, 100, 50, 0.05, {}};
 };
 
@@ -149,15 +152,16 @@
   bool enabled = false;
   double ping_period_ms = 250;       // a router sends one ping in each period
   std::uint32_t indirect_probes = 3; // routers asked to probe one that does not answer
-  bool share_origin_limit = true;    // divides the limit at the origin by demand
-  bool count_living_routers =
-      true; // uses the number of living routers in place of the configured one, where that is safe
+  bool share_origin_limit = true;    // divides the limit at the origin among the routers by their demand
+  // Uses the number of living routers in place of the configured one, where that is safe.
+  bool count_living_routers = true;
   bool share_findings = false; // uses findings about cache nodes on which several routers agree
 };
 
 struct RouterSpec {
   std::vector<RouterGroup> groups;
   SharingSpec sharing;
+  // Resources of a router process; max_sockets limits its file descriptors.
   std::uint32_t max_sockets = 1024, memory_mb = 192;
   double cores = 1;
   // Copied to the routers' settings. Classes, tenants, zones, kinds and reports come from the other tables.
@@ -168,14 +172,15 @@
   double connect_timeout_ms = 250;
   double connection_idle_ms = 15000; // setting of the routers; should not exceed the kinds' idle_timeout_ms
   std::uint32_t max_open_requests = 20000;
-  double response_grace_ms = 20;
-  double drain_grace_ms = 250;
+  double response_grace_ms = 20; // a response may be this much later than its deadline
+  double drain_grace_ms = 250;   // a router may use a node for this long after it was notified of its drain
   double over_quota_weight = 0.05;
   WeightKind weight_kind = WeightKind::Approximate;
   ResizeSettings resize;
 };
 
-// The simple load balancer in front of the routers: round robin over the routers of the client's zone.
+// The simple load balancer in front of the routers: round robin over the routers of the client's zone, or
+// over all routers if it can use none there.
 struct FrontBalancerSpec {
   double failure_detection_ms = 2000;   // time during which it still sends to a dead router
   double ready_check_interval_ms = 200; // interval of its readiness checks of a starting router
@@ -199,12 +204,12 @@
 
 struct DiscoverySpec {
   double add_delay_min_ms = 800, add_delay_max_ms = 2200; // from a node's start until the list contains it
-  double leave_delay_min_ms = 1000,
-         leave_delay_max_ms = 4500; // from a drain or termination until the list shows it
-  double silence_delay_min_ms = 7000,
-         silence_delay_max_ms = 13000; // from a machine's silence until the list shows it
-  double update_period_ms = 400;       // interval of the updates of the list
-  double delivery_spread_ms = 400;     // each router receives an update up to this much later
+  // From a drain or termination until the list shows it.
+  double leave_delay_min_ms = 1000, leave_delay_max_ms = 4500;
+  // From a machine's silence until the list shows it.
+  double silence_delay_min_ms = 7000, silence_delay_max_ms = 13000;
+  double update_period_ms = 400;   // interval of the updates of the list
+  double delivery_spread_ms = 400; // each router receives an update up to this much later
   // An update counts as notified this long after the router could have reached discovery, received or not.
   double notified_at_latest_ms = 6000;
   // The same, measured from the SIGHUP after which a router uses the new address of discovery.
@@ -228,7 +233,10 @@
   double attempt_work_cv = 0; // variation of an attempt's work around the request's work (log-normal cv)
   // Error of the cost hint relative to the request's work (log-normal cv); below 0: no hint.
   double hint_error = 0.1;
+  // latency_objective_ms 0: client_timeout_ms, which covers all tries of a request.
   double latency_objective_ms = 750, client_timeout_ms = 1500;
+  // objective_per_work extends the objective by this times the request's work. late_value_share is the part
+  // of its weight that a response after the objective earns. The weight applies per Spec::weight_basis.
   double objective_per_work = 0, late_value_share = 0, priority_weight = 1;
   Idempotency idempotency = Idempotency::Idempotent;
   IdempotencyScope idempotency_scope = IdempotencyScope::All;
@@ -264,18 +272,18 @@
 
 enum class Backoff { Fixed, Exponential };
 struct ClientSpec {
-  double mean_max_retries =
-      1; // mean limit of retries per request; 0.4: four requests in ten may be retried once
+  // Mean limit of retries per request; 0.4: four requests in ten may be retried once.
+  double mean_max_retries = 1;
   Backoff backoff = Backoff::Fixed;
   double backoff_ms = 100; // the wait is 0.5 to 1.5 times this; Exponential: doubled with each try
-  double heed_retry_after_share =
-      1; // share of the clients that wait for Retry-After (up to max_retry_after_ms)
-  double try_timeout_share_min = 0.8,
-         try_timeout_share_max = 1;   // a try times out after this share of the class's client_timeout_ms
+  // Share of the rejected tries after which the client waits for Retry-After, up to max_retry_after_ms.
+  double heed_retry_after_share = 1;
+  // A try times out after a share of the class's client_timeout_ms, drawn between these.
+  double try_timeout_share_min = 0.8, try_timeout_share_max = 1;
   double abandon_share = 0;           // share of the tries that the client abandons before their timeout
   bool keep_connections = true;       // false: a new connection for each try
   std::uint32_t idle_connections = 0; // idle connections that clients keep open to each router
-  bool marks_retry = false;
+  bool marks_retry = false;           // retries carry X-Retried
 };
 
 // ---- events ----
@@ -296,23 +304,24 @@
   bool random = true;
 };
 
-// `until_ms` is an absolute time; 0: until the end of the scenario.
+// In all events, `until_ms` is an absolute time; 0: until the end of the scenario.
+
 struct NoisyNeighbour { // another program uses a share of the machine
   NodeSelector who;
   double share = 0.5, until_ms = 0;
   double on_ms = 0, off_ms = 0; // mean active and inactive times (exponential); either 0: always active
 };
-struct StartNodes {
+struct StartNodes { // starts machines that are on standby or terminated, cold and empty
   NodeSelector who;
-};                  // starts machines that are on standby or terminated, cold and empty
+};
 struct DrainNodes { // the machines finish their requests and then terminate
   NodeSelector who;
   double drain_ms = 4000;
   double over_ms = 0; // the drains are spread evenly over this time
 };
-struct KillNodes {
+struct KillNodes { // the process ends: its connections are reset and new ones are refused
   NodeSelector who;
-};                    // the process ends: its connections are reset and new ones are refused
+};
 struct ReplaceNodes { // the process ends and another machine with a new name uses its address
   NodeSelector who;
   double after_ms = 1000;
@@ -329,7 +338,7 @@
   std::vector<std::uint32_t> a, b;
   double until_ms = 0;
 };
-struct PartitionNodes { // the same between machines and routers
+struct PartitionNodes { // all messages between the machines and the routers are lost, in both directions
   NodeSelector nodes;
   RouterSelector routers;
   double until_ms = 0;
@@ -342,9 +351,9 @@
   std::uint32_t batch = 0; // routers in one batch; 0: all at once
   double over_ms = 0;      // the batches are spread evenly over this time
 };
-struct ReloadRouters {
+struct ReloadRouters { // the routers get SIGHUP
   RouterSelector who;
-}; // SIGHUP
+};
 enum class PartitionedTraffic {
   Datagrams, // between routers
   All // also messages between one side's routers and the machines of zones where only the other has routers
@@ -369,30 +378,30 @@
   RouterSelector who;
   ReportedExtreme demand = ReportedExtreme::Maximum,
                   limit = ReportedExtreme::Maximum; // the values that it reports for itself
-  bool of_others = false;                           // it reports them for others too, as their later updates
-  bool accuses = true;                              // it reports living routers as dead
+  bool of_others = false; // it also reports them for other routers, as later updates of theirs
+  bool accuses = true;    // it reports living routers as dead
   double until_ms = 0;
 };
 struct DiscoveryOutage {
   double until_ms = 0;
 };
-struct DiscoveryMove {          // discovery moves to another address, which the routers' files name
+struct DiscoveryMove {          // discovery moves to another address, set in the routers' configuration files
   double old_stays_ms = 2000;   // time during which the old address still answers
   double reload_after_ms = 500; // the routers get SIGHUP one by one, at this interval after the move
 };
-struct OriginStall {
+struct OriginStall { // the origin accepts requests but does not work on them
   double until_ms = 0;
-}; // accepts requests but does not work on them
-struct OriginSlow {
+};
+struct OriginSlow { // reduces the origin's capacity to this share
   double factor = 0.5, until_ms = 0;
-}; // reduces its capacity to this share
-struct OriginFall {
+};
+struct OriginFall { // the origin's process ends and is started again
   double down_ms = 5000;
-}; // its process ends and is started again
-struct HotKey {
+};
+struct HotKey { // this share of all reads is for one key that was not requested before
   double share = 0.2, until_ms = 0;
-}; // sends this share of all reads to one key that was not requested before
-struct LoadSpike {
+};
+struct LoadSpike { // multiplies the rate of the load
   double factor = 2, until_ms = 0;
 };
 enum class BadResponse {
@@ -405,7 +414,7 @@
   WrongBody,      // 200 with a different body; the router can't detect this and is not responsible
   SlowBytes,      // complete, but seconds late
 };
-struct BadResponses {
+struct BadResponses { // the machines answer this share of the requests badly
   NodeSelector who;
   double share = 0.1, until_ms = 0;
   BadResponse kind = BadResponse::Error;
@@ -437,11 +446,12 @@
 enum class Metric {
   Service,     // earned weight / total priority weight of the requests
   WorstWindow, // the lowest service of any `window_ms`
-  WorstClass,
-  WorstTenant, // the lowest service of any class or tenant
+  WorstClass,  // the lowest service of any class
+  WorstTenant, // the lowest service of any tenant
+  // Share of the requests by their final outcome.
   Served,
   Rejected,
-  Failed,           // share of the requests by their final outcome
+  Failed,
   LatencyMs,        // at `quantile`, of served requests, from the intended send
   OriginPerS,       // fetches and writes that reach the origin, mean per second
   OriginPeakPerS,   // the same in the worst second
@@ -472,8 +482,8 @@
 struct Expectations {
   Rules rules;
   std::vector<Bound> bounds;
-  double overall_weight = 1, worst_window_weight = 0, worst_class_weight = 0,
-         worst_tenant_weight = 0; // weights of the parts of the score
+  // Weights of the parts of the score.
+  double overall_weight = 1, worst_window_weight = 0, worst_class_weight = 0, worst_tenant_weight = 0;
 };
 
 enum class WeightBasis { Request, Work }; // the priority weight applies per request or per unit of work
@@ -500,12 +510,12 @@
   Expectations expectations;
 };
 
-// An error of a scenario that can't be run. `path` names the member by its key: "events[3].at_ms",
-// "kinds[0].cores". find_spec_errors() returns the errors in the order of the members, none if the scenario
-// is valid.
+// A reason why a scenario can't be run. `path` names the member by its key: "events[3].at_ms",
+// "kinds[0].cores".
 struct SpecError {
   std::string path, reason;
 };
+// All errors of the scenario; empty if it is valid.
 std::vector<SpecError> find_spec_errors(const Spec& spec);
 
 // The settings of a router in `zone`, as the decision module expects them.
--- a/tests/model/property_test.cpp
+++ b/tests/model/property_test.cpp
@@ -26,26 +26,26 @@
   std::map<AttemptId, int> open; // arrived but not ended
   std::set<ConnectionId> handshakes;
   std::uint32_t connections = 0;
-  double last = 0;
-  int begun = 0, overloads = 0;
+  double last_action_at = 0;
+  int starts = 0, overloads = 0;
 
-  void check_actions(ServerActions& acts, double now) {
-    for (const ServerAction& act : acts) {
-      RC_ASSERT(act.at >= last);
-      RC_ASSERT(act.at <= now);
-      last = act.at;
-      switch (act.what) {
+  void check_actions(ServerActions& actions, double now) {
+    for (const ServerAction& action : actions) {
+      RC_ASSERT(action.at >= last_action_at);
+      RC_ASSERT(action.at <= now);
+      last_action_at = action.at;
+      switch (action.what) {
         case ServerAction::What::Started:
-          RC_ASSERT(open.count(act.id) == 1);
-          ++begun;
+          RC_ASSERT(open.count(action.id) == 1);
+          ++starts;
           break;
         case ServerAction::What::Answered:
-          RC_ASSERT(open.erase(act.id) == 1);
-          RC_ASSERT(act.queued_ms >= 0);
-          RC_ASSERT(act.work_done_ms >= -1e-6);
-          RC_ASSERT(act.started || act.work_done_ms == 0);
+          RC_ASSERT(open.erase(action.id) == 1);
+          RC_ASSERT(action.queued_ms >= 0);
+          RC_ASSERT(action.work_done_ms >= -1e-6);
+          RC_ASSERT(action.started || action.work_done_ms == 0);
           break;
-        case ServerAction::What::Connected: RC_ASSERT(handshakes.erase(act.id) == 1); break;
+        case ServerAction::What::Connected: RC_ASSERT(handshakes.erase(action.id) == 1); break;
         case ServerAction::What::Overloaded: ++overloads; [[fallthrough]];
         case ServerAction::What::OriginFailed:
           RC_ASSERT(open.size() <= 1); // only the attempt that caused the overload, which ends next
@@ -55,7 +55,7 @@
         default: break;
       }
     }
-    acts.clear();
+    actions.clear();
   }
 };
 
@@ -65,26 +65,27 @@
   std::uint64_t selector = 0;
 };
 
-rc::Gen<std::vector<Operation>> operations(int kinds) {
+rc::Gen<std::vector<Operation>> operations(int kind_count) {
   return rc::gen::map(rc::gen::container<std::vector<std::tuple<int, int, std::uint64_t>>>(
-                          rc::gen::tuple(rc::gen::inRange(0, kinds), rc::gen::inRange(0, 4000),
+                          rc::gen::tuple(rc::gen::inRange(0, kind_count), rc::gen::inRange(0, 4000),
                                          rc::gen::inRange<std::uint64_t>(0, 1u << 20))),
-                      [](const auto& all) {
-                        std::vector<Operation> made;
-                        for (const auto& [what, wait, pick] : all) made.push_back({what, wait / 100.0, pick});
-                        return made;
+                      [](const auto& drawn) {
+                        std::vector<Operation> result;
+                        for (const auto& [what, delay, selector] : drawn)
+                          result.push_back({what, delay / 100.0, selector});
+                        return result;
                       });
 }
 
 // The operations of every server: arrivals (0 to 5), connections, cancels, drain.
-void apply_common_operation(ServerModel& station, const Operation& operation, double now,
-                            ExpectedState& expected, std::uint64_t& ids, ServerActions& acts) {
+void apply_common_operation(ServerModel& server, const Operation& operation, double now,
+                            ExpectedState& expected, std::uint64_t& last_id, ServerActions& actions) {
   switch (operation.what) {
     case 6:
     case 7: {
-      const ConnectionId id = ++ids;
+      const ConnectionId id = ++last_id;
       expected.handshakes.insert(id);
-      if (station.connect(now, id, acts)) {
+      if (server.connect(now, id, actions)) {
         ++expected.connections;
       } else {
         expected.handshakes.erase(id);
@@ -93,31 +94,31 @@
     }
     case 8:
       if (expected.connections > 0 && expected.handshakes.empty()) {
-        station.disconnect(now);
+        server.disconnect(now);
         --expected.connections;
       }
       return;
     case 9:
       if (!expected.open.empty())
-        station.cancel(
-            now, std::next(expected.open.begin(), operation.selector % expected.open.size())->first, acts);
+        server.cancel(now, std::next(expected.open.begin(), operation.selector % expected.open.size())->first,
+                      actions);
       return;
-    case 10: return station.cancel(now, operation.selector + 1000000, acts); // an unknown attempt
-    case 11: return station.advance(now + 200, acts);
+    case 10: return server.cancel(now, operation.selector + 1000000, actions); // an unknown attempt
+    case 11: return server.advance(now + 200, actions);
     case 12:
-      if (operation.selector % 3 == 0) station.drain(now, acts);
+      if (operation.selector % 3 == 0) server.drain(now, actions);
       return;
     default: {
-      ServerAttempt a;
-      a.id = ++ids;
-      a.key = operation.selector % 50 + 1;
-      a.write = operation.selector % 7 == 0;
-      a.cls = a.write ? 1 : 0;
-      a.idempotency_key = a.write ? operation.selector % 11 + 1 : 0;
-      a.work_ms = static_cast<double>(operation.selector % 40);
-      a.deadline = operation.selector % 2 == 0 ? now + 30 : 0;
-      expected.open[a.id] = 1;
-      station.arrive(now, a, acts);
+      ServerAttempt attempt;
+      attempt.id = ++last_id;
+      attempt.key = operation.selector % 50 + 1;
+      attempt.write = operation.selector % 7 == 0;
+      attempt.cls = attempt.write ? 1 : 0;
+      attempt.idempotency_key = attempt.write ? operation.selector % 11 + 1 : 0;
+      attempt.work_ms = static_cast<double>(operation.selector % 40);
+      attempt.deadline = operation.selector % 2 == 0 ? now + 30 : 0;
+      expected.open[attempt.id] = 1;
+      server.arrive(now, attempt, actions);
     }
   }
 }
@@ -171,48 +172,48 @@
     kind.warm_up_mode = *rc::gen::element(WarmUpMode::Time, WarmUpMode::Requests);
     const Plan plan = make_plan(spec);
     const KeySpace keys(spec);
-    IdempotencyCache repeats;
-    CacheNode node({spec, keys, repeats}, plan.machines.front());
-    ExpectedState book;
-    ServerActions acts;
+    IdempotencyCache idempotency_cache;
+    CacheNode node({spec, keys, idempotency_cache}, plan.machines.front());
+    ExpectedState expected;
+    ServerActions actions;
     double now = 0;
-    std::uint64_t ids = 0;
+    std::uint64_t last_id = 0;
     std::vector<float> report;
     for (const Operation& operation : *operations(17)) {
       now += operation.delay_ms;
-      node.advance(now, acts);
-      book.check_actions(acts, now);
+      node.advance(now, actions);
+      expected.check_actions(actions, now);
       if (operation.what == 13) {
-        node.set_neighbour_share(now, static_cast<double>(operation.selector % 100) / 100, acts);
+        node.set_neighbour_share(now, static_cast<double>(operation.selector % 100) / 100, actions);
       } else if (operation.what == 14) {
         node.store(now, operation.selector % 50 + 1);
       } else if (operation.what == 15 && operation.selector % 4 == 0) {
-        node.terminate(now, acts);
-        book.connections = 0;
-        book.handshakes.clear();
+        node.terminate(now, actions);
+        expected.connections = 0;
+        expected.handshakes.clear();
       } else if (operation.what == 16 && node.phase() == ServerPhase::Off) {
-        node.start(now, acts);
+        node.start(now, actions);
       } else {
-        apply_common_operation(node, operation, now, book, ids, acts);
+        apply_common_operation(node, operation, now, expected, last_id, actions);
         if (operation.what == 11) now += 200;
       }
-      book.check_actions(acts, now);
+      expected.check_actions(actions, now);
       RC_ASSERT(node.active() <= kind.max_active);
       RC_ASSERT(node.queued() <= kind.max_queued);
-      RC_ASSERT(book.open.size() == node.active() + node.queued());
+      RC_ASSERT(expected.open.size() == node.active() + node.queued());
       RC_ASSERT(node.connections() <= kind.max_connections);
-      RC_ASSERT(node.connections() == book.connections);
+      RC_ASSERT(node.connections() == expected.connections);
       RC_ASSERT(node.cache().bytes() <= kind.memory_bytes + 1e-6);
       RC_ASSERT(node.next_due_ms() >= now);
       node.report(now, report);
-      for (const float figure : report) RC_ASSERT(figure >= 0);
+      for (const float value : report) RC_ASSERT(value >= 0);
       const LoadSample sample = node.sample(now);
       RC_ASSERT((sample.utilization >= 0 && sample.utilization <= 1 && sample.capacity >= 0 &&
                  sample.capacity <= 1));
     }
-    node.terminate(now, acts);
-    book.check_actions(acts, now);
-    RC_ASSERT(book.open.empty());
+    node.terminate(now, actions);
+    expected.check_actions(actions, now);
+    RC_ASSERT(expected.open.empty());
   }));
 }
 
@@ -220,34 +221,34 @@
   CHECK(rc::check([] {
     const Spec spec = congested_spec(true);
     const Plan plan = make_plan(spec);
-    IdempotencyCache repeats;
-    Origin origin(spec, plan.machines[plan.origin], repeats);
-    ExpectedState book;
-    ServerActions acts;
+    IdempotencyCache idempotency_cache;
+    Origin origin(spec, plan.machines[plan.origin], idempotency_cache);
+    ExpectedState expected;
+    ServerActions actions;
     double now = 0;
-    std::uint64_t ids = 0;
+    std::uint64_t last_id = 0;
     for (const Operation& operation : *operations(15)) {
       now += operation.delay_ms;
-      origin.advance(now, acts);
-      book.check_actions(acts, now);
+      origin.advance(now, actions);
+      expected.check_actions(actions, now);
       if (operation.what == 13) {
-        origin.set_capacity_share(now, static_cast<double>(operation.selector % 3) / 2, acts);
+        origin.set_capacity_share(now, static_cast<double>(operation.selector % 3) / 2, actions);
       } else if (operation.what == 14 && operation.selector % 4 == 0) {
-        origin.fail(now, 50, acts);
+        origin.fail(now, 50, actions);
       } else if (operation.what != 12) {
-        apply_common_operation(origin, operation, now, book, ids, acts);
+        apply_common_operation(origin, operation, now, expected, last_id, actions);
         if (operation.what == 11) now += 200;
       }
-      book.check_actions(acts, now);
+      expected.check_actions(actions, now);
       RC_ASSERT(origin.active() <= 4);
       RC_ASSERT(origin.queued() <= 6);
-      RC_ASSERT(book.open.size() == origin.active() + origin.queued());
+      RC_ASSERT(expected.open.size() == origin.active() + origin.queued());
       RC_ASSERT(origin.connections() <= 5);
     }
-    origin.set_capacity_share(now, 1, acts);
-    origin.advance(now + 10000, acts); // enough for all its work and its recovery
-    book.check_actions(acts, now + 10000);
-    RC_ASSERT(book.open.empty());
+    origin.set_capacity_share(now, 1, actions);
+    origin.advance(now + 10000, actions); // enough for all its work and its recovery
+    expected.check_actions(actions, now + 10000);
+    RC_ASSERT(expected.open.empty());
     RC_ASSERT(origin.phase() == ServerPhase::Up);
   }));
 }
@@ -255,8 +256,8 @@
 TEST_CASE("the object cache holds the same objects as a simple list") {
   CHECK(rc::check([] {
     const bool lru = *rc::gen::arbitrary<bool>();
-    const double expire = *rc::gen::element(0.0, 30.0);
-    ObjectCache memory(1000, lru ? EvictionPolicy::Lru : EvictionPolicy::Fifo, expire, 10);
+    const double lifetime_ms = *rc::gen::element(0.0, 30.0);
+    ObjectCache cache(1000, lru ? EvictionPolicy::Lru : EvictionPolicy::Fifo, lifetime_ms, 10);
     struct Object {
       std::uint64_t key;
       double at, size;
@@ -266,32 +267,33 @@
     for (const Operation& operation : *operations(8)) {
       now += operation.delay_ms / 4;
       const std::uint64_t key = operation.selector % 12;
-      const auto held = std::find_if(expected_objects.begin(), expected_objects.end(),
-                                     [&](const Object& o) { return o.key == key; });
+      const auto found = std::find_if(expected_objects.begin(), expected_objects.end(),
+                                      [&](const Object& object) { return object.key == key; });
       if (operation.what < 4) {
-        const bool there = held != expected_objects.end() && !(expire > 0 && now - held->at >= expire);
-        RC_ASSERT(memory.find(now, key).has_value() == there);
-        if (held != expected_objects.end() && !there) expected_objects.erase(held);
-        if (there && lru) expected_objects.splice(expected_objects.end(), expected_objects, held);
+        const bool is_valid =
+            found != expected_objects.end() && !(lifetime_ms > 0 && now - found->at >= lifetime_ms);
+        RC_ASSERT(cache.find(now, key).has_value() == is_valid);
+        if (found != expected_objects.end() && !is_valid) expected_objects.erase(found);
+        if (is_valid && lru) expected_objects.splice(expected_objects.end(), expected_objects, found);
       } else if (operation.what < 7) {
         const auto bytes = static_cast<double>(operation.selector % 1100);
-        memory.store(now, key, bytes);
-        if (held != expected_objects.end()) expected_objects.erase(held);
-        const auto sum = [&] {
-          double all = 0;
-          for (const Object& o : expected_objects) all += o.size;
-          return all;
+        cache.store(now, key, bytes);
+        if (found != expected_objects.end()) expected_objects.erase(found);
+        const auto total_size = [&] {
+          double total = 0;
+          for (const Object& object : expected_objects) total += object.size;
+          return total;
         };
         if (bytes + 10 <= 1000) {
-          while (sum() + bytes + 10 > 1000) expected_objects.pop_front();
+          while (total_size() + bytes + 10 > 1000) expected_objects.pop_front();
           expected_objects.push_back({key, now, bytes + 10});
         }
       } else {
-        memory.remove(key);
-        if (held != expected_objects.end()) expected_objects.erase(held);
+        cache.remove(key);
+        if (found != expected_objects.end()) expected_objects.erase(found);
       }
-      RC_ASSERT(memory.objects() == expected_objects.size());
-      RC_ASSERT(memory.bytes() <= 1000);
+      RC_ASSERT(cache.objects() == expected_objects.size());
+      RC_ASSERT(cache.bytes() <= 1000);
     }
   }));
 }
@@ -313,61 +315,62 @@
       bool may_have_run = false;
     };
     std::map<RequestNumber, RequestState> request_states;
-    ClientActions acts;
+    ClientActions actions;
     double now = 0;
-    const auto take = [&] {
-      for (const ClientAction& act : acts) {
-        if (const auto* start = std::get_if<TryStart>(&act.what)) {
-          RequestState& s = request_states[start->drawn.request];
-          RC_ASSERT(s.active_try == 0u);
-          RC_ASSERT(s.closed == 0);
-          RC_ASSERT(++s.tries <= 3);
+    const auto check_actions = [&] {
+      for (const ClientAction& action : actions) {
+        if (const auto* start = std::get_if<TryStart>(&action.what)) {
+          RequestState& state = request_states[start->drawn.request];
+          RC_ASSERT(state.active_try == 0u);
+          RC_ASSERT(state.closed == 0);
+          RC_ASSERT(++state.tries <= 3);
           RC_ASSERT(start->deadline <= start->drawn.at + 200);
           RC_ASSERT(Clients::request_of(start->try_id) == start->drawn.request);
           // A request that may have run is retried only if its class allows it.
-          if (s.may_have_run) RC_ASSERT(spec.classes[0].idempotency != fernward::Idempotency::NonIdempotent);
-          s.active_try = start->try_id;
-        } else if (const auto* over = std::get_if<TryCancelled>(&act.what)) {
-          RC_ASSERT(request_states[over->request].active_try == over->try_id);
-          request_states[over->request].active_try = 0;
-          request_states[over->request].may_have_run = true;
-        } else if (const auto* closed = std::get_if<RequestEnded>(&act.what)) {
+          if (state.may_have_run)
+            RC_ASSERT(spec.classes[0].idempotency != fernward::Idempotency::NonIdempotent);
+          state.active_try = start->try_id;
+        } else if (const auto* cancelled = std::get_if<TryCancelled>(&action.what)) {
+          RC_ASSERT(request_states[cancelled->request].active_try == cancelled->try_id);
+          request_states[cancelled->request].active_try = 0;
+          request_states[cancelled->request].may_have_run = true;
+        } else if (const auto* closed = std::get_if<RequestEnded>(&action.what)) {
           RC_ASSERT(++request_states[closed->request].closed == 1);
           RC_ASSERT(request_states[closed->request].active_try == 0u);
         }
       }
-      acts.clear();
+      actions.clear();
     };
     RequestNumber requests = 0;
     for (const Operation& operation : *operations(8)) {
       now += operation.delay_ms;
-      clients.advance(now, acts);
-      take();
+      clients.advance(now, actions);
+      check_actions();
       if (operation.what < 3) {
         DrawnRequest drawn;
         drawn.at = now;
         drawn.request = ++requests;
         drawn.client_timeout_ms = 200;
         drawn.latency_objective_ms = 100;
-        clients.open(now, drawn, acts);
+        clients.open(now, drawn, actions);
       } else if (requests > 0) {
         const RequestNumber request = operation.selector % requests + 1;
-        RequestState& s = request_states[request];
-        const auto how = static_cast<TryOutcome>(operation.selector % 5);
+        RequestState& state = request_states[request];
+        const auto outcome = static_cast<TryOutcome>(operation.selector % 5);
         // The active try, or one that has ended.
-        const TryId id = s.active_try != 0 && operation.what < 7 ? s.active_try : request << 4;
-        const bool was_out = s.active_try == id;
-        if (was_out) s.active_try = 0;
-        if (how == TryOutcome::Failed || how == TryOutcome::ConnectionLost)
-          s.may_have_run = s.may_have_run || was_out;
-        RC_ASSERT(clients.on_try_ended(now, id, how, 50, acts) == was_out);
+        const TryId id = state.active_try != 0 && operation.what < 7 ? state.active_try : request << 4;
+        const bool was_active = state.active_try == id;
+        if (was_active) state.active_try = 0;
+        if (outcome == TryOutcome::Failed || outcome == TryOutcome::ConnectionLost)
+          state.may_have_run = state.may_have_run || was_active;
+        RC_ASSERT(clients.on_try_ended(now, id, outcome, 50, actions) == was_active);
       }
-      take();
+      check_actions();
     }
-    clients.advance(now + 10000, acts);
-    take();
+    clients.advance(now + 10000, actions);
+    check_actions();
     RC_ASSERT(clients.open_requests() == 0u);
-    for (const auto& [request, s] : request_states) RC_ASSERT(s.closed == 1);
+    for (const auto& [request, state] : request_states) RC_ASSERT(state.closed == 1);
   }));
 }
 
@@ -382,29 +385,29 @@
     const Plan plan = make_plan(spec);
     Discovery discovery(spec, plan);
     std::map<MachineId, std::pair<fernward::ServerState, double>> actual, received[2];
-    for (const PlannedMachine& m : plan.machines) {
-      if (m.at_start) actual[m.id] = {fernward::ServerState::Ready, -1};
+    for (const PlannedMachine& machine : plan.machines) {
+      if (machine.at_start) actual[machine.id] = {fernward::ServerState::Ready, -1};
     }
     std::uint64_t index[2] = {0, 0};
-    const auto read = [&](RouterId r) {
-      const auto since = index[r] == 0 ? std::nullopt : std::optional(index[r]);
-      const Discovery::List list = discovery.list(r, since);
-      RC_ASSERT(list.index >= index[r]);
-      if (list.complete) received[r].clear();
-      for (const auto& e : list.entries) {
-        RC_ASSERT(e.index <= list.index);
-        if (e.state == fernward::ServerState::Gone) {
-          received[r].erase(e.machine);
+    const auto read_list = [&](RouterId router) {
+      const auto since = index[router] == 0 ? std::nullopt : std::optional(index[router]);
+      const Discovery::List list = discovery.list(router, since);
+      RC_ASSERT(list.index >= index[router]);
+      if (list.complete) received[router].clear();
+      for (const auto& entry : list.entries) {
+        RC_ASSERT(entry.index <= list.index);
+        if (entry.state == fernward::ServerState::Gone) {
+          received[router].erase(entry.machine);
         } else {
-          received[r][e.machine] = {e.state, e.started_at};
+          received[router][entry.machine] = {entry.state, entry.started_at};
         }
       }
-      index[r] = list.index;
+      index[router] = list.index;
       // The accumulated changes equal the complete list.
-      std::map<MachineId, std::pair<fernward::ServerState, double>> whole;
-      for (const auto& e : discovery.list(r, std::nullopt).entries)
-        whole[e.machine] = {e.state, e.started_at};
-      RC_ASSERT(whole == received[r]);
+      std::map<MachineId, std::pair<fernward::ServerState, double>> complete_list;
+      for (const auto& entry : discovery.list(router, std::nullopt).entries)
+        complete_list[entry.machine] = {entry.state, entry.started_at};
+      RC_ASSERT(complete_list == received[router]);
     };
     double now = 0;
     for (const Operation& operation : *operations(8)) {
@@ -425,14 +428,14 @@
       } else if (operation.what == 3) {
         discovery.set_outage(now, operation.selector % 2 == 0);
       } else {
-        read(static_cast<RouterId>(operation.selector % 2));
+        read_list(static_cast<RouterId>(operation.selector % 2));
       }
     }
     discovery.set_outage(now, false);
     discovery.advance(now + 60000);
-    for (const RouterId r : {0u, 1u}) {
-      read(r);
-      RC_ASSERT(received[r] == actual);
+    for (const RouterId router : {0u, 1u}) {
+      read_list(router);
+      RC_ASSERT(received[router] == actual);
     }
   }));
 }
@@ -446,53 +449,54 @@
   spec.kinds[0].memory_bytes = 1640; // room for ten objects
   const Plan plan = make_plan(spec);
   const KeySpace keys(spec);
-  IdempotencyCache repeats;
-  CacheNode node({spec, keys, repeats}, plan.machines[0]);
+  IdempotencyCache idempotency_cache;
+  CacheNode node({spec, keys, idempotency_cache}, plan.machines[0]);
   REQUIRE(keys.warm_ranks() > 12);
-  AttemptId ids = 0;
-  const auto ask = [&](std::uint64_t key) {
-    ServerActions acts;
-    ServerAttempt a;
-    a.id = ++ids;
-    a.key = key;
-    a.work_ms = 1;
-    const auto at = static_cast<double>(10 * ids);
-    node.arrive(at, a, acts);
-    node.advance(at + 9, acts);
-    return acts.back().outcome;
+  AttemptId last_id = 0;
+  const auto request = [&](std::uint64_t key) {
+    ServerActions actions;
+    ServerAttempt attempt;
+    attempt.id = ++last_id;
+    attempt.key = key;
+    attempt.work_ms = 1;
+    const auto at = static_cast<double>(10 * last_id);
+    node.arrive(at, attempt, actions);
+    node.advance(at + 9, actions);
+    return actions.back().outcome;
   };
-  CHECK(ask(keys.key(99, 0)) == ServerOutcome::Miss); // not requested before the run
-  CHECK(ask(keys.key(99, 0)) == ServerOutcome::Pending);
-  for (std::uint32_t rank = 0; rank < 10; ++rank) CHECK(ask(keys.key(rank, 0)) == ServerOutcome::Hit);
+  CHECK(request(keys.key(99, 0)) == ServerOutcome::Miss); // not requested before the run
+  CHECK(request(keys.key(99, 0)) == ServerOutcome::Pending);
+  for (std::uint32_t rank = 0; rank < 10; ++rank) CHECK(request(keys.key(rank, 0)) == ServerOutcome::Hit);
   CHECK(node.cache().objects() == 10);
-  CHECK(ask(keys.key(11, 0)) == ServerOutcome::Miss); // the memory is full
+  CHECK(request(keys.key(11, 0)) == ServerOutcome::Miss); // the memory is full
   node.store(1000, keys.key(11, 0));
-  CHECK(ask(keys.key(11, 0)) == ServerOutcome::Hit);
-  CHECK(ask(keys.key(0, 0)) == ServerOutcome::Miss); // the least recently used object was evicted
-  ServerActions acts;
-  node.terminate(2000, acts);
-  node.start(2000, acts);
-  ids = 300;
-  CHECK(ask(keys.key(1, 0)) == ServerOutcome::Miss);
+  CHECK(request(keys.key(11, 0)) == ServerOutcome::Hit);
+  CHECK(request(keys.key(0, 0)) == ServerOutcome::Miss); // the least recently used object was evicted
+  ServerActions actions;
+  node.terminate(2000, actions);
+  node.start(2000, actions);
+  last_id = 300;
+  CHECK(request(keys.key(1, 0)) == ServerOutcome::Miss);
 }
 
 TEST_CASE("pending fills and idempotency keys are removed after their time") {
-  PendingFills aside(1000);
-  IdempotencyCache repeats(1000), small(10);
+  PendingFills pending_fills(1000);
+  IdempotencyCache idempotency_cache(1000), small_cache(10);
   for (std::uint64_t i = 0; i < 5000; ++i) {
     const auto now = static_cast<double>(i);
-    aside.add_miss(now, i + 1, 3);
-    CHECK_FALSE(repeats.check_and_add(now, 0, i + 1, 50));
-    small.check_and_add(now, 0, i + 1, 50);
+    pending_fills.add_miss(now, i + 1, 3);
+    CHECK_FALSE(idempotency_cache.check_and_add(now, 0, i + 1, 50));
+    small_cache.check_and_add(now, 0, i + 1, 50);
     if (i % 10 == 0) {
-      CHECK(repeats.check_and_add(now + 0.5, 0, i + 1, 50));
-      CHECK_FALSE(repeats.check_and_add(now + 0.5, 1, i + 1, 50)); // another group has no entry of it
+      CHECK(idempotency_cache.check_and_add(now + 0.5, 0, i + 1, 50));
+      CHECK_FALSE(
+          idempotency_cache.check_and_add(now + 0.5, 1, i + 1, 50)); // another group has no entry of it
     }
   }
-  CHECK(aside.size() <= 1001);
-  CHECK(repeats.size() <= 60);
-  CHECK(small.size() <= 10);
-  CHECK(aside.take(5000, 4999).count == 1);
-  CHECK(aside.take(5000, 4999).count == 0);
-  CHECK(aside.take(5000, 100).count == 0);
+  CHECK(pending_fills.size() <= 1001);
+  CHECK(idempotency_cache.size() <= 60);
+  CHECK(small_cache.size() <= 10);
+  CHECK(pending_fills.take(5000, 4999).count == 1);
+  CHECK(pending_fills.take(5000, 4999).count == 0);
+  CHECK(pending_fills.take(5000, 100).count == 0);
 }
--- a/tests/model/rng_test.cpp
+++ b/tests/model/rng_test.cpp
@@ -19,24 +19,24 @@
 
 TEST_CASE("drawn values have the requested mean and coefficient of variation") {
   const struct {
-    Distribution spread;
+    Distribution distribution;
     double mean, cv;
   } cases[] = {{{DistributionShape::Fixed, 5, 2}, 5, 0},
                {{DistributionShape::Exponential, 100, 0}, 100, 1},
                {{DistributionShape::LogNormal, 4000, 0.8}, 4000, 0.8},
                {{DistributionShape::LogNormal, 3, 0}, 3, 0},
                {{DistributionShape::Exponential, 0, 1}, 0, 0}};
-  for (const auto& c : cases) {
+  for (const auto& test_case : cases) {
     Engine engine = stream(1, "spread");
-    double sum = 0, squares = 0;
-    const int n = 200000;
-    for (int i = 0; i < n; ++i) {
-      const double x = draw(c.spread, engine);
-      sum += x, squares += x * x;
+    double sum = 0, square_sum = 0;
+    const int draw_count = 200000;
+    for (int i = 0; i < draw_count; ++i) {
+      const double value = draw(test_case.distribution, engine);
+      sum += value, square_sum += value * value;
     }
-    const double mean = sum / n,
-                 cv = mean > 0 ? std::sqrt(std::max(0.0, squares / n - mean * mean)) / mean : 0;
-    CHECK(mean == doctest::Approx(c.mean).epsilon(0.01));
-    CHECK(cv == doctest::Approx(c.cv).epsilon(0.02));
+    const double mean = sum / draw_count,
+                 cv = mean > 0 ? std::sqrt(std::max(0.0, square_sum / draw_count - mean * mean)) / mean : 0;
+    CHECK(mean == doctest::Approx(test_case.mean).epsilon(0.01));
+    CHECK(cv == doctest::Approx(test_case.cv).epsilon(0.02));
   }
 }
--- a/tests/model/scenario_test.cpp
+++ b/tests/model/scenario_test.cpp
@@ -36,87 +36,87 @@
     const char* path;
     std::function<void(Spec&)> make_invalid;
   } cases[] = {
-      {"duration_ms", [](Spec& s) { s.duration_ms = 0; }},
-      {"zones", [](Spec& s) { s.zones.clear(); }},
+      {"duration_ms", [](Spec& spec) { spec.duration_ms = 0; }},
+      {"zones", [](Spec& spec) { spec.zones.clear(); }},
       {"network.links[0].to",
-       [](Spec& s) {
-         s.network.links.push_back({0, 2, 3});
+       [](Spec& spec) {
+         spec.network.links.push_back({0, 2, 3});
        }},
-      {"network.datagram_min_ms", [](Spec& s) { s.network.datagram_min_ms = 99; }},
-      {"kinds[0].cores", [](Spec& s) { s.kinds[0].cores = -1; }},
-      {"kinds[0].places", [](Spec& s) { s.kinds[0].max_active = 0; }},
-      {"kinds[0].start_capacity", [](Spec& s) { s.kinds[0].start_capacity = 0; }},
+      {"network.datagram_min_ms", [](Spec& spec) { spec.network.datagram_min_ms = 99; }},
+      {"kinds[0].cores", [](Spec& spec) { spec.kinds[0].cores = -1; }},
+      {"kinds[0].places", [](Spec& spec) { spec.kinds[0].max_active = 0; }},
+      {"kinds[0].start_capacity", [](Spec& spec) { spec.kinds[0].start_capacity = 0; }},
       {"kinds[1].report.fields",
-       [](Spec& s) {
-         s.kinds.push_back(s.kinds[0]);
-         s.kinds[1].report.enabled = true;
+       [](Spec& spec) {
+         spec.kinds.push_back(spec.kinds[0]);
+         spec.kinds[1].report.enabled = true;
        }},
-      {"nodes[1].zone", [](Spec& s) { s.nodes[1].zone = 2; }},
-      {"nodes", [](Spec& s) { s.nodes[0].count = s.nodes[1].count = 0; }},
-      {"origin.capacity_per_s", [](Spec& s) { s.origin.capacity_per_s = 0; }},
-      {"routers.groups", [](Spec& s) { s.routers.groups.clear(); }},
-      {"routers.sockets", [](Spec& s) { s.routers.max_sockets = 10; }},
-      {"classes[0].aim_ms", [](Spec& s) { s.classes[0].latency_objective_ms = 2000; }},
-      {"classes", [](Spec& s) { s.classes[0].share = 0; }},
-      {"keys.count", [](Spec& s) { s.keys.count = 0; }},
-      {"load.rate_per_s", [](Spec& s) { s.load.rate_per_s = std::nan(""); }},
-      {"clients.try_share_max", [](Spec& s) { s.clients.try_timeout_share_max = 1.5; }},
+      {"nodes[1].zone", [](Spec& spec) { spec.nodes[1].zone = 2; }},
+      {"nodes", [](Spec& spec) { spec.nodes[0].count = spec.nodes[1].count = 0; }},
+      {"origin.capacity_per_s", [](Spec& spec) { spec.origin.capacity_per_s = 0; }},
+      {"routers.groups", [](Spec& spec) { spec.routers.groups.clear(); }},
+      {"routers.sockets", [](Spec& spec) { spec.routers.max_sockets = 10; }},
+      {"classes[0].aim_ms", [](Spec& spec) { spec.classes[0].latency_objective_ms = 2000; }},
+      {"classes", [](Spec& spec) { spec.classes[0].share = 0; }},
+      {"keys.count", [](Spec& spec) { spec.keys.count = 0; }},
+      {"load.rate_per_s", [](Spec& spec) { spec.load.rate_per_s = std::nan(""); }},
+      {"clients.try_share_max", [](Spec& spec) { spec.clients.try_timeout_share_max = 1.5; }},
       {"events[0].at_ms",
-       [](Spec& s) {
-         s.events = {{60000, "", OriginFall{}}};
+       [](Spec& spec) {
+         spec.events = {{60000, "", OriginFall{}}};
        }},
       {"events[0].until_ms",
-       [](Spec& s) {
-         s.events = {{20000, "", OriginStall{10000}}};
+       [](Spec& spec) {
+         spec.events = {{20000, "", OriginStall{10000}}};
        }},
       {"events[0].what",
-       [](Spec& s) {
-         s.origin.enabled = false;
-         s.events = {{20000, "", OriginStall{30000}}};
+       [](Spec& spec) {
+         spec.origin.enabled = false;
+         spec.events = {{20000, "", OriginStall{30000}}};
        }},
       {"events[1].who.nodes",
-       [](Spec& s) {
-         s.events = {{1000, "", OriginFall{}}, {2000, "", KillNodes{}}};
-         std::get<KillNodes>(s.events[1].what).who.nodes = {12};
+       [](Spec& spec) {
+         spec.events = {{1000, "", OriginFall{}}, {2000, "", KillNodes{}}};
+         std::get<KillNodes>(spec.events[1].what).who.nodes = {12};
        }},
       {"events[0].b",
-       [](Spec& s) {
-         s.events = {{1000, "", PartitionZones{{0}, {}, 2000}}};
+       [](Spec& spec) {
+         spec.events = {{1000, "", PartitionZones{{0}, {}, 2000}}};
        }},
-      {"routers.sharing.period_ms", [](Spec& s) { s.routers.sharing.ping_period_ms = 49; }},
+      {"routers.sharing.period_ms", [](Spec& spec) { spec.routers.sharing.ping_period_ms = 49; }},
       {"events[0].carries",
-       [](Spec& s) {
-         s.events = {{1000, "", PartitionRouters{}}};
+       [](Spec& spec) {
+         spec.events = {{1000, "", PartitionRouters{}}};
        }},
       {"events[0].one_way",
-       [](Spec& s) {
-         s.events = {{1000, "", PartitionRouters{{}, {}, true, PartitionedTraffic::All, 2000}}};
+       [](Spec& spec) {
+         spec.events = {{1000, "", PartitionRouters{{}, {}, true, PartitionedTraffic::All, 2000}}};
        }},
       {"events[0].what",
-       [](Spec& s) {
-         s.events = {{1000, "", InconsistentRouter{}}};
+       [](Spec& spec) {
+         spec.events = {{1000, "", InconsistentRouter{}}};
        }},
-      {"holds.bounds[0].at_least", [](Spec& s) { s.expectations.bounds.push_back({}); }},
+      {"holds.bounds[0].at_least", [](Spec& spec) { spec.expectations.bounds.push_back({}); }},
       {"holds.bounds[0].cls",
-       [](Spec& s) {
+       [](Spec& spec) {
          Bound bound;
          bound.at_least = 0.9;
          bound.cls = 1;
-         s.classes.push_back(s.classes[0]);
-         s.classes[1].share = 0;
-         s.expectations.bounds.push_back(bound);
+         spec.classes.push_back(spec.classes[0]);
+         spec.classes[1].share = 0;
+         spec.expectations.bounds.push_back(bound);
        }},
   };
-  for (const auto& c : cases) {
-    CAPTURE(std::string(c.path));
+  for (const auto& test_case : cases) {
+    CAPTURE(std::string(test_case.path));
     Spec spec = two_zone_spec();
-    c.make_invalid(spec);
-    const auto found = find_spec_errors(spec);
-    REQUIRE_FALSE(found.empty());
-    CHECK(found[0].path == c.path);
-    CHECK((found.size() == 1 ||
-           found[0].path == "zones")); // without zones all references to them are errors too
-    CHECK_FALSE(found[0].reason.empty());
+    test_case.make_invalid(spec);
+    const auto errors = find_spec_errors(spec);
+    REQUIRE_FALSE(errors.empty());
+    CHECK(errors[0].path == test_case.path);
+    CHECK((errors.size() == 1 ||
+           errors[0].path == "zones")); // without zones, all references to them are errors too
+    CHECK_FALSE(errors[0].reason.empty());
   }
 }
 
@@ -141,41 +141,43 @@
   CHECK(plan.client_share[1] == doctest::Approx(0.75));
 
   std::set<MachineId> drained, started, silent;
-  std::map<MachineId, double> neighbour;
+  std::map<MachineId, double> neighbour_shares;
   std::set<std::uint32_t> open_marks;
-  double last = 0;
-  std::set<double> rolls;
+  double last_step_ms = 0;
+  std::set<double> restart_times_ms;
   for (const Step& step : plan.steps) {
-    CHECK(step.at_ms >= last);
-    last = step.at_ms;
-    if (const auto* n = std::get_if<NodeStep>(&step.what)) {
-      if (n->what == NodeStep::What::Drain) drained.insert(n->machine);
-      if (n->what == NodeStep::What::Start) started.insert(n->machine);
-      if (n->what == NodeStep::What::Neighbour) neighbour[n->machine] = n->share;
-      if (n->what == NodeStep::What::Silence) silent.insert(n->machine);
-      if (n->what == NodeStep::What::Return) silent.erase(n->machine);
-    } else if (const auto* r = std::get_if<RouterStep>(&step.what)) {
-      if (r->what == RouterStep::What::Term) rolls.insert(step.at_ms);
-    } else if (const auto* m = std::get_if<MarkStep>(&step.what)) {
-      CHECK((m->begins ? open_marks.insert(m->event).second : open_marks.erase(m->event) == 1));
+    CHECK(step.at_ms >= last_step_ms);
+    last_step_ms = step.at_ms;
+    if (const auto* node_step = std::get_if<NodeStep>(&step.what)) {
+      if (node_step->what == NodeStep::What::Drain) drained.insert(node_step->machine);
+      if (node_step->what == NodeStep::What::Start) started.insert(node_step->machine);
+      if (node_step->what == NodeStep::What::Neighbour)
+        neighbour_shares[node_step->machine] = node_step->share;
+      if (node_step->what == NodeStep::What::Silence) silent.insert(node_step->machine);
+      if (node_step->what == NodeStep::What::Return) silent.erase(node_step->machine);
+    } else if (const auto* router_step = std::get_if<RouterStep>(&step.what)) {
+      if (router_step->what == RouterStep::What::Term) restart_times_ms.insert(step.at_ms);
+    } else if (const auto* mark = std::get_if<MarkStep>(&step.what)) {
+      CHECK((mark->begins ? open_marks.insert(mark->event).second : open_marks.erase(mark->event) == 1));
     }
   }
   CHECK(drained.size() == 4);
   for (const MachineId id : drained) CHECK((plan.machines[id].at_start && started.count(id) == 1));
   CHECK(started.size() == 9); // 4 drained ones, 4 on standby, 1 replacement
-  CHECK(neighbour.size() >= 6);
-  for (const auto& [id, share] : neighbour) CHECK(share == 0);
+  CHECK(neighbour_shares.size() >= 6);
+  for (const auto& [id, share] : neighbour_shares) CHECK(share == 0);
   CHECK(silent.empty());
   CHECK(open_marks.empty());
-  CHECK(rolls == std::set<double>{9000, 11000});
+  CHECK(restart_times_ms == std::set<double>{9000, 11000});
 
-  Spec other = spec;
-  other.seed = 2;
-  const Plan other_plan = make_plan(other);
+  Spec other_spec = spec;
+  other_spec.seed = 2;
+  const Plan other_plan = make_plan(other_spec);
   std::set<MachineId> drained_in_other_plan;
   for (const Step& step : other_plan.steps) {
-    const auto* n = std::get_if<NodeStep>(&step.what);
-    if (n != nullptr && n->what == NodeStep::What::Drain) drained_in_other_plan.insert(n->machine);
+    const auto* node_step = std::get_if<NodeStep>(&step.what);
+    if (node_step != nullptr && node_step->what == NodeStep::What::Drain)
+      drained_in_other_plan.insert(node_step->machine);
   }
   CHECK(drained_in_other_plan != drained);
 }
@@ -185,27 +187,27 @@
   spec.network.jitter = 0;
   spec.network.links = {{1, 0, 30}};
   const Plan plan = make_plan(spec);
-  Network net(spec, plan);
-  CHECK(net.zone_delay(0, 1) == 30);
-  CHECK(net.zone_delay(1, 1) == spec.network.same_zone_delay_ms);
-  CHECK(net.client_delay(0, 1) == 30 + spec.network.client_delay_ms);
-  net.apply({0, LinkStep{0, 1, 3}});
-  CHECK(net.zone_delay(1, 0) == 90);
-  CHECK(net.is_connected(0, 6));
-  PartitionStep cut{7, true, {6}, {}, {}, {0}, false};
-  net.apply({0, cut});
-  CHECK_FALSE(net.is_connected(0, 6));
-  CHECK(net.is_connected(1, 6));
-  net.apply({0, PartitionStep{7, false, {}, {}, {}, {}, false}});
-  CHECK(net.is_connected(0, 6));
-  net.apply({0, NodeStep{6, NodeStep::What::Silence, 0, BadResponse::Error}});
-  CHECK_FALSE(net.is_connected(1, 6));
-  net.apply({0, RouterStep{3, RouterStep::What::Silence, 0}});
-  CHECK_FALSE(net.is_connected(3, 0));
-  CHECK_FALSE(net.datagram_delay(1, 3).has_value());
-  CHECK(net.datagram_delay(1, 2).has_value());
-  net.apply({0, RouterStep{3, RouterStep::What::Return, 0}});
-  CHECK(net.is_connected(3, 0));
+  Network network(spec, plan);
+  CHECK(network.zone_delay(0, 1) == 30);
+  CHECK(network.zone_delay(1, 1) == spec.network.same_zone_delay_ms);
+  CHECK(network.client_delay(0, 1) == 30 + spec.network.client_delay_ms);
+  network.apply({0, LinkStep{0, 1, 3}});
+  CHECK(network.zone_delay(1, 0) == 90);
+  CHECK(network.is_connected(0, 6));
+  PartitionStep partition{7, true, {6}, {}, {}, {0}, false};
+  network.apply({0, partition});
+  CHECK_FALSE(network.is_connected(0, 6));
+  CHECK(network.is_connected(1, 6));
+  network.apply({0, PartitionStep{7, false, {}, {}, {}, {}, false}});
+  CHECK(network.is_connected(0, 6));
+  network.apply({0, NodeStep{6, NodeStep::What::Silence, 0, BadResponse::Error}});
+  CHECK_FALSE(network.is_connected(1, 6));
+  network.apply({0, RouterStep{3, RouterStep::What::Silence, 0}});
+  CHECK_FALSE(network.is_connected(3, 0));
+  CHECK_FALSE(network.datagram_delay(1, 3).has_value());
+  CHECK(network.datagram_delay(1, 2).has_value());
+  network.apply({0, RouterStep{3, RouterStep::What::Return, 0}});
+  CHECK(network.is_connected(3, 0));
 }
 
 TEST_CASE("router partitions and datagram losses and pauses affect exactly the selected traffic") {
@@ -219,71 +221,73 @@
       {7000, "", PauseRouters{{{2}, {}, {}}, 8000}}};
   REQUIRE(find_spec_errors(spec).empty());
   const Plan plan = make_plan(spec);
-  Network net(spec, plan);
-  std::size_t next = 0;
-  std::vector<RouterStep> steps;
-  const auto until = [&](double at) {
-    for (; next < plan.steps.size() && plan.steps[next].at_ms <= at; ++next) {
-      net.apply(plan.steps[next]);
-      if (const auto* r = std::get_if<RouterStep>(&plan.steps[next].what)) steps.push_back(*r);
+  Network network(spec, plan);
+  std::size_t next_step = 0;
+  std::vector<RouterStep> router_steps;
+  const auto apply_until = [&](double at) {
+    for (; next_step < plan.steps.size() && plan.steps[next_step].at_ms <= at; ++next_step) {
+      network.apply(plan.steps[next_step]);
+      if (const auto* router_step = std::get_if<RouterStep>(&plan.steps[next_step].what))
+        router_steps.push_back(*router_step);
     }
   };
-  const auto share = [&](RouterId from, RouterId to, bool twice) {
-    int n = 0;
+  // Of 1000 datagrams, the number that is duplicated or delivered.
+  const auto count_of_1000 = [&](RouterId from, RouterId to, bool duplicated) {
+    int count = 0;
     for (int i = 0; i < 1000; ++i)
-      n += twice ? net.draw_duplicate(from, to) : net.datagram_delay(from, to).has_value();
-    return n;
+      count += duplicated ? network.draw_duplicate(from, to) : network.datagram_delay(from, to).has_value();
+    return count;
   };
-  until(1500);
-  CHECK_FALSE(net.routers_connected(0, 1));
-  CHECK_FALSE(net.routers_connected(0, 2));
-  CHECK(net.routers_connected(1, 0));
-  CHECK(net.routers_connected(0, 3));
-  CHECK(net.is_connected(0, 6)); // only datagrams are affected
-  until(3500);                   // partition by zones: routers 0 and 1 from 2 and 3 and the machines there
-  CHECK(net.routers_connected(0, 1));
-  CHECK_FALSE(net.routers_connected(0, 2));
-  CHECK_FALSE(net.routers_connected(3, 1));
-  CHECK_FALSE(net.is_connected(0, 6));
-  CHECK_FALSE(net.is_connected(2, 0));
-  CHECK(net.is_connected(2, 6));
-  until(4500);
-  CHECK(net.is_connected(0, 6));
-  CHECK(share(0, 3, false) == 1000);
-  until(5500);
-  CHECK(share(0, 3, false) == doctest::Approx(500).epsilon(0.1));
-  CHECK(share(3, 0, true) == 1000);
-  CHECK(share(0, 1, false) == 1000);
-  CHECK(share(0, 1, true) == 0);
-  until(60000);
-  CHECK(share(0, 3, false) == 1000);
-  REQUIRE(steps.size() == 2);
-  CHECK((steps[0].router == 2 && steps[0].what == RouterStep::What::Pause));
-  CHECK((steps[1].router == 2 && steps[1].what == RouterStep::What::Resume));
+  apply_until(1500);
+  CHECK_FALSE(network.routers_connected(0, 1));
+  CHECK_FALSE(network.routers_connected(0, 2));
+  CHECK(network.routers_connected(1, 0));
+  CHECK(network.routers_connected(0, 3));
+  CHECK(network.is_connected(0, 6)); // only datagrams are affected
+  apply_until(3500); // partition by zones: routers 0 and 1 from 2 and 3 and the machines there
+  CHECK(network.routers_connected(0, 1));
+  CHECK_FALSE(network.routers_connected(0, 2));
+  CHECK_FALSE(network.routers_connected(3, 1));
+  CHECK_FALSE(network.is_connected(0, 6));
+  CHECK_FALSE(network.is_connected(2, 0));
+  CHECK(network.is_connected(2, 6));
+  apply_until(4500);
+  CHECK(network.is_connected(0, 6));
+  CHECK(count_of_1000(0, 3, false) == 1000);
+  apply_until(5500);
+  CHECK(count_of_1000(0, 3, false) == doctest::Approx(500).epsilon(0.1));
+  CHECK(count_of_1000(3, 0, true) == 1000);
+  CHECK(count_of_1000(0, 1, false) == 1000);
+  CHECK(count_of_1000(0, 1, true) == 0);
+  apply_until(60000);
+  CHECK(count_of_1000(0, 3, false) == 1000);
+  REQUIRE(router_steps.size() == 2);
+  CHECK((router_steps[0].router == 2 && router_steps[0].what == RouterStep::What::Pause));
+  CHECK((router_steps[1].router == 2 && router_steps[1].what == RouterStep::What::Resume));
 }
 
 TEST_CASE("the front balancer uses a dead router until detection and other zones if its own has no router") {
   Spec spec = two_zone_spec();
   spec.front.failure_detection_ms = 1000;
   const Plan plan = make_plan(spec);
-  FrontBalancer front(spec, plan);
+  FrontBalancer balancer(spec, plan);
   const auto picked_routers = [&](double now) {
-    std::set<RouterId> all;
-    for (int i = 0; i < 8; ++i) all.insert(*front.pick(now, 0));
-    return all;
+    std::set<RouterId> picked;
+    for (int i = 0; i < 8; ++i) picked.insert(*balancer.pick(now, 0));
+    return picked;
   };
   CHECK(picked_routers(0) == std::set<RouterId>{0, 1});
-  front.set_down(100, 0);
+  balancer.set_down(100, 0);
   CHECK(picked_routers(1000) == std::set<RouterId>{0, 1});
   CHECK(picked_routers(1101) == std::set<RouterId>{1});
-  front.set_up(1200, 0);
+  balancer.set_up(1200, 0);
   CHECK(picked_routers(1200 + spec.front.ready_check_interval_ms) == std::set<RouterId>{0, 1});
-  front.set_down(2000, 0);
-  front.set_down(2000, 1);
+  balancer.set_down(2000, 0);
+  balancer.set_down(2000, 1);
   CHECK(picked_routers(4000) == std::set<RouterId>{2, 3});
-  front.set_zone_state(0, ZoneStep::What::Lost);
-  CHECK_FALSE(front.pick(4000, 0).has_value());
-  front.set_zone_state(0, ZoneStep::What::Move);
-  front.set_up(4000, 0);
+  balancer.set_zone_state(0, ZoneStep::What::Lost);
+  CHECK_FALSE(balancer.pick(4000, 0).has_value());
+  balancer.set_zone_state(0, ZoneStep::What::Move);
+  balancer.set_up(4000, 0);
   CHECK(picked_routers(5000) == std::set<RouterId>{0, 2, 3});
 }
