--- a/bench/config_validation.cpp
+++ b/bench/config_validation.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-template <typename F>
-double median_ms(int rounds, F action) {
+template <typename Action>
+double median_ms(int rounds, Action action) {
   std::vector<double> durations_ms;
   for (int i = 0; i < rounds; ++i) {
     const auto started_at = std::chrono::steady_clock::now();
@@ -29,7 +29,8 @@
 } // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("fernward-checking", "validate a large file, compared with parsing it");
+  cxxopts::Options options("fernward-checking",
+                           "Time to validate a large configuration file, compared with parsing it");
   options.add_options()("nodes", "nodes in the file", cxxopts::value<int>()->default_value("9900"))(
       "rounds", "repetitions; the median is printed", cxxopts::value<int>()->default_value("15"));
   const auto parsed_options = options.parse(argc, argv);
@@ -42,17 +43,17 @@
   }
   const int rounds = parsed_options["rounds"].as<int>();
   const double parse_ms = median_ms(rounds, [&] {
-    fernward::toml_document::Diagnostics faults;
+    fernward::toml_document::Diagnostics diagnostics;
     fernward::toml_document::Layers layers;
-    fernward::toml_document::parse_layers(text, "big.toml", "include", nullptr, faults, layers);
+    fernward::toml_document::parse_layers(text, "big.toml", "include", nullptr, diagnostics, layers);
   });
   bool valid = false;
-  const double check_ms = median_ms(rounds, [&] {
+  const double validate_ms = median_ms(rounds, [&] {
     valid = fernward::app_config::parse_config(text, "big.toml", nullptr, nullptr).valid();
   });
   std::printf(
-      "| file | sound | parsed, ms | read and checked, ms | ratio |\n| --- | --- | --- | --- | --- |\n");
+      "| file | valid | parsed, ms | read and validated, ms | ratio |\n| --- | --- | --- | --- | --- |\n");
   std::printf("| %zu KB | %s | %.1f | %.1f | %.2f |\n", text.size() / 1000, valid ? "yes" : "no", parse_ms,
-              check_ms, check_ms / parse_ms);
+              validate_ms, validate_ms / parse_ms);
   return valid ? 0 : 1;
 }
--- a/bench/cpu_timing.h
+++ b/bench/cpu_timing.h
@@ -9,9 +9,9 @@
 
 // CPU time of this thread, in microseconds.
 inline double thread_cpu_us() {
-  timespec t{};
-  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &t);
-  return static_cast<double>(t.tv_sec) * 1e6 + static_cast<double>(t.tv_nsec) / 1e3;
+  timespec time{};
+  clock_gettime(CLOCK_THREAD_CPUTIME_ID, &time);
+  return static_cast<double>(time.tv_sec) * 1e6 + static_cast<double>(time.tv_nsec) / 1e3;
 }
 
 // `values` must not be empty.
--- a/bench/decision_cpu.cpp
+++ b/bench/decision_cpu.cpp
@@ -16,33 +16,34 @@
 using namespace fernward::bench;
 
 Settings make_settings(bool resize) {
-  Settings s;
-  s.router_count = 4;
-  s.classes = {{.latency_objective_ms = 500,
-                .client_timeout_ms = 1000,
-                .idempotency = Idempotency::Idempotent,
-                .idempotency_scope = IdempotencyScope::All}};
-  s.origin_kind = 1;
-  s.max_attempts = 4;
-  s.may_hedge = s.may_cancel = true;
-  s.load_report_source = LoadReportSource::Responses;
-  s.load_report_fields = {LoadReportField::Queue, LoadReportField::LatencyMs};
-  if (resize) s.resize = {30000, 2, 0};
-  return s;
+  Settings settings;
+  settings.router_count = 4;
+  settings.classes = {{.latency_objective_ms = 500,
+                       .client_timeout_ms = 1000,
+                       .idempotency = Idempotency::Idempotent,
+                       .idempotency_scope = IdempotencyScope::All}};
+  settings.origin_kind = 1;
+  settings.max_attempts = 4;
+  settings.may_hedge = settings.may_cancel = true;
+  settings.load_report_source = LoadReportSource::Responses;
+  settings.load_report_fields = {LoadReportField::Queue, LoadReportField::LatencyMs};
+  if (resize) settings.resize = {30000, 2, 0};
+  return settings;
 }
 
-std::vector<Server> make_endpoints(std::uint32_t caches) {
-  std::vector<Server> all{{.id = 1000000, .kind = 1}};
-  for (std::uint32_t i = 1; i <= caches; ++i) all.push_back({.id = i});
-  return all;
+std::vector<Server> make_endpoints(std::uint32_t cache_count) {
+  std::vector<Server> endpoints{{.id = 1000000, .kind = 1}};
+  for (std::uint32_t i = 1; i <= cache_count; ++i) endpoints.push_back({.id = i});
+  return endpoints;
 }
 
+// The decision module of one router in virtual time, with the responses that it gets from its servers.
 class BenchedRouter {
  public:
   explicit BenchedRouter(bool resize) : balancer_(make_settings(resize), 7) {}
 
-  double apply_endpoint_list(std::uint32_t caches) { // returns CPU time in us
-    const EndpointList list{EndpointListKind::Full, make_endpoints(caches)};
+  double apply_endpoint_list(std::uint32_t cache_count) { // returns CPU time in us
+    const EndpointList list{EndpointListKind::Full, make_endpoints(cache_count)};
     const double started_us = thread_cpu_us();
     actions_.clear();
     balancer_.on_event(now_ms_, list, actions_);
@@ -85,8 +86,8 @@
   void handle_event(const Event& event) {
     actions_.clear();
     balancer_.on_event(now_ms_, event, actions_);
-    for (const Action& a : actions_) {
-      if (const auto* send = std::get_if<Send>(&a)) next_server_ = send->server;
+    for (const Action& action : actions_) {
+      if (const auto* send = std::get_if<Send>(&action)) next_server_ = send->server;
     }
   }
   Balancer balancer_;
@@ -111,10 +112,10 @@
     if (parsed.count("help") > 0) return std::printf("%s\n", options.help().c_str()), 0;
     const int rounds = parsed["rounds"].as<int>();
     const auto reads = parsed["reads"].as<std::size_t>();
-    if (rounds < 1 || reads < 1) throw std::invalid_argument("rounds and reads must be 1 or more");
+    if (rounds < 1 || reads < 1) throw std::invalid_argument("--rounds and --reads must be 1 or more");
     std::printf(
-        "us of CPU: a read, off | on, settled | on, a third of the nodes new || the whole list, first | "
-        "grown by half\n");
+        "CPU time in us: a read without resizing | with it, steady | with it, a third of the nodes new || "
+        "the first complete list | one grown by half\n");
     for (const std::uint32_t nodes : {14u, 200u, 1000u}) {
       std::vector<double> resize_off_us, settled_us, moving_us, first_list_us, grown_list_us;
       for (int round = 0; round < rounds; ++round) {
--- a/bench/discovery/discovery_server.cpp
+++ b/bench/discovery/discovery_server.cpp
@@ -34,9 +34,9 @@
 
 } // namespace
 
-DiscoveryServer::DiscoveryServer(event_base* base, loop::TimerQueue& deadlines, EndpointRegistry& registry,
+DiscoveryServer::DiscoveryServer(event_base* base, loop::TimerQueue& timers, EndpointRegistry& registry,
                                  PropagationRecorder& propagation, std::size_t routers)
-    : base_(base), timers_(deadlines), registry_(registry), propagation_(propagation), ports_(routers) {
+    : base_(base), timers_(timers), registry_(registry), propagation_(propagation), ports_(routers) {
   for (std::size_t router = 0; router < routers; ++router) ports_[router] = make_port(router);
 }
 
@@ -59,8 +59,8 @@
   return port;
 }
 
-void DiscoveryServer::on_accepted(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* of_port) {
-  RouterPort& port = *static_cast<RouterPort*>(of_port);
+void DiscoveryServer::on_accepted(evconnlistener*, evutil_socket_t socket, sockaddr*, int, void* context) {
+  RouterPort& port = *static_cast<RouterPort*>(context);
   DiscoveryServer& server = *port.server;
   evutil_make_socket_nonblocking(socket);
   evutil_make_socket_closeonexec(socket);
@@ -80,24 +80,24 @@
   server.connections_.emplace(connection->id, std::move(connection));
 }
 
-void DiscoveryServer::on_readable(bufferevent*, void* connection) {
-  RouterConnection& from = *static_cast<RouterConnection*>(connection);
-  from.server->read_calls(from);
+void DiscoveryServer::on_readable(bufferevent*, void* context) {
+  RouterConnection& connection = *static_cast<RouterConnection*>(context);
+  connection.server->read_calls(connection);
 }
 
-void DiscoveryServer::on_written(bufferevent*, void* connection) {
-  RouterConnection& to = *static_cast<RouterConnection*>(connection);
-  if (to.written_index == 0 || loop::pending_output(to.stream.get()) > 0) return;
-  const RegistryIndex index = std::exchange(to.written_index, 0);
-  to.server->propagation_.record_receipt(to.router, index, loop::now_ms());
+void DiscoveryServer::on_written(bufferevent*, void* context) {
+  RouterConnection& connection = *static_cast<RouterConnection*>(context);
+  if (connection.written_index == 0 || loop::pending_output(connection.stream.get()) > 0) return;
+  const RegistryIndex index = std::exchange(connection.written_index, 0);
+  connection.server->propagation_.record_receipt(connection.router, index, loop::now_ms());
 }
 
-void DiscoveryServer::on_connection_event(bufferevent*, short what, void* connection) {
-  RouterConnection& of = *static_cast<RouterConnection*>(connection);
+void DiscoveryServer::on_connection_event(bufferevent*, short what, void* context) {
+  RouterConnection& connection = *static_cast<RouterConnection*>(context);
   if ((what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)) == 0) return;
-  RouterCounters& counters = of.server->counters_of(of);
-  ++(of.call != 0 || of.silent ? counters.calls_abandoned : counters.closed_without_call);
-  of.server->close_connection(of);
+  RouterCounters& counters = connection.server->counters_of(connection);
+  ++(connection.call != 0 || connection.silent ? counters.calls_abandoned : counters.closed_without_call);
+  connection.server->close_connection(connection);
 }
 
 void DiscoveryServer::read_calls(RouterConnection& connection) {
@@ -159,30 +159,30 @@
       return;
     }
     const QueuedCall queued = queued_calls_.front();
-    const CallResponse answer = *std::exchange(response_in_progress_, std::nullopt);
+    const CallResponse response = *std::exchange(response_in_progress_, std::nullopt);
     queued_calls_.pop_front();
-    capacity_free_at_ms_ = answer.finished_at_ms;
-    max_queueing_ms_ = std::max(max_queueing_ms_, answer.finished_at_ms - queued.queued_at_ms);
-    write_response(queued, answer);
+    capacity_free_at_ms_ = response.finished_at_ms;
+    max_queueing_ms_ = std::max(max_queueing_ms_, response.finished_at_ms - queued.queued_at_ms);
+    write_response(queued, response);
   }
 }
 
 DiscoveryServer::CallResponse DiscoveryServer::make_response(const QueuedCall& queued) {
   constexpr double kMsPerSecond = 1000;
   const std::string body = queued.since ? registry_.changes_after(*queued.since) : registry_.snapshot();
-  CallResponse answer;
-  answer.http_text = http::write_response(200, {{"content-type", "application/json"}}, body, true);
-  answer.index = registry_.index();
+  CallResponse response;
+  response.http_text = http::write_response(200, {{"content-type", "application/json"}}, body, true);
+  response.index = registry_.index();
   double work_ms = 0;
   if (capacity_.responses_per_second > 0) work_ms += kMsPerSecond / capacity_.responses_per_second;
   if (capacity_.bytes_per_second > 0) {
-    work_ms += kMsPerSecond * static_cast<double>(answer.http_text.size()) / capacity_.bytes_per_second;
+    work_ms += kMsPerSecond * static_cast<double>(response.http_text.size()) / capacity_.bytes_per_second;
   }
-  answer.finished_at_ms = std::max(capacity_free_at_ms_, queued.queued_at_ms) + work_ms;
-  return answer;
+  response.finished_at_ms = std::max(capacity_free_at_ms_, queued.queued_at_ms) + work_ms;
+  return response;
 }
 
-void DiscoveryServer::write_response(const QueuedCall& queued, const CallResponse& answer) {
+void DiscoveryServer::write_response(const QueuedCall& queued, const CallResponse& response) {
   const auto call = calls_.find(queued.call);
   if (call == calls_.end()) return; // the router closed the connection
   RouterConnection& connection = *connections_.at(call->second.connection);
@@ -191,9 +191,9 @@
   remove_call(connection);
   RouterCounters& counters = counters_of(connection);
   ++(queued.since ? counters.long_poll_responses : counters.snapshots_sent);
-  counters.bytes_written += answer.http_text.size();
-  connection.written_index = answer.index;
-  bufferevent_write(connection.stream.get(), answer.http_text.data(), answer.http_text.size());
+  counters.bytes_written += response.http_text.size();
+  connection.written_index = response.index;
+  bufferevent_write(connection.stream.get(), response.http_text.data(), response.http_text.size());
 }
 
 void DiscoveryServer::remove_call(RouterConnection& connection) {
--- a/bench/discovery/discovery_server.h
+++ b/bench/discovery/discovery_server.h
@@ -43,7 +43,7 @@
 /// One service with a listening port for each router, which identifies the calling router.
 class DiscoveryServer {
  public:
-  DiscoveryServer(event_base* base, loop::TimerQueue& deadlines, EndpointRegistry& registry,
+  DiscoveryServer(event_base* base, loop::TimerQueue& timers, EndpointRegistry& registry,
                   PropagationRecorder& propagation, std::size_t routers);
 
   /// The discovery address to configure for this router.
@@ -109,10 +109,10 @@
   };
 
   static void on_accepted(evconnlistener* listener, evutil_socket_t socket, sockaddr* address, int length,
-                          void* port);
-  static void on_readable(bufferevent* stream, void* connection);
-  static void on_written(bufferevent* stream, void* connection);
-  static void on_connection_event(bufferevent* stream, short what, void* connection);
+                          void* context);
+  static void on_readable(bufferevent* stream, void* context);
+  static void on_written(bufferevent* stream, void* context);
+  static void on_connection_event(bufferevent* stream, short what, void* context);
 
   RouterPort make_port(std::size_t router);
   void read_calls(RouterConnection& connection);
@@ -120,7 +120,7 @@
   void enqueue(CallId call);
   void send_finished_responses();
   CallResponse make_response(const QueuedCall& queued);
-  void write_response(const QueuedCall& queued, const CallResponse& answer);
+  void write_response(const QueuedCall& queued, const CallResponse& response);
   void remove_call(RouterConnection& connection);
   void close_connection(RouterConnection& connection);
   RouterCounters& counters_of(const RouterConnection& connection) {
@@ -134,8 +134,8 @@
   std::vector<RouterPort> ports_;
   std::unordered_map<ConnectionId, std::unique_ptr<RouterConnection>> connections_;
   std::unordered_map<CallId, OpenCall> calls_;
-  std::map<CallId, ConnectionId>
-      waiting_long_polls_;                           // long polls without changes to report, the oldest first
+  // Long polls without changes to report, the oldest first.
+  std::map<CallId, ConnectionId> waiting_long_polls_;
   std::deque<QueuedCall> queued_calls_;              // calls to answer, including those abandoned meanwhile
   std::optional<CallResponse> response_in_progress_; // response to the first call of the queue
   DiscoveryCapacity capacity_;
--- a/bench/discovery/endpoint_registry.cpp
+++ b/bench/discovery/endpoint_registry.cpp
@@ -5,8 +5,8 @@
 namespace fernward::bench::discovery {
 namespace {
 
-constexpr RegistryIndex kFirstIndex = 41;
-constexpr std::size_t kGroups = 16;
+constexpr RegistryIndex kFirstIndex = 41; // any value above 0, which stands for no index
+constexpr std::size_t kGroups = 16;       // the servers are in these groups in turn
 
 std::string body_start(RegistryIndex index, bool snapshot) {
   return "{\"index\":" + std::to_string(index) + ",\"snapshot\":" + (snapshot ? "true" : "false") +
@@ -14,6 +14,7 @@
 }
 constexpr const char* kBodyEnd = "]}";
 
+/// The odd factor gives distinct names (for up to 2^32 servers) that are not in the order of the numbers.
 std::string server_name(std::size_t server) {
   char name[16];
   std::snprintf(name, sizeof name, "s-%08zx", server * 2654435761u % 0x100000000u);
--- a/bench/discovery/propagation_recorder.cpp
+++ b/bench/discovery/propagation_recorder.cpp
@@ -18,12 +18,12 @@
 }
 
 std::size_t PropagationRecorder::finish(double now_ms) {
-  const std::size_t before = delays_ms_.size();
+  const std::size_t received_count = delays_ms_.size();
   if (changes_.empty()) return 0;
   for (std::size_t router = 0; router < next_unreceived_change_.size(); ++router) {
     record_receipt(router, changes_.back().index, now_ms);
   }
-  return delays_ms_.size() - before;
+  return delays_ms_.size() - received_count;
 }
 
 } // namespace fernward::bench::discovery
--- a/bench/discovery/router_process.cpp
+++ b/bench/discovery/router_process.cpp
@@ -67,12 +67,12 @@
 } // namespace
 
 RouterProcess::RouterProcess(const RouterOptions& options) : pid_(0) {
-  std::string config = "NODE_CONFIG=" + write_config(options);
-  std::string temporary = "TMPDIR=" + options.folder.string();
+  std::string config_variable = "NODE_CONFIG=" + write_config(options);
+  std::string tmpdir_variable = "TMPDIR=" + options.folder.string();
   std::string program = options.program;
   std::string command = "serve";
   const std::vector<char*> arguments{program.data(), command.data(), nullptr};
-  const std::vector<char*> environment{config.data(), temporary.data(), nullptr};
+  const std::vector<char*> environment{config_variable.data(), tmpdir_variable.data(), nullptr};
   const pid_t parent = getpid();
   pid_ = fork();
   if (pid_ < 0) throw std::runtime_error("cannot start " + options.program);
@@ -120,7 +120,7 @@
       return std::strtod(line.c_str() + field_name.size(), nullptr) / kKilobytesPerMb;
     }
   }
-  throw std::runtime_error("no " + field_name + " of process " + std::to_string(pid_));
+  throw std::runtime_error("cannot find " + field_name + " of process " + std::to_string(pid_));
 }
 
 } // namespace fernward::bench::discovery
--- a/bench/discovery_fleet.cpp
+++ b/bench/discovery_fleet.cpp
@@ -41,10 +41,10 @@
 namespace loop = fernward::loop;
 
 constexpr double kMsPerSecond = 1000;
-constexpr double kAllowedDelayMs =
-    6250; // of a change: 6 s until the router counts as notified, and the grace period of 250 ms
-constexpr double kFinalPeriodWithoutChangesMs =
-    7000; // no changes at the end, so that each can arrive within the allowed delay
+// Allowed delay of a change: 6 s until the router counts as notified, and the grace period of 250 ms.
+constexpr double kAllowedDelayMs = 6250;
+// No changes are made in this last part of the run, so that each can arrive within the allowed delay.
+constexpr double kFinalPeriodWithoutChangesMs = 7000;
 constexpr double kStartIntervalMs = 5;           // between the starts of two processes
 constexpr double kStartTimeoutMs = 60000;        // until all routers have a long poll open
 constexpr double kSettleTimeMs = 1000;           // after that, before counting begins
@@ -84,8 +84,10 @@
   options.add_options()("seconds", "Duration of the run, once all routers wait for changes", number("30"));
   options.add_options()("seed", "Seed for the choice of servers and for the routers",
                         cxxopts::value<std::uint64_t>()->default_value("1"));
-  options.add_options()("answers-per-second", "Capacity of discovery; 0: no limit", number("0"));
-  options.add_options()("bytes-per-second", "Capacity of discovery; 0: no limit", number("0"));
+  options.add_options()("answers-per-second", "Calls that discovery answers per second; 0: no limit",
+                        number("0"));
+  options.add_options()("bytes-per-second", "Bytes that discovery sends per second; 0: no limit",
+                        number("0"));
   options.add_options()(
       "all-snapshots-seconds",
       "Sets --bytes-per-second so that snapshots for all routers in turn take this long; 0: unset",
@@ -118,7 +120,7 @@
   result.silent_at_s = optional_number(parsed, "silent-at");
   result.changes_per_second = parsed["changes-per-second"].as<double>();
   if (result.router_count < 1 || result.server_count < 1) {
-    throw std::invalid_argument("routers and servers must be 1 or more");
+    throw std::invalid_argument("--routers and --servers must be 1 or more");
   }
   return result;
 }
@@ -128,7 +130,7 @@
  public:
   TemporaryFolder() {
     char path[] = "/tmp/fernward-fleet-XXXXXX";
-    if (mkdtemp(path) == nullptr) throw std::runtime_error("cannot make a temporary folder");
+    if (mkdtemp(path) == nullptr) throw std::runtime_error("cannot create a folder in /tmp");
     path_ = path;
   }
   ~TemporaryFolder() {
@@ -167,6 +169,7 @@
   void operator()(event_base* base) const { event_base_free(base); }
 };
 
+/// One run: starts the routers, waits for their long polls, makes the changes and faults, prints the figures.
 class FleetMeasurement {
  public:
   explicit FleetMeasurement(BenchmarkOptions options)
@@ -269,11 +272,11 @@
   }
 
   void schedule_outage(double delay_until_outage_ms) {
-    const double length_ms = options_.outage_duration_s * kMsPerSecond;
+    const double duration_ms = options_.outage_duration_s * kMsPerSecond;
     const double begins_ms = loop::now_ms() + delay_until_outage_ms;
-    propagation_.set_outage({begins_ms, begins_ms + length_ms});
+    propagation_.set_outage({begins_ms, begins_ms + duration_ms});
     run_after(delay_until_outage_ms, [this] { server_.begin_outage(); });
-    run_after(delay_until_outage_ms + length_ms, [this] { server_.end_outage(); });
+    run_after(delay_until_outage_ms + duration_ms, [this] { server_.end_outage(); });
   }
 
   // Scheduled from the planned time of the previous change, not the actual one, so that a late event loop
@@ -308,9 +311,10 @@
   }
 
   void print_configuration() {
-    std::printf("%zu routers, %zu servers, snapshot of %zu bytes, %.0f s after a start of %.1f s\n",
-                options_.router_count, options_.server_count, registry_.snapshot().size(),
-                options_.duration_s, startup_s_);
+    std::printf(
+        "%zu routers, %zu servers, snapshot of %zu bytes, %.0f s measured after a start-up of %.1f s\n",
+        options_.router_count, options_.server_count, registry_.snapshot().size(), options_.duration_s,
+        startup_s_);
     std::printf(
         "capacity: %.0f answers/s, %.0f bytes/s (0: no limit); longest time in discovery's queue %.0f ms\n",
         options_.capacity.responses_per_second, options_.capacity.bytes_per_second,
@@ -318,21 +322,23 @@
     std::sort(lateness_ms_.begin(), lateness_ms_.end());
     double load[1] = {0};
     getloadavg(load, 1);
-    std::printf("discovery's loop late, p99 %.1f ms, worst %.1f ms; load average of the machine %.1f\n\n",
-                quantile(lateness_ms_, 0.99), quantile(lateness_ms_, 1), load[0]);
+    std::printf(
+        "lateness of discovery's event loop: p99 %.1f ms, worst %.1f ms; load average of the machine "
+        "%.1f\n\n",
+        quantile(lateness_ms_, 0.99), quantile(lateness_ms_, 1), load[0]);
   }
 
   void print_routers() const {
-    std::printf("| of each router | min | median | max |\n| --- | --- | --- | --- |\n");
-    print_counter("snapshots answered", [](const RouterCounters& c) { return c.snapshots_sent; });
+    std::printf("| per router | min | median | max |\n| --- | --- | --- | --- |\n");
+    print_counter("snapshots sent", [](const RouterCounters& c) { return c.snapshots_sent; });
     print_counter("long polls answered", [](const RouterCounters& c) { return c.long_poll_responses; });
     print_counter("calls", [](const RouterCounters& c) { return c.calls_received; });
-    print_counter("calls given up", [](const RouterCounters& c) { return c.calls_abandoned; });
-    print_counter("closed without a call open",
+    print_counter("calls abandoned", [](const RouterCounters& c) { return c.calls_abandoned; });
+    print_counter("connections closed without an open call",
                   [](const RouterCounters& c) { return c.closed_without_call; });
-    print_counter("connections made", [](const RouterCounters& c) { return c.connections_accepted; });
-    print_counter("most connections open", [](const RouterCounters& c) { return c.max_connections_open; });
-    print_counter("bytes of answers", [](const RouterCounters& c) { return c.bytes_written; });
+    print_counter("connections accepted", [](const RouterCounters& c) { return c.connections_accepted; });
+    print_counter("most open connections", [](const RouterCounters& c) { return c.max_connections_open; });
+    print_counter("response bytes", [](const RouterCounters& c) { return c.bytes_written; });
     std::vector<double> cpu_ms, rss_mb;
     for (std::size_t i = 0; i < processes_.size(); ++i) {
       cpu_ms.push_back(processes_[i].cpu_ms() - cpu_at_begin_ms_[i]);
@@ -362,8 +368,8 @@
     const auto late =
         std::count_if(delays.begin(), delays.end(), [](double ms) { return ms > kAllowedDelayMs; });
     std::printf(
-        "\n%zu changes, %zu with each router counted: median %.0f ms, p99 %.0f ms, worst %.0f ms; "
-        "%td over %.0f ms, %zu not there at the end\n",
+        "\n%zu changes, %zu pairs of change and router: median %.0f ms, p99 %.0f ms, worst %.0f ms; "
+        "%td over %.0f ms, %zu not received at the end\n",
         propagation_.change_count(), delays.size(), quantile(delays, 0.5), quantile(delays, 0.99),
         quantile(delays, 1), late, kAllowedDelayMs, unreceived_changes);
   }
--- a/bench/forwarding.cpp
+++ b/bench/forwarding.cpp
@@ -6,13 +6,13 @@
 //
 // With --latency one client requests the first size, one request after the other, directly from the node and
 // through each program. The output is the latency that each adds to the direct path, relative to the first
-// relay. --sidecar PROGRAM adds a router that runs as the sidecar of an application.
+// program. --sidecar PROGRAM adds a router that runs as the sidecar of an application.
 //
 //   fernward-passing --latency --router build/fernward --sidecar build/fernward --relay build/bench/fernward-relay
 //
 // With --slow N the router has 32 MB and 1,024 descriptors, and N clients request the first size and do not
-// read. The memory and descriptors that the router holds are measured while another client sends 200
-// requests.
+// read. The memory and descriptors that the router holds are measured after another client has sent 200
+// requests for 1,024 bytes.
 //
 //   fernward-passing --router build/fernward --slow 200 --sizes 409600
 #include <arpa/inet.h>
@@ -52,22 +52,23 @@
 }
 
 sockaddr_in loopback_address(int port) {
-  sockaddr_in where{};
-  where.sin_family = AF_INET;
-  where.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  where.sin_port = htons(static_cast<std::uint16_t>(port));
-  return where;
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  address.sin_port = htons(static_cast<std::uint16_t>(port));
+  return address;
 }
 
 int listen_on_loopback(int& port) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   const int on = 1;
   setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  sockaddr_in where = loopback_address(port);
-  socklen_t size = sizeof where;
-  if (bind(fd, reinterpret_cast<sockaddr*>(&where), size) != 0 || listen(fd, 128) != 0) fail("cannot listen");
-  getsockname(fd, reinterpret_cast<sockaddr*>(&where), &size);
-  port = ntohs(where.sin_port);
+  sockaddr_in address = loopback_address(port);
+  socklen_t size = sizeof address;
+  if (bind(fd, reinterpret_cast<sockaddr*>(&address), size) != 0 || listen(fd, 128) != 0)
+    fail("cannot listen on 127.0.0.1");
+  getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
+  port = ntohs(address.sin_port);
   return fd;
 }
 
@@ -86,9 +87,9 @@
       return true;
     }
     char bytes[16384];
-    const ssize_t n = recv(fd, bytes, sizeof bytes, 0);
-    if (n <= 0) return false;
-    text.append(bytes, static_cast<std::size_t>(n));
+    const ssize_t received = recv(fd, bytes, sizeof bytes, 0);
+    if (received <= 0) return false;
+    text.append(bytes, static_cast<std::size_t>(received));
   }
 }
 
@@ -108,10 +109,10 @@
       msghdr message{};
       message.msg_iov = parts;
       message.msg_iovlen = 2;
-      const ssize_t n = sendmsg(fd, &message, MSG_NOSIGNAL);
-      if (n <= 0) break;
-      unsent_bytes -= static_cast<std::size_t>(n);
-      auto sent_bytes = static_cast<std::size_t>(n);
+      const ssize_t sent = sendmsg(fd, &message, MSG_NOSIGNAL);
+      if (sent <= 0) break;
+      unsent_bytes -= static_cast<std::size_t>(sent);
+      auto sent_bytes = static_cast<std::size_t>(sent);
       for (iovec& part : parts) {
         const std::size_t sent_of_part = std::min(sent_bytes, part.iov_len);
         part.iov_base = static_cast<char*>(part.iov_base) + sent_of_part;
@@ -160,9 +161,9 @@
     remaining_bytes -= text.size();
     text.clear();
     while (remaining_bytes > 0) {
-      const ssize_t n = recv(fd, bytes.data(), std::min(remaining_bytes, bytes.size()), 0);
-      if (n <= 0) fail("a response was truncated");
-      remaining_bytes -= static_cast<std::size_t>(n);
+      const ssize_t received = recv(fd, bytes.data(), std::min(remaining_bytes, bytes.size()), 0);
+      if (received <= 0) fail("a response was truncated");
+      remaining_bytes -= static_cast<std::size_t>(received);
     }
     if (latencies_us != nullptr) {
       latencies_us->push_back(
@@ -185,19 +186,19 @@
   for (const std::string& word : command) argv.push_back(const_cast<char*>(word.c_str()));
   argv.push_back(nullptr);
   if (!config.empty()) setenv("NODE_CONFIG", config.c_str(), 1);
-  posix_spawn_file_actions_t files;
-  posix_spawn_file_actions_init(&files);
-  posix_spawn_file_actions_addopen(&files, 2, "/dev/null", 1, 0);
+  posix_spawn_file_actions_t file_actions;
+  posix_spawn_file_actions_init(&file_actions);
+  posix_spawn_file_actions_addopen(&file_actions, 2, "/dev/null", 1, 0);
   pid_t pid = 0;
-  if (posix_spawn(&pid, argv[0], &files, nullptr, argv.data(), environ) != 0)
+  if (posix_spawn(&pid, argv[0], &file_actions, nullptr, argv.data(), environ) != 0)
     fail("cannot start " + command[0]);
-  posix_spawn_file_actions_destroy(&files);
+  posix_spawn_file_actions_destroy(&file_actions);
   return pid;
 }
 
 std::string write_config(int port, int node_port, int unused_port, bool small) {
   const auto address_text = [](int p) { return std::string(kHost) + ":" + std::to_string(p); };
-  const nlohmann::json file = {
+  const nlohmann::json config = {
       {"name", "bench"},
       {"listen", address_text(port)},
       {"discovery", address_text(unused_port)},
@@ -224,7 +225,7 @@
          "obligations": {"grace_to_answer": 20, "warm_after": 0, "start_capacity": 1, "tip_after": 2000}})")}};
   char path[] = "/tmp/fernward-passing-XXXXXX";
   close(mkstemp(path));
-  std::ofstream(path) << file.dump();
+  std::ofstream(path) << config.dump();
   return path;
 }
 
@@ -239,10 +240,10 @@
   return path;
 }
 
-double cpu_ms(pid_t pid) { // CPU time so far, with nanosecond resolution
+double cpu_ms(pid_t pid) { // CPU time of the main thread so far, with nanosecond resolution
   std::ifstream file("/proc/" + std::to_string(pid) + "/schedstat");
   double ns = 0;
-  if (!(file >> ns)) fail("no /proc/PID/schedstat");
+  if (!(file >> ns)) fail("cannot read /proc/PID/schedstat");
   return ns / 1e6;
 }
 
@@ -256,14 +257,15 @@
 void measure_cpu(const std::vector<BenchedProgram>& programs, const std::vector<std::size_t>& sizes,
                  const cxxopts::ParseResult& parsed_options) {
   std::printf(
-      "| answers | program | us a request | ms a MB | beside the first |\n| --- | --- | --- | --- | --- |\n");
+      "| response bytes | program | us per request | ms per MB | relative to the first |\n"
+      "| --- | --- | --- | --- | --- |\n");
   for (const std::size_t size : sizes) {
     const double mb = static_cast<double>(size) / (1 << 20);
     const double requests_per_turn =
         std::min(parsed_options["requests"].as<double>(), parsed_options["mb"].as<double>() / mb);
     std::vector<std::vector<double>> per_request(programs.size()), ratio(programs.size());
-    for (int round = -1; round < parsed_options["rounds"].as<int>();
-         ++round) { // the first round is a warm-up
+    // Round -1 is a warm-up.
+    for (int round = -1; round < parsed_options["rounds"].as<int>(); ++round) {
       for (std::size_t i = 0; i < programs.size(); ++i) {
         RequestLoad load;
         load.remaining =
@@ -299,17 +301,18 @@
   programs.insert(programs.begin(), {"direct", 0, node_port});
   std::vector<std::vector<double>> latencies_us(programs.size()), added_us(programs.size()),
       ratio(programs.size());
-  for (int round = -1; round < parsed_options["rounds"].as<int>(); ++round) { // the first round is a warm-up
+  // Round -1 is a warm-up.
+  for (int round = -1; round < parsed_options["rounds"].as<int>(); ++round) {
     std::vector<double> round_medians_us;
     for (const BenchedProgram& program : programs) {
       RequestLoad load;
       load.remaining = 2000;
       load.next_request_id = static_cast<std::uint64_t>(round + 2) << 32;
-      std::vector<double> times;
-      send_requests(program.port, size, load, &times);
+      std::vector<double> round_latencies_us;
+      send_requests(program.port, size, load, &round_latencies_us);
       if (load.failed_count > 0)
         fail(program.name + ": " + std::to_string(load.failed_count) + " not served");
-      round_medians_us.push_back(median(times));
+      round_medians_us.push_back(median(round_latencies_us));
     }
     for (std::size_t i = 0; i < programs.size() && round >= 0; ++i) {
       latencies_us[i].push_back(round_medians_us[i]);
@@ -319,7 +322,8 @@
                            (round_medians_us[1] - round_medians_us[0]));
     }
   }
-  std::printf("| way | median, us | added, us | added, beside the first |\n| --- | --- | --- | --- |\n");
+  std::printf(
+      "| path | median, us | added, us | added, relative to the first |\n| --- | --- | --- | --- |\n");
   for (std::size_t i = 0; i < programs.size(); ++i) {
     std::printf("| %s | %.0f | %.0f | %.2f |\n", programs[i].name.c_str(), median(latencies_us[i]),
                 median(added_us[i]), median(ratio[i]));
@@ -328,31 +332,31 @@
 
 // ---- clients that do not read ----
 
-double read_number(const std::string& path,
-                   const std::string& name) { // the number in a line "name: number" or "name number"
+// The number in a line "name: number" or "name number".
+double read_number(const std::string& path, const std::string& name) {
   std::ifstream file(path);
   for (std::string line; std::getline(file, line);) {
     if (const auto at = line.find(name); at != std::string::npos) {
       return std::strtod(line.c_str() + at + name.size() + 1, nullptr);
     }
   }
-  fail("no " + name + " in " + path);
+  fail("cannot find " + name + " in " + path);
 }
 
 std::size_t open_descriptors(pid_t pid) {
-  std::size_t n = 0;
+  std::size_t count = 0;
   for ([[maybe_unused]] const auto& entry :
        std::filesystem::directory_iterator("/proc/" + std::to_string(pid) + "/fd")) {
-    ++n;
+    ++count;
   }
-  return n;
+  return count;
 }
 
 // Size of the kernel's buffers, in MB, of the sockets that match the filter: data that is received but not
 // read, and data that is written but not yet acknowledged.
 double kernel_buffer_mb(const std::string& filter) {
   FILE* ss_output = popen(("ss -tmnHO '" + filter + "'").c_str(), "r");
-  if (ss_output == nullptr) fail("no ss");
+  if (ss_output == nullptr) fail("cannot run ss");
   double bytes = 0;
   char line[1024];
   while (std::fgets(line, sizeof line, ss_output) != nullptr) {
@@ -374,13 +378,13 @@
   for (int i = 0; i < reader_count; ++i) {
     const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), receive_buffer_bytes = 4096;
     setsockopt(fd, SOL_SOCKET, SO_RCVBUF, &receive_buffer_bytes, sizeof receive_buffer_bytes);
-    const sockaddr_in where = loopback_address(program.port);
-    if (connect(fd, reinterpret_cast<const sockaddr*>(&where), sizeof where) != 0) fail("cannot connect");
+    const sockaddr_in address = loopback_address(program.port);
+    if (connect(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) fail("cannot connect");
     const std::string id = "slow" + std::to_string(i);
     const std::string text = "GET /" + std::to_string(size) + "/" + id +
                              " HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id +
                              "\r\nX-Priority-Class: read\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 20000\r\n\r\n";
-    if (send(fd, text.data(), text.size(), MSG_NOSIGNAL) < 0) fail("cannot send");
+    if (send(fd, text.data(), text.size(), MSG_NOSIGNAL) < 0) fail("cannot send a request");
     reader_fds.push_back(fd);
     std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
@@ -395,9 +399,10 @@
   const double client_side_mb = kernel_buffer_mb("sport = :" + std::to_string(program.port));
   const double node_side_mb = kernel_buffer_mb("dport = :" + std::to_string(node_port));
   std::printf(
-      "| slow readers | answers | memory before, MB | with them | most | the kernel's, towards clients and "
-      "from the node, MB "
-      "| descriptors | 200 others: ms, not served |\n| --- | --- | --- | --- | --- | --- | --- | --- |\n");
+      "| slow readers | response bytes | RSS before, MB | with them | peak | kernel buffers towards clients "
+      "and from the node, MB "
+      "| descriptors | 200 other requests: ms, not served |\n"
+      "| --- | --- | --- | --- | --- | --- | --- | --- |\n");
   std::printf("| %d | %zu | %.1f | %.1f | %.1f | %.1f, %.1f | %zu | %.0f, %llu |\n", reader_count, size,
               rss_before_mb, read_number(status, "VmRSS") / 1024, read_number(status, "VmHWM") / 1024,
               client_side_mb, node_side_mb, open_descriptors(program.pid), ms,
@@ -409,7 +414,7 @@
 
 int main(int argc, char** argv) {
   cxxopts::Options options("fernward-passing",
-                           "CPU time of forwarding responses, compared with plain relays");
+                           "CPU time and latency of forwarding responses, compared with plain relays");
   options.add_options()("router", "program", cxxopts::value<std::vector<std::string>>()->default_value(""))(
       "relay", "program", cxxopts::value<std::string>()->default_value(""))(
       "ways", "methods of the relay",
@@ -439,7 +444,7 @@
   }).detach();
 
   std::vector<BenchedProgram> programs;
-  std::vector<std::string> files;
+  std::vector<std::string> config_paths;
   const auto address_text = [](int port) { return std::string(kHost) + ":" + std::to_string(port); };
   if (const std::string relay = parsed_options["relay"].as<std::string>(); !relay.empty()) {
     for (const std::string& method : parsed_options["ways"].as<std::vector<std::string>>()) {
@@ -454,15 +459,15 @@
   for (const std::string& router : parsed_options["router"].as<std::vector<std::string>>()) {
     if (router.empty()) continue;
     const int port = free_port();
-    files.push_back(write_config(port, node_port, free_port(), slow_readers > 0));
-    programs.push_back({router, start({router, "serve"}, files.back()), port});
+    config_paths.push_back(write_config(port, node_port, free_port(), slow_readers > 0));
+    programs.push_back({router, start({router, "serve"}, config_paths.back()), port});
   }
   if (const std::string sidecar = parsed_options["sidecar"].as<std::string>(); !sidecar.empty()) {
     const int port = free_port();
-    files.push_back(write_application_config(port, node_port));
-    programs.push_back({sidecar + " sidecar",
-                        start({sidecar, "sidecar", "--config", files.back(), "--", "/bin/sleep", "1000"}, ""),
-                        port});
+    config_paths.push_back(write_application_config(port, node_port));
+    programs.push_back(
+        {sidecar + " sidecar",
+         start({sidecar, "sidecar", "--config", config_paths.back(), "--", "/bin/sleep", "1000"}, ""), port});
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(500));
 
@@ -478,7 +483,7 @@
     if (program.name.find("sidecar") == std::string::npos) kill(program.pid, SIGKILL);
     waitpid(program.pid, nullptr, 0);
   }
-  for (const std::string& file : files) unlink(file.c_str());
+  for (const std::string& path : config_paths) unlink(path.c_str());
   std::fflush(stdout);
   std::_Exit(0); // the threads of the node never end
 }
--- a/bench/gossip_cpu.cpp
+++ b/bench/gossip_cpu.cpp
@@ -31,7 +31,7 @@
     for (std::size_t i = 0; i < routers; ++i)
       routers_.emplace_back(static_cast<gossip::MemberId>(i), routers, 1000,
                             membership::Settings{kPeriodMs, 3}, i + 1);
-    for (double until = now_ms_ + kWarmUpMs; now_ms_ < until;) run_period();
+    for (double warm_up_end_ms = now_ms_ + kWarmUpMs; now_ms_ < warm_up_end_ms;) run_period();
     tick_cost = receive_cost = view_cost = {};
   }
 
@@ -43,7 +43,7 @@
     for (std::size_t i = 0; i < routers_.size(); ++i) {
       const double load = static_cast<double>(i % 7);
       routers_[i].tick(now_ms_, {load, 1 + load}, outgoing_);
-      for (auto& o : outgoing_) in_flight_.push_back({static_cast<gossip::MemberId>(i), std::move(o)});
+      for (auto& sent : outgoing_) in_flight_.push_back({static_cast<gossip::MemberId>(i), std::move(sent)});
       outgoing_.clear();
     }
     const double ticks_done_us = thread_cpu_us();
@@ -51,11 +51,11 @@
       const auto& [from, datagram] = in_flight_.front();
       const gossip::MemberId to = datagram.to;
       routers_[to].receive(now_ms_, from, datagram.bytes, outgoing_);
-      for (auto& o : outgoing_) in_flight_.push_back({to, std::move(o)});
+      for (auto& sent : outgoing_) in_flight_.push_back({to, std::move(sent)});
       outgoing_.clear();
     }
     const double receives_done_us = thread_cpu_us();
-    for (auto& router : routers_) received_states_ += router.view(now_ms_).fresh_reports;
+    for (auto& router : routers_) fresh_reports_ += router.view(now_ms_).fresh_reports;
     const double views_done_us = thread_cpu_us();
     tick_cost.total_us += ticks_done_us - started_us,
         receive_cost.total_us += receives_done_us - ticks_done_us,
@@ -63,8 +63,8 @@
     tick_cost.count += static_cast<double>(routers_.size()),
         view_cost.count += static_cast<double>(routers_.size());
   }
-  double mean_received_states() const { return received_states_ / std::max(view_cost.count, 1.0); }
-  void reset_costs() { tick_cost = receive_cost = view_cost = {}, received_states_ = 0; }
+  double mean_fresh_reports() const { return fresh_reports_ / std::max(view_cost.count, 1.0); }
+  void reset_costs() { tick_cost = receive_cost = view_cost = {}, fresh_reports_ = 0; }
 
   CpuCost tick_cost, receive_cost, view_cost;
 
@@ -76,7 +76,7 @@
   std::vector<gossip::GossipNode> routers_;
   std::vector<gossip::GossipNode::OutgoingDatagram> outgoing_;
   std::deque<DatagramInFlight> in_flight_;
-  double now_ms_ = 1e9, received_states_ = 0;
+  double now_ms_ = 1e9, fresh_reports_ = 0;
 };
 
 } // namespace
@@ -92,12 +92,14 @@
     const auto parsed = options.parse(argc, argv);
     if (parsed.count("help") > 0) return std::printf("%s\n", options.help().c_str()), 0;
     const int rounds = parsed["rounds"].as<int>(), periods = parsed["periods"].as<int>();
-    if (rounds < 1 || periods < 1) throw std::invalid_argument("rounds and periods must be 1 or more");
-    std::printf("us of CPU: a tick | a datagram taken, with its answer | a view || a second of one router\n");
+    if (rounds < 1 || periods < 1) throw std::invalid_argument("--rounds and --periods must be 1 or more");
+    std::printf(
+        "CPU time in us: a tick | a received datagram, with its responses | a view || one router, per "
+        "second\n");
     for (const std::size_t routers : {4u, 64u, 300u}) {
       RouterTier tier(routers);
       std::vector<double> tick_us, receive_us, view_us, router_second_us;
-      double mean_received = 0;
+      double mean_fresh_reports = 0;
       for (int round = 0; round < rounds; ++round) {
         tier.reset_costs();
         for (int i = 0; i < periods; ++i) tier.run_period();
@@ -107,10 +109,11 @@
         router_second_us.push_back(
             (tier.tick_cost.total_us + tier.receive_cost.total_us + tier.view_cost.total_us) /
             (static_cast<double>(periods * routers) * kPeriodMs / 1000));
-        mean_received = tier.mean_received_states();
+        mean_fresh_reports = tier.mean_fresh_reports();
       }
-      std::printf("%4zu routers  %6.2f | %6.2f | %6.2f || %7.1f   (%.0f heard)\n", routers, median(tick_us),
-                  median(receive_us), median(view_us), median(router_second_us), mean_received);
+      std::printf("%4zu routers  %6.2f | %6.2f | %6.2f || %7.1f   (%.0f fresh reports)\n", routers,
+                  median(tick_us), median(receive_us), median(view_us), median(router_second_us),
+                  mean_fresh_reports);
     }
     return 0;
   } catch (const cxxopts::exceptions::exception& e) {
--- a/bench/relay.cpp
+++ b/bench/relay.cpp
@@ -23,8 +23,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxBufferedBytes = 256 * 1024; // most bytes buffered for a peer that reads slowly
-constexpr std::size_t kBlockBytes = 64 * 1024;
+// Reading stops when this many bytes are buffered for a slow peer.
+constexpr std::size_t kMaxBufferedBytes = 256 * 1024;
+constexpr std::size_t kBlockBytes = 64 * 1024; // most bytes that are moved at once
 
 event_base* relay_event_base = nullptr;
 sockaddr_in target_address{};
@@ -83,7 +84,7 @@
   }
 }
 
-// ---- direct reads and writes: through a memory block, or through a pipe by splice ----
+// ---- direct reads and writes: through a memory block; with splice, from the target through a pipe ----
 
 struct RelayDirection { // one direction, from one socket to the other
   int from_fd = -1, to_fd = -1;
@@ -209,7 +210,7 @@
 } // namespace
 
 int main(int argc, char** argv) {
-  cxxopts::Options options("fernward-relay", "a plain byte relay, as a baseline for measurements");
+  cxxopts::Options options("fernward-relay", "A plain byte relay, as a baseline for measurements");
   options.add_options()("listen", "address", cxxopts::value<std::string>())("target", "address",
                                                                             cxxopts::value<std::string>())(
       "way", "bufferevent, block or splice", cxxopts::value<std::string>()->default_value("bufferevent"));
--- a/src/model/server_model.cpp
+++ b/src/model/server_model.cpp
@@ -242,22 +242,22 @@
 // ---- reports ----
 
 void ServerModel::take_readings_until(double now) {
-  const double period = limits_.report.period_ms;
-  if (!limits_.report.enabled || !(period > 0) || phase_ == ServerPhase::Off) {
+  const double period_ms = limits_.report.period_ms;
+  if (!limits_.report.enabled || !(period_ms > 0) || phase_ == ServerPhase::Off) {
     next_reading_ms_ = std::max(next_reading_ms_, now);
     return;
   }
   // Nothing has changed since latest_ms_, so after a long idle time only the last readings are taken.
-  const double excess_ms = now - next_reading_ms_ - period * static_cast<double>(kMaxReadings);
-  if (excess_ms > 0) next_reading_ms_ += std::ceil(excess_ms / period) * period;
-  for (; next_reading_ms_ <= now; next_reading_ms_ += period) take_reading(next_reading_ms_);
+  const double excess_ms = now - next_reading_ms_ - period_ms * static_cast<double>(kMaxReadings);
+  if (excess_ms > 0) next_reading_ms_ += std::ceil(excess_ms / period_ms) * period_ms;
+  for (; next_reading_ms_ <= now; next_reading_ms_ += period_ms) take_reading(next_reading_ms_);
 }
 
 void ServerModel::take_reading(double at) {
   const ReportSpec& report = limits_.report;
-  const double period = report.period_ms;
-  served_per_s_ += kSmoothingFactor * (served_since_reading_ * 1000 / period - served_per_s_);
-  errors_per_s_ += kSmoothingFactor * (errors_since_reading_ * 1000 / period - errors_per_s_);
+  const double period_ms = report.period_ms;
+  served_per_s_ += kSmoothingFactor * (served_since_reading_ * 1000 / period_ms - served_per_s_);
+  errors_per_s_ += kSmoothingFactor * (errors_since_reading_ * 1000 / period_ms - errors_per_s_);
   served_since_reading_ = errors_since_reading_ = 0;
   const double done = processor_.total_work(at),
                capacity = capacity_integral_ + capacity_share_ * (at - capacity_since_ms_);
--- a/tests/fuzz/config.cpp
+++ b/tests/fuzz/config.cpp
@@ -1,6 +1,6 @@
-// Fuzzes the reader of an application's configuration file. Any input gives an App or errors with a location
-// and a code. An accepted file survives a round trip through the writer, and its rendered form is a valid
-// router configuration.
+// Fuzzes the reader of an application's configuration file. Any input gives an AppConfig or errors with a
+// location and a code. An accepted file survives a round trip through the writer, and its rendered form is a
+// valid router configuration.
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
@@ -44,12 +44,13 @@
       app_config::parse_config(text, "fuzz.toml", no_variables, [](const auto& path) {
         return path == "shared.toml" ? std::optional<std::string>(kSharedFile) : std::nullopt;
       });
-  for (const auto* faults : {&parsed.errors, &parsed.warnings}) {
-    for (const auto& fault : *faults) {
-      require(fault.position.line > 0 && fault.position.column > 0 && !fault.position.file.empty(),
-              "an error without a location");
-      require(!fault.key.empty() && !fault.message.empty() && !fault.code.empty(),
-              "an error without a key, reason or code");
+  for (const auto* diagnostics : {&parsed.errors, &parsed.warnings}) {
+    for (const auto& diagnostic : *diagnostics) {
+      require(
+          diagnostic.position.line > 0 && diagnostic.position.column > 0 && !diagnostic.position.file.empty(),
+          "an error or a warning without a location");
+      require(!diagnostic.key.empty() && !diagnostic.message.empty() && !diagnostic.code.empty(),
+              "an error or a warning without a key, message or code");
     }
   }
   if (!parsed.valid()) return 0;
--- a/tests/fuzz/control.cpp
+++ b/tests/fuzz/control.cpp
@@ -1,5 +1,5 @@
-// Fuzzes the parser of control commands. Any line gives a command whose endpoint id contains no white space
-// and has at most 128 bytes, or an error message of a single line.
+// Fuzzes the parser of control commands. Any line gives a command whose endpoint name contains no white
+// space and has at most 128 bytes, or an error message of a single line.
 #include <cstdint>
 #include <cstdlib>
 #include <string_view>
--- a/tests/fuzz/http.cpp
+++ b/tests/fuzz/http.cpp
@@ -66,7 +66,7 @@
               "a piece lies outside of the consumed bytes");
       outcome.body += piece.body;
       require(parser.body().received_bytes() == outcome.body.size(),
-              "the framer's byte count differs from the bytes it returned");
+              "the body parser's byte count differs from the bytes that it returned");
       consumed = piece.consumed_bytes;
     }
     require(consumed <= input.size(), "more bytes were consumed than given");
--- a/tests/fuzz/scenario.cpp
+++ b/tests/fuzz/scenario.cpp
@@ -42,18 +42,19 @@
   using namespace fernward::lab;
   const std::string_view text(reinterpret_cast<const char*>(data), size);
   // Small limits, because valid scenarios are written and read again.
-  const RunLimits offer{1000, 100, 8};
-  const Scenario scenario = read_scenario(text, "fuzz.toml", offer, [](const auto& path) {
+  const RunLimits limits{1000, 100, 8};
+  const Scenario scenario = read_scenario(text, "fuzz.toml", limits, [](const auto& path) {
     return path == "fleet.toml" ? std::optional<std::string>(kIncludedFile) : std::nullopt;
   });
-  for (const Diagnostic& fault : scenario.faults) {
-    require(fault.position.line > 0 && fault.position.column > 0 && !fault.position.file.empty(),
-            "an error without a location");
-    require(!fault.key.empty() && !fault.message.empty(), "an error without a key or a reason");
+  for (const Diagnostic& diagnostic : scenario.faults) {
+    require(
+        diagnostic.position.line > 0 && diagnostic.position.column > 0 && !diagnostic.position.file.empty(),
+        "an error without a location");
+    require(!diagnostic.key.empty() && !diagnostic.message.empty(), "an error without a key or a message");
   }
   if (!scenario.is_valid()) return 0;
   const std::string written = scenario_text(scenario.spec);
-  const Scenario reparsed = read_scenario(written, "again.toml", offer);
+  const Scenario reparsed = read_scenario(written, "again.toml", limits);
   if (!reparsed.is_valid())
     std::fprintf(stderr, "%s\n%s", reparsed.faults.front().to_string().c_str(), written.c_str());
   require(reparsed.is_valid(), "an accepted scenario is rejected after it is written and read again");
