--- a/lab/check/bound_meter.cpp
+++ b/lab/check/bound_meter.cpp
@@ -12,7 +12,7 @@
 
 using namespace fernward::model;
 
-constexpr double kWindowStepMs = 1000; // step of the sliding window
+constexpr double kWindowStepMs = 1000; // by which the window of WorstWindowMeter slides
 constexpr std::size_t kMaxIncompleteSteps =
     100000; // beyond it the oldest steps are completed with requests still open
 
@@ -21,29 +21,29 @@
   std::uint32_t class_index = 0, tenant_index = 0;
 };
 
-// Base of meters that observe the requests selected by a bound: its class, tenant and time interval.
+// Base of meters of the requests that a bound selects by class, tenant and time interval.
 class RequestMeter : public BoundMeter {
  public:
   RequestMeter(const Spec& spec, const Bound& bound)
       : bound_(bound), to_ms_(bound.to_ms > 0 ? bound.to_ms : spec.duration_ms) {}
 
   using Sink::on;
-  void on(const DrawnRequest& d) final {
-    advance_time(d.at);
-    if (bound_.cls && *bound_.cls != d.cls) return;
-    if (bound_.tenant && *bound_.tenant != d.tenant) return;
-    if (d.at < bound_.from_ms || d.at >= to_ms_) return;
-    const MeasuredRequest request{d.at, d.priority_weight, d.cls, d.tenant};
-    open_requests_.emplace(d.request, request);
+  void on(const DrawnRequest& drawn) final {
+    advance_time(drawn.at);
+    if (bound_.cls && *bound_.cls != drawn.cls) return;
+    if (bound_.tenant && *bound_.tenant != drawn.tenant) return;
+    if (drawn.at < bound_.from_ms || drawn.at >= to_ms_) return;
+    const MeasuredRequest request{drawn.at, drawn.priority_weight, drawn.cls, drawn.tenant};
+    open_requests_.emplace(drawn.request, request);
     request_drawn(request);
   }
-  void on(const RequestEnded& c) final {
-    advance_time(c.at);
-    const auto found = open_requests_.find(c.request);
+  void on(const RequestEnded& ended) final {
+    advance_time(ended.at);
+    const auto found = open_requests_.find(ended.request);
     if (found == open_requests_.end()) return;
     const MeasuredRequest request = found->second;
     open_requests_.erase(found);
-    request_closed(request, c);
+    request_closed(request, ended);
   }
 
  protected:
@@ -59,19 +59,20 @@
 };
 
 struct WeightTotals {
-  double drawn = 0, served = 0;
+  double drawn = 0, served = 0; // priority weight
   std::optional<double> service() const { return drawn > 0 ? std::optional(served / drawn) : std::nullopt; }
 };
 
+// Share of the drawn priority weight that responses earned.
 class ServiceMeter final : public RequestMeter {
  public:
   using RequestMeter::RequestMeter;
   std::optional<double> value() override { return totals_.service(); }
 
  private:
-  void request_drawn(const MeasuredRequest& a) override { totals_.drawn += a.weight; }
-  void request_closed(const MeasuredRequest&, const RequestEnded& c) override {
-    totals_.served += c.earned_weight;
+  void request_drawn(const MeasuredRequest& request) override { totals_.drawn += request.weight; }
+  void request_closed(const MeasuredRequest&, const RequestEnded& ended) override {
+    totals_.served += ended.earned_weight;
   }
   WeightTotals totals_;
 };
@@ -83,27 +84,30 @@
       : RequestMeter(spec, bound), by_class_(bound.metric == Metric::WorstClass) {}
   std::optional<double> value() override {
     std::optional<double> lowest_service;
-    for (const WeightTotals& w : group_totals_) {
-      const auto service = w.service();
+    for (const WeightTotals& totals : group_totals_) {
+      const auto service = totals.service();
       if (service && (!lowest_service || *service < *lowest_service)) lowest_service = service;
     }
     return lowest_service;
   }
 
  private:
-  WeightTotals& group_totals(const MeasuredRequest& a) {
-    const std::size_t i = by_class_ ? a.class_index : a.tenant_index;
+  WeightTotals& group_totals(const MeasuredRequest& request) {
+    const std::size_t i = by_class_ ? request.class_index : request.tenant_index;
     if (i >= group_totals_.size()) group_totals_.resize(i + 1);
     return group_totals_[i];
   }
-  void request_drawn(const MeasuredRequest& a) override { group_totals(a).drawn += a.weight; }
-  void request_closed(const MeasuredRequest& a, const RequestEnded& c) override {
-    group_totals(a).served += c.earned_weight;
+  void request_drawn(const MeasuredRequest& request) override {
+    group_totals(request).drawn += request.weight;
+  }
+  void request_closed(const MeasuredRequest& request, const RequestEnded& ended) override {
+    group_totals(request).served += ended.earned_weight;
   }
   const bool by_class_;
   std::vector<WeightTotals> group_totals_;
 };
 
+// Share of the drawn requests with the outcome that the bound limits.
 class OutcomeShareMeter final : public RequestMeter {
  public:
   using RequestMeter::RequestMeter;
@@ -115,15 +119,16 @@
 
  private:
   void request_drawn(const MeasuredRequest&) override { ++drawn_count_; }
-  void request_closed(const MeasuredRequest&, const RequestEnded& c) override {
-    const bool served = c.outcome == TryOutcome::Served, refused = c.outcome == TryOutcome::Rejected;
+  void request_closed(const MeasuredRequest&, const RequestEnded& ended) override {
+    const bool served = ended.outcome == TryOutcome::Served, rejected = ended.outcome == TryOutcome::Rejected;
     matching_count_ += bound_.metric == Metric::Served     ? served
-                       : bound_.metric == Metric::Rejected ? refused
-                                                           : !served && !refused;
+                       : bound_.metric == Metric::Rejected ? rejected
+                                                           : !served && !rejected;
   }
   std::uint64_t drawn_count_ = 0, matching_count_ = 0;
 };
 
+// Latency quantile of served requests.
 class LatencyMeter final : public RequestMeter {
  public:
   using RequestMeter::RequestMeter;
@@ -132,14 +137,14 @@
   }
 
  private:
-  void request_closed(const MeasuredRequest&, const RequestEnded& c) override {
-    if (c.outcome == TryOutcome::Served) histogram_.add(c.latency_ms);
+  void request_closed(const MeasuredRequest&, const RequestEnded& ended) override {
+    if (ended.outcome == TryOutcome::Served) histogram_.add(ended.latency_ms);
   }
   LatencyHistogram histogram_;
 };
 
 // Divides the time into steps and completes them in order. A step is complete once its time is over and all
-// requests generated in it have ended.
+// requests drawn in it have ended.
 class SteppedMeter : public RequestMeter {
  public:
   SteppedMeter(const Spec& spec, const Bound& bound, double step_ms)
@@ -160,23 +165,23 @@
     WeightTotals totals;
     std::uint64_t open_requests = 0;
   };
-  std::uint64_t step_number(const MeasuredRequest& a) const {
-    return static_cast<std::uint64_t>((a.drawn_at_ms - bound_.from_ms) / step_ms_);
+  std::uint64_t step_number(const MeasuredRequest& request) const {
+    return static_cast<std::uint64_t>((request.drawn_at_ms - bound_.from_ms) / step_ms_);
   }
-  void request_drawn(const MeasuredRequest& a) override {
-    const std::uint64_t number = step_number(a);
+  void request_drawn(const MeasuredRequest& request) override {
+    const std::uint64_t number = step_number(request);
     while (first_step_number_ + steps_.size() <= number) steps_.emplace_back();
     if (number < first_step_number_) return;
     Step& step = steps_[number - first_step_number_];
-    step.totals.drawn += a.weight;
+    step.totals.drawn += request.weight;
     ++step.open_requests;
     while (steps_.size() > kMaxIncompleteSteps) complete_first_step();
   }
-  void request_closed(const MeasuredRequest& a, const RequestEnded& c) override {
-    const std::uint64_t number = step_number(a);
+  void request_closed(const MeasuredRequest& request, const RequestEnded& ended) override {
+    const std::uint64_t number = step_number(request);
     if (number < first_step_number_) return;
     Step& step = steps_[number - first_step_number_];
-    step.totals.served += c.earned_weight;
+    step.totals.served += ended.earned_weight;
     --step.open_requests;
   }
   void advance_time(double at) override {
@@ -195,6 +200,7 @@
   std::uint64_t first_step_number_ = 0;
 };
 
+// Lowest service of a sliding window.
 class WorstWindowMeter final : public SteppedMeter {
  public:
   WorstWindowMeter(const Spec& spec, const Bound& bound)
@@ -208,14 +214,14 @@
     if (window_.size() == steps_per_window_) update_lowest();
   }
   std::optional<double> result() override {
-    if (!lowest_service_) update_lowest(); // the run is shorter than a window: use all of it
+    if (!lowest_service_) update_lowest(); // no complete window could be measured: use the last steps
     return lowest_service_;
   }
   void update_lowest() {
     WeightTotals sum; // summed again each time, because a running sum would accumulate rounding errors
-    for (const WeightTotals& w : window_) {
-      sum.drawn += w.drawn;
-      sum.served += w.served;
+    for (const WeightTotals& step : window_) {
+      sum.drawn += step.drawn;
+      sum.served += step.served;
     }
     const auto service = sum.service();
     if (service && (!lowest_service_ || *service < *lowest_service_)) lowest_service_ = service;
@@ -225,6 +231,7 @@
   std::optional<double> lowest_service_;
 };
 
+// Time from the start of the interval to the end of the last window whose service is below the level.
 class RecoveryMeter final : public SteppedMeter {
  public:
   RecoveryMeter(const Spec& spec, const Bound& bound) : SteppedMeter(spec, bound, bound.window_ms) {}
@@ -240,21 +247,22 @@
                         : std::nullopt;
   }
   std::uint64_t recovered_after_windows_ =
-      0; // number of windows up to the end of the last one below the level
+      0; // number of windows up to and including the last one below the level
   bool has_service_ = false;
 };
 
+// Requests that arrive at the origin: mean rate, or highest number in any second of the run's clock.
 class OriginRateMeter final : public BoundMeter {
  public:
   OriginRateMeter(const Spec& spec, const Plan& plan, const Bound& bound)
       : bound_(bound), origin_(plan.origin), to_ms_(bound.to_ms > 0 ? bound.to_ms : spec.duration_ms) {}
 
   using Sink::on;
-  void on(const AttemptArrived& a) override {
-    if (a.machine != origin_ || a.at < bound_.from_ms || a.at >= to_ms_) return;
-    if (bound_.cls && *bound_.cls != a.cls) return;
+  void on(const AttemptArrived& arrival) override {
+    if (arrival.machine != origin_ || arrival.at < bound_.from_ms || arrival.at >= to_ms_) return;
+    if (bound_.cls && *bound_.cls != arrival.cls) return;
     ++total_requests_;
-    const auto second = static_cast<std::uint64_t>(a.at / 1000);
+    const auto second = static_cast<std::uint64_t>(arrival.at / 1000);
     if (second != current_second_) {
       current_second_ = second;
       requests_in_second_ = 0;
@@ -273,20 +281,21 @@
   std::uint64_t total_requests_ = 0, current_second_ = 0, requests_in_second_ = 0, peak_per_second_ = 0;
 };
 
+// Highest number of fetches within one second, relative to the mean rate before the interval.
 class FetchSurgeMeter final : public BoundMeter {
  public:
   FetchSurgeMeter(const Spec& spec, const Plan& plan, const Bound& bound)
       : bound_(bound), origin_(plan.origin), to_ms_(bound.to_ms > 0 ? bound.to_ms : spec.duration_ms) {}
 
   using Sink::on;
-  void on(const AttemptArrived& a) override {
-    if (a.machine != origin_ || a.write || (bound_.cls && *bound_.cls != a.cls)) return;
-    const double begin =
-        bound_.from_ms / 4; // the baseline skips the first quarter: connections and limits build up
-    if (a.at >= begin && a.at < bound_.from_ms) ++baseline_fetches_;
-    if (a.at < bound_.from_ms || a.at >= to_ms_) return;
-    last_second_arrivals_ms_.push_back(a.at);
-    while (last_second_arrivals_ms_.front() <= a.at - 1000) last_second_arrivals_ms_.pop_front();
+  void on(const AttemptArrived& arrival) override {
+    if (arrival.machine != origin_ || arrival.write || (bound_.cls && *bound_.cls != arrival.cls)) return;
+    const double baseline_from_ms =
+        bound_.from_ms / 4; // the baseline omits the first quarter, in which connections and limits build up
+    if (arrival.at >= baseline_from_ms && arrival.at < bound_.from_ms) ++baseline_fetches_;
+    if (arrival.at < bound_.from_ms || arrival.at >= to_ms_) return;
+    last_second_arrivals_ms_.push_back(arrival.at);
+    while (last_second_arrivals_ms_.front() <= arrival.at - 1000) last_second_arrivals_ms_.pop_front();
     peak_per_second_ = std::max(peak_per_second_, last_second_arrivals_ms_.size());
   }
   std::optional<double> value() override {
@@ -299,25 +308,26 @@
   const Bound bound_;
   const MachineId origin_;
   const double to_ms_;
-  std::deque<double> last_second_arrivals_ms_; // arrivals within the last second
+  std::deque<double> last_second_arrivals_ms_; // times of the arrivals within the last second
   std::uint64_t baseline_fetches_ = 0;
   std::size_t peak_per_second_ = 0;
 };
 
+// Hits as a share of the hits and misses of reads at caches.
 class HitRatioMeter final : public BoundMeter {
  public:
   HitRatioMeter(const Spec& spec, const Bound& bound)
       : bound_(bound), to_ms_(bound.to_ms > 0 ? bound.to_ms : spec.duration_ms) {}
 
   using Sink::on;
-  void on(const AttemptArrived& a) override {
-    if (a.write || a.at < bound_.from_ms || a.at >= to_ms_) return;
-    if (!bound_.cls || *bound_.cls == a.cls) reads_in_flight_.emplace(a.attempt, a.at);
+  void on(const AttemptArrived& arrival) override {
+    if (arrival.write || arrival.at < bound_.from_ms || arrival.at >= to_ms_) return;
+    if (!bound_.cls || *bound_.cls == arrival.cls) reads_in_flight_.emplace(arrival.attempt, arrival.at);
   }
-  void on(const AttemptEnded& e) override {
-    if (reads_in_flight_.erase(e.attempt) == 0) return;
-    if (e.outcome == ServerOutcome::Hit) ++hits_;
-    if (e.outcome == ServerOutcome::Miss || e.outcome == ServerOutcome::Pending) ++misses_;
+  void on(const AttemptEnded& ended) override {
+    if (reads_in_flight_.erase(ended.attempt) == 0) return;
+    if (ended.outcome == ServerOutcome::Hit) ++hits_;
+    if (ended.outcome == ServerOutcome::Miss || ended.outcome == ServerOutcome::Pending) ++misses_;
   }
   std::optional<double> value() override {
     if (hits_ + misses_ == 0) return std::nullopt;
@@ -331,14 +341,17 @@
   std::uint64_t hits_ = 0, misses_ = 0;
 };
 
+// New connections to machines for each drawn request.
 class HandshakeMeter final : public BoundMeter {
  public:
   HandshakeMeter(const Spec& spec, const Bound& bound)
       : bound_(bound), to_ms_(bound.to_ms > 0 ? bound.to_ms : spec.duration_ms) {}
 
   using Sink::on;
-  void on(const DrawnRequest& d) override { drawn_requests_ += in_interval(d.at) ? 1 : 0; }
-  void on(const LoadSample& s) override { handshakes_ += in_interval(s.at) ? s.new_connections : 0; }
+  void on(const DrawnRequest& drawn) override { drawn_requests_ += in_interval(drawn.at) ? 1 : 0; }
+  void on(const LoadSample& sample) override {
+    handshakes_ += in_interval(sample.at) ? sample.new_connections : 0;
+  }
   std::optional<double> value() override {
     return drawn_requests_ > 0 ? std::optional(handshakes_ / static_cast<double>(drawn_requests_))
                                : std::nullopt;
--- a/lab/check/rule_checker.cpp
+++ b/lab/check/rule_checker.cpp
@@ -11,14 +11,16 @@
 using namespace fernward::model;
 
 constexpr std::size_t kMaxStoredViolations = 5;
-constexpr double kAnsweredTryRetentionMs =
-    5000; // a client try is kept this long after its response, for late attempts
+constexpr double kEndedTryRetentionMs =
+    5000; // a client try is kept this long after its end, for late attempts
 constexpr double kMaxRecordDelayMs =
     1000; // on sockets a node may receive an attempt before its client try is recorded
 constexpr double kClientDelaySlackMs =
-    50; // clients receive a response after it was sent; they allow the same delay
-constexpr double kAcceptAfterTermMs = 700; // requests that arrive later after SIGTERM need no response
-constexpr double kNotifiedShareThreshold = 2.0 / 3;
+    50; // for the delay until a client receives a response; the clients allow the same
+constexpr double kAcceptAfterTermMs =
+    700; // a router need not respond to requests sent more than this after SIGTERM
+constexpr double kNotifiedShareThreshold =
+    2.0 / 3; // NodeEvent::notified_share from which routers are responsible for an overload
 
 std::string milliseconds_text(double value) {
   char text[32];
@@ -72,14 +74,16 @@
       machine_notices_(plan.routers.size() * plan.machines.size()),
       address_sharers_(plan.machines.size()) {
   for (std::size_t i = 0; i < kRuleCount; ++i) result_.rules[i].rule = static_cast<Rule>(i);
-  const auto judged = [&](Rule rule, bool on) { result_.rules[static_cast<std::size_t>(rule)].enabled = on; };
-  judged(Rule::OneFinalResponse, spec.expectations.rules.one_response);
-  judged(Rule::NoLostRequest, spec.expectations.rules.no_lost_requests);
-  judged(Rule::SafeRepeats, spec.expectations.rules.safe_repeats);
-  judged(Rule::NoTrafficAfterDrain, spec.expectations.rules.drains_respected);
-  judged(Rule::NoColdOverload, spec.expectations.rules.cold_nodes_protected);
-  judged(Rule::GenuineResponses, spec.expectations.rules.genuine_bodies);
-  // Only few machines ever use the address of another, so the sharers are stored per machine.
+  const auto set_enabled = [&](Rule rule, bool enabled) {
+    result_.rules[static_cast<std::size_t>(rule)].enabled = enabled;
+  };
+  set_enabled(Rule::OneFinalResponse, spec.expectations.rules.one_response);
+  set_enabled(Rule::NoLostRequest, spec.expectations.rules.no_lost_requests);
+  set_enabled(Rule::SafeRepeats, spec.expectations.rules.safe_repeats);
+  set_enabled(Rule::NoTrafficAfterDrain, spec.expectations.rules.drains_respected);
+  set_enabled(Rule::NoColdOverload, spec.expectations.rules.cold_nodes_protected);
+  set_enabled(Rule::GenuineResponses, spec.expectations.rules.genuine_bodies);
+  // Few machines ever use the address of another, so each machine stores a list of the others.
   std::unordered_map<MachineId, std::vector<MachineId>> by_address;
   for (const PlannedMachine& m : plan.machines) by_address[m.address_of].push_back(m.id);
   for (const auto& [address, machines] : by_address) {
@@ -99,10 +103,10 @@
 RuleChecker::~RuleChecker() = default;
 
 void RuleChecker::add_violation(Rule rule, double at_ms, std::string description) {
-  RuleResult& finding = result_.rules[static_cast<std::size_t>(rule)];
-  ++finding.violation_count;
-  if (finding.first_violations.size() < kMaxStoredViolations)
-    finding.first_violations.push_back({at_ms, std::move(description)});
+  RuleResult& rule_result = result_.rules[static_cast<std::size_t>(rule)];
+  ++rule_result.violation_count;
+  if (rule_result.first_violations.size() < kMaxStoredViolations)
+    rule_result.first_violations.push_back({at_ms, std::move(description)});
 }
 
 std::string RuleChecker::machine_name(MachineId machine) const {
@@ -113,120 +117,128 @@
 }
 
 std::size_t RuleChecker::table_entries() const {
-  return requests_.size() + tries_.size() + attempts_in_flight_.size() + answered_tries_.size() +
+  return requests_.size() + tries_.size() + attempts_in_flight_.size() + ended_tries_.size() +
          unmatched_attempts_.size() + closed_requests_.size();
 }
 
 // ---- clients ----
 
-void RuleChecker::on(const DrawnRequest& d) {
-  for (auto& m : bound_meters_) m->on(d);
-  for (auto& m : score_meters_) m->on(d);
-  expire_entries(d.at);
-  if (!requests_.emplace(d.request, RequestState{d.cls, 0}).second) {
-    add_violation(Rule::RequestAccounting, d.at, "request " + number_text(d.request) + " was drawn twice");
+void RuleChecker::on(const DrawnRequest& drawn) {
+  for (auto& m : bound_meters_) m->on(drawn);
+  for (auto& m : score_meters_) m->on(drawn);
+  expire_entries(drawn.at);
+  if (!requests_.emplace(drawn.request, RequestState{drawn.cls, 0}).second) {
+    add_violation(Rule::RequestAccounting, drawn.at,
+                  "request " + number_text(drawn.request) + " was drawn twice");
   }
 }
 
-void RuleChecker::on(const TrySent& t) {
-  const auto request = requests_.find(t.request);
+void RuleChecker::on(const TrySent& sent) {
+  const auto request = requests_.find(sent.request);
   if (request == requests_.end()) {
-    return add_violation(Rule::RequestAccounting, t.at,
-                         "a try of request " + number_text(t.request) + ", which is not open");
+    return add_violation(Rule::RequestAccounting, sent.at,
+                         "a try of request " + number_text(sent.request) + ", which is not open");
   }
   ++request->second.open_tries;
-  ClientTryState& entry = tries_[t.try_id];
-  entry.request = t.request;
-  entry.router = t.router;
-  entry.class_index = request->second.class_index;
-  entry.sent_at_ms = t.at;
-  entry.due_ms = t.scheduled_at;
-  entry.deadline_ms = t.deadline;
-  entry.accepted = t.accepted;
+  ClientTryState& client_try = tries_[sent.try_id];
+  client_try.request = sent.request;
+  client_try.router = sent.router;
+  client_try.class_index = request->second.class_index;
+  client_try.sent_at_ms = sent.at;
+  client_try.due_ms = sent.scheduled_at;
+  client_try.deadline_ms = sent.deadline;
+  client_try.accepted = sent.accepted;
   for (auto it = unmatched_attempts_.begin(); it != unmatched_attempts_.end();) {
-    if (it->arrival.try_id != t.try_id) {
+    if (it->arrival.try_id != sent.try_id) {
       ++it;
       continue;
     }
     const UnmatchedAttempt early = *it;
     it = unmatched_attempts_.erase(it);
-    add_attempt(early.arrival, entry);
+    add_attempt(early.arrival, client_try);
     if (early.outcome) end_attempt(early.arrival.attempt, *early.outcome);
   }
 }
 
-// Whether the router must respond to an accepted client try. It need not after it was killed, paused or cut
-// off. After SIGTERM it must respond to what arrives within the next 700 ms.
+// Whether the router had to respond to a client try that ended at `until_ms`. It need not if it was killed,
+// paused or silent in the meantime. A router that ends after SIGTERM must respond to tries that were sent up
+// to 700 ms after the signal.
 bool RuleChecker::response_required(const ClientTryState& client_try, double until_ms) const {
   if (!client_try.accepted || client_try.router >= routers_.size()) return false;
-  const RouterState& r = routers_[client_try.router];
-  if (r.down || (r.down_at_ms >= client_try.sent_at_ms && r.down_at_ms <= until_ms)) return false;
-  return !(r.ended_at_ms >= client_try.sent_at_ms && r.term_at_ms >= 0 &&
-           client_try.sent_at_ms > r.term_at_ms + kAcceptAfterTermMs);
+  const RouterState& router = routers_[client_try.router];
+  if (router.down || (router.down_at_ms >= client_try.sent_at_ms && router.down_at_ms <= until_ms))
+    return false;
+  return !(router.ended_at_ms >= client_try.sent_at_ms && router.term_at_ms >= 0 &&
+           client_try.sent_at_ms > router.term_at_ms + kAcceptAfterTermMs);
 }
 
-void RuleChecker::on(const TryEnded& a) {
-  const auto found = tries_.find(a.try_id);
-  if (found == tries_.end() || found->second.answered || a.surplus) {
+void RuleChecker::on(const TryEnded& ended) {
+  const auto found = tries_.find(ended.try_id);
+  if (found == tries_.end() || found->second.ended || ended.surplus) {
     return add_violation(
-        Rule::OneFinalResponse, a.at,
-        router_name(a.router) + " answered request " + number_text(a.request) + " once more");
+        Rule::OneFinalResponse, ended.at,
+        router_name(ended.router) + " answered request " + number_text(ended.request) + " once more");
   }
-  ClientTryState& t = found->second;
-  t.answered = true;
-  t.answered_at_ms = a.at;
-  t.outcome = a.outcome;
-  answered_tries_.emplace_back(a.at, a.try_id);
-  if (const auto request = requests_.find(t.request); request != requests_.end()) {
+  ClientTryState& client_try = found->second;
+  client_try.ended = true;
+  client_try.ended_at_ms = ended.at;
+  client_try.outcome = ended.outcome;
+  ended_tries_.emplace_back(ended.at, ended.try_id);
+  if (const auto request = requests_.find(client_try.request); request != requests_.end()) {
     --request->second.open_tries;
   }
-  const std::string what = "request " + number_text(a.request) + " that " + router_name(t.router) + " took ";
+  const std::string subject_text =
+      "request " + number_text(ended.request) + " that " + router_name(client_try.router) + " took ";
   // The router measures the client's timeout from the arrival of the request, and its response then needs the
   // network delay back to the client. To a distant client a response may be in transit when the client stops
   // waiting.
-  double return_delay_ms = t.sent_at_ms - t.due_ms;
-  for (const TimedEvent& e : spec_.events) { // a link that became slow in the meantime adds delay
-    const auto* slow_link = std::get_if<SlowLink>(&e.what);
-    if (slow_link == nullptr || e.at_ms > a.at ||
-        (slow_link->until_ms > 0 && slow_link->until_ms < t.sent_at_ms))
+  double return_delay_ms = client_try.sent_at_ms - client_try.due_ms;
+  for (const TimedEvent& event : spec_.events) { // a link that became slow in the meantime adds delay
+    const auto* slow_link = std::get_if<SlowLink>(&event.what);
+    if (slow_link == nullptr || event.at_ms > ended.at ||
+        (slow_link->until_ms > 0 && slow_link->until_ms < client_try.sent_at_ms))
       continue;
-    return_delay_ms = std::max(return_delay_ms, (t.sent_at_ms - t.due_ms) * slow_link->factor);
+    return_delay_ms =
+        std::max(return_delay_ms, (client_try.sent_at_ms - client_try.due_ms) * slow_link->factor);
   }
-  const double latest_receipt_ms =
-      t.deadline_ms + (t.sent_at_ms - t.due_ms) + return_delay_ms + spec_.routers.response_grace_ms;
-  const bool response_in_transit = a.outcome == TryOutcome::TimedOut && latest_receipt_ms > a.at;
-  if ((a.outcome == TryOutcome::TimedOut || a.outcome == TryOutcome::ConnectionLost) &&
-      !response_in_transit && response_required(t, a.at)) {
+  const double latest_receipt_ms = client_try.deadline_ms + (client_try.sent_at_ms - client_try.due_ms) +
+                                   return_delay_ms + spec_.routers.response_grace_ms;
+  const bool response_in_transit = ended.outcome == TryOutcome::TimedOut && latest_receipt_ms > ended.at;
+  if ((ended.outcome == TryOutcome::TimedOut || ended.outcome == TryOutcome::ConnectionLost) &&
+      !response_in_transit && response_required(client_try, ended.at)) {
     add_violation(
-        Rule::NoLostRequest, a.at,
-        what +
-            (a.outcome == TryOutcome::TimedOut ? "had no answer"
-                                               : "had its connection ended without a whole answer") +
-            ", " + milliseconds_text(a.at - t.sent_at_ms) + " after it was sent");
+        Rule::NoLostRequest, ended.at,
+        subject_text +
+            (ended.outcome == TryOutcome::TimedOut ? "had no answer"
+                                                   : "had its connection ended without a whole answer") +
+            ", " + milliseconds_text(ended.at - client_try.sent_at_ms) + " after it was sent");
   }
-  const bool answer =
-      a.outcome == TryOutcome::Served || a.outcome == TryOutcome::Rejected || a.outcome == TryOutcome::Failed;
-  const double latest = t.deadline_ms + spec_.routers.response_grace_ms + kClientDelaySlackMs + slack_ms_;
-  if (answer && a.at > latest) {
-    add_violation(Rule::NoLostRequest, a.at,
-                  what + "was answered " + milliseconds_text(a.at - t.deadline_ms) + " after its deadline");
+  const bool final_response = ended.outcome == TryOutcome::Served || ended.outcome == TryOutcome::Rejected ||
+                              ended.outcome == TryOutcome::Failed;
+  const double latest_response_ms =
+      client_try.deadline_ms + spec_.routers.response_grace_ms + kClientDelaySlackMs + slack_ms_;
+  if (final_response && ended.at > latest_response_ms) {
+    add_violation(Rule::NoLostRequest, ended.at,
+                  subject_text + "was answered " + milliseconds_text(ended.at - client_try.deadline_ms) +
+                      " after its deadline");
   }
-  if (a.outcome == TryOutcome::Served && !a.genuine) {
-    add_violation(Rule::GenuineResponses, a.at, what + "was served with something that no node made for it");
+  if (ended.outcome == TryOutcome::Served && !ended.genuine) {
+    add_violation(Rule::GenuineResponses, ended.at,
+                  subject_text + "was served with something that no node made for it");
   }
-  if (a.outcome == TryOutcome::Rejected) check_refusal(a.at, t);
+  if (ended.outcome == TryOutcome::Rejected) check_rejection(ended.at, client_try);
 }
 
-void RuleChecker::on(const RequestEnded& c) {
-  for (auto& m : bound_meters_) m->on(c);
-  for (auto& m : score_meters_) m->on(c);
-  const auto found = requests_.find(c.request);
+void RuleChecker::on(const RequestEnded& ended) {
+  for (auto& m : bound_meters_) m->on(ended);
+  for (auto& m : score_meters_) m->on(ended);
+  const auto found = requests_.find(ended.request);
   if (found == requests_.end() || found->second.closed) {
-    return add_violation(Rule::RequestAccounting, c.at,
-                         "request " + number_text(c.request) + " was closed, and is not open");
+    return add_violation(Rule::RequestAccounting, ended.at,
+                         "request " + number_text(ended.request) + " was closed, and is not open");
   }
   found->second.closed = true;
-  closed_requests_.emplace_back(c.at, c.request);
+  closed_requests_.emplace_back(ended.at, ended.request);
 }
 
 void RuleChecker::expire_entries(double now_ms) {
@@ -249,12 +261,12 @@
                       " for no open request");
     unmatched_attempts_.pop_front();
   }
-  while (!answered_tries_.empty() && answered_tries_.front().first + kAnsweredTryRetentionMs < now_ms) {
-    const TryId id = answered_tries_.front().second;
-    answered_tries_.pop_front();
+  while (!ended_tries_.empty() && ended_tries_.front().first + kEndedTryRetentionMs < now_ms) {
+    const TryId id = ended_tries_.front().second;
+    ended_tries_.pop_front();
     const auto found = tries_.find(id);
     if (found == tries_.end()) continue;
-    // Attempts that are still in flight end later; their ends are no longer checked.
+    // The ends of attempts that are still in flight are no longer checked.
     for (const AttemptState& attempt : found->second.attempts) {
       if (attempt.in_flight) attempts_in_flight_.erase(attempt.id);
     }
@@ -265,17 +277,17 @@
 // ---- machines ----
 
 bool RuleChecker::same_idempotency_scope(const ClassSpec& cls, MachineId a, MachineId b) const {
-  const PlannedMachine &x = plan_.machines[a], &y = plan_.machines[b];
+  const PlannedMachine &first = plan_.machines[a], &second = plan_.machines[b];
   switch (cls.idempotency_scope) {
     case IdempotencyScope::All: return true;
-    case IdempotencyScope::Zone: return x.zone == y.zone;
-    case IdempotencyScope::Cell: return x.cell == y.cell;
+    case IdempotencyScope::Zone: return first.zone == second.zone;
+    case IdempotencyScope::Cell: return first.cell == second.cell;
   }
   return false;
 }
 
 // A rejection promises that the client may safely send the request again.
-void RuleChecker::check_refusal(double at_ms, const ClientTryState& client_try) {
+void RuleChecker::check_rejection(double at_ms, const ClientTryState& client_try) {
   const ClassSpec& cls = spec_.classes[client_try.class_index];
   if (cls.idempotency == Idempotency::Idempotent ||
       (cls.idempotency == Idempotency::WithKey && cls.idempotency_scope == IdempotencyScope::All))
@@ -297,9 +309,9 @@
   const bool final_response = client_try.outcome == TryOutcome::Served ||
                               client_try.outcome == TryOutcome::Rejected ||
                               client_try.outcome == TryOutcome::Failed;
-  if (client_try.answered && final_response && arrival.sent_at > client_try.answered_at_ms + slack_ms_) {
+  if (client_try.ended && final_response && arrival.sent_at > client_try.ended_at_ms + slack_ms_) {
     add_violation(Rule::SafeRepeats, arrival.at,
-                  event_text + " " + milliseconds_text(arrival.sent_at - client_try.answered_at_ms) +
+                  event_text + " " + milliseconds_text(arrival.sent_at - client_try.ended_at_ms) +
                       " after its final answer");
   }
   if (client_try.attempts.size() >= spec_.routers.max_attempts) {
@@ -354,106 +366,107 @@
   }
 }
 
-void RuleChecker::on(const AttemptArrived& a) {
-  for (auto& m : bound_meters_) m->on(a);
-  check_drain(a);
-  const auto found = tries_.find(a.try_id);
-  if (found != tries_.end()) return add_attempt(a, found->second);
+void RuleChecker::on(const AttemptArrived& arrival) {
+  for (auto& m : bound_meters_) m->on(arrival);
+  check_drain(arrival);
+  const auto found = tries_.find(arrival.try_id);
+  if (found != tries_.end()) return add_attempt(arrival, found->second);
   // An attempt that was sent long ago may belong to a try that was already removed: it is ignored. One sent
   // recently belongs to a try that will be recorded soon, or to none, which is a violation.
-  if (a.at - a.sent_at < kAnsweredTryRetentionMs / 2) unmatched_attempts_.push_back({a, {}});
+  if (arrival.at - arrival.sent_at < kEndedTryRetentionMs / 2) unmatched_attempts_.push_back({arrival, {}});
 }
 
 void RuleChecker::add_attempt(const AttemptArrived& arrival, ClientTryState& client_try) {
   check_attempt(arrival, client_try);
   client_try.attempts.push_back({arrival.attempt, arrival.machine, arrival.sent_at, true, false});
   attempts_in_flight_.emplace(arrival.attempt, arrival.try_id);
-  if (client_try.answered && client_try.outcome == TryOutcome::Rejected)
-    check_refusal(arrival.at, client_try);
+  if (client_try.ended && client_try.outcome == TryOutcome::Rejected) check_rejection(arrival.at, client_try);
 }
 
-void RuleChecker::on(const AttemptEnded& e) {
-  for (auto& m : bound_meters_) m->on(e);
-  end_attempt(e.attempt, e.outcome);
+void RuleChecker::on(const AttemptEnded& ended) {
+  for (auto& m : bound_meters_) m->on(ended);
+  end_attempt(ended.attempt, ended.outcome);
 }
 
-void RuleChecker::end_attempt(AttemptId id, ServerOutcome ending) {
+void RuleChecker::end_attempt(AttemptId id, ServerOutcome outcome) {
   const auto found = attempts_in_flight_.find(id);
   if (found == attempts_in_flight_.end()) {
     for (UnmatchedAttempt& early : unmatched_attempts_) {
-      if (early.arrival.attempt == id) early.outcome = ending;
+      if (early.arrival.attempt == id) early.outcome = outcome;
     }
     return;
   }
-  const auto t = tries_.find(found->second);
+  const auto found_try = tries_.find(found->second);
   attempts_in_flight_.erase(found);
-  if (t == tries_.end()) return;
-  for (AttemptState& attempt : t->second.attempts) {
+  if (found_try == tries_.end()) return;
+  for (AttemptState& attempt : found_try->second.attempts) {
     if (attempt.id != id) continue;
     attempt.in_flight = false;
-    attempt.may_have_run = model::may_have_run(ending);
+    attempt.may_have_run = model::may_have_run(outcome);
   }
 }
 
-void RuleChecker::on(const LoadSample& s) {
-  for (auto& m : bound_meters_) m->on(s);
+void RuleChecker::on(const LoadSample& sample) {
+  for (auto& m : bound_meters_) m->on(sample);
 }
 
-void RuleChecker::on(const NodeEvent& e) {
-  if (e.what != NodeEvent::What::Overloaded || !e.cold) return;
-  if (e.notified_share < kNotifiedShareThreshold - 1e-9) return;
-  char share[32];
-  std::snprintf(share, sizeof share, "%.0f%%", e.notified_share * 100);
-  add_violation(
-      Rule::NoColdOverload, e.at,
-      machine_name(e.machine) + " was pushed over while cold, " + share + " of it by routers that knew");
+void RuleChecker::on(const NodeEvent& event) {
+  if (event.what != NodeEvent::What::Overloaded || !event.cold) return;
+  if (event.notified_share < kNotifiedShareThreshold - 1e-9) return;
+  char share_text[32];
+  std::snprintf(share_text, sizeof share_text, "%.0f%%", event.notified_share * 100);
+  add_violation(Rule::NoColdOverload, event.at,
+                machine_name(event.machine) + " was pushed over while cold, " + share_text +
+                    " of it by routers that knew");
 }
 
 // ---- routers ----
 
-void RuleChecker::on(const RouterEvent& e) {
-  if (e.router >= routers_.size()) return;
-  RouterState& r = routers_[e.router];
-  switch (e.what) {
+void RuleChecker::on(const RouterEvent& event) {
+  if (event.router >= routers_.size()) return;
+  RouterState& router = routers_[event.router];
+  switch (event.what) {
     case RouterEvent::What::Started:
-      r.down = false;
-      r.term_at_ms = -1;
-      for (MachineId m = 0; m < plan_.machines.size(); ++m) machine_notice(e.router, m) = {};
+      router.down = false;
+      router.term_at_ms = -1;
+      for (MachineId machine = 0; machine < plan_.machines.size(); ++machine)
+        machine_notice(event.router, machine) = {};
       break;
     case RouterEvent::What::Ready:
     case RouterEvent::What::Reloaded: break;
     case RouterEvent::What::Resumed: // it now reads the notifications that arrived while it was paused
-      for (MachineId m = 0; m < plan_.machines.size(); ++m) {
-        MachineNotice& l = machine_notice(e.router, m);
-        if (l.notified_at_ms >= r.down_at_ms) l.notified_at_ms = e.at;
+      for (MachineId machine = 0; machine < plan_.machines.size(); ++machine) {
+        MachineNotice& notice = machine_notice(event.router, machine);
+        if (notice.notified_at_ms >= router.down_at_ms) notice.notified_at_ms = event.at;
       }
       [[fallthrough]];
     case RouterEvent::What::Returned:
-      r.down = false;
-      r.down_at_ms = e.at; // what arrived while it was silent may have been lost with the connection
+      router.down = false;
+      router.down_at_ms =
+          event.at; // requests sent before it came back may have been lost with their connections
       break;
     case RouterEvent::What::Killed:
     case RouterEvent::What::Silent:
     case RouterEvent::What::Paused:
-      r.down = true;
-      r.down_at_ms = e.at;
+      router.down = true;
+      router.down_at_ms = event.at;
       break;
-    case RouterEvent::What::Term: r.term_at_ms = e.at; break;
-    case RouterEvent::What::Ended: r.ended_at_ms = e.at; break;
+    case RouterEvent::What::Term: router.term_at_ms = event.at; break;
+    case RouterEvent::What::Ended: router.ended_at_ms = event.at; break;
     case RouterEvent::What::Crashed:
-      r.ended_at_ms = e.at;
-      add_violation(Rule::NoRouterCrash, e.at, router_name(e.router) + " crashed");
+      router.ended_at_ms = event.at;
+      add_violation(Rule::NoRouterCrash, event.at, router_name(event.router) + " crashed");
       break;
   }
 }
 
-void RuleChecker::on(const EndpointNotified& t) {
-  if (t.router >= routers_.size() || t.machine >= plan_.machines.size()) return;
-  MachineNotice& l = machine_notice(t.router, t.machine);
-  const bool in_service = t.state == ServerState::Ready;
+void RuleChecker::on(const EndpointNotified& notification) {
+  if (notification.router >= routers_.size() || notification.machine >= plan_.machines.size()) return;
+  MachineNotice& notice = machine_notice(notification.router, notification.machine);
+  const bool in_service = notification.state == ServerState::Ready;
   // A repeated notification of the same state doesn't restart the grace period.
-  if (l.listed && l.in_service == in_service) return;
-  l = {t.at, true, in_service};
+  if (notice.listed && notice.in_service == in_service) return;
+  notice = {notification.at, true, in_service};
 }
 
 // ---- end of the run ----
@@ -461,10 +474,11 @@
 CheckResult RuleChecker::finish(bool run_complete) {
   expire_entries(std::numeric_limits<double>::infinity());
   if (run_complete) {
-    for (const auto& [id, t] : tries_) {
-      if (!t.answered && t.accepted) {
-        add_violation(Rule::OneFinalResponse, t.sent_at_ms,
-                      router_name(t.router) + " never answered request " + number_text(t.request));
+    for (const auto& [id, client_try] : tries_) {
+      if (!client_try.ended && client_try.accepted) {
+        add_violation(
+            Rule::OneFinalResponse, client_try.sent_at_ms,
+            router_name(client_try.router) + " never answered request " + number_text(client_try.request));
       }
     }
     for (const auto& [id, request] : requests_) {
--- a/lab/stats/format_text.h
+++ b/lab/stats/format_text.h
@@ -1,4 +1,4 @@
-// Formats text by a printf pattern, for the reports of storms. The result is truncated to 511 characters.
+// Formats text by a printf pattern, for reports. The result is truncated to 511 bytes.
 #pragma once
 
 #include <cstdarg>
--- a/lab/stats/latency_histogram.h
+++ b/lab/stats/latency_histogram.h
@@ -12,22 +12,22 @@
  public:
   LatencyHistogram();
 
-  void add(double ms) {
-    histogram_(ms);
+  void add(double latency_ms) {
+    histogram_(latency_ms);
     ++count_;
-    sum_ += ms;
+    sum_ += latency_ms;
   }
   void merge(const LatencyHistogram& other);
 
   std::uint64_t count() const { return count_; }
-  double mean() const { return count_ > 0 ? sum_ / static_cast<double>(count_) : 0; }
-  double quantile(double fraction) const; // in ms; 0 if the histogram is empty
+  double mean() const { return count_ > 0 ? sum_ / static_cast<double>(count_) : 0; } // in ms; 0 if empty
+  double quantile(double fraction) const;                                             // in ms; 0 if empty
 
-  // For files: number and count of each bin that is not empty. -1 and the last number are underflow and
-  // overflow.
+  // For files: the number and count of each bin that is not empty. Bin -1 is the underflow bin, and bin 896
+  // the overflow bin.
   std::vector<std::pair<int, std::uint64_t>> nonempty_bins() const;
-  double sum() const { return sum_; }
-  // Replaces the contents. Returns false if a bin number doesn't exist.
+  double sum() const { return sum_; } // of all latencies, in ms
+  // Replaces the contents. Returns false if there is no bin of one of the numbers.
   bool restore(const std::vector<std::pair<int, std::uint64_t>>& bins, double sum);
 
  private:
--- a/lab/stats/run_stats.cpp
+++ b/lab/stats/run_stats.cpp
@@ -8,7 +8,7 @@
 namespace fernward::lab {
 namespace {
 
-constexpr std::size_t kMaxSlices = 1024, kMinSlices = 64;
+constexpr std::size_t kMaxSlices = 1024, kMinSlices = 64; // range of the limit, by the number of machines
 constexpr std::size_t kMaxMachineSlices = std::size_t{1} << 22; // sum over all machines
 
 std::size_t slice_limit(std::size_t machines) {
@@ -40,10 +40,11 @@
 }
 
 void merge_named(std::vector<NamedRequestStats>& into, const std::vector<NamedRequestStats>& from) {
-  if (into.size() != from.size()) throw std::invalid_argument("the runs to merge have different scenarios");
+  if (into.size() != from.size())
+    throw std::invalid_argument("the runs to merge have different classes, tenants, zones or routers");
   for (std::size_t i = 0; i < into.size(); ++i) {
     if (into[i].name != from[i].name)
-      throw std::invalid_argument("the runs to merge have different scenarios");
+      throw std::invalid_argument("the runs to merge have different classes, tenants, zones or routers");
     into[i].request_stats.merge(from[i].request_stats);
   }
 }
@@ -55,7 +56,7 @@
 
 std::uint64_t RequestStats::closed() const {
   std::uint64_t total_count = 0;
-  for (const std::uint64_t n : outcome_counts) total_count += n;
+  for (const std::uint64_t count : outcome_counts) total_count += count;
   return total_count;
 }
 
@@ -81,21 +82,24 @@
   handshakes += other.handshakes;
 }
 
-double hit_ratio(const TimeSlice& s) {
-  return s.hits + s.misses > 0 ? static_cast<double>(s.hits) / static_cast<double>(s.hits + s.misses) : 0;
+double hit_ratio(const TimeSlice& slice) {
+  return slice.hits + slice.misses > 0
+             ? static_cast<double>(slice.hits) / static_cast<double>(slice.hits + slice.misses)
+             : 0;
 }
 
 TimeSlice RunStats::total() const {
   TimeSlice sum;
-  for (const TimeSlice& s : slices) sum.merge(s);
+  for (const TimeSlice& slice : slices) sum.merge(slice);
   return sum;
 }
 
 void RunStats::double_slice_width() {
   slice_width_ms *= 2;
   merge_adjacent(slices, [](TimeSlice& into, const TimeSlice& from) { into.merge(from); });
-  for (MachineStats& m : machines)
-    merge_adjacent(m.slices, static_cast<void (*)(MachineTimeSlice&, const MachineTimeSlice&)>(lab::merge));
+  for (MachineStats& machine : machines)
+    merge_adjacent(machine.slices,
+                   static_cast<void (*)(MachineTimeSlice&, const MachineTimeSlice&)>(lab::merge));
 }
 
 void RunStats::merge(RunStats other) {
@@ -136,98 +140,99 @@
   for (const auto& e : spec.events) stats_.event_intervals.push_back({-1, -1, e.label});
 }
 
-std::size_t StatsCollector::slice_index(double at) {
-  at = std::max(0.0, at);
-  while (at >= stats_.slice_width_ms * static_cast<double>(max_slices_)) stats_.double_slice_width();
-  const auto index = static_cast<std::size_t>(at / stats_.slice_width_ms);
+std::size_t StatsCollector::slice_index(double at_ms) {
+  at_ms = std::max(0.0, at_ms);
+  while (at_ms >= stats_.slice_width_ms * static_cast<double>(max_slices_)) stats_.double_slice_width();
+  const auto index = static_cast<std::size_t>(at_ms / stats_.slice_width_ms);
   if (index >= stats_.slices.size()) stats_.slices.resize(index + 1);
   return index;
 }
 
-MachineTimeSlice& StatsCollector::machine_slice_at(double at, model::MachineId machine) {
-  const std::size_t i = slice_index(at);
+MachineTimeSlice& StatsCollector::machine_slice_at(double at_ms, model::MachineId machine) {
+  const std::size_t i = slice_index(at_ms);
   auto& slices = stats_.machines.at(machine).slices;
   if (i >= slices.size()) slices.resize(i + 1);
   return slices[i];
 }
 
-template <typename Count>
-void StatsCollector::update_request_stats(const OpenRequest& open, Count count) {
-  count(slice_at(open.drawn_at_ms).request_stats);
-  count(stats_.classes.at(open.class_index).request_stats);
-  count(stats_.tenants.at(open.tenant).request_stats);
-  count(stats_.zones.at(open.zone).request_stats);
+template <typename Update>
+void StatsCollector::update_request_stats(const OpenRequest& open, Update update) {
+  update(slice_at(open.drawn_at_ms).request_stats);
+  update(stats_.classes.at(open.class_index).request_stats);
+  update(stats_.tenants.at(open.tenant).request_stats);
+  update(stats_.zones.at(open.zone).request_stats);
 }
 
-void StatsCollector::on(const model::DrawnRequest& d) {
-  const OpenRequest open{d.at, d.latency_objective_ms, d.cls, d.tenant, d.zone, 0, false};
-  open_requests_[d.request] = open;
-  update_request_stats(open, [&](RequestStats& t) {
-    ++t.drawn;
-    t.drawn_weight += d.priority_weight;
+void StatsCollector::on(const model::DrawnRequest& drawn) {
+  const OpenRequest open{drawn.at, drawn.latency_objective_ms, drawn.cls, drawn.tenant, drawn.zone, 0, false};
+  open_requests_[drawn.request] = open;
+  update_request_stats(open, [&](RequestStats& request_stats) {
+    ++request_stats.drawn;
+    request_stats.drawn_weight += drawn.priority_weight;
   });
 }
 
-void StatsCollector::on(const model::TrySent& tried) {
-  const auto found = open_requests_.find(tried.request);
+void StatsCollector::on(const model::TrySent& sent) {
+  const auto found = open_requests_.find(sent.request);
   if (found == open_requests_.end()) return;
-  found->second.router = tried.router;
+  found->second.router = sent.router;
   found->second.tried = true;
-  update_request_stats(found->second, [](RequestStats& t) { ++t.tries; });
-  if (tried.router < stats_.routers.size()) ++stats_.routers[tried.router].request_stats.tries;
+  update_request_stats(found->second, [](RequestStats& request_stats) { ++request_stats.tries; });
+  if (sent.router < stats_.routers.size()) ++stats_.routers[sent.router].request_stats.tries;
 }
 
-// Router statistics count client tries, because a request may go to several routers.
-void StatsCollector::on(const model::TryEnded& a) {
-  if (a.surplus || a.router >= stats_.routers.size()) return;
-  RequestStats& t = stats_.routers[a.router].request_stats;
-  ++t.drawn;
-  ++t.outcome_counts[static_cast<std::size_t>(a.outcome)];
+// The statistics of a router count client tries, because a request may go to several routers.
+void StatsCollector::on(const model::TryEnded& ended) {
+  if (ended.surplus || ended.router >= stats_.routers.size()) return;
+  RequestStats& router_stats = stats_.routers[ended.router].request_stats;
+  ++router_stats.drawn;
+  ++router_stats.outcome_counts[static_cast<std::size_t>(ended.outcome)];
 }
 
-void StatsCollector::on(const model::RequestEnded& c) {
-  const auto found = open_requests_.find(c.request);
+void StatsCollector::on(const model::RequestEnded& ended) {
+  const auto found = open_requests_.find(ended.request);
   if (found == open_requests_.end()) return;
   const OpenRequest open = found->second;
   open_requests_.erase(found);
-  update_request_stats(open, [&](RequestStats& t) {
-    ++t.outcome_counts[static_cast<std::size_t>(c.outcome)];
-    t.served_weight += c.earned_weight;
-    if (c.outcome != model::TryOutcome::Served) return;
-    t.latency_histogram.add(c.latency_ms);
-    if (c.latency_ms <= open.objective_ms) ++t.within_objective;
+  update_request_stats(open, [&](RequestStats& request_stats) {
+    ++request_stats.outcome_counts[static_cast<std::size_t>(ended.outcome)];
+    request_stats.served_weight += ended.earned_weight;
+    if (ended.outcome != model::TryOutcome::Served) return;
+    request_stats.latency_histogram.add(ended.latency_ms);
+    if (ended.latency_ms <= open.objective_ms) ++request_stats.within_objective;
   });
 }
 
-void StatsCollector::on(const model::AttemptArrived& a) {
-  TimeSlice& s = slice_at(a.at);
-  ++s.attempts;
-  if (a.machine == stats_.origin_index) ++(a.write ? s.origin_writes : s.origin_reads);
-  ++machine_slice_at(a.at, a.machine).attempts;
+void StatsCollector::on(const model::AttemptArrived& arrival) {
+  TimeSlice& slice = slice_at(arrival.at);
+  ++slice.attempts;
+  if (arrival.machine == stats_.origin_index) ++(arrival.write ? slice.origin_writes : slice.origin_reads);
+  ++machine_slice_at(arrival.at, arrival.machine).attempts;
 }
 
-void StatsCollector::on(const model::AttemptEnded& e) {
-  TimeSlice& s = slice_at(e.at);
-  switch (e.outcome) {
-    case model::ServerOutcome::Hit: ++s.hits; break;
+void StatsCollector::on(const model::AttemptEnded& ended) {
+  TimeSlice& slice = slice_at(ended.at);
+  switch (ended.outcome) {
+    case model::ServerOutcome::Hit: ++slice.hits; break;
     case model::ServerOutcome::Miss:
-    case model::ServerOutcome::Pending: ++s.misses; break;
+    case model::ServerOutcome::Pending: ++slice.misses; break;
     case model::ServerOutcome::Full:
     case model::ServerOutcome::Draining:
-    case model::ServerOutcome::Expired: ++s.rejected; break;
-    case model::ServerOutcome::Error: ++s.errors; break;
+    case model::ServerOutcome::Expired: ++slice.rejected; break;
+    case model::ServerOutcome::Error: ++slice.errors; break;
     default: break;
   }
 }
 
 void StatsCollector::on(const model::LoadSample& sample) {
-  // A sample covers the time before it. The sample at the start of the run covers none.
+  // A sample covers the time before it, so it counts in the slice 1 ms earlier. The sample at the start of the
+  // run covers no time.
   const double sampled_until_ms = sample.at - 1;
   slice_at(sampled_until_ms).handshakes += sample.new_connections;
   if (sampled_until_ms < 0) return;
-  MachineTimeSlice& s = machine_slice_at(sampled_until_ms, sample.machine);
-  s.utilization_sum += static_cast<float>(sample.utilization);
-  ++s.sample_count;
+  MachineTimeSlice& slice = machine_slice_at(sampled_until_ms, sample.machine);
+  slice.utilization_sum += static_cast<float>(sample.utilization);
+  ++slice.sample_count;
 }
 
 void StatsCollector::on(const model::EventMark& mark) {
@@ -238,11 +243,11 @@
 
 RunStats StatsCollector::take() {
   // Events that never began are removed. Events without an end last until the end of the run.
-  std::erase_if(stats_.event_intervals, [](const EventInterval& m) { return m.from_ms < 0; });
-  for (EventInterval& m : stats_.event_intervals) {
-    if (m.to_ms < m.from_ms) m.to_ms = stats_.duration_ms;
+  std::erase_if(stats_.event_intervals, [](const EventInterval& interval) { return interval.from_ms < 0; });
+  for (EventInterval& interval : stats_.event_intervals) {
+    if (interval.to_ms < interval.from_ms) interval.to_ms = stats_.duration_ms;
   }
-  for (MachineStats& m : stats_.machines) m.slices.resize(stats_.slices.size());
+  for (MachineStats& machine : stats_.machines) machine.slices.resize(stats_.slices.size());
   return std::move(stats_);
 }
 
@@ -252,14 +257,15 @@
 
 using nlohmann::json;
 
-json to_json_value(const RequestStats& t) {
-  return {{"drawn", t.drawn},
-          {"in_aim", t.within_objective},
-          {"tries", t.tries},
-          {"ends", t.outcome_counts},
-          {"asked", t.drawn_weight},
-          {"earned", t.served_weight},
-          {"latency", {{"bins", t.latency_histogram.nonempty_bins()}, {"sum", t.latency_histogram.sum()}}}};
+json to_json_value(const RequestStats& stats) {
+  return {{"drawn", stats.drawn},
+          {"in_aim", stats.within_objective},
+          {"tries", stats.tries},
+          {"ends", stats.outcome_counts},
+          {"asked", stats.drawn_weight},
+          {"earned", stats.served_weight},
+          {"latency",
+           {{"bins", stats.latency_histogram.nonempty_bins()}, {"sum", stats.latency_histogram.sum()}}}};
 }
 
 RequestStats request_stats_from_json(const json& input) {
@@ -294,9 +300,9 @@
 
 } // namespace
 
-json to_json(const RunStats& f) {
-  json slices = json::array(), machines = json::array(), marks = json::array();
-  for (const TimeSlice& s : f.slices) {
+json to_json(const RunStats& stats) {
+  json slices = json::array(), machines = json::array(), events = json::array();
+  for (const TimeSlice& s : stats.slices) {
     slices.push_back({{"tally", to_json_value(s.request_stats)},
                       {"attempts", s.attempts},
                       {"fetches", s.origin_reads},
@@ -307,7 +313,7 @@
                       {"errors", s.errors},
                       {"handshakes", s.handshakes}});
   }
-  for (const MachineStats& m : f.machines) {
+  for (const MachineStats& m : stats.machines) {
     json used = json::array(), samples = json::array(), attempts = json::array();
     for (const MachineTimeSlice& s : m.slices) {
       used.push_back(std::round(s.utilization_sum * 1e4f) / 1e4f);
@@ -316,22 +322,22 @@
     }
     machines.push_back({{"name", m.name}, {"used", used}, {"samples", samples}, {"attempts", attempts}});
   }
-  for (const EventInterval& m : f.event_intervals) {
-    marks.push_back({{"from_ms", m.from_ms}, {"to_ms", m.to_ms}, {"label", m.label}});
+  for (const EventInterval& m : stats.event_intervals) {
+    events.push_back({{"from_ms", m.from_ms}, {"to_ms", m.to_ms}, {"label", m.label}});
   }
-  return {{"scenario", f.scenario},
-          {"title", f.title},
-          {"duration_ms", f.duration_ms},
-          {"width_ms", f.slice_width_ms},
-          {"runs", f.runs},
-          {"origin", f.origin_index},
-          {"classes", to_json_value(f.classes)},
-          {"tenants", to_json_value(f.tenants)},
-          {"zones", to_json_value(f.zones)},
-          {"routers", to_json_value(f.routers)},
+  return {{"scenario", stats.scenario},
+          {"title", stats.title},
+          {"duration_ms", stats.duration_ms},
+          {"width_ms", stats.slice_width_ms},
+          {"runs", stats.runs},
+          {"origin", stats.origin_index},
+          {"classes", to_json_value(stats.classes)},
+          {"tenants", to_json_value(stats.tenants)},
+          {"zones", to_json_value(stats.zones)},
+          {"routers", to_json_value(stats.routers)},
           {"slices", slices},
           {"machines", machines},
-          {"marks", marks}};
+          {"marks", events}};
 }
 
 RunStats run_stats_from_json(const json& input) {
