--- a/lab/experiment/run_experiment.cpp
+++ b/lab/experiment/run_experiment.cpp
@@ -28,9 +28,9 @@
   return input.is_null() ? std::nullopt : std::optional(input.get<double>());
 }
 
-json to_json_value(const RunInfo& i) {
+json to_json_value(const RunInfo& info) {
   json routers = json::array();
-  for (const RouterResourceUse& r : i.routers) {
+  for (const RouterResourceUse& r : info.routers) {
     routers.push_back({{"router", r.router},
                        {"cpu_s", r.cpu_s},
                        {"peak_memory_mb", r.peak_memory_mb},
@@ -39,17 +39,17 @@
     routers.back()["datagrams"] = r.datagrams;
     routers.back()["datagram_bytes"] = r.datagram_bytes;
   }
-  return {{"void", i.is_void},
-          {"why_void", i.void_reasons},
-          {"stopped", i.stopped},
-          {"played_ms", i.scenario_elapsed_ms},
-          {"wall_s", i.wall_s},
-          {"cpu_s", i.cpu_s},
-          {"load_cpu_s", i.load_generator_cpu_s},
-          {"peak_memory_mb", i.peak_memory_mb},
-          {"lateness_ms", to_json_value(i.send_lateness_ms)},
-          {"answer_lateness_ms", to_json_value(i.answer_lateness_ms)},
-          {"events", i.simulated_events},
+  return {{"void", info.is_void},
+          {"why_void", info.void_reasons},
+          {"stopped", info.stopped},
+          {"played_ms", info.scenario_elapsed_ms},
+          {"wall_s", info.wall_s},
+          {"cpu_s", info.cpu_s},
+          {"load_cpu_s", info.load_generator_cpu_s},
+          {"peak_memory_mb", info.peak_memory_mb},
+          {"lateness_ms", to_json_value(info.send_lateness_ms)},
+          {"answer_lateness_ms", to_json_value(info.answer_lateness_ms)},
+          {"events", info.simulated_events},
           {"routers", routers}};
 }
 
@@ -75,19 +75,19 @@
   return info;
 }
 
-json to_json_value(const CheckResult& f) {
+json to_json_value(const CheckResult& check_result) {
   json rules = json::array(), bounds = json::array();
-  for (const RuleResult& r : f.rules) {
+  for (const RuleResult& r : check_result.rules) {
     json first = json::array();
-    for (const RuleViolation& b : r.first_violations)
-      first.push_back({{"at_ms", b.at_ms}, {"what", b.description}});
+    for (const RuleViolation& violation : r.first_violations)
+      first.push_back({{"at_ms", violation.at_ms}, {"what", violation.description}});
     rules.push_back({{"rule", rule_name(r.rule)},
                      {"judged", r.enabled},
                      {"kept", r.passed()},
                      {"breaches", r.violation_count},
                      {"first", first}});
   }
-  for (const BoundResult& b : f.bounds) {
+  for (const BoundResult& b : check_result.bounds) {
     bounds.push_back({{"what", b.description},
                       {"metric", static_cast<int>(b.metric)},
                       {"at_least", to_json_value(b.at_least)},
@@ -95,14 +95,14 @@
                       {"value", to_json_value(b.value)},
                       {"kept", b.passed}});
   }
-  return {{"kept", f.passed()},
+  return {{"kept", check_result.passed()},
           {"rules", rules},
           {"bounds", bounds},
-          {"whole", f.overall_service},
-          {"worst_window", f.worst_window_service},
-          {"worst_class", f.worst_class_service},
-          {"worst_tenant", f.worst_tenant_service},
-          {"score", f.score}};
+          {"whole", check_result.overall_service},
+          {"worst_window", check_result.worst_window_service},
+          {"worst_class", check_result.worst_class_service},
+          {"worst_tenant", check_result.worst_tenant_service},
+          {"score", check_result.score}};
 }
 
 CheckResult check_result_from_json(const json& input) {
@@ -118,8 +118,9 @@
     }
     rules[i].at("judged").get_to(r.enabled);
     rules[i].at("breaches").get_to(r.violation_count);
-    for (const json& b : rules[i].at("first")) {
-      r.first_violations.push_back({b.at("at_ms").get<double>(), b.at("what").get<std::string>()});
+    for (const json& violation : rules[i].at("first")) {
+      r.first_violations.push_back(
+          {violation.at("at_ms").get<double>(), violation.at("what").get<std::string>()});
     }
   }
   for (const json& b : input.at("bounds")) {
@@ -170,12 +171,16 @@
   return result;
 }
 
-json to_json(const ExperimentResult& r) {
-  return {{"format", kFileFormat},        {"version", kFileFormatVersion},
-          {"driver", r.driver},           {"seed", r.seed},
-          {"good", r.passed()},           {"scenario", r.scenario_toml},
-          {"run", to_json_value(r.info)}, {"findings", to_json_value(r.check_result)},
-          {"figures", to_json(r.stats)}};
+json to_json(const ExperimentResult& result) {
+  return {{"format", kFileFormat},
+          {"version", kFileFormatVersion},
+          {"driver", result.driver},
+          {"seed", result.seed},
+          {"good", result.passed()},
+          {"scenario", result.scenario_toml},
+          {"run", to_json_value(result.info)},
+          {"findings", to_json_value(result.check_result)},
+          {"figures", to_json(result.stats)}};
 }
 
 ExperimentResult result_from_json(const json& input) {
--- a/lab/experiment/run_parallel.h
+++ b/lab/experiment/run_parallel.h
@@ -12,10 +12,10 @@
 
 namespace fernward::lab {
 
-// Calls work(i) for each i below `count`, on `jobs` threads (at least one), and done(n) after each, where n
-// is the number of finished calls. done is called by one thread at a time. If calls of work throw, the
-// exception with the lowest index is rethrown once all threads have ended. After a stop request no further
-// call begins.
+// Calls run_item(i) for each i below `count`, on `jobs` threads (at least one; the calling thread is one of
+// them), and on_finished(n) after each, where n is the number of finished calls. on_finished is called by one
+// thread at a time. If calls of run_item throw, the exception of the lowest index is rethrown once all threads
+// have ended. After a stop request no further call begins.
 inline void run_parallel(std::size_t count, unsigned jobs, std::stop_token stop,
                          const std::function<void(std::size_t)>& run_item,
                          const std::function<void(std::size_t)>& on_finished) {
--- a/lab/experiment/summary.cpp
+++ b/lab/experiment/summary.cpp
@@ -41,14 +41,14 @@
        [](const ExperimentResult& r) { return r.check_result.worst_tenant_service; }, percent},
       {"refused", "refused", false,
        [](const ExperimentResult& r) {
-         const RequestStats t = r.stats.total().request_stats;
-         return share(t.refused(), t.drawn);
+         const RequestStats request_stats = r.stats.total().request_stats;
+         return share(request_stats.refused(), request_stats.drawn);
        },
        percent},
       {"failed", "failed", false,
        [](const ExperimentResult& r) {
-         const RequestStats t = r.stats.total().request_stats;
-         return share(t.failed(), t.drawn);
+         const RequestStats request_stats = r.stats.total().request_stats;
+         return share(request_stats.failed(), request_stats.drawn);
        },
        percent},
       {"p50", "p50_ms", false,
@@ -81,7 +81,8 @@
 
 PairedComparison compare_pairs(const std::vector<double>& a, const std::vector<double>& b) {
   if (a.size() != b.size() || a.empty())
-    throw std::invalid_argument("a comparison needs one or more pairs of runs");
+    throw std::invalid_argument(
+        "a comparison needs as many runs of one side as of the other, and at least one");
   PairedComparison comparison;
   comparison.pair_count = a.size();
   const auto pair_count = static_cast<double>(a.size());
--- a/lab/experiment/summary.h
+++ b/lab/experiment/summary.h
@@ -1,4 +1,4 @@
-// The summary values by which runs are compared.
+// The summary values of a run, and the comparison of two lists of runs by them.
 #pragma once
 
 #include <array>
@@ -26,11 +26,12 @@
 struct PairedComparison {
   std::size_t pair_count = 0;
   double mean_a = 0, mean_b = 0, mean_difference = 0;
-  double confidence_low = 0,
-         confidence_high =
-             0; // interval of the mean; equal to it for a single pair, which can't show random variation
+  // Interval of mean_difference. For a single pair, which can't show random variation, both limits equal it.
+  double confidence_low = 0, confidence_high = 0;
+  // Of b relative to a. Undetermined: the interval contains 0, or there is a single pair.
   enum class Direction { Higher, Lower, Undetermined } direction = Direction::Undetermined;
 };
+// Throws std::invalid_argument if the lists are empty or differ in size.
 PairedComparison compare_pairs(const std::vector<double>& a, const std::vector<double>& b);
 
 } // namespace fernward::lab
--- a/lab/scenario/consistency.cpp
+++ b/lab/scenario/consistency.cpp
@@ -11,15 +11,16 @@
 
 using namespace fernward::model;
 
-constexpr double kMaxSteps = 2e6;        // single steps of all events together
-constexpr std::size_t kMaxEvents = 1000; // per file
-constexpr std::size_t kMaxNameLength = 64;
+constexpr double kMaxSteps = 2e6;          // upper estimate of the steps of all events together
+constexpr std::size_t kMaxEvents = 1000;   // per file
+constexpr std::size_t kMaxNameLength = 64; // bytes
 
 std::string parent_path(const std::string& path) {
   const std::size_t dot = path.rfind('.');
   return dot == std::string::npos ? "" : path.substr(0, dot);
 }
 
+// Checks one scenario; used once, by check_consistency().
 class ConsistencyChecker {
  public:
   ConsistencyChecker(Scenario& scenario, const std::string& file, const RunLimits& limits,
@@ -40,8 +41,8 @@
   }
 
  private:
-  // Adds a fault, unless it may be a consequence of a value that could not be parsed: then a missing or an
-  // unused entry proves nothing.
+  // Adds a fault, unless it may be the consequence of a value that could not be parsed, such as an entry that
+  // seems unused because the reference to it is invalid.
   void add(const std::string& path, std::string message) {
     if (!invalid_.empty()) {
       if (!scenario_.positions.contains(path) || invalid_.contains(path)) return;
@@ -51,7 +52,7 @@
     }
     scenario_.faults.push_back({position_of(path), key_of(path), std::move(message), "sense"});
   }
-  // The position of the member or, if the file omits it, of the table that would contain it.
+  // The position of the member or, if the file omits it, of the innermost table that would contain it.
   Position position_of(std::string path) const {
     while (!path.empty()) {
       const auto found = scenario_.positions.find(path);
@@ -166,7 +167,7 @@
     }
   }
 
-  // ---- unused entries, which are more often a typing error than intended ----
+  // ---- unused entries, which are more often a mistake than intended ----
 
   void check_unused() {
     std::vector<bool> kind_used(spec_.kinds.size()), zone_used(spec_.zones.size());
@@ -189,14 +190,14 @@
     for (std::size_t i = 0; i < spec_.events.size(); ++i) {
       std::visit(
           [&](const auto& what) {
-            if constexpr (requires { what.who.group; }) check_pick(i, "who", what.who);
-            if constexpr (requires { what.nodes.group; }) check_pick(i, "nodes", what.nodes);
+            if constexpr (requires { what.who.group; }) check_selector(i, "who", what.who);
+            if constexpr (requires { what.nodes.group; }) check_selector(i, "nodes", what.nodes);
           },
           spec_.events[i].what);
     }
   }
-  void check_pick(std::size_t event, const char* member, const NodeSelector& pick) {
-    if (pick.zone && *pick.zone < zone_has_node_.size() && !zone_has_node_[*pick.zone]) {
+  void check_selector(std::size_t event, const char* member, const NodeSelector& selector) {
+    if (selector.zone && *selector.zone < zone_has_node_.size() && !zone_has_node_[*selector.zone]) {
       add(member_path("events", event, member) + ".zone", "no node is in this zone");
     }
   }
--- a/lab/scenario/consistency.h
+++ b/lab/scenario/consistency.h
@@ -8,12 +8,13 @@
 
 namespace fernward::lab {
 
-// Adds the faults found to scenario.faults. `broken`: members whose values could not be parsed and still have
-// their defaults; no fault is derived from those.
+// Adds the faults found to scenario.faults. `file` is named in those whose value the file does not contain.
+// `invalid`: paths of the members whose values could not be parsed and still have their defaults; no fault is
+// derived from those.
 void check_consistency(Scenario& scenario, const std::string& file, const RunLimits& limits,
                        const std::set<std::string>& invalid);
 
-// The highest request rate of the load per second, spikes included.
+// The highest request rate of the load in requests per second, spikes included.
 double peak_rate(const model::Spec& spec);
 
 } // namespace fernward::lab
--- a/lab/scenario/names.cpp
+++ b/lab/scenario/names.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 struct TableDescription {
-  const char *what, *written, *list, *hint;
+  const char *item_noun, *reference_text, *defining_member, *hint;
 };
 constexpr std::array<TableDescription, 7> kTableDescriptions{
     {{"zone", "a zone's name", "zones", ""},
@@ -119,9 +119,9 @@
   return "";
 }
 
-const char* SpecNames::item_noun(Table table) const { return description_of(table).what; }
-const char* SpecNames::reference_text(Table table) const { return description_of(table).written; }
-const char* SpecNames::defining_member(Table table) const { return description_of(table).list; }
+const char* SpecNames::item_noun(Table table) const { return description_of(table).item_noun; }
+const char* SpecNames::reference_text(Table table) const { return description_of(table).reference_text; }
+const char* SpecNames::defining_member(Table table) const { return description_of(table).defining_member; }
 const char* SpecNames::hint(Table table) const { return description_of(table).hint; }
 
 } // namespace fernward::lab
--- a/lab/scenario/names.h
+++ b/lab/scenario/names.h
@@ -6,6 +6,7 @@
 
 namespace fernward::lab {
 
+// The tables whose entries a scenario file refers to by name.
 namespace tables {
 inline constexpr toml_document::Table kZones{0};
 inline constexpr toml_document::Table kKinds{1};
@@ -16,7 +17,7 @@
 inline constexpr toml_document::Table kTenants{6};
 } // namespace tables
 
-// Names of the entries of a Spec. The Spec must outlive it.
+// Looks up the names of the entries of a Spec, as far as the Spec has been read. The Spec must outlive it.
 class SpecNames : public toml_document::Names {
  public:
   explicit SpecNames(const model::Spec& spec) : spec_(spec) {}
--- a/lab/scenario/read.h
+++ b/lab/scenario/read.h
@@ -19,16 +19,17 @@
 using toml_document::FileLoader;
 using toml_document::Position;
 
-// Limits on the size of a run. A scenario that exceeds them is faulty.
+// Limits of a driver on the size of a run. A scenario that exceeds them is faulty.
 struct RunLimits {
   double rate_per_s = 200000;
   std::uint32_t nodes = 10000, routers = 1024;
-  std::uint32_t sharing_routers = 1024; // maximum where routers.sharing is on
-  bool congestion = false;              // discovery calls are simulated one by one, so that they can queue
+  std::uint32_t sharing_routers = 1024; // maximum number of routers if routers.sharing is on
+  bool congestion = false; // whether discovery calls are handled one by one, as discovery.congestion needs
 };
 RunLimits virtual_run_limits(); // in virtual time
 RunLimits socket_run_limits();  // on sockets: 20,000 requests a second from one core
 
+// A scenario file that was read: the Spec and what is wrong with it.
 struct Scenario {
   model::Spec spec; // may be run only if `faults` is empty
   toml_document::Diagnostics faults;
@@ -37,12 +38,15 @@
   bool is_valid() const { return faults.empty(); }
 };
 
+// Reads a scenario from its text. `file`: its name in diagnostics; paths of bases are relative to it. `load`
+// reads the bases.
 Scenario read_scenario(std::string_view text, const std::string& file, const RunLimits& limits = {},
                        const FileLoader& load = {});
+// A file that can't be read is a fault of the scenario, too.
 Scenario read_scenario_file(const std::filesystem::path& path, const RunLimits& limits = {});
 
 // Sets single values, such as "load.rate=820/s" or "kinds[fast].cores=8", and checks the scenario again.
-// Errors are added to `scenario.faults`.
+// Faults are added to `scenario.faults`.
 void set_values(Scenario& scenario, const std::vector<std::string>& settings, const RunLimits& limits = {});
 
 // The complete Spec as a file without a base, with every value written out. read_scenario returns the same
--- a/lab/scenario/schema.cpp
+++ b/lab/scenario/schema.cpp
@@ -50,7 +50,7 @@
     "slow-link",      "cut-routers",      "lose-datagrams", "pause-routers", "lying-router"};
 static_assert(kEvents.size() == std::variant_size_v<EventAction>);
 
-// Returns the unit of at_least and at_most of a bound.
+// The unit of at_least and at_most of a bound.
 Unit unit_of(Metric metric) {
   switch (metric) {
     case Metric::LatencyMs:
@@ -63,8 +63,8 @@
   }
 }
 
-void describe_spread(Visitor& visitor, const char* member, Distribution& distribution, Unit unit,
-                     const char* doc) {
+void describe_distribution(Visitor& visitor, const char* member, Distribution& distribution, Unit unit,
+                           const char* doc) {
   visitor.enter(member, doc);
   enum_choice(visitor, "shape", distribution.shape, kShapes, "how it is spread");
   visitor.amount("mean", distribution.mean, unit, "its mean");
@@ -301,7 +301,7 @@
 void describe_class(Visitor& visitor, ClassSpec& class_spec) {
   visitor.text("name", class_spec.name, true, "as the wire has it");
   visitor.amount("share", class_spec.share, Unit::Share, "of the requests, relative to the other classes");
-  describe_spread(visitor, "work", class_spec.work, Unit::Time, "of a request, on a core of speed 1");
+  describe_distribution(visitor, "work", class_spec.work, Unit::Time, "of a request, on a core of speed 1");
   visitor.amount("attempt_noise", class_spec.attempt_work_cv, Unit::Number,
                  "an attempt's work is off from it by this (cv)");
   visitor.amount("hint_error", class_spec.hint_error, Unit::Number, "the cost hint is off by this (cv)",
@@ -341,7 +341,7 @@
   visitor.amount("drift_per_s", key_spec.drift_per_s, Unit::ShareRate, "of the ranks that pass to a new key");
   visitor.amount("changes_per_s", key_spec.changes_per_s, Unit::ShareRate,
                  "of the keys that change at the origin");
-  describe_spread(visitor, "size", key_spec.size, Unit::Bytes, "of an object");
+  describe_distribution(visitor, "size", key_spec.size, Unit::Bytes, "of an object");
   visitor.leave();
 }
 
@@ -413,58 +413,58 @@
   visitor.amount("until_ms", until_ms, Unit::Time, "when it ends; 0: with the run");
 }
 
-void fields(Visitor& visitor, NoisyNeighbour& event_spec) {
+void describe_fields(Visitor& visitor, NoisyNeighbour& event_spec) {
   describe_selection(visitor, "who", event_spec.who, kWhichNodes);
   visitor.amount("share", event_spec.share, Unit::Share, "of the machine that another program takes");
   describe_until(visitor, event_spec.until_ms);
   visitor.amount("on_ms", event_spec.on_ms, Unit::Time, "mean time on; 0: on all the time");
   visitor.amount("off_ms", event_spec.off_ms, Unit::Time, "mean time off");
 }
-void fields(Visitor& visitor, StartNodes& event_spec) {
+void describe_fields(Visitor& visitor, StartNodes& event_spec) {
   describe_selection(visitor, "who", event_spec.who, "which of those on standby or ended");
 }
-void fields(Visitor& visitor, DrainNodes& event_spec) {
+void describe_fields(Visitor& visitor, DrainNodes& event_spec) {
   describe_selection(visitor, "who", event_spec.who, kWhichNodes);
   visitor.amount("drain_ms", event_spec.drain_ms, Unit::Time,
                  "they finish what they have for this long, then end");
   visitor.amount("over_ms", event_spec.over_ms, Unit::Time, "not all at once: spread evenly over this time");
 }
-void fields(Visitor& visitor, KillNodes& event_spec) {
+void describe_fields(Visitor& visitor, KillNodes& event_spec) {
   describe_selection(visitor, "who", event_spec.who, kWhichNodes);
 }
-void fields(Visitor& visitor, ReplaceNodes& event_spec) {
+void describe_fields(Visitor& visitor, ReplaceNodes& event_spec) {
   describe_selection(visitor, "who", event_spec.who, kWhichNodes);
   visitor.amount("after_ms", event_spec.after_ms, Unit::Time, "until another machine has the address");
 }
-void fields(Visitor& visitor, RestartNodes& event_spec) {
+void describe_fields(Visitor& visitor, RestartNodes& event_spec) {
   describe_selection(visitor, "who", event_spec.who, kWhichNodes);
   visitor.amount("after_ms", event_spec.after_ms, Unit::Time, "until it is back, cold and empty");
 }
-void fields(Visitor& visitor, SilentNodes& event_spec) {
+void describe_fields(Visitor& visitor, SilentNodes& event_spec) {
   describe_selection(visitor, "who", event_spec.who, kWhichNodes);
   describe_until(visitor, event_spec.until_ms);
 }
-void fields(Visitor& visitor, PartitionZones& event_spec) {
+void describe_fields(Visitor& visitor, PartitionZones& event_spec) {
   visitor.refs("a", event_spec.a, tables::kZones, "nothing passes between these zones");
   visitor.refs("b", event_spec.b, tables::kZones, "and these");
   describe_until(visitor, event_spec.until_ms);
 }
-void fields(Visitor& visitor, PartitionNodes& event_spec) {
+void describe_fields(Visitor& visitor, PartitionNodes& event_spec) {
   describe_selection(visitor, "nodes", event_spec.nodes, "nothing passes between these nodes");
   describe_selection(visitor, "routers", event_spec.routers, "and these routers");
   describe_until(visitor, event_spec.until_ms);
 }
-void fields(Visitor& visitor, RestartRouters& event_spec) {
+void describe_fields(Visitor& visitor, RestartRouters& event_spec) {
   describe_selection(visitor, "who", event_spec.who, kWhichRouters);
   enum_choice(visitor, "how", event_spec.how, kRouterEnds, "killed outright, or told to end");
   visitor.amount("down_ms", event_spec.down_ms, Unit::Time, "until it is started again; 0: stays away");
   visitor.count("batch", event_spec.batch, "so many at a time; 0: all at once");
   visitor.amount("over_ms", event_spec.over_ms, Unit::Time, "the batches are spread evenly over this time");
 }
-void fields(Visitor& visitor, ReloadRouters& event_spec) {
+void describe_fields(Visitor& visitor, ReloadRouters& event_spec) {
   describe_selection(visitor, "who", event_spec.who, kWhichRouters);
 }
-void fields(Visitor& visitor, PartitionRouters& event_spec) {
+void describe_fields(Visitor& visitor, PartitionRouters& event_spec) {
   describe_selection(visitor, "a", event_spec.a, "nothing passes from these routers");
   describe_selection(visitor, "b", event_spec.b, "to these, of the others; without it all of them");
   visitor.flag("one_way", event_spec.one_way, "datagrams from b to a pass all the same");
@@ -474,18 +474,18 @@
       "zones say");
   describe_until(visitor, event_spec.until_ms);
 }
-void fields(Visitor& visitor, LoseDatagrams& event_spec) {
+void describe_fields(Visitor& visitor, LoseDatagrams& event_spec) {
   describe_selection(visitor, "who", event_spec.who,
                      "routers whose datagrams are meant, sent or received; without it all");
   visitor.amount("share", event_spec.share, Unit::Share, "that is lost, on top of what the network loses");
   visitor.amount("twice", event_spec.twice, Unit::Share, "that comes twice");
   describe_until(visitor, event_spec.until_ms);
 }
-void fields(Visitor& visitor, PauseRouters& event_spec) {
+void describe_fields(Visitor& visitor, PauseRouters& event_spec) {
   describe_selection(visitor, "who", event_spec.who, kWhichRouters);
   describe_until(visitor, event_spec.until_ms);
 }
-void fields(Visitor& visitor, InconsistentRouter& event_spec) {
+void describe_fields(Visitor& visitor, InconsistentRouter& event_spec) {
   describe_selection(visitor, "who", event_spec.who, kWhichRouters);
   enum_choice(visitor, "demand", event_spec.demand, kClaims,
               "what it says that it wants of the origin: the least or the most there is");
@@ -494,43 +494,47 @@
   visitor.flag("accuses", event_spec.accuses, "it says of living routers that they are dead");
   describe_until(visitor, event_spec.until_ms);
 }
-void fields(Visitor& visitor, DiscoveryOutage& event_spec) { describe_until(visitor, event_spec.until_ms); }
-void fields(Visitor& visitor, DiscoveryMove& event_spec) {
+void describe_fields(Visitor& visitor, DiscoveryOutage& event_spec) {
+  describe_until(visitor, event_spec.until_ms);
+}
+void describe_fields(Visitor& visitor, DiscoveryMove& event_spec) {
   visitor.amount("old_stays_ms", event_spec.old_stays_ms, Unit::Time,
                  "how long the old address still answers");
   visitor.amount("reload_after_ms", event_spec.reload_after_ms, Unit::Time,
                  "routers are reloaded one after another, this far apart");
 }
-void fields(Visitor& visitor, OriginStall& event_spec) { describe_until(visitor, event_spec.until_ms); }
-void fields(Visitor& visitor, OriginSlow& event_spec) {
+void describe_fields(Visitor& visitor, OriginStall& event_spec) {
+  describe_until(visitor, event_spec.until_ms);
+}
+void describe_fields(Visitor& visitor, OriginSlow& event_spec) {
   visitor.amount("factor", event_spec.factor, Unit::Number, "its capacity times this");
   describe_until(visitor, event_spec.until_ms);
 }
-void fields(Visitor& visitor, OriginFall& event_spec) {
+void describe_fields(Visitor& visitor, OriginFall& event_spec) {
   visitor.amount("down_ms", event_spec.down_ms, Unit::Time, "until it is back");
 }
-void fields(Visitor& visitor, HotKey& event_spec) {
+void describe_fields(Visitor& visitor, HotKey& event_spec) {
   visitor.amount("share", event_spec.share, Unit::Share,
                  "of all reads that go to one key nobody asked for before");
   describe_until(visitor, event_spec.until_ms);
 }
-void fields(Visitor& visitor, LoadSpike& event_spec) {
+void describe_fields(Visitor& visitor, LoadSpike& event_spec) {
   visitor.amount("factor", event_spec.factor, Unit::Number, "the rate times this");
   describe_until(visitor, event_spec.until_ms);
 }
-void fields(Visitor& visitor, BadResponses& event_spec) {
+void describe_fields(Visitor& visitor, BadResponses& event_spec) {
   describe_selection(visitor, "who", event_spec.who, kWhichNodes);
   visitor.amount("share", event_spec.share, Unit::Share, "of their answers");
   describe_until(visitor, event_spec.until_ms);
   enum_choice(visitor, "kind", event_spec.kind, kBadAnswers, "what is wrong with them");
 }
-void fields(Visitor& visitor, ZoneOutage& event_spec) {
+void describe_fields(Visitor& visitor, ZoneOutage& event_spec) {
   visitor.ref("zone", event_spec.zone, tables::kZones, true, "all its machines and routers fall silent");
   describe_until(visitor, event_spec.until_ms);
   visitor.flag("clients_move", event_spec.clients_move,
                "its clients go to the other zones; false: they are lost with it");
 }
-void fields(Visitor& visitor, SlowLink& event_spec) {
+void describe_fields(Visitor& visitor, SlowLink& event_spec) {
   visitor.ref("from", event_spec.from, tables::kZones, true, "between this zone");
   visitor.ref("to", event_spec.to, tables::kZones, true, "and this one");
   visitor.amount("factor", event_spec.factor, Unit::Number, "the delay times this");
@@ -539,9 +543,9 @@
 
 template <std::size_t... I>
 EventAction make_alternative(std::size_t name_index, std::index_sequence<I...>) {
-  EventAction event_value;
-  ((I == name_index ? void(event_value.emplace<I>()) : void()), ...);
-  return event_value;
+  EventAction event;
+  ((I == name_index ? void(event.emplace<I>()) : void()), ...);
+  return event;
 }
 
 void describe_timed_event(Visitor& visitor, TimedEvent& timed_event) {
@@ -578,26 +582,26 @@
   visitor.amount("level", bound_spec.level, Unit::Share, "recovery: the service that it must reach and keep");
 }
 
-void describe_holds(Visitor& visitor, Expectations& holds_spec) {
+void describe_expectations(Visitor& visitor, Expectations& expectations) {
   visitor.enter("holds", "what must hold");
   visitor.enter("rules", "kept by every run unless switched off here");
-  visitor.flag("one_answer", holds_spec.rules.one_response,
+  visitor.flag("one_answer", expectations.rules.one_response,
                "exactly one final answer for each request that a router took");
-  visitor.flag("no_lost", holds_spec.rules.no_lost_requests, "none without an answer in time");
-  visitor.flag("repeats", holds_spec.rules.safe_repeats, "none beyond what its class allows");
-  visitor.flag("drains", holds_spec.rules.drains_respected,
+  visitor.flag("no_lost", expectations.rules.no_lost_requests, "none without an answer in time");
+  visitor.flag("repeats", expectations.rules.safe_repeats, "none beyond what its class allows");
+  visitor.flag("drains", expectations.rules.drains_respected,
                "nothing new to a draining or gone node after the grace");
-  visitor.flag("cold_nodes", holds_spec.rules.cold_nodes_protected, "no cold node pushed over");
-  visitor.flag("genuine", holds_spec.rules.genuine_bodies, "served with what a node made for the request");
+  visitor.flag("cold_nodes", expectations.rules.cold_nodes_protected, "no cold node pushed over");
+  visitor.flag("genuine", expectations.rules.genuine_bodies, "served with what a node made for the request");
   visitor.leave();
-  each_item(visitor, "bounds", holds_spec.bounds, "bounds on what was measured",
+  each_item(visitor, "bounds", expectations.bounds, "bounds on what was measured",
             [&](Bound& bound_spec) { describe_bound(visitor, bound_spec); });
-  visitor.amount("whole_weight", holds_spec.overall_weight, Unit::Number,
+  visitor.amount("whole_weight", expectations.overall_weight, Unit::Number,
                  "of the service of the whole run, in the score");
-  visitor.amount("worst_window_weight", holds_spec.worst_window_weight, Unit::Number, "of the worst 10 s");
-  visitor.amount("worst_class_weight", holds_spec.worst_class_weight, Unit::Number,
+  visitor.amount("worst_window_weight", expectations.worst_window_weight, Unit::Number, "of the worst 10 s");
+  visitor.amount("worst_class_weight", expectations.worst_class_weight, Unit::Number,
                  "of the worst-served class");
-  visitor.amount("worst_tenant_weight", holds_spec.worst_tenant_weight, Unit::Number,
+  visitor.amount("worst_tenant_weight", expectations.worst_tenant_weight, Unit::Number,
                  "of the worst-served tenant");
   visitor.leave();
 }
@@ -611,7 +615,7 @@
 }
 
 void describe_event(Visitor& visitor, EventAction& event) {
-  std::visit([&](auto& e) { fields(visitor, e); }, event);
+  std::visit([&](auto& action) { describe_fields(visitor, action); }, event);
 }
 
 void describe(Visitor& visitor, Spec& spec) {
@@ -654,7 +658,7 @@
   describe_clients(visitor, spec.clients);
   each_item(visitor, "events", spec.events, "what happens, and when",
             [&](TimedEvent& timed_event) { describe_timed_event(visitor, timed_event); });
-  describe_holds(visitor, spec.expectations);
+  describe_expectations(visitor, spec.expectations);
 }
 
 } // namespace fernward::lab
--- a/lab/scenario/schema.h
+++ b/lab/scenario/schema.h
@@ -18,12 +18,12 @@
 using toml_document::Unit;
 using toml_document::Visitor;
 
-// Describes the complete Spec. Callers without a Spec describe the event kinds one at a time with
-// describe_event().
+// Describes the complete Spec: calls `visitor` for each of its values, which the visitor may change. Visitors
+// without the events of a Spec, such as the key reference, visit each kind of event with describe_event().
 void describe(Visitor& visitor, model::Spec& spec);
 
-ChoiceNames event_names(); // in the order of the alternatives of model::Happening
-model::EventAction make_event(std::size_t name_index);
+ChoiceNames event_names(); // in the order of the alternatives of model::EventAction
+model::EventAction make_event(std::size_t name_index); // the event event_names()[name_index], with defaults
 void describe_event(Visitor& visitor, model::EventAction& event);
 
 } // namespace fernward::lab
--- a/lab/scenario/set_values.cpp
+++ b/lab/scenario/set_values.cpp
@@ -33,10 +33,12 @@
       : names_(spec), components_(path_components(path)), value_(value) {}
 
   bool found = false;
-  toml_document::ParseError error; // why the value could not be set; no text: it could
+  toml_document::ParseError error; // why the value could not be set; an empty message: it was set
 
-  void amount(const char* member, double& value, Unit unit, const char*, SpecialValue word) override {
-    set_value(member, value, [&](const toml::node& n) { return parse_amount(n, unit, word, error); });
+  void amount(const char* member, double& value, Unit unit, const char*,
+              SpecialValue special_value) override {
+    set_value(member, value,
+              [&](const toml::node& n) { return parse_amount(n, unit, special_value, error); });
   }
   void count(const char* member, std::uint32_t& value, const char*, Unit unit) override {
     set_value(member, value, [&](const toml::node& n) { return parse_count(n, unit, error); });
@@ -53,18 +55,20 @@
   void flag(const char* member, bool& value, const char*) override {
     set_value(member, value, [&](const toml::node& n) { return parse_flag(n, error); });
   }
-  // The kind of an event can't be changed: its other keys would not fit.
-  void choice(const char* member, std::size_t& value, ChoiceNames words, bool needed, const char*) override {
-    if (needed && matches_path(member)) {
+  // A required choice is the kind of an event or the metric of a bound. It can't be changed, because the other keys would
+  // not fit.
+  void choice(const char* member, std::size_t& value, ChoiceNames choice_names, bool required,
+              const char*) override {
+    if (required && matches_path(member)) {
       found = true;
       error = {"value", "can't be set here"};
       return;
     }
-    set_value(member, value, [&](const toml::node& n) { return parse_choice(n, words, error); });
+    set_value(member, value, [&](const toml::node& n) { return parse_choice(n, choice_names, error); });
   }
-  void choices(const char* member, std::vector<std::size_t>& values, ChoiceNames words,
+  void choices(const char* member, std::vector<std::size_t>& values, ChoiceNames choice_names,
                const char*) override {
-    set_list(member, values, [&](const toml::node& n) { return parse_choice(n, words, error); });
+    set_list(member, values, [&](const toml::node& n) { return parse_choice(n, choice_names, error); });
   }
   void ref(const char* member, std::uint32_t& value, Table table, bool, const char*) override {
     set_value(member, value, [&](const toml::node& n) { return parse_ref(n, table, names_, error); });
@@ -136,7 +140,7 @@
   const std::vector<std::string> components_;
   const toml::node& value_;
   std::size_t matched_depth_ = 0;   // components that match so far
-  std::size_t unmatched_depth_ = 0; // nested parts entered that are not on the path
+  std::size_t unmatched_depth_ = 0; // depth of the nested parts entered that are not on the path
 };
 
 } // namespace
--- a/lab/scenario/write.cpp
+++ b/lab/scenario/write.cpp
@@ -28,8 +28,8 @@
   model::Spec spec;
   ReferenceRow top = toml_document::build_reference(
       SpecNames(spec), [&](Visitor& v) { describe(v, spec); }, event_names());
-  const ReferenceRow node_pick = event_rows(model::KillNodes{}),
-                     router_pick = event_rows(model::ReloadRouters{});
+  const ReferenceRow node_selector = event_rows(model::KillNodes{}),
+                     router_selector = event_rows(model::ReloadRouters{});
   for (ReferenceRow& row : top.children) {
     if (row.key == "events")
       row.children.resize(3); // at, label, what; the other keys depend on the kind of event
@@ -54,8 +54,8 @@
       append_section(event, std::string("Event `") + event_names()[i] + "`", out);
     }
   }
-  append_section(node_pick.children.front(), "Which nodes: `who` and `nodes` of an event", out);
-  append_section(router_pick.children.front(), "Which routers: `who` and `routers` of an event", out);
+  append_section(node_selector.children.front(), "Which nodes: `who` and `nodes` of an event", out);
+  append_section(router_selector.children.front(), "Which routers: `who` and `routers` of an event", out);
   return out;
 }
 
