--- a/lab/commands/check.cpp
+++ b/lab/commands/check.cpp
@@ -24,18 +24,18 @@
   driver_options.driver = driver == "virtual" ? DriverKind::Virtual : DriverKind::Sockets;
   std::vector<std::string> settings;
   if (parsed.count("set") > 0) settings = parsed["set"].as<std::vector<std::string>>();
-  int code = kSuccess;
+  int exit_code = kSuccess;
   for (const std::string& path : parsed["scenario"].as<std::vector<std::string>>()) {
     const auto [scenario, valid] = load_scenario(path, settings, driver_options);
     if (!valid) {
-      code = kFailure;
+      exit_code = kFailure;
     } else if (parsed.count("write") > 0) {
       std::printf("%s", scenario_text(scenario.spec).c_str());
     } else {
       std::printf("%s: sound\n", path.c_str());
     }
   }
-  return code;
+  return exit_code;
 }
 
 int keys_command(const Arguments& arguments) {
--- a/lab/commands/compare.cpp
+++ b/lab/commands/compare.cpp
@@ -12,14 +12,15 @@
 namespace fernward::lab {
 namespace {
 
+// One of the two configurations that are compared, and the results of its runs.
 struct ComparedSide {
   std::vector<std::string> settings;
   DriverOptions driver_options;
   model::Spec spec;
-  std::vector<SummaryRow> rows;          // by seed
-  std::vector<char> valid, rules_passed; // by seed: the run is valid; no rule was violated
-  std::vector<std::vector<BoundResult>> bounds;
-  std::vector<std::string> void_reasons; // by seed: why the run is void, else empty
+  std::vector<SummaryRow> rows;                 // by seed
+  std::vector<char> valid, rules_passed;        // by seed: the run is valid; no rule was violated
+  std::vector<std::vector<BoundResult>> bounds; // by seed
+  std::vector<std::string> void_reasons;        // by seed: why the run is void, else empty
 };
 
 std::string signed_text(const SummaryColumn& column, double value) {
@@ -32,10 +33,10 @@
   return comparison.mean_a > 0 ? text : "-";
 }
 
-std::string difference_text(const PairedComparison& comparison, bool more_is_better) {
+std::string difference_text(const PairedComparison& comparison, bool higher_is_better) {
   if (comparison.direction == PairedComparison::Direction::Undetermined) return "no difference seen";
-  return (comparison.direction == PairedComparison::Direction::Higher) == more_is_better ? "B is better"
-                                                                                         : "B is worse";
+  return (comparison.direction == PairedComparison::Direction::Higher) == higher_is_better ? "B is better"
+                                                                                           : "B is worse";
 }
 
 // Prints each bound of the scenario for both sides: its mean and worst value, and in how many runs it holds.
@@ -54,14 +55,15 @@
       double sum = 0, worst = first_result.at_most ? -1e300 : 1e300;
       std::size_t measured_count = 0, passed_count = 0;
       std::vector<double> values;
-      for (const std::size_t seed : valid_pairs) {
-        const BoundResult& f = side->bounds[seed][i];
-        passed_count += f.passed ? 1 : 0;
-        if (!f.value) continue;
+      for (const std::size_t pair : valid_pairs) {
+        const BoundResult& bound_result = side->bounds[pair][i];
+        passed_count += bound_result.passed ? 1 : 0;
+        if (!bound_result.value) continue;
         ++measured_count;
-        sum += *f.value;
-        worst = first_result.at_most ? std::max(worst, *f.value) : std::min(worst, *f.value);
-        values.push_back(*f.value);
+        sum += *bound_result.value;
+        worst = first_result.at_most ? std::max(worst, *bound_result.value)
+                                     : std::min(worst, *bound_result.value);
+        values.push_back(*bound_result.value);
       }
       row.push_back(measured_count > 0
                         ? metric_value_text(first_result.metric, sum / static_cast<double>(measured_count))
@@ -148,24 +150,25 @@
     run_parallel(
         seeds.size() * 2, jobs, stop,
         [&](std::size_t i) {
-          const std::size_t seed = i / 2;
+          const std::size_t seed_index = i / 2;
           // The order alternates (A B, then B A), so that slow changes of the machine affect both sides
           // alike.
-          ComparedSide& side = (i % 2 == 0) == (seed % 2 == 0) ? a : b;
+          ComparedSide& side = (i % 2 == 0) == (seed_index % 2 == 0) ? a : b;
           model::Spec spec = side.spec;
-          spec.seed = seeds[seed];
+          spec.seed = seeds[seed_index];
           const auto driver = make_driver(side.driver_options);
           RunControl control;
           control.stop = stop;
           const ExperimentResult result = run_experiment(*driver, driver_name(side.driver_options), spec,
                                                          slack_ms_of(side.driver_options, spec), control);
-          side.rows[seed] = summary_row(result);
-          side.bounds[seed] = result.check_result.bounds;
-          side.valid[seed] = !result.info.is_void && !result.info.stopped;
-          if (!result.info.void_reasons.empty()) side.void_reasons[seed] = result.info.void_reasons.front();
-          side.rules_passed[seed] =
+          side.rows[seed_index] = summary_row(result);
+          side.bounds[seed_index] = result.check_result.bounds;
+          side.valid[seed_index] = !result.info.is_void && !result.info.stopped;
+          if (!result.info.void_reasons.empty())
+            side.void_reasons[seed_index] = result.info.void_reasons.front();
+          side.rules_passed[seed_index] =
               std::all_of(result.check_result.rules.begin(), result.check_result.rules.end(),
-                          [](const RuleResult& f) { return f.passed(); });
+                          [](const RuleResult& rule_result) { return rule_result.passed(); });
         },
         [&](std::size_t finished_runs) {
           progress.show(std::to_string(finished_runs) + " of " + std::to_string(seeds.size() * 2) + " runs");
@@ -188,7 +191,7 @@
     violated_runs_b += b.rules_passed[i] ? 0 : 1;
   }
   if (valid_pairs.empty()) {
-    std::printf("VOID: no pair of runs counts\n");
+    std::printf("VOID: no pair of runs is valid\n");
     return kFailure;
   }
   std::vector<std::vector<std::string>> table{{"", "A", "B", "B - A", "95% interval", "B / A", ""}};
@@ -220,7 +223,7 @@
   }
   std::printf("%s\n", table_text(table).c_str());
   print_bounds_table(a, b, valid_pairs, json_output);
-  const std::string seeds_text =
+  const std::string pairs_text =
       std::to_string(valid_pairs.size()) + (valid_pairs.size() == 1 ? " pair" : " pairs") + " of runs";
   std::string verdict;
   if (valid_pairs.size() == 1) {
@@ -230,7 +233,7 @@
               " by the score: " + signed_text(summary_columns()[0], score_comparison.mean_difference) +
               " (95% interval " + signed_text(summary_columns()[0], score_comparison.confidence_low) +
               " to " + signed_text(summary_columns()[0], score_comparison.confidence_high) + ", " +
-              seeds_text + ")";
+              pairs_text + ")";
   }
   if (violated_runs_a + violated_runs_b > 0) {
     verdict += "; rules were broken in " + std::to_string(violated_runs_a) + " runs of A and " +
--- a/lab/commands/cost.cpp
+++ b/lab/commands/cost.cpp
@@ -57,17 +57,18 @@
     for (const std::uint32_t keys : key_counts) {
       std::vector<double> router, relay, ratio, memory;
       for (int round = 0; round < rounds; ++round) {
-        CostOptions cost;
-        cost.router_program =
+        CostOptions cost_options;
+        cost_options.router_program =
             parsed.count("program") > 0 ? parsed["program"].as<std::string>() : default_router_program();
-        cost.relay_command_line = {"/proc/self/exe", "relay"};
-        cost.target_count = targets;
-        cost.key_count = keys;
-        cost.rate_per_s = rate;
-        cost.measured_s = seconds;
-        cost.seed = static_cast<std::uint64_t>(round) + 1;
-        const CostResult result = measure_cost(cost);
-        for (const auto& why : result.info.void_reasons) std::fprintf(stderr, "void: %s\n", why.c_str());
+        cost_options.relay_command_line = {"/proc/self/exe", "relay"};
+        cost_options.target_count = targets;
+        cost_options.key_count = keys;
+        cost_options.rate_per_s = rate;
+        cost_options.measured_s = seconds;
+        cost_options.seed = static_cast<std::uint64_t>(round) + 1;
+        const CostResult result = measure_cost(cost_options);
+        for (const auto& reason : result.info.void_reasons)
+          std::fprintf(stderr, "void: %s\n", reason.c_str());
         is_void = is_void || result.info.is_void;
         router.push_back(result.router.cpu_us_per_request());
         relay.push_back(result.relay.cpu_us_per_request());
--- a/lab/commands/storm.cpp
+++ b/lab/commands/storm.cpp
@@ -1,4 +1,4 @@
-// fernward-lab storm: generates storms from seeds, runs and checks them; shrinks one, or replays one from its
+// fernward-lab storm: generates storms from seeds, runs and checks them; shrinks or replays the storm of a
 // file.
 #include <algorithm>
 #include <cstdio>
@@ -18,8 +18,9 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::uint32_t kMaxSkippedStorms = 1000;
-constexpr double kRealTimeCalmMs = 2000, kRealTimeFaultsMs = 5000; // phases of a storm that runs in real time
+constexpr std::uint32_t kMaxSkippedStorms = 1000; // because they last too long for real time
+// Phases of a storm that runs in real time: before the first fault, and in which faults begin.
+constexpr double kRealTimeFaultFreeMs = 2000, kRealTimeFaultBeginWindowMs = 5000;
 
 std::string read_text(const std::string& path) {
   std::ifstream in(path);
@@ -44,15 +45,16 @@
   }
 }
 
-// Runs the storm of a file. If the file names an oracle, the verdict of that oracle must match the file.
-int replay_file(const storm::RunSetup& rig, const std::string& path, std::uint32_t times,
+// Runs the storm of a file `times` times. If the file names an oracle, the verdict of that oracle must match
+// the file; else no oracle of confidence Certain may be broken.
+int replay_file(const storm::RunSetup& run_setup, const std::string& path, std::uint32_t times,
                 std::stop_token stop) {
   const auto expected = storm::parse_expected_verdict(read_text(path));
   const Scenario scenario = read_scenario_file(path);
   if (print_faults(scenario)) return kFailure;
   bool all_match = true;
   for (std::uint32_t i = 0; i < times && !stop.stop_requested(); ++i) {
-    const storm::StormOutcome outcome = storm::execute(rig, scenario.spec, stop);
+    const storm::StormOutcome outcome = storm::execute(run_setup, scenario.spec, stop);
     if (stop.stop_requested()) return kFailure;
     if (i == 0) print_verdicts(outcome);
     if (expected) {
@@ -69,13 +71,14 @@
   return all_match ? kSuccess : kFailure;
 }
 
-int shrink_file(const storm::RunSetup& rig, const std::string& path, const std::string& oracle_name,
+// Reduces the storm of a file while the oracle stays broken, and writes the result to `out_path`.
+int shrink_file(const storm::RunSetup& run_setup, const std::string& path, const std::string& oracle_name,
                 const std::string& out_path, std::uint32_t max_runs, std::stop_token stop) {
   const auto expected = storm::parse_expected_verdict(read_text(path));
   const Scenario scenario = read_scenario_file(path);
   if (print_faults(scenario)) return kFailure;
   const model::Spec& spec = scenario.spec;
-  const storm::StormOutcome initial_outcome = storm::execute(rig, spec, stop);
+  const storm::StormOutcome initial_outcome = storm::execute(run_setup, spec, stop);
   print_verdicts(initial_outcome);
   const storm::Oracle* oracle = !oracle_name.empty() ? storm::find_oracle(oracle_name)
                                 : expected           ? expected->oracle
@@ -89,24 +92,24 @@
     return kFailure;
   }
   const std::size_t oracle_index = static_cast<std::size_t>(oracle - storm::oracles().data());
-  // If the oracle depends on chance, a cut must keep enough distance from the limit that chance alone can't
-  // reach it.
+  // If the oracle depends on chance, a reduction must keep half of the distance beyond the limit, so that it is
+  // not accepted by chance alone.
   const double min_distance = oracle->confidence == storm::Confidence::Certain
                                   ? 1
                                   : (1 + initial_outcome.verdicts[oracle_index].distance) / 2;
   const storm::ShrinkResult shrunk_storm = storm::shrink(
       spec,
-      [&](const model::Spec& s) {
+      [&](const model::Spec& candidate) {
         if (stop.stop_requested()) return 0.0;
-        const storm::Verdict v = storm::execute(rig, s, stop).verdicts[oracle_index];
-        return v.broken() && v.distance >= min_distance ? v.distance : 0;
+        const storm::Verdict verdict = storm::execute(run_setup, candidate, stop).verdicts[oracle_index];
+        return verdict.broken() && verdict.distance >= min_distance ? verdict.distance : 0;
       },
       max_runs);
   // Runs the storm as it is read back from its text, so that the written file is what was run.
   const Scenario reread_scenario = read_scenario(scenario_text(shrunk_storm.spec), "shrunk");
   if (print_faults(reread_scenario)) return kFailure;
-  const storm::StormOutcome final_outcome = storm::execute(rig, reread_scenario.spec, stop);
-  std::printf("\n%u plays, %u cuts: %u routers, %u nodes, %zu events, %.1f s\n", shrunk_storm.runs,
+  const storm::StormOutcome final_outcome = storm::execute(run_setup, reread_scenario.spec, stop);
+  std::printf("\n%u runs, %u reductions: %u routers, %u nodes, %zu events, %.1f s\n", shrunk_storm.runs,
               shrunk_storm.reductions, storm::router_count(shrunk_storm.spec),
               storm::node_count(shrunk_storm.spec), shrunk_storm.spec.events.size(),
               shrunk_storm.spec.duration_ms / 1000);
@@ -118,30 +121,30 @@
 }
 
 // Runs storms that are short enough for real time on sockets, and compares each with runs in virtual time.
-int compare_storms_with_virtual_time(const storm::ComparisonSetup& besides, std::uint64_t first_seed,
-                                     std::uint64_t storm_count, const storm::StormLimits& size,
+int compare_storms_with_virtual_time(const storm::ComparisonSetup& setup, std::uint64_t first_seed,
+                                     std::uint64_t storm_count, const storm::StormLimits& limits,
                                      double max_seconds, const std::string& out_folder,
                                      std::stop_token stop) {
-  std::vector<storm::StormComparison> pairs;
+  std::vector<storm::StormComparison> comparisons;
   std::uint32_t skipped_storms = 0;
   const fs::path folder(out_folder);
   if (!out_folder.empty()) fs::create_directories(folder);
-  for (std::uint64_t seed = first_seed; pairs.size() < storm_count && !stop.stop_requested(); ++seed) {
-    const model::Spec spec = storm::draw_storm(seed, {}, size);
+  for (std::uint64_t seed = first_seed; comparisons.size() < storm_count && !stop.stop_requested(); ++seed) {
+    const model::Spec spec = storm::draw_storm(seed, {}, limits);
     if (spec.duration_ms > 1000 * max_seconds) {
       if (++skipped_storms > kMaxSkippedStorms)
-        throw UsageError("--most-seconds is too short: no storm is left");
+        throw UsageError("--most-seconds is too low: more than 1000 storms last longer");
       continue;
     }
-    storm::StormComparison pair = storm::compare_with_sockets(besides, spec, stop);
+    storm::StormComparison comparison = storm::compare_with_sockets(setup, spec, stop);
     if (stop.stop_requested()) return kFailure;
-    std::printf("%s", storm::comparison_text(pair).c_str());
+    std::printf("%s", storm::comparison_text(comparison).c_str());
     std::fflush(stdout);
-    if (!out_folder.empty() && (!pair.agrees() || pair.has_broken(storm::Confidence::Certain)))
+    if (!out_folder.empty() && (!comparison.agrees() || comparison.has_broken(storm::Confidence::Certain)))
       write_text(folder / (spec.name + ".toml"), scenario_text(spec));
-    pairs.push_back(std::move(pair));
+    comparisons.push_back(std::move(comparison));
   }
-  const storm::Agreement agreement = storm::agreement_of(pairs);
+  const storm::Agreement agreement = storm::agreement_of(comparisons);
   std::printf("%u longer than %.0f s were left out\n%s", skipped_storms, max_seconds,
               storm::agreement_text(agreement).c_str());
   return agreement.all_agree() ? kSuccess : kFailure;
@@ -182,8 +185,8 @@
   const auto parsed = parse(options, arguments);
   const DriverOptions driver_options = parse_driver_options(parsed);
   const auto stop = stop_on_signals();
-  storm::RunSetup rig;
-  rig.virtual_time = driver_options.driver == DriverKind::Virtual;
+  storm::RunSetup run_setup;
+  run_setup.virtual_time = driver_options.driver == DriverKind::Virtual;
   const std::string defect_name = parsed["planted"].as<std::string>();
   const auto planted_name = std::find(kPlantedDefectNames.begin(), kPlantedDefectNames.end(), defect_name);
   if (planted_name == kPlantedDefectNames.end()) {
@@ -192,79 +195,81 @@
     throw UsageError("--planted must be one of " + known);
   }
   const auto defect = static_cast<PlantedDefect>(planted_name - kPlantedDefectNames.begin());
-  if (defect != PlantedDefect::None && !rig.virtual_time)
+  if (defect != PlantedDefect::None && !run_setup.virtual_time)
     throw UsageError("--planted requires --driver virtual");
-  rig.make_driver = [&driver_options, defect] {
+  run_setup.make_driver = [&driver_options, defect] {
     return driver_options.driver == DriverKind::Virtual ? make_virtual_driver(defect)
                                                         : make_driver(driver_options);
   };
 
   if (parsed.count("replay") > 0) {
-    return replay_file(rig, parsed["replay"].as<std::string>(), parsed["times"].as<std::uint32_t>(), stop);
+    return replay_file(run_setup, parsed["replay"].as<std::string>(), parsed["times"].as<std::uint32_t>(),
+                       stop);
   }
-  storm::Campaign storm_series;
-  storm_series.first_seed = parsed["first"].as<std::uint64_t>();
-  storm_series.storms = parsed["storms"].as<std::uint64_t>();
-  storm_series.limits.max_routers = parsed["most-routers"].as<std::uint32_t>();
-  storm_series.limits.max_nodes = parsed["most-nodes"].as<std::uint32_t>();
-  storm_series.limits.max_rate_per_s = parsed["most-rate"].as<double>();
-  if (storm_series.limits.max_routers < 3 || storm_series.limits.max_nodes < 6) {
+  storm::Campaign campaign;
+  campaign.first_seed = parsed["first"].as<std::uint64_t>();
+  campaign.storms = parsed["storms"].as<std::uint64_t>();
+  campaign.limits.max_routers = parsed["most-routers"].as<std::uint32_t>();
+  campaign.limits.max_nodes = parsed["most-nodes"].as<std::uint32_t>();
+  campaign.limits.max_rate_per_s = parsed["most-rate"].as<double>();
+  if (campaign.limits.max_routers < 3 || campaign.limits.max_nodes < 6) {
     throw UsageError("--most-routers must be 3 or more and --most-nodes 6 or more");
   }
-  if (!(storm_series.limits.max_rate_per_s >= 10)) throw UsageError("--most-rate must be 10 or more");
+  if (!(campaign.limits.max_rate_per_s >= 10)) throw UsageError("--most-rate must be 10 or more");
   const std::string out_path = parsed.count("out") > 0 ? parsed["out"].as<std::string>() : "";
   if (const auto comparison_runs = parsed["beside"].as<std::uint32_t>(); comparison_runs > 0) {
-    if (rig.virtual_time) throw UsageError("--beside requires --driver sockets");
+    if (run_setup.virtual_time) throw UsageError("--beside requires --driver sockets");
     if (comparison_runs < 2)
       throw UsageError("--beside must be 2 or more, because one run can't show random variation");
-    if (storm_series.limits.max_routers > 8) throw UsageError("--beside allows --most-routers 8 at most");
-    storm_series.limits.fault_free_ms = kRealTimeCalmMs;
-    storm_series.limits.fault_begin_window_ms = kRealTimeFaultsMs;
-    storm_series.limits.size_exponent = 1;
-    storm_series.limits.full_duration = false;
-    const storm::ComparisonSetup besides{
-        rig.make_driver,
+    if (campaign.limits.max_routers > 8) throw UsageError("--beside allows --most-routers 8 at most");
+    campaign.limits.fault_free_ms = kRealTimeFaultFreeMs;
+    campaign.limits.fault_begin_window_ms = kRealTimeFaultBeginWindowMs;
+    campaign.limits.size_exponent = 1;
+    campaign.limits.full_duration = false;
+    const storm::ComparisonSetup comparison_setup{
+        run_setup.make_driver,
         [](std::uint64_t chance) { return make_virtual_driver(PlantedDefect::None, chance); },
         comparison_runs, std::max(1u, parsed["tries"].as<std::uint32_t>()),
         parsed["records"].as<std::string>()};
-    if (!besides.record_folder.empty()) fs::create_directories(besides.record_folder);
-    return compare_storms_with_virtual_time(besides, storm_series.first_seed, storm_series.storms,
-                                            storm_series.limits, parsed["most-seconds"].as<double>(),
-                                            out_path, stop);
+    if (!comparison_setup.record_folder.empty()) fs::create_directories(comparison_setup.record_folder);
+    return compare_storms_with_virtual_time(comparison_setup, campaign.first_seed, campaign.storms,
+                                            campaign.limits, parsed["most-seconds"].as<double>(), out_path,
+                                            stop);
   }
   if (parsed.count("shrink") > 0) {
     const std::string path = parsed["shrink"].as<std::string>();
-    return shrink_file(rig, path, parsed.count("oracle") > 0 ? parsed["oracle"].as<std::string>() : "",
+    return shrink_file(run_setup, path, parsed.count("oracle") > 0 ? parsed["oracle"].as<std::string>() : "",
                        out_path.empty() ? path + ".small.toml" : out_path,
                        parsed["plays"].as<std::uint32_t>(), stop);
   }
   if (parsed.count("write") > 0) {
-    const model::Spec spec = storm::draw_storm(storm_series.first_seed, {}, storm_series.limits);
+    const model::Spec spec = storm::draw_storm(campaign.first_seed, {}, campaign.limits);
     const std::string path = out_path.empty() ? spec.name + ".toml" : out_path;
     write_text(path, scenario_text(spec));
     std::printf("written: %s\n", path.c_str());
     return kSuccess;
   }
   const unsigned jobs = parsed["jobs"].as<unsigned>();
-  storm_series.jobs = !rig.virtual_time ? 1
-                      : jobs > 0        ? jobs
-                                        : std::max(1u, std::thread::hardware_concurrency());
+  campaign.jobs = !run_setup.virtual_time ? 1
+                  : jobs > 0              ? jobs
+                                          : std::max(1u, std::thread::hardware_concurrency());
   storm::CampaignSummary summary;
   {
     ProgressLine progress;
-    storm_series.progress = [&](const storm::CampaignSummary& so_far) {
-      progress.show(std::to_string(so_far.storms) + " of " + std::to_string(storm_series.storms) + " storms");
+    campaign.progress = [&](const storm::CampaignSummary& so_far) {
+      progress.show(std::to_string(so_far.storms) + " of " + std::to_string(campaign.storms) + " storms");
     };
-    summary = storm::execute(rig, storm_series, stop);
+    summary = storm::execute(run_setup, campaign, stop);
   }
   std::printf("%s", storm::summary_text(summary).c_str());
   if (!out_path.empty()) {
     fs::create_directories(out_path);
-    write_text(fs::path(out_path) / "storms.html", storm::report_html(summary, storm_series));
-    for (const storm::BrokenStorm& t : summary.worst_storms) {
-      const storm::Oracle& o = storm::oracles()[t.oracle_index];
-      write_text(fs::path(out_path) / (std::string(o.name) + "-" + std::to_string(t.seed) + ".toml"),
-                 storm::storm_file_text(t.spec, {&o, true}, t.verdict.description));
+    write_text(fs::path(out_path) / "storms.html", storm::report_html(summary, campaign));
+    for (const storm::BrokenStorm& broken_storm : summary.worst_storms) {
+      const storm::Oracle& oracle = storm::oracles()[broken_storm.oracle_index];
+      write_text(
+          fs::path(out_path) / (std::string(oracle.name) + "-" + std::to_string(broken_storm.seed) + ".toml"),
+          storm::storm_file_text(broken_storm.spec, {&oracle, true}, broken_storm.verdict.description));
     }
     std::printf("report: %s\n", (fs::path(out_path) / "storms.html").string().c_str());
   }
--- a/lab/commands/support.cpp
+++ b/lab/commands/support.cpp
@@ -16,13 +16,13 @@
 namespace fernward::lab {
 namespace {
 
-constexpr std::size_t kMaxSeeds = 10000;
+constexpr std::size_t kMaxSeeds = 10000; // in one range
 
 volatile sig_atomic_t stop_requested_by_signal = 0;
 
 void request_stop_on_signal(int) { stop_requested_by_signal = 1; }
 
-std::uint64_t seed_of(const std::string& text) {
+std::uint64_t parse_seed(const std::string& text) {
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed);
   if (text.empty() || error != std::errc() || end != text.data() + text.size()) {
@@ -36,16 +36,16 @@
 std::vector<std::uint64_t> parse_seeds(const std::string& text) {
   std::vector<std::uint64_t> seeds;
   if (const std::size_t dots = text.find(".."); dots != std::string::npos) {
-    const std::uint64_t first = seed_of(text.substr(0, dots)), last = seed_of(text.substr(dots + 2));
+    const std::uint64_t first = parse_seed(text.substr(0, dots)), last = parse_seed(text.substr(dots + 2));
     if (last < first || last - first >= kMaxSeeds)
-      throw UsageError("seeds " + text + " are an empty or too long range");
+      throw UsageError("the range of seeds " + text + " is empty or has more than 10000 seeds");
     for (std::uint64_t seed = first; seed <= last; ++seed) seeds.push_back(seed);
     return seeds;
   }
   std::size_t begin = 0;
   while (begin <= text.size()) {
     const std::size_t end = std::min(text.find(',', begin), text.size());
-    seeds.push_back(seed_of(text.substr(begin, end - begin)));
+    seeds.push_back(parse_seed(text.substr(begin, end - begin)));
     begin = end + 1;
   }
   return seeds;
@@ -129,8 +129,8 @@
 
 std::pair<Scenario, bool> load_scenario(const std::string& path, const std::vector<std::string>& settings,
                                         const DriverOptions& driver_options) {
-  Scenario scenario = read_scenario_file(path, driver_options.driver_offer());
-  if (scenario.is_valid()) set_values(scenario, settings, driver_options.driver_offer());
+  Scenario scenario = read_scenario_file(path, driver_options.run_limits());
+  if (scenario.is_valid()) set_values(scenario, settings, driver_options.run_limits());
   const bool valid = !print_faults(scenario);
   return {std::move(scenario), valid};
 }
--- a/lab/commands/sweep.cpp
+++ b/lab/commands/sweep.cpp
@@ -24,19 +24,19 @@
 VariedKey parse_varied_key(const std::string& text) {
   const std::size_t equals = text.find('=');
   if (equals == std::string::npos || equals == 0) throw UsageError("--vary must be KEY=VALUE,VALUE,...");
-  VariedKey vary{text.substr(0, equals), {""}};
+  VariedKey varied_key{text.substr(0, equals), {""}};
   int depth = 0;
   bool quoted = false;
   for (const char c : text.substr(equals + 1)) {
     if (c == '"') quoted = !quoted;
     if (!quoted) depth += c == '[' ? 1 : c == ']' ? -1 : 0;
     if (c == ',' && depth == 0 && !quoted) {
-      vary.values.emplace_back();
+      varied_key.values.emplace_back();
     } else {
-      vary.values.back() += c;
+      varied_key.values.back() += c;
     }
   }
-  return vary;
+  return varied_key;
 }
 
 struct SweepPoint { // one combination of values of the varied keys
@@ -45,15 +45,15 @@
   model::Spec spec;
 };
 
-std::vector<SweepPoint> sweep_points(const std::vector<VariedKey>& varied) {
+std::vector<SweepPoint> sweep_points(const std::vector<VariedKey>& varied_keys) {
   std::vector<SweepPoint> points{{}};
-  for (const VariedKey& vary : varied) {
+  for (const VariedKey& varied_key : varied_keys) {
     std::vector<SweepPoint> next_points;
     for (const SweepPoint& point : points) {
-      for (const std::string& value : vary.values) {
+      for (const std::string& value : varied_key.values) {
         SweepPoint extended_point = point;
-        extended_point.settings.push_back(vary.key + "=" + value);
-        extended_point.label += (extended_point.label.empty() ? "" : " ") + vary.key + "=" + value;
+        extended_point.settings.push_back(varied_key.key + "=" + value);
+        extended_point.label += (extended_point.label.empty() ? "" : " ") + varied_key.key + "=" + value;
         next_points.push_back(std::move(extended_point));
         if (next_points.size() > kMaxRuns) throw UsageError("the sweep has more than 100,000 runs");
       }
@@ -91,12 +91,12 @@
   const DriverOptions driver_options = parse_driver_options(parsed);
   const std::string path = parsed["scenario"].as<std::vector<std::string>>().front();
   const auto seeds = parse_seeds(parsed["seeds"].as<std::string>());
-  std::vector<VariedKey> varied;
+  std::vector<VariedKey> varied_keys;
   if (parsed.count("vary") > 0) {
     for (const std::string& text : parsed["vary"].as<std::vector<std::string>>())
-      varied.push_back(parse_varied_key(text));
+      varied_keys.push_back(parse_varied_key(text));
   }
-  std::vector<SweepPoint> points = sweep_points(varied);
+  std::vector<SweepPoint> points = sweep_points(varied_keys);
   if (points.size() * seeds.size() > kMaxRuns) throw UsageError("the sweep has more than 100,000 runs");
   unsigned jobs = parsed["jobs"].as<unsigned>();
   if (jobs == 0) jobs = std::max(1u, std::thread::hardware_concurrency());
@@ -143,12 +143,13 @@
                           [](const BoundResult& b) { return b.passed; });
         },
         [&](std::size_t finished_runs) {
-          const double s =
+          const double elapsed_s =
               std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
           char text[96];
-          std::snprintf(
-              text, sizeof text, "%zu of %zu runs, %.1f s, about %.0f s to go", finished_runs, runs.size(), s,
-              s / static_cast<double>(finished_runs) * static_cast<double>(runs.size() - finished_runs));
+          std::snprintf(text, sizeof text, "%zu of %zu runs, %.1f s, about %.0f s to go", finished_runs,
+                        runs.size(), elapsed_s,
+                        elapsed_s / static_cast<double>(finished_runs) *
+                            static_cast<double>(runs.size() - finished_runs));
           progress.show(text);
         });
   }
@@ -164,25 +165,25 @@
   for (std::size_t point_index = 0; point_index < points.size(); ++point_index) {
     std::size_t completed_runs = 0, void_runs = 0, rules_passed_runs = 0, bounds_passed_runs = 0;
     SummaryRow mean{};
-    for (std::size_t s = 0; s < seeds.size(); ++s) {
-      const SweepRun& run = runs[point_index * seeds.size() + s];
+    for (std::size_t seed_index = 0; seed_index < seeds.size(); ++seed_index) {
+      const SweepRun& run = runs[point_index * seeds.size() + seed_index];
       all_passed &= run.completed && !run.is_void && run.rules_passed;
       if (!run.completed) continue;
       ++completed_runs;
       std::string quoted;
       for (const char c : points[point_index].label)
         quoted += c == '"' ? std::string("\"\"") : std::string(1, c);
-      csv += "\"" + quoted + "\"," + std::to_string(seeds[s]) + "," + std::to_string(run.is_void) + "," +
-             std::to_string(run.rules_passed) + "," + std::to_string(run.bounds_passed);
+      csv += "\"" + quoted + "\"," + std::to_string(seeds[seed_index]) + "," + std::to_string(run.is_void) +
+             "," + std::to_string(run.rules_passed) + "," + std::to_string(run.bounds_passed);
       nlohmann::json entry = {{"value", points[point_index].label},
-                              {"seed", seeds[s]},
+                              {"seed", seeds[seed_index]},
                               {"void", run.is_void},
                               {"rules_kept", run.rules_passed},
                               {"bounds_hold", run.bounds_passed}};
       for (std::size_t i = 0; i < kSummaryColumnCount; ++i) {
-        char number[40];
-        std::snprintf(number, sizeof number, ",%.8g", run.summary[i]);
-        csv += number;
+        char number_text[40];
+        std::snprintf(number_text, sizeof number_text, ",%.8g", run.summary[i]);
+        csv += number_text;
         entry[summary_columns()[i].key] = run.summary[i];
       }
       csv += "\n";
--- a/lab/commands/try.cpp
+++ b/lab/commands/try.cpp
@@ -1,4 +1,4 @@
-// fernward-lab try: a first demonstration. Runs real routers in front of a small emulated fleet for a few
+// fernward-lab try: a demonstration. Runs real routers in front of a small emulated fleet for a few
 // seconds.
 #include <cstdio>
 #include <filesystem>
@@ -9,7 +9,7 @@
 
 namespace fernward::lab {
 
-extern const char* const kTryScenario; // scenarios/try.toml, built in
+extern const char* const kTryScenario; // the text of scenarios/try.toml
 
 int try_command(const Arguments& arguments) {
   cxxopts::Options options(
@@ -36,22 +36,23 @@
   const model::Spec& spec = scenario.spec;
 
   const bool keep = parsed.count("keep") > 0;
-  RigOptions rig;
-  rig.program = parsed.count("program") > 0 ? parsed["program"].as<std::string>() : default_router_program();
-  rig.enforce_memory_limit = parsed.count("unlimited-memory") == 0;
-  rig.keep_running = keep;
+  RigOptions rig_options;
+  rig_options.program =
+      parsed.count("program") > 0 ? parsed["program"].as<std::string>() : default_router_program();
+  rig_options.enforce_memory_limit = parsed.count("unlimited-memory") == 0;
+  rig_options.keep_running = keep;
   std::string address;
-  rig.on_ready = [&](const std::vector<std::string>& addresses) {
+  rig_options.on_ready = [&](const std::vector<std::string>& addresses) {
     if (!addresses.empty()) address = addresses.front();
     std::printf("%zu routers are ready; clients send requests for %.0f s\n", addresses.size(), seconds);
     std::fflush(stdout);
   };
   RunControl control;
   control.stop = stop_on_signals();
-  const auto driver = make_rig_driver(rig);
-  const auto print_totals = [&](const RunStats& figures) {
+  const auto driver = make_rig_driver(rig_options);
+  const auto print_totals = [&](const RunStats& stats) {
     if (!keep) return;
-    const RequestStats totals = figures.total().request_stats;
+    const RequestStats totals = stats.total().request_stats;
     std::printf(
         "\n%llu requests: %llu served, %llu refused, %llu failed\n\nThe fleet keeps running. To send it a "
         "request:\n\n"
--- a/lab/report/files.cpp
+++ b/lab/report/files.cpp
@@ -40,24 +40,26 @@
   if (!out) throw std::runtime_error((folder / name).string() + " can't be written");
 }
 
-std::string seconds_csv(const RunStats& figures) {
+std::string seconds_csv(const RunStats& stats) {
   std::string out =
       "from_s,drawn,in_time,served,refused,failed,service,p50_ms,p90_ms,p99_ms,attempts,fetches,writes,hits,"
       "misses,"
       "turned_away,errors,handshakes\n";
-  for (std::size_t i = 0; i < figures.slices.size(); ++i) {
-    const TimeSlice& slice = figures.slices[i];
-    const RequestStats& tally = slice.request_stats;
-    append_format(
-        out, "%.10g,%llu,%llu,%llu,%llu,%llu,", figures.slice_width_ms * static_cast<double>(i) / 1000,
-        static_cast<unsigned long long>(tally.drawn), static_cast<unsigned long long>(tally.within_objective),
-        static_cast<unsigned long long>(tally.served()), static_cast<unsigned long long>(tally.refused()),
-        static_cast<unsigned long long>(tally.failed()));
-    if (tally.drawn_weight > 0) append_format(out, "%.6f", tally.service());
+  for (std::size_t i = 0; i < stats.slices.size(); ++i) {
+    const TimeSlice& slice = stats.slices[i];
+    const RequestStats& request_stats = slice.request_stats;
+    append_format(out, "%.10g,%llu,%llu,%llu,%llu,%llu,",
+                  stats.slice_width_ms * static_cast<double>(i) / 1000,
+                  static_cast<unsigned long long>(request_stats.drawn),
+                  static_cast<unsigned long long>(request_stats.within_objective),
+                  static_cast<unsigned long long>(request_stats.served()),
+                  static_cast<unsigned long long>(request_stats.refused()),
+                  static_cast<unsigned long long>(request_stats.failed()));
+    if (request_stats.drawn_weight > 0) append_format(out, "%.6f", request_stats.service());
     for (const double quantile : {0.5, 0.9, 0.99}) {
       out += ',';
-      if (tally.latency_histogram.count() > 0)
-        append_format(out, "%.2f", tally.latency_histogram.quantile(quantile));
+      if (request_stats.latency_histogram.count() > 0)
+        append_format(out, "%.2f", request_stats.latency_histogram.quantile(quantile));
     }
     for (const std::uint64_t count : {slice.attempts, slice.origin_reads, slice.origin_writes, slice.hits,
                                       slice.misses, slice.rejected, slice.errors}) {
@@ -68,14 +70,14 @@
   return out;
 }
 
-std::string machines_csv(const RunStats& figures) {
+std::string machines_csv(const RunStats& stats) {
   std::string out = "machine,from_s,used,attempts\n";
-  for (const MachineStats& machine : figures.machines) {
+  for (const MachineStats& machine : stats.machines) {
     for (std::size_t i = 0; i < machine.slices.size(); ++i) {
       const MachineTimeSlice& slice = machine.slices[i];
       if (slice.sample_count == 0 && slice.attempts == 0) continue;
       append_format(out, "%s,%.10g,", machine.name.c_str(),
-                    figures.slice_width_ms * static_cast<double>(i) / 1000);
+                    stats.slice_width_ms * static_cast<double>(i) / 1000);
       if (slice.sample_count > 0)
         append_format(out, "%.4f", slice.utilization_sum / static_cast<float>(slice.sample_count));
       append_format(out, ",%u\n", slice.attempts);
@@ -88,8 +90,8 @@
   if (result.info.is_void) return "VOID: the results are not valid for the routers";
   if (result.info.stopped) return "STOPPED before its end";
   std::size_t rules = 0, bounds = 0;
-  for (const RuleResult& finding : result.check_result.rules) rules += finding.passed() ? 0 : 1;
-  for (const BoundResult& finding : result.check_result.bounds) bounds += finding.passed ? 0 : 1;
+  for (const RuleResult& rule : result.check_result.rules) rules += rule.passed() ? 0 : 1;
+  for (const BoundResult& bound : result.check_result.bounds) bounds += bound.passed ? 0 : 1;
   if (rules + bounds == 0) return "GOOD: every rule was kept and every bound holds";
   std::string text = "BAD:";
   if (rules > 0) append_format(text, " %zu %s broken", rules, rules == 1 ? "rule was" : "rules were");
@@ -101,7 +103,7 @@
 std::string summary_text(const ExperimentResult& result) {
   std::string out;
   const TimeSlice totals = result.stats.total();
-  const RequestStats& tally = totals.request_stats;
+  const RequestStats& request_stats = totals.request_stats;
   const bool sockets = result.driver != "virtual";
   out += result.stats.scenario;
   if (!result.stats.title.empty()) out.append(": ").append(result.stats.title);
@@ -109,18 +111,18 @@
   append_format(out, "%.1f s %s, run in %.1f s; seed %llu\n\n", result.info.scenario_elapsed_ms / 1000,
                 sockets ? "on sockets" : "of virtual time", result.info.wall_s,
                 static_cast<unsigned long long>(result.seed));
-  const auto line = [&](const char* what, std::uint64_t count) {
-    append_format(out, "  %-12s %10llu   %6.2f%%\n", what, static_cast<unsigned long long>(count),
-                  percentage(count, tally.drawn));
+  const auto append_count = [&](const char* name, std::uint64_t count) {
+    append_format(out, "  %-12s %10llu   %6.2f%%\n", name, static_cast<unsigned long long>(count),
+                  percentage(count, request_stats.drawn));
   };
-  line("requests", tally.drawn);
-  line("served", tally.served());
-  line(" in time", tally.within_objective);
-  line("refused", tally.refused());
-  line("failed", tally.failed());
+  append_count("requests", request_stats.drawn);
+  append_count("served", request_stats.served());
+  append_count(" in time", request_stats.within_objective);
+  append_count("refused", request_stats.refused());
+  append_count("failed", request_stats.failed());
   append_format(out, "\n  latency      50%% in %.0f ms, 90%% in %.0f ms, 99%% in %.0f ms\n",
-                tally.latency_histogram.quantile(0.5), tally.latency_histogram.quantile(0.9),
-                tally.latency_histogram.quantile(0.99));
+                request_stats.latency_histogram.quantile(0.5), request_stats.latency_histogram.quantile(0.9),
+                request_stats.latency_histogram.quantile(0.99));
   append_format(out, "  service      %.2f%%; worst 10 s %.2f%%, worst class %.2f%%, worst tenant %.2f%%\n",
                 100 * result.check_result.overall_service, 100 * result.check_result.worst_window_service,
                 100 * result.check_result.worst_class_service,
@@ -132,15 +134,16 @@
                       result.stats.duration_ms / result.stats.runs);
   }
   if (sockets) {
-    double cpu = 0;
-    for (const RouterResourceUse& cost : result.info.routers) cpu += cost.cpu_s;
-    append_format(
-        out, "  routers      %.0f us of CPU a request; the lab sent 99%% within %.2f ms of their time\n",
-        tally.drawn > 0 ? cpu * 1e6 / static_cast<double>(tally.drawn) : 0, result.info.send_lateness_ms.p99);
+    double cpu_s = 0;
+    for (const RouterResourceUse& use : result.info.routers) cpu_s += use.cpu_s;
+    append_format(out,
+                  "  routers      %.0f us of CPU a request; the lab sent 99%% within %.2f ms of their time\n",
+                  request_stats.drawn > 0 ? cpu_s * 1e6 / static_cast<double>(request_stats.drawn) : 0,
+                  result.info.send_lateness_ms.p99);
   }
   double datagrams = 0, bytes = 0;
-  for (const RouterResourceUse& cost : result.info.routers) {
-    datagrams += static_cast<double>(cost.datagrams), bytes += static_cast<double>(cost.datagram_bytes);
+  for (const RouterResourceUse& use : result.info.routers) {
+    datagrams += static_cast<double>(use.datagrams), bytes += static_cast<double>(use.datagram_bytes);
   }
   if (datagrams > 0) {
     const double router_seconds =
@@ -149,23 +152,23 @@
                   datagrams / router_seconds, bytes / router_seconds);
   }
   out += "\n";
-  for (const RuleResult& finding : result.check_result.rules) {
-    if (finding.passed()) continue;
-    append_format(out, "  BROKEN  %s, %llu times\n", rule_description(finding.rule),
-                  static_cast<unsigned long long>(finding.violation_count));
-    for (const RuleViolation& breach : finding.first_violations)
-      append_format(out, "          at %.3f s: %s\n", breach.at_ms / 1000, breach.description.c_str());
+  for (const RuleResult& rule : result.check_result.rules) {
+    if (rule.passed()) continue;
+    append_format(out, "  BROKEN  %s, %llu times\n", rule_description(rule.rule),
+                  static_cast<unsigned long long>(rule.violation_count));
+    for (const RuleViolation& violation : rule.first_violations)
+      append_format(out, "          at %.3f s: %s\n", violation.at_ms / 1000, violation.description.c_str());
   }
-  for (const BoundResult& finding : result.check_result.bounds) {
-    std::string wanted;
-    if (finding.at_least)
-      append_format(wanted, " at least %s", metric_value_text(finding.metric, *finding.at_least).c_str());
-    if (finding.at_most)
-      append_format(wanted, " at most %s", metric_value_text(finding.metric, *finding.at_most).c_str());
-    append_format(
-        out, "  %-7s %s: %s, wanted%s\n", finding.passed ? "holds" : "MISSED", finding.description.c_str(),
-        finding.value ? metric_value_text(finding.metric, *finding.value).c_str() : "nothing to measure",
-        wanted.c_str());
+  for (const BoundResult& bound : result.check_result.bounds) {
+    std::string limits_text;
+    if (bound.at_least)
+      append_format(limits_text, " at least %s", metric_value_text(bound.metric, *bound.at_least).c_str());
+    if (bound.at_most)
+      append_format(limits_text, " at most %s", metric_value_text(bound.metric, *bound.at_most).c_str());
+    append_format(out, "  %-7s %s: %s, wanted%s\n", bound.passed ? "holds" : "MISSED",
+                  bound.description.c_str(),
+                  bound.value ? metric_value_text(bound.metric, *bound.value).c_str() : "nothing to measure",
+                  limits_text.c_str());
   }
   for (const std::string& reason : result.info.void_reasons)
     append_format(out, "  VOID    %s\n", reason.c_str());
--- a/lab/report/files.h
+++ b/lab/report/files.h
@@ -1,5 +1,5 @@
-// The files of a run's results: run.json (the complete result), seconds.csv, machines.csv, scenario.toml,
-// report.html.
+// The files of a run's results: run.json (the complete result), seconds.csv (by time slice), machines.csv (by
+// machine and time slice), scenario.toml and report.html.
 #pragma once
 
 #include <filesystem>
@@ -14,7 +14,8 @@
   std::string without_plots; // why the report has no plots; empty: it has plots
 };
 
-// Creates the folder. Throws std::runtime_error with the path and the error.
+// Writes all files of a run into `folder`, which is created if it does not exist. Throws std::runtime_error
+// with the path and the error.
 ReportFiles write_files(const ExperimentResult& result, const std::filesystem::path& folder);
 
 // Writes a file into a folder, which is created if it does not exist. Throws std::runtime_error with the path
@@ -24,8 +25,9 @@
 // Reads run.json. Throws std::runtime_error with the path and the error.
 ExperimentResult load_result(const std::filesystem::path& path);
 
-std::string seconds_csv(const RunStats& figures);
-std::string machines_csv(const RunStats& figures);
+// The contents of the CSV files.
+std::string seconds_csv(const RunStats& stats);
+std::string machines_csv(const RunStats& stats);
 
 // For terminals: requests served, refused and failed, broken rules, bounds and a verdict.
 std::string summary_text(const ExperimentResult& result);
--- a/lab/report/html.cpp
+++ b/lab/report/html.cpp
@@ -31,8 +31,8 @@
 }
 std::string cell(const std::string& text) { return "<td>" + html_escaped(text) + "</td>"; }
 std::string left_cell(const std::string& text) { return "<td class=l>" + html_escaped(text) + "</td>"; }
-std::string card(const std::string& value, const std::string& what) {
-  return "<div class=card><b>" + html_escaped(value) + "</b><span>" + html_escaped(what) + "</span></div>\n";
+std::string card(const std::string& value, const std::string& label) {
+  return "<div class=card><b>" + html_escaped(value) + "</b><span>" + html_escaped(label) + "</span></div>\n";
 }
 
 std::string verdict(const ExperimentResult& result) {
@@ -44,15 +44,15 @@
 }
 
 std::string cards(const ExperimentResult& result, const TimeSlice& totals) {
-  const RequestStats& tally = totals.request_stats;
+  const RequestStats& request_stats = totals.request_stats;
   std::string out = "<div class=cards>\n";
-  out += card(std::to_string(tally.drawn), "requests");
-  out += card(percent(tally.served(), tally.drawn), "served");
-  out += card(percent(tally.within_objective, tally.drawn), "served in time");
-  out += card(percent(tally.refused(), tally.drawn), "refused");
-  out += card(percent(tally.failed(), tally.drawn), "failed");
-  out += card(format_text("%.0f ms", tally.latency_histogram.quantile(0.5)), "latency, half within");
-  out += card(format_text("%.0f ms", tally.latency_histogram.quantile(0.99)), "latency, 99% within");
+  out += card(std::to_string(request_stats.drawn), "requests");
+  out += card(percent(request_stats.served(), request_stats.drawn), "served");
+  out += card(percent(request_stats.within_objective, request_stats.drawn), "served in time");
+  out += card(percent(request_stats.refused(), request_stats.drawn), "refused");
+  out += card(percent(request_stats.failed(), request_stats.drawn), "failed");
+  out += card(format_text("%.0f ms", request_stats.latency_histogram.quantile(0.5)), "latency, half within");
+  out += card(format_text("%.0f ms", request_stats.latency_histogram.quantile(0.99)), "latency, 99% within");
   out += card(percent(result.check_result.overall_service), "service");
   out += card(percent(result.check_result.worst_window_service), "service, worst 10 s");
   if (totals.hits + totals.misses > 0) out += card(percent(hit_ratio(totals)), "hits");
@@ -64,72 +64,74 @@
   return out + "</div>\n";
 }
 
-std::string rules(const CheckResult& findings) {
+std::string rules(const CheckResult& check_result) {
   std::string out =
       "<h2>What must hold</h2>\n<table><tr><th class=l></th><th class=l>rule</th><th></th></tr>\n";
-  for (const RuleResult& rule : findings.rules) {
+  for (const RuleResult& rule : check_result.rules) {
     const char* mark = !rule.enabled ? "not judged" : rule.passed() ? "kept" : "BROKEN";
     out += "<tr><td class='l mark'>" + std::string(mark) + "</td>" + left_cell(rule_description(rule.rule)) +
            cell(rule.violation_count > 0 ? std::to_string(rule.violation_count) + " times" : "") + "</tr>\n";
-    for (const RuleViolation& finding : rule.first_violations) {
+    for (const RuleViolation& violation : rule.first_violations) {
       out += "<tr><td></td>" +
-             left_cell(format_text("at %.3f s: ", finding.at_ms / 1000) + finding.description) +
+             left_cell(format_text("at %.3f s: ", violation.at_ms / 1000) + violation.description) +
              "<td></td></tr>\n";
     }
   }
   out += "</table>\n";
-  if (findings.bounds.empty()) return out;
+  if (check_result.bounds.empty()) return out;
   out +=
       "<table><tr><th class=l></th><th class=l>bound</th><th>measured</th><th>at least</th><th>at "
       "most</th></tr>\n";
-  for (const BoundResult& finding : findings.bounds) {
+  for (const BoundResult& bound : check_result.bounds) {
     const auto text = [&](const std::optional<double>& value) {
-      return value ? metric_value_text(finding.metric, *value) : "";
+      return value ? metric_value_text(bound.metric, *value) : "";
     };
-    out += std::string("<tr><td class='l mark'>") + (finding.passed ? "holds" : "MISSED") + "</td>" +
-           left_cell(finding.description) +
-           cell(finding.value ? metric_value_text(finding.metric, *finding.value) : "nothing to measure") +
-           cell(text(finding.at_least)) + cell(text(finding.at_most)) + "</tr>\n";
+    out += std::string("<tr><td class='l mark'>") + (bound.passed ? "holds" : "MISSED") + "</td>" +
+           left_cell(bound.description) +
+           cell(bound.value ? metric_value_text(bound.metric, *bound.value) : "nothing to measure") +
+           cell(text(bound.at_least)) + cell(text(bound.at_most)) + "</tr>\n";
   }
   return out + "</table>\n";
 }
 
-std::string events(const RunStats& figures) {
-  if (figures.event_intervals.empty()) return "";
+std::string events(const RunStats& stats) {
+  if (stats.event_intervals.empty()) return "";
   std::string out =
       "<h2>Events</h2>\n<p class=note>The numbers refer to the marks above the "
       "plots.</p>\n<table><tr><th></th>"
       "<th class=l>event</th><th>from</th><th>to</th></tr>\n";
-  for (std::size_t i = 0; i < figures.event_intervals.size(); ++i) {
-    const EventInterval& mark = figures.event_intervals[i];
-    out += "<tr>" + cell(std::to_string(i + 1)) + left_cell(mark.label) +
-           cell(format_text("%.1f s", mark.from_ms / 1000)) + cell(format_text("%.1f s", mark.to_ms / 1000)) +
-           "</tr>\n";
+  for (std::size_t i = 0; i < stats.event_intervals.size(); ++i) {
+    const EventInterval& interval = stats.event_intervals[i];
+    out += "<tr>" + cell(std::to_string(i + 1)) + left_cell(interval.label) +
+           cell(format_text("%.1f s", interval.from_ms / 1000)) +
+           cell(format_text("%.1f s", interval.to_ms / 1000)) + "</tr>\n";
   }
   return out + "</table>\n";
 }
 
-std::string tally_table(const char* title, const std::vector<NamedRequestStats>& all, bool with_service) {
+std::string request_stats_table(const char* title, const std::vector<NamedRequestStats>& all,
+                                bool with_service) {
   std::string out = std::string("<h2>") + title + "</h2>\n<table><tr><th class=l>name</th><th>" +
                     (with_service ? "requests" : "answers") +
                     "</th><th>served</th><th>refused</th><th>failed</th>" +
                     (with_service ? "<th>service</th><th>50% in</th><th>99% in</th>" : "") + "</tr>\n";
   for (const NamedRequestStats& named : all) {
-    const RequestStats& tally = named.request_stats;
-    out += "<tr>" + left_cell(named.name) + cell(std::to_string(tally.drawn)) +
-           cell(percent(tally.served(), tally.drawn)) + cell(percent(tally.refused(), tally.drawn)) +
-           cell(percent(tally.failed(), tally.drawn));
+    const RequestStats& request_stats = named.request_stats;
+    out += "<tr>" + left_cell(named.name) + cell(std::to_string(request_stats.drawn)) +
+           cell(percent(request_stats.served(), request_stats.drawn)) +
+           cell(percent(request_stats.refused(), request_stats.drawn)) +
+           cell(percent(request_stats.failed(), request_stats.drawn));
     if (with_service) {
-      out += cell(percent(tally.service())) +
-             cell(format_text("%.0f ms", tally.latency_histogram.quantile(0.5))) +
-             cell(format_text("%.0f ms", tally.latency_histogram.quantile(0.99)));
+      out += cell(percent(request_stats.service())) +
+             cell(format_text("%.0f ms", request_stats.latency_histogram.quantile(0.5))) +
+             cell(format_text("%.0f ms", request_stats.latency_histogram.quantile(0.99)));
     }
     out += "</tr>\n";
   }
   return out + "</table>\n";
 }
 
-std::string lab(const ExperimentResult& result) {
+std::string lab_section(const ExperimentResult& result) {
   const RunInfo& info = result.info;
   std::string out = "<h2>The lab itself</h2>\n<p>" +
                     html_escaped(format_text("The run of %.1f s took %.1f s with %.1f s of CPU and %.0f MB.",
@@ -138,10 +140,11 @@
                     "</p>\n";
   if (result.driver != "virtual") {
     out += "<table><tr><th class=l>lateness</th><th>50%</th><th>99%</th><th>99.9%</th><th>most</th></tr>\n";
-    for (const auto& [what, q] : {std::pair("of sends", &info.send_lateness_ms),
-                                  {"of machines' responses", &info.answer_lateness_ms}}) {
-      out += "<tr>" + left_cell(what);
-      for (const double value : {q->p50, q->p99, q->p999, q->max}) out += cell(format_text("%.2f ms", value));
+    for (const auto& [label, quantiles] : {std::pair("of sends", &info.send_lateness_ms),
+                                           {"of machines' responses", &info.answer_lateness_ms}}) {
+      out += "<tr>" + left_cell(label);
+      for (const double value : {quantiles->p50, quantiles->p99, quantiles->p999, quantiles->max})
+        out += cell(format_text("%.2f ms", value));
       out += "</tr>\n";
     }
     out += "</table>\n";
@@ -150,10 +153,10 @@
   out +=
       "<table><tr><th class=l>router</th><th>CPU</th><th>memory at most</th><th>descriptors at "
       "most</th></tr>\n";
-  for (const RouterResourceUse& cost : info.routers) {
-    out += "<tr>" + left_cell(format_text("r%u", cost.router)) + cell(format_text("%.2f s", cost.cpu_s)) +
-           cell(cost.peak_memory_mb > 0 ? format_text("%.1f MB", cost.peak_memory_mb) : "-") +
-           cell(cost.peak_sockets > 0 ? std::to_string(cost.peak_sockets) : "-") + "</tr>\n";
+  for (const RouterResourceUse& use : info.routers) {
+    out += "<tr>" + left_cell(format_text("r%u", use.router)) + cell(format_text("%.2f s", use.cpu_s)) +
+           cell(use.peak_memory_mb > 0 ? format_text("%.1f MB", use.peak_memory_mb) : "-") +
+           cell(use.peak_sockets > 0 ? std::to_string(use.peak_sockets) : "-") + "</tr>\n";
   }
   return out + "</table>\n";
 }
@@ -198,15 +201,14 @@
            plot.svg + "\n";
   }
   out += events(result.stats) + rules(result.check_result);
-  out += tally_table("By class", result.stats.classes, true) +
-         tally_table("By tenant", result.stats.tenants, true) +
-         tally_table("By clients' zone", result.stats.zones, true) +
-         tally_table("By router", result.stats.routers, false);
-  out += lab(result);
+  out += request_stats_table("By class", result.stats.classes, true) +
+         request_stats_table("By tenant", result.stats.tenants, true) +
+         request_stats_table("By clients' zone", result.stats.zones, true) +
+         request_stats_table("By router", result.stats.routers, false);
+  out += lab_section(result);
   out +=
-      "<h2>The scenario</h2>\n<p class=note>As a standalone file with every value written out; it repeats "
-      "this run "
-      "again.</p>\n"
+      "<h2>The scenario</h2>\n<p class=note>As a standalone file with every value written out; running it "
+      "repeats this run.</p>\n"
       "<pre>" +
       html_escaped(result.scenario_toml) + "</pre>\n</body></html>\n";
   return out;
--- a/lab/report/html.h
+++ b/lab/report/html.h
@@ -8,7 +8,9 @@
 
 namespace fernward::lab {
 
+// The page about `result` with `plots`. If there are no plots, the page says why.
 std::string html_report(const ExperimentResult& result, const Plots& plots);
+// `text` with the characters escaped that have a meaning in HTML text and attributes.
 std::string html_escaped(const std::string& text);
 
 } // namespace fernward::lab
--- a/lab/report/plots.cpp
+++ b/lab/report/plots.cpp
@@ -28,7 +28,7 @@
 constexpr std::chrono::seconds kProgramTimeout{60};
 // Rows of the heat map with names; with more machines only every second, third, ... name is written.
 constexpr std::size_t kMaxLabelledRows = 48;
-constexpr int kWidthPixels = 980;
+constexpr int kWidthPixels = 980; // of each plot
 
 class TemporaryFolder { // a temporary folder, removed by its destructor
  public:
@@ -59,7 +59,7 @@
   return text.str();
 }
 
-// Runs the program on the script in the folder; returns the error, or an empty string.
+// Runs the program on the script in the folder. Returns an error message; empty: it succeeded.
 std::string run_program(const std::string& program, const fs::path& folder) {
   posix_spawn_file_actions_t files;
   posix_spawn_file_actions_init(&files);
@@ -104,12 +104,13 @@
   }
 };
 
+// Writes the script and the data files for gnuplot into a folder.
 class PlotScript {
  public:
-  PlotScript(const RunStats& figures, fs::path folder)
-      : figures_(figures),
+  PlotScript(const RunStats& stats, fs::path folder)
+      : stats_(stats),
         folder_(std::move(folder)),
-        total_ms_(figures.slice_width_ms * static_cast<double>(figures.slices.size())),
+        total_ms_(stats.slice_width_ms * static_cast<double>(stats.slices.size())),
         time_axis_(total_ms_) {
     write_data();
     add_plot("outcomes", "Requests by outcome",
@@ -125,7 +126,7 @@
              "of the whole run; the share of requests that is slower shrinks "
              "tenfold with each large step to the right",
              280, percentile_commands());
-    const int rows = static_cast<int>(figures_.machines.size());
+    const int rows = static_cast<int>(stats_.machines.size());
     add_plot("load", "Load by machine",
              "share of the machine's current capacity in use; white: not in service",
              std::clamp(90 + 15 * rows, 190, 900), load_commands());
@@ -141,53 +142,54 @@
   template <typename F>
   void write_table(const char* name, F write_row) {
     std::ofstream out(folder_ / name);
-    for (std::size_t i = 0; i < figures_.slices.size(); ++i) {
-      out << figures_.slice_width_ms * static_cast<double>(i) / time_axis_.ms_per_unit;
-      write_row(out, figures_.slices[i]);
+    for (std::size_t i = 0; i < stats_.slices.size(); ++i) {
+      out << stats_.slice_width_ms * static_cast<double>(i) / time_axis_.ms_per_unit;
+      write_row(out, stats_.slices[i]);
       out << "\n";
     }
     // The last step of the curve needs an end point.
-    if (!figures_.slices.empty()) {
+    if (!stats_.slices.empty()) {
       out << total_ms_ / time_axis_.ms_per_unit;
-      write_row(out, figures_.slices.back());
+      write_row(out, stats_.slices.back());
       out << "\n";
     }
   }
 
   void write_data() {
-    const double seconds = figures_.slice_width_ms / 1000 * figures_.runs;
-    write_table("series", [&](std::ostream& out, const TimeSlice& s) {
-      const RequestStats& tally = s.request_stats;
+    const double seconds = stats_.slice_width_ms / 1000 * stats_.runs;
+    write_table("series", [&](std::ostream& out, const TimeSlice& slice) {
+      const RequestStats& request_stats = slice.request_stats;
       const auto rate = [&](std::uint64_t count) { return static_cast<double>(count) / seconds; };
       double sum = 0;
-      for (const std::uint64_t count : {tally.within_objective, tally.served() - tally.within_objective,
-                                        tally.refused(), tally.failed()}) {
+      for (const std::uint64_t count :
+           {request_stats.within_objective, request_stats.served() - request_stats.within_objective,
+            request_stats.refused(), request_stats.failed()}) {
         sum += rate(count);
         out << " " << sum;
       }
-      if (tally.drawn_weight > 0) {
-        out << " " << 100 * tally.service();
+      if (request_stats.drawn_weight > 0) {
+        out << " " << 100 * request_stats.service();
       } else {
         out << " ?";
       }
-      out << " " << rate(s.origin_reads) << " " << rate(s.origin_writes);
-      if (s.hits + s.misses > 0) {
-        out << " " << 100 * hit_ratio(s);
+      out << " " << rate(slice.origin_reads) << " " << rate(slice.origin_writes);
+      if (slice.hits + slice.misses > 0) {
+        out << " " << 100 * hit_ratio(slice);
       } else {
         out << " ?";
       }
       for (const double quantile : {0.5, 0.9, 0.99, 1.0}) {
-        if (tally.latency_histogram.count() > 0) {
-          out << " " << tally.latency_histogram.quantile(quantile);
+        if (request_stats.latency_histogram.count() > 0) {
+          out << " " << request_stats.latency_histogram.quantile(quantile);
         } else {
           out << " ?";
         }
       }
     });
-    for (std::size_t class_index = 0; class_index <= figures_.classes.size(); ++class_index) {
+    for (std::size_t class_index = 0; class_index <= stats_.classes.size(); ++class_index) {
       const LatencyHistogram latencies =
-          class_index == 0 ? figures_.total().request_stats.latency_histogram
-                           : figures_.classes[class_index - 1].request_stats.latency_histogram;
+          class_index == 0 ? stats_.total().request_stats.latency_histogram
+                           : stats_.classes[class_index - 1].request_stats.latency_histogram;
       std::ofstream out(folder_ / ("class" + std::to_string(class_index)));
       const double min_share = latencies.count() > 0 ? 1 / static_cast<double>(latencies.count()) : 1;
       for (double slower_share = 1; slower_share > min_share; slower_share *= 0.93) {
@@ -196,7 +198,7 @@
       out << 1 / min_share << " " << latencies.quantile(1) << "\n";
     }
     std::ofstream heat_map(folder_ / "heat");
-    for (const MachineStats& machine : figures_.machines) {
+    for (const MachineStats& machine : stats_.machines) {
       for (const MachineTimeSlice& slice : machine.slices) {
         if (slice.sample_count > 0) {
           heat_map << slice.utilization_sum / static_cast<float>(slice.sample_count) << " ";
@@ -208,14 +210,16 @@
     }
   }
 
-  // gnuplot commands that mark each event as a band or a line, with its number in the page's list.
-  std::string event_marks(bool dark) const {
+  // gnuplot commands that mark each event by a line with its number in the page's list, and on a light
+  // background its duration by a band.
+  std::string event_marks(bool dark_background) const {
     std::ostringstream out;
-    const char* colour = dark ? "#ffffff" : "#606060";
-    for (std::size_t i = 0; i < figures_.event_intervals.size() && i < 60; ++i) {
-      const EventInterval& mark = figures_.event_intervals[i];
-      const double from = mark.from_ms / time_axis_.ms_per_unit, to = mark.to_ms / time_axis_.ms_per_unit;
-      if (to > from && !dark) {
+    const char* colour = dark_background ? "#ffffff" : "#606060";
+    for (std::size_t i = 0; i < stats_.event_intervals.size() && i < 60; ++i) {
+      const EventInterval& interval = stats_.event_intervals[i];
+      const double from = interval.from_ms / time_axis_.ms_per_unit,
+                   to = interval.to_ms / time_axis_.ms_per_unit;
+      if (to > from && !dark_background) {
         out << "set object rectangle from " << from << ",graph 0 to " << to
             << ",graph 1 behind fillcolor rgb '#000000' fillstyle transparent solid 0.06 noborder\n";
       }
@@ -280,18 +284,18 @@
            "1e5, "
            "'99.9999%%' 1e6)\n"
         << "set xlabel 'share of the requests that are no slower' textcolor rgb '#404040'\nplot ";
-    for (std::size_t class_index = 0; class_index <= figures_.classes.size() && class_index < kColours.size();
+    for (std::size_t class_index = 0; class_index <= stats_.classes.size() && class_index < kColours.size();
          ++class_index) {
       out << (class_index > 0 ? ", " : "") << "'class" << class_index << "' using 1:2 with lines linewidth "
           << (class_index == 0 ? 2.2 : 1.4) << " linecolor rgb '" << kColours[class_index] << "' title '"
-          << (class_index == 0 ? "all" : figures_.classes[class_index - 1].name) << "'";
+          << (class_index == 0 ? "all" : stats_.classes[class_index - 1].name) << "'";
     }
     out << "\n";
     return out.str();
   }
   std::string load_commands() const {
     std::ostringstream out;
-    const std::size_t rows = figures_.machines.size();
+    const std::size_t rows = stats_.machines.size();
     out << time_axis_commands() << event_marks(true)
         << "unset key\nunset grid\nset lmargin 14\nset rmargin 12\n"
         << "set palette defined (0 '#e3eef8', 0.25 '#9ecae1', 0.5 '#4292c6', 0.75 '#f6b23c', 1 '#b2182b')\n"
@@ -299,9 +303,9 @@
         << "-0.5:-0.5]\nset ytics (";
     const std::size_t step = rows / kMaxLabelledRows + 1;
     for (std::size_t i = 0; i < rows; i += step)
-      out << (i > 0 ? ", " : "") << "'" << figures_.machines[i].name << "' " << i;
+      out << (i > 0 ? ", " : "") << "'" << stats_.machines[i].name << "' " << i;
     out << ") font ',10'\nplot 'heat' matrix using (($1+0.5)*"
-        << figures_.slice_width_ms / time_axis_.ms_per_unit << "):2:3 with image\n";
+        << stats_.slice_width_ms / time_axis_.ms_per_unit << "):2:3 with image\n";
     return out.str();
   }
   std::string origin_commands() const {
@@ -313,7 +317,7 @@
            "'' using 1:9 axes x1y2 with steps linewidth 1.6 linecolor rgb '#b35806' title 'hit ratio, %'\n";
   }
 
-  const RunStats& figures_;
+  const RunStats& stats_;
   const fs::path folder_;
   const double total_ms_;
   const TimeAxis time_axis_;
@@ -322,9 +326,9 @@
 
 } // namespace
 
-Plots draw_plots(const RunStats& figures, const std::string& program) {
+Plots draw_plots(const RunStats& stats, const std::string& program) {
   Plots result;
-  if (figures.slices.empty()) {
+  if (stats.slices.empty()) {
     result.error = "the run has no data to plot";
     return result;
   }
@@ -333,7 +337,7 @@
     result.error = "no temporary folder can be created";
     return result;
   }
-  PlotScript script(figures, folder.path());
+  PlotScript script(stats, folder.path());
   result.error = run_program(program, folder.path());
   if (!result.error.empty()) return result;
   for (std::size_t i = 0; i < script.plots.size(); ++i) {
