--- a/lab/cost/cost.cpp
+++ b/lab/cost/cost.cpp
@@ -37,38 +37,40 @@
   return spec;
 }
 
+// Counts the client tries that each program served in the measured interval.
 struct ServedCounter : model::Sink {
-  void on(const model::TryEnded& a) override {
-    if (a.outcome == model::TryOutcome::Served && a.at >= from_ms && a.at < to_ms && a.router < served.size())
-      ++served[a.router];
+  void on(const model::TryEnded& ended) override {
+    if (ended.outcome == model::TryOutcome::Served && ended.at >= from_ms && ended.at < to_ms &&
+        ended.router < served.size())
+      ++served[ended.router];
   }
-  double from_ms = 1e18, to_ms = 1e18; // set before the records of that time arrive
+  double from_ms = 1e18, to_ms = 1e18; // set during the run; until then after any record
   std::array<std::uint64_t, 2> served{};
 };
 
 } // namespace
 
 CostResult measure_cost(const CostOptions& options) {
-  RigOptions rig;
-  rig.program = options.router_program;
-  rig.programs_by_router = {{}, {options.relay_command_line, true}};
+  RigOptions rig_options;
+  rig_options.program = options.router_program;
+  rig_options.programs_by_router = {{}, {options.relay_command_line, true}};
   ServedCounter counter;
   CostResult result;
   std::array<ProgramCost*, 2> costs{&result.router, &result.relay};
-  rig.on_second = [&](double now, const std::vector<RouterUsage>& uses) {
+  rig_options.on_second = [&](double now, const std::vector<RouterUsage>& usages) {
     const bool begins = counter.from_ms > now && now >= options.warm_up_s * 1000 - 1;
     const bool ends =
         !begins && counter.to_ms > now && now >= counter.from_ms + options.measured_s * 1000 - 1500;
     if (!begins && !ends) return;
     (begins ? counter.from_ms : counter.to_ms) = now;
-    for (const RouterUsage& use : uses) {
-      ProgramCost& cost = *costs[use.router == kRouter ? kRouter : kRelay];
-      cost.cpu_s = use.cpu_s - cost.cpu_s;
-      cost.memory_mb = use.memory_mb;
-      cost.descriptors = use.descriptors;
+    for (const RouterUsage& usage : usages) {
+      ProgramCost& cost = *costs[usage.router == kRouter ? kRouter : kRelay];
+      cost.cpu_s = usage.cpu_s - cost.cpu_s;
+      cost.memory_mb = usage.memory_mb;
+      cost.descriptors = usage.descriptors;
     }
   };
-  result.info = make_rig_driver(rig)->run(make_cost_scenario(options), counter);
+  result.info = make_rig_driver(rig_options)->run(make_cost_scenario(options), counter);
   if (counter.to_ms > 1e17)
     throw std::runtime_error("the run ended before the measured interval was complete");
   result.router.requests = counter.served[kRouter];
--- a/lab/lies/datagram_corruptor.cpp
+++ b/lab/lies/datagram_corruptor.cpp
@@ -8,13 +8,13 @@
 using gossip::OriginQuantity;
 
 constexpr std::size_t kMaxAccusations = 3; // in one datagram
-constexpr std::size_t kMaxUpdates = 8; // in addition to the router's own stamp: space must remain for facts
-constexpr std::size_t kMaxFactsBytes = 90; // bytes; a correct datagram has up to 128 (gossip/gossip_node.cpp)
+constexpr std::size_t kMaxUpdates = 8;     // besides the router's own stamp, so that space remains for facts
+constexpr std::size_t kMaxFactsBytes = 90; // a correct datagram has up to 128 (kMaxOriginBytes)
 constexpr std::uint16_t kSequenceLead = 1000; // updates by which a false stamp is ahead of the true one
 
-double claimed_value(model::ReportedExtreme claim, OriginQuantity quantity_id) {
-  const auto& quantity = gossip::kQuantityBounds[static_cast<std::size_t>(quantity_id)];
-  return claim == model::ReportedExtreme::Maximum ? quantity.max_value : quantity.min_value;
+double claimed_value(model::ReportedExtreme claim, OriginQuantity quantity) {
+  const auto& bounds = gossip::kQuantityBounds[static_cast<std::size_t>(quantity)];
+  return claim == model::ReportedExtreme::Maximum ? bounds.max_value : bounds.min_value;
 }
 
 } // namespace
--- a/lab/limiters/limiters.cpp
+++ b/lab/limiters/limiters.cpp
@@ -1,5 +1,5 @@
-// The limiters that are compared. Each is a short version of its source's algorithm. The router uses none of
-// these classes.
+// The limiters that are compared. Each is a short version of its source's algorithm, except FernwardLimiter,
+// which wraps that of the router. The router uses none of these classes.
 #include <algorithm>
 #include <cmath>
 
@@ -54,12 +54,13 @@
     }
   }
   double limit() const override { return limit_; }
-  double congestion(double, double in_flight) const override {
-    return std::max(in_flight / limit_, objective_ratio_ / 0.5);
+  double congestion(double, double demand) const override {
+    return std::max(demand / limit_, objective_ratio_ / 0.5);
   }
 
  private:
-  static constexpr double kIdleLimit = 8;
+  static constexpr double kIdleLimit =
+      8; // initial limit; a larger one falls to it while less than half is in use
   void reduce(double now, double factor) {
     if (now - last_reduced_at_ < mean_response_ms_) return;
     last_reduced_at_ = now;
@@ -69,19 +70,18 @@
          last_sent_at_ = kNever;
 };
 
+// The router's limiter.
 class FernwardLimiter final : public LimiterUnderTest {
  public:
-  explicit FernwardLimiter(double nodes)
-      : limiter_(concurrency::OriginConcurrencyLimiter::for_router_count(nodes)) {}
+  explicit FernwardLimiter(double router_count)
+      : limiter_(concurrency::OriginConcurrencyLimiter::for_router_count(router_count)) {}
   bool may_send(double now, std::uint32_t in_flight, bool write) const override {
     return limiter_.has_capacity(now, in_flight, write);
   }
   void on_sent(double now) override { limiter_.on_attempt_sent(now); }
   void on_ended(double now, const AttemptSample& sample) override { limiter_.on_attempt_ended(now, sample); }
   double limit() const override { return limiter_.limit(); }
-  double congestion(double now, double in_flight) const override {
-    return limiter_.utilization(now, in_flight);
-  }
+  double congestion(double now, double demand) const override { return limiter_.utilization(now, demand); }
 
  private:
   concurrency::OriginConcurrencyLimiter limiter_;
@@ -105,7 +105,7 @@
     limit_ = std::clamp(limit_, min_limit_, 1000.0);
   }
   double limit() const override { return limit_; }
-  double congestion(double, double in_flight) const override { return in_flight / limit_; }
+  double congestion(double, double demand) const override { return demand / limit_; }
 
  protected:
   virtual void update_limit(double now, const AttemptSample& sample) = 0;
@@ -117,7 +117,7 @@
 // allowed. The minimum is reset periodically.
 class Vegas final : public LimitFromResponses {
  public:
-  explicit Vegas(double nodes) : LimitFromResponses(std::max(1.0, 20 / nodes)) {}
+  explicit Vegas(double router_count) : LimitFromResponses(std::max(1.0, 20 / router_count)) {}
 
  private:
   void update_limit(double, const AttemptSample& sample) override {
@@ -145,11 +145,11 @@
   double min_response_ms_ = 0, samples_since_reset_ = 0;
 };
 
-// Netflix concurrency-limits, Gradient2Limit: the ratio of the long-term mean response time to the present
-// one, with a tolerance of 1.5 and an allowed queue of four.
+// Netflix concurrency-limits, Gradient2Limit: multiplies the limit by the ratio of the long-term mean response
+// time to the present one, with a tolerance of 1.5, and adds an allowed queue of four.
 class Gradient2 final : public LimitFromResponses {
  public:
-  explicit Gradient2(double nodes) : LimitFromResponses(std::max(1.0, 20 / nodes)) {}
+  explicit Gradient2(double router_count) : LimitFromResponses(std::max(1.0, 20 / router_count)) {}
 
  private:
   void update_limit(double, const AttemptSample& sample) override {
@@ -169,7 +169,7 @@
 // each rejection, timeout or late response.
 class Aimd final : public LimitFromResponses {
  public:
-  explicit Aimd(double nodes) : LimitFromResponses(std::max(1.0, 20 / nodes)) {}
+  explicit Aimd(double router_count) : LimitFromResponses(std::max(1.0, 20 / router_count)) {}
 
  private:
   void update_limit(double, const AttemptSample& sample) override {
@@ -188,15 +188,15 @@
   void on_sent(double) override {}
   void on_ended(double, const AttemptSample&) override {}
   double limit() const override { return limit_; }
-  double congestion(double, double in_flight) const override { return in_flight / limit_; }
+  double congestion(double, double demand) const override { return demand / limit_; }
 
  private:
   double limit_;
 };
 
 template <typename Kind>
-std::unique_ptr<LimiterUnderTest> make_limiter(double nodes) {
-  return std::make_unique<Kind>(nodes);
+std::unique_ptr<LimiterUnderTest> make_limiter(double router_count) {
+  return std::make_unique<Kind>(router_count);
 }
 
 } // namespace
@@ -207,7 +207,7 @@
        [](double) { return make_fixed_limiter(1e9); }},
       {"today", "reduced at half of the latency objective; queues until the objective",
        QueuePolicy::UntilDeadline, false, false, make_limiter<PreviousLimiter>},
-      {"codel", "the limit of today, with a CoDel queue", QueuePolicy::CoDel, false, false,
+      {"codel", "the limiter of `today`, with a CoDel queue", QueuePolicy::CoDel, false, false,
        make_limiter<PreviousLimiter>},
       {"vegas", "TCP Vegas", QueuePolicy::OriginQueue, false, false, make_limiter<Vegas>},
       {"gradient2", "Netflix Gradient2", QueuePolicy::OriginQueue, false, false, make_limiter<Gradient2>},
--- a/lab/limiters/loads.cpp
+++ b/lab/limiters/loads.cpp
@@ -11,8 +11,8 @@
 std::function<double(double)> constant_load(double share) {
   return [share](double) { return share; };
 }
-std::function<double(double)> step_function(double from, double to, double inside, double outside) {
-  return [=](double t) { return t >= from && t < to ? inside : outside; };
+std::function<double(double)> step_function(double from_s, double to_s, double inside, double outside) {
+  return [=](double second) { return second >= from_s && second < to_s ? inside : outside; };
 }
 
 } // namespace
@@ -71,7 +71,7 @@
       {.name = "neighbour",
        .description = "0.6; for 3 s in 7 another program uses 0.6 of the cores",
        .offered_share = constant_load(0.6),
-       .speed_factor = [](double t) { return std::fmod(t, 7) < 3 && t > 7 ? 0.4 : 1.0; }},
+       .speed_factor = [](double second) { return std::fmod(second, 7) < 3 && second > 7 ? 0.4 : 1.0; }},
       {.name = "silent",
        .description = "0.6; a third of the attempts get no response",
        .offered_share = constant_load(0.6),
@@ -104,11 +104,11 @@
 
 DrawnConditions draw_conditions(std::uint64_t seed, const Load& load, unsigned routers) {
   pcg64 random(seed, 1);
-  const auto uniform = [&random](double a, double b) {
-    return boost::random::uniform_real_distribution<double>(a, b)(random);
+  const auto uniform = [&random](double low, double high) {
+    return boost::random::uniform_real_distribution<double>(low, high)(random);
   };
-  const auto log_uniform = [&uniform](double a, double b) {
-    return std::exp(uniform(std::log(a), std::log(b)));
+  const auto log_uniform = [&uniform](double low, double high) {
+    return std::exp(uniform(std::log(low), std::log(high)));
   };
   DrawnConditions conditions;
   const unsigned sizing_routers = load.small_server ? 4 : routers;
--- a/lab/limiters/main.cpp
+++ b/lab/limiters/main.cpp
@@ -19,18 +19,19 @@
 constexpr double kRecoveredShare = 0.9; // of the reference's goodput: counts as recovered
 constexpr double kRecoveredSeconds = 3; // which must hold this long
 
+// One value for each seed.
 struct Samples {
   std::vector<double> values;
   double mean() const {
     double sum = 0;
-    for (const double v : values) sum += v;
+    for (const double value : values) sum += value;
     return values.empty() ? 0 : sum / static_cast<double>(values.size());
   }
   double confidence_half_width() const { // 95%
     if (values.size() < 2) return 0;
     const double sample_mean = mean(), count = static_cast<double>(values.size());
     double squared_deviations = 0;
-    for (const double v : values) squared_deviations += (v - sample_mean) * (v - sample_mean);
+    for (const double value : values) squared_deviations += (value - sample_mean) * (value - sample_mean);
     const boost::math::students_t distribution(count - 1);
     return boost::math::quantile(distribution, 0.975) * std::sqrt(squared_deviations / (count - 1) / count);
   }
@@ -53,9 +54,9 @@
 
 // Seconds until goodput has returned to kRecoveredShare of the reference for kRecoveredSeconds; the remaining
 // run time if it never does.
-double recovery_time_s(const Load& load, const Outcome& outcome, const Outcome& best) {
+double recovery_time_s(const Load& load, const Outcome& outcome, const Outcome& reference) {
   const double required_goodput =
-      kRecoveredShare * goodput_share(best, load.duration_s - 15, load.duration_s);
+      kRecoveredShare * goodput_share(reference, load.duration_s - 15, load.duration_s);
   double second = load.recover_from_s;
   while (second + kRecoveredSeconds <= load.duration_s &&
          goodput_share(outcome, second, second + kRecoveredSeconds) < required_goodput)
@@ -78,7 +79,7 @@
   if (names.empty()) return all;
   std::vector<T> selected;
   for (const std::string& name : split(names)) {
-    const auto it = std::find_if(all.begin(), all.end(), [&](const T& x) { return x.name == name; });
+    const auto it = std::find_if(all.begin(), all.end(), [&](const T& item) { return item.name == name; });
     if (it == all.end()) throw std::runtime_error("there is no load or limiter '" + name + "'");
     selected.push_back(*it);
   }
@@ -100,9 +101,10 @@
   const auto arguments = options.parse(argc, argv);
   if (arguments.count("help") != 0) return std::puts(options.help().c_str()), 0;
   if (arguments.count("list") != 0) {
-    for (const Load& l : loads()) std::printf("load %s: %s\n", l.name.c_str(), l.description.c_str());
-    for (const LimiterEntry& e : limiter_entries())
-      std::printf("limiter %s: %s\n", e.name.c_str(), e.source.c_str());
+    for (const Load& load : loads())
+      std::printf("load %s: %s\n", load.name.c_str(), load.description.c_str());
+    for (const LimiterEntry& entry : limiter_entries())
+      std::printf("limiter %s: %s\n", entry.name.c_str(), entry.source.c_str());
     return 0;
   }
   const auto selected_loads = select_by_name(loads(), arguments["loads"].as<std::string>());
@@ -128,27 +130,28 @@
           if (seeds_started >= seeds) return;
           const std::uint64_t seed = first_seed + seeds_started++;
           seed_lock.unlock();
-          Outcome best;
+          Outcome reference;
           for (const double limit_per_core : kFixedLimitsPerCore) {
-            Outcome o = simulate_fixed_limit(load, seed, routers, limit_per_core);
-            if (o.served_weight > best.served_weight) best = std::move(o);
+            Outcome outcome = simulate_fixed_limit(load, seed, routers, limit_per_core);
+            if (outcome.served_weight > reference.served_weight) reference = std::move(outcome);
           }
           std::vector<Outcome> outcomes;
-          for (const LimiterEntry& e : selected_limiters)
-            outcomes.push_back(simulate(load, seed, routers, e));
+          for (const LimiterEntry& entry : selected_limiters)
+            outcomes.push_back(simulate(load, seed, routers, entry));
           seed_lock.lock();
           for (std::size_t i = 0; i < outcomes.size(); ++i) {
-            const Outcome& o = outcomes[i];
-            LimiterSamples& c = samples_by_limiter[i];
-            c.relative_goodput.values.push_back(o.served_weight / best.served_weight);
-            c.goodput_share.values.push_back(o.served_weight / o.offered_weight);
-            c.peak_held_per_core.values.push_back(o.peak_held_per_core);
-            c.rejected_share.values.push_back(o.rejected_share);
-            c.attempts_per_request.values.push_back(o.attempts_per_request);
-            c.overload_failures.values.push_back(o.overload_failures);
-            c.busy_share.values.push_back(o.busy_share);
-            c.late_per_request.values.push_back(o.late_per_request);
-            if (load.recover_from_s >= 0) c.recovery_s.values.push_back(recovery_time_s(load, o, best));
+            const Outcome& outcome = outcomes[i];
+            LimiterSamples& samples = samples_by_limiter[i];
+            samples.relative_goodput.values.push_back(outcome.served_weight / reference.served_weight);
+            samples.goodput_share.values.push_back(outcome.served_weight / outcome.offered_weight);
+            samples.peak_held_per_core.values.push_back(outcome.peak_held_per_core);
+            samples.rejected_share.values.push_back(outcome.rejected_share);
+            samples.attempts_per_request.values.push_back(outcome.attempts_per_request);
+            samples.overload_failures.values.push_back(outcome.overload_failures);
+            samples.busy_share.values.push_back(outcome.busy_share);
+            samples.late_per_request.values.push_back(outcome.late_per_request);
+            if (load.recover_from_s >= 0)
+              samples.recovery_s.values.push_back(recovery_time_s(load, outcome, reference));
           }
         }
       };
@@ -157,21 +160,23 @@
         threads.emplace_back(run_seeds);
       threads.clear();
       for (std::size_t i = 0; i < selected_limiters.size(); ++i) {
-        const LimiterSamples& c = samples_by_limiter[i];
+        const LimiterSamples& samples = samples_by_limiter[i];
         char recovery_text[64] = "-";
-        if (!c.recovery_s.values.empty())
-          std::snprintf(recovery_text, sizeof recovery_text, "%.1f ± %.1f", c.recovery_s.mean(),
-                        c.recovery_s.confidence_half_width());
+        if (!samples.recovery_s.values.empty())
+          std::snprintf(recovery_text, sizeof recovery_text, "%.1f ± %.1f", samples.recovery_s.mean(),
+                        samples.recovery_s.confidence_half_width());
         char failures_text[32] = "";
         if (load.overload_multiple > 0)
-          std::snprintf(failures_text, sizeof failures_text, ", %.2f failures", c.overload_failures.mean());
+          std::snprintf(failures_text, sizeof failures_text, ", %.2f failures",
+                        samples.overload_failures.mean());
         std::printf(
             "| %s | %s | %.3f ± %.3f | %.3f | %.1f ± %.1f%s | %s | %.3f ± %.3f | %.2f | %.2f | %.3f |\n",
-            load.name.c_str(), selected_limiters[i].name.c_str(), c.relative_goodput.mean(),
-            c.relative_goodput.confidence_half_width(), c.goodput_share.mean(), c.peak_held_per_core.mean(),
-            c.peak_held_per_core.confidence_half_width(), failures_text, recovery_text,
-            c.rejected_share.mean(), c.rejected_share.confidence_half_width(), c.attempts_per_request.mean(),
-            c.busy_share.mean(), c.late_per_request.mean());
+            load.name.c_str(), selected_limiters[i].name.c_str(), samples.relative_goodput.mean(),
+            samples.relative_goodput.confidence_half_width(), samples.goodput_share.mean(),
+            samples.peak_held_per_core.mean(), samples.peak_held_per_core.confidence_half_width(),
+            failures_text, recovery_text, samples.rejected_share.mean(),
+            samples.rejected_share.confidence_half_width(), samples.attempts_per_request.mean(),
+            samples.busy_share.mean(), samples.late_per_request.mean());
       }
       std::fflush(stdout);
     }
--- a/lab/limiters/server.h
+++ b/lab/limiters/server.h
@@ -12,26 +12,28 @@
 
 struct ServerSpec {
   double cores = 8;
-  double slots_per_core = 4; // requests processed at once
-  double queue_per_core = 3; // queued requests; beyond it requests are rejected
+  double slots_per_core = 4; // requests in work at once
+  double queue_per_core = 3; // requests that may wait; further ones are rejected
   double efficiency_loss =
       0.05; // efficiency lost for each request a core holds beyond `efficiency_loss_from`
   double efficiency_loss_from = 4;
   bool drops_expired = false; // a request whose deadline has passed is not started
   double overload_multiple =
       0; // fails when sent this many times its capacity for `overload_window_ms`; 0: never
-  double overload_window_ms = 2000, down_ms = 4000;
+  double overload_window_ms = 2000, down_ms = 4000; // down_ms: how long it is down after a failure
 };
 
+// One server, driven by the simulation: time passes for it only in calls, whose `now` never decreases.
 class Server {
  public:
-  using Job = std::uint64_t;
+  using Job = std::uint64_t; // the caller's number of an attempt
   explicit Server(const ServerSpec& spec) : spec_(spec) {}
 
   enum class AdmissionResult { Started, Queued, Rejected, Down };
+  // A job with the deadline `deadline` arrives. Rejected: the slots and the queue are full.
   AdmissionResult arrive(double now, Job job, double work_ms, double deadline);
-  // Completes the work finished by `now` and appends its jobs to `done`. Expired jobs that were not started
-  // are appended to `dropped`.
+  // Appends the jobs that are finished at `now` to `done` and starts queued ones in their slots. Expired jobs
+  // that are not started are appended to `dropped`.
   void advance(double now, std::vector<Job>& done, std::vector<Job>& dropped);
   double next_completion_at() const;         // with the present jobs; infinity: none
   void set_speed(double now, double factor); // factor of each core; 1 at the start
@@ -59,7 +61,8 @@
   using Completion = std::pair<double, Job>;
   std::priority_queue<Completion, std::vector<Completion>, std::greater<>> running_;
   std::deque<HeldJob> waiting_;
-  std::deque<std::pair<double, double>> recent_arrivals_; // time and work of the last `overload_window_ms`
+  std::deque<std::pair<double, double>>
+      recent_arrivals_; // time and work of those in the last `overload_window_ms`
   double recent_work_ms_ = 0, down_until_ = -1;
 };
 
--- a/lab/limiters/simulation.cpp
+++ b/lab/limiters/simulation.cpp
@@ -20,14 +20,13 @@
 
 using concurrency::AttemptEnding;
 
-constexpr double kRoundTripMs =
-    1;                          // network round trip, added to the result's way back; attempts arrive at once
-constexpr double kTickMs = 100; // a router checks its queue at least this often
+constexpr double kRoundTripMs = 1; // network round trip, all of it on the way back; attempts arrive at once
+constexpr double kTickMs = 100;    // a router checks its queue at least this often
 constexpr double kReportIntervalMs = 150; // least interval between reports of the server's queue length
-constexpr double kWriteShare = 0.05;
-constexpr unsigned kMaxAttempts = 5;
+constexpr double kWriteShare = 0.05;      // of the requests
+constexpr unsigned kMaxAttempts = 5;      // for each try of a client
 constexpr double kOverdueMultiple = 4; // multiple of the mean response time after which an attempt is overdue
-constexpr double kMaxRetryAfterMs = 1500;
+constexpr double kMaxRetryAfterMs = 1500; // that clients follow
 
 // A separate random stream for each concern, so that one limiter's decisions do not change the other draws.
 struct RandomStreams {
@@ -39,9 +38,9 @@
   }
 };
 
-struct Try { // one request at one router
+struct Try { // a client's try of a request, at one router
   std::uint32_t request_id = 0, router_id = 0;
-  double deadline = 0, client_deadline = 0; // the objective has passed; the client has given up
+  double deadline = 0, client_deadline = 0; // end of the latency objective; when the client gives up
   unsigned attempts = 0, in_flight = 0;
   bool finished = false, queued = false;
 };
@@ -53,6 +52,7 @@
 struct Attempt {
   std::uint32_t try_id = 0; // index into tries_
   double sent_at = 0;
+  // silent: it never reaches the server; reset: its response ends in a reset; stuck: see check_overdue().
   bool in_flight = true, silent = false, reset = false, stuck = false;
 };
 
@@ -69,7 +69,7 @@
   RouterRestart,
   ServerSpeed
 };
-struct Event {
+struct Event { // `index`: of a request, try, attempt or router, by kind, or a server_version_
   double at;
   std::uint64_t order;
   EventKind kind;
@@ -79,7 +79,7 @@
 };
 
 // Facebook's CoDel variant for servers ("Fail at Scale", 2015): last in, first out, and a shorter maximum
-// waiting time while the queue has not been empty for some time.
+// waiting time once the queue has not been empty for some time.
 class CoDel {
  public:
   void add(double now, std::uint64_t id, double deadline) {
@@ -103,7 +103,8 @@
     if (queue_.empty()) last_empty_at_ = now;
   }
   bool remove(std::uint64_t id) {
-    const auto it = std::find_if(queue_.begin(), queue_.end(), [id](const auto& w) { return w.id == id; });
+    const auto it = std::find_if(queue_.begin(), queue_.end(),
+                                 [id](const auto& queued_try) { return queued_try.id == id; });
     if (it == queue_.end()) return false;
     queue_.erase(it);
     return true;
@@ -118,7 +119,7 @@
   double last_empty_at_ = 0;
 };
 
-struct Router {
+struct Router { // one simulated router
   std::unique_ptr<LimiterUnderTest> limiter;
   concurrency::OriginRequestQueue queue;
   CoDel codel_queue;
@@ -128,11 +129,12 @@
   bool tick_scheduled = false;
 };
 
+// One run: clients, routers and the server as a sequence of events. Used once.
 class Simulation {
  public:
   using MakeLimiter = std::function<std::unique_ptr<LimiterUnderTest>()>;
   Simulation(const Load& load, std::uint64_t seed, unsigned routers, unsigned router_count,
-             const LimiterEntry& entry, MakeLimiter make)
+             const LimiterEntry& entry, MakeLimiter make_limiter)
       : load_(load),
         conditions_(draw_conditions(seed, load, routers)),
         streams_(seed),
@@ -140,16 +142,17 @@
         queue_policy_(entry.queue_policy),
         excludes_stuck_(entry.excludes_stuck),
         receives_queue_length_(entry.receives_queue_length),
-        make_(std::move(make)),
+        make_limiter_(std::move(make_limiter)),
         routers_(router_count) {
     const double mean = conditions_.mean_work_ms * (1 + kWriteShare * (conditions_.write_work_factor - 1));
     capacity_per_ms_ = conditions_.server.cores / mean;
     objective_ms_ = load.objective_multiple * conditions_.mean_work_ms;
-    for (Router& r : routers_) r.limiter = make_();
+    for (Router& router : routers_) router.limiter = make_limiter_();
     const auto seconds = static_cast<std::size_t>(load.duration_s);
     outcome_.offered_weight_by_s.resize(seconds);
     outcome_.served_weight_by_s.resize(seconds);
-    for (double s = 0; s < load.duration_s; s += 0.5) schedule_event(1000 * s, EventKind::ServerSpeed);
+    for (double second = 0; second < load.duration_s; second += 0.5)
+      schedule_event(1000 * second, EventKind::ServerSpeed);
     if (load.restart_at_s >= 0) schedule_event(1000 * load.restart_at_s, EventKind::RouterRestart);
     schedule_arrival(0);
   }
@@ -175,7 +178,8 @@
   }
 
   void schedule_arrival(double from) {
-    // Poisson arrivals by thinning, so that load changes take effect at once.
+    // Poisson arrivals, drawn at the highest rate and thinned out, so that changes of the load take effect at
+    // once.
     double when = from;
     constexpr double kMaxOfferedShare = 4;
     do {
@@ -212,7 +216,7 @@
         break;
       case EventKind::RouterTick: on_tick(event.index); break;
       case EventKind::RouterRestart:
-        for (Router& r : routers_) r.limiter = make_(), r.retry_budget = {};
+        for (Router& router : routers_) router.limiter = make_limiter_(), router.retry_budget = {};
         break;
       case EventKind::ServerSpeed:
         update_usage();
@@ -228,7 +232,7 @@
     schedule_arrival(now_);
     Request request;
     request.first_try_at = now_;
-    // Expected work varies by a factor of five between requests; the service time varies around it.
+    // The expected work of requests differs by a factor of up to five; the service time varies around it.
     const double expected_work_factor =
         std::exp(RandomStreams::draw_unit(streams_.service_times) * std::log(5.0)) / (4 / std::log(5.0));
     const double service_time_factor =
@@ -270,7 +274,7 @@
     enqueue(id);
   }
 
-  // The router's final response without a value. The client may retry.
+  // The router's final response to a try that was not served. The client may retry.
   void reject_try(std::uint32_t id) {
     Try& rejected_try = tries_[id];
     Router& router = routers_[rejected_try.router_id];
@@ -292,7 +296,7 @@
 
   // ---- a router ----
 
-  // Little's law: the limit divided by the mean response time.
+  // By Little's law: the limit divided by the mean response time.
   static double service_rate_per_ms(const Router& router) {
     return router.mean_response_ms > 0 ? router.limiter->limit() / router.mean_response_ms : 0;
   }
@@ -487,8 +491,9 @@
     return router.limiter->congestion(now_, router.in_flight + router.queued_tries);
   }
 
-  // Checks an overdue attempt. If an attempt sent later has been answered, its connection is assumed stuck. A
-  // hedged request may be sent, and limiters with excludes_stuck do not count the stuck attempt as in flight.
+  // Checks an overdue attempt. If an attempt that was sent later has been answered, the connection of the overdue
+  // one is assumed stuck: a hedged request may be sent, and with excludes_stuck the attempt no longer counts as
+  // in flight.
   void check_overdue(std::uint32_t attempt_id) {
     Attempt& attempt = attempts_[attempt_id];
     Try& overdue_try = tries_[attempt.try_id];
@@ -540,7 +545,7 @@
     schedule_completion();
   }
 
-  struct QueuePosition {
+  struct QueuePosition { // in the queue of a router: by descending priority weight, then the latest try first
     std::uint32_t router_id;
     double negated_weight;
     std::uint64_t inverted_try_id;
@@ -553,7 +558,7 @@
   Server server_;
   QueuePolicy queue_policy_;
   bool excludes_stuck_, receives_queue_length_;
-  MakeLimiter make_;
+  MakeLimiter make_limiter_;
   std::vector<Router> routers_;
   std::set<QueuePosition> deadline_queue_;
   std::vector<Request> requests_;
@@ -561,8 +566,8 @@
   std::vector<Attempt> attempts_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
   std::uint64_t next_order_ = 0;
-  std::uint32_t server_version_ = 0;
-  double queue_reported_at_ = 0, reported_queue_length_ = 0;
+  std::uint32_t server_version_ = 0; // identifies the latest ServerCompletion event; earlier ones are void
+  double queue_reported_at_ = 0, reported_queue_length_ = 0; // last report of the server
   double now_ = 0, capacity_per_ms_ = 0, objective_ms_ = 0, held_integral_ = 0, busy_integral_ = 0,
          usage_updated_at_ = 0;
   Outcome outcome_;
