--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -16,11 +16,11 @@
 namespace {
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
-constexpr double kMinClientTimerMs = 1;      // client timeouts are processed no more often than this
+constexpr double kMinClientTimerMs = 1;      // minimum interval between two runs of the client timer
 constexpr double kReadyProbeIntervalMs = 20; // interval between readiness probes of a starting router
 constexpr double kReadyProbeTimeoutMs = 1000;
 constexpr double kReconnectIdleMs = 500; // until a closed idle connection is opened again
-constexpr double kImmediateMs = 0.02;
+constexpr double kImmediateMs = 0.02;    // what is due within this time is done at once
 
 double thread_cpu_s() {
   timespec cpu_time{};
@@ -138,8 +138,8 @@
   for (std::size_t i = 0; i < actions_.size(); ++i) {
     const model::ClientAction action = actions_[i];
     if (const auto* start = std::get_if<model::TryStart>(&action.what)) start_try(*start);
-    if (const auto* ended = std::get_if<model::TryCancelled>(&action.what)) cancel_try(*ended);
-    if (const auto* closed = std::get_if<model::RequestEnded>(&action.what)) context_.records.add(*closed);
+    if (const auto* cancelled = std::get_if<model::TryCancelled>(&action.what)) cancel_try(*cancelled);
+    if (const auto* ended = std::get_if<model::RequestEnded>(&action.what)) context_.records.add(*ended);
   }
   actions_.clear();
   processing_actions_ = false;
@@ -172,7 +172,7 @@
   }
   if (connection == nullptr) return; // out of descriptors, which makes the run void
   new_try.connection = connection->self;
-  connection->request = handle;
+  connection->active_try = handle;
   connection->request_due = connection->request_written = false;
   if (new_try.due_at_router <= now() + kImmediateMs) return send(handle);
   loop_.run_at(new_try.due_at_router, [this, handle] { send(handle); });
@@ -187,15 +187,15 @@
   if (connection == nullptr) return;
   connection->request_due = true;
   if (connection->reading_paused) return; // held back: the client receives no response
-  if (connection->requests > 0 && !connection->stream->nothing_unread()) {
+  if (connection->request_count > 0 && !connection->stream->nothing_unread()) {
     // The router closed the idle connection while this request was on its way: the client sends it again.
-    connection->request = 0;
+    connection->active_try = 0;
     close_connection(*connection);
     connection = connect(client_try->router);
     if (connection == nullptr) return;
     client_try->connection = connection->self;
     client_try->resent = true;
-    connection->request = handle;
+    connection->active_try = handle;
     connection->request_due = true;
     return;
   }
@@ -206,7 +206,7 @@
   const double due = std::max(client_try.due_at_router, connection.connected_at);
   const double wait_ms = client_try.start.deadline - client_try.start.scheduled_at;
   const std::string request_bytes = request_text(context_.spec, context_.tries, client_try.start, wait_ms);
-  const bool is_first_request = connection.requests++ == 0;
+  const bool is_first_request = connection.request_count++ == 0;
   connection.request_written = true;
   connection.response_started = false;
   connection.previous_try = std::exchange(connection.last_try, client_try.start.try_id);
@@ -255,7 +255,7 @@
     const Try* cancelled_try = tries_.find(handle);
     if (cancelled_try == nullptr) return;
     if (Connection* connection = connections_.find(cancelled_try->connection)) {
-      connection->request = 0;
+      connection->active_try = 0;
       connection->abandoned = connection->reading_paused;
       if (!connection->reading_paused) close_connection(*connection);
     }
@@ -289,7 +289,7 @@
   Connection* connection = connections_.find(client_try->connection);
   tries_.remove(handle);
   if (connection != nullptr) {
-    connection->request = 0;
+    connection->active_try = 0;
     make_idle(*connection);
   }
   record.surplus = !clients_.on_try_ended(now(), try_id, response.outcome, response.retry_after_ms, actions_);
@@ -305,7 +305,7 @@
   while (!idle.empty()) {
     Connection* connection = connections_.find(idle.back());
     idle.pop_back();
-    if (connection != nullptr && connection->request == 0) return connection;
+    if (connection != nullptr && connection->active_try == 0) return connection;
   }
   return nullptr;
 }
@@ -340,7 +340,7 @@
     connection.stream->send("GET /ready HTTP/1.1\r\nHost: backend.local\r\nConnection: close\r\n\r\n");
     return;
   }
-  Try* client_try = tries_.find(connection.request);
+  Try* client_try = tries_.find(connection.active_try);
   if (client_try != nullptr && connection.request_due && !client_try->client_done)
     write(connection, *client_try);
 }
@@ -360,7 +360,7 @@
       if (message.status == 200) router_ready(router);
       return;
     }
-    Try* client_try = tries_.find(connection.request);
+    Try* client_try = tries_.find(connection.active_try);
     const bool has_request = client_try != nullptr && connection.request_written;
     const ClientResponse response = parse_response(
         context_.body_codec, message, has_request ? client_try->start.try_id : connection.last_try);
@@ -370,10 +370,10 @@
       if (!has_request) return close_connection(connection);
       continue;
     }
-    const Handle request = connection.request;
+    const Handle active_try = connection.active_try;
     connection.request_written = false;
     const bool has_more_data = !data.empty();
-    deliver_response(request, response);
+    deliver_response(active_try, response);
     if (!message.keep_alive || has_more_data) {
       if (has_more_data) {
         connection.parser.feed(data);
@@ -383,7 +383,7 @@
       }
       Connection* remaining = connections_.find(self);
       if (remaining == nullptr) return;
-      remaining->request = 0;
+      remaining->active_try = 0;
       return close_connection(*remaining);
     }
   }
@@ -405,10 +405,10 @@
 }
 
 void LoadGenerator::on_closed(Connection& connection, int error) {
-  const Handle handle = connection.request;
+  const Handle handle = connection.active_try;
   Try* client_try = tries_.find(handle);
   if (client_try == nullptr || client_try->client_done || client_try->response_in_transit) {
-    connection.request = 0;
+    connection.active_try = 0;
     return close_connection(connection);
   }
   // A response without a Content-Length ends with the connection.
@@ -418,37 +418,38 @@
         parse_response(context_.body_codec, connection.parser.take_message(), client_try->start.try_id);
     deliver_response(handle, response);
   } else if (!connection.stream->is_connected()) {
-    // What was sent on the first connection was not accepted after all.
+    // No router has accepted the request: a resent one was not read on its first connection either.
     if (!client_try->recorded || client_try->resent) record_sent(*client_try, false, true, 0);
     deliver_response(handle, {model::TryOutcome::Unreachable, 0, true, 0});
   } else if (!connection.request_written && client_try->due_at_router > now()) {
     // The connection closed while the request was on its way: send() uses the replacement.
     client_try->connection = 0;
     Connection* replacement = connect(client_try->router);
-    connection.request = 0;
+    connection.active_try = 0;
     if (replacement != nullptr) {
       client_try->connection = replacement->self;
       client_try->resent = true;
-      replacement->request = handle;
+      replacement->active_try = handle;
     }
   } else {
     const bool closed_before_read =
         !connection.response_started && (error != 0 || reset_after_close(connection.stream->fd()));
-    if (closed_before_read && !client_try->resent && connection.request_written && connection.requests > 1) {
+    if (closed_before_read && !client_try->resent && connection.request_written &&
+        connection.request_count > 1) {
       // The router closed the idle connection without having read this request: the client sends it again.
       Connection* replacement = connect(client_try->router);
-      connection.request = 0;
+      connection.active_try = 0;
       if (replacement != nullptr) {
         client_try->connection = replacement->self;
         client_try->resent = true;
-        replacement->request = handle;
+        replacement->active_try = handle;
         replacement->request_due = true;
       }
     } else {
       deliver_response(handle, {model::TryOutcome::ConnectionLost, 0, true, 0});
     }
   }
-  connection.request = 0;
+  connection.active_try = 0;
   close_connection(connection);
 }
 
@@ -457,7 +458,7 @@
   const bool was_kept_idle = connection.kept_idle;
   connections_.remove(connection.self);
   if (!was_kept_idle) return;
-  --router_states_[router].kept_idle;
+  --router_states_[router].kept_idle_count;
   run_after(kReconnectIdleMs, [this, router] { open_idle_connections(router); });
 }
 
@@ -537,11 +538,11 @@
 // Opens the connections that clients hold open idle to a router.
 void LoadGenerator::open_idle_connections(RouterId router) {
   RouterState& state = router_states_[router];
-  while (state.ready && state.kept_idle < context_.spec.clients.idle_connections) {
+  while (state.ready && state.kept_idle_count < context_.spec.clients.idle_connections) {
     Connection* connection = connect(router);
     if (connection == nullptr) return;
     connection->kept_idle = true;
-    ++state.kept_idle;
+    ++state.kept_idle_count;
   }
 }
 
@@ -571,10 +572,10 @@
     if (connection.router != router || connection.reading_paused == silent) return;
     connection.reading_paused = silent;
     if (silent) return connection.stream->pause();
-    if (connection.request != 0 || connection.abandoned || !connection.stream->nothing_unread()) {
-      const Handle request = std::exchange(connection.request, 0);
+    if (connection.active_try != 0 || connection.abandoned || !connection.stream->nothing_unread()) {
+      const Handle active_try = std::exchange(connection.active_try, 0);
       close_connection(connection);
-      if (request != 0) deliver_response(request, {model::TryOutcome::ConnectionLost, 0, true, 0});
+      if (active_try != 0) deliver_response(active_try, {model::TryOutcome::ConnectionLost, 0, true, 0});
       return;
     }
     connection.stream->resume();
--- a/lab/load/load.h
+++ b/lab/load/load.h
@@ -1,9 +1,9 @@
 // The open-loop clients of a run, in an event loop on a thread of their own.
 //
 // A request is sent at its intended time, whatever the outcome of earlier requests; latencies count from the
-// intended time. For each try the delay that the rig itself added is measured. The front balancer of the
-// model distributes clients over the routers: it probes a starting router for readiness and detects a dead
-// one with a delay.
+// intended time. For each try the delay that the rig itself added is measured. The model's front balancer
+// distributes clients over the routers and detects a dead router with a delay; the load generator probes a
+// starting router for readiness and tells the front balancer when it is ready.
 #pragma once
 
 #include <atomic>
@@ -30,13 +30,13 @@
 struct LoadSummary {
   lab::LatenessQuantiles lateness_ms; // of sends, relative to their due times
   double cpu_s = 0;
-  std::uint64_t tries = 0, connections = 0; // totals started
+  std::uint64_t tries = 0, connections = 0; // started: tries that had a router, connections of any kind
 };
 
-// Created, started and stopped by one thread; its clients run in its own thread.
+// The clients of one run. Created, started and stopped by one thread; the clients run on a thread of its own.
 class LoadGenerator {
  public:
-  struct Callbacks {                            // called on the load's thread
+  struct Callbacks {                            // called on the load generator's thread
     std::function<void(model::RouterId)> ready; // the router has answered /ready with 200
     std::function<void()> finished;             // all requests have arrived and ended
   };
@@ -55,17 +55,17 @@
   void router_ended(model::RouterId router);    // its process has ended, or was killed
   void router_paused(model::RouterId router, bool paused); // it was stopped with SIGSTOP, or continued
   void stop_arrivals(); // starts no further requests; active ones continue to their ends
-  LoadSummary stop();
+  LoadSummary stop();   // ends the thread; further calls return the same summary
 
  private:
   using Handle = loop::Handle;
-  struct Try {
+  struct Try { // from its start until its response is delivered or its client no longer waits
     model::TryStart start;
     model::RouterId router = 0;
-    bool routed = false;
-    bool recorded = false;            // its model::Tried record is written
+    bool routed = false;              // a router was available for it
+    bool recorded = false;            // its model::TrySent record is written
     bool client_done = false;         // the client has a response, or no longer waits
-    bool resent = false;              // its first connection was closed between requests
+    bool resent = false;              // on a new connection, as the router had closed the first one
     bool response_in_transit = false; // the response is on its way to the client
     double due_at_router = 0;         // run time (ms) at which its first byte is due at the router
     Handle connection = 0;
@@ -85,18 +85,18 @@
     bool is_ready_probe = false;
     bool request_due = false; // the send time of its request has passed
     bool request_written = false;
-    bool response_started = false; // bytes of the current response were received
-    Handle request = 0;            // the try that uses the connection
-    bool abandoned = false;        // its client cancelled while the router's machine was silent
-    std::uint32_t requests = 0;
+    bool response_started = false;               // bytes of the current response were received
+    Handle active_try = 0;                       // the try that uses the connection; 0: none
+    bool abandoned = false;                      // its client cancelled while the router's machine was silent
+    std::uint32_t request_count = 0;             // requests written to it
     model::TryId last_try = 0, previous_try = 0; // the latest two tries sent on it
-    double connected_at = 0;
+    double connected_at = 0;                     // run time, ms
   };
-  struct RouterState { // state of one router
+  struct RouterState {
     bool running = false, ready = false;
-    std::vector<Handle> idle_connections; // idle connections, the newest last
+    std::vector<Handle> idle_connections; // the most recently used last; some may be closed
     std::uint32_t incarnation = 0;
-    std::uint32_t kept_idle = 0;
+    std::uint32_t kept_idle_count = 0; // open connections with `kept_idle`
   };
 
   // ---- requests ----
@@ -131,7 +131,7 @@
 
   double one_way_delay_ms(const Try& client_try);
   double now() const { return loop_.now(); }
-  // Runs `task` after `ms`, also before the run's clock has started.
+  // Runs `task` after `ms` milliseconds, also before the run's clock has started.
   void run_after(double ms, std::function<void()> task) { loop_.run_after(ms, std::move(task)); }
 
   const RunContext& context_;
