--- a/lab/rig/rig.cpp
+++ b/lab/rig/rig.cpp
@@ -29,7 +29,7 @@
 constexpr double kMaxSettleMs = 3000;  // limit for attempts that are still active after the last response
 constexpr double kMaxOverrunMs = 5000; // after the longest client timeout; the run must have ended by then
 constexpr double kMaxAttemptDelayMs = 5000; // how long after its client's timeout an attempt may still arrive
-constexpr rlim_t kSpareDescriptors = 2000;  // minimum number of descriptors for connections
+constexpr rlim_t kSpareDescriptors = 2000;  // for connections and files, in addition to the listeners
 
 std::string make_directory() {
   const char* temporary_directory = std::getenv("TMPDIR");
@@ -37,12 +37,14 @@
       std::string(temporary_directory != nullptr && *temporary_directory != '\0' ? temporary_directory
                                                                                  : "/tmp") +
       "/fernward-lab-XXXXXX";
-  if (mkdtemp(path.data()) == nullptr) throw std::runtime_error("the lab cannot make a directory at " + path);
+  if (mkdtemp(path.data()) == nullptr)
+    throw std::runtime_error("the lab cannot create a directory at " + path);
   return path;
 }
 
-// Raises the descriptor limit. Each pair of a router and a machine needs a listening socket, and so do most
-// pairs of routers.
+// Raises the descriptor limit. Each pair of a router and a machine needs a listening socket, and one more
+// that fills its backlog while the path between them is cut. Each pair of routers needs a datagram socket if
+// the routers have datagram ports.
 void raise_descriptor_limit(const model::Spec& spec, const model::Plan& plan) {
   const std::size_t routers = plan.routers.size();
   const std::size_t pairs = has_datagram_ports(spec, plan) ? routers * routers : 0;
@@ -52,8 +54,9 @@
   limit.rlim_cur = limit.rlim_max;
   setrlimit(RLIMIT_NOFILE, &limit);
   if (limit.rlim_max != RLIM_INFINITY && limit.rlim_max < required) {
-    throw std::runtime_error("this fleet needs " + std::to_string(required) +
-                             " descriptors on sockets; the system allows " + std::to_string(limit.rlim_max));
+    throw std::runtime_error("the fleet needs " + std::to_string(required) +
+                             " descriptors on sockets; the system's limit (RLIMIT_NOFILE) is " +
+                             std::to_string(limit.rlim_max));
   }
 }
 
@@ -108,13 +111,14 @@
         merger_(sink, kReorderWindowMs),
         loop_(clock_),
         fleet_(context_),
-        load_(context_,
-              {[this](model::RouterId r) { loop_.run_in_loop([this, r] { router_ready(r); }); },
-               [this] { loop_.run_in_loop([this] { all_answered(); }); }},
-              ready_by_connect_flags(options)),
+        load_(
+            context_,
+            {[this](model::RouterId router) { loop_.run_in_loop([this, router] { router_ready(router); }); },
+             [this] { loop_.run_in_loop([this] { requests_finished(); }); }},
+            ready_by_connect_flags(options)),
         routers_(context_, loop_, supervisor_, fleet_, load_, options_, directory_) {}
 
-  lab::RunInfo play() {
+  lab::RunInfo run() {
     lab::RunInfo info;
     const auto started_at = std::chrono::steady_clock::now();
     const double cpu_at_start_s = own_cpu_s();
@@ -125,7 +129,7 @@
     tick();
     loop_.run();
     if (!error_.empty()) throw std::runtime_error(error_);
-    info.scenario_elapsed_ms = played_ms_;
+    info.scenario_elapsed_ms = elapsed_ms_;
     finish(info);
     info.wall_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
     info.cpu_s = own_cpu_s() - cpu_at_start_s;
@@ -159,27 +163,27 @@
     options_.on_ready(addresses);
   }
 
-  void all_answered() {
-    answered_at_ = clock_.now();
+  void requests_finished() {
+    requests_finished_at_ = clock_.now();
     wait_for_attempts();
   }
 
   // Waits for attempts that are still active on the machines, up to a limit.
   void wait_for_attempts() {
     if (ended_) return;
-    const bool waited_enough = clock_.now() - *answered_at_ > kMaxSettleMs;
+    const bool waited_enough = clock_.now() - *requests_finished_at_ > kMaxSettleMs;
     if (fleet_.attempts() > 0 && !waited_enough) {
       loop_.run_after(kTickIntervalMs, [this] { wait_for_attempts(); });
       return;
     }
-    played_ms_ = clock_.now();
+    elapsed_ms_ = clock_.now();
     if (!options_.keep_running) end();
   }
 
   void end() {
     if (ended_) return;
     ended_ = true;
-    if (played_ms_ == 0) played_ms_ = clock_.now();
+    if (elapsed_ms_ == 0) elapsed_ms_ = clock_.now();
     loop_.stop();
   }
 
@@ -200,7 +204,7 @@
       next_second_ms_ = std::floor(now / 1000) * 1000 + 1000;
     }
     if (control_.stop.stop_requested()) {
-      stopped_ = !answered_at_;
+      stopped_ = !requests_finished_at_;
       end();
     }
     if (!routers_.startup_error().empty() && !clock_.started()) {
@@ -208,7 +212,7 @@
       end();
     }
     if (!routers_.supervisor_alive()) end();
-    if (!answered_at_ && now > spec_.duration_ms + max_client_timeout_ms(spec_) + kMaxOverrunMs) {
+    if (!requests_finished_at_ && now > spec_.duration_ms + max_client_timeout_ms(spec_) + kMaxOverrunMs) {
       void_reasons_.add("the run did not come to its end");
       end();
     }
@@ -275,8 +279,8 @@
   LoadGenerator load_;
   RouterProcesses routers_;
 
-  std::optional<double> answered_at_;
-  double played_ms_ = 0, last_progress_at_ = 0, next_second_ms_ = 0;
+  std::optional<double> requests_finished_at_;
+  double elapsed_ms_ = 0, last_progress_at_ = 0, next_second_ms_ = 0;
   bool ended_ = false, stopped_ = false;
   std::string error_;
 };
@@ -287,7 +291,7 @@
   lab::RunInfo run(const model::Spec& spec, model::Sink& sink, const lab::RunControl& control) override {
     if (spec.routers.sharing.enabled && options_.role != lab::RouterRole::Platform)
       throw std::runtime_error("routers.sharing: only routers configured by the platform's file share");
-    return SocketRun(spec, sink, control, options_).play();
+    return SocketRun(spec, sink, control, options_).run();
   }
 
  private:
--- a/lab/rig/rig.h
+++ b/lab/rig/rig.h
@@ -16,7 +16,7 @@
 
 struct RouterProgram {
   std::vector<std::string> command; // the program and its arguments
-  bool ready_by_connect = false;    // it has no /ready: it is ready once it accepts connections
+  bool ready_by_connect = false;    // it has no /ready: it counts as ready once it accepts connections
 };
 
 struct RouterUsage { // resource usage of a running router process
@@ -25,26 +25,27 @@
   std::uint32_t descriptors = 0;
 };
 
-// How a router is started and configured: by the platform's JSON; by an application's file; or by an
+// How a router is started and configured: by the platform's JSON file, by an application's file, or by an
 // application's file as the sidecar of an application that does nothing.
 enum class RouterRole { Platform, Application, Sidecar };
 
 struct RigOptions {
   std::string program = "fernward"; // started as `program serve`, or as the role says
   RouterRole role = RouterRole::Platform;
-  std::vector<RouterProgram> programs_by_router; // by router; an empty command: `program`
+  std::vector<RouterProgram> programs_by_router; // may be shorter; an empty command: `program`
   std::string log_directory; // for r0.log, ... with the output of the routers; empty: no logs
   // Limits of the lateness of requests and of simulated responses; beyond them the run is void.
   double max_late_p99_ms = 5;
   double max_late_p999_ms = 100;
   double ready_timeout_ms = 30000; // requests start when all routers are ready, or after this time
   bool enforce_memory_limit =
-      true; // kill a router that exceeds its memory_mb; disabled for builds with sanitizers
-  // After the last response the fleet and the routers keep running until the control's stop is requested;
-  // requests of other clients are served too.
+      true; // kill a router that exceeds its memory_mb; to be disabled for builds with sanitizers
+  // After the last response the fleet and the routers keep running until RunControl::stop is requested;
+  // requests of other clients are served, too.
   bool keep_running = false;
   // Called with the routers' client addresses when requests start.
   std::function<void(const std::vector<std::string>& addresses)> on_ready;
+  // Called when requests start, and then once per second of the run.
   std::function<void(double now_ms, const std::vector<RouterUsage>& uses)> on_second;
 };
 
--- a/lab/rig/routers.cpp
+++ b/lab/rig/routers.cpp
@@ -21,11 +21,12 @@
 
 namespace {
 
-constexpr double kUsageIntervalMs = 200; // interval between samples of the routers' memory
-constexpr std::size_t kMaxLines = 2000;  // limit of log lines of a router that become records
-constexpr std::size_t kMaxLineBytes = 1000;
-constexpr std::size_t kMaxLogFileBytes = 4u << 20; // limit of its log file
+constexpr double kUsageIntervalMs = 200;           // interval between samples of the routers' memory
+constexpr std::size_t kMaxLines = 2000;            // limit of log lines of a router that become records
+constexpr std::size_t kMaxLineBytes = 1000;        // longer lines are truncated
+constexpr std::size_t kMaxLogFileBytes = 4u << 20; // limit of a router's log file
 constexpr std::size_t kLastOutputBytes = 2000;     // length of the retained last output
+// A router has the longest client timeout, or this minimum, and the slack to end after SIGTERM.
 constexpr double kMinTerminationMs = 3000, kTerminationSlackMs = 700;
 
 std::string exit_reason(int status) {
@@ -53,7 +54,7 @@
     if (options_.log_directory.empty()) continue;
     std::filesystem::create_directories(options_.log_directory);
     const std::string path = options_.log_directory + "/" + context.plan.routers[router_id].name + ".log";
-    routers_[router_id].file = open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
+    routers_[router_id].log_file_fd = open(path.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0644);
   }
   process_event_.reset(event_new(
       loop.base(), supervisor.fd(), EV_READ | EV_PERSIST,
@@ -64,7 +65,7 @@
 RouterProcesses::~RouterProcesses() {
   for (Router& router : routers_) {
     close_output(router);
-    if (router.file >= 0) close(router.file);
+    if (router.log_file_fd >= 0) close(router.log_file_fd);
   }
 }
 
@@ -111,7 +112,7 @@
   router.start_after_ms = -1;
   router.pid = 0;
   ++router.incarnation;
-  // Recorded before the notifications that the new process has from its start.
+  // Recorded before the notifications of the endpoints that the new process knows from its start.
   record_event(router_id, RouterEvent::What::Started);
   router.config = router_json(context_, router_id, address_version_,
                               model::hash_numbers(context_.spec.seed, router_id, router.incarnation),
@@ -120,7 +121,7 @@
   int pipe_fds[2] = {-1, -1};
   if (pipe2(pipe_fds, O_CLOEXEC | O_NONBLOCK) != 0)
     return context_.void_reasons.add("the lab is out of descriptors");
-  fcntl(pipe_fds[1], F_SETFL, 0); // the router's end is blocking, as a file is
+  fcntl(pipe_fds[1], F_SETFL, 0); // the router's end blocks, as a file does
   ProgramStart program;
   program.id = router_id;
   const bool has_own_program = router_id < options_.programs_by_router.size() &&
@@ -155,7 +156,7 @@
   supervisor_.start(program);
   close(pipe_fds[1]);
   close_output(router);
-  router.output = pipe_fds[0];
+  router.output_fd = pipe_fds[0];
   router.output_event.reset(
       event_new(loop_.base(), pipe_fds[0], EV_READ | EV_PERSIST, &RouterProcesses::on_readable, &router));
   event_add(router.output_event.get(), nullptr);
@@ -181,12 +182,12 @@
 // ---- events and steps ----
 
 void RouterProcesses::read_process_events() {
-  while (const auto event_data = supervisor_.next_event()) {
-    if (event_data->id >= routers_.size()) continue;
-    if (event_data->ended) {
-      process_ended(event_data->id, *event_data);
+  while (const auto program_event = supervisor_.next_event()) {
+    if (program_event->id >= routers_.size()) continue;
+    if (program_event->ended) {
+      process_ended(program_event->id, *program_event);
     } else {
-      routers_[event_data->id].pid = event_data->pid;
+      routers_[program_event->id].pid = program_event->pid;
     }
   }
   if (supervisor_.alive()) return;
@@ -194,22 +195,22 @@
   context_.void_reasons.add("the lab's guardian has died, and the routers with it");
 }
 
-void RouterProcesses::process_ended(RouterId router_id, const ProgramEvent& event_data) {
+void RouterProcesses::process_ended(RouterId router_id, const ProgramEvent& program_event) {
   Router& router = routers_[router_id];
   if (!router.running) return;
   read_output(router);
   router.running = router.ready = false;
   router.pid = 0;
-  router.cost.cpu_s += event_data.cpu_s;
+  router.cost.cpu_s += program_event.cpu_s;
   fleet_.router_ended(router_id);
   load_.router_ended(router_id);
-  const bool clean_exit = WIFEXITED(event_data.status) && WEXITSTATUS(event_data.status) == 0;
+  const bool clean_exit = WIFEXITED(program_event.status) && WEXITSTATUS(program_event.status) == 0;
   if (!router.killed && !(router.terminating && (clean_exit || !ending_))) {
-    log_line(router, "the lab: the router " + exit_reason(event_data.status));
+    log_line(router, "the lab: the router " + exit_reason(program_event.status));
     record_event(router_id, RouterEvent::What::Crashed);
     if (!router.ever_ready && startup_error_.empty()) {
       startup_error_ = "router " + context_.plan.routers[router_id].name + " " +
-                       exit_reason(event_data.status) + " before it was ready: " + router.last_output;
+                       exit_reason(program_event.status) + " before it was ready: " + router.last_output;
     }
   } else if (router.terminating && !router.killed && !ending_) {
     record_event(router_id, RouterEvent::What::Ended);
@@ -343,30 +344,30 @@
 
 void RouterProcesses::close_output(Router& router) {
   router.output_event.reset();
-  if (router.output >= 0) close(router.output);
-  router.output = -1;
+  if (router.output_fd >= 0) close(router.output_fd);
+  router.output_fd = -1;
 }
 
-// Reads all output, even if it is not kept: a router that can't write its log would block.
+// Reads all output, even if it is not kept: a router that cannot write its log would block.
 void RouterProcesses::read_output(Router& router) {
   std::array<char, 16384> buffer;
-  while (router.output >= 0) {
-    const ssize_t received = read(router.output, buffer.data(), buffer.size());
+  while (router.output_fd >= 0) {
+    const ssize_t received = read(router.output_fd, buffer.data(), buffer.size());
     if (received == 0) return close_output(router);
     if (received < 0) return;
     const auto size = static_cast<std::size_t>(received);
-    if (router.file >= 0 && router.file_bytes < kMaxLogFileBytes) {
-      router.file_bytes += size;
-      [[maybe_unused]] const auto ignored_size = write(router.file, buffer.data(), size);
-      if (router.file_bytes >= kMaxLogFileBytes)
-        dprintf(router.file, "\nthe lab: no more of this log is kept\n");
+    if (router.log_file_fd >= 0 && router.log_file_bytes < kMaxLogFileBytes) {
+      router.log_file_bytes += size;
+      [[maybe_unused]] const auto ignored_size = write(router.log_file_fd, buffer.data(), size);
+      if (router.log_file_bytes >= kMaxLogFileBytes)
+        dprintf(router.log_file_fd, "\nthe lab: no more of this log is kept\n");
     }
     for (std::size_t i = 0; i < size; ++i) {
       if (buffer[i] != '\n') {
-        if (router.line.size() < kMaxLineBytes) router.line += buffer[i];
-      } else if (!router.line.empty()) {
+        if (router.partial_line.size() < kMaxLineBytes) router.partial_line += buffer[i];
+      } else if (!router.partial_line.empty()) {
         std::string line;
-        line.swap(router.line);
+        line.swap(router.partial_line);
         log_line(router, std::move(line));
       }
     }
@@ -377,7 +378,7 @@
   router.last_output = (router.last_output + line + "\n");
   if (router.last_output.size() > kLastOutputBytes)
     router.last_output.erase(0, router.last_output.size() - kLastOutputBytes);
-  if (++router.lines > kMaxLines) return;
+  if (++router.line_count > kMaxLines) return;
   context_.records.add(BufferedRouterLog{loop_.now(), router.id, std::move(line)});
 }
 
--- a/lab/rig/routers.h
+++ b/lab/rig/routers.h
@@ -17,7 +17,7 @@
 
 namespace fernward::rig {
 
-// Used on the thread of `loop`.
+// The router processes of one run. Owned by the run and used on the thread of `loop`.
 class RouterProcesses {
  public:
   // All arguments must outlive it. `directory`: where the configuration files are written.
@@ -27,18 +27,18 @@
   ~RouterProcesses();
 
   void start_all();
-  void start_steps();       // the clock has started: schedules the steps of the plan
-  void terminate_all();     // sends SIGTERM to all, and SIGKILL to those that do not end in time
-  bool any_running() const; // whether any router runs
+  void start_steps();   // the clock has started: schedules the steps of the plan
+  void terminate_all(); // sends SIGTERM to all, and SIGKILL to those that do not end in time
+  bool any_running() const;
   bool supervisor_alive() const { return supervisor_.alive(); }
 
   // The error of a router that ended before it was ever ready, with its last output; empty: none.
   const std::string& startup_error() const { return startup_error_; }
-  void router_ready(model::RouterId router);
+  void router_ready(model::RouterId router); // the load generator has found it ready
   bool all_ready() const;
 
-  std::vector<lab::RouterResourceUse> costs() const;
-  std::vector<lab::RouterUsage> usage() const;
+  std::vector<lab::RouterResourceUse> costs() const; // by router; CPU time of its processes that have ended
+  std::vector<lab::RouterUsage> usage() const;       // present usage of the routers that run
 
  private:
   struct Router {
@@ -50,19 +50,19 @@
     std::uint32_t incarnation = 0;
     nlohmann::json config;
     lab::RouterResourceUse cost;
-    // Its output.
-    int output = -1;
+    // Its standard output and error.
+    int output_fd = -1;
     loop::EventPtr output_event;
-    std::string line, last_output;
-    std::size_t lines = 0, file_bytes = 0;
-    int file = -1;
+    std::string partial_line, last_output;
+    std::size_t line_count = 0, log_file_bytes = 0;
+    int log_file_fd = -1; // -1: no log file
     RouterProcesses* owner = nullptr;
     model::RouterId id = 0;
   };
 
   void start(model::RouterId router);
   void read_process_events();
-  void process_ended(model::RouterId router, const ProgramEvent& event_data);
+  void process_ended(model::RouterId router, const ProgramEvent& program_event);
   void apply_step(const model::Step& step);
   void kill(Router& router);
   void pause(Router& router, bool paused);
@@ -86,7 +86,7 @@
   const std::string directory_;
   std::vector<Router> routers_;
   loop::EventPtr process_event_;
-  std::uint32_t address_version_ = 0;
+  std::uint32_t address_version_ = 0; // number of discovery's moves to another address so far
   std::string startup_error_;
   bool steps_started_ = false, ending_ = false;
 };
--- a/lab/rig/trial_fleet.h
+++ b/lab/rig/trial_fleet.h
@@ -1,4 +1,4 @@
-// Small fleets and a counting sink, for trials and tests of the rig.
+// Small fleets, and a sink that counts records, for trials and tests of the rig.
 #pragma once
 
 #include <algorithm>
@@ -11,6 +11,7 @@
 
 namespace fernward::rig {
 
+// The parameters of a trial's fleet and load.
 struct TrialFleet {
   std::uint32_t nodes = 6, routers = 2, sockets = 1024;
   double rate_per_s = 200, seconds = 5, work_ms = 20;
@@ -18,6 +19,7 @@
   bool origin = true;
 };
 
+// A scenario with two zones, a class of reads and a class of writes.
 inline model::Spec trial_spec(const TrialFleet& fleet) {
   model::Spec spec;
   spec.name = "trial";
@@ -79,7 +81,7 @@
   if (name == "fall") return add(model::OriginFall{500});
   if (name == "neighbour") return add(model::NoisyNeighbour{one_node, 0.6, end_ms, 0, 0});
   if (name == "lost-zone") return add(model::ZoneOutage{1, end_ms, true});
-  constexpr std::pair<const char*, model::BadResponse> kBadAnswers[] = {
+  constexpr std::pair<const char*, model::BadResponse> kBadResponses[] = {
       {"error", model::BadResponse::Error},
       {"garbage", model::BadResponse::NotHttp},
       {"too-large", model::BadResponse::TooLarge},
@@ -88,12 +90,14 @@
       {"early-close", model::BadResponse::EarlyClose},
       {"wrong-body", model::BadResponse::WrongBody},
       {"slow-bytes", model::BadResponse::SlowBytes}};
-  for (const auto& [word, kind] : kBadAnswers) {
+  for (const auto& [word, kind] : kBadResponses) {
     if (name == word) return add(model::BadResponses{one_node, 0.5, end_ms, kind});
   }
   throw std::invalid_argument("there is no trial event called " + name);
 }
 
+// Counts the records of a run, and keeps the latencies of served requests and the events of machines and
+// routers.
 struct CountingSink : model::Sink {
   void on(const model::DrawnRequest&) override { ++drawn; }
   void on(const model::TrySent& record) override {
@@ -123,7 +127,7 @@
   void on(const model::EndpointNotified& record) override {
     if (!record.cached) notifications.push_back(record);
   }
-  double latency(double share) {
+  double latency(double share) { // quantile of the latencies in ms; 0: no request was served
     if (latencies.empty()) return 0;
     const auto position = static_cast<std::ptrdiff_t>(share * static_cast<double>(latencies.size() - 1));
     std::nth_element(latencies.begin(), latencies.begin() + position, latencies.end());
--- a/lab/rig/trial_main.cpp
+++ b/lab/rig/trial_main.cpp
@@ -1,5 +1,5 @@
-// fernward-rig: runs the driver on sockets alone, with a fleet built from a few parameters. For trials of the
-// rig.
+// fernward-rig: runs the driver on sockets or in virtual time, with a fleet built from a few parameters. For
+// trials of the rig.
 #include <csignal>
 #include <cstdio>
 #include <cxxopts.hpp>
@@ -16,11 +16,11 @@
 using namespace fernward;
 
 std::stop_source stop_requested; // NOLINT: a signal handler can access it only as a global
-void on_interrupt(int) { stop_requested.request_stop(); }
+void on_stop_signal(int) { stop_requested.request_stop(); }
 
 void print_summary(const lab::RunInfo& info, rig::CountingSink& counts) {
   std::printf(
-      "drawn %llu, tries %llu (%llu taken), closed %llu: served %llu, refused %llu, failed %llu, other "
+      "drawn %llu, tries %llu (%llu accepted), ended %llu: served %llu, rejected %llu, failed %llu, other "
       "%llu\n",
       counts.drawn, counts.tried, counts.accepted, counts.closed, counts.ends[0], counts.ends[1],
       counts.ends[2], counts.closed - counts.ends[0] - counts.ends[1] - counts.ends[2]);
@@ -28,14 +28,16 @@
               counts.arrived, counts.at_origin, counts.attempts_ended, counts.hits, counts.not_genuine,
               counts.surplus);
   std::printf("latency ms p50 %.1f p99 %.1f\n", counts.latency(0.5), counts.latency(0.99));
-  std::printf("sends late ms p50 %.3f p99 %.3f p99.9 %.3f max %.3f; answers p50 %.3f p99 %.3f max %.3f\n",
-              info.send_lateness_ms.p50, info.send_lateness_ms.p99, info.send_lateness_ms.p999,
-              info.send_lateness_ms.max, info.answer_lateness_ms.p50, info.answer_lateness_ms.p99,
-              info.answer_lateness_ms.max);
-  std::printf("wall %.2f s, played %.2f s, cpu %.2f s (load %.2f s, %.1f us a try), peak %.0f MB\n",
-              info.wall_s, info.scenario_elapsed_ms / 1000, info.cpu_s, info.load_generator_cpu_s,
-              counts.tried > 0 ? info.load_generator_cpu_s * 1e6 / static_cast<double>(counts.tried) : 0,
-              info.peak_memory_mb);
+  std::printf(
+      "lateness of sends ms p50 %.3f p99 %.3f p99.9 %.3f max %.3f; of responses p50 %.3f p99 %.3f max %.3f\n",
+      info.send_lateness_ms.p50, info.send_lateness_ms.p99, info.send_lateness_ms.p999,
+      info.send_lateness_ms.max, info.answer_lateness_ms.p50, info.answer_lateness_ms.p99,
+      info.answer_lateness_ms.max);
+  std::printf(
+      "wall %.2f s, scenario %.2f s, cpu %.2f s (load generator %.2f s, %.1f us per try), peak %.0f MB\n",
+      info.wall_s, info.scenario_elapsed_ms / 1000, info.cpu_s, info.load_generator_cpu_s,
+      counts.tried > 0 ? info.load_generator_cpu_s * 1e6 / static_cast<double>(counts.tried) : 0,
+      info.peak_memory_mb);
   for (const auto& router : info.routers) {
     std::printf("router %u: cpu %.2f s, peak %.1f MB, %u descriptors\n", router.router, router.cpu_s,
                 router.peak_memory_mb, router.peak_sockets);
@@ -66,11 +68,11 @@
 
 int main(int argc, char** argv) {
   if (argc > 1 && std::string(argv[1]) == "relay") return rig::relay_as_router();
-  cxxopts::Options options("fernward-rig", "The lab's driver on sockets, alone");
+  cxxopts::Options options("fernward-rig", "Runs the lab's driver on sockets with a small fleet");
   options.add_options()("program", "The router", cxxopts::value<std::string>()->default_value("fernward"))(
       "nodes", "Cache nodes", cxxopts::value<std::uint32_t>()->default_value("6"))(
       "routers", "Routers", cxxopts::value<std::uint32_t>()->default_value("2"))(
-      "rate", "Requests a second", cxxopts::value<double>()->default_value("200"))(
+      "rate", "Requests per second", cxxopts::value<double>()->default_value("200"))(
       "seconds", "Duration, s", cxxopts::value<double>()->default_value("5"))(
       "seed", "Seed", cxxopts::value<std::uint64_t>()->default_value("1"))(
       "work", "Mean work of a request, ms", cxxopts::value<double>()->default_value("20"))(
@@ -111,8 +113,8 @@
       for (const auto& address : addresses) std::printf("router at %s\n", address.c_str());
       std::fflush(stdout);
     };
-    std::signal(SIGINT, on_interrupt);
-    std::signal(SIGTERM, on_interrupt);
+    std::signal(SIGINT, on_stop_signal);
+    std::signal(SIGTERM, on_stop_signal);
     rig::CountingSink counts;
     lab::RunControl control;
     control.stop = stop_requested.get_token();
