--- a/lab/shared/addresses.cpp
+++ b/lab/shared/addresses.cpp
@@ -11,9 +11,10 @@
 namespace fernward::rig {
 namespace {
 
-constexpr std::uint32_t kFirstNetwork = 64, kNetworkCount = 180; // from 127.64/16 on
-constexpr std::size_t kFirstNumber = 256; // the first 256 addresses of a /16 stay unused
-constexpr std::size_t kNumbersPerPort = 65000;
+constexpr std::uint32_t kFirstNetwork = 64, kNetworkCount = 180; // from 127.64.0.0/16 on
+constexpr std::size_t kFirstNumber =
+    256; // the first 256 addresses of a /16 are not given to routers or machines
+constexpr std::size_t kNumbersPerPort = 65000; // further numbers use the next port
 constexpr std::uint16_t kRouterPort = 7000, kMachinePort = 7070, kPeerListenPort = 7946, kAllPeersPort = 7947,
                         kPeerPort = 7950, kAgentPort = 8500, kReservationPort = 6999;
 
@@ -28,8 +29,8 @@
 int listen_at(const sockaddr_in& address, int backlog) {
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return -1;
-  const int on = 1;
-  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+  const int enabled = 1;
+  setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
   if (bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0 &&
       listen(fd, backlog) == 0) {
     return fd;
@@ -42,14 +43,14 @@
 
 RunAddresses::RunAddresses(std::size_t routers, std::size_t machines)
     : routers_(routers), machines_(machines) {
-  const auto start = static_cast<std::uint32_t>(getpid());
+  const auto first_index = static_cast<std::uint32_t>(getpid());
   for (std::uint32_t i = 0; i < kNetworkCount && reservation_fd_ < 0; ++i) {
-    network_ = 127u << 24 | (kFirstNetwork + (start + i) % kNetworkCount) << 16;
+    network_ = 127u << 24 | (kFirstNetwork + (first_index + i) % kNetworkCount) << 16;
     sockaddr_in reservation = address_at(0, kReservationPort);
     reservation.sin_addr.s_addr = htonl(network_ | 1);
     reservation_fd_ = listen_at(reservation, 1);
     if (reservation_fd_ < 0) continue;
-    // Another program may listen on one of these ports at all addresses: then the /16 can't be used.
+    // Another program may listen on one of these ports at all addresses: then the /16 cannot be used.
     for (const std::uint16_t port : {kRouterPort, kMachinePort, kAgentPort}) {
       const int fd = reservation_fd_ < 0 ? -1 : listen_at(address_at(0, port), 1);
       if (fd >= 0) {
@@ -60,7 +61,7 @@
       }
     }
   }
-  if (reservation_fd_ < 0) throw std::runtime_error("the lab found no free /16 network in 127/8");
+  if (reservation_fd_ < 0) throw std::runtime_error("the lab found no free /16 network in 127.0.0.0/8");
 }
 
 RunAddresses::~RunAddresses() {
--- a/lab/shared/addresses.h
+++ b/lab/shared/addresses.h
@@ -13,6 +13,7 @@
 
 namespace fernward::rig {
 
+// The addresses of one run, reserved for the lifetime of the object. Immutable, so any thread may use it.
 class RunAddresses {
  public:
   RunAddresses(std::size_t routers, std::size_t machines); // throws std::runtime_error
@@ -20,13 +21,15 @@
   RunAddresses(const RunAddresses&) = delete;
   RunAddresses& operator=(const RunAddresses&) = delete;
 
-  sockaddr_in router(model::RouterId router) const;                                   // where clients connect
-  sockaddr_in machine(model::RouterId seen_by, model::MachineId address_owner) const; // Machine::address_of
+  sockaddr_in router(model::RouterId router) const; // where clients connect
+  sockaddr_in machine(model::RouterId seen_by,
+                      model::MachineId address_owner) const; // PlannedMachine::address_of
   sockaddr_in discovery(model::RouterId router,
-                        std::uint32_t address_version) const;             // discovery, after so many moves
-  sockaddr_in peer_listen(model::RouterId router) const;                  // where a router receives datagrams
-  sockaddr_in peer(model::RouterId seen_by, model::RouterId other) const; // where it sends those for one peer
-  sockaddr_in all_peers(model::RouterId seen_by) const;                   // or for all peers
+                        std::uint32_t address_version) const; // after this number of moves of discovery
+  sockaddr_in peer_listen(model::RouterId router) const;      // where a router receives datagrams
+  sockaddr_in peer(model::RouterId seen_by,
+                   model::RouterId other) const;        // where it sends datagrams for one peer
+  sockaddr_in all_peers(model::RouterId seen_by) const; // where it sends datagrams for all peers
 
  private:
   sockaddr_in address_at(std::size_t number, std::uint16_t port) const;
--- a/lab/shared/body.h
+++ b/lab/shared/body.h
@@ -20,11 +20,12 @@
   std::uint64_t key = 0;
 };
 
+// Makes and verifies the bodies of one run. May be used from any thread.
 class BodyCodec {
  public:
   explicit BodyCodec(std::uint64_t secret) : secret_(secret) {}
 
-  // Returns `size` bytes, but at least the length of the metadata and at most the body limit.
+  // Returns a body of `size` bytes, but at least the length of the metadata and at most http::kMaxBodyBytes.
   std::string encode(const BodyMetadata& metadata, double size) const;
   // Returns the metadata; none: at least one byte differs from the body that encode() returns.
   std::optional<BodyMetadata> decode(std::string_view body) const;
@@ -34,7 +35,7 @@
   std::uint64_t secret_;
 };
 
-// The value that a client writes, derived from its try.
+// The body of a client's write: `size` bytes derived from its try, at least 1.
 std::string written_value(model::TryId try_id, double size);
 
 } // namespace fernward::rig
--- a/lab/shared/clock.h
+++ b/lab/shared/clock.h
@@ -8,6 +8,7 @@
 
 namespace fernward::rig {
 
+// Started once, when requests begin to arrive; read from any thread.
 class RunClock {
  public:
   void start() { started_at_ = loop::now_ms(); }
--- a/lab/shared/lateness.cpp
+++ b/lab/shared/lateness.cpp
@@ -20,10 +20,10 @@
 }
 
 lab::LatenessQuantiles LatenessHistogram::quantiles() const {
-  // Returns the upper edge of the bin that reaches the share: the result is never below the true quantile.
+  // Returns the upper edge of the bin that reaches the share, so that the result is never below the true
+  // quantile, except for values under kMinMs: they lie in the underflow bin and count as 0.
   const auto quantile = [this](double share) {
-    double cumulative = bins_.at(-1),
-           target = share * count_; // values without lateness lie in the underflow bin
+    double cumulative = bins_.at(-1), target = share * count_;
     if (cumulative >= target) return 0.0;
     for (int i = 0; i < static_cast<int>(kBins); ++i) {
       cumulative += bins_.at(i);
--- a/lab/shared/lateness.h
+++ b/lab/shared/lateness.h
@@ -1,4 +1,4 @@
-// Percentiles of lateness: a histogram with a logarithmic axis from a microsecond to a minute.
+// Quantiles of lateness, from a histogram with a logarithmic axis from a microsecond to a minute.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -7,11 +7,12 @@
 
 namespace fernward::rig {
 
+// Not thread-safe: filled by one thread, and read after that thread has ended.
 class LatenessHistogram {
  public:
   LatenessHistogram();
   void add(double ms);
-  lab::LatenessQuantiles quantiles() const;
+  lab::LatenessQuantiles quantiles() const; // in ms; zeros if there are no values
   double count() const { return count_; }
 
  private:
--- a/lab/shared/loop.h
+++ b/lab/shared/loop.h
@@ -14,6 +14,7 @@
 
 namespace fernward::rig {
 
+// Created by any thread, then run by one.
 class RunLoop {
  public:
   explicit RunLoop(const RunClock& clock); // throws std::runtime_error
@@ -23,8 +24,8 @@
 
   void run(); // until stop()
 
-  // From any thread: runs the task in the loop, in the order of the calls. A task added after stop() is not
-  // run.
+  // From any thread: runs the task in the loop, in the order of the calls. A task added after stop() may
+  // never run.
   void run_in_loop(std::function<void()> task);
   void stop();
 
@@ -37,7 +38,7 @@
   loop::TimerQueue::TimerId run_after(double ms, std::function<void()> task) {
     return timers_->run_at(round_up(loop::now_ms() + ms), std::move(task));
   }
-  double now() const { return clock_.now(); }
+  double now() const { return clock_.now(); } // run time, ms
   const RunClock& clock() const { return clock_; }
 
  private:
@@ -46,8 +47,8 @@
   };
   // Under load thousands of timers expire within a millisecond. Those within a tenth of a millisecond run in
   // one iteration of the loop, as an iteration costs as much as the work in it.
-  static double round_up(double wall_ms) { return std::ceil(wall_ms * kRoundsPerMs) / kRoundsPerMs; }
-  static constexpr double kRoundsPerMs = 10;
+  static double round_up(double wall_ms) { return std::ceil(wall_ms * kTimerStepsPerMs) / kTimerStepsPerMs; }
+  static constexpr double kTimerStepsPerMs = 10;
   static void on_wakeup(int fd, short, void* self);
 
   const RunClock& clock_;
--- a/lab/shared/records.h
+++ b/lab/shared/records.h
@@ -23,13 +23,14 @@
                             model::LoadSample, model::NodeEvent, model::RouterEvent, model::EndpointNotified,
                             model::EventMark, BufferedRouterLog>;
 
+// Holds the records of all threads until the merger takes them.
 class RecordBuffer {
  public:
   void add(Record record) { // from any thread
     const std::lock_guard lock(mutex_);
     records_.push_back(std::move(record));
   }
-  void swap_out(std::vector<Record>& records) { // swaps: `records` must be empty
+  void swap_out(std::vector<Record>& records) { // takes all records; `records` must be empty
     const std::lock_guard lock(mutex_);
     records_.swap(records);
   }
@@ -39,10 +40,10 @@
   std::vector<Record> records_;
 };
 
-// Sorts the records of several buffers by time and passes them to the sink.
+// Sorts buffered records by time and passes them to the sink. Used by one thread.
 //
-// Records older than `reorder_window_ms` are passed on, so the queue is bounded by the record rate. A record
-// that arrives later than that is passed on at once.
+// Records older than `reorder_window_ms` are passed on, so that the record rate bounds the queue. A record
+// that arrives later than that is passed on out of order by the next release().
 class RecordMerger {
  public:
   RecordMerger(model::Sink& sink, double reorder_window_ms)
--- a/lab/shared/run_context.h
+++ b/lab/shared/run_context.h
@@ -35,7 +35,7 @@
   std::vector<std::string> reasons_;
 };
 
-// Everything that a part of the run refers to.
+// References to the objects of one run, for each of its parts.
 struct RunContext {
   const model::Spec& spec;
   const model::Plan& plan;
@@ -52,10 +52,12 @@
     const std::uint32_t kind = plan.machines[machine].kind;
     return kind < spec.kinds.size() ? &spec.kinds[kind] : nullptr;
   }
+  // Idle time after which the machine closes a connection.
   double idle_ms(model::MachineId machine) const {
     const model::NodeKind* kind = kind_of(machine);
     return kind != nullptr ? kind->idle_timeout_ms : spec.origin.idle_timeout_ms;
   }
+  // Round trips of a handshake after the TCP handshake.
   double handshake_trips(model::MachineId machine) const {
     const model::NodeKind* kind = kind_of(machine);
     return kind != nullptr ? kind->handshake_round_trips : spec.origin.handshake_round_trips;
@@ -66,6 +68,7 @@
   }
 };
 
+// The longest client timeout of the scenario's classes.
 inline double max_client_timeout_ms(const model::Spec& spec) {
   double max_timeout_ms = 0;
   for (const auto& cls : spec.classes) max_timeout_ms = std::max(max_timeout_ms, cls.client_timeout_ms);
--- a/lab/shared/stream.h
+++ b/lab/shared/stream.h
@@ -16,12 +16,13 @@
 
 class Stream {
  public:
-  // Callbacks. The handler may destroy the stream in any of them; the stream is not accessed afterwards.
+  // Callbacks from the event loop. The handler may destroy the stream in any of them; the stream is not
+  // accessed afterwards.
   class Handler {
    public:
     virtual void on_connected() {}                   // a connecting stream is connected
     virtual void on_data(std::string_view data) = 0; // valid during the call
-    virtual void on_closed(int error) = 0;           // 0: the peer closed its sending side. Called once
+    virtual void on_closed(int error) = 0; // an errno; 0: the peer closed its sending side. Called once
    protected:
     ~Handler() = default;
   };
@@ -34,15 +35,15 @@
   Stream& operator=(const Stream&) = delete;
 
   bool is_connected() const { return connected_; }
-  // False: the connection is broken; its close is reported from the loop. Data that the kernel does not
-  // accept is buffered here.
+  // Data that the kernel does not accept is buffered. False: the connection is broken, which on_closed()
+  // reports later.
   bool send(std::string_view bytes);
   bool all_sent() const { return unsent_.empty(); }
   void pause(); // stops reading: received data stays in the kernel
   void resume();
   bool nothing_unread() const; // no unread data has been received, nor an end of data
   void shutdown_write();       // closes the sending side
-  void reset_on_close();       // closing it sends a reset
+  void reset_on_close();       // destroying the stream sends a reset
   int fd() const { return fd_; }
 
  private:
--- a/lab/shared/try_registry.h
+++ b/lab/shared/try_registry.h
@@ -2,7 +2,7 @@
 // that no client sent. The load generator adds tries and the machines look them up, each on a thread of its
 // own.
 //
-// Bounded by the tries of the last seconds: a try is removed when no attempt for it can arrive any more.
+// A try is removed after the retention time, when no attempt for it can arrive any more.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
   bool write = false;
   double work_ms = 0, size_bytes = 0;
   std::size_t body_bytes = 0;
-  std::uint64_t body_hash = 0;
+  std::uint64_t body_hash = 0; // hash_of() the body of a write
 };
 
 class TryRegistry {
@@ -38,8 +38,9 @@
   void add(double now, model::TryId try_id, const TryMetadata& metadata);
   std::optional<TryMetadata> find(model::TryId try_id);
 
-  // X-Request-ID: sixteen hexadecimal digits that do not reveal the order of tries.
+  // The X-Request-ID of a try: sixteen hexadecimal digits that do not reveal the order of tries.
   std::string request_id(model::TryId try_id) const;
+  // None if the text is not sixteen hexadecimal digits. The try may be one that find() does not know.
   std::optional<model::TryId> try_id_of(std::string_view request_id_text) const;
 
  private:
@@ -54,8 +55,8 @@
   std::deque<AddedTry> by_age_;
 };
 
-std::string path_of(std::uint64_t key); // "/api/" and sixteen hexadecimal digits
-std::string idempotency_key_text(std::uint64_t idempotency_key);
+std::string path_of(std::uint64_t key);                          // "/api/" and sixteen hexadecimal digits
+std::string idempotency_key_text(std::uint64_t idempotency_key); // "k" and sixteen hexadecimal digits
 std::uint64_t hash_of(std::string_view bytes);
 
 } // namespace fernward::rig
