--- a/lab/virtual/event_queue.h
+++ b/lab/virtual/event_queue.h
@@ -1,4 +1,4 @@
-// The event queue of the simulation, and tables of numbered slots whose storage is reused.
+// The event queue of the simulation, and a table of numbered slots whose storage is reused.
 #pragma once
 
 #include <algorithm>
@@ -14,26 +14,27 @@
 using Handle =
     std::uint64_t; // generation << 20 | slot: below 2^52, never 0; an outdated handle finds nothing
 
+// Values in numbered slots, addressed by handles. add() may move the values; handles stay valid.
 template <typename T>
 class SlotTable {
  public:
-  Handle add() { // default-initializes the value
-    std::uint32_t at;
+  Handle add() { // the value is T{}
+    std::uint32_t slot;
     if (free_slots_.empty()) {
-      at = static_cast<std::uint32_t>(entries_.size());
+      slot = static_cast<std::uint32_t>(entries_.size());
       entries_.emplace_back();
     } else {
-      at = free_slots_.back();
+      slot = free_slots_.back();
       free_slots_.pop_back();
     }
-    Entry& entry = entries_[at];
+    Entry& entry = entries_[slot];
     ++entry.generation;
     entry.used = true;
     entry.value = T{};
     ++used_count_;
-    return static_cast<Handle>(entry.generation) << kSlotBits | at;
+    return static_cast<Handle>(entry.generation) << kSlotBits | slot;
   }
-  T* find(Handle handle) {
+  T* find(Handle handle) { // null: removed; valid until the next add()
     const std::size_t slot = handle & kSlotMask;
     if (slot >= entries_.size() || entries_[slot].generation != handle >> kSlotBits || !entries_[slot].used)
       return nullptr;
@@ -69,41 +70,42 @@
   std::size_t used_count_ = 0;
 };
 
-enum class EventKind : std::uint32_t { // with the meaning of `number` and `handle`, where used
+enum class EventKind : std::uint32_t { // with the meaning of an entry's members, where used
   Arrival,                             // the next request of the clients
   ClientTimer,                         // a timer of the client model
   PlanStep,                            // number: index into the plan's steps
   MachineTimer,                        // number: machine
   Discovery,
   Sample,
-  RequestAtRouter,      // handle: try
+  RequestAtRouter,      // number: router, handle: try
   ResponseAtClient,     // handle: try
-  DisconnectAtRouter,   // number: router, handle: try's exchange
+  DisconnectAtRouter,   // number: router, handle: the try's exchange, incarnation
   ResetAtClient,        // handle: try
   RouterStart,          // number: router
   RouterTimer,          // number: router, handle: token, incarnation
-  RouterStopsAccepting, // number: router: it accepts no more connections
-  RouterDrains,         // number: router: it no longer serves kept connections
-  RouterTerminates,     // number: router: its shutdown time is over
+  RouterStopsAccepting, // number: router, incarnation: it accepts no more connections
+  RouterDrains,         // number: router, incarnation: it no longer serves kept connections
+  RouterTerminates,     // number: router, incarnation: its shutdown time is over
   LinkIdleTimeout, // number: router, handle: link, incarnation: its idle period; its idle timeout has expired
-  RequestGuard,    // handle: exchange
-  AttemptTimeout,  // handle: attempt
+  RequestGuard,    // number: router, handle: exchange, incarnation
+  AttemptTimeout,  // number: router, handle: attempt, incarnation
   ConnectAtMachine,   // handle: link
-  ConnectedAtRouter,  // handle: link
-  RefusedAtRouter,    // handle: link
-  ConnectTimeout,     // handle: link
+  ConnectedAtRouter,  // number: router, handle: link
+  RefusedAtRouter,    // number: router, handle: link
+  ConnectTimeout,     // number: router, handle: link, incarnation
   AttemptAtMachine,   // handle: attempt
-  ResponseAtRouter,   // handle: arrival
+  ResponseAtRouter,   // number: router, handle: machine attempt
   CloseAtMachine,     // handle: link
-  ResetAtRouter,      // handle: link
+  ResetAtRouter,      // number: router, handle: link
   MachineIdleTimeout, // handle: link: the machine closes it if it is still idle
-  ClosedAtRouter,     // handle: link: the machine closed it without an error
+  ClosedAtRouter,     // number: router, handle: link: the machine closed it without an error
   GossipRound,        // number: router, incarnation: its next gossip round
   DatagramAtRouter,   // number: router, handle: datagram
 };
 
-// Near events are in a heap. Events within seconds are in buckets, because most of them (timeouts of requests
-// that are answered long before) are obsolete when their bucket is opened. Later events are in a second heap.
+// Events in order of time. Near events are in a heap. Events of the next seconds are in buckets, because most
+// of them (timeouts of requests that are answered long before) are obsolete when their bucket is opened.
+// Later events are in a second heap.
 class EventQueue {
  public:
   struct Entry {
@@ -134,7 +136,8 @@
     }
   }
 
-  // Removes the next event for which is_current(entry) is true. False: there is none.
+  // Removes the next event. False: there is none. Events for which is_current(entry) is false when their
+  // bucket is opened are dropped; an event may become obsolete later, and is then returned.
   template <typename IsCurrent>
   bool pop(Entry& entry, IsCurrent is_current) {
     while (near_events_.empty()) {
@@ -154,14 +157,14 @@
  private:
   static constexpr double kBucketMs = 16;
   static constexpr std::size_t kBuckets = 1024;
-  struct LaterFirst {
+  struct OrderedAfter {
     bool operator()(const Entry& a, const Entry& b) const {
       // Compared as integers, which is valid for non-negative times, as this is most of the loop's work.
-      const auto x = std::bit_cast<std::uint64_t>(a.at), y = std::bit_cast<std::uint64_t>(b.at);
-      return x > y || (x == y && a.order > b.order);
+      const auto a_bits = std::bit_cast<std::uint64_t>(a.at), b_bits = std::bit_cast<std::uint64_t>(b.at);
+      return a_bits > b_bits || (a_bits == b_bits && a.order > b.order);
     }
   };
-  using Heap = boost::heap::d_ary_heap<Entry, boost::heap::arity<4>, boost::heap::compare<LaterFirst>>;
+  using Heap = boost::heap::d_ary_heap<Entry, boost::heap::arity<4>, boost::heap::compare<OrderedAfter>>;
 
   static std::size_t bucket_index(double at) { return static_cast<std::size_t>(at / kBucketMs) % kBuckets; }
 
--- a/lab/virtual/planted_defect.cpp
+++ b/lab/virtual/planted_defect.cpp
@@ -2,7 +2,7 @@
 
 namespace fernward::lab {
 namespace {
-constexpr std::uint32_t kMaxFailures = 3; // of a node, before NeverReadmits ejects it
+constexpr std::uint32_t kMaxFailures = 3; // of a node, until NeverReadmits ejects it
 }
 
 void DefectInjector::apply_to_settings(Settings& settings) {
--- a/lab/virtual/planted_defect.h
+++ b/lab/virtual/planted_defect.h
@@ -1,5 +1,5 @@
 // Defects injected into the routers of virtual time, to verify that the checks of runs find them. The product
-// contains none of this: the injector sits between the balancer and the simulated network half.
+// contains none of this: the injector is between the balancer and the simulated sockets.
 #pragma once
 
 #include <array>
@@ -14,7 +14,7 @@
 
 enum class PlantedDefect : std::uint8_t {
   None,
-  IgnoresIncarnations, // ignores the incarnation: a restarted node counts as the old, warm one
+  IgnoresIncarnations, // ignores start times: a restarted node counts as the old, warm one
   WarmUpPerRouter,     // each router applies the fleet's allowance for a cold node
   IgnoresDraining,     // ignores updates about draining or gone nodes
   NeverReadmits,       // a node that failed three times is ejected permanently
@@ -34,15 +34,17 @@
     "safe-writes", "lost-place",     "no-reuse",       "spins",          "silent-end",     "starves-last",
     "double-part"};
 
+// Injects one defect into one router. Owned by the router.
 class DefectInjector {
  public:
   explicit DefectInjector(PlantedDefect defect) : defect_(defect) {}
+  // For defects that the router implements itself.
   bool injects(PlantedDefect defect) const { return defect_ == defect; }
   bool active() const { return defect_ != PlantedDefect::None; }
 
   void apply_to_settings(Settings& settings);
   void on_restart(); // a new process has started
-  // Modifies the event before it reaches the balancer; false: drop it. `origin_kind`: -1: there is no origin.
+  // Modifies the event before it reaches the balancer; false: drop it. `origin_kind`: -1: no origin.
   bool filter_event(Event& event, std::int32_t origin_kind);
   // Whether to reject a new request before it reaches the balancer.
   bool rejects_request(const Request& request, std::size_t open_requests, std::size_t class_count) const;
--- a/lab/virtual/virtual_router.cpp
+++ b/lab/virtual/virtual_router.cpp
@@ -14,8 +14,9 @@
 namespace {
 
 constexpr std::size_t kReservedDescriptors =
-    24;                            // descriptors for other uses than client and upstream connections
-constexpr double kIdleShare = 0.7; // share of the machine's configured idle timeout
+    24; // descriptors for other uses than client and upstream connections
+// Part of the idle timeout setting for which links are kept, as in src/router/router_options.cpp.
+constexpr double kIdleTimeoutFraction = 0.7;
 constexpr double kWallClockStartMs = 1.7e12;                 // wall clock at the start of the run
 constexpr std::uint64_t kTimerLoopToken = ~std::uint64_t{0}; // token of the timer of PlantedDefect::TimerLoop
 constexpr std::uint64_t kTimedDecisionInterval = 16;         // one in this many decisions is timed
@@ -26,7 +27,9 @@
 
 } // namespace
 
-double max_link_idle_ms(const model::Spec& spec) { return kIdleShare * spec.routers.connection_idle_ms; }
+double max_link_idle_ms(const model::Spec& spec) {
+  return kIdleTimeoutFraction * spec.routers.connection_idle_ms;
+}
 
 VirtualRouter::VirtualRouter(const model::Spec& spec, const model::PlannedRouter& router_plan,
                              const MachineTable& machines, std::size_t router_count,
@@ -44,7 +47,7 @@
       descriptor_budget_(descriptor_limit(spec)) {
   defect_injector_.apply_to_settings(settings_);
   const model::SharingSpec& sharing = spec.routers.sharing;
-  gossip_uses_ = {sharing.share_origin_limit, sharing.count_living_routers, sharing.share_findings};
+  gossip_features_ = {sharing.share_origin_limit, sharing.count_living_routers, sharing.share_findings};
 }
 
 bool VirtualRouter::is_ready() const {
@@ -65,12 +68,12 @@
   const model::SharingSpec& sharing = spec_.routers.sharing;
   if (!sharing.enabled) return;
   heard_from_peer_ = false;
-  gossip_fleet_ = std::make_unique<gossip::GossipNode>(
+  gossip_node_ = std::make_unique<gossip::GossipNode>(
       static_cast<gossip::MemberId>(router_plan_.id), router_count_,
       gossip::incarnation_at(kWallClockStartMs + now()),
       membership::Settings{sharing.ping_period_ms, sharing.indirect_probes}, seed,
       static_cast<std::uint8_t>(router_plan_.zone));
-  // Processes that start at the beginning of the run have different round phases, as if they had started
+  // Routers that start with the run have their first rounds at different times, as if they had been started
   // independently.
   const double first_round_delay_ms =
       incarnation_ > 1 ? 0 : sharing.ping_period_ms * static_cast<double>(seed % 1024) / 1024;
@@ -80,22 +83,22 @@
 
 void VirtualRouter::begin_shutdown() {
   shutting_down_ = true;
-  if (gossip_fleet_ == nullptr) return;
-  gossip_fleet_->leave(router_clock(), pending_datagrams_);
+  if (gossip_node_ == nullptr) return;
+  gossip_node_->leave(router_clock(), pending_datagrams_);
   send_pending_datagrams();
-  gossip_fleet_.reset();
+  gossip_node_.reset();
 }
 
 void VirtualRouter::terminate() {
   balancer_.reset();
-  gossip_fleet_.reset();
+  gossip_node_.reset();
   events_.clear();
   waiting_requests_.clear();
   shutting_down_ = not_accepting_ = drained_ = false;
   unanswered_requests_ = open_requests_ = 0;
   descriptor_leases_.clear();
   idle_lifetimes_ = idle_connections::IdleLifetimeEstimator(max_link_idle_ms(spec_));
-  for (auto& free : idle_links_) free.clear();
+  for (auto& links : idle_links_) links.clear();
   idle_periods_.clear();
   list_index_ = 0;
 }
@@ -109,20 +112,20 @@
 // ---- events: other routers (as src/gossip_transport/transport.cpp) ----
 
 void VirtualRouter::run_gossip_round() {
-  if (gossip_fleet_ == nullptr) return;
-  gossip_fleet_->tick(router_clock(), gossip::local_reports(*balancer_, gossip_uses_), pending_datagrams_);
+  if (gossip_node_ == nullptr) return;
+  gossip_node_->tick(router_clock(), gossip::local_reports(*balancer_, gossip_features_), pending_datagrams_);
   send_pending_datagrams();
   apply_gossip_view();
-  environment_.schedule(gossip_fleet_->next_tick_at() - kRouterClockOffsetMs, EventKind::GossipRound,
+  environment_.schedule(gossip_node_->next_tick_at() - kRouterClockOffsetMs, EventKind::GossipRound,
                         router_plan_.id, 0, incarnation_);
 }
 
 void VirtualRouter::on_datagram(model::RouterId from, const std::string& bytes) {
-  if (gossip_fleet_ == nullptr) return;
-  gossip_fleet_->receive(router_clock(), static_cast<gossip::MemberId>(from), bytes, pending_datagrams_);
+  if (gossip_node_ == nullptr) return;
+  gossip_node_->receive(router_clock(), static_cast<gossip::MemberId>(from), bytes, pending_datagrams_);
   send_pending_datagrams();
   if (heard_from_peer_) return;
-  heard_from_peer_ = gossip_fleet_->view(router_clock()).fresh_reports > 0;
+  heard_from_peer_ = gossip_node_->view(router_clock()).fresh_reports > 0;
   if (heard_from_peer_) apply_gossip_view(); // a returning router does not wait for the next round
 }
 
@@ -134,28 +137,28 @@
 
 void VirtualRouter::apply_gossip_view() {
   std::vector<fernward::Event> events;
-  gossip::append_fleet_events(router_clock(), gossip_view(), *gossip_fleet_, gossip_uses_, events);
+  gossip::append_fleet_events(router_clock(), gossip_view(), *gossip_node_, gossip_features_, events);
   for (auto& event : events) enqueue(std::move(event));
   process_events();
 }
 
 std::optional<model::SharingSample> VirtualRouter::shared_state() {
-  if (gossip_fleet_ == nullptr) return std::nullopt;
-  const gossip::FleetView gossip_state = gossip_view();
+  if (gossip_node_ == nullptr) return std::nullopt;
+  const gossip::FleetView fleet_view = gossip_view();
   const fernward::Balancer::OriginBudget origin_budget = balancer_->origin_budget();
   return model::SharingSample{now(),
                               router_plan_.id,
-                              gossip_state.router_count,
-                              gossip_state.fresh_reports,
+                              fleet_view.router_count,
+                              fleet_view.fresh_reports,
                               origin_budget.demand,
                               origin_budget.limit,
-                              gossip_state.origin_limit_share};
+                              fleet_view.origin_limit_share};
 }
 
 gossip::FleetView VirtualRouter::gossip_view() {
-  gossip::FleetView gossip_state = gossip_fleet_->view(router_clock());
-  if (defect_injector_.injects(PlantedDefect::DoublesSharedPart)) gossip_state.origin_limit_share *= 2;
-  return gossip_state;
+  gossip::FleetView fleet_view = gossip_node_->view(router_clock());
+  if (defect_injector_.injects(PlantedDefect::DoublesSharedPart)) fleet_view.origin_limit_share *= 2;
+  return fleet_view;
 }
 
 // ---- events: clients ----
@@ -190,7 +193,7 @@
   request.id = exchange_id;
   request.class_index = start.drawn.cls;
   request.tenant = start.drawn.tenant;
-  request.key = model::hash_numbers(start.drawn.key, 0) | 1; // in place of the hash of its name
+  request.key = model::hash_numbers(start.drawn.key, 0) | 1; // in place of a hash of the key's text
   request.deadline = exchange.deadline + kRouterClockOffsetMs;
   request.expected_work_ms = start.drawn.hint_ms;
   request.write = start.drawn.write;
@@ -377,17 +380,17 @@
 // Returns the most recent idle link that is established and not idle for too long, else one that is still
 // connecting; 0: none.
 Handle VirtualRouter::take_idle_link(model::MachineId machine) {
-  using Use = idle_connections::IdleLifetimeEstimator::Reuse;
+  using Reuse = idle_connections::IdleLifetimeEstimator::Reuse;
   auto& idle_links = idle_links_[machine];
   for (const bool established : {true, false}) {
     for (std::size_t i = idle_links.size(); i-- > 0;) {
       Link& state = *environment_.links().find(idle_links[i]);
       if (state.established != established) continue;
       if (established) {
-        const Use reuse = idle_lifetimes_.decide_reuse(now(), machine, now() - state.idle_since);
-        if (reuse == Use::Refused) break; // earlier entries have been idle longer
+        const Reuse reuse = idle_lifetimes_.decide_reuse(now(), machine, now() - state.idle_since);
+        if (reuse == Reuse::Refused) break; // earlier entries have been idle for longer
         state.idle_before_request_ms = now() - state.idle_since;
-        state.idle_trial = reuse == Use::Trial;
+        state.idle_trial = reuse == Reuse::Trial;
       }
       const Handle link = idle_links[i];
       idle_links.erase(idle_links.begin() + static_cast<std::ptrdiff_t>(i));
@@ -400,11 +403,11 @@
 // Acquires a descriptor for a connection. Idle client connections give way at once and are not counted; idle
 // links are closed when needed.
 descriptors::DescriptorBudget::Lease VirtualRouter::acquire_descriptor(descriptors::Side side) {
-  using Needs = descriptors::DescriptorBudget::Eviction;
+  using Eviction = descriptors::DescriptorBudget::Eviction;
   for (;;) {
-    const Needs eviction = descriptor_budget_.required_eviction(now(), side);
-    if (eviction == Needs::None) return descriptor_budget_.acquire(now(), side);
-    if (side == descriptors::Side::Downstream && eviction == Needs::OwnSide) return {};
+    const Eviction eviction = descriptor_budget_.required_eviction(now(), side);
+    if (eviction == Eviction::None) return descriptor_budget_.acquire(now(), side);
+    if (side == descriptors::Side::Downstream && eviction == Eviction::OwnSide) return {};
     if (!close_oldest_idle_link()) return {};
   }
 }
--- a/lab/virtual/virtual_router.h
+++ b/lab/virtual/virtual_router.h
@@ -1,6 +1,6 @@
-// A router process in virtual time: fernward::Balancer, and the part of the network half that is visible to
-// its decisions: when outcomes are reported, idle connections and their timeouts, full tables, and the final
-// deadline guard.
+// A router process in virtual time: fernward::Balancer, and as much of the network code around it as its
+// decisions depend on: when outcomes are reported, idle connections and their timeouts, full tables, and the
+// final deadline guard.
 //
 // It mirrors src/proxy/request_dispatcher.cpp and src/upstream/connection_pool.cpp, and must change with
 // them.
@@ -37,21 +37,22 @@
   bool accepted = false;                 // counted by the machine as a connection
   bool message_lost =
       false; // a message was lost: the connection resets once the network passes messages again
-  bool closed_by_router = false;      // by the router
-  Handle attempt = 0;                 // the router's attempt that uses it; 0: none
-  Handle arrival = 0;                 // the machine's attempt that uses it; 0: none
-  bool closed_by_machine = false;     // closed by the machine
+  bool closed_by_router = false;
+  Handle attempt = 0;         // the router's attempt that uses it; 0: none
+  Handle machine_attempt = 0; // the machine's attempt that uses it; 0: none
+  bool closed_by_machine = false;
   std::uint32_t idle_period = 0;      // number of its present or last idle period
   double idle_before_request_ms = -1; // idle time before its present request; below 0: first request
   bool idle_trial = false;            // it was idle for longer than is estimated to be safe
   double opened_at = 0, idle_since = 0, machine_idle_since = 0;
   double last_arrival_at_machine = 0,
-         last_arrival_at_router = 0; // the latest message's arrival: messages stay in order
+         last_arrival_at_router = 0; // arrival of the latest message: messages are not reordered
 };
 
+// A client's request in a router, from its acceptance until it is answered and its attempts have ended.
 struct Exchange {
   model::RouterId router = 0;
-  Handle client_try = 0; // its try
+  Handle client_try = 0;
   model::TryStart start;
   double deadline = 0;
   boost::container::small_vector<Handle, 6> attempts; // by attempt number; 0: ended
@@ -59,6 +60,7 @@
   bool answered = false;
 };
 
+// An attempt as its router sees it. The machine has its own view (VirtualWorld::MachineAttempt).
 struct RouterAttempt {
   model::RouterId router = 0;
   Handle exchange = 0;
@@ -76,19 +78,20 @@
 };
 
 // The operations that a router needs from its environment. Implemented by VirtualWorld, which owns the
-// routers.
+// routers. `client`: the handle of a client's try.
 class RouterEnvironment {
  public:
   virtual ~RouterEnvironment() = default;
   virtual double now() const = 0;
   virtual void schedule(double time, EventKind kind, std::uint32_t number, std::uint64_t handle,
                         std::uint32_t incarnation) = 0;
-  virtual void connect(Handle link) = 0;  // completes with on_connected() or on_connection_lost()
+  // Calls VirtualRouter::on_connected() or on_connection_lost() later, if messages pass.
+  virtual void connect(Handle link) = 0;
   virtual void write(Handle attempt) = 0; // sends the attempt on its link
   virtual void close(Handle link) = 0;    // by the router
   virtual void respond(Handle client, model::TryOutcome outcome, double retry_after_ms) = 0;
-  virtual bool client_waits(Handle client) = 0; // the client has not given up
-  virtual void on_accepted(Handle client, Handle exchange) = 0;
+  virtual bool client_waits(Handle client) = 0;                 // the client has not given up
+  virtual void on_accepted(Handle client, Handle exchange) = 0; // the router has accepted the try
   virtual void log(model::RouterId router, const char* text) = 0;
   virtual void send_datagram(model::RouterId from, model::RouterId to, std::string bytes) = 0;
   virtual SlotTable<Link>& links() = 0;
@@ -96,6 +99,8 @@
   virtual SlotTable<RouterAttempt>& attempts() = 0;
 };
 
+// One router of a run, through all its incarnations: start() begins a process, terminate() ends it. Its
+// exchanges, attempts and links are in the environment's tables.
 class VirtualRouter {
  public:
   VirtualRouter(const model::Spec& spec, const model::PlannedRouter& router_plan,
@@ -141,13 +146,13 @@
   void on_datagram(model::RouterId from, const std::string& bytes);
 
   // ---- state for records ----
-  std::uint64_t list_index() const { return list_index_; } // 0: none since its start
+  std::uint64_t list_index() const { return list_index_; } // of its endpoint list; 0: none since its start
   struct KnownState {
     ServerState state = ServerState::Gone;
     double started_at = -1;
   };
   const KnownState& known_state(model::MachineId machine) const { return known_states_[machine]; }
-  double cpu_s() const { return cpu_s_; }
+  double cpu_s() const { return cpu_s_; } // in the balancer, estimated from a sample of its decisions
   std::size_t peak_links() const { return peak_links_; }
   std::uint64_t decisions() const { return decisions_; }
   std::optional<model::SharingSample> shared_state(); // nullopt: it shares nothing
@@ -181,7 +186,7 @@
   void close_link(Handle link, Link& link_state);
   void close_idle_links(model::MachineId machine);
   double now() const { return environment_.now(); }
-  double router_clock() const; // as seen by the policy and the gossip
+  double router_clock() const; // the time that the balancer and the gossip see
   void send_pending_datagrams();
   void apply_gossip_view(); // passes its consequences to the balancer
 
@@ -198,9 +203,9 @@
   std::vector<fernward::Action> actions_;
   bool processing_ = false;
   bool shutting_down_ = false, not_accepting_ = false, drained_ = false;
-  const std::size_t router_count_; // in the tier
-  gossip::GossipFeatures gossip_uses_;
-  std::unique_ptr<gossip::GossipNode> gossip_fleet_;
+  const std::size_t router_count_; // routers of the run
+  gossip::GossipFeatures gossip_features_;
+  std::unique_ptr<gossip::GossipNode> gossip_node_;
   std::vector<gossip::GossipNode::OutgoingDatagram> pending_datagrams_;
   bool heard_from_peer_ = false; // from any peer, since its start
   std::size_t unanswered_requests_ = 0,
--- a/lab/virtual/virtual_world.cpp
+++ b/lab/virtual/virtual_world.cpp
@@ -13,25 +13,24 @@
 
 namespace {
 
-constexpr double kSampleMs = 1000;
+constexpr double kSampleIntervalMs = 1000;
 constexpr double kMaxUnfinishedWorkMs = 30000;   // machines' work left after this time is not awaited
 constexpr std::uint64_t kControlInterval = 4096; // events between two checks of the run control
 
-// `salt`: varies the assignment of keys to nodes, which is also left to chance, as the program hashes keys
-// and names.
+// `salt`: varies the machines' ids, and thereby the assignment of keys to nodes, which depends on hashes.
 MachineTable make_machine_table(const model::Plan& plan, std::uint64_t salt) {
   MachineTable table;
-  for (const model::PlannedMachine& m : plan.machines) {
+  for (const model::PlannedMachine& machine : plan.machines) {
     fernward::Server server;
-    // On a hash collision another identity is used, so that each machine has its own.
-    std::uint64_t hash = XXH3_64bits_withSeed(m.name.data(), m.name.size(), salt);
+    // On a collision the next free id is used, so that each machine has its own.
+    std::uint64_t hash = XXH3_64bits_withSeed(machine.name.data(), machine.name.size(), salt);
     while (table.by_id.count(static_cast<fernward::ServerId>(hash)) > 0) ++hash;
     server.id = static_cast<fernward::ServerId>(hash);
-    server.kind = m.kind;
-    server.cell = m.cell;
-    server.zone = m.zone;
-    server.weight = m.weight;
-    table.by_id[server.id] = m.id;
+    server.kind = machine.kind;
+    server.cell = machine.cell;
+    server.zone = machine.zone;
+    server.weight = machine.weight;
+    table.by_id[server.id] = machine.id;
     table.entries.push_back(server);
   }
   return table;
@@ -40,9 +39,9 @@
 } // namespace
 
 double max_client_timeout_ms(const model::Spec& spec) {
-  double longest = 0;
-  for (const auto& cls : spec.classes) longest = std::max(longest, cls.client_timeout_ms);
-  return longest;
+  double max_timeout_ms = 0;
+  for (const auto& cls : spec.classes) max_timeout_ms = std::max(max_timeout_ms, cls.client_timeout_ms);
+  return max_timeout_ms;
 }
 
 VirtualWorld::VirtualWorld(const model::Spec& spec, model::Sink& sink, PlantedDefect planted_defect,
@@ -69,18 +68,18 @@
       follows_new_address_(plan_.routers.size()),
       client_timer_at_(kInfiniteMs),
       discovery_timer_at_(kInfiniteMs) {
-  const model::CacheNode::FleetContext shared{spec_, keys_, idempotency_cache_, &initial_nodes_};
-  for (const model::PlannedMachine& m : plan_.machines) {
-    if (spec_.origin.enabled && m.id == plan_.origin) {
-      server_models_.push_back(std::make_unique<model::Origin>(spec_, m, idempotency_cache_));
+  const model::CacheNode::FleetContext fleet_context{spec_, keys_, idempotency_cache_, &initial_nodes_};
+  for (const model::PlannedMachine& machine : plan_.machines) {
+    if (spec_.origin.enabled && machine.id == plan_.origin) {
+      server_models_.push_back(std::make_unique<model::Origin>(spec_, machine, idempotency_cache_));
     } else {
-      server_models_.push_back(std::make_unique<model::CacheNode>(shared, m));
+      server_models_.push_back(std::make_unique<model::CacheNode>(fleet_context, machine));
     }
-    machine_states_[m.id].timer_at = kInfiniteMs;
+    machine_states_[machine.id].timer_at = kInfiniteMs;
   }
-  for (const model::PlannedRouter& r : plan_.routers) {
-    routers_.push_back(std::make_unique<VirtualRouter>(spec_, r, machine_table_, plan_.routers.size(), *this,
-                                                       planted_defect));
+  for (const model::PlannedRouter& router : plan_.routers) {
+    routers_.push_back(std::make_unique<VirtualRouter>(spec_, router, machine_table_, plan_.routers.size(),
+                                                       *this, planted_defect));
   }
 }
 
@@ -112,11 +111,11 @@
     dispatch(event);
   }
   info.scenario_elapsed_ms = now_;
-  for (RouterId r = 0; r < routers_.size(); ++r) {
-    RouterResourceUse cost = router_costs_[r];
-    cost.router = r;
-    cost.cpu_s = routers_[r]->cpu_s();
-    cost.peak_sockets = static_cast<std::uint32_t>(routers_[r]->peak_links());
+  for (RouterId router = 0; router < routers_.size(); ++router) {
+    RouterResourceUse cost = router_costs_[router];
+    cost.router = router;
+    cost.cpu_s = routers_[router]->cpu_s();
+    cost.peak_sockets = static_cast<std::uint32_t>(routers_[router]->peak_links());
     info.routers.push_back(cost);
   }
 }
@@ -139,7 +138,7 @@
     }
     case EventKind::MachineIdleTimeout: {
       const Link* link = links_.find(event.handle);
-      return link != nullptr && link->accepted && link->arrival == 0;
+      return link != nullptr && link->accepted && link->machine_attempt == 0;
     }
     default: return true;
   }
@@ -255,8 +254,8 @@
     apply_node_step(*node);
   } else if (const auto* router = std::get_if<model::RouterStep>(&step.what)) {
     apply_router_step(*router);
-  } else if (const auto* cut = std::get_if<model::PartitionStep>(&step.what)) {
-    if (!cut->enabled) reset_stuck_links();
+  } else if (const auto* partition = std::get_if<model::PartitionStep>(&step.what)) {
+    if (!partition->enabled) reset_stuck_links();
   } else if (const auto* discovery_step = std::get_if<model::DiscoveryStep>(&step.what)) {
     using What = model::DiscoveryStep::What;
     if (discovery_step->what == What::Down || discovery_step->what == What::Up) {
@@ -267,11 +266,11 @@
     advance_discovery();
   } else if (const auto* origin = std::get_if<model::OriginStep>(&step.what)) {
     if (!spec_.origin.enabled) return;
-    auto& station = static_cast<model::Origin&>(*server_models_[plan_.origin]);
+    auto& origin_model = static_cast<model::Origin&>(*server_models_[plan_.origin]);
     if (origin->what == model::OriginStep::What::Fall) {
-      station.fail(now_, origin->down_ms, machine_actions_);
+      origin_model.fail(now_, origin->down_ms, machine_actions_);
     } else {
-      station.set_capacity_share(now_, origin->factor, machine_actions_);
+      origin_model.set_capacity_share(now_, origin->factor, machine_actions_);
     }
     execute_machine_actions(plan_.origin);
   } else if (const auto* zone = std::get_if<model::ZoneStep>(&step.what)) {
@@ -284,15 +283,16 @@
 }
 
 void VirtualWorld::record_samples() {
-  for (MachineId m = 0; m < server_models_.size(); ++m) {
-    server_models_[m]->advance(now_, machine_actions_);
-    execute_machine_actions(m);
-    if (server_models_[m]->phase() != model::ServerPhase::Off) sink_.on(server_models_[m]->sample(now_));
+  for (MachineId machine = 0; machine < server_models_.size(); ++machine) {
+    server_models_[machine]->advance(now_, machine_actions_);
+    execute_machine_actions(machine);
+    if (server_models_[machine]->phase() != model::ServerPhase::Off)
+      sink_.on(server_models_[machine]->sample(now_));
   }
   for (const auto& router : routers_) {
     if (const auto shared = router->shared_state()) sink_.on(*shared);
   }
-  schedule(now_ + kSampleMs, EventKind::Sample, 0, 0, 0);
+  schedule(now_ + kSampleIntervalMs, EventKind::Sample, 0, 0, 0);
 }
 
 } // namespace fernward::lab
--- a/lab/virtual/virtual_world.h
+++ b/lab/virtual/virtual_world.h
@@ -24,9 +24,10 @@
 inline constexpr double kInfiniteMs = std::numeric_limits<double>::infinity();
 double max_client_timeout_ms(const model::Spec& spec); // the longest of its classes
 
+// One run. Used by one thread.
 class VirtualWorld : public RouterEnvironment {
  public:
-  // `spec` and `sink` must outlive it; faults(spec) must be empty.
+  // `spec` and `sink` must outlive it; model::find_spec_errors(spec) must be empty.
   VirtualWorld(const model::Spec& spec, model::Sink& sink, PlantedDefect planted_defect = PlantedDefect::None)
       : VirtualWorld(spec, sink, planted_defect, spec) {}
   // Takes the plan and requests from `plan_spec`, and draws everything else from `spec`. The two differ only
@@ -34,19 +35,19 @@
   VirtualWorld(const model::Spec& spec, model::Sink& sink, PlantedDefect planted_defect,
                const model::Spec& plan_spec);
 
-  // Runs until all requests are answered, or until `control` requests a stop.
+  // Runs until all requests have ended, or until `control` requests a stop. Call it once.
   void run(const RunControl& control, RunInfo& info);
 
   // ---- RouterEnvironment ----
   double now() const override { return now_; }
-  void schedule(double time, EventKind what, std::uint32_t number, std::uint64_t handle,
-                std::uint32_t life) override {
-    event_queue_.add(time < now_ ? now_ : time, what, number, handle, life);
+  void schedule(double time, EventKind kind, std::uint32_t number, std::uint64_t handle,
+                std::uint32_t incarnation) override {
+    event_queue_.add(time < now_ ? now_ : time, kind, number, handle, incarnation);
   }
   void connect(Handle link) override;
   void write(Handle attempt) override;
   void close(Handle link) override;
-  void respond(Handle client, model::TryOutcome heard, double retry_after_ms) override;
+  void respond(Handle client, model::TryOutcome outcome, double retry_after_ms) override;
   bool client_waits(Handle client) override;
   void on_accepted(Handle client, Handle exchange) override;
   void log(model::RouterId router, const char* text) override;
@@ -61,17 +62,17 @@
     model::RouterId router = 0;
     std::uint32_t router_incarnation = 0; // of the router that accepted it
     bool new_connection = false, client_gone = false, accepted = false;
-    bool reached_router = false; // at its router, or never will
+    bool reached_router = false; // it has arrived at its router, or never will
     bool response_sent = false;  // the response is under way
     Handle exchange = 0;
     model::TryOutcome outcome = model::TryOutcome::Served;
     double retry_after_ms = 0;
   };
-  struct MachineAttempt { // an attempt at a machine
+  struct MachineAttempt { // an attempt as its machine sees it
     model::AttemptId attempt_number = 0;
     model::MachineId machine = 0;
     model::RouterId router = 0;
-    Handle link = 0, attempt = 0;
+    Handle link = 0, attempt = 0; // attempt: the router's
     model::TryId try_id = 0;
     std::uint64_t key = 0;
     bool write = false;
@@ -133,13 +134,13 @@
   void on_attempt_at_machine(Handle attempt);
   void on_close_at_machine(Handle link);
   void close_idle_link(Handle link);
-  void deliver_response(Handle arrival);
+  void deliver_response(Handle handle);
   void reset_machine_links(model::MachineId machine, bool only_stuck);
   void reset_at_router(Handle link);
   void reset_stuck_links();
   void record_event(model::MachineId machine, model::NodeEvent::What kind, bool cold, double notified_share);
   model::CacheNode* node(model::MachineId machine);
-  void apply_bad_response(MachineAttempt& arrival, double& delay_ms);
+  void apply_bad_response(MachineAttempt& machine_attempt, double& delay_ms);
   std::uint32_t zone_of(model::MachineId machine) const { return plan_.machines[machine].zone; }
   double machine_idle_timeout_ms(model::MachineId machine) const;
   double next_arrival_at_machine(Link& link);
@@ -177,7 +178,7 @@
   SlotTable<Datagram> datagrams_;
   std::map<model::RouterId, lies::DatagramCorruptor>
       corruptors_;                                       // of routers with false facts, past or present
-  std::vector<RouterResourceUse> router_costs_;          // by router: its datagrams
+  std::vector<RouterResourceUse> router_costs_;          // by router: only the datagrams that it has sent
   std::vector<char> follows_new_address_;                // by router: it uses discovery's new address
   std::unordered_map<model::TryId, Handle> tries_by_id_; // tries whose client still waits
   std::optional<model::DrawnRequest> next_request_;
--- a/lab/virtual/world_clients.cpp
+++ b/lab/virtual/world_clients.cpp
@@ -1,4 +1,4 @@
-// The clients: tries under way to routers, and responses under way back.
+// The clients of VirtualWorld: their tries on the way to the routers, and the responses on the way back.
 #include "lab/virtual/virtual_world.h"
 
 #include <algorithm>
@@ -25,8 +25,8 @@
   for (std::size_t i = 0; i < client_actions_.size(); ++i) {
     const model::ClientAction action = client_actions_[i];
     if (const auto* start = std::get_if<model::TryStart>(&action.what)) start_try(*start);
-    if (const auto* ended = std::get_if<model::TryCancelled>(&action.what)) cancel_try(*ended);
-    if (const auto* closed = std::get_if<model::RequestEnded>(&action.what)) sink_.on(*closed);
+    if (const auto* cancelled = std::get_if<model::TryCancelled>(&action.what)) cancel_try(*cancelled);
+    if (const auto* ended = std::get_if<model::RequestEnded>(&action.what)) sink_.on(*ended);
   }
   client_actions_.clear();
   schedule_client_timer();
@@ -123,7 +123,7 @@
   return client_try != nullptr && !client_try->client_gone;
 }
 
-void VirtualWorld::respond(Handle client, TryOutcome heard, double retry_after_ms) {
+void VirtualWorld::respond(Handle client, TryOutcome outcome, double retry_after_ms) {
   Try* client_try = tries_.find(client);
   if (client_try == nullptr) return;
   if (client_try->client_gone) {
@@ -131,7 +131,7 @@
     return;
   }
   if (!network_.reachable(client_try->router)) return; // the client gets no response
-  client_try->outcome = heard;
+  client_try->outcome = outcome;
   client_try->retry_after_ms = retry_after_ms;
   client_try->response_sent = true;
   schedule(now_ + network_.client_delay(client_try->start.drawn.zone, plan_.routers[client_try->router].zone),
--- a/lab/virtual/world_machines.cpp
+++ b/lab/virtual/world_machines.cpp
@@ -1,4 +1,4 @@
-// The machines, and the connections between routers and machines.
+// The machines of VirtualWorld, and the connections between routers and machines.
 #include "lab/virtual/virtual_world.h"
 
 #include <algorithm>
@@ -80,12 +80,12 @@
   const Link* state = links_.find(link);
   if (state == nullptr) return;
   const MachineId machine = state->machine;
-  const Handle arrival = state->arrival;
+  const Handle handle = state->machine_attempt;
   if (state->accepted && state->machine_incarnation == machine_states_[machine].incarnation) {
     server_models_[machine]->disconnect(now_);
-    if (const MachineAttempt* machine_attempt = machine_attempts_.find(arrival)) {
+    if (const MachineAttempt* machine_attempt = machine_attempts_.find(handle)) {
       (void)machine_attempt;
-      server_models_[machine]->cancel(now_, arrival, machine_actions_);
+      server_models_[machine]->cancel(now_, handle, machine_actions_);
     }
   }
   links_.remove(link);
@@ -96,7 +96,7 @@
 // sends meanwhile is answered with a reset.
 void VirtualWorld::close_idle_link(Handle link) {
   Link* state = links_.find(link);
-  if (state == nullptr || !state->accepted || state->arrival != 0 ||
+  if (state == nullptr || !state->accepted || state->machine_attempt != 0 ||
       state->machine_incarnation != machine_states_[state->machine].incarnation)
     return;
   if (now_ - state->machine_idle_since < machine_idle_timeout_ms(state->machine))
@@ -162,7 +162,7 @@
 
 void VirtualWorld::apply_node_step(const model::NodeStep& step) {
   using What = model::NodeStep::What;
-  using Why = model::Discovery::Cause;
+  using Cause = model::Discovery::Cause;
   const MachineId machine = step.machine;
   model::ServerModel& server_model = *server_models_[machine];
   MachineState& state = machine_states_[machine];
@@ -174,13 +174,13 @@
       state.started_at = now_;
       server_model.start(now_, machine_actions_);
       record_event(machine, NodeEvent::What::Started, true, 0);
-      discovery_.change(now_, machine, ServerState::Ready, now_, Why::Added);
+      discovery_.change(now_, machine, ServerState::Ready, now_, Cause::Added);
       break;
     case What::Drain:
       if (!is_running) return;
       server_model.drain(now_, machine_actions_);
       record_event(machine, NodeEvent::What::Draining, false, 0);
-      discovery_.change(now_, machine, ServerState::Draining, state.started_at, Why::Leaving);
+      discovery_.change(now_, machine, ServerState::Draining, state.started_at, Cause::Leaving);
       break;
     case What::End:
       if (!is_running) return;
@@ -189,18 +189,18 @@
       execute_machine_actions(machine);
       reset_machine_links(machine, false);
       ++state.incarnation;
-      discovery_.change(now_, machine, ServerState::Gone, state.started_at, Why::Leaving);
+      discovery_.change(now_, machine, ServerState::Gone, state.started_at, Cause::Leaving);
       break;
     case What::Silence:
       record_event(machine, NodeEvent::What::Silent, false, 0);
-      discovery_.change(now_, machine, ServerState::Gone, state.started_at, Why::Silent);
+      discovery_.change(now_, machine, ServerState::Gone, state.started_at, Cause::Silent);
       break;
     case What::Return:
       record_event(machine, NodeEvent::What::Returned, false, 0);
       reset_stuck_links();
       // An origin that failed meanwhile stays on the list, and returns without a separate update.
       if (is_running || machine == plan_.origin)
-        discovery_.change(now_, machine, ServerState::Ready, state.started_at, Why::Added);
+        discovery_.change(now_, machine, ServerState::Ready, state.started_at, Cause::Added);
       break;
     case What::Neighbour:
       if (model::CacheNode* cache_node = node(machine))
@@ -226,7 +226,7 @@
     link->message_lost = true;
     return;
   }
-  if (link->closed_by_machine) { // a request on a connection that the machine has closed is answered with a reset
+  if (link->closed_by_machine) { // as a kernel resets a connection that is closed on its side
     schedule(next_arrival_at_router(*link), EventKind::ResetAtRouter, link->router, attempt_state->link, 0);
     return;
   }
@@ -236,23 +236,23 @@
   const model::DrawnRequest& drawn = exchange.start.drawn;
   const MachineId machine = attempt_state->machine;
   const Handle handle = machine_attempts_.add();
-  MachineAttempt& arrival = *machine_attempts_.find(handle);
-  arrival.attempt_number = ++attempt_count_;
-  arrival.machine = machine;
-  arrival.router = attempt_state->router;
-  arrival.link = attempt_state->link;
-  arrival.attempt = attempt;
-  arrival.try_id = exchange.start.try_id;
-  arrival.key = drawn.key;
-  arrival.write = drawn.write;
-  link->arrival = handle;
+  MachineAttempt& machine_attempt = *machine_attempts_.find(handle);
+  machine_attempt.attempt_number = ++attempt_count_;
+  machine_attempt.machine = machine;
+  machine_attempt.router = attempt_state->router;
+  machine_attempt.link = attempt_state->link;
+  machine_attempt.attempt = attempt;
+  machine_attempt.try_id = exchange.start.try_id;
+  machine_attempt.key = drawn.key;
+  machine_attempt.write = drawn.write;
+  link->machine_attempt = handle;
   model::ServerAttempt work;
   work.id = handle;
   work.cls = drawn.cls;
   work.key = drawn.key;
   work.idempotency_key = exchange.start.idempotency_key;
   work.write = drawn.write;
-  // Whether the router knows of the machine's present start; starts before the run count as known.
+  // Whether the router was notified of the machine's present start; starts before the run count as notified.
   const auto& known_state = routers_[attempt_state->router]->known_state(machine);
   work.notified = machine_states_[machine].started_at < 0 ||
                   known_state.started_at >= machine_states_[machine].started_at;
@@ -263,9 +263,9 @@
   model::AttemptArrived record;
   record.at = now_;
   record.sent_at = attempt_state->sent_at;
-  record.attempt = arrival.attempt_number;
+  record.attempt = machine_attempt.attempt_number;
   record.machine = machine;
-  record.try_id = arrival.try_id;
+  record.try_id = machine_attempt.try_id;
   record.router = attempt_state->router;
   record.cls = drawn.cls;
   record.key = drawn.key;
@@ -344,8 +344,8 @@
   record.work_done_ms = action.work_done_ms;
   sink_.on(record);
   Link* link = links_.find(machine_attempt.link);
-  if (link != nullptr && link->arrival == action.id) {
-    link->arrival = 0;
+  if (link != nullptr && link->machine_attempt == action.id) {
+    link->machine_attempt = 0;
     link->machine_idle_since = now_;
     // Otherwise the router closes the link first.
     const double idle_timeout_ms = machine_idle_timeout_ms(machine);
@@ -406,26 +406,27 @@
 }
 
 // Sets what the router observes of a bad response.
-void VirtualWorld::apply_bad_response(MachineAttempt& arrival, double& late) {
-  switch (machine_states_[arrival.machine].bad_response) {
-    case model::BadResponse::Error: arrival.result = AttemptResult::Error; break;
+void VirtualWorld::apply_bad_response(MachineAttempt& machine_attempt, double& delay_ms) {
+  switch (machine_states_[machine_attempt.machine].bad_response) {
+    case model::BadResponse::Error: machine_attempt.result = AttemptResult::Error; break;
     case model::BadResponse::NotHttp:
     case model::BadResponse::TooLarge:
-      arrival.result = AttemptResult::Error;
-      arrival.connection_end = VirtualRouter::ConnectionEnd::Closed;
-      arrival.report.clear();
+      machine_attempt.result = AttemptResult::Error;
+      machine_attempt.connection_end = VirtualRouter::ConnectionEnd::Closed;
+      machine_attempt.report.clear();
       break;
     case model::BadResponse::Truncated:
     case model::BadResponse::EarlyClose:
-      arrival.result = AttemptResult::Reset;
-      arrival.connection_end = machine_states_[arrival.machine].bad_response == model::BadResponse::Truncated
-                                   ? VirtualRouter::ConnectionEnd::Closed
-                                   : VirtualRouter::ConnectionEnd::ClosedUnanswered;
-      arrival.report.clear();
+      machine_attempt.result = AttemptResult::Reset;
+      machine_attempt.connection_end =
+          machine_states_[machine_attempt.machine].bad_response == model::BadResponse::Truncated
+              ? VirtualRouter::ConnectionEnd::Closed
+              : VirtualRouter::ConnectionEnd::ClosedUnanswered;
+      machine_attempt.report.clear();
       break;
-    case model::BadResponse::NeverCompletes: late = kInfiniteMs; break;
+    case model::BadResponse::NeverCompletes: delay_ms = kInfiniteMs; break;
     case model::BadResponse::WrongBody: break;
-    case model::BadResponse::SlowBytes: late = kSlowResponseDelayMs; break;
+    case model::BadResponse::SlowBytes: delay_ms = kSlowResponseDelayMs; break;
   }
 }
 
--- a/lab/virtual/world_routers.cpp
+++ b/lab/virtual/world_routers.cpp
@@ -1,4 +1,4 @@
-// The routers: start, shutdown, pauses, datagrams, and updates from discovery.
+// The routers of VirtualWorld: start, shutdown, pauses, datagrams, and updates from discovery.
 #include "lab/virtual/virtual_world.h"
 
 #include <algorithm>
@@ -13,8 +13,9 @@
 
 namespace {
 
+// The first three are as in src/router/graceful_shutdown.cpp.
 constexpr double kAcceptDuringShutdownMs = 500; // a router accepts connections for this long after SIGTERM
-constexpr double kFinishBeyondDeadlineMs = 600; // allowance beyond the deadline of requests accepted then
+constexpr double kResponseGraceMs = 600;        // allowance after the longest client timeout
 constexpr double kMaxServeDuringShutdownMs =
     1500; // kept connections are served for half of the shutdown time, at most this long
 constexpr double kRouterStartUpMs = 30; // from a router's start until it listens
@@ -35,10 +36,10 @@
   if (first_start) {
     initial_list = discovery_.list(router, std::nullopt);
   } else {
-    for (MachineId m = 0; m < plan_.machines.size(); ++m) {
-      const auto& previous = state.known_state(m);
+    for (MachineId machine = 0; machine < plan_.machines.size(); ++machine) {
+      const auto& previous = state.known_state(machine);
       if (previous.state != ServerState::Gone)
-        initial_list.entries.push_back({m, previous.state, previous.started_at, 0});
+        initial_list.entries.push_back({machine, previous.state, previous.started_at, 0});
     }
   }
   for (const auto& entry : initial_list.entries) {
@@ -68,9 +69,9 @@
       if (router.is_running()) pause_router(step.router);
       return;
     case What::Resume: return resume_router(step.router);
-    case What::Term: { // as src/router/router.cpp
+    case What::Term: { // as src/router/graceful_shutdown.cpp
       if (!router.is_running() || router.is_stopping()) return;
-      const double shutdown_ms = max_client_timeout_ms(spec_) + kFinishBeyondDeadlineMs;
+      const double shutdown_ms = max_client_timeout_ms(spec_) + kResponseGraceMs;
       record_event(step.router, RouterEvent::What::Term);
       router.begin_shutdown();
       front_balancer_.set_stopping(now_, step.router);
@@ -186,7 +187,7 @@
   for (const model::RouterStep& signal : std::exchange(pause.pending_signals, {})) apply_router_step(signal);
 }
 
-// Keeps the event if it is for a paused process. True: it was kept.
+// Holds the event until the process resumes if it is for a paused one. True: it is held.
 bool VirtualWorld::hold_while_paused(const EventQueue::Entry& event) {
   switch (event.kind()) {
     case EventKind::RequestAtRouter:
@@ -252,10 +253,10 @@
   if (list.complete) { // machines missing from the list are gone
     std::vector<char> listed(plan_.machines.size());
     for (const auto& entry : list.entries) listed[entry.machine] = 1;
-    for (MachineId m = 0; m < listed.size(); ++m) {
-      if (listed[m] || state.known_state(m).state == ServerState::Gone) continue;
-      sink_.on(model::EndpointNotified{now_, router, m, ServerState::Gone, state.known_state(m).started_at,
-                                       false, false});
+    for (MachineId machine = 0; machine < listed.size(); ++machine) {
+      if (listed[machine] || state.known_state(machine).state == ServerState::Gone) continue;
+      sink_.on(model::EndpointNotified{now_, router, machine, ServerState::Gone,
+                                       state.known_state(machine).started_at, false, false});
     }
   }
   for (const auto& entry : list.entries) {
@@ -273,7 +274,7 @@
 void VirtualWorld::advance_discovery() {
   if (discovery_timer_at_ <= now_) discovery_timer_at_ = kInfiniteMs;
   discovery_.advance(now_);
-  for (RouterId r = 0; r < routers_.size(); ++r) send_endpoint_list(r);
+  for (RouterId router = 0; router < routers_.size(); ++router) send_endpoint_list(router);
   const double next_change_at = discovery_.next_due_ms();
   if (next_change_at >= discovery_timer_at_) return;
   discovery_timer_at_ = next_change_at;
