--- a/lab/peers/agents.cpp
+++ b/lab/peers/agents.cpp
@@ -21,9 +21,9 @@
 
 namespace {
 
-constexpr double kMaxWaitMs = 60000; // limit for one call
-constexpr double kWatchGapMs = 200;  // a watch continues if the next call arrives within this time
-constexpr double kExpireIntervalMs = 25;
+constexpr double kMaxWaitMs = 60000;     // limit for one call
+constexpr double kWatchGapMs = 200;      // a watch continues if the next call arrives within this time
+constexpr double kExpireIntervalMs = 25; // interval between checks of notified_at_latest()
 constexpr int kBacklog = 64;
 
 std::string_view status_text(ServerState state) {
@@ -58,10 +58,10 @@
       network_(network),
       discovery_(context.spec, context.plan),
       views_(context.plan.routers.size()),
-      queue_(context.spec.discovery.congestion, loop, *this) {
+      response_queue_(context.spec.discovery.congestion, loop, *this) {
   for (RouterId router = 0; router < views_.size(); ++router) {
     RouterView& view = views_[router];
-    view.congestion_random = model::stream(context.spec.seed, "discovery congestion", router);
+    view.congestion_engine = model::stream(context.spec.seed, "discovery congestion", router);
     view.delivered.resize(context.plan.machines.size());
     view.notified.resize(context.plan.machines.size());
     apply_list(view.delivered, discovery_.list(0, std::nullopt)); // the list before the run
@@ -137,12 +137,13 @@
       query_position == std::string_view::npos ? std::string_view() : target.substr(query_position + 1);
   PendingRequest request;
   request.since = query_parameter(query, "since");
-  const auto wait = query_parameter(query, "timeout_ms");
-  request.deadline = loop::now_ms() + std::min(kMaxWaitMs, wait ? static_cast<double>(*wait) : 0.0);
+  const auto timeout_ms = query_parameter(query, "timeout_ms");
+  request.deadline =
+      loop::now_ms() + std::min(kMaxWaitMs, timeout_ms ? static_cast<double>(*timeout_ms) : 0.0);
   if (fail_by_congestion(call)) return;
   const bool is_waiting = request.since && *request.since == discovery_.index(call.router);
   if (is_waiting && model::draw_with_probability(context_.spec.discovery.congestion.silent_share,
-                                                 views_[call.router].congestion_random))
+                                                 views_[call.router].congestion_engine))
     request.progress = Progress::NeverAnswered;
   call.pending = request;
   if (request.since) {
@@ -155,9 +156,9 @@
 
 bool DiscoveryAgents::fail_by_congestion(DiscoveryCall& call) {
   if (is_silent(call.router)) return false;
-  model::Engine& random = views_[call.router].congestion_random;
-  if (!model::draw_with_probability(context_.spec.discovery.congestion.refused_share, random)) return false;
-  if (model::draw_with_probability(0.5, random)) {
+  model::Engine& engine = views_[call.router].congestion_engine;
+  if (!model::draw_with_probability(context_.spec.discovery.congestion.refused_share, engine)) return false;
+  if (model::draw_with_probability(0.5, engine)) {
     call.stream->send(http::write_response(503, {}, "", true));
   } else {
     calls_.remove(call.self);
@@ -173,7 +174,7 @@
   if (since && *since == index && loop::now_ms() < call.pending->deadline) return;
   loop_.timers().cancel(call.watch_timer);
   call.pending->progress = Progress::Queued;
-  if (context_.spec.discovery.congestion.enabled()) return queue_.add(call.self);
+  if (context_.spec.discovery.congestion.enabled()) return response_queue_.add(call.self);
   call.stream->send(response_bytes(call));
   response_sent(call);
 }
@@ -334,21 +335,21 @@
   switch (discovery_step->what) {
     case What::Down:
     case What::Up:
-      down_ = discovery_step->what == What::Down;
-      discovery_.set_outage(now(), down_);
+      discovery_down_ = discovery_step->what == What::Down;
+      discovery_.set_outage(now(), discovery_down_);
       advance();
       return serve_waiting_calls();
     case What::MoveBegins:
       ++address_version_;
-      for (RouterId each_router = 0; each_router < views_.size(); ++each_router)
-        listen(each_router, address_version_);
+      for (RouterId router_id = 0; router_id < views_.size(); ++router_id)
+        listen(router_id, address_version_);
       return;
     case What::OldEnds:
       oldest_served_version_ = address_version_;
-      std::erase_if(listeners_, [this](const auto& door) {
-        if (door->address_version >= address_version_) return false;
-        door->accept_event.reset();
-        close(door->fd);
+      std::erase_if(listeners_, [this](const auto& listener) {
+        if (listener->address_version >= address_version_) return false;
+        listener->accept_event.reset();
+        close(listener->fd);
         return true;
       });
       calls_.for_each([this](Handle handle, DiscoveryCall& call) {
@@ -365,7 +366,7 @@
   RouterView& view = views_[router];
   if (!view.running || view.address_version == address_version_) return;
   view.address_version = address_version_;
-  update_reachability(router); // discovery is reachable again by the reload at the latest
+  update_reachability(router); // sets reachable_since before reloaded_at, see notified_at_latest()
   view.reloaded_at = now();
 }
 
--- a/lab/peers/agents.h
+++ b/lab/peers/agents.h
@@ -1,18 +1,19 @@
 // Discovery as the routers see it: an agent on each router's machine, which responds at once with the latest
 // endpoint list that discovery has sent to it, and does not respond while discovery is down or its machine is
-// cut off. With `discovery.congestion` in the scenario, one congested server responds to the calls of all
+// silent. With `discovery.congestion` in the scenario, one congested server responds to the calls of all
 // routers instead (response_queue.h).
 //
 // A router counts as notified of a change, and the notification is recorded, when
 //  - the change has been written to the router completely;
-//  - it arrives between two calls of one watch (not with congestion: there the next call has to queue);
-//  - DiscoverySpec::notified_at_latest_ms has passed since the router could have been notified, whatever happened to
-//    its calls: they may have failed, been rejected, been cancelled, received no response, or still be
-//    queued;
-//  - DiscoverySpec::reload_notified_at_latest_ms has passed since the SIGHUP after which it reads discovery's new
-//    address.
+//  - the change arrives between two calls of one watch (not with congestion: there the next call has to
+//    queue);
+//  - DiscoverySpec::notified_at_latest_ms has passed since the router could have been notified, whatever
+//    happened to its calls: they may have failed, been rejected, been cancelled, received no response, or
+//    still be queued;
+//  - DiscoverySpec::reload_notified_at_latest_ms has passed since the SIGHUP after which it reads discovery's
+//    new address.
 // The last two periods start again when discovery recovers from an outage, or the router's machine from a
-// cut: until then the router could not have been notified.
+// silence: until then the router could not have been notified.
 #pragma once
 
 #include <deque>
@@ -101,9 +102,9 @@
   static constexpr double kNever = std::numeric_limits<double>::infinity();
   struct PendingVersion { // a version of the list of which the router does not count as notified yet
     std::uint64_t index = 0;
-    double available_at = 0;
+    double available_at = 0; // run time at which the agent received it
   };
-  struct RouterView { // state of one router
+  struct RouterView { // what a router was sent and what it counts as notified of
     bool running = false;
     std::vector<EndpointState> delivered; // endpoints as written to it
     std::uint64_t delivered_index = 0;
@@ -115,7 +116,7 @@
     double reachable_since = kNever;   // since when the router can reach discovery; kNever: it can't
     double reloaded_at = -kNever;      // when it last read a new discovery address
     double watch_ended_at = -1e9;      // run time of the last response to a watch
-    model::Engine congestion_random;   // random stream for the outcomes of its calls
+    model::Engine congestion_engine;   // draws the outcomes of its calls
   };
 
   static void on_acceptable(int, short, void* listener);
@@ -123,14 +124,14 @@
   void accept(const Listener& listener);
   void on_data(DiscoveryCall& call, std::string_view data);
   void read_call(DiscoveryCall& call);
-  bool fail_by_congestion(DiscoveryCall& call); // whether the call was failed; false: it is to be served
+  bool fail_by_congestion(DiscoveryCall& call); // true: the call was failed; false: it is to be served
   void serve(DiscoveryCall& call);
   std::string response_bytes(DiscoveryCall& call);
   void response_sent(DiscoveryCall& call);
   State state(Handle call) override;
   std::optional<std::string> make_response(Handle call) override;
   void send_piece(Handle call, std::string_view piece, bool is_last) override;
-  bool is_silent(model::RouterId router) const { return down_ || !network_.reachable(router); }
+  bool is_silent(model::RouterId router) const { return discovery_down_ || !network_.reachable(router); }
   void router_reloaded(model::RouterId router);
   void advance();
   void serve_waiting_calls();
@@ -151,14 +152,14 @@
   RunLoop& loop_;
   model::Network& network_;
   model::Discovery discovery_;
-  bool down_ = false;
+  bool discovery_down_ = false;
   std::uint32_t address_version_ = 0;       // number of discovery's moves to another address so far
   std::uint32_t oldest_served_version_ = 0; // the oldest address that still responds, as a number of moves
   loop::TimerQueue::TimerId advance_timer_ = 0;
   std::vector<std::unique_ptr<Listener>> listeners_;
   loop::SlotMap<DiscoveryCall> calls_;
   std::vector<RouterView> views_;
-  ResponseQueue queue_;
+  ResponseQueue response_queue_;
 };
 
 } // namespace fernward::rig
--- a/lab/peers/datagrams.cpp
+++ b/lab/peers/datagrams.cpp
@@ -104,7 +104,7 @@
       if (!network_.routers_connected(from, to)) return;
       const std::size_t routers = context_.plan.routers.size();
       const sockaddr_in address = context_.addresses.peer_listen(to);
-      // Sent from the address that the receiver knows the sender by. A router that does not listen refuses
+      // Sent from the address by which the receiver knows the sender. A router that does not listen refuses
       // it, which needs no action here.
       const ssize_t sent_size =
           sendto(ports_[to * routers + from].fd, bytes.data(), bytes.size(), MSG_DONTWAIT,
--- a/lab/peers/datagrams.h
+++ b/lab/peers/datagrams.h
@@ -16,8 +16,8 @@
 
 namespace fernward::rig {
 
-// Each pair of routers has a port of its own. Routers that do not share must not send datagrams; up to this
-// many routers have ports that would detect it.
+// Each pair of routers has a port of its own. Without sharing, routers must not send datagrams; a fleet of up
+// to this many routers has ports nevertheless, so that any datagrams are counted.
 inline constexpr std::size_t kMaxIdleDatagramRouters = 64;
 inline bool has_datagram_ports(const model::Spec& spec, const model::Plan& plan) {
   return spec.routers.sharing.enabled || plan.routers.size() <= kMaxIdleDatagramRouters;
@@ -29,8 +29,9 @@
   DatagramRelay(const RunContext& context, RunLoop& loop, model::Network& network);
   ~DatagramRelay();
 
-  void open();                         // throws std::runtime_error
-  void apply(const model::Step& step); // starts and stops corruption; the network applies loss and cuts
+  void open(); // throws std::runtime_error
+  // Starts and stops corruption; the network itself applies losses and partitions.
+  void apply(const model::Step& step);
   std::uint64_t sent() const { return sent_; }
   struct SentCounts {
     std::uint64_t datagrams = 0, bytes = 0;
@@ -46,7 +47,7 @@
     DatagramRelay* relay = nullptr;
     model::RouterId owner = 0; // the router whose configuration names this address
     model::RouterId peer = 0;  // the peer that the address stands for
-    bool broadcast = false;
+    bool broadcast = false;    // the address stands for all peers; `peer` is not used
     int fd = -1;
     loop::EventPtr read_event;
   };
@@ -60,7 +61,7 @@
   RunLoop& loop_;
   model::Network& network_;
   std::map<model::RouterId, lab::lies::DatagramCorruptor>
-      corruptors_; // routers for which a corruption was ever configured
+      corruptors_; // of routers whose datagrams are or were corrupted
   std::vector<SentCounts> sent_by_router_;
   std::vector<Port> ports_; // by owner and peer, then one per owner that reaches all peers
   std::uint64_t sent_ = 0, delivered_ = 0;
--- a/lab/peers/fleet.cpp
+++ b/lab/peers/fleet.cpp
@@ -22,9 +22,13 @@
       network_(context.spec, context.plan),
       agents_(context, loop_, network_),
       machines_(context, loop_, network_,
-                {[this](model::MachineId m, ServerState state, double started_at,
-                        model::Discovery::Cause why) { agents_.endpoint_changed(m, state, started_at, why); },
-                 [this](model::RouterId r, model::MachineId m) { return agents_.notified_start(r, m); }}),
+                {[this](model::MachineId machine, ServerState state, double started_at,
+                        model::Discovery::Cause cause) {
+                   agents_.endpoint_changed(machine, state, started_at, cause);
+                 },
+                 [this](model::RouterId router, model::MachineId machine) {
+                   return agents_.notified_start(router, machine);
+                 }}),
       datagrams_(context, loop_, network_) {}
 
 SimulatedFleet::~SimulatedFleet() { stop(); }
@@ -41,9 +45,9 @@
 }
 
 template <typename Result>
-Result SimulatedFleet::run_and_wait(std::function<Result()> what) {
+Result SimulatedFleet::run_and_wait(std::function<Result()> task) {
   std::promise<Result> done;
-  loop_.run_in_loop([&] { done.set_value(what()); });
+  loop_.run_in_loop([&] { done.set_value(task()); });
   return done.get_future().get();
 }
 
--- a/lab/peers/fleet.h
+++ b/lab/peers/fleet.h
@@ -15,11 +15,11 @@
 struct FleetSummary {
   lab::LatenessQuantiles lateness_ms; // of responses, relative to their due times
   double cpu_s = 0;
-  std::uint64_t attempts = 0, datagrams = 0;
-  std::vector<DatagramRelay::SentCounts> sent_by_router; // by router
+  std::uint64_t attempts = 0, datagrams = 0;             // attempts arrived, datagrams delivered
+  std::vector<DatagramRelay::SentCounts> sent_by_router; // by router: what it has sent
 };
 
-// Created, started and stopped by one thread; everything else runs in its own thread.
+// The peers of one run. Created, started and stopped by one thread; the peers run on a thread of its own.
 class SimulatedFleet {
  public:
   explicit SimulatedFleet(const RunContext& context);
@@ -30,7 +30,7 @@
   // To be called from the thread that created it.
   void start();     // listens and starts serving; throws std::runtime_error
   void start_run(); // the clock has started
-  nlohmann::json router_started(model::RouterId router); // see Agents
+  nlohmann::json router_started(model::RouterId router); // see DiscoveryAgents
   void router_ended(model::RouterId router);
   void apply_now(const model::Step& step); // applies a step now, in addition to those of the plan
   std::size_t attempts();                  // active now
--- a/lab/peers/machines.cpp
+++ b/lab/peers/machines.cpp
@@ -22,11 +22,11 @@
 namespace {
 
 constexpr double kForever = std::numeric_limits<double>::infinity();
-constexpr double kSampleMs = 1000;
+constexpr double kSampleIntervalMs = 1000;
 constexpr double kIdleCheckIntervalMs = 250; // interval between checks for expired idle connections
-constexpr double kImmediateMs = 0.02;        // actions due within this time are performed at once
+constexpr double kImmediateMs = 0.02;        // what is due within this time is done at once
 constexpr int kBacklog = 512;
-constexpr std::size_t kMaxBufferedBytes = 128 * 1024; // from a router that does not wait for responses
+constexpr std::size_t kMaxBufferedBytes = 128 * 1024; // of requests that a router sends before the response
 
 void reset_fd(int fd) {
   const linger at_once{1, 0};
@@ -44,15 +44,16 @@
       callbacks_(std::move(callbacks)),
       keys_(context.spec),
       pending_fills_(2 * max_client_timeout_ms(context.spec) + 1000),
-      noise_random_(model::stream(context.spec.seed, "attempt noise")),
-      bad_answer_random_(model::stream(context.spec.seed, "bad answers")),
+      work_noise_engine_(model::stream(context.spec.seed, "attempt noise")),
+      bad_response_engine_(model::stream(context.spec.seed, "bad answers")),
       states_(context.plan.machines.size()) {
-  const model::CacheNode::FleetContext fleet_context{context_.spec, keys_, repeats_, &initial_nodes_};
+  const model::CacheNode::FleetContext fleet_context{context_.spec, keys_, idempotency_cache_,
+                                                     &initial_nodes_};
   for (const model::PlannedMachine& machine : context_.plan.machines) {
     if (is_origin(machine.id)) {
-      stations_.push_back(std::make_unique<model::Origin>(context_.spec, machine, repeats_));
+      server_models_.push_back(std::make_unique<model::Origin>(context_.spec, machine, idempotency_cache_));
     } else {
-      stations_.push_back(std::make_unique<model::CacheNode>(fleet_context, machine));
+      server_models_.push_back(std::make_unique<model::CacheNode>(fleet_context, machine));
     }
     states_[machine.id].timer_at = kForever;
     address_owner_.push_back(machine.id);
@@ -86,7 +87,7 @@
   const MachineId address_owner = context_.plan.machines[machine].address_of;
   if (address_owner_[address_owner] != machine) return; // another machine owns the address now
   for (RouterId router = 0; router < context_.plan.routers.size(); ++router) {
-    const bool is_off = stations_[machine]->phase() == model::ServerPhase::Off;
+    const bool is_off = server_models_[machine]->phase() == model::ServerPhase::Off;
     set_listener_state(listener(router, address_owner), !network_.is_connected(router, machine)
                                                             ? Listener::State::Blocked
                                                         : is_off ? Listener::State::Closed
@@ -181,7 +182,7 @@
     return;
   }
   const MachineId machine = found->machine;
-  if (stations_[machine]->connect(now(), connection, actions_)) {
+  if (server_models_[machine]->connect(now(), connection, actions_)) {
     found->accepted = true;
   } else { // its connection table is full, or it has just ended
     found->rejected = found->established = true;
@@ -316,7 +317,7 @@
   attempt.notified = started_at < 0 || callbacks_.notified_start(found->router, machine) >= started_at;
   attempt.work_ms =
       request.metadata.work_ms *
-      model::draw_factor(context_.spec.classes[request.metadata.cls].attempt_work_cv, noise_random_);
+      model::draw_factor(context_.spec.classes[request.metadata.cls].attempt_work_cv, work_noise_engine_);
   attempt.size_bytes = request.metadata.size_bytes;
   attempt.deadline = request.wait_ms > 0 ? request.read_at + request.wait_ms : 0;
   model::AttemptArrived record;
@@ -333,7 +334,7 @@
   record.notified = attempt.notified;
   record.work_ms = attempt.work_ms;
   context_.records.add(record);
-  stations_[machine]->arrive(now(), attempt, actions_);
+  server_models_[machine]->arrive(now(), attempt, actions_);
   process_actions(machine);
 }
 
@@ -352,8 +353,8 @@
   if (found == nullptr) return;
   const MachineId machine = found->machine;
   if (found->accepted && of_current_incarnation(*found)) {
-    stations_[machine]->disconnect(now());
-    if (found->attempt != 0) stations_[machine]->cancel(now(), found->attempt, actions_);
+    server_models_[machine]->disconnect(now());
+    if (found->attempt != 0) server_models_[machine]->cancel(now(), found->attempt, actions_);
   }
   connections_.remove(connection);
   process_actions(machine);
@@ -371,11 +372,11 @@
   connections_.for_each([&](Handle handle, Connection& connection) {
     if (connection.machine != machine || (only_message_lost && !connection.message_lost)) return;
     if (only_message_lost && connection.accepted && of_current_incarnation(connection)) {
-      stations_[machine]->disconnect(now());
-      if (connection.attempt != 0) stations_[machine]->cancel(now(), connection.attempt, actions_);
+      server_models_[machine]->disconnect(now());
+      if (connection.attempt != 0) server_models_[machine]->cancel(now(), connection.attempt, actions_);
     }
     connection.accepted = false;
-    connection.incarnation = std::numeric_limits<std::uint32_t>::max(); // of no incarnation any more
+    connection.incarnation = std::numeric_limits<std::uint32_t>::max(); // no incarnation has this number
     if (!passes(connection)) {
       connection.message_lost = true;
       return;
@@ -386,21 +387,21 @@
   process_actions(machine);
 }
 
-// A silence or cut has started or ended: connections over a cut path are not read, and those on which a
-// message was lost are reset once the path is restored.
+// A silence or partition has started or ended: connections on which no message passes are not read, and those
+// on which a message was lost are reset once messages pass again.
 void SimulatedMachines::reachability_changed() {
-  for (MachineId machine = 0; machine < stations_.size(); ++machine) update_listeners(machine);
+  for (MachineId machine = 0; machine < server_models_.size(); ++machine) update_listeners(machine);
   connections_.for_each([&](Handle, Connection& connection) {
     if (connection.stream == nullptr) return;
-    const bool frozen = !passes(connection);
-    if (frozen == connection.reading_paused) return;
-    connection.reading_paused = frozen;
-    if (frozen) return connection.stream->pause();
+    const bool unreachable = !passes(connection);
+    if (unreachable == connection.reading_paused) return;
+    connection.reading_paused = unreachable;
+    if (unreachable) return connection.stream->pause();
     if (!connection.stream->nothing_unread())
       connection.message_lost = true; // data written to it meanwhile is lost and stays unread
     if (!connection.message_lost) connection.stream->resume();
   });
-  for (MachineId machine = 0; machine < stations_.size(); ++machine) reset_connections(machine, true);
+  for (MachineId machine = 0; machine < server_models_.size(); ++machine) reset_connections(machine, true);
 }
 
 void SimulatedMachines::close_idle_connections() {
@@ -411,7 +412,7 @@
       return;
     if (connection.idle_since + context_.idle_ms(connection.machine) > now_ms) return;
     if (connection.accepted && of_current_incarnation(connection))
-      stations_[connection.machine]->disconnect(now_ms);
+      server_models_[connection.machine]->disconnect(now_ms);
     connection.accepted = false;
     if (passes(connection)) return connections_.remove(handle);
     connection.message_lost = true;
@@ -459,7 +460,7 @@
       return;
     }
     if (is_end) { // a truncated response, or one after which the connection closes
-      if (found->accepted) stations_[found->machine]->disconnect(now());
+      if (found->accepted) server_models_[found->machine]->disconnect(now());
       return connections_.remove(connection);
     }
     lateness_.add(now() - write_at);
@@ -477,17 +478,17 @@
 void SimulatedMachines::start_run() {
   sample();
   close_idle_connections();
-  for (MachineId machine = 0; machine < stations_.size(); ++machine) schedule_timer(machine);
+  for (MachineId machine = 0; machine < server_models_.size(); ++machine) schedule_timer(machine);
 }
 
 void SimulatedMachines::sample() {
-  for (MachineId machine = 0; machine < stations_.size(); ++machine) {
-    stations_[machine]->advance(now(), actions_);
+  for (MachineId machine = 0; machine < server_models_.size(); ++machine) {
+    server_models_[machine]->advance(now(), actions_);
     process_actions(machine);
-    if (stations_[machine]->phase() != model::ServerPhase::Off)
-      context_.records.add(stations_[machine]->sample(now()));
+    if (server_models_[machine]->phase() != model::ServerPhase::Off)
+      context_.records.add(server_models_[machine]->sample(now()));
   }
-  loop_.run_after(kSampleMs, [this] { sample(); });
+  loop_.run_after(kSampleIntervalMs, [this] { sample(); });
 }
 
 void SimulatedMachines::record_event(MachineId machine, NodeEvent::What what, bool cold,
@@ -496,19 +497,19 @@
 }
 
 model::CacheNode* SimulatedMachines::node(MachineId machine) {
-  return is_origin(machine) ? nullptr : static_cast<model::CacheNode*>(stations_[machine].get());
+  return is_origin(machine) ? nullptr : static_cast<model::CacheNode*>(server_models_[machine].get());
 }
 
 void SimulatedMachines::schedule_timer(MachineId machine) {
   MachineState& state = states_[machine];
-  const double next = stations_[machine]->next_due_ms();
+  const double next = server_models_[machine]->next_due_ms();
   if (next >= state.timer_at) return;
   loop_.timers().cancel(state.timer);
   state.timer_at = next;
   state.timer = loop_.run_at(next, [this, machine] {
     states_[machine].timer_at = kForever;
     states_[machine].timer = 0;
-    stations_[machine]->advance(now(), actions_);
+    server_models_[machine]->advance(now(), actions_);
     process_actions(machine);
   });
 }
@@ -518,11 +519,11 @@
     node_step(*node_action);
   } else if (const auto* origin = std::get_if<model::OriginStep>(&step.what)) {
     if (!context_.spec.origin.enabled) return;
-    auto& station = static_cast<model::Origin&>(*stations_[context_.plan.origin]);
+    auto& server_model = static_cast<model::Origin&>(*server_models_[context_.plan.origin]);
     if (origin->what == model::OriginStep::What::Fall) {
-      station.fail(now(), origin->down_ms, actions_);
+      server_model.fail(now(), origin->down_ms, actions_);
     } else {
-      station.set_capacity_share(now(), origin->factor, actions_);
+      server_model.set_capacity_share(now(), origin->factor, actions_);
     }
     process_actions(context_.plan.origin);
   } else if (std::get_if<model::PartitionStep>(&step.what) != nullptr) {
@@ -535,49 +536,49 @@
 
 void SimulatedMachines::node_step(const model::NodeStep& step) {
   using What = model::NodeStep::What;
-  using Why = model::Discovery::Cause;
+  using Cause = model::Discovery::Cause;
   const MachineId machine = step.machine;
-  model::ServerModel& station = *stations_[machine];
+  model::ServerModel& server_model = *server_models_[machine];
   MachineState& state = states_[machine];
-  const bool running = station.phase() != model::ServerPhase::Off;
+  const bool running = server_model.phase() != model::ServerPhase::Off;
   switch (step.what) {
     case What::Start:
       if (running) return;
       ++state.incarnation;
       state.started_at = now();
       address_owner_[context_.plan.machines[machine].address_of] = machine;
-      station.start(now(), actions_);
+      server_model.start(now(), actions_);
       record_event(machine, NodeEvent::What::Started, true);
       update_listeners(machine);
-      callbacks_.changed(machine, ServerState::Ready, state.started_at, Why::Added);
+      callbacks_.changed(machine, ServerState::Ready, state.started_at, Cause::Added);
       break;
     case What::Drain:
       if (!running) return;
-      station.drain(now(), actions_);
+      server_model.drain(now(), actions_);
       record_event(machine, NodeEvent::What::Draining);
-      callbacks_.changed(machine, ServerState::Draining, state.started_at, Why::Leaving);
+      callbacks_.changed(machine, ServerState::Draining, state.started_at, Cause::Leaving);
       break;
     case What::End:
       if (!running) return;
-      station.terminate(now(), actions_);
+      server_model.terminate(now(), actions_);
       record_event(machine, NodeEvent::What::Ended);
       process_actions(machine);
       update_listeners(machine);
       reset_connections(machine, false);
       ++state.incarnation;
-      callbacks_.changed(machine, ServerState::Gone, state.started_at, Why::Leaving);
+      callbacks_.changed(machine, ServerState::Gone, state.started_at, Cause::Leaving);
       break;
     case What::Silence:
       record_event(machine, NodeEvent::What::Silent);
       reachability_changed();
-      callbacks_.changed(machine, ServerState::Gone, state.started_at, Why::Silent);
+      callbacks_.changed(machine, ServerState::Gone, state.started_at, Cause::Silent);
       break;
     case What::Return:
       record_event(machine, NodeEvent::What::Returned);
       reachability_changed();
       // An origin that has failed meanwhile stays on the list, and recovers without a change of the list.
       if (running || is_origin(machine))
-        callbacks_.changed(machine, ServerState::Ready, state.started_at, Why::Added);
+        callbacks_.changed(machine, ServerState::Ready, state.started_at, Cause::Added);
       break;
     case What::Neighbour:
       if (model::CacheNode* target = node(machine)) target->set_neighbour_share(now(), step.share, actions_);
@@ -585,8 +586,8 @@
                    step.share > 0 ? NodeEvent::What::NeighbourStarted : NodeEvent::What::NeighbourStopped);
       break;
     case What::Bad:
-      state.bad_share = step.share;
-      state.bad_kind = step.kind;
+      state.bad_response_share = step.share;
+      state.bad_response = step.kind;
       return;
   }
   process_actions(machine);
@@ -690,12 +691,12 @@
   response.write = attempt.write;
   response.made_for = {attempt.try_id, attempt.number, machine, attempt.key};
   response.size_bytes = attempt.size_bytes;
-  stations_[machine]->report(action.at, response.report);
+  server_models_[machine]->report(action.at, response.report);
   const auto& fields = context_.report_of(machine).fields;
   const MachineState& state = states_[machine];
   send_response(*connection, action.at,
-                model::draw_with_probability(state.bad_share, bad_answer_random_)
-                    ? make_bad_script(context_.body_codec, response, fields, state.bad_kind)
+                model::draw_with_probability(state.bad_response_share, bad_response_engine_)
+                    ? make_bad_script(context_.body_codec, response, fields, state.bad_response)
                     : make_script(context_.body_codec, response, fields));
 }
 
--- a/lab/peers/machines.h
+++ b/lab/peers/machines.h
@@ -1,6 +1,6 @@
 // Simulated cache nodes and the origin: the server models behind real sockets.
 //
-// Each router reaches each machine at a separate address, so that the path between just these two can be cut.
+// Each router reaches each machine at a separate address, so that the path between the two alone can be cut.
 // Each message is delayed by the one-way delay of its direction; the first request of a connection waits for
 // the handshake. A machine that is off refuses connections. A machine that is unreachable accepts none (the
 // backlog of its listening socket is full), and data written to its open connections stays unread.
@@ -51,10 +51,10 @@
 
  private:
   using Handle = loop::Handle;
-  struct Request { // a complete request
+  struct Request { // a complete request on its way to the machine
     model::TryId try_id = 0;
     TryMetadata metadata;
-    double sent_at = 0, read_at = 0, wait_ms = 0;
+    double sent_at = 0, read_at = 0, wait_ms = 0; // run times of its first byte and its end; X-Timeout-Ms
   };
   struct Connection final : Stream::Handler {
     void on_data(std::string_view data) override { machines->on_data(*this, data); }
@@ -64,7 +64,7 @@
     Handle self = 0;
     model::RouterId router = 0;
     model::MachineId machine = 0;
-    std::uint32_t incarnation = 0;  // incarnation of the machine that accepted it
+    std::uint32_t incarnation = 0;  // of the machine when it accepted the connection
     std::unique_ptr<Stream> stream; // null: closed by the router; the close is on its way to the machine
     http::Parser parser{http::MessageKind::Request};
     std::string buffered;     // received bytes of the next request
@@ -91,13 +91,13 @@
     bool write = false;
     double size_bytes = 0;
   };
-  struct MachineState { // state of one machine
+  struct MachineState { // a machine's state in addition to its server model
     std::uint32_t incarnation = 0;
     double started_at = -1;
-    double timer_at = 0;
+    double timer_at = 0; // run time at which `timer` is due
     loop::TimerQueue::TimerId timer = 0;
-    double bad_share = 0;
-    model::BadResponse bad_kind = model::BadResponse::Error;
+    double bad_response_share = 0;
+    model::BadResponse bad_response = model::BadResponse::Error;
   };
   struct Listener { // the listening socket for one router at one machine's address
     enum class State { Closed, Open, Blocked }; // Blocked: its backlog is kept full
@@ -167,11 +167,11 @@
   model::Network& network_;
   MachineCallbacks callbacks_;
   model::KeySpace keys_;
-  model::IdempotencyCache repeats_;
+  model::IdempotencyCache idempotency_cache_;
   model::CacheNode::InitialNodes initial_nodes_;
   model::PendingFills pending_fills_;
-  model::Engine noise_random_, bad_answer_random_;
-  std::vector<std::unique_ptr<model::ServerModel>> stations_;
+  model::Engine work_noise_engine_, bad_response_engine_;
+  std::vector<std::unique_ptr<model::ServerModel>> server_models_;
   std::vector<MachineState> states_;
   std::vector<model::MachineId>
       address_owner_; // current owner of each address, by the number of its first machine
--- a/lab/peers/response_queue.cpp
+++ b/lab/peers/response_queue.cpp
@@ -20,8 +20,8 @@
   make_next();
 }
 
-// Times advance from the planned time, not from the time at which a late timer fires, so that the capacity is
-// exact.
+// Times advance from the planned time, not from the time at which a late timer runs, so that lateness does
+// not reduce the capacity.
 void ResponseQueue::make_next() {
   while (!waiting_.empty() && calls_.state(waiting_.front()) == PendingCalls::State::Closed)
     waiting_.pop_front();
@@ -63,8 +63,9 @@
 
 // Takes the first response whose next piece may be sent. Responses to closed calls are dropped.
 std::optional<ResponseQueue::QueuedResponse> ResponseQueue::take_due(double now) {
-  std::erase_if(sending_,
-                [&](const QueuedResponse& a) { return calls_.state(a.call) == PendingCalls::State::Closed; });
+  std::erase_if(sending_, [&](const QueuedResponse& response) {
+    return calls_.state(response.call) == PendingCalls::State::Closed;
+  });
   for (auto response = sending_.begin(); response != sending_.end(); ++response) {
     if (response->next_piece_at > now) continue;
     if (calls_.state(response->call) == PendingCalls::State::Silent) {
--- a/lab/peers/response_queue.h
+++ b/lab/peers/response_queue.h
@@ -15,7 +15,7 @@
 
 namespace fernward::rig {
 
-// Used on its loop's thread only.
+// The queue of one server. Used on its loop's thread only.
 class ResponseQueue {
  public:
   using Handle = loop::Handle;
@@ -38,7 +38,7 @@
   ResponseQueue(const model::CongestionSpec& spec, RunLoop& loop, PendingCalls& calls)
       : spec_(spec), loop_(loop), calls_(calls) {}
 
-  void add(Handle call);
+  void add(Handle call); // the call waits for a response
 
  private:
   struct QueuedResponse {
--- a/lab/peers/response_script.cpp
+++ b/lab/peers/response_script.cpp
@@ -117,9 +117,9 @@
       break;
     case BadResponse::EarlyClose: script.close = true; break;
     case BadResponse::WrongBody: {
-      BodyMetadata wrong_facts = response.made_for;
-      wrong_facts.key = ~wrong_facts.key;
-      script.pieces.push_back({0, response_bytes(body_codec, response, fields, wrong_facts)});
+      BodyMetadata wrong_metadata = response.made_for;
+      wrong_metadata.key = ~wrong_metadata.key;
+      script.pieces.push_back({0, response_bytes(body_codec, response, fields, wrong_metadata)});
       break;
     }
     case BadResponse::SlowBytes: {
--- a/lab/peers/response_script.h
+++ b/lab/peers/response_script.h
@@ -30,12 +30,14 @@
   bool reusable = true; // false: the response never ends, so the connection can't be used again
 };
 
-// Endings without a response (Dropped, Lost) return an empty script.
+// Endings without a response (Cancelled, Lost) return an empty script.
 ResponseScript make_script(const BodyCodec& body_codec, const ServerResponse& response,
                            const std::vector<LoadReportField>& fields);
+// A faulty response in place of the one that make_script() returns.
 ResponseScript make_bad_script(const BodyCodec& body_codec, const ServerResponse& response,
                                const std::vector<LoadReportField>& fields, model::BadResponse kind);
 
+// The field's name in X-Server-Load and in the routers' configuration.
 std::string_view field_name(LoadReportField field);
 
 } // namespace fernward::rig
