--- a/lab/process/supervisor.cpp
+++ b/lab/process/supervisor.cpp
@@ -26,7 +26,7 @@
 using messages::Signal;
 
 constexpr int kKillTimeoutMs =
-    5000; // time for killed processes to end; one that the kernel blocks is abandoned then
+    5000; // time for killed processes to end; after it, one that the kernel blocks is abandoned
 
 double seconds(const timeval& time) {
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_usec) / 1e6;
@@ -34,6 +34,7 @@
 
 // ---- in the supervisor process ----
 
+// Starts and signals programs as the lab requests, and reports their starts and ends, until the lab ends.
 class SupervisorProcess {
  public:
   SupervisorProcess(int socket, int children, const std::string& directory)
@@ -63,7 +64,7 @@
   void launch(const ProgramStart& start, int output) {
     const pid_t supervisor_pid = getpid();
     const loop::BlockedSignals
-        blocked; // the supervisor ignores some signals: one sent to the program immediately must not be lost
+        blocked; // the supervisor ignores some signals: one sent to the new program at once must not be lost
     const pid_t pid = fork();
     if (pid == 0) exec_program(start, output, supervisor_pid);
     ProgramEvent event;
@@ -128,7 +129,7 @@
     for (pid_t pid; (pid = wait4(-1, &status, WNOHANG, &usage)) > 0;) {
       const auto found = programs_.find(pid);
       if (found == programs_.end()) continue;
-      kill(-pid, SIGKILL); // also kills the processes that it started
+      kill(-pid, SIGKILL); // the processes that it started
       ProgramEvent event;
       event.id = found->second;
       event.pid = pid;
--- a/lab/process/supervisor.h
+++ b/lab/process/supervisor.h
@@ -18,21 +18,23 @@
 namespace fernward::rig {
 
 struct ProgramStart {
-  std::uint32_t id = 0;                 // chosen by the caller
+  std::uint32_t id = 0;                 // assigned by the caller
   std::vector<std::string> command;     // the program, found as execvp does, and its arguments
   std::vector<std::string> environment; // NAME=value, added to the lab's own environment
   std::uint32_t descriptors = 0;        // RLIMIT_NOFILE; 0: the lab's
   int output = -1;                      // standard output and error; the caller keeps its descriptor
 };
 
+// A program was started or has ended.
 struct ProgramEvent {
-  std::uint32_t id = 0;
+  std::uint32_t id = 0; // as in ProgramStart
   pid_t pid = 0;
   bool ended = false; // false: started
-  int status = 0;     // as returned by waitpid
-  double cpu_s = 0;
+  int status = 0;     // ended: as returned by waitpid; as for exit code 127 if fork failed
+  double cpu_s = 0;   // ended: its CPU time
 };
 
+// The lab's end of the connection to the supervisor process.
 class ProcessSupervisor {
  public:
   // `directory` is removed at the end with its contents; empty: none.
@@ -41,13 +43,13 @@
   ProcessSupervisor(const ProcessSupervisor&) = delete;
   ProcessSupervisor& operator=(const ProcessSupervisor&) = delete;
 
-  void start(const ProgramStart& start);     // its events follow
+  void start(const ProgramStart& start);     // next_event() reports its start and end
   void signal(std::uint32_t id, int number); // to the program; SIGKILL: to its process group
   // Returns the next event, if any; waits up to `wait_ms` for one.
   std::optional<ProgramEvent> next_event(int wait_ms = 0);
   bool alive() const { return !connection_lost_; } // false: the supervisor process has ended
   int fd() const { return socket_; }               // readable when there are events
-  pid_t pid() const { return pid_; }
+  pid_t pid() const { return pid_; }               // of the supervisor process
 
  private:
   pid_t pid_ = -1;
--- a/lab/relay/relay.cpp
+++ b/lab/relay/relay.cpp
@@ -23,9 +23,10 @@
 namespace {
 
 constexpr int kBacklog = 512;
-constexpr std::size_t kMaxBufferedBytes = 256 * 1024; // buffered towards a side that reads slowly
+constexpr std::size_t kMaxBufferedBytes =
+    256 * 1024; // limit of the bytes buffered for a side that reads slowly
 
-sockaddr_in parse_listen_address(const std::string& text) {
+sockaddr_in parse_relay_address(const std::string& text) {
   sockaddr_in address{};
   if (!config::parse_address(text, address)) throw std::runtime_error("relay: no address: " + text);
   return address;
@@ -34,9 +35,9 @@
 class Relay {
  public:
   Relay(event_base* base, const std::string& listen, const std::vector<std::string>& targets) : base_(base) {
-    for (const auto& target : targets) targets_.push_back(parse_listen_address(target));
+    for (const auto& target : targets) targets_.push_back(parse_relay_address(target));
     if (targets_.empty()) throw std::runtime_error("relay: the list of targets is empty");
-    sockaddr_in listen_address = parse_listen_address(listen);
+    sockaddr_in listen_address = parse_relay_address(listen);
     listener_ = evconnlistener_new_bind(
         base, &Relay::on_accepted, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE | LEV_OPT_CLOSE_ON_EXEC,
         kBacklog, reinterpret_cast<sockaddr*>(&listen_address), sizeof listen_address);
--- a/lab/relay/relay.h
+++ b/lab/relay/relay.h
@@ -12,8 +12,8 @@
 // "127.0.0.1:7070".
 int relay(const std::string& listen, const std::vector<std::string>& targets);
 
-// The same in place of a router: takes `listen` and the cache nodes of `known` that are in service from the
-// file that NODE_CONFIG names.
+// The same in place of a router: reads the configuration file that the environment variable NODE_CONFIG
+// names, listens on its `listen`, and relays to the cache nodes of its `known` that are in service.
 int relay_as_router();
 
 } // namespace fernward::rig
