--- a/lab/storm/coverage.cpp
+++ b/lab/storm/coverage.cpp
@@ -9,9 +9,9 @@
 
 FaultStageRecorder::FaultStageRecorder(const model::Spec& spec, model::MachineId origin) : origin_(origin) {
   for (const FaultSpan& span : fault_spans(spec)) {
-    const int kind = static_cast<int>(span.kind) + 1;
-    changes_.emplace_back(span.from_ms, kind);
-    changes_.emplace_back(span.to_ms, -kind);
+    const int change = static_cast<int>(span.kind) + 1;
+    changes_.emplace_back(span.from_ms, change);
+    changes_.emplace_back(span.to_ms, -change);
   }
   std::sort(changes_.begin(), changes_.end());
   current_stages_ = &stages_by_fault_set_[0];
@@ -20,8 +20,8 @@
 void FaultStageRecorder::record_stage(double at, Stage stage) {
   bool changed = false;
   for (; next_change_ < changes_.size() && changes_[next_change_].first <= at; ++next_change_) {
-    const int kind = changes_[next_change_].second;
-    open_counts_[static_cast<std::size_t>(std::abs(kind) - 1)] += kind > 0 ? 1 : -1;
+    const int change = changes_[next_change_].second;
+    open_counts_[static_cast<std::size_t>(std::abs(change) - 1)] += change > 0 ? 1 : -1;
     changed = true;
   }
   if (changed) {
@@ -35,11 +35,11 @@
 
 void Coverage::add(const FaultStageRecorder& run) {
   std::array<std::uint8_t, kFaultKindCount * kFaultKindCount> stages_by_pair{};
-  for (const auto& [open, stages] : run.stages_by_fault_set()) {
+  for (const auto& [open_faults, stages] : run.stages_by_fault_set()) {
     for (std::size_t a = 0; a < kFaultKindCount; ++a) {
-      if (!(open >> a & 1)) continue;
+      if (!(open_faults >> a & 1)) continue;
       for (std::size_t b = a + 1; b < kFaultKindCount; ++b) {
-        if (open >> b & 1)
+        if (open_faults >> b & 1)
           stages_by_pair[a * kFaultKindCount + b] =
               static_cast<std::uint8_t>(stages_by_pair[a * kFaultKindCount + b] | stages);
       }
--- a/lab/storm/coverage.h
+++ b/lab/storm/coverage.h
@@ -10,8 +10,8 @@
 namespace fernward::lab::storm {
 
 enum class Stage : std::uint8_t {
-  FirstTry,   // a client's first try reaches a router
-  FurtherTry, // a further try, after a rejection or failure
+  FirstTry,   // a client has sent its first try
+  FurtherTry, // a client has sent a further try, after a rejection or failure
   Cache,      // an attempt reaches a cache node
   Origin,     // an attempt reaches the origin
   Response,   // a try ends
@@ -20,7 +20,8 @@
 constexpr std::size_t kStageCount = static_cast<std::size_t>(Stage::Count);
 extern const std::array<const char*, kStageCount> kStageNames;
 
-// Records, for one run, the stages that occurred while each set of faults was open.
+// Records, for one run, the stages that occurred while each set of faults was open. Records must be passed in
+// order of time. `origin` is the origin's machine number.
 class FaultStageRecorder : public model::Sink {
  public:
   FaultStageRecorder(const model::Spec& spec, model::MachineId origin);
@@ -36,9 +37,8 @@
   void on(const model::TryEnded& record) override { record_stage(record.at, Stage::Response); }
 
   using FaultSet = std::uint32_t; // one bit for each kind
-  const std::map<FaultSet, std::uint8_t>& stages_by_fault_set() const {
-    return stages_by_fault_set_;
-  } // one bit for each stage
+  // The values have one bit for each stage.
+  const std::map<FaultSet, std::uint8_t>& stages_by_fault_set() const { return stages_by_fault_set_; }
 
  private:
   void record_stage(double at, Stage stage);
@@ -53,19 +53,20 @@
 };
 static_assert(kFaultKindCount <= 32);
 
+// For each pair of fault kinds, the number of storms in which both were open at once: at each stage, and at any.
+// Only pairs of different kinds are counted.
 class Coverage {
  public:
-  void add(const FaultStageRecorder& run);
-  void merge(const Coverage& other);
+  void add(const FaultStageRecorder& run); // one storm
+  void merge(const Coverage& other);       // adds the counts of `other`
 
   // Storms in which both were open at once while a request was at that stage.
   std::uint64_t storms_at_stage(FaultKind a, FaultKind b, Stage stage) const {
     return storms_by_stage_[pair_index(a, b)][static_cast<std::size_t>(stage)];
   }
-  std::uint64_t storms_with_pair(FaultKind a, FaultKind b) const {
-    return storms_by_pair_[pair_index(a, b)];
-  }                                             // at any stage
-  std::uint64_t min_storms_of_any_pair() const; // the minimum over all pairs of different kinds
+  // The same at any stage.
+  std::uint64_t storms_with_pair(FaultKind a, FaultKind b) const { return storms_by_pair_[pair_index(a, b)]; }
+  std::uint64_t min_storms_of_any_pair() const; // the minimum of storms_with_pair() over all pairs
 
  private:
   static std::size_t pair_index(FaultKind a, FaultKind b) {
--- a/lab/storm/draw.cpp
+++ b/lab/storm/draw.cpp
@@ -13,17 +13,18 @@
 
 namespace {
 
-// Allowance for the routers beyond the delays of discovery and the warm-up of nodes: their limits halve an
-// estimate in 4 s, and an ejected node is tried again within about the same time.
+// Time allowed for the routers in addition to the delays of discovery and the warm-up of nodes: their limiters
+// halve an estimate in 4 s, and an ejected node is tried again within about the same time.
 constexpr double kRecoveryAllowanceMs = 8000;
-constexpr double kObservedTailMs = 8000; // observed after that
+constexpr double kObservedTailMs = 8000; // time after that during which the storm is observed
 constexpr double kRarePairShare = 0.75;  // share of storms that begin with a rarely covered pair
-constexpr int kPairCandidates = 12;      // pairs considered for it
+constexpr int kPairCandidates = 12;      // pairs drawn for it, of which the one covered least is used
 
-bool needs_zones(FaultKind k) {
-  return k == FaultKind::PartitionedZones || k == FaultKind::LostZone || k == FaultKind::SlowLink;
+bool needs_several_zones(FaultKind kind) {
+  return kind == FaultKind::PartitionedZones || kind == FaultKind::LostZone || kind == FaultKind::SlowLink;
 }
 
+// Draws one storm in its constructor. The parts are drawn from one stream of random numbers, in a fixed order.
 class StormGenerator {
  public:
   StormGenerator(std::uint64_t seed, const Coverage& coverage, const StormLimits& limits)
@@ -78,9 +79,9 @@
     };
     router_count_ = std::max(3u, scaled_count(3, limits_.max_routers, size_draw));
     node_count_ = std::max(6u, scaled_count(6, limits_.max_nodes, 0.6 * size_draw + 0.4 * draw_unit()));
-    const bool needs_several_zones = std::any_of(fault_kinds_.begin(), fault_kinds_.end(), &needs_zones);
+    const bool several_zones = std::any_of(fault_kinds_.begin(), fault_kinds_.end(), &needs_several_zones);
     zone_count_ =
-        std::max(needs_several_zones ? 2u : 1u, std::min({draw_integer(1, 5), router_count_, node_count_}));
+        std::max(several_zones ? 2u : 1u, std::min({draw_integer(1, 5), router_count_, node_count_}));
     for (std::uint32_t z = 0; z < zone_count_; ++z) {
       spec_.zones.push_back({"zone-" + std::to_string(z), draw_between(0.5, 2)});
       spec_.routers.groups.push_back(
@@ -105,7 +106,7 @@
       kind.cancel_policy = static_cast<CancelPolicy>(draw_integer(0, 2));
       kind.drops_expired = draw_bool(0.3);
       kind.report.period_ms = draw_between(50, 400);
-      kind.report.delay_ms = draw_between(10, 800); // load reports are delayed
+      kind.report.delay_ms = draw_between(10, 800);
       kind.report.enabled = true;
       spec_.kinds.push_back(kind);
     }
@@ -149,20 +150,20 @@
     const double objective_ms = std::max(draw_between(500, 1500), 8 * work_ms);
     const auto add_class = [&](const char* name, double share, Idempotency idempotency,
                                IdempotencyScope scope, bool write, double priority_weight) {
-      ClassSpec c;
-      c.name = name;
-      c.share = share;
-      c.work = {draw_bool(0.5) ? DistributionShape::Exponential : DistributionShape::LogNormal,
-                std::round(work_ms * 10) / 10, 0.8};
-      c.attempt_work_cv = draw_between(0, 0.3);
-      c.latency_objective_ms = std::round(objective_ms);
-      c.client_timeout_ms = std::round(objective_ms * draw_between(1.5, 2.5));
-      c.priority_weight = priority_weight;
-      c.idempotency = idempotency;
-      c.idempotency_scope = scope;
-      c.idempotency_window_ms = std::round(draw_between(400, 2000));
-      c.write = write;
-      spec_.classes.push_back(c);
+      ClassSpec cls;
+      cls.name = name;
+      cls.share = share;
+      cls.work = {draw_bool(0.5) ? DistributionShape::Exponential : DistributionShape::LogNormal,
+                  std::round(work_ms * 10) / 10, 0.8};
+      cls.attempt_work_cv = draw_between(0, 0.3);
+      cls.latency_objective_ms = std::round(objective_ms);
+      cls.client_timeout_ms = std::round(objective_ms * draw_between(1.5, 2.5));
+      cls.priority_weight = priority_weight;
+      cls.idempotency = idempotency;
+      cls.idempotency_scope = scope;
+      cls.idempotency_window_ms = std::round(draw_between(400, 2000));
+      cls.write = write;
+      spec_.classes.push_back(cls);
     };
     add_class("read", 0.8, Idempotency::Idempotent, IdempotencyScope::All, false, 3);
     if (draw_bool(0.8))
@@ -211,14 +212,14 @@
     origin.down_ms = 2000;
     origin.overload_failure_ms = 1500;
     origin.drops_expired = draw_bool(0.3);
-    ClientSpec& c = spec_.clients;
-    c.mean_max_retries = draw_bool(0.2) ? 0 : draw_between(0.3, 3);
-    c.backoff = draw_bool(0.5) ? Backoff::Fixed : Backoff::Exponential;
-    c.backoff_ms = draw_between(10, 300);
-    c.heed_retry_after_share = draw_between(0, 1);
-    c.try_timeout_share_min = draw_between(0.4, 0.9);
-    c.abandon_share = draw_bool(0.2) ? 0.02 : 0;
-    c.keep_connections = draw_bool(0.7);
+    ClientSpec& clients = spec_.clients;
+    clients.mean_max_retries = draw_bool(0.2) ? 0 : draw_between(0.3, 3);
+    clients.backoff = draw_bool(0.5) ? Backoff::Fixed : Backoff::Exponential;
+    clients.backoff_ms = draw_between(10, 300);
+    clients.heed_retry_after_share = draw_between(0, 1);
+    clients.try_timeout_share_min = draw_between(0.4, 0.9);
+    clients.abandon_share = draw_bool(0.2) ? 0.02 : 0;
+    clients.keep_connections = draw_bool(0.7);
   }
 
   void draw_settings() {
@@ -255,7 +256,8 @@
 
   // ---- the faults ----
 
-  // Picks nodes for a fault that a separate event undoes. No node is part of two such faults.
+  // Picks nodes for a fault that ends their process. No node is part of two such faults, and less than 60 % of
+  // the nodes are part of any.
   std::vector<MachineId> pick_free_nodes(double share) {
     std::vector<MachineId> picked;
     if (free_nodes_.empty() && picked_nodes_ == 0) {
@@ -274,14 +276,14 @@
     return picked;
   }
   double draw_target_share() { return draw_bool(0.15) ? 1 : draw_between(0.05, 0.6); }
-  NodeSelector draw_node_pick() {
-    NodeSelector pick;
-    pick.share = draw_target_share();
+  NodeSelector draw_node_selector() {
+    NodeSelector selector;
+    selector.share = draw_target_share();
     if (draw_bool(0.2))
-      pick.zone = spec_.nodes[draw_integer(0, static_cast<std::uint32_t>(spec_.nodes.size()) - 1)].zone;
-    return pick;
+      selector.zone = spec_.nodes[draw_integer(0, static_cast<std::uint32_t>(spec_.nodes.size()) - 1)].zone;
+    return selector;
   }
-  std::vector<RouterId> pick_routers(double share) { // of the routers: at least one, but not all
+  std::vector<RouterId> pick_routers(double share) { // neighbours by number: at least one, but not all
     const std::uint32_t target_count =
         std::clamp(static_cast<std::uint32_t>(share * router_count_), 1u, router_count_ - 1);
     const std::uint32_t first = draw_integer(0, router_count_ - 1);
@@ -290,10 +292,10 @@
     std::sort(picked.begin(), picked.end());
     return picked;
   }
-  RouterSelector draw_router_pick() {
-    RouterSelector pick;
-    pick.share = draw_target_share();
-    return pick;
+  RouterSelector draw_router_selector() {
+    RouterSelector selector;
+    selector.share = draw_target_share();
+    return selector;
   }
 
   void add_event(double at_ms, EventAction event) {
@@ -302,7 +304,8 @@
     spec_.events.push_back({std::round(at_ms), label, std::move(event)});
   }
 
-  // Picks at most the share `max_share` of the nodes that no other such fault has picked.
+  // Adds an event that ends nodes and starts them or their replacements: at most the share `max_share` of all
+  // nodes, and only those that pick_free_nodes() has not returned before.
   template <typename Event>
   void add_restart(double at_ms, Event event, double max_share, double duration_ms) {
     event.who.nodes = pick_free_nodes(draw_between(0.05, max_share));
@@ -317,12 +320,12 @@
     switch (kind) {
       case FaultKind::KillRouters: {
         const double down_ms = draw_bool(0.1) && router_count_ > 4 ? 0 : duration_ms;
-        RouterSelector pick = draw_router_pick();
-        if (down_ms == 0) pick.share = draw_between(0.05, 0.3); // they are not restarted
-        return add_event(at_ms, RestartRouters{pick, RouterEnd::Kill, down_ms, 0, 0});
+        RouterSelector selector = draw_router_selector();
+        if (down_ms == 0) selector.share = draw_between(0.05, 0.3); // these are not restarted
+        return add_event(at_ms, RestartRouters{selector, RouterEnd::Kill, down_ms, 0, 0});
       }
       case FaultKind::RestartRouters:
-        return add_event(at_ms, RestartRouters{draw_router_pick(), RouterEnd::Term,
+        return add_event(at_ms, RestartRouters{draw_router_selector(), RouterEnd::Term,
                                                std::max(200.0, duration_ms / 2), 0, 0});
       case FaultKind::UpgradeRouters: {
         RouterSelector all;
@@ -330,7 +333,7 @@
             at_ms, RestartRouters{all, draw_bool(0.2) ? RouterEnd::Kill : RouterEnd::Term,
                                   draw_between(100, 800), std::max(1u, router_count_ / 8), duration_ms});
       }
-      case FaultKind::ReloadRouters: return add_event(at_ms, ReloadRouters{draw_router_pick()});
+      case FaultKind::ReloadRouters: return add_event(at_ms, ReloadRouters{draw_router_selector()});
       case FaultKind::PartitionedZones: {
         const std::uint32_t a = draw_integer(0, zone_count_ - 1);
         PartitionZones partition;
@@ -342,18 +345,18 @@
         return add_event(at_ms, partition);
       }
       case FaultKind::PartitionedNodes:
-        return add_event(at_ms, PartitionNodes{draw_node_pick(), draw_router_pick(), until_ms});
+        return add_event(at_ms, PartitionNodes{draw_node_selector(), draw_router_selector(), until_ms});
       case FaultKind::DiscoveryOutage: return add_event(at_ms, DiscoveryOutage{until_ms});
       case FaultKind::DiscoveryMove:
         return add_event(at_ms, DiscoveryMove{draw_between(0, 2000), duration_ms / router_count_});
       case FaultKind::SlowNodes: {
-        NoisyNeighbour neighbour{draw_node_pick(), draw_between(0.3, 0.9), until_ms, 0, 0};
+        NoisyNeighbour neighbour{draw_node_selector(), draw_between(0.3, 0.9), until_ms, 0, 0};
         if (draw_bool(0.4))
           neighbour.on_ms = draw_between(200, 2000), neighbour.off_ms = draw_between(200, 2000);
         return add_event(at_ms, neighbour);
       }
-      case FaultKind::SilentNodes: return add_event(at_ms, SilentNodes{draw_node_pick(), until_ms});
-      // Only nodes that are not replaced elsewhere, as a replaced machine does not return.
+      case FaultKind::SilentNodes: return add_event(at_ms, SilentNodes{draw_node_selector(), until_ms});
+      // pick_free_nodes() excludes nodes that another fault replaces, as a replaced machine does not return.
       case FaultKind::ColdNodes: return add_restart(at_ms, RestartNodes{}, 0.6, duration_ms);
       case FaultKind::ReplacedNodes: return add_restart(at_ms, ReplaceNodes{}, 0.3, duration_ms);
       case FaultKind::DrainedNodes: {
@@ -377,7 +380,7 @@
         return add_event(until_ms, restart);
       }
       case FaultKind::BadResponses:
-        return add_event(at_ms, BadResponses{draw_node_pick(), draw_between(0.05, 0.9), until_ms,
+        return add_event(at_ms, BadResponses{draw_node_selector(), draw_between(0.05, 0.9), until_ms,
                                              static_cast<BadResponse>(draw_integer(0, 7))});
       case FaultKind::OriginStall: return add_event(at_ms, OriginStall{until_ms});
       case FaultKind::OriginSlow: return add_event(at_ms, OriginSlow{draw_between(0.1, 0.8), until_ms});
@@ -394,15 +397,15 @@
         PartitionRouters partition;
         partition.a.routers = pick_routers(draw_between(0.1, 0.6));
         partition.carries = draw_bool(0.3) ? PartitionedTraffic::All : PartitionedTraffic::Datagrams;
-        partition.one_way = partition.carries == PartitionedTraffic::Datagrams &&
-                            draw_bool(0.4); // connections can't be cut one way
+        // Connections can't be partitioned in one direction.
+        partition.one_way = partition.carries == PartitionedTraffic::Datagrams && draw_bool(0.4);
         partition.until_ms = until_ms;
         return add_event(at_ms, partition);
       }
       case FaultKind::LostDatagrams:
-        return add_event(at_ms, LoseDatagrams{draw_router_pick(), draw_between(0.1, 1),
+        return add_event(at_ms, LoseDatagrams{draw_router_selector(), draw_between(0.1, 1),
                                               draw_bool(0.3) ? 0.3 : 0, until_ms});
-      case FaultKind::PausedRouters: return add_event(at_ms, PauseRouters{draw_router_pick(), until_ms});
+      case FaultKind::PausedRouters: return add_event(at_ms, PauseRouters{draw_router_selector(), until_ms});
       case FaultKind::InconsistentRouter: {
         InconsistentRouter inconsistent_router;
         inconsistent_router.who.count = 1;
@@ -434,13 +437,12 @@
   }
 
   void set_duration() {
-    // Permanent faults have no end, so they do not count.
+    // A permanent fault lasts until duration_ms, here 1e6 as a mark, and does not count.
     double last_end_ms = 0;
     spec_.duration_ms = 1e6;
     for (const FaultSpan& s : fault_spans(spec_)) {
       if (s.to_ms < 1e6) last_end_ms = std::max(last_end_ms, s.to_ms);
     }
-    // Events without targets are removed.
     auto events_without_targets = make_plan(spec_).events_without_target;
     std::sort(events_without_targets.rbegin(), events_without_targets.rend());
     events_without_targets.erase(std::unique(events_without_targets.begin(), events_without_targets.end()),
--- a/lab/storm/faults.cpp
+++ b/lab/storm/faults.cpp
@@ -59,23 +59,24 @@
   return count;
 }
 
-// Returns when the given nodes are started again; the end of the run if they are not.
-double restarted_at(const Spec& spec, double at, const std::vector<MachineId>& nodes) {
-  double restart_at = spec.duration_ms;
+// Returns when the nodes that a fault stopped at `stopped_at_ms` are started again; the end of the run if they
+// are not.
+double restarted_at(const Spec& spec, double stopped_at_ms, const std::vector<MachineId>& nodes) {
+  double restart_at_ms = spec.duration_ms;
   for (const TimedEvent& e : spec.events) {
     const auto* start = std::get_if<StartNodes>(&e.what);
-    if (start == nullptr || e.at_ms < at) continue;
+    if (start == nullptr || e.at_ms < stopped_at_ms) continue;
     const auto& started = start->who.nodes;
     const bool includes_all = std::all_of(nodes.begin(), nodes.end(), [&](MachineId id) {
       return std::find(started.begin(), started.end(), id) != started.end();
     });
-    if (started.empty() || (includes_all && !nodes.empty())) restart_at = std::min(restart_at, e.at_ms);
+    if (started.empty() || (includes_all && !nodes.empty())) restart_at_ms = std::min(restart_at_ms, e.at_ms);
   }
-  return restart_at;
+  return restart_at_ms;
 }
 
 double fault_end_ms(const Spec& spec, const TimedEvent& e) {
-  constexpr double kReloadMs = 500; // a reload: no capacity is removed
+  constexpr double kReloadMs = 500; // a reload counts as open this long, although it removes no capacity
   return std::visit(
       [&](const auto& what) {
         using T = std::decay_t<decltype(what)>;
--- a/lab/storm/oracles.cpp
+++ b/lab/storm/oracles.cpp
@@ -16,55 +16,55 @@
 
 namespace {
 
-// The bounds of all oracles.
+// Bounds of the oracles.
 constexpr double kRecoveredShare = 0.98;      // metastable: share of the fault-free service
 constexpr double kMinFaultFreeService = 0.95; // a fleet that serves less without faults is too small to judge
-constexpr double kRecoveryWindowMs = 6000;    // each such window must have recovered
+constexpr double kRecoveryWindowMs = 6000;    // metastable: service is judged over windows of this length
 constexpr double kMaxNodeUtilization = 0.7;   // of the nodes' capacity: beyond it some loss is expected
 constexpr double kMaxOriginUtilization = 0.7; // the same for the origin
 constexpr double kChanceDeviations = 4;       // standard deviations allowed for chance
 constexpr double kUsedLoadMultipleShare = 0.8; // share of origin_load_multiple that routers use
 constexpr double kMaxServiceLoss = 0.03;       // by which many routers may serve less than four
-// Window without service for a group while the others get at least half of theirs.
+// starves: length of the windows in which the service of a group is compared with that of the others.
 constexpr double kStarvationWindowMs = 4000;
 constexpr std::uint32_t kMinStarvationRequests = 40; // requests in the window, for a judgement
-constexpr double kCapacityShortage = 0.75; // service of the others: below this, capacity is short for all
-constexpr double kMaxSharedPartRatio =
-    1.5; // sum of shared parts over sum of limits: routers act on updates of different age
-constexpr double kLivingCountTolerance =
-    0.1;                                  // error allowed in a count: this share of the routers, at least one
-constexpr double kFactLifetimeMs = 12000; // after this a fact has expired
-constexpr double kMaxAttemptsPerTry =
-    2.2; // at caches, on average: retries and hedged requests are a minority
-constexpr double kMaxConnectionsPerRequest = 2.5;
+constexpr double kCapacityShortage = 0.75; // if the others' service is below this, capacity is short for all
+// parts: sum of shared parts / sum of limits; above 1, as routers act on updates of different age.
+constexpr double kMaxSharedPartRatio = 1.5;
+// living: allowed error of a count of living routers, as a share of them; at least one is allowed.
+constexpr double kLivingCountTolerance = 0.1;
+constexpr double kFactLifetimeMs = 12000; // time after which a fact received by gossip has expired
+// attempts: at caches, on average; retries and hedged requests are a minority.
+constexpr double kMaxAttemptsPerTry = 2.2;
+constexpr double kMaxConnectionsPerRequest = 2.5; // x 0.4: one new connection for each accepted try
 
 Verdict unjudged(std::string reason) { return {false, 0, std::move(reason)}; }
 
-// One breach violates the bound; the distance grows with the logarithm of their number.
+// One violation of the rule breaks the oracle; the distance grows with the logarithm of their number.
 template <Rule rule>
 Verdict judge_rule(const Evidence& evidence) {
-  const RuleResult& finding = evidence.findings.rules[static_cast<std::size_t>(rule)];
-  if (!finding.enabled) return unjudged("disabled in the scenario");
-  if (finding.violation_count == 0) return {};
-  return {true, 1 + std::log2(static_cast<double>(finding.violation_count)),
+  const RuleResult& result = evidence.findings.rules[static_cast<std::size_t>(rule)];
+  if (!result.enabled) return unjudged("disabled in the scenario");
+  if (result.violation_count == 0) return {};
+  return {true, 1 + std::log2(static_cast<double>(result.violation_count)),
           format_text(
-              "%llu breaches; first at %.0f ms: ", static_cast<unsigned long long>(finding.violation_count),
-              finding.first_violations.front().at_ms) +
-              finding.first_violations.front().description};
+              "%llu violations; first at %.0f ms: ", static_cast<unsigned long long>(result.violation_count),
+              result.first_violations.front().at_ms) +
+              result.first_violations.front().description};
 }
 
 Verdict judge_ends(const Evidence& evidence) {
   if (!evidence.observed.ended_early) return {};
   return {true, 2,
-          format_text("ended at %.0f ms: more events or time than the run can require",
+          format_text("stopped at %.0f ms: more events or time than the run can require",
                       evidence.observed.ended_early_at)};
 }
 
-// Allowance for chance in the service of a window, from the binomial distribution of served requests.
+// Allowance for chance in the share of served requests, which is binomially distributed around `service`.
 double chance_allowance(const ServiceCounts& counts, double service) {
   if (counts.requests == 0) return 1;
   const double probability = std::clamp(service, 0.02, 0.98);
-  // Losses come in bursts, and classes have different priority weights. Both raise the variance, so only a
+  // Losses come in bursts, and classes have different priority weights. Both increase the variance, so only a
   // quarter of the requests count.
   return kChanceDeviations * std::sqrt(probability * (1 - probability) / (0.25 * counts.requests));
 }
@@ -130,14 +130,14 @@
     const bool affected = std::visit(
         [&](const auto& what) {
           using T = std::decay_t<decltype(what)>;
-          const auto overlaps = [&](double until) {
+          const auto overlaps = [&](double until_ms) {
             return event.at_ms < to_ms &&
-                   (until > 0 ? until : evidence.spec.duration_ms) + kStarvationWindowMs > from_ms;
+                   (until_ms > 0 ? until_ms : evidence.spec.duration_ms) + kStarvationWindowMs > from_ms;
           };
           if constexpr (std::is_same_v<T, ZoneOutage>) return what.zone == zone && overlaps(what.until_ms);
           if constexpr (std::is_same_v<T, PartitionZones>) {
-            const auto contains_zone = [&](const auto& all) {
-              return std::find(all.begin(), all.end(), zone) != all.end();
+            const auto contains_zone = [&](const auto& zones) {
+              return std::find(zones.begin(), zones.end(), zone) != zones.end();
             };
             return (contains_zone(what.a) || contains_zone(what.b)) && overlaps(what.until_ms);
           }
@@ -160,7 +160,8 @@
   return "tenant " + spec.tenants[group.index].name;
 }
 
-// Writes and misses need the origin, so a class of writes fails with it.
+// Whether a fault of the origin reduces service between the two times. Writes and misses need the origin, so a
+// class of writes fails with it.
 bool origin_affected(const Evidence& evidence, double from_ms, double to_ms) {
   return std::any_of(evidence.spec.events.begin(), evidence.spec.events.end(), [&](const TimedEvent& event) {
     const bool affects_origin =
@@ -168,14 +169,14 @@
         std::holds_alternative<OriginFall>(event.what) ||
         std::holds_alternative<PartitionZones>(event.what) || std::holds_alternative<ZoneOutage>(event.what);
     if (!affects_origin) return false;
-    const double until = std::visit(
+    const double until_ms = std::visit(
         [&](const auto& what) {
           if constexpr (requires { what.until_ms; })
             return what.until_ms > 0 ? what.until_ms : evidence.spec.duration_ms;
           return event.at_ms + evidence.spec.origin.down_ms + 10000;
         },
         event.what);
-    return event.at_ms < to_ms && until + settle_ms(evidence.spec) > from_ms;
+    return event.at_ms < to_ms && until_ms + settle_ms(evidence.spec) > from_ms;
   });
 }
 
@@ -236,7 +237,7 @@
                           evidence.observed.max_stale_at, evidence.observed.max_stale_ms)};
 }
 
-// Whether a router sends false facts, or false facts may not have expired yet.
+// Whether a router sends false facts at the time `at`, or has sent some that may not have expired yet.
 bool false_facts_valid(const Evidence& evidence, double at) {
   return std::any_of(evidence.spec.events.begin(), evidence.spec.events.end(), [&](const TimedEvent& event) {
     const auto* inconsistent_router = std::get_if<InconsistentRouter>(&event.what);
@@ -253,8 +254,8 @@
     if (!state.all_have_shared_part || state.limit_sum <= 0 || state.reporting_routers < 2 ||
         false_facts_valid(evidence, state.at))
       continue;
-    // A limit that was just reduced is used by others until the fact expires, so the highest recent sum is
-    // the reference.
+    // Other routers use a limit that was just reduced until the fact expires, so the highest recent sum is the
+    // reference.
     double max_limit_sum = state.limit_sum;
     for (std::size_t j = i; j-- > 0 && evidence.observed.shared_states[j].at >= state.at - kFactLifetimeMs;) {
       max_limit_sum = std::max(max_limit_sum, evidence.observed.shared_states[j].limit_sum);
@@ -302,7 +303,8 @@
 Verdict judge_connections(const Evidence& evidence) {
   const WorkCounts& work = evidence.observed.work;
   if (work.accepted_tries < 200) return unjudged("too few tries");
-  // Each router needs one to each node and a few to the origin, whatever the load.
+  // Each router needs one connection to each node and a few to the origin, whatever the load. Four to each
+  // machine are allowed.
   const double base_connections = 4.0 * static_cast<double>(evidence.plan.routers.size()) *
                                   static_cast<double>(evidence.plan.machines.size());
   const double bound =
@@ -338,7 +340,7 @@
                            (kUsedLoadMultipleShare * resize.origin_load_multiple - 1) * steady_fetches_per_s);
   }
   if (spare_per_s <= 0) return std::numeric_limits<double>::infinity();
-  // Groups key ranks into bands of similar popularity: the number of keys and the relative rate of each.
+  // Bands of key ranks with similar popularity: the number of keys, and the relative rate of each key.
   double popularity_sum = 0;
   std::vector<std::pair<double, double>> bands;
   for (std::uint32_t rank = 1; rank <= spec.keys.count;) {
@@ -348,15 +350,15 @@
     popularity_sum += key_count * popularity;
     rank += key_count;
   }
-  // `effective_s`: the time for which keys have been requested if each miss is fetched at once. It advances
-  // more slowly while the origin can't fetch as fast as keys are missed.
+  // `effective_s`: the time in which as many keys would have been refilled if each miss were fetched at once.
+  // It advances more slowly while the origin can't fetch as fast as keys are missed.
   constexpr double kTimeStepS = 0.1;
   double effective_s = 0;
   for (double elapsed_s = 0; elapsed_s < 120; elapsed_s += kTimeStepS) {
-    double misses_per_s = 0; // per second
+    double misses_per_s = 0;
     for (const auto& [key_count, popularity] : bands) {
-      const double rate = spec.load.rate_per_s * popularity / popularity_sum;
-      misses_per_s += lost_share * key_count * rate * std::exp(-rate * effective_s);
+      const double rate_per_s = spec.load.rate_per_s * popularity / popularity_sum;
+      misses_per_s += lost_share * key_count * rate_per_s * std::exp(-rate_per_s * effective_s);
     }
     if (misses_per_s <= spare_per_s) return elapsed_s * 1000;
     effective_s += kTimeStepS * std::min(1.0, spare_per_s / misses_per_s);
--- a/lab/storm/oracles.h
+++ b/lab/storm/oracles.h
@@ -23,7 +23,7 @@
   Statistical
 };
 
-struct Evidence {
+struct Evidence { // what the oracles judge
   const model::Spec& spec;
   const model::Plan& plan;
   CheckResult findings;
@@ -35,7 +35,7 @@
 struct Verdict {
   bool judged = true;
   double distance = 0;
-  std::string description; // the observation in one line; if not judged, the reason
+  std::string description; // what was observed, in one line; if not judged, the reason
   bool broken() const { return judged && distance >= 1; }
 };
 
@@ -43,10 +43,10 @@
   const char* name;
   const char* requirement; // what must hold
   Confidence confidence;
-  const char* confidence_reason; // for the confidence
-  Verdict (*judge)(const Evidence& e);
+  const char* confidence_reason; // the reason for the confidence
+  Verdict (*judge)(const Evidence& evidence);
 };
-const std::vector<Oracle>& oracles();
+const std::vector<Oracle>& oracles();               // in a fixed order, which verdicts refer to by index
 const Oracle* find_oracle(const std::string& name); // nullptr: unknown name
 
 std::vector<Verdict> judge_run(const Evidence& evidence); // one for each oracle, in the order of oracles()
@@ -54,13 +54,14 @@
 // ---- bounds computed from the model ----
 
 // Time after the last fault that the origin needs to refill the caches with its spare capacity; infinite if
-// that never suffices. `steady_fetches_per_s`: the origin's load without faults, fetches and writes, in units
-// of one fetch.
+// there is none or it does not suffice within two minutes. `lost_share`: see lost_contents_share().
+// `steady_fetches_per_s`: the origin's load by fetches and writes without faults, as the number of fetches that
+// cost as much.
 double refill_ms(const model::Spec& spec, double lost_share, double steady_fetches_per_s);
-// Share of the caches' contents lost through faults, each node counted once.
+// Share of the caches' contents that is lost because nodes end, each node counted once.
 double lost_contents_share(const model::Plan& plan);
-// Offered work relative to the capacity of the nodes in service after the last fault; above 1 losses are
-// inevitable.
+// Offered work relative to the capacity of the nodes that are in service at the end of the plan; above 1,
+// losses are inevitable; infinite if none is in service.
 double utilization_after_faults(const model::Spec& spec, const model::Plan& plan);
 
 } // namespace fernward::lab::storm
--- a/lab/storm/shrink.cpp
+++ b/lab/storm/shrink.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-constexpr double kMinDurationMs = 1000; // of a run
+constexpr double kMinDurationMs = 1000; // duration of a run
 
-std::uint32_t node_count(const Spec& spec) {
+std::uint32_t node_count(const Spec& spec) { // with standby nodes
   std::uint32_t count = 0;
   for (const NodeGroup& g : spec.nodes) count += g.count + g.standby;
   return count;
@@ -29,20 +29,21 @@
   return count;
 }
 
-// Calls visit_pick(NodeSelector&) or visit_pick(RouterSelector&) for each pick of the event.
+// Calls visit_selector(NodeSelector&) or visit_selector(RouterSelector&) for each selector of the event, except
+// those of PartitionRouters.
 template <typename Visit>
-void for_each_pick(EventAction& event, Visit visit_pick) {
+void for_each_selector(EventAction& event, Visit visit_selector) {
   std::visit(
       [&](auto& e) {
-        if constexpr (requires { e.who; }) visit_pick(e.who);
-        if constexpr (requires { e.nodes; }) visit_pick(e.nodes);
-        if constexpr (requires { e.routers; }) visit_pick(e.routers);
+        if constexpr (requires { e.who; }) visit_selector(e.who);
+        if constexpr (requires { e.nodes; }) visit_selector(e.nodes);
+        if constexpr (requires { e.routers; }) visit_selector(e.routers);
       },
       event);
 }
 
-// Removes what can't run after a reduction: events past the end, and events without targets. False: the spec
-// is invalid.
+// Removes events that can't run after a reduction: those past the end, and those without targets. Returns false
+// if the spec is invalid.
 bool remove_invalid_events(Spec& spec) {
   std::erase_if(spec.events, [&](const TimedEvent& e) { return e.at_ms >= spec.duration_ms; });
   for (TimedEvent& e : spec.events) {
@@ -62,35 +63,35 @@
   return true;
 }
 
-// Keeps the nodes for which `keep(number)` is true, and renumbers picks by number. False: fewer than two
-// remain.
+// Keeps the nodes for which `keep(number)` is true and all standby nodes, renumbers the nodes in selectors, and
+// removes events that have no target left. Returns false if fewer than two nodes remain.
 template <typename Keep>
 bool keep_nodes(Spec& spec, Keep keep) {
   std::vector<std::optional<MachineId>> new_numbers(node_count(spec));
   MachineId number = 0, kept_count = 0;
   for (NodeGroup& g : spec.nodes) {
-    std::uint32_t kept = 0;
+    std::uint32_t kept_in_group = 0;
     for (std::uint32_t i = 0; i < g.count; ++i, ++number) {
       if (!keep(number)) continue;
       new_numbers[number] = kept_count++;
-      ++kept;
+      ++kept_in_group;
     }
     number += g.standby;
     kept_count += g.standby;
-    g.count = kept;
+    g.count = kept_in_group;
   }
   if (kept_count < 2) return false;
   std::erase_if(spec.events, [&](TimedEvent& e) {
     bool no_target = false;
-    for_each_pick(e.what, [&](auto& pick) {
-      if constexpr (std::is_same_v<std::decay_t<decltype(pick)>, NodeSelector>) {
-        if (pick.nodes.empty()) return;
-        std::vector<MachineId> stay;
-        for (const MachineId m : pick.nodes) {
-          if (m < new_numbers.size() && new_numbers[m]) stay.push_back(*new_numbers[m]);
+    for_each_selector(e.what, [&](auto& selector) {
+      if constexpr (std::is_same_v<std::decay_t<decltype(selector)>, NodeSelector>) {
+        if (selector.nodes.empty()) return;
+        std::vector<MachineId> kept_nodes;
+        for (const MachineId m : selector.nodes) {
+          if (m < new_numbers.size() && new_numbers[m]) kept_nodes.push_back(*new_numbers[m]);
         }
-        no_target |= stay.empty();
-        pick.nodes = std::move(stay);
+        no_target |= kept_nodes.empty();
+        selector.nodes = std::move(kept_nodes);
       }
     });
     return no_target;
@@ -98,17 +99,18 @@
   return true;
 }
 
+// Removes groups without nodes and kinds without groups, and corrects the references to the others by index.
 void remove_empty_groups(Spec& spec) {
   for (std::size_t g = spec.nodes.size(); g-- > 0;) {
     if (spec.nodes[g].count + spec.nodes[g].standby > 0) continue;
     spec.nodes.erase(spec.nodes.begin() + static_cast<std::ptrdiff_t>(g));
     std::erase_if(spec.events, [&](TimedEvent& e) {
       bool target_removed = false;
-      for_each_pick(e.what, [&](auto& pick) {
-        if constexpr (std::is_same_v<std::decay_t<decltype(pick)>, NodeSelector>) {
-          if (!pick.group) return;
-          target_removed |= *pick.group == g;
-          if (*pick.group > g) --*pick.group;
+      for_each_selector(e.what, [&](auto& selector) {
+        if constexpr (std::is_same_v<std::decay_t<decltype(selector)>, NodeSelector>) {
+          if (!selector.group) return;
+          target_removed |= *selector.group == g;
+          if (*selector.group > g) --*selector.group;
         }
       });
       return target_removed;
@@ -122,6 +124,8 @@
   }
 }
 
+// Takes routers from the largest groups until `target_count` remain, and removes events that have no target left.
+// Returns false if `target_count` is 0 or not lower than the current count.
 bool reduce_routers(Spec& spec, std::uint32_t target_count) {
   const std::uint32_t current_count = router_count(spec);
   if (target_count == 0 || target_count >= current_count) return false;
@@ -135,24 +139,25 @@
   std::erase_if(spec.routers.groups, [](const RouterGroup& g) { return g.count == 0; });
   std::erase_if(spec.events, [&](TimedEvent& e) {
     bool no_target = false;
-    const auto remove_routers = [&](auto& pick) {
-      if constexpr (std::is_same_v<std::decay_t<decltype(pick)>, RouterSelector>) {
-        if (pick.routers.empty()) return;
-        std::erase_if(pick.routers, [&](RouterId r) { return r >= target_count; });
-        no_target |= pick.routers.empty();
+    const auto remove_routers = [&](auto& selector) {
+      if constexpr (std::is_same_v<std::decay_t<decltype(selector)>, RouterSelector>) {
+        if (selector.routers.empty()) return;
+        std::erase_if(selector.routers, [&](RouterId r) { return r >= target_count; });
+        no_target |= selector.routers.empty();
       }
     };
-    for_each_pick(e.what, remove_routers);
-    if (auto* cut = std::get_if<PartitionRouters>(&e.what)) {
-      remove_routers(cut->a);
-      remove_routers(cut->b);
+    for_each_selector(e.what, remove_routers);
+    if (auto* partition = std::get_if<PartitionRouters>(&e.what)) {
+      remove_routers(partition->a);
+      remove_routers(partition->b);
     }
     return no_target;
   });
   return true;
 }
 
-// Moves the last zone's nodes and routers to the first zone, and removes its faults.
+// Moves the nodes, routers and origin of the last zone to the first zone, and removes its faults. Returns false
+// if there is only one zone.
 bool remove_last_zone(Spec& spec) {
   if (spec.zones.size() < 2) return false;
   const auto last_zone = static_cast<std::uint32_t>(spec.zones.size() - 1);
@@ -184,6 +189,7 @@
   return true;
 }
 
+// Holds the smallest storm so far that breaks the oracle, and tries to reduce it further.
 class Shrinker {
  public:
   Shrinker(const Spec& spec, const std::function<double(const Spec&)>& distance_of, std::uint32_t max_runs)
@@ -206,7 +212,8 @@
  private:
   bool runs_exhausted() const { return result_.runs >= max_runs_; }
 
-  // Accepts the reduction if the storm still breaks the oracle.
+  // Accepts the reduction if the storm still breaks the oracle. `reduce` changes a spec; it returns false if there
+  // is nothing to reduce.
   template <typename Reduce>
   bool try_reduction(Reduce reduce) {
     if (runs_exhausted()) return false;
--- a/lab/storm/shrink.h
+++ b/lab/storm/shrink.h
@@ -2,8 +2,9 @@
 // storms.
 //
 // Reductions are tried in turn, the largest first, until none succeeds or `max_runs` is reached: fewer
-// faults, shorter faults, a shorter run, fewer routers, nodes, zones, classes and tenants, less load, and
-// default settings. A storm that breaks only another oracle is not accepted: shrinking follows one defect.
+// faults, a shorter run, shorter faults, fewer routers, nodes and zones, less load, fewer tenants and classes,
+// and default settings. A storm that breaks only another oracle is not accepted, so that the result shows the
+// same defect.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +16,11 @@
 
 struct ShrinkResult {
   model::Spec spec;
-  std::uint32_t runs = 0, reductions = 0; // reductions: those that were accepted
+  std::uint32_t runs = 0, reductions = 0; // calls of `distance_of`; accepted reductions
 };
 
-// `distance_of(spec)`: the oracle's distance if it is broken, else a value below 1.
+// `distance_of(spec)`: the oracle's distance if it is broken, else a value below 1. It is called at most
+// `max_runs` times, and not for `spec` itself.
 ShrinkResult shrink(const model::Spec& spec, const std::function<double(const model::Spec&)>& distance_of,
                     std::uint32_t max_runs = 400);
 
--- a/lab/storm/socket_comparison.cpp
+++ b/lab/storm/socket_comparison.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-constexpr double kAllowedDeviations = 4;
+constexpr double kAllowedDeviations = 4; // standard deviations
 // Allowances for what the model omits: parsing, the kernel's queues, the start-up time of a process.
 constexpr double kServiceAllowance = 0.01;
-constexpr double kHitRatioAllowance = 0.02;
+constexpr double kHitRatioAllowance = 0.02;   // of the hit ratio, and of attempts at caches per request
 constexpr double kOriginReadAllowance = 0.01; // per request
-constexpr double kWideBound = 0.05;           // a larger bound says little about the model
+constexpr double kWideBound = 0.05;           // an allowed deviation of service above this proves little
 
 std::string verdict_text(const Verdict& verdict) {
   return !verdict.judged    ? "-"
@@ -80,8 +80,8 @@
 
 std::vector<Figure> figures_of(const Spec& spec, const StormOutcome& outcome, const ReadCounters& reads) {
   std::vector<Figure> figures;
-  const auto count_requests = [](const ServiceCounts& c) {
-    return static_cast<double>(std::max(c.requests, 1u));
+  const auto count_requests = [](const ServiceCounts& counts) {
+    return static_cast<double>(std::max(counts.requests, 1u));
   };
   figures.push_back({"service", outcome.overall.service_share(), kServiceAllowance});
   for (const RequestGroup& group : outcome.observed.groups) {
@@ -112,10 +112,10 @@
 }
 
 StormComparison compare_with_sockets(const ComparisonSetup& setup, const Spec& spec, std::stop_token stop) {
-  StormComparison pair;
-  pair.seed = spec.seed;
-  pair.spec = spec;
-  std::vector<std::vector<double>> values_by_figure; // by figure
+  StormComparison comparison;
+  comparison.seed = spec.seed;
+  comparison.spec = spec;
+  std::vector<std::vector<double>> values_by_figure;
   for (std::uint32_t i = 0; i <= setup.extra_virtual_runs && !stop.stop_requested(); ++i) {
     ReadCounters reads;
     RunSetup run_setup;
@@ -127,13 +127,13 @@
     bool certain_broken = false;
     for (std::size_t o = 0; o < outcome.verdicts.size(); ++o)
       certain_broken |= oracles()[o].confidence == Confidence::Certain && outcome.verdicts[o].broken();
-    pair.virtual_runs_broken += certain_broken ? 1 : 0;
+    comparison.virtual_runs_broken += certain_broken ? 1 : 0;
     const auto figures = figures_of(spec, outcome, reads);
     values_by_figure.resize(figures.size());
     for (std::size_t f = 0; f < figures.size(); ++f) values_by_figure[f].push_back(figures[f].value);
-    if (i == 0) pair.in_virtual = std::move(outcome.verdicts);
+    if (i == 0) comparison.in_virtual = std::move(outcome.verdicts);
   }
-  for (std::uint32_t i = 0; i < setup.max_socket_runs && !pair.judged && !stop.stop_requested(); ++i) {
+  for (std::uint32_t i = 0; i < setup.max_socket_runs && !comparison.judged && !stop.stop_requested(); ++i) {
     ReadCounters reads;
     RunSetup run_setup;
     run_setup.make_driver = setup.make_sockets_driver;
@@ -142,22 +142,22 @@
     RunRecorder recorder(setup.record_folder, spec.name + ".sockets", reads);
     run_setup.record_sink = &recorder.tee;
     StormOutcome outcome = execute(run_setup, spec, stop);
-    pair.send_delay_p99_ms = outcome.send_delay_p99_ms;
+    comparison.send_delay_p99_ms = outcome.send_delay_p99_ms;
     if (outcome.is_void) {
-      pair.void_reasons.push_back(outcome.void_reason.empty() ? "stopped" : outcome.void_reason);
+      comparison.void_reasons.push_back(outcome.void_reason.empty() ? "stopped" : outcome.void_reason);
       continue;
     }
-    pair.judged = true;
+    comparison.judged = true;
     const auto figures = figures_of(spec, outcome, reads);
     for (std::size_t f = 0; f < figures.size(); ++f) {
       const Variation variation = variation_of(values_by_figure[f]);
-      pair.figures.push_back(
+      comparison.figures.push_back(
           {figures[f], variation, distance(variation, figures[f].value, figures[f].allowance)});
-      pair.max_distance = std::max(pair.max_distance, pair.figures.back().distance);
+      comparison.max_distance = std::max(comparison.max_distance, comparison.figures.back().distance);
     }
-    pair.on_sockets = std::move(outcome.verdicts);
+    comparison.on_sockets = std::move(outcome.verdicts);
   }
-  return pair;
+  return comparison;
 }
 
 std::string comparison_text(const StormComparison& comparison) {
@@ -232,8 +232,8 @@
 std::string agreement_text(const Agreement& agreement) {
   return format_text(
       "%u of %u storms agree, %u with a bound over 5 points; distance mean %.2f, max %.2f; "
-      "service difference %.2f points mean, %.2f "
-      "max; %u void, %u broke a certain oracle\n",
+      "service difference mean %.2f points, max "
+      "%.2f; %u void, %u broke a certain oracle\n",
       agreement.agreeing, agreement.judged, agreement.wide_bounds, agreement.mean_distance,
       agreement.max_distance, agreement.mean_service_points, agreement.max_service_points,
       agreement.void_count, agreement.broken);
--- a/lab/storm/storm.cpp
+++ b/lab/storm/storm.cpp
@@ -14,15 +14,16 @@
 
 namespace {
 
-constexpr std::uint64_t kBatchStorms = 64;
-constexpr std::uint64_t kProgressInterval =
-    4096;                                // events between two calls of RunControl::progress in virtual time
-constexpr double kMaxOverrunMs = 120000; // no run has work left this long after its last request
-constexpr double kUpdateAllowanceMs =
-    2000; // allowed beyond discovery's own delays for an update to reach a router
-constexpr std::uint32_t kMinComparedRouters = 6; // from this number on also run with four routers
-
-// Ten times what storms need: events for each request and try, and periodic work of each router and machine.
+constexpr std::uint64_t kBatchStorms = 64; // storms that are drawn from the same coverage
+// Events between two calls of RunControl::progress in virtual time.
+constexpr std::uint64_t kProgressInterval = 4096;
+constexpr double kMaxOverrunMs = 120000; // no run has work left this long after its last arrival
+// Time allowed beyond discovery's own delays for an update to reach a router.
+constexpr double kUpdateAllowanceMs = 2000;
+constexpr std::uint32_t kMinComparedRouters = 6; // storms with as many routers or more also run with four
+
+// Ten times what storms need: events for each request and its tries, periodic work of each router and machine,
+// and connections between them.
 std::uint64_t max_events(const Spec& spec, const Plan& plan) {
   double factor = 1;
   for (const RateChange& r : plan.rate_changes) factor *= std::max(1.0, r.factor);
@@ -197,26 +198,26 @@
   }
   for (std::size_t i = 0; i < outcome.verdicts.size(); ++i) {
     const Verdict& verdict = outcome.verdicts[i];
-    CampaignSummary::OracleCounts& count = summary.counts_by_oracle[i];
-    count.judged += verdict.judged;
-    count.max_distance = std::max(count.max_distance, verdict.distance);
+    CampaignSummary::OracleCounts& counts = summary.counts_by_oracle[i];
+    counts.judged += verdict.judged;
+    counts.max_distance = std::max(counts.max_distance, verdict.distance);
     if (!verdict.broken()) continue;
-    if (count.broken++ == 0) count.first_broken_seed = seed;
+    if (counts.broken++ == 0) counts.first_broken_seed = seed;
     summary.worst_storms.push_back({seed, i, verdict, spec});
   }
   // Certain oracles are listed before statistical ones.
   const auto ranks_before = [](const BrokenStorm& a, const BrokenStorm& b) {
-    const Confidence x = storm::oracles()[a.oracle_index].confidence,
-                     y = storm::oracles()[b.oracle_index].confidence;
-    if (x != y) return x < y;
+    const Confidence a_confidence = storm::oracles()[a.oracle_index].confidence,
+                     b_confidence = storm::oracles()[b.oracle_index].confidence;
+    if (a_confidence != b_confidence) return a_confidence < b_confidence;
     if (a.verdict.distance != b.verdict.distance) return a.verdict.distance > b.verdict.distance;
     return a.seed < b.seed;
   };
   std::sort(summary.worst_storms.begin(), summary.worst_storms.end(), ranks_before);
-  // Limited for each oracle, as otherwise an often broken oracle would displace the others' storms.
+  // The limit is per oracle, as otherwise an oracle that is often broken would displace the others' storms.
   std::vector<std::size_t> kept_by_oracle(storm::oracles().size());
-  std::erase_if(summary.worst_storms, [&](const BrokenStorm& t) {
-    return ++kept_by_oracle[t.oracle_index] > max_worst_per_oracle;
+  std::erase_if(summary.worst_storms, [&](const BrokenStorm& broken_storm) {
+    return ++kept_by_oracle[broken_storm.oracle_index] > max_worst_per_oracle;
   });
 }
 
@@ -226,21 +227,21 @@
   CampaignSummary summary;
   summary.counts_by_oracle.resize(oracles().size());
   for (std::uint64_t started_storms = 0; started_storms < campaign.storms && !stop.stop_requested();) {
-    const std::uint64_t count = std::min(kBatchStorms, campaign.storms - started_storms);
-    std::vector<Spec> specs(count);
-    std::vector<std::optional<StormOutcome>> outcomes(count);
-    for (std::uint64_t i = 0; i < count; ++i) {
+    const std::uint64_t batch_size = std::min(kBatchStorms, campaign.storms - started_storms);
+    std::vector<Spec> specs(batch_size);
+    std::vector<std::optional<StormOutcome>> outcomes(batch_size);
+    for (std::uint64_t i = 0; i < batch_size; ++i) {
       specs[i] = draw_storm(campaign.first_seed + started_storms + i, summary.coverage, campaign.limits);
     }
     run_parallel(
-        count, campaign.jobs, stop, [&](std::size_t i) { outcomes[i] = execute(setup, specs[i], stop); },
+        batch_size, campaign.jobs, stop, [&](std::size_t i) { outcomes[i] = execute(setup, specs[i], stop); },
         [](std::size_t) {});
-    for (std::uint64_t i = 0; i < count; ++i) {
+    for (std::uint64_t i = 0; i < batch_size; ++i) {
       if (outcomes[i])
         add_outcome(summary, campaign.max_worst_per_oracle, campaign.first_seed + started_storms + i,
                     specs[i], *outcomes[i]);
     }
-    started_storms += count;
+    started_storms += batch_size;
     if (campaign.progress) campaign.progress(summary);
     if (campaign.should_stop && campaign.should_stop(summary)) break;
   }
--- a/lab/storm/storm_report.cpp
+++ b/lab/storm/storm_report.cpp
@@ -29,9 +29,9 @@
   return confidence == Confidence::Certain ? "always" : "mostly";
 }
 
-using Number = unsigned long long;
+using Number = unsigned long long; // for %llu
 
-// The colour class of a cell: less coverage is darker.
+// The CSS class that colors a cell; c0, without coverage, is red.
 const char* coverage_class(std::uint64_t storms) {
   return storms == 0 ? "c0" : storms < 20 ? "c1" : storms < 100 ? "c2" : "c3";
 }
@@ -54,7 +54,7 @@
                        counts.max_distance,
                        counts.broken > 0 ? std::to_string(counts.first_broken_seed).c_str() : "-");
   }
-  for (const std::string& v : summary.void_runs) out += "void: seed " + v + "\n";
+  for (const std::string& void_run : summary.void_runs) out += "void: seed " + void_run + "\n";
   return out;
 }
 
@@ -73,7 +73,7 @@
          "p.s{color:#606060}</style>\n";
   out << "<h1>" << summary.storms << " storms, seeds from " << campaign.first_seed << "</h1>\n<p>"
       << summary.requests << " requests in " << format_text("%.0f", summary.simulated_s)
-      << " s of storm time.</p>\n";
+      << " s of simulated time.</p>\n";
   out << "<h2>Oracles</h2>\n<table><tr><th>oracle<th>what must "
          "hold<th>sure<th>judged<th>broken<th>furthest<th>first seed\n";
   for (std::size_t i = 0; i < summary.counts_by_oracle.size(); ++i) {
@@ -111,7 +111,7 @@
   }
   out << "\n</table>\n<h2>The worst "
          "storms</h2>\n<table><tr><th>seed<th>oracle<th>distance<th>routers<th>nodes<th>faults<th>what was "
-         "seen\n";
+         "observed\n";
   for (const BrokenStorm& broken_storm : summary.worst_storms) {
     out << "<tr><td class=n>" << broken_storm.seed << "<td>" << oracles()[broken_storm.oracle_index].name
         << "<td class=n>" << format_text("%.2f", broken_storm.verdict.distance) << "<td class=n>"
@@ -142,7 +142,7 @@
     };
     if (const auto name = value("oracle")) {
       expected.oracle = find_oracle(*name);
-      if (expected.oracle == nullptr) throw std::invalid_argument("there is no oracle \"" + *name + "\"");
+      if (expected.oracle == nullptr) throw std::invalid_argument("unknown oracle \"" + *name + "\"");
     }
     if (const auto verdict = value("verdict")) {
       if (*verdict != "broken" && *verdict != "kept") {
--- a/lab/storm/storm_report.h
+++ b/lab/storm/storm_report.h
@@ -1,5 +1,5 @@
 // Reports of a campaign of storms: a text summary, an HTML page with the oracles, the coverage of fault pairs
-// and the worst storms, and scenario files that name the oracle a storm has broken.
+// and the worst storms, and scenario files that name an oracle and the verdict expected of it.
 #pragma once
 
 #include <optional>
@@ -17,6 +17,7 @@
   const Oracle* oracle = nullptr;
   bool broken = true;
 };
+// `note` becomes further comment lines before the scenario.
 std::string storm_file_text(const model::Spec& spec, const ExpectedVerdict& expected,
                             const std::string& note);
 // The verdict that such a file expects; nullopt if it names no oracle. Throws std::invalid_argument for an
--- a/lab/storm/storm_watch.cpp
+++ b/lab/storm/storm_watch.cpp
@@ -45,24 +45,24 @@
   add_groups(RequestGroup::By::Class, spec.classes.size());
   add_groups(RequestGroup::By::Tenant, spec.tenants.size());
   for (const TimedEvent& e : spec.events) {
-    if (const auto* o = std::get_if<DiscoveryOutage>(&e.what)) {
-      outages_.emplace_back(e.at_ms, o->until_ms > 0 ? o->until_ms : spec.duration_ms);
+    if (const auto* outage = std::get_if<DiscoveryOutage>(&e.what)) {
+      outages_.emplace_back(e.at_ms, outage->until_ms > 0 ? outage->until_ms : spec.duration_ms);
     }
-    if (const auto* m = std::get_if<DiscoveryMove>(&e.what)) { // each router until it is reloaded
+    if (const auto* move = std::get_if<DiscoveryMove>(&e.what)) { // until a router is reloaded
       for (RouterId r = 0; r < plan.routers.size(); ++r) {
-        reachable_from_[r] = std::max(reachable_from_[r], e.at_ms + m->reload_after_ms * (r + 1));
+        reachable_from_[r] = std::max(reachable_from_[r], e.at_ms + move->reload_after_ms * (r + 1));
       }
     }
   }
 }
 
-template <typename Do>
-void StormWatch::update_counts(const OpenRequest& open, Do what) {
-  what(observed_.overall[open.step]);
+template <typename Update>
+void StormWatch::update_counts(const OpenRequest& request, Update update) {
+  update(observed_.overall[request.step]);
   const std::size_t zones = spec_.zones.size(), classes = spec_.classes.size();
-  what(observed_.groups[open.zone].series[open.step]);
-  what(observed_.groups[zones + open.cls].series[open.step]);
-  if (!spec_.tenants.empty()) what(observed_.groups[zones + classes + open.tenant].series[open.step]);
+  update(observed_.groups[request.zone].series[request.step]);
+  update(observed_.groups[zones + request.cls].series[request.step]);
+  if (!spec_.tenants.empty()) update(observed_.groups[zones + classes + request.tenant].series[request.step]);
 }
 
 void StormWatch::on(const DrawnRequest& record) {
@@ -72,9 +72,9 @@
   open_requests_[record.request] = open;
   ++observed_.work.requests;
   if (open.over_quota) return;
-  update_counts(open, [&](ServiceCounts& c) {
-    c.offered_weight += record.priority_weight;
-    ++c.requests;
+  update_counts(open, [&](ServiceCounts& counts) {
+    counts.offered_weight += record.priority_weight;
+    ++counts.requests;
   });
 }
 
@@ -84,9 +84,9 @@
   const OpenRequest open = found->second;
   open_requests_.erase(found);
   if (open.over_quota) return;
-  update_counts(open, [&](ServiceCounts& cell) {
-    cell.served_weight += record.earned_weight;
-    cell.served += record.outcome == TryOutcome::Served ? 1 : 0;
+  update_counts(open, [&](ServiceCounts& counts) {
+    counts.served_weight += record.earned_weight;
+    counts.served += record.outcome == TryOutcome::Served ? 1 : 0;
   });
 }
 
@@ -103,7 +103,7 @@
   if (std::count(running_.begin(), running_.end(), 1) < 3) return; // with two routers there is no majority
   const double stale_ms = record.sent_at - withdrawn_at_[record.machine];
   if (stale_ms < min_withdrawn_ms_) return;
-  for (RouterId r = 0; r < running_.size(); ++r) { // a router that misses updates may itself be wrong
+  for (RouterId r = 0; r < running_.size(); ++r) { // a router that misses updates may be wrong itself
     if (running_[r] && (partitioned_[r] || missed_updates(r, withdrawn_at_[record.machine], record.sent_at)))
       return;
   }
@@ -118,8 +118,9 @@
 // Whether the router could not be notified for some time between `from` and `to`.
 bool StormWatch::missed_updates(RouterId router, double from, double to) const {
   if (reachable_from_[router] + min_withdrawn_ms_ > from) return true;
-  return std::any_of(outages_.begin(), outages_.end(),
-                     [&](const auto& o) { return o.first < to && o.second + min_withdrawn_ms_ > from; });
+  return std::any_of(outages_.begin(), outages_.end(), [&](const auto& outage) {
+    return outage.first < to && outage.second + min_withdrawn_ms_ > from;
+  });
 }
 
 void StormWatch::set_in_service(double now, RouterId router, MachineId machine, bool in_service) {
@@ -128,7 +129,8 @@
   in_service_flag = in_service ? 1 : 0;
   const std::uint32_t previous_count = in_service_counts_[machine];
   in_service_counts_[machine] = in_service ? previous_count + 1 : previous_count - 1;
-  // The first router notified of a start is not the last one notified of an end.
+  // A start counts too: the first router that is notified of it is then the only one that has the node in
+  // service, although none has withdrawn it.
   if (in_service || previous_count == 2) withdrawn_at_[machine] = now;
 }
 
--- a/lab/storm/storm_watch.h
+++ b/lab/storm/storm_watch.h
@@ -1,6 +1,7 @@
 // Collects the observations of one run for the oracles: offered and served priority weight in steps of half a
 // second, overall and by zone, class and tenant; the work done; attempts to nodes that only one router still
-// has in service. Memory: the steps of the run and the open requests.
+// has in service. Memory is proportional to the steps of the run x groups and to routers x machines, plus the
+// open requests.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +13,10 @@
 
 namespace fernward::lab::storm {
 
-constexpr double kStepMs = 500;
+constexpr double kStepMs = 500; // length of a step
 
 struct ServiceCounts {
-  double offered_weight = 0, served_weight = 0; // priority weight
+  double offered_weight = 0, served_weight = 0; // priority weights, of requests and earned by responses
   std::uint32_t requests = 0, served = 0;
   void add(const ServiceCounts& other) {
     offered_weight += other.offered_weight;
@@ -27,27 +28,27 @@
 };
 
 using ServiceSeries = std::vector<ServiceCounts>; // by step; a request counts in the step of its arrival
-ServiceCounts sum_between(const ServiceSeries& series, double from_ms,
-                          double to_ms); // the steps that begin in [from_ms, to_ms)
+// The sum of the steps that begin in [from_ms, to_ms).
+ServiceCounts sum_between(const ServiceSeries& series, double from_ms, double to_ms);
 
-struct RequestGroup { // of requests with the same zone, class or tenant
+struct RequestGroup { // the requests of one zone, class or tenant
   enum class By { Zone, Class, Tenant } by = By::Zone;
-  std::uint32_t index = 0;
+  std::uint32_t index = 0; // of the zone, class or tenant in the spec
   ServiceSeries series;
 };
 
 struct WorkCounts {
-  std::uint64_t requests = 0, accepted_tries = 0; // tries: accepted by a router
-  std::uint64_t cache_attempts = 0, origin_attempts = 0, writes = 0;
+  std::uint64_t requests = 0, accepted_tries = 0;                    // tries that a router accepted
+  std::uint64_t cache_attempts = 0, origin_attempts = 0, writes = 0; // writes: attempts at any machine
   double new_connections = 0;
 };
 
 // The state of the routers that share an origin limit by gossip, at one time.
 struct SharedState {
   double at = 0;
-  std::uint32_t reporting_routers = 0, running_routers = 0; // that reported; whose process runs
-  double min_living = 0, max_living = 0;                    // living routers as counted by one of them
-  double limit_sum = 0, shared_part_sum = 0; // at the origin, summed; parts: of those that have one
+  std::uint32_t reporting_routers = 0, running_routers = 0; // with a sample; with a running process
+  double min_living = 0, max_living = 0;     // the routers' lowest and highest count of living routers
+  double limit_sum = 0, shared_part_sum = 0; // sums of their limits at the origin and of their shared parts
   bool all_have_shared_part = false;         // each reporting router has a shared part
 };
 
@@ -56,16 +57,18 @@
   std::vector<SharedState> shared_states; // once a second, if routers share
   std::vector<RequestGroup> groups;
   WorkCounts work;
-  // Attempts to a node that all other running routers had known for `min_withdrawn_ms` to be gone or
-  // draining, from a router that could have been notified; and the longest time after the withdrawal at which
-  // one was sent.
+  // Attempts to a node that all other running routers had known for `min_withdrawn_ms` to be gone or draining,
+  // at times when every running router could have been notified; and the longest time from the withdrawal to
+  // such an attempt.
   std::uint64_t sole_router_attempts = 0;
   double max_stale_ms = 0, max_stale_at = 0;
   std::string max_stale_description;
-  bool ended_early = false; // more events occurred than the run can require, so it was ended
+  bool ended_early = false; // stopped because it took more events or time than it can require
   double ended_early_at = 0;
 };
 
+// Receives the records of one run in order of time and computes its Observations. `spec` and `plan` must outlive
+// it. `min_withdrawn_ms`: see Observations::sole_router_attempts.
 class StormWatch : public model::Sink {
  public:
   StormWatch(const model::Spec& spec, const model::Plan& plan, double min_withdrawn_ms);
@@ -80,6 +83,7 @@
   void on(const model::EndpointNotified& record) override;
   void on(const model::SharingSample& record) override;
 
+  // Call once, after the last record.
   Observations take() { return std::move(observed_); }
 
  private:
@@ -97,13 +101,14 @@
   const double min_withdrawn_ms_;
   Observations observed_;
   std::unordered_map<model::RequestNumber, OpenRequest> open_requests_;
-  std::vector<char> running_;     // by router
-  std::vector<char> partitioned_; // by router: currently cut off from everything
-  std::vector<char> in_service_;  // by router and machine: the router has it in service
-  std::vector<std::uint32_t> in_service_counts_;
-  std::vector<double> withdrawn_at_;   // by machine: when fewer than two routers still had it in service
-  std::vector<double> reachable_from_; // by router: it could not be notified before this time
-  std::vector<std::pair<double, double>> outages_;
+  std::vector<char> running_;                    // by router
+  std::vector<char> partitioned_;                // by router: it is silent, cut off from everything
+  std::vector<char> in_service_;                 // by router and machine: the router has it in service
+  std::vector<std::uint32_t> in_service_counts_; // by machine: routers that have it in service
+  // By machine: when the second to last router withdrew it, or when a router last added it.
+  std::vector<double> withdrawn_at_;
+  std::vector<double> reachable_from_;             // by router: it could not be notified before this time
+  std::vector<std::pair<double, double>> outages_; // of discovery: begin and end, in ms
 };
 
 } // namespace fernward::lab::storm
--- a/lab/storm/text_records.cpp
+++ b/lab/storm/text_records.cpp
@@ -24,7 +24,7 @@
   const auto index = static_cast<std::size_t>(value);
   return index < N ? names[index] : "?";
 }
-unsigned long long printable(std::uint64_t n) { return n; }
+unsigned long long printable(std::uint64_t number) { return number; } // for %llu
 
 } // namespace
 
@@ -32,9 +32,10 @@
   if (!file_) throw std::runtime_error(path + " can't be opened for writing");
 }
 
-void TextRecordSink::on(const DrawnRequest& d) {
-  std::fprintf(file_.get(), "%.1f drawn request=%llu class=%u zone=%u key=%llu work=%.1f worth=%.2f\n", d.at,
-               printable(d.request), d.cls, d.zone, printable(d.key), d.work_ms, d.priority_weight);
+void TextRecordSink::on(const DrawnRequest& record) {
+  std::fprintf(file_.get(), "%.1f drawn request=%llu class=%u zone=%u key=%llu work=%.1f worth=%.2f\n",
+               record.at, printable(record.request), record.cls, record.zone, printable(record.key),
+               record.work_ms, record.priority_weight);
 }
 void TextRecordSink::on(const TrySent& record) {
   std::fprintf(file_.get(),
--- a/lab/storm/text_records.h
+++ b/lab/storm/text_records.h
@@ -1,5 +1,5 @@
-// Writes a run's records as text, one line each. The request, try and attempt numbers in the lines allow
-// following one request on either driver.
+// Writes a run's records to a file as text, one line each. With the request, try and attempt numbers in the lines
+// one request can be followed through a run of either driver.
 #pragma once
 
 #include <cstdio>
@@ -10,12 +10,14 @@
 
 namespace fernward::lab::storm {
 
+// Writes all records except the starts of attempts and the periodic samples (LoadSample, SharingSample).
 class TextRecordSink : public model::Sink {
  public:
-  explicit TextRecordSink(const std::string& path); // throws std::runtime_error if the file can't be opened
+  // Overwrites the file. Throws std::runtime_error if it can't be opened.
+  explicit TextRecordSink(const std::string& path);
 
   using model::Sink::on;
-  void on(const model::DrawnRequest& d) override;
+  void on(const model::DrawnRequest& record) override;
   void on(const model::TrySent& record) override;
   void on(const model::TryEnded& record) override;
   void on(const model::RequestEnded& record) override;
