--- a/lab/storm/coverage.h
+++ b/lab/storm/coverage.h
@@ -20,8 +20,8 @@
 constexpr std::size_t kStageCount = static_cast<std::size_t>(Stage::Count);
 extern const std::array<const char*, kStageCount> kStageNames;
 
-// Records, for one run, the stages that occurred while each set of faults was open. Records must be passed in
-// order of time. `origin` is the origin's machine number.
+// Records, for one run, the stages that occurred while each set of faults was open. Records must be passed
+// in order of time. `origin` is the origin's machine number.
 class FaultStageRecorder : public model::Sink {
  public:
   FaultStageRecorder(const model::Spec& spec, model::MachineId origin);
@@ -53,8 +53,8 @@
 };
 static_assert(kFaultKindCount <= 32);
 
-// For each pair of fault kinds, the number of storms in which both were open at once: at each stage, and at any.
-// Only pairs of different kinds are counted.
+// For each pair of fault kinds, the number of storms in which both were open at once: at each stage, and
+// at any. Only pairs of different kinds are counted.
 class Coverage {
  public:
   void add(const FaultStageRecorder& run); // one storm
--- a/lab/storm/draw.cpp
+++ b/lab/storm/draw.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-// Time allowed for the routers in addition to the delays of discovery and the warm-up of nodes: their limiters
-// halve an estimate in 4 s, and an ejected node is tried again within about the same time.
+// Time allowed for the routers in addition to the delays of discovery and the warm-up of nodes: their
+// limiters halve an estimate in 4 s, and an ejected node is tried again within about the same time.
 constexpr double kRecoveryAllowanceMs = 8000;
 constexpr double kObservedTailMs = 8000; // time after that during which the storm is observed
 constexpr double kRarePairShare = 0.75;  // share of storms that begin with a rarely covered pair
@@ -24,7 +24,8 @@
   return kind == FaultKind::PartitionedZones || kind == FaultKind::LostZone || kind == FaultKind::SlowLink;
 }
 
-// Draws one storm in its constructor. The parts are drawn from one stream of random numbers, in a fixed order.
+// Draws one storm in its constructor. The parts are drawn from one stream of random numbers, in a fixed
+// order.
 class StormGenerator {
  public:
   StormGenerator(std::uint64_t seed, const Coverage& coverage, const StormLimits& limits)
@@ -256,8 +257,8 @@
 
   // ---- the faults ----
 
-  // Picks nodes for a fault that ends their process. No node is part of two such faults, and less than 60 % of
-  // the nodes are part of any.
+  // Picks nodes for a fault that ends their process. No node is part of two such faults, and less than
+  // 60% of the nodes are part of any.
   std::vector<MachineId> pick_free_nodes(double share) {
     std::vector<MachineId> picked;
     if (free_nodes_.empty() && picked_nodes_ == 0) {
@@ -304,8 +305,8 @@
     spec_.events.push_back({std::round(at_ms), label, std::move(event)});
   }
 
-  // Adds an event that ends nodes and starts them or their replacements: at most the share `max_share` of all
-  // nodes, and only those that pick_free_nodes() has not returned before.
+  // Adds an event that ends nodes and starts them or their replacements: at most the share `max_share` of
+  // all nodes, and only those that pick_free_nodes() has not returned before.
   template <typename Event>
   void add_restart(double at_ms, Event event, double max_share, double duration_ms) {
     event.who.nodes = pick_free_nodes(draw_between(0.05, max_share));
@@ -356,7 +357,8 @@
         return add_event(at_ms, neighbour);
       }
       case FaultKind::SilentNodes: return add_event(at_ms, SilentNodes{draw_node_selector(), until_ms});
-      // pick_free_nodes() excludes nodes that another fault replaces, as a replaced machine does not return.
+      // pick_free_nodes() excludes nodes that another fault replaces, as a replaced machine does not
+      // return.
       case FaultKind::ColdNodes: return add_restart(at_ms, RestartNodes{}, 0.6, duration_ms);
       case FaultKind::ReplacedNodes: return add_restart(at_ms, ReplaceNodes{}, 0.3, duration_ms);
       case FaultKind::DrainedNodes: {
--- a/lab/storm/draw.h
+++ b/lab/storm/draw.h
@@ -1,9 +1,9 @@
 // Draws a storm from a seed: a fleet, its load and settings, and overlapping faults. Pure.
 //
-// The same seed, coverage and limits give the same storm. Faults are undone before the end, so that the fleet
-// has the same capacity as before the faults, except for routers that are not restarted. Sizes are skewed:
-// with the default limits, half of the storms have fewer than six routers and a few thousand requests, and two
-// in a hundred have 200 routers or more.
+// The same seed, coverage and limits give the same storm. Faults are undone before the end, so that the
+// fleet has the same capacity as before the faults, except for routers that are not restarted. Sizes are
+// skewed: with the default limits, half of the storms have fewer than six routers and a few thousand
+// requests, and two in a hundred have 200 routers or more.
 #pragma once
 
 #include "lab/storm/coverage.h"
@@ -21,12 +21,13 @@
   bool full_duration = true; // false: short faults and a short tail, for runs in real time
 };
 
-// A pair of fault kinds that `coverage` has in few storms is preferred for the first two faults, which overlap.
+// A pair of fault kinds that `coverage` has in few storms is preferred for the first two faults, which
+// overlap.
 model::Spec draw_storm(std::uint64_t seed, const Coverage& coverage, const StormLimits& limits = {});
 
-// Time from the end of the last fault until service must have recovered, as far as it depends on the routers:
-// the delays of discovery, the warm-up of nodes, and an allowance for the routers. The time to refill caches
-// is not included: see refill_ms().
+// Time from the end of the last fault until service must have recovered, as far as it depends on the
+// routers: the delays of discovery, the warm-up of nodes, and an allowance for the routers. The time to
+// refill caches is not included: see refill_ms().
 double settle_ms(const model::Spec& spec);
 
 } // namespace fernward::lab::storm
--- a/lab/storm/faults.cpp
+++ b/lab/storm/faults.cpp
@@ -59,8 +59,8 @@
   return count;
 }
 
-// Returns when the nodes that a fault stopped at `stopped_at_ms` are started again; the end of the run if they
-// are not.
+// Returns when the nodes that a fault stopped at `stopped_at_ms` are started again; the end of the run if
+// they are not.
 double restarted_at(const Spec& spec, double stopped_at_ms, const std::vector<MachineId>& nodes) {
   double restart_at_ms = spec.duration_ms;
   for (const TimedEvent& e : spec.events) {
--- a/lab/storm/faults.h
+++ b/lab/storm/faults.h
@@ -1,7 +1,7 @@
 // The kinds of fault in a storm, and the period during which each is open. Pure.
 //
-// A fault is open from its start until its effect is undone: a killed node until it is started again, a move of
-// discovery until the last router is reloaded. Times are milliseconds from the start of the run.
+// A fault is open from its start until its effect is undone: a killed node until it is started again, a
+// move of discovery until the last router is reloaded. Times are milliseconds from the start of the run.
 #pragma once
 
 #include <array>
--- a/lab/storm/oracles.cpp
+++ b/lab/storm/oracles.cpp
@@ -60,12 +60,13 @@
                       evidence.observed.ended_early_at)};
 }
 
-// Allowance for chance in the share of served requests, which is binomially distributed around `service`.
+// Allowance for chance in the service of a window where `service` is expected. The number of served requests
+// is taken to be binomially distributed.
 double chance_allowance(const ServiceCounts& counts, double service) {
   if (counts.requests == 0) return 1;
   const double probability = std::clamp(service, 0.02, 0.98);
-  // Losses come in bursts, and classes have different priority weights. Both increase the variance, so only a
-  // quarter of the requests count.
+  // Losses come in bursts, and classes have different priority weights. Both increase the variance, so
+  // only a quarter of the requests count.
   return kChanceDeviations * std::sqrt(probability * (1 - probability) / (0.25 * counts.requests));
 }
 
@@ -160,8 +161,8 @@
   return "tenant " + spec.tenants[group.index].name;
 }
 
-// Whether a fault of the origin reduces service between the two times. Writes and misses need the origin, so a
-// class of writes fails with it.
+// Whether a fault of the origin reduces service between the two times. Writes and misses need the origin,
+// so a class of writes fails with it.
 bool origin_affected(const Evidence& evidence, double from_ms, double to_ms) {
   return std::any_of(evidence.spec.events.begin(), evidence.spec.events.end(), [&](const TimedEvent& event) {
     const bool affects_origin =
@@ -254,8 +255,8 @@
     if (!state.all_have_shared_part || state.limit_sum <= 0 || state.reporting_routers < 2 ||
         false_facts_valid(evidence, state.at))
       continue;
-    // Other routers use a limit that was just reduced until the fact expires, so the highest recent sum is the
-    // reference.
+    // Other routers use a limit that was just reduced until the fact expires, so the highest recent sum is
+    // the reference.
     double max_limit_sum = state.limit_sum;
     for (std::size_t j = i; j-- > 0 && evidence.observed.shared_states[j].at >= state.at - kFactLifetimeMs;) {
       max_limit_sum = std::max(max_limit_sum, evidence.observed.shared_states[j].limit_sum);
@@ -350,8 +351,8 @@
     popularity_sum += key_count * popularity;
     rank += key_count;
   }
-  // `effective_s`: the time in which as many keys would have been refilled if each miss were fetched at once.
-  // It advances more slowly while the origin can't fetch as fast as keys are missed.
+  // `effective_s`: the time in which as many keys would have been refilled if each miss were fetched at
+  // once. It advances more slowly while the origin can't fetch as fast as keys are missed.
   constexpr double kTimeStepS = 0.1;
   double effective_s = 0;
   for (double elapsed_s = 0; elapsed_s < 120; elapsed_s += kTimeStepS) {
--- a/lab/storm/oracles.h
+++ b/lab/storm/oracles.h
@@ -53,10 +53,10 @@
 
 // ---- bounds computed from the model ----
 
-// Time after the last fault that the origin needs to refill the caches with its spare capacity; infinite if
-// there is none or it does not suffice within two minutes. `lost_share`: see lost_contents_share().
-// `steady_fetches_per_s`: the origin's load by fetches and writes without faults, as the number of fetches that
-// cost as much.
+// Time after the last fault that the origin needs to refill the caches with its spare capacity; infinite
+// if there is none or it does not suffice within two minutes. `lost_share`: see lost_contents_share().
+// `steady_fetches_per_s`: the origin's load by fetches and writes without faults, as the number of fetches
+// that cost as much.
 double refill_ms(const model::Spec& spec, double lost_share, double steady_fetches_per_s);
 // Share of the caches' contents that is lost because nodes end, each node counted once.
 double lost_contents_share(const model::Plan& plan);
--- a/lab/storm/shrink.cpp
+++ b/lab/storm/shrink.cpp
@@ -29,8 +29,8 @@
   return count;
 }
 
-// Calls visit_selector(NodeSelector&) or visit_selector(RouterSelector&) for each selector of the event, except
-// those of PartitionRouters.
+// Calls visit_selector(NodeSelector&) or visit_selector(RouterSelector&) for each selector of the event,
+// except those of PartitionRouters.
 template <typename Visit>
 void for_each_selector(EventAction& event, Visit visit_selector) {
   std::visit(
@@ -42,8 +42,8 @@
       event);
 }
 
-// Removes events that can't run after a reduction: those past the end, and those without targets. Returns false
-// if the spec is invalid.
+// Removes events that can't run after a reduction: those past the end, and those without targets. The others
+// end with the run at the latest. Returns false if the spec is invalid.
 bool remove_invalid_events(Spec& spec) {
   std::erase_if(spec.events, [&](const TimedEvent& e) { return e.at_ms >= spec.duration_ms; });
   for (TimedEvent& e : spec.events) {
@@ -63,8 +63,8 @@
   return true;
 }
 
-// Keeps the nodes for which `keep(number)` is true and all standby nodes, renumbers the nodes in selectors, and
-// removes events that have no target left. Returns false if fewer than two nodes remain.
+// Keeps the nodes for which `keep(number)` is true and all standby nodes, renumbers the nodes in
+// selectors, and removes events that have no target left. Returns false if fewer than two nodes remain.
 template <typename Keep>
 bool keep_nodes(Spec& spec, Keep keep) {
   std::vector<std::optional<MachineId>> new_numbers(node_count(spec));
@@ -99,7 +99,8 @@
   return true;
 }
 
-// Removes groups without nodes and kinds without groups, and corrects the references to the others by index.
+// Removes groups without nodes and kinds without groups, and corrects the references to the others by
+// index.
 void remove_empty_groups(Spec& spec) {
   for (std::size_t g = spec.nodes.size(); g-- > 0;) {
     if (spec.nodes[g].count + spec.nodes[g].standby > 0) continue;
@@ -124,8 +125,8 @@
   }
 }
 
-// Takes routers from the largest groups until `target_count` remain, and removes events that have no target left.
-// Returns false if `target_count` is 0 or not lower than the current count.
+// Takes routers from the largest groups until `target_count` remain, and removes events that have no
+// target left. Returns false if `target_count` is 0 or not lower than the current count.
 bool reduce_routers(Spec& spec, std::uint32_t target_count) {
   const std::uint32_t current_count = router_count(spec);
   if (target_count == 0 || target_count >= current_count) return false;
@@ -156,8 +157,8 @@
   return true;
 }
 
-// Moves the nodes, routers and origin of the last zone to the first zone, and removes its faults. Returns false
-// if there is only one zone.
+// Moves the nodes, routers and origin of the last zone to the first zone, and removes the zone and the faults
+// that need it. Returns false if there is only one zone.
 bool remove_last_zone(Spec& spec) {
   if (spec.zones.size() < 2) return false;
   const auto last_zone = static_cast<std::uint32_t>(spec.zones.size() - 1);
@@ -212,8 +213,8 @@
  private:
   bool runs_exhausted() const { return result_.runs >= max_runs_; }
 
-  // Accepts the reduction if the storm still breaks the oracle. `reduce` changes a spec; it returns false if there
-  // is nothing to reduce.
+  // Accepts the reduction if the storm still breaks the oracle. `reduce` changes a spec; it returns false
+  // if there is nothing to reduce.
   template <typename Reduce>
   bool try_reduction(Reduce reduce) {
     if (runs_exhausted()) return false;
--- a/lab/storm/shrink.h
+++ b/lab/storm/shrink.h
@@ -2,9 +2,9 @@
 // storms.
 //
 // Reductions are tried in turn, the largest first, until none succeeds or `max_runs` is reached: fewer
-// faults, a shorter run, shorter faults, fewer routers, nodes and zones, less load, fewer tenants and classes,
-// and default settings. A storm that breaks only another oracle is not accepted, so that the result shows the
-// same defect.
+// faults, a shorter run, shorter faults, fewer routers, nodes and zones, less load, fewer tenants and
+// classes, and default settings. A storm that breaks only another oracle is not accepted, so that the
+// result shows the same defect.
 #pragma once
 
 #include <cstdint>
--- a/lab/storm/socket_comparison.h
+++ b/lab/storm/socket_comparison.h
@@ -1,9 +1,10 @@
 // Compares a storm on sockets with the same storm in virtual time, and estimates how much of the difference
 // is chance.
 //
-// To estimate chance, the same machines, requests and faults run several times in virtual time, and what two runs
-// on sockets would not have in common either is redrawn for each run. A figure from sockets agrees if it lies
-// within four standard deviations of the mean of those runs, plus an allowance for what the model omits.
+// To estimate chance, the same machines, requests and faults run several times in virtual time, and what
+// two runs on sockets would not have in common either is redrawn for each run. A figure from sockets
+// agrees if it lies within four standard deviations of the mean of those runs, plus an allowance for what
+// the model omits.
 #pragma once
 
 #include <cstdint>
@@ -25,8 +26,9 @@
   std::size_t runs = 0;
 };
 Variation variation_of(const std::vector<double>& values);
-// The largest deviation from the mean that still agrees. It includes the uncertainty of the mean itself: the
-// difference between one further run and the mean of n runs has sqrt(1 + 1/n) times their standard deviation.
+// The largest deviation from the mean that still agrees. It includes the uncertainty of the mean itself:
+// the difference between one further run and the mean of n runs has sqrt(1 + 1/n) times their standard
+// deviation.
 double allowed_deviation(const Variation& variation, double allowance);
 // Deviation of `value` from the mean as a multiple of the allowed deviation; 1 or more: it does not agree.
 double distance(const Variation& variation, double value, double allowance);
@@ -91,7 +93,8 @@
 
 std::string comparison_text(const StormComparison& comparison);
 struct Agreement { // of several comparisons
-  // Numbers of storms. void_count: without a valid run on sockets; broken: a certain oracle, on either side.
+  // Numbers of storms. void_count: without a valid run on sockets; broken: a certain oracle, on either
+  // side.
   std::uint32_t judged = 0, agreeing = 0, void_count = 0, broken = 0;
   double mean_distance = 0, max_distance = 0; // of the max_distance of each judged comparison
   std::uint32_t wide_bounds = 0;              // storms whose allowed deviation of service exceeds 5 points
--- a/lab/storm/storm.cpp
+++ b/lab/storm/storm.cpp
@@ -22,8 +22,8 @@
 constexpr double kUpdateAllowanceMs = 2000;
 constexpr std::uint32_t kMinComparedRouters = 6; // storms with as many routers or more also run with four
 
-// Ten times what storms need: events for each request and its tries, periodic work of each router and machine,
-// and connections between them.
+// Ten times what storms need: events for each request and its tries, periodic work of each router and
+// machine, and connections between them.
 std::uint64_t max_events(const Spec& spec, const Plan& plan) {
   double factor = 1;
   for (const RateChange& r : plan.rate_changes) factor *= std::max(1.0, r.factor);
--- a/lab/storm/storm.h
+++ b/lab/storm/storm.h
@@ -32,7 +32,7 @@
   Observations observed;
   double duration_ms = 0, wall_s = 0, hit_ratio = 0; // wall_s: of all runs
   double send_delay_p99_ms = 0; // sockets: 99th percentile of how late requests were sent
-  bool is_void = false;         // void, or stopped on request: no storm to judge
+  bool is_void = false;         // void, or stopped on request: the verdicts do not count
   std::string void_reason;
 
   // The broken oracle with the largest distance; certain oracles have precedence. nullptr: none is broken.
@@ -40,12 +40,12 @@
   bool broken(const Oracle& oracle) const;
 };
 
-// Runs `spec`, and the reference runs that oracles need: the same storm without faults and, if it has at least
-// six routers, with four routers.
+// Runs `spec`, and the reference runs that oracles need: the same storm without faults and, if it has at
+// least six routers, with four routers.
 StormOutcome execute(const RunSetup& setup, const model::Spec& spec, std::stop_token stop = {});
 
-// The same storm with four routers; with all of its routers if they are fewer, and with one of each group if it
-// has more than four groups.
+// The same storm with four routers; with all of its routers if they are fewer, and with one of each group
+// if it has more than four groups.
 model::Spec with_four_routers(const model::Spec& spec);
 std::uint32_t router_count(const model::Spec& spec);
 std::uint32_t node_count(const model::Spec& spec); // without standby nodes
@@ -83,8 +83,8 @@
   std::function<void(const CampaignSummary&)> progress;    // called after each batch; may be empty
   std::function<bool(const CampaignSummary&)> should_stop; // true ends the campaign early; may be empty
 };
-// Storms are drawn in batches, each from the coverage of the earlier batches, so that the same campaign gives the
-// same storms for any number of threads. A stop request ends the campaign early.
+// Storms are drawn in batches, each from the coverage of the earlier batches, so that the same campaign
+// gives the same storms for any number of threads. A stop request ends the campaign early.
 CampaignSummary execute(const RunSetup& setup, const Campaign& campaign, std::stop_token stop = {});
 
 } // namespace fernward::lab::storm
--- a/lab/storm/storm_report.h
+++ b/lab/storm/storm_report.h
@@ -1,5 +1,5 @@
-// Reports of a campaign of storms: a text summary, an HTML page with the oracles, the coverage of fault pairs
-// and the worst storms, and scenario files that name an oracle and the verdict expected of it.
+// Reports of a campaign of storms: a text summary, an HTML page with the oracles, the coverage of fault
+// pairs and the worst storms, and scenario files that name an oracle and the verdict expected of it.
 #pragma once
 
 #include <optional>
--- a/lab/storm/storm_watch.h
+++ b/lab/storm/storm_watch.h
@@ -1,7 +1,7 @@
-// Collects the observations of one run for the oracles: offered and served priority weight in steps of half a
-// second, overall and by zone, class and tenant; the work done; attempts to nodes that only one router still
-// has in service. Memory is proportional to the steps of the run x groups and to routers x machines, plus the
-// open requests.
+// Collects the observations of one run for the oracles: offered and served priority weight in steps of
+// half a second, overall and by zone, class and tenant; the work done; attempts to nodes that only one
+// router still has in service. Memory is proportional to the steps of the run x groups and to routers x
+// machines, plus the open requests.
 #pragma once
 
 #include <cstdint>
@@ -57,9 +57,9 @@
   std::vector<SharedState> shared_states; // once a second, if routers share
   std::vector<RequestGroup> groups;
   WorkCounts work;
-  // Attempts to a node that all other running routers had known for `min_withdrawn_ms` to be gone or draining,
-  // at times when every running router could have been notified; and the longest time from the withdrawal to
-  // such an attempt.
+  // Attempts to a node that all other running routers had known for `min_withdrawn_ms` to be gone or
+  // draining, at times when every running router could have been notified; and the longest time from the
+  // withdrawal to such an attempt.
   std::uint64_t sole_router_attempts = 0;
   double max_stale_ms = 0, max_stale_at = 0;
   std::string max_stale_description;
@@ -67,8 +67,8 @@
   double ended_early_at = 0;
 };
 
-// Receives the records of one run in order of time and computes its Observations. `spec` and `plan` must outlive
-// it. `min_withdrawn_ms`: see Observations::sole_router_attempts.
+// Receives the records of one run in order of time and computes its Observations. `spec` and `plan` must
+// outlive it. `min_withdrawn_ms`: see Observations::sole_router_attempts.
 class StormWatch : public model::Sink {
  public:
   StormWatch(const model::Spec& spec, const model::Plan& plan, double min_withdrawn_ms);
--- a/lab/storm/text_records.h
+++ b/lab/storm/text_records.h
@@ -1,5 +1,5 @@
-// Writes a run's records to a file as text, one line each. With the request, try and attempt numbers in the lines
-// one request can be followed through a run of either driver.
+// Writes a run's records to a file as text, one line each. With the request, try and attempt numbers in
+// the lines one request can be followed through a run of either driver.
 #pragma once
 
 #include <cstdio>
