--- a/tests/lab/bad_router/main.cpp
+++ b/tests/lab/bad_router/main.cpp
@@ -1,5 +1,6 @@
-// fernward-bad-router FAULT: a minimal router with one deliberate fault. It is started like a router
-// (NODE_CONFIG). It uses blocking sockets and one thread per connection, so it is for short runs only.
+// fernward-bad-router FAULT: a minimal router with one deliberate fault. It reads its configuration from
+// the file named by NODE_CONFIG, like a router. It uses blocking sockets and one thread per connection, so
+// it is for short runs only.
 #include <arpa/inet.h>
 #include <signal.h>
 #include <sys/socket.h>
@@ -37,7 +38,7 @@
     "swap         every third read is answered with the value of the previous read\n"
     "alter        every third request is forwarded with a different path\n"
     "repeat       a write with an idempotency key is sent again 1.5 s later\n"
-    "refuse       a write that was processed is answered as refused\n"
+    "refuse       a write that was processed is answered as rejected\n"
     "drained      discovery updates are ignored: requests still go to draining nodes\n"
     "flood        the node started last receives thirty copies of every read\n"
     "hang         SIGTERM is ignored\n"
@@ -97,6 +98,7 @@
   return receive(fd.get(), http::MessageKind::Response, unread);
 }
 
+// Keeps the endpoint list up to date in one thread, and serves each client in another.
 class BadRouter {
  public:
   BadRouter(std::string fault, json config) : fault_(std::move(fault)), config_(std::move(config)) {
@@ -106,16 +108,16 @@
   int serve() {
     sockaddr_in listen_address{};
     if (!config::parse_address(config_.at("listen").get<std::string>(), listen_address)) return 1;
-    const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), enabled = 1;
-    setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
-    if (bind(fd, reinterpret_cast<const sockaddr*>(&listen_address), sizeof listen_address) != 0 ||
-        listen(fd, 512) != 0) {
+    const int listener = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0), enabled = 1;
+    setsockopt(listener, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
+    if (bind(listener, reinterpret_cast<const sockaddr*>(&listen_address), sizeof listen_address) != 0 ||
+        listen(listener, 512) != 0) {
       std::perror("fernward-bad-router: listen");
       return 1;
     }
     std::thread([this] { watch_discovery(); }).detach();
     if (fault_ == "shout") send_oversized_datagrams();
-    for (int client; (client = accept(fd, nullptr, nullptr)) >= 0 || errno == EINTR;) {
+    for (int client; (client = accept(listener, nullptr, nullptr)) >= 0 || errno == EINTR;) {
       if (client >= 0) std::thread([this, client] { serve_client(client); }).detach();
     }
     return 1;
@@ -152,7 +154,7 @@
     }
   }
 
-  // Selects by the hash of `key` among the usable endpoints: the origins, or the caches.
+  // Selects one of the usable origins or caches by the hash of `key`; empty: there is none.
   std::string pick_address(const std::string& key, bool origin) {
     const std::lock_guard lock(mutex_);
     std::vector<std::string> addresses;
@@ -163,6 +165,7 @@
     std::sort(addresses.begin(), addresses.end());
     return addresses.empty() ? "" : addresses[std::hash<std::string>()(key) % addresses.size()];
   }
+  // The address of the endpoint that started last in the run; empty: none did.
   std::string last_started_address() {
     const std::lock_guard lock(mutex_);
     const json* last = nullptr;
--- a/tests/lab/caught/caught_test.cpp
+++ b/tests/lab/caught/caught_test.cpp
@@ -56,7 +56,7 @@
 
 TEST_CASE("a faulty router breaks the rule for its fault and no other") {
   const struct {
-    const char* fault; // empty: fernward
+    const char* fault; // of fernward-bad-router; empty: the routers are fernward
     void (*prepare)(model::Spec&);
     std::vector<Rule> broken; // each must be broken
     bool only = true;         // no other rule may be broken
@@ -68,17 +68,13 @@
       {"lose", leave_unchanged, {Rule::NoLostRequest}},
       {"silent", leave_unchanged, {Rule::NoLostRequest}},
       {"forge", leave_unchanged, {Rule::GenuineResponses}},
-      {"swap",
-       leave_unchanged,
-       {Rule::GenuineResponses},
-       false}, // the swapped responses are missing for other requests
+      // The swapped responses are missing for other requests.
+      {"swap", leave_unchanged, {Rule::GenuineResponses}, false},
       {"repeat", leave_unchanged, {Rule::SafeRepeats}},
       {"refuse", make_writes_unsafe, {Rule::SafeRepeats}, false}, // the origin is slow for so many writes
       {"drained", add_drain_of_half, {Rule::NoTrafficAfterDrain}},
-      {"flood",
-       add_cold_start,
-       {Rule::NoColdOverload},
-       false}, // the copies exceed the attempt limit of a request
+      // The copies exceed the attempt limit of a request.
+      {"flood", add_cold_start, {Rule::NoColdOverload}, false},
       {"crash", leave_unchanged, {Rule::NoRouterCrash}, false}, // the requests it had accepted are lost
   };
   for (const auto& c : cases) {
@@ -88,20 +84,20 @@
     c.prepare(spec);
     REQUIRE(find_spec_errors(spec).empty());
     const auto driver = make_rig_driver(options(fault));
-    const lab::ExperimentResult result = run_experiment(*driver, "sockets", spec, kSocketsSlackMs);
-    std::string breach_text;
-    for (const RuleResult& f : result.check_result.rules) {
-      for (const RuleViolation& b : f.first_violations)
-        breach_text += std::string(rule_name(f.rule)) + ": " + b.description + "\n";
+    const lab::ExperimentResult experiment = run_experiment(*driver, "sockets", spec, kSocketsSlackMs);
+    std::string violation_text;
+    for (const RuleResult& rule_result : experiment.check_result.rules) {
+      for (const RuleViolation& violation : rule_result.first_violations)
+        violation_text += std::string(rule_name(rule_result.rule)) + ": " + violation.description + "\n";
     }
-    CAPTURE(breach_text);
-    for (const RuleResult& f : result.check_result.rules) {
-      const std::string rule = rule_name(f.rule);
+    CAPTURE(violation_text);
+    for (const RuleResult& rule_result : experiment.check_result.rules) {
+      const std::string rule = rule_name(rule_result.rule);
       CAPTURE(rule);
-      const bool expected = std::find(c.broken.begin(), c.broken.end(), f.rule) != c.broken.end();
-      if (expected) CHECK(f.violation_count > 0);
-      if (!expected && c.only) CHECK(f.violation_count == 0);
+      const bool expected = std::find(c.broken.begin(), c.broken.end(), rule_result.rule) != c.broken.end();
+      if (expected) CHECK(rule_result.violation_count > 0);
+      if (!expected && c.only) CHECK(rule_result.violation_count == 0);
     }
-    CHECK(result.passed() == c.broken.empty());
+    CHECK(experiment.passed() == c.broken.empty());
   }
 }
--- a/tests/lab/check/meter_test.cpp
+++ b/tests/lab/check/meter_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 // One request per second for 30 s, alternating between classes 0 and 1 and tenants 0 and 1. Requests drawn
-// from 10 s to 15 s are refused, the others are served after 100 ms. Each request has one attempt at the
+// from 10 s to 15 s are rejected, the others are served after 100 ms. Each request has one attempt at the
 // origin, which ends as a hit or, for every fourth request, as a miss.
 void send_records(Sink& sink) {
   for (std::uint64_t request_index = 0; request_index < 30; ++request_index) {
@@ -46,9 +46,9 @@
     closed.at = at_ms + 100;
     closed.request = request_index + 1;
     closed.latency_ms = 100;
-    const bool failed = request_index >= 10 && request_index < 15;
-    closed.outcome = failed ? TryOutcome::Rejected : TryOutcome::Served;
-    closed.earned_weight = failed ? 0 : 2;
+    const bool rejected = request_index >= 10 && request_index < 15;
+    closed.outcome = rejected ? TryOutcome::Rejected : TryOutcome::Served;
+    closed.earned_weight = rejected ? 0 : 2;
     sink.on(closed);
   }
 }
@@ -118,11 +118,11 @@
 TEST_CASE("a missed bound and a bound without measurements do not hold") {
   Spec spec = small_spec();
   spec.duration_ms = 30000;
-  Bound held = bound(Metric::Service), missed = held, nothing = bound(Metric::HitRatio, 29900);
+  Bound held = bound(Metric::Service), missed = held, unmeasured = bound(Metric::HitRatio, 29900);
   held.at_least = 0.8;
   missed.at_least = 0.9;
-  nothing.at_least = 0;
-  spec.expectations.bounds = {held, missed, nothing};
+  unmeasured.at_least = 0;
+  spec.expectations.bounds = {held, missed, unmeasured};
   spec.expectations.worst_window_weight = 1;
   const Plan plan = make_plan(spec);
   RuleChecker checker(spec, plan, 0);
@@ -136,15 +136,15 @@
   CHECK(findings.score == doctest::Approx((25.0 / 30 + 0.5) / 2));
 }
 
-TEST_CASE("figures are correct after a merge or a JSON round trip and stay bounded in size") {
+TEST_CASE("statistics are correct after a merge or a JSON round trip and stay bounded in size") {
   Spec spec = small_spec();
   spec.duration_ms = 30000;
   const Plan plan = make_plan(spec);
   StatsCollector collector(spec, plan);
   send_records(collector);
   CHECK(collector.open_request_count() == 0);
-  RunStats figures = collector.take();
-  const TimeSlice total = figures.total();
+  RunStats stats = collector.take();
+  const TimeSlice total = stats.total();
   CHECK(total.request_stats.drawn == 30);
   CHECK(total.request_stats.served() == 25);
   CHECK(total.request_stats.refused() == 5);
@@ -152,34 +152,34 @@
   CHECK(total.origin_reads == 30);
   CHECK(total.hits == 22);
   CHECK(total.handshakes == 3);
-  CHECK(figures.slices.size() == 30);
-  CHECK(figures.classes[1].request_stats.refused() == 2);
-  CHECK(figures.machines[0].slices[4].utilization_sum == 0.5f);
+  CHECK(stats.slices.size() == 30);
+  CHECK(stats.classes[1].request_stats.refused() == 2);
+  CHECK(stats.machines[0].slices[4].utilization_sum == 0.5f);
 
-  RunStats restored = run_stats_from_json(to_json(figures));
-  CHECK(to_json(restored) == to_json(figures));
-  restored.merge(figures);
+  RunStats restored = run_stats_from_json(to_json(stats));
+  CHECK(to_json(restored) == to_json(stats));
+  restored.merge(stats);
   CHECK(restored.total().request_stats.drawn == 60);
   CHECK(restored.runs == 2);
   CHECK(restored.total().request_stats.latency_histogram.quantile(0.5) == doctest::Approx(100).epsilon(0.02));
   restored.double_slice_width();
   CHECK(restored.slices.size() == 15);
   CHECK(restored.total().request_stats.drawn == 60);
-  figures.merge(restored); // its slices have a different width
-  CHECK(figures.total().request_stats.drawn == 90);
-  RunStats other = figures;
+  stats.merge(restored); // its slices have a different width
+  CHECK(stats.total().request_stats.drawn == 90);
+  RunStats other = stats;
   other.classes[0].name = "else";
-  CHECK_THROWS(figures.merge(other));
+  CHECK_THROWS(stats.merge(other));
   auto broken = to_json(restored);
   broken["slices"][0]["tally"]["latency"]["bins"] = {{99999, 1}};
   CHECK_THROWS(run_stats_from_json(broken));
 
-  // A run of eleven days keeps no more slices than a run of an hour.
+  // A run of eleven days keeps a bounded number of slices, each of which covers more time.
   StatsCollector long_collector(spec, plan);
   for (double at = 0; at < 1e9; at += 5e5) {
-    LoadSample l;
-    l.at = at;
-    long_collector.on(l);
+    LoadSample sample;
+    sample.at = at;
+    long_collector.on(sample);
   }
   const RunStats long_run = long_collector.take();
   CHECK(long_run.slices.size() <= 1024);
--- a/tests/lab/check/support.h
+++ b/tests/lab/check/support.h
@@ -1,4 +1,4 @@
-// A small fleet, and a builder that passes the records of a run to the checker one by one.
+// A small fleet, and a builder that passes the records of a run to a RuleChecker one by one.
 #pragma once
 
 #include "lab/check/rule_checker.h"
@@ -84,8 +84,8 @@
     checker.on(record);
     return *this;
   }
-  RecordScript& answer(double at_ms, RequestNumber request, TryOutcome outcome = TryOutcome::Served,
-                       bool genuine = true, RouterId router_id = 0) {
+  RecordScript& end_try(double at_ms, RequestNumber request, TryOutcome outcome = TryOutcome::Served,
+                        bool genuine = true, RouterId router_id = 0) {
     TryEnded record;
     record.at = at_ms;
     record.request = record.try_id = request;
@@ -95,14 +95,14 @@
     checker.on(record);
     return *this;
   }
-  RecordScript& close(double at_ms, RequestNumber request, TryOutcome outcome = TryOutcome::Served,
-                      double earned_value = 1) {
+  RecordScript& end_request(double at_ms, RequestNumber request, TryOutcome outcome = TryOutcome::Served,
+                            double earned_weight = 1) {
     RequestEnded record;
     record.at = at_ms;
     record.request = request;
     record.outcome = outcome;
     record.tries = 1;
-    record.earned_weight = earned_value;
+    record.earned_weight = earned_weight;
     checker.on(record);
     return *this;
   }
@@ -119,11 +119,11 @@
     checker.on(record);
     return *this;
   }
-  RecordScript& end_attempt(double at_ms, AttemptId attempt, ServerOutcome ending) {
+  RecordScript& end_attempt(double at_ms, AttemptId attempt, ServerOutcome outcome) {
     AttemptEnded record;
     record.at = at_ms;
     record.attempt = attempt;
-    record.outcome = ending;
+    record.outcome = outcome;
     checker.on(record);
     return *this;
   }
@@ -140,7 +140,7 @@
     checker.on(record);
     return *this;
   }
-  RecordScript& tip_over(double at_ms, MachineId machine, bool cold, double notified_share) {
+  RecordScript& overload(double at_ms, MachineId machine, bool cold, double notified_share) {
     checker.on(NodeEvent{at_ms, machine, NodeEvent::What::Overloaded, cold, notified_share});
     return *this;
   }
--- a/tests/lab/commands/commands_test.cpp
+++ b/tests/lab/commands/commands_test.cpp
@@ -170,22 +170,24 @@
   CHECK((result.exit_code == 0 || result.contains("VOID")));
   CHECK_FALSE(result.contains("BROKEN"));
 
-  const std::string out = folder / "kept";
+  const std::string output_path = folder / "kept";
   const pid_t child = fork();
   if (child == 0) {
-    dup2(open(out.c_str(), O_WRONLY | O_CREAT, 0600), STDOUT_FILENO);
+    dup2(open(output_path.c_str(), O_WRONLY | O_CREAT, 0600), STDOUT_FILENO);
     execl(FERNWARD_LAB, FERNWARD_LAB, "try", "--seconds", "1", "--keep", "--unlimited-memory", "--out",
           (folder / "again").c_str(), nullptr);
     _exit(127);
   }
-  const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(60);
-  while (read_file(out).find("curl -i") == std::string::npos && std::chrono::steady_clock::now() < until) {
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(60);
+  while (read_file(output_path).find("curl -i") == std::string::npos &&
+         std::chrono::steady_clock::now() < deadline) {
     std::this_thread::sleep_for(std::chrono::milliseconds(50));
   }
-  const std::string text = read_file(out);
-  const std::size_t at = text.find("http://");
-  REQUIRE(at != std::string::npos);
-  const std::string address = text.substr(at + 7, text.find('/', at + 7) - at - 7);
+  const std::string output = read_file(output_path);
+  const std::size_t url_position = output.find("http://");
+  REQUIRE(url_position != std::string::npos);
+  const std::string address =
+      output.substr(url_position + 7, output.find('/', url_position + 7) - url_position - 7);
   CHECK(address.starts_with("127."));
   // A raw request through the sockets of bash, as curl would send it.
   const std::string client_command =
--- a/tests/lab/discovery/congested_discovery_test.cpp
+++ b/tests/lab/discovery/congested_discovery_test.cpp
@@ -18,7 +18,7 @@
 
 constexpr double kSocketsSlackMs = 50;         // as in `fernward-lab run`
 constexpr double kMinServedShare = 0.9;        // of all requests
-constexpr std::size_t kMinDrainedMachines = 8; // per router; nine nodes drain in the scenario
+constexpr std::size_t kMinDrainedMachines = 8; // by router; nine nodes drain in the scenario
 
 // A checker that also counts the records, to show that the run exercised the rule.
 class CountingChecker : public lab::RuleChecker {
@@ -29,23 +29,24 @@
         update_counts_(plan.routers.size()) {}
 
   using RuleChecker::on;
-  void on(const model::EndpointNotified& told) override {
-    if (told.state == ServerState::Draining) drained_machines_[told.router].insert(told.machine);
-    if (!told.cached && !told.assumed) ++update_counts_[told.router];
-    RuleChecker::on(told);
+  void on(const model::EndpointNotified& notification) override {
+    if (notification.state == ServerState::Draining)
+      drained_machines_[notification.router].insert(notification.machine);
+    if (!notification.cached && !notification.assumed) ++update_counts_[notification.router];
+    RuleChecker::on(notification);
   }
-  void on(const model::RequestEnded& closed) override {
+  void on(const model::RequestEnded& record) override {
     ++closed_count_;
-    if (closed.outcome == model::TryOutcome::Served) ++served_count_;
-    RuleChecker::on(closed);
+    if (record.outcome == model::TryOutcome::Served) ++served_count_;
+    RuleChecker::on(record);
   }
   void on(const model::RouterEvent& event) override {
     if (event.what == model::RouterEvent::What::Started) ++started_count_;
     RuleChecker::on(event);
   }
 
-  std::size_t min_drained_machines()
-      const { // the smallest number of nodes that any router was notified to drain
+  // The smallest number of draining nodes that any router was notified of.
+  std::size_t min_drained_machines() const {
     return std::min_element(drained_machines_.begin(), drained_machines_.end(),
                             [](const auto& a, const auto& b) { return a.size() < b.size(); })
         ->size();
@@ -56,8 +57,8 @@
   std::size_t started_count() const { return started_count_; }
 
  private:
-  std::vector<std::set<model::MachineId>> drained_machines_; // per router
-  std::vector<std::size_t> update_counts_;                   // notifications written to each router
+  std::vector<std::set<model::MachineId>> drained_machines_; // by router
+  std::vector<std::size_t> update_counts_;                   // by router: notifications that were sent to it
   std::size_t closed_count_ = 0, served_count_ = 0, started_count_ = 0;
 };
 
@@ -84,8 +85,8 @@
   CHECK(info.void_reasons.empty());
   const lab::CheckResult findings = observer.finish(true);
   const lab::RuleResult& drains = findings.rules[static_cast<std::size_t>(lab::Rule::NoTrafficAfterDrain)];
-  for (const lab::RuleViolation& breach : drains.first_violations)
-    MESSAGE(breach.at_ms << " ms: " << breach.description);
+  for (const lab::RuleViolation& violation : drains.first_violations)
+    MESSAGE(violation.at_ms << " ms: " << violation.description);
   CHECK(drains.violation_count == 0);
 
   // The run exercised the rule.
--- a/tests/lab/peers/agents_test.cpp
+++ b/tests/lab/peers/agents_test.cpp
@@ -19,10 +19,10 @@
   return "GET /v1/endpoints" + query + " HTTP/1.1\r\nHost: d\r\n\r\n";
 }
 
-json endpoint_list(const std::optional<http::Message>& answer) {
-  REQUIRE(answer);
-  REQUIRE(answer->status == 200);
-  return json::parse(answer->body);
+json endpoint_list(const std::optional<http::Message>& response) {
+  REQUIRE(response);
+  REQUIRE(response->status == 200);
+  return json::parse(response->body);
 }
 
 std::string watch_request(const json& list, int timeout_ms) {
@@ -49,9 +49,10 @@
   CHECK(full_list["endpoints"][0]["status"] == "in_service");
   CHECK(full_list["endpoints"][0]["since_ms"] == 0);
   CHECK(full_list["endpoints"][0]["address"] == rig::address_text(fleet.machine_address(0, 0)));
+  // Each router sees addresses of its own.
   CHECK(endpoint_list(RawConnection(fleet.addresses->discovery(1, 0))
                           .send_request(endpoints_request("")))["endpoints"][0]["address"] ==
-        rig::address_text(fleet.machine_address(0, 1))); // each router sees addresses of its own
+        rig::address_text(fleet.machine_address(0, 1)));
 
   agent.send(watch_request(full_list, 5000)); // a long poll
   CHECK(agent.read(100).empty());
@@ -66,8 +67,8 @@
   const json gone = endpoint_list(agent.send_request(watch_request(draining, 5000)));
   REQUIRE(gone["endpoints"].size() == 1);
   CHECK(gone["endpoints"][0]["status"] == "terminated");
-  const json none =
-      endpoint_list(agent.send_request(watch_request(gone, 50))); // no change within the timeout
+  // No change within the timeout.
+  const json none = endpoint_list(agent.send_request(watch_request(gone, 50)));
   CHECK(none["endpoints"].empty());
   CHECK(none["index"] == gone["index"]);
   CHECK(endpoint_list(agent.send_request(endpoints_request("")))["endpoints"].size() == 6);
@@ -77,8 +78,9 @@
   CHECK(agent.send_request("GET /v1/other HTTP/1.1\r\nHost: d\r\n\r\n")->status == 404);
 
   std::vector<model::EndpointNotified> notified;
-  for (const auto& t : fleet.take_records<model::EndpointNotified>()) {
-    if (t.router == 0 && !t.cached && t.machine == 2) notified.push_back(t);
+  for (const auto& notification : fleet.take_records<model::EndpointNotified>()) {
+    if (notification.router == 0 && !notification.cached && notification.machine == 2)
+      notified.push_back(notification);
   }
   REQUIRE(notified.size() >= 3); // in service, draining, gone: once each
   CHECK(notified[notified.size() - 2].state == ServerState::Draining);
@@ -121,13 +123,14 @@
   fleet.apply_node_step(1, NodeStep::What::End);
   std::vector<model::EndpointNotified> assumed;
   REQUIRE(wait_until([&] {
-    for (const auto& t : fleet.take_records<model::EndpointNotified>()) {
-      if (t.assumed && t.router == 0 && t.machine == 1) assumed.push_back(t);
+    for (const auto& notification : fleet.take_records<model::EndpointNotified>()) {
+      if (notification.assumed && notification.router == 0 && notification.machine == 1)
+        assumed.push_back(notification);
     }
     return !assumed.empty() && assumed.back().state == ServerState::Gone;
   }));
-  CHECK(assumed.back().at >=
-        change_time_ms + 500); // counted from when the router was last known to be up to date
+  // Counted from when the router was last known to be up to date.
+  CHECK(assumed.back().at >= change_time_ms + 500);
 }
 
 TEST_CASE("each missed change is assumed to be notified at its own time") {
@@ -177,8 +180,8 @@
   REQUIRE(wait_until([&] { return !(notified = notifications_of(fleet, 1)).empty(); }));
   CHECK(notified.back().assumed);
   CHECK(notified.back().at >= reload_time_ms + 300);
-  CHECK(notified.back().at <
-        reload_time_ms + 900); // by reload_notified_at_latest_ms, not notified_at_latest_ms
+  // By reload_notified_at_latest_ms, not by notified_at_latest_ms.
+  CHECK(notified.back().at < reload_time_ms + 900);
 }
 
 TEST_CASE("a congested discovery answers all routers in turn and in pieces") {
@@ -242,14 +245,14 @@
   CHECK(notified.back().at >= change_time_ms + 400);
 }
 
-TEST_CASE("a congested discovery refuses calls by 503 or close and leaves some long polls unanswered") {
+TEST_CASE("a congested discovery refuses calls with 503 or a close and leaves long polls unanswered") {
   TestFleet refusing_fleet([](model::Spec& spec) { spec.discovery.congestion.refused_share = 1; });
   int refused = 0, closed = 0;
   for (int i = 0; i < 40; ++i) {
     RawConnection agent(refusing_fleet.addresses->discovery(0, 0));
-    const auto answer = agent.send_request(endpoints_request(""), 1000);
-    if (answer && answer->status == 503) ++refused;
-    if (!answer && agent.state != RawConnection::State::Open) ++closed;
+    const auto response = agent.send_request(endpoints_request(""), 1000);
+    if (response && response->status == 503) ++refused;
+    if (!response && agent.state != RawConnection::State::Open) ++closed;
   }
   CHECK(refused + closed == 40);
   CHECK(refused > 5);
--- a/tests/lab/peers/datagrams_test.cpp
+++ b/tests/lab/peers/datagrams_test.cpp
@@ -1,5 +1,5 @@
 // The simulated network for gossip datagrams between routers: addresses, loss, duplicates, size limit and
-// corruption.
+// false contents.
 #include <doctest/doctest.h>
 
 #include "gossip/gossip_node.h"
@@ -74,18 +74,18 @@
     for (const auto& bytes : received)
       CHECK(bytes == rig::address_text(fleet.addresses->peer(1, 0)) + " " + text);
     CHECK(router_0.receive(1, 20).empty()); // nothing is returned to the sender
-    CHECK(fleet.voids.all().size() == (c.bytes > 256 ? 1 : 0));
+    CHECK(fleet.void_reasons.all().size() == (c.bytes > 256 ? 1 : 0));
   }
 }
 
-TEST_CASE("corrupted datagrams are well formed but false and correct again after the fault") {
+TEST_CASE("datagrams of an inconsistent router are well formed but false and correct again after the fault") {
   TestFleet fleet([](model::Spec& spec) {
     spec.network.datagram_min_ms = spec.network.datagram_max_ms = 0;
     spec.routers.sharing.enabled = true;
     spec.routers.groups[0].count = 2;
   });
   const DatagramSocket router_0(fleet.addresses->peer_listen(0)), router_1(fleet.addresses->peer_listen(1));
-  gossip::GossipNode corrupted_router(0, 3, 5, {}, 1), router_2(2, 3, 5, {}, 2);
+  gossip::GossipNode inconsistent_router(0, 3, 5, {}, 1), router_2(2, 3, 5, {}, 2);
   const gossip::LocalReports own_report{2, 3};
   std::vector<gossip::GossipNode::OutgoingDatagram> out;
   // The datagram that router 1 receives from router 0 after router 0 received one from router 2.
@@ -94,35 +94,36 @@
     router_2.tick(now, own_report, out);
     const std::string report = out.front().bytes;
     out.clear();
-    corrupted_router.receive(now, 2, report, out);
-    corrupted_router.tick(now, own_report, out);
+    inconsistent_router.receive(now, 2, report, out);
+    inconsistent_router.tick(now, own_report, out);
     router_0.send(fleet.addresses->peer(0, 1), out.back().bytes);
     const auto received = router_1.receive(1, 2000);
     REQUIRE(received.size() == 1);
     return membership::decode(received[0].substr(received[0].find(' ') + 1)).value();
   };
-  const auto reported_demand =
-      [](const membership::Datagram& d) { // the sender's demand, as a router without other reports decodes it
-        gossip::OriginGossip facts(1, 3, 1);
-        std::vector<gossip::OriginGossip::Update> received_facts;
-        facts.read_entries(0, 0, d.payload.substr(0, 2 + static_cast<std::size_t>(d.payload[1])),
-                           received_facts);
-        return facts.median_demand(0);
-      };
-  const auto reports_dead = [](const membership::Datagram& d) {
-    return std::any_of(d.updates.begin(), d.updates.end(), [](const membership::MemberUpdate& w) {
-      return w.member == 2 && w.reporter == 0 && w.state == membership::MemberState::Dead;
-    });
+  // The sender's demand, as a router without other reports decodes it.
+  const auto reported_demand = [](const membership::Datagram& datagram) {
+    gossip::OriginGossip gossip_state(1, 3, 1);
+    std::vector<gossip::OriginGossip::Update> updates;
+    gossip_state.read_entries(
+        0, 0, datagram.payload.substr(0, 2 + static_cast<std::size_t>(datagram.payload[1])), updates);
+    return gossip_state.median_demand(0);
+  };
+  const auto reports_dead = [](const membership::Datagram& datagram) {
+    return std::any_of(
+        datagram.updates.begin(), datagram.updates.end(), [](const membership::MemberUpdate& update) {
+          return update.member == 2 && update.reporter == 0 && update.state == membership::MemberState::Dead;
+        });
   };
   model::InconsistentRouterStep step{0, true, {}, {0}};
   double now = 0;
-  for (const bool corrupts : {false, true, false}) {
-    CAPTURE(corrupts);
-    step.enabled = corrupts;
+  for (const bool inconsistent : {false, true, false}) {
+    CAPTURE(inconsistent);
+    step.enabled = inconsistent;
     fleet.apply(step);
-    const membership::Datagram d = report_at_router_1(now += 300);
-    CHECK(d.from == 0);
-    CHECK(reported_demand(d) == doctest::Approx(corrupts ? 4096 : 2).epsilon(0.01));
-    CHECK(reports_dead(d) == corrupts);
+    const membership::Datagram datagram = report_at_router_1(now += 300);
+    CHECK(datagram.from == 0);
+    CHECK(reported_demand(datagram) == doctest::Approx(inconsistent ? 4096 : 2).epsilon(0.01));
+    CHECK(reports_dead(datagram) == inconsistent);
   }
 }
--- a/tests/lab/peers/machines_test.cpp
+++ b/tests/lab/peers/machines_test.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint64_t kCachedKey = 1;       // the most popular key: cached by every node before the run
 constexpr std::uint64_t kUncachedKey = 19999; // the least popular key: cached by no node
 
-int status_of(const std::optional<http::Message>& answer) { return answer ? answer->status : 0; }
+int status_of(const std::optional<http::Message>& response) { return response ? response->status : 0; }
 
 } // namespace
 
@@ -25,10 +25,10 @@
   REQUIRE(status_of(hit) == 200);
   CHECK(hit->header("x-cache-status") == "hit");
   CHECK(hit->body.size() == 500);
-  const auto body_facts = fleet.bodies.decode(hit->body);
-  REQUIRE(body_facts);
-  CHECK(body_facts->try_id == fleet.last_try_id);
-  CHECK(body_facts->machine == 0);
+  const auto body_metadata = fleet.bodies.decode(hit->body);
+  REQUIRE(body_metadata);
+  CHECK(body_metadata->try_id == fleet.last_try_id);
+  CHECK(body_metadata->machine == 0);
 
   const auto miss = node.send_request(fleet.make_request(kUncachedKey));
   REQUIRE(status_of(miss) == 404);
@@ -37,18 +37,18 @@
   const auto pending = node.send_request(pending_request);
   REQUIRE(status_of(pending) == 404);
   CHECK(pending->header("x-cache-status") == "pending");
-  CHECK(status_of(origin.send_request(pending_request)) ==
-        200); // the fetch for the missed request: the node stores the value
+  // The fetch for the missed request: the node stores the value.
+  CHECK(status_of(origin.send_request(pending_request)) == 200);
   CHECK(status_of(node.send_request(fleet.make_request(kUncachedKey))) == 200);
 
-  CHECK(status_of(node.send_request(fleet.make_request(kUncachedKey, true))) ==
-        404); // only the origin accepts writes
+  // Only the origin accepts writes.
+  CHECK(status_of(node.send_request(fleet.make_request(kUncachedKey, true))) == 404);
   CHECK(status_of(origin.send_request(fleet.make_request(kUncachedKey, true))) == 200);
-  CHECK(status_of(node.send_request(fleet.make_request(kUncachedKey))) ==
-        404); // the write invalidates the cached copies
+  // The write has invalidated the cached copies.
+  CHECK(status_of(node.send_request(fleet.make_request(kUncachedKey))) == 404);
   CHECK(wait_until(
       [&] { return !node.send_request(fleet.make_request(kCachedKey))->header("x-server-load").empty(); }));
-  CHECK(fleet.voids.all().empty());
+  CHECK(fleet.void_reasons.all().empty());
 }
 
 TEST_CASE("a request that no client sent gets 400 and voids the run and one without an id gets 404") {
@@ -68,9 +68,9 @@
     TestFleet fleet;
     RawConnection node(fleet.machine_address(0));
     CHECK(status_of(node.send_request(c.change(fleet.make_request(kCachedKey)))) == c.status);
-    CHECK(fleet.voids.all().size() == (c.status == 400 ? 1 : 0));
-    CHECK(status_of(node.send_request(fleet.make_request(kCachedKey))) ==
-          200); // the connection is still usable
+    CHECK(fleet.void_reasons.all().size() == (c.status == 400 ? 1 : 0));
+    // The connection is still usable.
+    CHECK(status_of(node.send_request(fleet.make_request(kCachedKey))) == 200);
   }
 }
 
@@ -99,15 +99,15 @@
          return !r.parser.has_started() && r.state == RawConnection::State::Closed;
        }},
       {BadResponse::WrongBody,
-       [](RawConnection& r, TestFleet& s) {
-         const auto facts = r.parser.done() ? s.bodies.decode(r.parser.message().body) : std::nullopt;
-         return facts && facts->try_id == s.last_try_id && facts->key != kCachedKey;
+       [](RawConnection& r, TestFleet& fleet) {
+         const auto metadata = r.parser.done() ? fleet.bodies.decode(r.parser.message().body) : std::nullopt;
+         return metadata && metadata->try_id == fleet.last_try_id && metadata->key != kCachedKey;
        }},
       {BadResponse::SlowBytes,
        [](RawConnection& r, TestFleet&) {
-         const bool some = r.parser.has_started() && !r.parser.done();
+         const bool has_part = r.parser.has_started() && !r.parser.done();
          r.read(10000);
-         return some && r.parser.done() && r.parser.take_message().status == 200;
+         return has_part && r.parser.done() && r.parser.take_message().status == 200;
        }},
   };
   for (const auto& c : cases) {
@@ -173,13 +173,13 @@
   fleet.apply_node_step(0, NodeStep::What::Return);
   used.read(5000);
   CHECK(used.state == RawConnection::State::Reset);
-  CHECK(fleet.voids.all().empty());
+  CHECK(fleet.void_reasons.all().empty());
   CHECK(status_of(idle.send_request(fleet.make_request(kCachedKey))) == 200);
   CHECK(status_of(RawConnection(fleet.machine_address(0)).send_request(fleet.make_request(kCachedKey))) ==
         200);
 }
 
-TEST_CASE("a cut affects only traffic between its two sides") {
+TEST_CASE("a partition affects only traffic between its two sides") {
   TestFleet fleet;
   fleet.apply(model::PartitionStep{1, true, {0}, {}, {}, {0}}); // machine 0 and router 0
   CHECK_FALSE(RawConnection(fleet.machine_address(0, 0), 300).connected());
--- a/tests/lab/peers/test_fleet.h
+++ b/tests/lab/peers/test_fleet.h
@@ -11,6 +11,7 @@
 
 namespace fernward::tests {
 
+// Runs in a thread of its own from the constructor on.
 struct TestFleet {
   // Sets network, handshake and discovery delays close to zero, so that a wait in a test depends on the fleet
   // alone.
@@ -31,7 +32,7 @@
     plan = model::make_plan(spec);
     addresses = std::make_unique<rig::RunAddresses>(plan.routers.size(), plan.machines.size());
     context = std::make_unique<rig::RunContext>(
-        rig::RunContext{spec, plan, *addresses, clock, bodies, tries, tape, voids});
+        rig::RunContext{spec, plan, *addresses, clock, bodies, tries, record_buffer, void_reasons});
     fleet_ = std::make_unique<rig::SimulatedFleet>(*context);
     fleet_->start();
     for (model::RouterId r = 0; r < plan.routers.size(); ++r)
@@ -40,22 +41,22 @@
     fleet_->start_run();
   }
 
-  // Returns the request of a new try, as a router forwards it.
+  // Adds a new try and returns its request, as a router forwards it.
   std::string make_request(std::uint64_t key, bool write = false) {
     last_try_id = 16 * ++request_count_;
-    rig::TryMetadata facts;
-    facts.cls = write ? 1 : 0;
-    facts.key = key;
-    facts.write = write;
-    facts.work_ms = 1;
-    facts.size_bytes = 500;
-    facts.idempotency_key = write ? request_count_ : 0;
+    rig::TryMetadata metadata;
+    metadata.cls = write ? 1 : 0;
+    metadata.key = key;
+    metadata.write = write;
+    metadata.work_ms = 1;
+    metadata.size_bytes = 500;
+    metadata.idempotency_key = write ? request_count_ : 0;
     const std::string body = write ? rig::written_value(last_try_id, 500) : "";
-    facts.body_bytes = body.size();
-    facts.body_hash = body.empty() ? 0 : rig::hash_of(body);
-    tries.add(clock.now(), last_try_id, facts);
+    metadata.body_bytes = body.size();
+    metadata.body_hash = body.empty() ? 0 : rig::hash_of(body);
+    tries.add(clock.now(), last_try_id, metadata);
     const std::string id = tries.request_id(last_try_id),
-                      idempotency_key = rig::idempotency_key_text(facts.idempotency_key);
+                      idempotency_key = rig::idempotency_key_text(metadata.idempotency_key);
     std::vector<http::Header> headers = {{"X-Request-ID", id}, {"X-Timeout-Ms", "1000"}};
     if (write) headers.push_back({"Idempotency-Key", idempotency_key});
     return http::write_request(write ? "PUT" : "GET", rig::path_of(key), "node", headers, body);
@@ -75,7 +76,7 @@
   template <typename What>
   std::vector<What> take_records() { // records of one kind since the last call
     std::vector<rig::Record> all;
-    tape.swap_out(all);
+    record_buffer.swap_out(all);
     std::vector<What> found;
     for (const auto& record : all) {
       if (const auto* record_of_kind = std::get_if<What>(&record)) found.push_back(*record_of_kind);
@@ -88,8 +89,8 @@
   rig::RunClock clock;
   rig::BodyCodec bodies{77};
   rig::TryRegistry tries{99, 60000};
-  rig::RecordBuffer tape;
-  rig::VoidReasons voids;
+  rig::RecordBuffer record_buffer;
+  rig::VoidReasons void_reasons;
   std::unique_ptr<rig::RunAddresses> addresses;
   std::unique_ptr<rig::RunContext> context;
   std::vector<nlohmann::json> initial_endpoints;
--- a/tests/lab/process/guardian_test.cpp
+++ b/tests/lab/process/guardian_test.cpp
@@ -1,5 +1,5 @@
-// The guardian process: it starts the programs of the lab and ends them with the lab, however the lab ends.
-// Guards against processes and directories left behind by a crashed or killed lab.
+// The supervisor process: it starts the programs of the lab and ends them with the lab, however the lab
+// ends. Guards against processes and directories left behind by a crashed or killed lab.
 #include "lab/process/supervisor.h"
 
 #include <doctest/doctest.h>
@@ -45,8 +45,8 @@
   return start;
 }
 
-std::optional<rig::ProgramEvent> next_event(rig::ProcessSupervisor& guardian) {
-  return guardian.next_event(5000);
+std::optional<rig::ProgramEvent> next_event(rig::ProcessSupervisor& supervisor) {
+  return supervisor.next_event(5000);
 }
 
 pid_t read_pid(const std::string& path) { // 0: not written yet
@@ -60,7 +60,7 @@
 
 TEST_CASE("a program starts as configured and its end is reported with its CPU time") {
   TemporaryDirectory directory;
-  rig::ProcessSupervisor guardian("");
+  rig::ProcessSupervisor supervisor("");
   const std::string path = directory.path + "/out";
   const int output = open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
   const struct {
@@ -73,15 +73,15 @@
       {"ulimit -n", 77, 0, "77\n"},
       {"ls /proc/self/fd | wc -l", 0, 0, "4\n"}, // the three standard ones and one of ls: none inherited
       {"trap '' HUP; kill -HUP $$; echo on", 0, 0, "on\n"},
-      {"kill -TERM $$; echo on", 0, -1, ""}}; // signals ignored by the guardian are not ignored here
+      {"kill -TERM $$; echo on", 0, -1, ""}}; // the supervisor ignores signals, its programs do not
   for (const auto& c : cases) {
     CAPTURE(c.script);
     REQUIRE(ftruncate(output, 0) == 0);
     lseek(output, 0, SEEK_SET);
     auto start = shell_command(c.script, output);
     start.descriptors = c.descriptors;
-    guardian.start(start);
-    const auto started = next_event(guardian), ended = next_event(guardian);
+    supervisor.start(start);
+    const auto started = next_event(supervisor), ended = next_event(supervisor);
     REQUIRE(started);
     REQUIRE(ended);
     CHECK_FALSE(started->ended);
@@ -96,29 +96,29 @@
   close(output);
   rig::ProgramStart missing;
   missing.command = {"/nowhere/at/all"};
-  guardian.start(missing);
-  next_event(guardian);
-  const auto ended = next_event(guardian);
+  supervisor.start(missing);
+  next_event(supervisor);
+  const auto ended = next_event(supervisor);
   REQUIRE(ended);
   CHECK(WEXITSTATUS(ended->status) == 127);
 }
 
-TEST_CASE("the guardian ends by killing programs and their children and removing the directory") {
+TEST_CASE("at its end the supervisor kills programs and their children and removes the directory") {
   TemporaryDirectory directory;
   const std::string run_directory = directory.path + "/run";
   std::filesystem::create_directory(run_directory);
   const std::string child = directory.path + "/child";
   pid_t pid = 0;
   {
-    rig::ProcessSupervisor guardian(run_directory);
-    // The program and its child ignore signals.
-    guardian.start(
+    rig::ProcessSupervisor supervisor(run_directory);
+    // The program and its child ignore SIGTERM, SIGINT and SIGHUP.
+    supervisor.start(
         shell_command("trap '' TERM INT HUP; sleep 600 & echo $! > " + child + "; wait; sleep 600"));
-    const auto started = next_event(guardian);
+    const auto started = next_event(supervisor);
     REQUIRE(started);
     pid = started->pid;
     REQUIRE(wait_until([&] { return read_pid(child) > 0; }));
-    guardian.signal(7, SIGTERM);
+    supervisor.signal(7, SIGTERM);
     usleep(50000);
     CHECK_FALSE(is_gone(pid));
     CHECK(rig::resident_memory_mb(pid) > 0);
@@ -131,40 +131,40 @@
   CHECK_FALSE(std::filesystem::exists(run_directory));
 }
 
-TEST_CASE("programs and the guardian end when the lab is killed by SIGKILL") {
-  for (const bool kill_guardian : {false, true}) {
-    CAPTURE(kill_guardian);
+TEST_CASE("programs and the supervisor end when the lab is killed by SIGKILL") {
+  for (const bool kill_supervisor : {false, true}) {
+    CAPTURE(kill_supervisor);
     TemporaryDirectory directory;
     const std::string run_directory = directory.path + "/run", pids = directory.path + "/pids";
     std::filesystem::create_directory(run_directory);
     const pid_t lab = fork();
     if (lab == 0) { // a separate lab process that never ends by itself
-      rig::ProcessSupervisor guardian(run_directory);
-      guardian.start(shell_command("sleep 600"));
-      const auto started = next_event(guardian);
-      std::ofstream(pids + ".new") << started->pid << " " << guardian.pid() << "\n";
+      rig::ProcessSupervisor supervisor(run_directory);
+      supervisor.start(shell_command("sleep 600"));
+      const auto started = next_event(supervisor);
+      std::ofstream(pids + ".new") << started->pid << " " << supervisor.pid() << "\n";
       std::filesystem::rename(pids + ".new", pids);
       for (;;) pause();
     }
     REQUIRE(wait_until([&] { return std::filesystem::exists(pids); }));
-    pid_t program = 0, guardian = 0;
-    std::ifstream(pids) >> program >> guardian;
+    pid_t program = 0, supervisor = 0;
+    std::ifstream(pids) >> program >> supervisor;
     CHECK_FALSE(is_gone(program));
-    if (kill_guardian) kill(guardian, SIGKILL); // the programs must end without the guardian
+    if (kill_supervisor) kill(supervisor, SIGKILL); // the programs must end without the supervisor
     kill(lab, SIGKILL);
     waitpid(lab, nullptr, 0);
-    CHECK(wait_until([&] { return is_gone(program) && is_gone(guardian); }, 5000));
-    if (!kill_guardian) CHECK(wait_until([&] { return !std::filesystem::exists(run_directory); }, 5000));
+    CHECK(wait_until([&] { return is_gone(program) && is_gone(supervisor); }, 5000));
+    if (!kill_supervisor) CHECK(wait_until([&] { return !std::filesystem::exists(run_directory); }, 5000));
   }
 }
 
-TEST_CASE("the death of the guardian is detected") {
-  rig::ProcessSupervisor guardian("");
-  guardian.start(shell_command("sleep 600"));
-  REQUIRE(next_event(guardian));
-  kill(guardian.pid(), SIGKILL);
+TEST_CASE("the end of the supervisor is detected") {
+  rig::ProcessSupervisor supervisor("");
+  supervisor.start(shell_command("sleep 600"));
+  REQUIRE(next_event(supervisor));
+  kill(supervisor.pid(), SIGKILL);
   CHECK(wait_until([&] {
-    guardian.next_event();
-    return !guardian.alive();
+    supervisor.next_event();
+    return !supervisor.alive();
   }));
 }
--- a/tests/lab/report/report_test.cpp
+++ b/tests/lab/report/report_test.cpp
@@ -102,10 +102,11 @@
   for (const auto& c : cases) {
     ScriptedDriver driver(c.info);
     int callback_count = 0;
-    const ExperimentResult result = run_experiment(driver, "sockets", spec, 0, {}, [&](const RunStats& f) {
-      ++callback_count;
-      CHECK(f.total().request_stats.served() == 1);
-    });
+    const ExperimentResult result =
+        run_experiment(driver, "sockets", spec, 0, {}, [&](const RunStats& stats) {
+          ++callback_count;
+          CHECK(stats.total().request_stats.served() == 1);
+        });
     CHECK(result.passed() == c.good);
     CHECK(verdict_text(result).starts_with(c.verdict));
     CHECK(callback_count == (c.info.stopped ? 0 : 1));
@@ -172,7 +173,7 @@
                        std::runtime_error);
   CHECK_THROWS(write_files(result, folder.path / "broken.json" / "below a file"));
 
-  // If gnuplot is missing or fails, the page reports it and still has the figures.
+  // If gnuplot is missing or fails, the page reports it and still has the tables.
   for (const char* program : {"/nowhere/gnuplot", "/bin/false", "/bin/true"}) {
     const Plots no_plots = draw_plots(result.stats, program);
     CHECK(no_plots.plots.empty());
@@ -197,7 +198,7 @@
   CHECK_THROWS(compare_pairs({1, 2}, {1}));
 }
 
-TEST_CASE("many runs are each done once with results and failures in order until a stop request") {
+TEST_CASE("parallel runs are each done once with progress in order until a failure or a stop request") {
   for (const unsigned jobs : {1u, 4u}) {
     std::vector<int> run_counts(100);
     std::size_t last_finished = 0;
--- a/tests/lab/rig/rig_test.cpp
+++ b/tests/lab/rig/rig_test.cpp
@@ -231,12 +231,12 @@
        [](const RecordTracker& l, const auto&) {
          return l.outcome_counts[static_cast<std::size_t>(TryOutcome::Abandoned)] > 0;
        }},
-      {"retrying after refusal",
+      {"retrying after rejection",
        [](model::Spec& s) {
          s.clients.mean_max_retries = 3;
          s.clients.heed_retry_after_share = 0;
          s.clients.backoff_ms = 50;
-         s.routers.max_open_requests = 1; // most requests are refused
+         s.routers.max_open_requests = 1; // most requests are rejected
        },
        [](const RecordTracker& l, const auto&) { return l.tried > l.drawn && l.unanswered_tries.empty(); }},
   };
@@ -282,12 +282,12 @@
   spec.events.push_back({500, "", model::StartNodes{one}});
   RecordTracker tracker;
   run_on_sockets(spec, tracker, options("flood"));
-  const auto tip_over =
+  const auto overload =
       std::find_if(tracker.node_events.begin(), tracker.node_events.end(),
                    [](const model::NodeEvent& e) { return e.what == model::NodeEvent::What::Overloaded; });
-  REQUIRE(tip_over != tracker.node_events.end());
-  CHECK(tip_over->cold);
-  CHECK(tip_over->notified_share > 2.0 / 3);
+  REQUIRE(overload != tracker.node_events.end());
+  CHECK(overload->cold);
+  CHECK(overload->notified_share > 2.0 / 3);
 }
 
 TEST_CASE("a router that ignores SIGTERM is killed and one that cannot start ends the run with its error") {
@@ -312,7 +312,7 @@
 TEST_CASE("a late run is void with a reason and a run stops on request") {
   RecordTracker tracker;
   lab::RigOptions strict = options();
-  strict.max_late_p99_ms = 0; // every run is later than this
+  strict.max_late_p99_ms = 0; // every run exceeds this
   const auto info = run_on_sockets(trial_spec_of(1, 50), tracker, strict);
   CHECK(info.is_void);
   REQUIRE_FALSE(info.void_reasons.empty());
@@ -341,7 +341,7 @@
             nullptr);
       _exit(127);
     }
-    // One directory and two routers.
+    // One run directory and two routers.
     REQUIRE(wait_until([&] { return leftover_count(directory) >= 3; }));
     usleep(300000);
     kill(lab, signal_number);
@@ -372,12 +372,12 @@
   for (const RecordTracker* tracker : {&sockets, &virtual_time}) {
     CHECK(tracker->event_count(RouterEvent::What::Paused) == 1);
     CHECK(tracker->event_count(RouterEvent::What::Resumed) == 1);
-    // A paused process answers nobody, so the bound leaves room for its requests.
+    // A paused router does not respond, so the bound allows for its requests.
     CHECK(tracker->ends[static_cast<std::size_t>(TryOutcome::Served)] > tracker->drawn * 8 / 10);
   }
   REQUIRE(info.routers.size() == 2);
-  for (std::size_t r = 0; r < 2;
-       ++r) { // the size of datagrams does not depend on timing, and their number hardly does
+  // The size of datagrams does not depend on timing, and their number hardly does.
+  for (std::size_t r = 0; r < 2; ++r) {
     CHECK(info.routers[r].datagrams > 30);
     CHECK(static_cast<double>(info.routers[r].datagrams) ==
           doctest::Approx(static_cast<double>(virtual_info.routers[r].datagrams)).epsilon(0.35));
--- a/tests/lab/scenario/scenario_test.cpp
+++ b/tests/lab/scenario/scenario_test.cpp
@@ -27,9 +27,9 @@
   return text.str();
 }
 
-std::string faults_text(const std::vector<Diagnostic>& faults) {
+std::string errors_text(const std::vector<Diagnostic>& errors) {
   std::string text;
-  for (const Diagnostic& f : faults) text += f.to_string() + "\n";
+  for (const Diagnostic& error : errors) text += error.to_string() + "\n";
   return text;
 }
 
@@ -47,7 +47,7 @@
     CAPTURE(path);
     struct Expected {
       unsigned line;
-      std::string key, why;
+      std::string key, message;
     };
     std::vector<Expected> expected; // from the marks "# fault: KEY" and "# fault: KEY: WORDS"
     std::istringstream lines(read_file(path));
@@ -59,14 +59,14 @@
       }
     }
     const Scenario scenario = read_scenario_file(path);
-    INFO("found:\n" << faults_text(scenario.faults));
+    INFO("found:\n" << errors_text(scenario.faults));
     CHECK(scenario.faults.size() == expected.size());
     for (const Expected& e : expected) {
       CAPTURE(e.line);
       CAPTURE(e.key);
-      CHECK(std::any_of(scenario.faults.begin(), scenario.faults.end(), [&](const Diagnostic& f) {
-        return f.position.file == path && f.position.line == e.line && f.key == e.key &&
-               f.position.column >= 1 && f.message.find(e.why) != std::string::npos;
+      CHECK(std::any_of(scenario.faults.begin(), scenario.faults.end(), [&](const Diagnostic& error) {
+        return error.position.file == path && error.position.line == e.line && error.key == e.key &&
+               error.position.column >= 1 && error.message.find(e.message) != std::string::npos;
       }));
     }
     ++file_count;
@@ -119,16 +119,16 @@
   };
   for (const auto& c : cases) {
     CAPTURE(c.text);
-    fernward::toml_document::ParseError why;
-    const auto value = parse_quantity(c.unit, c.text, why);
+    fernward::toml_document::ParseError error;
+    const auto value = parse_quantity(c.unit, c.text, error);
     CHECK(value.value_or(-1) == c.value);
-    CHECK(why.message.empty() == value.has_value());
+    CHECK(error.message.empty() == value.has_value());
   }
   // A written quantity is read back as exactly the same number.
   for (const Unit unit : {Unit::Time, Unit::Bytes, Unit::Rate, Unit::Share, Unit::ShareRate}) {
     for (const double value : {0.0, 0.07, 0.1, 1.0 / 3, 0.8, 750.0, 1500.0, 86400e3, 64e6, 65536.0, 1e-9}) {
-      fernward::toml_document::ParseError why;
-      CHECK(parse_quantity(unit, format_quantity(unit, value), why) == value);
+      fernward::toml_document::ParseError error;
+      CHECK(parse_quantity(unit, format_quantity(unit, value), error) == value);
     }
   }
   CHECK(format_quantity(Unit::Time, 1500) == "1.5s");
@@ -139,18 +139,18 @@
 TEST_CASE("a Spec is unchanged after writing and reading a file") {
   for (const char* name : {"fleet.toml", "every-event.toml"}) {
     const Scenario first = read_scenario_file(kCorpusDir / name);
-    REQUIRE(faults_text(first.faults) == "");
+    REQUIRE(errors_text(first.faults) == "");
     const std::string text = scenario_text(first.spec);
     const Scenario second = read_scenario(text, "written.toml");
-    CHECK(faults_text(second.faults) == "");
+    CHECK(errors_text(second.faults) == "");
     CHECK(scenario_text(second.spec) == text);
     CHECK(second.spec.events.size() == first.spec.events.size());
   }
   const Scenario scenario = read_scenario_file(kCorpusDir / "every-event.toml");
   REQUIRE(scenario.spec.events.size() == std::variant_size_v<model::EventAction>);
-  std::vector<bool> seen(scenario.spec.events.size());
-  for (const auto& e : scenario.spec.events) seen[e.what.index()] = true;
-  CHECK(std::all_of(seen.begin(), seen.end(), [](bool b) { return b; }));
+  std::vector<bool> present(scenario.spec.events.size());
+  for (const auto& e : scenario.spec.events) present[e.what.index()] = true;
+  CHECK(std::all_of(present.begin(), present.end(), [](bool b) { return b; }));
   const auto& kill_routers = std::get<model::RestartRouters>(scenario.spec.events[9].what);
   CHECK(kill_routers.how == model::RouterEnd::Kill);
   CHECK(kill_routers.who.share == 0.5);
@@ -161,7 +161,7 @@
 TEST_CASE("a file overrides its base table by table and lists are replaced completely") {
   const Scenario scenario =
       fleet_with_settings("duration = \"5s\"\n[origin]\ntime = \"90ms\"\n[[tenants]]\nname = \"one\"\n");
-  CHECK(faults_text(scenario.faults) == "");
+  CHECK(errors_text(scenario.faults) == "");
   CHECK(scenario.spec.duration_ms == 5000);
   CHECK(scenario.spec.origin.service_time_ms == 90);
   CHECK(scenario.spec.origin.capacity_per_s == 80);
@@ -177,7 +177,7 @@
 TEST_CASE("values set from the command line are checked together with the whole scenario") {
   const struct {
     const char* setting;
-    const char* fault; // a part of the error; empty: the setting is accepted
+    const char* expected_error; // part of the message; empty: the setting is accepted
   } cases[] = {
       {"load.rate=820/s", ""},
       {"load.rate=820", "has no unit"},
@@ -204,12 +204,12 @@
     REQUIRE(scenario.is_valid());
     const std::string text_before = scenario_text(scenario.spec);
     set_values(scenario, {c.setting});
-    if (*c.fault == '\0') {
-      CHECK(faults_text(scenario.faults) == "");
+    if (*c.expected_error == '\0') {
+      CHECK(errors_text(scenario.faults) == "");
       CHECK(scenario_text(scenario.spec) != text_before);
     } else {
       REQUIRE(scenario.faults.size() >= 1);
-      CHECK(scenario.faults[0].to_string().find(c.fault) != std::string::npos);
+      CHECK(scenario.faults[0].to_string().find(c.expected_error) != std::string::npos);
     }
   }
 }
--- a/tests/lab/shared/shared_test.cpp
+++ b/tests/lab/shared/shared_test.cpp
@@ -1,5 +1,5 @@
-// The types shared by the parts of the rig: bodies, ids of tries, record merging, addresses, lateness, event
-// loop.
+// The types shared by the parts of the rig: bodies, ids of tries, merging of records, addresses, lateness
+// and the event loop.
 #include <doctest/doctest.h>
 
 #include <cmath>
@@ -20,18 +20,18 @@
 
 TEST_CASE("a body encodes what it was made for and any changed byte is detected") {
   const rig::BodyCodec bodies(5), other_run_bodies(6);
-  const rig::BodyMetadata facts{16 * 7, 3, 2, 99};
+  const rig::BodyMetadata metadata{16 * 7, 3, 2, 99};
   for (const double size : {0.0, 200.0, 4000.0, 1e9, -1.0, std::nan("")}) {
     CAPTURE(size);
-    std::string body = bodies.encode(facts, size);
+    std::string body = bodies.encode(metadata, size);
     CHECK(body.size() <= http::kMaxBodyBytes);
     const auto decoded = bodies.decode(body);
     REQUIRE(decoded);
-    CHECK(decoded->try_id == facts.try_id);
-    CHECK(decoded->attempt == facts.attempt);
-    CHECK(decoded->machine == facts.machine);
-    CHECK(decoded->key == facts.key);
-    CHECK_FALSE(other_run_bodies.decode(body)); // of another run
+    CHECK(decoded->try_id == metadata.try_id);
+    CHECK(decoded->attempt == metadata.attempt);
+    CHECK(decoded->machine == metadata.machine);
+    CHECK(decoded->key == metadata.key);
+    CHECK_FALSE(other_run_bodies.decode(body));
     CHECK_FALSE(bodies.decode(body + "x"));
     CHECK_FALSE(bodies.decode(std::string_view(body).substr(0, body.size() - 1)));
     for (std::size_t at = 0; at < body.size(); at += 1 + body.size() / 50) {
@@ -91,21 +91,21 @@
 
 TEST_CASE("two runs have different addresses and each participant has its own") {
   const rig::RunAddresses a(3, 300), b(3, 300);
-  std::set<std::string> all;
+  std::set<std::string> distinct_addresses;
   std::size_t count = 0;
   const auto add = [&](const sockaddr_in& address) {
-    all.insert(rig::address_text(address));
+    distinct_addresses.insert(rig::address_text(address));
     ++count;
   };
-  for (const rig::RunAddresses* one : {&a, &b}) {
+  for (const rig::RunAddresses* addresses : {&a, &b}) {
     for (model::RouterId r = 0; r < 3; ++r) {
-      add(one->router(r)), add(one->discovery(r, 0)), add(one->discovery(r, 1)), add(one->peer_listen(r)),
-          add(one->all_peers(r));
-      for (model::RouterId other = 0; other < 3; ++other) add(one->peer(r, other));
-      for (model::MachineId m = 0; m < 300; ++m) add(one->machine(r, m));
+      add(addresses->router(r)), add(addresses->discovery(r, 0)), add(addresses->discovery(r, 1)),
+          add(addresses->peer_listen(r)), add(addresses->all_peers(r));
+      for (model::RouterId other = 0; other < 3; ++other) add(addresses->peer(r, other));
+      for (model::MachineId m = 0; m < 300; ++m) add(addresses->machine(r, m));
     }
   }
-  CHECK(all.size() == count);
+  CHECK(distinct_addresses.size() == count);
 }
 
 TEST_CASE("percentiles are never below the measured values") {
--- a/tests/lab/storm/oracles_test.cpp
+++ b/tests/lab/storm/oracles_test.cpp
@@ -48,7 +48,7 @@
 struct OracleFixture {
   explicit OracleFixture(model::Spec initial_spec = base_spec())
       : spec(std::move(initial_spec)), plan(model::make_plan(spec)) {
-    calm_run = normal_observations();
+    fault_free_run = normal_observations();
     observed = normal_observations();
   }
   // 50 requests in each step, all served: 24 of them in the west zone, 4 of them writes.
@@ -72,16 +72,17 @@
     observations.work.new_connections = 200;
     return observations;
   }
-  // Sets the share of requests served from `from_ms` to `to_ms` for a group (-1: for all requests).
+  // Reduces the share of requests served from `from_ms` to `to_ms` for the group with this index (-1: for
+  // all requests).
   OracleFixture& set_served_share(int group, double from_ms, double to_ms, double share) {
     const auto first = static_cast<std::size_t>(from_ms / storm::kStepMs),
                last = static_cast<std::size_t>(to_ms / storm::kStepMs);
     for (std::size_t i = first; i < last && i < observed.overall.size(); ++i) {
-      ServiceCounts& cell =
+      ServiceCounts& counts =
           group < 0 ? observed.overall[i] : observed.groups[static_cast<std::size_t>(group)].series[i];
-      const double unserved = cell.offered_weight * (1 - share);
-      cell.served_weight -= unserved;
-      cell.served -= static_cast<std::uint32_t>(std::lround(unserved));
+      const double unserved = counts.offered_weight * (1 - share);
+      counts.served_weight -= unserved;
+      counts.served -= static_cast<std::uint32_t>(std::lround(unserved));
       if (group < 0) continue;
       observed.overall[i].served_weight -= unserved;
       observed.overall[i].served -= static_cast<std::uint32_t>(std::lround(unserved));
@@ -89,7 +90,7 @@
     return *this;
   }
   Verdict judge(const char* name) {
-    storm::Evidence evidence{spec, plan, findings, observed, calm_run, four_router_run};
+    storm::Evidence evidence{spec, plan, findings, observed, fault_free_run, four_router_run};
     return storm::find_oracle(name)->judge(evidence);
   }
 
@@ -97,13 +98,12 @@
   model::Plan plan;
   CheckResult findings;
   Observations observed;
-  std::optional<Observations> calm_run, four_router_run;
+  std::optional<Observations> fault_free_run, four_router_run;
 };
 
 } // namespace
 
-TEST_CASE(
-    "every oracle has a unique name and texts on its rule and reason and accepts a run without faults") {
+TEST_CASE("every oracle has a unique name and a requirement and a reason and accepts a run without losses") {
   OracleFixture fixture;
   fixture.four_router_run = fixture.normal_observations();
   for (const storm::Oracle& o : storm::oracles()) {
@@ -119,7 +119,7 @@
   CHECK(storm::find_oracle("luck") == nullptr);
 }
 
-TEST_CASE("a breached rule breaks its oracle only and with a distance that grows with the breaches") {
+TEST_CASE("a violated rule breaks only its oracle and the distance grows with the violations") {
   OracleFixture fixture;
   auto& rule = fixture.findings.rules[static_cast<std::size_t>(Rule::NoTrafficAfterDrain)];
   rule.violation_count = 1;
@@ -134,7 +134,7 @@
   CHECK_FALSE(fixture.judge("drains").judged);
 }
 
-TEST_CASE("service that does not recover is metastable unlike late recovery or random loss") {
+TEST_CASE("service that does not recover is metastable unlike recovery in time or random loss") {
   const double recovery_due_ms = 8000 + storm::settle_ms(base_spec());
   REQUIRE(recovery_due_ms + 8000 < 50000);
   CHECK(OracleFixture().set_served_share(-1, recovery_due_ms, 50000, 0.6).judge("metastable").broken());
@@ -142,12 +142,12 @@
   CHECK(OracleFixture().set_served_share(-1, 40000, 48000, 0.5).judge("metastable").broken());
   CHECK_FALSE(
       OracleFixture().set_served_share(-1, 5000, recovery_due_ms - 500, 0).judge("metastable").broken());
-  // A loss of a few of 400 requests is within random variation.
+  // A loss of 4% in each window of 600 requests is within random variation.
   CHECK_FALSE(
       OracleFixture().set_served_share(-1, recovery_due_ms, 50000, 0.96).judge("metastable").broken());
-  OracleFixture without_calm_run;
-  without_calm_run.calm_run.reset();
-  CHECK_FALSE(without_calm_run.judge("metastable").judged);
+  OracleFixture without_reference;
+  without_reference.fault_free_run.reset();
+  CHECK_FALSE(without_reference.judge("metastable").judged);
 }
 
 TEST_CASE("metastable is not judged where even an ideal fleet would lose requests") {
@@ -175,7 +175,7 @@
   CHECK(refill_half_ms < refill_all_ms);
   CHECK(refill_all_ms < storm::refill_ms(s, 1, 40));
   CHECK(std::isinf(storm::refill_ms(s, 1, 80)));
-  // During a resize, fetches are kept below twice the steady rate, which limits the refill.
+  // During a resize, fetches are limited to a multiple of the steady rate, which delays the refill.
   s.routers.resize.transition_ms = 5000;
   CHECK(storm::refill_ms(s, 1, 10) > refill_all_ms);
 }
@@ -207,8 +207,8 @@
   model::Spec s = base_spec();
   s.events = {{20000, "", model::ZoneOutage{1, 26000, false}}};
   CHECK_FALSE(OracleFixture(s).set_served_share(1, 20000, 26000, 0).judge("starves").broken());
-  // The class with the lowest priority weight may be refused first if capacity is short for the others too,
-  // and only then.
+  // The class with the lowest priority weight may be rejected first if capacity is short for the others
+  // too, and only then.
   CHECK(OracleFixture()
             .set_served_share(2, 40000, 46000, 0)
             .set_served_share(3, 40000, 46000, 0.5)
@@ -225,29 +225,29 @@
 }
 
 TEST_CASE(
-    "limit shares above the limits and a lasting wrong router count are found but not judged with a corrupt "
-    "router") {
+    "shared parts above the limits and a lasting wrong count of living routers are found except while a "
+    "router sends false facts") {
   model::Spec s = base_spec();
   s.routers.sharing.enabled = true;
-  const auto held_sample = [](double at, double parts, double least) {
-    return storm::SharedState{at, 3, 3, least, 3, 30, parts, true};
+  const auto sample = [](double at, double shared_parts, double min_living) {
+    return storm::SharedState{at, 3, 3, min_living, 3, 30, shared_parts, true};
   };
   OracleFixture fixture(s);
-  fixture.observed.shared_states = {held_sample(20000, 30, 3), held_sample(40000, 40, 2)};
-  fixture.observed.shared_states.push_back(held_sample(40500, 30, 3));
-  fixture.observed.shared_states.back().limit_sum = 10; // the limit was lowered just now
+  fixture.observed.shared_states = {sample(20000, 30, 3), sample(40000, 40, 2)};
+  fixture.observed.shared_states.push_back(sample(40500, 30, 3));
+  fixture.observed.shared_states.back().limit_sum = 10; // the limit was reduced just now
   CHECK_FALSE(fixture.judge("parts").broken());
   CHECK_FALSE(fixture.judge("living").broken());
-  fixture.observed.shared_states.push_back(held_sample(41000, 50, 1));
+  fixture.observed.shared_states.push_back(sample(41000, 50, 1));
   CHECK(fixture.judge("parts").broken());
   CHECK(fixture.judge("living").broken());
-  fixture.observed.shared_states.back().at = 20000; // the router count may still be wrong this early
+  fixture.observed.shared_states.back().at = 20000; // this early the count may still be wrong
   CHECK_FALSE(fixture.judge("living").broken());
   s.events.push_back({19000, "", model::InconsistentRouter{}});
   std::get<model::InconsistentRouter>(s.events.back().what).until_ms = 19500;
-  OracleFixture lying_fixture(s);
-  lying_fixture.observed.shared_states = {held_sample(20000, 90, 1)};
-  CHECK_FALSE(lying_fixture.judge("parts").broken());
+  OracleFixture inconsistent_fixture(s);
+  inconsistent_fixture.observed.shared_states = {sample(20000, 90, 1)};
+  CHECK_FALSE(inconsistent_fixture.judge("parts").broken());
 }
 
 TEST_CASE("attempts and connections beyond their bounds are found") {
@@ -264,8 +264,8 @@
 
 TEST_CASE(
     "a router that still uses an endpoint all others removed is found unless it could not be notified") {
-  const auto attempts_alone = [](const std::vector<model::TimedEvent>& events, double sent_at,
-                                 bool notify_last_router) {
+  const auto sole_router_attempts = [](const std::vector<model::TimedEvent>& events, double sent_at,
+                                       bool notify_last_router) {
     model::Spec s = base_spec();
     s.events = events;
     const model::Plan plan = model::make_plan(s);
@@ -277,16 +277,16 @@
     for (model::RouterId r = 0; r < (notify_last_router ? 3 : 2); ++r) {
       watch.on(model::EndpointNotified{10000, r, 2, ServerState::Gone, -1, false, false});
     }
-    model::AttemptArrived a;
-    a.at = a.sent_at = sent_at;
-    a.machine = 2;
-    a.router = 2;
-    watch.on(a);
+    model::AttemptArrived arrived;
+    arrived.at = arrived.sent_at = sent_at;
+    arrived.machine = 2;
+    arrived.router = 2;
+    watch.on(arrived);
     return watch.take().sole_router_attempts;
   };
-  CHECK(attempts_alone({}, 15000, false) == 1);
-  CHECK(attempts_alone({}, 12000, false) == 0); // the update may still be under way
-  CHECK(attempts_alone({}, 15000, true) == 0);  // it was notified too: the rule on drains judges this
-  CHECK(attempts_alone({{9000, "", model::DiscoveryOutage{14000}}}, 15000, false) == 0);
-  CHECK(attempts_alone({{9000, "", model::DiscoveryMove{0, 2000}}}, 15000, false) == 0);
+  CHECK(sole_router_attempts({}, 15000, false) == 1);
+  CHECK(sole_router_attempts({}, 12000, false) == 0); // the update may still be under way
+  CHECK(sole_router_attempts({}, 15000, true) == 0);  // it was notified too: the rule on drains judges this
+  CHECK(sole_router_attempts({{9000, "", model::DiscoveryOutage{14000}}}, 15000, false) == 0);
+  CHECK(sole_router_attempts({{9000, "", model::DiscoveryMove{0, 2000}}}, 15000, false) == 0);
 }
--- a/tests/lab/storm/storm_test.cpp
+++ b/tests/lab/storm/storm_test.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-storm::RunSetup virtual_rig() {
+storm::RunSetup virtual_setup() {
   return {[] { return make_virtual_driver(); }, true};
 }
 
-storm::StormLimits small_storm_size() {
-  storm::StormLimits size;
-  size.max_routers = 8;
-  size.max_nodes = 10;
-  size.max_rate_per_s = 60;
-  return size;
+storm::StormLimits small_limits() {
+  storm::StormLimits limits;
+  limits.max_routers = 8;
+  limits.max_nodes = 10;
+  limits.max_rate_per_s = 60;
+  return limits;
 }
 
 const storm::Oracle& oracle(const char* name) { return *storm::find_oracle(name); }
@@ -40,7 +40,7 @@
       const std::string text = scenario_text(spec);
       CHECK(text == scenario_text(storm::draw_storm(seed, {})));
       const Scenario read = read_scenario(text, "storm");
-      for (const auto& fault : read.faults) FAIL_CHECK("seed ", seed, ": ", fault.to_string());
+      for (const auto& error : read.faults) FAIL_CHECK("seed ", seed, ": ", error.to_string());
       CHECK(scenario_text(read.spec) == text);
     }
     const std::uint32_t routers = storm::router_count(spec), nodes = storm::node_count(spec);
@@ -50,10 +50,10 @@
     CHECK(nodes <= 200);
     small += routers < 8;
     large += routers >= 200;
-    // Every fault ends, except that of routers that stay away, early enough to observe the recovery.
-    const double last = storm::last_fault_end_ms(spec);
-    if (last < spec.duration_ms) {
-      CHECK(last + storm::settle_ms(spec) + 4000 <= spec.duration_ms);
+    // The last fault ends early enough to observe the recovery, unless routers are not restarted.
+    const double last_end_ms = storm::last_fault_end_ms(spec);
+    if (last_end_ms < spec.duration_ms) {
+      CHECK(last_end_ms + storm::settle_ms(spec) + 4000 <= spec.duration_ms);
     }
     single_fault_count += storm::fault_spans(spec).size() < 2;
   }
@@ -63,43 +63,44 @@
   CHECK(single_fault_count < kDraws / 10);
 }
 
-TEST_CASE("drawing prefers pairs of faults that were rarely active together") {
-  // Instead of a run, each storm has one request at each stage every 50 ms.
-  const auto least_pair_count = [](bool use_coverage) {
+TEST_CASE("drawing prefers pairs of faults that were rarely open together") {
+  // Instead of a run, each storm has the records of a first try and of attempts at a cache and at the
+  // origin every 50 ms.
+  const auto min_pair_count = [](bool use_coverage) {
     storm::Coverage coverage;
     for (std::uint64_t seed = 1; seed <= 1500; ++seed) {
       const model::Spec spec = storm::draw_storm(seed, use_coverage ? coverage : storm::Coverage{});
-      storm::FaultStageRecorder watch(spec, 1);
+      storm::FaultStageRecorder recorder(spec, 1);
       for (double at = 0; at < 25000; at += 50) {
-        watch.on(model::TrySent{at, at, 0, 1, 1, 0, 0, true, false, 0, 0});
+        recorder.on(model::TrySent{at, at, 0, 1, 1, 0, 0, true, false, 0, 0});
         model::AttemptArrived arrived;
         arrived.at = at;
-        for (arrived.machine = 0; arrived.machine < 2; ++arrived.machine) watch.on(arrived);
+        for (arrived.machine = 0; arrived.machine < 2; ++arrived.machine) recorder.on(arrived);
       }
-      coverage.add(watch);
+      coverage.add(recorder);
     }
     return coverage.min_storms_of_any_pair();
   };
-  const std::uint64_t with = least_pair_count(true), without = least_pair_count(false);
-  CHECK(with >= 2 * without);
-  CHECK(with >= 8);
+  const std::uint64_t with_coverage = min_pair_count(true), without_coverage = min_pair_count(false);
+  CHECK(with_coverage >= 2 * without_coverage);
+  CHECK(with_coverage >= 8);
 }
 
-TEST_CASE("a fault pair counts at the stages with a request while both faults were active") {
+TEST_CASE("a fault pair counts at the stages with a request while both faults were open") {
   model::Spec spec = storm::draw_storm(1, {});
   spec.events = {{1000, "", model::OriginStall{3000}}, {2000, "", model::HotKey{0.2, 4000}}};
-  storm::FaultStageRecorder watch(spec, 7);
+  storm::FaultStageRecorder recorder(spec, 7);
   const auto add_arrival = [&](double at, model::MachineId machine) {
-    model::AttemptArrived a;
-    a.at = at;
-    a.machine = machine;
-    watch.on(a);
+    model::AttemptArrived arrived;
+    arrived.at = at;
+    arrived.machine = machine;
+    recorder.on(arrived);
   };
   add_arrival(1500, 0);
   add_arrival(2500, 7);
   add_arrival(3500, 0);
   storm::Coverage coverage;
-  coverage.add(watch);
+  coverage.add(recorder);
   CHECK(coverage.storms_with_pair(FaultKind::HotKey, FaultKind::OriginStall) == 1);
   CHECK(coverage.storms_at_stage(FaultKind::OriginStall, FaultKind::HotKey, storm::Stage::Origin) == 1);
   CHECK(coverage.storms_at_stage(FaultKind::OriginStall, FaultKind::HotKey, storm::Stage::Cache) == 0);
@@ -111,19 +112,19 @@
   std::uint32_t shrunk_count = 0;
   for (std::uint64_t seed = 1; seed <= 400 && shrunk_count < 12; ++seed) {
     const model::Spec spec = storm::draw_storm(seed, {});
-    // Broken if a node is drained in a fleet of at least two routers and three nodes.
-    const auto is_broken = [](const model::Spec& s) {
+    // Broken if nodes are drained in a fleet of at least two routers and three nodes.
+    const auto distance_of = [](const model::Spec& s) {
       const bool drained = std::any_of(s.events.begin(), s.events.end(), [](const model::TimedEvent& e) {
         return std::holds_alternative<model::DrainNodes>(e.what);
       });
       return drained && storm::router_count(s) >= 2 && storm::node_count(s) >= 3 ? 1.5 : 0.0;
     };
-    if (is_broken(spec) < 1) continue;
+    if (distance_of(spec) < 1) continue;
     ++shrunk_count;
-    const storm::ShrinkResult small = storm::shrink(spec, is_broken);
+    const storm::ShrinkResult small = storm::shrink(spec, distance_of);
     CHECK(model::find_spec_errors(small.spec).empty());
     const Scenario read = read_scenario(scenario_text(small.spec), "shrunk");
-    for (const auto& fault : read.faults) FAIL_CHECK("seed ", seed, ": ", fault.to_string());
+    for (const auto& error : read.faults) FAIL_CHECK("seed ", seed, ": ", error.to_string());
     CHECK(storm::fault_spans(small.spec).size() == 1);
     CHECK(storm::router_count(small.spec) == 2);
     CHECK(storm::node_count(small.spec) <= 4);
@@ -133,15 +134,16 @@
   CHECK(shrunk_count == 12);
 }
 
-TEST_CASE("a season does not depend on the number of jobs and a storm file repeats its verdicts ten times") {
-  storm::Campaign season;
+TEST_CASE(
+    "a campaign does not depend on the number of jobs and a storm file gives the same verdicts in ten runs") {
+  storm::Campaign campaign;
   const storm::StormLimits tiny{4, 7, 12};
-  season.limits = tiny;
-  season.first_seed = 40;
-  season.storms = 3;
-  const storm::CampaignSummary one_job = storm::execute(virtual_rig(), season);
-  season.jobs = 3;
-  const storm::CampaignSummary three_jobs = storm::execute(virtual_rig(), season);
+  campaign.limits = tiny;
+  campaign.first_seed = 40;
+  campaign.storms = 3;
+  const storm::CampaignSummary one_job = storm::execute(virtual_setup(), campaign);
+  campaign.jobs = 3;
+  const storm::CampaignSummary three_jobs = storm::execute(virtual_setup(), campaign);
   CHECK(one_job.storms == 3);
   CHECK(one_job.requests == three_jobs.requests);
   CHECK(one_job.events == three_jobs.events);
@@ -156,9 +158,9 @@
   CHECK_FALSE(expected->broken);
   const Scenario read = read_scenario(text, "storm");
   REQUIRE(read.is_valid());
-  const storm::StormOutcome first = storm::execute(virtual_rig(), spec);
+  const storm::StormOutcome first = storm::execute(virtual_setup(), spec);
   for (int i = 0; i < 10; ++i) {
-    const storm::StormOutcome again = storm::execute(virtual_rig(), read.spec);
+    const storm::StormOutcome again = storm::execute(virtual_setup(), read.spec);
     CHECK(again.events == first.events);
     for (std::size_t o = 0; o < first.verdicts.size(); ++o) {
       CHECK(again.verdicts[o].distance == first.verdicts[o].distance);
@@ -175,7 +177,7 @@
                   std::invalid_argument);
 }
 
-TEST_CASE("a run without an end is stopped and breaks the oracle ends") {
+TEST_CASE("a run that does not end is stopped and breaks the ends oracle") {
   struct EndlessDriver : Driver {
     RunInfo run(const model::Spec&, model::Sink&, const RunControl& control) override {
       RunInfo info;
@@ -184,7 +186,7 @@
       return info;
     }
   };
-  const model::Spec spec = storm::draw_storm(3, {}, small_storm_size());
+  const model::Spec spec = storm::draw_storm(3, {}, small_limits());
   const storm::StormOutcome outcome =
       storm::execute({[] { return std::make_unique<EndlessDriver>(); }, true}, spec);
   CHECK(outcome.broken() == &oracle("ends"));
@@ -214,15 +216,15 @@
   for (const auto& c : cases) {
     const std::string name = kPlantedDefectNames[static_cast<std::size_t>(c.planted)];
     CAPTURE(name);
-    const model::Spec spec = storm::draw_storm(c.seed, {}, small_storm_size());
-    const storm::StormOutcome with =
+    const model::Spec spec = storm::draw_storm(c.seed, {}, small_limits());
+    const storm::StormOutcome with_defect =
         storm::execute({[&] { return make_virtual_driver(c.planted); }, true}, spec);
     const storm::Oracle& found_by = oracle(c.found_by);
-    INFO(with.verdicts[static_cast<std::size_t>(&found_by - storm::oracles().data())].description);
-    CHECK(with.broken(found_by));
-    // The runs of fixed seeds show that sure oracles accept a correct fleet.
+    INFO(with_defect.verdicts[static_cast<std::size_t>(&found_by - storm::oracles().data())].description);
+    CHECK(with_defect.broken(found_by));
+    // Storm.FixedSeeds shows that certain oracles accept a correct fleet.
     if (found_by.confidence == storm::Confidence::Statistical) {
-      CHECK_FALSE(storm::execute(virtual_rig(), spec).broken(found_by));
+      CHECK_FALSE(storm::execute(virtual_setup(), spec).broken(found_by));
     }
   }
 }
--- a/tests/lab/support.h
+++ b/tests/lab/support.h
@@ -14,6 +14,8 @@
 
 namespace fernward::tests {
 
+// A client connection whose bytes a test writes and reads itself. `parser` has the response received so
+// far.
 class RawConnection {
  public:
   // Waits up to `wait_ms` for the connection to be established.
@@ -36,7 +38,7 @@
     [[maybe_unused]] const auto n = ::send(fd_, text.data(), text.size(), MSG_NOSIGNAL);
   }
 
-  enum class State { Open, Closed, Reset };
+  enum class State { Open, Closed, Reset }; // as found by read()
   // Returns the bytes received within `wait_ms`. Returns earlier when a response is complete or malformed,
   // when the connection ends, or when `is_complete` returns true.
   std::string read(
@@ -79,6 +81,7 @@
   bool connected_ = false;
 };
 
+// Polls `condition` until it is true. Returns false if it is still false after `wait_ms`.
 inline bool wait_until(const std::function<bool()>& condition, double wait_ms = 10000) {
   const double deadline_ms = loop::now_ms() + wait_ms;
   while (!condition()) {
--- a/tests/lab/virtual/memory_test.cpp
+++ b/tests/lab/virtual/memory_test.cpp
@@ -61,8 +61,8 @@
 
 int main() {
   struct Minute {
-    std::size_t max_live_bytes = 0; // maximum of live bytes
-    int progress_calls = 0;         // progress is called once per fixed number of events
+    std::size_t max_live_bytes = 0;
+    int progress_calls = 0; // progress is called once per fixed number of events
   };
   std::map<int, Minute> minutes;
   fernward::lab::RunControl control;
@@ -78,9 +78,10 @@
                 usage.progress_calls);
   // Timers that start further timers would increase the number of events before they increase memory.
   // The first minute is skipped: it fills the memory that is kept for reuse.
-  const Minute first = minutes[1], last = minutes[2];
-  const bool bounded = last.progress_calls > 0 && last.max_live_bytes < first.max_live_bytes * 5 / 4 &&
-                       last.progress_calls < first.progress_calls * 23 / 20;
+  const Minute second_minute = minutes[1], third_minute = minutes[2];
+  const bool bounded = third_minute.progress_calls > 0 &&
+                       third_minute.max_live_bytes < second_minute.max_live_bytes * 5 / 4 &&
+                       third_minute.progress_calls < second_minute.progress_calls * 23 / 20;
   std::printf("%s\n", bounded ? "bounded" : "memory or events per minute grow with the run");
   return bounded ? 0 : 1;
 }
--- a/tests/lab/virtual/sharing_test.cpp
+++ b/tests/lab/virtual/sharing_test.cpp
@@ -15,11 +15,12 @@
 
 namespace {
 
+// Records the shared state of the routers, and the load that they put on the origin.
 struct SharingRecorder : Sink {
   using Sink::on;
-  void on(const DrawnRequest& d) override { possible_value += d.priority_weight; }
+  void on(const DrawnRequest& d) override { offered_weight += d.priority_weight; }
   void on(const RequestEnded& c) override {
-    earned_value += c.earned_weight;
+    earned_weight += c.earned_weight;
     const double all[] = {c.at, c.earned_weight, c.latency_ms};
     result_hash = XXH3_64bits_withSeed(all, sizeof all, result_hash);
   }
@@ -61,8 +62,10 @@
     for (const auto& [at, sum] : sums) max_sum = std::max(max_sum, sum), total += sum;
     return {total / static_cast<double>(sums.size()), max_sum};
   }
-  template <typename Of>
-  std::pair<double, double> range(double from_ms, double to_ms, std::set<RouterId> routers, Of value) const {
+  // Returns the minimum and maximum of `value` over the samples of `routers` from `from_ms` to `to_ms`.
+  template <typename Value>
+  std::pair<double, double> range(double from_ms, double to_ms, std::set<RouterId> routers,
+                                  Value value) const {
     double min_value = 1e9, max_value = -1e9;
     for (const SharingSample& s : samples) {
       if (s.at < from_ms || s.at >= to_ms || routers.count(s.router) == 0) continue;
@@ -72,10 +75,10 @@
   }
 
   MachineId origin = 14;
-  double possible_value = 0, earned_value = 0;
+  double offered_weight = 0, earned_weight = 0;
   std::uint64_t result_hash = 0;
   std::set<AttemptId> open_at_origin;
-  std::map<int, std::size_t> origin_peaks; // most open attempts at the origin, by second
+  std::map<int, std::size_t> origin_peaks; // by second: the largest number of open attempts at the origin
   std::map<RouterId, std::multiset<double>> send_times_ms;
   std::map<TryId, RouterId> accepting_router;
   std::map<RouterId, int> unanswered_tries;
@@ -85,9 +88,9 @@
 
 const std::set<RouterId> kAllRouters{0, 1, 2, 3}, kOtherRouters{1, 2, 3};
 
-double live_routers(const SharingSample& s) { return s.living_routers; }
-double reporting_routers(const SharingSample& s) { return s.reporting_peers; }
-double limit_share(const SharingSample& s) { return s.shared_part; }
+double living_routers(const SharingSample& s) { return s.living_routers; }
+double reporting_peers(const SharingSample& s) { return s.reporting_peers; }
+double shared_part(const SharingSample& s) { return s.shared_part; }
 
 Spec sharing_spec(double seconds, std::uint64_t seed, EventAction event, double at_ms = 10000) {
   Spec spec = test::four_zone_spec(410, seconds);
@@ -98,11 +101,11 @@
 }
 
 RunInfo run(const Spec& spec, SharingRecorder& recorder) {
-  for (const SpecError& fault : find_spec_errors(spec)) FAIL(fault.path, " ", fault.reason);
+  for (const SpecError& error : find_spec_errors(spec)) FAIL(error.path, " ", error.reason);
   return make_virtual_driver()->run(spec, recorder);
 }
 
-RouterSelector pick_routers(std::vector<RouterId> routers) { return {std::move(routers), {}, {}}; }
+RouterSelector router_selector(std::vector<RouterId> routers) { return {std::move(routers), {}, {}}; }
 
 } // namespace
 
@@ -122,22 +125,24 @@
 TEST_CASE("with routers partitioned each side counts its own and the sum of limits does not grow") {
   for (const std::uint64_t seed : {1, 2, 3}) {
     CAPTURE(seed);
-    SharingRecorder cut;
-    const RunInfo info = run(
-        sharing_spec(30, seed,
-                     PartitionRouters{pick_routers({0, 1}), {}, false, PartitionedTraffic::Datagrams, 25000}),
-        cut);
-    const double mean_before = cut.limit_sums(5000, 10000).first, most = cut.limit_sums(11000, 25000).second;
+    SharingRecorder partitioned;
+    const RunInfo info =
+        run(sharing_spec(
+                30, seed,
+                PartitionRouters{router_selector({0, 1}), {}, false, PartitionedTraffic::Datagrams, 25000}),
+            partitioned);
+    const double mean_before = partitioned.limit_sums(5000, 10000).first,
+                 max_during = partitioned.limit_sums(11000, 25000).second;
     CHECK(mean_before > 20);
-    CHECK(most < 1.25 * mean_before + 2);
-    CHECK(static_cast<double>(cut.max_origin_attempts(11, 25)) <
-          1.25 * mean_before + 2); // as counted at the origin
-    CHECK(cut.range(5000, 10000, kAllRouters, reporting_routers) == std::pair(3.0, 3.0));
-    CHECK(cut.range(23000, 25000, kAllRouters, live_routers) == std::pair(2.0, 2.0));
-    CHECK(cut.range(23000, 25000, kAllRouters, reporting_routers) == std::pair(1.0, 1.0));
-    CHECK(cut.range(28000, 30000, kAllRouters, live_routers) == std::pair(4.0, 4.0));
-    for (const RouterResourceUse& r :
-         info.routers) { // about 8 per second, twice that while suspecting others
+    CHECK(max_during < 1.25 * mean_before + 2);
+    // The same as counted at the origin.
+    CHECK(static_cast<double>(partitioned.max_origin_attempts(11, 25)) < 1.25 * mean_before + 2);
+    CHECK(partitioned.range(5000, 10000, kAllRouters, reporting_peers) == std::pair(3.0, 3.0));
+    CHECK(partitioned.range(23000, 25000, kAllRouters, living_routers) == std::pair(2.0, 2.0));
+    CHECK(partitioned.range(23000, 25000, kAllRouters, reporting_peers) == std::pair(1.0, 1.0));
+    CHECK(partitioned.range(28000, 30000, kAllRouters, living_routers) == std::pair(4.0, 4.0));
+    // About 8 datagrams per second, and twice as many while a router suspects others.
+    for (const RouterResourceUse& r : info.routers) {
       CHECK(r.datagrams > 150);
       CHECK(r.datagrams < 600);
       CHECK(r.datagram_bytes > 40 * r.datagrams);
@@ -145,22 +150,23 @@
   }
 }
 
-TEST_CASE("half of the datagrams lost or duplicated hides no router and all of them lost isolates each") {
+TEST_CASE(
+    "losing and duplicating half of the datagrams hides no router and losing all of them isolates each") {
   SharingRecorder half_lost, all_lost;
   run(sharing_spec(24, 1, LoseDatagrams{{}, 0.5, 0.5, 0}), half_lost);
-  CHECK(half_lost.range(12000, 24000, kAllRouters, reporting_routers).first == 3);
+  CHECK(half_lost.range(12000, 24000, kAllRouters, reporting_peers).first == 3);
   run(sharing_spec(30, 1, LoseDatagrams{{}, 1, 0, 25000}), all_lost);
-  CHECK(all_lost.range(23000, 25000, kAllRouters, reporting_routers).second == 0);
-  CHECK(all_lost.range(23000, 25000, kAllRouters, limit_share).second ==
-        0); // an isolated router learns its limit alone
-  CHECK(all_lost.range(28000, 30000, kAllRouters, reporting_routers).first == 3);
+  CHECK(all_lost.range(23000, 25000, kAllRouters, reporting_peers).second == 0);
+  // An isolated router learns its limit alone.
+  CHECK(all_lost.range(23000, 25000, kAllRouters, shared_part).second == 0);
+  CHECK(all_lost.range(28000, 30000, kAllRouters, reporting_peers).first == 3);
 }
 
 TEST_CASE("a paused router sends nothing and handles the waiting requests when it resumes") {
   for (const double ms : {300.0, 9000.0}) {
     CAPTURE(ms);
     SharingRecorder pause;
-    run(sharing_spec(24, 1, PauseRouters{pick_routers({0}), 10000 + ms}), pause);
+    run(sharing_spec(24, 1, PauseRouters{router_selector({0}), 10000 + ms}), pause);
     const auto& sent = pause.send_times_ms[0];
     const auto sent_between = [&](double from, double to) {
       return std::distance(sent.upper_bound(from), sent.lower_bound(to));
@@ -171,44 +177,43 @@
     if (ms < 1000) { // shorter than the clients' timeout: all waiting requests are served
       CHECK(sent_between(10299.9, 10310) > 5);
       CHECK(pause.unanswered_tries[0] == 0);
-      CHECK(pause.range(10000, 24000, kOtherRouters, live_routers).first == 4);
+      CHECK(pause.range(10000, 24000, kOtherRouters, living_routers).first == 4);
     } else {
       CHECK(pause.unanswered_tries[0] > 0);
-      CHECK(pause.range(16000, 19000, kOtherRouters, live_routers) == std::pair(3.0, 3.0));
+      CHECK(pause.range(16000, 19000, kOtherRouters, living_routers) == std::pair(3.0, 3.0));
       // The router does not suspect others because of the datagrams that it missed.
-      CHECK(pause.range(19500, 24000, {0}, live_routers).first == 4);
+      CHECK(pause.range(19500, 24000, {0}, living_routers).first == 4);
     }
-    CHECK(pause.range(23000, 24000, kAllRouters, live_routers).first == 4);
-    CHECK(pause.earned_value / pause.possible_value > 0.95);
+    CHECK(pause.range(23000, 24000, kAllRouters, living_routers).first == 4);
+    CHECK(pause.earned_weight / pause.offered_weight > 0.95);
   }
 }
 
-TEST_CASE(
-    "a router with false demand and limit changes the others' limit shares no more than a correct one") {
+TEST_CASE("a router that reports false demand and limit changes the others' shared parts by less than half") {
   for (const ReportedExtreme limit : {ReportedExtreme::Minimum, ReportedExtreme::Maximum}) {
-    SharingRecorder accurate, false_claims;
+    SharingRecorder correct, inconsistent;
     run(sharing_spec(
             24, 1,
-            InconsistentRouter{pick_routers({0}), ReportedExtreme::Maximum, limit, false, false, 24000},
+            InconsistentRouter{router_selector({0}), ReportedExtreme::Maximum, limit, false, false, 24000},
             23000),
-        accurate);
+        correct);
     run(sharing_spec(
             24, 1,
-            InconsistentRouter{pick_routers({0}), ReportedExtreme::Maximum, limit, false, false, 20000}),
-        false_claims);
-    const auto usual_shares = accurate.range(11000, 20000, kOtherRouters, limit_share),
-               shares_during_claims = false_claims.range(11000, 20000, kOtherRouters, limit_share);
-    CHECK(shares_during_claims.first > 0.5 * usual_shares.first);
-    CHECK(shares_during_claims.second < 1.5 * usual_shares.second);
-    CHECK(false_claims.limit_sums(11000, 20000).second < 1.5 * accurate.limit_sums(11000, 20000).second);
-    CHECK(false_claims.range(10000, 24000, kOtherRouters, live_routers).first == 4);
+            InconsistentRouter{router_selector({0}), ReportedExtreme::Maximum, limit, false, false, 20000}),
+        inconsistent);
+    const auto usual_parts = correct.range(11000, 20000, kOtherRouters, shared_part),
+               parts_during_fault = inconsistent.range(11000, 20000, kOtherRouters, shared_part);
+    CHECK(parts_during_fault.first > 0.5 * usual_parts.first);
+    CHECK(parts_during_fault.second < 1.5 * usual_parts.second);
+    CHECK(inconsistent.limit_sums(11000, 20000).second < 1.5 * correct.limit_sums(11000, 20000).second);
+    CHECK(inconsistent.range(10000, 24000, kOtherRouters, living_routers).first == 4);
   }
-  SharingRecorder false_accusation;
+  SharingRecorder accusing;
   run(sharing_spec(24, 1,
-                   InconsistentRouter{pick_routers({0}), ReportedExtreme::Minimum, ReportedExtreme::Minimum,
-                                      false, true, 20000}),
-      false_accusation);
+                   InconsistentRouter{router_selector({0}), ReportedExtreme::Minimum,
+                                      ReportedExtreme::Minimum, false, true, 20000}),
+      accusing);
   // A router's own report has precedence over reports about it.
-  CHECK(false_accusation.range(10000, 20000, kOtherRouters, live_routers).first == 4);
-  CHECK(false_accusation.range(22000, 24000, kOtherRouters, live_routers).first == 4);
+  CHECK(accusing.range(10000, 20000, kOtherRouters, living_routers).first == 4);
+  CHECK(accusing.range(22000, 24000, kOtherRouters, living_routers).first == 4);
 }
--- a/tests/lab/virtual/virtual_test.cpp
+++ b/tests/lab/virtual/virtual_test.cpp
@@ -1,3 +1,5 @@
+// The driver in virtual time: equal records for equal specs, the effect of each event, the shutdown of
+// routers, connections, large fleets, and stop requests.
 #include "lab/virtual/virtual_driver.h"
 
 #include <doctest/doctest.h>
@@ -22,12 +24,12 @@
 struct RecordTracker : Sink {
   struct TryRecord {
     TrySent tried;
-    int answer_count = 0;
+    int end_count = 0;
   };
   void on(const DrawnRequest& d) override {
     add_to_hash(d.at, 1, d.request, d.key, d.work_ms);
     drawn_requests[d.request] = d;
-    possible_value += d.priority_weight;
+    offered_weight += d.priority_weight;
     if (d.key >= 0xff0000) ++hot_key_requests;
   }
   void on(const TrySent& t) override {
@@ -37,33 +39,34 @@
   }
   void on(const TryEnded& a) override {
     add_to_hash(a.at, 3, a.try_id, static_cast<std::uint64_t>(a.outcome), a.retry_after_ms);
-    ++tries[a.try_id].answer_count;
-    ++outcomes[a.outcome];
-    if (a.surplus) ++surplus_answers;
+    ++tries[a.try_id].end_count;
+    ++try_outcome_counts[a.outcome];
+    if (a.surplus) ++surplus_responses;
     const TrySent& t = tries[a.try_id].tried;
     if (a.outcome == TryOutcome::TimedOut && t.accepted) ++unanswered_tries[t.router];
   }
   void on(const RequestEnded& c) override {
     add_to_hash(c.at, 4, c.request, static_cast<std::uint64_t>(c.outcome), c.latency_ms);
-    ++close_counts[c.request];
-    earned_value += c.earned_weight;
-    // Earned and possible value, by the second in which the request was drawn.
-    auto& second = values_by_second[static_cast<int>(drawn_requests[c.request].at / 1000)];
-    second.first += c.earned_weight, second.second += drawn_requests[c.request].priority_weight;
+    ++request_end_counts[c.request];
+    earned_weight += c.earned_weight;
+    // Earned and offered weight, by the second in which the request was drawn.
+    auto& weights = weights_by_second[static_cast<int>(drawn_requests[c.request].at / 1000)];
+    weights.first += c.earned_weight, weights.second += drawn_requests[c.request].priority_weight;
   }
   void on(const AttemptArrived& a) override {
     add_to_hash(a.at, 5, a.attempt, a.machine, a.work_ms);
     ++arrival_counts[a.attempt];
     ++arrivals_by_machine[a.machine];
-    if (const auto told = unavailable_since.find({a.router, a.machine}); told != unavailable_since.end()) {
-      if (a.sent_at > told->second + 250) ++late_sends;
+    if (const auto notified = unavailable_since.find({a.router, a.machine});
+        notified != unavailable_since.end()) {
+      if (a.sent_at > notified->second + 250) ++late_sends;
     }
   }
   void on(const AttemptStarted& b) override { add_to_hash(b.at, 6, b.attempt, b.machine, 0); }
   void on(const AttemptEnded& a) override {
     add_to_hash(a.at, 7, a.attempt, static_cast<std::uint64_t>(a.outcome), a.work_done_ms);
-    ++end_counts[a.attempt];
-    ++ending_counts[a.outcome];
+    ++attempt_end_counts[a.attempt];
+    ++attempt_outcome_counts[a.outcome];
   }
   void on(const LoadSample& s) override {
     add_to_hash(s.at, 8, s.machine, s.active, s.utilization);
@@ -101,50 +104,51 @@
     } all{at, c, what, a, b};
     record_hash = XXH3_64bits_withSeed(&all, sizeof all, record_hash);
   }
-  double service() const { return earned_value / possible_value; }
+  double service() const { return earned_weight / offered_weight; }
   double service(int from_s, int to_s) const {
-    double earned_sum = 0, possible_sum = 0;
-    for (auto it = values_by_second.lower_bound(from_s); it != values_by_second.end() && it->first < to_s;
+    double earned_sum = 0, offered_sum = 0;
+    for (auto it = weights_by_second.lower_bound(from_s); it != weights_by_second.end() && it->first < to_s;
          ++it) {
-      earned_sum += it->second.first, possible_sum += it->second.second;
+      earned_sum += it->second.first, offered_sum += it->second.second;
     }
-    return earned_sum / possible_sum;
+    return earned_sum / offered_sum;
   }
 
   std::unordered_map<RequestNumber, DrawnRequest> drawn_requests;
   std::map<TryId, TryRecord> tries;
-  std::unordered_map<RequestNumber, int> close_counts;
-  std::unordered_map<AttemptId, int> arrival_counts, end_counts;
+  std::unordered_map<RequestNumber, int> request_end_counts;
+  std::unordered_map<AttemptId, int> arrival_counts, attempt_end_counts;
   std::map<MachineId, int> arrivals_by_machine;
-  std::map<TryOutcome, int> outcomes;
-  std::map<ServerOutcome, int> ending_counts;
+  std::map<TryOutcome, int> try_outcome_counts;
+  std::map<ServerOutcome, int> attempt_outcome_counts;
   std::map<NodeEvent::What, int> node_event_counts;
   std::map<RouterEvent::What, int> router_event_counts;
   std::map<RouterId, int> unanswered_tries;
   std::map<std::pair<RouterId, MachineId>, double> unavailable_since;
-  std::map<int, std::pair<double, double>> values_by_second;
-  double possible_value = 0, earned_value = 0, last_record_ms = 0, new_connections = 0, last_sample_ms = -1;
+  std::map<int, std::pair<double, double>> weights_by_second;
+  double offered_weight = 0, earned_weight = 0, last_record_ms = 0, new_connections = 0, last_sample_ms = -1;
   std::uint32_t connections = 0, max_connections = 0; // of all machines at one sample time
-  int late_sends = 0, unavailable_updates = 0, accepted_tries = 0, surplus_answers = 0, hot_key_requests = 0;
+  int late_sends = 0, unavailable_updates = 0, accepted_tries = 0, surplus_responses = 0,
+      hot_key_requests = 0;
   bool records_in_order = true;
   std::uint64_t record_hash = 0;
 };
 
 void run(const Spec& spec, RecordTracker& tracker) {
-  for (const SpecError& fault : find_spec_errors(spec)) FAIL(fault.path, " ", fault.reason);
+  for (const SpecError& error : find_spec_errors(spec)) FAIL(error.path, " ", error.reason);
   const RunInfo info = make_virtual_driver()->run(spec, tracker);
   CHECK_FALSE(info.is_void);
   CHECK(tracker.records_in_order);
-  CHECK(tracker.close_counts.size() == tracker.drawn_requests.size());
-  CHECK(tracker.surplus_answers == 0);
-  for (const auto& [request, times] : tracker.close_counts) {
+  CHECK(tracker.request_end_counts.size() == tracker.drawn_requests.size());
+  CHECK(tracker.surplus_responses == 0);
+  for (const auto& [request, times] : tracker.request_end_counts) {
     if (times != 1) FAIL("request ", request, " ended ", times, " times");
   }
   for (const auto& [id, t] : tracker.tries) {
-    if (t.answer_count != 1) FAIL("try ", id, " was answered ", t.answer_count, " times");
+    if (t.end_count != 1) FAIL("try ", id, " ended ", t.end_count, " times");
   }
-  CHECK(tracker.end_counts.size() == tracker.arrival_counts.size());
-  for (const auto& [attempt, times] : tracker.end_counts) {
+  CHECK(tracker.attempt_end_counts.size() == tracker.arrival_counts.size());
+  for (const auto& [attempt, times] : tracker.attempt_end_counts) {
     if (times != 1 || tracker.arrival_counts.count(attempt) == 0)
       FAIL("attempt ", attempt, " ended ", times, " times");
   }
@@ -195,67 +199,83 @@
     std::function<bool(const RecordTracker&)> matches;
   } cases[] = {
       {"drain", DrainNodes{two, 3000, 0},
-       [](const RecordTracker& b) {
-         return b.node_event_counts.at(NodeWhat::Draining) == 2 &&
-                b.node_event_counts.at(NodeWhat::Ended) == 2 && b.unavailable_updates >= 8 &&
-                b.ending_counts.count(ServerOutcome::Draining) > 0;
+       [](const RecordTracker& tracker) {
+         return tracker.node_event_counts.at(NodeWhat::Draining) == 2 &&
+                tracker.node_event_counts.at(NodeWhat::Ended) == 2 && tracker.unavailable_updates >= 8 &&
+                tracker.attempt_outcome_counts.count(ServerOutcome::Draining) > 0;
        }},
       {"kill", KillNodes{two},
-       [](const RecordTracker& b) {
-         return b.ending_counts.count(ServerOutcome::Lost) > 0 && b.unavailable_updates == 8;
+       [](const RecordTracker& tracker) {
+         return tracker.attempt_outcome_counts.count(ServerOutcome::Lost) > 0 &&
+                tracker.unavailable_updates == 8;
        }},
       {"restart", RestartNodes{two, 1000},
-       [](const RecordTracker& b) { return b.node_event_counts.at(NodeWhat::Started) == 2; }},
+       [](const RecordTracker& tracker) { return tracker.node_event_counts.at(NodeWhat::Started) == 2; }},
       {"replace", ReplaceNodes{two, 1000},
-       [](const RecordTracker& b) {
-         return b.node_event_counts.at(NodeWhat::Started) == 2 && b.arrivals_by_machine.count(15) > 0;
+       [](const RecordTracker& tracker) {
+         return tracker.node_event_counts.at(NodeWhat::Started) == 2 &&
+                tracker.arrivals_by_machine.count(15) > 0;
        }},
       {"silent", SilentNodes{two, 0},
-       [](const RecordTracker& b) {
-         return b.unavailable_updates == 8 && b.ending_counts.count(ServerOutcome::Lost) == 0;
+       [](const RecordTracker& tracker) {
+         return tracker.unavailable_updates == 8 &&
+                tracker.attempt_outcome_counts.count(ServerOutcome::Lost) == 0;
        }},
       {"neighbour", NoisyNeighbour{half, 0.6, 9000, 2000, 1000},
-       [](const RecordTracker& b) { return b.node_event_counts.at(NodeWhat::NeighbourStarted) > 7; }},
-      {"cut between zones", PartitionZones{{0}, {1, 2, 3}, 8000},
-       [](const RecordTracker& b) { return b.unavailable_updates == 0; }},
-      {"cut between nodes and routers", PartitionNodes{half, one, 8000},
-       [](const RecordTracker& b) { return b.unavailable_updates == 0; }},
+       [](const RecordTracker& tracker) {
+         return tracker.node_event_counts.at(NodeWhat::NeighbourStarted) > 7;
+       }},
+      {"partition between zones", PartitionZones{{0}, {1, 2, 3}, 8000},
+       [](const RecordTracker& tracker) { return tracker.unavailable_updates == 0; }},
+      {"partition between nodes and routers", PartitionNodes{half, one, 8000},
+       [](const RecordTracker& tracker) { return tracker.unavailable_updates == 0; }},
       {"routers killed", RestartRouters{all, RouterEnd::Kill, 1500, 2, 4000},
-       [](const RecordTracker& b) {
-         return b.router_event_counts.at(RouterWhat::Killed) == 4 &&
-                b.outcomes.count(TryOutcome::ConnectionLost) > 0;
+       [](const RecordTracker& tracker) {
+         return tracker.router_event_counts.at(RouterWhat::Killed) == 4 &&
+                tracker.try_outcome_counts.count(TryOutcome::ConnectionLost) > 0;
        }},
       {"routers terminated", RestartRouters{all, RouterEnd::Term, 1000, 1, 4000},
-       [](const RecordTracker& b) {
-         return b.router_event_counts.at(RouterWhat::Ended) == 4 &&
-                b.router_event_counts.at(RouterWhat::Started) == 8 &&
-                b.outcomes.count(TryOutcome::ConnectionLost) == 0;
+       [](const RecordTracker& tracker) {
+         return tracker.router_event_counts.at(RouterWhat::Ended) == 4 &&
+                tracker.router_event_counts.at(RouterWhat::Started) == 8 &&
+                tracker.try_outcome_counts.count(TryOutcome::ConnectionLost) == 0;
        }},
       {"reload", ReloadRouters{all},
-       [](const RecordTracker& b) { return b.router_event_counts.at(RouterWhat::Reloaded) == 4; }},
+       [](const RecordTracker& tracker) {
+         return tracker.router_event_counts.at(RouterWhat::Reloaded) == 4;
+       }},
       {"discovery outage", DiscoveryOutage{8000},
-       [](const RecordTracker& b) { return b.unavailable_updates == 0; }},
+       [](const RecordTracker& tracker) { return tracker.unavailable_updates == 0; }},
       {"discovery moves", DiscoveryMove{1000, 300},
-       [](const RecordTracker& b) { return b.router_event_counts.at(RouterWhat::Reloaded) == 4; }},
+       [](const RecordTracker& tracker) {
+         return tracker.router_event_counts.at(RouterWhat::Reloaded) == 4;
+       }},
       {"origin stalls", OriginStall{5000},
-       [](const RecordTracker& b) { return b.service(3, 5) < b.service(0, 2); }},
-      {"origin slow", OriginSlow{0.3, 6000}, [](const RecordTracker& b) { return b.service() > 0.5; }},
+       [](const RecordTracker& tracker) { return tracker.service(3, 5) < tracker.service(0, 2); }},
+      {"origin slow", OriginSlow{0.3, 6000},
+       [](const RecordTracker& tracker) { return tracker.service() > 0.5; }},
       {"origin falls", OriginFall{2000},
-       [](const RecordTracker& b) { return b.ending_counts.count(ServerOutcome::Lost) > 0; }},
-      {"hot key", HotKey{0.3, 8000}, [](const RecordTracker& b) { return b.hot_key_requests > 500; }},
+       [](const RecordTracker& tracker) {
+         return tracker.attempt_outcome_counts.count(ServerOutcome::Lost) > 0;
+       }},
+      {"hot key", HotKey{0.3, 8000},
+       [](const RecordTracker& tracker) { return tracker.hot_key_requests > 500; }},
       {"load spike", LoadSpike{2, 7000},
-       [](const RecordTracker& b) { return b.drawn_requests.size() > 5500; }},
+       [](const RecordTracker& tracker) { return tracker.drawn_requests.size() > 5500; }},
       {"zone lost", ZoneOutage{1, 0, true},
-       [](const RecordTracker& b) { return b.router_event_counts.at(RouterWhat::Silent) == 1; }},
+       [](const RecordTracker& tracker) { return tracker.router_event_counts.at(RouterWhat::Silent) == 1; }},
       {"zone lost with its clients", ZoneOutage{1, 8000, false},
-       [](const RecordTracker& b) { return b.outcomes.at(TryOutcome::TimedOut) > 400; }},
-      {"slow link", SlowLink{0, 1, 20, 8000}, [](const RecordTracker& b) { return b.service() > 0.5; }},
+       [](const RecordTracker& tracker) {
+         return tracker.try_outcome_counts.at(TryOutcome::TimedOut) > 400;
+       }},
+      {"slow link", SlowLink{0, 1, 20, 8000},
+       [](const RecordTracker& tracker) { return tracker.service() > 0.5; }},
       {"errors", BadResponses{two, 0.5, 0, BadResponse::Error},
-       [](const RecordTracker& b) { return b.service() > 0.8; }},
-      {"never ends", BadResponses{two, 0.5, 0, BadResponse::NeverCompletes},
-       [](const RecordTracker& b) { return b.service() > 0.8; }},
+       [](const RecordTracker& tracker) { return tracker.service() > 0.8; }},
+      {"never completes", BadResponses{two, 0.5, 0, BadResponse::NeverCompletes},
+       [](const RecordTracker& tracker) { return tracker.service() > 0.8; }},
       {"slow bytes", BadResponses{two, 0.5, 8000, BadResponse::SlowBytes},
-       [](const RecordTracker& b) { return b.service() > 0.8; }},
+       [](const RecordTracker& tracker) { return tracker.service() > 0.8; }},
   };
   for (const auto& c : cases) {
     CAPTURE(c.name);
@@ -313,30 +333,31 @@
     Spec spec = test::four_zone_spec(410, 11);
     spec.seed = seed;
     spec.events = {event_at(3000, RestartRouters{{}, RouterEnd::Term, 1000, 0, 0})};
-    double max_give_up_ms = 0;
-    for (const ClassSpec& c : spec.classes) max_give_up_ms = std::max(max_give_up_ms, c.client_timeout_ms);
-    const double half = (max_give_up_ms + 600) / 2; // below 1.5 s here
-    RouterEndRecorder with_kept_connections, anew;
+    double max_client_timeout_ms = 0;
+    for (const ClassSpec& c : spec.classes)
+      max_client_timeout_ms = std::max(max_client_timeout_ms, c.client_timeout_ms);
+    const double half_shutdown_ms = (max_client_timeout_ms + 600) / 2; // below 1.5 s here
+    RouterEndRecorder with_kept_connections, with_new_connections;
     make_virtual_driver()->run(spec, with_kept_connections);
     CHECK(with_kept_connections.served_on_kept > 100);
     CHECK(with_kept_connections.served_on_new == 0);
     CHECK(with_kept_connections.end_times_ms.size() == 4);
-    for (const double at : with_kept_connections.end_times_ms) CHECK(at >= 3000 + half);
+    for (const double at : with_kept_connections.end_times_ms) CHECK(at >= 3000 + half_shutdown_ms);
     spec.clients.keep_connections = false;
-    make_virtual_driver()->run(spec, anew);
-    CHECK(anew.served_on_kept == 0);
-    CHECK(anew.end_times_ms.size() == 4);
-    CHECK(anew.end_times_ms.front() < 3000 + half);
+    make_virtual_driver()->run(spec, with_new_connections);
+    CHECK(with_new_connections.served_on_kept == 0);
+    CHECK(with_new_connections.end_times_ms.size() == 4);
+    CHECK(with_new_connections.end_times_ms.front() < 3000 + half_shutdown_ms);
     // Neither side can close the kept connections while no data passes between them.
-    RouterEndRecorder cut;
+    RouterEndRecorder partitioned;
     RouterSelector first;
     first.routers = {0};
     spec.clients.keep_connections = true;
     spec.events = {event_at(3000, ZoneOutage{0, 9000, true}),
                    event_at(3100, RestartRouters{first, RouterEnd::Term, 1000, 0, 0})};
-    make_virtual_driver()->run(spec, cut);
-    CHECK(cut.end_times_ms.size() == 1);
-    CHECK(cut.end_times_ms.front() >= 3100 + half);
+    make_virtual_driver()->run(spec, partitioned);
+    CHECK(partitioned.end_times_ms.size() == 1);
+    CHECK(partitioned.end_times_ms.front() >= 3100 + half_shutdown_ms);
   }
 }
 
@@ -355,18 +376,18 @@
 
 TEST_CASE("machines that close idle connections early and routers with few sockets are simulated") {
   Spec spec = test::four_zone_spec(100, 20);
-  RecordTracker usual, early, few;
+  RecordTracker usual, early_close, few_sockets;
   run(spec, usual);
   for (NodeKind& kind : spec.kinds) kind.idle_timeout_ms = 40;
-  run(spec, early);
+  run(spec, early_close);
   spec = test::four_zone_spec(410, 10);
-  // 40 places: 20 for clients, who would need about 11, and one connection for each node.
+  // 64 sockets allow 40 connections: 20 from clients, who would need about 11, and one to each node.
   spec.routers.max_sockets = 64;
-  run(spec, few);
-  CHECK(early.new_connections > 3 * usual.new_connections);
-  CHECK(early.service() > usual.service() - 0.03);
-  CHECK(few.max_connections <= 4 * 40);
-  CHECK(few.service() > 0.9);
+  run(spec, few_sockets);
+  CHECK(early_close.new_connections > 3 * usual.new_connections);
+  CHECK(early_close.service() > usual.service() - 0.03);
+  CHECK(few_sockets.max_connections <= 4 * 40);
+  CHECK(few_sockets.service() > 0.9);
 }
 
 TEST_CASE("a fleet of 1000 nodes and 64 routers runs") {
--- a/tests/lab/virtual/virtual_time_speed.cpp
+++ b/tests/lab/virtual/virtual_time_speed.cpp
@@ -1,5 +1,6 @@
-// Measures the speed of a run in virtual time. Arguments: RATE SECONDS NODES ROUTERS, all optional. Prints
-// the speed as a multiple of real time, and the outcomes of the requests.
+// Measures the speed of a run in virtual time. Arguments: RATE SECONDS NODES ROUTERS, all optional; RATE
+// is in requests per second. Prints the speed as a multiple of real time, and the numbers of requests and
+// of attempts by outcome.
 #include <cstdio>
 #include <cstdlib>
 
@@ -11,17 +12,20 @@
 struct Totals : fernward::model::Sink {
   using Sink::on;
   void on(const fernward::model::DrawnRequest& d) override {
-    ++drawn_count, possible_value += d.priority_weight;
+    ++drawn_count, offered_weight += d.priority_weight;
   }
   void on(const fernward::model::RequestEnded& c) override {
-    earned_value += c.earned_weight;
-    ++outcome_counts[static_cast<int>(c.outcome)];
+    earned_weight += c.earned_weight;
+    ++request_outcome_counts[static_cast<int>(c.outcome)];
     total_latency_ms += c.latency_ms;
   }
   void on(const fernward::model::AttemptArrived& a) override { ++arrival_count, last_arrival_ms = a.at; }
-  void on(const fernward::model::AttemptEnded& a) override { ++ending_counts[static_cast<int>(a.outcome)]; }
-  std::uint64_t drawn_count = 0, arrival_count = 0, outcome_counts[7] = {}, ending_counts[12] = {};
-  double possible_value = 0, earned_value = 0, total_latency_ms = 0, last_arrival_ms = 0;
+  void on(const fernward::model::AttemptEnded& a) override {
+    ++attempt_outcome_counts[static_cast<int>(a.outcome)];
+  }
+  std::uint64_t drawn_count = 0, arrival_count = 0, request_outcome_counts[7] = {},
+                attempt_outcome_counts[12] = {};
+  double offered_weight = 0, earned_weight = 0, total_latency_ms = 0, last_arrival_ms = 0;
 };
 
 } // namespace
@@ -33,8 +37,8 @@
   const auto spec = fernward::lab::test::four_zone_spec(argument(1, 410), argument(2, 600),
                                                         static_cast<std::uint32_t>(argument(3, 14)),
                                                         static_cast<std::uint32_t>(argument(4, 4)));
-  for (const auto& fault : find_spec_errors(spec))
-    std::printf("fault: %s %s\n", fault.path.c_str(), fault.reason.c_str());
+  for (const auto& error : find_spec_errors(spec))
+    std::printf("error: %s: %s\n", error.path.c_str(), error.reason.c_str());
   Totals totals;
   const auto info = fernward::lab::make_virtual_driver()->run(spec, totals);
   double decision_cpu_s = 0;
@@ -47,11 +51,11 @@
               static_cast<unsigned long long>(totals.drawn_count),
               static_cast<unsigned long long>(info.simulated_events),
               (info.cpu_s + decision_cpu_s) * 1e6 / static_cast<double>(totals.drawn_count),
-              totals.earned_value / totals.possible_value,
+              totals.earned_weight / totals.offered_weight,
               totals.total_latency_ms / static_cast<double>(totals.drawn_count),
               static_cast<double>(totals.arrival_count) / static_cast<double>(totals.drawn_count));
-  for (const auto e : totals.outcome_counts) std::printf("%llu ", static_cast<unsigned long long>(e));
+  for (const auto e : totals.request_outcome_counts) std::printf("%llu ", static_cast<unsigned long long>(e));
   std::printf("| ");
-  for (const auto e : totals.ending_counts) std::printf("%llu ", static_cast<unsigned long long>(e));
+  for (const auto e : totals.attempt_outcome_counts) std::printf("%llu ", static_cast<unsigned long long>(e));
   std::printf("\n");
 }
