--- a/tests/net/components_test.cpp
+++ b/tests/net/components_test.cpp
@@ -74,7 +74,8 @@
 }
 
 TEST_CASE("on reload the file overrides the environment for discovery and only discovery may change") {
-  static std::string path; // the environment of a program that was started with all of its variables set
+  static std::string path; // static, so that the lookup needs no capture
+  // The environment of a program that was started with all of its variables set.
   const auto environment = [](const char* name) -> const char* {
     const std::string variable = name;
     return variable == "NODE_CONFIG"      ? path.c_str()
@@ -116,9 +117,9 @@
   std::map<fernward::ServerId, std::string> names_by_id;
   std::string first, second;
   for (int i = 0; second.empty(); ++i) {
-    const auto [it, added] =
+    const auto [entry, added] =
         names_by_id.emplace(endpoints::id_of("s-" + std::to_string(i)), "s-" + std::to_string(i));
-    if (!added) first = it->second, second = "s-" + std::to_string(i);
+    if (!added) first = entry->second, second = "s-" + std::to_string(i);
   }
   const std::string lesser = std::min(first, second);
   for (const bool swapped : {false, true}) {
@@ -154,15 +155,15 @@
   std::string order;
   const double now = loop::now_ms();
   timers.run_at(now + 20, [&] { order += 'c'; });
-  auto cancelled = timers.run_at(now + 5, [&] { order += 'x'; });
-  auto inner = timers.run_at(now + 15, [&] { order += 'y'; });
+  auto canceled = timers.run_at(now + 5, [&] { order += 'x'; });
+  auto canceled_by_timer = timers.run_at(now + 15, [&] { order += 'y'; });
   timers.run_at(now + 10, [&] {
     order += 'a';
-    timers.cancel(inner); // from within another timer
+    timers.cancel(canceled_by_timer); // from within another timer
     timers.run_at(now + 10, [&] { order += 'b'; });
   });
-  timers.cancel(cancelled);
-  CHECK(cancelled == 0);
+  timers.cancel(canceled);
+  CHECK(canceled == 0);
   CHECK(run_until(base.get(), [&] { return timers.size() == 0; }));
   CHECK(order == "abc");
 }
@@ -171,21 +172,21 @@
   const auto base = router::make_event_base();
   loop::TimerQueue timers(base.get());
   const double now = loop::now_ms();
-  double first = 0, inner = 0, alone_ran_at_ms = 0;
-  bool cancelled_ran = false;
+  double first_ran_at_ms = 0, nested_ran_at_ms = 0, alone_ran_at_ms = 0;
+  bool canceled_ran = false;
   timers.run_within(now + 100, now + 9000, [&] {
-    first = loop::now_ms();
-    timers.run_within(now, now + 9000, [&] { inner = loop::now_ms(); });
+    first_ran_at_ms = loop::now_ms();
+    timers.run_within(now, now + 9000, [&] { nested_ran_at_ms = loop::now_ms(); });
   });
-  auto cancelled = timers.run_within(now, now + 400, [&] { cancelled_ran = true; });
+  auto canceled = timers.run_within(now, now + 400, [&] { canceled_ran = true; });
   for (const double ms : {10, 200, 300}) timers.run_at(now + ms, [] {});
-  timers.cancel(cancelled);
+  timers.cancel(canceled);
   CHECK(run_until(base.get(), [&] { return timers.size() == 0; }));
-  CHECK(first >= now + 100);
-  CHECK(first < now + 5000);
-  CHECK(inner > first); // runs with a later timer, before the end of its own interval
-  CHECK(inner < now + 5000);
-  CHECK_FALSE(cancelled_ran);
+  CHECK(first_ran_at_ms >= now + 100);
+  CHECK(first_ran_at_ms < now + 5000);
+  CHECK(nested_ran_at_ms > first_ran_at_ms); // runs with a later timer, before the end of its own interval
+  CHECK(nested_ran_at_ms < now + 5000);
+  CHECK_FALSE(canceled_ran);
   timers.run_within(now, now + 500, [&] { alone_ran_at_ms = loop::now_ms(); });
   CHECK(run_until(base.get(), [&] { return alone_ran_at_ms > 0; }));
   CHECK(alone_ran_at_ms >= now + 500);
@@ -256,15 +257,15 @@
     parser.feed(text);
     return downstream::decode(parser.take_message(), {config.names, config.settings, {}, false});
   };
-  const auto read = decode(get_request("/api/7f?q=a/b", "r1", "X-Cost: 12500\r\nX-Attrs: a=b\r\n"));
-  CHECK(read.status == 0);
-  CHECK(read.request.path == "/api/7f?q=a/b");
-  CHECK(read.request.expected_work_ms == doctest::Approx(12.5));
+  const auto decoded = decode(get_request("/api/7f?q=a/b", "r1", "X-Cost: 12500\r\nX-Attrs: a=b\r\n"));
+  CHECK(decoded.status == 0);
+  CHECK(decoded.request.path == "/api/7f?q=a/b");
+  CHECK(decoded.request.expected_work_ms == doctest::Approx(12.5));
   // The key is the last segment of the path without the query.
-  CHECK(read.request.placement_key == decode(get_request("/other/7f", "r2")).request.placement_key);
-  CHECK(read.request.placement_key != decode(get_request("/api/80", "r2")).request.placement_key);
+  CHECK(decoded.request.placement_key == decode(get_request("/other/7f", "r2")).request.placement_key);
+  CHECK(decoded.request.placement_key != decode(get_request("/api/80", "r2")).request.placement_key);
   CHECK(decode(get_request("/api/", "r2")).request.placement_key == 0);
-  CHECK(read.request.tenant == 0);
+  CHECK(decoded.request.tenant == 0);
   // X-Cost is a hint: an invalid value is ignored.
   CHECK(decode(get_request("/a", "r", "X-Cost: lots\r\n")).request.expected_work_ms == 0);
   CHECK(decode("GET /a HTTP/1.1\r\nX-Request-ID: i\r\nX-Priority-Class: read\r\n\r\n").request.timeout_ms ==
@@ -281,7 +282,7 @@
   }
 }
 
-// Guards against a process that any list or file can crash.
+// Guards against an endpoint list or a configuration file that crashes the process.
 TEST_CASE("JSON nested two million levels deep is rejected") {
   const std::string nested = std::string(2000000, '[') + std::string(2000000, ']');
   endpoints::EndpointTable table({}, {}, true);
@@ -309,18 +310,16 @@
   CHECK(config::parse(file.dump(), &no_environment).limits.max_active_requests == 20000);
 }
 
-// Guards against a list that is never read because there were no descriptors at the only attempt, and
-// against blocking on a pipe.
+// Guards against a file that is never read because no descriptor was free at the first attempt, and against
+// blocking on a pipe.
 TEST_CASE("an endpoint file is read once it becomes readable and a pipe is not waited for") {
   const router::EventBasePtr base = router::make_event_base();
   loop::TimerQueue timers(base.get());
   char folder[] = "/tmp/fernward-test-XXXXXX";
   REQUIRE(mkdtemp(folder) != nullptr);
   const std::string path = std::string(folder) + "/nodes.json";
-  int names_by_id = 0;
-  const auto count_read = [&names_by_id](const std::string&) {
-    return static_cast<std::uint64_t>(++names_by_id);
-  };
+  int reads = 0;
+  const auto count_read = [&reads](const std::string&) { return static_cast<std::uint64_t>(++reads); };
   SUBCASE("no descriptor at the first read") {
     std::ofstream(path) << "[]";
     rlimit original_limit{};
@@ -328,20 +327,20 @@
     const rlimit no_descriptors{0, original_limit.rlim_max};
     REQUIRE(setrlimit(RLIMIT_NOFILE, &no_descriptors) == 0);
     const endpoints::EndpointFileWatch watch(timers, path, count_read);
-    const int reads_without_descriptors = names_by_id;
+    const int reads_without_descriptors = reads;
     REQUIRE(setrlimit(RLIMIT_NOFILE, &original_limit) == 0);
     CHECK(reads_without_descriptors == 0);
-    CHECK(run_until(base.get(), [&] { return names_by_id == 1; }));
+    CHECK(run_until(base.get(), [&] { return reads == 1; }));
   }
   SUBCASE("a pipe") {
     REQUIRE(mkfifo(path.c_str(), 0600) == 0);
     alarm(20); // otherwise a blocking open would never return
     const endpoints::EndpointFileWatch watch(timers, path, count_read);
     alarm(0);
-    CHECK(names_by_id == 0);
+    CHECK(reads == 0);
     unlink(path.c_str());
     std::ofstream(path) << "[]";
-    CHECK(run_until(base.get(), [&] { return names_by_id == 1; }));
+    CHECK(run_until(base.get(), [&] { return reads == 1; }));
   }
   unlink(path.c_str());
   rmdir(folder);
--- a/tests/net/concurrent_events_test.cpp
+++ b/tests/net/concurrent_events_test.cpp
@@ -30,8 +30,8 @@
   return "GET " + path + " HTTP/1.1\r\nX-Request-ID: " + id +
          "\r\nX-Priority-Class: read\r\nX-Timeout-Ms: 100000\r\n\r\n";
 }
-std::string pipelined_requests(
-    std::size_t bytes) { // at least so many bytes of further requests of the same client
+// Further requests of the same client, at least this many bytes.
+std::string pipelined_requests(std::size_t bytes) {
   std::string requests;
   for (int i = 0; requests.size() < bytes; ++i)
     requests += long_timeout_get_request("/behind", "b" + std::to_string(i));
@@ -45,8 +45,8 @@
          "\r\nX-Timeout-Ms: " + std::to_string(timeout_ms) + "\r\nContent-Length: 1\r\n\r\nv";
 }
 
-// Waits until the router has started one more connection, to the origin. The kernel has established it, but
-// neither side's event loop has seen that.
+// Waits until the router has started more than `opened` connections; the new one is to the origin. The kernel
+// has established it, but neither side's event loop has seen that.
 bool wait_for_pending_connection(RouterFixture& fixture, std::uint64_t opened) {
   return fixture.wait_until([&] { return fixture.router->pool().opened_count() > opened; }) &&
          fixture.origin.accepted_connections == static_cast<int>(opened);
@@ -54,12 +54,12 @@
 
 // Like RouterFixture::wait_until, but also returns if the event loop is busy all the time.
 bool wait_until_even_if_busy(RouterFixture& fixture, const std::function<bool()>& done) {
-  const loop::EventPtr tick(event_new(
+  const loop::EventPtr break_event(event_new(
       fixture.base.get(), -1, EV_PERSIST,
       [](int, short, void* base) { event_base_loopbreak(static_cast<event_base*>(base)); },
       fixture.base.get()));
-  const timeval each{0, 2000};
-  event_add(tick.get(), &each);
+  const timeval interval{0, 2000};
+  event_add(break_event.get(), &interval);
   const double end = loop::now_ms() + 5000;
   while (!done() && loop::now_ms() < end) event_base_loop(fixture.base.get(), EVLOOP_ONCE);
   return done();
@@ -69,8 +69,8 @@
 
 // ---- client disconnects ----
 
-// Guards against attempts for disconnected clients: the end of the connection is behind bytes that the
-// router does not read yet.
+// Guards against attempts for a disconnected client: the end of its connection follows bytes that the router
+// does not read yet.
 TEST_CASE("a client disconnect is detected behind many unread bytes") {
   RouterFixture fixture(set_long_timeouts);
   fixture.script_caches(kNoResponse);
@@ -110,7 +110,7 @@
     RawClient client(fixture.router->port(), long_timeout_get_request("/k/1", "r1"));
     client.close();
   }
-  SUBCASE("on a kept connection") {
+  SUBCASE("on a kept-alive connection") {
     RawClient client(fixture.router->port(), "GET /ready HTTP/1.1\r\n\r\n");
     REQUIRE(fixture.wait_until([&] { return client.receive_available(), client.responses.size() == 1; }));
     client.send(long_timeout_get_request("/k/1", "r1"));
@@ -132,7 +132,7 @@
   RouterFixture fixture(set_long_timeouts);
   RawClient client(fixture.router->port(), keyed_write_request("r1"));
   REQUIRE(wait_for_pending_connection(fixture, 0));
-  SUBCASE("by an end") { client.close(); }
+  SUBCASE("by a FIN") { client.close(); }
   SUBCASE("by a reset") { client.reset(); }
   busy_wait_ms(150);
   REQUIRE(fixture.wait_until([&] { return fixture.router->dispatcher().unanswered_requests() == 0; }));
@@ -141,31 +141,31 @@
   CHECK(fixture.origin.requests.empty());
 }
 
-// Guards against a retry for a client that disconnected at the moment in which the first attempt failed.
+// Guards against a retry for a client that disconnected at the moment when the first attempt failed.
 TEST_CASE("a server reset together with a client disconnect: no further attempt") {
   RouterFixture fixture(set_long_timeouts);
   fixture.script_caches(kNoResponse);
   RawClient client(fixture.router->port(), long_timeout_get_request("/k/1", "r1"));
   REQUIRE(fixture.wait_until([&] { return fixture.requests_sent() == 1; }));
-  ScriptedServer& asked = fixture.last_requested_cache();
-  SUBCASE("the reset first") { asked.close_all(ScriptedServer::CloseMode::Reset), client.close(); }
-  SUBCASE("the client first") { client.close(), asked.close_all(ScriptedServer::CloseMode::Reset); }
+  ScriptedServer& cache = fixture.last_requested_cache();
+  SUBCASE("the reset first") { cache.close_all(ScriptedServer::CloseMode::Reset), client.close(); }
+  SUBCASE("the client first") { client.close(), cache.close_all(ScriptedServer::CloseMode::Reset); }
   CHECK(fixture.wait_until([&] { return fixture.router->dispatcher().unanswered_requests() == 0; }));
   run_for(fixture.base.get(), 20);
   CHECK(fixture.requests_sent() == 1);
   CHECK(fixture.router->dispatcher().attempts_in_flight() == 0);
 }
 
-// Guards against a crash and against a response on the next client's connection.
+// Guards against a crash, and against a response that is sent on the next client's connection.
 TEST_CASE("a client that disconnects as its response arrives") {
   RouterFixture fixture(set_long_timeouts);
   fixture.script_caches(kNoResponse);
   RawClient client(fixture.router->port(), long_timeout_get_request("/k/1", "r1"));
   REQUIRE(fixture.wait_until([&] { return fixture.requests_sent() == 1; }));
-  ScriptedServer& asked = fixture.last_requested_cache();
-  SUBCASE("by an end") { asked.write_to_last_now(ok_response("v")), client.close(); }
-  SUBCASE("by a reset") { asked.write_to_last_now(ok_response("v")), client.reset(); }
-  SUBCASE("first") { client.close(), asked.write_to_last_now(ok_response("v")); }
+  ScriptedServer& cache = fixture.last_requested_cache();
+  SUBCASE("by a FIN") { cache.write_to_last_now(ok_response("v")), client.close(); }
+  SUBCASE("by a reset") { cache.write_to_last_now(ok_response("v")), client.reset(); }
+  SUBCASE("first") { client.close(), cache.write_to_last_now(ok_response("v")); }
   CHECK(fixture.wait_until([&] { return fixture.router->listener().connection_count() == 0; }));
   CHECK(fixture.router->dispatcher().unanswered_requests() == 0);
   fixture.script_caches([](const http::Message& m) { return ok_response("v of " + m.target); });
@@ -198,8 +198,8 @@
     CHECK(received_request.header("x-request-id") != "r2");
 }
 
-// Guards against requests that hang after the client whose request fetched for them has disconnected, and
-// against fetches for no client.
+// Guards against requests that hang because the client of the request they were coalesced with has
+// disconnected, and against fetches that no client waits for.
 TEST_CASE(
     "coalesced requests: if any client disconnects the others are served and its request is not forwarded") {
   RouterFixture fixture(set_long_timeouts);
@@ -238,7 +238,7 @@
 namespace {
 
 // A listening address whose connections are not established: its accept queue is full until clear_backlog().
-// The connecting system then tries again a second later.
+// The kernel of the connecting side then tries again a second later.
 struct DelayedListener {
   DelayedListener() : listener_fd(socket(AF_INET, SOCK_STREAM, 0)) {
     sockaddr_in socket_address{};
@@ -283,8 +283,8 @@
 
 } // namespace
 
-// Guards against starting a long write for a disconnected client: the end of its connection was not read
-// because there was no room for the body.
+// Guards against starting a long write for a disconnected client: the end of its connection is not read
+// because the buffers for its body are full.
 TEST_CASE(
     "a client that disconnects while its body is not read: nothing is sent when the connection is "
     "established") {
@@ -326,7 +326,7 @@
 
 // ---- connections that are established late ----
 
-// Guards against a write that is executed twice because its key is no longer kept.
+// Guards against a write that is executed twice because the server no longer keeps its idempotency key.
 TEST_CASE(
     "an idempotency window that expires while the connection of a retry is being established: nothing is "
     "sent") {
@@ -350,7 +350,7 @@
 TEST_CASE("a request whose connection is established late sends the remaining timeout") {
   RouterFixture fixture;
   REQUIRE(fixture.wait_until([&] { return fixture.is_watching(); }));
-  const auto asked = [&](int timeout_ms, double delay_ms) {
+  const auto status_after_delay = [&](int timeout_ms, double delay_ms) {
     TestClient client = fixture.connect_client();
     client.send(keyed_write_request("r1", timeout_ms));
     REQUIRE(wait_for_pending_connection(fixture, 0));
@@ -359,19 +359,19 @@
     return client.responses[0].status;
   };
   SUBCASE("some time remains") {
-    CHECK(asked(2000, 500) == 200);
+    CHECK(status_after_delay(2000, 500) == 200);
     REQUIRE(fixture.origin.requests.size() == 1);
     CHECK(std::stoi(std::string(fixture.origin.requests[0].header("x-timeout-ms"))) <= 1500);
   }
   SUBCASE("no time remains") {
-    CHECK(asked(300, 350) >= 500);
+    CHECK(status_after_delay(300, 350) >= 500);
     run_for(fixture.base.get(), 20);
     CHECK(fixture.origin.requests.empty());
   }
 }
 
-// Guards against requests to a server after discovery has reported it as draining (the third protocol
-// rule), whatever the source of the report.
+// Guards against requests to a server after discovery has reported it as draining or gone, which the protocol
+// forbids.
 TEST_CASE(
     "a server reported as draining or gone while a connection to it is being established receives nothing") {
   std::string state;
@@ -388,11 +388,11 @@
   REQUIRE(fixture.wait_until(
       [&] { return fixture.discovery.requests.back().target.find("since=8&") != std::string::npos; }));
   run_for(fixture.base.get(), 20);
-  const std::size_t told = fixture.origin.requests.size();
-  CHECK(told <= 1);
+  const std::size_t sent_before_update = fixture.origin.requests.size();
+  CHECK(sent_before_update <= 1);
   CHECK(fixture.wait_until([&] { return client.responses.size() == 1; }));
   CHECK(fixture.connect_client().send_and_wait(keyed_write_request("r2", 300)).status >= 500);
-  CHECK(fixture.origin.requests.size() == told);
+  CHECK(fixture.origin.requests.size() == sent_before_update);
 }
 
 // ---- responses ----
@@ -400,24 +400,25 @@
 // Guards against delivering the response of one request to another.
 TEST_CASE("a second response that arrives with the next request is not used for that request") {
   for (const std::string& extra_bytes : {ok_response("v of r1"), std::string("H"), std::string("\r\n")}) {
-    for (const bool first : {true, false}) {
+    for (const bool extra_bytes_first : {true, false}) {
       CAPTURE(extra_bytes);
-      CAPTURE(first);
+      CAPTURE(extra_bytes_first);
       RouterFixture fixture(set_long_timeouts);
       fixture.script_caches([](const http::Message& m) {
         return ok_response("v of " + std::string(m.header("x-request-id")));
       });
-      RawClient next(fixture.router->port());
+      RawClient next_client(fixture.router->port());
       TestClient client = fixture.connect_client();
       CHECK(client.send_and_wait(get_request("/k/1", "r1")).body == "v of r1");
-      ScriptedServer& asked = fixture.last_requested_cache();
-      if (first) asked.write_to_last_now(extra_bytes);
-      next.send(get_request("/k/1", "r2"));
-      if (!first) asked.write_to_last_now(extra_bytes);
-      REQUIRE(fixture.wait_until(
-          [&] { return next.receive_available(), !next.responses.empty() || next.closed; }));
-      REQUIRE(next.responses.size() == 1);
-      CHECK(next.responses[0].body == "v of r2");
+      ScriptedServer& cache = fixture.last_requested_cache();
+      if (extra_bytes_first) cache.write_to_last_now(extra_bytes);
+      next_client.send(get_request("/k/1", "r2"));
+      if (!extra_bytes_first) cache.write_to_last_now(extra_bytes);
+      REQUIRE(fixture.wait_until([&] {
+        return next_client.receive_available(), !next_client.responses.empty() || next_client.closed;
+      }));
+      REQUIRE(next_client.responses.size() == 1);
+      CHECK(next_client.responses[0].body == "v of r2");
       CHECK(fixture.requests_sent() == 2);
     }
   }
@@ -433,10 +434,10 @@
   RawClient client(fixture.router->port(), long_timeout_get_request("/k/1", "r1"));
   REQUIRE(fixture.wait_until([&] { return fixture.requests_sent() == 1; }));
   run_for(fixture.base.get(), 20);
-  ScriptedServer& asked = fixture.last_requested_cache();
+  ScriptedServer& cache = fixture.last_requested_cache();
   SUBCASE("end of connection") {
-    asked.write_to_last_now(" and half");
-    asked.close_all(ScriptedServer::CloseMode::WriteShutdown);
+    cache.write_to_last_now(" and half");
+    cache.close_all(ScriptedServer::CloseMode::WriteShutdown);
     REQUIRE(fixture.wait_until(
         [&] { return client.receive_available(), !client.responses.empty() || client.closed; }));
     REQUIRE(client.responses.size() == 1);
@@ -444,15 +445,15 @@
     CHECK(fixture.requests_sent() == 1);
   }
   SUBCASE("a reset") {
-    asked.close_all(ScriptedServer::CloseMode::Reset);
+    cache.close_all(ScriptedServer::CloseMode::Reset);
     REQUIRE(fixture.wait_until(
         [&] { return client.receive_available(), !client.responses.empty() || client.closed; }));
     REQUIRE(client.responses.size() == 1);
     CHECK(client.responses[0].body == "whole"); // retried at another endpoint
   }
   SUBCASE("more of the body together with a reset") {
-    asked.write_to_last_now(" and more");
-    asked.close_all(ScriptedServer::CloseMode::Reset);
+    cache.write_to_last_now(" and more");
+    cache.close_all(ScriptedServer::CloseMode::Reset);
     REQUIRE(fixture.wait_until(
         [&] { return client.receive_available(), !client.responses.empty() || client.closed; }));
     REQUIRE(client.responses.size() == 1);
@@ -525,7 +526,7 @@
         endpoint_list_json(9, true, fixture.all_endpoints(is_draining ? "terminating" : "in_service"))
             .dump());
   };
-  SUBCASE("by an end") {
+  SUBCASE("by a FIN") {
     fixture.discovery.write_to_last_now(change.substr(0, change.size() - 1));
     fixture.discovery.close_all(ScriptedServer::CloseMode::Fin);
   }
@@ -542,7 +543,7 @@
   CHECK(fixture.cache_1.requests.empty() == is_draining);
 }
 
-// Guards against a drain that is never received because the watch stopped responding before it.
+// Guards against a drain that is never received because the watch stopped responding before the drain.
 TEST_CASE("a watch that stops responding: a drain is received in time on the next watch") {
   RouterFixture fixture;
   REQUIRE(fixture.wait_until([&] { return fixture.is_watching(); }));
@@ -562,7 +563,7 @@
     return fixture.discovery.requests.back().target.find("since=9&") != std::string::npos;
   };
   CHECK((fixture.wait_until(is_watching_again) || fixture.wait_until(is_watching_again)));
-  CHECK(loop::now_ms() - silent_since_ms < 12000); // 2 s after the end of the wait
+  CHECK(loop::now_ms() - silent_since_ms < 12000); // twice the 6 s that the protocol allows
   TestClient client = fixture.connect_client();
   for (int i = 0; i < 20; ++i)
     CHECK(client.send_and_wait(get_request("/k/" + std::to_string(i), std::to_string(i))).status == 200);
@@ -581,20 +582,21 @@
     options.address = "127.0.0.1:0";
     options.admission.max_clients = 20;
     change(options);
-    downstream::ListenerCallbacks calls;
-    calls.open_request = [this](loop::Handle client, proxy::ClientRequest call) {
-      request_ids.push_back(call.id);
+    downstream::ListenerCallbacks callbacks;
+    callbacks.open_request = [this](loop::Handle client, proxy::ClientRequest request) {
+      request_ids.push_back(request.id);
       last_client = client;
       return static_cast<loop::Handle>(request_ids.size());
     };
-    calls.is_waiting_for = [](const std::string&) { return false; };
-    calls.body_complete = calls.client_disconnected = calls.response_drained = [](loop::Handle) {};
-    calls.is_ready = [] { return true; };
-    calls.all_connections_closed = [] {};
-    calls.evict_upstream_connection = [] { return false; };
+    callbacks.is_waiting_for = [](const std::string&) { return false; };
+    callbacks.body_complete = callbacks.client_disconnected =
+        callbacks.response_drained = [](loop::Handle) {};
+    callbacks.is_ready = [] { return true; };
+    callbacks.all_connections_closed = [] {};
+    callbacks.evict_upstream_connection = [] { return false; };
     listener = std::make_unique<downstream::Listener>(
         base.get(), timers, descriptor_budget, request_buffer_budget, buffer_budget, body_stores, statistics,
-        options, downstream::RequestRules{config.names, config.settings, {}, false}, std::move(calls));
+        options, downstream::RequestRules{config.names, config.settings, {}, false}, std::move(callbacks));
   }
   bool wait_until(const std::function<bool()>& done) { return run_until(base.get(), done); }
   void reject_last_request() { // a rejection is the simplest complete response
@@ -661,10 +663,11 @@
 
 namespace {
 
+// The program with a discovery and two caches.
 struct ProgramFixture {
-  explicit ProgramFixture(const std::function<void(Json&)>& update_response = [](Json&) {}) {
+  explicit ProgramFixture(const std::function<void(Json&)>& modify_config = [](Json&) {}) {
     config = config_json(discovery.address, endpoint_list_json(7, true, all_endpoints("in_service")));
-    update_response(config);
+    modify_config(config);
     program = std::make_unique<TestProgram>(std::vector<std::string>{"serve"}, config);
     REQUIRE(wait_until([&] { return program->port() != 0; }));
     REQUIRE(wait_until([&] { return is_watching(discovery, 7); }));
@@ -676,9 +679,10 @@
     return ok_response(
         endpoint_list_json(index, false, {endpoint_json("s-1", cache_1.address, first_status)}).dump());
   }
-  static bool is_watching(const ScriptedServer& who, int index) {
-    return !who.requests.empty() &&
-           who.requests.back().target.find("since=" + std::to_string(index) + "&") != std::string::npos;
+  static bool is_watching(const ScriptedServer& discovery_server, int index) {
+    return !discovery_server.requests.empty() &&
+           discovery_server.requests.back().target.find("since=" + std::to_string(index) + "&") !=
+               std::string::npos;
   }
   bool wait_until(const std::function<bool()>& done) { return run_until(base.get(), done); }
   bool wait_for_responses(RawClient& client, std::size_t count = 1) {
@@ -713,8 +717,8 @@
   std::unique_ptr<TestProgram> program;
 };
 
-// Uses all the time that the platform grants: draining begins 1.5 s after SIGTERM, and the process exits 2.1
-// s later.
+// Uses all the time that the platform grants: draining begins 1.5 s after SIGTERM, and the process exits at
+// most 2.1 s later.
 void set_longest_shutdown(Json& file) {
   for (auto& c : file["settings"]["classes"]) c["give_up"] = 3000;
 }
@@ -734,17 +738,17 @@
   REQUIRE(fixture.wait_for_responses(incomplete_client));
   REQUIRE(fixture.wait_for_responses(idle_client));
   fixture.program->pause();
-  const std::string rest = get_request("/k/2", "r6");
+  const std::string last_request = get_request("/k/2", "r6");
   kept_client.send(get_request("/k/2", "r4"));
   RawClient new_client(fixture.port(), get_request("/k/2", "r5"));
-  incomplete_client.send(first_half(rest));
+  incomplete_client.send(first_half(last_request));
   fixture.program->signal(SIGTERM);
   fixture.program->resume();
   CHECK(fixture.wait_for_responses(kept_client, 2));
   CHECK(fixture.wait_for_responses(new_client));
-  CHECK(fixture.wait_for_close(
-      idle_client)); // draining has begun: only connections with an incomplete request are kept
-  incomplete_client.send(second_half(rest));
+  // Draining has begun: only connections with an incomplete request are kept.
+  CHECK(fixture.wait_for_close(idle_client));
+  incomplete_client.send(second_half(last_request));
   REQUIRE(fixture.wait_for_responses(incomplete_client, 2));
   CHECK(incomplete_client.responses[1].status == 200);
   CHECK_FALSE(incomplete_client.responses[1].keep_alive);
@@ -763,13 +767,13 @@
   REQUIRE(fixture.wait_until([&] { return fixture.program->output_contains("graceful-shutdown"); }));
   fixture.program->pause();
   busy_wait_ms(elapsed_ms);
-  const std::string text = get_request("/k/1", "r2");
-  RawClient whole(fixture.port(), get_request("/k/1", "r1")),
-      incomplete_client(fixture.port(), first_half(text));
+  const std::string incomplete_request = get_request("/k/1", "r2");
+  RawClient complete_client(fixture.port(), get_request("/k/1", "r1")),
+      incomplete_client(fixture.port(), first_half(incomplete_request));
   fixture.program->resume();
-  REQUIRE(fixture.wait_for_responses(whole));
-  CHECK(whole.responses[0].status == 200);
-  incomplete_client.send(second_half(text));
+  REQUIRE(fixture.wait_for_responses(complete_client));
+  CHECK(complete_client.responses[0].status == 200);
+  incomplete_client.send(second_half(incomplete_request));
   REQUIRE(fixture.wait_for_responses(incomplete_client));
   CHECK(incomplete_client.responses[0].status == 200);
   CHECK(fixture.exits_with_0());
@@ -779,10 +783,11 @@
 TEST_CASE(
     "the listening socket closes without free descriptors: idle clients are closed to accept waiting ones") {
   ProgramFixture fixture;
-  std::vector<std::unique_ptr<RawClient>> rest, waiting_clients;
+  std::vector<std::unique_ptr<RawClient>> idle_clients, waiting_clients;
   for (int i = 0; i < 8; ++i) {
-    rest.push_back(std::make_unique<RawClient>(fixture.port(), get_request("/k/1", "r" + std::to_string(i))));
-    REQUIRE(fixture.wait_for_responses(*rest.back()));
+    idle_clients.push_back(
+        std::make_unique<RawClient>(fixture.port(), get_request("/k/1", "r" + std::to_string(i))));
+    REQUIRE(fixture.wait_for_responses(*idle_clients.back()));
   }
   fixture.program->signal(SIGTERM);
   REQUIRE(fixture.wait_until([&] { return fixture.program->output_contains("graceful-shutdown"); }));
@@ -796,27 +801,27 @@
   fixture.program->resume();
   for (auto& client : waiting_clients) {
     const bool answered = fixture.wait_for_responses(*client);
-    fixture.program->output_contains("");
+    fixture.program->output_contains(""); // reads the output
     INFO(fixture.program->output);
     CHECK(answered);
   }
   CHECK(fixture.exits_with_0());
 }
 
-// Guards against requests that are read and dropped as draining starts, and against forwarding requests
-// behind the last response of a connection.
+// Guards against requests that are read and dropped as draining starts, and against forwarding requests that
+// follow the last response of a connection.
 TEST_CASE(
     "idle clients at shutdown: a request that arrives as draining starts is answered and none behind it is "
     "forwarded") {
   ProgramFixture fixture(set_longest_shutdown);
-  std::vector<std::unique_ptr<RawClient>> sending_clients, rest;
+  std::vector<std::unique_ptr<RawClient>> sending_clients, idle_clients;
   for (int i = 0; i < 5; ++i) {
-    for (auto* clients : {&sending_clients, &rest}) {
+    for (auto* clients : {&sending_clients, &idle_clients}) {
       clients->push_back(std::make_unique<RawClient>(fixture.port(), get_request("/k/1", "r")));
       REQUIRE(fixture.wait_for_responses(*clients->back()));
     }
   }
-  const double told = loop::now_ms();
+  const double signaled_at_ms = loop::now_ms();
   fixture.program->signal(SIGTERM);
   REQUIRE(fixture.wait_until([&] { return fixture.program->output_contains("graceful-shutdown"); }));
   fixture.program->pause();
@@ -824,9 +829,9 @@
   for (std::size_t i = 0; i < sending_clients.size(); ++i)
     sending_clients[i]->send(get_request("/k/2", "meets" + std::to_string(i)));
   fixture.program->resume();
-  const double resumed_after_ms = loop::now_ms() - told;
+  const double resumed_after_ms = loop::now_ms() - signaled_at_ms;
   CAPTURE(resumed_after_ms);
-  for (auto& client : rest) {
+  for (auto& client : idle_clients) {
     REQUIRE(fixture.wait_for_close(*client));
     CHECK(client->responses.size() == 1);
     client->send(get_request("/k/3", "behind"));
@@ -855,7 +860,7 @@
   for (std::size_t i = 0; i < sent.size(); ++i)
     clients.push_back(std::make_unique<RawClient>(fixture.port()));
   RawClient flooding_client(fixture.port());
-  int answers = 0;
+  int sent_count = 0;
   const auto send_more = [&] {
     for (std::size_t i = 0; i < sent.size(); ++i) {
       clients[i]->receive_available();
@@ -864,23 +869,24 @@
       clients[i]->send(
           get_request("/k/" + std::to_string(i), std::to_string(i) + "-" + std::to_string(sent[i])));
       ++sent[i];
-      ++answers;
+      ++sent_count;
     }
     flooding_client.receive_available();
-    flooding_client.send(get_request("/flood", "f" + std::to_string(answers)));
+    flooding_client.send(get_request("/flood", "f" + std::to_string(sent_count)));
     return fixture.program->has_exited();
   };
-  REQUIRE(fixture.wait_until([&] { return send_more(), answers > 100; }));
+  REQUIRE(fixture.wait_until([&] { return send_more(), sent_count > 100; }));
   fixture.program->signal(SIGTERM);
-  const double told = loop::now_ms();
+  const double signaled_at_ms = loop::now_ms();
   CHECK(fixture.wait_until(send_more));
   CHECK(fixture.program->exit_code == 0);
-  CHECK(loop::now_ms() - told < 3700); // then the platform kills the process; the router's own limit is 2.6 s
+  CHECK(loop::now_ms() - signaled_at_ms <
+        3700); // then the platform kills the process; the router's own limit is 2.6 s
   const auto ids = fixture.forwarded_request_ids();
   for (std::size_t i = 0; i < sent.size(); ++i) {
     REQUIRE(fixture.wait_for_close(*clients[i]));
-    for (std::size_t k = clients[i]->responses.size(); k < sent[i]; ++k)
-      CHECK(ids.count(std::to_string(i) + "-" + std::to_string(k)) == 0);
+    for (std::size_t number = clients[i]->responses.size(); number < sent[i]; ++number)
+      CHECK(ids.count(std::to_string(i) + "-" + std::to_string(number)) == 0);
   }
 }
 
@@ -888,23 +894,23 @@
 TEST_CASE(
     "SIGHUP together with a drain: the server receives no more requests whichever discovery reported it") {
   ProgramFixture fixture;
-  std::string told;
-  ScriptedServer next(fixture.base.get(), [&](const http::Message& m) {
-    return m.target == "/v1/endpoints" ? told : std::string();
+  std::string next_list;
+  ScriptedServer next_discovery(fixture.base.get(), [&](const http::Message& m) {
+    return m.target == "/v1/endpoints" ? next_list : std::string();
   });
   const auto change_discovery = [&] {
-    fixture.config["discovery"] = next.address;
+    fixture.config["discovery"] = next_discovery.address;
     fixture.program->write_config(fixture.config.dump());
     fixture.program->signal(SIGHUP);
   };
   SUBCASE("the old discovery reports it and the new one is silent") {
-    bool first = false;
-    SUBCASE("the list arrives first") { first = true; }
+    bool list_first = false;
+    SUBCASE("the list arrives first") { list_first = true; }
     SUBCASE("the signal arrives first") {}
     fixture.program->pause();
-    if (first) fixture.discovery.write_to_last_now(fixture.update_response(8, "terminating"));
+    if (list_first) fixture.discovery.write_to_last_now(fixture.update_response(8, "terminating"));
     change_discovery();
-    if (!first) fixture.discovery.write_to_last_now(fixture.update_response(8, "terminating"));
+    if (!list_first) fixture.discovery.write_to_last_now(fixture.update_response(8, "terminating"));
     fixture.program->resume();
     REQUIRE(fixture.wait_until([&] { return ProgramFixture::is_watching(fixture.discovery, 8); }));
     REQUIRE(fixture.wait_until([&] { return fixture.program->output_contains("reload-discovery-moves"); }));
@@ -914,24 +920,24 @@
     SUBCASE("the old one first") { old_first = true; }
     SUBCASE("the new one first") {}
     change_discovery();
-    REQUIRE(fixture.wait_until([&] { return next.requests.size() == 1; }));
+    REQUIRE(fixture.wait_until([&] { return next_discovery.requests.size() == 1; }));
     fixture.program->pause();
     if (old_first) fixture.discovery.write_to_last_now(fixture.update_response(9, "in_service"));
-    next.write_to_last_now(
+    next_discovery.write_to_last_now(
         ok_response(endpoint_list_json(3, true, fixture.all_endpoints("terminating")).dump()));
     if (!old_first) fixture.discovery.write_to_last_now(fixture.update_response(9, "in_service"));
     fixture.program->resume();
     REQUIRE(fixture.wait_until([&] { return fixture.program->output_contains("discovery-connected"); }));
   }
   SUBCASE("the new discovery reports it in an update") {
-    told = ok_response(endpoint_list_json(3, true, fixture.all_endpoints("in_service")).dump());
+    next_list = ok_response(endpoint_list_json(3, true, fixture.all_endpoints("in_service")).dump());
     change_discovery();
-    REQUIRE(fixture.wait_until([&] { return ProgramFixture::is_watching(next, 3); }));
+    REQUIRE(fixture.wait_until([&] { return ProgramFixture::is_watching(next_discovery, 3); }));
     fixture.program->pause();
-    next.write_to_last_now(fixture.update_response(4, "terminating"));
+    next_discovery.write_to_last_now(fixture.update_response(4, "terminating"));
     fixture.program->signal(SIGHUP); // a second reload
     fixture.program->resume();
-    REQUIRE(fixture.wait_until([&] { return ProgramFixture::is_watching(next, 4); }));
+    REQUIRE(fixture.wait_until([&] { return ProgramFixture::is_watching(next_discovery, 4); }));
   }
   RawClient client(fixture.port());
   for (std::size_t i = 0; i < 20; ++i) {
@@ -981,24 +987,24 @@
   CHECK(client.responses.empty());
   CHECK(fixture.forwarded_request_ids().empty());
   fixture.config["listen"] = "127.0.0.1:" + std::to_string(port);
-  const std::size_t calls = fixture.discovery.requests.size();
+  const std::size_t calls_before = fixture.discovery.requests.size();
   TestProgram restarted_program({"serve"}, fixture.config);
   REQUIRE(fixture.wait_until([&] { return restarted_program.port() == port; }));
   REQUIRE(fixture.wait_until(
-      [&] { return fixture.discovery.requests.size() > calls + 1; })); // it has its list and watches
+      [&] { return fixture.discovery.requests.size() > calls_before + 1; })); // it has its list and watches
   RawClient retrying_client(port, get_request("/k/1", "r1"));
   REQUIRE(fixture.wait_for_responses(retrying_client));
   CHECK(retrying_client.responses[0].status == 200);
 }
 
-// Guards against a router that receives no drains, does not answer its operators or uses a full CPU
-// because clients hold all descriptors.
+// Guards against a router that receives no drains, does not answer on its control port or spins because
+// clients hold all descriptors.
 TEST_CASE(
     "clients hold all the descriptors they may: discovery and the control address and a server keep theirs") {
-  const int control = free_port();
+  const int control_port = free_port();
   ProgramFixture fixture([&](Json& file) {
     file["limits"]["sockets"] = 64;
-    file["control"] = "127.0.0.1:" + std::to_string(control);
+    file["control"] = "127.0.0.1:" + std::to_string(control_port);
   });
   fixture.program->limit_descriptors(64);
   std::vector<std::unique_ptr<RawClient>> other_clients;
@@ -1019,7 +1025,7 @@
   };
   fixture.discovery.close_all(ScriptedServer::CloseMode::Reset);
   CHECK(fixture.wait_until([&] { return ProgramFixture::is_watching(fixture.discovery, 8); }));
-  RawClient control_client(control, "ready\n");
+  RawClient control_client(control_port, "ready\n");
   CHECK(fixture.wait_for_close(control_client));
   CHECK(control_client.received_bytes == "ok\n");
   const std::size_t before = fixture.cache_1.requests.size();
@@ -1029,7 +1035,7 @@
   CHECK(fixture.cache_1.requests.size() == before);
 }
 
-// Guards against a full CPU for as long as a request waits whose client has sent much behind it.
+// Guards against an event loop that spins while a request waits and its client has sent many bytes behind it.
 TEST_CASE("unread bytes behind a waiting request use no CPU and the request is answered") {
   ProgramFixture fixture([](Json& file) { set_long_timeouts(file); });
   fixture.cache_1.script = fixture.cache_2.script = kNoResponse;
@@ -1040,8 +1046,8 @@
   const double cpu_before_ms = fixture.program->resource_usage().cpu_ms;
   run_for(fixture.base.get(), 500);
   CHECK(fixture.program->resource_usage().cpu_ms - cpu_before_ms < 250); // of 500
-  ScriptedServer& asked = fixture.cache_1.requests.empty() ? fixture.cache_2 : fixture.cache_1;
-  asked.write_to_last(ok_response("of the first"));
+  ScriptedServer& cache = fixture.cache_1.requests.empty() ? fixture.cache_2 : fixture.cache_1;
+  cache.write_to_last(ok_response("of the first"));
   REQUIRE(fixture.wait_until(
       [&] { return client.receive_available(), !client.responses.empty() || client.closed; }));
   REQUIRE(!client.responses.empty());
--- a/tests/net/discovery_test.cpp
+++ b/tests/net/discovery_test.cpp
@@ -20,10 +20,10 @@
 
 constexpr int kFirstIndex = 7;
 constexpr int kDrainIndex = 8;
-constexpr double kUpdateReceivedMs =
-    6000; // limit for a change after a call that failed or stopped responding
-constexpr double kUpdateAfterReloadMs = 4000; // limit for a change after SIGHUP with another discovery
-constexpr double kAnswerReceivedMs = 1000;    // limit for a valid answer on an open call
+// Limits until a list is applied.
+constexpr double kUpdateReceivedMs = 6000;    // a change, after a call that failed or stopped responding
+constexpr double kUpdateAfterReloadMs = 4000; // a change, after SIGHUP with another discovery
+constexpr double kAnswerReceivedMs = 1000;    // a valid answer on an open call
 constexpr int kLongPollMs = 1000;
 
 std::size_t count_occurrences(const std::string& pattern, const std::string& text) {
@@ -46,6 +46,7 @@
 
 // Two servers, a discovery and the program as a separate process.
 struct DiscoveryFixture {
+  // `change` is applied to the program's configuration.
   explicit DiscoveryFixture(const std::function<void(Json&)>& change = [](Json&) {}) {
     config = config_json(discovery.address, endpoint_list(kFirstIndex, server_1));
     config["limits"]["sockets"] = 1024;
@@ -65,9 +66,8 @@
   std::string endpoint_list_response(int index, const ScriptedServer& in_service) {
     return ok_response(endpoint_list(index, in_service).dump());
   }
-  std::string drain_response() {
-    return endpoint_list_response(kDrainIndex, server_2);
-  } // of the first server
+  // A list that drains the first server.
+  std::string drain_response() { return endpoint_list_response(kDrainIndex, server_2); }
   static std::string empty_update_response(int index) {
     return ok_response(endpoint_list_json(index, false, {}).dump());
   }
@@ -163,7 +163,7 @@
 
 } // namespace
 
-// ---- calls that may be dead: a second call in parallel ----
+// ---- calls without an answer: a second call in parallel ----
 
 // Guards against a slow list that is discarded again and again.
 TEST_CASE("an answer that stalls until a second call is open: its remainder is accepted") {
@@ -195,7 +195,7 @@
   CHECK(fixture.discovery.max_open_connections <= 2);
 }
 
-// Guards against an endless answer taken for a live call.
+// Guards against a call that is never given up because bytes keep arriving.
 TEST_CASE("an endless answer of single bytes: a second call is opened in parallel") {
   DiscoveryFixture fixture;
   const std::size_t watch = fixture.start_watch();
@@ -278,7 +278,7 @@
 // again.
 TEST_CASE("discovery closes 12 connections in a row: the next call follows within 150 ms of the last close") {
   constexpr std::size_t kCloses = 12;
-  constexpr double kRetriedMs = 150;
+  constexpr double kMaxRetryMs = 150;
   DiscoveryFixture fixture;
   const std::size_t watch = fixture.start_watch();
   std::size_t closes = 0;
@@ -293,8 +293,8 @@
   fixture.discovery.close(watch);
   REQUIRE(fixture.wait_until([&] { return fixture.discovery.calls.size() > watch + 1; }, 10000));
   REQUIRE(closes == kCloses);
-  CHECK(fixture.discovery.calls[watch + 1].received_at_ms - closed_at_ms < kRetriedMs);
-  CHECK(longest_pause_ms < kRetriedMs);
+  CHECK(fixture.discovery.calls[watch + 1].received_at_ms - closed_at_ms < kMaxRetryMs);
+  CHECK(longest_pause_ms < kMaxRetryMs);
   fixture.discovery.reply(watch + 1, fixture.drain_response());
   fixture.check_drain(fixture.discovery, fixture.discovery.calls[watch + 1].received_at_ms,
                       kAnswerReceivedMs);
@@ -304,34 +304,37 @@
 TEST_CASE(
     "discovery is down: a call arrives within 150 ms of its return and an update is applied within 250 ms") {
   constexpr int kRounds = 10;
-  constexpr double kRetriedMs = 150, kUpdateAfterRestartMs = 250;
+  constexpr double kMaxRetryMs = 150, kUpdateAfterRestartMs = 250;
   DiscoveryFixture fixture;
-  ScriptedDiscovery restarted(fixture.base.get(), free_port());
-  fixture.config["discovery"] = restarted.address;
+  ScriptedDiscovery restarted_discovery(fixture.base.get(), free_port());
+  fixture.config["discovery"] = restarted_discovery.address;
   fixture.program = std::make_unique<TestProgram>(std::vector<std::string>{"serve"}, fixture.config);
   int index = kFirstIndex;
   double max_retry_ms = 0, max_update_ms = 0;
-  REQUIRE(fixture.wait_until([&] { return !restarted.calls.empty(); }));
+  REQUIRE(fixture.wait_until([&] { return !restarted_discovery.calls.empty(); }));
   for (int round = 0; round < kRounds; ++round) {
-    restarted.reply(restarted.calls.size() - 1, fixture.endpoint_list_response(index, fixture.server_1));
-    REQUIRE(fixture.wait_for_index(restarted, index, loop::now_ms(), kAnswerReceivedMs));
-    const std::size_t watch = restarted.calls.size() - 1;
-    restarted.stop_listening();
-    restarted.reset(watch);
-    run_for(fixture.base.get(),
-            400 + 20 * round); // so that discovery returns at different points of the backoff
-    restarted.listen();
+    restarted_discovery.reply(restarted_discovery.calls.size() - 1,
+                              fixture.endpoint_list_response(index, fixture.server_1));
+    REQUIRE(fixture.wait_for_index(restarted_discovery, index, loop::now_ms(), kAnswerReceivedMs));
+    const std::size_t watch = restarted_discovery.calls.size() - 1;
+    restarted_discovery.stop_listening();
+    restarted_discovery.reset(watch);
+    // Discovery returns at a different point of the backoff in each round.
+    run_for(fixture.base.get(), 400 + 20 * round);
+    restarted_discovery.listen();
     const double listening_at_ms = loop::now_ms();
-    REQUIRE(fixture.wait_until([&] { return restarted.calls.size() > watch + 1; }));
-    max_retry_ms = std::max(max_retry_ms, restarted.calls[watch + 1].received_at_ms - listening_at_ms);
-    restarted.reply(watch + 1, fixture.endpoint_list_response(++index, fixture.server_1));
-    REQUIRE(fixture.wait_for_index(restarted, index, listening_at_ms, kUpdateReceivedMs));
-    max_update_ms = std::max(max_update_ms, restarted.calls[watch + 2].received_at_ms - listening_at_ms);
-    restarted.reply(watch + 2, fixture.endpoint_list_response(++index, fixture.server_1));
-    REQUIRE(fixture.wait_for_index(restarted, index, loop::now_ms(), kAnswerReceivedMs));
+    REQUIRE(fixture.wait_until([&] { return restarted_discovery.calls.size() > watch + 1; }));
+    max_retry_ms =
+        std::max(max_retry_ms, restarted_discovery.calls[watch + 1].received_at_ms - listening_at_ms);
+    restarted_discovery.reply(watch + 1, fixture.endpoint_list_response(++index, fixture.server_1));
+    REQUIRE(fixture.wait_for_index(restarted_discovery, index, listening_at_ms, kUpdateReceivedMs));
+    max_update_ms =
+        std::max(max_update_ms, restarted_discovery.calls[watch + 2].received_at_ms - listening_at_ms);
+    restarted_discovery.reply(watch + 2, fixture.endpoint_list_response(++index, fixture.server_1));
+    REQUIRE(fixture.wait_for_index(restarted_discovery, index, loop::now_ms(), kAnswerReceivedMs));
     ++index;
   }
-  CHECK(max_retry_ms < kRetriedMs);
+  CHECK(max_retry_ms < kMaxRetryMs);
   CHECK(max_update_ms < kUpdateAfterRestartMs);
 }
 
@@ -358,11 +361,11 @@
   constexpr double kNewCallMs = 500;
   DiscoveryFixture fixture;
   const std::size_t watch = fixture.start_watch();
-  ScriptedDiscovery other(fixture.base.get());
+  ScriptedDiscovery other_discovery(fixture.base.get());
   SUBCASE("the same address") {}
   SUBCASE("another address and back") {
-    fixture.reload(other);
-    REQUIRE(fixture.wait_until([&] { return !other.calls.empty(); }));
+    fixture.reload(other_discovery);
+    REQUIRE(fixture.wait_until([&] { return !other_discovery.calls.empty(); }));
   }
   REQUIRE(fixture.discovery.calls.size() == watch + 1); // the long poll is still the last call
   fixture.reload(fixture.discovery);
@@ -375,32 +378,32 @@
   CHECK(fixture.discovery.max_open_connections <= 2);
 }
 
-// Guards against a drain that only the new discovery knows and that is received later than operators rely
-// on.
+// Guards against a drain that only the new discovery knows and that is received too late: operators rely on
+// 4 s.
 TEST_CASE("SIGHUP to a discovery that does not answer its first two calls: its drain is applied within 4 s") {
   DiscoveryFixture fixture;
   fixture.start_watch();
-  ScriptedDiscovery next(fixture.base.get()), third(fixture.base.get());
+  ScriptedDiscovery next_discovery(fixture.base.get()), third_discovery(fixture.base.get());
   std::size_t unanswered = 0;
-  next.on_call = [&](std::size_t call) {
-    if (next.calls[call].requests_changes_since(kDrainIndex)) return;
+  next_discovery.on_call = [&](std::size_t call) {
+    if (next_discovery.calls[call].requests_changes_since(kDrainIndex)) return;
     if (unanswered < 2) {
       ++unanswered;
     } else {
-      next.reply(call, fixture.drain_response());
+      next_discovery.reply(call, fixture.drain_response());
     }
   };
   SUBCASE("one SIGHUP") {}
   SUBCASE("several in quick succession: the last one applies") {
     fixture.reload(fixture.discovery);
-    fixture.reload(next);
-    fixture.reload(third);
+    fixture.reload(next_discovery);
+    fixture.reload(third_discovery);
     unanswered = 0;
   }
-  const double signalled_at_ms = loop::now_ms();
-  fixture.reload(next);
-  fixture.check_drain(next, signalled_at_ms, kUpdateAfterReloadMs);
-  CHECK(next.max_open_connections <= 2);
+  const double signaled_at_ms = loop::now_ms();
+  fixture.reload(next_discovery);
+  fixture.check_drain(next_discovery, signaled_at_ms, kUpdateAfterReloadMs);
+  CHECK(next_discovery.max_open_connections <= 2);
 }
 
 // ---- a new process ----
@@ -453,11 +456,12 @@
     REQUIRE(fixture.send_request(*clients.back()) == 200);
   }
   ScriptedServer* in_service = &fixture.server_1;
-  std::size_t answers = 1; // per client
+  std::size_t expected_responses = 1; // per client
   for (int index = kDrainIndex; index < kDrainIndex + kRounds; ++index) {
     ScriptedServer& drained = *in_service;
     in_service = &drained == &fixture.server_1 ? &fixture.server_2 : &fixture.server_1;
-    const std::size_t before = drained.requests.size(), in_service_before = in_service->requests.size();
+    const std::size_t drained_before = drained.requests.size(),
+                      in_service_before = in_service->requests.size();
     fixture.program->pause();
     for (auto& client : clients) {
       for (std::size_t i = 0; i < kRequestsEach; ++i) {
@@ -468,13 +472,13 @@
     fixture.discovery.reply(fixture.discovery.calls.size() - 1,
                             fixture.endpoint_list_response(index, *in_service));
     fixture.program->resume();
-    answers += kRequestsEach;
+    expected_responses += kRequestsEach;
     CHECK(fixture.wait_until([&] {
       return std::all_of(clients.begin(), clients.end(), [&](auto& client) {
-        return client->receive_available(), client->responses.size() == answers;
+        return client->receive_available(), client->responses.size() == expected_responses;
       });
     }));
-    const std::size_t sent_to_drained = drained.requests.size() - before,
+    const std::size_t sent_to_drained = drained.requests.size() - drained_before,
                       sent_to_in_service = in_service->requests.size() - in_service_before;
     CAPTURE(index);
     CHECK(sent_to_drained == 0);
@@ -526,8 +530,7 @@
   fixture.check_served_by(fixture.server_2);
 }
 
-// Guards against a lost list, a router without servers or one that makes no more calls after an unusable
-// answer.
+// Guards against a router that loses its list, or makes no more calls, after an unusable answer.
 TEST_CASE("an unusable answer is logged and the last list stays in force until the next answer") {
   constexpr std::size_t kMiB = 1 << 20;
   DiscoveryFixture fixture;
@@ -576,7 +579,7 @@
 }
 
 // Guards against 300 routers that send to draining servers for up to 2 s after an outage of discovery: a
-// call for the full list made during the outage is never answered, and no other call was open.
+// call for the full list made during the outage is never answered, and no other call is open.
 TEST_CASE("a change that discovery reports when it returns from an outage is applied immediately") {
   constexpr double kUpdateAfterOutageMs = 250;
   DiscoveryFixture fixture;
--- a/tests/net/endpoint_table_test.cpp
+++ b/tests/net/endpoint_table_test.cpp
@@ -35,13 +35,13 @@
 }
 
 const endpoints::Endpoint* find(const endpoints::EndpointTable& table, const std::string& name) {
-  for (const auto& [id, target] : table.endpoints_by_id()) {
-    if (target.name == name) return &target;
+  for (const auto& [id, endpoint] : table.endpoints_by_id()) {
+    if (endpoint.name == name) return &endpoint;
   }
   return nullptr;
 }
 
-const endpoints::Endpoint& target(const endpoints::EndpointTable& table, const std::string& name) {
+const endpoints::Endpoint& endpoint_of(const endpoints::EndpointTable& table, const std::string& name) {
   const endpoints::Endpoint* found = find(table, name);
   if (found == nullptr) throw std::logic_error("the table has no " + name);
   return *found;
@@ -62,8 +62,8 @@
   return state;
 }
 
-// Applies every list that the table returns, as the router and the balancer do, and compares the result with
-// the table.
+// The state of the servers after every list that the table has returned is applied, as the router and the
+// balancer do. Tests compare it with the table.
 class TableMirror {
  public:
   void apply(const EndpointList& list) {
@@ -75,7 +75,7 @@
   }
   bool matches(const endpoints::EndpointTable& table) const {
     std::map<ServerId, ServerState> states;
-    for (const auto& [id, target] : table.endpoints_by_id()) states[id] = target.server.state;
+    for (const auto& [id, endpoint] : table.endpoints_by_id()) states[id] = endpoint.server.state;
     return states == servers_;
   }
 
@@ -85,8 +85,8 @@
 
 endpoints::EndpointTable make_table(const std::vector<Json>& endpoints) {
   endpoints::EndpointTable table({"a", "b"}, {"cache", "origin"}, true);
-  table.apply(endpoint_list_json(3, kSnapshot, endpoints)
-                  .dump()); // as text, from which numbers are parsed as unsigned
+  // As text, from which numbers are parsed as unsigned.
+  table.apply(endpoint_list_json(3, kSnapshot, endpoints).dump());
   return table;
 }
 
@@ -209,7 +209,7 @@
   CHECK(table.endpoints_by_id().empty());
 }
 
-// Such a message is accepted: the valid entry is applied and the damaged one is counted.
+// Guards against a whole list that is rejected for one damaged entry. The damaged entry is counted.
 TEST_CASE("the valid entries beside a damaged one are applied") {
   for (const Json& damaged : {endpoint_json("y", "nowhere"), Json{{"name", "y"}}}) {
     endpoints::EndpointTable table = make_table({endpoint_json("x", "127.0.0.1:1")});
@@ -223,7 +223,7 @@
   }
 }
 
-// Guards against drains that no process applies as long as any other entry is damaged.
+// Guards against drains that are not applied as long as any other entry is damaged.
 TEST_CASE("a drain beside a damaged entry is applied") {
   std::vector<Json> damaged = unreadable_entries();
   for (const Json& entry : entries_without_status_or_address("unknown")) damaged.push_back(entry);
@@ -263,7 +263,7 @@
     entries.push_back(endpoint_json("x", "127.0.0.1:7"));
     const auto list = table.apply(endpoint_list_json(4, is_snapshot, entries));
     CHECK(list.servers.size() == 1);
-    CHECK(target(table, "x").address == "127.0.0.1:7");
+    CHECK(endpoint_of(table, "x").address == "127.0.0.1:7");
     CHECK((find(table, "y") == nullptr) == is_snapshot); // absent from a snapshot; unaffected by an update
     CHECK(table.dropped_entries() == unreadable_entries().size());
     table.apply(endpoint_list_json(5, kUpdate, {Json(nullptr)}));
@@ -290,7 +290,7 @@
           table.apply(endpoint_list_json(4, is_snapshot, {entry, endpoint_json("y", "127.0.0.1:2")})));
       REQUIRE(find(table, "x") != nullptr);
       CHECK(state_of(table, "x") == ServerState::Draining);
-      CHECK(target(table, "x").address == "127.0.0.1:1"); // the last valid address
+      CHECK(endpoint_of(table, "x").address == "127.0.0.1:1"); // the last valid address
       CHECK(table.dropped_entries() == 0);
       const Json gone = with_field(entry, "status", "terminated");
       REQUIRE_NOTHROW(
@@ -323,11 +323,11 @@
       REQUIRE(find(table, "x") != nullptr);
       CHECK(state_of(table, "x") == ServerState::Draining);
       CHECK(state_in_list(list, "x") == ServerState::Draining);
-      CHECK(target(table, "x").address == "127.0.0.1:1"); // the last valid address
+      CHECK(endpoint_of(table, "x").address == "127.0.0.1:1"); // the last valid address
       CHECK(table.dropped_entries() == 0);
       table.apply(endpoint_list_json(5, kUpdate, {endpoint_json("x", "127.0.0.1:5")}));
       CHECK(state_of(table, "x") == ServerState::Ready); // after a valid entry
-      CHECK(target(table, "x").address == "127.0.0.1:5");
+      CHECK(endpoint_of(table, "x").address == "127.0.0.1:5");
     }
   }
 }
@@ -365,7 +365,7 @@
       CAPTURE(entry.dump());
       endpoints::EndpointTable known = make_table({previous_entry});
       REQUIRE_NOTHROW(known.apply(endpoint_list_json(4, is_snapshot, {entry}).dump()));
-      const Server& server = target(known, "x").server;
+      const Server& server = endpoint_of(known, "x").server;
       CHECK(server.state == ServerState::Ready);
       CHECK(server.zone == 1);
       CHECK(server.kind == 1);
@@ -380,8 +380,8 @@
     REQUIRE_NOTHROW(unknown.apply(endpoint_list_json(4, is_snapshot, {entry}).dump()));
     endpoints::EndpointTable table_with_defaults =
         make_table({Json{{"name", "x"}, {"address", "127.0.0.1:1"}, {"status", "in_service"}}});
-    const Server& server = target(unknown, "x").server;
-    const Server& defaults = target(table_with_defaults, "x").server;
+    const Server& server = endpoint_of(unknown, "x").server;
+    const Server& defaults = endpoint_of(table_with_defaults, "x").server;
     CHECK(server.zone == defaults.zone);
     CHECK(server.kind == defaults.kind);
     CHECK(server.cell == defaults.cell);
@@ -397,7 +397,7 @@
     endpoints::EndpointTable table = make_table({with_field(endpoint_json("x", "127.0.0.1:1"), "weight", 3)});
     table.apply(
         endpoint_list_json(4, kUpdate, {with_field(endpoint_json("x", "127.0.0.1:1"), "weight", weight)}));
-    CHECK(target(table, "x").server.weight == 1);
+    CHECK(endpoint_of(table, "x").server.weight == 1);
   }
 }
 
@@ -465,8 +465,8 @@
         table.apply(endpoint_list_json(5, is_snapshot, {endpoint_json("x", "127.0.0.1:8", "terminating")}));
     CHECK(state_in_list(list, "x") == ServerState::Draining);
     CHECK(state_of(table, "x") == ServerState::Draining);
-    CHECK(target(table, "x").address == "127.0.0.1:8");
-    CHECK(ntohs(target(table, "x").socket_address.sin_port) == 8);
+    CHECK(endpoint_of(table, "x").address == "127.0.0.1:8");
+    CHECK(ntohs(endpoint_of(table, "x").socket_address.sin_port) == 8);
   }
 }
 
@@ -527,7 +527,7 @@
       const auto list =
           table.apply(endpoint_list_json(4, kUpdate, {endpoint_json(unknown, "127.0.0.1:2", status)}));
       CHECK(state_of(table, known) == ServerState::Ready);
-      CHECK(target(table, known).address == "127.0.0.1:1");
+      CHECK(endpoint_of(table, known).address == "127.0.0.1:1");
       CHECK(state_in_list(list, known).value_or(ServerState::Ready) == ServerState::Ready);
     }
   }
@@ -544,7 +544,7 @@
   CHECK(state_of(table, lesser) == ServerState::Ready);
   const auto list = table.apply(endpoint_list_json(6, kUpdate, {endpoint_json(lesser, "", "terminated")}));
   CHECK(state_in_list(list, greater) == ServerState::Ready);
-  CHECK(target(table, greater).address == "127.0.0.1:9");
+  CHECK(endpoint_of(table, greater).address == "127.0.0.1:9");
   // A snapshot that contains only one of them removes the other.
   table.apply(endpoint_list_json(7, kUpdate, {endpoint_json(lesser, "127.0.0.1:1")}));
   table.apply(endpoint_list_json(8, kSnapshot, {endpoint_json(lesser, "127.0.0.1:1")}));
@@ -565,15 +565,15 @@
   CHECK(other_table.dropped_entries() == 0);
   CHECK(other_table.index() == 4);
   CHECK(state_of(other_table, "x") == ServerState::Draining);
-  CHECK(target(other_table, "x").address == "127.0.0.1:1");
+  CHECK(endpoint_of(other_table, "x").address == "127.0.0.1:1");
   CHECK(state_of(other_table, "y") == ServerState::Ready);
-  CHECK(target(other_table, "y").address == "127.0.0.1:7");
+  CHECK(endpoint_of(other_table, "y").address == "127.0.0.1:7");
   CHECK(table.serialized_list().find("\"extra\":\"kept\"") != std::string::npos);
 }
 
 // ---- stale answers ----
 
-// Guards against undoing a drain.
+// Guards against a drain that is undone by an answer that was sent before it.
 TEST_CASE("an answer with a lower index than known is stale and has no effect") {
   for (const bool is_snapshot : {kSnapshot, kUpdate}) {
     endpoints::EndpointTable table = make_table({endpoint_json("x", "127.0.0.1:1", "terminating")});
--- a/tests/net/fleet_size_test.cpp
+++ b/tests/net/fleet_size_test.cpp
@@ -42,7 +42,7 @@
     publish(endpoint_list_json(kFirstIndex, true, entries));
   }
 
-  // The average CPU time of the process for a change of one server.
+  // Publishes this many changes of one server each. Returns the average CPU time of the process for one.
   double cpu_ms_per_change(int changes) {
     publish(endpoint_list_json(index_ + 1, false, {})); // on return the initial list has been processed
     const double before = program_->resource_usage().cpu_ms;
@@ -55,16 +55,18 @@
 
   // Cycles through a drain, a restart, a removal and a new server.
   Json next_change(int number) {
-    const std::size_t at = static_cast<std::size_t>(number / 4) * 7 % names_.size();
+    const std::size_t index = static_cast<std::size_t>(number / 4) * 7 % names_.size();
     switch (number % 4) {
-      case 0: return endpoint_json(names_[at], kUnusedAddress, "terminating");
+      case 0: return endpoint_json(names_[index], kUnusedAddress, "terminating");
       case 1: {
-        Json started = endpoint_json(names_[at], kUnusedAddress);
+        Json started = endpoint_json(names_[index], kUnusedAddress);
         started["since_ms"] = loop::now_ms();
         return started;
       }
-      case 2: return endpoint_json(names_[at], kUnusedAddress, "terminated");
-      default: names_[at] = "n-" + std::to_string(number); return endpoint_json(names_[at], kUnusedAddress);
+      case 2: return endpoint_json(names_[index], kUnusedAddress, "terminated");
+      default:
+        names_[index] = "n-" + std::to_string(number);
+        return endpoint_json(names_[index], kUnusedAddress);
     }
   }
   // Answers the open call and waits for the next one, which shows that the list is applied.
@@ -90,7 +92,7 @@
 constexpr std::size_t kRequests = 60, kPopularKeyRequests = 15; // per router in each phase
 constexpr const char* kObservedServer = "apart";
 constexpr std::int64_t kRingPoints = 64;                   // per server on the ring
-constexpr double kFallMultiple = 4, kStartCapacity = 0.32; // set in the settings
+constexpr double kFallMultiple = 4, kStartCapacity = 0.32; // fall_multiple and start_capacity of the settings
 
 // The routers of a tier, each with its own discovery. One server is observed; all others are the same
 // scripted server.
@@ -119,7 +121,7 @@
     for (std::size_t i = 0; i < kRequests; ++i) {
       const bool is_popular = i % (kRequests / kPopularKeyRequests) == 0;
       for (const auto& client : clients) {
-        const std::string number = std::to_string(++requests_);
+        const std::string number = std::to_string(++request_count_);
         client->send(get_request("/k/" + (is_popular ? popular_key_ : number), "r" + number));
       }
       for (const auto& client : clients) {
@@ -135,7 +137,7 @@
   static double max_requests_in_slow_start() {
     const double mean = static_cast<double>(kRouters * kRequests) / kServers;
     const double budget = kFallMultiple * kStartCapacity * 2 * mean;
-    return budget + 3 * std::sqrt(budget) + 3; // with the rule's tolerance for small numbers of requests
+    return budget + 3 * std::sqrt(budget) + 3; // with a tolerance for small numbers of requests
   }
 
  private:
@@ -220,7 +222,7 @@
   std::string popular_key_;
   int index_ = kFirstIndex;
   double started_ms_ = 0;
-  std::size_t requests_ = 0;
+  std::size_t request_count_ = 0;
 };
 
 } // namespace
@@ -232,17 +234,17 @@
   const double cpu_ms_small_list = RouterWithServerList(200).cpu_ms_per_change(kChanges);
   const double cpu_ms_large_list = RouterWithServerList(3200).cpu_ms_per_change(kChanges);
   MESSAGE("CPU of a change: " << cpu_ms_small_list << " ms and " << cpu_ms_large_list << " ms");
-  CHECK(cpu_ms_large_list <
-        3 * cpu_ms_small_list); // for 16 times the servers; the factor allows for noise of the machine
+  // For 16 times the servers. The factor allows for noise of the machine.
+  CHECK(cpu_ms_large_list < 3 * cpu_ms_small_list);
 }
 
-// Guards against a slow start that admits a share of the incoming requests, so that a popular key
+// Guards against a slow start that admits a fixed share of the incoming requests, so that a popular key
 // overloads its server.
 TEST_CASE("a popular key whose server restarts: 12 routers together stay within its slow-start capacity") {
   RouterTier tier;
   const std::size_t warm = tier.requests_at_observed_server();
-  CHECK(warm >
-        kRouters * kPopularKeyRequests / 2); // a warm server receives most requests for the popular key
+  // A warm server receives most requests for the popular key.
+  CHECK(warm > kRouters * kPopularKeyRequests / 2);
   tier.restart_server();
   const std::size_t cold = tier.requests_at_observed_server();
   tier.restart_routers(); // without any observations
--- a/tests/net/http_test.cpp
+++ b/tests/net/http_test.cpp
@@ -12,7 +12,7 @@
   parser.feed(bytes);
   return parser;
 }
-ParseError parse_fault(const std::string& bytes, MessageKind kind = MessageKind::Request) {
+ParseError parse_error(const std::string& bytes, MessageKind kind = MessageKind::Request) {
   return parse(bytes, kind).error();
 }
 
@@ -27,10 +27,10 @@
     Parser parser(MessageKind::Request);
     std::size_t consumed_bytes = 0;
     while (consumed_bytes < text.size() && !parser.done()) {
-      const std::size_t n = parser.feed(std::string_view(text).substr(consumed_bytes, step_bytes));
+      const std::size_t fed_bytes = parser.feed(std::string_view(text).substr(consumed_bytes, step_bytes));
       REQUIRE(parser.error() == ParseError::None);
-      REQUIRE(n > 0);
-      consumed_bytes += n;
+      REQUIRE(fed_bytes > 0);
+      consumed_bytes += fed_bytes;
     }
     REQUIRE(parser.done());
     CHECK(text.substr(consumed_bytes) == "GET /"); // the bytes of the next request are not consumed
@@ -68,26 +68,26 @@
            head + "Transfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
        }) {
     CAPTURE(invalid);
-    CHECK(parse_fault(invalid) == ParseError::Malformed);
+    CHECK(parse_error(invalid) == ParseError::Malformed);
   }
-  CHECK(parse_fault(head + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nab") == ParseError::Malformed);
+  CHECK(parse_error(head + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nab") == ParseError::Malformed);
 }
 
 // Guards against unbounded memory use.
 TEST_CASE("headers and bodies up to the size limits are accepted and longer ones rejected") {
   const std::string head = "PUT / HTTP/1.1\r\n";
-  const auto with_body = [&](std::size_t n) {
-    return head + "Content-Length: " + std::to_string(n) + "\r\n\r\n" + std::string(n, 'x');
+  const auto with_body = [&](std::size_t body_bytes) {
+    return head + "Content-Length: " + std::to_string(body_bytes) + "\r\n\r\n" + std::string(body_bytes, 'x');
   };
   CHECK(parse(with_body(kMaxBodyBytes)).done());
-  CHECK(parse_fault(with_body(kMaxBodyBytes + 1)) == ParseError::BodyTooLarge);
-  CHECK(parse_fault(head + "Transfer-Encoding: chunked\r\n\r\nFFFFFFF\r\n") == ParseError::BodyTooLarge);
-  CHECK(parse_fault("GET /" + std::string(kMaxHeaderBytes, 'a')) ==
+  CHECK(parse_error(with_body(kMaxBodyBytes + 1)) == ParseError::BodyTooLarge);
+  CHECK(parse_error(head + "Transfer-Encoding: chunked\r\n\r\nFFFFFFF\r\n") == ParseError::BodyTooLarge);
+  CHECK(parse_error("GET /" + std::string(kMaxHeaderBytes, 'a')) ==
         ParseError::HeaderTooLarge); // without a line end
   std::string long_header = head;
   while (long_header.size() <= kMaxHeaderBytes) long_header += "A: b\r\n";
-  CHECK(parse_fault(long_header) == ParseError::HeaderTooLarge);
-  CHECK(parse_fault("HTTP/1.1 200 OK\r\n\r\n" + std::string(kMaxBodyBytes + 1, 'x'), MessageKind::Response) ==
+  CHECK(parse_error(long_header) == ParseError::HeaderTooLarge);
+  CHECK(parse_error("HTTP/1.1 200 OK\r\n\r\n" + std::string(kMaxBodyBytes + 1, 'x'), MessageKind::Response) ==
         ParseError::BodyTooLarge);
 }
 
@@ -115,11 +115,11 @@
           .keep_alive);
   for (const char* invalid :
        {"HTTP/1.1 20 OK\r\n", "HTTP/1.1 2000 OK\r\n", "ICY 200 OK\r\n", "HTTP/1.1 099 X\r\n"}) {
-    CHECK(parse_fault(invalid, MessageKind::Response) == ParseError::Malformed);
+    CHECK(parse_error(invalid, MessageKind::Response) == ParseError::Malformed);
   }
 }
 
-// Guards against framing errors.
+// Guards against framing errors in written messages.
 TEST_CASE("written messages can be parsed again") {
   Parser request = parse(write_request("PUT", "/a?b", "h:1", {{"X-A", "b"}}, "body"));
   REQUIRE(request.done());
@@ -145,7 +145,7 @@
   CHECK(endless.error() == ParseError::HeaderTooLarge);
 }
 
-// Guards against answering 400 to valid requests.
+// Guards against answering 400 to a valid request in absolute form.
 TEST_CASE("a request target in absolute form is reduced to its path") {
   const auto target = [](const std::string& text) {
     Parser parser = parse("GET " + text + " HTTP/1.1\r\nHost: h\r\n\r\n");
--- a/tests/net/large_bodies_test.cpp
+++ b/tests/net/large_bodies_test.cpp
@@ -40,12 +40,11 @@
   return text + "0\r\n\r\n";
 }
 
-bool all_buffers_released(RouterFixture& router_fixture) {
-  return router_fixture.wait_until([&] {
-    return router_fixture.router->buffer_budget().held_bytes() == 0 &&
-           router_fixture.router->buffer_budget().waiting_holders() == 0;
-  }) && router_fixture.router->buffer_budget().peak_held_bytes() <=
-             router_fixture.router->buffer_budget().total_bytes();
+bool all_buffers_released(RouterFixture& fixture) {
+  return fixture.wait_until([&] {
+    return fixture.router->buffer_budget().held_bytes() == 0 &&
+           fixture.router->buffer_budget().waiting_holders() == 0;
+  }) && fixture.router->buffer_budget().peak_held_bytes() <= fixture.router->buffer_budget().total_bytes();
 }
 
 } // namespace
@@ -61,7 +60,7 @@
   CHECK(fixture.router->endpoint_table().endpoints_by_id().size() == 1003);
 }
 
-// Guards against bytes lost between two buffers.
+// Guards against bytes that are lost where one buffer ends and the next begins.
 TEST_CASE("a response is forwarded byte for byte") {
   RouterFixture fixture;
   std::string response_bytes;
@@ -86,8 +85,8 @@
                                  100000ul, 400000ul, 524288ul, 524289ul, 1000000ul, 5 * kMb}) {
     const std::string value = full_value.substr(0, size);
     check_response(value, content_length_head(size) + value, "with its length");
-    check_response(value, "!" + kCloseDelimitedHead + value,
-                   "until close"); // "!": the server then closes the connection
+    // "!": the server then closes the connection.
+    check_response(value, "!" + kCloseDelimitedHead + value, "until close");
     check_response(value, kChunkedHead + chunked_body(value, 8192), "in chunks");
     check_response(value, kChunkedHead + chunked_body(value, 65536), "in large chunks");
     check_response(value, kChunkedHead + chunked_body(value, 100003),
@@ -98,7 +97,7 @@
   CHECK(all_buffers_released(fixture));
 }
 
-// Guards against a boundary in the middle of a chunk's size line.
+// Guards against parser state that is lost between two reads, as in the middle of a chunk's size line.
 TEST_CASE("a response is forwarded unchanged wherever its bytes are split") {
   RouterFixture fixture;
   const std::string value = make_value(40);
@@ -206,9 +205,9 @@
   fixture.script_caches([&](const http::Message&) {
     return chunked ? kChunkedHead + chunked_body(value, 100000) : content_length_head(value.size()) + value;
   });
-  TestClient slow(fixture.base.get(), fixture.router->port(), 4096);
-  slow.stop_reading();
-  slow.send(get_request("/k/1", "slow"));
+  TestClient slow_client(fixture.base.get(), fixture.router->port(), 4096);
+  slow_client.stop_reading();
+  slow_client.send(get_request("/k/1", "slow"));
   // The remainder stays at the server because no socket buffer holds 16 MB.
   REQUIRE(fixture.wait_until([&] { return fixture.router->buffer_budget().held_bytes() > 300000; }));
   run_for(fixture.base.get(), 50);
@@ -217,10 +216,10 @@
   TestClient other_client = fixture.connect_client();
   for (int i = 0; i < 20; ++i)
     CHECK(other_client.send_and_wait(get_request("/k/2", "q" + std::to_string(i))).body == "quick");
-  slow.resume_reading();
-  REQUIRE(fixture.wait_until([&] { return !slow.responses.empty() || slow.closed; }));
-  REQUIRE(slow.responses.size() == 1);
-  CHECK((slow.responses[0].body == value));
+  slow_client.resume_reading();
+  REQUIRE(fixture.wait_until([&] { return !slow_client.responses.empty() || slow_client.closed; }));
+  REQUIRE(slow_client.responses.size() == 1);
+  CHECK((slow_client.responses[0].body == value));
   CHECK(all_buffers_released(fixture));
 }
 
@@ -237,27 +236,27 @@
     return m.target == "/k/quick" ? ok_response("quick") : content_length_head(value.size()) + value;
   });
   fixture.origin.script = fixture.cache_1.script;
-  std::vector<std::unique_ptr<TestClient>> slow;
+  std::vector<std::unique_ptr<TestClient>> slow_clients;
   for (int i = 0; i < 200; ++i) {
-    slow.push_back(std::make_unique<TestClient>(fixture.base.get(), fixture.router->port(), 4096));
-    slow.back()->stop_reading();
-    slow.back()->send("GET /k/" + std::to_string(i) + " HTTP/1.1\r\nX-Request-ID: s" + std::to_string(i) +
-                      "\r\nX-Priority-Class: read\r\n\r\n");
+    slow_clients.push_back(std::make_unique<TestClient>(fixture.base.get(), fixture.router->port(), 4096));
+    slow_clients.back()->stop_reading();
+    slow_clients.back()->send("GET /k/" + std::to_string(i) + " HTTP/1.1\r\nX-Request-ID: s" +
+                              std::to_string(i) + "\r\nX-Priority-Class: read\r\n\r\n");
     run_for(fixture.base.get(), 10); // not a burst, which would test the balancer's admission
   }
   REQUIRE(fixture.wait_until([&] { return fixture.router->buffer_budget().held_bytes() > 2 * kMb; }));
-  TestClient quick = fixture.connect_client();
+  TestClient quick_client = fixture.connect_client();
   const double started_at_ms = loop::now_ms();
   for (int i = 0; i < 200; ++i)
-    CHECK(quick.send_and_wait(get_request("/k/quick", "q" + std::to_string(i))).body == "quick");
+    CHECK(quick_client.send_and_wait(get_request("/k/quick", "q" + std::to_string(i))).body == "quick");
   CHECK(loop::now_ms() - started_at_ms < 5000);
   CHECK(fixture.router->buffer_budget().peak_held_bytes() <= fixture.router->buffer_budget().total_bytes());
-  for (auto& client : slow) client->resume_reading();
+  for (auto& client : slow_clients) client->resume_reading();
   CHECK(fixture.wait_until([&] {
-    return std::all_of(slow.begin(), slow.end(),
+    return std::all_of(slow_clients.begin(), slow_clients.end(),
                        [](const auto& c) { return !c->responses.empty() || c->closed; });
   }));
-  const auto correct = std::count_if(slow.begin(), slow.end(), [&](const auto& c) {
+  const auto correct = std::count_if(slow_clients.begin(), slow_clients.end(), [&](const auto& c) {
     return c->responses.size() == 1 && c->responses[0].status == 200 && c->responses[0].body == value;
   });
   CHECK(correct == 200);
@@ -298,7 +297,7 @@
   CHECK((client.responses[0].body == value));
 }
 
-// Guards against leaks.
+// Guards against leaked attempts, connections and buffers.
 TEST_CASE("a client that disconnects while its response is forwarded cancels the attempt") {
   RouterFixture fixture;
   const std::string value = make_value(kMb);
@@ -316,7 +315,7 @@
   CHECK(all_buffers_released(fixture));
 }
 
-// Guards against reading megabytes to keep a connection.
+// Guards against reading megabytes only to reuse a connection.
 TEST_CASE("the unused body of a response is not read") {
   RouterFixture fixture;
   const std::string value = make_value(3 * kMb);
@@ -352,26 +351,26 @@
   CHECK(all_buffers_released(fixture));
 }
 
-// Guards against response buffers that are held forever.
+// Guards against response buffers that a client holds forever.
 TEST_CASE("a client that reads a response very slowly is disconnected") {
   RouterFixture fixture([](Json& file) {
     file["settings"]["classes"][0]["aim"] = file["settings"]["classes"][0]["give_up"] = 60000;
   });
   const std::string value = make_value(2 * kMb);
   fixture.script_caches([&](const http::Message&) { return content_length_head(value.size()) + value; });
-  TestClient slow(fixture.base.get(), fixture.router->port(), 2048);
-  slow.stop_reading();
-  slow.send("GET /k/1 HTTP/1.1\r\nX-Request-ID: r1\r\nX-Priority-Class: read\r\n\r\n");
+  TestClient slow_client(fixture.base.get(), fixture.router->port(), 2048);
+  slow_client.stop_reading();
+  slow_client.send("GET /k/1 HTTP/1.1\r\nX-Request-ID: r1\r\nX-Priority-Class: read\r\n\r\n");
   REQUIRE(fixture.wait_until([&] { return fixture.router->buffer_budget().held_bytes() > 0; }));
   const double started_at_ms = loop::now_ms();
   REQUIRE(fixture.wait_until([&] { return fixture.router->buffer_budget().held_bytes() == 0; }));
-  CHECK(loop::now_ms() - started_at_ms > 4000); // meanwhile the client has read less than one byte per second
+  CHECK(loop::now_ms() - started_at_ms > 4000); // meanwhile the client reads nothing
   CHECK(fixture.wait_until(
       [&] { return fixture.cache_1.open_connections() + fixture.cache_2.open_connections() == 0; }));
   CHECK(fixture.router->dispatcher().unanswered_requests() == 0);
 }
 
-// Guards against a whole block for each small piece.
+// Guards against a whole block that is kept for each small piece.
 TEST_CASE("buffered bytes use at most twice their size in memory") {
   loop::IoBuffer block;
   const char* const first = block.data();
@@ -414,9 +413,9 @@
     run_for(fixture.base.get(), 200);
     const std::size_t before = client.partial_body_bytes();
     fixture.last_requested_cache().write_to_last(value.substr(at, 40 << 10));
-    CHECK(fixture.wait_until([&] {
-      return client.partial_body_bytes() > before || !client.responses.empty();
-    })); // each part is forwarded at once
+    // Each part is forwarded at once.
+    CHECK(fixture.wait_until(
+        [&] { return client.partial_body_bytes() > before || !client.responses.empty(); }));
   }
   REQUIRE(fixture.wait_until([&] { return !client.responses.empty(); }));
   CHECK(client.responses.front().body == value);
@@ -424,7 +423,7 @@
   CHECK(all_buffers_released(fixture));
 }
 
-// Guards against connections that are held forever.
+// Guards against connections that a server holds forever.
 TEST_CASE("a server that stops in the middle of a response times out") {
   RouterFixture fixture;
   const std::string value = make_value(300 << 10);
--- a/tests/net/program.h
+++ b/tests/net/program.h
@@ -21,8 +21,8 @@
 
 namespace fernward::tests {
 
-// System calls that fail with `error` in a program, as in a container whose seccomp filter does not know
-// them.
+// System calls that fail with `error`, an errno, in a program: as in a container whose seccomp filter does
+// not know them.
 struct RefusedSystemCalls {
   std::vector<long> calls;
   int error = 0;
@@ -42,7 +42,9 @@
          prctl(PR_SET_SECCOMP, SECCOMP_MODE_FILTER, &program) == 0;
 }
 
-// A running program and what it has written to standard output and standard error.
+// The program under test as a child process, and what it has written to standard output and standard error.
+// `config` is written to a temporary file, as text if it is a string, and NODE_CONFIG names that file.
+// Entries of `environment` have the form NAME=value. The destructor kills the process and removes the file.
 class TestProgram {
  public:
   TestProgram(const std::vector<std::string>& command_arguments, const Json& config,
@@ -104,8 +106,8 @@
     return usage;
   }
   std::size_t open_descriptors() const {
-    const std::filesystem::directory_iterator open("/proc/" + std::to_string(pid_) + "/fd");
-    return static_cast<std::size_t>(std::distance(begin(open), end(open)));
+    const std::filesystem::directory_iterator descriptors("/proc/" + std::to_string(pid_) + "/fd");
+    return static_cast<std::size_t>(std::distance(begin(descriptors), end(descriptors)));
   }
   void limit_descriptors(rlim_t max_descriptors) {
     rlimit limit{};
--- a/tests/net/program_test.cpp
+++ b/tests/net/program_test.cpp
@@ -19,7 +19,8 @@
   return run_until(base.get(), [&] { return program.has_exited(); });
 }
 
-struct ServiceFixture { // scripted peers for a program under test
+// Scripted peers for a program under test: a discovery and one cache.
+struct ServiceFixture {
   router::EventBasePtr base = router::make_event_base();
   ScriptedServer discovery{base.get(), [this](const http::Message& m) {
                              return m.target == "/v1/endpoints" ? ok_response(endpoint_list().dump())
@@ -115,8 +116,8 @@
   CHECK(client.send_and_wait(get_request("/k/2", "r3")).body == "v of /k/2");
   CHECK_FALSE(idle_client.closed);
   fixture.cache.script = [](const http::Message&) { return std::string(); };
-  client.send(
-      get_request("/k/3", "r4")); // the server never responds: the client still gets an error before the exit
+  // The server never responds: the client still receives an error before the exit.
+  client.send(get_request("/k/3", "r4"));
   REQUIRE(fixture.wait_until([&] { return program.has_exited(); }));
   CHECK(program.exit_code == 0);
   CHECK(loop::now_ms() - started_at_ms < 2600 + 300);
@@ -182,8 +183,8 @@
   CHECK(program.exit_code == 0);
 }
 
-// discovery_test.cpp checks that nothing is sent by the known list earlier, while discovery may still
-// answer.
+// Guards against a router that never serves because discovery is silent when it restarts. discovery_test.cpp
+// checks that nothing is sent by the known list earlier, while discovery may still answer.
 TEST_CASE("restarted after SIGKILL with a silent discovery it serves from the known list within 3 s") {
   ServiceFixture fixture;
   fixture.discovery.script = [](const http::Message&) { return std::string(); };
@@ -203,7 +204,7 @@
   }
 }
 
-// Guards against a full CPU and a crash.
+// Guards against an event loop that spins on accept(), and against a crash.
 TEST_CASE("without free descriptors it continues to serve and does not spin on accept") {
   ServiceFixture fixture;
   TestProgram program({"serve"}, fixture.config());
@@ -240,8 +241,8 @@
   const int port = fixture.wait_for_port(program);
   std::vector<std::unique_ptr<TestClient>> clients;
   int number = 0, unanswered = 0;
-  const auto send_requests = [&](std::size_t most) { // on new connections, which stay open
-    for (std::size_t i = 0; i < most; ++i) {
+  const auto send_requests = [&](std::size_t count) { // on new connections, which stay open
+    for (std::size_t i = 0; i < count; ++i) {
       clients.push_back(std::make_unique<TestClient>(fixture.base.get(), port));
       unanswered +=
           clients.back()->send_and_wait(get_request("/k/1", std::to_string(number++))).status != 200;
@@ -265,21 +266,21 @@
 TEST_CASE("256 descriptors and 20 caches: all requests are served within the limit") {
   ServiceFixture fixture;
   std::vector<std::unique_ptr<ScriptedServer>> caches;
-  std::vector<Json> list;
+  std::vector<Json> entries;
   for (int i = 0; i < 20; ++i) {
     caches.push_back(std::make_unique<ScriptedServer>(
         fixture.base.get(), [](const http::Message& m) { return ok_response("v of " + m.target); }));
-    list.push_back(endpoint_json("s-" + std::to_string(i), caches.back()->address));
+    entries.push_back(endpoint_json("s-" + std::to_string(i), caches.back()->address));
   }
   Json config = fixture.config();
-  config["known"] = endpoint_list_json(1, true, list);
+  config["known"] = endpoint_list_json(1, true, entries);
   fixture.discovery.script = [&](const http::Message& m) {
     return m.target == "/v1/endpoints" ? ok_response(config["known"].dump()) : std::string();
   };
   TestProgram program({"serve"}, config);
   const int port = fixture.wait_for_port(program);
   std::vector<std::unique_ptr<TestClient>> silent_clients, kept_clients;
-  std::size_t most = 0;
+  std::size_t max_open_descriptors = 0;
   int number = 0, unanswered = 0;
   for (int round = 0; round < 8; ++round) {
     for (int i = 0; i < 40; ++i)
@@ -299,11 +300,11 @@
       unanswered += client->responses.empty() || client->responses[0].status != 200;
       kept_clients.push_back(std::move(client));
     }
-    most = std::max(most, program.open_descriptors());
+    max_open_descriptors = std::max(max_open_descriptors, program.open_descriptors());
   }
   CHECK(unanswered == 0);
-  CHECK(most <= 256);
-  CHECK(most > 150); // descriptors that the other side does not need are used
+  CHECK(max_open_descriptors <= 256);
+  CHECK(max_open_descriptors > 150); // descriptors that the other side does not need are used
 }
 
 TEST_CASE("SIGHUP and SIGTERM while a response is forwarded: it is completed and the program exits") {
@@ -314,7 +315,7 @@
   Json config = fixture.config();
   TestProgram program({"serve"}, config);
   TestClient client(fixture.base.get(), fixture.wait_for_port(program)),
-      idle(fixture.base.get(), program.port());
+      idle_client(fixture.base.get(), program.port());
   client.send(get_request("/k/1", "r1"));
   REQUIRE(fixture.wait_until([&] { return client.partial_body_bytes() == 2 << 20; }));
   config["limits"]["answer_bytes"] = 1; // takes effect only after a restart
@@ -323,7 +324,8 @@
   REQUIRE(fixture.wait_until(
       [&] { return program.output_contains("reload-needs-restart key=limits.answer_bytes"); }));
   program.signal(SIGTERM);
-  REQUIRE(fixture.wait_until([&] { return idle.closed; })); // by then the listening socket is closed too
+  REQUIRE(
+      fixture.wait_until([&] { return idle_client.closed; })); // by then the listening socket is closed too
   CHECK_FALSE(program.has_exited());
   fixture.cache.write_to_last(value.substr(2 << 20));
   REQUIRE(fixture.wait_until([&] { return client.closed; }));
@@ -337,21 +339,21 @@
 // response while the server was still sending.
 TEST_CASE("a system that rejects splice: forwarded responses are complete") {
   const std::string value(3 << 20, 'v');
-  const std::size_t first = 1 << 20;
+  const std::size_t first_part_bytes = 1 << 20;
   for (const int error : {EINVAL, ENOSYS, EPERM}) {
     CAPTURE(error);
     ServiceFixture fixture;
     const std::string head =
         "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(value.size()) + "\r\n\r\n";
-    fixture.cache.script = [&](const http::Message&) { return head + value.substr(0, first); };
+    fixture.cache.script = [&](const http::Message&) { return head + value.substr(0, first_part_bytes); };
     TestProgram program({"serve"}, fixture.config(), {}, {{SYS_splice, SYS_sendfile, SYS_tee}, error});
     TestClient client(fixture.base.get(), fixture.wait_for_port(program));
     for (const char* id : {"r1", "r2"}) { // the request that detects the rejected call and one after it
       client.send(get_request("/k/1", id));
       // The client has read everything: the following bytes have nothing buffered before them and are
       // spliced.
-      REQUIRE(fixture.wait_until([&] { return client.partial_body_bytes() == first; }));
-      fixture.cache.write_to_last(value.substr(first));
+      REQUIRE(fixture.wait_until([&] { return client.partial_body_bytes() == first_part_bytes; }));
+      fixture.cache.write_to_last(value.substr(first_part_bytes));
       const std::size_t before = client.responses.size();
       REQUIRE(fixture.wait_until([&] { return client.responses.size() > before || client.closed; }));
       REQUIRE(client.responses.size() == before + 1);
@@ -379,7 +381,7 @@
   CHECK(served == 400);
 }
 
-// Guards against a process that a failing write to a file ends.
+// Guards against a process that is ended by a failing write to a file.
 TEST_CASE(
     "a limit on the file size: bodies that need a file are streamed without one and the program continues") {
   ServiceFixture fixture;
@@ -473,11 +475,11 @@
     CHECK(served >= 1); // a busy machine may miss a latency objective of 20 ms
     // The server stops responding: the request is answered at its timeout, or at the latest before the exit.
     fixture.cache.script = [](const http::Message&) { return std::string(); };
-    const std::size_t before = fixture.cache.requests.size();
+    const std::size_t requests_before = fixture.cache.requests.size();
     // Without X-Timeout-Ms the timeout of its class applies.
     client.send("GET /k/s HTTP/1.1\r\nX-Request-ID: silent\r\nX-Priority-Class: read\r\n\r\n");
     REQUIRE(fixture.wait_until(
-        [&] { return fixture.cache.requests.size() > before || client.responses.size() > 20; }));
+        [&] { return fixture.cache.requests.size() > requests_before || client.responses.size() > 20; }));
     program.signal(SIGTERM);
     const double signaled_at_ms = loop::now_ms();
     REQUIRE(fixture.wait_until([&] { return program.has_exited(); }));
--- a/tests/net/raw_client.h
+++ b/tests/net/raw_client.h
@@ -34,7 +34,8 @@
   ~RawClient() { close(); }
   RawClient(const RawClient&) = delete;
 
-  void send(const std::string& text) { // all of it, or as much as the socket buffers accept
+  // Sends all of the text, or as much as the socket buffers accept.
+  void send(const std::string& text) {
     for (std::size_t at = 0; at < text.size();) {
       const auto n = ::send(fd_, text.data() + at, text.size() - at, MSG_NOSIGNAL | MSG_DONTWAIT);
       if (n <= 0) return;
@@ -70,7 +71,7 @@
   }
   std::vector<http::Message> responses;
   std::string received_bytes;             // all bytes, unparsed
-  bool closed = false, was_reset = false; // broken: the connection was reset
+  bool closed = false, was_reset = false; // was_reset: closed by a reset
 
  private:
   int fd_;
--- a/tests/net/router_test.cpp
+++ b/tests/net/router_test.cpp
@@ -1,5 +1,5 @@
 // Tests of the router over loopback sockets against scripted peers, one for each failure that was observed or
-// that the protocol warns of. No test depends on tight timing.
+// that the protocol's documentation describes. No test depends on tight timing.
 #include <doctest/doctest.h>
 
 #include <sys/resource.h>
@@ -11,12 +11,12 @@
 // Replaces the C library's connect(), also for libevent: simulates shortages of this machine that no process
 // limit can produce.
 static int simulated_connect_error = 0;
-extern "C" int connect(int fd, const sockaddr* to, socklen_t size) {
+extern "C" int connect(int fd, const sockaddr* address, socklen_t size) {
   if (simulated_connect_error != 0) {
     errno = simulated_connect_error;
     return -1;
   }
-  return static_cast<int>(syscall(SYS_connect, fd, to, size));
+  return static_cast<int>(syscall(SYS_connect, fd, address, size));
 }
 
 using namespace fernward;
@@ -133,8 +133,8 @@
   CHECK(client.send_and_wait(get_request("/k/1", "r2")).body == "from cache /k/1");
 }
 
-// Guards against requests to a server after discovery has reported it as draining (the third protocol
-// rule).
+// Guards against requests to a server after discovery has reported it as draining, which the protocol
+// forbids.
 TEST_CASE("a draining server receives no new requests and its idle connections are closed") {
   RouterFixture fixture;
   TestClient client = fixture.connect_client();
@@ -188,7 +188,7 @@
   CHECK(client.send_and_wait("GET /ready HTTP/1.1\r\n\r\n").status == 200);
 }
 
-// Guards against a client request that is not answered in time (the first protocol rule).
+// Guards against a client request that is not answered in time, as the protocol requires.
 TEST_CASE("no server responds: the client receives 503 with Retry-After before its deadline passes") {
   RouterFixture fixture;
   fixture.script_caches([](const http::Message&) { return std::string(); });
@@ -222,8 +222,9 @@
   CHECK(fixture.router->dispatcher().attempts_in_flight() == 0);
 }
 
-// Found in a simulation with few routers: a router whose event loop had been blocked read a request,
-// forwarded it, and only then read that the client had disconnected 0.3 s before.
+// Guards against attempts for a disconnected client: in a simulation with few routers, a router whose event
+// loop had been blocked read a request, forwarded it, and only then read that the client had disconnected 0.3
+// s before.
 TEST_CASE("a request whose client has disconnected before it is read is not forwarded") {
   RouterFixture fixture;
   const std::string long_request = get_request("/k/2", "r2", "X-Pad: " + std::string(15000, 'p') + "\r\n");
@@ -310,7 +311,7 @@
 
 // Guards against clients that can't connect.
 TEST_CASE("a full table of client connections closes idle ones for new clients") {
-  RouterFixture fixture([](Json& file) { file["limits"]["sockets"] = 64; }); // 9 client connections
+  RouterFixture fixture([](Json& file) { file["limits"]["sockets"] = 64; }); // at most 30 client connections
   std::vector<std::unique_ptr<TestClient>> clients;
   for (int i = 0; i < 30; ++i) {
     clients.push_back(std::make_unique<TestClient>(fixture.base.get(), fixture.router->port()));
@@ -318,7 +319,7 @@
   }
 }
 
-// Guards against connections that are never used again and occupy every place that clients may have.
+// Guards against connections that are never used again and occupy all client slots.
 TEST_CASE("clients that keep a connection after one request don't lock out new clients") {
   RouterFixture fixture(
       [](Json& file) { file["limits"]["sockets"] = 128; }); // clients hold at most 42 for requests
@@ -352,8 +353,8 @@
   for (int round = 0; round < 12; ++round) {
     for (auto& client : regular_clients)
       CHECK(client->send_and_wait(get_request("/k/1", "o" + std::to_string(number++))).status == 200);
-    // Between two requests of the regular clients, more new clients than the table has places for. They stay
-    // connected until the router closes them.
+    // Between two requests of the regular clients, more new clients connect than the router has slots for.
+    // They stay connected until the router closes them.
     for (int i = 0; i < (round == 0 ? 0 : 25); ++i) {
       std::erase_if(other_clients, [](const auto& c) { return c->closed; });
       other_clients.push_back(std::make_unique<TestClient>(fixture.base.get(), fixture.router->port()));
@@ -382,7 +383,7 @@
   }
 }
 
-// Guards against responses delivered to the wrong client.
+// Guards against responses delivered to the wrong client, which two active requests with one ID would allow.
 TEST_CASE("a request ID that is already active is rejected") {
   RouterFixture fixture;
   fixture.script_caches([](const http::Message&) { return std::string(); });
@@ -399,7 +400,7 @@
         200); // the ID can be used again
 }
 
-// Guards against invalid requests that use up, at five attempts each, the retry budget that other clients
+// Guards against invalid requests that use up, with all their attempts, the retry budget that other clients
 // need.
 TEST_CASE("a request that a cache rejects with 400 is not retried") {
   RouterFixture fixture;
@@ -431,9 +432,9 @@
 TEST_CASE("a connection with hundreds of pipelined requests serves a few and is closed") {
   RouterFixture fixture;
   TestClient client = fixture.connect_client();
-  std::string all;
-  for (int i = 0; i < 300; ++i) all += get_request("/k/" + std::to_string(i), std::to_string(i));
-  client.send(all);
+  std::string all_requests;
+  for (int i = 0; i < 300; ++i) all_requests += get_request("/k/" + std::to_string(i), std::to_string(i));
+  client.send(all_requests);
   CHECK(fixture.wait_until([&] { return client.closed; }));
   REQUIRE_FALSE(client.responses.empty());
   CHECK(client.responses.back().status == 503);
@@ -459,7 +460,7 @@
 
 // Guards against clients locked out by many silent connections.
 TEST_CASE("silent connections are closed in favor of a client that sends a request") {
-  RouterFixture fixture([](Json& file) { file["limits"]["sockets"] = 64; }); // 20 client connections
+  RouterFixture fixture([](Json& file) { file["limits"]["sockets"] = 64; }); // at most 30 client connections
   std::vector<std::unique_ptr<TestClient>> other_clients;
   for (int i = 0; i < 30; ++i)
     other_clients.push_back(std::make_unique<TestClient>(fixture.base.get(), fixture.router->port()));
@@ -541,8 +542,8 @@
 
 } // namespace
 
-// Guards against requests to a server after discovery has reported it as draining (the third protocol
-// rule).
+// Guards against requests to a server after discovery has reported it as draining, which the protocol
+// forbids.
 TEST_CASE("a connection established after its server began draining sends nothing") {
   ConnectionPoolFixture fixture;
   REQUIRE(fixture.start_attempt(1) == StartResult::Started);
@@ -554,8 +555,8 @@
   CHECK(fixture.server.requests.empty());
 }
 
-// Found in full-size simulations: a write was rejected while its connection to the origin was being
-// established, and sent 33 ms later.
+// Guards against sending a write that has been rejected: in full-size simulations a write was rejected while
+// its connection to the origin was being established, and was sent 33 ms later.
 TEST_CASE(
     "a connection established after its request was answered sends nothing and serves the next request") {
   ConnectionPoolFixture fixture;
@@ -791,11 +792,11 @@
   options.silence_timeout_ms = 100;
   ConnectionPoolFixture fixture(10, options);
   fixture.server.reading_paused = true;
-  body_buffers::BufferBudget bytes{{}};
+  body_buffers::BufferBudget body_budget{{}};
   body_buffers::RetentionLimits retention_limits;
   retention_limits.max_body_bytes = 16 << 20;
   retention_limits.max_memory_bytes_per_body = retention_limits.max_memory_bytes = 16 << 20;
-  proxy::BodyStores body_stores(retention_limits, bytes, "");
+  proxy::BodyStores body_stores(retention_limits, body_budget, "");
   loop::IoBuffer block;
   auto client_request = std::make_shared<proxy::ClientRequest>();
   client_request->is_write = true;
@@ -819,8 +820,8 @@
   CHECK(fixture.server.requests.empty());
 }
 
-// The table lists what a server sends before it closes. Whether the request may have run by then, the
-// class decides.
+// The table lists what a server sends before it closes. The request may have run by then, so its class
+// decides whether it is retried.
 TEST_CASE("a server that closes its connection at any moment: retried or failed once as the class requires") {
   const std::string complete_response = ok_response("v");
   const std::vector<std::pair<const char*, std::string>> cases = {
@@ -843,23 +844,23 @@
           file["settings"]["classes"].push_back(
               {{"name", "once"}, {"aim", 900}, {"give_up", 2000}, {"repeat", "unsafe"}, {"worth", 1}});
         });
-        const bool read = std::string(class_name) == "read";
-        const auto text = [&](const std::string& id) {
-          if (read) return get_request("/k/1", id);
+        const bool is_read = std::string(class_name) == "read";
+        const auto request_text = [&](const std::string& id) {
+          if (is_read) return get_request("/k/1", id);
           return "PUT /k/1 HTTP/1.1\r\nHost: h\r\nX-Request-ID: " + id +
                  "\r\nX-Priority-Class: " + class_name + "\r\nIdempotency-Key: k-" + id +
                  "\r\nX-Timeout-Ms: 2000\r\nContent-Length: 1\r\n\r\nb";
         };
         TestClient client = fixture.connect_client();
-        if (reuse_connection) REQUIRE(client.send_and_wait(text("r0")).status == 200);
+        if (reuse_connection) REQUIRE(client.send_and_wait(request_text("r0")).status == 200);
         const std::size_t before = fixture.requests_sent();
-        bool faulty = false;
+        bool has_failed_once = false;
         const ScriptedServer::Script once = [&, response_bytes = response_bytes](const http::Message&) {
-          return std::exchange(faulty, true) ? ok_response("other") : response_bytes;
+          return std::exchange(has_failed_once, true) ? ok_response("other") : response_bytes;
         };
         fixture.script_caches(once);
         fixture.origin.script = once;
-        const auto response = client.send_and_wait(text("r1"));
+        const auto response = client.send_and_wait(request_text("r1"));
         const bool response_complete = response_bytes.find(complete_response) != std::string::npos ||
                                        response_bytes.find("close") != std::string::npos;
         const std::string body = response_complete ? "v" : "other";
@@ -872,7 +873,7 @@
           CHECK(response.status == 502);
           CHECK(fixture.requests_sent() == before + 1);
         }
-        CHECK(client.send_and_wait(text("r2")).status == 200);
+        CHECK(client.send_and_wait(request_text("r2")).status == 200);
         CHECK(client.responses.size() == (reuse_connection ? 3u : 2u));
         CHECK(fixture.router->dispatcher().attempts_in_flight() == 0);
       }
@@ -895,12 +896,12 @@
 // Guards against ejecting healthy servers for a shortage on this machine.
 TEST_CASE("without a free descriptor an attempt ends with LocalLimit") {
   ConnectionPoolFixture fixture;
-  rlimit before{};
-  REQUIRE(getrlimit(RLIMIT_NOFILE, &before) == 0);
-  const rlimit no_descriptors{0, before.rlim_max};
+  rlimit original_limit{};
+  REQUIRE(getrlimit(RLIMIT_NOFILE, &original_limit) == 0);
+  const rlimit no_descriptors{0, original_limit.rlim_max};
   REQUIRE(setrlimit(RLIMIT_NOFILE, &no_descriptors) == 0);
   const StartResult start = fixture.start_attempt(1);
-  REQUIRE(setrlimit(RLIMIT_NOFILE, &before) == 0);
+  REQUIRE(setrlimit(RLIMIT_NOFILE, &original_limit) == 0);
   CHECK(start == StartResult::LocalLimit);
   CHECK(fixture.start_attempt(2) == StartResult::Started);
 }
@@ -923,18 +924,20 @@
 // their connections.
 TEST_CASE("a malformed response is an error and its connection is not reused") {
   ConnectionPoolFixture fixture;
-  std::string faulty;
-  SUBCASE("noise") { faulty = "\x01\x02\x03 noise\r\n\r\n"; }
-  SUBCASE("a header without end") { faulty = "HTTP/1.1 200 OK\r\nA: " + std::string(70000, 'a'); }
-  SUBCASE("a negative Content-Length") { faulty = "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello"; }
-  SUBCASE("another protocol") { faulty = "HTTP/1.1 101 Switching\r\n\r\n"; }
+  std::string malformed_response;
+  SUBCASE("noise") { malformed_response = "\x01\x02\x03 noise\r\n\r\n"; }
+  SUBCASE("a header without end") { malformed_response = "HTTP/1.1 200 OK\r\nA: " + std::string(70000, 'a'); }
+  SUBCASE("a negative Content-Length") {
+    malformed_response = "HTTP/1.1 200 OK\r\nContent-Length: -5\r\n\r\nhello";
+  }
+  SUBCASE("another protocol") { malformed_response = "HTTP/1.1 101 Switching\r\n\r\n"; }
   SUBCASE("two Content-Length headers") {
-    faulty = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!";
+    malformed_response = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 6\r\n\r\nhello!";
   }
   SUBCASE("a Content-Length of 3 GB") {
-    faulty = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello";
+    malformed_response = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhello";
   }
-  fixture.server.script = [&](const http::Message&) { return faulty; };
+  fixture.server.script = [&](const http::Message&) { return malformed_response; };
   REQUIRE(fixture.start_attempt(1) == StartResult::Started);
   REQUIRE(run_until(fixture.base.get(), [&] { return fixture.results.size() == 1; }));
   CHECK(fixture.results[0] == AttemptResult::Error);
@@ -981,7 +984,7 @@
   CHECK(fixture.origin.requests.size() == 20);
 }
 
-// Guards against a client request that is never answered (the first protocol rule).
+// Guards against a client request that is never answered, although the protocol requires an answer in time.
 TEST_CASE("a request that the balancer ignores fails at its deadline") {
   struct Clients : proxy::DownstreamConnections {
     void send_response(loop::Handle, proxy::ClientResponse response) override {
@@ -1013,7 +1016,7 @@
   CHECK(clients.response_kinds[0] == proxy::ClientResponse::Kind::Failed);
 }
 
-// Guards against connection places held by requests that never become complete.
+// Guards against client slots held by requests that never become complete.
 TEST_CASE("many incomplete requests do not lock out a complete one") {
   RouterFixture fixture([](Json& file) { file["limits"]["sockets"] = 96; });
   std::vector<std::unique_ptr<TestClient>> other_clients;
--- a/tests/net/scripted_discovery.h
+++ b/tests/net/scripted_discovery.h
@@ -1,5 +1,5 @@
-// A discovery service that a test controls step by step. It records all calls in the order of their arrival
-// and answers the call that the test names, at the moment and with the bytes that the test chooses.
+// A discovery service that a test controls step by step. It records all calls in the order of their arrival.
+// It answers a call only when the test calls reply() or reply_part(), with the bytes given there.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -20,6 +20,7 @@
 
 namespace fernward::tests {
 
+// Runs in the event loop `base`. A call is identified by its position in `calls`.
 class ScriptedDiscovery {
  public:
   // One request of the router.
@@ -148,11 +149,12 @@
     connection.io = loop::make_bufferevent(base_, fd);
     bufferevent_setcb(
         connection.io.get(),
-        [](bufferevent*, void* c) {
-          auto* readable = static_cast<Connection*>(c);
+        [](bufferevent*, void* context) {
+          auto* readable = static_cast<Connection*>(context);
           readable->discovery->read(*readable);
         },
-        nullptr, [](bufferevent*, short, void* c) { static_cast<Connection*>(c)->io.reset(); }, &connection);
+        nullptr, [](bufferevent*, short, void* context) { static_cast<Connection*>(context)->io.reset(); },
+        &connection);
     bufferevent_enable(connection.io.get(), EV_READ | EV_WRITE);
     max_open_connections = std::max(max_open_connections, open_connections());
     if (on_connection) on_connection(connection.number);
--- a/tests/net/scripted_peers.h
+++ b/tests/net/scripted_peers.h
@@ -72,41 +72,46 @@
   }
   ScriptedServer(const ScriptedServer&) = delete;
 
-  void write_to_last(const std::string& text) { // on the connection of the last request, from the event loop
+  // Writes on the connection of the last request, from the event loop.
+  void write_to_last(const std::string& text) {
     if (last_connection_ != nullptr && last_connection_->buffer_event != nullptr)
       send(last_connection_, text);
   }
-  void write_to_last_now(
-      const std::string& text) { // on return the bytes are in the peer's socket, before any event loop runs
+  // The same at once: on return the bytes are in the peer's socket, before any event loop runs.
+  void write_to_last_now(const std::string& text) {
     if (last_connection_ == nullptr || last_connection_->buffer_event == nullptr) return;
     [[maybe_unused]] const auto n = ::send(bufferevent_getfd(last_connection_->buffer_event.get()),
                                            text.data(), text.size(), MSG_NOSIGNAL);
   }
-  enum class CloseMode { Fin, Reset, WriteShutdown }; // WriteShutdown: no more is sent, still read
-  void close_all(CloseMode how) {                     // all connections
-    for (const auto& link : connections_) {
-      if (link->buffer_event == nullptr) continue;
-      const int fd = bufferevent_getfd(link->buffer_event.get());
-      if (how == CloseMode::WriteShutdown) {
+  // WriteShutdown: sends no more but continues to read.
+  enum class CloseMode { Fin, Reset, WriteShutdown };
+  // Applies to all connections.
+  void close_all(CloseMode mode) {
+    for (const auto& connection : connections_) {
+      if (connection->buffer_event == nullptr) continue;
+      const int fd = bufferevent_getfd(connection->buffer_event.get());
+      if (mode == CloseMode::WriteShutdown) {
         shutdown(fd, SHUT_WR);
         continue;
       }
-      if (how == CloseMode::Reset) loop::reset_on_close(fd);
-      link->buffer_event.reset();
+      if (mode == CloseMode::Reset) loop::reset_on_close(fd);
+      connection->buffer_event.reset();
     }
   }
-  void shutdown_all() { // immediately: libevent closes sockets only from its loop
-    for (const auto& link : connections_) {
-      if (link->buffer_event != nullptr) shutdown(bufferevent_getfd(link->buffer_event.get()), SHUT_RDWR);
+  // Closes all connections at once: bufferevents would close their sockets only from the event loop.
+  void shutdown_all() {
+    for (const auto& connection : connections_) {
+      if (connection->buffer_event != nullptr)
+        shutdown(bufferevent_getfd(connection->buffer_event.get()), SHUT_RDWR);
     }
     connections_.clear();
   }
   void resume_reading() {
     reading_paused = false;
-    for (const auto& link : connections_) {
-      if (link->buffer_event == nullptr) continue;
-      bufferevent_enable(link->buffer_event.get(), EV_READ);
-      bufferevent_trigger(link->buffer_event.get(), EV_READ, BEV_TRIG_DEFER_CALLBACKS);
+    for (const auto& connection : connections_) {
+      if (connection->buffer_event == nullptr) continue;
+      bufferevent_enable(connection->buffer_event.get(), EV_READ);
+      bufferevent_trigger(connection->buffer_event.get(), EV_READ, BEV_TRIG_DEFER_CALLBACKS);
     }
   }
   void stop_listening() { // closes all connections; new ones are refused
@@ -115,7 +120,7 @@
   }
   std::size_t open_connections() const {
     std::size_t n = 0;
-    for (const auto& link : connections_) n += link->buffer_event != nullptr;
+    for (const auto& connection : connections_) n += connection->buffer_event != nullptr;
     return n;
   }
 
@@ -134,8 +139,8 @@
   struct Connection {
     ScriptedServer* server;
     loop::BuffereventPtr buffer_event;
-    bool close_after_write = false;   // closes when all output is written
-    bool early_response_sent = false; // the early response was sent
+    bool close_after_write = false; // closes when all output is written
+    bool early_response_sent = false;
     double request_began_at_ms = 0;
     http::Parser parser{http::MessageKind::Request, kMaxBodyBytes};
   };
@@ -143,60 +148,62 @@
     auto* peer = static_cast<ScriptedServer*>(self);
     evutil_make_socket_nonblocking(fd);
     ++peer->accepted_connections;
-    Connection& link = *peer->connections_.emplace_back(std::make_unique<Connection>());
-    link.server = peer;
-    link.buffer_event = loop::make_bufferevent(peer->base_, fd);
+    Connection& connection = *peer->connections_.emplace_back(std::make_unique<Connection>());
+    connection.server = peer;
+    connection.buffer_event = loop::make_bufferevent(peer->base_, fd);
     bufferevent_setcb(
-        link.buffer_event.get(),
-        [](bufferevent*, void* l) {
-          static_cast<Connection*>(l)->server->read(*static_cast<Connection*>(l));
+        connection.buffer_event.get(),
+        [](bufferevent*, void* context) {
+          static_cast<Connection*>(context)->server->read(*static_cast<Connection*>(context));
         },
-        [](bufferevent*, void* l) {
-          Connection& written = *static_cast<Connection*>(l);
+        [](bufferevent*, void* context) {
+          Connection& written = *static_cast<Connection*>(context);
           if (written.close_after_write && loop::pending_output(written.buffer_event.get()) == 0)
             written.buffer_event.reset();
         },
-        [](bufferevent*, short, void* l) { static_cast<Connection*>(l)->buffer_event.reset(); }, &link);
-    bufferevent_enable(link.buffer_event.get(), EV_READ | EV_WRITE);
+        [](bufferevent*, short, void* context) { static_cast<Connection*>(context)->buffer_event.reset(); },
+        &connection);
+    bufferevent_enable(connection.buffer_event.get(), EV_READ | EV_WRITE);
   }
-  void read(Connection& link) {
-    while (link.buffer_event != nullptr) {
+  void read(Connection& connection) {
+    while (connection.buffer_event != nullptr) {
       if (reading_paused) {
-        bufferevent_disable(link.buffer_event.get(), EV_READ);
+        bufferevent_disable(connection.buffer_event.get(), EV_READ);
         return;
       }
-      const auto input = loop::pending_input(link.buffer_event.get());
-      if (!link.parser.has_started() && !input.empty()) link.request_began_at_ms = loop::now_ms();
-      loop::consume_input(link.buffer_event.get(), link.parser.feed(input));
-      partial_body_bytes = link.parser.message().body.size();
-      if (link.parser.expects_body() && early_response && !std::exchange(link.early_response_sent, true)) {
-        last_connection_ = &link;
-        send(&link, early_response(http::Message(link.parser.message())));
+      const auto input = loop::pending_input(connection.buffer_event.get());
+      if (!connection.parser.has_started() && !input.empty()) connection.request_began_at_ms = loop::now_ms();
+      loop::consume_input(connection.buffer_event.get(), connection.parser.feed(input));
+      partial_body_bytes = connection.parser.message().body.size();
+      if (connection.parser.expects_body() && early_response &&
+          !std::exchange(connection.early_response_sent, true)) {
+        last_connection_ = &connection;
+        send(&connection, early_response(http::Message(connection.parser.message())));
         continue;
       }
-      if (!link.parser.done()) return;
-      requests.push_back(link.parser.take_message());
-      last_connection_ = &link;
+      if (!connection.parser.done()) return;
+      requests.push_back(connection.parser.take_message());
+      last_connection_ = &connection;
       last_request_at_ms = loop::now_ms();
-      last_request_began_at_ms = link.request_began_at_ms;
-      send(&link, script(http::Message(requests.back())));
+      last_request_began_at_ms = connection.request_began_at_ms;
+      send(&connection, script(http::Message(requests.back())));
     }
   }
-  void send(Connection* link, const std::string& text) {
+  void send(Connection* connection, const std::string& text) {
     const bool close = !text.empty() && text.front() == '!';
     const std::string bytes = text.substr(close ? 1 : 0);
     if (!close) {
-      bufferevent_write(link->buffer_event.get(), bytes.data(), bytes.size());
+      bufferevent_write(connection->buffer_event.get(), bytes.data(), bytes.size());
       return;
     }
     if (bytes.size() > 4096) { // may exceed what the socket accepts in one write
-      link->close_after_write = true;
-      bufferevent_write(link->buffer_event.get(), bytes.data(), bytes.size());
+      connection->close_after_write = true;
+      bufferevent_write(connection->buffer_event.get(), bytes.data(), bytes.size());
       return;
     }
     [[maybe_unused]] const auto n =
-        write(bufferevent_getfd(link->buffer_event.get()), bytes.data(), bytes.size());
-    link->buffer_event.reset();
+        write(bufferevent_getfd(connection->buffer_event.get()), bytes.data(), bytes.size());
+    connection->buffer_event.reset();
   }
 
   event_base* base_;
@@ -208,7 +215,7 @@
 // A client with one connection. Responses are collected in the order of their arrival.
 class TestClient {
  public:
-  // receives: size of the socket's receive buffer in bytes; 0 keeps the system's default.
+  // `receive_buffer_bytes`: size of the socket's receive buffer; 0 keeps the system's default.
   TestClient(event_base* base, int port, int receive_buffer_bytes = 0)
       : base_(base),
         bufferevent_(loop::make_bufferevent(base, socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0))) {
@@ -220,21 +227,23 @@
     socket_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
     socket_address.sin_port = htons(static_cast<std::uint16_t>(port));
     bufferevent_setcb(
-        bufferevent_.get(), [](bufferevent*, void* c) { static_cast<TestClient*>(c)->read(); }, nullptr,
-        [](bufferevent*, short what, void* c) { static_cast<TestClient*>(c)->on_event(what); }, this);
+        bufferevent_.get(), [](bufferevent*, void* context) { static_cast<TestClient*>(context)->read(); },
+        nullptr,
+        [](bufferevent*, short what, void* context) { static_cast<TestClient*>(context)->on_event(what); },
+        this);
     bufferevent_socket_connect(bufferevent_.get(), reinterpret_cast<sockaddr*>(&socket_address),
                                sizeof socket_address);
     bufferevent_enable(bufferevent_.get(), EV_READ | EV_WRITE);
   }
   void send(const std::string& text) { bufferevent_write(bufferevent_.get(), text.data(), text.size()); }
   void close() { bufferevent_.reset(); }
-  void close_with(ScriptedServer::CloseMode how) {
+  void close_with(ScriptedServer::CloseMode mode) {
     const int fd = bufferevent_getfd(bufferevent_.get());
-    if (how == ScriptedServer::CloseMode::WriteShutdown) {
+    if (mode == ScriptedServer::CloseMode::WriteShutdown) {
       shutdown(fd, SHUT_WR);
       return;
     }
-    if (how == ScriptedServer::CloseMode::Reset) loop::reset_on_close(fd);
+    if (mode == ScriptedServer::CloseMode::Reset) loop::reset_on_close(fd);
     bufferevent_.reset();
   }
   void stop_reading() {
@@ -246,9 +255,8 @@
     bufferevent_setwatermark(bufferevent_.get(), EV_READ, 0, 0);
     bufferevent_enable(bufferevent_.get(), EV_READ);
   }
-  std::size_t partial_body_bytes() const {
-    return parser_.message().body.size();
-  } // of a response that is incomplete
+  // Body bytes received of the response that is incomplete.
+  std::size_t partial_body_bytes() const { return parser_.message().body.size(); }
   // Sends the text and waits for one more response. Status 0: none was received.
   http::Message send_and_wait(const std::string& text) {
     const std::size_t before = responses.size();
@@ -323,7 +331,8 @@
 }
 inline const char* no_environment(const char*) { return nullptr; }
 
-// A router with scripted peers: discovery, two caches and an origin.
+// A router with scripted peers: discovery, two caches and an origin. `modify_config` changes the router's
+// configuration before it starts.
 struct RouterFixture {
   explicit RouterFixture(const std::function<void(Json&)>& modify_config = [](Json&) {}) {
     Json file = config_json(discovery.address, endpoint_list_json(7, true, all_endpoints()));
@@ -359,17 +368,17 @@
   }
 
   router::EventBasePtr base = router::make_event_base();
-  ScriptedServer discovery{base.get(), [this](const http::Message& m) {
-                             return m.target == "/v1/endpoints" ? ok_response(initial_list.dump())
-                                                                : std::string();
+  ScriptedServer discovery{base.get(), [this](const http::Message& request) {
+                             return request.target == "/v1/endpoints" ? ok_response(initial_list.dump())
+                                                                      : std::string();
                            }};
   Json initial_list; // known to the router at its start; discovery returns the same list
-  ScriptedServer cache_1{base.get(),
-                         [](const http::Message& m) { return ok_response("from cache " + m.target); }};
-  ScriptedServer cache_2{base.get(),
-                         [](const http::Message& m) { return ok_response("from cache " + m.target); }};
-  ScriptedServer origin{base.get(),
-                        [](const http::Message& m) { return ok_response("from origin " + m.target); }};
+  ScriptedServer cache_1{
+      base.get(), [](const http::Message& request) { return ok_response("from cache " + request.target); }};
+  ScriptedServer cache_2{
+      base.get(), [](const http::Message& request) { return ok_response("from cache " + request.target); }};
+  ScriptedServer origin{
+      base.get(), [](const http::Message& request) { return ok_response("from origin " + request.target); }};
   std::unique_ptr<router::Router> router;
 };
 
--- a/tests/net/uploads_test.cpp
+++ b/tests/net/uploads_test.cpp
@@ -35,6 +35,7 @@
   return "Content-Length: " + std::to_string(size) + "\r\n";
 }
 
+// A folder for stored bodies, removed by the destructor.
 struct BodyFolder {
   BodyFolder() {
     char name[] = "/tmp/fernward-bodies-XXXXXX";
@@ -46,8 +47,8 @@
 
 enum class BodyStorage { Memory, File, Streamed };
 
-// A body of 400 KB is stored in memory if the limit is 64 MB or more, otherwise in a file if there is a
-// folder, otherwise it is only streamed.
+// Memory: with a limit of 64 MB, a body of 400 KB is stored in memory. File and Streamed: with 16 MB it is
+// stored in a file if there is a folder, and otherwise only streamed.
 struct UploadFixture {
   explicit UploadFixture(
       BodyStorage storage, std::function<void(Json&)> change = [](Json&) {})
@@ -110,8 +111,8 @@
             text);
         CHECK(response.body == "from origin /k/1");
         CHECK(response.keep_alive);
-        CHECK(client.send_and_wait(get_request("/k/2", id + "-next")).status ==
-              200); // the bytes of the next request are intact
+        // The bytes of the next request are intact.
+        CHECK(client.send_and_wait(get_request("/k/2", id + "-next")).status == 200);
         REQUIRE(upload.fixture.origin.requests.size() == before + 1);
         CHECK(received_body(upload.fixture.origin, before, value));
         CHECK(upload.fixture.origin.requests[before].header("idempotency-key") == "k-" + id);
@@ -127,8 +128,8 @@
   struct Row {
     BodyStorage storage;
     const char* class_name;
-    bool
-        closes_early; // closes after half of the body, so that the request has not run; otherwise after all of it
+    // Closes after half of the body, so that the request has not run; otherwise after all of it.
+    bool closes_early;
     int attempts;
   };
   for (const Row& row : std::initializer_list<Row>{
@@ -152,8 +153,8 @@
       return ++request_count == 1 ? std::string("!") : ok_response("stored");
     };
     row.closes_early ? upload.fixture.origin.early_response =
-                           [&](const http::Message& m) {
-                             return request_count == 0 ? close_first_request(m) : std::string();
+                           [&](const http::Message& request) {
+                             return request_count == 0 ? close_first_request(request) : std::string();
                            }
                      : upload.fixture.origin.script = close_first_request;
     if (row.closes_early)
@@ -171,7 +172,8 @@
     REQUIRE(client.responses.size() == 1);
     CHECK((client.responses[0].status == 200) == (row.attempts == 2));
     CHECK(upload.fixture.origin.accepted_connections == row.attempts);
-    for (const auto& m : upload.fixture.origin.requests) CHECK((m.body == value)); // never a partial body
+    for (const auto& request : upload.fixture.origin.requests)
+      CHECK((request.body == value)); // never a partial body
     CHECK(upload.everything_released());
   }
 }
@@ -190,7 +192,7 @@
   CHECK(upload.fixture.origin.requests.size() == 1);
 }
 
-// Guards against a full disk that blocks writes.
+// Guards against writes that fail because the disk is full or the folder is unusable.
 TEST_CASE("disk failures: the body is still sent exactly once") {
   const std::string value = make_value(2 * kMb);
   rlimit before{};
@@ -226,9 +228,9 @@
   setrlimit(RLIMIT_FSIZE, &before);
   REQUIRE(client.responses.size() == 1);
   CHECK(client.responses[0].status == 200);
-  CHECK(upload.fixture.origin.requests.size() ==
-        (expects_retry ? 2 : 1)); // the retry reads the file, whose folder no longer exists
-  for (const auto& m : upload.fixture.origin.requests) CHECK((m.body == value));
+  // The retry reads the file, whose folder no longer exists.
+  CHECK(upload.fixture.origin.requests.size() == (expects_retry ? 2 : 1));
+  for (const auto& request : upload.fixture.origin.requests) CHECK((request.body == value));
   CHECK(upload.everything_released());
 }
 
@@ -253,8 +255,8 @@
   client.send(request_head("r1", content_length_header(kMb)) + make_value(100000));
   REQUIRE(upload.fixture.wait_until([&] { return !client.responses.empty(); }));
   CHECK(client.responses[0].status == 408);
-  CHECK(loop::now_ms() - started_at_ms >
-        2000 + 100000 / 256.0 - 100); // the time limit grows with the bytes received
+  // The time limit grows with the bytes received.
+  CHECK(loop::now_ms() - started_at_ms > 2000 + 100000 / 256.0 - 100);
   CHECK(upload.fixture.wait_until(
       [&] { return upload.fixture.origin.open_connections() == 0 && client.closed; }));
   CHECK(upload.fixture.origin.requests.empty());
@@ -299,8 +301,8 @@
   REQUIRE(upload.fixture.wait_until([&] { return upload.fixture.origin.accepted_connections == 1; }));
   run_for(upload.fixture.base.get(), 300);
   CHECK(upload.fixture.router->buffer_budget().held_bytes() > 0);
-  CHECK(upload.fixture.router->buffer_budget().peak_held_bytes() <
-        kMb); // of 8 MB; the limit for all requests is 4 MB
+  // Of 8 MB; the limit for all bodies is 4 MB.
+  CHECK(upload.fixture.router->buffer_budget().peak_held_bytes() < kMb);
   upload.fixture.origin.resume_reading();
   REQUIRE(upload.fixture.wait_until([&] { return !client.responses.empty() || client.closed; }));
   REQUIRE(client.responses.size() == 1);
@@ -323,10 +325,10 @@
             .send_and_wait(request_head(
                 "r2", content_length_header(value.size()) + "Expect: 100-continue\r\n", "unheard-of"))
             .status == 400);
-  TestClient too_long = upload.fixture.connect_client();
-  CHECK(
-      too_long.send_and_wait(request_head("r3", content_length_header(9 * kMb) + "Expect: 100-continue\r\n"))
-          .status == 413);
+  TestClient too_long_client = upload.fixture.connect_client();
+  CHECK(too_long_client
+            .send_and_wait(request_head("r3", content_length_header(9 * kMb) + "Expect: 100-continue\r\n"))
+            .status == 413);
   CHECK(upload.fixture.origin.requests.size() == 1);
 }
 
@@ -337,10 +339,10 @@
   for (const std::string& body_sent : {short_body, body}) {
     TestClient client = fixture.connect_client();
     const std::string text = put_request("/k", "r" + std::to_string(body_sent.size()), body_sent);
-    const std::size_t head = text.size() - body_sent.size();
-    client.send(text.substr(0, head / 2));
+    const std::size_t head_bytes = text.size() - body_sent.size();
+    client.send(text.substr(0, head_bytes / 2));
     run_for(fixture.base.get(), 2000);
-    client.send(text.substr(head / 2, head - head / 2));
+    client.send(text.substr(head_bytes / 2, head_bytes - head_bytes / 2));
     for (std::size_t at = 0; at < body_sent.size(); at += 6400) {
       run_for(fixture.base.get(), 100);
       client.send(body_sent.substr(at, 6400));
