--- a/tests/control/control_client.h
+++ b/tests/control/control_client.h
@@ -55,7 +55,7 @@
     wait_until([&] { return client.closed; });
     return client.received;
   }
-  // Sends `times` requests at once, more than one cache can serve, and returns how many were served.
+  // Sends `request_count` requests at once, more than one cache can serve, and returns how many were served.
   int send_requests(int request_count) {
     std::vector<std::unique_ptr<TestClient>> clients;
     for (int i = 0; i < request_count; ++i) {
@@ -64,9 +64,9 @@
       clients.back()->send(get_request("/k/" + number, "r" + number));
     }
     int served = 0;
-    for (const auto& one_client : clients) {
-      wait_until([&] { return !one_client->responses.empty() || one_client->closed; });
-      served += !one_client->responses.empty() && one_client->responses.front().status == 200;
+    for (const auto& client : clients) {
+      wait_until([&] { return !client->responses.empty() || client->closed; });
+      served += !client->responses.empty() && client->responses.front().status == 200;
     }
     return served;
   }
--- a/tests/control/control_server_test.cpp
+++ b/tests/control/control_server_test.cpp
@@ -18,7 +18,7 @@
   RouterWithControlPort fixture;
   CHECK(fixture.send_command("ready") == "ok\n");
   CHECK(fixture.send_command("ready\r") == "ok\n");
-  TestClient pending_client = fixture.connect_client(); // otherwise the router would stop immediately
+  TestClient pending_client = fixture.connect_client(); // without it the router would stop at once
   fixture.script_caches([](const http::Message&) { return std::string(); });
   pending_client.send(get_request("/k/1", "r1"));
   REQUIRE(fixture.wait_until([&] { return fixture.requests_sent() == 1; }));
@@ -66,8 +66,8 @@
   for (const char* id : {"s-1", "s-2"})
     CHECK(fixture.send_command(std::string("disable-server ") + id) == "ok\n");
   const auto before = fixture.cache_1.requests.size() + fixture.cache_2.requests.size();
-  TestClient second = fixture.connect_client();
-  CHECK(second.send_and_wait(get_request("/k/2", "r2")).body.starts_with("from origin"));
+  TestClient second_client = fixture.connect_client();
+  CHECK(second_client.send_and_wait(get_request("/k/2", "r2")).body.starts_with("from origin"));
   CHECK(fixture.cache_1.requests.size() + fixture.cache_2.requests.size() == before);
 }
 
@@ -107,10 +107,10 @@
 
 TEST_CASE("silent control clients do not delay the next one") {
   RouterWithControlPort fixture;
-  std::vector<std::unique_ptr<ControlClient>> silent;
+  std::vector<std::unique_ptr<ControlClient>> silent_clients;
   for (int i = 0; i < 60; ++i)
-    silent.push_back(std::make_unique<ControlClient>(fixture.base.get(), fixture.router->control_port(),
-                                                     i % 2 == 0 ? "" : "rea"));
+    silent_clients.push_back(std::make_unique<ControlClient>(
+        fixture.base.get(), fixture.router->control_port(), i % 2 == 0 ? "" : "rea"));
   const double started_ms = loop::now_ms();
   CHECK(fixture.send_command("ready") == "ok\n");
   CHECK(loop::now_ms() - started_ms < 1000);
@@ -141,11 +141,11 @@
   } catch (const config::Error& error) {
     CHECK(std::string(error.what()).starts_with("control: \"here\""));
   }
-  const auto result_for = [](const char* name) -> const char* {
+  const auto environment = [](const char* name) -> const char* {
     return std::string(name) == "NODE_CONTROL" ? "127.0.0.1:70000" : nullptr;
   };
   try {
-    config::parse(file.dump(), result_for);
+    config::parse(file.dump(), environment);
     FAIL("taken");
   } catch (const config::Error& error) {
     CHECK(std::string(error.what()).starts_with("NODE_CONTROL: "));
@@ -160,18 +160,19 @@
 TEST_CASE(
     "a control client that can't be accepted without descriptors delays nothing and is answered later") {
   const router::EventBasePtr base = router::make_event_base();
-  loop::TimerQueue deadlines(base.get());
+  loop::TimerQueue timers(base.get());
   control::ControlServerOptions options;
   options.address = "127.0.0.1:0";
-  control::ControlServer port(base.get(), deadlines, options,
-                              [](const control::ControlCommand&) { return std::string("ok\n"); });
-  ControlClient client(base.get(), port.port(), "ready\n"); // waits in the backlog: the loop has not run
+  control::ControlServer server(base.get(), timers, options,
+                                [](const control::ControlCommand&) { return std::string("ok\n"); });
+  // The client waits in the accept queue: the event loop has not run.
+  ControlClient client(base.get(), server.port(), "ready\n");
   rlimit previous_limit{};
   REQUIRE(getrlimit(RLIMIT_NOFILE, &previous_limit) == 0);
   const rlimit no_descriptors{0, previous_limit.rlim_max};
   REQUIRE(setrlimit(RLIMIT_NOFILE, &no_descriptors) == 0);
   bool traffic_event_ran = false;
-  deadlines.run_at(loop::now_ms() + 120, [&] { traffic_event_ran = true; }); // traffic
+  timers.run_at(loop::now_ms() + 120, [&] { traffic_event_ran = true; }); // traffic
   const double started_ms = loop::now_ms();
   while (!traffic_event_ran && loop::now_ms() < started_ms + 3000) event_base_loop(base.get(), EVLOOP_ONCE);
   REQUIRE(setrlimit(RLIMIT_NOFILE, &previous_limit) == 0);
--- a/tests/faults/cell_recorder.h
+++ b/tests/faults/cell_recorder.h
@@ -46,9 +46,11 @@
   return spec;
 }
 
+// Usage: call the on_... functions as the events happen and record_loop_gap() in each iteration of the event
+// loop, then check(). Clients and nodes identify requests by their X-Request-ID. Times are milliseconds.
 class CellRecorder {
  public:
-  using Heard = model::TryOutcome;
+  using TryOutcome = model::TryOutcome;
 
   model::MachineId origin() const { return plan_.origin; }
 
@@ -67,34 +69,35 @@
     drawn.latency_objective_ms = kObjectiveMs;
     drawn.client_timeout_ms = kClientTimeoutMs;
     append_record(drawn);
-    model::TrySent tried;
-    tried.at = tried.scheduled_at = recorded.started_at;
-    tried.request = tried.try_id = recorded.number;
-    tried.accepted = expects_response;
-    tried.deadline =
-        recorded.started_at + (expects_response ? kClientTimeoutMs : 1e6); // incomplete: it has no deadline
+    model::TrySent sent_try;
+    sent_try.at = sent_try.scheduled_at = recorded.started_at;
+    sent_try.request = sent_try.try_id = recorded.number;
+    sent_try.accepted = expects_response;
+    sent_try.deadline =
+        recorded.started_at + (expects_response ? kClientTimeoutMs : 1e6); // without a response: no deadline
     recorded.expects_response = expects_response;
-    append_record(tried);
+    append_record(sent_try);
   }
-  // A client has its response, or its connection has ended without one. A second one is recorded as surplus.
-  void on_response(const std::string& id, Heard outcome, bool genuine = true) {
+  // A client has received its response, or its connection has ended without one. A further call for the same
+  // request is recorded as surplus.
+  void on_response(const std::string& id, TryOutcome outcome, bool genuine = true) {
     Request& recorded = requests_.at(id);
     if (recorded.finished) return record_surplus(recorded, outcome);
     recorded.finished = true;
     recorded.outcome = outcome;
     recorded.answered_at = now();
-    model::TryEnded answered;
-    answered.at = recorded.answered_at;
-    answered.request = answered.try_id = recorded.number;
-    answered.outcome = outcome;
-    answered.genuine = genuine;
-    append_record(answered);
-    model::RequestEnded closed;
-    closed.at = recorded.answered_at;
-    closed.request = recorded.number;
-    closed.outcome = outcome;
-    closed.tries = 1;
-    append_record(closed);
+    model::TryEnded try_ended;
+    try_ended.at = recorded.answered_at;
+    try_ended.request = try_ended.try_id = recorded.number;
+    try_ended.outcome = outcome;
+    try_ended.genuine = genuine;
+    append_record(try_ended);
+    model::RequestEnded request_ended;
+    request_ended.at = recorded.answered_at;
+    request_ended.request = recorded.number;
+    request_ended.outcome = outcome;
+    request_ended.tries = 1;
+    append_record(request_ended);
   }
   bool is_known(const std::string& id) const { return requests_.count(id) > 0; }
   bool is_finished(const std::string& id) const {
@@ -111,7 +114,7 @@
     arrival.attempt = ++attempts_;
     arrival.machine = machine;
     arrival.try_id =
-        found == requests_.end() ? 1u << 30 : found->second.number; // of an unknown request: a breach
+        found == requests_.end() ? 1u << 30 : found->second.number; // of an unknown request: a violation
     open_attempts_[arrival.attempt] = id;
     append_record(arrival);
     return arrival.attempt;
@@ -119,7 +122,8 @@
   void on_attempt_ended(model::AttemptId attempt, model::ServerOutcome ending) {
     const auto found = open_attempts_.find(attempt);
     if (found == open_attempts_.end()) return;
-    if (const auto r = requests_.find(found->second); r != requests_.end()) r->second.last_cause_at = now();
+    if (const auto request = requests_.find(found->second); request != requests_.end())
+      request->second.last_cause_at = now();
     open_attempts_.erase(found);
     model::AttemptEnded attempt_end;
     attempt_end.at = now();
@@ -136,7 +140,7 @@
     on_cause();
   }
   void on_cause() { // an event that may have ended a request
-    for (auto& [id, r] : requests_) r.last_cause_at = now();
+    for (auto& [id, request] : requests_) request.last_cause_at = now();
   }
   void on_sigterm() { append_record(model::RouterEvent{now(), 0, model::RouterEvent::What::Term}); }
 
@@ -148,32 +152,33 @@
     last_loop_at_ = checked_at;
   }
 
-  // Returns a description of all breaches; empty: none. `queued`: requests wait for the attempts of other
-  // requests.
+  // Returns a description of all violations; empty: none. `queued`: requests wait for the attempts of other
+  // requests, so that one without an attempt may be given up while any attempt is in flight.
   std::string check(bool queued = false) {
     const double slack_ms = 60 + 2 * max_loop_gap_ms_;
     lab::RuleChecker checker(spec_, plan_, slack_ms);
     for (const auto& record : records_) record(checker);
     const lab::CheckResult findings = checker.finish();
-    std::string breaches;
+    std::string violations;
     for (const lab::RuleResult& rule : findings.rules) {
-      for (const lab::RuleViolation& breach : rule.first_violations)
-        breaches += std::string(lab::rule_name(rule.rule)) + ": " + breach.description + "\n";
+      for (const lab::RuleViolation& violation : rule.first_violations)
+        violations += std::string(lab::rule_name(rule.rule)) + ": " + violation.description + "\n";
     }
     // A request that is given up must be answered at once: with no attempt in flight there is nothing to wait
     // for.
-    for (const auto& [id, r] : requests_) {
-      if (!r.finished || !r.expects_response || (r.outcome != Heard::Rejected && r.outcome != Heard::Failed))
+    for (const auto& [id, request] : requests_) {
+      if (!request.finished || !request.expects_response ||
+          (request.outcome != TryOutcome::Rejected && request.outcome != TryOutcome::Failed))
         continue;
       const bool is_waiting =
           (queued && !open_attempts_.empty()) || std::any_of(open_attempts_.begin(), open_attempts_.end(),
                                                              [&](const auto& a) { return a.second == id; });
-      const double elapsed_ms = r.answered_at - std::max(r.started_at, r.last_cause_at);
+      const double elapsed_ms = request.answered_at - std::max(request.started_at, request.last_cause_at);
       if (!is_waiting && elapsed_ms > kPromptFailureMs + slack_ms)
-        breaches += "at-once: " + id + " was given up " + std::to_string(elapsed_ms) +
-                    " ms after its last attempt ended\n";
+        violations += "at-once: " + id + " was given up " + std::to_string(elapsed_ms) +
+                      " ms after its last attempt ended\n";
     }
-    return breaches;
+    return violations;
   }
 
  private:
@@ -181,19 +186,19 @@
     std::uint64_t number = 0;
     double started_at = 0, answered_at = 0, last_cause_at = 0;
     bool finished = false, expects_response = true;
-    Heard outcome = Heard::Served;
+    TryOutcome outcome = TryOutcome::Served;
   };
   // A retry at the origin waits for about one response time of the origin, some milliseconds here.
   static constexpr double kPromptFailureMs = 50;
 
   static double now() { return loop::now_ms(); }
-  void record_surplus(const Request& recorded, Heard outcome) {
-    model::TryEnded again;
-    again.at = now();
-    again.request = again.try_id = recorded.number;
-    again.outcome = outcome;
-    again.surplus = true;
-    append_record(again);
+  void record_surplus(const Request& recorded, TryOutcome outcome) {
+    model::TryEnded surplus_end;
+    surplus_end.at = now();
+    surplus_end.request = surplus_end.try_id = recorded.number;
+    surplus_end.outcome = outcome;
+    surplus_end.surplus = true;
+    append_record(surplus_end);
   }
   template <typename Record>
   void append_record(const Record& record) {
--- a/tests/faults/cells.h
+++ b/tests/faults/cells.h
@@ -9,6 +9,7 @@
 
 namespace fernward::tests {
 
+// One line of cells.txt.
 struct Cell {
   std::string stage, fault;
   // Run by faults_test.cpp; else `coverage` names a test, or says why the fault is impossible.
@@ -16,6 +17,7 @@
   std::string coverage;
 };
 
+// Throws std::runtime_error, which quotes the line, for a line of another form.
 inline std::vector<Cell> read_cells(const std::string& path) {
   std::ifstream file(path);
   std::vector<Cell> cells;
--- a/tests/faults/faults_test.cpp
+++ b/tests/faults/faults_test.cpp
@@ -1,6 +1,6 @@
-// Runs every cell of the table of faults against stages: brings a request to its stage, injects the fault,
-// lets clients and nodes continue, and checks what they observed. Each cell runs with an idempotent read, a
-// write with an idempotency key, and a write that is not idempotent.
+// Runs every cell marked `played` in the table of faults against stages: brings a request to its stage,
+// injects the fault, lets clients and nodes continue, and checks what they observed. Each cell runs with an
+// idempotent read, a write with an idempotency key, and a write that is not idempotent.
 #include <doctest/doctest.h>
 #include <signal.h>
 #include <sys/resource.h>
@@ -17,9 +17,9 @@
 
 namespace {
 
-using Heard = model::TryOutcome;
+using TryOutcome = model::TryOutcome;
 
-[[maybe_unused]] const auto no_signal = signal(SIGPIPE, SIG_IGN); // peers write to closed connections
+[[maybe_unused]] const auto sigpipe_ignored = signal(SIGPIPE, SIG_IGN); // peers write to closed connections
 
 enum class SignalSent { None, Term, Hup };
 
@@ -37,24 +37,23 @@
 };
 SplitText split_at(const std::string& text, std::size_t at) { return {text.substr(0, at), text.substr(at)}; }
 
+// One run of a cell with one class: a router with scripted nodes and clients. run() does all of it.
 struct CellRun {
   CellRun(const Cell& cell, const std::string& class_name, SignalSent signal_sent)
       : stage(cell.stage),
         fault(cell.fault),
         request_class(class_name),
         delivered_signal(signal_sent),
-        environment([this](Json& file) { apply_settings(file); }) {
-    config =
-        config_json(environment.discovery.address, endpoint_list_json(7, true, environment.all_endpoints()));
+        fixture([this](Json& file) { apply_settings(file); }) {
+    config = config_json(fixture.discovery.address, endpoint_list_json(7, true, fixture.all_endpoints()));
     apply_settings(config);
-    std::size_t i = 0;
-    for (ScriptedServer* peer :
-         {&environment.cache_1, &environment.cache_2, &third_node, &environment.origin}) {
-      const auto target_machine = static_cast<model::MachineId>(i++);
-      peer->script = [this, peer, target_machine](const http::Message& m) {
-        return on_node_request(*peer, target_machine, m);
+    std::size_t next_machine = 0;
+    for (ScriptedServer* peer : {&fixture.cache_1, &fixture.cache_2, &third_node, &fixture.origin}) {
+      const auto machine = static_cast<model::MachineId>(next_machine++);
+      peer->script = [this, peer, machine](const http::Message& message) {
+        return on_node_request(*peer, machine, message);
       };
-      if (target_machine != 2) recorder.on_endpoint_state(target_machine, ServerState::Ready);
+      if (machine != 2) recorder.on_endpoint_state(machine, ServerState::Ready);
     }
   }
 
@@ -69,7 +68,7 @@
     }
     auto& classes = file["settings"]["classes"];
     classes.push_back({{"name", "once"}, {"repeat", "unsafe"}, {"worth", 1}});
-    for (auto& c : classes) c["aim"] = kObjectiveMs, c["give_up"] = kClientTimeoutMs;
+    for (auto& entry : classes) entry["aim"] = kObjectiveMs, entry["give_up"] = kClientTimeoutMs;
     classes[1]["window"] = kIdempotencyWindowMs;
     if (stage == "waiting") file["settings"]["balancers"] = 32; // one write at a time at the origin
   }
@@ -96,9 +95,9 @@
                : model::ServerOutcome::Hit;
   }
   // Ends all attempts that `peer` has not answered.
-  void end_unanswered(ScriptedServer& peer, model::ServerOutcome how) {
+  void end_unanswered(ScriptedServer& peer, model::ServerOutcome outcome) {
     for (const auto& [id, attempt] : std::exchange(unanswered_attempts[&peer], {}))
-      recorder.on_attempt_ended(attempt, how);
+      recorder.on_attempt_ended(attempt, outcome);
   }
   std::string reply(ScriptedServer& peer, const http::Message& message) {
     peer.response_complete = true;
@@ -109,8 +108,8 @@
       peer.response_complete = false;
       return response_text.first;
     }
-    if (stage == "waiting" && !stage_reached && id == "leader" && (&peer == &environment.origin)) return "";
-    if (stage == "waiting" && reads() && &peer != &environment.origin && !cache_has_value) return kCacheMiss;
+    if (stage == "waiting" && !stage_reached && id == "leader" && (&peer == &fixture.origin)) return "";
+    if (stage == "waiting" && reads() && &peer != &fixture.origin && !cache_has_value) return kCacheMiss;
     if (silent_nodes.count(&peer) > 0) return "";
     if (const auto found = forced_replies.find(&peer); found != forced_replies.end()) return found->second;
     return ok_response(stage == "passing" && id == kTestedRequestId ? long_response_value()
@@ -130,9 +129,9 @@
 
   // Runs the event loop until `done`, and records the clients' responses meanwhile.
   bool run_until(const std::function<bool()>& done) {
-    return environment.wait_until([&] {
+    return fixture.wait_until([&] {
       recorder.record_loop_gap();
-      for (auto& [id, c] : clients) record_response(id, *c);
+      for (auto& [id, client_connection] : clients) record_response(id, *client_connection);
       return done();
     });
   }
@@ -147,28 +146,27 @@
       if (response.status == 200) {
         const bool genuine = response.body == value_of("/k/subject") ||
                              (stage == "passing" && response.body == long_response_value());
-        return recorder.on_response(id, Heard::Served, genuine);
+        return recorder.on_response(id, TryOutcome::Served, genuine);
       }
-      return recorder.on_response(id, response.status == 503 ? Heard::Rejected : Heard::Failed);
+      return recorder.on_response(id, response.status == 503 ? TryOutcome::Rejected : TryOutcome::Failed);
     }
     // If its node fails, a streamed response is truncated: then it is only required that the client can
     // detect it.
     if (client_connection.closed)
-      recorder.on_response(id, stage == "passing" && id == kTestedRequestId && node_breaks()
-                                   ? Heard::Abandoned
-                                   : Heard::ConnectionLost);
+      recorder.on_response(id, stage == "passing" && id == kTestedRequestId && node_connection_breaks()
+                                   ? TryOutcome::Abandoned
+                                   : TryOutcome::ConnectionLost);
   }
   TestClient& client(const std::string& id) {
     auto& client_connection = clients[id];
     if (client_connection == nullptr)
-      client_connection = std::make_unique<TestClient>(environment.base.get(), environment.router->port());
+      client_connection = std::make_unique<TestClient>(fixture.base.get(), fixture.router->port());
     return *client_connection;
   }
-  // Records that the complete request is sent from now on.
-  void begin_request(const std::string& id, bool owed = true) {
-    responses_before.try_emplace(
-        id, client(id).responses.size()); // a response may arrive before the request is complete
-    recorder.on_request(id, class_number(), owed);
+  // Records that the complete request is about to be sent. A response may arrive before it is.
+  void begin_request(const std::string& id, bool expects_response = true) {
+    responses_before.try_emplace(id, client(id).responses.size());
+    recorder.on_request(id, class_number(), expects_response);
   }
   bool request_and_wait(const std::string& id) {
     begin_request(id);
@@ -179,16 +177,16 @@
   // ---- reaching the stage ----
 
   bool reach_stage() {
-    if (!environment.wait_until([&] { return environment.is_watching(); })) return false;
-    if (stage != "waiting") { // find out the target, and open a connection to it that is idle then
+    if (!fixture.wait_until([&] { return fixture.is_watching(); })) return false;
+    if (stage != "waiting") { // finds the target and leaves an idle connection to it
       if (!request_and_wait("warm-up")) return false;
-      target = writes() ? &environment.origin : &environment.last_requested_cache();
+      target = writes() ? &fixture.origin : &fixture.last_requested_cache();
     } else {
-      target = &environment.origin;
+      target = &fixture.origin;
     }
     TestClient& tested_client = client(kTestedRequestId);
     if (stage == "connected") {
-      return run_until([&] { return environment.router->listener().connection_count() == clients.size(); });
+      return run_until([&] { return fixture.router->listener().connection_count() == clients.size(); });
     }
     if (stage == "head") {
       request_text = split_at(request(kTestedRequestId, 1), 30);
@@ -204,31 +202,31 @@
     if (stage == "waiting") {
       begin_request("leader");
       client("leader").send(request("leader", 1));
-      if (!run_until([&] { return !environment.origin.requests.empty(); })) return false;
+      if (!run_until([&] { return !fixture.origin.requests.empty(); })) return false;
       begin_request(kTestedRequestId);
       tested_client.send(request(kTestedRequestId, 1));
-      return run_until([&] { return environment.router->dispatcher().unanswered_requests() == 2; }) &&
+      return run_until([&] { return fixture.router->dispatcher().unanswered_requests() == 2; }) &&
              (run_for_ms(10), true);
     }
     if (stage == "connecting") {
       target->close_all(ScriptedServer::CloseMode::Fin);
-      if (!run_until([&] { return environment.router->pool().connection_count() == 0; })) return false;
+      if (!run_until([&] { return fixture.router->pool().connection_count() == 0; })) return false;
       const int connections_before = target->accepted_connections;
       begin_request(kTestedRequestId);
       tested_client.send(request(kTestedRequestId, 1));
-      return run_until([&] { return environment.router->dispatcher().attempts_in_flight() == 1; }) &&
+      return run_until([&] { return fixture.router->dispatcher().attempts_in_flight() == 1; }) &&
              target->accepted_connections == connections_before;
     }
     if (stage == "writing") {
       target->reading_paused = true;
       tested_client.send(request(kTestedRequestId, kBlockedUploadBytes));
-      return run_until([&] { return environment.router->dispatcher().attempts_in_flight() == 1; }) &&
+      return run_until([&] { return fixture.router->dispatcher().attempts_in_flight() == 1; }) &&
              (run_for_ms(40), true);
     }
     if (stage == "rest") {
       clients[kTestedRequestId] = std::move(clients["warm-up"]);
       clients.erase("warm-up");
-      return run_until([&] { return environment.router->pool().connection_count() > 0; });
+      return run_until([&] { return fixture.router->pool().connection_count() > 0; });
     }
     const std::string complete_response =
         stage == "passing" ? ok_response(long_response_value()) : ok_response(value_of("/k/subject"));
@@ -247,12 +245,12 @@
 
   // ---- injecting the fault, and continuing ----
 
-  bool node_breaks() const {
+  bool node_connection_breaks() const {
     return fault == "node-fin" || fault == "node-rst" || fault == "node-half-close" ||
            fault == "target-restarted";
   }
-  bool node_side() const { return stage != "connected" && stage != "head" && stage != "rest"; }
-  bool client_side() const {
+  bool router_waits_for_node() const { return stage != "connected" && stage != "head" && stage != "rest"; }
+  bool router_waits_for_client() const {
     return stage == "connected" || stage == "head" || stage == "body" || stage == "rest";
   }
   bool is_node_answering() const {
@@ -267,46 +265,47 @@
 
   // Sends the rest of the client's request.
   void resume_client() {
-    if (!client_side()) return;
+    if (!router_waits_for_client()) return;
     begin_request(kTestedRequestId);
     client(kTestedRequestId).send(remaining_request());
   }
-  // Lets the node do what remains: read the request, or send its response or `with` instead.
-  void resume_node(const std::string& with, model::ServerOutcome how) {
+  // Lets the node continue: it reads the rest of the request, or sends `response`, or the rest of its own if
+  // `response` is empty. `outcome` is recorded for its attempts.
+  void resume_node(const std::string& response, model::ServerOutcome outcome) {
     if (stage == "writing" || stage == "body") return target->resume_reading();
     if (stage == "waiting") {
       cache_has_value = true;
-      environment.origin.write_to_last(with.empty() ? ok_response(value_of("/k/subject")) : with);
-      return end_unanswered(environment.origin, how);
+      fixture.origin.write_to_last(response.empty() ? ok_response(value_of("/k/subject")) : response);
+      return end_unanswered(fixture.origin, outcome);
     }
     if (!is_node_answering() || target->open_connections() == 0) return;
-    target->write_to_last(with.empty() ? remaining_response() : with);
-    end_unanswered(*target, how);
+    target->write_to_last(response.empty() ? remaining_response() : response);
+    end_unanswered(*target, outcome);
   }
   void resume_node() {
     resume_node("", writes() ? model::ServerOutcome::Written : model::ServerOutcome::Hit);
   }
 
-  void end_client(ScriptedServer::CloseMode how) {
-    if (!client_side() && !recorder.is_finished(kTestedRequestId))
+  void end_client(ScriptedServer::CloseMode mode) {
+    if (!router_waits_for_client() && !recorder.is_finished(kTestedRequestId))
       recorder.on_request(kTestedRequestId, class_number(), false);
-    if (recorder.is_known(kTestedRequestId)) recorder.on_response(kTestedRequestId, Heard::Abandoned);
+    if (recorder.is_known(kTestedRequestId)) recorder.on_response(kTestedRequestId, TryOutcome::Abandoned);
     client_left = true;
-    client(kTestedRequestId).close_with(how);
+    client(kTestedRequestId).close_with(mode);
     resume_node();
   }
   void publish_endpoints(int index, const std::vector<Json>& changed_entries) {
-    REQUIRE(environment.send_endpoint_update(endpoint_list_json(index, false, changed_entries)));
+    REQUIRE(fixture.send_endpoint_update(endpoint_list_json(index, false, changed_entries)));
   }
-  Json target_entry(const std::string& state, const std::string& address, double since = 0) const {
-    Json endpoint_entry = target == &environment.origin
+  Json target_entry(const std::string& state, const std::string& address, double since_ms = 0) const {
+    Json endpoint_entry = target == &fixture.origin
                               ? endpoint_json("o-1", address, state, "origin")
-                              : endpoint_json(target == &environment.cache_1 ? "s-1" : "s-2", address, state);
-    endpoint_entry["since_ms"] = since;
+                              : endpoint_json(target == &fixture.cache_1 ? "s-1" : "s-2", address, state);
+    endpoint_entry["since_ms"] = since_ms;
     return endpoint_entry;
   }
   model::MachineId target_machine() const {
-    return target == &environment.cache_1 ? 0 : target == &environment.cache_2 ? 1 : recorder.origin();
+    return target == &fixture.cache_1 ? 0 : target == &fixture.cache_2 ? 1 : recorder.origin();
   }
 
   void inject_fault() {
@@ -315,14 +314,15 @@
     if (fault == "client-half-close")
       return end_client(ScriptedServer::CloseMode::WriteShutdown); // a half-close counts as a disconnect
     if (fault == "client-silent") {                                // the rest of the request is never sent
-      if (client_side() && stage != "connected" && stage != "rest") begin_request(kTestedRequestId, false);
+      if (router_waits_for_client() && stage != "connected" && stage != "rest")
+        begin_request(kTestedRequestId, false);
       run_for_ms(30);
       resume_node();
       if (stage == "connected" || stage == "rest") resume_client();
       return;
     }
     if (fault == "client-slow") {
-      if (client_side()) {
+      if (router_waits_for_client()) {
         const std::string rest = remaining_request();
         const std::size_t step = rest.size() / 5 + 1;
         for (std::size_t at = 0; at < rest.size(); at += step) {
@@ -381,7 +381,7 @@
     }
     if (fault == "node-noise") {
       const std::string noise("\x01\x02 no HTTP\r\n\r\n", 14);
-      if (!node_side() || stage == "connecting" || stage == "body" || stage == "writing") {
+      if (!router_waits_for_node() || stage == "connecting" || stage == "body" || stage == "writing") {
         if (target->open_connections() > 0 && stage != "writing" && stage != "body")
           target->write_to_last(noise); // on an idle connection
         forced_replies[target] = noise;
@@ -417,8 +417,8 @@
       return resume_node();
     }
     if (fault == "target-banned") {
-      CHECK(environment.send_command("disable-server " +
-                                     std::string(target == &environment.cache_1 ? "s-1" : "s-2")) == "ok\n");
+      CHECK(fixture.send_command("disable-server " +
+                                 std::string(target == &fixture.cache_1 ? "s-1" : "s-2")) == "ok\n");
       recorder.on_endpoint_state(target_machine(), ServerState::Draining);
       resume_client();
       return resume_node();
@@ -441,7 +441,7 @@
       return resume_node();
     }
     if (fault == "deadline-passed") {
-      for (ScriptedServer* peer : {&environment.cache_1, &environment.cache_2, &environment.origin})
+      for (ScriptedServer* peer : {&fixture.cache_1, &fixture.cache_2, &fixture.origin})
         silent_nodes.insert(peer);
       return resume_client();
     }
@@ -461,7 +461,7 @@
     if (fault == "buffers-out") {
       for (int i = 0; i < 30; ++i) {
         background_clients.push_back(
-            std::make_unique<TestClient>(environment.base.get(), environment.router->port()));
+            std::make_unique<TestClient>(fixture.base.get(), fixture.router->port()));
         background_clients.back()->send("PUT /k HTTP/1.1\r\nContent-Length: 60001\r\n\r\n" +
                                         std::string(60000, 'x'));
       }
@@ -469,9 +469,9 @@
       resume_client();
       return resume_node();
     }
-    if (fault == "discovery-damaged") environment.discovery.write_to_last(ok_response("<html>"));
+    if (fault == "discovery-damaged") fixture.discovery.write_to_last(ok_response("<html>"));
     if (fault == "discovery-silent")
-      environment.discovery.script = [](const http::Message&) { return std::string(); };
+      fixture.discovery.script = [](const http::Message&) { return std::string(); };
     if (fault == "loop-held-up") usleep(60000);
     // body-file-fails: configured in apply_settings()
     resume_client();
@@ -484,9 +484,9 @@
     REQUIRE(reach_stage());
     stage_reached = true;
     responses_before.try_emplace(kTestedRequestId, client(kTestedRequestId).responses.size());
-    if (delivered_signal == SignalSent::Term) environment.router->begin_shutdown(), recorder.on_sigterm();
+    if (delivered_signal == SignalSent::Term) fixture.router->begin_shutdown(), recorder.on_sigterm();
     if (delivered_signal == SignalSent::Hup)
-      environment.router->reload(config::parse(config.dump(), &no_environment));
+      fixture.router->reload(config::parse(config.dump(), &no_environment));
     inject_fault();
     const bool never_requested = stage == "connected" && client_left; // no request was sent
     if (!recorder.is_known(kTestedRequestId)) recorder.on_request(kTestedRequestId, class_number(), false);
@@ -494,8 +494,8 @@
       CHECK_MESSAGE(run_until([&] { return recorder.is_finished(kTestedRequestId); }),
                     "the client received neither a response nor the end of its connection");
     if (client_left && !recorder.is_finished(kTestedRequestId))
-      recorder.on_response(kTestedRequestId, Heard::Abandoned);
-    for (auto& [id, c] : clients) {
+      recorder.on_response(kTestedRequestId, TryOutcome::Abandoned);
+    for (auto& [id, client_connection] : clients) {
       if (id != kTestedRequestId && recorder.is_known(id))
         CHECK(run_until([&, name = id] { return recorder.is_finished(name); }));
     }
@@ -504,40 +504,39 @@
     // Nothing may remain: no request, attempt, connection or buffered byte.
     clients.clear();
     background_clients.clear();
-    for (ScriptedServer* peer :
-         {&environment.cache_1, &environment.cache_2, &third_node, &environment.origin})
+    for (ScriptedServer* peer : {&fixture.cache_1, &fixture.cache_2, &third_node, &fixture.origin})
       peer->resume_reading();
-    CHECK(environment.wait_until([&] {
-      return environment.router->dispatcher().unanswered_requests() == 0 &&
-             environment.router->dispatcher().attempts_in_flight() == 0 &&
-             environment.router->buffer_budget().held_bytes() == 0 &&
-             environment.router->retained_bodies().memory_bytes() +
-                     environment.router->retained_bodies().file_bytes() ==
+    CHECK(fixture.wait_until([&] {
+      return fixture.router->dispatcher().unanswered_requests() == 0 &&
+             fixture.router->dispatcher().attempts_in_flight() == 0 &&
+             fixture.router->buffer_budget().held_bytes() == 0 &&
+             fixture.router->retained_bodies().memory_bytes() +
+                     fixture.router->retained_bodies().file_bytes() ==
                  0 &&
-             environment.router->listener().connection_count() == 0 &&
-             environment.router->descriptor_budget().used(descriptors::Side::Downstream) == 0 &&
-             environment.router->descriptor_budget().used(descriptors::Side::Upstream) ==
-                 environment.router->pool().connection_count();
+             fixture.router->listener().connection_count() == 0 &&
+             fixture.router->descriptor_budget().used(descriptors::Side::Downstream) == 0 &&
+             fixture.router->descriptor_budget().used(descriptors::Side::Upstream) ==
+                 fixture.router->pool().connection_count();
     }));
-    run_for(environment.base.get(), 2); // for libevent to free what it frees from the event loop
-    const std::string breaches = recorder.check(stage == "waiting");
-    CHECK_MESSAGE(breaches.empty(), breaches);
+    run_for(fixture.base.get(), 2); // libevent frees some objects only from its event loop
+    const std::string violations = recorder.check(stage == "waiting");
+    CHECK_MESSAGE(violations.empty(), violations);
   }
 
   const std::string stage, fault, request_class;
   const SignalSent delivered_signal;
-  RouterWithControlPort environment;
-  ScriptedServer third_node{environment.base.get(), [](const http::Message&) { return std::string(); }};
+  RouterWithControlPort fixture;
+  ScriptedServer third_node{fixture.base.get(), [](const http::Message&) { return std::string(); }};
   Json config;
   CellRecorder recorder;
-  ScriptedServer* target = nullptr;
+  ScriptedServer* target = nullptr; // the node that is to serve the tested request
   SplitText request_text, response_text;
   bool stage_reached = false, cache_has_value = false, client_left = false;
   std::map<ScriptedServer*, std::vector<std::pair<std::string, model::AttemptId>>> unanswered_attempts;
   std::set<ScriptedServer*> silent_nodes;
-  std::map<ScriptedServer*, std::string> forced_replies;
+  std::map<ScriptedServer*, std::string> forced_replies; // to each further request
   std::map<std::string, std::unique_ptr<TestClient>> clients;
-  std::map<std::string, std::size_t> responses_before;
+  std::map<std::string, std::size_t> responses_before; // of a client when its request began
   std::vector<std::unique_ptr<TestClient>> background_clients;
 };
 
