--- a/tests/gossip/origin_gossip_test.cpp
+++ b/tests/gossip/origin_gossip_test.cpp
@@ -15,6 +15,7 @@
 
 namespace {
 
+// The report of a router as OriginGossip::merge() receives it.
 struct TestReport {
   gossip::MemberId owner;
   gossip::Stamp stamp;
@@ -45,7 +46,7 @@
 TEST_CASE("merging reports in any order and with any duplicates gives the same table") {
   CHECK(rc::check([] {
     std::vector<TestReport> reports;
-    for (int n = *rc::gen::inRange(1, 12); n > 0; --n) {
+    for (int reports_left = *rc::gen::inRange(1, 12); reports_left > 0; --reports_left) {
       const auto sequence = *rc::gen::inRange<std::uint16_t>(1, 5);
       const auto owner = *rc::gen::inRange<std::uint16_t>(1, 4);
       // One owner sends one report per stamp.
@@ -60,13 +61,13 @@
       return std::tuple(table.median_demand(1000), table.origin_limit_share(1000),
                         table.fresh_report_count(1000));
     };
-    const auto first = merge_all(reports);
+    const auto merged = merge_all(reports);
     std::vector<TestReport> shuffled = reports;
     shuffled.insert(shuffled.end(), reports.begin(), reports.end());
     for (std::size_t i = shuffled.size(); i > 1; --i) {
       std::swap(shuffled[i - 1], shuffled[*rc::gen::inRange<std::size_t>(0, i)]);
     }
-    RC_ASSERT(merge_all(shuffled) == first);
+    RC_ASSERT(merge_all(shuffled) == merged);
   }));
 }
 
@@ -82,32 +83,32 @@
   do {
     for (int loss_mask = 0; loss_mask < 64; ++loss_mask) {
       for (int crash_step = 0; crash_step <= 6; ++crash_step) {
-        std::vector<OriginGossip> all;
+        std::vector<OriginGossip> tables;
         for (gossip::MemberId i = 0; i < 3; ++i) {
-          all.emplace_back(i, 3, i);
-          all[i].set_own_report(0, {10, 1}, {demand[i], limit[i]});
+          tables.emplace_back(i, 3, i);
+          tables[i].set_own_report(0, {10, 1}, {demand[i], limit[i]});
         }
         double max_sum = 0;
         for (int step = 0; step < 6; ++step) {
           if (step == crash_step) {
-            all[0] = OriginGossip(0, 3, 9);
-            all[0].set_own_report(0, {11, 1}, {demand[0], limit[0]});
+            tables[0] = OriginGossip(0, 3, 9);
+            tables[0].set_own_report(0, {11, 1}, {demand[0], limit[0]});
           }
           const int message = order[static_cast<std::size_t>(step)];
           const int from = message / 2, to = (from + 1 + message % 2) % 3;
           if ((loss_mask >> message & 1) != 0) continue;
           std::vector<OriginGossip::Update> updates;
-          all[static_cast<std::size_t>(to)].read_entries(
+          tables[static_cast<std::size_t>(to)].read_entries(
               0, static_cast<gossip::MemberId>(from),
-              all[static_cast<std::size_t>(from)].write_entries(0, 60), updates);
+              tables[static_cast<std::size_t>(from)].write_entries(0, 60), updates);
         }
         std::vector<double> state;
         double share_sum = 0;
         for (std::size_t i = 0; i < 3; ++i) {
-          const double share = all[i].origin_limit_share(0);
+          const double share = tables[i].origin_limit_share(0);
           state.push_back(share);
           share_sum += share;
-          CHECK(share <= 3 * 3 * 1.0); // no single router takes more than its weight of the total
+          CHECK(share <= 3 * 3 * 1.0); // at most the number of routers times the highest limit
         }
         max_sum = std::max(max_sum, share_sum);
         CHECK(max_sum <= 1.6 * (limit[0] + limit[1] + limit[2])); // the stated slack for views that differ
@@ -132,14 +133,14 @@
 }
 
 TEST_CASE("with demand at one router the shares never exceed one and a half times the previous total") {
-  for (const std::size_t n : {3u, 4u, 9u, 20u}) {
-    CAPTURE(n);
-    RouterTier tier(n, 8);
+  for (const std::size_t router_count : {3u, 4u, 9u, 20u}) {
+    CAPTURE(router_count);
+    RouterTier tier(router_count, 8);
     for (auto& own : tier.local_reports) own = {0, 10};
     tier.local_reports[0].demand = 12;
     follow_shares(tier);
     tier.run(60000);
-    CHECK(total_limit(tier) < 1.5 * 10 * static_cast<double>(n));
+    CHECK(total_limit(tier) < 1.5 * 10 * static_cast<double>(router_count));
     CHECK(tier.local_reports[0].limit > 12);
   }
 }
@@ -165,8 +166,8 @@
     follow_shares(tier);
     tier.run(20000);
     const double before = total_limit(tier);
-    tier.delivers = [&](std::size_t a, std::size_t b) {
-      return static_cast<int>(a) % sides == static_cast<int>(b) % sides;
+    tier.delivers = [&](std::size_t from, std::size_t to) {
+      return static_cast<int>(from) % sides == static_cast<int>(to) % sides;
     };
     double highest = 0;
     for (int i = 0; i < 60; ++i) tier.run(500), highest = std::max(highest, total_limit(tier));
@@ -195,19 +196,21 @@
 TEST_CASE(
     "a router that keeps reporting a false demand and limit does not move the limits of correct routers "
     "out of bounds") {
-  for (const std::size_t n : {4u, 40u}) {
+  for (const std::size_t router_count : {4u, 40u}) {
     for (const gossip::LocalReports& false_report :
          {gossip::LocalReports{4000, 0}, gossip::LocalReports{0, 4000}, gossip::LocalReports{4000, 4000}}) {
-      CAPTURE(n);
-      RouterTier tier(n, 11);
-      for (std::size_t i = 0; i < n; ++i) tier.local_reports[i] = {i % 2 == 0 ? 1.0 : 0.5, 1};
+      CAPTURE(router_count);
+      RouterTier tier(router_count, 11);
+      for (std::size_t i = 0; i < router_count; ++i) tier.local_reports[i] = {i % 2 == 0 ? 1.0 : 0.5, 1};
       follow_shares(tier);
       tier.run(15000);
-      const auto correct_limits = [&] { return total_limit(tier) - tier.local_reports[n - 1].limit; };
+      const auto correct_limits = [&] {
+        return total_limit(tier) - tier.local_reports[router_count - 1].limit;
+      };
       const double before = correct_limits();
       const auto follow_round = tier.before_tick;
       tier.before_tick = [&](std::size_t i) {
-        i + 1 < n ? follow_round(i) : void(tier.local_reports[i] = false_report);
+        i + 1 < router_count ? follow_round(i) : void(tier.local_reports[i] = false_report);
       };
       tier.run(60000); // 240 rounds
       CHECK(correct_limits() < 1.3 * before);
@@ -251,15 +254,15 @@
 TEST_CASE(
     "the pooled origin response time expires soon and a false report keeps it within the range of correct "
     "ones") {
-  for (const std::size_t n : {4u, 40u}) {
-    CAPTURE(n);
-    RouterTier tier(n, 13);
-    for (std::size_t i = 0; i < n; ++i)
+  for (const std::size_t router_count : {4u, 40u}) {
+    CAPTURE(router_count);
+    RouterTier tier(router_count, 13);
+    for (std::size_t i = 0; i < router_count; ++i)
       tier.local_reports[i] = {1, 1, {}, i % 4 == 3 ? 0 : 100.0 + static_cast<double>(i)};
     const auto response_ms = [&](std::size_t i) {
       return tier.routers[i]->view(tier.now).origin_response_ms;
     };
-    const double highest = 100.0 + static_cast<double>(n);
+    const double highest = 100.0 + static_cast<double>(router_count);
     tier.run(5000);
     CHECK(tier.all([&](std::size_t i) { return response_ms(i) >= 100 && response_ms(i) <= highest; }));
     for (const double false_report : {1e-3, 1e9}) {
@@ -275,9 +278,9 @@
 }
 
 TEST_CASE("entries of older and newer versions are read as far as they go") {
-  OriginGossip old(1, 4, 1);
-  old.set_own_report(0, {10, 1}, {2, 3, 50});
-  std::string bytes = old.write_entries(0, 18);
+  OriginGossip sender(1, 4, 1);
+  sender.set_own_report(0, {10, 1}, {2, 3, 50});
+  std::string bytes = sender.write_entries(0, 18);
   CHECK(bytes.size() == 18);
   std::vector<OriginGossip::Update> updates;
   OriginGossip table(0, 4, 1);
@@ -285,12 +288,12 @@
   newer[1] = static_cast<char>(newer[1] + 2);
   table.read_entries(0, 1, newer, updates);
   CHECK(updates.size() == 1);
-  OriginGossip other_table(0, 4, 1);
+  OriginGossip second_table(0, 4, 1);
   std::string older = bytes.substr(0, 16); // demand and limit only
   older[1] = static_cast<char>(older[1] - 2);
-  other_table.read_entries(0, 1, older, updates);
+  second_table.read_entries(0, 1, older, updates);
   CHECK(updates.size() == 2);
-  CHECK(other_table.fresh_report_count(0) == 1);
-  CHECK(other_table.response_time(0).ms == 0);
-  CHECK(table.ignored() + other_table.ignored() == 0);
+  CHECK(second_table.fresh_report_count(0) == 1);
+  CHECK(second_table.response_time(0).ms == 0);
+  CHECK(table.ignored() + second_table.ignored() == 0);
 }
--- a/tests/gossip_transport/processes_test.cpp
+++ b/tests/gossip_transport/processes_test.cpp
@@ -42,20 +42,20 @@
     getsockname(fd, reinterpret_cast<sockaddr*>(&socket_address), &size);
     port_number = ntohs(socket_address.sin_port);
     if (!on_datagram) return;
-    reads.reset(event_new(
+    read_event.reset(event_new(
         base, fd, EV_READ | EV_PERSIST,
-        [](int from, short, void* self) {
+        [](int readable_fd, short, void* self) {
           char bytes[512];
-          for (ssize_t n; (n = recv(from, bytes, sizeof bytes, 0)) >= 0;)
+          for (ssize_t n; (n = recv(readable_fd, bytes, sizeof bytes, 0)) >= 0;)
             static_cast<UdpPort*>(self)->on_datagram(std::string(bytes, static_cast<std::size_t>(n)));
         },
         this));
-    event_add(reads.get(), nullptr);
+    event_add(read_event.get(), nullptr);
   }
   ~UdpPort() { close(fd); }
   std::function<void(const std::string&)> on_datagram;
   int fd, port_number = 0;
-  loop::EventPtr reads;
+  loop::EventPtr read_event;
 };
 
 // The network: one port per pair of routers, as listed in `peers`.
@@ -64,8 +64,8 @@
     for (std::size_t i = 0; i < kRouters; ++i) listen_ports.push_back(free_port());
     for (std::size_t i = 0; i < kRouters; ++i) {
       for (std::size_t j = 0; j < kRouters; ++j) {
-        ports.push_back(
-            std::make_unique<UdpPort>(base, [this, i, j](const std::string& b) { forward(i, j, b); }));
+        ports.push_back(std::make_unique<UdpPort>(
+            base, [this, i, j](const std::string& bytes) { forward(i, j, bytes); }));
       }
     }
   }
@@ -97,10 +97,10 @@
     listener_ =
         evconnlistener_new_bind(base, &OriginServer::accepted, this, LEV_OPT_CLOSE_ON_FREE, 64,
                                 reinterpret_cast<const sockaddr*>(&socket_address), sizeof socket_address);
-    sockaddr_in got{};
-    socklen_t size = sizeof got;
-    getsockname(evconnlistener_get_fd(listener_), reinterpret_cast<sockaddr*>(&got), &size);
-    address = address_text(ntohs(got.sin_port));
+    sockaddr_in bound_address{};
+    socklen_t size = sizeof bound_address;
+    getsockname(evconnlistener_get_fd(listener_), reinterpret_cast<sockaddr*>(&bound_address), &size);
+    address = address_text(ntohs(bound_address.sin_port));
   }
   ~OriginServer() { evconnlistener_free(listener_); }
   std::string address;
@@ -121,8 +121,9 @@
     connection.origin = origin;
     connection.io = loop::make_bufferevent(origin->base_, fd);
     bufferevent_setcb(
-        connection.io.get(), [](bufferevent*, void* link) { read(*static_cast<OriginConnection*>(link)); },
-        nullptr, [](bufferevent*, short, void* link) { end(*static_cast<OriginConnection*>(link)); },
+        connection.io.get(),
+        [](bufferevent*, void* context) { read(*static_cast<OriginConnection*>(context)); }, nullptr,
+        [](bufferevent*, short, void* context) { end(*static_cast<OriginConnection*>(context)); },
         &connection);
     bufferevent_enable(connection.io.get(), EV_READ | EV_WRITE);
   }
@@ -139,26 +140,27 @@
     connection.busy = true;
     OriginServer& origin = *connection.origin;
     origin.max_active = std::max(origin.max_active, ++origin.active);
-    const double ms = 20 * std::max(1.0, origin.active / 8.0);
+    const double response_ms = 20 * std::max(1.0, origin.active / 8.0);
     connection.timer.reset(event_new(
         origin.base_, -1, 0,
-        [](int, short, void* link) {
-          OriginConnection& done = *static_cast<OriginConnection*>(link);
+        [](int, short, void* context) {
+          OriginConnection& done = *static_cast<OriginConnection*>(context);
           done.busy = false;
           --done.origin->active;
           ++done.origin->answered;
-          const std::string answer = ok_response("from the ledger");
-          bufferevent_write(done.io.get(), answer.data(), answer.size());
+          const std::string response = ok_response("from the ledger");
+          bufferevent_write(done.io.get(), response.data(), response.size());
         },
         &connection));
-    const timeval after{0, static_cast<suseconds_t>(ms * 1000)};
-    event_add(connection.timer.get(), &after);
+    const timeval response_delay{0, static_cast<suseconds_t>(response_ms * 1000)};
+    event_add(connection.timer.get(), &response_delay);
   }
   event_base* base_;
   evconnlistener* listener_;
   std::deque<std::unique_ptr<OriginConnection>> connections_;
 };
 
+// A tier of routers as processes, with their clients, caches and origin.
 struct ProcessTier {
   // `broken_path`: the address that the first router has for s-1 does not answer.
   // `fleet_file`: the file's text; without it the routers do not gossip.
@@ -173,24 +175,25 @@
       std::vector<std::string> peers;
       for (std::size_t j = 0; j < kRouters; ++j)
         peers.push_back(address_text(net.ports[i * kRouters + j]->port_number));
-      Json c = config_json(
+      Json config = config_json(
           discovery.address,
           endpoint_list_json(
               1, true,
               {endpoint_json("s-1", broken_path && i == 0 ? silent_server.address : server_one.address),
                endpoint_json("s-2", server_two.address),
                endpoint_json("o-1", origin.address, "in_service", "origin")}));
-      c["name"] = "n" + std::to_string(i);
-      c["peer_listen"] = address_text(net.listen_ports[i]);
+      config["name"] = "n" + std::to_string(i);
+      config["peer_listen"] = address_text(net.listen_ports[i]);
       if (direct) {
         for (std::size_t j = 0; j < kRouters; ++j) peers[j] = address_text(net.listen_ports[j]);
       }
-      c["peers"] = peers;
-      c["settings"]["balancers"] = kRouters;
-      c["settings"]["me"] = i;
-      c["settings"]["classes"][0]["aim"] = 200; // so that the origin is congested long before the full load
-      c["settings"]["classes"][0]["give_up"] = 800;
-      configs.push_back(c);
+      config["peers"] = peers;
+      config["settings"]["balancers"] = kRouters;
+      config["settings"]["me"] = i;
+      // So that the origin is congested long before the full load.
+      config["settings"]["classes"][0]["aim"] = 200;
+      config["settings"]["classes"][0]["give_up"] = 800;
+      configs.push_back(config);
       start(i);
     }
     // Discovery does not answer: each router uses its own cached list.
@@ -218,11 +221,11 @@
   // A statistic of a router; -1: the router does not answer.
   double statistic(std::size_t i, const std::string& name) {
     if (programs[i] == nullptr || programs[i]->has_exited()) return -1;
-    ControlClient caller(base.get(), control_ports[i], "show-stat\n");
+    ControlClient control_client(base.get(), control_ports[i], "show-stat\n");
     const double end = loop::now_ms() + 500;
-    run_until(base.get(), [&] { return caller.closed || loop::now_ms() > end; });
-    const auto at = caller.received.find("router." + name + "=");
-    return at == std::string::npos ? -1 : std::stod(caller.received.substr(at + 8 + name.size()));
+    run_until(base.get(), [&] { return control_client.closed || loop::now_ms() > end; });
+    const auto at = control_client.received.find("router." + name + "=");
+    return at == std::string::npos ? -1 : std::stod(control_client.received.substr(at + 8 + name.size()));
   }
   bool all(const std::function<bool(std::size_t)>& holds) {
     for (std::size_t i = 0; i < kRouters; ++i) {
@@ -230,9 +233,9 @@
     }
     return true;
   }
-  bool all_count_alive(std::size_t n, std::vector<std::size_t> routers = {0, 1, 2, 3}) {
+  bool all_count_alive(std::size_t count, std::vector<std::size_t> routers = {0, 1, 2, 3}) {
     for (const std::size_t i : routers) {
-      if (statistic(i, "fleet_living") != static_cast<double>(n)) return false;
+      if (statistic(i, "fleet_living") != static_cast<double>(count)) return false;
     }
     return true;
   }
@@ -262,23 +265,24 @@
       }
     }
   }
-  bool wait_until(const std::function<bool()>& done) { // keeps sending load; `done` may read statistics
+  // Keeps sending load. `done` may read statistics.
+  bool wait_until(const std::function<bool()>& done) {
     const double end = loop::now_ms() + 30000;
     while (!done()) {
       if (loop::now_ms() > end) return false;
-      const double next = loop::now_ms() + 20;
+      const double next_check_ms = loop::now_ms() + 20;
       run_until(base.get(), [&] {
         send_load();
-        return loop::now_ms() >= next;
+        return loop::now_ms() >= next_check_ms;
       });
     }
     return true;
   }
   // Waits until all routers see all others alive, and prints how long that took.
   bool wait_until_complete() {
-    const double from = loop::now_ms();
+    const double started_at_ms = loop::now_ms();
     const bool complete = wait_until([&] { return all_count_alive(kRouters); });
-    MESSAGE("all alive after ms: " << loop::now_ms() - from
+    MESSAGE("all alive after ms: " << loop::now_ms() - started_at_ms
                                    << ", max active attempts: " << origin.max_active);
     return complete;
   }
@@ -291,8 +295,9 @@
     for (std::size_t i = 0; i < kRouters; ++i) sum += std::max(0.0, statistic(i, "fleet_limit")) / 1000;
     return sum;
   }
-  // The most attempts that all sides of a partition together may have at the origin: the previous total
-  // limit, rounded up at each router, plus the growth of limits at routers without congestion.
+  // The most attempts that all sides of a partition together may have in flight at the origin: the previous
+  // total limit plus a quarter for the growth of limits at routers without congestion, and one attempt for
+  // the rounding at each router.
   int max_concurrency(double before) const {
     return static_cast<int>(std::ceil(1.25 * before)) + static_cast<int>(kRouters);
   }
@@ -323,7 +328,8 @@
   std::uint64_t requests_sent = 0, served = 0;
 };
 
-void find_limits(ProcessTier& tier) { // until the limiters have settled
+// Sends load until the limiters have settled.
+void find_limits(ProcessTier& tier) {
   tier.clients_per_router[0] = 48;
   tier.clients_per_router[1] = tier.clients_per_router[2] = tier.clients_per_router[3] = 16;
   tier.run_for(4000);
@@ -337,11 +343,11 @@
   find_limits(tier);
   bool one_way = false;
   SUBCASE("both directions between two and two routers") {
-    tier.net.delivers = [](std::size_t a, std::size_t b) { return a / 2 == b / 2; };
+    tier.net.delivers = [](std::size_t from, std::size_t to) { return from / 2 == to / 2; };
   }
   SUBCASE("one direction and nobody receives from the first router") {
     one_way = true;
-    tier.net.delivers = [](std::size_t a, std::size_t) { return a != 0; };
+    tier.net.delivers = [](std::size_t from, std::size_t) { return from != 0; };
   }
   const double before = tier.total_limit();
   tier.origin.max_active = 0;
@@ -390,12 +396,12 @@
   CHECK(tier.origin.max_active <= tier.max_concurrency(before));
   tier.programs[3]->signal(SIGCONT);
   double min_alive = 4;
-  const double woken_at = loop::now_ms();
+  const double resumed_at_ms = loop::now_ms();
   CHECK(tier.wait_until([&] {
     min_alive = std::min(min_alive, tier.statistic(3, "fleet_living"));
     return tier.all_count_alive(4);
   }));
-  MESSAGE("all alive again after ms: " << loop::now_ms() - woken_at);
+  MESSAGE("all alive again after ms: " << loop::now_ms() - resumed_at_ms);
   CHECK(min_alive >= 4);
   CHECK(tier.origin.max_active <= tier.max_concurrency(before));
 }
@@ -427,19 +433,19 @@
   tier.origin.max_active = 0;
   for (std::size_t i = 0; i < kRouters; ++i) {
     tier.programs[i]->signal(SIGTERM);
-    std::unique_ptr<TestProgram> old = std::move(tier.programs[i]);
+    std::unique_ptr<TestProgram> old_program = std::move(tier.programs[i]);
     tier.clients.erase(i);
     tier.start(i); // beside the old one, which still answers its accepted requests
     CHECK(tier.wait_until_complete());
-    CHECK(tier.wait_until([&] { return old->has_exited(); }));
-    CHECK(old->exit_code == 0);
+    CHECK(tier.wait_until([&] { return old_program->has_exited(); }));
+    CHECK(old_program->exit_code == 0);
   }
   for (std::size_t i = 0; i < kRouters; ++i) tier.kill(i);
   for (std::size_t i = 0; i < kRouters; ++i) tier.start(i);
-  const double started = loop::now_ms();
+  const double started_at_ms = loop::now_ms();
   CHECK(tier.wait_until(
       [&] { return tier.all([&](std::size_t i) { return tier.statistic(i, "fleet_heard") == 3; }); }));
-  MESSAGE("after a full restart each has reports of all others after ms: " << loop::now_ms() - started);
+  MESSAGE("after a full restart each has reports of all others after ms: " << loop::now_ms() - started_at_ms);
   CHECK(tier.all_count_alive(4));
   CHECK(tier.origin.max_active <= tier.max_concurrency(before));
 }
@@ -448,13 +454,13 @@
     "a silent node is ejected by all on the reports of two routers and in a partition only on their side "
     "and recovers") {
   ProcessTier tier;
-  tier.clients_per_router[0] = tier.clients_per_router[1] =
-      4; // the others send no requests: they know the node only from reports
+  // The other routers receive no requests: they know the node only from reports.
+  tier.clients_per_router[0] = tier.clients_per_router[1] = 4;
   tier.run_for(500);
   const auto ejected = [&](std::size_t i) { return tier.statistic(i, "cluster_unhealthy") == 1; };
-  tier.net.delivers = [](std::size_t a, std::size_t b) { return a / 2 == b / 2; };
+  tier.net.delivers = [](std::size_t from, std::size_t to) { return from / 2 == to / 2; };
   tier.s1_silent = true;
-  const double began = loop::now_ms();
+  const double silent_since_ms = loop::now_ms();
   CHECK(tier.wait_until([&] { return ejected(0) && ejected(1); }));
   for (int i = 0; i < 10; ++i) {
     tier.run_for(50);
@@ -463,7 +469,7 @@
   }
   tier.net.delivers = [](std::size_t, std::size_t) { return true; };
   CHECK(tier.wait_until([&] { return ejected(2) && ejected(3); }));
-  MESSAGE("ejected by all after ms: " << loop::now_ms() - began
+  MESSAGE("ejected by all after ms: " << loop::now_ms() - silent_since_ms
                                       << ", attempts at the node: " << tier.attempts);
   tier.s1_silent = false;
   tier.clients_per_router[2] = tier.clients_per_router[3] = 4;
@@ -490,8 +496,8 @@
   for (int i = 0; i < 5; ++i) {
     sendto(unknown_peer.fd, "hello", 5, 0, reinterpret_cast<const sockaddr*>(&socket_address),
            sizeof socket_address);
-    const std::string longer(300, 'x');
-    sendto(tier.net.ports[1]->fd, longer.data(), longer.size(), 0,
+    const std::string too_long(300, 'x');
+    sendto(tier.net.ports[1]->fd, too_long.data(), too_long.size(), 0,
            reinterpret_cast<const sockaddr*>(&socket_address), sizeof socket_address);
     sendto(tier.net.ports[1]->fd, "spoilt", 6, 0, reinterpret_cast<const sockaddr*>(&socket_address),
            sizeof socket_address);
@@ -503,60 +509,62 @@
 
 TEST_CASE("a faulty fleet file or a platform file without peers is named and the program does not start") {
   TemporaryFolder folder;
-  const auto refused = [&](const std::string& text, const Json& config, const std::string& why) {
+  const auto check_rejected = [&](const std::string& text, const Json& config,
+                                  const std::string& expected_error) {
     std::ofstream(folder / "f.toml") << text;
-    TestProgram p({"serve", "--fleet", folder / "f.toml"}, config);
+    TestProgram program({"serve", "--fleet", folder / "f.toml"}, config);
     const router::EventBasePtr base = router::make_event_base();
-    CHECK(run_until(base.get(), [&] { return p.has_exited(); }));
-    CHECK(p.exit_code == 1);
-    CHECK_MESSAGE(p.output.find(why) != std::string::npos, p.output);
+    CHECK(run_until(base.get(), [&] { return program.has_exited(); }));
+    CHECK(program.exit_code == 1);
+    CHECK_MESSAGE(program.output.find(expected_error) != std::string::npos, program.output);
   };
   Json config = config_json("127.0.0.1:1", nullptr);
-  refused("[share]\nledgre = true\n", config, "f.toml:2:1: unknown-key: share.ledgre");
-  refused("[members]\nperiod = \"1ms\"\n", config, "members.period: must be from 50 ms to 5 s");
-  refused("", config, "peer_listen: is missing");
+  check_rejected("[share]\nledgre = true\n", config, "f.toml:2:1: unknown-key: share.ledgre");
+  check_rejected("[members]\nperiod = \"1ms\"\n", config, "members.period: must be from 50 ms to 5 s");
+  check_rejected("", config, "peer_listen: is missing");
   config["peer_listen"] = "127.0.0.1:7946";
   config["peers"] = {"127.0.0.1:7950"};
   config["settings"]["me"] = 1;
-  refused("", config, "settings.me: is 1, but there are 1 peers");
+  check_rejected("", config, "settings.me: is 1, but there are 1 peers");
   config["settings"]["me"] = 0;
   config["settings"]["limits"]["may_tell"] = false;
-  refused("", config, "settings.limits.may_tell: is false");
+  check_rejected("", config, "settings.limits.may_tell: is false");
   config["settings"]["limits"]["may_tell"] = true;
   config["peers"] = {"nowhere"};
-  refused("", config, "peers[0]: \"nowhere\" is not an address");
+  check_rejected("", config, "peers[0]: \"nowhere\" is not an address");
 }
 
 // Measures the cost of gossip, for docs/notes/fleet.md:
 //   COST="400ms 15 3" fernward_gossip_transport_tests --no-skip -tc="cost*"
 // The values are the period, requests per second and router, pairs, and further lines under [share]. The two
-// tiers of a pair run at the same time, as other processes use the machine, too.
+// tiers of a pair, without and with gossip, run at the same time, so that other processes on the machine
+// affect both.
 TEST_CASE("cost of gossip with both settings at the same time" * doctest::skip()) {
-  const char* cost = std::getenv("COST");
-  std::istringstream options(cost != nullptr ? cost : "400ms 0 3");
-  std::string period, share;
-  double rate = 0;
+  const char* options_text = std::getenv("COST");
+  std::istringstream options(options_text != nullptr ? options_text : "400ms 0 3");
+  std::string period, share_lines;
+  double requests_per_s = 0;
   int pairs = 0;
-  options >> period >> rate >> pairs;
-  std::getline(options >> std::ws, share); // for example "ledger=false"
+  options >> period >> requests_per_s >> pairs;
+  std::getline(options >> std::ws, share_lines); // for example "ledger=false"
   constexpr double kSeconds = 20;
   struct MeasuredTier {
     explicit MeasuredTier(const std::optional<std::string>& fleet_file) : tier(false, fleet_file, true) {
-      for (const auto& p : tier.programs)
-        clients.push_back(std::make_unique<TestClient>(tier.base.get(), p->port()));
+      for (const auto& program : tier.programs)
+        clients.push_back(std::make_unique<TestClient>(tier.base.get(), program->port()));
     }
-    void ask() {
+    void send_request() {
       const std::string id = std::to_string(++tier.requests_sent);
       const std::size_t i = tier.requests_sent % kRouters;
       if (clients[i]->closed)
         clients[i] = std::make_unique<TestClient>(tier.base.get(), tier.programs[i]->port());
       clients[i]->send(get_request("/k/" + id, "q" + id));
     }
-    TestProgram::ResourceUsage use() const {
+    TestProgram::ResourceUsage resource_usage() const {
       TestProgram::ResourceUsage sum;
-      for (const auto& p : tier.programs) {
-        const TestProgram::ResourceUsage u = p->resource_usage();
-        sum.cpu_ms += u.cpu_ms, sum.voluntary_context_switches += u.voluntary_context_switches;
+      for (const auto& program : tier.programs) {
+        const TestProgram::ResourceUsage usage = program->resource_usage();
+        sum.cpu_ms += usage.cpu_ms, sum.voluntary_context_switches += usage.voluntary_context_switches;
       }
       return sum;
     }
@@ -566,32 +574,37 @@
   for (int pair = 0; pair < pairs; ++pair) {
     std::unique_ptr<MeasuredTier> tiers[2] = {
         std::make_unique<MeasuredTier>(std::nullopt),
-        std::make_unique<MeasuredTier>("[members]\nperiod = \"" + period + "\"\n[share]\n" + share + "\n")};
-    double next = loop::now_ms();
-    std::size_t turn = 0;
+        std::make_unique<MeasuredTier>("[members]\nperiod = \"" + period + "\"\n[share]\n" + share_lines +
+                                       "\n")};
+    double next_request_at_ms = loop::now_ms();
+    std::size_t turns = 0;
     const auto run_for = [&](double ms) {
       for (const double end = loop::now_ms() + ms; loop::now_ms() < end; usleep(300)) {
-        ++turn; // the tier that runs second benefits from warm CPU caches
+        ++turns; // alternates, because the tier that runs second benefits from warm CPU caches
         for (std::size_t i = 0; i < 2; ++i)
-          event_base_loop(tiers[(turn + i) % 2]->tier.base.get(), EVLOOP_NONBLOCK);
-        if (rate <= 0 || loop::now_ms() < next) continue;
-        next += 1000 / rate / kRouters;
-        for (std::size_t i = 0; i < 2; ++i) tiers[(turn + i) % 2]->ask();
+          event_base_loop(tiers[(turns + i) % 2]->tier.base.get(), EVLOOP_NONBLOCK);
+        if (requests_per_s <= 0 || loop::now_ms() < next_request_at_ms) continue;
+        next_request_at_ms += 1000 / requests_per_s / kRouters;
+        for (std::size_t i = 0; i < 2; ++i) tiers[(turns + i) % 2]->send_request();
       }
     };
     run_for(4000);
-    const TestProgram::ResourceUsage began[2] = {tiers[0]->use(), tiers[1]->use()};
+    const TestProgram::ResourceUsage usage_before[2] = {tiers[0]->resource_usage(),
+                                                        tiers[1]->resource_usage()};
     run_for(1000 * kSeconds);
-    double cpu[2];
+    double cpu_ms_per_s[2];
     for (int i = 0; i < 2; ++i) {
-      const TestProgram::ResourceUsage u = tiers[i]->use();
-      const double of = kSeconds * kRouters;
-      cpu[i] = (u.cpu_ms - began[i].cpu_ms) / of;
-      std::printf("  %-3s %6.3f ms of CPU and %5.1f wakes per second and router\n", i == 0 ? "off" : "on",
-                  cpu[i], (u.voluntary_context_switches - began[i].voluntary_context_switches) / of);
+      const TestProgram::ResourceUsage usage = tiers[i]->resource_usage();
+      const double router_seconds = kSeconds * kRouters;
+      cpu_ms_per_s[i] = (usage.cpu_ms - usage_before[i].cpu_ms) / router_seconds;
+      std::printf(
+          "  %-3s %6.3f ms of CPU and %5.1f wakes per second and router\n", i == 0 ? "off" : "on",
+          cpu_ms_per_s[i],
+          (usage.voluntary_context_switches - usage_before[i].voluntary_context_switches) / router_seconds);
     }
-    std::printf("%s, %.0f requests per second: +%.3f ms per second, +%.1f%%\n", period.c_str(), rate,
-                cpu[1] - cpu[0], 100 * (cpu[1] / cpu[0] - 1));
+    std::printf("%s, %.0f requests per second: +%.3f ms per second, +%.1f%%\n", period.c_str(),
+                requests_per_s, cpu_ms_per_s[1] - cpu_ms_per_s[0],
+                100 * (cpu_ms_per_s[1] / cpu_ms_per_s[0] - 1));
     std::fflush(stdout);
   }
 }
--- a/tests/hot_restart/process_takeover_test.cpp
+++ b/tests/hot_restart/process_takeover_test.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// A router and the processes that replace each other: its address, its folder, its peers.
+// A router whose processes replace each other, with its address, its folder and scripted peers.
 struct RestartingRouter {
   RestartingRouter() {
     config = config_json(discovery.address, list());
@@ -26,36 +26,36 @@
   }
   Json list() {
     return endpoint_list_json(1, true,
-                              {endpoint_json("s-1", one.address), endpoint_json("s-2", two.address),
+                              {endpoint_json("s-1", cache_1.address), endpoint_json("s-2", cache_2.address),
                                endpoint_json("o-1", origin.address, "in_service", "origin")});
   }
-  // Starts one more process, and by default waits until it is ready.
+  // Starts one more process, and waits until it is ready unless `wait` is false.
   TestProgram& start(bool wait = true) {
-    const int control = free_port();
-    environment_entries.push_back("NODE_CONTROL=127.0.0.1:" + std::to_string(control));
-    control_ports.push_back(control);
+    const int control_port = free_port();
+    environment_entries.push_back("NODE_CONTROL=127.0.0.1:" + std::to_string(control_port));
+    control_ports.push_back(control_port);
     programs.push_back(
         std::make_unique<TestProgram>(std::vector<std::string>{"serve"}, config,
                                       std::vector<std::string>{folder_variable, environment_entries.back()}));
-    if (wait) REQUIRE(until([&] { return programs.back()->port() != 0; }));
-    if (wait) REQUIRE(until([&] { return send_command("ready") == "ok\n"; }));
+    if (wait) REQUIRE(wait_until([&] { return programs.back()->port() != 0; }));
+    if (wait) REQUIRE(wait_until([&] { return send_command("ready") == "ok\n"; }));
     return *programs.back();
   }
   // Sends a command to the newest process, or to the one `processes_back` before it.
   std::string send_command(const std::string& command, std::size_t processes_back = 0) {
     ControlClient client(base.get(), control_ports[control_ports.size() - 1 - processes_back],
                          command + "\n");
-    until([&] { return client.closed; });
+    wait_until([&] { return client.closed; });
     return client.received;
   }
-  bool until(const std::function<bool()>& done) { return run_until(base.get(), done); }
+  bool wait_until(const std::function<bool()>& done) { return run_until(base.get(), done); }
 
   router::EventBasePtr base = router::make_event_base();
   ScriptedServer discovery{base.get(), [this](const http::Message& m) {
                              return m.target == "/v1/endpoints" ? ok_response(list().dump()) : std::string();
                            }};
-  ScriptedServer one{base.get(), [](const http::Message& m) { return ok_response("v of " + m.target); }};
-  ScriptedServer two{base.get(), [](const http::Message& m) { return ok_response("v of " + m.target); }};
+  ScriptedServer cache_1{base.get(), [](const http::Message& m) { return ok_response("v of " + m.target); }};
+  ScriptedServer cache_2{base.get(), [](const http::Message& m) { return ok_response("v of " + m.target); }};
   ScriptedServer origin{base.get(), [](const http::Message& m) { return ok_response("v of " + m.target); }};
   int port = free_port();
   TemporaryFolder folder;
@@ -73,14 +73,14 @@
   void send_next() {
     if (client == nullptr || sent_requests % 7 == 0)
       client = std::make_unique<TestClient>(router.base.get(), router.port);
-    answers_before = client->responses.size();
+    responses_before = client->responses.size();
     id = "a" + std::to_string(number) + "-" + std::to_string(++sent_requests);
     client->send(get_request("/k/" + id, id));
     awaiting_response = true;
   }
   void advance() {
     if (!awaiting_response) return send_next();
-    if (client->responses.size() > answers_before) {
+    if (client->responses.size() > responses_before) {
       awaiting_response = false;
       ++answered;
       correct += client->responses.back().status == 200 && client->responses.back().body == "v of /k/" + id;
@@ -94,7 +94,7 @@
   }
   RestartingRouter& router;
   int number, sent_requests = 0, answered = 0, correct = 0, shed = 0, lost = 0, closed_by_response = 0;
-  std::size_t answers_before = 0;
+  std::size_t responses_before = 0;
   std::string id;
   bool awaiting_response = false;
   std::unique_ptr<TestClient> client;
@@ -102,15 +102,18 @@
 
 } // namespace
 
+// Guards against requests that are lost or answered wrongly, idle connections that are closed, overrides that
+// are forgotten and descriptors beyond the limit while processes replace each other under load.
 TEST_CASE(
     "ten upgrades under load: each request answered once, none lost at the door, bans kept, limits held") {
   RestartingRouter restarting_router;
-  std::map<std::string, int> attempts_by_id; // attempts at the servers, by request id
-  const auto count = [&](const http::Message& m) {
+  std::map<std::string, int> attempts_by_id; // attempts at the servers, by request ID
+  const auto count_attempt = [&](const http::Message& m) {
     ++attempts_by_id[std::string(m.header("x-request-id"))];
     return ok_response("v of " + m.target);
   };
-  restarting_router.one.script = restarting_router.two.script = restarting_router.origin.script = count;
+  restarting_router.cache_1.script = restarting_router.cache_2.script = restarting_router.origin.script =
+      count_attempt;
   restarting_router.start();
   std::vector<std::unique_ptr<ClosedLoopClient>> load_clients;
   for (int i = 0; i < 24; ++i)
@@ -122,7 +125,7 @@
   for (std::size_t i = 0; i < idle_clients.size(); ++i)
     CHECK(idle_clients[i]->send_and_wait(get_request("/k/r", "rest" + std::to_string(i))).status == 200);
   const auto run_load_until = [&](const std::function<bool()>& done) {
-    return restarting_router.until([&] {
+    return restarting_router.wait_until([&] {
       for (const auto& load_client : load_clients) load_client->advance();
       return done();
     });
@@ -140,26 +143,27 @@
     CHECK(old.exit_code == 0);
     CHECK(old.output_contains("hot-restart-passing"));
     max_descriptors = std::max(max_descriptors, next.open_descriptors());
-    const double until = loop::now_ms() + 60;
-    run_load_until([&] { return loop::now_ms() > until; });
+    const double load_end_ms = loop::now_ms() + 60;
+    run_load_until([&] { return loop::now_ms() > load_end_ms; });
   }
   CHECK(max_descriptors <= 256);
-  REQUIRE(restarting_router.until([&] {
-    bool all = true;
+  REQUIRE(restarting_router.wait_until([&] {
+    bool all_answered = true;
     for (const auto& load_client : load_clients) {
       if (load_client->awaiting_response) load_client->advance();
-      all &= !load_client->awaiting_response;
+      all_answered &= !load_client->awaiting_response;
     }
-    return all;
+    return all_answered;
   }));
-  int answered = 0, lost = 0, told_to_close = 0, wrong = 0;
+  int answered = 0, lost = 0, ended_by_response = 0, wrong = 0;
   for (const auto& load_client : load_clients) {
     answered += load_client->answered;
     lost += load_client->lost;
-    told_to_close += load_client->closed_by_response;
+    ended_by_response += load_client->closed_by_response;
     wrong += load_client->answered - load_client->correct - load_client->shed;
   }
-  MESSAGE(answered, " requests over ten upgrades, ", lost, " lost, ", told_to_close, " connections ended");
+  MESSAGE(answered, " requests over ten upgrades, ", lost, " lost, ", ended_by_response,
+          " connections ended");
   CHECK(answered > 500);
   CHECK(lost == 0);
   CHECK(wrong == 0);
@@ -170,16 +174,17 @@
         idle_clients[i]->send_and_wait(get_request("/k/r", "again" + std::to_string(i))).status;
     CHECK((status == 200 || status == 503));
   }
-  const std::size_t before =
-      restarting_router.one.requests.size(); // s-1 has been disabled since before the first upgrade
+  // s-1 has been disabled since before the first upgrade.
+  const std::size_t before = restarting_router.cache_1.requests.size();
   CHECK(restarting_router.send_command("enable-server s-1") == "ok\n");
-  std::vector<std::unique_ptr<TestClient>> burst;
+  std::vector<std::unique_ptr<TestClient>> burst_clients;
   for (int i = 0; i < 40; ++i) {
-    burst.push_back(std::make_unique<TestClient>(restarting_router.base.get(), restarting_router.port));
-    burst.back()->send(get_request("/k/b" + std::to_string(i), "b" + std::to_string(i)));
+    burst_clients.push_back(
+        std::make_unique<TestClient>(restarting_router.base.get(), restarting_router.port));
+    burst_clients.back()->send(get_request("/k/b" + std::to_string(i), "b" + std::to_string(i)));
   }
-  CHECK(restarting_router.until([&] { return restarting_router.one.requests.size() > before; }));
-  for (const auto& message : restarting_router.one.requests) {
+  CHECK(restarting_router.wait_until([&] { return restarting_router.cache_1.requests.size() > before; }));
+  for (const auto& message : restarting_router.cache_1.requests) {
     const std::string id(message.header("x-request-id"));
     CHECK((id.starts_with("rest") || id.starts_with("b")));
   }
@@ -187,68 +192,73 @@
 
 TEST_CASE("an active request is answered by its process and then its connection is passed on") {
   RestartingRouter restarting_router;
-  restarting_router.one.script =
-      restarting_router.two.script = [](const http::Message&) { return std::string(); };
+  restarting_router.cache_1.script =
+      restarting_router.cache_2.script = [](const http::Message&) { return std::string(); };
   restarting_router.start();
   TestClient client(restarting_router.base.get(), restarting_router.port),
-      long_one(restarting_router.base.get(), restarting_router.port);
+      silent_client(restarting_router.base.get(), restarting_router.port);
   client.send(get_request("/k/1", "r1"));
-  REQUIRE(restarting_router.until(
-      [&] { return restarting_router.one.requests.size() + restarting_router.two.requests.size() == 1; }));
-  ScriptedServer& asked =
-      restarting_router.one.requests.empty() ? restarting_router.two : restarting_router.one;
+  REQUIRE(restarting_router.wait_until([&] {
+    return restarting_router.cache_1.requests.size() + restarting_router.cache_2.requests.size() == 1;
+  }));
+  ScriptedServer& cache =
+      restarting_router.cache_1.requests.empty() ? restarting_router.cache_2 : restarting_router.cache_1;
   TestProgram& old = *restarting_router.programs.back();
   restarting_router.start();
   old.signal(SIGTERM);
-  REQUIRE(restarting_router.until([&] { return old.output_contains("hot-restart-passing"); }));
+  REQUIRE(restarting_router.wait_until([&] { return old.output_contains("hot-restart-passing"); }));
   run_for(restarting_router.base.get(), 50);
   CHECK_FALSE(old.has_exited());
-  asked.write_to_last(ok_response("in time"));
-  REQUIRE(restarting_router.until([&] { return !client.responses.empty(); }));
+  cache.write_to_last(ok_response("in time"));
+  REQUIRE(restarting_router.wait_until([&] { return !client.responses.empty(); }));
   CHECK(client.responses[0].body == "in time");
   CHECK(client.responses[0].keep_alive);
-  REQUIRE(restarting_router.until([&] { return old.has_exited(); }));
-  restarting_router.one.script =
-      restarting_router.two.script = [](const http::Message& m) { return ok_response("v of " + m.target); };
+  REQUIRE(restarting_router.wait_until([&] { return old.has_exited(); }));
+  restarting_router.cache_1.script = restarting_router.cache_2.script = [](const http::Message& m) {
+    return ok_response("v of " + m.target);
+  };
   CHECK(client.send_and_wait(get_request("/k/2", "r2")).body == "v of /k/2");
 }
 
+// Guards against an old process that no longer serves, or can no longer be replaced, after a new process was
+// killed before it took over.
 TEST_CASE("a new process that dies: the old one serves on, with all there is") {
   RestartingRouter restarting_router;
   restarting_router.start();
   TestProgram& old = *restarting_router.programs.back();
   for (int i = 0; i < 3; ++i) {
     TestProgram& next = restarting_router.start();
-    REQUIRE(restarting_router.until([&] { return old.output_contains("hot-restart-ready"); }));
+    REQUIRE(restarting_router.wait_until([&] { return old.output_contains("hot-restart-ready"); }));
     next.signal(SIGKILL);
-    REQUIRE(restarting_router.until([&] { return next.has_exited(); }));
+    REQUIRE(restarting_router.wait_until([&] { return next.has_exited(); }));
     restarting_router.programs.pop_back();
     restarting_router.control_ports.pop_back();
-    REQUIRE(restarting_router.until([&] { return old.output_contains("hot-restart-aborted"); }));
+    REQUIRE(restarting_router.wait_until([&] { return old.output_contains("hot-restart-aborted"); }));
     old.output.clear();
     TestClient client(restarting_router.base.get(), restarting_router.port);
     CHECK(client.send_and_wait(get_request("/k/1", "r" + std::to_string(i))).status == 200);
   }
   TestProgram& last = restarting_router.start(); // it can still be replaced
   old.signal(SIGTERM);
-  REQUIRE(restarting_router.until([&] { return old.has_exited(); }));
-  REQUIRE(restarting_router.until([&] { return last.output_contains("hot-restart-complete"); }));
+  REQUIRE(restarting_router.wait_until([&] { return old.has_exited(); }));
+  REQUIRE(restarting_router.wait_until([&] { return last.output_contains("hot-restart-complete"); }));
   TestClient client(restarting_router.base.get(), restarting_router.port);
   CHECK(client.send_and_wait(get_request("/k/1", "r9")).status == 200);
 }
 
+// Guards against a new process that never completes the takeover because the old one was killed.
 TEST_CASE("an old process that is killed in the middle: the new one has all") {
   RestartingRouter restarting_router;
   restarting_router.start();
   TestProgram& old = *restarting_router.programs.back();
   TestProgram& next = restarting_router.start();
   old.signal(SIGKILL);
-  REQUIRE(restarting_router.until([&] { return next.output_contains("hot-restart-complete"); }));
+  REQUIRE(restarting_router.wait_until([&] { return next.output_contains("hot-restart-complete"); }));
   TestClient client(restarting_router.base.get(), restarting_router.port);
   CHECK(client.send_and_wait(get_request("/k/1", "r1")).status == 200);
   restarting_router.start(); // immediately afterwards
   next.signal(SIGTERM);
-  REQUIRE(restarting_router.until([&] { return next.has_exited(); }));
+  REQUIRE(restarting_router.wait_until([&] { return next.has_exited(); }));
   CHECK(client.send_and_wait(get_request("/k/2", "r2")).status == 200);
 }
 
@@ -258,14 +268,14 @@
   restarting_router.start();
   CHECK(restarting_router.send_command("disable-server s-1", 1) == "ok\n"); // the old process
   CHECK(restarting_router.send_command("disable-server s-2") == "ok\n");    // the new process
-  REQUIRE(restarting_router.until(
+  REQUIRE(restarting_router.wait_until(
       [&] { return restarting_router.programs[0]->output_contains("hot-restart-ready"); }));
-  CHECK(restarting_router.until([&] {
+  CHECK(restarting_router.wait_until([&] {
     return restarting_router.send_command("show-stat").find("unhealthy=2") != std::string::npos &&
            restarting_router.send_command("show-stat", 1).find("unhealthy=2") != std::string::npos;
   }));
   CHECK(restarting_router.send_command("enable-server s-1") == "ok\n");
-  CHECK(restarting_router.until([&] {
+  CHECK(restarting_router.wait_until([&] {
     return restarting_router.send_command("show-stat", 1).find("unhealthy=1") != std::string::npos;
   }));
 }
@@ -290,8 +300,8 @@
 
 namespace {
 
-// Listens at the socket path in place of a router process: sends fixed bytes, or none, to each connection and
-// may close it.
+// Listens at the socket path in place of a router process. It sends the same bytes, or none, to each
+// connection and then closes it or keeps it open.
 struct FakeProcess {
   FakeProcess(event_base* base, const std::string& path, std::string bytes, bool closes_connections)
       : response(std::move(bytes)), closes(closes_connections) {
@@ -321,27 +331,28 @@
 
 TEST_CASE("a process starts if the listener at the socket path answers incorrectly") {
   RestartingRouter restarting_router;
-  std::string response, why;
+  std::string response, expected_reason;
   bool closes = false;
-  SUBCASE("silence") { why = "no takeover grant received in time"; }
+  SUBCASE("silence") { expected_reason = "no takeover grant received in time"; }
   // Either "old process closed the connection" or "old process did not accept the takeover request", by
   // timing.
-  SUBCASE("the connection is closed") { closes = true, why = "old process "; }
+  SUBCASE("the connection is closed") { closes = true, expected_reason = "old process "; }
   SUBCASE("noise") {
-    response = "HTTP/1.1 400 Bad Request\r\n\r\n", why = "bytes are not a hot restart frame";
+    response = "HTTP/1.1 400 Bad Request\r\n\r\n", expected_reason = "bytes are not a hot restart frame";
   }
   SUBCASE("an unexpected message") {
     response = hot_restart::encode(hot_restart::NewProcessReady{}),
-    why = "first message is not a takeover grant";
+    expected_reason = "first message is not a takeover grant";
   }
   SUBCASE("a grant without its descriptor") {
-    response = hot_restart::encode(hot_restart::TakeoverGrant{}), why = "message has no file descriptor";
+    response = hot_restart::encode(hot_restart::TakeoverGrant{}),
+    expected_reason = "message has no file descriptor";
   }
   const FakeProcess fake_process(restarting_router.base.get(), restarting_router.socket_path, response,
                                  closes);
   TestProgram& program = restarting_router.start();
   INFO(program.output);
-  CHECK(program.output_contains("hot-restart-failed why=\"" + why));
+  CHECK(program.output_contains("hot-restart-failed why=\"" + expected_reason));
   TestClient client(restarting_router.base.get(), restarting_router.port);
   CHECK(client.send_and_wait(get_request("/k/1", "r1")).status == 200);
 }
@@ -361,10 +372,10 @@
     CHECK(recv(fd, bytes, sizeof bytes, MSG_DONTWAIT) == 0); // closed without a response
     close(fd);
   };
-  std::string other = hot_restart::encode(
+  std::string request = hot_restart::encode(
       hot_restart::TakeoverRequest{"n1", "127.0.0.1:" + std::to_string(restarting_router.port), 28});
-  other[4] = 9; // a future version
-  send_to_socket(other);
+  request[4] = 9; // a future version
+  send_to_socket(request);
   send_to_socket("GET / HTTP/1.1\r\n\r\n");
   send_to_socket(hot_restart::encode(hot_restart::TakeoverRequest{"n1", "127.0.0.1:1", 28}));
   send_to_socket(hot_restart::encode(hot_restart::NewProcessReady{}));
@@ -373,7 +384,7 @@
   CHECK(client.send_and_wait(get_request("/k/1", "r1")).status == 200);
   restarting_router.start();
   program.signal(SIGTERM);
-  REQUIRE(restarting_router.until([&] { return program.has_exited(); }));
+  REQUIRE(restarting_router.wait_until([&] { return program.has_exited(); }));
   CHECK(program.output_contains("hot-restart-passing"));
 }
 
@@ -384,7 +395,7 @@
   TestProgram& old = *restarting_router.programs.back();
   restarting_router.start();
   old.signal(SIGTERM);
-  REQUIRE(restarting_router.until([&] { return old.has_exited(); }));
+  REQUIRE(restarting_router.wait_until([&] { return old.has_exited(); }));
   CHECK(old.exit_code == 0);
   TestClient client(restarting_router.base.get(), restarting_router.port);
   CHECK(client.send_and_wait(get_request("/k/1", "r1")).status == 200);
@@ -406,8 +417,8 @@
   restarting_router.config["limits"]["sockets"] = 64;
   TestProgram& next = restarting_router.start();
   old.signal(SIGTERM);
-  REQUIRE(restarting_router.until([&] { return old.has_exited(); }));
-  REQUIRE(restarting_router.until(
+  REQUIRE(restarting_router.wait_until([&] { return old.has_exited(); }));
+  REQUIRE(restarting_router.wait_until(
       [&] { return next.output_contains("hot-restart-complete") || next.has_exited(); }));
   CHECK_FALSE(next.has_exited());
   CHECK(next.open_descriptors() <= 64);
@@ -426,8 +437,8 @@
   const std::string lookup = get_request("/k/1", "r1");
   const struct {
     const char* name;
-    std::string request, answer;
-    std::size_t request_bytes_sent, answer_bytes_sent; // bytes of request and answer sent before the upgrade
+    std::string request, response;
+    std::size_t request_bytes_sent, response_bytes_sent; // bytes sent before the upgrade
   } stages[] = {{"connected", lookup, ok_response("v"), 0, 0},
                 {"head", lookup, ok_response("v"), 30, 0},
                 {"body", upload, ok_response("v"), 600 << 10, 0},
@@ -442,43 +453,44 @@
     bool paused = true;
     const ScriptedServer::Script script = [&](const http::Message& m) {
       if (m.header("x-request-id") != "r1") return ok_response("v of " + m.target);
-      return paused ? stage.answer.substr(0, stage.answer_bytes_sent) : stage.answer;
+      return paused ? stage.response.substr(0, stage.response_bytes_sent) : stage.response;
     };
-    restarting_router.one.script = restarting_router.two.script = restarting_router.origin.script = script;
+    restarting_router.cache_1.script = restarting_router.cache_2.script = restarting_router.origin.script =
+        script;
     restarting_router.start();
     TestClient client(restarting_router.base.get(), restarting_router.port);
-    const auto asked = [&] {
-      return restarting_router.one.requests.size() + restarting_router.two.requests.size() +
+    const auto requests_received = [&] {
+      return restarting_router.cache_1.requests.size() + restarting_router.cache_2.requests.size() +
              restarting_router.origin.requests.size();
     };
     client.send(stage.request.substr(0, stage.request_bytes_sent));
     const bool request_complete = stage.request_bytes_sent == stage.request.size();
-    REQUIRE(restarting_router.until([&] {
+    REQUIRE(restarting_router.wait_until([&] {
       return request_complete
-                 ? asked() == 1
+                 ? requests_received() == 1
                  : stage.request_bytes_sent < 1000 || restarting_router.origin.partial_body_bytes > 0;
     }));
-    if (stage.answer_bytes_sent > 100000)
-      REQUIRE(restarting_router.until([&] { return client.partial_body_bytes() > 0; }));
+    if (stage.response_bytes_sent > 100000)
+      REQUIRE(restarting_router.wait_until([&] { return client.partial_body_bytes() > 0; }));
     TestProgram& old = *restarting_router.programs.back();
     restarting_router.start();
     old.signal(SIGTERM);
-    REQUIRE(restarting_router.until([&] { return old.output_contains("hot-restart-passing"); }));
+    REQUIRE(restarting_router.wait_until([&] { return old.output_contains("hot-restart-passing"); }));
     run_for(restarting_router.base.get(), 30);
     paused = false;
     client.send(stage.request.substr(stage.request_bytes_sent));
     if (request_complete) {
       for (ScriptedServer* peer :
-           {&restarting_router.one, &restarting_router.two, &restarting_router.origin}) {
-        if (!peer->requests.empty()) peer->write_to_last(stage.answer.substr(stage.answer_bytes_sent));
+           {&restarting_router.cache_1, &restarting_router.cache_2, &restarting_router.origin}) {
+        if (!peer->requests.empty()) peer->write_to_last(stage.response.substr(stage.response_bytes_sent));
       }
     }
-    REQUIRE(restarting_router.until([&] { return !client.responses.empty() || client.closed; }));
+    REQUIRE(restarting_router.wait_until([&] { return !client.responses.empty() || client.closed; }));
     REQUIRE(client.responses.size() == 1);
     CHECK(client.responses[0].status == 200);
-    CHECK((client.responses[0].body == stage.answer.substr(stage.answer.find("\r\n\r\n") + 4)));
-    CHECK(asked() == 1);
-    REQUIRE(restarting_router.until([&] { return old.has_exited(); }));
+    CHECK((client.responses[0].body == stage.response.substr(stage.response.find("\r\n\r\n") + 4)));
+    CHECK(requests_received() == 1);
+    REQUIRE(restarting_router.wait_until([&] { return old.has_exited(); }));
     CHECK(old.exit_code == 0);
     CHECK(restarting_router.programs.back()->output_contains("hot-restart-complete"));
   }
--- a/tests/hot_restart/restart_messages_test.cpp
+++ b/tests/hot_restart/restart_messages_test.cpp
@@ -50,8 +50,8 @@
   CHECK(text.empty());
 }
 
-// Guards against a change of the frame format, as old and new programs replace each other. The bytes were
-// written by the program of 2026-12-03.
+// Guards against a change of the frame format: programs of different versions replace each other. The bytes
+// were written by the program of 2026-12-03.
 TEST_CASE("frames equal those of version 1 byte for byte") {
   const std::vector<std::string> frames = {
       "4657484f01000000000000002a000000d43500aa28017af4a3666c697374656e6e3132372e302e302e313a3730373064"
@@ -73,12 +73,12 @@
   for (const Message& message : example_messages()) {
     const std::string text = encode(message);
     for (std::size_t length = 0; length < text.size(); ++length) {
-      const DecodeResult cut = decode(text.substr(0, length));
-      CHECK_FALSE(cut.message.has_value());
-      CHECK(cut.error == "");
-      std::string bad = text;
-      bad[length] = static_cast<char>(bad[length] ^ 0x21);
-      CHECK_FALSE(decode(bad).message.has_value());
+      const DecodeResult truncated = decode(text.substr(0, length));
+      CHECK_FALSE(truncated.message.has_value());
+      CHECK(truncated.error == "");
+      std::string damaged = text;
+      damaged[length] = static_cast<char>(damaged[length] ^ 0x21);
+      CHECK_FALSE(decode(damaged).message.has_value());
     }
   }
 }
--- a/tests/membership/measure.cpp
+++ b/tests/membership/measure.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Time until the first or the last other router considers router 0 alive or dead; -1: not within two minutes.
+// Milliseconds until the first other router, or all of them, consider router 0 alive or dead; -1: not within
+// two minutes.
 double time_until_known(RouterTier& tier, bool alive, bool all) {
   const double started_at = tier.now;
   const auto knows = [&](std::size_t i) { return i == 0 || tier.routers[i]->members().is_alive(0) == alive; };
@@ -23,10 +24,10 @@
   return done ? tier.now - started_at : -1;
 }
 
-void print_times(const char* label, std::vector<double> all) {
-  std::sort(all.begin(), all.end());
-  std::printf("  %-28s median %6.2f s, min %6.2f, max %6.2f\n", label, all[all.size() / 2] / 1000,
-              all.front() / 1000, all.back() / 1000);
+void print_times(const char* label, std::vector<double> times_ms) {
+  std::sort(times_ms.begin(), times_ms.end());
+  std::printf("  %-28s median %6.2f s, min %6.2f, max %6.2f\n", label, times_ms[times_ms.size() / 2] / 1000,
+              times_ms.front() / 1000, times_ms.back() / 1000);
 }
 
 } // namespace
@@ -37,18 +38,18 @@
   const double loss = std::atof(argv[3]), seconds = std::atof(argv[4]);
   fernward::membership::Settings settings;
   settings.period_ms = std::atof(argv[1]);
-  std::vector<double> first, last, back;
+  std::vector<double> first_detection_ms, last_detection_ms, restart_detection_ms;
   double false_alarms = 0, bytes = 0, datagrams = 0, router_seconds = 0;
   for (int i = 5; i < argc; ++i) {
     RouterTier tier(router_count, static_cast<std::uint64_t>(std::atoi(argv[i])), settings);
     tier.loss = loss;
     std::vector<std::size_t> last_alive(router_count, router_count);
-    tier.before_tick =
-        [&](std::size_t router) { // counts each live router once per router that declares it dead
-          const std::size_t now = tier.alive_count(router);
-          false_alarms += now < last_alive[router] ? static_cast<double>(last_alive[router] - now) : 0;
-          last_alive[router] = now;
-        };
+    // Counts each live router once per router that declares it dead.
+    tier.before_tick = [&](std::size_t router) {
+      const std::size_t now = tier.alive_count(router);
+      false_alarms += now < last_alive[router] ? static_cast<double>(last_alive[router] - now) : 0;
+      last_alive[router] = now;
+    };
     tier.run(seconds * 1000);
     tier.before_tick = [](std::size_t) {};
     bytes += static_cast<double>(tier.bytes);
@@ -56,18 +57,18 @@
     router_seconds += seconds * static_cast<double>(router_count);
     tier.kill(0);
     const double killed_at = tier.now;
-    first.push_back(time_until_known(tier, false, false));
-    last.push_back(time_until_known(tier, false, true) < 0 ? -1 : tier.now - killed_at);
+    first_detection_ms.push_back(time_until_known(tier, false, false));
+    last_detection_ms.push_back(time_until_known(tier, false, true) < 0 ? -1 : tier.now - killed_at);
     tier.run(10000);
     tier.start(0);
-    back.push_back(time_until_known(tier, true, true));
+    restart_detection_ms.push_back(time_until_known(tier, true, true));
   }
   std::printf(
       "%zu routers, %.0f%% lost, %d seeds of %.0f s: %.1f datagrams, %.0f bytes per second and router\n",
       router_count, 100 * loss, argc - 5, seconds, datagrams / router_seconds, bytes / router_seconds);
   std::printf("  %.1f times per hour a live router is declared dead, over %zu pairs\n",
               false_alarms / (seconds * (argc - 5)) * 3600, router_count * (router_count - 1));
-  print_times("failure detected by one after", first);
-  print_times("and by all after", last);
-  print_times("restart detected by all after", back);
+  print_times("failure detected by one after", first_detection_ms);
+  print_times("and by all after", last_detection_ms);
+  print_times("restart detected by all after", restart_detection_ms);
 }
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -21,7 +21,7 @@
   datagram.subject = *rc::gen::arbitrary<membership::MemberId>();
   datagram.stamp = {*rc::gen::arbitrary<std::uint32_t>(), *rc::gen::arbitrary<std::uint16_t>()};
   datagram.round = *rc::gen::arbitrary<std::uint16_t>();
-  for (int n = *rc::gen::inRange(0, 6); n > 0; --n) {
+  for (int updates_left = *rc::gen::inRange(0, 6); updates_left > 0; --updates_left) {
     datagram.updates.push_back({*rc::gen::arbitrary<membership::MemberId>(),
                                 membership::MemberState::Suspect,
                                 {*rc::gen::arbitrary<std::uint32_t>(), 7},
@@ -39,9 +39,9 @@
     const Datagram datagram = random_datagram();
     const std::string bytes = membership::encode(datagram);
     RC_ASSERT(bytes.size() <= membership::kMaxDatagramBytes);
-    const auto read = membership::decode(bytes);
-    RC_ASSERT(read.has_value());
-    RC_ASSERT(membership::encode(*read) == bytes);
+    const auto decoded = membership::decode(bytes);
+    RC_ASSERT(decoded.has_value());
+    RC_ASSERT(membership::encode(*decoded) == bytes);
     std::string corrupted = bytes;
     const auto bit = *rc::gen::inRange<std::size_t>(0, bytes.size() * 8);
     corrupted[bit / 8] = static_cast<char>(corrupted[bit / 8] ^ (1 << bit % 8));
@@ -52,19 +52,22 @@
 }
 
 TEST_CASE("all routers see all members and detect a failure and a restart within the stated times") {
-  for (const std::size_t n : {2, 4, 64, 300}) {
-    CAPTURE(n);
-    RouterTier tier(n);
+  for (const std::size_t router_count : {2, 4, 64, 300}) {
+    CAPTURE(router_count);
+    RouterTier tier(router_count);
     tier.run(12000);
-    CHECK(tier.all([&](std::size_t i) { return tier.alive_count(i) == n; }));
+    CHECK(tier.all([&](std::size_t i) { return tier.alive_count(i) == router_count; }));
     tier.kill(1);
     const double killed_at = tier.now;
-    tier.run(40000, [&] { return tier.all([&](std::size_t i) { return tier.alive_count(i) == n - 1; }); });
-    MESSAGE(n << " routers, all detected a failure after ms: " << tier.now - killed_at);
-    CHECK(tier.now - killed_at < (n < 65 ? 12000 : 20000));
+    tier.run(40000, [&] {
+      return tier.all([&](std::size_t i) { return tier.alive_count(i) == router_count - 1; });
+    });
+    MESSAGE(router_count << " routers, all detected a failure after ms: " << tier.now - killed_at);
+    CHECK(tier.now - killed_at < (router_count < 65 ? 12000 : 20000));
     tier.start(1);
     const double restarted_at = tier.now;
-    tier.run(20000, [&] { return tier.all([&](std::size_t i) { return tier.alive_count(i) == n; }); });
+    tier.run(20000,
+             [&] { return tier.all([&](std::size_t i) { return tier.alive_count(i) == router_count; }); });
     MESSAGE("and its restart after ms: " << tier.now - restarted_at);
     CHECK(tier.now - restarted_at < 10000);
   }
@@ -72,19 +75,20 @@
 
 TEST_CASE(
     "all detect a failure within 4 (4 + log2 n) periods even while reports of the dead router circulate") {
-  for (const std::size_t n : {4, 64, 256}) {
+  for (const std::size_t router_count : {4, 64, 256}) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-      CAPTURE(n);
+      CAPTURE(router_count);
       CAPTURE(seed);
-      RouterTier tier(n, seed);
+      RouterTier tier(router_count, seed);
       tier.run(15000); // every router has reports of all others, of various ages
       tier.kill(0);
       const double killed_at = tier.now;
       tier.run(60000, [&] {
         return tier.all([&](std::size_t i) { return !tier.routers[i]->members().is_alive(0); });
       });
-      CHECK(tier.now - killed_at < 4 * (4 + std::log2(static_cast<double>(n))) * tier.settings.period_ms);
-      if (n == 256 && seed == 3) break; // 768 routers are enough
+      CHECK(tier.now - killed_at <
+            4 * (4 + std::log2(static_cast<double>(router_count))) * tier.settings.period_ms);
+      if (router_count == 256 && seed == 3) break; // three tiers of 256 routers are enough
     }
   }
 }
@@ -122,14 +126,15 @@
 TEST_CASE("after a three-way and a one-way partition each side counts its own members and all reconnect") {
   RouterTier tier(30, 9);
   tier.run(10000);
-  tier.delivers = [](std::size_t a, std::size_t b) { return a % 3 == b % 3; };
+  tier.delivers = [](std::size_t from, std::size_t to) { return from % 3 == to % 3; };
   tier.run(30000);
   CHECK(tier.all([&](std::size_t i) { return tier.alive_count(i) == 10; }));
   tier.delivers = [](std::size_t, std::size_t) { return true; };
   const double healed_at = tier.now;
   tier.run(30000, [&] { return tier.all([&](std::size_t i) { return tier.alive_count(i) == 30; }); });
   CHECK(tier.now - healed_at < 20000);
-  tier.delivers = [](std::size_t a, std::size_t b) { return !(a == 0 && b != 0); }; // nobody receives from 0
+  // No other router receives from router 0.
+  tier.delivers = [](std::size_t from, std::size_t to) { return !(from == 0 && to != 0); };
   tier.run(30000);
   CHECK(tier.alive_count(5) == 29);
   CHECK(tier.alive_count(0) <= 30); // it receives the others' pings, so it considers them alive
@@ -154,8 +159,8 @@
 TEST_CASE("a router with false updates causes only suspicions and forged or damaged datagrams are counted") {
   RouterTier tier(8, 4);
   tier.run(8000);
-  // In each of its rounds router 7 claims with a stamp far ahead that router 1 is dead, and sends as router
-  // 1.
+  // In each of its rounds router 7 claims, with stamps ahead of the known one, that router 1 is dead, and
+  // sends datagrams in the name of router 1.
   double min_alive = 8;
   tier.before_tick = [&](std::size_t i) {
     min_alive = std::min(min_alive, static_cast<double>(tier.alive_count(0)));
@@ -169,13 +174,13 @@
                                   {tier.routers[1]->members().stamp().incarnation + lead, 65000},
                                   7});
     }
-    std::vector<gossip::GossipNode::OutgoingDatagram> out;
+    std::vector<gossip::GossipNode::OutgoingDatagram> replies;
     for (std::size_t to = 0; to < 7; ++to) {
-      tier.routers[to]->receive(tier.now, 7, membership::encode(datagram), out);
+      tier.routers[to]->receive(tier.now, 7, membership::encode(datagram), replies);
       datagram.from = 1; // from 7's address
-      CHECK_FALSE(tier.routers[to]->receive(tier.now, 7, membership::encode(datagram), out));
+      CHECK_FALSE(tier.routers[to]->receive(tier.now, 7, membership::encode(datagram), replies));
       datagram.from = 7;
-      CHECK_FALSE(tier.routers[to]->receive(tier.now, 7, "not a datagram at all, but long enough", out));
+      CHECK_FALSE(tier.routers[to]->receive(tier.now, 7, "not a datagram at all, but long enough", replies));
     }
   };
   tier.run(20000);
@@ -190,12 +195,12 @@
 TEST_CASE("the traffic of a router is the same in a small tier and in a large one") {
   double bytes_per_s[2];
   for (int i = 0; i < 2; ++i) {
-    const std::size_t n = i == 0 ? 8 : 300;
-    RouterTier tier(n, 2);
+    const std::size_t router_count = i == 0 ? 8 : 300;
+    RouterTier tier(router_count, 2);
     tier.run(10000);
     tier.bytes = 0;
     tier.run(20000);
-    bytes_per_s[i] = static_cast<double>(tier.bytes) / static_cast<double>(n) / 20;
+    bytes_per_s[i] = static_cast<double>(tier.bytes) / static_cast<double>(router_count) / 20;
   }
   CHECK(bytes_per_s[1] < 1.25 * bytes_per_s[0]);
   CHECK(bytes_per_s[1] < 1100); // bytes per second and router, at four rounds per second
--- a/tests/membership/router_tier.h
+++ b/tests/membership/router_tier.h
@@ -15,6 +15,9 @@
 
 namespace fernward::tests {
 
+// Times are milliseconds of virtual time since the start; `loss` and `duplicate_share` are shares of the
+// datagrams from 0 to 1. before_tick() is called before each round of a router; delivers() decides which
+// datagrams arrive.
 struct RouterTier {
   explicit RouterTier(std::size_t router_count, std::uint64_t seed = 1,
                       membership::Settings membership_settings = {})
@@ -55,7 +58,7 @@
     return true;
   }
 
-  static constexpr double kStart = 1.7e12;
+  static constexpr double kStart = 1.7e12; // Unix time in ms at the start
   // How often a router reads datagrams and checks whether a round is due; similar to
   // gossip_transport::Transport.
   double poll_interval_ms() const { return std::min(100.0, 0.4 * settings.period_ms); }
--- a/tests/sidecar/sidecar_test.cpp
+++ b/tests/sidecar/sidecar_test.cpp
@@ -14,6 +14,7 @@
 
 namespace {
 
+// A server, a port and a runtime folder for the sidecars of a test.
 struct SidecarFixture {
   router::EventBasePtr base = router::make_event_base();
   ScriptedServer server{base.get(), [](const http::Message& m) { return ok_response("v of " + m.target); }};
@@ -47,7 +48,8 @@
   return "";
 }
 
-std::string read_request(const std::string& id) { // like get_request() of peers.h, but with the class "read"
+// A request without a tenant or a timeout, unlike get_request().
+std::string read_request(const std::string& id) {
   return "GET /k/1 HTTP/1.1\r\nX-Request-ID: " + id + "\r\nX-Priority-Class: read\r\n\r\n";
 }
 
@@ -219,16 +221,16 @@
   CHECK(program.exit_code == 1);
   CHECK(program.output_contains("sidecar-router-never-ready"));
   CHECK_FALSE(program.output_contains("begun"));
-  TestProgram ended(fixture.arguments(file, "echo begun"), Json::object());
-  REQUIRE(fixture.wait_until([&] { return ended.output_contains("sidecar-router-started"); }));
-  ended.signal(SIGTERM);
-  REQUIRE(fixture.wait_until([&] { return ended.has_exited(); }));
-  CHECK(ended.exit_code == 143);
-  CHECK_FALSE(ended.output_contains("begun"));
+  TestProgram terminated_program(fixture.arguments(file, "echo begun"), Json::object());
+  REQUIRE(fixture.wait_until([&] { return terminated_program.output_contains("sidecar-router-started"); }));
+  terminated_program.signal(SIGTERM);
+  REQUIRE(fixture.wait_until([&] { return terminated_program.has_exited(); }));
+  CHECK(terminated_program.exit_code == 143);
+  CHECK_FALSE(terminated_program.output_contains("begun"));
 }
 
-// Guards against a lost SIGTERM: while the router was starting, the signal ran a handler that the new process
-// had inherited from the sidecar, and had no effect.
+// Guards against a lost SIGTERM: while the router starts, the signal would run a handler that the new process
+// has inherited from the sidecar, and have no effect.
 TEST_CASE("SIGTERM before the router's process has reset its signal handlers is not lost") {
   SidecarFixture fixture;
   const std::string file = fixture.folder.write("app.toml", fixture.config_text("bookings"));
@@ -289,8 +291,8 @@
   CHECK(sequential_client
             .send_and_wait("GET /k/1 HTTP/1.1\r\nX-Request-ID: n1\r\nX-Priority-Class: lookup\r\n\r\n")
             .status == 200);
-  CHECK(sequential_client.send_and_wait(read_request("n2")).status ==
-        400); // the class no longer exists under its old name
+  // The class no longer exists under its old name.
+  CHECK(sequential_client.send_and_wait(read_request("n2")).status == 400);
   CHECK_FALSE(program.output_contains("sidecar-router-ended"));
   program.signal(SIGTERM);
   REQUIRE(fixture.wait_until([&] { return program.has_exited(); }));
--- a/tests/sidecar/supervisor_test.cpp
+++ b/tests/sidecar/supervisor_test.cpp
@@ -64,12 +64,13 @@
 
 } // namespace
 
+// Guards against a wrong order of actions when the application ends, the router crashes or signals arrive.
 TEST_CASE("stories") {
   const struct {
     const char* description;
     std::string events, actions;
-    int code;
-  } rows[] = {
+    int exit_code;
+  } cases[] = {
       {"the application ends: the router drains after it", "brax", "router application end-router end", 7},
       {"a signal is sent to the application first", "brTax", "router application terminate end-router end",
        7},
@@ -99,11 +100,11 @@
        "router application terminate router | kill | end-router end", 7},
       {"the application ends while the router is down", "brxa", "router application end", 7},
   };
-  for (const auto& row : rows) {
-    CAPTURE(row.description);
-    int code = -1;
-    CHECK(run_events(row.events, &code) == row.actions);
-    CHECK(code == row.code);
+  for (const auto& test_case : cases) {
+    CAPTURE(test_case.description);
+    int exit_code = -1;
+    CHECK(run_events(test_case.events, &exit_code) == test_case.actions);
+    CHECK(exit_code == test_case.exit_code);
   }
 }
 
@@ -122,7 +123,7 @@
       std::vector<Action> actions;
       supervisor.on_event(now, event, actions);
       for (const Action action : actions) {
-        RC_ASSERT(exit_count == 0); // no action after End
+        RC_ASSERT(exit_count == 0); // no action after Exit
         switch (action) {
           case Action::StartRouter:
             RC_ASSERT(!router_running);
