--- a/tests/admin_overrides/endpoint_overrides_test.cpp
+++ b/tests/admin_overrides/endpoint_overrides_test.cpp
@@ -66,8 +66,8 @@
   CHECK(overrides.apply("a", server(0, ServerState::Draining)).state == ServerState::Draining);
   CHECK(overrides.disable("a") == Result::Done); // reverse order: disabled while it drains
   CHECK(overrides.apply("a", server(0, ServerState::Draining)).state == ServerState::Draining);
-  CHECK(overrides.apply("a", server()).state ==
-        ServerState::Draining); // the drain has been withdrawn, the override has not
+  // The drain has been withdrawn, the override has not.
+  CHECK(overrides.apply("a", server()).state == ServerState::Draining);
   CHECK(overrides.enable(9, "a") == Result::Done);
   CHECK(overrides.apply("a", server()).state == ServerState::Ready);
 }
@@ -89,21 +89,21 @@
 }
 
 TEST_CASE("another process adopts all overrides") {
-  EndpointOverrides old;
-  old.set_endpoints({"a", "b", "c"});
-  old.disable("a");
-  old.disable("b");
-  old.enable(70, "b");
-  old.set_endpoints({"b"});
-  EndpointOverrides next;
-  next.set_endpoints({"b", "d"});
-  next.merge(old.snapshot());
-  CHECK(next.is_disabled("a"));
-  CHECK(next.apply("b", server()).started_at == 70);
-  CHECK(next.disable("c") == Result::Done);
-  CHECK(next.disable("d") == Result::Done);
-  next.merge(EndpointOverrides::Override{"d", false, 90}); // a change requested from the other process
-  CHECK_FALSE(next.is_disabled("d"));
+  EndpointOverrides old_process;
+  old_process.set_endpoints({"a", "b", "c"});
+  old_process.disable("a");
+  old_process.disable("b");
+  old_process.enable(70, "b");
+  old_process.set_endpoints({"b"});
+  EndpointOverrides new_process;
+  new_process.set_endpoints({"b", "d"});
+  new_process.merge(old_process.snapshot());
+  CHECK(new_process.is_disabled("a"));
+  CHECK(new_process.apply("b", server()).started_at == 70);
+  CHECK(new_process.disable("c") == Result::Done);
+  CHECK(new_process.disable("d") == Result::Done);
+  new_process.merge(EndpointOverrides::Override{"d", false, 90}); // a change requested from the other process
+  CHECK_FALSE(new_process.is_disabled("d"));
 }
 
 TEST_CASE("the balancer sends nothing to a disabled cache and uses it again soon after it is enabled") {
--- a/tests/app_config/app_config_test.cpp
+++ b/tests/app_config/app_config_test.cpp
@@ -29,15 +29,15 @@
 
 const char* empty_environment(const char*) { return nullptr; }
 
-std::string format_errors(const toml_document::Diagnostics& faults) {
+std::string format_errors(const toml_document::Diagnostics& diagnostics) {
   std::string all;
-  for (const auto& fault : faults) all += fault.to_string_with_code() + "\n";
+  for (const auto& diagnostic : diagnostics) all += diagnostic.to_string_with_code() + "\n";
   return all;
 }
 
 std::string config_to_toml(app_config::AppConfig app) {
   const app_config::AppConfigNames names(app);
-  return toml_document::to_toml(names, [&](toml_document::Visitor& v) { describe(v, app); });
+  return toml_document::to_toml(names, [&](toml_document::Visitor& visitor) { describe(visitor, app); });
 }
 
 app_config::AppConfig parse_valid_config(const std::string& text) {
@@ -55,36 +55,39 @@
 
 // Guards against an invalid file that is accepted, or rejected with the wrong code or position.
 TEST_CASE("every invalid file is rejected with the code and position that it states") {
-  std::set<std::string> seen;
+  std::set<std::string> reported_codes;
   const auto files = corpus_files("broken");
   for (const std::string& file : files) {
     CAPTURE(file);
     std::multiset<std::string> expected, found;
-    const std::regex mark("# expect: (.*)");
+    const std::regex expectation("# expect: (.*)");
     std::istringstream lines(read_file(file));
     for (std::string line; std::getline(lines, line);) {
-      std::smatch m;
-      if (std::regex_match(line, m, mark)) expected.insert(m[1]);
+      std::smatch match;
+      if (std::regex_match(line, match, expectation)) expected.insert(match[1]);
     }
     REQUIRE_FALSE(expected.empty());
     const auto loaded = app_config::load_config(file, &empty_environment);
-    for (const auto& f : loaded.errors) {
-      const std::string base = std::filesystem::path(f.position.file).filename().string();
-      found.insert(f.code + " " + std::to_string(f.position.line) + ":" + std::to_string(f.position.column) +
-                   (file.ends_with("/" + base) ? "" : " in " + base));
-      seen.insert(f.code);
+    for (const auto& error : loaded.errors) {
+      const std::string file_name = std::filesystem::path(error.position.file).filename().string();
+      found.insert(error.code + " " + std::to_string(error.position.line) + ":" +
+                   std::to_string(error.position.column) +
+                   (file.ends_with("/" + file_name) ? "" : " in " + file_name));
+      reported_codes.insert(error.code);
     }
     INFO(format_errors(loaded.errors));
     CHECK(found == expected);
   }
   CHECK(files.size() >= 120);
-  MESSAGE(files.size() << " broken files, " << seen.size() << " codes");
+  MESSAGE(files.size() << " broken files, " << reported_codes.size() << " codes");
   // Every error code that does not depend on the host is produced by at least one file.
   for (const auto& code : app_config::diagnostic_codes()) {
-    const std::string means = code.meaning;
-    const bool warning = means.starts_with("warning"), host = means.ends_with("(not with `--elsewhere`)");
-    const bool other = std::string(code.code) == "unreadable" || std::string(code.code) == "more";
-    if (!warning && !host && !other) CHECK_MESSAGE(seen.contains(code.code), code.code);
+    const std::string meaning = code.meaning;
+    const bool warning = meaning.starts_with("warning"),
+               depends_on_host = meaning.ends_with("(not with `--elsewhere`)");
+    const bool has_no_file = std::string(code.code) == "unreadable" || std::string(code.code) == "more";
+    if (!warning && !depends_on_host && !has_no_file)
+      CHECK_MESSAGE(reported_codes.contains(code.code), code.code);
   }
 }
 
@@ -97,11 +100,11 @@
     INFO(format_errors(loaded.errors));
     REQUIRE(loaded.valid());
     const std::string written = config_to_toml(loaded.app);
-    const auto again = app_config::parse_config(written, "again.toml", &empty_environment, nullptr);
-    INFO(format_errors(again.errors) << written);
-    REQUIRE(again.valid());
-    CHECK(config_to_toml(again.app) == written);
-    CHECK(app_config::compare(loaded.app, again.app).empty());
+    const auto reparsed = app_config::parse_config(written, "again.toml", &empty_environment, nullptr);
+    INFO(format_errors(reparsed.errors) << written);
+    REQUIRE(reparsed.valid());
+    CHECK(config_to_toml(reparsed.app) == written);
+    CHECK(app_config::compare(loaded.app, reparsed.app).empty());
     const config::Config config =
         config::parse(app_config::to_platform_json(loaded.app).dump(), &empty_environment);
     CHECK(config.name == loaded.app.name);
@@ -130,9 +133,9 @@
   const auto large = app_config::load_config(folder.write("large.toml", nested), &empty_environment);
   REQUIRE(large.errors.size() == 1);
   CHECK(large.errors[0].code == "unreadable");
-  for (const char* open : {"[", "{a=", "a."}) {
+  for (const char* opening : {"[", "{a=", "a."}) {
     std::string deep = "x = ";
-    for (int i = 0; i < 200000; ++i) deep += open;
+    for (int i = 0; i < 200000; ++i) deep += opening;
     CHECK_FALSE(app_config::parse_config(deep, "deep.toml", &empty_environment, nullptr).valid());
   }
 }
@@ -144,67 +147,72 @@
       "first.toml",
       "[limits]\nsockets = 101\nopen = 11\n[attempts]\nmost = 11\n[profiles.busy.limits]\nsockets = 301\n");
   folder.write("second.toml", "[limits]\nsockets = 102\nopen = 12\n");
-  const std::string own = "include = [\"first.toml\", \"second.toml\"]\n" + kMinimalConfig;
-  const auto read = [&](const std::string& text,
+  const std::string with_includes = "include = [\"first.toml\", \"second.toml\"]\n" + kMinimalConfig;
+  const auto load = [&](const std::string& text,
                         app_config::EnvironmentLookup environment = &empty_environment) {
     auto loaded = app_config::load_config(folder.write("app.toml", text), environment);
     INFO(format_errors(loaded.errors));
     CHECK(loaded.valid());
     return loaded;
   };
-  CHECK(read(kMinimalConfig).app.limits.max_descriptors == 1024);
-  CHECK(read(own).app.limits.max_descriptors == 102); // the last include has precedence
-  CHECK(read(own).app.attempts.max_attempts == 11);   // keys that it omits come from the include before it
-  CHECK(read("profile = \"busy\"\n" + own).app.limits.max_descriptors == 301);
-  CHECK(read("profile = \"busy\"\n" + own).app.limits.max_active_requests == 12);
-  CHECK(read("profile = \"busy\"\n" + own + "[limits]\nsockets = 400\n").app.limits.max_descriptors == 400);
-  const auto with = read(own, [](const char* name) -> const char* {
-    const std::string n = name;
-    return n == "FERNWARD_PROFILE" ? "busy"
-           : n == "NODE_LISTEN"    ? "127.0.0.1:1"
-           : n == "NODE_NAME"      ? ""
-                                   : nullptr;
+  CHECK(load(kMinimalConfig).app.limits.max_descriptors == 1024);
+  CHECK(load(with_includes).app.limits.max_descriptors == 102); // the last include has precedence
+  // Keys that it omits come from the include before it.
+  CHECK(load(with_includes).app.attempts.max_attempts == 11);
+  CHECK(load("profile = \"busy\"\n" + with_includes).app.limits.max_descriptors == 301);
+  CHECK(load("profile = \"busy\"\n" + with_includes).app.limits.max_active_requests == 12);
+  CHECK(
+      load("profile = \"busy\"\n" + with_includes + "[limits]\nsockets = 400\n").app.limits.max_descriptors ==
+      400);
+  const auto with_environment = load(with_includes, [](const char* name) -> const char* {
+    const std::string variable = name;
+    return variable == "FERNWARD_PROFILE" ? "busy"
+           : variable == "NODE_LISTEN"    ? "127.0.0.1:1"
+           : variable == "NODE_NAME"      ? ""
+                                          : nullptr;
   });
-  CHECK(with.app.limits.max_descriptors == 301);
-  CHECK(with.app.listen_address == "127.0.0.1:1");
-  CHECK(with.app.name == "a"); // an empty variable counts as not set
-  std::map<std::string, std::string> from;
-  for (const auto& v : app_config::explain_values(with)) from[v.key] = v.source;
-  CHECK(from["listen"] == "NODE_LISTEN");
-  CHECK(from["limits.sockets"].find("first.toml:7:11") != std::string::npos);
-  CHECK(from["limits.open"].find("second.toml:3:8") != std::string::npos);
-  CHECK(from["limits.memory"] == "default");
+  CHECK(with_environment.app.limits.max_descriptors == 301);
+  CHECK(with_environment.app.listen_address == "127.0.0.1:1");
+  CHECK(with_environment.app.name == "a"); // an empty variable counts as not set
+  std::map<std::string, std::string> sources;
+  for (const auto& value : app_config::explain_values(with_environment)) sources[value.key] = value.source;
+  CHECK(sources["listen"] == "NODE_LISTEN");
+  CHECK(sources["limits.sockets"].find("first.toml:7:11") != std::string::npos);
+  CHECK(sources["limits.open"].find("second.toml:3:8") != std::string::npos);
+  CHECK(sources["limits.memory"] == "default");
 }
 
 TEST_CASE("schema and reference and parser have the same keys") {
   const auto schema = app_config::json_schema();
-  std::size_t keys = 0;
+  std::size_t key_count = 0;
   const std::string reference = app_config::markdown_reference();
   app_config::AppConfig app =
       parse_valid_config(read_file(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"));
-  for (const auto& leaf : toml_document::leaves(app_config::AppConfigNames(app),
-                                                [&](toml_document::Visitor& v) { describe(v, app); })) {
-    const nlohmann::ordered_json* at = &schema;
-    std::istringstream steps(leaf.key);
-    std::string last;
-    for (std::string step; std::getline(steps, step, '.');) {
-      const std::string name = step.substr(0, step.find('['));
-      const bool top = at == &schema;
-      if (!top && at->contains("additionalProperties") && at->at("additionalProperties").is_object()) {
-        at = &at->at("additionalProperties"); // a name
+  for (const auto& leaf :
+       toml_document::leaves(app_config::AppConfigNames(app),
+                             [&](toml_document::Visitor& visitor) { describe(visitor, app); })) {
+    const nlohmann::ordered_json* node = &schema;
+    std::istringstream path(leaf.key);
+    std::string last_name;
+    for (std::string segment; std::getline(path, segment, '.');) {
+      const std::string name = segment.substr(0, segment.find('['));
+      const bool at_root = node == &schema;
+      if (!at_root && node->contains("additionalProperties") &&
+          node->at("additionalProperties").is_object()) {
+        node = &node->at("additionalProperties"); // a name
       } else {
         CAPTURE(leaf.key);
-        const auto& properties = top ? schema.at("$defs") : at->at("properties");
+        const auto& properties = at_root ? schema.at("$defs") : node->at("properties");
         REQUIRE(properties.contains(name));
-        at = &properties.at(name);
-        if (at->contains("items") && step != name) at = &at->at("items");
+        node = &properties.at(name);
+        if (node->contains("items") && segment != name) node = &node->at("items");
       }
-      last = name;
+      last_name = name;
     }
-    CHECK(reference.find("`" + last + "`") != std::string::npos);
-    ++keys;
+    CHECK(reference.find("`" + last_name + "`") != std::string::npos);
+    ++key_count;
   }
-  CHECK(keys > 60);
+  CHECK(key_count > 60);
   // The operators' page contains exactly what the program prints.
   const std::string page = read_file(FERNWARD_SOURCE_DIR "/docs/operators/config-reference.md");
   CHECK(page.find(app_config::markdown_reference()) != std::string::npos);
@@ -212,36 +220,36 @@
 }
 
 TEST_CASE("estimated origin load matches a simulated LRU cache and counts writes and overflow") {
-  std::mt19937 draw(7);
-  for (const auto& [keys, zipf, held] :
+  std::mt19937 random(7);
+  for (const auto& [key_count, zipf, capacity] :
        {std::tuple(1000u, 1.0, 100u), {5000u, 0.8, 1000u}, {300u, 0.6, 30u}}) {
     std::vector<double> weights;
-    for (std::uint32_t k = 1; k <= keys; ++k) weights.push_back(std::pow(k, -zipf));
-    std::discrete_distribution<std::uint32_t> pick(weights.begin(), weights.end());
-    std::list<std::uint32_t> order;
-    std::unordered_map<std::uint32_t, std::list<std::uint32_t>::iterator> at;
-    int hits = 0, counted = 0;
+    for (std::uint32_t rank = 1; rank <= key_count; ++rank) weights.push_back(std::pow(rank, -zipf));
+    std::discrete_distribution<std::uint32_t> draw_key(weights.begin(), weights.end());
+    std::list<std::uint32_t> lru_order;
+    std::unordered_map<std::uint32_t, std::list<std::uint32_t>::iterator> position_of;
+    int hits = 0, lookups = 0;
     for (int i = 0; i < 120000; ++i) {
-      const std::uint32_t key = pick(draw);
-      const auto found = at.find(key);
-      if (i >= 20000) ++counted, hits += found != at.end();
-      if (found != at.end()) {
-        order.splice(order.begin(), order, found->second);
+      const std::uint32_t key = draw_key(random);
+      const auto found = position_of.find(key);
+      if (i >= 20000) ++lookups, hits += found != position_of.end();
+      if (found != position_of.end()) {
+        lru_order.splice(lru_order.begin(), lru_order, found->second);
         continue;
       }
-      order.push_front(key);
-      at[key] = order.begin();
-      if (order.size() > held) at.erase(order.back()), order.pop_back();
+      lru_order.push_front(key);
+      position_of[key] = lru_order.begin();
+      if (lru_order.size() > capacity) position_of.erase(lru_order.back()), lru_order.pop_back();
     }
-    CHECK(std::fabs(app_config::lru_hit_ratio(keys, zipf, held) - static_cast<double>(hits) / counted) <
-          0.02);
+    CHECK(std::fabs(app_config::lru_hit_ratio(key_count, zipf, capacity) -
+                    static_cast<double>(hits) / lookups) < 0.02);
   }
   app_config::AppConfig app =
       parse_valid_config(read_file(FERNWARD_SOURCE_DIR "/tests/corpus/config/good/whole.toml"));
   const auto load = app_config::estimate_origin_load(app); // 5% writes; 128 MB hold all 20,000 keys of 4 kB
   CHECK(load.request_share == doctest::Approx(0.05));
-  app.expected_load.rate_per_s =
-      16000; // x 2 ms: work for 32 cores, of which reads need 30.4; the caches have 8
+  // 16,000 requests per second of 2 ms are work for 32 cores, of which reads need 30.4; the caches have 8.
+  app.expected_load.rate_per_s = 16000;
   CHECK(app_config::estimate_origin_load(app).overflow_share == doctest::Approx(0.95 * (1 - 8 / 30.4)));
 }
 
@@ -250,36 +258,37 @@
     return config::parse(app_config::to_platform_json(parse_valid_config(base + more)).dump(),
                          &empty_environment);
   };
-  const auto now =
+  const auto current =
       config("[classes.book]\ngive_up = \"1s\"\nrepeat = \"unsafe\"\n[tenants.t]\nshare = 0.5\n");
-  REQUIRE(now.names.classes == std::vector<std::string>{"any", "book"});
-  // "book" is renamed and "aaa" is new; existing classes keep their indexes.
-  const auto next = config(
+  REQUIRE(current.names.classes == std::vector<std::string>{"any", "book"});
+  // "book" is renamed to "booking" and "aaa" is new; existing classes keep their indexes.
+  const auto reloaded = config(
       "[classes.booking]\ngive_up = \"2s\"\nrepeat = \"unsafe\"\n[classes.aaa]\ngive_up = \"3s\"\nrepeat = "
       "\"safe\"\n[attempts]\nmost = 2\n");
-  const auto moved = config::merge_reloaded(now, next);
-  CHECK(moved.names.classes == std::vector<std::string>{"any", "\nbook", "aaa", "booking"});
-  CHECK(moved.settings.classes[1].client_timeout_ms == 1000);
-  CHECK(moved.settings.classes[2].client_timeout_ms == 3000);
-  CHECK(moved.settings.max_attempts == 2);
-  CHECK(moved.names.tenants == std::vector<std::string>{"\nt"});
-  const auto back = config::merge_reloaded(moved, now); // a class that returns gets its old index
-  CHECK(back.names.classes == std::vector<std::string>{"any", "book", "\naaa", "\nbooking"});
-  const auto twice = config::merge_reloaded(back, now);
-  CHECK(twice.names.classes == back.names.classes);
+  const auto merged = config::merge_reloaded(current, reloaded);
+  CHECK(merged.names.classes == std::vector<std::string>{"any", "\nbook", "aaa", "booking"});
+  CHECK(merged.settings.classes[1].client_timeout_ms == 1000);
+  CHECK(merged.settings.classes[2].client_timeout_ms == 3000);
+  CHECK(merged.settings.max_attempts == 2);
+  CHECK(merged.names.tenants == std::vector<std::string>{"\nt"});
+  // A class that is added again gets its old index.
+  const auto merged_back = config::merge_reloaded(merged, current);
+  CHECK(merged_back.names.classes == std::vector<std::string>{"any", "book", "\naaa", "\nbooking"});
+  const auto merged_again = config::merge_reloaded(merged_back, current);
+  CHECK(merged_again.names.classes == merged_back.names.classes);
   for (const char* more :
        {"[limits]\nsockets = 500\n", "[tier]\nrouters = 3\n", "[attempts]\nidle = \"3s\"\n", "seed = 4\n"}) {
     if (std::string(more).starts_with("seed")) continue; // applies only at startup, as in the platform file
     CAPTURE(more);
-    CHECK_THROWS_AS(config::merge_reloaded(now, config(more)), config::Error);
+    CHECK_THROWS_AS(config::merge_reloaded(current, config(more)), config::Error);
   }
 }
 
 TEST_CASE("host checks of addresses in use and folders and descriptors and secrets") {
   const router::EventBasePtr base = router::make_event_base();
-  const ScriptedServer taken(base.get(), [](const http::Message&) { return std::string(); });
+  const ScriptedServer listening_server(base.get(), [](const http::Message&) { return std::string(); });
   const TemporaryFolder folder;
-  const auto codes = [&](const std::string& listen, const std::string& more, mode_t mode = 0600) {
+  const auto reported_codes = [&](const std::string& listen, const std::string& more, mode_t mode = 0600) {
     std::string text = kMinimalConfig;
     text.replace(text.find("127.0.0.1:7070"), 14, listen);
     const std::string path = folder.write("app.toml", text + more);
@@ -288,17 +297,18 @@
     REQUIRE(loaded.valid());
     app_config::check_host(loaded, path);
     std::string all;
-    for (const auto& f : loaded.errors) all += (all.empty() ? "" : " ") + f.code;
+    for (const auto& error : loaded.errors) all += (all.empty() ? "" : " ") + error.code;
     return all;
   };
   const std::string secret = "[application]\nenvironment = [\"DB_PASSWORD=x\"]\n";
-  CHECK(codes("127.0.0.1:0", "") == "");
-  CHECK(codes(taken.address, "") == "listen-taken");
-  CHECK(codes("192.0.2.1:7070", "") == "listen-elsewhere");
-  CHECK(codes("unix:/nowhere/x.sock", "") == "listen-path");
-  CHECK(codes("unix:" + folder.path + "/app.toml", "") == "listen-path"); // a regular file
-  CHECK(codes("127.0.0.1:0", "[limits]\nbody_folder = \"/nowhere\"\n") == "folder");
-  CHECK(codes("127.0.0.1:0", "[limits]\nsockets = 4000000000\nmemory = \"30000000MiB\"\n") == "descriptors");
-  CHECK(codes("127.0.0.1:0", secret) == "");
-  CHECK(codes("127.0.0.1:0", secret, 0644) == "secret-readable");
+  CHECK(reported_codes("127.0.0.1:0", "") == "");
+  CHECK(reported_codes(listening_server.address, "") == "listen-taken");
+  CHECK(reported_codes("192.0.2.1:7070", "") == "listen-elsewhere");
+  CHECK(reported_codes("unix:/nowhere/x.sock", "") == "listen-path");
+  CHECK(reported_codes("unix:" + folder.path + "/app.toml", "") == "listen-path"); // a regular file
+  CHECK(reported_codes("127.0.0.1:0", "[limits]\nbody_folder = \"/nowhere\"\n") == "folder");
+  CHECK(reported_codes("127.0.0.1:0", "[limits]\nsockets = 4000000000\nmemory = \"30000000MiB\"\n") ==
+        "descriptors");
+  CHECK(reported_codes("127.0.0.1:0", secret) == "");
+  CHECK(reported_codes("127.0.0.1:0", secret, 0644) == "secret-readable");
 }
--- a/tests/body_buffers/body_buffers_test.cpp
+++ b/tests/body_buffers/body_buffers_test.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Returns whether the property holds; RapidCheck prints the schedule that violates it.
+// Returns whether the property holds. RapidCheck prints a schedule that violates it.
 template <typename Property>
 bool property_holds(const char* description, Property property) {
   return rc::check(description, property);
@@ -46,31 +46,32 @@
 
 TEST_CASE("reading resumes once half of the window is free and the longest waiting holder resumes first") {
   BufferBudget budget({1000, 1, 0, 400, 1.0});
-  BufferBudget::Reservation a(budget), b(budget);
-  REQUIRE(a.acquire(400));
-  CHECK(a.available_bytes() == 0);
-  CHECK_FALSE(a.may_resume());
-  a.release(100);
-  CHECK(a.available_bytes() == 100);
-  CHECK_FALSE(a.may_resume());
-  a.release(100);
-  CHECK(a.may_resume());
+  BufferBudget::Reservation first(budget), second(budget);
+  REQUIRE(first.acquire(400));
+  CHECK(first.available_bytes() == 0);
+  CHECK_FALSE(first.may_resume());
+  first.release(100);
+  CHECK(first.available_bytes() == 100);
+  CHECK_FALSE(first.may_resume());
+  first.release(100);
+  CHECK(first.may_resume());
 
-  BufferBudget::Reservation all(budget);
-  REQUIRE(all.acquire(800));
-  CHECK_FALSE(b.acquire(1));
-  CHECK(b.available_bytes() == 0);
-  b.wait_for_bytes(7);
-  a.wait_for_bytes(8);
+  BufferBudget::Reservation largest(budget);
+  REQUIRE(largest.acquire(800));
+  CHECK_FALSE(second.acquire(1));
+  CHECK(second.available_bytes() == 0);
+  second.wait_for_bytes(7);
+  first.wait_for_bytes(8);
   CHECK(budget.next_resumable() == std::nullopt);
-  BufferBudget::Reservation moved(std::move(b)); // a moved reservation keeps its position in the waiting list
-  all.release_all();
+  // A moved reservation keeps its position in the waiting list.
+  BufferBudget::Reservation moved(std::move(second));
+  largest.release_all();
   CHECK(budget.next_resumable() == 7u);
-  a.release(200);
+  first.release(200);
   CHECK(budget.next_resumable() == 8u);
   CHECK(budget.next_resumable() == std::nullopt);
-  a.wait_for_bytes(8);
-  a.release_all(); // releasing everything ends the wait
+  first.wait_for_bytes(8);
+  first.release_all(); // releasing everything ends the wait
   CHECK(budget.waiting_holders() == 0);
 }
 
@@ -88,8 +89,8 @@
       }
       const std::size_t position = random_below(holders.size()), other = random_below(holders.size());
       BufferBudget::Reservation& reservation = *holders[position];
-      const auto erase_holder = [&](std::size_t i) {
-        holders.erase(holders.begin() + static_cast<std::ptrdiff_t>(i));
+      const auto erase_holder = [&](std::size_t index) {
+        holders.erase(holders.begin() + static_cast<std::ptrdiff_t>(index));
       };
       switch (random_below(8)) {
         case 0: reservation.release(random_below(3000)); break; // bounded by the bytes held
@@ -137,28 +138,28 @@
     ResponseProgress progress; // announced, received, complete, within buffering time, window, available
     ResponseStep step;
   };
-  using S = ResponseStep;
-  for (const Case& c : std::initializer_list<Case>{
-           {"head only", {50, 0, false, true, 500, 500}, S::Buffer},
-           {"empty body", {0, 0, true, true, 500, 500}, S::Start},
-           {"short and incomplete", {400, 399, false, true, 500, 101}, S::Buffer},
-           {"whole", {400, 400, true, true, 500, 100}, S::Start},
-           {"short, but the buffering time is over", {400, 1, false, false, 500, 500}, S::Start},
-           {"no bytes available any more", {400, 200, false, true, 500, 0}, S::Start},
-           {"no bytes available from the start", {400, 0, false, true, 500, 0}, S::Start},
-           {"short, but longer than the window", {300, 100, false, true, 200, 100}, S::Start},
-           {"long, below the minimum to start", {401, 99, false, true, 500, 400}, S::Buffer},
-           {"long, minimum to start received", {401, 100, false, true, 500, 400}, S::Start},
-           {"window smaller than the minimum to start", {401, 60, false, true, 60, 1}, S::Start},
-           {"unknown length, fits the buffer", {{}, 399, false, true, 500, 101}, S::Buffer},
-           {"unknown length, buffer full", {{}, 400, false, true, 500, 100}, S::Start},
-           {"announced length equal to the limit", {1000, 100, false, true, 500, 100}, S::Start},
-           {"announced length above the limit", {1001, 0, false, true, 500, 500}, S::TooLarge},
-           {"received bytes above the limit", {{}, 1001, false, true, 2000, 500}, S::TooLarge},
-           {"three gigabytes announced", {3000000000, 100, true, false, 500, 0}, S::TooLarge},
+  using Step = ResponseStep;
+  for (const Case& test_case : std::initializer_list<Case>{
+           {"head only", {50, 0, false, true, 500, 500}, Step::Buffer},
+           {"empty body", {0, 0, true, true, 500, 500}, Step::Start},
+           {"short and incomplete", {400, 399, false, true, 500, 101}, Step::Buffer},
+           {"whole", {400, 400, true, true, 500, 100}, Step::Start},
+           {"short, but the buffering time is over", {400, 1, false, false, 500, 500}, Step::Start},
+           {"no bytes available any more", {400, 200, false, true, 500, 0}, Step::Start},
+           {"no bytes available from the start", {400, 0, false, true, 500, 0}, Step::Start},
+           {"short, but longer than the window", {300, 100, false, true, 200, 100}, Step::Start},
+           {"long, below the minimum to start", {401, 99, false, true, 500, 400}, Step::Buffer},
+           {"long, minimum to start received", {401, 100, false, true, 500, 400}, Step::Start},
+           {"window smaller than the minimum to start", {401, 60, false, true, 60, 1}, Step::Start},
+           {"unknown length, fits the buffer", {{}, 399, false, true, 500, 101}, Step::Buffer},
+           {"unknown length, buffer full", {{}, 400, false, true, 500, 100}, Step::Start},
+           {"announced length equal to the limit", {1000, 100, false, true, 500, 100}, Step::Start},
+           {"announced length above the limit", {1001, 0, false, true, 500, 500}, Step::TooLarge},
+           {"received bytes above the limit", {{}, 1001, false, true, 2000, 500}, Step::TooLarge},
+           {"three gigabytes announced", {3000000000, 100, true, false, 500, 0}, Step::TooLarge},
        }) {
-    CAPTURE(c.description);
-    CHECK(next_response_step(limits, c.progress) == c.step);
+    CAPTURE(test_case.description);
+    CHECK(next_response_step(limits, test_case.progress) == test_case.step);
   }
 }
 
@@ -245,8 +246,8 @@
   }
 }
 
-// Guards against sending a request twice that is not idempotent (a booking), and against a retry with a body
-// of which a part is no longer available.
+// Guards against sending a request twice that is not idempotent, such as a booking, and against a retry with
+// a body of which a part is no longer available.
 TEST_CASE("no schedule of bytes and faults leads to an attempt that the class or the missing body forbids") {
   CHECK(property_holds("resends", [] {
     const RetentionLimits limits{random_below(400) + 1,
--- a/tests/descriptors/descriptors_test.cpp
+++ b/tests/descriptors/descriptors_test.cpp
@@ -16,10 +16,10 @@
 
 namespace {
 
-std::vector<DescriptorBudget::Lease> acquire_all(DescriptorBudget& budget, Side side, int places,
+std::vector<DescriptorBudget::Lease> acquire_all(DescriptorBudget& budget, Side side, int count,
                                                  double now = 0) {
   std::vector<DescriptorBudget::Lease> leases;
-  for (int i = 0; i < places; ++i) {
+  for (int i = 0; i < count; ++i) {
     leases.push_back(budget.acquire(now, side));
     REQUIRE(leases.back());
   }
@@ -67,13 +67,13 @@
 TEST_CASE("incomplete requests exceed the buffer budget once they hold more than its total") {
   RequestBufferBudget buffers(1000);
   {
-    RequestBufferBudget::Lease one(buffers), two(buffers);
-    one.set(600);
-    two.set(400);
+    RequestBufferBudget::Lease first(buffers), second(buffers);
+    first.set(600);
+    second.set(400);
     CHECK_FALSE(buffers.exceeded());
-    two.set(401);
+    second.set(401);
     CHECK(buffers.exceeded());
-    one.set(10);
+    first.set(10);
     CHECK_FALSE(buffers.exceeded());
   }
   CHECK(buffers.used_bytes() == 0);
@@ -195,22 +195,24 @@
 
 namespace {
 
-struct ClientGroup { // a group of similar clients in virtual time
+// A group of similar clients in virtual time.
+struct ClientGroup {
   double interval_ms;
   int clients;
-  int requests;       // per connection, which then stays open unused; 0: it is used for ever
+  int requests;       // per connection, which then stays open unused; 0: it is used until the end
   bool client_closes; // the client closes the connection instead
 };
 
+// What the clients of a group experienced.
 struct Result {
   int requests_sent = 0, rejected = 0, opened = 0, closed_with_response = 0,
-      closed_while_idle = 0; // cut: by expired_idle()
+      closed_while_idle = 0; // by expired_idle()
 };
 
-// Simulates client groups against a table of at most `places` connections; requests that would need a further
-// connection are rejected. Requests take `took` ms.
-std::vector<Result> simulate(const std::vector<ClientGroup>& groups, std::size_t places, double seconds,
-                             double duration_ms, ClientAdmission& clients) {
+// Simulates client groups against a table of at most `max_connections` connections; requests that would need
+// a further connection are rejected. Each request takes `duration_ms`.
+std::vector<Result> simulate(const std::vector<ClientGroup>& groups, std::size_t max_connections,
+                             double seconds, double duration_ms, ClientAdmission& clients) {
   struct SimulatedClient {
     std::size_t group;
     ClientAdmission::Id id = 0;
@@ -226,10 +228,11 @@
   };
   std::map<ClientAdmission::Id, OpenConnection> open_connections;
   ClientAdmission::Id last_id = 0;
-  for (std::size_t k = 0; k < groups.size(); ++k) {
-    for (int i = 0; i < groups[k].clients; ++i) {
-      next_requests.emplace(groups[k].interval_ms * i / groups[k].clients, simulated_clients.size());
-      simulated_clients.push_back({k});
+  for (std::size_t group_index = 0; group_index < groups.size(); ++group_index) {
+    for (int i = 0; i < groups[group_index].clients; ++i) {
+      next_requests.emplace(groups[group_index].interval_ms * i / groups[group_index].clients,
+                            simulated_clients.size());
+      simulated_clients.push_back({group_index});
     }
   }
   const auto close_connection = [&](ClientAdmission::Id id, double now, ClientAdmission::ClosedBy closed_by) {
@@ -275,7 +278,7 @@
     next_requests.emplace(now + group.interval_ms, client_index);
     ++result.requests_sent;
     if (simulated_client.id == 0) {
-      if (open_connections.size() >= places) {
+      if (open_connections.size() >= max_connections) {
         ++result.rejected;
         continue;
       }
@@ -297,11 +300,11 @@
 TEST_CASE("client groups in virtual time: rejected requests and opened connections") {
   const struct {
     std::string name;
-    std::size_t places;
+    std::size_t max_connections;
     std::vector<ClientGroup> groups;
     double duration_ms;
     double max_rejected_share; // highest share of the first group's requests that may be rejected
-    double opened;             // highest share of the first group's requests that may open a connection
+    double max_opened_share;   // highest share of the first group's requests that may open a connection
   } table[] = {
       {"300 clients per second send one request and keep the connection",
        128,
@@ -310,7 +313,7 @@
        0.01,
        1},
       {"the same with slow responses", 128, {{1000, 300, 1, false}}, 200, 0.01, 1},
-      {"the same with 5 places", 5, {{1000, 20, 1, false}}, 20, 0.01, 1},
+      {"the same with at most 5 connections", 5, {{1000, 20, 1, false}}, 20, 0.01, 1},
       {"300 clients per second send two requests and keep the connection",
        128,
        {{1000, 300, 2, false}},
@@ -331,7 +334,12 @@
        0,
        0.01},
       {"60 clients with a request every 200 ms", 85, {{200, 60, 0, false}}, 20, 0, 0.01},
-      {"110 clients of 128 places with a request per second", 128, {{1000, 110, 0, false}}, 50, 0, 0.05},
+      {"110 clients with a request per second, at most 128 connections",
+       128,
+       {{1000, 110, 0, false}},
+       50,
+       0,
+       0.05},
       {"30 frequent clients, 200 per second with one request",
        128,
        {{100, 30, 0, false}, {1000, 200, 1, false}},
@@ -341,25 +349,25 @@
   };
   for (const auto& row : table) {
     CAPTURE(row.name);
-    ClientAdmission clients({.max_clients = row.places});
-    const auto results = simulate(row.groups, row.places, 60, row.duration_ms, clients);
-    const double asked = results[0].requests_sent;
+    ClientAdmission clients({.max_clients = row.max_connections});
+    const auto results = simulate(row.groups, row.max_connections, 60, row.duration_ms, clients);
+    const double requests_sent = results[0].requests_sent;
     MESSAGE(row.name << ": requests " << results[0].requests_sent << ", rejected " << results[0].rejected
                      << ", opened " << results[0].opened << ", closed with a response "
                      << results[0].closed_with_response << ", closed while idle "
                      << results[0].closed_while_idle);
-    CHECK(results[0].rejected <= row.max_rejected_share * asked);
-    CHECK(results[0].opened <= row.opened * asked);
+    CHECK(results[0].rejected <= row.max_rejected_share * requests_sent);
+    CHECK(results[0].opened <= row.max_opened_share * requests_sent);
     if (results.size() > 1) CHECK(results[1].rejected <= 0.02 * results[1].requests_sent);
   }
 }
 
 TEST_CASE("properties of client admission over random events") {
   CHECK(rc::check("counts hold, only evictable ids are selected, unknown ids change nothing", [] {
-    const auto places = *rc::gen::inRange<std::size_t>(0, 40);
+    const auto max_clients = *rc::gen::inRange<std::size_t>(0, 40);
     const auto events = *rc::gen::container<std::vector<std::pair<int, ClientAdmission::Id>>>(
         rc::gen::pair(rc::gen::inRange(0, 9), rc::gen::inRange<ClientAdmission::Id>(1, 40)));
-    ClientAdmission clients({.max_clients = places});
+    ClientAdmission clients({.max_clients = max_clients});
     struct State {
       bool has_requested = false, evictable = false, lingering = false;
     };
@@ -385,7 +393,7 @@
           break;
         case 4:
           if (serving && clients.should_close_after_response(now, id))
-            RC_ASSERT(clients.active_clients() > places / 4);
+            RC_ASSERT(clients.active_clients() > max_clients / 4);
           break;
         case 5:
         case 6:
@@ -404,7 +412,7 @@
       }
       RC_ASSERT(clients.size() == known.size());
       std::size_t active = 0;
-      for (const auto& [k, s] : known) active += s.has_requested && !s.lingering;
+      for (const auto& [known_id, state] : known) active += state.has_requested && !state.lingering;
       RC_ASSERT(clients.active_clients() == active);
       RC_ASSERT(clients.return_share() >= 0 && clients.return_share() <= 1);
       if (const auto eviction_id = clients.select_for_eviction(now, any))
--- a/tests/discovery/subscription_test.cpp
+++ b/tests/discovery/subscription_test.cpp
@@ -26,7 +26,7 @@
   double answers_after_ms = kRoundTripMs;  // after a call's wait; kNever: no answer
   double bytes_every_ms = kNever;          // interval of bytes before the answer is complete
   bool invalid_answer = false;             // the answer is invalid
-  bool silent_in_outage = true;            // a call that is open in an outage is answered at its end
+  bool silent_in_outage = true;            // a call that is open in an outage receives nothing until its end
 };
 
 // Simulates discovery and the version of its list.
@@ -55,13 +55,15 @@
     }
     if (now < end && !done()) now = end;
   }
-  double received_at(ListIndex index, double end) { // kNever: not received by `end`
+  // Runs until the list with this index is received, and returns the time; kNever: not received by `end`.
+  double received_at(ListIndex index, double end) {
     run(end, [&] { return received >= index; });
     return received >= index ? now : kNever;
   }
   void change() { ++version; }
-  void down(bool on) { is_down_ = on; }
-  void silence_open_calls() { // permanently: their connections stay open without further bytes
+  void set_down(bool is_down) { is_down_ = is_down; }
+  // Permanently: the connections of the open calls stay open without further bytes.
+  void silence_open_calls() {
     for (auto& [id, connection] : connections_) connection.behavior.answers_after_ms = kNever;
   }
   void refresh() {
@@ -238,29 +240,29 @@
 }
 
 TEST_CASE("a late first answer of discovery is received however late it is") {
-  for (const double late : {300.0, 600.0, 1500.0, 4000.0, 9000.0, 14000.0}) {
-    SimulatedDiscovery discovery([late](double) {
+  for (const double delay_ms : {300.0, 600.0, 1500.0, 4000.0, 9000.0, 14000.0}) {
+    SimulatedDiscovery discovery([delay_ms](double) {
       ConnectionBehavior slow;
-      slow.answers_after_ms = late;
+      slow.answers_after_ms = delay_ms;
       return slow;
     });
-    INFO(late);
-    CHECK(discovery.received_at(41, 1000 + late + 10) < kNever); // the first call is not abandoned
+    INFO(delay_ms);
+    CHECK(discovery.received_at(41, 1000 + delay_ms + 10) < kNever); // the first call is not abandoned
     discovery.change();
     const double changed_at = discovery.now;
-    CHECK(discovery.received_at(42, changed_at + 2 * late + 2000) < kNever);
+    CHECK(discovery.received_at(42, changed_at + 2 * delay_ms + 2000) < kNever);
   }
 }
 
 TEST_CASE("slowly established connections are awaited") {
-  for (const double late : {600.0, 1500.0, 5000.0}) {
-    SimulatedDiscovery discovery([late](double) {
+  for (const double delay_ms : {600.0, 1500.0, 5000.0}) {
+    SimulatedDiscovery discovery([delay_ms](double) {
       ConnectionBehavior slow;
-      slow.connects_after_ms = late;
+      slow.connects_after_ms = delay_ms;
       return slow;
     });
-    INFO(late);
-    CHECK(discovery.received_at(41, 1000 + late + 10) < kNever);
+    INFO(delay_ms);
+    CHECK(discovery.received_at(41, 1000 + delay_ms + 10) < kNever);
   }
 }
 
@@ -303,11 +305,11 @@
   for (const double outage_ms : {500.0, 8000.0, 60000.0, 600000.0}) {
     SimulatedDiscovery discovery([](double) { return ConnectionBehavior(); });
     discovery.run(3000);
-    discovery.down(true);
+    discovery.set_down(true);
     const double down_at = discovery.now;
     discovery.run(down_at + outage_ms);
     discovery.change();
-    discovery.down(false);
+    discovery.set_down(false);
     const double up_at = discovery.now;
     INFO(outage_ms);
     CHECK(discovery.received_at(42, up_at + 1000) - up_at < 10);
@@ -316,6 +318,7 @@
   }
 }
 
+// The reserve is the 250 ms of each bound that are kept for requests in flight.
 TEST_CASE("after an outage with refused connections a change is received within half of the reserve") {
   for (int phase = 0; phase < 50; ++phase) {
     bool down = false;
@@ -343,22 +346,22 @@
   discovery.run(discovery.now + 300);
   REQUIRE(discovery.polls.size() >= 3);
   CHECK_FALSE(discovery.polls[0].since);
-  const auto after = std::find_if(discovery.polls.begin(), discovery.polls.end(),
-                                  [](const Poll& call) { return call.call > 1; });
-  REQUIRE(after != discovery.polls.end());
-  CHECK(after->since); // no call for changes has failed yet
+  const auto later_poll = std::find_if(discovery.polls.begin(), discovery.polls.end(),
+                                       [](const Poll& call) { return call.call > 1; });
+  REQUIRE(later_poll != discovery.polls.end());
+  CHECK(later_poll->since); // no call for changes has failed yet
 
   behaviors = {ConnectionBehavior(), invalid_answer(), ConnectionBehavior()};
-  SimulatedDiscovery other([&](double) {
+  SimulatedDiscovery second_discovery([&](double) {
     const ConnectionBehavior behavior = behaviors.front();
     if (behaviors.size() > 1) behaviors.erase(behaviors.begin());
     return behavior;
   });
-  other.run(1500);
-  other.refresh();
-  other.run(other.now + 300);
+  second_discovery.run(1500);
+  second_discovery.refresh();
+  second_discovery.run(second_discovery.now + 300);
   std::vector<bool> complete;
-  for (const Poll& call : other.polls) {
+  for (const Poll& call : second_discovery.polls) {
     if (call.call > 1) complete.push_back(!call.since);
   }
   REQUIRE(complete.size() >= 2);
@@ -369,14 +372,14 @@
 TEST_CASE("in an outage the complete list is requested rarely and a call for changes is always open") {
   SimulatedDiscovery discovery([](double) { return ConnectionBehavior(); });
   discovery.run(3000);
-  discovery.down(true);
+  discovery.set_down(true);
   const std::size_t before = discovery.complete_lists;
   discovery.run(discovery.now + 8000);
   CHECK(discovery.complete_lists - before <= 1);
   discovery.run(discovery.now + 112000);
   CHECK(discovery.complete_lists - before <= 3);
   discovery.change();
-  discovery.down(false);
+  discovery.set_down(false);
   const double up_at = discovery.now;
   CHECK(discovery.received_at(42, up_at + 100) - up_at < 10);
 }
@@ -384,13 +387,13 @@
 TEST_CASE("a refresh makes a call beside the open one and repeated refreshes cause no burst") {
   SimulatedDiscovery discovery([](double) { return ConnectionBehavior(); });
   discovery.run(1500);
-  discovery.down(true); // the open call gets no answer
+  discovery.set_down(true); // the open call gets no answer
   discovery.run(1600);
   discovery.refresh();
   CHECK(discovery.subscription.open_calls() == 2);
   for (int i = 0; i < 20; ++i) discovery.refresh();
   CHECK(discovery.subscription.open_calls() == 2);
-  discovery.down(false);
+  discovery.set_down(false);
   discovery.change();
   const double up_at = discovery.now;
   CHECK(discovery.received_at(42, up_at + 100) < kNever);
@@ -418,8 +421,8 @@
   CHECK(poll_count > 90); // a subscription expires 200 ms after its last answer
 }
 
-// After any history of connections and calls: once discovery is reachable, a change is received within the
-// bound, even if the calls open at that time and one more are never answered.
+// Guards against a history of connections and calls after which a change is received too late: once discovery
+// is reachable, the bound holds even if the calls open at that time and one more are never answered.
 TEST_CASE("after any history a change is received within 6 s less the reserve once discovery is reachable") {
   CHECK(rc::check([] {
     const auto faults = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 7));
@@ -440,13 +443,13 @@
         default: return ConnectionBehavior();
       }
     };
-    std::size_t used = 0;
+    std::size_t used_faults = 0;
     bool late_fault_used = false;
     bool reachable = false;
     SimulatedDiscovery discovery([&](double) {
       if (reachable)
         return std::exchange(late_fault_used, true) ? ConnectionBehavior() : behavior_of(late_fault);
-      return used < faults.size() ? behavior_of(faults[used++]) : silent();
+      return used_faults < faults.size() ? behavior_of(faults[used_faults++]) : silent();
     });
     discovery.run(1000 + faulty_ms);
     reachable = true;
--- a/tests/figures/router_stats_end_to_end_test.cpp
+++ b/tests/figures/router_stats_end_to_end_test.cpp
@@ -32,20 +32,21 @@
         {{"name", "once"}, {"aim", 900}, {"give_up", 2000}, {"repeat", "unsafe"}, {"worth", 1}});
   });
   int received_attempts = 0;
-  const auto count = [&](const std::string& answer) {
-    return [&received_attempts, answer](const http::Message& m) {
+  const auto count_and_respond = [&](const std::string& response) {
+    return [&received_attempts, response](const http::Message& request) {
       ++received_attempts;
-      return m.method == "PUT" && answer.empty() ? ok_response("stored") : answer;
+      return request.method == "PUT" && response.empty() ? ok_response("stored") : response;
     };
   };
   std::map<std::string, int> expected;
-  int id = 0;
-  const auto run_requests = [&](const std::string& from_caches, const std::string& from_origin, int times) {
-    fixture.script_caches(count(from_caches));
-    fixture.origin.script = count(from_origin);
-    for (int i = 0; i < times; ++i) {
+  int last_id = 0;
+  const auto run_requests = [&](const std::string& cache_response, const std::string& origin_response,
+                                int request_count) {
+    fixture.script_caches(count_and_respond(cache_response));
+    fixture.origin.script = count_and_respond(origin_response);
+    for (int i = 0; i < request_count; ++i) {
       TestClient client = fixture.connect_client();
-      const std::string name = std::to_string(++id);
+      const std::string name = std::to_string(++last_id);
       const std::string class_name = i % 3 == 0 ? "read" : i % 3 == 1 ? "book" : "once";
       std::string text = class_name == "read" ? get_request("/k/" + name, "w" + name)
                                               : put_request("/k/" + name, "w" + name, "v");
@@ -62,9 +63,10 @@
   run_requests(kCacheMiss, ok_response("fetched"), 9);
   run_requests(status_response(500), status_response(500), 9);
   run_requests(kNotProcessed, kNotProcessed, 6);
-  TestClient bad = fixture.connect_client();
-  CHECK(bad.send_and_wait("GET /k HTTP/1.1\r\nX-Request-ID: r\r\nX-Priority-Class: none\r\n\r\n").status ==
-        400); // without a class it is not counted
+  TestClient invalid_client = fixture.connect_client();
+  // Without a class it is not counted.
+  CHECK(invalid_client.send_and_wait("GET /k HTTP/1.1\r\nX-Request-ID: r\r\nX-Priority-Class: none\r\n\r\n")
+            .status == 400);
   auto stats = read_stats(fixture);
   for (const char* outcome : {"answered", "deferred", "errored"}) {
     for (const char* class_name : {"read", "book", "once"}) {
@@ -85,10 +87,10 @@
   RouterWithControlPort fixture;
   fixture.script_caches([](const http::Message&) { return std::string(); });
   fixture.origin.script = [](const http::Message&) { return std::string(); };
-  std::vector<std::unique_ptr<TestClient>> all;
+  std::vector<std::unique_ptr<TestClient>> clients;
   for (int i = 0; i < 5; ++i) {
-    all.push_back(std::make_unique<TestClient>(fixture.base.get(), fixture.router->port()));
-    all.back()->send(get_request("/k/" + std::to_string(i), "r" + std::to_string(i)));
+    clients.push_back(std::make_unique<TestClient>(fixture.base.get(), fixture.router->port()));
+    clients.back()->send(get_request("/k/" + std::to_string(i), "r" + std::to_string(i)));
   }
   TestClient incomplete_client = fixture.connect_client();
   const std::string long_put = put_request("/k/1", "long", std::string(600 << 10, 'x'));
@@ -98,7 +100,7 @@
   CHECK(read_stats(fixture)["router.current"] == 5);
   incomplete_client.send(long_put.substr(200 << 10));
   REQUIRE(fixture.wait_until([&] { return read_stats(fixture)["router.current"] == 6; }));
-  all.clear(); // these clients disconnect
+  clients.clear(); // these clients disconnect
   incomplete_client.close();
   CHECK(fixture.wait_until([&] { return read_stats(fixture)["router.current"] == 0; }));
   auto stats = read_stats(fixture);
@@ -107,7 +109,7 @@
 
 TEST_CASE("an attempt is counted when its last byte has been sent") {
   RouterWithControlPort fixture;
-  fixture.origin.reading_paused = true; // reads nothing
+  fixture.origin.reading_paused = true;
   TestClient client = fixture.connect_client();
   client.send(put_request("/k/1", "long", std::string(24 << 20, 'x')));
   run_for(fixture.base.get(), 1000);
--- a/tests/http/framing_test.cpp
+++ b/tests/http/framing_test.cpp
@@ -27,20 +27,22 @@
 
 } // namespace
 
-TEST_CASE(
-    "a body reads the same with any framing and any split of the input") { // guards: bytes lost at a boundary
+// Guards against bytes that are lost where the input is split.
+TEST_CASE("a body reads the same with any framing and any split of the input") {
   CHECK(rc::check("framing", [] {
     std::string body;
-    for (std::size_t n = random_below(400); n > 0; --n) body += static_cast<char>(random_below(256));
+    for (std::size_t bytes_left = random_below(400); bytes_left > 0; --bytes_left)
+      body += static_cast<char>(random_below(256));
     std::string wire;
     const bool chunked = random_below(2) == 0;
     if (chunked) {
       for (std::size_t at = 0; at < body.size();) {
-        const std::size_t n = std::min(body.size() - at, random_below(60) + 1);
-        char size[40];
-        std::snprintf(size, sizeof size, random_below(2) == 0 ? "%zX\r\n" : "0%zx ;a=\"b\"\r\n", n);
-        wire += size + body.substr(at, n) + "\r\n";
-        at += n;
+        const std::size_t chunk_bytes = std::min(body.size() - at, random_below(60) + 1);
+        char size_line[40];
+        std::snprintf(size_line, sizeof size_line, random_below(2) == 0 ? "%zX\r\n" : "0%zx ;a=\"b\"\r\n",
+                      chunk_bytes);
+        wire += size_line + body.substr(at, chunk_bytes) + "\r\n";
+        at += chunk_bytes;
       }
       wire += random_below(2) == 0 ? "0\r\n\r\n" : "0\r\nA: b\r\nC: d\r\n\r\n";
     } else {
@@ -48,25 +50,26 @@
     }
     const std::size_t end = wire.size();
     wire += "HTTP/1.1 200 OK\r\n"; // bytes of the next message are not consumed
-    BodyParser framer = chunked ? BodyParser::chunked(400) : BodyParser::fixed_length(body.size(), 400);
-    const auto [got, used] = feed_in_parts(framer, wire, [] { return random_below(50) + 1; });
-    RC_ASSERT(framer.done());
-    RC_ASSERT(framer.error() == ParseError::None);
-    RC_ASSERT(got == body);
-    RC_ASSERT(used == end);
-    RC_ASSERT(framer.received_bytes() == body.size());
+    BodyParser parser = chunked ? BodyParser::chunked(400) : BodyParser::fixed_length(body.size(), 400);
+    const auto [received_body, consumed_bytes] =
+        feed_in_parts(parser, wire, [] { return random_below(50) + 1; });
+    RC_ASSERT(parser.done());
+    RC_ASSERT(parser.error() == ParseError::None);
+    RC_ASSERT(received_body == body);
+    RC_ASSERT(consumed_bytes == end);
+    RC_ASSERT(parser.received_bytes() == body.size());
   }));
 }
 
 TEST_CASE("invalid and too long bodies are rejected") {
   struct Case {
-    const char* what;
-    BodyParser framer;
+    const char* description;
+    BodyParser parser;
     std::string wire;
-    ParseError fault;
+    ParseError error;
   };
   const auto chunked = [] { return BodyParser::chunked(100); };
-  for (Case c : std::initializer_list<Case>{
+  for (Case test_case : std::initializer_list<Case>{
            {"announced length above the limit", BodyParser::fixed_length(101, 100), "",
             ParseError::BodyTooLarge},
            {"one chunk above the limit", chunked(), "65\r\n", ParseError::BodyTooLarge},
@@ -90,25 +93,25 @@
            {"a missing chunk size", chunked(), "\r\n", ParseError::Malformed},
            {"a bare LF", chunked(), "1\na\n", ParseError::Malformed},
        }) {
-    CAPTURE(c.what);
-    feed_in_parts(c.framer, c.wire, [&] { return c.wire.size(); });
-    CHECK(c.framer.error() == c.fault);
-    CHECK_FALSE(c.framer.done());
-    CHECK_FALSE(c.framer.end_of_input());
+    CAPTURE(test_case.description);
+    feed_in_parts(test_case.parser, test_case.wire, [&] { return test_case.wire.size(); });
+    CHECK(test_case.parser.error() == test_case.error);
+    CHECK_FALSE(test_case.parser.done());
+    CHECK_FALSE(test_case.parser.end_of_input());
   }
 }
 
 TEST_CASE("body bytes that the caller moved itself count as received") {
-  BodyParser framer = BodyParser::chunked(1000);
-  framer.next("64\r\nab");
-  framer.next("ab");
-  CHECK(framer.contiguous_body_bytes() == 96);
-  framer.skip(95);
-  CHECK(framer.contiguous_body_bytes() == 1);
-  CHECK(framer.next("x\r\n0\r\n\r\n").body == "x");
-  framer.next("\r\n0\r\n\r\n");
-  CHECK(framer.done());
-  CHECK(framer.received_bytes() == 100);
+  BodyParser parser = BodyParser::chunked(1000);
+  parser.next("64\r\nab");
+  parser.next("ab");
+  CHECK(parser.contiguous_body_bytes() == 96);
+  parser.skip(95);
+  CHECK(parser.contiguous_body_bytes() == 1);
+  CHECK(parser.next("x\r\n0\r\n\r\n").body == "x");
+  parser.next("\r\n0\r\n\r\n");
+  CHECK(parser.done());
+  CHECK(parser.received_bytes() == 100);
   CHECK(BodyParser::until_close(10).contiguous_body_bytes() == 10);
   CHECK(BodyParser::none().done());
 }
@@ -122,8 +125,8 @@
   CHECK(parser.body().length() == 5000000u);
   CHECK(parser.body().next("first").body == "first");
   CHECK(parser.buffered_bytes() < 100); // no byte of the body
-  Parser cut(MessageKind::Response);
-  cut.feed_head("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-  CHECK(cut.body().length() == std::nullopt);
-  CHECK_FALSE(cut.end_of_input());
+  Parser chunked_parser(MessageKind::Response);
+  chunked_parser.feed_head("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+  CHECK(chunked_parser.body().length() == std::nullopt);
+  CHECK_FALSE(chunked_parser.end_of_input());
 }
--- a/tests/idle_connections/idle_lifetime_estimator_test.cpp
+++ b/tests/idle_connections/idle_lifetime_estimator_test.cpp
@@ -18,18 +18,20 @@
 
 constexpr double kMaxIdleMs = 10500;
 
+// How a server closes idle connections and resets requests.
 struct ServerModel {
   double closes_after_ms;        // idle time after which it closes without notice; 0: with the response
   double reset_share_reused = 0; // share of requests on reused connections that are reset at any idle time
   double reset_share_any = 0;    // share of all requests that are reset
   double changes_at_ms = 1e18;   // time from which the idle lifetime is:
   double closes_after_change_ms = kMaxIdleMs;
-  bool closes_gracefully = false;  // closes gracefully, which is noticed at once
-  double requests_per_second = 20; // requests per second
-  double closed_share = 1;         // of the connections idle for that time, closed ones
+  bool closes_gracefully = false; // the close is noticed at once
+  double requests_per_second = 20;
+  double closed_share = 1;         // share of the connections idle for that time that it closes
   double graceful_close_share = 0; // share of responses after which it closes gracefully
 };
 
+// Counts of one server.
 struct Outcome {
   int requests = 0, dead = 0, opened = 0; // dead: written to a connection closed while idle
   int dead_late = 0, opened_late = 0;     // in the second half
@@ -48,13 +50,14 @@
     Connection connection;
   };
   std::mt19937 random(seed); // the same draws on every standard library: no distribution of it is used
-  const auto unit = [&] { return (static_cast<double>(random()) + 0.5) / 4294967296.0; };
+  const auto next_unit = [&] { return (static_cast<double>(random()) + 0.5) / 4294967296.0; };
   std::vector<Outcome> outcomes(servers.size());
   std::vector<std::vector<Connection>> idle_connections_of(servers.size());
   std::multimap<double, ActiveRequest> response_times;
   std::multimap<double, std::size_t> next_requests;
-  for (std::size_t n = 0; n < servers.size(); ++n)
-    next_requests.emplace(-std::log(unit()) / servers[n].requests_per_second * 1000, n);
+  for (std::size_t server_index = 0; server_index < servers.size(); ++server_index)
+    next_requests.emplace(-std::log(next_unit()) / servers[server_index].requests_per_second * 1000,
+                          server_index);
   while (next_requests.begin()->first < seconds * 1000) {
     if (!response_times.empty() && response_times.begin()->first <= next_requests.begin()->first) {
       auto [now, active_request] = *response_times.begin();
@@ -63,18 +66,18 @@
       idle_connections_of[active_request.server].push_back(active_request.connection);
       continue;
     }
-    const auto [now, n] = *next_requests.begin();
+    const auto [now, server_index] = *next_requests.begin();
     next_requests.erase(next_requests.begin());
-    const ServerModel& server = servers[n];
-    next_requests.emplace(now - std::log(unit()) / server.requests_per_second * 1000, n);
-    const auto endpoint = static_cast<IdleLifetimeEstimator::EndpointId>(n + 1);
+    const ServerModel& server = servers[server_index];
+    next_requests.emplace(now - std::log(next_unit()) / server.requests_per_second * 1000, server_index);
+    const auto endpoint = static_cast<IdleLifetimeEstimator::EndpointId>(server_index + 1);
     const double idle_lifetime_ms =
         now < server.changes_at_ms ? server.closes_after_ms : server.closes_after_change_ms;
-    Outcome& outcome = outcomes[n];
+    Outcome& outcome = outcomes[server_index];
     const bool late = now > seconds * 500;
     ++outcome.requests;
-    std::erase_if(idle_connections_of[n], [&](const Connection& c) {
-      const double idle_ms = now - c.idle_since;
+    std::erase_if(idle_connections_of[server_index], [&](const Connection& connection) {
+      const double idle_ms = now - connection.idle_since;
       if (server.closes_gracefully && idle_ms >= idle_lifetime_ms) {
         return true;
       }
@@ -82,18 +85,18 @@
     });
     bool reused = false, trial = false;
     double idle_ms = 0;
-    if (!idle_connections_of[n].empty()) {
-      idle_ms = now - idle_connections_of[n].back().idle_since;
-      const Reuse use =
+    if (!idle_connections_of[server_index].empty()) {
+      idle_ms = now - idle_connections_of[server_index].back().idle_since;
+      const Reuse decision =
           estimator != nullptr ? estimator->decide_reuse(now, endpoint, idle_ms) : Reuse::Allowed;
-      reused = use != Reuse::Refused;
-      trial = use == Reuse::Trial;
+      reused = decision != Reuse::Refused;
+      trial = decision == Reuse::Trial;
     }
-    const double duration_ms = 5 + 35 * unit();
+    const double duration_ms = 5 + 35 * next_unit();
     if (reused) {
-      idle_connections_of[n].pop_back();
-      const bool dead = idle_ms >= idle_lifetime_ms && unit() < server.closed_share,
-                 reset = dead || unit() < server.reset_share_reused + server.reset_share_any;
+      idle_connections_of[server_index].pop_back();
+      const bool dead = idle_ms >= idle_lifetime_ms && next_unit() < server.closed_share,
+                 reset = dead || next_unit() < server.reset_share_reused + server.reset_share_any;
       outcome.dead += dead;
       outcome.dead_late += dead && late;
       if (estimator != nullptr)
@@ -102,41 +105,41 @@
     } else {
       ++outcome.opened;
       outcome.opened_late += late;
-      const bool reset = unit() < server.reset_share_any;
+      const bool reset = next_unit() < server.reset_share_any;
       if (estimator != nullptr) estimator->on_first_use(now + (reset ? 1 : duration_ms), endpoint, reset);
       if (reset) continue;
     }
-    if (unit() >= server.graceful_close_share)
-      response_times.emplace(now + duration_ms, ActiveRequest{n, {0}});
+    if (next_unit() >= server.graceful_close_share)
+      response_times.emplace(now + duration_ms, ActiveRequest{server_index, {0}});
   }
   return outcomes;
 }
 
 Outcome sum(const std::vector<Outcome>& all) {
-  Outcome s;
+  Outcome total;
   for (const auto& outcome : all) {
-    s.requests += outcome.requests, s.dead += outcome.dead, s.opened += outcome.opened;
-    s.dead_late += outcome.dead_late, s.opened_late += outcome.opened_late;
+    total.requests += outcome.requests, total.dead += outcome.dead, total.opened += outcome.opened;
+    total.dead_late += outcome.dead_late, total.opened_late += outcome.opened_late;
   }
-  return s;
+  return total;
 }
 
-std::vector<ServerModel> repeated(int n, ServerModel server) {
-  return std::vector<ServerModel>(static_cast<std::size_t>(n), server);
+std::vector<ServerModel> repeated(int count, ServerModel server) {
+  return std::vector<ServerModel>(static_cast<std::size_t>(count), server);
 }
 
 } // namespace
 
-// Guards against requests written to connections that were closed without notice, and against needless
-// closing.
+// Guards against requests written to connections that were closed without notice, and against connections
+// that are closed needlessly.
 TEST_CASE("a minute in virtual time: requests on dead connections and opened connections") {
   auto half_closing = repeated(10, {300});
   for (const ServerModel& server : repeated(10, {kMaxIdleMs})) half_closing.push_back(server);
   const struct {
     std::string name;
     std::vector<ServerModel> servers;
-    double dead;   // highest ratio of requests on dead connections, with and without the estimator
-    double opened; // highest ratio of opened connections, with and without the estimator
+    double max_dead_ratio;   // of requests on dead connections with the estimator to those without it
+    double max_opened_ratio; // of opened connections with the estimator to those without it
   } table[] = {
       {"20 servers, all healthy", repeated(20, {kMaxIdleMs}), 1, 1.02},
       {"20 servers, all healthy, few requests",
@@ -177,11 +180,11 @@
     const Outcome without = sum(simulate(row.servers, 60, nullptr)),
                   with = sum(simulate(row.servers, 60, &estimator));
     MESSAGE(row.name << ": of " << with.requests << " requests to dead connections " << with.dead
-                     << ", before " << without.dead << "; opened " << with.opened << ", before "
-                     << without.opened << " (second half " << with.opened_late << ", before "
-                     << without.opened_late << ")");
-    CHECK(with.dead <= row.dead * without.dead);
-    CHECK(with.opened <= row.opened * without.opened);
+                     << ", without the estimator " << without.dead << "; opened " << with.opened
+                     << ", without the estimator " << without.opened << " (second half " << with.opened_late
+                     << ", without the estimator " << without.opened_late << ")");
+    CHECK(with.dead <= row.max_dead_ratio * without.dead);
+    CHECK(with.opened <= row.max_opened_ratio * without.opened);
   }
 }
 
@@ -221,18 +224,18 @@
   estimator.forget(1);
   CHECK(estimator.size() == 1);
   // Many connections that break at the same time count as one event.
-  IdleLifetimeEstimator other(kMaxIdleMs);
-  for (int i = 0; i < 30; ++i) other.on_reuse(1000 + i, 1, 50 + i, false, false);
-  for (int i = 0; i < 10; ++i) other.on_reuse(2000, 1, 100, false, true);
-  CHECK(other.safe_idle_ms(3000, 1) >= 64);
+  IdleLifetimeEstimator second_estimator(kMaxIdleMs);
+  for (int i = 0; i < 30; ++i) second_estimator.on_reuse(1000 + i, 1, 50 + i, false, false);
+  for (int i = 0; i < 10; ++i) second_estimator.on_reuse(2000, 1, 100, false, true);
+  CHECK(second_estimator.safe_idle_ms(3000, 1) >= 64);
   // No connection is kept only if even the shortest idle times lead to resets, which takes several resets.
-  IdleLifetimeEstimator third(kMaxIdleMs);
-  third.on_reuse(0, 1, 2, false, true);
-  CHECK(third.safe_idle_ms(300, 1) > 0);
-  for (int i = 1; i < 8; ++i) third.on_reuse(300 * i, 1, 2, false, true);
-  CHECK(third.safe_idle_ms(3000, 1) == 0);
-  // The history decays: after some minutes the resets no longer count.
-  CHECK(third.safe_idle_ms(900000, 1) > 0);
+  IdleLifetimeEstimator third_estimator(kMaxIdleMs);
+  third_estimator.on_reuse(0, 1, 2, false, true);
+  CHECK(third_estimator.safe_idle_ms(300, 1) > 0);
+  for (int i = 1; i < 8; ++i) third_estimator.on_reuse(300 * i, 1, 2, false, true);
+  CHECK(third_estimator.safe_idle_ms(3000, 1) == 0);
+  // The history decays: after 15 minutes the resets no longer count.
+  CHECK(third_estimator.safe_idle_ms(900000, 1) > 0);
 }
 
 TEST_CASE("properties of the estimator over random events") {
@@ -255,14 +258,16 @@
       } else if (event == 9) {
         estimator.forget(endpoint);
       }
-      const double safe = estimator.safe_idle_ms(now, endpoint),
+      const double safe_idle_ms = estimator.safe_idle_ms(now, endpoint),
                    keep_ms = estimator.max_keep_ms(now, endpoint);
-      RC_ASSERT(safe >= 0 && safe <= keep_ms && keep_ms <= kMaxIdleMs);
-      if (safe > 0) RC_ASSERT(estimator.decide_reuse(now, endpoint, safe * 0.999) == Reuse::Allowed);
+      RC_ASSERT(safe_idle_ms >= 0 && safe_idle_ms <= keep_ms && keep_ms <= kMaxIdleMs);
+      if (safe_idle_ms > 0)
+        RC_ASSERT(estimator.decide_reuse(now, endpoint, safe_idle_ms * 0.999) == Reuse::Allowed);
       RC_ASSERT(estimator.decide_reuse(now, endpoint, keep_ms) == Reuse::Refused);
-      const Reuse boundary = estimator.decide_reuse(now, endpoint, safe);
+      const Reuse boundary = estimator.decide_reuse(now, endpoint, safe_idle_ms);
       RC_ASSERT(boundary != Reuse::Allowed);
-      if (boundary == Reuse::Trial) RC_ASSERT(estimator.decide_reuse(now, endpoint, safe) == Reuse::Refused);
+      if (boundary == Reuse::Trial)
+        RC_ASSERT(estimator.decide_reuse(now, endpoint, safe_idle_ms) == Reuse::Refused);
       RC_ASSERT(estimator.size() <= 5u);
     }
     for (IdleLifetimeEstimator::EndpointId endpoint = 0; endpoint < 8; ++endpoint) estimator.forget(endpoint);
--- a/tests/memcache/codec_test.cpp
+++ b/tests/memcache/codec_test.cpp
@@ -36,8 +36,8 @@
 
 ParseError parse_error(const std::string& text, std::size_t* consumed = nullptr) {
   Parser parser(Magic::Request, 1024, 1 << 20);
-  const std::size_t byte_count = parser.feed(text);
-  if (consumed != nullptr) *consumed = byte_count;
+  const std::size_t consumed_bytes = parser.feed(text);
+  if (consumed != nullptr) *consumed = consumed_bytes;
   return parser.error();
 }
 
@@ -127,12 +127,12 @@
 
 TEST_CASE("requests whose format does not match their command are detected") {
   const auto frame = [](Opcode opcode, std::size_t extras, const char* key, const char* value) {
-    Frame f;
-    f.opcode = static_cast<std::uint8_t>(opcode);
-    f.extras = std::string(extras, '\0');
-    f.key = key;
-    f.value = value;
-    return f;
+    Frame result;
+    result.opcode = static_cast<std::uint8_t>(opcode);
+    result.extras = std::string(extras, '\0');
+    result.key = key;
+    result.value = value;
+    return result;
   };
   CHECK(request_format_error(frame(Opcode::GetKQ, 0, "k", "")) == nullptr);
   CHECK(request_format_error(frame(Opcode::Get, 0, "", "")) != nullptr);
@@ -147,8 +147,8 @@
   CHECK(request_format_error(frame(Opcode::Noop, 0, "", "")) == nullptr);
   CHECK(request_format_error(frame(Opcode::Noop, 0, "k", "")) != nullptr);
   CHECK(request_format_error(frame(Opcode::Flush, 4, "", "")) == nullptr);
-  CHECK(request_format_error(frame(static_cast<Opcode>(0x77), 3, "k", "v")) ==
-        nullptr); // unknown command: its format is not checked
+  // The format of an unknown command is not checked.
+  CHECK(request_format_error(frame(static_cast<Opcode>(0x77), 3, "k", "v")) == nullptr);
   CHECK(command_info(0x77).kind == CommandKind::Unknown);
   CHECK(command_info(static_cast<std::uint8_t>(Opcode::Flush)).kind == CommandKind::AllServers);
   for (int opcode = 0; opcode < 256; ++opcode) { // each quiet command has a non-quiet one of the same kind
@@ -203,7 +203,7 @@
     const Magic magic = *rc::gen::arbitrary<bool>() ? Magic::Request : Magic::Response;
     std::vector<Frame> frames;
     std::string text;
-    for (int n = *rc::gen::inRange(1, 5); n > 0; --n) {
+    for (int frames_left = *rc::gen::inRange(1, 5); frames_left > 0; --frames_left) {
       frames.push_back(random_frame(magic));
       text += encode(frames.back());
     }
