--- a/lab/lies/datagram_corruptor.cpp
+++ b/lab/false_gossip/datagram_corruptor.cpp
@@ -1,8 +1,8 @@
-#include "lab/lies/datagram_corruptor.h"
+#include "lab/false_gossip/datagram_corruptor.h"
 
 #include <algorithm>
 
-namespace fernward::lab::lies {
+namespace fernward::lab::false_gossip {
 namespace {
 
 using gossip::OriginQuantity;
@@ -82,4 +82,4 @@
   }
 }
 
-} // namespace fernward::lab::lies
+} // namespace fernward::lab::false_gossip
--- a/lab/lies/datagram_corruptor.h
+++ b/lab/false_gossip/datagram_corruptor.h
@@ -15,7 +15,7 @@
 #include "gossip/origin_gossip.h"
 #include "model/plan.h"
 
-namespace fernward::lab::lies {
+namespace fernward::lab::false_gossip {
 
 // Corrupts the datagrams of one router while a fault is active.
 class DatagramCorruptor {
@@ -51,4 +51,4 @@
 void apply_step(std::map<model::RouterId, DatagramCorruptor>& corruptors,
                 const model::InconsistentRouterStep& step, std::size_t routers, std::uint64_t seed);
 
-} // namespace fernward::lab::lies
+} // namespace fernward::lab::false_gossip
--- a/lab/peers/datagrams.cpp
+++ b/lab/peers/datagrams.cpp
@@ -60,7 +60,7 @@
 
 void DatagramRelay::apply(const model::Step& step) {
   if (const auto* corruption = std::get_if<model::InconsistentRouterStep>(&step.what))
-    lab::lies::apply_step(corruptors_, *corruption, context_.plan.routers.size(), context_.spec.seed);
+    lab::false_gossip::apply_step(corruptors_, *corruption, context_.plan.routers.size(), context_.spec.seed);
 }
 
 void DatagramRelay::on_readable(int, short, void* port) {
--- a/lab/peers/datagrams.h
+++ b/lab/peers/datagrams.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/lies/datagram_corruptor.h"
+#include "lab/false_gossip/datagram_corruptor.h"
 #include "lab/shared/loop.h"
 #include "lab/shared/run_context.h"
 #include "model/network.h"
@@ -60,7 +60,7 @@
   const RunContext& context_;
   RunLoop& loop_;
   model::Network& network_;
-  std::map<model::RouterId, lab::lies::DatagramCorruptor>
+  std::map<model::RouterId, lab::false_gossip::DatagramCorruptor>
       corruptors_; // of routers whose datagrams are or were corrupted
   std::vector<SentCounts> sent_by_router_;
   std::vector<Port> ports_; // by owner and peer, then one per owner that reaches all peers
--- a/lab/virtual/virtual_world.cpp
+++ b/lab/virtual/virtual_world.cpp
@@ -276,7 +276,7 @@
   } else if (const auto* zone = std::get_if<model::ZoneStep>(&step.what)) {
     front_balancer_.set_zone_state(zone->zone, zone->what);
   } else if (const auto* inconsistent_step = std::get_if<model::InconsistentRouterStep>(&step.what)) {
-    lies::apply_step(corruptors_, *inconsistent_step, plan_.routers.size(), spec_.seed);
+    false_gossip::apply_step(corruptors_, *inconsistent_step, plan_.routers.size(), spec_.seed);
   } else if (const auto* mark = std::get_if<model::MarkStep>(&step.what)) {
     sink_.on(model::EventMark{now_, mark->event, mark->begins});
   }
--- a/lab/virtual/virtual_world.h
+++ b/lab/virtual/virtual_world.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "lab/driver.h"
-#include "lab/lies/datagram_corruptor.h"
+#include "lab/false_gossip/datagram_corruptor.h"
 #include "lab/virtual/event_queue.h"
 #include "lab/virtual/virtual_router.h"
 #include "model/arrival_generator.h"
@@ -176,7 +176,7 @@
   std::vector<double> restart_delay_ms_; // by terminating router: delay until it is restarted; below 0: never
   std::vector<Pause> pauses_;            // by router
   SlotTable<Datagram> datagrams_;
-  std::map<model::RouterId, lies::DatagramCorruptor>
+  std::map<model::RouterId, false_gossip::DatagramCorruptor>
       corruptors_;                                       // of routers with false facts, past or present
   std::vector<RouterResourceUse> router_costs_;          // by router: only the datagrams that it has sent
   std::vector<char> follows_new_address_;                // by router: it uses discovery's new address
