--- a/lab/rig/routers.cpp
+++ b/lab/rig/routers.cpp
@@ -192,7 +192,7 @@
   }
   if (supervisor_.alive()) return;
   process_event_.reset();
-  context_.void_reasons.add("the lab's guardian has died, and the routers with it");
+  context_.void_reasons.add("the process supervisor has ended, and the routers with it");
 }
 
 void RouterProcesses::process_ended(RouterId router_id, const ProgramEvent& program_event) {
