--- a/lab/commands/compare.cpp
+++ b/lab/commands/compare.cpp
@@ -117,9 +117,8 @@
     }
     if (parsed.count("program-" + name) > 0) {
       if (side->driver_options.driver == DriverKind::Virtual) {
-        throw UsageError(
-            "--" + name +
-            "-program requires --driver sockets: virtual time uses the built-in decision module");
+        throw UsageError("--program-" + name +
+                         " requires --driver sockets: virtual time uses the built-in decision module");
       }
       side->driver_options.program = parsed["program-" + name].as<std::string>();
     }
