--- a/lab/commands/command.h
+++ b/lab/commands/command.h
@@ -64,7 +64,7 @@
 double slack_ms_of(const DriverOptions& driver_options, const model::Spec& spec);
 const char* driver_name(const DriverOptions& driver_options);
 
-// Reads and validates a scenario. If it has faults they are printed, and the second value is false.
+// Reads and validates a scenario. If it has errors they are printed, and the second value is false.
 std::pair<Scenario, bool> load_scenario(const std::string& path, const std::vector<std::string>& settings,
                                         const DriverOptions& driver_options);
 bool print_faults(const Scenario& scenario); // returns whether there are any
--- a/lab/commands/support.cpp
+++ b/lab/commands/support.cpp
@@ -123,7 +123,7 @@
 }
 
 bool print_faults(const Scenario& scenario) {
-  for (const Diagnostic& fault : scenario.faults) std::fprintf(stderr, "%s\n", fault.to_string().c_str());
+  for (const Diagnostic& fault : scenario.errors) std::fprintf(stderr, "%s\n", fault.to_string().c_str());
   return !scenario.is_valid();
 }
 
--- a/lab/commands/sweep.cpp
+++ b/lab/commands/sweep.cpp
@@ -112,7 +112,7 @@
     auto [scenario, valid] = load_scenario(path, settings, driver_options);
     all_valid &= valid;
     point.spec = std::move(scenario.spec);
-    if (scenario.faults.size() > 0 && point.settings.empty()) break;
+    if (scenario.errors.size() > 0 && point.settings.empty()) break;
   }
   if (!all_valid) return kFailure;
 
--- a/lab/scenario/consistency.cpp
+++ b/lab/scenario/consistency.cpp
@@ -37,7 +37,7 @@
     check_unused();
     check_bounds();
     // A plan exists only for a valid fleet, and is built only if its size is within the limits.
-    if (scenario_.faults.empty()) check_events_without_target();
+    if (scenario_.errors.empty()) check_events_without_target();
   }
 
  private:
@@ -50,7 +50,7 @@
       const bool depends_on_duration = path.starts_with("events") || path.starts_with("holds");
       if (depends_on_duration && invalid_.contains("duration_ms")) return;
     }
-    scenario_.faults.push_back({position_of(path), key_of(path), std::move(message), "sense"});
+    scenario_.errors.push_back({position_of(path), key_of(path), std::move(message), "sense"});
   }
   // The position of the member or, if the file omits it, of the innermost table that would contain it.
   Position position_of(std::string path) const {
--- a/lab/scenario/consistency.h
+++ b/lab/scenario/consistency.h
@@ -1,4 +1,4 @@
-// Checks of the scenario as a whole: faults of values that are valid alone but inconsistent with one another.
+// Checks of the scenario as a whole: errors in values that are valid alone but inconsistent with one another.
 #pragma once
 
 #include <set>
@@ -8,8 +8,8 @@
 
 namespace fernward::lab {
 
-// Adds the faults found to scenario.faults. `file` is named in those whose value the file does not contain.
-// `invalid`: paths of the members whose values could not be parsed and still have their defaults; no fault is
+// Adds the errors found to scenario.errors. `file` is named in those whose value the file does not contain.
+// `invalid`: paths of the members whose values could not be parsed and still have their defaults; no error is
 // derived from those.
 void check_consistency(Scenario& scenario, const std::string& file, const RunLimits& limits,
                        const std::set<std::string>& invalid);
--- a/lab/scenario/read.h
+++ b/lab/scenario/read.h
@@ -1,5 +1,5 @@
 // Reads scenario files: TOML in which values carry their units. A file is read completely before a run
-// starts, and all faults are reported, not only the first, each with file, line, column and key.
+// starts, and all errors are reported, not only the first, each with file, line, column and key.
 //
 // A file may extend another: `base = "fleet.toml"` (a path relative to the file) supplies the keys that the
 // file omits, table by table. A list in the file replaces the list of the base.
@@ -31,22 +31,22 @@
 
 // A scenario file that was read: the Spec and what is wrong with it.
 struct Scenario {
-  model::Spec spec; // may be run only if `faults` is empty
-  toml_document::Diagnostics faults;
+  model::Spec spec; // may be run only if `errors` is empty
+  toml_document::Diagnostics errors;
   toml_document::Positions positions; // positions of the values in the file, by member path of the Spec
 
-  bool is_valid() const { return faults.empty(); }
+  bool is_valid() const { return errors.empty(); }
 };
 
 // Reads a scenario from its text. `file`: its name in diagnostics; paths of bases are relative to it. `load`
 // reads the bases.
 Scenario read_scenario(std::string_view text, const std::string& file, const RunLimits& limits = {},
                        const FileLoader& load = {});
-// A file that can't be read is a fault of the scenario, too.
+// A file that can't be read is an error of the scenario, too.
 Scenario read_scenario_file(const std::filesystem::path& path, const RunLimits& limits = {});
 
 // Sets single values, such as "load.rate=820/s" or "kinds[fast].cores=8", and checks the scenario again.
-// Faults are added to `scenario.faults`.
+// Errors are added to `scenario.errors`.
 void set_values(Scenario& scenario, const std::vector<std::string>& settings, const RunLimits& limits = {});
 
 // The complete Spec as a file without a base, with every value written out. read_scenario returns the same
--- a/lab/scenario/set_values.cpp
+++ b/lab/scenario/set_values.cpp
@@ -150,7 +150,7 @@
     const std::size_t equals_position = setting.find('=');
     const std::string path = setting.substr(0, equals_position);
     const auto add_fault = [&](std::string message) {
-      Diagnostic& new_fault = scenario.faults.emplace_back();
+      Diagnostic& new_fault = scenario.errors.emplace_back();
       new_fault.position.file = "--set " + setting;
       new_fault.key = path;
       new_fault.message = std::move(message);
@@ -170,7 +170,7 @@
     if (!setter.found) add_fault("there is no such key in this scenario");
     if (!setter.error.message.empty()) add_fault(setter.error.message);
   }
-  // A consistent scenario may have become inconsistent; a faulty one has its faults already.
+  // A consistent scenario may have become inconsistent; an invalid one has its errors already.
   if (scenario.is_valid() && !settings.empty()) {
     const auto positions = std::move(scenario.positions);
     scenario.positions = {};
--- a/tests/fuzz/scenario.cpp
+++ b/tests/fuzz/scenario.cpp
@@ -46,7 +46,7 @@
   const Scenario scenario = read_scenario(text, "fuzz.toml", limits, [](const auto& path) {
     return path == "fleet.toml" ? std::optional<std::string>(kIncludedFile) : std::nullopt;
   });
-  for (const Diagnostic& diagnostic : scenario.faults) {
+  for (const Diagnostic& diagnostic : scenario.errors) {
     require(
         diagnostic.position.line > 0 && diagnostic.position.column > 0 && !diagnostic.position.file.empty(),
         "an error without a location");
@@ -56,7 +56,7 @@
   const std::string written = scenario_text(scenario.spec);
   const Scenario reparsed = read_scenario(written, "again.toml", limits);
   if (!reparsed.is_valid())
-    std::fprintf(stderr, "%s\n%s", reparsed.faults.front().to_string().c_str(), written.c_str());
+    std::fprintf(stderr, "%s\n%s", reparsed.errors.front().to_string().c_str(), written.c_str());
   require(reparsed.is_valid(), "an accepted scenario is rejected after it is written and read again");
   require(scenario_text(reparsed.spec) == written, "the scenario differs after it is written and read again");
   return 0;
--- a/tests/lab/scenario/scenario_test.cpp
+++ b/tests/lab/scenario/scenario_test.cpp
@@ -59,12 +59,12 @@
       }
     }
     const Scenario scenario = read_scenario_file(path);
-    INFO("found:\n" << errors_text(scenario.faults));
-    CHECK(scenario.faults.size() == expected.size());
+    INFO("found:\n" << errors_text(scenario.errors));
+    CHECK(scenario.errors.size() == expected.size());
     for (const Expected& e : expected) {
       CAPTURE(e.line);
       CAPTURE(e.key);
-      CHECK(std::any_of(scenario.faults.begin(), scenario.faults.end(), [&](const Diagnostic& error) {
+      CHECK(std::any_of(scenario.errors.begin(), scenario.errors.end(), [&](const Diagnostic& error) {
         return error.position.file == path && error.position.line == e.line && error.key == e.key &&
                error.position.column >= 1 && error.message.find(e.message) != std::string::npos;
       }));
@@ -78,8 +78,8 @@
 
 TEST_CASE("an error names file and line and column") {
   const Scenario scenario = fleet_with_settings("[load]\n  rate = \"410\"\n");
-  REQUIRE(scenario.faults.size() == 1);
-  CHECK(scenario.faults[0].to_string() ==
+  REQUIRE(scenario.errors.size() == 1);
+  CHECK(scenario.errors[0].to_string() ==
         (kCorpusDir / "here.toml").string() +
             ":3:10: load.rate: has no unit: must be a rate such as \"410/s\" or \"30/min\"");
 }
@@ -139,10 +139,10 @@
 TEST_CASE("a Spec is unchanged after writing and reading a file") {
   for (const char* name : {"fleet.toml", "every-event.toml"}) {
     const Scenario first = read_scenario_file(kCorpusDir / name);
-    REQUIRE(errors_text(first.faults) == "");
+    REQUIRE(errors_text(first.errors) == "");
     const std::string text = scenario_text(first.spec);
     const Scenario second = read_scenario(text, "written.toml");
-    CHECK(errors_text(second.faults) == "");
+    CHECK(errors_text(second.errors) == "");
     CHECK(scenario_text(second.spec) == text);
     CHECK(second.spec.events.size() == first.spec.events.size());
   }
@@ -161,7 +161,7 @@
 TEST_CASE("a file overrides its base table by table and lists are replaced completely") {
   const Scenario scenario =
       fleet_with_settings("duration = \"5s\"\n[origin]\ntime = \"90ms\"\n[[tenants]]\nname = \"one\"\n");
-  CHECK(errors_text(scenario.faults) == "");
+  CHECK(errors_text(scenario.errors) == "");
   CHECK(scenario.spec.duration_ms == 5000);
   CHECK(scenario.spec.origin.service_time_ms == 90);
   CHECK(scenario.spec.origin.capacity_per_s == 80);
@@ -170,7 +170,7 @@
   CHECK(scenario.spec.name == "here");
   // An error in the base file is reported with the base file's name.
   CHECK(fleet_with_settings("[load]\nshape = \"ramp\"\nramp_to = 5000\n")
-            .faults.at(0)
+            .errors.at(0)
             .position.file.ends_with("fleet.toml"));
 }
 
@@ -205,11 +205,11 @@
     const std::string text_before = scenario_text(scenario.spec);
     set_values(scenario, {c.setting});
     if (*c.expected_error == '\0') {
-      CHECK(errors_text(scenario.faults) == "");
+      CHECK(errors_text(scenario.errors) == "");
       CHECK(scenario_text(scenario.spec) != text_before);
     } else {
-      REQUIRE(scenario.faults.size() >= 1);
-      CHECK(scenario.faults[0].to_string().find(c.expected_error) != std::string::npos);
+      REQUIRE(scenario.errors.size() >= 1);
+      CHECK(scenario.errors[0].to_string().find(c.expected_error) != std::string::npos);
     }
   }
 }
--- a/tests/lab/storm/storm_test.cpp
+++ b/tests/lab/storm/storm_test.cpp
@@ -40,7 +40,7 @@
       const std::string text = scenario_text(spec);
       CHECK(text == scenario_text(storm::draw_storm(seed, {})));
       const Scenario read = read_scenario(text, "storm");
-      for (const auto& error : read.faults) FAIL_CHECK("seed ", seed, ": ", error.to_string());
+      for (const auto& error : read.errors) FAIL_CHECK("seed ", seed, ": ", error.to_string());
       CHECK(scenario_text(read.spec) == text);
     }
     const std::uint32_t routers = storm::router_count(spec), nodes = storm::node_count(spec);
@@ -124,7 +124,7 @@
     const storm::ShrinkResult small = storm::shrink(spec, distance_of);
     CHECK(model::find_spec_errors(small.spec).empty());
     const Scenario read = read_scenario(scenario_text(small.spec), "shrunk");
-    for (const auto& error : read.faults) FAIL_CHECK("seed ", seed, ": ", error.to_string());
+    for (const auto& error : read.errors) FAIL_CHECK("seed ", seed, ": ", error.to_string());
     CHECK(storm::fault_spans(small.spec).size() == 1);
     CHECK(storm::router_count(small.spec) == 2);
     CHECK(storm::node_count(small.spec) <= 4);
