--- a/lab/commands/try.cpp
+++ b/lab/commands/try.cpp
@@ -59,7 +59,7 @@
         "  curl -i -H 'X-Request-ID: '$(date +%%s%%N) -H 'X-Priority-Class: %s' -H 'X-Tenant-Id: %s' "
         "-H 'X-Timeout-Ms: 1000' http://%s/api/7f3a9c21\n\nCtrl-C ends it and writes the report.\n",
         static_cast<unsigned long long>(totals.drawn), static_cast<unsigned long long>(totals.served()),
-        static_cast<unsigned long long>(totals.refused()), static_cast<unsigned long long>(totals.failed()),
+        static_cast<unsigned long long>(totals.rejected()), static_cast<unsigned long long>(totals.failed()),
         spec.classes.front().name.c_str(), spec.tenants.front().name.c_str(), address.c_str());
     std::fflush(stdout);
   };
--- a/lab/driver.h
+++ b/lab/driver.h
@@ -28,14 +28,14 @@
 // Resource use and validity of a run. A void run must not be used to assess the routers.
 struct RunInfo {
   bool is_void = false;
-  std::vector<std::string> void_reasons; // such as: the rig was late, a process of the rig ended
-  bool stopped = false;                  // stopped on request before its end
-  double scenario_elapsed_ms = 0;        // scenario time that was run
-  double wall_s = 0, cpu_s = 0;          // of the rig, excluding routers
-  double peak_memory_mb = 0;             // of the rig
-  LatenessQuantiles send_lateness_ms;    // of sends, relative to their due times; 0 in virtual time
-  LatenessQuantiles answer_lateness_ms;  // sockets: of the emulated servers' responses, relative to theirs
-  double load_generator_cpu_s = 0;       // sockets: of the load generator only
+  std::vector<std::string> void_reasons;  // such as: the rig was late, a process of the rig ended
+  bool stopped = false;                   // stopped on request before its end
+  double scenario_elapsed_ms = 0;         // scenario time that was run
+  double wall_s = 0, cpu_s = 0;           // of the rig, excluding routers
+  double peak_memory_mb = 0;              // of the rig
+  LatenessQuantiles send_lateness_ms;     // of sends, relative to their due times; 0 in virtual time
+  LatenessQuantiles response_lateness_ms; // sockets: of the emulated servers' responses, relative to theirs
+  double load_generator_cpu_s = 0;        // sockets: of the load generator only
   std::vector<RouterResourceUse> routers;
   std::uint64_t simulated_events = 0; // virtual time: number of processed events
 };
@@ -45,8 +45,8 @@
   std::function<void(double now_ms)> progress; // called at intervals from the run's own thread; may be empty
 };
 
-// Runs scenarios, one at a time. `spec` must have no faults(). Throws std::runtime_error if a run can't be
-// started.
+// Runs scenarios, one at a time. model::find_spec_errors(spec) must be empty. Throws std::runtime_error if a
+// run can't be started.
 class Driver {
  public:
   virtual ~Driver() = default;
--- a/lab/experiment/run_experiment.cpp
+++ b/lab/experiment/run_experiment.cpp
@@ -48,7 +48,7 @@
           {"load_cpu_s", info.load_generator_cpu_s},
           {"peak_memory_mb", info.peak_memory_mb},
           {"lateness_ms", to_json_value(info.send_lateness_ms)},
-          {"answer_lateness_ms", to_json_value(info.answer_lateness_ms)},
+          {"answer_lateness_ms", to_json_value(info.response_lateness_ms)},
           {"events", info.simulated_events},
           {"routers", routers}};
 }
@@ -64,7 +64,7 @@
   input.at("load_cpu_s").get_to(info.load_generator_cpu_s);
   input.at("peak_memory_mb").get_to(info.peak_memory_mb);
   info.send_lateness_ms = quantiles_from_json(input.at("lateness_ms"));
-  info.answer_lateness_ms = quantiles_from_json(input.at("answer_lateness_ms"));
+  info.response_lateness_ms = quantiles_from_json(input.at("answer_lateness_ms"));
   input.at("events").get_to(info.simulated_events);
   for (const json& r : input.at("routers")) {
     info.routers.push_back({r.at("router").get<model::RouterId>(), r.at("cpu_s").get<double>(),
--- a/lab/experiment/summary.cpp
+++ b/lab/experiment/summary.cpp
@@ -42,7 +42,7 @@
       {"refused", "refused", false,
        [](const ExperimentResult& r) {
          const RequestStats request_stats = r.stats.total().request_stats;
-         return share(request_stats.refused(), request_stats.drawn);
+         return share(request_stats.rejected(), request_stats.drawn);
        },
        percent},
       {"failed", "failed", false,
--- a/lab/load/load.cpp
+++ b/lab/load/load.cpp
@@ -317,7 +317,7 @@
     connection->generator = this;
     connection->self = handle;
     connection->router = router;
-    connection->reading_paused = !network_.reachable(router);
+    connection->reading_paused = !network_.is_reachable(router);
     connection->stream = Stream::connect(loop_.base(), context_.addresses.router(router), *connection);
     ++summary_.connections;
     if (connection->stream != nullptr) return connection;
@@ -504,7 +504,7 @@
   loop_.run_in_loop([this, router, paused] {
     if (!context_.clock.started()) return;
     if (paused) return front_balancer_.set_down(now(), router);
-    if (router_states_[router].ready && network_.reachable(router)) front_balancer_.set_up(now(), router);
+    if (router_states_[router].ready && network_.is_reachable(router)) front_balancer_.set_up(now(), router);
   });
 }
 
@@ -530,7 +530,7 @@
   if (!state.running || state.ready) return;
   state.ready = true;
   context_.records.add(model::RouterEvent{now(), router, model::RouterEvent::What::Ready});
-  if (network_.reachable(router)) front_balancer_.set_up(now(), router);
+  if (network_.is_reachable(router)) front_balancer_.set_up(now(), router);
   open_idle_connections(router);
   callbacks_.ready(router);
 }
--- a/lab/peers/agents.h
+++ b/lab/peers/agents.h
@@ -131,7 +131,7 @@
   State state(Handle call) override;
   std::optional<std::string> make_response(Handle call) override;
   void send_piece(Handle call, std::string_view piece, bool is_last) override;
-  bool is_silent(model::RouterId router) const { return discovery_down_ || !network_.reachable(router); }
+  bool is_silent(model::RouterId router) const { return discovery_down_ || !network_.is_reachable(router); }
   void router_reloaded(model::RouterId router);
   void advance();
   void serve_waiting_calls();
--- a/lab/peers/machines.cpp
+++ b/lab/peers/machines.cpp
@@ -75,7 +75,7 @@
     listeners_[i].address_owner = static_cast<MachineId>(i % machine_count);
   }
   for (const model::PlannedMachine& machine : context_.plan.machines) {
-    if (machine.at_start) update_listeners(machine.id);
+    if (machine.in_service_at_start) update_listeners(machine.id);
   }
 }
 
@@ -289,7 +289,7 @@
   const Request request = *std::exchange(found->request, std::nullopt);
   if (found->rejected) {
     ServerResponse full_response;
-    full_response.ending = ServerOutcome::Full;
+    full_response.outcome = ServerOutcome::Full;
     ResponseScript script = make_script(context_.body_codec, full_response, {});
     script.close = true;
     found->response_pending = true;
@@ -410,7 +410,7 @@
     if (connection.stream == nullptr || connection.request || connection.attempt != 0 ||
         connection.response_pending || !connection.established)
       return;
-    if (connection.idle_since + context_.idle_ms(connection.machine) > now_ms) return;
+    if (connection.idle_since + context_.idle_timeout_ms(connection.machine) > now_ms) return;
     if (connection.accepted && of_current_incarnation(connection))
       server_models_[connection.machine]->disconnect(now_ms);
     connection.accepted = false;
@@ -608,7 +608,7 @@
       case ServerAction::What::Answered: attempt_ended(machine, action); break;
       case ServerAction::What::Connected:
         if (Connection* connection = connections_.find(action.id)) {
-          const double round_trips = context_.handshake_trips(machine);
+          const double round_trips = context_.handshake_round_trips(machine);
           const double delay_ms =
               network_.zone_delay(zone_of(machine), context_.plan.routers[connection->router].zone);
           connection->established = true;
@@ -687,7 +687,7 @@
       !of_current_incarnation(*connection))
     return;
   ServerResponse response;
-  response.ending = action.outcome;
+  response.outcome = action.outcome;
   response.write = attempt.write;
   response.made_for = {attempt.try_id, attempt.number, machine, attempt.key};
   response.size_bytes = attempt.size_bytes;
--- a/lab/peers/response_script.cpp
+++ b/lab/peers/response_script.cpp
@@ -49,11 +49,11 @@
 
 std::string response_bytes(const BodyCodec& body_codec, const ServerResponse& response,
                            const std::vector<LoadReportField>& fields, const BodyMetadata& made_for) {
-  const int status = status_of(response.ending);
+  const int status = status_of(response.outcome);
   const std::string report = report_text(response.report, fields);
   std::vector<http::Header> headers;
   if (status == 503 || status == 504) headers.push_back({"X-Not-Processed", "1"});
-  if (const auto cache_word = cache_status(response.ending); !cache_word.empty() && !response.write) {
+  if (const auto cache_word = cache_status(response.outcome); !cache_word.empty() && !response.write) {
     headers.push_back({"X-Cache-Status", cache_word});
   }
   if (!report.empty()) headers.push_back({"X-Server-Load", report});
@@ -80,7 +80,7 @@
 ResponseScript make_script(const BodyCodec& body_codec, const ServerResponse& response,
                            const std::vector<LoadReportField>& fields) {
   ResponseScript script;
-  if (response.ending == ServerOutcome::Cancelled || response.ending == ServerOutcome::Lost) return script;
+  if (response.outcome == ServerOutcome::Cancelled || response.outcome == ServerOutcome::Lost) return script;
   script.pieces.push_back({0, response_bytes(body_codec, response, fields, response.made_for)});
   return script;
 }
@@ -88,14 +88,14 @@
 ResponseScript make_bad_script(const BodyCodec& body_codec, const ServerResponse& response,
                                const std::vector<LoadReportField>& fields, BadResponse kind) {
   ResponseScript script;
-  if (response.ending == ServerOutcome::Cancelled || response.ending == ServerOutcome::Lost) return script;
+  if (response.outcome == ServerOutcome::Cancelled || response.outcome == ServerOutcome::Lost) return script;
   const std::string complete = response_bytes(body_codec, response, fields, response.made_for);
   const std::size_t truncated_size =
       complete.size() - std::max<std::size_t>(1, (complete.size() - complete.find("\r\n\r\n")) / 2);
   switch (kind) {
     case BadResponse::Error: {
       ServerResponse error_response = response;
-      error_response.ending = ServerOutcome::Error;
+      error_response.outcome = ServerOutcome::Error;
       script.pieces.push_back({0, response_bytes(body_codec, error_response, fields, response.made_for)});
       break;
     }
--- a/lab/peers/response_script.h
+++ b/lab/peers/response_script.h
@@ -11,7 +11,7 @@
 
 // What a server responds with.
 struct ServerResponse {
-  model::ServerOutcome ending = model::ServerOutcome::Hit;
+  model::ServerOutcome outcome = model::ServerOutcome::Hit;
   bool write = false;
   BodyMetadata made_for;
   double size_bytes = 0;
--- a/lab/report/files.cpp
+++ b/lab/report/files.cpp
@@ -53,7 +53,7 @@
                   static_cast<unsigned long long>(request_stats.drawn),
                   static_cast<unsigned long long>(request_stats.within_objective),
                   static_cast<unsigned long long>(request_stats.served()),
-                  static_cast<unsigned long long>(request_stats.refused()),
+                  static_cast<unsigned long long>(request_stats.rejected()),
                   static_cast<unsigned long long>(request_stats.failed()));
     if (request_stats.drawn_weight > 0) append_format(out, "%.6f", request_stats.service());
     for (const double quantile : {0.5, 0.9, 0.99}) {
@@ -118,7 +118,7 @@
   append_count("requests", request_stats.drawn);
   append_count("served", request_stats.served());
   append_count(" in time", request_stats.within_objective);
-  append_count("refused", request_stats.refused());
+  append_count("refused", request_stats.rejected());
   append_count("failed", request_stats.failed());
   append_format(out, "\n  latency      50%% in %.0f ms, 90%% in %.0f ms, 99%% in %.0f ms\n",
                 request_stats.latency_histogram.quantile(0.5), request_stats.latency_histogram.quantile(0.9),
--- a/lab/report/html.cpp
+++ b/lab/report/html.cpp
@@ -49,7 +49,7 @@
   out += card(std::to_string(request_stats.drawn), "requests");
   out += card(percent(request_stats.served(), request_stats.drawn), "served");
   out += card(percent(request_stats.within_objective, request_stats.drawn), "served in time");
-  out += card(percent(request_stats.refused(), request_stats.drawn), "refused");
+  out += card(percent(request_stats.rejected(), request_stats.drawn), "refused");
   out += card(percent(request_stats.failed(), request_stats.drawn), "failed");
   out += card(format_text("%.0f ms", request_stats.latency_histogram.quantile(0.5)), "latency, half within");
   out += card(format_text("%.0f ms", request_stats.latency_histogram.quantile(0.99)), "latency, 99% within");
@@ -119,7 +119,7 @@
     const RequestStats& request_stats = named.request_stats;
     out += "<tr>" + left_cell(named.name) + cell(std::to_string(request_stats.drawn)) +
            cell(percent(request_stats.served(), request_stats.drawn)) +
-           cell(percent(request_stats.refused(), request_stats.drawn)) +
+           cell(percent(request_stats.rejected(), request_stats.drawn)) +
            cell(percent(request_stats.failed(), request_stats.drawn));
     if (with_service) {
       out += cell(percent(request_stats.service())) +
@@ -141,7 +141,7 @@
   if (result.driver != "virtual") {
     out += "<table><tr><th class=l>lateness</th><th>50%</th><th>99%</th><th>99.9%</th><th>most</th></tr>\n";
     for (const auto& [label, quantiles] : {std::pair("of sends", &info.send_lateness_ms),
-                                           {"of machines' responses", &info.answer_lateness_ms}}) {
+                                           {"of machines' responses", &info.response_lateness_ms}}) {
       out += "<tr>" + left_cell(label);
       for (const double value : {quantiles->p50, quantiles->p99, quantiles->p999, quantiles->max})
         out += cell(format_text("%.2f ms", value));
--- a/lab/report/plots.cpp
+++ b/lab/report/plots.cpp
@@ -163,7 +163,7 @@
       double sum = 0;
       for (const std::uint64_t count :
            {request_stats.within_objective, request_stats.served() - request_stats.within_objective,
-            request_stats.refused(), request_stats.failed()}) {
+            request_stats.rejected(), request_stats.failed()}) {
         sum += rate(count);
         out << " " << sum;
       }
--- a/lab/rig/rig.cpp
+++ b/lab/rig/rig.cpp
@@ -229,9 +229,9 @@
     merger_.release_all();
     info.stopped = stopped_;
     info.send_lateness_ms = load.lateness_ms;
-    info.answer_lateness_ms = fleet.lateness_ms;
+    info.response_lateness_ms = fleet.lateness_ms;
     info.load_generator_cpu_s = load.cpu_s;
-    info.routers = routers_.costs();
+    info.routers = routers_.resource_use();
     for (std::size_t router = 0; router < fleet.sent_by_router.size(); ++router) {
       info.routers[router].datagrams = fleet.sent_by_router[router].datagrams;
       info.routers[router].datagram_bytes = fleet.sent_by_router[router].bytes;
--- a/lab/rig/routers.cpp
+++ b/lab/rig/routers.cpp
@@ -319,7 +319,7 @@
   loop_.run_after(kUsageIntervalMs, [this] { sample_usage(); });
 }
 
-std::vector<lab::RouterResourceUse> RouterProcesses::costs() const {
+std::vector<lab::RouterResourceUse> RouterProcesses::resource_use() const {
   std::vector<lab::RouterResourceUse> result;
   for (const Router& router : routers_) result.push_back(router.cost);
   return result;
--- a/lab/rig/routers.h
+++ b/lab/rig/routers.h
@@ -37,8 +37,8 @@
   void router_ready(model::RouterId router); // the load generator has found it ready
   bool all_ready() const;
 
-  std::vector<lab::RouterResourceUse> costs() const; // by router; CPU time of its processes that have ended
-  std::vector<lab::RouterUsage> usage() const;       // present usage of the routers that run
+  std::vector<lab::RouterResourceUse> resource_use() const; // by router; CPU time of ended processes
+  std::vector<lab::RouterUsage> usage() const;              // present usage of the routers that run
 
  private:
   struct Router {
--- a/lab/rig/trial_fleet.h
+++ b/lab/rig/trial_fleet.h
@@ -109,15 +109,15 @@
     not_genuine += record.outcome == model::TryOutcome::Served && !record.genuine ? 1 : 0;
   }
   void on(const model::RequestEnded& record) override {
-    ++closed;
-    ++ends[static_cast<std::size_t>(record.outcome)];
+    ++requests_ended;
+    ++requests_by_outcome[static_cast<std::size_t>(record.outcome)];
     if (record.outcome == model::TryOutcome::Served) latencies.push_back(record.latency_ms);
   }
   void on(const model::AttemptArrived&) override { ++arrived; }
   void on(const model::AttemptEnded& record) override {
     ++attempts_ended;
     hits += record.outcome == model::ServerOutcome::Hit ? 1 : 0;
-    at_origin +=
+    origin_attempts +=
         record.outcome == model::ServerOutcome::Fetched || record.outcome == model::ServerOutcome::Written
             ? 1
             : 0;
@@ -134,8 +134,9 @@
     return latencies[static_cast<std::size_t>(position)];
   }
 
-  unsigned long long drawn = 0, tried = 0, accepted = 0, closed = 0, ends[7] = {}, arrived = 0, at_origin = 0,
-                     attempts_ended = 0, hits = 0, not_genuine = 0, surplus = 0;
+  unsigned long long drawn = 0, tried = 0, accepted = 0, requests_ended = 0, requests_by_outcome[7] = {},
+                     arrived = 0, origin_attempts = 0, attempts_ended = 0, hits = 0, not_genuine = 0,
+                     surplus = 0;
   std::vector<double> latencies;
   std::vector<model::NodeEvent> node_events;
   std::vector<model::RouterEvent> router_events;
--- a/lab/rig/trial_main.cpp
+++ b/lab/rig/trial_main.cpp
@@ -22,17 +22,19 @@
   std::printf(
       "drawn %llu, tries %llu (%llu accepted), ended %llu: served %llu, rejected %llu, failed %llu, other "
       "%llu\n",
-      counts.drawn, counts.tried, counts.accepted, counts.closed, counts.ends[0], counts.ends[1],
-      counts.ends[2], counts.closed - counts.ends[0] - counts.ends[1] - counts.ends[2]);
+      counts.drawn, counts.tried, counts.accepted, counts.requests_ended, counts.requests_by_outcome[0],
+      counts.requests_by_outcome[1], counts.requests_by_outcome[2],
+      counts.requests_ended - counts.requests_by_outcome[0] - counts.requests_by_outcome[1] -
+          counts.requests_by_outcome[2]);
   std::printf("attempts %llu (at the origin %llu), ended %llu, hits %llu; not genuine %llu, surplus %llu\n",
-              counts.arrived, counts.at_origin, counts.attempts_ended, counts.hits, counts.not_genuine,
+              counts.arrived, counts.origin_attempts, counts.attempts_ended, counts.hits, counts.not_genuine,
               counts.surplus);
   std::printf("latency ms p50 %.1f p99 %.1f\n", counts.latency(0.5), counts.latency(0.99));
   std::printf(
       "lateness of sends ms p50 %.3f p99 %.3f p99.9 %.3f max %.3f; of responses p50 %.3f p99 %.3f max %.3f\n",
       info.send_lateness_ms.p50, info.send_lateness_ms.p99, info.send_lateness_ms.p999,
-      info.send_lateness_ms.max, info.answer_lateness_ms.p50, info.answer_lateness_ms.p99,
-      info.answer_lateness_ms.max);
+      info.send_lateness_ms.max, info.response_lateness_ms.p50, info.response_lateness_ms.p99,
+      info.response_lateness_ms.max);
   std::printf(
       "wall %.2f s, scenario %.2f s, cpu %.2f s (load generator %.2f s, %.1f us per try), peak %.0f MB\n",
       info.wall_s, info.scenario_elapsed_ms / 1000, info.cpu_s, info.load_generator_cpu_s,
--- a/lab/shared/run_context.h
+++ b/lab/shared/run_context.h
@@ -53,12 +53,12 @@
     return kind < spec.kinds.size() ? &spec.kinds[kind] : nullptr;
   }
   // Idle time after which the machine closes a connection.
-  double idle_ms(model::MachineId machine) const {
+  double idle_timeout_ms(model::MachineId machine) const {
     const model::NodeKind* kind = kind_of(machine);
     return kind != nullptr ? kind->idle_timeout_ms : spec.origin.idle_timeout_ms;
   }
   // Round trips of a handshake after the TCP handshake.
-  double handshake_trips(model::MachineId machine) const {
+  double handshake_round_trips(model::MachineId machine) const {
     const model::NodeKind* kind = kind_of(machine);
     return kind != nullptr ? kind->handshake_round_trips : spec.origin.handshake_round_trips;
   }
--- a/lab/stats/run_stats.h
+++ b/lab/stats/run_stats.h
@@ -30,11 +30,11 @@
   LatencyHistogram latency_histogram;         // of served requests
 
   std::uint64_t served() const { return outcome_counts[static_cast<std::size_t>(model::TryOutcome::Served)]; }
-  std::uint64_t refused() const {
+  std::uint64_t rejected() const {
     return outcome_counts[static_cast<std::size_t>(model::TryOutcome::Rejected)];
   }
   std::uint64_t closed() const;
-  std::uint64_t failed() const { return closed() - served() - refused(); }
+  std::uint64_t failed() const { return closed() - served() - rejected(); }
   double service() const { return drawn_weight > 0 ? served_weight / drawn_weight : 1; }
   void merge(const RequestStats& other);
 };
--- a/lab/storm/oracles.cpp
+++ b/lab/storm/oracles.cpp
@@ -322,7 +322,7 @@
 double lost_contents_share(const Plan& plan) {
   std::set<MachineId> lost;
   std::size_t nodes = 0;
-  for (const PlannedMachine& m : plan.machines) nodes += m.at_start && m.id != plan.origin ? 1 : 0;
+  for (const PlannedMachine& m : plan.machines) nodes += m.in_service_at_start && m.id != plan.origin ? 1 : 0;
   for (const Step& s : plan.steps) {
     const auto* node = std::get_if<NodeStep>(&s.what);
     if (node != nullptr && node->what == NodeStep::What::End) lost.insert(node->machine);
@@ -369,7 +369,7 @@
 
 double utilization_after_faults(const Spec& spec, const Plan& plan) {
   std::vector<char> in_service(plan.machines.size());
-  for (const PlannedMachine& m : plan.machines) in_service[m.id] = m.at_start ? 1 : 0;
+  for (const PlannedMachine& m : plan.machines) in_service[m.id] = m.in_service_at_start ? 1 : 0;
   for (const Step& s : plan.steps) {
     const auto* node = std::get_if<NodeStep>(&s.what);
     if (node == nullptr) continue;
--- a/lab/virtual/virtual_world.cpp
+++ b/lab/virtual/virtual_world.cpp
@@ -176,7 +176,7 @@
       return;
     }
     case EventKind::DisconnectAtRouter:
-      if (same_incarnation && network_.reachable(event.number))
+      if (same_incarnation && network_.is_reachable(event.number))
         routers_[event.number]->on_client_disconnected(event.handle);
       break;
     case EventKind::ResetAtClient: return end_try(event.handle, TryOutcome::ConnectionLost, 0);
--- a/lab/virtual/world_clients.cpp
+++ b/lab/virtual/world_clients.cpp
@@ -74,7 +74,7 @@
       client_try->new_connection
           ? router.is_accepting()
           : router.is_running() && router.incarnation() == client_try->router_incarnation;
-  const bool reachable = network_.reachable(client_try->router);
+  const bool reachable = network_.is_reachable(client_try->router);
   if (!accepts_request && !client_try->new_connection && reachable)
     return resend_on_new_connection(client, *client_try);
   client_try->reached_router = true;
@@ -130,7 +130,7 @@
     tries_.remove(client);
     return;
   }
-  if (!network_.reachable(client_try->router)) return; // the client gets no response
+  if (!network_.is_reachable(client_try->router)) return; // the client gets no response
   client_try->outcome = outcome;
   client_try->retry_after_ms = retry_after_ms;
   client_try->response_sent = true;
--- a/lab/virtual/world_routers.cpp
+++ b/lab/virtual/world_routers.cpp
@@ -138,7 +138,7 @@
     client_try.accepted = false;
     if (client_try.client_gone) {
       abandoned_tries.push_back(client);
-    } else if (network_.reachable(router)) {
+    } else if (network_.is_reachable(router)) {
       schedule(now_ + network_.client_delay(client_try.start.drawn.zone, plan_.routers[router].zone),
                EventKind::ResetAtClient, 0, client, 0);
     }
@@ -180,7 +180,7 @@
   pause.active = false;
   record_event(router, RouterEvent::What::Resumed);
   send_endpoint_list(router);
-  if (routers_[router]->is_ready() && network_.reachable(router)) front_balancer_.set_up(now_, router);
+  if (routers_[router]->is_ready() && network_.is_reachable(router)) front_balancer_.set_up(now_, router);
   for (const EventQueue::Entry& event : std::exchange(pause.pending_events, {})) {
     if (is_current(event)) dispatch(event);
   }
@@ -242,7 +242,7 @@
 
 bool VirtualWorld::can_reach_discovery(RouterId router) const {
   return routers_[router]->is_running() && !pauses_[router].active && !discovery_down_ &&
-         network_.reachable(router) && !(old_discovery_ended_ && !follows_new_address_[router]);
+         network_.is_reachable(router) && !(old_discovery_ended_ && !follows_new_address_[router]);
 }
 
 void VirtualWorld::send_endpoint_list(RouterId router) {
--- a/src/model/cache_node.cpp
+++ b/src/model/cache_node.cpp
@@ -48,7 +48,7 @@
   mean_work_ms_ = share_sum > 0 ? mean_work_ms_ / share_sum : 1;
   next_pause_ms_ =
       kind_.pause_interval_ms > 0 ? draw_exponential(kind_.pause_interval_ms, pause_engine_) : kNever;
-  if (machine.at_start) {
+  if (machine.in_service_at_start) {
     phase_ = ServerPhase::Up;
     initial_bytes_left_ = kind_.memory_bytes;
     counted_as_initial_ = true;
--- a/src/model/cache_node.h
+++ b/src/model/cache_node.h
@@ -27,8 +27,8 @@
     IdempotencyCache& idempotency_cache;
     InitialNodes* initial_nodes = nullptr; // null: no unrequested key is lost when nodes terminate
   };
-  // A machine with `at_start` is initially Up, warm and filled with recently requested objects; any other is
-  // Off.
+  // A machine with `in_service_at_start` is initially Up, warm and filled with recently requested objects;
+  // any other is Off.
   CacheNode(const FleetContext& context, const PlannedMachine& machine);
 
   void start(double now, ServerActions& actions) override; // cold and empty
--- a/src/model/discovery.cpp
+++ b/src/model/discovery.cpp
@@ -20,7 +20,7 @@
       agent_index_(plan.routers.size(), 1),
       deliveries_(plan.routers.size()) {
   for (const PlannedMachine& machine : plan.machines) {
-    if (machine.at_start) base_[machine.id] = {machine.id, ServerState::Ready, -1, 1};
+    if (machine.in_service_at_start) base_[machine.id] = {machine.id, ServerState::Ready, -1, 1};
   }
 }
 
--- a/src/model/network.cpp
+++ b/src/model/network.cpp
@@ -41,7 +41,7 @@
     }
   } else if (const auto* partition = std::get_if<PartitionStep>(&step.what)) {
     std::erase_if(partitions_,
-                  [&](const PartitionStep& active) { return active.partition == partition->partition; });
+                  [&](const PartitionStep& active) { return active.number == partition->number; });
     if (partition->enabled) partitions_.push_back(*partition);
   } else if (const auto* loss = std::get_if<DatagramLossStep>(&step.what)) {
     std::erase_if(losses_, [&](const DatagramLossStep& active) { return active.number == loss->number; });
--- a/src/model/network.h
+++ b/src/model/network.h
@@ -28,7 +28,7 @@
   bool routers_connected(RouterId from, RouterId to) const;
   bool is_responding(MachineId machine) const { return !silent_machines_[machine]; }
   // Whether clients and discovery reach the router.
-  bool reachable(RouterId router) const { return !silent_routers_[router]; }
+  bool is_reachable(RouterId router) const { return !silent_routers_[router]; }
 
  private:
   // Probability that a datagram is unaffected by the network's own share and by each enabled loss step.
--- a/src/model/plan.cpp
+++ b/src/model/plan.cpp
@@ -62,9 +62,9 @@
         PlannedMachine& machine =
             add_machine(group.name + "-" + std::to_string(i), group_index, group.kind, group.zone);
         machine.cell = cell_count + i / cell_size;
-        machine.at_start = i < group.count;
+        machine.in_service_at_start = i < group.count;
         draw_speed_and_weight(machine);
-        in_service_[machine.id] = machine.at_start;
+        in_service_[machine.id] = machine.in_service_at_start;
       }
       cell_count += (group_size + cell_size - 1) / cell_size;
     }
@@ -73,7 +73,7 @@
       const auto groups = static_cast<std::uint32_t>(spec_.nodes.size());
       PlannedMachine& machine = add_machine(kOriginKindName, groups, origin_kind(spec_), spec_.origin.zone);
       machine.cell = cell_count;
-      machine.at_start = true;
+      machine.in_service_at_start = true;
     }
   }
 
@@ -284,7 +284,7 @@
   }
   void add_partition(double at, PartitionStep partition, double until) {
     event_end_ms_ = end_or_duration(until);
-    partition.partition = event_number_;
+    partition.number = event_number_;
     partition.enabled = true;
     add_step(at, partition);
     if (until > 0) add_step(event_end_ms_, PartitionStep{event_number_, false, {}, {}, {}, {}, false});
--- a/src/model/plan.h
+++ b/src/model/plan.h
@@ -24,7 +24,7 @@
   MachineId address_of = 0; // the machine whose address it uses: itself unless it replaces another
   double speed = 1;         // of a core, drawn
   double weight = 1;        // as published by discovery
-  bool at_start = false;    // in service when the run begins
+  bool in_service_at_start = false;
 };
 
 struct PlannedRouter {
@@ -50,8 +50,8 @@
   // Term: the router is started this long after its exit; below 0: never. A Kill has its own Start step.
   double down_ms = 0;
 };
-struct PartitionStep {         // messages between the sides `a` and `b` are lost while it is enabled
-  std::uint32_t partition = 0; // number of the event
+struct PartitionStep {      // messages between the sides `a` and `b` are lost while it is enabled
+  std::uint32_t number = 0; // of the event
   bool enabled = false;
   std::vector<MachineId> machines_a, machines_b;
   std::vector<RouterId> routers_a, routers_b;
--- a/tests/lab/check/meter_test.cpp
+++ b/tests/lab/check/meter_test.cpp
@@ -147,13 +147,13 @@
   const TimeSlice total = stats.total();
   CHECK(total.request_stats.drawn == 30);
   CHECK(total.request_stats.served() == 25);
-  CHECK(total.request_stats.refused() == 5);
+  CHECK(total.request_stats.rejected() == 5);
   CHECK(total.request_stats.within_objective == 25);
   CHECK(total.origin_reads == 30);
   CHECK(total.hits == 22);
   CHECK(total.handshakes == 3);
   CHECK(stats.slices.size() == 30);
-  CHECK(stats.classes[1].request_stats.refused() == 2);
+  CHECK(stats.classes[1].request_stats.rejected() == 2);
   CHECK(stats.machines[0].slices[4].utilization_sum == 0.5f);
 
   RunStats restored = run_stats_from_json(to_json(stats));
--- a/tests/lab/check/support.h
+++ b/tests/lab/check/support.h
@@ -56,7 +56,7 @@
     for (RouterId r = 0; r < plan.routers.size(); ++r) {
       router_event(0, r, RouterEvent::What::Started);
       for (const PlannedMachine& m : plan.machines) {
-        if (m.at_start) notify(0, r, m.id, ServerState::Ready);
+        if (m.in_service_at_start) notify(0, r, m.id, ServerState::Ready);
       }
     }
   }
--- a/tests/lab/rig/rig_test.cpp
+++ b/tests/lab/rig/rig_test.cpp
@@ -72,7 +72,7 @@
   }
   void check_consistent() const { // the rig's own records are consistent, whatever the routers do
     CHECK(drawn > 0);
-    CHECK(closed == drawn);
+    CHECK(requests_ended == drawn);
     CHECK(std::all_of(close_counts.begin(), close_counts.end(), [](const auto& e) { return e.second == 1; }));
     CHECK(sent_tries.size() + corrections == tried);
     CHECK(answer_counts.size() == sent_tries.size());
@@ -142,9 +142,9 @@
   CHECK(tracker.unanswered_tries.empty());
   CHECK(tracker.surplus == 0);
   CHECK(tracker.not_genuine == 0);
-  CHECK(tracker.ends[static_cast<std::size_t>(TryOutcome::Served)] > tracker.drawn * 9 / 10);
-  CHECK(tracker.at_origin > 0);
-  CHECK(tracker.hits > tracker.at_origin);
+  CHECK(tracker.requests_by_outcome[static_cast<std::size_t>(TryOutcome::Served)] > tracker.drawn * 9 / 10);
+  CHECK(tracker.origin_attempts > 0);
+  CHECK(tracker.hits > tracker.origin_attempts);
   CHECK(tracker.event_count(RouterEvent::What::Ready) == 2);
   REQUIRE(info.routers.size() == 2);
   for (const auto& router : info.routers) {
@@ -384,7 +384,8 @@
     CHECK(tracker->event_count(RouterEvent::What::Paused) == 1);
     CHECK(tracker->event_count(RouterEvent::What::Resumed) == 1);
     // A paused router does not respond, so the bound allows for its requests.
-    CHECK(tracker->ends[static_cast<std::size_t>(TryOutcome::Served)] > tracker->drawn * 8 / 10);
+    CHECK(tracker->requests_by_outcome[static_cast<std::size_t>(TryOutcome::Served)] >
+          tracker->drawn * 8 / 10);
   }
   REQUIRE(info.routers.size() == 2);
   // The size of datagrams does not depend on timing, and their number hardly does.
--- a/tests/model/property_test.cpp
+++ b/tests/model/property_test.cpp
@@ -386,7 +386,7 @@
     Discovery discovery(spec, plan);
     std::map<MachineId, std::pair<fernward::ServerState, double>> actual, received[2];
     for (const PlannedMachine& machine : plan.machines) {
-      if (machine.at_start) actual[machine.id] = {fernward::ServerState::Ready, -1};
+      if (machine.in_service_at_start) actual[machine.id] = {fernward::ServerState::Ready, -1};
     }
     std::uint64_t index[2] = {0, 0};
     const auto read_list = [&](RouterId router) {
--- a/tests/model/scenario_test.cpp
+++ b/tests/model/scenario_test.cpp
@@ -133,7 +133,7 @@
   REQUIRE(plan.machines.size() == 14);
   CHECK(plan.origin == 12);
   CHECK(plan.machines[5].name == "n-5");
-  CHECK_FALSE(plan.machines[5].at_start);
+  CHECK_FALSE(plan.machines[5].in_service_at_start);
   CHECK(plan.machines[6].name == "m-0");
   CHECK(plan.machines[12].name == "origin");
   CHECK(plan.machines[13].name == "n-1-next");
@@ -162,7 +162,7 @@
     }
   }
   CHECK(drained.size() == 4);
-  for (const MachineId id : drained) CHECK((plan.machines[id].at_start && started.count(id) == 1));
+  for (const MachineId id : drained) CHECK((plan.machines[id].in_service_at_start && started.count(id) == 1));
   CHECK(started.size() == 9); // 4 drained ones, 4 on standby, 1 replacement
   CHECK(neighbour_shares.size() >= 6);
   for (const auto& [id, share] : neighbour_shares) CHECK(share == 0);
