--- a/tests/net/program_test.cpp
+++ b/tests/net/program_test.cpp
@@ -220,8 +220,8 @@
     run_for(fixture.base.get(), 300);
     program.port(); // reads the output
     std::size_t lines = 0;
-    for (auto at = program.output.find("refused by"); at != std::string::npos;
-         at = program.output.find("refused by", at + 1)) {
+    for (auto at = program.output.find("descriptors-refused"); at != std::string::npos;
+         at = program.output.find("descriptors-refused", at + 1)) {
       ++lines;
     }
     CHECK(lines < 50);
