--- a/tests/lab/scenario/scenario_test.cpp
+++ b/tests/lab/scenario/scenario_test.cpp
@@ -191,7 +191,7 @@
       {"classes[book].repeat=unsafe", ""},
       {"classes[book].repeat=perhaps", "must be one of"},
       {"events[0].until=9s", ""},
-      {"events[0].until=1s", "not after its begin"},
+      {"events[0].until=1s", "must be after the start of the event"},
       {"events[0].what=kill-nodes", "can't be set"},
       {"events[0].who.count=2", ""},
       {"load.rate", "KEY=VALUE"},
