--- a/src/model/records.h
+++ b/src/model/records.h
@@ -47,7 +47,10 @@
   double client_timeout_ms = 0;    // the client's timeout over all tries
 };
 
-struct TrySent { // one try: the router's machine has accepted its last byte, or sending it has failed
+// The sending of a try: the router's machine has accepted its last byte, or sending it has failed. A try has
+// one; on sockets a second one, with `accepted` false, follows if its kept connection was lost before the
+// router read the request and no new connection could be established to resend it.
+struct TrySent {
   double at = 0;
   double scheduled_at = 0;  // intended send time
   double send_delay_ms = 0; // delay of the send caused by the load generator itself; 0 in virtual time
