--- a/lab/commands/compare.cpp
+++ b/lab/commands/compare.cpp
@@ -103,7 +103,8 @@
   options.parse_positional({"scenario"});
   options.positional_help("SCENARIO");
   const auto parsed = parse(options, arguments);
-  if (parsed.count("scenario") != 1) throw UsageError("one scenario is wanted");
+  if (const std::size_t count = parsed.count("scenario"); count != 1)
+    throw UsageError("expected exactly one scenario file, got " + std::to_string(count));
   const std::string path = parsed["scenario"].as<std::vector<std::string>>().front();
   const auto seeds = parse_seeds(parsed["seeds"].as<std::string>());
   ComparedSide a, b;
--- a/lab/commands/run.cpp
+++ b/lab/commands/run.cpp
@@ -19,7 +19,8 @@
   options.parse_positional({"scenario"});
   options.positional_help("SCENARIO");
   const auto parsed = parse(options, arguments);
-  if (parsed.count("scenario") != 1) throw UsageError("one scenario is wanted");
+  if (const std::size_t count = parsed.count("scenario"); count != 1)
+    throw UsageError("expected exactly one scenario file, got " + std::to_string(count));
   const DriverOptions driver_options = parse_driver_options(parsed);
   std::vector<std::string> settings;
   if (parsed.count("set") > 0) settings = parsed["set"].as<std::vector<std::string>>();
--- a/lab/commands/support.cpp
+++ b/lab/commands/support.cpp
@@ -26,7 +26,7 @@
   std::uint64_t seed = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed);
   if (text.empty() || error != std::errc() || end != text.data() + text.size()) {
-    throw UsageError("\"" + text + "\" is no number: write 3, 1..8 or 1,4,9");
+    throw UsageError("\"" + text + "\" is not a valid number: expected the form 3, 1..8 or 1,4,9");
   }
   return seed;
 }
