--- a/src/placement/placement.h
+++ b/src/placement/placement.h
@@ -31,7 +31,7 @@
 
 namespace fernward::placement {
 
-constexpr std::size_t kCandidates = 3; // replicas a key is hashed to (paper: three)
+constexpr std::size_t kCandidates = 3; // replicas a key is hashed to, as in the TAP paper (policy/replica.h)
 
 template <typename Member>
 class Placement {
--- a/src/policy/cache_selection.cpp
+++ b/src/policy/cache_selection.cpp
@@ -74,7 +74,8 @@
          replica.limiter.has_capacity(now, replica.active_attempts());
 }
 
-// The paper's score; lower is better. `origin_fetch_cost_ms`: expected duration of a fetch at the origin.
+// The score of the TAP paper (policy/replica.h); lower is better. `origin_fetch_cost_ms`: expected duration
+// of a fetch at the origin.
 double Balancer::Impl::cache_score(const Replica& replica, std::uint64_t key, bool likely_has_key,
                                    double origin_fetch_cost_ms) const {
   const double expected_fetch_ms = likely_has_key
@@ -124,9 +125,9 @@
   return send_attempt(request, *candidates.replicas[best_index]);
 }
 
-// Cost of a cache miss, which the paper does not model: the origin's response time, scaled with the cube of
-// its utilization as a cache's score is with its queue. The utilization is that of the concurrency limit or,
-// while keys move between caches, of the fetch rate.
+// Cost of a cache miss, which the TAP paper (policy/replica.h) does not model: the origin's response time,
+// scaled with the cube of its utilization as a cache's score is with its queue. The utilization is that of
+// the concurrency limit or, while keys move between caches, of the fetch rate.
 double Balancer::Impl::origin_cost_ms() const {
   if (origin == nullptr) return 0;
   const double limit_utilization =
--- a/src/policy/queue_trend.h
+++ b/src/policy/queue_trend.h
@@ -7,15 +7,15 @@
 
 namespace fernward {
 
-constexpr double kMaxStableQueueLength = 30; // queues up to this have no trend (paper, figure 6)
+constexpr double kMaxStableQueueLength = 30; // queues up to this have no trend (TAP paper, figure 6)
 constexpr double kReplicaSampleWeight = 0.2; // of a new sample in a replica's moving averages
 constexpr double kMaxTrendSamples = 16;      // used for a trend line; older ones fade
 
-/// Trend of one cache's reported queue (paper, section 4.2): a regression line through the samples since the
-/// last state change. Stable: short queue, or no direction. Stable changes to Rising or Falling if the queue
-/// changes in one direction at an increasing speed. Rising and Falling change into each other if the change
-/// or its acceleration reverses, and to Stable if the queue is short. Owned by a Replica. Times:
-/// milliseconds; queue lengths: requests.
+/// Trend of one cache's reported queue, as in section 4.2 of the TAP paper (policy/replica.h): a regression
+/// line through the samples since the last state change. Stable: short queue, or no direction. Stable changes
+/// to Rising or Falling if the queue changes in one direction at an increasing speed. Rising and Falling
+/// change into each other if the change or its acceleration reverses, and to Stable if the queue is short.
+/// Owned by a Replica. Times: milliseconds; queue lengths: requests.
 class QueueTrend {
  public:
   void add(double sampled_at, double queue_length) {
--- a/src/policy/replica.h
+++ b/src/policy/replica.h
@@ -14,11 +14,14 @@
 
 namespace fernward {
 
-constexpr double kFreshReportMaxAgeMs = 100; // more recent reports are used unchanged (paper, section 4.1)
+// The selection of caches follows the TAP paper: Zhou, Fang, Xie, Jiang, "TAP: Timeliness-aware
+// predication-based replica selection algorithm for key-value stores". Symbols in comments are as in it.
+
+constexpr double kFreshReportMaxAgeMs = 100; // newer reports are used unchanged (TAP paper, section 4.1)
 constexpr double kObservationHalfLifeMs = 3000;
 
 /// This router's state of a cache, or of the origin, which is not on the hash ring. Owned by Balancer::Impl.
-/// Times: milliseconds on the clock of Balancer::on_event; letters in comments are the paper's symbols.
+/// Times: milliseconds on the clock of Balancer::on_event.
 struct Replica {
   Server entry;
   // Inputs of the score.
@@ -65,7 +68,7 @@
   /// Attempts in flight that occupy capacity at the server.
   std::uint32_t active_attempts() const { return in_flight - std::min(in_flight, stalled_count); }
 
-  /// The paper's score R + q^3 / mu, in ms; lower is better. `router_count`: routers in the fleet, each
+  /// The TAP paper's score R + q^3 / mu, in ms; lower is better. `router_count`: routers in the fleet, each
   /// assumed to have as many attempts in flight as this one; `fleet_mean_*`: means over all caches;
   /// `extra_cost_ms`: expected additional cost at the origin if this cache is chosen, added to R and to 1/mu.
   double score(double now, double router_count, double fleet_mean_ms, double fleet_mean_queue,
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1,4 +1,5 @@
-// Tests of the Balancer with hand-written events: the paper's selection rules, and regressions.
+// Tests of the Balancer with hand-written events: the selection rules of the TAP paper
+// (policy/replica.h), and regressions.
 #include <array>
 #include <cmath>
 #include <deque>
