--- a/src/policy/settings.cpp
+++ b/src/policy/settings.cpp
@@ -83,10 +83,15 @@
     if (!unchanged)
       throw std::invalid_argument(std::string("settings: ") + setting + " cannot change at runtime");
   };
+  const auto require_not_fewer = [](std::size_t next_count, std::size_t current_count, const char* items) {
+    if (next_count < current_count)
+      throw std::invalid_argument(std::string("settings: the number of ") + items +
+                                  " cannot decrease at runtime");
+  };
   require_unchanged(settings.router_count == current.router_count, "nodes");
   require_unchanged(settings.zone == current.zone, "zone");
-  require_unchanged(settings.classes.size() >= current.classes.size(), "the number of classes");
-  require_unchanged(settings.tenants.size() >= current.tenants.size(), "the number of tenants");
+  require_not_fewer(settings.classes.size(), current.classes.size(), "classes");
+  require_not_fewer(settings.tenants.size(), current.tenants.size(), "tenants");
   require_unchanged(settings.origin_kind == current.origin_kind, "origin_kind");
   require_unchanged(settings.load_report_source == current.load_report_source &&
                         settings.load_report_fields == current.load_report_fields,
