--- a/tests/net/program.h
+++ b/tests/net/program.h
@@ -159,21 +159,33 @@
   bool reads_output_ = true;
 };
 
-// Draws below the system's ephemeral port range: from that range, another test's client could get the port
-// before the router binds it.
+// A socket of `type` that is bound to `port` of the loopback address 127.0.0.`host`; -1: it cannot be bound.
+inline int bound_socket(int type, std::uint32_t host, int port) {
+  const int fd = socket(AF_INET, type | SOCK_CLOEXEC, 0);
+  sockaddr_in socket_address{};
+  socket_address.sin_family = AF_INET;
+  socket_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK - 1 + host);
+  socket_address.sin_port = htons(static_cast<std::uint16_t>(port));
+  if (bind(fd, reinterpret_cast<const sockaddr*>(&socket_address), sizeof socket_address) == 0) return fd;
+  close(fd);
+  return -1;
+}
+inline bool is_port_free(int type, int port) {
+  const int fd = bound_socket(type, 1, port);
+  if (fd >= 0) close(fd);
+  return fd >= 0;
+}
+// A port of 127.0.0.1 that is free for TCP and UDP. Draws below the system's ephemeral port range: from that
+// range, another test's client could get the port before the router binds it. No other test draws the port
+// while this process runs, as it holds a socket on the same port of 127.0.0.2.
 inline int free_port() {
   static std::mt19937 generator(std::random_device{}());
   for (;;) {
     const int port = std::uniform_int_distribution<int>(10240, 32000)(generator);
-    const int fd = socket(AF_INET, SOCK_STREAM, 0);
-    sockaddr_in socket_address{};
-    socket_address.sin_family = AF_INET;
-    socket_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    socket_address.sin_port = htons(static_cast<std::uint16_t>(port));
-    const bool is_free =
-        bind(fd, reinterpret_cast<const sockaddr*>(&socket_address), sizeof socket_address) == 0;
-    close(fd);
-    if (is_free) return port;
+    const int reservation = bound_socket(SOCK_DGRAM, 2, port);
+    if (reservation < 0) continue;
+    if (is_port_free(SOCK_STREAM, port) && is_port_free(SOCK_DGRAM, port)) return port;
+    close(reservation);
   }
 }
 
