--- a/lab/commands/compare.cpp
+++ b/lab/commands/compare.cpp
@@ -227,7 +227,7 @@
       std::to_string(valid_pairs.size()) + (valid_pairs.size() == 1 ? " pair" : " pairs") + " of runs";
   std::string verdict;
   if (valid_pairs.size() == 1) {
-    verdict = "one pair of runs says nothing of chance: give more seeds";
+    verdict = "a single pair of runs shows no spread: use more seeds";
   } else {
     verdict = difference_text(score_comparison, true) +
               " by the score: " + signed_text(summary_columns()[0], score_comparison.mean_difference) +
--- a/lab/commands/storm.cpp
+++ b/lab/commands/storm.cpp
@@ -62,7 +62,7 @@
       all_match &= matches_file;
       std::printf("%s: %s is %s%s\n", path.c_str(), expected->oracle->name,
                   outcome.broken(*expected->oracle) ? "broken" : "kept",
-                  matches_file ? "" : ", and the file says otherwise");
+                  matches_file ? "" : ", which differs from the verdict in the file");
     } else {
       const storm::Oracle* broken = outcome.broken();
       all_match &= broken == nullptr || broken->confidence != storm::Confidence::Certain;
--- a/lab/relay/relay.cpp
+++ b/lab/relay/relay.cpp
@@ -28,7 +28,8 @@
 
 sockaddr_in parse_relay_address(const std::string& text) {
   sockaddr_in address{};
-  if (!config::parse_address(text, address)) throw std::runtime_error("relay: no address: " + text);
+  if (!config::parse_address(text, address))
+    throw std::runtime_error("relay: \"" + text + "\" is not an address of the form 127.0.0.1:8080");
   return address;
 }
 
--- a/lab/report/files.cpp
+++ b/lab/report/files.cpp
@@ -165,7 +165,7 @@
       append_format(limits_text, " at least %s", metric_value_text(bound.metric, *bound.at_least).c_str());
     if (bound.at_most)
       append_format(limits_text, " at most %s", metric_value_text(bound.metric, *bound.at_most).c_str());
-    append_format(out, "  %-7s %s: %s, wanted%s\n", bound.passed ? "holds" : "MISSED",
+    append_format(out, "  %-7s %s: %s, expected%s\n", bound.passed ? "holds" : "MISSED",
                   bound.description.c_str(),
                   bound.value ? metric_value_text(bound.metric, *bound.value).c_str() : "nothing to measure",
                   limits_text.c_str());
--- a/src/gossip_transport/transport.cpp
+++ b/src/gossip_transport/transport.cpp
@@ -37,11 +37,13 @@
       node_(options.self, options.peers.size(), gossip::incarnation_at(loop::now_ms()),
             options.membership_settings, options.seed, options.zone) {
   if (!config::parse_address(options.listen, listen_address_))
-    throw config::Error("peer_listen: \"" + options.listen + "\" is no address of the form 10.0.0.4:7946");
+    throw config::Error("peer_listen: \"" + options.listen +
+                        "\" is not an address of the form 10.0.0.4:7946");
   for (std::size_t i = 0; i < options.peers.size(); ++i) {
     sockaddr_in address{};
     if (!config::parse_address(options.peers[i], address))
-      throw config::Error("peers[" + std::to_string(i) + "]: \"" + options.peers[i] + "\" is no address");
+      throw config::Error("peers[" + std::to_string(i) + "]: \"" + options.peers[i] +
+                          "\" is not an address of the form 10.0.0.4:7946");
     peer_addresses_.push_back(address);
     if (i != options.self) ids_by_address_.emplace(address_key(address), static_cast<gossip::MemberId>(i));
   }
--- a/tests/lab/commands/commands_test.cpp
+++ b/tests/lab/commands/commands_test.cpp
@@ -77,7 +77,8 @@
       {"cost --rounds 0", 2, "--rounds"},
       {"cost --targets 14,some", 2, "\"some\" is not a valid number"},
       {"relay --listen 127.0.0.1:0", 2, "go together"},
-      {"relay --listen nowhere --target 127.0.0.1:1", 1, "no address: nowhere"},
+      {"relay --listen nowhere --target 127.0.0.1:1", 1,
+       "relay: \"nowhere\" is not an address of the form 127.0.0.1:8080"},
       {"check", 2, "no scenario"},
       {"check " + kFleetFile, 0, "sound"},
       {"check " + kSourceDir + "/scenarios/crowded-discovery.toml", 1, "is supported on sockets only"},
@@ -156,7 +157,7 @@
   CHECK(same_variant.contains("no difference seen by the score"));
   const CommandResult single_pair =
       run_lab("compare --set duration=2s --seeds 1 -b load.rate=300/s " + kFleetFile);
-  CHECK(single_pair.contains("says nothing of chance"));
+  CHECK(single_pair.contains("a single pair of runs shows no spread: use more seeds"));
 }
 
 TEST_CASE("the try command writes a report and with --keep leaves the fleet running until SIGINT") {
--- a/tests/lab/report/report_test.cpp
+++ b/tests/lab/report/report_test.cpp
@@ -120,7 +120,8 @@
   const ExperimentResult result = run_experiment(driver, "virtual", strict, 0);
   CHECK_FALSE(result.passed());
   CHECK(verdict_text(result) == "BAD: 1 bound does not hold");
-  CHECK(summary_text(result).find("MISSED  service: 100.00%, wanted at least 110.00%") != std::string::npos);
+  CHECK(summary_text(result).find("MISSED  service: 100.00%, expected at least 110.00%") !=
+        std::string::npos);
 }
 
 TEST_CASE("two runs in virtual time give equal results also after saving and loading") {
